--- a/porter/src/figures.rs
+++ b/agent/src/figures.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use millpost_barrow::figures::Figures;
-use millpost_porter::Round;
+use millpost_agent::Round;
+use millpost_net::figures::Figures;
 
 /// All figures of this moment.
 pub fn of(round: &Round, uptime: Duration) -> Figures {
--- a/porter/src/lib.rs
+++ b/agent/src/lib.rs
@@ -1,5 +1,5 @@
 //! What a porter decides, as a state machine without I/O and clock: [`Round`] takes inputs with their times and returns what is to be
-//! opened, closed, sent and answered. The program `porter` carries it out.
+//! opened, closed, sent and answered. The program `agent` carries it out.
 
 pub mod follow;
 pub mod newest;
--- a/porter/src/main.rs
+++ b/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! `porter`: the agent beside a stall. It holds connections to two control machines, the steward among them, feeds its stall over
+//! `agent`: the agent beside a stall. It holds connections to two control machines, the steward among them, feeds its stall over
 //! loopback with what comes, and carries the stall's words up.
 
 mod errors;
@@ -8,9 +8,9 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use millpost_barrow::lines::{Bound, Lines};
-use millpost_crier::frame;
-use millpost_tariff::Settings;
+use millpost_config::Settings;
+use millpost_net::lines::{Bound, Lines};
+use millpost_protocol::frame;
 
 /// The agent beside a stall.
 #[derive(argh::FromArgs)]
@@ -24,7 +24,7 @@
     /// tell figures of the process at this port of the machine, under /metrics
     #[argh(option)]
     metrics: Option<u16>,
-    /// write what the porter decides on as lines at the end of this file, for `almanac`
+    /// write what the porter decides on as lines at the end of this file, for `replay`
     #[argh(option)]
     record: Option<PathBuf>,
     /// megabytes of the file at most; what comes beyond is counted and left out
@@ -34,7 +34,7 @@
 
 fn main() -> ExitCode {
     let options: Options = argh::from_env();
-    millpost_barrow::logs::start();
+    millpost_net::logs::start();
     let path = options.config.or_else(|| std::env::var_os("DEWJUNCTION_CONFIG").map(PathBuf::from));
     let Some(path) = path else {
         log::error!("no settings: neither --config nor DEWJUNCTION_CONFIG names a file");
--- a/porter/src/newest.rs
+++ b/agent/src/newest.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeMap;
 
 use compact_str::CompactString;
-use millpost_barrow::pack::{pack, unpack};
-use millpost_crier::{Instance, Note, Roster, Version};
-use millpost_tariff::{At, Config, change};
+use millpost_config::{At, Config, change};
+use millpost_net::pack::{pack, unpack};
+use millpost_protocol::{Instance, Note, Roster, Version};
 use tinyjson::JsonValue;
 
 /// Lines of the feed, and a configuration out of its pack.
--- a/porter/src/round.rs
+++ b/agent/src/round.rs
@@ -8,8 +8,8 @@
 use bytes::Bytes;
 use compact_str::CompactString;
 use log::Level;
-use millpost_barrow::mail;
-use millpost_crier::{Fault, Letter, Note, whole};
+use millpost_net::mail;
+use millpost_protocol::{Fault, Letter, Note, whole};
 use tinyjson::JsonValue;
 
 use crate::follow::{Follow, Step};
--- a/porter/src/tape.rs
+++ b/agent/src/tape.rs
@@ -9,9 +9,9 @@
 
 use bytes::Bytes;
 use compact_str::{CompactString, ToCompactString};
-use millpost_crier::frame::Fold;
-use millpost_crier::line::{self, Line, Sink, Tape};
-use millpost_crier::{Fault, string, whole};
+use millpost_protocol::frame::Fold;
+use millpost_protocol::line::{self, Line, Sink, Tape};
+use millpost_protocol::{Fault, string, whole};
 use tinyjson::JsonValue;
 
 use crate::{Effect, Input, Nanos, Round, Terms};
--- a/porter/tests/round.rs
+++ b/agent/tests/round.rs
@@ -4,10 +4,10 @@
 
 use bytes::Bytes;
 use log::Level;
-use millpost_barrow::pack::pack;
-use millpost_crier::{Instance, Note, Peer, Shift, object};
-use millpost_porter::{Effect, Input, MS, Nanos, Round, SECOND, Terms};
-use millpost_tariff::{Config, change};
+use millpost_agent::{Effect, Input, MS, Nanos, Round, SECOND, Terms};
+use millpost_config::{Config, change};
+use millpost_net::pack::pack;
+use millpost_protocol::{Instance, Note, Peer, Shift, object};
 use tinyjson::JsonValue;
 
 fn at(n: u8) -> SocketAddr {
@@ -720,9 +720,9 @@
     let mut play = Play::new(&[1]);
     play.line(1, &[whole(1)]);
     let (old, new) = (config(1, 1), config(2, 2));
-    play.line(1, &[Note::Patch { revision: 2, change: millpost_tariff::change::between(&old, &new) }]);
+    play.line(1, &[Note::Patch { revision: 2, change: millpost_config::change::between(&old, &new) }]);
     play.told.clear();
     play.give(Input::Up);
-    let packed = millpost_barrow::pack::pack(&new.to_json()).expect("packed");
+    let packed = millpost_net::pack::pack(&new.to_json()).expect("packed");
     assert_eq!(play.told, [Note::Packed { revision: 2, packed }]);
 }
--- a/pitches/src/lib.rs
+++ b/autoscaler/src/lib.rs
@@ -22,7 +22,7 @@
 pub mod terms;
 
 pub use life::{Instance, State};
-pub use millpost_crier::line::Sink;
+pub use millpost_protocol::line::Sink;
 pub use pace::{Ask, Pace};
 pub use platform::{Entry, StartFault, StopFault, Worker};
 pub use scaler::{Effect, Scaler, ServiceSpec};
--- a/pitches/src/tape.rs
+++ b/autoscaler/src/tape.rs
@@ -7,9 +7,9 @@
 use std::net::SocketAddr;
 
 use compact_str::{CompactString, ToCompactString};
-use millpost_crier::frame::Fold;
-use millpost_crier::line::{self, Line, Sink, Tape};
-use millpost_crier::{Fault, number, string, whole};
+use millpost_protocol::frame::Fold;
+use millpost_protocol::line::{self, Line, Sink, Tape};
+use millpost_protocol::{Fault, number, string, whole};
 use tinyjson::JsonValue;
 
 use crate::{
--- a/pitches/tests/reading.rs
+++ b/autoscaler/tests/reading.rs
@@ -1,9 +1,9 @@
 //! The platform's answers, as its page shows them, and broken ones.
 
-use millpost_pitches::platform::{
+use millpost_autoscaler::platform::{
     read_endpoints, read_started, read_workers, start_answer, start_body, stop_body,
 };
-use millpost_pitches::{Ask, Pace, StartFault};
+use millpost_autoscaler::{Ask, Pace, StartFault};
 use yare::parameterized;
 
 const LIST: &str = r#"{"endpoints":[{"service":"huvo11a","address":"10.128.0.9:8080","zone":"ikeja","revision":"v1",
--- a/pitches/tests/traces.rs
+++ b/autoscaler/tests/traces.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use compact_str::CompactString;
-use millpost_pitches::{
+use millpost_autoscaler::{
     Effect, Entry, Instance, Scaler, ServiceSpec, StartFault, State, StopFault, Terms, Worker,
 };
 use yare::parameterized;
--- a/pitches/tests/view.rs
+++ b/autoscaler/tests/view.rs
@@ -1,7 +1,7 @@
 //! How functions stand, as it is told to people.
 
-use millpost_pitches::scaler::view::{Hold, Starting};
-use millpost_pitches::{Scaler, ServiceSpec, StartFault, Terms, Worker};
+use millpost_autoscaler::scaler::view::{Hold, Starting};
+use millpost_autoscaler::{Scaler, ServiceSpec, StartFault, Terms, Worker};
 use yare::parameterized;
 
 const MS: u64 = 1_000_000;
--- a/tariff/tests/change.rs
+++ b/config/tests/change.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{CONFIG, drawn};
-use millpost_tariff::{Config, Fault, change, values};
+use millpost_config::{Config, Fault, change, values};
 
 #[test]
 fn round_trip() {
--- a/tariff/tests/common/mod.rs
+++ b/config/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Texts and generated configurations.
 #![allow(dead_code)]
 
-use millpost_tariff::Config;
+use millpost_config::Config;
 
 /// A configuration with a few of everything.
 pub const CONFIG: &str = r#"{"revision":7,"routes":[
--- a/tariff/tests/config.rs
+++ b/config/tests/config.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{CONFIG, Draw};
-use millpost_tariff::{Config, values};
+use millpost_config::{Config, values};
 use yare::parameterized;
 
 fn changed(from: &str, to: &str) -> String {
--- a/tariff/tests/routes.rs
+++ b/config/tests/routes.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::Draw;
-use millpost_tariff::{Config, Table};
+use millpost_config::{Config, Table};
 use yare::parameterized;
 
 fn config(routes: &[(String, String)]) -> Config {
--- a/tariff/tests/settings.rs
+++ b/config/tests/settings.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::SETTINGS;
-use millpost_tariff::Settings;
+use millpost_config::Settings;
 use yare::parameterized;
 
 #[test]
--- a/bourse/src/core.rs
+++ b/controller/src/core.rs
@@ -13,12 +13,12 @@
 
 use bytes::Bytes;
 use compact_str::{CompactString, ToCompactString};
-use millpost_barrow::mail::{Call, Reply};
-use millpost_barrow::pack;
-use millpost_crier::Note;
-use millpost_pitches::{Sink, Terms};
-use millpost_tally::{Address, Key, Kind as RoundKind, Members, Message, Outcome, Value};
-use millpost_tariff::{Config, Settings, change};
+use millpost_autoscaler::{Sink, Terms};
+use millpost_config::{Config, Settings, change};
+use millpost_net::mail::{Call, Reply};
+use millpost_net::pack;
+use millpost_protocol::Note;
+use millpost_quorum::{Address, Key, Kind as RoundKind, Members, Message, Outcome, Value};
 use tinyjson::JsonValue;
 
 use crate::calls::LONGEST_BODY;
--- a/bourse/src/core/api.rs
+++ b/controller/src/core/api.rs
@@ -5,12 +5,12 @@
 
 use hyper::StatusCode;
 use hyper::header::{HeaderValue, LOCATION};
-use millpost_barrow::mail::{Call, Reply};
-use millpost_barrow::pack::{self, pack};
-use millpost_carter::Input;
-use millpost_crier::{Letter, Note, object, text};
-use millpost_tally::{Address, Key, Kind as RoundKind, Message, Value};
-use millpost_tariff::Config;
+use millpost_config::Config;
+use millpost_migration::Input;
+use millpost_net::mail::{Call, Reply};
+use millpost_net::pack::{self, pack};
+use millpost_protocol::{Letter, Note, object, text};
+use millpost_quorum::{Address, Key, Kind as RoundKind, Message, Value};
 use tinyjson::JsonValue;
 
 use super::{Core, Effect, carts};
@@ -64,7 +64,7 @@
 fn vote(call: &Call) -> Result<(Address, Message), Kind> {
     let read = || {
         let JsonValue::Object(parts) = call.json()? else { return None };
-        let from = millpost_crier::string(&parts, "from").ok()?;
+        let from = millpost_protocol::string(&parts, "from").ok()?;
         Some((from, Message::read(parts.get("m")?).ok()?))
     };
     read().ok_or_else(|| Kind::Invalid("no message of a register".to_owned()))
--- a/bourse/src/core/carts.rs
+++ b/controller/src/core/carts.rs
@@ -3,13 +3,13 @@
 //! when nothing old can come to stand any more, and not at all otherwise.
 
 use hyper::StatusCode;
-use millpost_barrow::mail::{Call, Reply};
-use millpost_carter::{
+use millpost_config::At;
+use millpost_migration::{
     Carter, Effect, Function, Input, Kind as Said, Moment, Order, Standing, Stands, Terms, Turned,
 };
-use millpost_crier::{object, text};
-use millpost_tally::{Key, Kind as RoundKind, Outcome, Value, Why};
-use millpost_tariff::At;
+use millpost_net::mail::{Call, Reply};
+use millpost_protocol::{object, text};
+use millpost_quorum::{Key, Kind as RoundKind, Outcome, Value, Why};
 use percent_encoding::percent_decode_str;
 
 use super::{Core, api};
@@ -127,11 +127,11 @@
                     }
                     Said::Answer(answer) => {
                         let reply = match &answer.said {
-                            millpost_carter::Said::Stands(step) => {
+                            millpost_migration::Said::Stands(step) => {
                                 let body = object([("step", text(step))]).stringify().unwrap_or_default();
                                 Ok(Reply::json(StatusCode::OK, body))
                             }
-                            millpost_carter::Said::Refused(all) => {
+                            millpost_migration::Said::Refused(all) => {
                                 Err(Kind::Refused(all.iter().map(ToString::to_string).collect()))
                             }
                         };
@@ -181,6 +181,6 @@
             return Err(Kind::NotLeader);
         }
         let told = self.carts.carter.tell(self.carts.at(now), name.as_deref()).ok_or(Kind::Unclear)?;
-        Ok(Reply::json(StatusCode::OK, millpost_tariff::values::write(&told)))
+        Ok(Reply::json(StatusCode::OK, millpost_config::values::write(&told)))
     }
 }
--- a/bourse/src/core/drains.rs
+++ b/controller/src/core/drains.rs
@@ -5,9 +5,9 @@
 
 use compact_str::CompactString;
 use hyper::StatusCode;
-use millpost_barrow::mail::{Call, Reply};
-use millpost_crier::object;
-use millpost_pitches::State;
+use millpost_autoscaler::State;
+use millpost_net::mail::{Call, Reply};
+use millpost_protocol::object;
 use tinyjson::JsonValue;
 
 use super::Core;
--- a/bourse/src/core/figures.rs
+++ b/controller/src/core/figures.rs
@@ -1,6 +1,6 @@
 //! What a control machine tells of itself, for monitoring.
 
-use millpost_barrow::figures::Figures;
+use millpost_net::figures::Figures;
 
 use super::Core;
 use crate::{MS, Nanos};
--- a/bourse/src/core/follow.rs
+++ b/controller/src/core/follow.rs
@@ -3,8 +3,8 @@
 
 use std::collections::VecDeque;
 
-use millpost_barrow::mail::Call;
-use millpost_crier::{Letter, Note};
+use millpost_net::mail::Call;
+use millpost_protocol::{Letter, Note};
 
 use super::{Core, Effect, api};
 use crate::errors::Kind;
--- a/bourse/src/core/leave.rs
+++ b/controller/src/core/leave.rs
@@ -1,7 +1,7 @@
 //! A process that was told to end. Invariant: a voter does not end, inside half of its grace, before a spare that there is votes in its
 //! place, or, where there is none, before all that it holds stands on a majority of the voters without it.
 
-use millpost_tally::{Key, Kind as RoundKind};
+use millpost_quorum::{Key, Kind as RoundKind};
 
 use super::{Back, Core};
 use crate::rounds::For;
--- a/bourse/src/drains.rs
+++ b/controller/src/drains.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use compact_str::CompactString;
-use millpost_crier::{Note, Version, object, string, text, whole};
+use millpost_protocol::{Note, Version, object, string, text, whole};
 use tinyjson::JsonValue;
 
 use crate::errors::Kind;
@@ -70,7 +70,7 @@
     /// Reads one.
     pub fn read(json: &JsonValue) -> Result<Self, Kind> {
         let JsonValue::Object(parts) = json else { return Err(Kind::Invalid("no object".to_owned())) };
-        let invalid = |e: millpost_crier::Fault| Kind::Invalid(e.to_string());
+        let invalid = |e: millpost_protocol::Fault| Kind::Invalid(e.to_string());
         let word = |key| string(parts, key).map_err(invalid);
         let what = What::read(&word("what")?);
         let what = what.ok_or_else(|| Kind::Invalid("what: edge or worker".to_owned()))?;
--- a/bourse/src/duty.rs
+++ b/controller/src/duty.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use hyper::StatusCode;
-use millpost_barrow::mail::Reply;
-use millpost_crier::object;
+use millpost_net::mail::Reply;
+use millpost_protocol::object;
 use tinyjson::JsonValue;
 
 use crate::Nanos;
--- a/bourse/src/errors.rs
+++ b/controller/src/errors.rs
@@ -2,8 +2,8 @@
 
 use compact_str::CompactString;
 use hyper::StatusCode;
-use millpost_barrow::mail::Reply;
-use millpost_crier::{object, text};
+use millpost_net::mail::Reply;
+use millpost_protocol::{object, text};
 use snafu::Snafu;
 
 /// Why the program can't go on.
--- a/bourse/src/feed.rs
+++ b/controller/src/feed.rs
@@ -5,9 +5,9 @@
 
 use bytes::Bytes;
 use compact_str::CompactString;
-use millpost_barrow::pack::pack;
-use millpost_crier::{Note, object};
-use millpost_tariff::{Config, change, values};
+use millpost_config::{Config, change, values};
+use millpost_net::pack::pack;
+use millpost_protocol::{Note, object};
 use tinyjson::JsonValue;
 
 use crate::{MS, Nanos};
@@ -313,7 +313,7 @@
         let many = |revision: u64| {
             let mut new = config(revision);
             let service = new.services[0].clone();
-            new.services.extend((0..400).map(|n| millpost_tariff::Service {
+            new.services.extend((0..400).map(|n| millpost_config::Service {
                 name: format!("s-{revision}-{n}").into(),
                 ..service.clone()
             }));
@@ -346,12 +346,12 @@
             let mut new = config(2);
             let service = new.services[0].clone();
             let more = (0..40)
-                .map(|n| millpost_tariff::Service { name: format!("s-{n}").into(), ..service.clone() });
+                .map(|n| millpost_config::Service { name: format!("s-{n}").into(), ..service.clone() });
             new.services.extend(more);
             let mut feed = Feed::default();
             feed.configure(0, config(1), None);
             feed.follow(0, "a".into(), 1, true, &[]).expect("room");
-            let json = millpost_barrow::mail::json(&feed.configure(MS, new, None)[0].1).expect("JSON");
+            let json = millpost_net::mail::json(&feed.configure(MS, new, None)[0].1).expect("JSON");
             let JsonValue::Object(parts) = json else { panic!("an object") };
             let Some(JsonValue::Array(notes)) = parts.get("notes") else { panic!("notes") };
             Note::read(&notes[0]).expect("a note")
--- a/bourse/src/functions.rs
+++ b/controller/src/functions.rs
@@ -1,10 +1,10 @@
 //! How functions stand, as the leader tells its operators: `GET /core/functions`, in pages.
 
 use hyper::StatusCode;
-use millpost_barrow::mail::Reply;
-use millpost_crier::{object, text};
-use millpost_pitches::Nanos;
-use millpost_pitches::scaler::view::{Lot, Seen, Standing, Starting};
+use millpost_autoscaler::Nanos;
+use millpost_autoscaler::scaler::view::{Lot, Seen, Standing, Starting};
+use millpost_net::mail::Reply;
+use millpost_protocol::{object, text};
 use percent_encoding::percent_decode_str;
 use tinyjson::JsonValue;
 
@@ -150,9 +150,9 @@
 
 #[cfg(test)]
 mod tests {
-    use millpost_crier::{Note, Peer};
-    use millpost_pitches::Terms;
-    use millpost_tariff::Config;
+    use millpost_autoscaler::Terms;
+    use millpost_config::Config;
+    use millpost_protocol::{Note, Peer};
 
     use super::*;
 
@@ -177,7 +177,7 @@
             slow: Vec::new(),
         };
         leader.note(200 * MS, &want);
-        let known = millpost_crier::Instance {
+        let known = millpost_protocol::Instance {
             id: "i-1".into(),
             service: "a".into(),
             address: "10.0.0.9:80".into(),
@@ -208,7 +208,7 @@
         let all = answer["functions"].get::<Vec<JsonValue>>().expect("a list");
         let name = |f: &JsonValue| f["name"].get::<String>().expect("text").clone();
         assert_eq!(all.iter().map(name).collect::<Vec<_>>(), names);
-        assert_eq!(millpost_tariff::values::get_str(&answer, "next"), next);
+        assert_eq!(millpost_config::values::get_str(&answer, "next"), next);
     }
 
     #[test]
--- a/bourse/src/gossip.rs
+++ b/controller/src/gossip.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 use compact_str::CompactString;
-use millpost_crier::{object, string, text, whole};
-use millpost_tally::{Address, Members, Value};
+use millpost_protocol::{object, string, text, whole};
+use millpost_quorum::{Address, Members, Value};
 use tinyjson::JsonValue;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -80,7 +80,7 @@
     /// Reads them, and checks that they come from an address.
     pub fn read(value: &JsonValue) -> Result<News, Kind> {
         let JsonValue::Object(parts) = value else { return Err(Kind::Invalid("no JSON".to_owned())) };
-        let invalid = |e: millpost_crier::Fault| Kind::Invalid(e.to_string());
+        let invalid = |e: millpost_protocol::Fault| Kind::Invalid(e.to_string());
         let word = |key| string(parts, key).map_err(invalid);
         let count = |key| whole(parts, key).map_err(invalid);
         let news = News {
--- a/bourse/src/leader.rs
+++ b/controller/src/leader.rs
@@ -6,12 +6,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use compact_str::CompactString;
-use millpost_broker::{Owners, Ranks};
-use millpost_crier::{Instance, Note, Peer, Roster, Shift, Version};
-use millpost_pitches::{
+use millpost_autoscaler::{
     Effect, Instance as Known, Nanos, Pace, ServiceSpec, Sink, State, Taped as Scaler, Terms,
 };
-use millpost_tariff::Config;
+use millpost_config::Config;
+use millpost_protocol::{Instance, Note, Peer, Roster, Shift, Version};
+use millpost_scheduler::{Owners, Ranks};
 
 pub use floors::Doing;
 use floors::Floors;
@@ -137,7 +137,7 @@
 
 fn specs(config: &Config) -> Vec<ServiceSpec> {
     let of = |n: u64| n.min(u32::MAX.into()) as u32;
-    let spec = |s: &millpost_tariff::Service| ServiceSpec {
+    let spec = |s: &millpost_config::Service| ServiceSpec {
         name: s.name.clone(),
         memory_mb: of(s.memory_mb),
         boot_ms: of(s.boot_ms),
--- a/bourse/src/leader/floors.rs
+++ b/controller/src/leader/floors.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use compact_str::CompactString;
-use millpost_broker::Ranks;
-use millpost_crier::{Does, Note, Version};
+use millpost_protocol::{Does, Note, Version};
+use millpost_scheduler::Ranks;
 
 use super::{Leader, MS, Nanos, Told};
 
--- a/bourse/src/leader/view.rs
+++ b/controller/src/leader/view.rs
@@ -1,6 +1,6 @@
 //! How stalls stand with the leader, for people: a view that changes nothing.
 
-use millpost_crier::{object, text};
+use millpost_protocol::{object, text};
 use tinyjson::JsonValue;
 
 use super::{Leader, MS, Nanos, SILENT, UNFED};
--- a/bourse/src/leadership.rs
+++ b/controller/src/leadership.rs
@@ -5,9 +5,9 @@
 use std::net::SocketAddr;
 
 use compact_str::CompactString;
-use millpost_crier::Note;
-use millpost_pitches::{Ask, Effect, Entry, StartFault, StopFault, Worker};
-use millpost_tally::{Address, Holder, Members, Message, Outcome, Value};
+use millpost_autoscaler::{Ask, Effect, Entry, StartFault, StopFault, Worker};
+use millpost_protocol::Note;
+use millpost_quorum::{Address, Holder, Members, Message, Outcome, Value};
 
 use crate::Nanos;
 use crate::errors::Kind;
@@ -362,7 +362,7 @@
 
 #[cfg(test)]
 mod tests {
-    use millpost_pitches::Terms;
+    use millpost_autoscaler::Terms;
 
     use super::*;
     use crate::MS;
--- a/bourse/src/ledger.rs
+++ b/controller/src/ledger.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use compact_str::CompactString;
-use millpost_crier::{object, text};
-use millpost_pitches::{StartFault, StopFault, Worker};
+use millpost_autoscaler::{StartFault, StopFault, Worker};
+use millpost_protocol::{object, text};
 use tinyjson::JsonValue;
 
 use crate::leadership::Heard;
@@ -172,6 +172,6 @@
         }
         let JsonValue::Array(faults) = ledger.faults_json(202 * MS) else { panic!("a list") };
         assert_eq!(faults.len(), MOST);
-        assert_eq!(millpost_tariff::values::get_str(&faults[1], "of"), Some("4.7.f"));
+        assert_eq!(millpost_config::values::get_str(&faults[1], "of"), Some("4.7.f"));
     }
 }
--- a/bourse/src/main.rs
+++ b/controller/src/main.rs
@@ -1,13 +1,13 @@
-//! `bourse`: control, on each core machine. It keeps the register on its disk, takes configurations from operators, feeds the
+//! `controller`: control, on each core machine. It keeps the register on its disk, takes configurations from operators, feeds the
 //! porters, and, while it holds the lease, polls the platform's list and starts and stops instances.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use millpost_barrow::lines::{Bound, Lines};
-use millpost_bourse::runtime;
-use millpost_crier::frame;
-use millpost_tariff::Settings;
+use millpost_config::Settings;
+use millpost_controller::runtime;
+use millpost_net::lines::{Bound, Lines};
+use millpost_protocol::frame;
 
 /// Control, on each core machine.
 #[derive(argh::FromArgs)]
@@ -18,7 +18,7 @@
     /// read and check the settings file, say what is wrong with it, and end
     #[argh(switch)]
     check_config: bool,
-    /// write what the scaler decides on as lines to the standard output, for `almanac`
+    /// write what the scaler decides on as lines to the standard output, for `replay`
     #[argh(switch)]
     record: bool,
     /// megabytes of lines at most; what comes beyond is counted and left out
@@ -34,7 +34,7 @@
 
 fn main() -> ExitCode {
     let options: Options = argh::from_env();
-    millpost_barrow::logs::start();
+    millpost_net::logs::start();
     let path = options.config.or_else(|| std::env::var_os("DEWJUNCTION_CONFIG").map(PathBuf::from));
     let Some(path) = path else {
         log::error!("no settings: neither --config nor DEWJUNCTION_CONFIG names a file");
--- a/bourse/src/orders.rs
+++ b/controller/src/orders.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use millpost_tally::{Kind as RoundKind, Value};
+use millpost_quorum::{Kind as RoundKind, Value};
 use tinyjson::JsonValue;
 
 use crate::calls::LONGEST_BODY;
@@ -55,7 +55,7 @@
 
 /// Whether two contents are the same configuration: the same text, or the same JSON in another order of keys or spacing.
 fn same(one: &str, other: &str) -> bool {
-    let read = |content: &str| millpost_barrow::pack::plain(content, LONGEST_BODY)?.parse::<JsonValue>().ok();
+    let read = |content: &str| millpost_net::pack::plain(content, LONGEST_BODY)?.parse::<JsonValue>().ok();
     one == other || read(one).is_some_and(|value| Some(value) == read(other))
 }
 
@@ -102,7 +102,7 @@
     /// What is long stands packed, and comes as plain text from an operator's second machine.
     #[test]
     fn a_packed_content_is_the_text_that_it_was_packed_from() {
-        let packed = millpost_barrow::pack::pack(STANDS).expect("packed");
+        let packed = millpost_net::pack::pack(STANDS).expect("packed");
         assert_eq!(ended(2, &packed, Some((2, STANDS))).map(|confirmed| confirmed.revision), Ok(2));
     }
 }
--- a/bourse/src/pages.rs
+++ b/controller/src/pages.rs
@@ -1,7 +1,7 @@
 //! The platform's list, page by page.
 
 use compact_str::CompactString;
-use millpost_pitches::Entry;
+use millpost_autoscaler::Entry;
 
 use crate::Nanos;
 
--- a/bourse/src/platform.rs
+++ b/controller/src/platform.rs
@@ -8,8 +8,8 @@
 use compact_str::CompactString;
 use hyper::Method;
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
-use millpost_barrow::link::{Client, Options};
-use millpost_pitches::platform::{self, StartFault, StopFault, Worker};
+use millpost_autoscaler::platform::{self, StartFault, StopFault, Worker};
+use millpost_net::link::{Client, Options};
 
 use crate::leadership::{Call, Heard, Page};
 
--- a/bourse/src/rounds.rs
+++ b/controller/src/rounds.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use millpost_tally::{
+use millpost_quorum::{
     Address, Ballots, Change, Key, Kind as RoundKind, Members, Message, Moved, Moving, Out as Said, Outcome,
     Round,
 };
--- a/bourse/src/voter_thread.rs
+++ b/controller/src/voter_thread.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 use std::{fs, io, thread};
 
-use millpost_tally::{Address, Key, Members, Message, State, Value, Voter};
+use millpost_quorum::{Address, Key, Members, Message, State, Value, Voter};
 use snafu::ResultExt;
 use tokio::sync::{mpsc as outward, oneshot};
 
@@ -143,7 +143,7 @@
     match Voter::open(start.me.clone(), records, start.seeds.clone(), start.life, now) {
         Ok(voter) => Some((disk, voter)),
         // Nothing is wrong with them: they stay for the program that wrote them.
-        Err(e @ millpost_tally::OpenError::Newer { .. }) => {
+        Err(e @ millpost_quorum::OpenError::Newer { .. }) => {
             static ONCE: std::sync::Once = std::sync::Once::new();
             ONCE.call_once(|| log::error!("does not vote: {}: {e}", start.folder.display()));
             None
@@ -223,7 +223,7 @@
 
 #[cfg(test)]
 mod tests {
-    use millpost_tally::{Key, Write};
+    use millpost_quorum::{Key, Write};
 
     use super::*;
 
@@ -279,7 +279,7 @@
             matches!(first, Some(Said::Standing { voting: false, .. })),
             "copies before it votes: {first:?}"
         );
-        let ballot = millpost_tally::Ballots::new("127.0.0.1:1", 2).next(0);
+        let ballot = millpost_quorum::Ballots::new("127.0.0.1:1", 2).next(0);
         let prepare = Message::Prepare { key: Key::Config, ballot, members };
         let answer = voter.ask("127.0.0.1:1".into(), prepare).blocking_recv();
         assert!(matches!(answer, Ok(None)), "{answer:?}");
--- a/bourse/src/voter_thread/newer.rs
+++ b/controller/src/voter_thread/newer.rs
@@ -1,6 +1,6 @@
 //! Records of a newer version of the program.
 
-use millpost_tally::Write;
+use millpost_quorum::Write;
 
 use super::*;
 
--- a/bourse/src/voters.rs
+++ b/controller/src/voters.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use millpost_tally::{Address, Change, Members};
+use millpost_quorum::{Address, Change, Members};
 
 use crate::gossip::Seen;
 use crate::{MS, Nanos};
--- a/bourse/tests/control.rs
+++ b/controller/tests/control.rs
@@ -3,9 +3,9 @@
 mod town;
 
 use hyper::Method;
-use millpost_bourse::core::Input;
-use millpost_bourse::leadership::Call;
-use millpost_bourse::rounds;
+use millpost_controller::core::Input;
+use millpost_controller::leadership::Call;
+use millpost_controller::rounds;
 use tinyjson::JsonValue;
 use town::{MS, Town, address, config};
 
@@ -156,8 +156,8 @@
     let (_, seat) = town.seats[&follow];
     let lines = town.lines.iter().filter(|(n, of, _)| (*n, *of) == (leader, seat));
     let first = lines.map(|(_, _, line)| String::from_utf8_lossy(line).into_owned()).next().expect("a line");
-    let packed = |text: &str| millpost_barrow::pack::pack(text).expect("packed");
-    let configuration = millpost_tariff::Config::parse(&config(2, "new")).expect("one").to_json();
+    let packed = |text: &str| millpost_net::pack::pack(text).expect("packed");
+    let configuration = millpost_config::Config::parse(&config(2, "new")).expect("one").to_json();
     assert!(first.contains(&packed(&configuration)), "{first}");
 }
 
@@ -496,7 +496,7 @@
         let newest = acknowledged.map(|(revision, _)| *revision).max();
         let id = town.read(0);
         town.run(town.now + 900 * MS);
-        let read = town.answer_to(id).and_then(|(_, text)| millpost_tariff::Config::parse(text).ok());
+        let read = town.answer_to(id).and_then(|(_, text)| millpost_config::Config::parse(text).ok());
         assert!(read.map(|config| config.revision) >= newest, "{luck}: {newest:?} was acknowledged");
         assert_eq!(town.chosen().len(), 1, "{luck}");
         assert!(town.went.iter().all(|(at, _, errand)| *at < errand.until), "{luck}");
@@ -657,7 +657,7 @@
     let id = town.read(0);
     town.run(town.now + 900 * MS);
     let (_, text) = town.answer_to(id).expect("an answer");
-    let config = millpost_tariff::Config::parse(text).expect("valid");
+    let config = millpost_config::Config::parse(text).expect("valid");
     assert!(config.routes.iter().all(|route| route.shares == [("t".into(), 1)]), "{text}");
     assert!((11..=13).contains(&config.revision), "{}", config.revision);
 }
--- a/bourse/tests/leader.rs
+++ b/controller/tests/leader.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use compact_str::CompactString;
-use millpost_bourse::leader::Leader;
-use millpost_broker::Owners;
-use millpost_crier::{Instance, Note, Peer, Roster, Shift, Version};
-use millpost_pitches::Terms;
-use millpost_tariff::Config;
+use millpost_autoscaler::Terms;
+use millpost_config::Config;
+use millpost_controller::leader::Leader;
+use millpost_protocol::{Instance, Note, Peer, Roster, Shift, Version};
+use millpost_scheduler::Owners;
 
 const MS: u64 = 1_000_000;
 
--- a/bourse/tests/market/mod.rs
+++ b/controller/tests/market/mod.rs
@@ -4,12 +4,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hyper::Method;
-use millpost_barrow::mail;
-use millpost_barrow::pack::unpack;
-use millpost_bourse::core::Input;
-use millpost_broker::{Ask, Desk, No, Out, Outcome, Peer, SECOND, Spec, Terms};
-use millpost_crier::{Note, object, text};
-use millpost_tariff::{At, Config, change};
+use millpost_config::{At, Config, change};
+use millpost_controller::core::Input;
+use millpost_net::mail;
+use millpost_net::pack::unpack;
+use millpost_protocol::{Note, object, text};
+use millpost_scheduler::{Ask, Desk, No, Out, Outcome, Peer, SECOND, Spec, Terms};
 use tinyjson::JsonValue;
 
 use crate::town::{MS, Town};
@@ -142,8 +142,9 @@
     /// Instances of a function that its owner knows to work.
     pub fn ready(&self, service: &str) -> usize {
         let of = self.stalls[self.owner(service)].desk.broker();
-        let ready =
-            |i: &&millpost_broker::Instance| i.service == service && i.stage == millpost_broker::Stage::Ready;
+        let ready = |i: &&millpost_scheduler::Instance| {
+            i.service == service && i.stage == millpost_scheduler::Stage::Ready
+        };
         of.owned_instances().filter(ready).count()
     }
 
--- a/bourse/tests/moves.rs
+++ b/controller/tests/moves.rs
@@ -5,7 +5,7 @@
 mod town;
 
 use market::{Market, Serves};
-use millpost_broker::Outcome;
+use millpost_scheduler::Outcome;
 use town::MS;
 
 /// Eight routes, `a` to `h`, all on `s`.
--- a/bourse/tests/town/mod.rs
+++ b/controller/tests/town/mod.rs
@@ -7,12 +7,12 @@
 use compact_str::CompactString;
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode};
-use millpost_barrow::mail::{Call, Content, Reply, json};
-use millpost_bourse::contact::Answered;
-use millpost_bourse::core::{Back, Bounds, Core, Effect, Input, Start};
-use millpost_bourse::leadership::{self, Errand, Heard};
-use millpost_pitches::{Entry, Worker};
-use millpost_tally::{Address, Key, Members, Message, Voter, Write};
+use millpost_autoscaler::{Entry, Worker};
+use millpost_controller::contact::Answered;
+use millpost_controller::core::{Back, Bounds, Core, Effect, Input, Start};
+use millpost_controller::leadership::{self, Errand, Heard};
+use millpost_net::mail::{Call, Content, Reply, json};
+use millpost_quorum::{Address, Key, Members, Message, Voter, Write};
 use tinyjson::JsonValue;
 
 pub const MS: u64 = 1_000_000;
@@ -371,7 +371,7 @@
     fn tick(&mut self, n: usize) {
         let machine = &mut self.machines[n];
         let standing =
-            (machine.voter.state() == millpost_tally::State::Voting, machine.voter.members().cloned());
+            (machine.voter.state() == millpost_quorum::State::Voting, machine.voter.members().cloned());
         if machine.told.as_ref() != Some(&standing) {
             machine.told = Some(standing.clone());
             machine.core.input(self.now, Input::Standing(standing.0, standing.1));
--- a/beadle/src/config.rs
+++ b/ctl/src/config.rs
@@ -6,8 +6,8 @@
 
 use bytes::Bytes;
 use hyper::Method;
-use millpost_tariff::values::{self, get, get_list, get_str, list, object, string};
-use millpost_tariff::{Config, Fault};
+use millpost_config::values::{self, get, get_list, get_str, list, object, string};
+use millpost_config::{Config, Fault};
 use snafu::ResultExt;
 use tinyjson::JsonValue;
 
@@ -102,7 +102,7 @@
     let what = "to a change: it may be in force or may still come into force; put it again as it is";
     let given = controls.call(Method::POST, "/Config.Replace", body, what).await?;
     if given.status >= 300 {
-        let json = millpost_barrow::mail::json(&given.body);
+        let json = millpost_net::mail::json(&given.body);
         if let Some(stands) = json.as_ref().and_then(conflict) {
             return OvertakenSnafu { ours, stands, how: WON }.fail();
         }
--- a/beadle/src/drain.rs
+++ b/ctl/src/drain.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use hyper::Method;
-use millpost_tariff::values::{get_bool, get_list, get_str, get_u64, list, number, object, string, write};
+use millpost_config::values::{get_bool, get_list, get_str, get_u64, list, number, object, string, write};
 use tinyjson::JsonValue;
 
 use crate::ask::{Controls, said, seconds};
@@ -50,7 +50,7 @@
     }
 
     fn read((steward, status, body): (SocketAddr, u16, Bytes)) -> Result<Self, Error> {
-        let json = millpost_barrow::mail::json(&body);
+        let json = millpost_net::mail::json(&body);
         match json.as_ref().and_then(|json| get_list(json, "drains")) {
             Some(all) if status == 200 => Ok(Drains { steward, all: all.to_vec() }),
             _ => {
--- a/beadle/src/errors.rs
+++ b/ctl/src/errors.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use millpost_tariff::Fault;
-use millpost_tariff::values::{list, number, object, string};
+use millpost_config::Fault;
+use millpost_config::values::{list, number, object, string};
 use snafu::Snafu;
 use tinyjson::JsonValue;
 
@@ -44,13 +44,13 @@
         /// Which file.
         path: PathBuf,
         /// Each key, and what is wrong with it.
-        source: millpost_tariff::Faults,
+        source: millpost_config::Faults,
     },
     /// The records on a disk can't be got at, or not made sense of.
     #[snafu(display("{source}"))]
     Disk {
         /// Why.
-        source: millpost_till::DiskError,
+        source: millpost_quorum_store::DiskError,
     },
     /// A record can't be read.
     #[snafu(display("{}: {source}", folder.display()))]
@@ -58,7 +58,7 @@
         /// Where.
         folder: PathBuf,
         /// The record, and what is wrong with it.
-        source: millpost_tally::OpenError,
+        source: millpost_quorum::OpenError,
     },
     /// There is no configuration on a disk.
     #[snafu(display("{}: key/config: no configuration stands there", folder.display()))]
@@ -136,7 +136,7 @@
             Error::Invalid { .. } => ("invalid", 3),
             Error::Disk { source } if source.is_spoilt() => ("spoilt", 3),
             Error::Disk { .. } => ("store", 2),
-            Error::Record { source: millpost_tally::OpenError::Newer { .. }, .. } => ("newer", 3),
+            Error::Record { source: millpost_quorum::OpenError::Newer { .. }, .. } => ("newer", 3),
             Error::Record { .. } => ("spoilt", 3),
             Error::Bare { .. } => ("empty", 1),
             Error::Refused { .. } => ("refused", 3),
--- a/beadle/src/functions.rs
+++ b/ctl/src/functions.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use millpost_tariff::values::{get_list, get_str, get_u64, list, number, object, string};
+use millpost_config::values::{get_list, get_str, get_u64, list, number, object, string};
 use percent_encoding::{NON_ALPHANUMERIC, utf8_percent_encode};
 use tinyjson::JsonValue;
 
--- a/beadle/src/main.rs
+++ b/ctl/src/lib.rs
@@ -1,5 +1,5 @@
-//! `beadle`: the operators' command for control. It shows how control stands and who acts on what, reads, checks, compares and
-//! puts configurations, and looks at the records on a disk.
+//! The operators' command for control, built as `millpost-ctl` and as `beadle`. It shows how control stands and who acts on
+//! what, reads, checks, compares and puts configurations, and looks at the records on a disk.
 //!
 //! Exit codes: see [`errors::Error::kind`]; 0 all is well, 1 something that was looked at is not.
 
@@ -21,7 +21,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use argh::{EarlyExit, FromArgs};
-use millpost_tariff::values::{self, list, number, object, string};
+use millpost_config::values::{self, list, number, object, string};
 use snafu::ResultExt;
 use tinyjson::JsonValue;
 
@@ -338,7 +338,7 @@
     other: Option<PathBuf>,
 }
 
-/// The records on a control machine's disk. Asks nobody, writes nothing there, and works beside a running `bourse`.
+/// The records on a control machine's disk. Asks nobody, writes nothing there, and works beside a running `controller`.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "store")]
 struct StoreOptions {
@@ -380,8 +380,9 @@
     Options::from_args(&["beadle"], arguments.get(1..).unwrap_or_default())
 }
 
-fn main() -> ExitCode {
-    millpost_barrow::logs::start();
+/// Runs the command on the arguments of this process.
+pub fn main() -> ExitCode {
+    millpost_net::logs::start();
     let (json, ended) = match options() {
         Ok(options) => {
             let json = options.json;
--- /dev/null
+++ b/ctl/src/main.rs
@@ -0,0 +1,7 @@
+//! `millpost-ctl`: the operators' command for control.
+
+use std::process::ExitCode;
+
+fn main() -> ExitCode {
+    millpost_ctl::main()
+}
--- a/beadle/src/status.rs
+++ b/ctl/src/status.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
-use millpost_tariff::values::{get, get_bool, get_list, get_str, get_u64, list, number, object, string};
+use millpost_config::values::{get, get_bool, get_list, get_str, get_u64, list, number, object, string};
 use tinyjson::JsonValue;
 use tokio::task::JoinSet;
 
@@ -171,7 +171,7 @@
 async fn ask(to: SocketAddr, within: Duration) -> Result<Standing, String> {
     match once(to, Method::GET, "/core", Bytes::new(), within).await {
         Ok((StatusCode::OK, _, body)) => {
-            let standing = millpost_barrow::mail::json(&body).as_ref().and_then(Standing::read);
+            let standing = millpost_net::mail::json(&body).as_ref().and_then(Standing::read);
             standing.ok_or_else(|| "its answer is no status of control".to_owned())
         }
         Ok((status, _, body)) => Err(said(status.as_u16(), &body)),
--- a/beadle/src/store.rs
+++ b/ctl/src/store.rs
@@ -4,10 +4,10 @@
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
-use millpost_barrow::pack::plain;
-use millpost_tally::{Accepted, Ballot, Key, MAX_CONTENT, Members, Record, Slot, check_format};
-use millpost_tariff::values::{list, number, object, string};
-use millpost_tariff::{Config, Fault, Faults};
+use millpost_config::values::{list, number, object, string};
+use millpost_config::{Config, Fault, Faults};
+use millpost_net::pack::plain;
+use millpost_quorum::{Accepted, Ballot, Key, MAX_CONTENT, Members, Record, Slot, check_format};
 use snafu::ResultExt;
 use tinyjson::JsonValue;
 
@@ -35,7 +35,7 @@
 fn look(folder: &Path) -> Result<(PathBuf, Vec<(String, String)>), Error> {
     let hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(|_| {}));
-    let looked = millpost_till::look(folder);
+    let looked = millpost_quorum_store::look(folder);
     std::panic::set_hook(hook);
     let (folder, records) = looked.context(DiskSnafu)?;
     check_format(&records).with_context(|_| RecordSnafu { folder: folder.clone() })?;
@@ -74,7 +74,7 @@
             }
         },
         Key::Steward => (format!("steward {}", content.escape_debug()), accepted.value.version),
-        Key::Moves => match millpost_carter::Record::read(content) {
+        Key::Moves => match millpost_migration::Record::read(content) {
             Err(e) => return (String::new(), wrong("content", e)),
             Ok(record) => {
                 let (all, open) = (record.moves.len(), record.open().count());
@@ -100,7 +100,7 @@
 
 fn row(key: &str, text: &str) -> Row {
     let (record, holds, faults) = match Record::read(key, text) {
-        Err(millpost_tally::OpenError::Record { source, .. }) => {
+        Err(millpost_quorum::OpenError::Record { source, .. }) => {
             (None, String::new(), vec![Fault::Text { reason: source.to_string() }])
         }
         Err(_) => (None, String::new(), vec![Fault::Text { reason: "is not one of a voter".to_owned() }]),
--- a/beadle/src/why.rs
+++ b/ctl/src/why.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use millpost_tariff::values::{get, get_bool, get_list, get_str, get_u64, list, object, string};
+use millpost_config::values::{get, get_bool, get_list, get_str, get_u64, list, object, string};
 use tinyjson::JsonValue;
 
 use crate::ask::steward_says;
--- a/beadle/tests/command.rs
+++ b/ctl/tests/command.rs
@@ -9,7 +9,7 @@
 
 use hyper::StatusCode;
 use hyper::header::{HeaderValue, LOCATION};
-use millpost_barrow::mail::{self, Limits, Reply};
+use millpost_net::mail::{self, Limits, Reply};
 use tokio::net::TcpListener;
 
 const FILE: &str = r#"{"revision":7,"routes":[{"host":"h","path_prefix":"/a/","traffic_kind":"idempotent",
@@ -67,7 +67,7 @@
     }
 }
 
-fn beadle(controls: &[SocketAddr], arguments: &[&str]) -> Command {
+fn ctl(controls: &[SocketAddr], arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_beadle"));
     let controls = controls.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
     command.args(["--control", &controls]).args(arguments).env_remove("RUST_LOG");
@@ -75,7 +75,7 @@
 }
 
 fn run(controls: &[SocketAddr], arguments: &[&str]) -> (Option<i32>, String, String) {
-    let Output { status, stdout, stderr } = beadle(controls, arguments).output().expect("it runs");
+    let Output { status, stdout, stderr } = ctl(controls, arguments).output().expect("it runs");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
     (status.code(), text(stdout), text(stderr))
 }
@@ -267,7 +267,7 @@
     // Back and forth for as long as anybody asks.
     let turns: Vec<_> =
         (0..2_000).flat_map(|_| [&behind, &all]).map(|t| ("/core", (200, t.as_str()))).collect();
-    let mut watch = beadle(&[market.control(&turns)], &["watch", "--every", "0.005"]);
+    let mut watch = ctl(&[market.control(&turns)], &["watch", "--every", "0.005"]);
     let mut child = watch.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("it runs");
     let mut lines = BufReader::new(child.stdout.take().expect("its output")).lines().map_while(Result::ok);
     assert!(lines.any(|line| line.ends_with("edge-2 acts on: 5 -> 7")));
--- a/beadle/tests/store.rs
+++ b/ctl/tests/store.rs
@@ -5,9 +5,9 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-use millpost_barrow::pack::pack;
-use millpost_tally::{Ballots, Key, Members, Message, Value, Voter, Write};
-use millpost_till::Disk;
+use millpost_net::pack::pack;
+use millpost_quorum::{Ballots, Key, Members, Message, Value, Voter, Write};
+use millpost_quorum_store::Disk;
 use yare::parameterized;
 
 const CONFIG: &str = r#"{"revision":7,"routes":[{"host":"h","path_prefix":"/a/","traffic_kind":"idempotent",
@@ -73,7 +73,7 @@
 /// Exit code, output and errors; the folder stays as it is.
 fn run(arguments: &[&str], folder: &Path) -> (i32, String, String) {
     let before = folder.is_dir().then(|| image(folder));
-    let mut command = Command::new(env!("CARGO_BIN_EXE_beadle"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_millpost-ctl"));
     let output = command.args(arguments).arg(folder).env_remove("RUST_LOG").output().expect("it runs");
     assert_eq!(folder.is_dir().then(|| image(folder)), before);
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
--- a/dispatcher/src/calls.rs
+++ b/dispatcher/src/calls.rs
@@ -9,10 +9,10 @@
 use hyper::header::{HeaderMap, HeaderValue, RETRY_AFTER};
 use hyper::{Request, Response, StatusCode};
 use millpost::api::{EndpointId, Nanos, Outcome, Report};
-use millpost_barrow::link::{Error, Link};
-use millpost_barrow::meter::{Part, metered};
-use millpost_barrow::written::Sent;
 use millpost_core::{CallId, Carried, End, Ended, Fate};
+use millpost_net::link::{Error, Link};
+use millpost_net::meter::{Part, metered};
+use millpost_net::written::Sent;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
--- a/dispatcher/src/driver.rs
+++ b/dispatcher/src/driver.rs
@@ -10,10 +10,10 @@
 use millpost::Lesson;
 use millpost::api::{Event, Nanos, Outcome, Settings, State, Weights};
 use millpost_audit::entry::Author;
-use millpost_barrow::meter::{Part, within};
-use millpost_barrow::room::Room;
 use millpost_core::{Core, Count, Effect, Ended, Handed, LAYOUT, Moment, Moved, ReplyId, Verdict};
 use millpost_handover::{Does, Frame, Giver, Heard, Moving};
+use millpost_net::meter::{Part, within};
+use millpost_net::room::Room;
 use millpost_settings::{Classes, Shape};
 use millpost_store::ledger::Found;
 use millpost_store::{Disk, Ledger, Seq};
@@ -675,7 +675,7 @@
         }
     }
 
-    fn ended(&mut self, at: Moment, call: u64, ended: Ended, link: Option<millpost_barrow::link::Link>) {
+    fn ended(&mut self, at: Moment, call: u64, ended: Ended, link: Option<millpost_net::link::Link>) {
         self.calls.over(call, &ended.fate, link, |endpoint| self.roster.ready(endpoint));
         within(Part::Module, || self.core.ended(at, call, ended));
     }
--- a/dispatcher/src/hands.rs
+++ b/dispatcher/src/hands.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use millpost::api::{MsgId, Nanos};
-use millpost_barrow::room::Room;
 use millpost_core::{CallId, Verdict};
 use millpost_handover::Frame;
+use millpost_net::room::Room;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -30,10 +30,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use millpost_barrow::room::Room;
-use millpost_barrow::{link, meter};
 use millpost_core::{LAYOUT, Moved};
 use millpost_handover::{Frame, Moving};
+use millpost_net::room::Room;
+use millpost_net::{link, meter};
 use millpost_store::{Disk, Ledger, ledger};
 use millpost_tier::sieve::Sieve;
 use tokio::net::TcpListener;
--- a/dispatcher/src/notices.rs
+++ b/dispatcher/src/notices.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
-use millpost_barrow::link::{Agent, Error};
+use millpost_net::link::{Agent, Error};
 use millpost_store::ledger::Answer;
 use serde::Serialize;
 use tokio::sync::mpsc;
--- a/dispatcher/src/record.rs
+++ b/dispatcher/src/record.rs
@@ -3,8 +3,8 @@
 
 use millpost::Lesson;
 use millpost::api::Nanos;
-use millpost_barrow::meter::{Part, within};
 use millpost_core::{Behind, Change, Moment, Ready, Shelf};
+use millpost_net::meter::{Part, within};
 use millpost_store::ledger::Final;
 use millpost_store::{Disk, Error, Folder, Ledger, Seq, SyncJob, Synced};
 
--- a/fair/examples/market.rs
+++ b/e2e/examples/market.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use millpost_fair::{Fair, library, order, until};
+use millpost_e2e::{Fair, library, order, until};
 use millpost_standins::market::client::{Order, Outcome};
 use millpost_standins::market::function::{Endpoint, Phase};
 use millpost_standins::market::settings::{Bounds, Class, Configuration};
--- a/fair/src/bin/soak.rs
+++ b/e2e/src/bin/soak.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use millpost_fair::soak::{Setup, soak};
+use millpost_e2e::soak::{Setup, soak};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::LocalSet;
 
--- a/fair/src/lib.rs
+++ b/e2e/src/lib.rs
@@ -1,5 +1,5 @@
 //! The whole system on loopback: the platform and its workers, the functions, the operator and the clients are
-//! stand-ins; `stall`, `porter` and `bourse` are the real programs, each a process with the address of its machine.
+//! stand-ins; `proxy`, `agent` and `controller` are the real programs, each a process with the address of its machine.
 //!
 //! What is played is a library: `loans` and `holds` may run once for each try, `searches` may be repeated; a loan can be
 //! made to search through the system before it answers.
--- a/fair/src/programs.rs
+++ b/e2e/src/programs.rs
@@ -30,7 +30,7 @@
     };
     let mut build = Command::new(env!("CARGO"));
     build.args(["build", "--quiet", "--profile", profile, "--target-dir"]).arg(target);
-    build.args(["-p", "millpost-stall", "-p", "millpost-porter", "-p", "millpost-bourse"]);
+    build.args(["-p", "millpost-proxy", "-p", "millpost-agent", "-p", "millpost-controller"]);
     build.current_dir(env!("CARGO_MANIFEST_DIR"));
     match build.status() {
         Ok(status) if status.success() => Ok(programs),
--- a/fair/tests/calm.rs
+++ b/e2e/tests/calm.rs
@@ -1,6 +1,6 @@
 //! Nothing goes wrong.
 
-use millpost_fair::{Fair, fairly, library, until};
+use millpost_e2e::{Fair, fairly, library, until};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn functions_are_started_for_their_requests_serve_them_all_and_are_stopped_again() {
--- a/fair/tests/configurations.rs
+++ b/e2e/tests/configurations.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use millpost_fair::{Fair, PATIENCE, fairly, library, order, until};
+use millpost_e2e::{Fair, PATIENCE, fairly, library, order, until};
 use millpost_standins::market::operator::Operator;
 use millpost_standins::market::settings::{Class, Configuration, Role};
 use serde_json::{Value, json};
--- a/fair/tests/leaving.rs
+++ b/e2e/tests/leaving.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use millpost_fair::{Fair, fairly, order, until};
+use millpost_e2e::{Fair, fairly, order, until};
 use millpost_standins::link::Weather;
 use millpost_standins::market::function::{Manner, attempt_id};
 use millpost_standins::market::message::{Connection, request};
--- a/fair/tests/losses.rs
+++ b/e2e/tests/losses.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use millpost_fair::{Fair, fairly, library, order, until};
+use millpost_e2e::{Fair, fairly, library, order, until};
 use millpost_standins::market::client::Order;
 use millpost_standins::market::settings::{Class, Function, Kind, Role, Route};
 use tokio::time::{sleep_until, timeout};
--- a/fair/tests/soak.rs
+++ b/e2e/tests/soak.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use millpost_fair::fairly;
-use millpost_fair::soak::{Setup, soak};
+use millpost_e2e::fairly;
+use millpost_e2e::soak::{Setup, soak};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn planned_work_in_series_loses_no_request() {
--- a/explore/src/lease.rs
+++ b/explore/src/lease.rs
@@ -11,7 +11,7 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-use millpost_tally::{Address, Holder, LEASE_FOR, LEASE_MARGIN, Members, Message, Voter};
+use millpost_quorum::{Address, Holder, LEASE_FOR, LEASE_MARGIN, Members, Message, Voter};
 
 use crate::part::{Part, print};
 use crate::search::{State, Way};
--- a/explore/src/owners.rs
+++ b/explore/src/owners.rs
@@ -8,8 +8,8 @@
 use std::hash::Hash;
 
 use compact_str::{CompactString, format_compact};
-use millpost_broker::{Ask, Desk, MS, Nanos, Out, Outcome, Owners, Peer, SECOND, Spec, Terms};
-use millpost_crier::{Instance, Note};
+use millpost_protocol::{Instance, Note};
+use millpost_scheduler::{Ask, Desk, MS, Nanos, Out, Outcome, Owners, Peer, SECOND, Spec, Terms};
 
 use crate::part::print;
 use crate::search::{State, Way};
--- a/explore/src/register.rs
+++ b/explore/src/register.rs
@@ -11,7 +11,7 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-use millpost_tally::{
+use millpost_quorum::{
     Accepted, Address, Ballot, Ballots, Key, Kind, Members, Message, Moving, Out, Outcome, Round,
     State as Stage, Value, Voter, Write,
 };
--- a/explore/src/register/cases.rs
+++ b/explore/src/register/cases.rs
@@ -1,6 +1,6 @@
 //! The worlds of the register: who does what in them, and how often something goes wrong.
 
-use millpost_tally::Change;
+use millpost_quorum::Change;
 
 use super::Fault;
 
--- a/explore/src/register/fault.rs
+++ b/explore/src/register/fault.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use millpost_tally::Message;
+use millpost_quorum::Message;
 
 /// A guard that is taken out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/assay/tests/days.rs
+++ b/latency/tests/days.rs
@@ -1,7 +1,7 @@
 //! Days of answers under a seed: how soon a slow worker is told, and how often one that is not.
 
 use millpost::Dice;
-use millpost_assay::{Assay, Nanos, SECOND};
+use millpost_latency::{Assay, Nanos, SECOND};
 
 /// Answers of functions on workers, with the spread that work has and the differences that instances have by nature.
 struct Day {
--- a/carter/src/carter.rs
+++ b/migration/src/carter.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use compact_str::CompactString;
-use millpost_tally::{Outcome, Value};
+use millpost_quorum::{Outcome, Value};
 
 use crate::contract::Order;
 use crate::plant::{Guard, is_out};
--- a/carter/src/check.rs
+++ b/migration/src/check.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use compact_str::CompactString;
-use millpost_tariff::routes::host_key;
-use millpost_tariff::{Config, Route, Service};
+use millpost_config::routes::host_key;
+use millpost_config::{Config, Route, Service};
 use snafu::Snafu;
 
 use crate::Nanos;
--- a/carter/src/contract.rs
+++ b/migration/src/contract.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use compact_str::CompactString;
-use millpost_tariff::values::{list, number, object, string, write};
-use millpost_tariff::{At, Fault};
+use millpost_config::values::{list, number, object, string, write};
+use millpost_config::{At, Fault};
 use tinyjson::JsonValue;
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/carter/src/lib.rs
+++ b/migration/src/lib.rs
@@ -30,7 +30,7 @@
 pub use sight::{Function, Sight, Stands, Waits};
 pub use standing::{Answer, Kind, Outward, Said, Standing};
 
-pub use millpost_broker::{MS, Nanos};
+pub use millpost_scheduler::{MS, Nanos};
 
 /// When something comes: by a clock that never steps back, and by the time of day, in milliseconds since 1970.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/carter/src/record.rs
+++ b/migration/src/record.rs
@@ -2,8 +2,8 @@
 //! reads back equal; a route is held by one open move at most; one move at a time is out; the record is bounded.
 
 use compact_str::CompactString;
-use millpost_tariff::values::{self, list, number, object, string, write};
-use millpost_tariff::{At, Fault};
+use millpost_config::values::{self, list, number, object, string, write};
+use millpost_config::{At, Fault};
 use snafu::Snafu;
 use tinyjson::JsonValue;
 
--- a/carter/src/shift.rs
+++ b/migration/src/shift.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{HashMap, HashSet};
 
-use millpost_tariff::routes::host_key;
-use millpost_tariff::{Config, Fault, redirect, values};
+use millpost_config::routes::host_key;
+use millpost_config::{Config, Fault, redirect, values};
 use tinyjson::JsonValue;
 
 use crate::record::{Haul, Share};
--- a/carter/src/sight.rs
+++ b/migration/src/sight.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use compact_str::CompactString;
-use millpost_tariff::{Config, Fault};
+use millpost_config::{Config, Fault};
 
 use crate::carter::Terms;
 use crate::plant::{Guard, is_out};
--- a/carter/src/standing.rs
+++ b/migration/src/standing.rs
@@ -2,7 +2,7 @@
 //! [`Standing`] only of what the register was read to hold or has just written. So each step is durable before anybody hears of it.
 
 use compact_str::CompactString;
-use millpost_tally::Value;
+use millpost_quorum::Value;
 
 use crate::check::Reason;
 use crate::plant::{Guard, is_out};
--- a/carter/src/tell.rs
+++ b/migration/src/tell.rs
@@ -1,7 +1,7 @@
 //! How moves stand, for people: each with its step, its age, how much of it is where, what it waits for, and whether that is an operator.
 //! Changes nothing.
 
-use millpost_tariff::values::{list, number, object, string};
+use millpost_config::values::{list, number, object, string};
 use tinyjson::JsonValue;
 
 use crate::carter::Carter;
--- a/carter/src/tests/oracle.rs
+++ b/migration/src/tests/oracle.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use compact_str::CompactString;
-use millpost_tariff::Config;
+use millpost_config::Config;
 
 use crate::record::{Haul, Record, State, Way};
 use crate::shift::{Place, fits, places};
--- a/carter/src/tests/small.rs
+++ b/migration/src/tests/small.rs
@@ -1,7 +1,7 @@
 //! What a check says, what a step's configuration is, and what of a record reads back.
 
 use compact_str::CompactString;
-use millpost_tariff::{At, values};
+use millpost_config::{At, values};
 
 use crate::check::check;
 use crate::record::{Haul, Move, Put, Record, State, Way};
@@ -191,7 +191,7 @@
             match effect {
                 crate::Effect::ReadRecord(ask) => {
                     reads += 1;
-                    carter.input(at, crate::Input::Record(ask, millpost_tally::Outcome::Found(None)));
+                    carter.input(at, crate::Input::Record(ask, millpost_quorum::Outcome::Found(None)));
                 }
                 _ => others += 1,
             }
--- a/carter/src/tests/town.rs
+++ b/migration/src/tests/town.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use compact_str::CompactString;
-use millpost_tally::{Outcome, Value, Why};
-use millpost_tariff::Config;
+use millpost_config::Config;
+use millpost_quorum::{Outcome, Value, Why};
 
 use super::oracle::{Oracle, Seen};
 use crate::plant::{Guard, is_out};
@@ -737,8 +737,8 @@
             let (m, _, _, _) = self.lease?;
             let at = Moment { now: self.now + self.machines[m].steady, day: 0 };
             let told = self.machines[m].carter.as_ref()?.tell(at, Some(&of.name))?;
-            let told = millpost_tariff::values::get_list(&told, "moves")?.first()?;
-            millpost_tariff::values::get_str(told, "waits").map(str::to_owned)
+            let told = millpost_config::values::get_list(&told, "moves")?.first()?;
+            millpost_config::values::get_str(told, "waits").map(str::to_owned)
         };
         let order = self.kept.open().find_map(|of| {
             let waits = waits(of).unwrap_or_default();
--- a/carter/src/watch.rs
+++ b/migration/src/watch.rs
@@ -2,7 +2,7 @@
 //! allows. Soft: a new holder begins anew, so that a change of holder makes a move longer, never shorter.
 
 use millpost::retry_probability;
-use millpost_broker::first_gap;
+use millpost_scheduler::first_gap;
 
 use crate::record::{Move, State, Way};
 use crate::shift::fits;
--- a/crier/src/note.rs
+++ b/protocol/src/note.rs
@@ -158,14 +158,14 @@
         /// All of it, as the operator sent it.
         body: JsonValue,
     },
-    /// Down: the configuration, packed (see `barrow::pack`).
+    /// Down: the configuration, packed (see `millpost_net::pack`).
     Packed {
         /// Its revision.
         revision: u64,
         /// All of it, packed.
         packed: String,
     },
-    /// Down: how one configuration differs from the one before (see `tariff::change`).
+    /// Down: how one configuration differs from the one before (see `millpost_config::change`).
     Patch {
         /// The revision that it leads to.
         revision: u64,
--- a/stall/src/errors.rs
+++ b/proxy/src/errors.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hyper::StatusCode;
-use millpost_broker::Refusal;
+use millpost_scheduler::Refusal;
 use snafu::Snafu;
 
 /// Why the program can't go on.
@@ -66,7 +66,7 @@
 
 #[cfg(test)]
 mod tests {
-    use millpost_broker::MS;
+    use millpost_scheduler::MS;
 
     use super::*;
 
--- a/stall/src/figures.rs
+++ b/proxy/src/figures.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 
 use hyper::StatusCode;
-use millpost_barrow::figures::Figures;
-use millpost_broker::{Counts, Desk, MS, Nanos, Outcome, Phase};
+use millpost_net::figures::Figures;
+use millpost_scheduler::{Counts, Desk, MS, Nanos, Outcome, Phase};
 
 /// Open requests that are told one by one when a process ends.
 const TOLD_AT_THE_END: usize = 20;
--- a/stall/src/front.rs
+++ b/proxy/src/front.rs
@@ -17,10 +17,10 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioTimer;
-use millpost_barrow::room::{Room, Seat};
-use millpost_barrow::serving::serve_one;
-use millpost_broker::{MS, Outcome, Passage, Phase, Refusal, Step, Trail, Wish};
-use millpost_tariff::{Route, Traffic};
+use millpost_config::{Route, Traffic};
+use millpost_net::room::{Room, Seat};
+use millpost_net::serving::serve_one;
+use millpost_scheduler::{MS, Outcome, Passage, Phase, Refusal, Step, Trail, Wish};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
@@ -159,7 +159,7 @@
         Err(kind) => {
             if shop.records() {
                 let attempt =
-                    millpost_broker::trail::attempt(attempt.as_ref().map_or(&[], |id| id.as_bytes()));
+                    millpost_scheduler::trail::attempt(attempt.as_ref().map_or(&[], |id| id.as_bytes()));
                 shop.trail(shop.now(), &Trail::Turned { attempt, status: kind.answer().0.as_u16() });
             }
             ours(kind)
@@ -402,7 +402,7 @@
             service("a"),
             service("b")
         );
-        millpost_tariff::Config::parse(&text).expect("a configuration").routes.remove(0)
+        millpost_config::Config::parse(&text).expect("a configuration").routes.remove(0)
     }
 
     /// Ids in a row, as a client may count them; by weights whose sum is a power of two the lowest bits alone decide.
--- a/stall/src/main.rs
+++ b/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! `stall`: the proxy of an edge machine. It takes requests from clients, asks the owner of the function for a permit and sends the
+//! `proxy`: the proxy of an edge machine. It takes requests from clients, asks the owner of the function for a permit and sends the
 //! request to the instance that it names. Its configuration, the other stalls and the instances come from the porter beside it.
 
 mod currency;
@@ -16,10 +16,10 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use millpost_barrow::lines::{Bound, Lines};
-use millpost_broker::Sink;
-use millpost_crier::frame;
-use millpost_tariff::Settings;
+use millpost_config::Settings;
+use millpost_net::lines::{Bound, Lines};
+use millpost_protocol::frame;
+use millpost_scheduler::Sink;
 
 /// The proxy of an edge machine.
 #[derive(argh::FromArgs)]
@@ -36,7 +36,7 @@
     /// learn how fast workers are from what answers take, and give instances on slow ones out last
     #[argh(switch)]
     speeds: bool,
-    /// write what the stall decides on as lines to the standard output, for `almanac`
+    /// write what the stall decides on as lines to the standard output, for `replay`
     #[argh(switch)]
     record: bool,
     /// megabytes of lines at most; what comes beyond is counted and left out
@@ -49,7 +49,7 @@
 
 fn main() -> ExitCode {
     let options: Options = argh::from_env();
-    millpost_barrow::logs::start();
+    millpost_net::logs::start();
     let path = options.config.or_else(|| std::env::var_os("DEWJUNCTION_CONFIG").map(PathBuf::from));
     let Some(path) = path else {
         log::error!("no settings: neither --config nor DEWJUNCTION_CONFIG names a file");
--- a/stall/src/opening.rs
+++ b/proxy/src/opening.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use hyper::StatusCode;
-use millpost_barrow::figures;
-use millpost_barrow::mail::{self, Limits, Reply};
-use millpost_barrow::room::Room;
-use millpost_broker::Phase;
+use millpost_net::figures;
+use millpost_net::mail::{self, Limits, Reply};
+use millpost_net::room::Room;
+use millpost_scheduler::Phase;
 use snafu::{OptionExt, ResultExt};
 use tokio::net::TcpListener;
 use tokio::sync::{oneshot, watch};
--- a/stall/src/pool.rs
+++ b/proxy/src/pool.rs
@@ -12,8 +12,8 @@
 use hyper::body::Body;
 use hyper::header::{CONTENT_ENCODING, HeaderMap, HeaderName};
 use hyper::{Request, Response, StatusCode};
-use millpost_barrow::link::{Error, Link, Options};
-use millpost_broker::Outcome;
+use millpost_net::link::{Error, Link, Options};
+use millpost_scheduler::Outcome;
 use tokio::time::{Instant, timeout, timeout_at};
 
 /// Answers are kept whole before they are passed on, up to this.
--- a/stall/src/rest.rs
+++ b/proxy/src/rest.rs
@@ -3,7 +3,7 @@
 
 use std::cell::Cell;
 
-use millpost_broker::{MS, Nanos};
+use millpost_scheduler::{MS, Nanos};
 
 /// The longest rest, whatever control says.
 const LONGEST: f64 = 24.0 * 3_600_000.0;
--- a/stall/src/shop.rs
+++ b/proxy/src/shop.rs
@@ -9,15 +9,15 @@
 use compact_str::CompactString;
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode};
-use millpost_barrow::figures;
-use millpost_barrow::mail::{self, Bounds, Call, Event, Incarnation, Post, Reply, To};
-use millpost_broker::{
+use millpost_config::{At, Config, Settings, Table, change};
+use millpost_net::figures;
+use millpost_net::mail::{self, Bounds, Call, Event, Incarnation, Post, Reply, To};
+use millpost_protocol::frame::Head;
+use millpost_protocol::{Letter, Note, object, text};
+use millpost_scheduler::{
     Ask, MS, Margins, Nanos, No, Out, Outcome, Patience, Peer, Phase, Sink, Spec, Taped as Desk, Terms,
     Trail, asks_per_s,
 };
-use millpost_crier::frame::Head;
-use millpost_crier::{Letter, Note, object, text};
-use millpost_tariff::{At, Config, Settings, Table, change};
 use tinyjson::JsonValue;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep, sleep_until};
@@ -274,7 +274,7 @@
             if hurry || beat.is_none_or(|at| at.elapsed() >= BEAT) {
                 self.hurry.set(None);
                 beat = Some(Instant::now());
-                let peer = millpost_crier::Peer {
+                let peer = millpost_protocol::Peer {
                     name: self.settings.node_name.clone(),
                     address: SocketAddr::new(self.settings.ip, self.settings.internal_ports.0)
                         .to_string()
@@ -378,7 +378,7 @@
                 Note::Config { revision, body } => self.configure(revision, &body),
                 Note::Packed { revision, packed } => {
                     match mail::json(
-                        millpost_barrow::pack::unpack(&packed, 16 << 20).unwrap_or_default().as_bytes(),
+                        millpost_net::pack::unpack(&packed, 16 << 20).unwrap_or_default().as_bytes(),
                     ) {
                         Some(body) => self.configure(revision, &body),
                         None => log::error!("configuration {revision} can't be unpacked"),
@@ -386,7 +386,7 @@
                 }
                 Note::Patch { revision, change } => self.patch(revision, &change),
                 Note::Folded { revision, packed } => {
-                    let text = millpost_barrow::pack::unpack(&packed, 16 << 20).unwrap_or_default();
+                    let text = millpost_net::pack::unpack(&packed, 16 << 20).unwrap_or_default();
                     match mail::json(text.as_bytes()) {
                         Some(change) => self.patch(revision, &change),
                         None => log::error!("change to {revision} can't be unpacked"),
--- a/stall/src/signals.rs
+++ b/proxy/src/signals.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use millpost_broker::Phase;
+use millpost_scheduler::Phase;
 use snafu::ResultExt;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
--- a/stall/src/trail.rs
+++ b/proxy/src/trail.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariant: a request that was begun and not answered is told to have been left, also where its client leaves in the midst of it.
 
-use millpost_broker::{Nanos, Trail, Wish};
+use millpost_scheduler::{Nanos, Trail, Wish};
 
 use crate::shop::Shop;
 
@@ -18,7 +18,7 @@
     pub fn begin(shop: &'a Shop, attempt: &[u8], route: &str, wish: &Wish) -> Self {
         let p = shop.follow();
         if let Some(p) = p {
-            let attempt = millpost_broker::trail::attempt(attempt);
+            let attempt = millpost_scheduler::trail::attempt(attempt);
             let begun = Trail::Begun { p, attempt, route: route.into(), wish: wish.clone() };
             shop.trail(shop.now(), &begun);
         }
--- a/till/src/images.rs
+++ b/quorum-store/src/images.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use millpost_tally::Write;
+use millpost_quorum::Write;
 
 use super::{Disk, DiskError, look, read};
 
--- a/till/src/lib.rs
+++ b/quorum-store/src/lib.rs
@@ -10,7 +10,7 @@
 use std::fs::File;
 use std::path::{Path, PathBuf};
 
-use millpost_tally::Write;
+use millpost_quorum::Write;
 use snafu::{ResultExt, Snafu};
 
 /// What the disk says.
--- a/tally/tests/records.rs
+++ b/quorum/tests/records.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use millpost_tally::*;
+use millpost_quorum::*;
 use yare::parameterized;
 
 fn disk() -> BTreeMap<String, String> {
--- a/tally/tests/second_loss.rs
+++ b/quorum/tests/second_loss.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use millpost_tally::{
+use millpost_quorum::{
     Address, Ballots, Change, Key, Kind, Members, Message, Moved, Moving, Out, Outcome, Round, Value, Voter,
 };
 
@@ -178,7 +178,7 @@
     }
 }
 
-fn store(disk: &mut BTreeMap<String, String>, batch: &[millpost_tally::Write]) -> Result<(), ()> {
+fn store(disk: &mut BTreeMap<String, String>, batch: &[millpost_quorum::Write]) -> Result<(), ()> {
     disk.extend(batch.iter().map(|record| (record.key.clone(), record.text.clone())));
     Ok(())
 }
--- a/tally/tests/sim.rs
+++ b/quorum/tests/sim.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use millpost_tally::*;
+use millpost_quorum::*;
 use yare::parameterized;
 
 const MS: u64 = 1_000_000;
--- a/tally/tests/traces.rs
+++ b/quorum/tests/traces.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use millpost_tally::*;
+use millpost_quorum::*;
 
 const MS: u64 = 1_000_000;
 
--- a/almanac/examples/desks.rs
+++ b/replay/examples/desks.rs
@@ -1,4 +1,4 @@
-//! What a desk's inputs cost, by kind, on large days: `cargo run --profile market -p millpost-almanac --example desks`. With a
+//! What a desk's inputs cost, by kind, on large days: `cargo run --profile market -p millpost-replay --example desks`. With a
 //! folder the recordings are written there, for the plays of two builds to be compared.
 
 use std::collections::BTreeMap;
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use day::{Day, Plan};
-use millpost_broker::tape::{Entry, Input};
-use millpost_broker::{Desk, SECOND, Terms};
+use millpost_scheduler::tape::{Entry, Input};
+use millpost_scheduler::{Desk, SECOND, Terms};
 
 #[path = "../tests/day/mod.rs"]
 #[allow(dead_code)]
--- a/almanac/examples/recording.rs
+++ b/replay/examples/recording.rs
@@ -1,4 +1,4 @@
-//! What recording costs: `cargo run --profile market -p millpost-almanac --example recording`. The inputs of a busy day are given to a
+//! What recording costs: `cargo run --profile market -p millpost-replay --example recording`. The inputs of a busy day are given to a
 //! desk that is not taped at all, to one that could be and is not, and to one whose lines go into memory.
 
 use std::cell::Cell;
@@ -6,8 +6,8 @@
 use std::time::Instant;
 
 use day::{Day, Plan};
-use millpost_broker::tape::{Entry, Input};
-use millpost_broker::{Desk, SECOND, Sink, Taped, Terms};
+use millpost_scheduler::tape::{Entry, Input};
+use millpost_scheduler::{Desk, SECOND, Sink, Taped, Terms};
 
 #[path = "../tests/day/mod.rs"]
 #[allow(dead_code)]
--- a/almanac/examples/traces.rs
+++ b/replay/examples/traces.rs
@@ -1,4 +1,4 @@
-//! Writes the traces that are kept in `almanac/tests/traces`: `cargo run -p millpost-almanac --example traces -- FOLDER`.
+//! Writes the traces that are kept in `replay/tests/traces`: `cargo run -p millpost-replay --example traces -- FOLDER`.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -6,11 +6,13 @@
 use std::rc::Rc;
 
 use day::{Day, Plan};
-use millpost_broker::tape::Entry;
-use millpost_broker::{MS, SECOND, Terms};
-use millpost_crier::line::Sink;
-use millpost_pitches::{Entry as Listed, ServiceSpec, StartFault, StopFault, Taped, Terms as Pace, Worker};
-use millpost_tariff::{Config, change};
+use millpost_autoscaler::{
+    Entry as Listed, ServiceSpec, StartFault, StopFault, Taped, Terms as Pace, Worker,
+};
+use millpost_config::{Config, change};
+use millpost_protocol::line::Sink;
+use millpost_scheduler::tape::Entry;
+use millpost_scheduler::{MS, SECOND, Terms};
 
 #[path = "../tests/day/mod.rs"]
 #[allow(dead_code)]
@@ -101,19 +103,19 @@
         scaler.tick(now);
         for effect in scaler.take() {
             match effect {
-                millpost_pitches::Effect::Start { nonce, .. } if step % 7 == 0 => {
+                millpost_autoscaler::Effect::Start { nonce, .. } if step % 7 == 0 => {
                     scaler.started(now + 3 * MS, &nonce, Err(StartFault::Busy));
                 }
-                millpost_pitches::Effect::Start { nonce, .. } => {
+                millpost_autoscaler::Effect::Start { nonce, .. } => {
                     let id = format!("i{}", if step < 10 { step - 2 } else { step });
                     scaler.started(now + 5 * MS, &nonce, Ok((id.into(), address(born))));
                     born = born.wrapping_add(100);
                 }
-                millpost_pitches::Effect::Stop { id } if step % 2 == 0 => {
+                millpost_autoscaler::Effect::Stop { id } if step % 2 == 0 => {
                     scaler.stopped(now + 4 * MS, &id, Err(StopFault::Unclear));
                 }
-                millpost_pitches::Effect::Stop { id } => scaler.stopped(now + 4 * MS, &id, Ok(())),
-                millpost_pitches::Effect::Known { instance } if step > 15 => {
+                millpost_autoscaler::Effect::Stop { id } => scaler.stopped(now + 4 * MS, &id, Ok(())),
+                millpost_autoscaler::Effect::Known { instance } if step > 15 => {
                     scaler.up(now + 6 * MS, &instance.id)
                 }
                 _ => {}
@@ -129,10 +131,10 @@
     let told = Rc::clone(&lines);
     let seeds = (1..=3).map(|n| SocketAddr::from(([10, 0, 0, n], 8428))).collect();
     let terms =
-        millpost_porter::Terms { name: "edge-1".into(), life: 1_796_172_615_944, seeds, grace: 2 * SECOND };
+        millpost_agent::Terms { name: "edge-1".into(), life: 1_796_172_615_944, seeds, grace: 2 * SECOND };
     let sink: Sink = Box::new(move |line| told.borrow_mut().push(line.to_owned()));
     let mut day =
-        Rounds { round: millpost_porter::Taped::new(terms, 0, Some(sink)), open: Vec::new(), now: 0 };
+        Rounds { round: millpost_agent::Taped::new(terms, 0, Some(sink)), open: Vec::new(), now: 0 };
     let body = |revision: u64| {
         let service = |n| format!(r#"{{"name":"f{n}","max_conns":9,"memory_mb":128,"boot_ms":300}}"#);
         let services: Vec<_> = (0..revision).map(service).collect();
@@ -171,7 +173,7 @@
     );
     day.line(light, &steward(1, 1));
     day.letter(&[alive, &acts(0)].join(","));
-    day.round.give(day.now, millpost_porter::Input::Up);
+    day.round.give(day.now, millpost_agent::Input::Up);
     day.letter(&acts(2));
     for round in 0..8 {
         day.pass(3);
@@ -202,31 +204,31 @@
     day.pass(2);
     day.letter(&acts(5));
     // Garbage, also such as is no text; then nobody is there for a while.
-    day.round.give(day.now, millpost_porter::Input::Line { feed, line: "{\"n\":".into() });
+    day.round.give(day.now, millpost_agent::Input::Line { feed, line: "{\"n\":".into() });
     day.take();
     let feed = day.open[0].0;
-    day.round.give(day.now, millpost_porter::Input::Line { feed, line: vec![b'{', 0xff].into() });
+    day.round.give(day.now, millpost_agent::Input::Line { feed, line: vec![b'{', 0xff].into() });
     day.take();
     for _ in 0..20 {
         day.pass(2);
         for feed in day.feeds() {
             day.open.retain(|(of, _)| *of != feed);
-            day.round.give(day.now, millpost_porter::Input::Ended { feed });
+            day.round.give(day.now, millpost_agent::Input::Ended { feed });
             day.take();
         }
         day.letter(&[alive, &acts(5)].join(","));
     }
-    day.round.give(day.now, millpost_porter::Input::Full);
-    day.round.give(day.now, millpost_porter::Input::Seeds(vec![SocketAddr::from(([10, 0, 0, 4], 8428))]));
+    day.round.give(day.now, millpost_agent::Input::Full);
+    day.round.give(day.now, millpost_agent::Input::Seeds(vec![SocketAddr::from(([10, 0, 0, 4], 8428))]));
     day.pass(15);
-    day.round.give(day.now, millpost_porter::Input::Leave);
+    day.round.give(day.now, millpost_agent::Input::Leave);
     day.pass(16);
     drop(day);
     Rc::try_unwrap(lines).expect("the porter is gone").into_inner()
 }
 
 struct Rounds {
-    round: millpost_porter::Taped,
+    round: millpost_agent::Taped,
     open: Vec<(u64, String)>,
     now: u64,
 }
@@ -235,10 +237,10 @@
     fn take(&mut self) {
         for effect in self.round.take() {
             match effect {
-                millpost_porter::Effect::Open { feed, address, .. } => {
+                millpost_agent::Effect::Open { feed, address, .. } => {
                     self.open.push((feed, address.to_string()));
                 }
-                millpost_porter::Effect::Close { feed } => self.open.retain(|(of, _)| *of != feed),
+                millpost_agent::Effect::Close { feed } => self.open.retain(|(of, _)| *of != feed),
                 _ => {}
             }
         }
@@ -252,7 +254,7 @@
     fn pass(&mut self, ticks: u64) {
         for _ in 0..ticks {
             self.now += 100 * MS + 12_345;
-            self.round.give(self.now, millpost_porter::Input::Tick);
+            self.round.give(self.now, millpost_agent::Input::Tick);
             self.take();
         }
     }
@@ -260,14 +262,14 @@
     fn line(&mut self, feed: u64, notes: &str) {
         self.now += 777_777;
         let line = format!(r#"{{"n":7,"notes":[{notes}]}}"#).into();
-        self.round.give(self.now, millpost_porter::Input::Line { feed, line });
+        self.round.give(self.now, millpost_agent::Input::Line { feed, line });
         self.take();
     }
 
     fn letter(&mut self, notes: &str) {
         self.now += 333_333;
         let body = format!(r#"{{"from":"edge-1","life":5,"notes":[{notes}]}}"#).into();
-        self.round.give(self.now, millpost_porter::Input::Letter(body));
+        self.round.give(self.now, millpost_agent::Input::Letter(body));
         self.take();
     }
 }
--- a/almanac/src/check.rs
+++ b/replay/src/check.rs
@@ -6,9 +6,9 @@
 
 use compact_str::CompactString;
 use millpost::doubled_time;
-use millpost_broker::tape::Input;
-use millpost_broker::{Ask, MS, Nanos, Out, Outcome, Stage, Terms, first_gap};
-use millpost_crier::Note;
+use millpost_protocol::Note;
+use millpost_scheduler::tape::Input;
+use millpost_scheduler::{Ask, MS, Nanos, Out, Outcome, Stage, Terms, first_gap};
 
 use crate::play::Step;
 
--- a/almanac/src/clocks.rs
+++ b/replay/src/clocks.rs
@@ -8,12 +8,12 @@
 use std::collections::{BTreeMap, HashMap};
 
 use compact_str::CompactString;
-use millpost_barrow::mail;
-use millpost_broker::MS;
-use millpost_broker::tape::{self as desk, Input as DeskInput};
-use millpost_crier::{Letter, Note};
-use millpost_pitches::tape::Input as ScalerInput;
-use millpost_porter::{Input as RoundInput, tape as round};
+use millpost_agent::{Input as RoundInput, tape as round};
+use millpost_autoscaler::tape::Input as ScalerInput;
+use millpost_net::mail;
+use millpost_protocol::{Letter, Note};
+use millpost_scheduler::MS;
+use millpost_scheduler::tape::{self as desk, Input as DeskInput};
 use tinyjson::JsonValue;
 
 use crate::lines::{Entry, Read, Source};
--- a/almanac/src/command/cut.rs
+++ b/replay/src/command/cut.rs
@@ -1,13 +1,13 @@
-//! `almanac cut`: a part of a recording that plays by itself.
+//! `replay cut`: a part of a recording that plays by itself.
 
 use std::path::PathBuf;
 
-use millpost_almanac::Error;
-use millpost_almanac::cut::{Part, cut};
-use millpost_almanac::lines::{Lines, Which};
-use millpost_almanac::play::play;
-use millpost_broker::{Nanos, SECOND};
-use millpost_crier::line::Line;
+use millpost_protocol::line::Line;
+use millpost_replay::Error;
+use millpost_replay::cut::{Part, cut};
+use millpost_replay::lines::{Lines, Which};
+use millpost_replay::play::play;
+use millpost_scheduler::{Nanos, SECOND};
 
 use super::seconds;
 
--- a/almanac/src/command/diff.rs
+++ b/replay/src/command/diff.rs
@@ -1,12 +1,12 @@
-//! `almanac diff`: the first difference between two plays.
+//! `replay diff`: the first difference between two plays.
 
 use std::io::Write;
 use std::path::PathBuf;
 
-use millpost_almanac::Error;
-use millpost_almanac::diff::{Difference, diff};
-use millpost_almanac::lines::Which;
-use millpost_crier::line::Line;
+use millpost_protocol::line::Line;
+use millpost_replay::Error;
+use millpost_replay::diff::{Difference, diff};
+use millpost_replay::lines::Which;
 
 use super::output;
 
--- a/almanac/src/command/duty.rs
+++ b/replay/src/command/duty.rs
@@ -1,11 +1,11 @@
-//! `almanac duty`: the steward's duty over the day.
+//! `replay duty`: the steward's duty over the day.
 
 use std::io::Write;
 use std::path::PathBuf;
 
-use millpost_almanac::Error;
-use millpost_almanac::duty::duty;
-use millpost_almanac::lines::Which;
+use millpost_replay::Error;
+use millpost_replay::duty::duty;
+use millpost_replay::lines::Which;
 
 use super::{output, progress};
 
--- a/almanac/src/command/explain.rs
+++ b/replay/src/command/explain.rs
@@ -1,11 +1,11 @@
-//! `almanac explain`: one request, over all that had to do with it.
+//! `replay explain`: one request, over all that had to do with it.
 
 use std::io::Write;
 use std::path::PathBuf;
 
-use millpost_almanac::Error;
-use millpost_almanac::explain::explain;
-use millpost_almanac::lines::Which;
+use millpost_replay::Error;
+use millpost_replay::explain::explain;
+use millpost_replay::lines::Which;
 
 use super::{output, progress};
 
--- a/almanac/src/command/instance.rs
+++ b/replay/src/command/instance.rs
@@ -1,11 +1,11 @@
-//! `almanac instance`: one instance, from why it was started to why it was stopped.
+//! `replay instance`: one instance, from why it was started to why it was stopped.
 
 use std::io::Write;
 use std::path::PathBuf;
 
-use millpost_almanac::Error;
-use millpost_almanac::instance::instance;
-use millpost_almanac::lines::Which;
+use millpost_replay::Error;
+use millpost_replay::instance::instance;
+use millpost_replay::lines::Which;
 
 use super::{output, progress};
 
--- a/almanac/src/command/mod.rs
+++ b/replay/src/command/mod.rs
@@ -13,9 +13,9 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use millpost_almanac::Error;
-use millpost_almanac::lines::{Word, files};
-use millpost_broker::{Nanos, SECOND};
+use millpost_replay::Error;
+use millpost_replay::lines::{Word, files};
+use millpost_scheduler::{Nanos, SECOND};
 
 /// Nothing is said of a reading that takes no longer, and then no more often.
 const SAY: Duration = Duration::from_secs(2);
--- a/almanac/src/command/play.rs
+++ b/replay/src/command/play.rs
@@ -1,18 +1,18 @@
-//! `almanac play`: a recording played twice, counted by second, watched, and compared with what was decided on the day.
+//! `replay play`: a recording played twice, counted by second, watched, and compared with what was decided on the day.
 
 use std::io::{BufWriter, Write};
 use std::path::PathBuf;
 
-use millpost_almanac::check::{Check, Rule};
-use millpost_almanac::feeds::Feeds;
-use millpost_almanac::lines::{Entry, Lines, Read, Which};
-use millpost_almanac::play::{Event, How, Played, play_so};
-use millpost_almanac::table::{Rounds, Table};
-use millpost_almanac::until::Until;
-use millpost_almanac::{Error, outs, rows};
-use millpost_broker::tape::Input;
-use millpost_broker::{MS, SECOND};
-use millpost_crier::line::{Line, part};
+use millpost_protocol::line::{Line, part};
+use millpost_replay::check::{Check, Rule};
+use millpost_replay::feeds::Feeds;
+use millpost_replay::lines::{Entry, Lines, Read, Which};
+use millpost_replay::play::{Event, How, Played, play_so};
+use millpost_replay::table::{Rounds, Table};
+use millpost_replay::until::Until;
+use millpost_replay::{Error, outs, rows};
+use millpost_scheduler::tape::Input;
+use millpost_scheduler::{MS, SECOND};
 
 use super::step::Steps;
 use super::{output, progress};
@@ -88,7 +88,7 @@
             Counts::Desk(_, check) => Rule::ALL.iter().map(|rule| check.count(*rule)).sum(),
             Counts::Scaler(_) => 0,
             Counts::Round(feeds) => {
-                millpost_almanac::feeds::Must::ALL.iter().map(|must| feeds.count(*must)).sum()
+                millpost_replay::feeds::Must::ALL.iter().map(|must| feeds.count(*must)).sum()
             }
         }
     }
@@ -102,7 +102,7 @@
         },
         Entry::Scaler(_) => "a scaler".to_owned(),
         Entry::Round(entry) => match &entry.input {
-            millpost_porter::Input::New(terms) => format!("the porter of {}", terms.name),
+            millpost_agent::Input::New(terms) => format!("the porter of {}", terms.name),
             _ => String::new(),
         },
     };
--- a/almanac/src/command/report.rs
+++ b/replay/src/command/report.rs
@@ -1,11 +1,11 @@
-//! `almanac report`: a day on one page.
+//! `replay report`: a day on one page.
 
 use std::io::Write;
 use std::path::PathBuf;
 
-use millpost_almanac::Error;
-use millpost_almanac::lines::Which;
-use millpost_almanac::report::report;
+use millpost_replay::Error;
+use millpost_replay::lines::Which;
+use millpost_replay::report::report;
 
 use super::{output, progress};
 
--- a/almanac/src/command/step.rs
+++ b/replay/src/command/step.rs
@@ -2,12 +2,12 @@
 
 use std::io::Write;
 
-use millpost_almanac::play::Event;
-use millpost_almanac::state::{self, State, changed};
-use millpost_almanac::until::{Until, texts};
-use millpost_almanac::{Error, words};
-use millpost_broker::SECOND;
-use millpost_crier::line::{Line, part};
+use millpost_protocol::line::{Line, part};
+use millpost_replay::play::Event;
+use millpost_replay::state::{self, State, changed};
+use millpost_replay::until::{Until, texts};
+use millpost_replay::{Error, words};
+use millpost_scheduler::SECOND;
 
 use super::output;
 
--- a/almanac/src/command/version.rs
+++ b/replay/src/command/version.rs
@@ -1,11 +1,11 @@
-//! `almanac version`: who had one configuration, and when.
+//! `replay version`: who had one configuration, and when.
 
 use std::io::Write;
 use std::path::PathBuf;
 
-use millpost_almanac::Error;
-use millpost_almanac::lines::Which;
-use millpost_almanac::version::version;
+use millpost_replay::Error;
+use millpost_replay::lines::Which;
+use millpost_replay::version::version;
 
 use super::{output, progress};
 
--- a/almanac/src/cut.rs
+++ b/replay/src/cut.rs
@@ -9,12 +9,12 @@
 use std::path::Path;
 
 use compact_str::CompactString;
-use millpost_broker::tape::{Entry as DeskEntry, Input};
-use millpost_broker::{MS, Nanos, SECOND};
-use millpost_crier::Note;
-use millpost_crier::frame::{Head, sealed};
-use millpost_pitches::tape::Entry as ScalerEntry;
-use millpost_porter::tape::Entry as RoundEntry;
+use millpost_agent::tape::Entry as RoundEntry;
+use millpost_autoscaler::tape::Entry as ScalerEntry;
+use millpost_protocol::Note;
+use millpost_protocol::frame::{Head, sealed};
+use millpost_scheduler::tape::{Entry as DeskEntry, Input};
+use millpost_scheduler::{MS, Nanos, SECOND};
 
 use crate::errors::{Error, LivesSnafu, NoLifeSnafu, NothingSnafu, SpoiltSnafu};
 use crate::lines::{Entry, Lines, Which};
--- a/almanac/src/decided.rs
+++ b/replay/src/decided.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use millpost_crier::frame::Digest;
+use millpost_protocol::frame::Digest;
 
 /// Outputs without a word of the recording on them: one that tells nothing is not waited for longer.
 const MOST: usize = 200_000;
@@ -57,7 +57,12 @@
     }
 
     /// One more output, after this line.
-    pub fn fold(&mut self, line: usize, at: u64, parts: impl FnOnce(&mut millpost_crier::frame::Fold<'_>)) {
+    pub fn fold(
+        &mut self,
+        line: usize,
+        at: u64,
+        parts: impl FnOnce(&mut millpost_protocol::frame::Fold<'_>),
+    ) {
         if self.over {
             return;
         }
--- a/almanac/src/duty.rs
+++ b/replay/src/duty.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use millpost_pitches::tape::Input;
-use millpost_pitches::{Effect, StartFault};
+use millpost_autoscaler::tape::Input;
+use millpost_autoscaler::{Effect, StartFault};
 
 use crate::clocks::{Alignment, Node};
 use crate::errors::Error;
@@ -238,7 +238,7 @@
 
     /// Two processes whose clocks count from the same moment, by their machines' own clocks.
     fn sources() -> Vec<Source> {
-        let head = |n| millpost_crier::frame::Head::new(&format!("core-{n}"), "bourse", n, 1_000).line();
+        let head = |n| millpost_protocol::frame::Head::new(&format!("core-{n}"), "bourse", n, 1_000).line();
         let text = format!("{}\n{}\n", head(1), head(2));
         let which = Which { all: true, ..Which::default() };
         let mut lines = Lines::new(text.as_bytes(), which);
--- a/almanac/src/explain.rs
+++ b/replay/src/explain.rs
@@ -5,9 +5,9 @@
 use std::path::Path;
 
 use compact_str::CompactString;
-use millpost_broker::tape::Input;
-use millpost_broker::{Nanos, Out, Outcome, Reason, Trail};
-use millpost_crier::Note;
+use millpost_protocol::Note;
+use millpost_scheduler::tape::Input;
+use millpost_scheduler::{Nanos, Out, Outcome, Reason, Trail};
 
 use crate::clocks::Node;
 use crate::errors::Error;
--- a/almanac/src/feeds.rs
+++ b/replay/src/feeds.rs
@@ -4,9 +4,9 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-use millpost_broker::SECOND;
-use millpost_crier::{Note, Shift, Version};
-use millpost_porter::{Effect, Input};
+use millpost_agent::{Effect, Input};
+use millpost_protocol::{Note, Shift, Version};
+use millpost_scheduler::SECOND;
 
 use crate::play::Pass;
 
--- a/almanac/src/instance.rs
+++ b/replay/src/instance.rs
@@ -4,11 +4,11 @@
 use std::path::Path;
 
 use compact_str::CompactString;
-use millpost_broker::tape::Input as DeskInput;
-use millpost_broker::{Out, Reason, SECOND, Trail, Why};
-use millpost_crier::Note;
-use millpost_pitches::tape::{Input, start_word, state_word, stop_word};
-use millpost_pitches::{Effect, State};
+use millpost_autoscaler::tape::{Input, start_word, state_word, stop_word};
+use millpost_autoscaler::{Effect, State};
+use millpost_protocol::Note;
+use millpost_scheduler::tape::Input as DeskInput;
+use millpost_scheduler::{Out, Reason, SECOND, Trail, Why};
 
 use crate::clocks::{Alignment, Node};
 use crate::errors::Error;
--- a/almanac/src/lines.rs
+++ b/replay/src/lines.rs
@@ -8,11 +8,11 @@
 use std::io::BufRead;
 use std::path::{Path, PathBuf};
 
-use millpost_broker::tape as desk;
-use millpost_crier::frame::{self, HEAD, Head, LEFT_OUT, Left, Sum};
-use millpost_crier::{Fault, line, string};
-use millpost_pitches::tape as scaler;
-use millpost_porter::tape as round;
+use millpost_agent::tape as round;
+use millpost_autoscaler::tape as scaler;
+use millpost_protocol::frame::{self, HEAD, Head, LEFT_OUT, Left, Sum};
+use millpost_protocol::{Fault, line, string};
+use millpost_scheduler::tape as desk;
 
 use crate::errors::{Error, SeveralSnafu, SpoiltSnafu};
 
@@ -38,7 +38,7 @@
         match self {
             Entry::Desk(entry) => matches!(entry.input, desk::Input::New { .. }),
             Entry::Scaler(entry) => matches!(entry.input, scaler::Input::New(_)),
-            Entry::Round(entry) => matches!(entry.input, millpost_porter::Input::New(_)),
+            Entry::Round(entry) => matches!(entry.input, millpost_agent::Input::New(_)),
         }
     }
 
--- a/almanac/src/machines.rs
+++ b/replay/src/machines.rs
@@ -1,11 +1,11 @@
 //! The machines that a recording is played against, each beside a twin: one input at a time, and what comes of it.
 
-use millpost_broker::tape::{Entry as DeskEntry, Input as DeskInput};
-use millpost_broker::{Desk, Out, Reason, Trail};
-use millpost_pitches::tape::{Entry as ScalerEntry, Input as ScalerInput};
-use millpost_pitches::{Effect, Scaler};
-use millpost_porter::tape::Entry as RoundEntry;
-use millpost_porter::{Effect as RoundEffect, Input as RoundInput, Round};
+use millpost_agent::tape::Entry as RoundEntry;
+use millpost_agent::{Effect as RoundEffect, Input as RoundInput, Round};
+use millpost_autoscaler::tape::{Entry as ScalerEntry, Input as ScalerInput};
+use millpost_autoscaler::{Effect, Scaler};
+use millpost_scheduler::tape::{Entry as DeskEntry, Input as DeskInput};
+use millpost_scheduler::{Desk, Out, Reason, Trail};
 
 use crate::clocks::Node;
 use crate::decided::Decided;
--- a/almanac/src/main.rs
+++ b/replay/src/main.rs
@@ -1,4 +1,4 @@
-//! `almanac`: a recorded day played again.
+//! `replay`: a recorded day played again.
 //!
 //! Exit codes: 0 all is well; 1 a rule was broken, there is a difference, or nothing of that name in the recording; 2 the command can't be
 //! carried out as it was given.
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 
 use argh::FromArgs;
-use millpost_almanac::Error;
+use millpost_replay::Error;
 
 use command::cut::Cut;
 use command::diff::Diff;
--- a/almanac/src/numbers.rs
+++ b/replay/src/numbers.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use millpost_broker::tape::Input as DeskInput;
-use millpost_crier::Note;
+use millpost_protocol::Note;
+use millpost_scheduler::tape::Input as DeskInput;
 
 /// Numbers of asks as they were recorded, and as they are in this play, where they are not the same.
 #[derive(Clone, Debug, Default)]
--- a/almanac/src/outs.rs
+++ b/replay/src/outs.rs
@@ -2,12 +2,12 @@
 
 use std::borrow::Cow;
 
-use millpost_broker::{No, Out, Stage};
-use millpost_crier::Note;
-use millpost_crier::line::Line;
-use millpost_pitches::Effect;
-use millpost_pitches::tape::state_word;
-use millpost_porter::Effect as RoundEffect;
+use millpost_agent::Effect as RoundEffect;
+use millpost_autoscaler::Effect;
+use millpost_autoscaler::tape::state_word;
+use millpost_protocol::Note;
+use millpost_protocol::line::Line;
+use millpost_scheduler::{No, Out, Stage};
 
 use crate::numbers::Numbers;
 
--- a/almanac/src/play.rs
+++ b/replay/src/play.rs
@@ -3,11 +3,11 @@
 
 use std::collections::BTreeMap;
 
-use millpost_broker::tape::Input as DeskInput;
-use millpost_broker::{Desk, Nanos, Out, Reason, Trail};
-use millpost_pitches::tape::Input as ScalerInput;
-use millpost_pitches::{Effect, Scaler};
-use millpost_porter::{Effect as RoundEffect, Input as RoundInput, Round};
+use millpost_agent::{Effect as RoundEffect, Input as RoundInput, Round};
+use millpost_autoscaler::tape::Input as ScalerInput;
+use millpost_autoscaler::{Effect, Scaler};
+use millpost_scheduler::tape::Input as DeskInput;
+use millpost_scheduler::{Desk, Nanos, Out, Reason, Trail};
 
 use crate::clocks::Node;
 use crate::decided::Unlike;
--- a/almanac/src/report/gather.rs
+++ b/replay/src/report/gather.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use compact_str::CompactString;
-use millpost_broker::tape::Input;
-use millpost_broker::{Nanos, Out, Reason, SECOND, Step as Tells, Trail, Why};
+use millpost_scheduler::tape::Input;
+use millpost_scheduler::{Nanos, Out, Reason, SECOND, Step as Tells, Trail, Why};
 
 use crate::check::{Check, Rule};
 use crate::clocks::{Alignment, Node};
--- a/almanac/src/report/page.rs
+++ b/replay/src/report/page.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use millpost_crier::line::{Line as Json, part};
-use millpost_placard::{COLORS, Line, PLAIN, Row, Span, bars, color, page, plot, table};
+use millpost_charts::{COLORS, Line, PLAIN, Row, Span, bars, color, page, plot, table};
+use millpost_protocol::line::{Line as Json, part};
 
 use super::Report;
 use super::gather::{Function, Sample};
--- a/almanac/src/requests.rs
+++ b/replay/src/requests.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use millpost_broker::{Ask, Nanos, Passage, Refusal, Step, Trail};
+use millpost_scheduler::{Ask, Nanos, Passage, Refusal, Step, Trail};
 
 /// What comes next for a request, or what its client is told.
 pub type Next = Step<u16>;
--- a/almanac/src/rows.rs
+++ b/replay/src/rows.rs
@@ -1,7 +1,7 @@
 //! What was counted by second, and the rules, as lines of JSON: an object for each second, one for each rule.
 
-use millpost_broker::MS;
-use millpost_crier::line::Line;
+use millpost_protocol::line::Line;
+use millpost_scheduler::MS;
 
 use crate::check::{Check, Rule};
 use crate::feeds::{Feeds, Must};
@@ -80,7 +80,7 @@
         let mut line = rule(life, of.word(), check.count(of));
         let breaches = check.breaches().iter().filter(|breach| breach.rule == of);
         line.list("first", breaches, |out, breach| {
-            millpost_crier::line::part(out, |line| {
+            millpost_protocol::line::part(out, |line| {
                 line.whole("line", breach.line as u64).time("at", breach.at).text("what", &breach.what);
             });
         });
--- a/almanac/src/state.rs
+++ b/replay/src/state.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use millpost_broker::{Desk, Nanos, Stage};
-use millpost_pitches::Scaler;
-use millpost_porter::Round;
+use millpost_agent::Round;
+use millpost_autoscaler::Scaler;
+use millpost_scheduler::{Desk, Nanos, Stage};
 
 /// Functions of a scaler that are shown.
 const MOST: usize = 100_000;
--- a/almanac/src/story.rs
+++ b/replay/src/story.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use millpost_broker::MS;
-use millpost_crier::line::{self, Line};
+use millpost_protocol::line::{self, Line};
+use millpost_scheduler::MS;
 
 use crate::clocks::{Alignment, By, Node};
 use crate::lines::Source;
--- a/almanac/src/table.rs
+++ b/replay/src/table.rs
@@ -4,11 +4,11 @@
 use std::fmt::Write;
 
 use compact_str::CompactString;
-use millpost_broker::tape::Input;
-use millpost_broker::{MS, Nanos, Out, SECOND, Stage};
-use millpost_crier::Note;
-use millpost_pitches::tape::Input as ScalerInput;
-use millpost_pitches::{Effect, State};
+use millpost_autoscaler::tape::Input as ScalerInput;
+use millpost_autoscaler::{Effect, State};
+use millpost_protocol::Note;
+use millpost_scheduler::tape::Input;
+use millpost_scheduler::{MS, Nanos, Out, SECOND, Stage};
 
 use crate::play::{Step, Turn};
 
--- a/almanac/src/until.rs
+++ b/replay/src/until.rs
@@ -2,8 +2,8 @@
 
 use std::str::FromStr;
 
-use millpost_broker::tape::Input;
-use millpost_broker::{Nanos, SECOND};
+use millpost_scheduler::tape::Input;
+use millpost_scheduler::{Nanos, SECOND};
 
 use crate::outs;
 use crate::play::Event;
@@ -61,7 +61,8 @@
     match event {
         Event::Begins { .. } => Texts::default(),
         Event::Desk(step) => {
-            let entry = millpost_broker::tape::Entry { number: None, at: step.at, input: step.input.clone() };
+            let entry =
+                millpost_scheduler::tape::Entry { number: None, at: step.at, input: step.input.clone() };
             let outs =
                 step.outs.iter().map(|out| outs::desk(step.at, step.line, step.life, out, step.numbers));
             let (input, kind) = (entry.write(), step.input.name().to_owned());
@@ -69,15 +70,15 @@
         }
         Event::Scaler(turn) => {
             let entry =
-                millpost_pitches::tape::Entry { number: None, at: turn.at, input: turn.input.clone() };
+                millpost_autoscaler::tape::Entry { number: None, at: turn.at, input: turn.input.clone() };
             let outs = turn.outs.iter().map(|out| outs::scaler(turn.at, turn.line, turn.life, out));
             let (input, kind) = (entry.write(), turn.input.name().to_owned());
             Texts { input, kind, outs: outs.collect() }
         }
         Event::Round(pass) => {
-            let entry = millpost_porter::tape::Entry { number: None, at: pass.at, input: pass.input.clone() };
+            let entry = millpost_agent::tape::Entry { number: None, at: pass.at, input: pass.input.clone() };
             let outs = pass.outs.iter().map(|out| outs::round(pass.at, pass.line, pass.life, out));
-            let (input, kind) = (entry.write(), millpost_porter::tape::name(pass.input).to_owned());
+            let (input, kind) = (entry.write(), millpost_agent::tape::name(pass.input).to_owned());
             Texts { input, kind, outs: outs.collect() }
         }
     }
--- a/almanac/src/version.rs
+++ b/replay/src/version.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use millpost_barrow::mail;
-use millpost_broker::Trail;
-use millpost_crier::Note;
-use millpost_porter::Input as RoundInput;
+use millpost_agent::Input as RoundInput;
+use millpost_net::mail;
+use millpost_protocol::Note;
+use millpost_scheduler::Trail;
 use tinyjson::JsonValue;
 
 use crate::clocks::Node;
--- a/almanac/src/words.rs
+++ b/replay/src/words.rs
@@ -1,6 +1,6 @@
 //! Why owners decided as they did, in words.
 
-use millpost_broker::{Nanos, Reason, Why};
+use millpost_scheduler::{Nanos, Reason, Why};
 
 use crate::story::Parts;
 
--- a/almanac/tests/day/mod.rs
+++ b/replay/tests/day/mod.rs
@@ -6,8 +6,8 @@
 
 use compact_str::{CompactString, format_compact};
 use millpost::Dice;
-use millpost_broker::{Ask, MS, Nanos, Next, No, Out, Outcome, Peer, SECOND, Spec, Taped, Terms, Tries};
-use millpost_crier::{Instance, Note};
+use millpost_protocol::{Instance, Note};
+use millpost_scheduler::{Ask, MS, Nanos, Next, No, Out, Outcome, Peer, SECOND, Spec, Taped, Terms, Tries};
 
 /// What happens on a day.
 #[derive(Clone)]
@@ -335,8 +335,11 @@
             Happens::NameStalls => {
                 self.version += 1;
                 let alive = (0..self.stalls.len()).filter(|n| self.stalls[*n].desk.is_some());
-                let peers =
-                    alive.map(|n| millpost_crier::Peer { name: name(n), address: address(n), zone: zone(n) });
+                let peers = alive.map(|n| millpost_protocol::Peer {
+                    name: name(n),
+                    address: address(n),
+                    zone: zone(n),
+                });
                 let note = Note::Stalls {
                     version: (1, self.version),
                     peers: peers.collect(),
--- a/almanac/tests/days.rs
+++ b/replay/tests/days.rs
@@ -3,10 +3,10 @@
 mod day;
 
 use day::{Day, Plan};
-use millpost_almanac::check::{Check, Rule};
-use millpost_almanac::lines::{Lines, Which};
-use millpost_almanac::play::{Event, play};
-use millpost_broker::{MS, Nanos, Out, SECOND, Terms};
+use millpost_replay::check::{Check, Rule};
+use millpost_replay::lines::{Lines, Which};
+use millpost_replay::play::{Event, play};
+use millpost_scheduler::{MS, Nanos, Out, SECOND, Terms};
 
 /// Days of each kind.
 const SEEDS: u64 = 6;
--- a/almanac/tests/stories.rs
+++ b/replay/tests/stories.rs
@@ -1,23 +1,23 @@
-//! What is told of requests, versions, instances and the duty of a day of the arcade, beside what the day itself shows.
+//! What is told of requests, versions, instances and the duty of a simulated day, beside what the day itself shows.
 
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use millpost_almanac::clocks::By;
-use millpost_almanac::duty::duty;
-use millpost_almanac::explain::explain;
-use millpost_almanac::instance::instance;
-use millpost_almanac::lines::{Entry, Lines, Which};
-use millpost_almanac::report::report;
-use millpost_almanac::story::{Part, Story};
-use millpost_almanac::survey::Day;
-use millpost_almanac::version::version;
-use millpost_arcade::day::{Report, play_recorded};
-use millpost_arcade::plan::{Plan, What};
-use millpost_arcade::record::Records;
-use millpost_arcade::site::Size;
-use millpost_arcade::{MS, SECOND};
-use millpost_crier::frame::sealed;
+use millpost_protocol::frame::sealed;
+use millpost_replay::clocks::By;
+use millpost_replay::duty::duty;
+use millpost_replay::explain::explain;
+use millpost_replay::instance::instance;
+use millpost_replay::lines::{Entry, Lines, Which};
+use millpost_replay::report::report;
+use millpost_replay::story::{Part, Story};
+use millpost_replay::survey::Day;
+use millpost_replay::version::version;
+use millpost_simulator::day::{Report, play_recorded};
+use millpost_simulator::plan::{Plan, What};
+use millpost_simulator::record::Records;
+use millpost_simulator::site::Size;
+use millpost_simulator::{MS, SECOND};
 
 fn recorded(plan: &Plan) -> (Report, tempfile::TempDir) {
     let folder = tempfile::tempdir().expect("a folder");
@@ -93,7 +93,10 @@
             assert!(aligned.error.is_some_and(|error| error < 2 * MS), "{aligned:?}");
         }
         let json = story.json(&day.sources);
-        assert!(millpost_crier::line::read(&json).is_ok() && json.contains(r#""step":"answered""#), "{json}");
+        assert!(
+            millpost_protocol::line::read(&json).is_ok() && json.contains(r#""step":"answered""#),
+            "{json}"
+        );
     }
     assert!(rules.contains_key("thinned") && rules.contains_key("slot"), "{rules:?}");
     assert!(rules.contains_key("too late") || rules.contains_key("hopeless"), "{rules:?}");
@@ -114,7 +117,7 @@
     let at: f64 = acknowledged.split_whitespace().next().expect("a time").parse().expect("a number");
     let last = (*acts.iter().max().expect("one") as f64 / 1e6 - at).max(0.0);
     let expected = changed.1.expect("it came round") as f64 / 1e6;
-    // What the records show is no later than what the arcade saw from outside, on clocks that were aligned.
+    // What the records show is no later than what the simulator saw from outside, on clocks that were aligned.
     assert!(last < expected + 2.0, "{last} {expected}");
 
     let (_, duties) = duty(folder.path(), &Which::default(), None).expect("it plays");
@@ -230,5 +233,5 @@
     }
     assert_eq!((page.matches("<svg").count(), page.matches("</svg>").count()), (9, 9));
     assert!(["src=", "href=", "http", "NaN", "<script"].iter().all(|word| !page.contains(word)));
-    assert!(millpost_crier::line::read(&found.json()).is_ok());
+    assert!(millpost_protocol::line::read(&found.json()).is_ok());
 }
--- a/almanac/tests/traces.rs
+++ b/replay/tests/traces.rs
@@ -3,18 +3,18 @@
 use std::path::{Path, PathBuf};
 
 use millpost::Dice;
-use millpost_almanac::Error;
-use millpost_almanac::check::{Check, Rule};
-use millpost_almanac::cut::{Part, cut};
-use millpost_almanac::diff::{diff, outputs};
-use millpost_almanac::feeds::{Feeds, Must};
-use millpost_almanac::lines::{Entry, Lines, Which};
-use millpost_almanac::play::{Event, Pass, Step, play};
-use millpost_almanac::table::{Rounds, Table};
-use millpost_broker::tape::{Entry as DeskEntry, Input};
-use millpost_broker::{Desk, Instance, MS, Out, SECOND, Terms};
-use millpost_crier::Note;
-use millpost_porter::Effect;
+use millpost_agent::Effect;
+use millpost_protocol::Note;
+use millpost_replay::Error;
+use millpost_replay::check::{Check, Rule};
+use millpost_replay::cut::{Part, cut};
+use millpost_replay::diff::{diff, outputs};
+use millpost_replay::feeds::{Feeds, Must};
+use millpost_replay::lines::{Entry, Lines, Which};
+use millpost_replay::play::{Event, Pass, Step, play};
+use millpost_replay::table::{Rounds, Table};
+use millpost_scheduler::tape::{Entry as DeskEntry, Input};
+use millpost_scheduler::{Desk, Instance, MS, Out, SECOND, Terms};
 
 fn path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/traces").join(name)
@@ -106,7 +106,7 @@
             // The first that was told comes again after all the others; a feed more is opened; a note goes astray.
             let told = pass.outs.iter().find(|out| matches!(out, Effect::Tell(Note::Config { .. }))).cloned();
             let mut outs = pass.outs.to_vec();
-            if pass.input == &millpost_porter::Input::Leave {
+            if pass.input == &millpost_agent::Input::Leave {
                 let (address, note) = (([10, 0, 0, 9], 1).into(), Note::Drop { id: 1 });
                 outs.extend(first.clone());
                 outs.push(Effect::Post { feed: 900, to: address, note });
--- a/almanac/tests/whole_days.rs
+++ b/replay/tests/whole_days.rs
@@ -1,16 +1,16 @@
-//! Whole days of the arcade, recorded and played again: what each process has decided is decided again, to the bit.
+//! Whole simulated days, recorded and played again: what each process has decided is decided again, to the bit.
 
 use std::collections::BTreeMap;
 
-use millpost_almanac::check::{Check, Rule};
-use millpost_almanac::lines::{Lines, Which};
-use millpost_almanac::play::{Event, How, Played, play_so};
-use millpost_arcade::day::{Report, play, play_recorded};
-use millpost_arcade::plan::Plan;
-use millpost_arcade::record::Records;
-use millpost_arcade::site::Size;
-use millpost_broker::tape::Input;
-use millpost_broker::{Step, Trail};
+use millpost_replay::check::{Check, Rule};
+use millpost_replay::lines::{Lines, Which};
+use millpost_replay::play::{Event, How, Played, play_so};
+use millpost_scheduler::tape::Input;
+use millpost_scheduler::{Step, Trail};
+use millpost_simulator::day::{Report, play, play_recorded};
+use millpost_simulator::plan::Plan;
+use millpost_simulator::record::Records;
+use millpost_simulator::site::Size;
 
 /// A day and its lines, by process.
 fn recorded(plan: &Plan) -> (Report, Vec<(String, String)>) {
@@ -102,7 +102,7 @@
     let at = lines.iter().position(|l| l.contains(r#""in":"request""#)).expect("a request");
     let end = lines[at].find(",\"#\"").expect("a checksum");
     let changed = lines[at][..end].replacen(r#""target":"#, r#""target":1"#, 1) + "}";
-    let changed = millpost_crier::frame::sealed(changed);
+    let changed = millpost_protocol::frame::sealed(changed);
     let other = [&lines[..at], &[&changed], &lines[at + 1..]].concat();
     let (played, _) = played(&other.join("\n"));
     assert_eq!(played.unlike.len(), 1);
--- a/rig/src/report.rs
+++ b/rig/src/report.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use millpost_placard::{self as placard, COLORS, Line, PLAIN, Span};
+use millpost_charts::{self as charts, COLORS, Line, PLAIN, Span};
 use millpost_standins::audit::RULES;
 
 use crate::play::{Outcome, Sample};
@@ -110,7 +110,7 @@
         what: what.clone(),
         color: String::new(),
     };
-    placard::plot(title, unit, end, &o.faults.iter().map(fault).collect::<Vec<_>>(), lines)
+    charts::plot(title, unit, end, &o.faults.iter().map(fault).collect::<Vec<_>>(), lines)
 }
 
 /// The report as one HTML file.
@@ -169,5 +169,5 @@
     body.push_str(&plot("Resident", "MB", o, &resident));
     body.push_str(&plot("Rules broken", "so far", o, &[line(o, "broken", COLORS[2], |s| s.broken as f64)]));
     let title = if o.plan.is_empty() { "a plan" } else { &o.plan };
-    placard::page(title, &text(o), &body)
+    charts::page(title, &text(o), &body)
 }
--- a/broker/src/desk.rs
+++ b/scheduler/src/desk.rs
@@ -11,8 +11,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use compact_str::CompactString;
-use millpost_crier::frame::Fold;
-use millpost_crier::{Note, Roster, Version};
+use millpost_protocol::frame::Fold;
+use millpost_protocol::{Note, Roster, Version};
 
 use crate::desk::passing::Granted;
 use crate::effect::{Effect, No, Terms};
--- a/broker/src/desk/passing.rs
+++ b/scheduler/src/desk/passing.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use compact_str::CompactString;
-use millpost_crier::{Note, Permit, Version};
+use millpost_protocol::{Note, Permit, Version};
 
 use super::{Desk, Handed, MOST_ASKS, Open, Out};
 use crate::function::Parted;
--- a/broker/src/desk/turns.rs
+++ b/scheduler/src/desk/turns.rs
@@ -1,7 +1,7 @@
 //! Stalls come and go at random: a desk that works out what has changed does and says what one does that works out everything.
 
 use millpost::Dice;
-use millpost_crier::{Instance as Told, Roster};
+use millpost_protocol::{Instance as Told, Roster};
 
 use super::*;
 use crate::tape::Input;
--- a/broker/src/desk/view.rs
+++ b/scheduler/src/desk/view.rs
@@ -9,7 +9,7 @@
 use crate::owners::{Owners, Peer};
 use crate::{MS, Nanos};
 use compact_str::CompactString;
-use millpost_crier::Note;
+use millpost_protocol::Note;
 
 /// Stalls that are kept in mind though they are named no more.
 const MOST_AWAY: usize = 10_000;
@@ -93,7 +93,7 @@
 
     /// A new steward hears which instances there are, also those that start and stand in no list yet.
     pub(super) fn mine(&mut self) {
-        let note = |i: &Instance| millpost_crier::Instance {
+        let note = |i: &Instance| millpost_protocol::Instance {
             id: i.id.clone(),
             service: i.service.clone(),
             address: i.address.clone(),
--- a/broker/src/effect.rs
+++ b/scheduler/src/effect.rs
@@ -1,7 +1,7 @@
 //! What an owner of functions may decide, and the bounds that it is given.
 
 use compact_str::CompactString;
-use millpost_crier::Does;
+use millpost_protocol::Does;
 
 use crate::Nanos;
 use crate::instance::Instance;
--- a/broker/src/function.rs
+++ b/scheduler/src/function.rs
@@ -16,7 +16,7 @@
 
 use compact_str::CompactString;
 use millpost::Dice;
-use millpost_assay::Assay;
+use millpost_latency::Assay;
 
 use crate::budget::Budget;
 use crate::counts::Counts;
--- a/broker/src/function/floor.rs
+++ b/scheduler/src/function/floor.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariant: a floor holds until its time is over, whoever owns the function; only its owner goes by it.
 
-use millpost_crier::Does;
+use millpost_protocol::Does;
 
 use super::Broker;
 use crate::service::Service;
--- a/broker/src/function/hardware.rs
+++ b/scheduler/src/function/hardware.rs
@@ -3,7 +3,7 @@
 //! An instance comes behind the others of its function only where it is clearly and surely slower; an owner names workers to control
 //! only where they are surely slow.
 
-use millpost_assay::{Assay, Lag};
+use millpost_latency::{Assay, Lag};
 
 use crate::Nanos;
 use crate::service::Service;
--- a/broker/src/lib.rs
+++ b/scheduler/src/lib.rs
@@ -37,7 +37,7 @@
 pub use tries::{Next, Outcome, Tries, first_gap};
 
 pub use millpost::api::Nanos;
-pub use millpost_crier::line::Sink;
+pub use millpost_protocol::line::Sink;
 
 /// A millisecond in [`Nanos`].
 pub const MS: Nanos = 1_000_000;
--- a/broker/src/owners.rs
+++ b/scheduler/src/owners.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeSet;
 
 use compact_str::CompactString;
-pub use millpost_crier::Peer;
-use millpost_crier::{Roster, Shift, Version, seed};
+pub use millpost_protocol::Peer;
+use millpost_protocol::{Roster, Shift, Version, seed};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// The stalls that are alive, in the version that control named last.
--- a/broker/src/ranks.rs
+++ b/scheduler/src/ranks.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use compact_str::CompactString;
-use millpost_crier::seed;
+use millpost_protocol::seed;
 
 use crate::owners::{Owners, hash};
 
--- a/broker/src/tape.rs
+++ b/scheduler/src/tape.rs
@@ -6,8 +6,8 @@
 use std::collections::{HashMap, VecDeque};
 
 use compact_str::CompactString;
-use millpost_crier::line::{self, Line, Sink, Tape};
-use millpost_crier::{Fault, Note, string, whole};
+use millpost_protocol::line::{self, Line, Sink, Tape};
+use millpost_protocol::{Fault, Note, string, whole};
 use tinyjson::JsonValue;
 
 use crate::{Ask, Desk, Nanos, Out, Outcome, Peer, Spec, Terms, Trail};
@@ -307,12 +307,12 @@
     Ok(Input::New {
         me: Peer { name: string(from, "me")?, address: string(from, "a")?, zone: string(from, "z")? },
         terms: Terms {
-            ratio: millpost_crier::number(from, "ratio")?,
+            ratio: millpost_protocol::number(from, "ratio")?,
             window: whole(from, "window")?,
-            slack: millpost_crier::number(from, "slack")?,
+            slack: millpost_protocol::number(from, "slack")?,
             // Recordings from before it was a bound have none.
             asks_per_s: if from.contains_key("asks") {
-                millpost_crier::number(from, "asks")?
+                millpost_protocol::number(from, "asks")?
             } else {
                 f64::INFINITY
             },
--- a/broker/src/trail.rs
+++ b/scheduler/src/trail.rs
@@ -5,8 +5,8 @@
 use std::collections::HashMap;
 
 use compact_str::CompactString;
-use millpost_crier::line::{self, Line};
-use millpost_crier::{Fault, string, whole};
+use millpost_protocol::line::{self, Line};
+use millpost_protocol::{Fault, string, whole};
 use tinyjson::JsonValue;
 
 use crate::effect::No;
--- a/broker/tests/floor.rs
+++ b/scheduler/tests/floor.rs
@@ -1,10 +1,10 @@
 //! A floor under a function: who goes by it, how long it holds, and what is told meanwhile.
 
-use millpost_broker::{
+use millpost_protocol::Does;
+use millpost_scheduler::{
     Ask, Broker, Effect, Instance, MS, Nanos, Outcome, Owners, Peer, SECOND, Spec, Stage, Terms, Transfer,
     Turn,
 };
-use millpost_crier::Does;
 
 fn peer(name: &str) -> Peer {
     Peer { name: name.into(), address: "a:1".into(), zone: "z".into() }
--- a/broker/tests/handover.rs
+++ b/scheduler/tests/handover.rs
@@ -4,8 +4,8 @@
 
 use std::collections::BTreeMap;
 
-use millpost_broker::{Desk, MS, Nanos, Out, Outcome, SECOND};
-use millpost_crier::{Instance, Note};
+use millpost_protocol::{Instance, Note};
+use millpost_scheduler::{Desk, MS, Nanos, Out, Outcome, SECOND};
 use town::{ALL, CONCURRENCY, T, Town, instances, owner, peer, stalls};
 
 /// What a life is numbered by goes back with its machine's clock. Only who lives can say that it does.
--- a/broker/tests/hardware.rs
+++ b/scheduler/tests/hardware.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use millpost_broker::{
+use millpost_scheduler::{
     Ask, Broker, Effect, Instance, MS, Nanos, Outcome, Owners, Peer, SECOND, Spec, Stage, Terms, Transfer,
     Turn,
 };
--- a/broker/tests/leaving.rs
+++ b/scheduler/tests/leaving.rs
@@ -2,8 +2,8 @@
 
 mod town;
 
-use millpost_broker::{Desk, MS, Nanos, Outcome, Owners, SECOND, Spec, Terms};
-use millpost_crier::{Instance, Note};
+use millpost_protocol::{Instance, Note};
+use millpost_scheduler::{Desk, MS, Nanos, Outcome, Owners, SECOND, Spec, Terms};
 use town::{ALL, CONCURRENCY, T, Town, instances, owner, peer};
 
 /// The view after these have left: they own nothing any more, and live.
--- a/broker/tests/owner.rs
+++ b/scheduler/tests/owner.rs
@@ -1,6 +1,6 @@
 //! An owner of functions, step by step: each test is what went wrong once on a day, in the small.
 
-use millpost_broker::{
+use millpost_scheduler::{
     Ask, Broker, Effect, Instance, MS, Nanos, No, Outcome, Owners, Peer, SECOND, Spec, Stage, Terms,
     Transfer, Turn,
 };
--- a/broker/tests/town/mod.rs
+++ b/scheduler/tests/town/mod.rs
@@ -4,8 +4,8 @@
 
 use std::collections::BTreeMap;
 
-use millpost_broker::{Ask, Desk, MS, Nanos, Out, Outcome, Owners, Peer, SECOND, Spec, Terms};
-use millpost_crier::{Instance, Note};
+use millpost_protocol::{Instance, Note};
+use millpost_scheduler::{Ask, Desk, MS, Nanos, Out, Outcome, Owners, Peer, SECOND, Spec, Terms};
 
 pub const T: Nanos = 2 * SECOND;
 pub const CONCURRENCY: u32 = 4;
--- a/broker/tests/waiting.rs
+++ b/scheduler/tests/waiting.rs
@@ -1,9 +1,9 @@
 //! What waits for a function that the configuration names no more, from the owner that drops it to what its client is told.
 
-use millpost_broker::{
+use millpost_protocol::{Instance, Note};
+use millpost_scheduler::{
     Desk, MS, Nanos, No, Out, Owners, Passage, Peer, Refusal, SECOND, Spec, Step, Terms, Wish,
 };
-use millpost_crier::{Instance, Note};
 
 const T: Nanos = 2 * SECOND;
 
@@ -165,7 +165,7 @@
 
 #[test]
 fn what_may_have_run_goes_nowhere_else_and_without_a_route_nothing_does() {
-    use millpost_broker::Outcome;
+    use millpost_scheduler::Outcome;
     let mut gone = passage(T);
     gone.begin(true);
     assert_eq!(gone.refused(T, No::Moved), Step::Find);
--- a/arcade/src/auditor.rs
+++ b/simulator/src/auditor.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use compact_str::CompactString;
-use millpost_tariff::{Config, Table};
+use millpost_config::{Config, Table};
 
 use crate::calm::Calm;
 use crate::site::{Bounds, HOST};
--- a/arcade/src/glue/hall.rs
+++ b/simulator/src/glue/hall.rs
@@ -1,18 +1,18 @@
-//! A control machine: what `bourse/src/runtime.rs` carries out for its [`Core`], on the played network, disk and platform.
+//! A control machine: what `controller/src/runtime.rs` carries out for its [`Core`], on the played network, disk and platform.
 
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
 use compact_str::CompactString;
 use hyper::{HeaderMap, Method, StatusCode};
-use millpost_barrow::mail::{self, Content, Reply};
-use millpost_bourse::contact::Answered;
-use millpost_bourse::core::{Back, Bounds, Core, Effect, Input, Start};
-use millpost_bourse::feed::Seat;
-use millpost_bourse::leadership::{Call, Errand, Heard};
-use millpost_crier::{object, text};
-use millpost_pitches::{Sink, StartFault, StopFault};
-use millpost_tally::{Address, Members, Message};
+use millpost_autoscaler::{Sink, StartFault, StopFault};
+use millpost_controller::contact::Answered;
+use millpost_controller::core::{Back, Bounds, Core, Effect, Input, Start};
+use millpost_controller::feed::Seat;
+use millpost_controller::leadership::{Call, Errand, Heard};
+use millpost_net::mail::{self, Content, Reply};
+use millpost_protocol::{object, text};
+use millpost_quorum::{Address, Members, Message};
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::keeper::Disk;
--- a/arcade/src/glue/keeper.rs
+++ b/simulator/src/glue/keeper.rs
@@ -1,9 +1,9 @@
-//! A voter with its disk: one message at a time, and its answer only once what it rests on lasts. After `bourse/src/voter_thread.rs`.
+//! A voter with its disk: one message at a time, and its answer only once what it rests on lasts. After `controller/src/voter_thread.rs`.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use compact_str::CompactString;
-use millpost_tally::{Key, Members, Message, State, Value, Voter, Write};
+use millpost_quorum::{Key, Members, Message, State, Value, Voter, Write};
 
 use super::Place;
 use crate::chance::Chance;
--- a/arcade/src/glue/memo.rs
+++ b/simulator/src/glue/memo.rs
@@ -4,9 +4,9 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use millpost_barrow::mail;
-use millpost_barrow::pack::unpack;
-use millpost_tariff::{Config, Table, change};
+use millpost_config::{Config, Table, change};
+use millpost_net::mail;
+use millpost_net::pack::unpack;
 use tinyjson::JsonValue;
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/arcade/src/glue/mod.rs
+++ b/simulator/src/glue/mod.rs
@@ -22,10 +22,10 @@
 
 use bytes::Bytes;
 use compact_str::CompactString;
-use millpost_broker::Outcome;
-use millpost_crier::{Note, object, text};
-use millpost_pitches::{Entry, StartFault, StopFault, Worker};
-use millpost_tally::Message;
+use millpost_autoscaler::{Entry, StartFault, StopFault, Worker};
+use millpost_protocol::{Note, object, text};
+use millpost_quorum::Message;
+use millpost_scheduler::Outcome;
 use tinyjson::JsonValue;
 
 use crate::Time;
--- a/arcade/src/glue/porter.rs
+++ b/simulator/src/glue/porter.rs
@@ -1,9 +1,9 @@
-//! A porter: what `porter/src/run.rs` carries out for its round, on the played network.
+//! A porter: what `agent/src/run.rs` carries out for its round, on the played network.
 
 use std::collections::BTreeMap;
 
 use compact_str::CompactString;
-use millpost_porter::{Effect, Input, Taped as Round, Terms};
+use millpost_agent::{Effect, Input, Taped as Round, Terms};
 
 use super::post::{Landed, Post};
 use super::{In, Out, Place, Said, letter};
--- a/arcade/src/glue/post.rs
+++ b/simulator/src/glue/post.rs
@@ -1,7 +1,7 @@
-//! Notes to one peer, in batches: `barrow`'s post as a machine. While the peer is down one batch at a time finds out whether it
+//! Notes to one peer, in batches: `millpost_net`'s post as a machine. While the peer is down one batch at a time finds out whether it
 //! still is.
 
-use millpost_crier::Note;
+use millpost_protocol::Note;
 
 use crate::{MS, Time};
 
--- a/arcade/src/glue/stall.rs
+++ b/simulator/src/glue/stall.rs
@@ -1,17 +1,17 @@
-//! A stall: its desk, its clients' requests through their tries, its mail. After `stall/src/front.rs` and `shop.rs`.
+//! A stall: its desk, its clients' requests through their tries, its mail. After `proxy/src/front.rs` and `shop.rs`.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use compact_str::CompactString;
-use millpost_barrow::mail::Incarnation;
-use millpost_broker::{
+use millpost_config::{Table, Traffic};
+use millpost_net::mail::Incarnation;
+use millpost_protocol::Note;
+use millpost_scheduler::{
     Margins, No, Out as Decided, Outcome, Passage, Patience, Peer, Phase, Refusal, Spec, Step, Taped as Desk,
     Terms, Trail, Wish,
 };
-use millpost_crier::Note;
-use millpost_tariff::{Table, Traffic};
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::memo::Known;
@@ -262,7 +262,7 @@
         if now >= self.beat_at || self.hurry.is_some_and(|at| now >= at) {
             self.hurry = None;
             self.beat_at = now + BEAT;
-            let peer = millpost_crier::Peer {
+            let peer = millpost_protocol::Peer {
                 name: self.place.name.clone(),
                 address: self.place.address.clone(),
                 zone: self.place.zone.clone(),
--- a/arcade/src/main.rs
+++ b/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `arcade`: the whole system in one process, the same under the same seed.
+//! `simulator`: the whole system in one process, the same under the same seed.
 //!
 //! Ends with 0 where no rule broke, 1 where one did, 2 where the call can't be read or a file can't be written.
 
@@ -7,14 +7,14 @@
 use std::time::Instant;
 
 use argh::FromArgs;
-use millpost_arcade::day::{Report, play_recorded};
-use millpost_arcade::hunt::Search;
-use millpost_arcade::plan::{Days, Plan};
-use millpost_arcade::plant::Plant;
-use millpost_arcade::record::Records;
-use millpost_arcade::site::Size;
-use millpost_arcade::speeds::Speeds;
-use millpost_arcade::{MS, hunt};
+use millpost_simulator::day::{Report, play_recorded};
+use millpost_simulator::hunt::Search;
+use millpost_simulator::plan::{Days, Plan};
+use millpost_simulator::plant::Plant;
+use millpost_simulator::record::Records;
+use millpost_simulator::site::Size;
+use millpost_simulator::speeds::Speeds;
+use millpost_simulator::{MS, hunt};
 
 /// The whole system in one process, played under a seed. Ends with 0 where no rule broke, 1 where one did, 2 where the call can't
 /// be read or a file can't be written.
@@ -102,7 +102,7 @@
     /// where to write what happened, one line each
     #[argh(option)]
     trace: Option<PathBuf>,
-    /// a folder for the recordings of all processes, for almanac
+    /// a folder for the recordings of all processes, for replay
     #[argh(option)]
     record: Option<PathBuf>,
     /// days with more troubles of the control side, and longer cuts
--- a/arcade/src/record.rs
+++ b/simulator/src/record.rs
@@ -8,8 +8,8 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-use millpost_crier::frame::Head;
-use millpost_crier::line::Sink;
+use millpost_protocol::frame::Head;
+use millpost_protocol::line::Sink;
 
 /// The day begins at this time of everybody's clock, in milliseconds of Unix time.
 const BEGINS_MS: u64 = 1_700_000_000_000;
--- a/arcade/src/site.rs
+++ b/simulator/src/site.rs
@@ -3,7 +3,7 @@
 use std::str::FromStr;
 
 use compact_str::{CompactString, format_compact};
-use millpost_tariff::{Config, Limits, Route, Service, Traffic};
+use millpost_config::{Config, Limits, Route, Service, Traffic};
 use snafu::Snafu;
 
 use crate::{MS, SECOND, Time};
--- a/arcade/src/world/endpoint.rs
+++ b/simulator/src/world/endpoint.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use compact_str::CompactString;
-use millpost_broker::Outcome;
+use millpost_scheduler::Outcome;
 
 use super::{Event, Role, World};
 use crate::glue::{Exchanged, In, Request};
--- a/arcade/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -255,7 +255,7 @@
     up_at: Vec<(Time, usize)>,
     served: Served,
     orders: Vec<Order>,
-    model: millpost_tariff::Config,
+    model: millpost_config::Config,
     bursts: Vec<(usize, f64, Time)>,
     weights: [Vec<f64>; 2],
     lost_share: (f64, Time),
@@ -266,7 +266,7 @@
     /// This part of the answers to operators is lost, until then.
     lost_acks: (f64, Time),
     /// The newest configuration that an operator knows to be acknowledged.
-    last_acked: Option<millpost_tariff::Config>,
+    last_acked: Option<millpost_config::Config>,
     wiped_at: Option<Time>,
     closed: Option<(Time, Time)>,
     calm: Calm,
@@ -549,11 +549,11 @@
             self.give(at, Role::Hall, In::Tick);
         } else {
             let (bounds, speeds) = (&site.bounds, self.plan.speeds != Speeds::Even);
-            let terms = millpost_broker::Terms {
+            let terms = millpost_scheduler::Terms {
                 ratio: bounds.ratio,
                 window: bounds.window,
                 slack: bounds.slack,
-                asks_per_s: millpost_broker::asks_per_s(site.mbps.0, site.processors),
+                asks_per_s: millpost_scheduler::asks_per_s(site.mbps.0, site.processors),
                 speeds,
             };
             let machine = &mut self.machines[at];
--- a/arcade/src/world/net.rs
+++ b/simulator/src/world/net.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use compact_str::CompactString;
-use millpost_crier::{Note, Peer, Shift};
-use millpost_tally::Message;
+use millpost_protocol::{Note, Peer, Shift};
+use millpost_quorum::Message;
 use tinyjson::JsonValue;
 
 use super::{Event, Role, Who, World};
@@ -83,7 +83,7 @@
             34 + service.len() + zones.iter().map(|z| z.len() + 3).sum::<usize>() + does + slow
         }
         Note::Instances { set, gone, .. } => {
-            let of = |i: &millpost_crier::Instance| {
+            let of = |i: &millpost_protocol::Instance| {
                 44 + i.id.len() + i.service.len() + i.address.len() + i.zone.len() + i.worker.len()
             };
             48 + set.iter().map(of).sum::<usize>() + gone.iter().map(|id| id.len() + 3).sum::<usize>()
@@ -156,7 +156,7 @@
 
 /// What a line of a feed says of stalls that are alive.
 fn named(line: &[u8]) -> Option<String> {
-    let JsonValue::Object(parts) = millpost_barrow::mail::json(line)? else { return None };
+    let JsonValue::Object(parts) = millpost_net::mail::json(line)? else { return None };
     let Some(JsonValue::Array(notes)) = parts.get("notes") else { return None };
     let list = |what: &str, names: &[CompactString]| {
         if names.is_empty() { String::new() } else { format!(", {what} {}", names.join(" ")) }
@@ -273,7 +273,7 @@
             return there;
         }
         // As many a second as would take all of its processors.
-        let each = SECOND as f64 / millpost_broker::asks_per_s(f64::INFINITY, self.site.processors);
+        let each = SECOND as f64 / millpost_scheduler::asks_per_s(f64::INFINITY, self.site.processors);
         let machine = &mut self.machines[at];
         machine.busy = machine.busy.max(there) + (asks as f64 * each) as Time;
         machine.busy
--- a/arcade/src/world/operator.rs
+++ b/simulator/src/world/operator.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use compact_str::format_compact;
-use millpost_tariff::Config;
+use millpost_config::Config;
 
 use super::{Event, Who, World};
 use crate::glue::Said;
--- a/arcade/src/world/platform.rs
+++ b/simulator/src/world/platform.rs
@@ -4,7 +4,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use compact_str::{CompactString, format_compact};
-use millpost_pitches::{Entry, StartFault, StopFault, Worker};
+use millpost_autoscaler::{Entry, StartFault, StopFault, Worker};
 
 use super::endpoint::Endpoint;
 use super::{Event, World};
--- a/arcade/src/world/trouble.rs
+++ b/simulator/src/world/trouble.rs
@@ -269,7 +269,7 @@
         if kept {
             let exchanges: Vec<_> = self.machines[at].exchanges.iter().copied().collect();
             for number in exchanges {
-                let outcome = millpost_broker::Outcome::NoAnswer;
+                let outcome = millpost_scheduler::Outcome::NoAnswer;
                 let done = crate::glue::Exchanged { outcome, sent: true, refused: false, answer: None };
                 self.at(soon, Event::Back(number, done));
             }
--- a/arcade/tests/clocks.rs
+++ b/simulator/tests/clocks.rs
@@ -1,9 +1,9 @@
 //! The time of day of a machine steps, and its processes start again: the number of a life may be lower than that of the one before.
 
-use millpost_arcade::SECOND;
-use millpost_arcade::day::play;
-use millpost_arcade::plan::{Plan, What};
-use millpost_arcade::site::Size;
+use millpost_simulator::SECOND;
+use millpost_simulator::day::play;
+use millpost_simulator::plan::{Plan, What};
+use millpost_simulator::site::Size;
 
 /// A machine's processes start while its clock is ahead, and again once it is right. Its mail was dropped by all others from then on: on
 /// these days LIMIT broke, and 0.88 of all was served.
--- a/arcade/tests/drops.rs
+++ b/simulator/tests/drops.rs
@@ -2,11 +2,11 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use millpost_arcade::day::play_recorded;
-use millpost_arcade::plan::{Plan, What};
-use millpost_arcade::record::Records;
-use millpost_arcade::site::Size;
-use millpost_arcade::{MS, SECOND};
+use millpost_simulator::day::play_recorded;
+use millpost_simulator::plan::{Plan, What};
+use millpost_simulator::record::Records;
+use millpost_simulator::site::Size;
+use millpost_simulator::{MS, SECOND};
 use tinyjson::JsonValue;
 
 /// What the stalls' recordings tell of requests that were to go elsewhere.
--- a/arcade/tests/rules.rs
+++ b/simulator/tests/rules.rs
@@ -1,10 +1,10 @@
 //! Each rule breaks where its guard is taken out, none breaks as the program is, and a day is the same day twice.
 
-use millpost_arcade::day::play;
-use millpost_arcade::plan::{Closing, Plan, What, Whom};
-use millpost_arcade::plant::Plant;
-use millpost_arcade::site::Size;
-use millpost_arcade::{MS, SECOND};
+use millpost_simulator::day::play;
+use millpost_simulator::plan::{Closing, Plan, What, Whom};
+use millpost_simulator::plant::Plant;
+use millpost_simulator::site::Size;
+use millpost_simulator::{MS, SECOND};
 
 /// The edge machines of a homework site are told to end one after the other, and once more, under this load.
 fn rolled(seed: u64, load: f64) -> Plan {
--- a/standins/src/market/fleet.rs
+++ b/standins/src/market/fleet.rs
@@ -27,7 +27,7 @@
 impl Programs {
     /// Those in this folder, such as `target/release`.
     pub fn of(folder: &Path) -> Self {
-        let of = |role: Role| folder.join(role.name());
+        let of = |role: Role| folder.join(role.program());
         Programs { stall: of(Role::Stall), porter: of(Role::Porter), bourse: of(Role::Bourse) }
     }
 
--- a/standins/src/market/settings.rs
+++ b/standins/src/market/settings.rs
@@ -240,7 +240,7 @@
 }
 
 impl Role {
-    /// Its name, and its program's.
+    /// Its name in settings.
     pub fn name(self) -> &'static str {
         match self {
             Role::Stall => "stall",
@@ -248,6 +248,15 @@
             Role::Bourse => "bourse",
         }
     }
+
+    /// Its program's name.
+    pub fn program(self) -> &'static str {
+        match self {
+            Role::Stall => "proxy",
+            Role::Porter => "agent",
+            Role::Bourse => "controller",
+        }
+    }
 }
 
 impl Class {
