--- a/agent/src/figures.rs
+++ b/agent/src/figures.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use millpost_agent::Round;
-use millpost_net::figures::Figures;
+use millpost_net::figures::Metrics;
 
 /// All figures of this moment.
-pub fn of(round: &Round, uptime: Duration) -> Figures {
-    let mut figures = Figures::default();
+pub fn of(round: &Round, uptime: Duration) -> Metrics {
+    let mut figures = Metrics::default();
     let ((fence, count), _) = round.newest().versions();
     figures.put("agent_uptime_seconds", uptime.as_secs());
     figures.put("agent_leaving", u8::from(round.leaves()));
--- a/agent/src/lib.rs
+++ b/agent/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod tape;
 
 pub use round::{Effect, Input, Round, Terms};
-pub use tape::Taped;
+pub use tape::Recorded;
 
 /// Nanoseconds of the process's life.
 pub type Nanos = u64;
--- a/agent/src/newest.rs
+++ b/agent/src/newest.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use millpost_config::{At, Config, change};
 use millpost_net::pack::{pack, unpack};
-use millpost_protocol::{Instance, Note, Roster, Version};
+use millpost_protocol::{Instance, MembershipView, PeerMessage, Version};
 use tinyjson::JsonValue;
 
 /// Lines of the feed, and a configuration out of its pack.
@@ -27,9 +27,9 @@
     /// It is no newer than what is held, or is of another kind.
     Old,
     /// It is new, and goes on to the stall.
-    News(Note),
+    News(PeerMessage),
     /// Likewise, without so many instances: there is no room for them.
-    Part(Note, usize),
+    Part(PeerMessage, usize),
     /// It can't be read, for this reason.
     Unread(String),
     /// This does not meet what is held, for this reason.
@@ -45,9 +45,9 @@
     /// Bytes that the whole one came in, and all changes since.
     weight: usize,
     /// The whole of it, as it came or once it was wanted.
-    packed: Option<Note>,
+    packed: Option<PeerMessage>,
     /// The stalls; under version 0 while none were named.
-    stalls: Roster,
+    stalls: MembershipView,
     version: Version,
     instances: BTreeMap<CompactString, Instance>,
     /// Bytes that they take as text, about.
@@ -71,51 +71,53 @@
     }
 
     /// Takes in what control tells, in a line of this many bytes.
-    pub fn take(&mut self, note: Note, weight: usize) -> Taken {
+    pub fn take(&mut self, note: PeerMessage, weight: usize) -> Taken {
         match note {
-            Note::Config { revision, .. }
-            | Note::Packed { revision, .. }
-            | Note::Patch { revision, .. }
-            | Note::Folded { revision, .. }
+            PeerMessage::Config { revision, .. }
+            | PeerMessage::Packed { revision, .. }
+            | PeerMessage::Patch { revision, .. }
+            | PeerMessage::Folded { revision, .. }
                 if self.config.is_some() && self.revision() >= revision =>
             {
                 Taken::Old
             }
-            Note::Config { revision, body } => match Config::read(&At::root(&body)) {
-                Ok(config) => self.install(config, Note::Config { revision, body }, weight),
+            PeerMessage::Config { revision, body } => match Config::read(&At::root(&body)) {
+                Ok(config) => self.install(config, PeerMessage::Config { revision, body }, weight),
                 Err(e) => Taken::Unread(format!("configuration {revision}: {e}")),
             },
-            Note::Packed { revision, packed } => {
+            PeerMessage::Packed { revision, packed } => {
                 match unpack(&packed, LONGEST).map(|text| (text.len(), Config::parse(&text))) {
-                    Some((long, Ok(config))) => self.install(config, Note::Packed { revision, packed }, long),
+                    Some((long, Ok(config))) => {
+                        self.install(config, PeerMessage::Packed { revision, packed }, long)
+                    }
                     Some((_, Err(e))) => Taken::Unread(format!("configuration {revision}: {e}")),
                     None => Taken::Unread(format!("configuration {revision} can't be unpacked")),
                 }
             }
-            Note::Patch { revision, ref change } => self.change(revision, change, weight, &note),
-            Note::Folded { revision, ref packed } => {
+            PeerMessage::Patch { revision, ref change } => self.change(revision, change, weight, &note),
+            PeerMessage::Folded { revision, ref packed } => {
                 let text = unpack(packed, LONGEST);
                 match text.map(|text| (text.len(), text.parse::<JsonValue>())) {
                     Some((long, Ok(change))) => self.change(revision, &change, long, &note),
                     _ => Taken::Unread(format!("change to {revision} can't be unpacked")),
                 }
             }
-            Note::Stalls { version, peers, leaving, split } => {
+            PeerMessage::Stalls { version, peers, leaving, split } => {
                 if self.stalls.version() >= version {
                     return Taken::Old;
                 }
-                self.stalls = Roster::new(version, peers, split).with_leaving(leaving);
+                self.stalls = MembershipView::new(version, peers, split).with_leaving(leaving);
                 Taken::News(self.stalls.note())
             }
-            Note::Shift(shift) if self.stalls.version() >= shift.version => Taken::Old,
-            Note::Shift(shift) => match self.stalls.shifted(&shift) {
+            PeerMessage::ViewChange(shift) if self.stalls.version() >= shift.version => Taken::Old,
+            PeerMessage::ViewChange(shift) => match self.stalls.shifted(&shift) {
                 Some(stalls) => {
                     self.stalls = stalls;
-                    Taken::News(Note::Shift(shift))
+                    Taken::News(PeerMessage::ViewChange(shift))
                 }
                 None => Taken::Gap(shift.from, self.stalls.version()),
             },
-            Note::Instances { version, all, set, gone } => {
+            PeerMessage::Instances { version, all, set, gone } => {
                 if version < self.version || !all && version == self.version {
                     return Taken::Old;
                 }
@@ -123,13 +125,13 @@
                 self.list(all, set, gone)
             }
             // Said again and again while it holds: nothing is kept.
-            note @ Note::Floor { .. } => Taken::News(note),
+            note @ PeerMessage::Floor { .. } => Taken::News(note),
             _ => Taken::Old,
         }
     }
 
     /// A change to the configuration, as `note` brings it.
-    fn change(&mut self, revision: u64, difference: &JsonValue, weight: usize, note: &Note) -> Taken {
+    fn change(&mut self, revision: u64, difference: &JsonValue, weight: usize, note: &PeerMessage) -> Taken {
         let missed = |why| Taken::Missed(format!("change to {revision}"), why);
         let Some(config) = &self.config else {
             return missed("nothing to change yet".to_owned());
@@ -166,15 +168,15 @@
             true
         });
         let left_out = came - set.len();
-        let note = Note::Instances { version: self.version, all, set, gone };
+        let note = PeerMessage::Instances { version: self.version, all, set, gone };
         if left_out > 0 { Taken::Part(note, left_out) } else { Taken::News(note) }
     }
 
-    fn install(&mut self, config: Config, note: Note, weight: usize) -> Taken {
-        let (Note::Config { revision, .. }
-        | Note::Packed { revision, .. }
-        | Note::Patch { revision, .. }
-        | Note::Folded { revision, .. }) = note
+    fn install(&mut self, config: Config, note: PeerMessage, weight: usize) -> Taken {
+        let (PeerMessage::Config { revision, .. }
+        | PeerMessage::Packed { revision, .. }
+        | PeerMessage::Patch { revision, .. }
+        | PeerMessage::Folded { revision, .. }) = note
         else {
             return Taken::Old;
         };
@@ -184,28 +186,28 @@
                 config.revision
             ));
         }
-        self.packed = matches!(note, Note::Packed { .. }).then(|| note.clone());
+        self.packed = matches!(note, PeerMessage::Packed { .. }).then(|| note.clone());
         (self.config, self.weight) = (Some(config), weight);
         Taken::News(note)
     }
 
     /// The whole configuration, for a stall that starts or could not follow a change. Packed: as a tree of values it takes some ten
     /// times the memory of its text, in the note that waits and at the stall that reads it.
-    pub fn whole(&mut self) -> Option<Note> {
+    pub fn whole(&mut self) -> Option<PeerMessage> {
         if self.packed.is_none() {
             let config = self.config.as_ref()?;
             let packed = pack(&config.to_json())?;
-            self.packed = Some(Note::Packed { revision: config.revision, packed });
+            self.packed = Some(PeerMessage::Packed { revision: config.revision, packed });
         }
         self.packed.clone()
     }
 
     /// Everything, for a stall that starts.
-    pub fn all(&mut self) -> Vec<Note> {
+    pub fn all(&mut self) -> Vec<PeerMessage> {
         let mut notes = Vec::from_iter(self.whole());
         if self.version > (0, 0) {
             let set = self.instances.values().cloned().collect();
-            notes.push(Note::Instances { version: self.version, all: true, set, gone: Vec::new() });
+            notes.push(PeerMessage::Instances { version: self.version, all: true, set, gone: Vec::new() });
         }
         if self.stalls.version() > (0, 0) {
             notes.push(self.stalls.note());
--- a/agent/src/round.rs
+++ b/agent/src/round.rs
@@ -9,7 +9,7 @@
 use compact_str::CompactString;
 use log::Level;
 use millpost_net::mail;
-use millpost_protocol::{Fault, Letter, Note, whole};
+use millpost_protocol::{Fault, MessageBatch, PeerMessage, whole};
 use tinyjson::JsonValue;
 
 use crate::follow::{Follow, Step};
@@ -65,7 +65,7 @@
     /// A control machine's answer to notes: a letter.
     Answered(Bytes),
     /// A letter of the stall; [`Effect::Answer`] follows.
-    Letter(Bytes),
+    MessageBatch(Bytes),
     /// The stall takes mail, for the first time or again.
     Up,
     /// A note to the stall had no room in its mail, and is lost.
@@ -97,7 +97,7 @@
         /// The path of the request.
         path: &'static str,
         /// The notes of the letter that is its body.
-        notes: Vec<Note>,
+        notes: Vec<PeerMessage>,
     },
     /// A feed is to be closed, and its mail; nothing more is awaited of it.
     Close {
@@ -105,16 +105,16 @@
         feed: u64,
     },
     /// A note to a control machine that is followed.
-    Post {
+    Outbox {
         /// The feed beside which it goes.
         feed: u64,
         /// Where it goes.
         to: SocketAddr,
         /// What it says.
-        note: Note,
+        note: PeerMessage,
     },
     /// A note to the stall.
-    Tell(Note),
+    Tell(PeerMessage),
     /// The answer to the stall's letter.
     Answer {
         /// It could be read.
@@ -134,7 +134,7 @@
     follow: Follow,
     newest: Newest,
     /// The stall's last word of itself.
-    alive: Option<(Nanos, Note)>,
+    alive: Option<(Nanos, PeerMessage)>,
     /// Until when control has it rest.
     rest: Option<(CompactString, Nanos)>,
     /// The revision that it acts on.
@@ -213,7 +213,7 @@
                 self.steps(now);
             }
             Input::Answered(body) => self.answered(&body),
-            Input::Letter(body) => self.letter(now, &body),
+            Input::MessageBatch(body) => self.letter(now, &body),
             // A stall that is there again has forgotten all.
             Input::Up => self.tell_all(now),
             Input::Full => {
@@ -272,7 +272,7 @@
             let effect = match step {
                 Step::Open { feed, address, whole } => {
                     let path = if whole { "/follow" } else { "/follow?whole=0" };
-                    let acts = Note::Acts { revision: self.newest.revision(), number: 0 };
+                    let acts = PeerMessage::Acts { revision: self.newest.revision(), number: 0 };
                     let alive = self.alive.iter().filter(|(at, _)| now.saturating_sub(*at) <= ALIVE);
                     let notes = alive.map(|(_, note)| note.clone()).chain([acts]).collect();
                     Effect::Open { feed, address, path, notes }
@@ -298,7 +298,7 @@
         }
         let mut faults = Vec::new();
         for note in notes {
-            match Note::read(note) {
+            match PeerMessage::read(note) {
                 Ok(note) => self.note(now, from, note, line.len()),
                 Err(e) => faults.push(e),
             }
@@ -306,8 +306,8 @@
         self.faults(&from.to_string(), &faults);
         if self.follow.address(feed).is_some() {
             let number = whole(&parts, "n").unwrap_or(0);
-            let note = Note::Acts { revision: self.acts, number };
-            self.effects.push(Effect::Post { feed, to: from, note });
+            let note = PeerMessage::Acts { revision: self.acts, number };
+            self.effects.push(Effect::Outbox { feed, to: from, note });
         }
     }
 
@@ -325,19 +325,19 @@
     }
 
     /// Something that control tells.
-    fn note(&mut self, now: Nanos, from: SocketAddr, note: Note, weight: usize) {
-        if let Note::Steward { address, fence } = &note {
+    fn note(&mut self, now: Nanos, from: SocketAddr, note: PeerMessage, weight: usize) {
+        if let PeerMessage::Steward { address, fence } = &note {
             if let Ok(address) = address.parse() {
                 self.follow.told(now, *fence, address);
                 self.steps(now);
             }
             return;
         }
-        if let Note::Contact { holds } = &note {
+        if let PeerMessage::Contact { holds } = &note {
             self.follow.contact(now, from, *holds);
             return self.steps(now);
         }
-        if let Note::Rest { name, left } = &note {
+        if let PeerMessage::Rest { name, left } = &note {
             let lasts = (left.clamp(0.0, 1e9) * 1e6) as Nanos;
             self.rest = (lasts > 0).then(|| (name.clone(), now.saturating_add(lasts)));
             return self.effects.push(Effect::Tell(note));
@@ -373,39 +373,39 @@
         self.rest = self.rest.take().filter(|(_, until)| *until > now);
         if let Some((name, until)) = &self.rest {
             let left = (until - now) as f64 / 1e6;
-            self.effects.push(Effect::Tell(Note::Rest { name: name.clone(), left }));
+            self.effects.push(Effect::Tell(PeerMessage::Rest { name: name.clone(), left }));
         }
         self.effects.extend(self.newest.all().into_iter().map(Effect::Tell));
     }
 
     /// What control says in answer to the stall's question goes to the stall.
     fn answered(&mut self, body: &[u8]) {
-        let Some(letter) = mail::json(body).and_then(|json| Letter::read(&json).ok()) else { return };
-        let stands = letter.notes.into_iter().filter(|note| matches!(note, Note::Stands { .. }));
+        let Some(letter) = mail::json(body).and_then(|json| MessageBatch::read(&json).ok()) else { return };
+        let stands = letter.notes.into_iter().filter(|note| matches!(note, PeerMessage::Stands { .. }));
         self.effects.extend(stands.map(Effect::Tell));
     }
 
     /// The stall's words.
     fn letter(&mut self, now: Nanos, body: &[u8]) {
-        let Some(letter) = mail::json(body).and_then(|json| Letter::read(&json).ok()) else {
+        let Some(letter) = mail::json(body).and_then(|json| MessageBatch::read(&json).ok()) else {
             return self.effects.push(Effect::Answer { read: false });
         };
         self.faults(&letter.from, &letter.faults);
         for note in letter.notes {
             match note {
-                Note::Alive { .. } => {
+                PeerMessage::Alive { .. } => {
                     self.alive = Some((now, note.clone()));
                     self.up(note, false);
                 }
-                Note::Acts { revision, .. } => self.acts_on(now, revision),
+                PeerMessage::Acts { revision, .. } => self.acts_on(now, revision),
                 // A stall that started, or was told less than all.
-                Note::Behind { version } => {
+                PeerMessage::Behind { version } => {
                     if version < self.newest.versions().0 {
                         self.tell_all(now);
                     }
                 }
                 // Any machine that is in contact with a majority can say.
-                Note::AskRevision => self.up(note, true),
+                PeerMessage::AskRevision => self.up(note, true),
                 note => self.up(note, false),
             }
         }
@@ -423,16 +423,16 @@
         }
         if revision != self.acts {
             self.acts = revision;
-            self.up(Note::Acts { revision, number: 0 }, true);
+            self.up(PeerMessage::Acts { revision, number: 0 }, true);
         }
     }
 
     /// To the steward, or to all that are followed.
-    fn up(&mut self, note: Note, all: bool) {
+    fn up(&mut self, note: PeerMessage, all: bool) {
         let steward = self.follow.steward().map(|(_, steward)| steward);
         for (feed, to, _) in self.follow.feeds() {
             if all || steward == Some(to) {
-                self.effects.push(Effect::Post { feed, to, note: note.clone() });
+                self.effects.push(Effect::Outbox { feed, to, note: note.clone() });
             }
         }
     }
--- a/agent/src/run.rs
+++ b/agent/src/run.rs
@@ -11,13 +11,13 @@
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode};
 use millpost_agent::newest::LONGEST;
-use millpost_agent::{Effect, Input, Nanos, Taped, Terms};
+use millpost_agent::{Effect, Input, Nanos, Recorded, Terms};
 use millpost_config::Settings;
 use millpost_net::figures;
-use millpost_net::mail::{self, Bounds, Call, Event, Held, Incarnation, Limits, Post, Reply, To};
+use millpost_net::mail::{self, Bounds, Call, Event, Held, Incarnation, Limits, Outbox, Reply, To};
 use millpost_protocol::frame::Head;
 use millpost_protocol::line::Sink;
-use millpost_protocol::{Note, object, text};
+use millpost_protocol::{PeerMessage, object, text};
 use snafu::ResultExt;
 use tinyjson::JsonValue;
 use tokio::net::TcpListener;
@@ -58,7 +58,7 @@
 /// A feed that is open, and the mail beside it.
 struct Open {
     task: JoinHandle<()>,
-    post: Post,
+    post: Outbox,
 }
 
 impl Drop for Open {
@@ -73,9 +73,9 @@
     life: Incarnation,
     began: Instant,
     came: mpsc::Sender<Came>,
-    round: Taped,
+    round: Recorded,
     open: BTreeMap<u64, Open>,
-    stall: Post,
+    stall: Outbox,
     over: bool,
 }
 
@@ -105,7 +105,7 @@
     }
     let (name, number) = (text(&settings.node_name), Incarnation::new(life));
     let to = to(STALL, SocketAddr::new(loopback, ports + 1), &name, &number);
-    let stall = Post::new(to, bounds(Duration::from_millis(800)), came.clone());
+    let stall = Outbox::new(to, bounds(Duration::from_millis(800)), came.clone());
     let grace = Duration::from_secs_f64(settings.bounds.grace_s);
     let terms = Terms { name: settings.node_name, life, seeds: settings.seed_nodes, grace: nanos(grace) };
     let mut porter = Porter {
@@ -114,7 +114,7 @@
         life: number,
         began: Instant::now(),
         came,
-        round: Taped::new(terms, 0, sink),
+        round: Recorded::new(terms, 0, sink),
         open: BTreeMap::new(),
         stall,
         over: false,
@@ -193,7 +193,7 @@
             Came::Call(call, reply) if call.method != Method::POST || call.path != "/mail" => {
                 let _ = reply.send(Reply::empty(StatusCode::NOT_FOUND));
             }
-            Came::Call(call, reply) => self.give(Input::Letter(call.body), Some(reply)),
+            Came::Call(call, reply) => self.give(Input::MessageBatch(call.body), Some(reply)),
             Came::Mail(Event::Up { peer }) if &*peer == STALL => self.give(Input::Up, None),
             Came::Mail(Event::Lost { peer, notes }) => {
                 // What the stall did not take it is told once it is up.
@@ -223,7 +223,7 @@
                     self.open.insert(feed, open);
                 }
                 Effect::Close { feed } => drop(self.open.remove(&feed)),
-                Effect::Post { feed, note, .. } => {
+                Effect::Outbox { feed, note, .. } => {
                     if let Some(open) = self.open.get(&feed) {
                         let _ = open.post.push(note.to_json());
                     }
@@ -258,11 +258,11 @@
         }
     }
 
-    fn feed(&self, feed: u64, address: SocketAddr, path: &'static str, notes: &[Note]) -> Open {
+    fn feed(&self, feed: u64, address: SocketAddr, path: &'static str, notes: &[PeerMessage]) -> Open {
         let body = object([
             ("from", self.name.clone()),
             ("life", JsonValue::Number(self.life.get() as f64)),
-            ("notes", JsonValue::Array(notes.iter().map(Note::to_json).collect())),
+            ("notes", JsonValue::Array(notes.iter().map(PeerMessage::to_json).collect())),
         ]);
         let body = Bytes::from(body.stringify().unwrap_or_default());
         let came = self.came.clone();
@@ -283,7 +283,7 @@
             let _ = came.send(Came::Ended(feed)).await;
         });
         let to = to(&feed.to_string(), address, &self.name, &self.life);
-        let post = Post::new(to, bounds(Duration::from_millis(900)), self.came.clone());
+        let post = Outbox::new(to, bounds(Duration::from_millis(900)), self.came.clone());
         Open { task, post }
     }
 }
--- a/agent/src/tape.rs
+++ b/agent/src/tape.rs
@@ -1,4 +1,4 @@
-//! A round's inputs as lines of JSON, to be played again: each input with its time. Written by [`Taped`], read by [`Entry::read`].
+//! A round's inputs as lines of JSON, to be played again: each input with its time. Written by [`Recorded`], read by [`Entry::read`].
 //!
 //! Times are nanoseconds of the process's life, whole numbers below 2^53. Lines of feeds and letters stand in it as they came, as text
 //! (`l`) or, where they are none, as hex digits (`x`).
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use compact_str::{CompactString, ToCompactString};
 use millpost_protocol::frame::Fold;
-use millpost_protocol::line::{self, Line, Sink, Tape};
+use millpost_protocol::line::{self, Line, Recorder, Sink};
 use millpost_protocol::{Fault, string, whole};
 use tinyjson::JsonValue;
 
@@ -21,12 +21,12 @@
 
 /// A round whose inputs are told as lines, where somebody wants them. Without a sink it costs nothing.
 #[derive(Debug)]
-pub struct Taped {
+pub struct Recorded {
     round: Round,
-    tape: Option<Tape>,
+    tape: Option<Recorder>,
 }
 
-impl std::ops::Deref for Taped {
+impl std::ops::Deref for Recorded {
     type Target = Round;
     // What changes a round goes by the methods below.
     fn deref(&self) -> &Round {
@@ -34,10 +34,10 @@
     }
 }
 
-impl Taped {
+impl Recorded {
     /// As [`Round::new`].
     pub fn new(terms: Terms, now: Nanos, sink: Option<Sink>) -> Self {
-        let mut taped = Taped { round: Round::new(terms.clone(), now), tape: sink.map(Tape::new) };
+        let mut taped = Recorded { round: Round::new(terms.clone(), now), tape: sink.map(Recorder::new) };
         taped.tell(now, &Input::New(terms));
         taped
     }
@@ -79,7 +79,7 @@
             Effect::Close { feed } => {
                 into.text("close").whole(*feed);
             }
-            Effect::Post { feed, to, note } => {
+            Effect::Outbox { feed, to, note } => {
                 note.fold(into.text("post").whole(*feed).text(&to.to_compact_string()));
             }
             Effect::Tell(note) => note.fold(into.text("tell")),
@@ -117,7 +117,7 @@
         Input::Line { .. } => "line",
         Input::Ended { .. } => "ended",
         Input::Answered(_) => "answered",
-        Input::Letter(_) => "letter",
+        Input::MessageBatch(_) => "letter",
         Input::Up => "up",
         Input::Full => "full",
         Input::Lost { .. } => "lost",
@@ -140,7 +140,7 @@
         Input::Ended { feed } => {
             line.whole("feed", *feed);
         }
-        Input::Answered(of) | Input::Letter(of) => body(line, of),
+        Input::Answered(of) | Input::MessageBatch(of) => body(line, of),
         Input::Lost { feed, notes } => {
             line.whole("feed", *feed).whole("c", *notes);
         }
@@ -225,7 +225,7 @@
             "line" => Input::Line { feed: feed()?, line: read_body(from)? },
             "ended" => Input::Ended { feed: feed()? },
             "answered" => Input::Answered(read_body(from)?),
-            "letter" => Input::Letter(read_body(from)?),
+            "letter" => Input::MessageBatch(read_body(from)?),
             "up" => Input::Up,
             "full" => Input::Full,
             "lost" => Input::Lost { feed: feed()?, notes: whole(from, "c")? },
@@ -261,10 +261,10 @@
             Input::Line { feed: 1, line: spoilt.clone() },
             Input::Ended { feed: 1 },
             Input::Answered(Bytes::from_static(b"{}")),
-            Input::Letter(Bytes::from_static(
+            Input::MessageBatch(Bytes::from_static(
                 br#"{"from":"edge-1","life":1,"notes":[{"t":"acts","v":3,"n":0}]}"#,
             )),
-            Input::Letter(spoilt),
+            Input::MessageBatch(spoilt),
             Input::Up,
             Input::Full,
             Input::Lost { feed: 2, notes: 3 },
@@ -302,7 +302,7 @@
         let sink: Sink = Box::new(move |line| told.borrow_mut().push(line.to_owned()));
         let inputs = all();
         let Input::New(terms) = inputs[0].clone() else { panic!("a life begins") };
-        let mut taped = Taped::new(terms.clone(), 0, Some(sink));
+        let mut taped = Recorded::new(terms.clone(), 0, Some(sink));
         let mut effects = taped.take();
         for (n, input) in inputs.iter().cloned().enumerate().skip(1) {
             taped.give(n as u64 * 40 * MS, input);
--- a/agent/tests/round.rs
+++ b/agent/tests/round.rs
@@ -7,7 +7,7 @@
 use millpost_agent::{Effect, Input, MS, Nanos, Round, SECOND, Terms};
 use millpost_config::{Config, change};
 use millpost_net::pack::pack;
-use millpost_protocol::{Instance, Note, Peer, Shift, object};
+use millpost_protocol::{Instance, Peer, PeerMessage, ViewChange, object};
 use tinyjson::JsonValue;
 
 fn at(n: u8) -> SocketAddr {
@@ -29,29 +29,35 @@
     Config::parse(&text).expect("a configuration")
 }
 
-fn whole(revision: u64) -> Note {
-    Note::Config { revision, body: config(revision, revision).to_value() }
+fn whole(revision: u64) -> PeerMessage {
+    PeerMessage::Config { revision, body: config(revision, revision).to_value() }
 }
 
-fn packed(revision: u64) -> Note {
+fn packed(revision: u64) -> PeerMessage {
     let packed = pack(&config(revision, revision).to_json()).expect("packed");
-    Note::Packed { revision, packed }
+    PeerMessage::Packed { revision, packed }
 }
 
-fn patch(from: u64, revision: u64) -> Note {
+fn patch(from: u64, revision: u64) -> PeerMessage {
     let change = change::between(&config(from, from), &config(revision, revision));
-    Note::Patch { revision, change }
+    PeerMessage::Patch { revision, change }
 }
 
-fn stalls(version: (u64, u64)) -> Note {
+fn stalls(version: (u64, u64)) -> PeerMessage {
     let peers = vec![Peer { name: "edge-1".into(), address: "10.0.1.1:7760".into(), zone: "a".into() }];
-    Note::Stalls { version, peers, leaving: vec![], split: vec![] }
+    PeerMessage::Stalls { version, peers, leaving: vec![], split: vec![] }
 }
 
-fn shift(from: (u64, u64), version: (u64, u64), came: &[&str], left: &[&str]) -> Note {
+fn shift(from: (u64, u64), version: (u64, u64), came: &[&str], left: &[&str]) -> PeerMessage {
     let peer = |name: &&str| Peer { name: (*name).into(), address: "10.0.1.9:1".into(), zone: "a".into() };
     let left = left.iter().map(|name| (*name).into()).collect();
-    Note::Shift(Shift { version, from, came: came.iter().map(peer).collect(), left, ..Shift::default() })
+    PeerMessage::ViewChange(ViewChange {
+        version,
+        from,
+        came: came.iter().map(peer).collect(),
+        left,
+        ..ViewChange::default()
+    })
 }
 
 fn instance(id: &str) -> Instance {
@@ -65,22 +71,22 @@
     }
 }
 
-fn instances(version: (u64, u64), all: bool, set: &[&str], gone: &[&str]) -> Note {
+fn instances(version: (u64, u64), all: bool, set: &[&str], gone: &[&str]) -> PeerMessage {
     let set = set.iter().map(|id| instance(id)).collect();
-    Note::Instances { version, all, set, gone: gone.iter().map(|id| (*id).into()).collect() }
+    PeerMessage::Instances { version, all, set, gone: gone.iter().map(|id| (*id).into()).collect() }
 }
 
-fn steward(fence: u64, n: u8) -> Note {
-    Note::Steward { address: at(n).to_string().into(), fence }
+fn steward(fence: u64, n: u8) -> PeerMessage {
+    PeerMessage::Steward { address: at(n).to_string().into(), fence }
 }
 
-fn alive() -> Note {
+fn alive() -> PeerMessage {
     let peer = Peer { name: "edge-1".into(), address: "10.0.1.1:7760".into(), zone: "a".into() };
-    Note::Alive { peer, serving: true, split: None, digest: None }
+    PeerMessage::Alive { peer, serving: true, split: None, digest: None }
 }
 
-fn acts(revision: u64) -> Note {
-    Note::Acts { revision, number: 0 }
+fn acts(revision: u64) -> PeerMessage {
+    PeerMessage::Acts { revision, number: 0 }
 }
 
 /// A machine, and what it wants carried out.
@@ -90,11 +96,11 @@
     /// Feeds that are open: number, address, path.
     open: Vec<(u64, SocketAddr, &'static str)>,
     /// The letter of the last one that was opened.
-    opening: Vec<Note>,
+    opening: Vec<PeerMessage>,
     /// All that the stall was told.
-    told: Vec<Note>,
+    told: Vec<PeerMessage>,
     /// What goes up: where, and what.
-    posts: Vec<(SocketAddr, Note)>,
+    posts: Vec<(SocketAddr, PeerMessage)>,
     answers: Vec<bool>,
     log: Vec<(Level, String)>,
     reads: usize,
@@ -134,7 +140,7 @@
                     assert!(self.open.len() <= 2 + self.without_contact);
                 }
                 Effect::Close { feed } => self.open.retain(|(n, ..)| *n != feed),
-                Effect::Post { feed, to, note } => {
+                Effect::Outbox { feed, to, note } => {
                     assert!(self.open.iter().any(|(n, a, _)| *n == feed && *a == to));
                     self.posts.push((to, note));
                 }
@@ -165,7 +171,7 @@
     }
 
     /// A line from a feed that is open.
-    fn line(&mut self, n: u8, notes: &[Note]) {
+    fn line(&mut self, n: u8, notes: &[PeerMessage]) {
         let feed = self.feed(n);
         self.give(Input::Line { feed, line: line(notes) });
     }
@@ -176,14 +182,14 @@
         self.give(Input::Ended { feed });
     }
 
-    fn letter(&mut self, notes: &[Note]) {
-        let notes = JsonValue::Array(notes.iter().map(Note::to_json).collect());
+    fn letter(&mut self, notes: &[PeerMessage]) {
+        let notes = JsonValue::Array(notes.iter().map(PeerMessage::to_json).collect());
         let parts = [
             ("from", JsonValue::from("edge-1".to_owned())),
             ("life", JsonValue::from(1.0)),
             ("notes", notes),
         ];
-        self.give(Input::Letter(object(parts).stringify().expect("JSON").into()));
+        self.give(Input::MessageBatch(object(parts).stringify().expect("JSON").into()));
     }
 
     /// Those who are followed; who brings whole configurations.
@@ -195,8 +201,8 @@
     }
 }
 
-fn line(notes: &[Note]) -> Bytes {
-    let notes = JsonValue::Array(notes.iter().map(Note::to_json).collect());
+fn line(notes: &[PeerMessage]) -> Bytes {
+    let notes = JsonValue::Array(notes.iter().map(PeerMessage::to_json).collect());
     object([("n", JsonValue::from(7.0)), ("notes", notes)]).stringify().expect("JSON").into()
 }
 
@@ -208,8 +214,8 @@
         vec![packed(2), patch(2, 3), patch(3, 5)] },
     gap = { vec![packed(2), patch(3, 4), packed(4), patch(4, 5)], vec![packed(2), packed(4), patch(4, 5)] },
     nothing_to_change = { vec![patch(0, 1), whole(1)], vec![whole(1)] },
-    spoilt_config = { vec![Note::Config { revision: 3, body: JsonValue::Null }, whole(2)], vec![whole(2)] },
-    spoilt_pack = { vec![Note::Packed { revision: 3, packed: "?".to_owned() }, packed(2)], vec![packed(2)] },
+    spoilt_config = { vec![PeerMessage::Config { revision: 3, body: JsonValue::Null }, whole(2)], vec![whole(2)] },
+    spoilt_pack = { vec![PeerMessage::Packed { revision: 3, packed: "?".to_owned() }, packed(2)], vec![packed(2)] },
     newest_stalls = { vec![stalls((2, 1)), stalls((1, 9)), stalls((2, 1)), stalls((2, 2))],
         vec![stalls((2, 1)), stalls((2, 2))] },
     shifts = {
@@ -239,15 +245,15 @@
         ]
     },
     says_another = {
-        vec![whole(5), Note::Config { revision: 9, body: config(3, 1).to_value() }, Note::Patch {
+        vec![whole(5), PeerMessage::Config { revision: 9, body: config(3, 1).to_value() }, PeerMessage::Patch {
             revision: 9,
             change: change::between(&config(5, 5), &config(4, 4)),
         }],
         vec![whole(5)]
     },
-    not_for_a_porter = { vec![Note::Drop { id: 1 }, alive(), acts(3)], vec![] },
+    not_for_a_porter = { vec![PeerMessage::Drop { id: 1 }, alive(), acts(3)], vec![] },
 )]
-fn the_stall_is_never_told_what_is_older(come: Vec<Note>, told: Vec<Note>) {
+fn the_stall_is_never_told_what_is_older(come: Vec<PeerMessage>, told: Vec<PeerMessage>) {
     // Of both who are followed, in turns, or in one line: whoever tells it.
     for both in [true, false] {
         let mut play = Play::new(&[1, 2]);
@@ -272,7 +278,7 @@
         play.give(Input::Line { feed, line: line(&[]) });
     }
     assert_eq!(play.posts.len(), 2);
-    assert!(play.posts.iter().all(|(_, note)| *note == Note::Acts { revision: 0, number: 7 }));
+    assert!(play.posts.iter().all(|(_, note)| *note == PeerMessage::Acts { revision: 0, number: 7 }));
 }
 
 #[test]
@@ -305,8 +311,9 @@
 fn another_steward_is_followed_and_hears_what_goes_up() {
     let mut play = Play::new(&[1, 2]);
     play.line(1, &[steward(1, 2)]);
-    play.letter(&[alive(), Note::Retire { instance: "i".into() }]);
-    let up: Vec<_> = play.posts.iter().filter(|(_, note)| !matches!(note, Note::Acts { .. })).collect();
+    play.letter(&[alive(), PeerMessage::Retire { instance: "i".into() }]);
+    let up: Vec<_> =
+        play.posts.iter().filter(|(_, note)| !matches!(note, PeerMessage::Acts { .. })).collect();
     assert_eq!(up.len(), 2);
     assert!(up.iter().all(|(to, _)| *to == at(2)));
     // One that is no seed, by a higher fence; a lower one is passed over.
@@ -314,12 +321,12 @@
     let (all, whole) = play.followed();
     assert!(all.contains(&at(9)) && all.len() == 2 && whole.len() == 1);
     play.posts.clear();
-    play.letter(&[Note::Lost { instance: "i".into() }]);
-    assert_eq!(play.posts, [(at(9), Note::Lost { instance: "i".into() })]);
+    play.letter(&[PeerMessage::Lost { instance: "i".into() }]);
+    assert_eq!(play.posts, [(at(9), PeerMessage::Lost { instance: "i".into() })]);
     // While nobody is known there, nothing goes up; it is followed again after a pause.
     play.ended(9);
     play.posts.clear();
-    play.letter(&[Note::Lost { instance: "i".into() }]);
+    play.letter(&[PeerMessage::Lost { instance: "i".into() }]);
     assert_eq!((play.posts.len(), play.answers.last()), (0, Some(&true)));
     play.pass(100 * MS);
     assert!(play.followed().0.contains(&at(9)));
@@ -340,7 +347,7 @@
     let (leader, third) = (two[0], third[0]);
     play.line(two[1], &[steward(1, leader), packed(2)]);
     play.without_contact = 2;
-    two.iter().for_each(|n| play.line(*n, &[Note::Contact { holds: false }]));
+    two.iter().for_each(|n| play.line(*n, &[PeerMessage::Contact { holds: false }]));
     play.pass(300 * MS);
     assert_eq!(play.followed(), before, "it may have contact again in a moment");
     play.pass(200 * MS);
@@ -349,7 +356,7 @@
     play.line(third, &[packed(3)]);
     assert_eq!(play.told.last(), Some(&packed(3)));
     // Contact is there again: two are enough, the steward among them.
-    two.iter().for_each(|n| play.line(*n, &[Note::Contact { holds: true }]));
+    two.iter().for_each(|n| play.line(*n, &[PeerMessage::Contact { holds: true }]));
     let (all, whole) = play.followed();
     assert!(all.len() == 2 && all.contains(&at(leader)) && !whole.is_empty(), "{all:?} {whole:?}");
 }
@@ -588,10 +595,10 @@
 fn notes_that_cannot_be_read_are_told_and_the_others_stand() {
     let mut play = Play::new(&[1]);
     let letter = br#"{"from":"edge-1","life":1,"notes":[{"t":"acts","v":-1},{"t":"acts","v":3,"n":0}]}"#;
-    play.give(Input::Letter(Bytes::from_static(letter)));
+    play.give(Input::MessageBatch(Bytes::from_static(letter)));
     assert_eq!((play.answers.as_slice(), play.round.acts()), (&[true][..], 3));
     assert_eq!(play.log, [(Level::Warn, "a note of edge-1: v: no whole number".to_owned())]);
-    play.give(Input::Letter(Bytes::from_static(b"[]")));
+    play.give(Input::MessageBatch(Bytes::from_static(b"[]")));
     assert_eq!(play.answers, [true, false]);
 }
 
@@ -605,7 +612,7 @@
         let ids: Vec<_> = ids.iter().map(String::as_str).collect();
         play.line(1, &[instances((1, n), false, &ids, &[])]);
         let told = play.told.drain(..).all(|note| match note {
-            Note::Instances { set, .. } => set.len() < 100,
+            PeerMessage::Instances { set, .. } => set.len() < 100,
             _ => true,
         });
         assert!(told == (n > 58) || (55..=58).contains(&n), "{n}");
@@ -630,7 +637,7 @@
         let feed = play.open.first().expect("one").0;
         play.give(Input::Line {
             feed,
-            line: line(&[Note::Steward { address: to.to_string().into(), fence }]),
+            line: line(&[PeerMessage::Steward { address: to.to_string().into(), fence }]),
         });
         let last = play.open.iter().find(|(_, a, _)| *a == to).expect("it is followed").0;
         play.open.retain(|(of, ..)| *of != last);
@@ -662,20 +669,20 @@
     assert_eq!(play.feed(1), again);
     // The stall is told what it came to, however far it is behind; one that is not is told nothing.
     play.told.clear();
-    play.letter(&[Note::Behind { version: (1, 6) }]);
+    play.letter(&[PeerMessage::Behind { version: (1, 6) }]);
     assert_eq!(play.told, []);
-    play.letter(&[Note::Behind { version: (1, 5) }]);
-    let [Note::Stalls { version: (1, 6), peers, .. }] = play.told.as_slice() else {
+    play.letter(&[PeerMessage::Behind { version: (1, 5) }]);
+    let [PeerMessage::Stalls { version: (1, 6), peers, .. }] = play.told.as_slice() else {
         panic!("{:?}", play.told)
     };
     assert_eq!(peers.iter().map(|p| p.name.as_str()).collect::<Vec<_>>(), ["edge-2", "edge-3"]);
-    assert!(play.posts.iter().all(|(_, note)| !matches!(note, Note::Behind { .. })));
+    assert!(play.posts.iter().all(|(_, note)| !matches!(note, PeerMessage::Behind { .. })));
 }
 
 #[test]
 fn a_stall_that_starts_is_told_first_that_it_rests_until_that_is_over() {
     let mut play = Play::new(&[1]);
-    let rest = |left: f64| Note::Rest { name: "edge-1".into(), left };
+    let rest = |left: f64| PeerMessage::Rest { name: "edge-1".into(), left };
     play.line(1, &[rest(1_000.0), whole(1)]);
     assert_eq!(std::mem::take(&mut play.told), [rest(1_000.0), whole(1)]);
     // The stall's own word goes up.
@@ -700,16 +707,16 @@
     play.line(1, &[steward(1, 1), whole(1)]);
     play.line(2, &[]);
     play.posts.clear();
-    play.letter(&[Note::AskRevision]);
-    assert_eq!(play.posts.iter().filter(|(_, note)| *note == Note::AskRevision).count(), 2);
+    play.letter(&[PeerMessage::AskRevision]);
+    assert_eq!(play.posts.iter().filter(|(_, note)| *note == PeerMessage::AskRevision).count(), 2);
     play.told.clear();
-    let answer = |notes: &[Note]| {
+    let answer = |notes: &[PeerMessage]| {
         let notes: Vec<_> = notes.iter().map(|note| note.to_json().stringify().expect("text")).collect();
         let text = format!(r#"{{"from":"10.0.0.1:1","life":0,"notes":[{}]}}"#, notes.join(","));
         Input::Answered(Bytes::from(text))
     };
-    play.give(answer(&[Note::Stands { revision: 3 }, steward(9, 9)]));
-    assert_eq!(play.told, [Note::Stands { revision: 3 }]);
+    play.give(answer(&[PeerMessage::Stands { revision: 3 }, steward(9, 9)]));
+    assert_eq!(play.told, [PeerMessage::Stands { revision: 3 }]);
     play.give(Input::Answered(Bytes::from_static(b"{")));
     assert_eq!(play.told.len(), 1);
 }
@@ -720,9 +727,9 @@
     let mut play = Play::new(&[1]);
     play.line(1, &[whole(1)]);
     let (old, new) = (config(1, 1), config(2, 2));
-    play.line(1, &[Note::Patch { revision: 2, change: millpost_config::change::between(&old, &new) }]);
+    play.line(1, &[PeerMessage::Patch { revision: 2, change: millpost_config::change::between(&old, &new) }]);
     play.told.clear();
     play.give(Input::Up);
     let packed = millpost_net::pack::pack(&new.to_json()).expect("packed");
-    assert_eq!(play.told, [Note::Packed { revision: 2, packed }]);
+    assert_eq!(play.told, [PeerMessage::Packed { revision: 2, packed }]);
 }
--- a/autoscaler/src/lib.rs
+++ b/autoscaler/src/lib.rs
@@ -26,7 +26,7 @@
 pub use pace::{Ask, Pace};
 pub use platform::{Entry, StartFault, StopFault, Worker};
 pub use scaler::{Effect, Scaler, ServiceSpec};
-pub use tape::Taped;
+pub use tape::Recorded;
 pub use terms::Terms;
 
 /// A point in time or a span, in nanoseconds.
--- a/autoscaler/src/tape.rs
+++ b/autoscaler/src/tape.rs
@@ -1,5 +1,5 @@
 //! A scaler's inputs as lines of JSON, to be played again: each call of [`Scaler`] that may change it, with its time. Written by
-//! [`Taped`], read by [`Entry::read`].
+//! [`Recorded`], read by [`Entry::read`].
 //!
 //! Times are nanoseconds of the process's life, whole numbers below 2^53; a steward's term begins in the midst of it.
 
@@ -8,7 +8,7 @@
 
 use compact_str::{CompactString, ToCompactString};
 use millpost_protocol::frame::Fold;
-use millpost_protocol::line::{self, Line, Sink, Tape};
+use millpost_protocol::line::{self, Line, Recorder, Sink};
 use millpost_protocol::{Fault, number, string, whole};
 use tinyjson::JsonValue;
 
@@ -22,12 +22,12 @@
 
 /// A scaler whose inputs are told as lines, where somebody wants them. Without a sink it costs nothing.
 #[derive(Debug)]
-pub struct Taped {
+pub struct Recorded {
     scaler: Scaler,
-    tape: Option<Tape>,
+    tape: Option<Recorder>,
 }
 
-impl std::ops::Deref for Taped {
+impl std::ops::Deref for Recorded {
     type Target = Scaler;
     // What changes a scaler goes by the methods below.
     fn deref(&self) -> &Scaler {
@@ -35,16 +35,16 @@
     }
 }
 
-impl Taped {
+impl Recorded {
     /// As [`Scaler::new`].
     pub fn new(terms: Terms, now: Nanos, sink: Option<Sink>) -> Self {
-        let mut tape = sink.map(Tape::new);
+        let mut tape = sink.map(Recorder::new);
         if let Some(tape) = &mut tape {
             let mut line = tape.begin("new", now);
             write_terms(&mut line, &terms);
             tape.put(line);
         }
-        Taped { scaler: Scaler::new(terms, now), tape }
+        Recorded { scaler: Scaler::new(terms, now), tape }
     }
 
     fn tell(&mut self, name: &str, now: Nanos, fill: impl FnOnce(&mut Line)) {
@@ -730,7 +730,7 @@
         let sink: Sink = Box::new(move |line| told.borrow_mut().push(line.to_owned()));
         let inputs = all();
         let Input::New(terms) = inputs[0].clone() else { panic!("a term begins") };
-        let mut taped = Taped::new(terms, 0, Some(sink));
+        let mut taped = Recorded::new(terms, 0, Some(sink));
         for (n, input) in inputs.iter().cloned().enumerate().skip(1) {
             let now = n as u64 * MS;
             match input {
--- a/controller/src/core.rs
+++ b/controller/src/core.rs
@@ -17,7 +17,7 @@
 use millpost_config::{Config, Settings, change};
 use millpost_net::mail::{Call, Reply};
 use millpost_net::pack;
-use millpost_protocol::Note;
+use millpost_protocol::PeerMessage;
 use millpost_quorum::{Address, Key, Kind as RoundKind, Members, Message, Outcome, Value};
 use tinyjson::JsonValue;
 
@@ -27,10 +27,10 @@
 use crate::core::drains::Outs;
 use crate::core::follow::Waiting;
 use crate::core::leave::Leave;
-use crate::feed::{BEAT, Feed, Seat};
+use crate::feed::{BEAT, ConnectionId, Feed};
 use crate::gossip::{self, Gossip};
 use crate::leader::{Leader, Told};
-use crate::leadership::{Done, Errand, Heard, Leadership, Next, Want};
+use crate::leadership::{Done, Heard, Leadership, Next, PlatformCall, Want};
 use crate::ledger::Ledger;
 use crate::orders::Orders;
 use crate::rounds::{self, For, Rounds};
@@ -139,7 +139,7 @@
     /// Another control machine has answered to news.
     Reached(Address, Answered),
     /// A follower's connection has ended, or had no room.
-    Left(Seat),
+    Left(ConnectionId),
     /// The seeds have changed.
     Seeds(Vec<Address>),
     /// The process is to end.
@@ -156,11 +156,11 @@
     /// The answer of the call of this number.
     Answer(u64, Reply),
     /// The call of this number is answered by lines for as long as its seat is kept; this is the first.
-    Seat(u64, Seat, Bytes),
+    OpenFeed(u64, ConnectionId, Bytes),
     /// A line.
-    Line(Seat, Bytes),
+    Line(ConnectionId, Bytes),
     /// The seat is no more.
-    Unseat(Seat),
+    Unseat(ConnectionId),
     /// An empty line for all seats; who has no room for it needs none.
     Beat,
     /// News for another control machine; its answer comes as [`Input::Reached`].
@@ -170,7 +170,7 @@
     /// What this machine holds as chosen is wanted.
     Fetch(u64, Address),
     /// The platform is called, unless it is too late.
-    Errand(Errand),
+    PlatformCall(PlatformCall),
 }
 
 /// All of a control machine that decides.
@@ -369,7 +369,7 @@
         self.effects.extend(out.into_iter().map(|(to, message)| Effect::Vote(to, message, back)));
     }
 
-    fn lines(&mut self, lines: impl IntoIterator<Item = (Seat, Bytes)>) {
+    fn lines(&mut self, lines: impl IntoIterator<Item = (ConnectionId, Bytes)>) {
         self.effects.extend(lines.into_iter().map(|(seat, line)| Effect::Line(seat, line)));
     }
 
@@ -510,7 +510,7 @@
         let certain = holds || !self.contact.reaches();
         if certain && holds != self.told_contact {
             self.told_contact = holds;
-            let lines = self.feed.tell(&[Note::Contact { holds }]);
+            let lines = self.feed.tell(&[PeerMessage::Contact { holds }]);
             self.lines(lines);
         }
     }
@@ -518,7 +518,7 @@
     /// Who is the leader, if that is news.
     fn know(&mut self, fence: u64, address: &str) {
         if self.gossip.know(fence, address) {
-            let lines = self.feed.tell(&[Note::Steward { address: address.into(), fence }]);
+            let lines = self.feed.tell(&[PeerMessage::Steward { address: address.into(), fence }]);
             self.lines(lines);
         }
     }
@@ -631,7 +631,7 @@
         }
         let lines = tell(told, &mut self.feed);
         self.lines(lines);
-        self.effects.extend(errands.into_iter().map(Effect::Errand));
+        self.effects.extend(errands.into_iter().map(Effect::PlatformCall));
         self.look_after_voters(now);
     }
 
--- a/controller/src/core/api.rs
+++ b/controller/src/core/api.rs
@@ -9,7 +9,7 @@
 use millpost_migration::Input;
 use millpost_net::mail::{Call, Reply};
 use millpost_net::pack::{self, pack};
-use millpost_protocol::{Letter, Note, object, text};
+use millpost_protocol::{MessageBatch, PeerMessage, object, text};
 use millpost_quorum::{Address, Key, Kind as RoundKind, Message, Value};
 use tinyjson::JsonValue;
 
@@ -56,9 +56,9 @@
     Ok(Reply::json(StatusCode::OK, text.into_owned()))
 }
 
-pub(super) fn letter(call: &Call) -> Result<Letter, Kind> {
+pub(super) fn letter(call: &Call) -> Result<MessageBatch, Kind> {
     let json = call.json().ok_or_else(|| Kind::Invalid("no JSON".to_owned()))?;
-    Letter::read(&json).map_err(|e| Kind::Invalid(e.to_string()))
+    MessageBatch::read(&json).map_err(|e| Kind::Invalid(e.to_string()))
 }
 
 fn vote(call: &Call) -> Result<(Address, Message), Kind> {
@@ -192,14 +192,14 @@
         let (mut missed, mut asks) = (false, false);
         for note in &letter.notes {
             match (note, self.leadership.leader_mut()) {
-                (Note::Acts { revision, .. }, _) => {
+                (PeerMessage::Acts { revision, .. }, _) => {
                     let again = self.feed.acts(now, &letter.from, *revision);
                     self.lines(again);
                 }
-                (Note::AskRevision, _) => asks = true,
-                (Note::Rest { name, left }, _) => self.rests(now, name, *left),
+                (PeerMessage::AskRevision, _) => asks = true,
+                (PeerMessage::Rest { name, left }, _) => self.rests(now, name, *left),
                 (note, Some(leader)) => leader.note(now, note),
-                (Note::Alive { .. }, None) => {}
+                (PeerMessage::Alive { .. }, None) => {}
                 (_, None) => missed = true,
             }
         }
@@ -212,7 +212,7 @@
 
     /// Which configuration stands, for a stall that has started.
     fn stands(&self) -> Reply {
-        let stands = Note::Stands { revision: self.gossip.revision() };
+        let stands = PeerMessage::Stands { revision: self.gossip.revision() };
         let body = object([
             ("from", text(&self.me)),
             ("life", JsonValue::Number(0.0)),
--- a/controller/src/core/carts.rs
+++ b/controller/src/core/carts.rs
@@ -5,7 +5,7 @@
 use hyper::StatusCode;
 use millpost_config::At;
 use millpost_migration::{
-    Carter, Effect, Function, Input, Kind as Said, Moment, Order, Standing, Stands, Terms, Turned,
+    Effect, Function, Input, Kind as Said, Migrator, Moment, Order, OrderFailure, Standing, Stands, Terms,
 };
 use millpost_net::mail::{Call, Reply};
 use millpost_protocol::{object, text};
@@ -24,7 +24,7 @@
 
 /// The carter, and when it was told last.
 pub(super) struct Carts {
-    carter: Carter,
+    carter: Migrator,
     /// The time of day, in milliseconds, when the clock was at 0.
     day: u64,
     seen_at: Nanos,
@@ -33,7 +33,7 @@
 impl Carts {
     pub fn new(day: u64, contact: Nanos, duty_per_s: f64) -> Self {
         let terms = Terms { contact, duty_per_s, warms: true };
-        Carts { carter: Carter::new(terms), day, seen_at: 0 }
+        Carts { carter: Migrator::new(terms), day, seen_at: 0 }
     }
 
     fn at(&self, now: Nanos) -> Moment {
@@ -47,12 +47,12 @@
     Order::read(&At::root(&json)).map_err(|e| Kind::Invalid(e.to_string()))
 }
 
-fn refused(turned: Turned) -> Kind {
+fn refused(turned: OrderFailure) -> Kind {
     match turned {
-        Turned::NotHolder => Kind::NotLeader,
-        Turned::Busy => Kind::Busy,
-        Turned::Unclear => Kind::Unclear,
-        Turned::Unreadable => Kind::Unreadable,
+        OrderFailure::NotHolder => Kind::NotLeader,
+        OrderFailure::Busy => Kind::Busy,
+        OrderFailure::Unclear => Kind::Unclear,
+        OrderFailure::Unreadable => Kind::Unreadable,
     }
 }
 
@@ -111,7 +111,7 @@
                     self.round(now, RoundKind::Offer { version, content, over }, Key::Moves, For::Moves(ask));
                 }
                 Effect::ReadConfig => self.chosen_for_moves(now),
-                Effect::Turned(id, why) => self.answer(id, Err(refused(why))),
+                Effect::OrderFailure(id, why) => self.answer(id, Err(refused(why))),
                 Effect::Out(out) => match out.is() {
                     Said::Put { name, number, over, text } => {
                         log::info!("move {name}: configuration {number} is put over {over:?}");
--- a/controller/src/core/figures.rs
+++ b/controller/src/core/figures.rs
@@ -1,14 +1,14 @@
 //! What a control machine tells of itself, for monitoring.
 
-use millpost_net::figures::Figures;
+use millpost_net::figures::Metrics;
 
 use super::Core;
 use crate::{MS, Nanos};
 
 impl Core {
     /// All figures of this moment.
-    pub(super) fn figures(&self, now: Nanos) -> Figures {
-        let mut figures = Figures::default();
+    pub(super) fn figures(&self, now: Nanos) -> Metrics {
+        let mut figures = Metrics::default();
         figures.put("control_uptime_seconds", now / (1_000 * MS));
         figures.put("control_leaving", u8::from(self.leave.is_some()));
         figures.put("control_votes", u8::from(self.voting));
--- a/controller/src/core/follow.rs
+++ b/controller/src/core/follow.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use millpost_net::mail::Call;
-use millpost_protocol::{Letter, Note};
+use millpost_protocol::{MessageBatch, PeerMessage};
 
 use super::{Core, Effect, api};
 use crate::errors::Kind;
@@ -18,7 +18,7 @@
 /// A porter's call.
 struct Follow {
     call: u64,
-    letter: Letter,
+    letter: MessageBatch,
     /// It is fed whole configurations.
     whole: bool,
     until: Nanos,
@@ -68,7 +68,7 @@
     fn seat(&mut self, now: Nanos, Follow { call, letter, whole, .. }: Follow) -> Result<(), Kind> {
         let mut acts = 0;
         for note in &letter.notes {
-            if let Note::Acts { revision, .. } = note {
+            if let PeerMessage::Acts { revision, .. } = note {
                 acts = *revision;
             }
             if let Some(leader) = self.leadership.leader_mut() {
@@ -76,14 +76,14 @@
             }
         }
         let (fence, address) = self.known();
-        let mut snapshot = vec![Note::Steward { address, fence }];
+        let mut snapshot = vec![PeerMessage::Steward { address, fence }];
         if let Some(leader) = self.leadership.leader_mut() {
             snapshot.extend(self.outs.drains().snapshot(now, &letter.from));
             snapshot.extend(leader.snapshot(&letter.from));
         }
         let followed = self.feed.follow(now, letter.from, acts, whole, &snapshot).ok_or(Kind::Busy)?;
         self.effects.extend(followed.before.map(Effect::Unseat));
-        self.effects.push(Effect::Seat(call, followed.seat, followed.line));
+        self.effects.push(Effect::OpenFeed(call, followed.seat, followed.line));
         Ok(())
     }
 }
--- a/controller/src/drains.rs
+++ b/controller/src/drains.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use compact_str::CompactString;
-use millpost_protocol::{Note, Version, object, string, text, whole};
+use millpost_protocol::{PeerMessage, Version, object, string, text, whole};
 use tinyjson::JsonValue;
 
 use crate::errors::Kind;
@@ -262,7 +262,7 @@
     }
 
     /// Stalls that are to be told now, and what.
-    pub fn due(&mut self, now: Nanos) -> Vec<(CompactString, Note)> {
+    pub fn due(&mut self, now: Nanos) -> Vec<(CompactString, PeerMessage)> {
         let mut due = Vec::new();
         for ((what, name), drain) in &self.all {
             if *what != What::Edge || self.term.is_none() {
@@ -282,7 +282,7 @@
     }
 
     /// What a porter is told of its stall as it begins to follow.
-    pub fn snapshot(&self, now: Nanos, name: &str) -> Option<Note> {
+    pub fn snapshot(&self, now: Nanos, name: &str) -> Option<PeerMessage> {
         let drain = self.all.get(&(What::Edge, name.into()))?;
         Some(rest(now, name, drain))
     }
@@ -360,9 +360,9 @@
     }
 }
 
-fn rest(now: Nanos, name: &str, drain: &Drain) -> Note {
+fn rest(now: Nanos, name: &str, drain: &Drain) -> PeerMessage {
     let left = if drain.is_open(now) { drain.until - now } else { 0 };
-    Note::Rest { name: name.into(), left: left as f64 / MS as f64 }
+    PeerMessage::Rest { name: name.into(), left: left as f64 / MS as f64 }
 }
 
 #[cfg(test)]
@@ -421,7 +421,7 @@
             drains.due(at).iter().map(|(name, note)| (name.to_string(), note.clone())).collect::<Vec<_>>()
         };
         out(&mut drains, S, "a").expect("it may");
-        let note = |left| vec![("a".to_owned(), Note::Rest { name: "a".into(), left })];
+        let note = |left| vec![("a".to_owned(), PeerMessage::Rest { name: "a".into(), left })];
         assert_eq!(told(&mut drains, S), note(10_000.0));
         assert_eq!(told(&mut drains, S + 100 * MS), []);
         assert_eq!(told(&mut drains, S + 500 * MS), note(9_500.0));
--- a/controller/src/feed.rs
+++ b/controller/src/feed.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use millpost_config::{Config, change, values};
 use millpost_net::pack::pack;
-use millpost_protocol::{Note, object};
+use millpost_protocol::{PeerMessage, object};
 use tinyjson::JsonValue;
 
 use crate::{MS, Nanos};
@@ -25,12 +25,12 @@
 const MOST: usize = 2_000;
 
 /// The number of a connection; never used twice.
-pub type Seat = u64;
+pub type ConnectionId = u64;
 /// Lines for seats. One that goes to many is one piece of memory.
-pub type Lines = Vec<(Seat, Bytes)>;
+pub type Lines = Vec<(ConnectionId, Bytes)>;
 
 struct Follower {
-    seat: Seat,
+    seat: ConnectionId,
     /// What it acts on.
     acts: u64,
     /// What it was sent, and when.
@@ -45,8 +45,8 @@
 #[derive(Default)]
 pub struct Feed {
     followers: BTreeMap<CompactString, Follower>,
-    seats: BTreeMap<Seat, CompactString>,
-    last_seat: Seat,
+    seats: BTreeMap<ConnectionId, CompactString>,
+    last_seat: ConnectionId,
     number: u64,
     config: Option<Config>,
     /// The whole of it as a note, once somebody needed that.
@@ -63,11 +63,11 @@
 #[derive(Debug)]
 pub struct Followed {
     /// Its seat.
-    pub seat: Seat,
+    pub seat: ConnectionId,
     /// The first line.
     pub line: Bytes,
     /// The seat of a connection before, which is to end.
-    pub before: Option<Seat>,
+    pub before: Option<ConnectionId>,
 }
 
 fn line(number: u64, notes: Vec<JsonValue>) -> Bytes {
@@ -104,7 +104,7 @@
             && let Some(config) = &self.config
         {
             let packed = pack(&config.to_json())?;
-            self.packed = Some(Note::Packed { revision: config.revision, packed }.to_json());
+            self.packed = Some(PeerMessage::Packed { revision: config.revision, packed }.to_json());
         }
         self.packed.clone()
     }
@@ -116,7 +116,7 @@
         name: CompactString,
         acts: u64,
         whole: bool,
-        snapshot: &[Note],
+        snapshot: &[PeerMessage],
     ) -> Option<Followed> {
         if self.followers.len() >= MOST && !self.followers.contains_key(&name) {
             return None;
@@ -125,7 +125,7 @@
         if whole && acts < self.revision() {
             notes.extend(self.packed());
         }
-        notes.extend(snapshot.iter().map(Note::to_json));
+        notes.extend(snapshot.iter().map(PeerMessage::to_json));
         self.number += 1;
         self.last_seat += 1;
         let (seat, line) = (self.last_seat, line(self.number, notes));
@@ -140,26 +140,26 @@
     }
 
     /// A seat is left: its connection has gone, or had no room for a line.
-    pub fn left(&mut self, seat: Seat) {
+    pub fn left(&mut self, seat: ConnectionId) {
         if let Some(name) = self.seats.remove(&seat) {
             self.followers.remove(&name);
         }
     }
 
     /// Notes for one, if it follows.
-    pub fn tell_one(&mut self, name: &str, notes: &[Note]) -> Option<(Seat, Bytes)> {
+    pub fn tell_one(&mut self, name: &str, notes: &[PeerMessage]) -> Option<(ConnectionId, Bytes)> {
         self.number += 1;
         let seat = self.followers.get(name)?.seat;
-        Some((seat, line(self.number, notes.iter().map(Note::to_json).collect())))
+        Some((seat, line(self.number, notes.iter().map(PeerMessage::to_json).collect())))
     }
 
     /// Notes for all.
-    pub fn tell(&mut self, notes: &[Note]) -> Lines {
+    pub fn tell(&mut self, notes: &[PeerMessage]) -> Lines {
         if notes.is_empty() || self.followers.is_empty() {
             return Lines::new();
         }
         self.number += 1;
-        let line = line(self.number, notes.iter().map(Note::to_json).collect());
+        let line = line(self.number, notes.iter().map(PeerMessage::to_json).collect());
         self.followers.values().map(|f| (f.seat, line.clone())).collect()
     }
 
@@ -179,13 +179,13 @@
             self.change = Some(text.clone());
             long = text.len() > LONG;
             let note = match if long { pack(&text) } else { None } {
-                Some(packed) => Note::Folded { revision, packed },
-                None => Note::Patch { revision, change },
+                Some(packed) => PeerMessage::Folded { revision, packed },
+                None => PeerMessage::Patch { revision, change },
             };
             patch = Some(line(number, vec![note.to_json()]));
         }
         self.folded = old.filter(|_| long).zip(patch.clone());
-        let note = packed.map(|packed| Note::Packed { revision: config.revision, packed }.to_json());
+        let note = packed.map(|packed| PeerMessage::Packed { revision: config.revision, packed }.to_json());
         (self.config, self.packed) = (Some(config), note);
         let has_old = |f: &Follower| !f.whole || Some(f.sent.0) == old || Some(f.acts) == old;
         let whole =
@@ -240,7 +240,7 @@
     }
 
     /// A porter says what its stall acts on.
-    pub fn acts(&mut self, now: Nanos, name: &str, revision: u64) -> Option<(Seat, Bytes)> {
+    pub fn acts(&mut self, now: Nanos, name: &str, revision: u64) -> Option<(ConnectionId, Bytes)> {
         let newest = self.revision();
         let follower = self.followers.get_mut(name)?;
         follower.acts = follower.acts.max(revision);
@@ -279,7 +279,7 @@
         Config::parse(&text).expect("a configuration")
     }
 
-    fn has(line: &(Seat, Bytes), word: &str) -> bool {
+    fn has(line: &(ConnectionId, Bytes), word: &str) -> bool {
         String::from_utf8_lossy(&line.1).contains(word)
     }
 
@@ -289,7 +289,7 @@
         for name in ["a", "b"] {
             assert_eq!(feed.follow(0, name.into(), 0, true, &[]).map(|f| f.before), Some(None));
         }
-        let lines = feed.tell(&[Note::Steward { address: "x".into(), fence: 1 }]);
+        let lines = feed.tell(&[PeerMessage::Steward { address: "x".into(), fence: 1 }]);
         assert_eq!(lines.iter().map(|(seat, _)| *seat).collect::<Vec<_>>(), [1, 2]);
         assert_eq!(lines[0].1.as_ptr(), lines[1].1.as_ptr());
     }
@@ -354,10 +354,10 @@
             let json = millpost_net::mail::json(&feed.configure(MS, new, None)[0].1).expect("JSON");
             let JsonValue::Object(parts) = json else { panic!("an object") };
             let Some(JsonValue::Array(notes)) = parts.get("notes") else { panic!("notes") };
-            Note::read(&notes[0]).expect("a note")
+            PeerMessage::read(&notes[0]).expect("a note")
         };
-        let Note::Folded { packed, .. } = folded() else { panic!("packed") };
-        assert_eq!(folded(), Note::Folded { revision: 2, packed });
+        let PeerMessage::Folded { packed, .. } = folded() else { panic!("packed") };
+        assert_eq!(folded(), PeerMessage::Folded { revision: 2, packed });
     }
 
     #[test]
--- a/controller/src/functions.rs
+++ b/controller/src/functions.rs
@@ -152,7 +152,7 @@
 mod tests {
     use millpost_autoscaler::Terms;
     use millpost_config::Config;
-    use millpost_protocol::{Note, Peer};
+    use millpost_protocol::{Peer, PeerMessage};
 
     use super::*;
 
@@ -165,9 +165,9 @@
         let config = Config::parse(&config).expect("valid");
         let mut leader = Leader::new(0, Terms::new(3, 78.0, 800), 26.0, Some(&config), None);
         let peer = Peer { name: "edge-1".into(), address: "10.0.0.1:1".into(), zone: "z".into() };
-        leader.note(0, &Note::Alive { peer, serving: true, split: None, digest: None });
+        leader.note(0, &PeerMessage::Alive { peer, serving: true, split: None, digest: None });
         assert!(leader.name(250 * MS).is_some());
-        let want = Note::Want {
+        let want = PeerMessage::Want {
             service: "f g".into(),
             count: 2,
             zones: vec!["z".into()],
@@ -185,7 +185,7 @@
             worker: "w-1".into(),
             stage: 1,
         };
-        leader.note(200 * MS, &Note::Mine { set: vec![known] });
+        leader.note(200 * MS, &PeerMessage::Mine { set: vec![known] });
         leader
     }
 
--- a/controller/src/leader.rs
+++ b/controller/src/leader.rs
@@ -7,11 +7,11 @@
 
 use compact_str::CompactString;
 use millpost_autoscaler::{
-    Effect, Instance as Known, Nanos, Pace, ServiceSpec, Sink, State, Taped as Scaler, Terms,
+    Effect, Instance as Known, Nanos, Pace, Recorded as Scaler, ServiceSpec, Sink, State, Terms,
 };
 use millpost_config::Config;
-use millpost_protocol::{Instance, Note, Peer, Roster, Shift, Version};
-use millpost_scheduler::{Owners, Ranks};
+use millpost_protocol::{Instance, MembershipView, Peer, PeerMessage, Version, ViewChange};
+use millpost_scheduler::{OwnerRanking, Owners};
 
 pub use floors::Doing;
 use floors::Floors;
@@ -95,7 +95,7 @@
     stalls: BTreeMap<CompactString, Stall>,
     named_at: Nanos,
     /// Who is named; under version 0 while nobody was.
-    ranks: Ranks,
+    ranks: OwnerRanking,
     /// A naming that all have had the time to hear of; and since when the one that is that next has stood.
     settled: Version,
     settles: (Nanos, Version),
@@ -133,7 +133,7 @@
 /// Instances that are new or changed, and those that are gone.
 type Changed = (Vec<Instance>, Vec<CompactString>);
 /// Notes for each of those that are to hear something.
-pub type Told = BTreeMap<CompactString, Vec<Note>>;
+pub type Told = BTreeMap<CompactString, Vec<PeerMessage>>;
 
 fn specs(config: &Config) -> Vec<ServiceSpec> {
     let of = |n: u64| n.min(u32::MAX.into()) as u32;
@@ -166,13 +166,13 @@
 }
 
 /// Tells the log of a naming.
-fn tell(roster: &Roster, note: &Note) {
+fn tell(roster: &MembershipView, note: &PeerMessage) {
     let names = |of: &mut dyn Iterator<Item = &CompactString>| {
         of.map(CompactString::as_str).collect::<Vec<_>>().join(" ")
     };
     let many = roster.peers().len() > MANY;
     match note {
-        Note::Shift(shift) if many => {
+        PeerMessage::ViewChange(shift) if many => {
             let came = names(&mut shift.came.iter().map(|p| &p.name));
             log::info!(
                 "stalls: {} are alive; new: {came}; gone: {}",
@@ -187,7 +187,7 @@
         log::info!("leaving: {}", names(&mut roster.leaving().iter().map(|p| &p.name)));
     }
     let split = match note {
-        Note::Shift(shift) => !shift.split.is_empty() || !shift.joined.is_empty(),
+        PeerMessage::ViewChange(shift) => !shift.split.is_empty() || !shift.joined.is_empty(),
         _ => true,
     };
     if split {
@@ -220,7 +220,7 @@
             count: 0,
             stalls: BTreeMap::new(),
             named_at: 0,
-            ranks: Ranks::default(),
+            ranks: OwnerRanking::default(),
             settled: (0, 0),
             settles: (0, (0, 0)),
             behind: BTreeSet::new(),
@@ -264,9 +264,9 @@
     }
 
     /// A word of a stall, or of its porter.
-    pub fn note(&mut self, now: Nanos, note: &Note) {
+    pub fn note(&mut self, now: Nanos, note: &PeerMessage) {
         match note {
-            Note::Alive { peer, serving, split, digest } if self.stalls.len() < 5_000 => {
+            PeerMessage::Alive { peer, serving, split, digest } if self.stalls.len() < 5_000 => {
                 if let Some((version, all)) = split
                     && !self.has_named()
                     && *version > self.split_of
@@ -293,12 +293,12 @@
                     self.newest = now;
                 }
             }
-            Note::Deaf { peer, from } if self.stalls.contains_key(from) => {
+            PeerMessage::Deaf { peer, from } if self.stalls.contains_key(from) => {
                 if let Some(stall) = self.stalls.get_mut(peer) {
                     stall.deaf.insert(from.clone(), now);
                 }
             }
-            Note::Want { service, count, zones, lot, strain, does, slow } => {
+            PeerMessage::Want { service, count, zones, lot, strain, does, slow } => {
                 if let Some(does) = does {
                     self.floors.told(now, service, lot.as_ref(), *does);
                 }
@@ -306,16 +306,16 @@
                 self.scaler.want(now, service, lot.as_ref(), *count, zones);
                 self.scaler.avoid(now, service, lot.as_ref(), slow);
             }
-            Note::Mine { set } => {
+            PeerMessage::Mine { set } => {
                 let known: Vec<_> = set.iter().filter_map(|i| self.known(now, i)).collect();
                 if self.inherited.len() < MOST_INHERITED {
                     self.inherited.extend(known.iter().map(|i| (i.service.clone(), i.zone.clone())));
                 }
                 self.scaler.inherit(now, known);
             }
-            Note::Retire { instance } => self.scaler.retire(now, instance),
-            Note::Lost { instance } => self.scaler.lost(now, instance),
-            Note::Up { instance } => self.scaler.up(now, instance),
+            PeerMessage::Retire { instance } => self.scaler.retire(now, instance),
+            PeerMessage::Lost { instance } => self.scaler.lost(now, instance),
+            PeerMessage::Up { instance } => self.scaler.up(now, instance),
             _ => {}
         }
     }
@@ -404,7 +404,7 @@
     }
 
     /// Which stalls' porters are connected, and whoever is to be named by that: as [`Leader::name`].
-    pub fn look(&mut self, now: Nanos, has: impl Fn(&str) -> bool) -> Option<(Note, Told)> {
+    pub fn look(&mut self, now: Nanos, has: impl Fn(&str) -> bool) -> Option<(PeerMessage, Told)> {
         if self.stalls.len() > MANY && now < self.looked + LOOK {
             return None;
         }
@@ -429,7 +429,7 @@
 
     /// The stalls and the functions that are split, where they have changed, for all; and for each whose functions have changed with
     /// that the instances of those that are now its own.
-    pub fn name(&mut self, now: Nanos) -> Option<(Note, Told)> {
+    pub fn name(&mut self, now: Nanos) -> Option<(PeerMessage, Told)> {
         self.stalls.retain(|_, s| s.heard + 10 * SILENT > now);
         let gap = match now < self.began + NEW_HERE {
             true if self.stalls.len() > MANY => TOGETHER,
@@ -470,10 +470,14 @@
         let known = self.stalls.values().filter(alive).filter_map(|s| s.knows).max();
         self.scaler.split(now, &split);
         self.named_at = now;
-        let roster = Roster::new(self.version(), peers, split).with_leaving(leaving);
+        let roster = MembershipView::new(self.version(), peers, split).with_leaving(leaving);
         let note = match known.filter(|(v, d)| *v < roster.version() && *d == roster.digest()) {
-            _ if !first => Note::Shift(roster.shift(self.ranks.owners().roster())),
-            Some((from, _)) => Note::Shift(Shift { version: roster.version(), from, ..Shift::default() }),
+            _ if !first => PeerMessage::ViewChange(roster.shift(self.ranks.owners().roster())),
+            Some((from, _)) => PeerMessage::ViewChange(ViewChange {
+                version: roster.version(),
+                from,
+                ..ViewChange::default()
+            }),
             None => roster.note(),
         };
         tell(&roster, &note);
@@ -512,7 +516,7 @@
             }
         }
         let version = (self.fence, self.count);
-        let note = |set| vec![Note::Instances { version, all: true, set, gone: Vec::new() }];
+        let note = |set| vec![PeerMessage::Instances { version, all: true, set, gone: Vec::new() }];
         all.into_iter().map(|(name, set)| (name, note(set))).collect()
     }
 
@@ -522,7 +526,7 @@
     }
 
     /// All of the naming, where there is one.
-    fn stalls_note(&self) -> Option<Note> {
+    fn stalls_note(&self) -> Option<PeerMessage> {
         self.has_named().then(|| self.ranks.owners().roster().note())
     }
 
@@ -532,7 +536,7 @@
     }
 
     /// What the porter of this stall gets first: the stalls, and the instances of the functions that the stall owns or owns next.
-    pub fn snapshot(&mut self, name: &str) -> Vec<Note> {
+    pub fn snapshot(&mut self, name: &str) -> Vec<PeerMessage> {
         let mut notes: Vec<_> = self.stalls_note().into_iter().collect();
         let mut set = Vec::new();
         // Who is not named stands for nothing.
@@ -543,7 +547,12 @@
                 }
             }
         }
-        notes.push(Note::Instances { version: (self.fence, self.count), all: true, set, gone: Vec::new() });
+        notes.push(PeerMessage::Instances {
+            version: (self.fence, self.count),
+            all: true,
+            set,
+            gone: Vec::new(),
+        });
         notes
     }
 
@@ -579,7 +588,7 @@
         }
         let version = self.version();
         for (name, (set, gone)) in changes {
-            told.entry(name).or_default().push(Note::Instances { version, all: false, set, gone });
+            told.entry(name).or_default().push(PeerMessage::Instances { version, all: false, set, gone });
         }
         (told, calls)
     }
--- a/controller/src/leader/floors.rs
+++ b/controller/src/leader/floors.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use compact_str::CompactString;
-use millpost_protocol::{Does, Note, Version};
-use millpost_scheduler::Ranks;
+use millpost_protocol::{FunctionStatus, PeerMessage, Version};
+use millpost_scheduler::OwnerRanking;
 
 use super::{Leader, MS, Nanos, Told};
 
@@ -29,7 +29,7 @@
     /// Stalls that were told.
     told: BTreeSet<CompactString>,
     /// How it does, by lot, and when that was heard.
-    does: BTreeMap<CompactString, (Does, Nanos)>,
+    does: BTreeMap<CompactString, (FunctionStatus, Nanos)>,
 }
 
 /// How a function does, over its lots.
@@ -52,7 +52,7 @@
 
 impl Floors {
     /// An owner tells how a function does.
-    pub fn told(&mut self, now: Nanos, service: &str, lot: Option<&CompactString>, does: Does) {
+    pub fn told(&mut self, now: Nanos, service: &str, lot: Option<&CompactString>, does: FunctionStatus) {
         let Some(floor) = self.all.get_mut(service) else { return };
         let lot = lot.cloned().unwrap_or_default();
         if floor.does.len() < MOST_LOTS || floor.does.contains_key(&lot) {
@@ -61,7 +61,13 @@
     }
 
     /// What is said of one floor: to the owner of each lot, and to the next for it, that lot's part.
-    fn say(service: &CompactString, floor: &mut Floor, fence: u64, ranks: &mut Ranks, into: &mut Told) {
+    fn say(
+        service: &CompactString,
+        floor: &mut Floor,
+        fence: u64,
+        ranks: &mut OwnerRanking,
+        into: &mut Told,
+    ) {
         let zones: Vec<CompactString> =
             ranks.owners().lot_zones(service, "").into_iter().map(Into::into).collect();
         let lots = zones.len().max(1) as u32;
@@ -78,7 +84,7 @@
         floor.told = stand.into_keys().collect();
         let left = (HOLDS / MS) as f64;
         for (name, count) in all {
-            let note = Note::Floor { service: service.clone(), count, fence, left };
+            let note = PeerMessage::Floor { service: service.clone(), count, fence, left };
             into.entry(name).or_default().push(note);
         }
     }
@@ -137,7 +143,7 @@
             return Some(None);
         };
         let above = all.iter().map(|does| (does.delay - does.lowest).max(0.0)).sum::<f64>();
-        let sum = |of: fn(&Does) -> u32| all.iter().map(|does| f64::from(of(does))).sum::<f64>();
+        let sum = |of: fn(&FunctionStatus) -> u32| all.iter().map(|does| f64::from(of(does))).sum::<f64>();
         let delay = above / all.len() as f64 * MS as f64;
         // An ask may have been refused a while after it came.
         let refused = sum(|does| does.refused) / sum(|does| does.asked.max(does.refused)).max(1.0);
--- a/controller/src/leadership.rs
+++ b/controller/src/leadership.rs
@@ -6,7 +6,7 @@
 
 use compact_str::CompactString;
 use millpost_autoscaler::{Ask, Effect, Entry, StartFault, StopFault, Worker};
-use millpost_protocol::Note;
+use millpost_protocol::PeerMessage;
 use millpost_quorum::{Address, Holder, Members, Message, Outcome, Value};
 
 use crate::Nanos;
@@ -57,7 +57,7 @@
 
 /// A call to the platform, under a fence. It does not begin at `until` or later; then its answer is [`Call::unanswered`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Errand {
+pub struct PlatformCall {
     /// The leader's fence.
     pub fence: u64,
     /// When it was decided on.
@@ -68,7 +68,7 @@
     pub call: Call,
 }
 
-impl Errand {
+impl PlatformCall {
     /// The call, where it may still begin; else what is known of it without an answer.
     pub fn begin(self, now: Nanos) -> Result<Call, Heard> {
         if now < self.until { Ok(self.call) } else { Err(self.call.unanswered()) }
@@ -108,11 +108,11 @@
 /// What a leader has done with a moment.
 pub struct Done {
     /// Who is named, for all, and what each is told with it; this goes first.
-    pub named: Option<(Note, Told)>,
+    pub named: Option<(PeerMessage, Told)>,
     /// What some are told of instances.
     pub told: Told,
     /// What is asked of the platform.
-    pub errands: Vec<Errand>,
+    pub errands: Vec<PlatformCall>,
 }
 
 /// Whether this machine leads, and what it does as the leader.
@@ -318,7 +318,7 @@
             None => {}
         }
         let fence = leader.fence;
-        let errands = calls.into_iter().map(|call| Errand { fence, asked: now, until, call }).collect();
+        let errands = calls.into_iter().map(|call| PlatformCall { fence, asked: now, until, call }).collect();
         Some(Done { named, told, errands })
     }
 
--- a/controller/src/runtime.rs
+++ b/controller/src/runtime.rs
@@ -30,8 +30,8 @@
 use crate::contact::Answered;
 use crate::core::{Back, Core, Effect, Input, Start, seeds};
 use crate::errors::{Error, Kind, ListenSnafu, NeededSnafu, SignalsSnafu};
-use crate::feed::Seat;
-use crate::leadership::Errand;
+use crate::feed::ConnectionId;
+use crate::leadership::PlatformCall;
 use crate::platform::Platform;
 use crate::voter_thread::{self, Said, VoterThread};
 use crate::{MS, Nanos};
@@ -62,7 +62,7 @@
     /// Whoever waits for an answer.
     calls: BTreeMap<u64, oneshot::Sender<Reply>>,
     last_call: u64,
-    seats: BTreeMap<Seat, mpsc::Sender<Bytes>>,
+    seats: BTreeMap<ConnectionId, mpsc::Sender<Bytes>>,
     /// The platform, as it is called under the fence.
     platform: Option<(u64, Arc<Platform>)>,
     reload_at: Nanos,
@@ -221,7 +221,7 @@
         }
     }
 
-    fn left(&mut self, seat: Seat) {
+    fn left(&mut self, seat: ConnectionId) {
         self.seats.remove(&seat);
         let now = self.now();
         self.core.input(now, Input::Left(seat));
@@ -233,7 +233,7 @@
                 Effect::Vote(to, message, back) => self.vote(to, message, back),
                 Effect::Ask(call, from, message) => self.ask(call, from, message),
                 Effect::Answer(call, reply) => self.answer(call, reply),
-                Effect::Seat(call, seat, line) => {
+                Effect::OpenFeed(call, seat, line) => {
                     let (lines, pieces) = mpsc::channel(WAITING);
                     let _ = lines.try_send(line);
                     self.seats.insert(seat, lines);
@@ -251,7 +251,7 @@
                 Effect::News(to, body) => self.news(&to, body),
                 Effect::Peek(number) => self.peek(number),
                 Effect::Fetch(number, from) => self.fetch(number, &from),
-                Effect::Errand(errand) => self.errand(errand),
+                Effect::PlatformCall(errand) => self.errand(errand),
             }
         }
     }
@@ -373,7 +373,7 @@
         });
     }
 
-    fn errand(&mut self, errand: Errand) {
+    fn errand(&mut self, errand: PlatformCall) {
         let (fence, asked) = (errand.fence, errand.asked);
         let Some(api) = &self.settings.platform_api else { return };
         let platform = match &self.platform {
--- a/controller/tests/leader.rs
+++ b/controller/tests/leader.rs
@@ -6,7 +6,7 @@
 use millpost_autoscaler::Terms;
 use millpost_config::Config;
 use millpost_controller::leader::Leader;
-use millpost_protocol::{Instance, Note, Peer, Roster, Shift, Version};
+use millpost_protocol::{Instance, MembershipView, Peer, PeerMessage, Version, ViewChange};
 use millpost_scheduler::Owners;
 
 const MS: u64 = 1_000_000;
@@ -27,16 +27,16 @@
     Config::parse(&text).expect("a configuration")
 }
 
-fn alive(n: usize, zones: &[&str], split: Option<(Version, &[&str])>) -> Note {
+fn alive(n: usize, zones: &[&str], split: Option<(Version, &[&str])>) -> PeerMessage {
     let zone = zones[n % zones.len()];
     let split = split.map(|(v, all)| (v, all.iter().map(|s| (*s).into()).collect()));
     let peer =
         Peer { name: format!("edge-{n}").into(), address: format!("10.0.0.{n}:1").into(), zone: zone.into() };
-    Note::Alive { peer, serving: true, split, digest: None }
+    PeerMessage::Alive { peer, serving: true, split, digest: None }
 }
 
-fn want(lot: Option<&str>, strain: f64) -> Note {
-    Note::Want {
+fn want(lot: Option<&str>, strain: f64) -> PeerMessage {
+    PeerMessage::Want {
         service: "f".into(),
         count: 1,
         zones: vec![],
@@ -54,26 +54,26 @@
 }
 
 /// All of the naming that stands; the one before the first where there is none.
-fn whole(leader: &mut Leader) -> Roster {
+fn whole(leader: &mut Leader) -> MembershipView {
     match leader.snapshot("edge-0").swap_remove(0) {
-        Note::Stalls { version, peers, leaving, split } => {
-            Roster::new(version, peers, split).with_leaving(leaving)
+        PeerMessage::Stalls { version, peers, leaving, split } => {
+            MembershipView::new(version, peers, split).with_leaving(leaving)
         }
-        _ => Roster::default(),
+        _ => MembershipView::default(),
     }
 }
 
 /// Names the stalls: what goes to all, and how many are told of instances.
-fn name(leader: &mut Leader, now: u64) -> Option<(Note, usize)> {
+fn name(leader: &mut Leader, now: u64) -> Option<(PeerMessage, usize)> {
     let before = whole(leader);
     let (note, told) = leader.name(now)?;
     let after = whole(leader);
     match &note {
-        Note::Stalls { .. } => assert_eq!((&after.note(), told.len()), (&note, after.peers().len())),
-        Note::Shift(shift) if before.version() > (0, 0) => {
+        PeerMessage::Stalls { .. } => assert_eq!((&after.note(), told.len()), (&note, after.peers().len())),
+        PeerMessage::ViewChange(shift) if before.version() > (0, 0) => {
             assert_eq!(before.shifted(shift).as_ref(), Some(&after));
         }
-        note => assert!(matches!(note, Note::Shift(_))),
+        note => assert!(matches!(note, PeerMessage::ViewChange(_))),
     }
     Some((note, told.len()))
 }
@@ -114,8 +114,8 @@
 fn floors(leader: &mut Leader, now: u64) -> BTreeMap<String, Vec<(String, u32)>> {
     let mut told = BTreeMap::new();
     leader.floors(now, &mut told);
-    let of = |note: &Note| match note {
-        Note::Floor { service, count, fence: 7, .. } => (service.to_string(), *count),
+    let of = |note: &PeerMessage| match note {
+        PeerMessage::Floor { service, count, fence: 7, .. } => (service.to_string(), *count),
         other => panic!("{other:?}"),
     };
     told.iter().map(|(name, notes)| (name.to_string(), notes.iter().map(of).collect())).collect()
@@ -184,7 +184,7 @@
         (0..6).filter(|n| *n != 3).for_each(|n| leader.note(at, &alive(n, &zones, None)));
         name(leader, at).map(|_| whole(leader).peers().len())
     };
-    let deaf = |from: &str| Note::Deaf { peer: "edge-3".into(), from: from.into() };
+    let deaf = |from: &str| PeerMessage::Deaf { peer: "edge-3".into(), from: from.into() };
     leader.note(1_200 * MS, &deaf("edge-1"));
     leader.note(1_250 * MS, &deaf("edge-1"));
     leader.note(1_250 * MS, &deaf("nobody"));
@@ -210,7 +210,7 @@
             leader.note(at, &alive(n, &zones, None));
         });
         for from in ["edge-1", "edge-2"] {
-            leader.note(at, &Note::Deaf { peer: "edge-3".into(), from: from.into() });
+            leader.note(at, &PeerMessage::Deaf { peer: "edge-3".into(), from: from.into() });
         }
         gone += usize::from(name(&mut leader, at).is_some() && whole(&mut leader).peers().len() == 5);
         at += 50 * MS;
@@ -234,20 +234,24 @@
             // One is behind, and one knows of nothing.
             let of = [None, Some((5, 90)), Some(before.version())][n.min(2)];
             let digest = if n == 1 { 1 } else { digest };
-            let Note::Alive { peer, serving, split, .. } = alive(n, &zones, of.map(|v| (v, split))) else {
+            let PeerMessage::Alive { peer, serving, split, .. } = alive(n, &zones, of.map(|v| (v, split)))
+            else {
                 panic!("alive")
             };
-            second.note(1, &Note::Alive { peer, serving, digest: split.as_ref().map(|_| digest), split });
+            second.note(
+                1,
+                &PeerMessage::Alive { peer, serving, digest: split.as_ref().map(|_| digest), split },
+            );
         }
         let (note, told) = name(&mut second, 700 * MS).expect("a naming");
         assert_eq!(told, 6 - usize::from(gone < 6), "each hears of its instances");
         note
     };
-    let same = Shift { version: (7, 1), from: before.version(), ..Shift::default() };
-    assert_eq!(told(&[], before.digest(), 9), Note::Shift(same));
-    assert!(matches!(told(&[], before.digest(), 4), Note::Stalls { .. }));
-    assert!(matches!(told(&["f"], before.digest(), 9), Note::Stalls { .. }));
-    assert!(matches!(told(&[], before.digest() + 1, 9), Note::Stalls { .. }));
+    let same = ViewChange { version: (7, 1), from: before.version(), ..ViewChange::default() };
+    assert_eq!(told(&[], before.digest(), 9), PeerMessage::ViewChange(same));
+    assert!(matches!(told(&[], before.digest(), 4), PeerMessage::Stalls { .. }));
+    assert!(matches!(told(&["f"], before.digest(), 9), PeerMessage::Stalls { .. }));
+    assert!(matches!(told(&[], before.digest() + 1, 9), PeerMessage::Stalls { .. }));
 }
 
 /// After a loss of all power stalls come one by one for half a second, and nothing is served before they are named.
@@ -281,7 +285,7 @@
             let now = (400 + 5 * at) * MS;
             leader.note(now, &alive(many + (at as usize).min(39), &["a"], None));
             let named = leader.look(now + MS, |_| true);
-            namings += u32::from(named.is_some_and(|(note, _)| matches!(note, Note::Shift(_))));
+            namings += u32::from(named.is_some_and(|(note, _)| matches!(note, PeerMessage::ViewChange(_))));
         }
         assert_eq!(namings, expected);
         assert_eq!(whole(&mut leader).peers().len(), many + 40);
@@ -299,8 +303,8 @@
         let now = (1_000 + 450 * step) * MS;
         let before = whole(&mut leader).version();
         let knows = Some((before, &[][..]));
-        let Note::Alive { peer, split, digest, .. } = alive(9, &zones, knows) else { panic!("alive") };
-        leader.note(now, &Note::Alive { peer, serving: step % 2 == 0, split, digest });
+        let PeerMessage::Alive { peer, split, digest, .. } = alive(9, &zones, knows) else { panic!("alive") };
+        leader.note(now, &PeerMessage::Alive { peer, serving: step % 2 == 0, split, digest });
         assert!(name(&mut leader, now).is_some(), "a naming at every step");
         let newest = whole(&mut leader).version();
         for n in 0..6 {
@@ -351,14 +355,16 @@
         let now = (700 + 300 * round) * MS;
         let there = |n: usize| n < 2 || (round * 7 + n as u64 * 5) % 11 > 3;
         (0..6).for_each(|n| {
-            let Note::Alive { peer, split, digest, .. } = alive(n, &zones, None) else { panic!("alive") };
-            leader.note(now, &Note::Alive { peer, serving: there(n), split, digest });
+            let PeerMessage::Alive { peer, split, digest, .. } = alive(n, &zones, None) else {
+                panic!("alive")
+            };
+            leader.note(now, &PeerMessage::Alive { peer, serving: there(n), split, digest });
         });
         match round {
             // An owner tells a new leader; with that the one that is next for it hears of them, too.
             _ if round == mine => {
                 let owners = Owners::from(whole(&mut leader));
-                leader.note(now, &Note::Mine { set: all.clone() });
+                leader.note(now, &PeerMessage::Mine { set: all.clone() });
                 let its = |p: &Peer| (p.name.to_string(), its(&all, &owners, p));
                 held.extend(owners.peers().iter().map(its));
             }
@@ -376,7 +382,9 @@
         let named = whole(&mut leader);
         (told_all, told_few) = (told_all + named.peers().len(), told_few + told.len());
         for (name, notes) in told {
-            let [Note::Instances { all: true, set, .. }] = notes.as_slice() else { panic!("{notes:?}") };
+            let [PeerMessage::Instances { all: true, set, .. }] = notes.as_slice() else {
+                panic!("{notes:?}")
+            };
             held.insert(name.to_string(), set.iter().map(|i| i.id.to_string()).collect());
         }
         let owners = Owners::from(named);
--- a/controller/tests/market/mod.rs
+++ b/controller/tests/market/mod.rs
@@ -8,8 +8,8 @@
 use millpost_controller::core::Input;
 use millpost_net::mail;
 use millpost_net::pack::unpack;
-use millpost_protocol::{Note, object, text};
-use millpost_scheduler::{Ask, Desk, No, Out, Outcome, Peer, SECOND, Spec, Terms};
+use millpost_protocol::{PeerMessage, object, text};
+use millpost_scheduler::{Ask, Coordinator, No, Out, Outcome, Peer, SECOND, Spec, Terms};
 use tinyjson::JsonValue;
 
 use crate::town::{MS, Town};
@@ -24,15 +24,15 @@
 enum Event {
     Over { stall: usize, ask: u64, service: String, outcome: Outcome, took: u64 },
     Up { stall: usize, instance: String },
-    Mail { from: usize, to: usize, note: Note },
+    Mail { from: usize, to: usize, note: PeerMessage },
 }
 
 struct Stall {
     peer: Peer,
-    desk: Desk,
+    desk: Coordinator,
     config: Option<Config>,
     up: bool,
-    says: Vec<Note>,
+    says: Vec<PeerMessage>,
 }
 
 pub struct Market {
@@ -92,10 +92,10 @@
             };
             let terms =
                 Terms { ratio: 0.2, window: 10 * SECOND, slack: 50.0, asks_per_s: 1e6, speeds: false };
-            let desk = Desk::new(peer.clone(), terms, n, 1_000_000 * n);
+            let desk = Coordinator::new(peer.clone(), terms, n, 1_000_000 * n);
             market.stalls.push(Stall { peer, desk, config: None, up: true, says: Vec::new() });
             for machine in 0..3 {
-                let body = letter(&format!("edge-{n}"), &[Note::Acts { revision: 0, number: 0 }]);
+                let body = letter(&format!("edge-{n}"), &[PeerMessage::Acts { revision: 0, number: 0 }]);
                 let id = market.town.call(machine, Method::POST, "/follow", &body);
                 market.follows.insert(id, n as usize);
             }
@@ -223,18 +223,18 @@
         for note in notes {
             let unpacked = |packed: &str| mail::json(unpack(packed, 1 << 20)?.as_bytes());
             let old = stall.config.as_ref();
-            let new = match Note::read(note).expect("a note") {
-                Note::Config { body, .. } => Config::read(&At::root(&body)).ok(),
-                Note::Packed { packed, .. } => {
+            let new = match PeerMessage::read(note).expect("a note") {
+                PeerMessage::Config { body, .. } => Config::read(&At::root(&body)).ok(),
+                PeerMessage::Packed { packed, .. } => {
                     unpacked(&packed).and_then(|body| Config::read(&At::root(&body)).ok())
                 }
-                Note::Patch { change, .. } => old.and_then(|old| change::apply(old, &change).ok()),
-                Note::Folded { packed, .. } => {
+                PeerMessage::Patch { change, .. } => old.and_then(|old| change::apply(old, &change).ok()),
+                PeerMessage::Folded { packed, .. } => {
                     old.zip(unpacked(&packed)).and_then(|(old, change)| change::apply(old, &change).ok())
                 }
-                Note::Steward { .. } => None,
+                PeerMessage::Steward { .. } => None,
                 note => {
-                    self.floors += usize::from(matches!(note, Note::Floor { .. }));
+                    self.floors += usize::from(matches!(note, PeerMessage::Floor { .. }));
                     stall.desk.told(now, note);
                     None
                 }
@@ -242,7 +242,7 @@
             let Some(new) = new.filter(|new| old.is_none_or(|old| old.revision < new.revision)) else {
                 continue;
             };
-            stall.says.push(Note::Acts { revision: new.revision, number: 0 });
+            stall.says.push(PeerMessage::Acts { revision: new.revision, number: 0 });
             let specs = new.services.iter().map(|s| Spec {
                 name: s.name.clone(),
                 concurrency: s.concurrency,
@@ -327,8 +327,8 @@
                 }
                 Out::Up(note) => {
                     match &note {
-                        Note::Retire { instance } => self.retired.push(instance.to_string()),
-                        Note::Want { service, does: Some(_), .. } => {
+                        PeerMessage::Retire { instance } => self.retired.push(instance.to_string()),
+                        PeerMessage::Want { service, does: Some(_), .. } => {
                             self.does.insert(service.to_string());
                         }
                         _ => {}
@@ -351,9 +351,9 @@
         }
         if now.is_multiple_of(450 * MS) {
             let (split, digest) = (stall.desk.split(), stall.desk.digest());
-            stall.says.push(Note::Alive { peer: stall.peer.clone(), serving: true, split, digest });
+            stall.says.push(PeerMessage::Alive { peer: stall.peer.clone(), serving: true, split, digest });
             let revision = stall.config.as_ref().map_or(0, |c| c.revision);
-            stall.says.push(Note::Acts { revision, number: 0 });
+            stall.says.push(PeerMessage::Acts { revision, number: 0 });
         }
         let says = std::mem::take(&mut stall.says);
         if !says.is_empty() {
@@ -365,8 +365,8 @@
     }
 }
 
-fn letter(from: &str, notes: &[Note]) -> String {
-    let notes = notes.iter().map(Note::to_json).collect();
+fn letter(from: &str, notes: &[PeerMessage]) -> String {
+    let notes = notes.iter().map(PeerMessage::to_json).collect();
     let all = [("from", text(from)), ("life", JsonValue::Number(1.0)), ("notes", JsonValue::Array(notes))];
     object(all).stringify().expect("finite")
 }
--- a/controller/tests/town/mod.rs
+++ b/controller/tests/town/mod.rs
@@ -10,7 +10,7 @@
 use millpost_autoscaler::{Entry, Worker};
 use millpost_controller::contact::Answered;
 use millpost_controller::core::{Back, Bounds, Core, Effect, Input, Start};
-use millpost_controller::leadership::{self, Errand, Heard};
+use millpost_controller::leadership::{self, Heard, PlatformCall};
 use millpost_net::mail::{Call, Content, Reply, json};
 use millpost_quorum::{Address, Key, Members, Message, Voter, Write};
 use tinyjson::JsonValue;
@@ -22,7 +22,7 @@
     Input(Input),
     /// For the voter here; its answer goes to that machine, or is that call's.
     Vote(Address, Message, Result<(usize, Back), u64>),
-    Begin(Errand),
+    Begin(PlatformCall),
 }
 
 struct Machine {
@@ -57,7 +57,7 @@
     /// Fetches by machine.
     pub fetches: Vec<usize>,
     /// Calls to the platform that went out, and those that were kept back: when, and by whom.
-    pub went: Vec<(u64, usize, Errand)>,
+    pub went: Vec<(u64, usize, PlatformCall)>,
     pub kept_back: Vec<(u64, usize)>,
     /// Memory that a worker has, and another half of; with none nothing starts.
     pub workers: u64,
@@ -415,8 +415,8 @@
                         self.fetchers.insert(id, (n, number));
                     }
                 }
-                Effect::Errand(errand) => self.push(self.now + WAY, n, Event::Begin(errand)),
-                Effect::Seat(id, seat, line) => {
+                Effect::PlatformCall(errand) => self.push(self.now + WAY, n, Event::Begin(errand)),
+                Effect::OpenFeed(id, seat, line) => {
                     self.seats.insert(id, (n, seat));
                     self.lines.push((n, seat, line));
                 }
--- a/dispatcher/src/driver.rs
+++ b/dispatcher/src/driver.rs
@@ -13,7 +13,7 @@
 use millpost_core::{Core, Count, Effect, Ended, Handed, LAYOUT, Moment, Moved, ReplyId, Verdict};
 use millpost_handover::{Does, Frame, Giver, Heard, Moving};
 use millpost_net::meter::{Part, within};
-use millpost_net::room::Room;
+use millpost_net::room::ConnectionLimiter;
 use millpost_settings::{Classes, Shape};
 use millpost_store::ledger::Found;
 use millpost_store::{Disk, Ledger, Seq};
@@ -104,7 +104,7 @@
     heir: Option<Heir>,
     opening: Opening,
     station: Station,
-    room: Arc<Room>,
+    room: Arc<ConnectionLimiter>,
 }
 
 /// Where an answer goes.
@@ -195,7 +195,7 @@
     pub taken: Option<Taken>,
     pub opening: Opening,
     pub station: Station,
-    pub room: Arc<Room>,
+    pub room: Arc<ConnectionLimiter>,
 }
 
 /// What all dispatchers know an endpoint by.
--- a/dispatcher/src/hands.rs
+++ b/dispatcher/src/hands.rs
@@ -7,7 +7,7 @@
 use millpost::api::{MsgId, Nanos};
 use millpost_core::{CallId, Verdict};
 use millpost_handover::Frame;
-use millpost_net::room::Room;
+use millpost_net::room::ConnectionLimiter;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
@@ -68,7 +68,7 @@
 pub struct Hands {
     calls: Calls<Input>,
     say: mpsc::UnboundedSender<Frame>,
-    room: std::sync::Arc<Room>,
+    room: std::sync::Arc<ConnectionLimiter>,
     shared: console::Shared,
     replies: HashMap<u64, oneshot::Sender<Verdict>>,
     staff: HashMap<u64, oneshot::Sender<Result<(), String>>>,
@@ -80,7 +80,7 @@
     pub fn new(
         calls: Calls<Input>,
         say: mpsc::UnboundedSender<Frame>,
-        room: std::sync::Arc<Room>,
+        room: std::sync::Arc<ConnectionLimiter>,
         shared: console::Shared,
     ) -> Self {
         let out = calls.written().collect();
--- a/dispatcher/src/intake.rs
+++ b/dispatcher/src/intake.rs
@@ -15,7 +15,7 @@
 use millpost::api::{Effect, Nanos};
 use millpost_core::{Handed, Verdict};
 use millpost_net::meter::{Part, metered};
-use millpost_net::room::{Room, Seat};
+use millpost_net::room::{ConnectionLimiter, ConnectionSlot};
 use millpost_net::serving::serve_one;
 use millpost_settings::Classes;
 use tokio::net::{TcpListener, TcpStream};
@@ -92,7 +92,7 @@
 /// ended. A client that comes later is refused its connection, and so knows that its message is not here.
 pub async fn serve<I: From<Asked> + Send + 'static>(
     listener: TcpListener,
-    room: Arc<Room>,
+    room: Arc<ConnectionLimiter>,
     front: watch::Receiver<Front>,
     told: mpsc::Sender<I>,
     mut phase: watch::Receiver<Phase>,
@@ -133,7 +133,7 @@
 async fn connection<I: From<Asked> + Send + 'static>(
     stream: TcpStream,
     intake: Arc<Intake<I>>,
-    seat: Arc<Seat>,
+    seat: Arc<ConnectionSlot>,
 ) {
     let _ = stream.set_nodelay(true);
     let mut phase = intake.phase.clone();
@@ -158,7 +158,7 @@
 }
 
 impl<I: From<Asked>> Intake<I> {
-    async fn answer(&self, request: Request<Incoming>, seat: &Seat) -> Response<Full<Bytes>> {
+    async fn answer(&self, request: Request<Incoming>, seat: &ConnectionSlot) -> Response<Full<Bytes>> {
         let mut response = match self.take(request, seat).await {
             Ok(Verdict::Taken) => plain(StatusCode::ACCEPTED),
             Ok(Verdict::Unheard) => plain(StatusCode::NOT_FOUND),
@@ -185,7 +185,7 @@
     }
 
     /// Hands a message to the driver. An error is a status of its own.
-    async fn take(&self, request: Request<Incoming>, seat: &Seat) -> Result<Verdict, StatusCode> {
+    async fn take(&self, request: Request<Incoming>, seat: &ConnectionSlot) -> Result<Verdict, StatusCode> {
         let (came, (head, body)) = (Instant::now(), request.into_parts());
         let whole_by = seat.reading() + WHOLE_WITHIN;
         // Beside a Content-Length it may hide another request in the body, and the header map does not show
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -32,7 +32,7 @@
 
 use millpost_core::{LAYOUT, Moved};
 use millpost_handover::{Frame, Moving};
-use millpost_net::room::Room;
+use millpost_net::room::ConnectionLimiter;
 use millpost_net::{link, meter};
 use millpost_store::{Disk, Ledger, ledger};
 use millpost_tier::sieve::Sieve;
@@ -196,7 +196,7 @@
     let (front, fronts) = watch::channel(Front::default());
     // The limits bind both processes together for as long as there are two.
     let theirs = taken.as_ref().map_or(0, |taken| taken.moving.clients.min(descriptors.clients / 2));
-    let room = Room::new(descriptors.clients - theirs);
+    let room = ConnectionLimiter::new(descriptors.clients - theirs);
 
     let (notices, due) = mpsc::channel(256);
     let of = u16::try_from(settings.dispatchers.max(config.peers.len())).unwrap_or(u16::MAX);
--- a/e2e/examples/market.rs
+++ b/e2e/examples/market.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use millpost_e2e::{Fair, library, order, until};
+use millpost_e2e::{TestCluster, library, order, until};
 use millpost_standins::market::client::{Order, Outcome};
 use millpost_standins::market::function::{Endpoint, Phase};
 use millpost_standins::market::settings::{Bounds, Class, Configuration};
@@ -28,7 +28,7 @@
     };
     println!("building what is not built yet ...");
     // A shorter end than in service.
-    let mut fair = Fair::open(Bounds { grace_s: 3.0, ..Bounds::default() }).await;
+    let mut fair = TestCluster::open(Bounds { grace_s: 3.0, ..Bounds::default() }).await;
     println!(
         "started: bourse on 3 core machines, stall and porter on 3 edge machines, each process with settings and"
     );
@@ -91,7 +91,7 @@
 }
 
 /// The next start of a function, once it has come up.
-async fn start_of(fair: &Fair, function: &str, since: Duration) -> Started {
+async fn start_of(fair: &TestCluster, function: &str, since: Duration) -> Started {
     let (endpoint, worker, at, _) = until("a start", async || {
         let starts = fair.platform.starts();
         starts.into_iter().find(|(e, _, at, _)| e.function().name == function && *at >= since)
@@ -102,7 +102,7 @@
     Started { endpoint, worker, after: at.saturating_sub(since), took }
 }
 
-fn tell(fair: &Fair, order: &Order, outcome: &Outcome) {
+fn tell(fair: &TestCluster, order: &Order, outcome: &Outcome) {
     let door = outcome.tries.last().map_or(0, |t| t.door);
     let answer = outcome.answer.as_ref().map(|a| String::from_utf8_lossy(&a.body).into_owned());
     let answer = answer.as_deref().and_then(|a| a.lines().next()).unwrap_or("no answer");
@@ -121,7 +121,7 @@
 }
 
 /// How to use it from another shell.
-fn by_hand(fair: &Fair, configuration: &Configuration) {
+fn by_hand(fair: &TestCluster, configuration: &Configuration) {
     println!("\nby hand, until Ctrl-C:\n");
     let front = fair.edge(0).front();
     for route in &configuration.routes {
--- a/e2e/src/lib.rs
+++ b/e2e/src/lib.rs
@@ -77,7 +77,7 @@
 
 /// The steward, as control tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Steward {
+pub struct LeaderInfo {
     /// The number of its machine.
     pub machine: usize,
     /// Its fence.
@@ -85,7 +85,7 @@
 }
 
 /// The system and all round it. The processes end with it.
-pub struct Fair {
+pub struct TestCluster {
     /// What everybody notes.
     pub auditor: Auditor,
     /// The platform, with two workers in each zone.
@@ -98,7 +98,7 @@
     pub operator: Operator,
 }
 
-impl Fair {
+impl TestCluster {
     /// Starts everything, with nothing configured yet.
     ///
     /// # Panics
@@ -126,7 +126,7 @@
         let operator = Operator::new(deployment.controls(), auditor.clone());
         let fleet = Fleet::start(deployment, &programs).expect("processes");
         tokio::spawn(clients.clone().watch());
-        Fair { auditor, platform, fleet, clients, operator }
+        TestCluster { auditor, platform, fleet, clients, operator }
     }
 
     /// The same, with the library's configuration in force on all edge machines.
@@ -172,13 +172,13 @@
     ///
     /// # Panics
     /// Where none does in time.
-    pub async fn steward(&self, above: u64) -> Steward {
+    pub async fn steward(&self, above: u64) -> LeaderInfo {
         until("a steward", async || {
             for machine in self.fleet.deployment.of(Class::Core) {
                 let Some(status) = self.status(machine).await else { continue };
                 let fence = status["fence"].as_u64().unwrap_or(0);
                 if status["is_steward"] == true && fence > above {
-                    return Some(Steward { machine, fence });
+                    return Some(LeaderInfo { machine, fence });
                 }
             }
             None
--- a/e2e/src/soak.rs
+++ b/e2e/src/soak.rs
@@ -22,7 +22,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
-use crate::{Fair, PATIENCE, library};
+use crate::{PATIENCE, TestCluster, library};
 use judge::{Seen, Terms, Verdict};
 use kept::Kept;
 use schedule::{Act, Due, Part, Size};
@@ -112,7 +112,7 @@
 
 /// Plays a soak to its end. Logs of all processes are left in `keep`, where a rule broke.
 pub async fn soak(setup: Setup, keep: Option<&Path>) -> Report {
-    let mut fair = Fair::open_with(Bounds::default(), setup.edges).await;
+    let mut fair = TestCluster::open_with(Bounds::default(), setup.edges).await;
     let every = configuration(1, true);
     fair.platform.knows(&every);
     for service in &every.services {
@@ -148,7 +148,7 @@
     report
 }
 
-fn keep_logs(fair: &Fair, to: &Path) {
+fn keep_logs(fair: &TestCluster, to: &Path) {
     if std::fs::create_dir_all(to).is_err() {
         return;
     }
@@ -177,7 +177,7 @@
 }
 
 impl Run {
-    fn begin(fair: &Fair, setup: Setup) -> Self {
+    fn begin(fair: &TestCluster, setup: Setup) -> Self {
         let deployment = &fair.fleet.deployment;
         let (edges, cores) = (deployment.of(Class::Edge).len(), deployment.of(Class::Core).len());
         let size = Size { edges, cores, workers: 2 * deployment.shape.zones.len() };
@@ -203,7 +203,7 @@
         }
     }
 
-    async fn play(&mut self, fair: &mut Fair) {
+    async fn play(&mut self, fair: &mut TestCluster) {
         let began = Instant::now();
         let mut due = self.schedule.clone().into_iter().peekable();
         while began.elapsed() < self.setup.lasts {
@@ -217,7 +217,7 @@
     }
 
     /// Starts again what has ended, wakes what was frozen, lets workers back.
-    fn look_after(&mut self, fair: &mut Fair) {
+    fn look_after(&mut self, fair: &mut TestCluster) {
         let now = Instant::now();
         for at in 0..fair.fleet.processes.len() {
             let process = &mut fair.fleet.processes[at];
@@ -249,7 +249,7 @@
         self.report.memory_mb = self.report.memory_mb.max(memory_mb(fair));
     }
 
-    fn act(&mut self, fair: &mut Fair, act: Act) {
+    fn act(&mut self, fair: &mut TestCluster, act: Act) {
         let edge = |n: usize| fair.fleet.deployment.of(Class::Edge)[n];
         match act {
             Act::EndEdge(n) => {
@@ -289,14 +289,14 @@
     }
 
     /// Unplanned trouble at an edge machine.
-    fn strikes(&mut self, fair: &Fair, edge: usize, lasts: Duration) {
+    fn strikes(&mut self, fair: &TestCluster, edge: usize, lasts: Duration) {
         let now = fair.auditor.now();
         self.trouble.push((edge, now..now + lasts));
         fair.auditor.trouble(now..now + lasts);
     }
 
     /// All rules, over all that was seen.
-    async fn judge(mut self, fair: &Fair, seen: &[Seen]) -> Report {
+    async fn judge(mut self, fair: &TestCluster, seen: &[Seen]) -> Report {
         let bounds = fair.auditor.bounds();
         let contact = Duration::from_millis(bounds.contact_ms);
         let slack = Duration::from_millis(bounds.loss_slack_ms);
@@ -345,7 +345,7 @@
 }
 
 /// What all processes take now.
-fn memory_mb(fair: &Fair) -> u64 {
+fn memory_mb(fair: &TestCluster) -> u64 {
     let of = |pid: u32| -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
         let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
--- a/e2e/tests/calm.rs
+++ b/e2e/tests/calm.rs
@@ -1,11 +1,11 @@
 //! Nothing goes wrong.
 
-use millpost_e2e::{Fair, fairly, library, until};
+use millpost_e2e::{TestCluster, fairly, library, until};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn functions_are_started_for_their_requests_serve_them_all_and_are_stopped_again() {
     fairly(async || {
-        let fair = Fair::open_library().await;
+        let fair = TestCluster::open_library().await;
         fair.in_force(1).await;
         fair.loans_search_through(0);
         // Nobody has asked for anything: at most what stands by.
--- a/e2e/tests/configurations.rs
+++ b/e2e/tests/configurations.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use millpost_e2e::{Fair, PATIENCE, fairly, library, order, until};
+use millpost_e2e::{PATIENCE, TestCluster, fairly, library, order, until};
 use millpost_standins::market::operator::Operator;
 use millpost_standins::market::settings::{Class, Configuration, Role};
 use serde_json::{Value, json};
 
 /// What every core machine reads.
-async fn read_everywhere(fair: &Fair) -> BTreeMap<usize, Option<Configuration>> {
+async fn read_everywhere(fair: &TestCluster) -> BTreeMap<usize, Option<Configuration>> {
     let mut read = BTreeMap::new();
     for machine in fair.fleet.deployment.of(Class::Core) {
         read.insert(machine, fair.operator_at(machine).read(PATIENCE).await);
@@ -19,7 +19,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn what_was_acknowledged_outlasts_the_disk_of_who_acknowledged_it() {
     fairly(async || {
-        let mut fair = Fair::open_library().await;
+        let mut fair = TestCluster::open_library().await;
         let cores = fair.fleet.deployment.of(Class::Core);
         for round in 0..cores.len() {
             let newest = library(2 + round as u64);
@@ -51,7 +51,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn of_two_contents_under_one_revision_one_wins_everywhere() {
     fairly(async || {
-        let fair = Fair::open_library().await;
+        let fair = TestCluster::open_library().await;
         let controls = fair.fleet.deployment.controls();
         let cores = fair.fleet.deployment.of(Class::Core);
         for revision in 2..6 {
@@ -96,7 +96,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn bad_configurations_are_turned_down_with_the_key_and_change_nothing() {
     fairly(async || {
-        let fair = Fair::open_library().await;
+        let fair = TestCluster::open_library().await;
         let bad = |change: &dyn Fn(&mut Value)| {
             let mut value = json!(library(9));
             change(&mut value);
--- a/e2e/tests/leaving.rs
+++ b/e2e/tests/leaving.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use millpost_e2e::{Fair, fairly, order, until};
+use millpost_e2e::{TestCluster, fairly, order, until};
 use millpost_standins::link::Weather;
 use millpost_standins::market::function::{Manner, attempt_id};
 use millpost_standins::market::message::{Connection, request};
@@ -33,7 +33,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn every_request_that_is_open_when_a_proxy_ends_is_answered_first() {
     fairly(async || {
-        let mut fair = Fair::open_library().await;
+        let mut fair = TestCluster::open_library().await;
         // A run outlasts the grace time. It has begun before the end does, and nothing is started after it.
         let slow = Manner { work: Duration::from_secs(20), ..Manner::default() };
         fair.platform.behave("catalogue", &slow);
--- a/e2e/tests/losses.rs
+++ b/e2e/tests/losses.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use millpost_e2e::{Fair, fairly, library, order, until};
+use millpost_e2e::{TestCluster, fairly, library, order, until};
 use millpost_standins::market::client::Order;
 use millpost_standins::market::settings::{Class, Function, Kind, Role, Route};
 use tokio::time::{sleep_until, timeout};
@@ -10,7 +10,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_stall_and_a_porter_are_killed() {
     fairly(async || {
-        let mut fair = Fair::open_library().await;
+        let mut fair = TestCluster::open_library().await;
         let load = fair.load(60.0);
         load.serves(60).await;
         let began = fair.auditor.now();
@@ -50,7 +50,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_steward_is_frozen_and_thawed() {
     fairly(async || {
-        let mut fair = Fair::open_library().await;
+        let mut fair = TestCluster::open_library().await;
         fair.loans_search_through(0);
         let load = fair.load(60.0);
         load.serves(60).await;
@@ -95,7 +95,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn what_falls_idle_while_there_is_no_steward_is_stopped_and_can_be_started_again() {
     fairly(async || {
-        let mut fair = Fair::open_library().await;
+        let mut fair = TestCluster::open_library().await;
         let routes = ["loans", "holds", "searches"];
         for route in routes {
             let outcome = fair.clients.send(1, &order(route)).await;
@@ -123,7 +123,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_edge_machine_that_is_told_to_end_loses_no_request() {
     fairly(async || {
-        let mut fair = Fair::open_library().await;
+        let mut fair = TestCluster::open_library().await;
         let load = fair.load(60.0);
         load.serves(60).await;
         let leaving = fair.fleet.deployment.of(Class::Edge)[0];
--- a/explore/src/owners.rs
+++ b/explore/src/owners.rs
@@ -8,8 +8,8 @@
 use std::hash::Hash;
 
 use compact_str::{CompactString, format_compact};
-use millpost_protocol::{Instance, Note};
-use millpost_scheduler::{Ask, Desk, MS, Nanos, Out, Outcome, Owners, Peer, SECOND, Spec, Terms};
+use millpost_protocol::{Instance, PeerMessage};
+use millpost_scheduler::{Ask, Coordinator, MS, Nanos, Out, Outcome, Owners, Peer, SECOND, Spec, Terms};
 
 use crate::part::print;
 use crate::search::{State, Way};
@@ -120,11 +120,11 @@
     fault: Option<Fault>,
     /// The numbers that name the desks.
     names: [usize; DESKS],
-    desks: Vec<Desk>,
+    desks: Vec<Coordinator>,
     /// What each has heard, in one number.
     heard: [u128; DESKS],
     now: Nanos,
-    mail: Vec<(Mail, Note)>,
+    mail: Vec<(Mail, PeerMessage)>,
     granted: Vec<Granted>,
     /// Every grant that there was, by desk and ask.
     ever: Vec<(u8, u64)>,
@@ -179,7 +179,7 @@
         for (at, n) in names.into_iter().enumerate() {
             let terms =
                 Terms { ratio: 0.2, window: 10 * SECOND, slack: 50.0, asks_per_s: 100.0, speeds: false };
-            let mut desk = Desk::new(peer(n), terms, n as u64, 1_000 * (at as u64 + 1));
+            let mut desk = Coordinator::new(peer(n), terms, n as u64, 1_000 * (at as u64 + 1));
             let concurrency = if fault == Some(Fault::OneSlotTooMany) { 2 } else { 1 };
             let spec = Spec { name: SERVICE.into(), concurrency, boot: 400 * MS, memory_mb: 128 };
             desk.configure(0, [spec].into_iter());
@@ -197,7 +197,7 @@
 }
 
 impl World {
-    fn naming(&self, version: u64) -> Note {
+    fn naming(&self, version: u64) -> PeerMessage {
         let [old, other, new] = self.names;
         let (stay, leave) = match (version, self.case.leaves) {
             (1, _) => (vec![old, other], vec![]),
@@ -206,10 +206,15 @@
             (_, false) => (vec![old, other, new], vec![]),
         };
         let peers = |of: Vec<usize>| of.into_iter().map(peer).collect();
-        Note::Stalls { version: (1, version), peers: peers(stay), leaving: peers(leave), split: vec![] }
+        PeerMessage::Stalls {
+            version: (1, version),
+            peers: peers(stay),
+            leaving: peers(leave),
+            split: vec![],
+        }
     }
 
-    fn instances(&self, version: u64) -> Note {
+    fn instances(&self, version: u64) -> PeerMessage {
         let instance = |n: u8| Instance {
             id: format_compact!("i-{n}"),
             service: SERVICE.into(),
@@ -219,11 +224,11 @@
             stage: 1,
         };
         let set = (0..self.case.instances).map(instance).collect();
-        Note::Instances { version: (1, version), all: true, set, gone: vec![] }
+        PeerMessage::Instances { version: (1, version), all: true, set, gone: vec![] }
     }
 
     /// A desk hears something, and what it says is put on its way.
-    fn with(&mut self, at: u8, what: &impl Hash, hear: impl FnOnce(&mut Desk, Nanos)) {
+    fn with(&mut self, at: u8, what: &impl Hash, hear: impl FnOnce(&mut Coordinator, Nanos)) {
         let place = usize::from(at);
         self.heard[place] = print(&(self.heard[place], self.now, what));
         let Some(desk) = self.desks.get_mut(place) else { return };
@@ -238,11 +243,11 @@
         self.look();
     }
 
-    fn send(&mut self, from: u8, to: &str, note: Note) {
+    fn send(&mut self, from: u8, to: &str, note: PeerMessage) {
         let Some(to) = self.names.iter().position(|n| peer(*n).address == to) else { return };
         let note = match (self.fault, note) {
-            (Some(Fault::OverIsEmpty), Note::Over { service, version, .. }) => {
-                Note::Over { service, version, permits: vec![] }
+            (Some(Fault::OverIsEmpty), PeerMessage::Over { service, version, .. }) => {
+                PeerMessage::Over { service, version, permits: vec![] }
             }
             (_, note) => note,
         };
--- a/latency/src/fit.rs
+++ b/latency/src/fit.rs
@@ -57,28 +57,28 @@
 
 /// What is expected of a function on a worker, against the reference.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Lag {
+pub struct RelativeLatency {
     /// log(time there / time on the reference).
     pub log: f64,
     /// The standard deviation of that.
     pub doubt: f64,
 }
 
-impl Lag {
+impl RelativeLatency {
     /// How many times as long it takes.
     pub fn times(&self) -> f64 {
         self.log.exp()
     }
 
     /// It takes longer there than at another place by more than this factor, so surely, in standard deviations.
-    pub fn surely_behind(&self, other: &Lag, times: f64, sure: f64) -> bool {
+    pub fn surely_behind(&self, other: &RelativeLatency, times: f64, sure: f64) -> bool {
         self.log - other.log - sure * self.doubt.hypot(other.doubt) >= times.ln()
     }
 }
 
 /// Running estimates. See the crate's page.
 #[derive(Debug, Default)]
-pub struct Assay {
+pub struct LatencyModel {
     functions: BTreeMap<CompactString, Function>,
     workers: Vec<Option<Worker>>,
     places: HashMap<CompactString, u16>,
@@ -88,7 +88,7 @@
     reference: f64,
 }
 
-impl Assay {
+impl LatencyModel {
     /// Nothing is known.
     pub fn new() -> Self {
         Self::default()
@@ -246,7 +246,8 @@
         self.reference = reference;
         let alone = known.len() < 2;
         for worker in self.workers.iter_mut().flatten() {
-            let lag = Lag { log: worker.part - reference, doubt: (worker.variance + unsure).sqrt() };
+            let lag =
+                RelativeLatency { log: worker.part - reference, doubt: (worker.variance + unsure).sqrt() };
             worker.slow = !alone && worker.functions > 1 && is_slow(&lag, worker.slow, SLOW);
         }
         let parts: Vec<_> = (0..self.workers.len()).map(|at| self.part(at as u16)).collect();
@@ -254,22 +255,22 @@
             let (level, variance, many) = (function.level, function.variance, function.cells.len() > 1);
             for (at, cell) in &mut function.cells {
                 let lag = at_cell(level, variance, cell, parts[*at as usize], now);
-                let lag = Lag { log: lag.log - reference, doubt: lag.doubt.hypot(unsure.sqrt()) };
+                let lag = RelativeLatency { log: lag.log - reference, doubt: lag.doubt.hypot(unsure.sqrt()) };
                 cell.slow = many && !alone && is_slow(&lag, cell.slow, SLOW_FOR_ONE);
             }
         }
     }
 
     /// What is expected of a function on a worker, as last worked out. None where nothing is known of that worker.
-    pub fn lag(&self, function: &str, worker: &str) -> Option<Lag> {
+    pub fn lag(&self, function: &str, worker: &str) -> Option<RelativeLatency> {
         let at = *self.places.get(worker)?;
         let part = self.part(at);
         let of = self.functions.get(function);
         let lag = match of.and_then(|f| Some((f, f.cells.get(&at)?))) {
             Some((f, cell)) => at_cell(f.level, f.variance, cell, part, self.settled),
-            None => Lag { log: part.0, doubt: (part.1 + INSTANCES).sqrt() },
+            None => RelativeLatency { log: part.0, doubt: (part.1 + INSTANCES).sqrt() },
         };
-        Some(Lag { log: lag.log - self.reference, ..lag })
+        Some(RelativeLatency { log: lag.log - self.reference, ..lag })
     }
 
     /// The time that a function's work takes on a worker.
@@ -316,12 +317,18 @@
 }
 
 /// What was seen there weighs against what its worker lets expect.
-fn at_cell(level: f64, variance: f64, cell: &Cell, (part, unsure): (f64, f64), now: Nanos) -> Lag {
+fn at_cell(
+    level: f64,
+    variance: f64,
+    cell: &Cell,
+    (part, unsure): (f64, f64),
+    now: Nanos,
+) -> RelativeLatency {
     let (seen, guess) = (cell.worth(now) / variance, 1.0 / (unsure + INSTANCES));
     let log = ((cell.mean - level) * seen + part * guess) / (seen + guess);
-    Lag { log, doubt: (1.0 / (seen + guess)).sqrt() }
+    RelativeLatency { log, doubt: (1.0 / (seen + guess)).sqrt() }
 }
 
-fn is_slow(lag: &Lag, already: bool, bar: f64) -> bool {
+fn is_slow(lag: &RelativeLatency, already: bool, bar: f64) -> bool {
     if already { lag.log >= FINE } else { lag.log >= bar && lag.log - SURE * lag.doubt >= SURELY }
 }
--- a/latency/src/lib.rs
+++ b/latency/src/lib.rs
@@ -4,13 +4,13 @@
 //! than a bound. Said is what is expected at a place, how sure that is, and which workers are slow, for all or for one function.
 //! No I/O, no clock, no randomness.
 //!
-//! [`Assay::saw`] takes answers as they come; [`Assay::settle`] works out what they say, and is to be called now and then. All that is
+//! [`LatencyModel::saw`] takes answers as they come; [`LatencyModel::settle`] works out what they say, and is to be called now and then. All that is
 //! asked is answered by what was last worked out.
 
 mod cell;
 mod fit;
 
-pub use fit::{Assay, Lag};
+pub use fit::{LatencyModel, RelativeLatency};
 
 /// A point in time or a span, in nanoseconds.
 pub type Nanos = u64;
--- a/latency/tests/days.rs
+++ b/latency/tests/days.rs
@@ -1,12 +1,12 @@
 //! Days of answers under a seed: how soon a slow worker is told, and how often one that is not.
 
 use millpost::Dice;
-use millpost_latency::{Assay, Nanos, SECOND};
+use millpost_latency::{LatencyModel, Nanos, SECOND};
 
 /// Answers of functions on workers, with the spread that work has and the differences that instances have by nature.
 struct Day {
     dice: Dice,
-    assay: Assay,
+    assay: LatencyModel,
     now: Nanos,
     instances: Vec<Vec<f64>>,
 }
@@ -16,7 +16,7 @@
         let mut dice = Dice::seeded(seed);
         let instances =
             (0..functions).map(|_| (0..workers).map(|_| 0.8 + 0.4 * dice.share()).collect()).collect();
-        Day { dice, assay: Assay::new(), now: SECOND, instances }
+        Day { dice, assay: LatencyModel::new(), now: SECOND, instances }
     }
 
     /// An answer of this function from this worker, which is slower by a factor.
@@ -144,7 +144,7 @@
     let mut day = Day::new(5, 6, 12);
     day.play(4_000, GAP, |_, w| if w < 6 { 2.0 } else { 0.67 });
     assert_eq!(day.slow(), [0, 1, 2, 3, 4, 5]);
-    let mut assay = Assay::new();
+    let mut assay = LatencyModel::new();
     for n in 0..60_000u64 {
         assay.saw(n * 1_000_000, &format!("f{}", n % 1_009), &format!("w{}", n % 41), 45_000_000);
         assay.settle(n * 1_000_000);
--- a/migration/src/carter.rs
+++ b/migration/src/carter.rs
@@ -10,8 +10,8 @@
 use crate::contract::Order;
 use crate::plant::{Guard, is_out};
 use crate::record::{BadRecord, Move, Record, State};
-use crate::sight::{Function, Sight, Stands};
-use crate::standing::{Outward, Standing};
+use crate::sight::{Function, Observation, Stands};
+use crate::standing::{Published, Standing};
 use crate::steps::{Ground, Obeyed, advance, obey};
 use crate::watch::Watch;
 use crate::{MS, Moment, Nanos};
@@ -82,14 +82,14 @@
         over: Option<u64>,
     },
     /// Something goes outward.
-    Out(Outward),
+    Out(Published),
     /// An order has no clear answer here.
-    Turned(u64, Turned),
+    OrderFailure(u64, OrderFailure),
 }
 
 /// Why an order has no clear answer. It may come to stand all the same, and can be given again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turned {
+pub enum OrderFailure {
     /// This machine holds no lease.
     NotHolder,
     /// Too many orders wait.
@@ -116,7 +116,7 @@
 struct Term {
     fence: u64,
     until: Nanos,
-    sight: Sight,
+    sight: Observation,
     watches: BTreeMap<CompactString, Watch>,
     standing: Option<Standing>,
     /// Nothing that was offered before can come to stand any more: a write of this term over what stood has ended well, and none since
@@ -134,17 +134,17 @@
 }
 
 /// Moves, on one control machine.
-pub struct Carter {
+pub struct Migrator {
     terms: Terms,
     term: Option<Term>,
     asks: u64,
     effects: Vec<Effect>,
 }
 
-impl Carter {
+impl Migrator {
     /// Of a machine that holds no lease.
     pub fn new(terms: Terms) -> Self {
-        Carter { terms, term: None, asks: 0, effects: Vec::new() }
+        Migrator { terms, term: None, asks: 0, effects: Vec::new() }
     }
 
     /// What is to be done, in order.
@@ -184,7 +184,7 @@
         self.terms.warms
     }
 
-    pub(crate) fn seen(&self) -> Option<(&Sight, &BTreeMap<CompactString, Watch>)> {
+    pub(crate) fn seen(&self) -> Option<(&Observation, &BTreeMap<CompactString, Watch>)> {
         self.term.as_ref().map(|term| (&term.sight, &term.watches))
     }
 
@@ -214,7 +214,7 @@
         }
         self.end();
         if now < until {
-            let sight = Sight::new(now, &self.terms);
+            let sight = Observation::new(now, &self.terms);
             self.term = Some(Term {
                 fence,
                 until,
@@ -235,19 +235,19 @@
 
     fn end(&mut self) {
         let Some(term) = self.term.take() else { return };
-        let turned = |waiting: Waiting| Effect::Turned(waiting.id, Turned::NotHolder);
+        let turned = |waiting: Waiting| Effect::OrderFailure(waiting.id, OrderFailure::NotHolder);
         self.effects.extend(term.orders.into_iter().map(turned));
     }
 
     fn order(&mut self, now: Nanos, id: u64, order: Order) {
         let until = now + self.terms.contact + ORDER;
         let turned = match &mut self.term {
-            None => Turned::NotHolder,
-            Some(term) if term.unreadable => Turned::Unreadable,
-            Some(term) if term.orders.len() >= MOST_ORDERS => Turned::Busy,
+            None => OrderFailure::NotHolder,
+            Some(term) if term.unreadable => OrderFailure::Unreadable,
+            Some(term) if term.orders.len() >= MOST_ORDERS => OrderFailure::Busy,
             Some(term) => return term.orders.push_back(Waiting { id, order, came: now, until }),
         };
-        self.effects.push(Effect::Turned(id, turned));
+        self.effects.push(Effect::OrderFailure(id, turned));
     }
 
     /// All that follows from what is known by now.
@@ -259,7 +259,10 @@
             (term.asked, term.standing, term.firm, term.read_again) = (None, None, false, None);
         }
         while term.orders.front().is_some_and(|waiting| now >= waiting.until) {
-            let turned = term.orders.pop_front().map(|waiting| Effect::Turned(waiting.id, Turned::Unclear));
+            let turned = term
+                .orders
+                .pop_front()
+                .map(|waiting| Effect::OrderFailure(waiting.id, OrderFailure::Unclear));
             self.effects.extend(turned);
         }
         if term.asked.is_some() {
--- a/migration/src/check.rs
+++ b/migration/src/check.rs
@@ -12,9 +12,9 @@
 use crate::carter::Terms;
 use crate::contract::{Bounds, Contract, MOST_LOADS, MOST_ROUTES};
 use crate::plant::{Guard, is_out};
-use crate::record::{Haul, MOST_OPEN, Move, Record};
+use crate::record::{MOST_OPEN, Move, Record, RouteMove};
 use crate::shift::{Place, places};
-use crate::sight::Sight;
+use crate::sight::Observation;
 
 /// Room that is kept above what the source holds at its busiest.
 const MARGIN: f64 = 1.25;
@@ -91,9 +91,9 @@
 
 /// What a move takes.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Reckoned {
+pub struct Estimate {
     /// Its routes.
-    pub hauls: Vec<Haul>,
+    pub hauls: Vec<RouteMove>,
     /// Which of the services named are left, and for which.
     pub services: Vec<(CompactString, CompactString)>,
     /// Instances that each target is to have.
@@ -114,7 +114,7 @@
     pub reasons: Vec<Reason>,
 }
 
-impl Reckoned {
+impl Estimate {
     fn against(&mut self, reason: Reason) {
         if self.reasons.len() < MOST_REASONS && !self.reasons.contains(&reason) {
             self.reasons.push(reason);
@@ -129,8 +129,14 @@
 
 /// A contract that is to be kept as a move.
 #[must_use]
-pub fn check(contract: &Contract, record: &Record, sight: &Sight, terms: &Terms, now: Nanos) -> Reckoned {
-    let mut found = Reckoned { revisions: revisions(contract.loads), ..Reckoned::default() };
+pub fn check(
+    contract: &Contract,
+    record: &Record,
+    sight: &Observation,
+    terms: &Terms,
+    now: Nanos,
+) -> Estimate {
+    let mut found = Estimate { revisions: revisions(contract.loads), ..Estimate::default() };
     if record.named(&contract.name).is_some() {
         found.against(Reason::Taken);
     }
@@ -165,7 +171,7 @@
         }
         let load = 1 + (at as u64 * u64::from(contract.loads) / routes.len().max(1) as u64) as u32;
         let (host, path_prefix) = (host.clone(), prefix.clone());
-        found.hauls.push(Haul { host, path_prefix, from: route.shares.clone(), to, load });
+        found.hauls.push(RouteMove { host, path_prefix, from: route.shares.clone(), to, load });
     }
     let used: HashSet<_> = routes.iter().flat_map(|route| &route.shares).map(|(name, _)| name).collect();
     let pairs = contract.services.iter().filter(|(from, _)| used.contains(from));
@@ -184,12 +190,12 @@
 
 /// A move of the record that is to be opened now.
 #[must_use]
-pub fn check_again(of: &Move, sight: &Sight, terms: &Terms, now: Nanos) -> Reckoned {
-    let mut found = Reckoned {
+pub fn check_again(of: &Move, sight: &Observation, terms: &Terms, now: Nanos) -> Estimate {
+    let mut found = Estimate {
         hauls: of.hauls.clone(),
         services: of.services.clone(),
         revisions: revisions(of.loads),
-        ..Reckoned::default()
+        ..Estimate::default()
     };
     let Some(stands) = sight.stands() else {
         found.against(Reason::NoConfig);
@@ -209,7 +215,7 @@
 }
 
 /// The range of revisions has enough above the one that stands.
-pub(crate) fn numbers(found: &mut Reckoned, (first, last): (u64, u64), above: u64) {
+pub(crate) fn numbers(found: &mut Estimate, (first, last): (u64, u64), above: u64) {
     let left = (last + 1).saturating_sub(first.max(above + 1));
     if left < found.revisions {
         found.against(Reason::Numbers { needed: found.revisions, above, first, last });
@@ -227,7 +233,7 @@
 }
 
 /// The routes that are meant: those that are named, then those of the hosts that have a service which is left, each once.
-fn routes<'a>(contract: &Contract, config: &'a Config, found: &mut Reckoned) -> Vec<&'a Route> {
+fn routes<'a>(contract: &Contract, config: &'a Config, found: &mut Estimate) -> Vec<&'a Route> {
     let known: HashMap<_, _> = config.routes.iter().map(|route| (key(route), route)).collect();
     let mut all: Vec<&Route> = Vec::new();
     let mut seen = HashSet::new();
@@ -266,7 +272,14 @@
 }
 
 /// What the targets can bear.
-fn bear(found: &mut Reckoned, bounds: &Bounds, config: &Config, sight: &Sight, terms: &Terms, now: Nanos) {
+fn bear(
+    found: &mut Estimate,
+    bounds: &Bounds,
+    config: &Config,
+    sight: &Observation,
+    terms: &Terms,
+    now: Nanos,
+) {
     let services: HashMap<&str, &Service> = config.services.iter().map(|s| (s.name.as_str(), s)).collect();
     let known: HashMap<_, _> = config.routes.iter().map(|route| (key(route), route)).collect();
     let mut busy: BTreeMap<CompactString, f64> = BTreeMap::new();
@@ -322,10 +335,10 @@
 
 /// Instances that the targets need, and whether the workers have room for those that they have not.
 fn room(
-    found: &mut Reckoned,
+    found: &mut Estimate,
     busy: &BTreeMap<CompactString, f64>,
     services: &HashMap<&str, &Service>,
-    sight: &Sight,
+    sight: &Observation,
     now: Nanos,
 ) {
     let mut workers = sight.room().map(<[u64]>::to_vec);
--- a/migration/src/lib.rs
+++ b/migration/src/lib.rs
@@ -2,11 +2,11 @@
 //! (`docs/design/012-moves.md`). No I/O, no clock, no randomness.
 //!
 //! - [`Contract`], [`Order`]: what operators ask for.
-//! - [`Record`]: all moves as one value in the register; [`Standing`] is one that a majority holds, and all that goes [`Outward`] is made
+//! - [`Record`]: all moves as one value in the register; [`Standing`] is one that a majority holds, and all that goes [`Published`] is made
 //!   from it.
 //! - [`check`](check::check): what would move, against what the target can bear.
 //! - [`shift`]: the configuration of a step, out of the one below it.
-//! - [`Carter`]: the whole of it on one control machine, which carries moves on while it holds the lease.
+//! - [`Migrator`]: the whole of it on one control machine, which carries moves on while it holds the lease.
 
 mod carter;
 pub mod check;
@@ -23,12 +23,12 @@
 #[cfg(test)]
 mod tests;
 
-pub use carter::{Carter, Effect, Input, Terms, Turned};
-pub use check::{Reason, Reckoned};
+pub use carter::{Effect, Input, Migrator, OrderFailure, Terms};
+pub use check::{Estimate, Reason};
 pub use contract::{Bounds, Contract, Order};
-pub use record::{BadRecord, Haul, Move, Put, Record, State, Way};
-pub use sight::{Function, Sight, Stands, Waits};
-pub use standing::{Answer, Kind, Outward, Said, Standing};
+pub use record::{BadRecord, Direction, Move, Put, Record, RouteMove, State};
+pub use sight::{Function, Observation, PendingReason, Stands};
+pub use standing::{Answer, Kind, Published, Said, Standing};
 
 pub use millpost_scheduler::{MS, Nanos};
 
--- a/migration/src/record.rs
+++ b/migration/src/record.rs
@@ -25,7 +25,7 @@
 
 /// A route of a tenant.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Haul {
+pub struct RouteMove {
     /// Its host.
     pub host: CompactString,
     /// What its paths begin with.
@@ -40,7 +40,7 @@
 
 /// The direction of a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// To the target.
     There,
     /// Back to the source.
@@ -71,9 +71,9 @@
     /// Its target is being warmed.
     Opened,
     /// A configuration is to stand.
-    Switching(Way, Put),
+    Switching(Direction, Put),
     /// The last configuration stands, by this revision; all have to act on it, and the side that was left is to end its work.
-    Settling(Way, u64),
+    Settling(Direction, u64),
     /// All of it is on the target.
     Done,
     /// None of it is.
@@ -99,10 +99,10 @@
             State::Planned { started: false } => "planned",
             State::Planned { started: true } => "started",
             State::Opened => "opened",
-            State::Switching(Way::There, _) => "switching",
-            State::Switching(Way::Back, _) => "switching_back",
-            State::Settling(Way::There, _) => "settling",
-            State::Settling(Way::Back, _) => "settling_back",
+            State::Switching(Direction::There, _) => "switching",
+            State::Switching(Direction::Back, _) => "switching_back",
+            State::Settling(Direction::There, _) => "settling",
+            State::Settling(Direction::Back, _) => "settling_back",
             State::Done => "done",
             State::TurnedBack => "turned_back",
             State::Overtaken => "overtaken",
@@ -133,7 +133,7 @@
     /// What tells its contract from others.
     pub mark: u32,
     /// Its routes in the order of their loads; none any more where it has ended.
-    pub hauls: Vec<Haul>,
+    pub hauls: Vec<RouteMove>,
     /// The steps in which they go.
     pub loads: u32,
     /// Which service takes the place of which.
@@ -272,7 +272,7 @@
     at.items()?.map(pair).collect()
 }
 
-impl Haul {
+impl RouteMove {
     fn to_value(&self) -> JsonValue {
         object([
             ("host", string(&self.host)),
@@ -322,10 +322,10 @@
             "planned" => State::Planned { started: false },
             "started" => State::Planned { started: true },
             "opened" => State::Opened,
-            "switching" => State::Switching(Way::There, put()?),
-            "switching_back" => State::Switching(Way::Back, put()?),
-            "settling" => State::Settling(Way::There, revision()?),
-            "settling_back" => State::Settling(Way::Back, revision()?),
+            "switching" => State::Switching(Direction::There, put()?),
+            "switching_back" => State::Switching(Direction::Back, put()?),
+            "settling" => State::Settling(Direction::There, revision()?),
+            "settling_back" => State::Settling(Direction::Back, revision()?),
             "done" => State::Done,
             "turned_back" => State::TurnedBack,
             "overtaken" => State::Overtaken,
@@ -360,7 +360,7 @@
             ("name", string(&self.name)),
             ("epoch", number(self.epoch)),
             ("mark", number(self.mark.into())),
-            ("hauls", list(self.hauls.iter().map(Haul::to_value))),
+            ("hauls", list(self.hauls.iter().map(RouteMove::to_value))),
             ("loads", number(self.loads.into())),
             ("services", list(self.services.iter().map(|(from, to)| list([string(from), string(to)])))),
             ("longest_ms", number(self.longest_ms)),
@@ -391,7 +391,7 @@
             name: at.need("name")?.str()?.into(),
             epoch: at.need("epoch")?.whole()?,
             mark: at.need("mark")?.count()?,
-            hauls: hauls.items()?.map(|at| Haul::read(&at)).collect::<Result<_, _>>()?,
+            hauls: hauls.items()?.map(|at| RouteMove::read(&at)).collect::<Result<_, _>>()?,
             loads: loads.count()?,
             services: at.need("services")?.items()?.map(pair).collect::<Result<_, _>>()?,
             longest_ms: at.need("longest_ms")?.whole()?,
--- a/migration/src/shift.rs
+++ b/migration/src/shift.rs
@@ -7,7 +7,7 @@
 use millpost_config::{Config, Fault, redirect, values};
 use tinyjson::JsonValue;
 
-use crate::record::{Haul, Share};
+use crate::record::{RouteMove, Share};
 
 /// Where a configuration has a route of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,9 +32,9 @@
 
 /// Where each route is.
 #[must_use]
-pub fn places(config: &Config, hauls: &[Haul]) -> Vec<Place> {
+pub fn places(config: &Config, hauls: &[RouteMove]) -> Vec<Place> {
     // Tenants are small beside configurations, which this is asked of again and again.
-    let of = |(at, haul): (usize, &Haul)| (key(&haul.host, &haul.path_prefix), at);
+    let of = |(at, haul): (usize, &RouteMove)| (key(&haul.host, &haul.path_prefix), at);
     let wanted: HashMap<_, _> = hauls.iter().enumerate().map(of).collect();
     let hosts: HashSet<_> = hauls.iter().map(|haul| host_key(&haul.host)).collect();
     let mut found = vec![Place::Gone; hauls.len()];
@@ -53,14 +53,14 @@
 
 /// Whether a configuration has the first loads on the target and the others on the source; a route that is gone is where it should be.
 #[must_use]
-pub fn fits(config: &Config, hauls: &[Haul], loads: u32) -> bool {
-    let meant = |haul: &Haul| if haul.load <= loads { Place::There } else { Place::Here };
+pub fn fits(config: &Config, hauls: &[RouteMove], loads: u32) -> bool {
+    let meant = |haul: &RouteMove| if haul.load <= loads { Place::There } else { Place::Here };
     let places = places(config, hauls);
     hauls.iter().zip(places).all(|(haul, place)| place == Place::Gone || place == meant(haul))
 }
 
 /// The configuration that has the first loads on the target, out of the text of another.
-pub fn shifted(base: &str, hauls: &[Haul], loads: u32, number: u64) -> Result<String, Fault> {
+pub fn shifted(base: &str, hauls: &[RouteMove], loads: u32, number: u64) -> Result<String, Fault> {
     let mut value = values::parse(base)?;
     let meant: HashMap<_, _> = hauls
         .iter()
--- a/migration/src/sight.rs
+++ b/migration/src/sight.rs
@@ -49,7 +49,7 @@
 
 /// Why it can't be said yet that all act on a revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Waits {
+pub enum PendingReason {
     /// This holder is new, and may not have heard of all.
     New,
     /// No proxy is in touch.
@@ -58,12 +58,12 @@
     Behind(Vec<CompactString>, usize),
 }
 
-impl std::fmt::Display for Waits {
+impl std::fmt::Display for PendingReason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Waits::New => f.write_str("a new holder has not heard of all proxies yet"),
-            Waits::Nobody => f.write_str("no proxy is in touch"),
-            Waits::Behind(names, all) => {
+            PendingReason::New => f.write_str("a new holder has not heard of all proxies yet"),
+            PendingReason::Nobody => f.write_str("no proxy is in touch"),
+            PendingReason::Behind(names, all) => {
                 let more = if *all > names.len() { " and others" } else { "" };
                 write!(f, "{all} of the proxies act on an older configuration: {}{more}", names.join(" "))
             }
@@ -77,7 +77,7 @@
 }
 
 /// What is seen.
-pub struct Sight {
+pub struct Observation {
     /// When the lease was gained.
     began: Nanos,
     contact: Nanos,
@@ -90,7 +90,7 @@
     room: Option<Vec<u64>>,
 }
 
-impl Sight {
+impl Observation {
     pub(crate) fn new(now: Nanos, terms: &Terms) -> Self {
         Self {
             began: now,
@@ -168,13 +168,13 @@
     }
 
     /// Whether all proxies in touch act on this revision, or a higher one.
-    pub fn all_act(&self, now: Nanos, revision: u64) -> Result<(), Waits> {
+    pub fn all_act(&self, now: Nanos, revision: u64) -> Result<(), PendingReason> {
         if !self.heard_all(now) {
-            return Err(Waits::New);
+            return Err(PendingReason::New);
         }
         let in_touch = || self.proxies.iter().filter(|(_, proxy)| now < proxy.heard + self.contact);
         if in_touch().next().is_none() {
-            return Err(Waits::Nobody);
+            return Err(PendingReason::Nobody);
         }
         let behind = in_touch().filter(|(_, proxy)| proxy.acts < revision);
         let behind: Vec<_> = behind.map(|(name, _)| name.clone()).collect();
@@ -182,6 +182,6 @@
             return Ok(());
         }
         let all = behind.len();
-        Err(Waits::Behind(behind.into_iter().take(5).collect(), all))
+        Err(PendingReason::Behind(behind.into_iter().take(5).collect(), all))
     }
 }
--- a/migration/src/standing.rs
+++ b/migration/src/standing.rs
@@ -1,4 +1,4 @@
-//! A record that a majority holds, and what goes outward. Invariant, in the types: an [`Outward`] is made from a [`Standing`] alone, and a
+//! A record that a majority holds, and what goes outward. Invariant, in the types: an [`Published`] is made from a [`Standing`] alone, and a
 //! [`Standing`] only of what the register was read to hold or has just written. So each step is durable before anybody hears of it.
 
 use compact_str::CompactString;
@@ -28,9 +28,9 @@
     pub said: Said,
 }
 
-/// What goes outward; see [`Outward::is`].
+/// What goes outward; see [`Published::is`].
 #[derive(Clone, Debug, PartialEq)]
-pub struct Outward(Kind);
+pub struct Published(Kind);
 
 /// The kinds of it.
 #[derive(Clone, Debug, PartialEq)]
@@ -57,7 +57,7 @@
     Answer(Answer),
 }
 
-impl Outward {
+impl Published {
     /// What it is.
     pub fn is(&self) -> &Kind {
         &self.0
@@ -95,7 +95,7 @@
     }
 
     /// The configuration that is to be put for a move, where its base stands.
-    pub(crate) fn put(&self, of: &Move, stands: &Stands) -> Option<Outward> {
+    pub(crate) fn put(&self, of: &Move, stands: &Stands) -> Option<Published> {
         let State::Switching(_, put) = of.state else { return None };
         if stands.config.revision != put.over && !is_out(Guard::Base) || stands.config.revision >= put.number
         {
@@ -104,22 +104,23 @@
         // One that can't be made can't have been made by who wrote the put either: the base says otherwise than it did.
         let text = shifted(&stands.text, &of.hauls, put.load, put.number).ok()?;
         let over = if is_out(Guard::Base) { None } else { Some(put.over) };
-        Some(Outward(Kind::Put { name: of.name.clone(), number: put.number, over, text }))
+        Some(Published(Kind::Put { name: of.name.clone(), number: put.number, over, text }))
     }
 
     /// What is to be warm: the targets, and the sources for the way back, but for moves that rest.
-    pub(crate) fn warm(&self, rests: impl Fn(&Move) -> bool) -> Vec<Outward> {
+    pub(crate) fn warm(&self, rests: impl Fn(&Move) -> bool) -> Vec<Published> {
         let out = self.record.moves.iter().filter(|of| of.state.out() && !rests(of));
         let all = out.flat_map(|of| of.needs.iter().chain(&of.keeps));
-        all.map(|(service, count)| Outward(Kind::Warm { service: service.clone(), count: *count })).collect()
+        all.map(|(service, count)| Published(Kind::Warm { service: service.clone(), count: *count }))
+            .collect()
     }
 
     /// The answer to an order that this record has, or that it can't have.
-    pub(crate) fn answer(&self, order: u64, name: &str, refused: Option<Vec<Reason>>) -> Outward {
+    pub(crate) fn answer(&self, order: u64, name: &str, refused: Option<Vec<Reason>>) -> Published {
         let said = match refused {
             Some(reasons) => Said::Refused(reasons),
             None => Said::Stands(self.record.named(name).map_or("unknown", |of| of.state.word())),
         };
-        Outward(Kind::Answer(Answer { order, said }))
+        Published(Kind::Answer(Answer { order, said }))
     }
 }
--- a/migration/src/steps.rs
+++ b/migration/src/steps.rs
@@ -7,12 +7,12 @@
 use compact_str::CompactString;
 
 use crate::carter::Terms;
-use crate::check::{Reason, Reckoned, check, check_again, numbers};
+use crate::check::{Estimate, Reason, check, check_again, numbers};
 use crate::contract::Order;
 use crate::plant::{Guard, is_out};
-use crate::record::{Move, Put, Record, State, Way};
+use crate::record::{Direction, Move, Put, Record, State};
 use crate::shift::fits;
-use crate::sight::Sight;
+use crate::sight::Observation;
 use crate::watch::Watch;
 use crate::{MS, Moment, Nanos};
 
@@ -24,7 +24,7 @@
     pub at: Moment,
     pub fence: u64,
     pub terms: &'a Terms,
-    pub sight: &'a Sight,
+    pub sight: &'a Observation,
     pub watches: &'a BTreeMap<CompactString, Watch>,
     /// When the order came that is judged: what was seen before may not have been looked at for it.
     pub since: Nanos,
@@ -77,8 +77,8 @@
     }
 
     /// So many loads are to be on the target next; `of`: so many may be there now.
-    fn put(&self, way: Way, load: u32, of: u32, over: u64, why: impl Into<String>) -> Option<Step> {
-        let number = self.number(over, u64::from(way == Way::There))?;
+    fn put(&self, way: Direction, load: u32, of: u32, over: u64, why: impl Into<String>) -> Option<Step> {
+        let number = self.number(over, u64::from(way == Direction::There))?;
         let state = State::Switching(way, Put { number, over, load, of });
         Some(Step { state, why: why.into(), number: Some(number) })
     }
@@ -112,7 +112,7 @@
         return None;
     }
     let found = check_again(next, ground.sight, ground.terms, ground.at.now);
-    let Reckoned { needs, keeps, longest_ms, reasons, .. } = found;
+    let Estimate { needs, keeps, longest_ms, reasons, .. } = found;
     if !reasons.is_empty() {
         return Some(taken(
             record,
@@ -155,14 +155,14 @@
             }
             let warm = !ground.terms.warms || of.needs.iter().all(ready);
             let why = if ground.terms.warms { "the target is warm" } else { "nobody warms the target here" };
-            let first = of.put(Way::There, 1, 0, config.revision, why).filter(|_| warm);
+            let first = of.put(Direction::There, 1, 0, config.revision, why).filter(|_| warm);
             if first.is_some() || now < watch.going + of.bounds.warm_ms * MS || is_out(Guard::Bounds) {
                 return first;
             }
             let what = if warm { "there was no revision for it" } else { "the target was not warm" };
             step(State::TurnedBack, format!("{what} in {} ms", of.bounds.warm_ms))
         }
-        State::Switching(Way::There, put) => {
+        State::Switching(Direction::There, put) => {
             let decided = config.revision > put.over;
             if config.revision < put.over {
                 return None;
@@ -177,9 +177,13 @@
                 None
             } else if !has(put.load) {
                 let why = format!("{} can't be written any more: {} stands", put.number, config.revision);
-                if of.paused { None } else { of.put(Way::There, put.load, put.of, config.revision, why) }
+                if of.paused {
+                    None
+                } else {
+                    of.put(Direction::There, put.load, put.of, config.revision, why)
+                }
             } else if put.load == of.loads {
-                step(State::Settling(Way::There, config.revision), "all of it stands")
+                step(State::Settling(Direction::There, config.revision), "all of it stands")
             } else if of.paused
                 || ground.sight.all_act(now, config.revision).is_err()
                 || !watch.earned() && !is_out(Guard::Pace)
@@ -187,34 +191,34 @@
                 None
             } else {
                 let why = format!("all act on load {}, and the target has room", put.load);
-                of.put(Way::There, put.load + 1, put.load, config.revision, why)
+                of.put(Direction::There, put.load + 1, put.load, config.revision, why)
             }
         }
-        State::Settling(Way::There, _) if !has(of.loads) => overtaken(),
-        State::Settling(Way::There, _) => match trouble(of, watch, ground) {
+        State::Settling(Direction::There, _) if !has(of.loads) => overtaken(),
+        State::Settling(Direction::There, _) => match trouble(of, watch, ground) {
             Some(why) => turn_back(of, of.loads, ground, why),
             None if watch.all.is_some_and(quiet) => {
                 step(State::Done, "all act on it, and what was left has had its time")
             }
             None => None,
         },
-        State::Switching(Way::Back, put) => {
+        State::Switching(Direction::Back, put) => {
             if config.revision <= put.over {
                 None
             } else if has(0) {
-                step(State::Settling(Way::Back, config.revision), "all of it is back")
+                step(State::Settling(Direction::Back, config.revision), "all of it is back")
             } else if has(put.of) || put.of > 0 && has(put.of - 1) {
                 let why = format!("{} can't be written any more: {} stands", put.number, config.revision);
-                of.put(Way::Back, 0, put.of, config.revision, why)
+                of.put(Direction::Back, 0, put.of, config.revision, why)
             } else {
                 overtaken()
             }
         }
-        State::Settling(Way::Back, _) if !has(0) => overtaken(),
-        State::Settling(Way::Back, _) if watch.all.is_some_and(quiet) => {
+        State::Settling(Direction::Back, _) if !has(0) => overtaken(),
+        State::Settling(Direction::Back, _) if watch.all.is_some_and(quiet) => {
             step(State::TurnedBack, "all act on it, and what was left has had its time")
         }
-        State::Settling(Way::Back, _) | State::Planned { .. } => None,
+        State::Settling(Direction::Back, _) | State::Planned { .. } => None,
         State::Done | State::TurnedBack | State::Overtaken => None,
     }
 }
@@ -229,7 +233,7 @@
     {
         return step(State::TurnedBack, why);
     }
-    of.put(Way::Back, 0, loads, revision, why)
+    of.put(Direction::Back, 0, loads, revision, why)
 }
 
 fn too_old(of: &Move, ground: &Ground<'_>) -> Option<String> {
@@ -326,7 +330,7 @@
     };
     let short = |with: &Move, needed| {
         let above = ground.sight.revision();
-        let mut found = Reckoned { revisions: needed, ..Reckoned::default() };
+        let mut found = Estimate { revisions: needed, ..Estimate::default() };
         numbers(&mut found, with.numbers, above);
         (!found.reasons.is_empty()).then_some(found.reasons)
     };
@@ -344,7 +348,7 @@
             let step = if *started { None } else { order_of(State::Planned { started: true }) };
             change(with, step)
         }
-        (Order::Start(..), State::Switching(Way::Back, _) | State::Settling(Way::Back, _))
+        (Order::Start(..), State::Switching(Direction::Back, _) | State::Settling(Direction::Back, _))
             if given.is_none() =>
         {
             refused(Reason::TurnsBack)
@@ -361,13 +365,13 @@
             change(with, order_of(State::Planned { started: false }))
         }
         (Order::Pause(_), State::Planned { .. }) => Obeyed::Already,
-        (Order::Pause(_), State::Opened | State::Switching(Way::There, _)) => {
+        (Order::Pause(_), State::Opened | State::Switching(Direction::There, _)) => {
             with.paused = true;
             change(with, None)
         }
         (Order::Pause(_), _) => refused(Reason::NothingToPause),
         (Order::Back(..), State::Planned { .. } | State::Opened) => change(with, order_of(State::TurnedBack)),
-        (Order::Back(..), State::Switching(Way::There, _) | State::Settling(Way::There, _)) => {
+        (Order::Back(..), State::Switching(Direction::There, _) | State::Settling(Direction::There, _)) => {
             let (over, loads) = match of.state {
                 State::Switching(_, put) => (put.over, put.load),
                 _ => (0, of.loads),
--- a/migration/src/tell.rs
+++ b/migration/src/tell.rs
@@ -4,15 +4,15 @@
 use millpost_config::values::{list, number, object, string};
 use tinyjson::JsonValue;
 
-use crate::carter::Carter;
+use crate::carter::Migrator;
 use crate::check::revisions;
-use crate::record::{Move, Stamp, State, Way};
+use crate::record::{Direction, Move, Stamp, State};
 use crate::shift::fits;
-use crate::sight::Sight;
+use crate::sight::Observation;
 use crate::watch::{Watch, target};
 use crate::{MS, Moment, Nanos};
 
-impl Carter {
+impl Migrator {
     /// All moves, or the one of this name with its routes and steps; none where this machine does not hold the lease or knows nothing yet.
     #[must_use]
     pub fn tell(&self, at: Moment, name: Option<&str>) -> Option<JsonValue> {
@@ -26,10 +26,10 @@
     }
 }
 
-fn one(of: &Move, waits: Option<Waits>, at: Moment, whole: bool) -> JsonValue {
+fn one(of: &Move, waits: Option<PendingReason>, at: Moment, whole: bool) -> JsonValue {
     let on_target = match of.state {
         State::Switching(_, put) => Some((put.load.min(put.of), put.load.max(put.of))),
-        State::Settling(Way::There, _) | State::Done => Some((of.loads, of.loads)),
+        State::Settling(Direction::There, _) | State::Done => Some((of.loads, of.loads)),
         State::Overtaken => None,
         _ => Some((0, 0)),
     };
@@ -44,7 +44,7 @@
             ("why", string(&stamp.why)),
         ])
     };
-    let haul = |haul: &crate::Haul| {
+    let haul = |haul: &crate::RouteMove| {
         object([
             ("host", string(&haul.host)),
             ("path_prefix", string(&haul.path_prefix)),
@@ -77,18 +77,24 @@
 }
 
 /// What a move waits for.
-struct Waits {
+struct PendingReason {
     text: String,
     /// It goes on once an operator does something.
     for_operator: bool,
 }
 
-fn by_itself(text: impl ToString) -> Option<Waits> {
-    Some(Waits { text: text.to_string(), for_operator: false })
+fn by_itself(text: impl ToString) -> Option<PendingReason> {
+    Some(PendingReason { text: text.to_string(), for_operator: false })
 }
 
 /// None where it has ended or was not started.
-fn waits(of: &Move, watch: Option<&Watch>, sight: &Sight, warms: bool, now: Nanos) -> Option<Waits> {
+fn waits(
+    of: &Move,
+    watch: Option<&Watch>,
+    sight: &Observation,
+    warms: bool,
+    now: Nanos,
+) -> Option<PendingReason> {
     match of.state {
         State::Planned { started: false } | State::Done | State::TurnedBack | State::Overtaken => {
             return None;
@@ -101,15 +107,15 @@
     let has_number = |spare| of.numbers.0.max(revision + 1) + spare <= of.numbers.1;
     let numbers = || {
         let text = format!("revisions above {revision}; start it again with more");
-        Some(Waits { text, for_operator: true })
+        Some(PendingReason { text, for_operator: true })
     };
     if let State::Switching(way, put) = of.state {
         if revision <= put.over {
             return by_itself(format!("revision {} to stand over {}", put.number, put.over));
         }
         let stands = fits(&stands.config, &of.hauls, put.load);
-        let more = !stands || way == Way::There && put.load < of.loads;
-        if more && !has_number(u64::from(way == Way::There)) {
+        let more = !stands || way == Direction::There && put.load < of.loads;
+        if more && !has_number(u64::from(way == Direction::There)) {
             return numbers();
         }
     }
@@ -124,7 +130,7 @@
         };
     }
     if of.paused {
-        return Some(Waits { text: "an operator, who has paused it".to_owned(), for_operator: true });
+        return Some(PendingReason { text: "an operator, who has paused it".to_owned(), for_operator: true });
     }
     if of.state == State::Opened {
         let ready = |name| sight.function(now, name).map_or(0, |function| function.ready);
--- a/migration/src/tests/oracle.rs
+++ b/migration/src/tests/oracle.rs
@@ -5,7 +5,7 @@
 use compact_str::CompactString;
 use millpost_config::Config;
 
-use crate::record::{Haul, Record, State, Way};
+use crate::record::{Direction, Record, RouteMove, State};
 use crate::shift::{Place, fits, places};
 use crate::{MS, Nanos};
 
@@ -25,7 +25,7 @@
     /// Puts that stood in a record: number, base, move, loads.
     recorded: BTreeSet<(u64, u64)>,
     /// The routes of each move, which its record forgets at its end.
-    pub hauls: BTreeMap<CompactString, (Vec<Haul>, u32, u64)>,
+    pub hauls: BTreeMap<CompactString, (Vec<RouteMove>, u32, u64)>,
     /// The highest revision that an operator put.
     by_operator: BTreeSet<u64>,
     /// Orders that were answered well: planned, to turn back, paused.
@@ -134,7 +134,7 @@
             }
             if let State::Switching(way, put) = of.state {
                 self.recorded.insert((put.number, put.over));
-                if way == Way::There && self.paused.get(&of.name).is_some_and(|load| put.load > *load) {
+                if way == Direction::There && self.paused.get(&of.name).is_some_and(|load| put.load > *load) {
                     self.fail(now, "forgotten", format!("the pause of {}", of.name));
                 }
             }
@@ -148,7 +148,7 @@
     pub fn offered_record(&mut self, now: Nanos, stands: &Record, next: &Record, bad: bool) {
         for of in &next.moves {
             let load = |of: &crate::Move| match of.state {
-                State::Switching(Way::There, put) => put.load,
+                State::Switching(Direction::There, put) => put.load,
                 _ => 0,
             };
             let was = stands.named(&of.name).map_or(0, load);
--- a/migration/src/tests/small.rs
+++ b/migration/src/tests/small.rs
@@ -4,9 +4,9 @@
 use millpost_config::{At, values};
 
 use crate::check::check;
-use crate::record::{Haul, Move, Put, Record, State, Way};
+use crate::record::{Direction, Move, Put, Record, RouteMove, State};
 use crate::shift::{fits, shifted};
-use crate::sight::{Function, Sight, Stands};
+use crate::sight::{Function, Observation, Stands};
 use crate::{Contract, MS, Order, Reason, Terms};
 
 const BASE: &str = r#"{"revision":7,"odd":{"a":[1]},"routes":[
@@ -22,9 +22,9 @@
     Contract::read(&At::root(&value)).expect("a contract")
 }
 
-fn sight(room: Option<Vec<u64>>) -> (Sight, Terms) {
+fn sight(room: Option<Vec<u64>>) -> (Observation, Terms) {
     let terms = Terms { contact: 4_000 * MS, duty_per_s: 10.0, warms: true };
-    let mut sight = Sight::new(0, &terms);
+    let mut sight = Observation::new(0, &terms);
     sight.stand(Stands::read(BASE).expect("valid"));
     let of = |live, busy| Function { ready: live, live, busy, delay: 0.0, refused: 0.0 };
     sight.does(0, "s".into(), of(5, 18.0));
@@ -83,8 +83,8 @@
     assert_eq!(check(&plan, &Record::default(), &sight, &terms, now).reasons, reasons);
 }
 
-fn hauls() -> Vec<Haul> {
-    let haul = |prefix: &str, from: &[(&str, u32)], to: &[(&str, u32)], load| Haul {
+fn hauls() -> Vec<RouteMove> {
+    let haul = |prefix: &str, from: &[(&str, u32)], to: &[(&str, u32)], load| RouteMove {
         host: "l.example".into(),
         path_prefix: prefix.into(),
         from: from.iter().map(|(name, weight)| ((*name).into(), *weight)).collect(),
@@ -137,10 +137,10 @@
         State::Planned { started: false },
         State::Planned { started: true },
         State::Opened,
-        State::Switching(Way::There, put),
-        State::Switching(Way::Back, put),
-        State::Settling(Way::There, 9),
-        State::Settling(Way::Back, 9),
+        State::Switching(Direction::There, put),
+        State::Switching(Direction::Back, put),
+        State::Settling(Direction::There, 9),
+        State::Settling(Direction::Back, 9),
         State::Overtaken,
         State::TurnedBack,
         State::Done,
@@ -182,7 +182,7 @@
 /// What a machine asks of the register within a while of taking office, where no move ever was.
 #[test]
 fn without_moves_a_holder_reads_the_record_twice_and_writes_nothing() {
-    let mut carter = crate::Carter::new(Terms { contact: 4_000 * MS, duty_per_s: 1.0, warms: false });
+    let mut carter = crate::Migrator::new(Terms { contact: 4_000 * MS, duty_per_s: 1.0, warms: false });
     let (mut reads, mut others) = (0, 0);
     for ms in 0..60_000 {
         let at = crate::Moment { now: ms * MS, day: ms };
--- a/migration/src/tests/town.rs
+++ b/migration/src/tests/town.rs
@@ -13,8 +13,8 @@
 use crate::record::Record;
 use crate::standing::Kind;
 use crate::{
-    Bounds, Carter, Contract, Effect, Function, Input, MS, Moment, Nanos, Order, Said, Stands, State, Terms,
-    Way,
+    Bounds, Contract, Direction, Effect, Function, Input, MS, Migrator, Moment, Nanos, Order, Said, Stands,
+    State, Terms,
 };
 
 const CONTACT: Nanos = 4_000 * MS;
@@ -147,7 +147,7 @@
 }
 
 struct Machine {
-    carter: Option<Carter>,
+    carter: Option<Migrator>,
     life: u64,
     steady: Nanos,
     day: u64,
@@ -363,7 +363,7 @@
             Event::Apply(m, life, op, answered) => self.apply(m, life, op, answered),
             Event::Start(m) => {
                 let terms = Terms { contact: CONTACT, duty_per_s: 78.0, warms: true };
-                self.machines[m].carter = Some(Carter::new(terms));
+                self.machines[m].carter = Some(Migrator::new(terms));
                 self.machines[m].steady = self.rng.below(1 << 40);
             }
             Event::Grant => {
@@ -495,8 +495,10 @@
                 .all(|(m, a, b)| *m != holder || *b < from || *a > to)
         {
             for of in self.kept.moves.clone() {
-                let there =
-                    matches!(of.state, State::Switching(Way::There, _) | State::Settling(Way::There, _));
+                let there = matches!(
+                    of.state,
+                    State::Switching(Direction::There, _) | State::Settling(Direction::There, _)
+                );
                 let number = of.numbers.0.max(self.config.0 + 1) <= of.numbers.1;
                 if there && number && of.name == "one" && !of.paused {
                     self.oracle.fail(self.now, "past its bounds", of.state.word());
@@ -543,7 +545,7 @@
 
     fn carry_out(&mut self, m: usize, life: u64, effect: Effect) {
         let holds = self.lease.is_some_and(|(h, l, _, until)| (h, l) == (m, life) && self.now < until);
-        if !holds && !matches!(effect, Effect::Turned(..)) {
+        if !holds && !matches!(effect, Effect::OrderFailure(..)) {
             self.oracle.fail(self.now, "without the lease", format!("{effect:?}"));
         }
         let op = match effect {
@@ -554,7 +556,7 @@
                 self.writes(&value);
                 Op::Write(ask, value, over)
             }
-            Effect::Turned(id, why) => {
+            Effect::OrderFailure(id, why) => {
                 self.say(|| format!("order {id} turned down by {m}: {why:?}"));
                 return;
             }
--- a/migration/src/watch.rs
+++ b/migration/src/watch.rs
@@ -4,9 +4,9 @@
 use millpost::retry_probability;
 use millpost_scheduler::first_gap;
 
-use crate::record::{Move, State, Way};
+use crate::record::{Direction, Move, State};
 use crate::shift::fits;
-use crate::sight::Sight;
+use crate::sight::Observation;
 use crate::{MS, Nanos};
 
 /// How often a move earns its target's probability; at 1 its next load goes.
@@ -61,7 +61,7 @@
     }
 
     /// Looks at the move as it is in the record now.
-    pub fn look(&mut self, now: Nanos, of: &Move, sight: &Sight) {
+    pub fn look(&mut self, now: Nanos, of: &Move, sight: &Observation) {
         if self.state != of.state {
             *self = Watch { beyond: self.beyond, refusing: self.refusing, ..Watch::new(now, of) };
         }
@@ -78,8 +78,8 @@
         let Some(config) = sight.stands().map(|stands| &stands.config) else { return };
         let stands = match of.state {
             State::Switching(_, put) => config.revision > put.over && fits(config, &of.hauls, put.load),
-            State::Settling(Way::There, _) => fits(config, &of.hauls, of.loads),
-            State::Settling(Way::Back, _) => fits(config, &of.hauls, 0),
+            State::Settling(Direction::There, _) => fits(config, &of.hauls, of.loads),
+            State::Settling(Direction::Back, _) => fits(config, &of.hauls, 0),
             _ => false,
         };
         keep(&mut self.stood, stands);
@@ -105,9 +105,9 @@
 }
 
 /// None where nothing was heard of one of them lately.
-pub(crate) fn target(now: Nanos, of: &Move, sight: &Sight) -> Option<Does> {
+pub(crate) fn target(now: Nanos, of: &Move, sight: &Observation) -> Option<Does> {
     let config = &sight.stands()?.config;
-    let aim = |haul: &crate::Haul| {
+    let aim = |haul: &crate::RouteMove| {
         let route = config.routes.iter().find(|r| r.host == haul.host && r.path_prefix == haul.path_prefix);
         route.map(|route| route.target_latency_ms)
     };
--- a/net/src/figures.rs
+++ b/net/src/figures.rs
@@ -19,9 +19,9 @@
 
 /// The figures of one moment.
 #[derive(Debug, Default)]
-pub struct Figures(String);
+pub struct Metrics(String);
 
-impl Figures {
+impl Metrics {
     /// One figure.
     pub fn put(&mut self, name: &str, value: impl Display) {
         if self.0.len() < LONGEST {
@@ -73,7 +73,7 @@
 
     #[test]
     fn a_label_ends_no_line_and_the_text_is_bounded() {
-        let mut figures = Figures::default();
+        let mut figures = Metrics::default();
         figures.put("a", 1);
         figures.put_of("b", "of", "x\"}\n1 \\y", 2.5);
         assert_eq!(figures.0, "a 1\nb{of=\"x}1 y\"} 2.5\n");
--- a/net/src/mail.rs
+++ b/net/src/mail.rs
@@ -1,6 +1,6 @@
 //! Messages between our own processes: JSON over HTTP/1.1, with no header that nobody reads.
 //!
-//! Three ways: a [`Post`] sends notes that need no answer, many in one request; a [`Client`] or
+//! Three ways: a [`Outbox`] sends notes that need no answer, many in one request; a [`Client`] or
 //! [`call`] asks and gets an answer; a [`Held`] stream yields lines for as long as both sides live. [`serve`] is the
 //! other side of all three.
 
@@ -22,7 +22,7 @@
 
 pub use held::{Ended, Error as HeldError, Held, Terms};
 pub use incarnation::Incarnation;
-pub use post::{Bounds, Event, Post, Refused, To};
+pub use post::{Bounds, Event, Outbox, Refused, To};
 pub use serve::{Call, Content, Limits, Reply, serve};
 
 /// What connections between our processes are like.
--- a/net/src/mail/post.rs
+++ b/net/src/mail/post.rs
@@ -112,17 +112,17 @@
 }
 
 /// Sends notes to one peer until it is dropped; what waits then is not sent.
-pub struct Post {
+pub struct Outbox {
     shared: Arc<Shared>,
     task: JoinHandle<()>,
 }
 
-impl Post {
+impl Outbox {
     /// Connects once there is a note. Must be called within a runtime.
     pub fn new<I: From<Event> + Send + 'static>(to: To, bounds: Bounds, told: mpsc::Sender<I>) -> Self {
         let shared = Arc::new(Shared { waiting: Mutex::default(), due: Notify::new(), bounds });
         let task = tokio::spawn(run(Carrier::new(to, bounds.within), shared.clone(), told));
-        Post { shared, task }
+        Outbox { shared, task }
     }
 
     /// Has the note sent with the next request.
@@ -152,7 +152,7 @@
     }
 }
 
-impl Drop for Post {
+impl Drop for Outbox {
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/net/src/mail/tests.rs
+++ b/net/src/mail/tests.rs
@@ -42,7 +42,7 @@
     Served { address, calls, close, task }
 }
 
-fn post(address: SocketAddr) -> (Post, mpsc::Receiver<Event>) {
+fn post(address: SocketAddr) -> (Outbox, mpsc::Receiver<Event>) {
     let (told, events) = mpsc::channel(8);
     let (from, incarnation) = (JsonValue::from("edge".to_owned()), Incarnation::new(7));
     let to = To {
@@ -53,7 +53,7 @@
         from,
         incarnation,
     };
-    (Post::new(to, Bounds { notes: 3, bytes: 1_000, at_once: 2, within: LONG }, told), events)
+    (Outbox::new(to, Bounds { notes: 3, bytes: 1_000, at_once: 2, within: LONG }, told), events)
 }
 
 fn number(n: u8) -> JsonValue {
--- a/net/src/room.rs
+++ b/net/src/room.rs
@@ -45,22 +45,26 @@
 }
 
 /// The room for clients' connections.
-pub struct Room {
+pub struct ConnectionLimiter {
     most: AtomicUsize,
     places: Mutex<Places>,
     freed: Notify,
 }
 
 /// The place of one connection, which it holds until this is dropped.
-pub struct Seat {
+pub struct ConnectionSlot {
     number: u64,
-    room: Arc<Room>,
+    room: Arc<ConnectionLimiter>,
 }
 
-impl Room {
+impl ConnectionLimiter {
     /// Room for so many.
     pub fn new(most: usize) -> Arc<Self> {
-        Arc::new(Room { most: AtomicUsize::new(most), places: Mutex::default(), freed: Notify::new() })
+        Arc::new(ConnectionLimiter {
+            most: AtomicUsize::new(most),
+            places: Mutex::default(),
+            freed: Notify::new(),
+        })
     }
 
     /// There is room for so many from now on.
@@ -80,7 +84,7 @@
 
     /// A place for a new connection, and the word that it must leave. With no room, one that is of least use
     /// leaves; it waits only while all are owed an answer.
-    pub async fn enter(self: &Arc<Self>) -> (Seat, oneshot::Receiver<()>) {
+    pub async fn enter(self: &Arc<Self>) -> (ConnectionSlot, oneshot::Receiver<()>) {
         loop {
             let freed = self.freed.notified();
             {
@@ -91,7 +95,7 @@
                     places.next += 1;
                     let place = Place { state: State::Silent, since: Instant::now(), leave: Some(leave) };
                     places.taken.insert(number, place);
-                    return (Seat { number, room: self.clone() }, leaves);
+                    return (ConnectionSlot { number, room: self.clone() }, leaves);
                 }
                 // One at a time: its place is free once its descriptor is.
                 let leaving = places.taken.values().any(|place| place.leave.is_none());
@@ -133,7 +137,7 @@
     ranked.min().map(|(_, _, number)| number)
 }
 
-impl Seat {
+impl ConnectionSlot {
     fn now(&self, state: State) {
         if let Some(place) = self.room.places().taken.get_mut(&self.number) {
             (place.state, place.since) = (state, Instant::now());
@@ -155,7 +159,7 @@
     }
 }
 
-impl Drop for Seat {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.room.places().taken.remove(&self.number);
         self.room.freed.notify_waiters();
--- a/protocol/src/does.rs
+++ b/protocol/src/does.rs
@@ -8,7 +8,7 @@
 
 /// How a function does, as one owner sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Does {
+pub struct FunctionStatus {
     /// The averaged delay of its instances, their mean, in milliseconds; 0 where nothing was served yet.
     pub delay: f64,
     /// The lowest that was since this is asked for.
@@ -19,7 +19,7 @@
     pub refused: u32,
 }
 
-impl Does {
+impl FunctionStatus {
     pub(crate) fn to_json(self) -> JsonValue {
         let ms = |time: f64| (time * 100.0).round() / 100.0;
         let all = [ms(self.delay), ms(self.lowest), self.asked.into(), self.refused.into()];
@@ -35,7 +35,12 @@
                 JsonValue::Number(asked),
                 JsonValue::Number(refused),
             ] if [delay, lowest, asked, refused].iter().all(|n| **n >= 0.0 && n.is_finite()) => {
-                Ok(Does { delay: *delay, lowest: *lowest, asked: count(*asked), refused: count(*refused) })
+                Ok(FunctionStatus {
+                    delay: *delay,
+                    lowest: *lowest,
+                    asked: count(*asked),
+                    refused: count(*refused),
+                })
             }
             _ => Err(Fault { key: key.to_owned(), reason: "no four numbers" }),
         }
--- a/protocol/src/fold.rs
+++ b/protocol/src/fold.rs
@@ -2,13 +2,13 @@
 
 use crate::frame::Fold;
 use crate::line::Line;
-use crate::note::Note;
+use crate::note::PeerMessage;
 
-impl Note {
+impl PeerMessage {
     /// Puts it in, whole.
     pub fn fold(&self, into: &mut Fold<'_>) {
         match self {
-            Note::Ask { id, service, left, aim, target, sent, first, returned, avoid, zone } => {
+            PeerMessage::Ask { id, service, left, aim, target, sent, first, returned, avoid, zone } => {
                 into.text("ask").whole(*id).text(service).number(*left).number(*aim).number(*target);
                 into.whole((*sent).into()).whole((*first).into()).whole((*returned).into());
                 into.whole(avoid.len() as u64);
@@ -17,29 +17,29 @@
                 });
                 into.text(zone);
             }
-            Note::Drop { id } => {
+            PeerMessage::Drop { id } => {
                 into.text("drop").whole(*id);
             }
-            Note::Waits { id } => {
+            PeerMessage::Waits { id } => {
                 into.text("waits").whole(*id);
             }
-            Note::Grant { id, instance, address, zone } => {
+            PeerMessage::Grant { id, instance, address, zone } => {
                 into.text("grant").whole(*id).text(instance).text(address);
                 into.text(zone.as_deref().unwrap_or_default());
             }
-            Note::No { id, why, wait } => {
+            PeerMessage::No { id, why, wait } => {
                 into.text("no").whole(*id).text(why).number(*wait);
             }
-            Note::Done { id, outcome, took } => {
+            PeerMessage::Done { id, outcome, took } => {
                 into.text("done").whole(*id).text(outcome).number(*took);
             }
-            Note::Retire { instance } => {
+            PeerMessage::Retire { instance } => {
                 into.text("retire").text(instance);
             }
-            Note::Lost { instance } => {
+            PeerMessage::Lost { instance } => {
                 into.text("lost").text(instance);
             }
-            Note::Up { instance } => {
+            PeerMessage::Up { instance } => {
                 into.text("up").text(instance);
             }
             other => {
@@ -58,7 +58,7 @@
 
     #[test]
     fn notes_that_differ_in_one_part_differ_in_the_digest() {
-        let ask = |id, avoid: &[&str], zone: &str| Note::Ask {
+        let ask = |id, avoid: &[&str], zone: &str| PeerMessage::Ask {
             id,
             service: "s".into(),
             left: 1.0,
@@ -70,7 +70,7 @@
             avoid: avoid.iter().map(|i| (*i).into()).collect(),
             zone: zone.into(),
         };
-        let want = |count, strain| Note::Want {
+        let want = |count, strain| PeerMessage::Want {
             service: "s".into(),
             count,
             zones: vec!["a".into()],
@@ -79,7 +79,7 @@
             does: None,
             slow: Vec::new(),
         };
-        let grant = |zone: Option<&str>| Note::Grant {
+        let grant = |zone: Option<&str>| PeerMessage::Grant {
             id: 1,
             instance: "i".into(),
             address: "a:1".into(),
@@ -92,16 +92,16 @@
             want(1, 0.0),
             want(2, 0.0),
             want(1, 0.1),
-            Note::Floor { service: "s".into(), count: 1, fence: 1, left: 1.0 },
+            PeerMessage::Floor { service: "s".into(), count: 1, fence: 1, left: 1.0 },
             grant(None),
             grant(Some("z")),
-            Note::Drop { id: 1 },
-            Note::Waits { id: 1 },
-            Note::No { id: 1, why: "full".into(), wait: 0.0 },
-            Note::Done { id: 1, outcome: "ok".into(), took: 1.0 },
-            Note::Retire { instance: "i".into() },
-            Note::Lost { instance: "i".into() },
-            Note::Up { instance: "i".into() },
+            PeerMessage::Drop { id: 1 },
+            PeerMessage::Waits { id: 1 },
+            PeerMessage::No { id: 1, why: "full".into(), wait: 0.0 },
+            PeerMessage::Done { id: 1, outcome: "ok".into(), took: 1.0 },
+            PeerMessage::Retire { instance: "i".into() },
+            PeerMessage::Lost { instance: "i".into() },
+            PeerMessage::Up { instance: "i".into() },
         ];
         let sums = all.iter().map(|note| {
             let mut digest = Digest::default();
--- a/protocol/src/letter.rs
+++ b/protocol/src/letter.rs
@@ -4,34 +4,34 @@
 use tinyjson::JsonValue;
 
 use crate::json::{Fault, list, string, whole};
-use crate::note::Note;
+use crate::note::PeerMessage;
 
 /// A letter that was read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Letter {
+pub struct MessageBatch {
     /// The machine that sent it.
     pub from: CompactString,
     /// Which of the sender's lives: later ones are higher.
     pub life: u64,
     /// Its notes that could be read.
-    pub notes: Vec<Note>,
+    pub notes: Vec<PeerMessage>,
     /// What was wrong with the others.
     pub faults: Vec<Fault>,
 }
 
-impl Letter {
+impl MessageBatch {
     /// Reads one. A note that can't be read is told in `faults`; the others stand.
-    pub fn read(value: &JsonValue) -> Result<Letter, Fault> {
+    pub fn read(value: &JsonValue) -> Result<MessageBatch, Fault> {
         let JsonValue::Object(parts) = value else {
             return Err(Fault { key: "letter".to_owned(), reason: "no object" });
         };
         let (mut notes, mut faults) = (Vec::new(), Vec::new());
         for note in list(parts, "notes")? {
-            match Note::read(note) {
+            match PeerMessage::read(note) {
                 Ok(note) => notes.push(note),
                 Err(fault) => faults.push(fault),
             }
         }
-        Ok(Letter { from: string(parts, "from")?, life: whole(parts, "life")?, notes, faults })
+        Ok(MessageBatch { from: string(parts, "from")?, life: whole(parts, "life")?, notes, faults })
     }
 }
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -11,10 +11,10 @@
 mod note;
 mod roster;
 
-pub use does::Does;
+pub use does::FunctionStatus;
 pub use json::{Fault, list, number, object, string, text, whole};
-pub use note::{Instance, Note, Peer, Permit, Version};
-pub use roster::{Roster, Shift, seed};
+pub use note::{Instance, Peer, PeerMessage, Permit, Version};
+pub use roster::{MembershipView, ViewChange, seed};
 
 mod letter;
-pub use letter::Letter;
+pub use letter::MessageBatch;
--- a/protocol/src/line.rs
+++ b/protocol/src/line.rs
@@ -8,7 +8,7 @@
 
 use crate::frame::{self, Digest};
 use crate::json::{Fault, fault, get};
-use crate::note::{Note, Permit};
+use crate::note::{PeerMessage, Permit};
 
 /// The most that a JSON number tells exactly; larger ones are written as text.
 const EXACT: u64 = 1 << 53;
@@ -110,13 +110,13 @@
     }
 
     /// A note.
-    pub fn note(&mut self, key: &str, value: &Note) -> &mut Self {
+    pub fn note(&mut self, key: &str, value: &PeerMessage) -> &mut Self {
         note(self.key(key), value);
         self
     }
 
     /// Notes.
-    pub fn notes(&mut self, key: &str, all: &[Note]) -> &mut Self {
+    pub fn notes(&mut self, key: &str, all: &[PeerMessage]) -> &mut Self {
         self.list(key, all, note)
     }
 
@@ -157,11 +157,11 @@
     let _ = if value.is_finite() { write!(out, "{value}") } else { write!(out, "null") };
 }
 
-/// A note, exactly as it was read: [`Note::to_json`] rounds its times, which is enough between machines.
-fn note(out: &mut String, value: &Note) {
+/// A note, exactly as it was read: [`PeerMessage::to_json`] rounds its times, which is enough between machines.
+fn note(out: &mut String, value: &PeerMessage) {
     part(out, |line| {
         match value {
-            Note::Ask { id, service, left, aim, target, sent, first, returned, avoid, zone } => {
+            PeerMessage::Ask { id, service, left, aim, target, sent, first, returned, avoid, zone } => {
                 line.text("t", "ask").whole("id", *id).text("s", service);
                 line.number("l", *left).number("m", *aim).number("g", *target);
                 if *sent > 0 {
@@ -169,26 +169,26 @@
                 }
                 line.mark("f", *first).mark("r", *returned).names("x", avoid).text("z", zone)
             }
-            Note::Grant { id, instance, address, zone } => {
+            PeerMessage::Grant { id, instance, address, zone } => {
                 line.text("t", "grant").whole("id", *id).text("i", instance).text("a", address);
                 if let Some(zone) = zone {
                     line.text("z", zone);
                 }
                 line
             }
-            Note::No { id, why, wait } => {
+            PeerMessage::No { id, why, wait } => {
                 line.text("t", "no").whole("id", *id).text("y", why).number("w", *wait)
             }
-            Note::Done { id, outcome, took } => {
+            PeerMessage::Done { id, outcome, took } => {
                 line.text("t", "done").whole("id", *id).text("o", outcome).number("k", *took)
             }
-            Note::Held { id, service, instance, left } => line
+            PeerMessage::Held { id, service, instance, left } => line
                 .text("t", "held")
                 .whole("id", *id)
                 .text("s", service)
                 .text("i", instance)
                 .number("l", *left),
-            Note::Over { service, version, permits } => {
+            PeerMessage::Over { service, version, permits } => {
                 let each = |out: &mut String, permit: &Permit| {
                     part(out, |line| {
                         line.text("i", &permit.instance).whole("id", permit.id);
@@ -200,7 +200,7 @@
                     let _ = write!(out, "{n}");
                 })
             }
-            Note::Back { who, id, instance, outcome, took } => {
+            PeerMessage::Back { who, id, instance, outcome, took } => {
                 line.text("t", "back").whole("id", *id);
                 if let Some(instance) = instance {
                     line.text("i", instance);
@@ -254,7 +254,7 @@
 
 /// A recording in the making: the inputs of one state machine in one life, numbered from 0. Each line but the first tells the digest of
 /// what was decided, where that is news.
-pub struct Tape {
+pub struct Recorder {
     number: u64,
     digest: Digest,
     /// Outputs that a line has told the digest of.
@@ -262,16 +262,16 @@
     sink: Sink,
 }
 
-impl std::fmt::Debug for Tape {
+impl std::fmt::Debug for Recorder {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Tape").field("number", &self.number).finish_non_exhaustive()
     }
 }
 
-impl Tape {
+impl Recorder {
     /// One that goes to `sink`.
     pub fn new(sink: Sink) -> Self {
-        Tape { number: 0, digest: Digest::default(), told: 0, sink }
+        Recorder { number: 0, digest: Digest::default(), told: 0, sink }
     }
 
     /// What the machine has decided goes in here.
@@ -365,14 +365,14 @@
 }
 
 /// The note under a key.
-pub fn note_of(from: &HashMap<String, JsonValue>, key: &str) -> Result<Note, Fault> {
-    Note::read(get(from, key)?).map_err(|e| within(key, e))
+pub fn note_of(from: &HashMap<String, JsonValue>, key: &str) -> Result<PeerMessage, Fault> {
+    PeerMessage::read(get(from, key)?).map_err(|e| within(key, e))
 }
 
 /// The notes under a key.
-pub fn notes_of(from: &HashMap<String, JsonValue>, key: &str) -> Result<Vec<Note>, Fault> {
+pub fn notes_of(from: &HashMap<String, JsonValue>, key: &str) -> Result<Vec<PeerMessage>, Fault> {
     let all = crate::json::list(from, key)?.iter().enumerate();
-    all.map(|(n, value)| Note::read(value).map_err(|e| within(&format!("{key}[{n}]"), e))).collect()
+    all.map(|(n, value)| PeerMessage::read(value).map_err(|e| within(&format!("{key}[{n}]"), e))).collect()
 }
 
 /// The objects under a key, read one by one.
@@ -399,7 +399,7 @@
 
     #[test]
     fn a_line_reads_back_to_the_bit() {
-        let ask = Note::Ask {
+        let ask = PeerMessage::Ask {
             id: EXACT,
             service: "a \"b\" \\ c\u{1}é".into(),
             left: 1.0 / 3.0,
@@ -414,17 +414,17 @@
         let peers = vec![crate::Peer { name: "n".into(), address: "a".into(), zone: "z".into() }];
         let notes = vec![
             ask,
-            Note::No { id: 1, why: "full".into(), wait: 0.1 + 0.2 },
-            Note::Done { id: 1, outcome: "ok".into(), took: 12.3456789 },
-            Note::Held { id: 2, service: "s".into(), instance: "i".into(), left: -7.0 / 9.0 },
-            Note::Grant { id: 3, instance: "i".into(), address: "a:1".into(), zone: Some("b".into()) },
-            Note::Stalls { version: (1, 2), peers, leaving: vec![], split: vec![] },
-            Note::Over {
+            PeerMessage::No { id: 1, why: "full".into(), wait: 0.1 + 0.2 },
+            PeerMessage::Done { id: 1, outcome: "ok".into(), took: 12.3456789 },
+            PeerMessage::Held { id: 2, service: "s".into(), instance: "i".into(), left: -7.0 / 9.0 },
+            PeerMessage::Grant { id: 3, instance: "i".into(), address: "a:1".into(), zone: Some("b".into()) },
+            PeerMessage::Stalls { version: (1, 2), peers, leaving: vec![], split: vec![] },
+            PeerMessage::Over {
                 service: "s".into(),
                 version: (3, 4),
                 permits: vec![Permit { who: "w".into(), id: 5, instance: "i".into(), left: 1.0 / 7.0 }],
             },
-            Note::Back {
+            PeerMessage::Back {
                 who: "w".into(),
                 id: 6,
                 instance: Some("i".into()),
@@ -443,7 +443,7 @@
     #[test]
     fn what_is_cut_short_or_too_deep_is_an_error() {
         let mut line = begin("told", None, 5);
-        line.note("note", &Note::Drop { id: 4 }).names("x", &["a".into()]);
+        line.note("note", &PeerMessage::Drop { id: 4 }).names("x", &["a".into()]);
         let text = line.end();
         for end in 0..text.len() {
             assert!(read(&text[..end]).is_err(), "{}", &text[..end]);
