--- a/protocol/src/note.rs
+++ b/protocol/src/note.rs
@@ -5,9 +5,9 @@
 use compact_str::CompactString;
 use tinyjson::JsonValue;
 
-use crate::does::Does;
+use crate::does::FunctionStatus;
 use crate::json::{Fault, list, number, object, string, text, whole};
-use crate::roster::Shift;
+use crate::roster::ViewChange;
 
 /// Which of two tellings is newer: the fence of the steward that tells, and its count.
 pub type Version = (u64, u64);
@@ -55,7 +55,7 @@
 
 /// What one process tells another.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum PeerMessage {
     /// To the owner of a function: a permit is wanted.
     Ask {
         /// The asker's number for it.
@@ -191,7 +191,7 @@
         split: Vec<CompactString>,
     },
     /// Down: how that differs from the naming before.
-    Shift(Shift),
+    ViewChange(ViewChange),
     /// Down: instances.
     Instances {
         /// The newest counts.
@@ -242,7 +242,7 @@
         /// The part of what its owner can do in all that this function takes.
         strain: f64,
         /// How it does, while a floor asks for that.
-        does: Option<Does>,
+        does: Option<FunctionStatus>,
         /// Workers that are surely slow for it; left out where none is.
         slow: Vec<CompactString>,
     },
@@ -433,53 +433,55 @@
     }
 }
 
-impl Note {
+impl PeerMessage {
     /// As JSON.
     pub fn to_json(&self) -> JsonValue {
         let n = |id: &u64| count(*id);
         match self {
-            Note::Ask { id, service, left, aim, target, sent, first, returned, avoid, zone } => object([
-                ("t", text("ask")),
-                ("id", n(id)),
-                ("s", text(service)),
-                ("l", ms(*left)),
-                ("m", ms(*aim)),
-                ("g", ms(*target)),
-                ("n", if *sent > 0 { count((*sent).into()) } else { JsonValue::Null }),
-                ("f", mark(*first)),
-                ("r", mark(*returned)),
-                ("x", names(avoid)),
-                ("z", text(zone)),
-            ]),
-            Note::Drop { id } => object([("t", text("drop")), ("id", n(id))]),
-            Note::Waits { id } => object([("t", text("waits")), ("id", n(id))]),
-            Note::Grant { id, instance, address, zone } => object([
+            PeerMessage::Ask { id, service, left, aim, target, sent, first, returned, avoid, zone } => {
+                object([
+                    ("t", text("ask")),
+                    ("id", n(id)),
+                    ("s", text(service)),
+                    ("l", ms(*left)),
+                    ("m", ms(*aim)),
+                    ("g", ms(*target)),
+                    ("n", if *sent > 0 { count((*sent).into()) } else { JsonValue::Null }),
+                    ("f", mark(*first)),
+                    ("r", mark(*returned)),
+                    ("x", names(avoid)),
+                    ("z", text(zone)),
+                ])
+            }
+            PeerMessage::Drop { id } => object([("t", text("drop")), ("id", n(id))]),
+            PeerMessage::Waits { id } => object([("t", text("waits")), ("id", n(id))]),
+            PeerMessage::Grant { id, instance, address, zone } => object([
                 ("t", text("grant")),
                 ("id", n(id)),
                 ("i", text(instance)),
                 ("a", text(address)),
                 ("z", zone.as_ref().map_or(JsonValue::Null, |zone| text(zone))),
             ]),
-            Note::No { id, why, wait } => {
+            PeerMessage::No { id, why, wait } => {
                 object([("t", text("no")), ("id", n(id)), ("y", text(why)), ("w", ms(*wait))])
             }
-            Note::Done { id, outcome, took } => {
+            PeerMessage::Done { id, outcome, took } => {
                 object([("t", text("done")), ("id", n(id)), ("o", text(outcome)), ("k", ms(*took))])
             }
-            Note::Held { id, service, instance, left } => object([
+            PeerMessage::Held { id, service, instance, left } => object([
                 ("t", text("held")),
                 ("id", n(id)),
                 ("s", text(service)),
                 ("i", text(instance)),
                 ("l", ms(*left)),
             ]),
-            Note::Over { service, version: v, permits } => object([
+            PeerMessage::Over { service, version: v, permits } => object([
                 ("t", text("over")),
                 ("s", text(service)),
                 ("v", version(*v)),
                 ("all", JsonValue::Array(permits.iter().map(Permit::to_json).collect())),
             ]),
-            Note::Back { who, id, instance, outcome, took } => object([
+            PeerMessage::Back { who, id, instance, outcome, took } => object([
                 ("t", text("back")),
                 ("w", text(who)),
                 ("id", n(id)),
@@ -487,71 +489,75 @@
                 ("o", text(outcome)),
                 ("k", ms(*took)),
             ]),
-            Note::Config { revision, body } => {
+            PeerMessage::Config { revision, body } => {
                 object([("t", text("config")), ("v", n(revision)), ("body", body.clone())])
             }
-            Note::Packed { revision, packed } => {
+            PeerMessage::Packed { revision, packed } => {
                 object([("t", text("packed")), ("v", n(revision)), ("z", text(packed))])
             }
-            Note::Patch { revision, change } => {
+            PeerMessage::Patch { revision, change } => {
                 object([("t", text("patch")), ("v", n(revision)), ("change", change.clone())])
             }
-            Note::Folded { revision, packed } => {
+            PeerMessage::Folded { revision, packed } => {
                 object([("t", text("folded")), ("v", n(revision)), ("z", text(packed))])
             }
-            Note::Stalls { version: v, peers, leaving, split } => object([
+            PeerMessage::Stalls { version: v, peers, leaving, split } => object([
                 ("t", text("stalls")),
                 ("v", version(*v)),
                 ("all", JsonValue::Array(peers.iter().map(Peer::to_json).collect())),
                 ("leaving", peers_or_none(leaving)),
                 ("split", names(split)),
             ]),
-            Note::Shift(shift) => shift.to_json(),
-            Note::Instances { version: v, all, set, gone } => object([
+            PeerMessage::ViewChange(shift) => shift.to_json(),
+            PeerMessage::Instances { version: v, all, set, gone } => object([
                 ("t", text("inst")),
                 ("v", version(*v)),
                 ("w", mark(*all)),
                 ("set", JsonValue::Array(set.iter().map(Instance::to_json).collect())),
                 ("gone", names(gone)),
             ]),
-            Note::Steward { address, fence } => {
+            PeerMessage::Steward { address, fence } => {
                 object([("t", text("steward")), ("a", text(address)), ("f", n(fence))])
             }
-            Note::Rest { name, left } => object([("t", text("rest")), ("n", text(name)), ("l", ms(*left))]),
-            Note::Floor { service, count: c, fence, left } => object([
+            PeerMessage::Rest { name, left } => {
+                object([("t", text("rest")), ("n", text(name)), ("l", ms(*left))])
+            }
+            PeerMessage::Floor { service, count: c, fence, left } => object([
                 ("t", text("floor")),
                 ("s", text(service)),
                 ("c", count((*c).into())),
                 ("f", n(fence)),
                 ("l", ms(*left)),
             ]),
-            Note::Want { service, count: c, zones, lot, strain, does, slow } => object([
+            PeerMessage::Want { service, count: c, zones, lot, strain, does, slow } => object([
                 ("t", text("want")),
                 ("s", text(service)),
                 ("c", count((*c).into())),
                 ("z", names(zones)),
                 ("lot", lot.as_ref().map_or(JsonValue::Null, |zone| text(zone))),
                 ("n", ms(*strain)),
-                ("d", does.map_or(JsonValue::Null, Does::to_json)),
+                ("d", does.map_or(JsonValue::Null, FunctionStatus::to_json)),
                 ("slow", names(slow)),
             ]),
-            Note::Mine { set } => object([
+            PeerMessage::Mine { set } => object([
                 ("t", text("mine")),
                 ("set", JsonValue::Array(set.iter().map(Instance::to_json).collect())),
             ]),
-            Note::Contact { holds } => object([("t", text("contact")), ("o", mark(*holds))]),
-            Note::StaleIncarnation { known } => object([("t", text("staleinc")), ("known", n(known))]),
-            Note::Retire { instance } => object([("t", text("retire")), ("i", text(instance))]),
-            Note::Lost { instance } => object([("t", text("lost")), ("i", text(instance))]),
-            Note::Up { instance } => object([("t", text("up")), ("i", text(instance))]),
-            Note::Deaf { peer, from } => object([("t", text("deaf")), ("p", text(peer)), ("f", text(from))]),
-            Note::Acts { revision, number } => {
+            PeerMessage::Contact { holds } => object([("t", text("contact")), ("o", mark(*holds))]),
+            PeerMessage::StaleIncarnation { known } => object([("t", text("staleinc")), ("known", n(known))]),
+            PeerMessage::Retire { instance } => object([("t", text("retire")), ("i", text(instance))]),
+            PeerMessage::Lost { instance } => object([("t", text("lost")), ("i", text(instance))]),
+            PeerMessage::Up { instance } => object([("t", text("up")), ("i", text(instance))]),
+            PeerMessage::Deaf { peer, from } => {
+                object([("t", text("deaf")), ("p", text(peer)), ("f", text(from))])
+            }
+            PeerMessage::Acts { revision, number } => {
                 object([("t", text("acts")), ("v", n(revision)), ("n", n(number))])
             }
-            Note::AskRevision => object([("t", text("askrev"))]),
-            Note::Stands { revision } => object([("t", text("stands")), ("v", n(revision))]),
-            Note::Behind { version: v } => object([("t", text("behind")), ("v", version(*v))]),
-            Note::Alive { peer, serving, split, digest } => object([
+            PeerMessage::AskRevision => object([("t", text("askrev"))]),
+            PeerMessage::Stands { revision } => object([("t", text("stands")), ("v", n(revision))]),
+            PeerMessage::Behind { version: v } => object([("t", text("behind")), ("v", version(*v))]),
+            PeerMessage::Alive { peer, serving, split, digest } => object([
                 ("t", text("alive")),
                 ("p", peer.to_json()),
                 ("o", mark(*serving)),
@@ -563,12 +569,12 @@
     }
 
     /// Reads a note.
-    pub fn read(value: &JsonValue) -> Result<Note, Fault> {
+    pub fn read(value: &JsonValue) -> Result<PeerMessage, Fault> {
         let from = map(value, "note")?;
         let small = |key: &str| whole(from, key).map(|n| n.min(u32::MAX.into()) as u32);
         let part = |key: &str| from.get(key).cloned().ok_or(Fault { key: key.to_owned(), reason: "missing" });
         Ok(match string(from, "t")?.as_str() {
-            "ask" => Note::Ask {
+            "ask" => PeerMessage::Ask {
                 id: whole(from, "id")?,
                 service: string(from, "s")?,
                 left: number(from, "l")?,
@@ -580,87 +586,91 @@
                 avoid: read_names(from, "x")?.into_iter().take(16).collect(),
                 zone: string(from, "z")?,
             },
-            "drop" => Note::Drop { id: whole(from, "id")? },
-            "waits" => Note::Waits { id: whole(from, "id")? },
-            "grant" => Note::Grant {
+            "drop" => PeerMessage::Drop { id: whole(from, "id")? },
+            "waits" => PeerMessage::Waits { id: whole(from, "id")? },
+            "grant" => PeerMessage::Grant {
                 id: whole(from, "id")?,
                 instance: string(from, "i")?,
                 address: string(from, "a")?,
                 zone: if from.contains_key("z") { Some(string(from, "z")?) } else { None },
             },
-            "no" => Note::No { id: whole(from, "id")?, why: string(from, "y")?, wait: number(from, "w")? },
-            "done" => {
-                Note::Done { id: whole(from, "id")?, outcome: string(from, "o")?, took: number(from, "k")? }
+            "no" => {
+                PeerMessage::No { id: whole(from, "id")?, why: string(from, "y")?, wait: number(from, "w")? }
             }
-            "held" => Note::Held {
+            "done" => PeerMessage::Done {
+                id: whole(from, "id")?,
+                outcome: string(from, "o")?,
+                took: number(from, "k")?,
+            },
+            "held" => PeerMessage::Held {
                 id: whole(from, "id")?,
                 service: string(from, "s")?,
                 instance: string(from, "i")?,
                 left: number(from, "l")?,
             },
-            "over" => Note::Over {
+            "over" => PeerMessage::Over {
                 service: string(from, "s")?,
                 version: read_version(from, "v")?,
                 permits: list(from, "all")?.iter().map(Permit::read).collect::<Result<_, _>>()?,
             },
-            "back" => Note::Back {
+            "back" => PeerMessage::Back {
                 who: string(from, "w")?,
                 id: whole(from, "id")?,
                 instance: if from.contains_key("i") { Some(string(from, "i")?) } else { None },
                 outcome: string(from, "o")?,
                 took: number(from, "k")?,
             },
-            "config" => Note::Config { revision: whole(from, "v")?, body: part("body")? },
+            "config" => PeerMessage::Config { revision: whole(from, "v")?, body: part("body")? },
             "packed" => match part("z")? {
-                JsonValue::String(packed) => Note::Packed { revision: whole(from, "v")?, packed },
+                JsonValue::String(packed) => PeerMessage::Packed { revision: whole(from, "v")?, packed },
                 _ => return Err(Fault { key: "z".to_owned(), reason: "no text" }),
             },
             "folded" => match part("z")? {
-                JsonValue::String(packed) => Note::Folded { revision: whole(from, "v")?, packed },
+                JsonValue::String(packed) => PeerMessage::Folded { revision: whole(from, "v")?, packed },
                 _ => return Err(Fault { key: "z".to_owned(), reason: "no text" }),
             },
-            "patch" => Note::Patch { revision: whole(from, "v")?, change: part("change")? },
-            "stalls" => Note::Stalls {
+            "patch" => PeerMessage::Patch { revision: whole(from, "v")?, change: part("change")? },
+            "stalls" => PeerMessage::Stalls {
                 version: read_version(from, "v")?,
                 peers: list(from, "all")?.iter().map(Peer::read).collect::<Result<_, _>>()?,
                 leaving: list(from, "leaving")?.iter().map(Peer::read).collect::<Result<_, _>>()?,
                 split: read_names(from, "split")?,
             },
-            "shift" => Note::Shift(Shift::read(value)?),
-            "inst" => Note::Instances {
+            "shift" => PeerMessage::ViewChange(ViewChange::read(value)?),
+            "inst" => PeerMessage::Instances {
                 version: read_version(from, "v")?,
                 all: flag(from, "w"),
                 set: list(from, "set")?.iter().map(Instance::read).collect::<Result<_, _>>()?,
                 gone: read_names(from, "gone")?,
             },
-            "steward" => Note::Steward { address: string(from, "a")?, fence: whole(from, "f")? },
-            "rest" => Note::Rest { name: string(from, "n")?, left: number(from, "l")? },
-            "want" => Note::Want {
+            "steward" => PeerMessage::Steward { address: string(from, "a")?, fence: whole(from, "f")? },
+            "rest" => PeerMessage::Rest { name: string(from, "n")?, left: number(from, "l")? },
+            "want" => PeerMessage::Want {
                 service: string(from, "s")?,
                 count: small("c")?,
                 zones: read_names(from, "z")?,
                 lot: if from.contains_key("lot") { Some(string(from, "lot")?) } else { None },
                 strain: if from.contains_key("n") { number(from, "n")? } else { 0.0 },
-                does: if from.contains_key("d") { Some(Does::read(from, "d")?) } else { None },
+                does: if from.contains_key("d") { Some(FunctionStatus::read(from, "d")?) } else { None },
                 slow: read_names(from, "slow")?,
             },
-            "floor" => Note::Floor {
+            "floor" => PeerMessage::Floor {
                 service: string(from, "s")?,
                 count: small("c")?,
                 fence: whole(from, "f")?,
                 left: number(from, "l")?,
             },
-            "mine" => {
-                Note::Mine { set: list(from, "set")?.iter().map(Instance::read).collect::<Result<_, _>>()? }
-            }
-            "contact" => Note::Contact { holds: flag(from, "o") },
-            "staleinc" => Note::StaleIncarnation { known: whole(from, "known")? },
-            "retire" => Note::Retire { instance: string(from, "i")? },
-            "lost" => Note::Lost { instance: string(from, "i")? },
-            "up" => Note::Up { instance: string(from, "i")? },
-            "deaf" => Note::Deaf { peer: string(from, "p")?, from: string(from, "f")? },
-            "acts" => Note::Acts { revision: whole(from, "v")?, number: whole(from, "n")? },
-            "alive" => Note::Alive {
+            "mine" => PeerMessage::Mine {
+                set: list(from, "set")?.iter().map(Instance::read).collect::<Result<_, _>>()?,
+            },
+            "contact" => PeerMessage::Contact { holds: flag(from, "o") },
+            "staleinc" => PeerMessage::StaleIncarnation { known: whole(from, "known")? },
+            "retire" => PeerMessage::Retire { instance: string(from, "i")? },
+            "lost" => PeerMessage::Lost { instance: string(from, "i")? },
+            "up" => PeerMessage::Up { instance: string(from, "i")? },
+            "deaf" => PeerMessage::Deaf { peer: string(from, "p")?, from: string(from, "f")? },
+            "acts" => PeerMessage::Acts { revision: whole(from, "v")?, number: whole(from, "n")? },
+            "alive" => PeerMessage::Alive {
                 peer: Peer::read(&part("p")?)?,
                 serving: flag(from, "o"),
                 split: if from.contains_key("v") {
@@ -670,9 +680,9 @@
                 },
                 digest: if from.contains_key("d") { Some(read_digest(from, "d")?) } else { None },
             },
-            "askrev" => Note::AskRevision,
-            "stands" => Note::Stands { revision: whole(from, "v")? },
-            "behind" => Note::Behind { version: read_version(from, "v")? },
+            "askrev" => PeerMessage::AskRevision,
+            "stands" => PeerMessage::Stands { revision: whole(from, "v")? },
+            "behind" => PeerMessage::Behind { version: read_version(from, "v")? },
             _ => return Err(Fault { key: "t".to_owned(), reason: "no note that is known here" }),
         })
     }
--- a/protocol/src/note/tests.rs
+++ b/protocol/src/note/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn all() -> Vec<Note> {
+fn all() -> Vec<PeerMessage> {
     let peer = Peer { name: "edge-1".into(), address: "10.0.0.1:7760".into(), zone: "a".into() };
     let instance = Instance {
         id: "i-1".into(),
@@ -12,7 +12,7 @@
         worker: "w".into(),
         stage: 1,
     };
-    let ask = |sent, avoid| Note::Ask {
+    let ask = |sent, avoid| PeerMessage::Ask {
         id: 7,
         service: "f".into(),
         left: 1_500.25,
@@ -27,66 +27,76 @@
     vec![
         ask(0, vec![]),
         ask(2, vec!["i-2".into()]),
-        Note::Drop { id: 1 },
-        Note::Waits { id: 1 },
-        Note::Grant { id: 1, instance: "i-1".into(), address: "10.0.0.9:80".into(), zone: None },
-        Note::Grant { id: 1, instance: "i-1".into(), address: "10.0.0.9:80".into(), zone: Some("b".into()) },
-        Note::No { id: 1, why: "full".into(), wait: 12.5 },
-        Note::Done { id: 1, outcome: "ok".into(), took: 45.0 },
-        Note::Held { id: 1, service: "f".into(), instance: "i-1".into(), left: 9.0 },
-        Note::Over {
+        PeerMessage::Drop { id: 1 },
+        PeerMessage::Waits { id: 1 },
+        PeerMessage::Grant { id: 1, instance: "i-1".into(), address: "10.0.0.9:80".into(), zone: None },
+        PeerMessage::Grant {
+            id: 1,
+            instance: "i-1".into(),
+            address: "10.0.0.9:80".into(),
+            zone: Some("b".into()),
+        },
+        PeerMessage::No { id: 1, why: "full".into(), wait: 12.5 },
+        PeerMessage::Done { id: 1, outcome: "ok".into(), took: 45.0 },
+        PeerMessage::Held { id: 1, service: "f".into(), instance: "i-1".into(), left: 9.0 },
+        PeerMessage::Over {
             service: "f".into(),
             version: (1, 2),
             permits: vec![Permit { who: "edge-2".into(), id: 9, instance: "i-1".into(), left: -2.5 }],
         },
-        Note::Back { who: "edge-2".into(), id: 9, instance: None, outcome: "ok".into(), took: 4.5 },
-        Note::Back {
+        PeerMessage::Back { who: "edge-2".into(), id: 9, instance: None, outcome: "ok".into(), took: 4.5 },
+        PeerMessage::Back {
             who: "edge-2".into(),
             id: 9,
             instance: Some("i-1".into()),
             outcome: "ok".into(),
             took: 4.5,
         },
-        Note::Config { revision: 3, body: text("x") },
-        Note::Patch { revision: 4, change: text("y") },
-        Note::Packed { revision: 4, packed: "eJ".to_owned() },
-        Note::Folded { revision: 4, packed: "eJ".to_owned() },
-        Note::Stalls {
+        PeerMessage::Config { revision: 3, body: text("x") },
+        PeerMessage::Patch { revision: 4, change: text("y") },
+        PeerMessage::Packed { revision: 4, packed: "eJ".to_owned() },
+        PeerMessage::Folded { revision: 4, packed: "eJ".to_owned() },
+        PeerMessage::Stalls {
             version: (1, 2),
             peers: vec![peer.clone()],
             leaving: vec![Peer { name: "edge-3".into(), ..peer.clone() }],
             split: vec!["f".into()],
         },
-        Note::Instances { version: (1, 2), all: true, set: vec![instance.clone()], gone: vec!["i-0".into()] },
-        Note::Mine { set: vec![instance] },
-        Note::Steward { address: "10.0.0.2:80".into(), fence: 3 },
-        Note::Want {
+        PeerMessage::Instances {
+            version: (1, 2),
+            all: true,
+            set: vec![instance.clone()],
+            gone: vec!["i-0".into()],
+        },
+        PeerMessage::Mine { set: vec![instance] },
+        PeerMessage::Steward { address: "10.0.0.2:80".into(), fence: 3 },
+        PeerMessage::Want {
             service: "f".into(),
             count: 2,
             zones: vec!["a".into()],
             lot: Some("a".into()),
             strain: 0.25,
-            does: Some(Does { delay: 12.25, lowest: 4.5, asked: 7, refused: 2 }),
+            does: Some(FunctionStatus { delay: 12.25, lowest: 4.5, asked: 7, refused: 2 }),
             slow: vec!["w-1".into()],
         },
-        Note::Rest { name: "edge-1".into(), left: 250.5 },
-        Note::Floor { service: "f".into(), count: 2, fence: 3, left: 10_000.0 },
-        Note::Contact { holds: true },
-        Note::Contact { holds: false },
-        Note::StaleIncarnation { known: 1_700_000_000_000 },
-        Note::Retire { instance: "i-1".into() },
-        Note::Lost { instance: "i-1".into() },
-        Note::Up { instance: "i-1".into() },
-        Note::Deaf { peer: "edge-2".into(), from: "edge-1".into() },
-        Note::Acts { revision: 3, number: 9 },
-        Note::Alive { peer: peer.clone(), serving: true, split: None, digest: None },
-        Note::Alive {
+        PeerMessage::Rest { name: "edge-1".into(), left: 250.5 },
+        PeerMessage::Floor { service: "f".into(), count: 2, fence: 3, left: 10_000.0 },
+        PeerMessage::Contact { holds: true },
+        PeerMessage::Contact { holds: false },
+        PeerMessage::StaleIncarnation { known: 1_700_000_000_000 },
+        PeerMessage::Retire { instance: "i-1".into() },
+        PeerMessage::Lost { instance: "i-1".into() },
+        PeerMessage::Up { instance: "i-1".into() },
+        PeerMessage::Deaf { peer: "edge-2".into(), from: "edge-1".into() },
+        PeerMessage::Acts { revision: 3, number: 9 },
+        PeerMessage::Alive { peer: peer.clone(), serving: true, split: None, digest: None },
+        PeerMessage::Alive {
             peer: peer.clone(),
             serving: true,
             split: Some(((1, 2), vec!["f".into()])),
             digest: Some(u64::MAX - 4),
         },
-        Note::Shift(Shift {
+        PeerMessage::ViewChange(ViewChange {
             version: (2, 1),
             from: (1, 2),
             came: vec![peer.clone()],
@@ -96,9 +106,9 @@
             split: vec!["f".into()],
             joined: vec!["g".into()],
         }),
-        Note::AskRevision,
-        Note::Stands { revision: 3 },
-        Note::Behind { version: (1, 2) },
+        PeerMessage::AskRevision,
+        PeerMessage::Stands { revision: 3 },
+        PeerMessage::Behind { version: (1, 2) },
     ]
 }
 
@@ -107,15 +117,15 @@
     for note in all() {
         let json = note.to_json();
         let text = json.stringify().expect("finite numbers");
-        assert_eq!(Note::read(&text.parse().expect("JSON")), Ok(note.clone()));
+        assert_eq!(PeerMessage::read(&text.parse().expect("JSON")), Ok(note.clone()));
         let JsonValue::Object(parts) = json else { panic!("an object") };
         for key in parts.keys() {
             let mut fewer = parts.clone();
             fewer.remove(key);
-            assert_ne!(Note::read(&JsonValue::Object(fewer)), Ok(note.clone()), "{key}");
+            assert_ne!(PeerMessage::read(&JsonValue::Object(fewer)), Ok(note.clone()), "{key}");
             let mut odd = parts.clone();
             odd.insert(key.clone(), JsonValue::Object(HashMap::new()));
-            let _ = Note::read(&JsonValue::Object(odd));
+            let _ = PeerMessage::read(&JsonValue::Object(odd));
         }
     }
 }
--- a/protocol/src/roster.rs
+++ b/protocol/src/roster.rs
@@ -14,14 +14,14 @@
 use xxhash_rust::xxh3::{Xxh3, xxh3_64_with_seed};
 
 use crate::json::{Fault, list, object, text};
-use crate::note::{Note, Peer, Version, map, names, peers_or_none, read_names, read_version, version};
+use crate::note::{Peer, PeerMessage, Version, map, names, peers_or_none, read_names, read_version, version};
 
 /// Stalls in a naming, and functions that are split; a shift that leads to more is none.
 const MOST: usize = 10_000;
 
 /// A naming of stalls, all of it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Roster {
+pub struct MembershipView {
     version: Version,
     peers: Vec<Peer>,
     leaving: Vec<Peer>,
@@ -30,7 +30,7 @@
 
 /// How a naming differs from the one before.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Shift {
+pub struct ViewChange {
     /// The naming that it leads to.
     pub version: Version,
     /// The naming that it goes from.
@@ -49,10 +49,15 @@
     pub joined: Vec<CompactString>,
 }
 
-impl Roster {
+impl MembershipView {
     /// Of these stalls, in any order; of two of one name the last counts.
     pub fn new(version: Version, peers: Vec<Peer>, split: impl IntoIterator<Item = CompactString>) -> Self {
-        Roster { version, peers: in_order(peers), leaving: Vec::new(), split: split.into_iter().collect() }
+        MembershipView {
+            version,
+            peers: in_order(peers),
+            leaving: Vec::new(),
+            split: split.into_iter().collect(),
+        }
     }
 
     /// The same, with these stalls leaving; those that are named are not.
@@ -94,7 +99,7 @@
     }
 
     /// The stalls that lived by the naming before, and do no more.
-    pub fn gone_since<'a>(&'a self, before: &'a Roster) -> impl Iterator<Item = &'a Peer> {
+    pub fn gone_since<'a>(&'a self, before: &'a MembershipView) -> impl Iterator<Item = &'a Peer> {
         before.peers.iter().chain(&before.leaving).filter(|peer| self.find_living(&peer.name).is_none())
     }
 
@@ -122,23 +127,23 @@
     }
 
     /// All of it, for who has nothing.
-    pub fn note(&self) -> Note {
+    pub fn note(&self) -> PeerMessage {
         let split = self.split.iter().cloned().collect();
         let (peers, leaving) = (self.peers.clone(), self.leaving.clone());
-        Note::Stalls { version: self.version, peers, leaving, split }
+        PeerMessage::Stalls { version: self.version, peers, leaving, split }
     }
 
     /// Stalls that are new here or have moved since, and those of before that are gone.
-    pub fn since<'a>(&'a self, before: &'a Roster) -> (Vec<&'a Peer>, Vec<&'a Peer>) {
+    pub fn since<'a>(&'a self, before: &'a MembershipView) -> (Vec<&'a Peer>, Vec<&'a Peer>) {
         differ(&self.peers, &before.peers)
     }
 
     /// How this differs from the naming before.
-    pub fn shift(&self, before: &Roster) -> Shift {
+    pub fn shift(&self, before: &MembershipView) -> ViewChange {
         let (came, left) = self.since(before);
         let (leaving, _) = differ(&self.leaving, &before.leaving);
         let ended = before.leaving.iter().filter(|p| self.find_living(&p.name).is_none());
-        Shift {
+        ViewChange {
             version: self.version,
             from: before.version,
             came: came.into_iter().cloned().collect(),
@@ -151,7 +156,7 @@
     }
 
     /// The naming that a shift leads to; none where it goes from another than this one, or leads to too many.
-    pub fn shifted(&self, shift: &Shift) -> Option<Roster> {
+    pub fn shifted(&self, shift: &ViewChange) -> Option<MembershipView> {
         let too_many = self.peers.len() + shift.came.len() > MOST
             || self.leaving.len() + shift.leaving.len() > MOST
             || self.split.len() + shift.split.len() > MOST;
@@ -167,7 +172,7 @@
         let leaving = leave.cloned().collect();
         let joined: BTreeSet<_> = shift.joined.iter().collect();
         let split = self.split.iter().filter(|name| !joined.contains(name)).chain(&shift.split);
-        Some(Roster::new(shift.version, peers, split.cloned()).with_leaving(leaving))
+        Some(MembershipView::new(shift.version, peers, split.cloned()).with_leaving(leaving))
     }
 }
 
@@ -211,7 +216,7 @@
     xxh3_64_with_seed(name.as_bytes(), 7)
 }
 
-impl Shift {
+impl ViewChange {
     pub(crate) fn to_json(&self) -> JsonValue {
         object([
             ("t", text("shift")),
@@ -226,9 +231,9 @@
         ])
     }
 
-    pub(crate) fn read(value: &JsonValue) -> Result<Shift, Fault> {
+    pub(crate) fn read(value: &JsonValue) -> Result<ViewChange, Fault> {
         let of = map(value, "shift")?;
-        Ok(Shift {
+        Ok(ViewChange {
             version: read_version(of, "v")?,
             from: read_version(of, "from")?,
             came: list(of, "came")?.iter().map(Peer::read).collect::<Result<_, _>>()?,
@@ -254,24 +259,24 @@
     }
 
     /// Any naming, out of the digits of a number.
-    fn roster(count: u64, draw: u64) -> Roster {
+    fn roster(count: u64, draw: u64) -> MembershipView {
         let bit = |n: u64| draw >> n & 1 == 1;
         let peers = (0..10).filter(|n| bit(*n)).map(|n| peer(n, u64::from(bit(n + 10))));
         let split = (0..4).filter(|n| bit(n + 20)).map(|n| format!("f{n}").into());
         let leaving = (0..10).filter(|n| bit(n + 21)).map(|n| peer(n, u64::from(bit(n + 10))));
-        Roster::new((1, count), peers.collect(), split).with_leaving(leaving.collect())
+        MembershipView::new((1, count), peers.collect(), split).with_leaving(leaving.collect())
     }
 
     #[test]
     fn a_shift_leads_from_any_naming_to_any_other_and_from_no_third() {
         let mut draw = 7_u64;
-        let mut before = Roster::default();
+        let mut before = MembershipView::default();
         for count in 1..500 {
             draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
             let after = roster(count, draw >> 33);
             let shift = after.shift(&before);
-            let read = Note::read(&Note::Shift(shift.clone()).to_json());
-            assert_eq!(read, Ok(Note::Shift(shift.clone())));
+            let read = PeerMessage::read(&PeerMessage::ViewChange(shift.clone()).to_json());
+            assert_eq!(read, Ok(PeerMessage::ViewChange(shift.clone())));
             assert_eq!(before.shifted(&shift).as_ref(), Some(&after));
             assert_eq!(after.shifted(&shift), None, "it goes from another");
             let same = (&after.peers, &after.split, &after.leaving)
@@ -291,15 +296,15 @@
 
     #[test]
     fn of_two_of_one_name_the_last_counts_and_no_shift_leads_to_too_many() {
-        let twice = Roster::new((1, 1), vec![peer(2, 1), peer(1, 1), peer(2, 3)], []);
+        let twice = MembershipView::new((1, 1), vec![peer(2, 1), peer(1, 1), peer(2, 3)], []);
         assert_eq!(twice.peers(), [peer(1, 1), peer(2, 3)]);
         assert_eq!(twice.find("edge-2"), Some(&peer(2, 3)));
         assert_eq!(twice.find("edge-3"), None);
         let came: Vec<_> = (0..MOST as u64).map(|n| peer(n, 0)).collect();
-        let shift = Shift { version: (1, 2), from: (1, 1), came, ..Shift::default() };
+        let shift = ViewChange { version: (1, 2), from: (1, 1), came, ..ViewChange::default() };
         assert_eq!(twice.shifted(&shift), None);
         let split = (0..=MOST).map(|n| format!("f{n}").into()).collect();
-        let shift = Shift { version: (1, 2), from: (1, 1), split, ..Shift::default() };
+        let shift = ViewChange { version: (1, 2), from: (1, 1), split, ..ViewChange::default() };
         assert_eq!(twice.shifted(&shift), None);
     }
 }
--- a/proxy/src/figures.rs
+++ b/proxy/src/figures.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 
 use hyper::StatusCode;
-use millpost_net::figures::Figures;
-use millpost_scheduler::{Counts, Desk, MS, Nanos, Outcome, Phase};
+use millpost_net::figures::Metrics;
+use millpost_scheduler::{Coordinator, Counts, MS, Nanos, Outcome, Phase};
 
 /// Open requests that are told one by one when a process ends.
 const TOLD_AT_THE_END: usize = 20;
@@ -45,7 +45,7 @@
     }
 
     /// Tells the log what became of permits since it was told last: with each naming, and where instances turn requests away.
-    pub fn tell_permits(&self, now: Nanos, desk: &Desk) {
+    pub fn tell_permits(&self, now: Nanos, desk: &Coordinator) {
         let (counts, mut told) = (desk.broker().counts(), self.told.borrow_mut());
         if counts.namings > told.namings {
             log::info!(
@@ -73,7 +73,7 @@
     }
 
     /// Tells the log of the requests that are still open when the process ends.
-    pub fn tell_open(&self, now: Nanos, desk: &Desk) {
+    pub fn tell_open(&self, now: Nanos, desk: &Coordinator) {
         let open = desk.asks();
         if open == 0 {
             return;
@@ -91,8 +91,8 @@
     }
 
     /// All figures of this moment.
-    pub fn figures(&self, now: Nanos, desk: &Desk, phase: Phase, ready: bool, acted: u64) -> Figures {
-        let mut figures = Figures::default();
+    pub fn figures(&self, now: Nanos, desk: &Coordinator, phase: Phase, ready: bool, acted: u64) -> Metrics {
+        let mut figures = Metrics::default();
         let counts = desk.broker().counts();
         let waiting = desk.open_asks().filter(|ask| ask.instance.is_none()).count();
         let (fence, count) = desk.owners().version();
--- a/proxy/src/front.rs
+++ b/proxy/src/front.rs
@@ -18,9 +18,9 @@
 use hyper::{Request, Response};
 use hyper_util::rt::TokioTimer;
 use millpost_config::{Route, Traffic};
-use millpost_net::room::{Room, Seat};
+use millpost_net::room::{ConnectionLimiter, ConnectionSlot};
 use millpost_net::serving::serve_one;
-use millpost_scheduler::{MS, Outcome, Passage, Phase, Refusal, Step, Trail, Wish};
+use millpost_scheduler::{MS, Outcome, Phase, Refusal, RequestFlow, RequestInfo, Step, TraceEvent};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
@@ -51,7 +51,7 @@
 pub async fn serve(
     shop: Rc<Shop>,
     listener: TcpListener,
-    room: std::sync::Arc<Room>,
+    room: std::sync::Arc<ConnectionLimiter>,
     mut phases: watch::Receiver<Phase>,
 ) {
     loop {
@@ -81,7 +81,12 @@
     }
 }
 
-async fn connection(stream: TcpStream, shop: Rc<Shop>, seat: Rc<Seat>, mut phases: watch::Receiver<Phase>) {
+async fn connection(
+    stream: TcpStream,
+    shop: Rc<Shop>,
+    seat: Rc<ConnectionSlot>,
+    mut phases: watch::Receiver<Phase>,
+) {
     let _ = stream.set_nodelay(true);
     let (most, idle) = match &*shop.force.borrow() {
         Some(force) => (force.config.limits.max_header_bytes as usize, force.config.limits.idle_timeout_ms),
@@ -144,7 +149,7 @@
 async fn answer(
     shop: &Rc<Shop>,
     request: Request<Incoming>,
-    seat: &Seat,
+    seat: &ConnectionSlot,
     end: &End,
 ) -> Response<Full<Bytes>> {
     let came = Instant::now();
@@ -160,7 +165,7 @@
             if shop.records() {
                 let attempt =
                     millpost_scheduler::trail::attempt(attempt.as_ref().map_or(&[], |id| id.as_bytes()));
-                shop.trail(shop.now(), &Trail::Turned { attempt, status: kind.answer().0.as_u16() });
+                shop.trail(shop.now(), &TraceEvent::Turned { attempt, status: kind.answer().0.as_u16() });
             }
             ours(kind)
         }
@@ -290,7 +295,7 @@
     let Asked { request, route, service, force, deadline, returned } = asked;
     let repeatable = route.traffic == Traffic::Idempotent;
     let mut most = force.idle.get(&service).copied().unwrap_or(1);
-    let wish = Wish {
+    let wish = RequestInfo {
         service,
         zone: shop.settings.zone.clone(),
         target: route.target_latency_ms * MS,
@@ -302,7 +307,7 @@
     };
     let attempt = request.headers().get(&ATTEMPT).map_or(&[][..], |id| id.as_bytes());
     let mut follow = Follow::begin(shop, attempt, &route.name, &wish);
-    let mut passage = Passage::new(wish);
+    let mut passage = RequestFlow::new(wish);
     let mut step = passage.begin(shop.informed());
     loop {
         step = match step {
@@ -317,7 +322,7 @@
                     most = force.idle.get(to).copied().unwrap_or(1);
                 }
                 let now = shop.now();
-                follow.step(now, |p| Trail::Moved { p, to: to.clone() });
+                follow.step(now, |p| TraceEvent::Moved { p, to: to.clone() });
                 passage.moved(now, to)
             }
             Step::Wait(at) => tokio::select! {
@@ -333,7 +338,7 @@
                         biased;
                         word = timeout_at(deadline, word) => word,
                         () = end.comes(Phase::Refusing) => {
-                            follow.step(shop.now(), |p| Trail::Late { p });
+                            follow.step(shop.now(), |p| TraceEvent::Late { p });
                             step = passage.ends();
                             continue;
                         }
@@ -364,17 +369,17 @@
                             let status = done.answer.as_ref().map(|answer| answer.status().as_u16());
                             follow.step(now, |p| {
                                 let instance = instance.clone();
-                                Trail::Ended { p, begun: since, instance, outcome, sent, status }
+                                TraceEvent::Ended { p, begun: since, instance, outcome, sent, status }
                             });
                             passage.ended(now, instance, outcome, sent, done.answer)
                         }
                         Ok(Ok(Err(no))) => {
                             let now = shop.now();
-                            follow.step(now, |p| Trail::Denied { p, no });
+                            follow.step(now, |p| TraceEvent::Denied { p, no });
                             passage.refused(now, no)
                         }
                         _ => {
-                            follow.step(shop.now(), |p| Trail::Late { p });
+                            follow.step(shop.now(), |p| TraceEvent::Late { p });
                             passage.late()
                         }
                     }
--- a/proxy/src/opening.rs
+++ b/proxy/src/opening.rs
@@ -7,7 +7,7 @@
 use hyper::StatusCode;
 use millpost_net::figures;
 use millpost_net::mail::{self, Limits, Reply};
-use millpost_net::room::Room;
+use millpost_net::room::ConnectionLimiter;
 use millpost_scheduler::Phase;
 use snafu::{OptionExt, ResultExt};
 use tokio::net::TcpListener;
@@ -70,7 +70,7 @@
         figures::serve_at(SocketAddr::new(settings.ip, port), handler.clone()).await;
     }
     tokio::spawn(mail::serve(ready, limits, handler, std::future::pending()));
-    let room = Room::new((settings.limits.max_fds as usize).saturating_sub(200) / 2);
+    let room = ConnectionLimiter::new((settings.limits.max_fds as usize).saturating_sub(200) / 2);
     tokio::task::spawn_local(front::serve(Rc::clone(shop), front, room, phases.clone()));
     shop.rounds(phases).await;
     Ok(())
--- a/proxy/src/shop.rs
+++ b/proxy/src/shop.rs
@@ -11,12 +11,12 @@
 use hyper::{Method, StatusCode};
 use millpost_config::{At, Config, Settings, Table, change};
 use millpost_net::figures;
-use millpost_net::mail::{self, Bounds, Call, Event, Incarnation, Post, Reply, To};
+use millpost_net::mail::{self, Bounds, Call, Event, Incarnation, Outbox, Reply, To};
 use millpost_protocol::frame::Head;
-use millpost_protocol::{Letter, Note, object, text};
+use millpost_protocol::{MessageBatch, PeerMessage, object, text};
 use millpost_scheduler::{
-    Ask, MS, Margins, Nanos, No, Out, Outcome, Patience, Peer, Phase, Sink, Spec, Taped as Desk, Terms,
-    Trail, asks_per_s,
+    Ask, AttemptTimeouts, ClientTimeouts, MS, Nanos, No, Out, Outcome, Peer, Phase, Recorded as Coordinator,
+    Sink, Spec, Terms, TraceEvent, asks_per_s,
 };
 use tinyjson::JsonValue;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -69,13 +69,13 @@
     /// The configuration in force.
     pub force: RefCell<Option<Rc<Force>>>,
     /// What clients were seen to give.
-    pub patience: RefCell<Patience>,
+    pub patience: RefCell<ClientTimeouts>,
     /// What answers of each function take.
-    pub margins: RefCell<Margins>,
-    desk: RefCell<Desk>,
+    pub margins: RefCell<AttemptTimeouts>,
+    desk: RefCell<Coordinator>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<Word>>>,
-    posts: RefCell<HashMap<CompactString, Post>>,
-    porter: Post,
+    posts: RefCell<HashMap<CompactString, Outbox>>,
+    porter: Outbox,
     scouting: RefCell<HashMap<CompactString, ()>>,
     /// While mail is being answered: whose, and what the answer says.
     replying: RefCell<Option<(CompactString, Vec<JsonValue>)>>,
@@ -173,12 +173,12 @@
         // Numbers of asks are never used twice, in no life; 2^53 is the most that a JSON number tells.
         let first = (life & 0xffff_ffff) << 20;
         let seed = life ^ xxhash_rust::xxh3::xxh3_64(me.name.as_bytes());
-        let desk = Desk::new(me, terms, seed, first, sink);
+        let desk = Coordinator::new(me, terms, seed, first, sink);
         let (inputs, others) = mpsc::channel(4_000);
         let (urgent, first) = mpsc::channel(100);
         let porter = SocketAddr::new(loopback(settings.ip), settings.internal_ports.0 + 2);
         let porter = To { peer: PORTER.into(), ..to(porter, &settings, Incarnation::new(life)) };
-        let porter = Post::new(porter, BOUNDS, inputs.clone());
+        let porter = Outbox::new(porter, BOUNDS, inputs.clone());
         Ok(Rc::new(Shop {
             pool: Pool::default(),
             force: RefCell::default(),
@@ -284,13 +284,13 @@
                 let serving = *phases.borrow() < Phase::Closing;
                 let split = self.desk.borrow().split();
                 let digest = self.desk.borrow().digest();
-                self.up(&Note::Alive { peer, serving, split, digest });
+                self.up(&PeerMessage::Alive { peer, serving, split, digest });
                 if let Some(left) = self.rest.left(self.now()) {
-                    self.up(&Note::Rest { name: self.settings.node_name.clone(), left });
+                    self.up(&PeerMessage::Rest { name: self.settings.node_name.clone(), left });
                 }
-                self.up(&Note::Acts { revision: self.currency.acted(), number: 0 });
+                self.up(&PeerMessage::Acts { revision: self.currency.acted(), number: 0 });
                 if self.currency.asks() {
-                    self.up(&Note::AskRevision);
+                    self.up(&PeerMessage::AskRevision);
                 }
             }
             if sweep.elapsed() >= Duration::from_secs(1) {
@@ -301,7 +301,7 @@
         }
     }
 
-    fn up(&self, note: &Note) {
+    fn up(&self, note: &PeerMessage) {
         if self.porter.push(note.to_json()).is_err() {
             log::warn!("the porter takes nothing more");
         }
@@ -317,11 +317,13 @@
                 self.desk.borrow_mut().mute(self.now())
             }
             Input::Mail(Event::Lost { peer, notes }) => {
-                let notes = notes.iter().filter_map(|n| Note::read(n).ok()).collect();
+                let notes = notes.iter().filter_map(|n| PeerMessage::read(n).ok()).collect();
                 self.desk.borrow_mut().returned(self.now(), &peer, notes);
             }
             Input::Mail(Event::Answered { body, .. }) => {
-                if let Some(letter) = mail::json(&body).as_ref().and_then(|json| Letter::read(json).ok()) {
+                if let Some(letter) =
+                    mail::json(&body).as_ref().and_then(|json| MessageBatch::read(json).ok())
+                {
                     self.mail(&letter.from, letter.life, letter.notes);
                 }
             }
@@ -344,7 +346,7 @@
             (_, "/mail") if call.method == Method::POST => {}
             _ => return Reply::empty(StatusCode::NOT_FOUND),
         }
-        let Some(letter) = call.json().as_ref().and_then(|json| Letter::read(json).ok()) else {
+        let Some(letter) = call.json().as_ref().and_then(|json| MessageBatch::read(json).ok()) else {
             return Reply::empty(StatusCode::BAD_REQUEST);
         };
         for fault in &letter.faults {
@@ -354,29 +356,29 @@
         let (down, between): (Vec<_>, Vec<_>) = letter.notes.into_iter().partition(|n| {
             matches!(
                 n,
-                Note::Config { .. }
-                    | Note::Packed { .. }
-                    | Note::Patch { .. }
-                    | Note::Folded { .. }
-                    | Note::Stalls { .. }
-                    | Note::Shift(_)
-                    | Note::Instances { .. }
-                    | Note::Floor { .. }
-                    | Note::Steward { .. }
-                    | Note::Rest { .. }
-                    | Note::Stands { .. }
+                PeerMessage::Config { .. }
+                    | PeerMessage::Packed { .. }
+                    | PeerMessage::Patch { .. }
+                    | PeerMessage::Folded { .. }
+                    | PeerMessage::Stalls { .. }
+                    | PeerMessage::ViewChange(_)
+                    | PeerMessage::Instances { .. }
+                    | PeerMessage::Floor { .. }
+                    | PeerMessage::Steward { .. }
+                    | PeerMessage::Rest { .. }
+                    | PeerMessage::Stands { .. }
             )
         });
         for note in down {
             match note {
                 // One life never goes back; what was told before is not unpacked again.
-                Note::Config { revision, .. }
-                | Note::Packed { revision, .. }
-                | Note::Patch { revision, .. }
-                | Note::Folded { revision, .. }
+                PeerMessage::Config { revision, .. }
+                | PeerMessage::Packed { revision, .. }
+                | PeerMessage::Patch { revision, .. }
+                | PeerMessage::Folded { revision, .. }
                     if self.has(revision) => {}
-                Note::Config { revision, body } => self.configure(revision, &body),
-                Note::Packed { revision, packed } => {
+                PeerMessage::Config { revision, body } => self.configure(revision, &body),
+                PeerMessage::Packed { revision, packed } => {
                     match mail::json(
                         millpost_net::pack::unpack(&packed, 16 << 20).unwrap_or_default().as_bytes(),
                     ) {
@@ -384,16 +386,16 @@
                         None => log::error!("configuration {revision} can't be unpacked"),
                     }
                 }
-                Note::Patch { revision, change } => self.patch(revision, &change),
-                Note::Folded { revision, packed } => {
+                PeerMessage::Patch { revision, change } => self.patch(revision, &change),
+                PeerMessage::Folded { revision, packed } => {
                     let text = millpost_net::pack::unpack(&packed, 16 << 20).unwrap_or_default();
                     match mail::json(text.as_bytes()) {
                         Some(change) => self.patch(revision, &change),
                         None => log::error!("change to {revision} can't be unpacked"),
                     }
                 }
-                Note::Rest { name, left } => self.rest(&name, left),
-                Note::Stands { revision } => self.currency.stands(revision),
+                PeerMessage::Rest { name, left } => self.rest(&name, left),
+                PeerMessage::Stands { revision } => self.currency.stands(revision),
                 note => self.desk.borrow_mut().told(now, note),
             }
         }
@@ -420,9 +422,9 @@
     }
 
     /// Mail from another stall.
-    fn mail(&self, from: &str, life: u64, mut notes: Vec<Note>) {
-        for note in notes.extract_if(.., |note| matches!(note, Note::StaleIncarnation { .. })) {
-            if let Note::StaleIncarnation { known } = note {
+    fn mail(&self, from: &str, life: u64, mut notes: Vec<PeerMessage>) {
+        for note in notes.extract_if(.., |note| matches!(note, PeerMessage::StaleIncarnation { .. })) {
+            if let PeerMessage::StaleIncarnation { known } = note {
                 self.raise_incarnation(from, known);
             }
         }
@@ -470,7 +472,7 @@
 
     fn put_in_force(&self, config: Config) {
         self.currency.act(config.revision);
-        self.trail(self.now(), &Trail::Acts { revision: config.revision });
+        self.trail(self.now(), &TraceEvent::Acts { revision: config.revision });
         let named: HashSet<_> = config.routes.iter().map(|r| &r.name).collect();
         self.patience.borrow_mut().retain(|name| named.contains(name));
         let served: HashSet<_> = config.services.iter().map(|s| &s.name).collect();
@@ -480,7 +482,7 @@
         if let Some(before) = before.filter(|before| before.config.services == config.services) {
             let force = Force { table: Table::new(&config), idle: before.idle.clone(), config };
             *self.force.borrow_mut() = Some(Rc::new(force));
-            return self.up(&Note::Acts { revision: self.currency.acted(), number: 0 });
+            return self.up(&PeerMessage::Acts { revision: self.currency.acted(), number: 0 });
         }
         let stalls = self.desk.borrow().owners().len().max(1);
         let idle = config.services.iter().map(|s| {
@@ -500,7 +502,7 @@
         let force = Force { table: Table::new(&config), idle: Rc::new(idle.collect()), config };
         *self.force.borrow_mut() = Some(Rc::new(force));
         self.desk.borrow_mut().configure(self.now(), specs.into_iter());
-        self.up(&Note::Acts { revision: self.currency.acted(), number: 0 });
+        self.up(&PeerMessage::Acts { revision: self.currency.acted(), number: 0 });
         // The caller carries out.
     }
 
@@ -520,7 +522,7 @@
     }
 
     /// A step of a request's, for whoever records.
-    pub fn trail(&self, now: Nanos, trail: &Trail) {
+    pub fn trail(&self, now: Nanos, trail: &TraceEvent) {
         self.desk.borrow_mut().trail(now, trail);
     }
 
@@ -601,7 +603,7 @@
         }
     }
 
-    fn send(&self, to: CompactString, note: &Note) {
+    fn send(&self, to: CompactString, note: &PeerMessage) {
         if let Some((address, notes)) = &mut *self.replying.borrow_mut()
             && *address == to
         {
@@ -616,7 +618,7 @@
                 posts.clear();
             }
             let life = self.incarnation_for(&to);
-            let post = Post::new(self::to(address, &self.settings, life), BOUNDS, self.inputs.clone());
+            let post = Outbox::new(self::to(address, &self.settings, life), BOUNDS, self.inputs.clone());
             posts.insert(to.clone(), post);
         }
         if let Some(post) = posts.get(&to)
--- a/proxy/src/trail.rs
+++ b/proxy/src/trail.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariant: a request that was begun and not answered is told to have been left, also where its client leaves in the midst of it.
 
-use millpost_scheduler::{Nanos, Trail, Wish};
+use millpost_scheduler::{Nanos, RequestInfo, TraceEvent};
 
 use crate::shop::Shop;
 
@@ -15,11 +15,11 @@
 
 impl<'a> Follow<'a> {
     /// It was read.
-    pub fn begin(shop: &'a Shop, attempt: &[u8], route: &str, wish: &Wish) -> Self {
+    pub fn begin(shop: &'a Shop, attempt: &[u8], route: &str, wish: &RequestInfo) -> Self {
         let p = shop.follow();
         if let Some(p) = p {
             let attempt = millpost_scheduler::trail::attempt(attempt);
-            let begun = Trail::Begun { p, attempt, route: route.into(), wish: wish.clone() };
+            let begun = TraceEvent::Begun { p, attempt, route: route.into(), wish: wish.clone() };
             shop.trail(shop.now(), &begun);
         }
         Follow { shop, p }
@@ -31,7 +31,7 @@
     }
 
     /// A step, at this time.
-    pub fn step(&self, now: Nanos, step: impl FnOnce(u64) -> Trail) {
+    pub fn step(&self, now: Nanos, step: impl FnOnce(u64) -> TraceEvent) {
         if let Some(p) = self.p {
             self.shop.trail(now, &step(p));
         }
@@ -45,6 +45,6 @@
 
 impl Drop for Follow<'_> {
     fn drop(&mut self) {
-        self.step(self.shop.now(), |p| Trail::Left { p });
+        self.step(self.shop.now(), |p| TraceEvent::Left { p });
     }
 }
--- a/replay/examples/desks.rs
+++ b/replay/examples/desks.rs
@@ -8,7 +8,7 @@
 
 use day::{Day, Plan};
 use millpost_scheduler::tape::{Entry, Input};
-use millpost_scheduler::{Desk, SECOND, Terms};
+use millpost_scheduler::{Coordinator, SECOND, Terms};
 
 #[path = "../tests/day/mod.rs"]
 #[allow(dead_code)]
@@ -76,7 +76,7 @@
             let kind = entry.input.name();
             let Some(desk) = &mut desk else {
                 let Input::New { me, terms, seed, first } = entry.input else { panic!("a life begins") };
-                desk = Some(Desk::new(me, terms, seed, first));
+                desk = Some(Coordinator::new(me, terms, seed, first));
                 continue;
             };
             let began = Instant::now();
--- a/replay/examples/recording.rs
+++ b/replay/examples/recording.rs
@@ -7,7 +7,7 @@
 
 use day::{Day, Plan};
 use millpost_scheduler::tape::{Entry, Input};
-use millpost_scheduler::{Desk, SECOND, Sink, Taped, Terms};
+use millpost_scheduler::{Coordinator, Recorded, SECOND, Sink, Terms};
 
 #[path = "../tests/day/mod.rs"]
 #[allow(dead_code)]
@@ -59,7 +59,7 @@
 
 fn plainly(entries: &[Entry]) -> f64 {
     let Input::New { me, terms, seed, first } = entries[0].input.clone() else { panic!("a life begins") };
-    let (mut desk, given) = (Desk::new(me, terms, seed, first), entries[1..].to_vec());
+    let (mut desk, given) = (Coordinator::new(me, terms, seed, first), entries[1..].to_vec());
     let begun = Instant::now();
     for entry in given {
         entry.input.give(entry.at, &mut desk);
@@ -70,7 +70,7 @@
 
 fn taped(entries: &[Entry], sink: Option<Sink>) -> f64 {
     let Input::New { me, terms, seed, first } = entries[0].input.clone() else { panic!("a life begins") };
-    let (mut desk, given) = (Taped::new(me, terms, seed, first, sink), entries[1..].to_vec());
+    let (mut desk, given) = (Recorded::new(me, terms, seed, first, sink), entries[1..].to_vec());
     let begun = Instant::now();
     for Entry { at, input, .. } in given {
         match input {
@@ -88,7 +88,7 @@
             Input::Returned { address, notes } => desk.returned(at, &address, notes),
             Input::Mute => desk.mute(at),
             Input::Tick => desk.tick(at),
-            Input::Trail(trail) => desk.trail(at, &trail),
+            Input::TraceEvent(trail) => desk.trail(at, &trail),
         }
         std::hint::black_box(desk.take());
     }
--- a/replay/examples/traces.rs
+++ b/replay/examples/traces.rs
@@ -7,7 +7,7 @@
 
 use day::{Day, Plan};
 use millpost_autoscaler::{
-    Entry as Listed, ServiceSpec, StartFault, StopFault, Taped, Terms as Pace, Worker,
+    Entry as Listed, Recorded, ServiceSpec, StartFault, StopFault, Terms as Pace, Worker,
 };
 use millpost_config::{Config, change};
 use millpost_protocol::line::Sink;
@@ -66,7 +66,7 @@
     let lines = Rc::new(RefCell::new(Vec::new()));
     let told = Rc::clone(&lines);
     let sink = Box::new(move |line: &str| told.borrow_mut().push(line.to_owned()));
-    let mut scaler = Taped::new(Pace::new(1, 4.0, 800), 2 * SECOND, Some(sink));
+    let mut scaler = Recorded::new(Pace::new(1, 4.0, 800), 2 * SECOND, Some(sink));
     let address = |n: u8| SocketAddr::from(([10, 0, 0, n], 80));
     let worker = |n: u8, draining| Worker {
         name: format!("w{n}").into(),
@@ -134,7 +134,7 @@
         millpost_agent::Terms { name: "edge-1".into(), life: 1_796_172_615_944, seeds, grace: 2 * SECOND };
     let sink: Sink = Box::new(move |line| told.borrow_mut().push(line.to_owned()));
     let mut day =
-        Rounds { round: millpost_agent::Taped::new(terms, 0, Some(sink)), open: Vec::new(), now: 0 };
+        Rounds { round: millpost_agent::Recorded::new(terms, 0, Some(sink)), open: Vec::new(), now: 0 };
     let body = |revision: u64| {
         let service = |n| format!(r#"{{"name":"f{n}","max_conns":9,"memory_mb":128,"boot_ms":300}}"#);
         let services: Vec<_> = (0..revision).map(service).collect();
@@ -228,7 +228,7 @@
 }
 
 struct Rounds {
-    round: millpost_agent::Taped,
+    round: millpost_agent::Recorded,
     open: Vec<(u64, String)>,
     now: u64,
 }
@@ -269,7 +269,7 @@
     fn letter(&mut self, notes: &str) {
         self.now += 333_333;
         let body = format!(r#"{{"from":"edge-1","life":5,"notes":[{notes}]}}"#).into();
-        self.round.give(self.now, millpost_agent::Input::Letter(body));
+        self.round.give(self.now, millpost_agent::Input::MessageBatch(body));
         self.take();
     }
 }
--- a/replay/src/check.rs
+++ b/replay/src/check.rs
@@ -6,7 +6,7 @@
 
 use compact_str::CompactString;
 use millpost::doubled_time;
-use millpost_protocol::Note;
+use millpost_protocol::PeerMessage;
 use millpost_scheduler::tape::Input;
 use millpost_scheduler::{Ask, MS, Nanos, Out, Outcome, Stage, Terms, first_gap};
 
@@ -86,7 +86,7 @@
 
 /// The tries of one request, as its asks tell of them.
 #[derive(Debug)]
-struct Tries {
+struct RetrySchedule {
     t1: Nanos,
     /// When its first try was sent.
     first: Option<Nanos>,
@@ -120,7 +120,7 @@
     lives: BTreeMap<CompactString, u64>,
     own: BTreeMap<u64, Own>,
     others: BTreeMap<(CompactString, u64), Other>,
-    tries: BTreeMap<(CompactString, Nanos, Nanos), Tries>,
+    tries: BTreeMap<(CompactString, Nanos, Nanos), RetrySchedule>,
     tallies: BTreeMap<CompactString, Tally>,
     swept: Nanos,
     counts: BTreeMap<Rule, usize>,
@@ -169,7 +169,7 @@
                         self.broken(Rule::Once, step, || format!("ask {ask} is refused, and is not open"));
                     }
                 }
-                Out::Up(Note::Retire { instance } | Note::Lost { instance }) => {
+                Out::Up(PeerMessage::Retire { instance } | PeerMessage::Lost { instance }) => {
                     if let Some(seen) = self.known.get_mut(instance) {
                         seen.let_go = true;
                     }
@@ -204,7 +204,7 @@
             // Whom it stands with now shows where it is sent anew; else that is this stall itself.
             Input::Returned { address, notes } => {
                 for note in notes {
-                    if let Note::Ask { id, .. } | Note::Held { id, .. } = note
+                    if let PeerMessage::Ask { id, .. } | PeerMessage::Held { id, .. } = note
                         && let Some(own) = self.own.get_mut(id)
                         && own.sent_to.as_ref() == Some(address)
                     {
@@ -221,17 +221,17 @@
         self.known.values_mut().for_each(|seen| seen.let_go = false);
     }
 
-    fn told(&mut self, step: &Step<'_>, note: &Note) {
+    fn told(&mut self, step: &Step<'_>, note: &PeerMessage) {
         match note {
-            Note::Stalls { peers, .. } => {
+            PeerMessage::Stalls { peers, .. } => {
                 self.others.retain(|(who, _), _| *who == self.me || peers.iter().any(|p| p.name == *who));
                 self.judged_anew();
             }
-            Note::Shift(shift) => {
+            PeerMessage::ViewChange(shift) => {
                 self.others.retain(|(who, _), _| *who == self.me || !shift.left.contains(who));
                 self.judged_anew();
             }
-            Note::Instances { version, all, set, gone } => {
+            PeerMessage::Instances { version, all, set, gone } => {
                 if !(*version > self.version || *all && *version == self.version) {
                     return;
                 }
@@ -272,13 +272,14 @@
         let request = (ask.service.clone(), ask.deadline, ask.aim);
         if first {
             // One that goes elsewhere counts there.
-            let elsewhere = |out: &Out| matches!(out, Out::Send { note: Note::Ask { id, .. }, .. } if Some(*id) == step.given);
+            let elsewhere = |out: &Out| matches!(out, Out::Send { note: PeerMessage::Ask { id, .. }, .. } if Some(*id) == step.given);
             if !step.outs.iter().any(elsewhere) {
                 self.tally(&ask.service).requests.push_back(step.at);
             }
             let t1 = first_gap(ask.target);
-            self.tries.insert(request.clone(), Tries { t1, first: None, unused: false });
-        } else if let Some(Tries { t1, first: Some(begun), unused: false }) = self.tries.get(&request) {
+            self.tries.insert(request.clone(), RetrySchedule { t1, first: None, unused: false });
+        } else if let Some(RetrySchedule { t1, first: Some(begun), unused: false }) = self.tries.get(&request)
+        {
             let (t1, begun) = (*t1, *begun);
             self.retries += 1;
             let due = (1..40).map(|k| doubled_time(begun, t1, k));
@@ -301,7 +302,7 @@
         }
     }
 
-    fn mail(&mut self, step: &Step<'_>, from: &CompactString, life: u64, notes: &[Note]) {
+    fn mail(&mut self, step: &Step<'_>, from: &CompactString, life: u64, notes: &[PeerMessage]) {
         let known = self.lives.get(from).copied();
         if known.is_some_and(|known| known > life) {
             return;
@@ -311,7 +312,7 @@
             self.others.retain(|(who, _), _| who != from);
         }
         for note in notes {
-            if let Note::Ask { id, service, left, sent, first, .. } = note {
+            if let PeerMessage::Ask { id, service, left, sent, first, .. } = note {
                 let until =
                     step.at.saturating_add_signed((left.clamp(-1e7, 1e7) * MS as f64) as i64) + OVERDUE;
                 let key = (from.clone(), *id);
@@ -338,9 +339,9 @@
         }
         // Permits of an owner of before are taken in whatever they come to.
         let taken_in = match step.input {
-            Input::Told(Note::Stalls { .. } | Note::Shift(_)) => true,
+            Input::Told(PeerMessage::Stalls { .. } | PeerMessage::ViewChange(_)) => true,
             Input::Mail { notes, .. } => {
-                notes.iter().any(|note| matches!(note, Note::Held { .. } | Note::Over { .. }))
+                notes.iter().any(|note| matches!(note, PeerMessage::Held { .. } | PeerMessage::Over { .. }))
             }
             _ => false,
         };
@@ -389,14 +390,14 @@
         }
     }
 
-    fn sent(&mut self, step: &Step<'_>, to: &CompactString, note: &Note) {
+    fn sent(&mut self, step: &Step<'_>, to: &CompactString, note: &PeerMessage) {
         match note {
-            Note::Ask { id, .. } | Note::Held { id, .. } => {
+            PeerMessage::Ask { id, .. } | PeerMessage::Held { id, .. } => {
                 if let Some(own) = self.own.get_mut(id) {
                     own.sent_to = Some(to.clone());
                 }
             }
-            Note::Grant { id, instance, .. } => {
+            PeerMessage::Grant { id, instance, .. } => {
                 let Some(name) =
                     step.desk.owners().peers().iter().find(|p| p.address == *to).map(|p| p.name.clone())
                 else {
@@ -436,15 +437,15 @@
             Input::Mail { from, life, notes } if self.lives.get(from) == Some(life) => {
                 for note in notes {
                     match note {
-                        Note::Drop { id } => {
+                        PeerMessage::Drop { id } => {
                             self.others.remove(&(from.clone(), *id));
                         }
-                        Note::Done { id, outcome, .. } => self.returned(step, from, *id, outcome),
+                        PeerMessage::Done { id, outcome, .. } => self.returned(step, from, *id, outcome),
                         _ => {}
                     }
                 }
             }
-            Input::Told(Note::Instances { .. }) => {
+            Input::Told(PeerMessage::Instances { .. }) => {
                 let broker = step.desk.broker();
                 let there: BTreeSet<_> = broker.instances().map(|i| i.id.as_str()).collect();
                 let orphan = broker
@@ -479,14 +480,16 @@
     }
 
     fn finished(&mut self, step: &Step<'_>, id: u64, outcome: Outcome, took: Nanos) {
-        let count = |is: &dyn Fn(&Note) -> bool| {
+        let count = |is: &dyn Fn(&PeerMessage) -> bool| {
             step.outs.iter().filter(|out| matches!(out, Out::Send { note, .. } if is(note))).count()
         };
-        let back =
-            count(&|note| matches!(note, Note::Done { id: of, .. } | Note::Drop { id: of } if *of == id));
+        let back = count(
+            &|note| matches!(note, PeerMessage::Done { id: of, .. } | PeerMessage::Drop { id: of } if *of == id),
+        );
         // An owner's own, of a function that it has handed over since.
-        let passed =
-            count(&|note| matches!(note, Note::Back { who, id: of, .. } if *who == self.me && *of == id));
+        let passed = count(
+            &|note| matches!(note, PeerMessage::Back { who, id: of, .. } if *who == self.me && *of == id),
+        );
         let own = self.own.remove(&id);
         let granted = own.as_ref().is_some_and(|own| own.granted);
         if outcome != Outcome::Unused && own.is_some() && !granted {
--- a/replay/src/clocks.rs
+++ b/replay/src/clocks.rs
@@ -11,7 +11,7 @@
 use millpost_agent::{Input as RoundInput, tape as round};
 use millpost_autoscaler::tape::Input as ScalerInput;
 use millpost_net::mail;
-use millpost_protocol::{Letter, Note};
+use millpost_protocol::{MessageBatch, PeerMessage};
 use millpost_scheduler::MS;
 use millpost_scheduler::tape::{self as desk, Input as DeskInput};
 use tinyjson::JsonValue;
@@ -145,7 +145,7 @@
             let least = self.behind.entry(node).or_insert(behind);
             *least = behind.min(*least);
         }
-        if let Entry::Desk(desk::Entry { input: DeskInput::New { me, .. }, .. }) = &read.entry {
+        if let Entry::Coordinator(desk::Entry { input: DeskInput::New { me, .. }, .. }) = &read.entry {
             self.names.insert(node, me.name.clone());
         } else if let Entry::Round(round::Entry { input: RoundInput::New(terms), .. }) = &read.entry {
             self.names.insert(node, terms.name.clone());
@@ -154,7 +154,7 @@
             self.names.entry(node).or_insert_with(name);
         }
         match &read.entry {
-            Entry::Desk(entry) => self.desk(node, at, &entry.input),
+            Entry::Coordinator(entry) => self.desk(node, at, &entry.input),
             Entry::Round(entry) => self.round(node, at, &entry.input, sources),
             Entry::Scaler(entry) => self.scaler(node, at, &entry.input),
         }
@@ -202,12 +202,14 @@
             DeskInput::Mail { from, life, notes } => {
                 for note in notes {
                     match note {
-                        Note::Ask { id, .. } => {
+                        PeerMessage::Ask { id, .. } => {
                             if let Some(ask) = self.ask(from, *id) {
                                 first(&mut ask.came, node, at);
                             }
                         }
-                        Note::Grant { id, .. } | Note::No { id, .. } | Note::Waits { id } => {
+                        PeerMessage::Grant { id, .. }
+                        | PeerMessage::No { id, .. }
+                        | PeerMessage::Waits { id } => {
                             if let Some(ask) = self.ask(&me, *id)
                                 && !ask.answered.iter().any(|(who, of, _)| who == from && of == life)
                                 && ask.answered.len() < 64
@@ -221,10 +223,10 @@
             }
             DeskInput::Up(id) => self.says(node, at, Word::Up(me, "up", id.clone())),
             DeskInput::Refused(id) => self.says(node, at, Word::Up(me, "lost", id.clone())),
-            DeskInput::Told(Note::Stalls { version, .. }) => {
+            DeskInput::Told(PeerMessage::Stalls { version, .. }) => {
                 self.hears(node, at, Word::Told(me, "stalls", *version));
             }
-            DeskInput::Told(Note::Instances { version, .. }) => {
+            DeskInput::Told(PeerMessage::Instances { version, .. }) => {
                 self.hears(node, at, Word::Told(me, "instances", *version));
             }
             _ => {}
@@ -238,11 +240,11 @@
                 let Some(JsonValue::Object(parts)) = mail::json(line) else { return };
                 let Some(JsonValue::Array(notes)) = parts.get("notes") else { return };
                 for note in notes {
-                    match Note::read(note) {
-                        Ok(Note::Stalls { version, .. }) => {
+                    match PeerMessage::read(note) {
+                        Ok(PeerMessage::Stalls { version, .. }) => {
                             self.says(node, at, Word::Told(me.clone(), "stalls", version));
                         }
-                        Ok(Note::Instances { version, set, .. }) => {
+                        Ok(PeerMessage::Instances { version, set, .. }) => {
                             self.says(node, at, Word::Told(me.clone(), "instances", version));
                             for instance in set {
                                 self.hears(node, at, Word::Known(version.0, instance.id));
@@ -252,16 +254,16 @@
                     }
                 }
             }
-            RoundInput::Letter(body) => {
-                let letter = mail::json(body).and_then(|json| Letter::read(&json).ok());
+            RoundInput::MessageBatch(body) => {
+                let letter = mail::json(body).and_then(|json| MessageBatch::read(&json).ok());
                 let Some(letter) = letter.filter(|letter| letter.from == me) else { return };
                 // Word of a life that is not the only one comes from that alone.
                 let of = sources.iter().position(|s| s.machine() == me && s.of.ends_with("/stall"));
                 let lives = of.map_or(0, |of| sources[of].lives.len());
                 for note in letter.notes {
                     let (kind, instance) = match note {
-                        Note::Up { instance } => ("up", instance),
-                        Note::Lost { instance } => ("lost", instance),
+                        PeerMessage::Up { instance } => ("up", instance),
+                        PeerMessage::Lost { instance } => ("lost", instance),
                         _ => continue,
                     };
                     self.says(node, at, Word::Raised(kind, instance.clone()));
--- a/replay/src/command/play.rs
+++ b/replay/src/command/play.rs
@@ -56,7 +56,7 @@
 
 /// What of one life is counted.
 enum Counts {
-    Desk(Table, Box<Check>),
+    Coordinator(Table, Box<Check>),
     Scaler(Rounds),
     Round(Box<Feeds>),
 }
@@ -64,7 +64,7 @@
 impl Counts {
     fn of(entry: &Entry, service: Option<&str>) -> Self {
         match entry {
-            Entry::Desk(_) => Counts::Desk(Table::new(service), Box::default()),
+            Entry::Coordinator(_) => Counts::Coordinator(Table::new(service), Box::default()),
             Entry::Scaler(_) => Counts::Scaler(Rounds::new(service)),
             Entry::Round(_) => Counts::Round(Box::default()),
         }
@@ -72,7 +72,7 @@
 
     fn see(&mut self, event: &Event<'_>) {
         match (self, event) {
-            (Counts::Desk(table, check), Event::Desk(step)) => {
+            (Counts::Coordinator(table, check), Event::Coordinator(step)) => {
                 table.see(step);
                 check.see(step);
             }
@@ -85,7 +85,7 @@
     /// How often a rule was broken so far.
     fn broken(&self) -> usize {
         match self {
-            Counts::Desk(_, check) => Rule::ALL.iter().map(|rule| check.count(*rule)).sum(),
+            Counts::Coordinator(_, check) => Rule::ALL.iter().map(|rule| check.count(*rule)).sum(),
             Counts::Scaler(_) => 0,
             Counts::Round(feeds) => {
                 millpost_replay::feeds::Must::ALL.iter().map(|must| feeds.count(*must)).sum()
@@ -96,7 +96,7 @@
 
 fn heading(life: usize, read: &Read) -> String {
     let who = match &read.entry {
-        Entry::Desk(entry) => match &entry.input {
+        Entry::Coordinator(entry) => match &entry.input {
             Input::New { me, .. } => format!("the desk of {} in {}", me.name, me.zone),
             _ => String::new(),
         },
@@ -146,7 +146,7 @@
             }
             let node = match &event {
                 Event::Begins { .. } => return Ok(()),
-                Event::Desk(step) => step.node,
+                Event::Coordinator(step) => step.node,
                 Event::Scaler(turn) => turn.node,
                 Event::Round(pass) => pass.node,
             };
@@ -193,7 +193,7 @@
     fn print(&self, event: &Event<'_>, out: &mut impl Write) -> Result<(), Error> {
         let all: Vec<String> = match event {
             Event::Begins { .. } => Vec::new(),
-            Event::Desk(s) => {
+            Event::Coordinator(s) => {
                 s.outs.iter().map(|one| outs::desk(s.at, s.line, s.life, one, s.numbers)).collect()
             }
             Event::Scaler(t) => t.outs.iter().map(|one| outs::scaler(t.at, t.line, t.life, one)).collect(),
@@ -219,7 +219,9 @@
             let all = match of.counts {
                 Counts::Scaler(rounds) => rows::scaler(life, rounds),
                 Counts::Round(feeds) => [rows::round(life, &feeds), rows::musts(life, &feeds)].concat(),
-                Counts::Desk(table, check) => [rows::desk(life, table), rows::rules(life, &check)].concat(),
+                Counts::Coordinator(table, check) => {
+                    [rows::desk(life, table), rows::rules(life, &check)].concat()
+                }
             };
             all.iter().try_for_each(|line| put(line))?;
             return Ok(good);
@@ -227,7 +229,7 @@
         let text = match of.counts {
             Counts::Scaler(rounds) => rounds.text(),
             Counts::Round(feeds) => feeds.text().0,
-            Counts::Desk(table, check) => {
+            Counts::Coordinator(table, check) => {
                 let mut text = table.text();
                 judged(&check, &mut text);
                 text
--- a/replay/src/command/step.rs
+++ b/replay/src/command/step.rs
@@ -56,7 +56,7 @@
         let service = self.service.as_deref();
         Some(match event {
             Event::Begins { .. } => return None,
-            Event::Desk(step) => Shown {
+            Event::Coordinator(step) => Shown {
                 life: step.life,
                 line: step.line,
                 at: step.at,
--- a/replay/src/cut.rs
+++ b/replay/src/cut.rs
@@ -11,7 +11,7 @@
 use compact_str::CompactString;
 use millpost_agent::tape::Entry as RoundEntry;
 use millpost_autoscaler::tape::Entry as ScalerEntry;
-use millpost_protocol::Note;
+use millpost_protocol::PeerMessage;
 use millpost_protocol::frame::{Head, sealed};
 use millpost_scheduler::tape::{Entry as DeskEntry, Input};
 use millpost_scheduler::{MS, Nanos, SECOND};
@@ -73,15 +73,15 @@
             Input::GiveUp { id } | Input::Finish { id, .. } => {
                 self.own.remove(id);
             }
-            Input::Told(Note::Stalls { peers, .. }) => {
+            Input::Told(PeerMessage::Stalls { peers, .. }) => {
                 self.stalls = vec![line];
                 self.others.retain(|(who, _), _| peers.iter().any(|p| p.name == *who));
             }
-            Input::Told(Note::Shift(shift)) => {
+            Input::Told(PeerMessage::ViewChange(shift)) => {
                 self.stalls.push(line);
                 self.others.retain(|(who, _), _| !shift.left.contains(who));
             }
-            Input::Told(Note::Instances { version, all, set, gone }) if *version >= self.version => {
+            Input::Told(PeerMessage::Instances { version, all, set, gone }) if *version >= self.version => {
                 self.version = *version;
                 if *all {
                     self.alive.clear();
@@ -93,7 +93,7 @@
                     });
                 }
             }
-            Input::Told(Note::Floor { service, .. }) => {
+            Input::Told(PeerMessage::Floor { service, .. }) => {
                 self.floors.insert(service.clone(), line);
             }
             Input::Mail { from, life, notes } => self.mail(entry.at, from, *life, notes),
@@ -101,27 +101,27 @@
         }
     }
 
-    fn mail(&mut self, now: Nanos, from: &CompactString, life: u64, notes: &[Note]) {
+    fn mail(&mut self, now: Nanos, from: &CompactString, life: u64, notes: &[PeerMessage]) {
         if self.lives.insert(from.clone(), life) != Some(life) {
             self.others.retain(|(who, _), _| who != from);
         }
         for note in notes {
             match note {
-                Note::Ask { id, left, .. } | Note::Held { id, left, .. } => {
+                PeerMessage::Ask { id, left, .. } | PeerMessage::Held { id, left, .. } => {
                     let left = left.clamp(0.0, 1e7) * MS as f64;
                     self.others.insert((from.clone(), *id), now.saturating_add(left as Nanos) + OVERDUE);
                 }
-                Note::Over { permits, .. } => {
+                PeerMessage::Over { permits, .. } => {
                     for permit in permits {
                         let left = permit.left.clamp(0.0, 1e7) * MS as f64;
                         let until = now.saturating_add(left as Nanos) + OVERDUE;
                         self.others.insert((permit.who.clone(), permit.id), until);
                     }
                 }
-                Note::Drop { id } | Note::Done { id, .. } => {
+                PeerMessage::Drop { id } | PeerMessage::Done { id, .. } => {
                     self.others.remove(&(from.clone(), *id));
                 }
-                Note::Back { who, id, .. } => {
+                PeerMessage::Back { who, id, .. } => {
                     self.others.remove(&(who.clone(), *id));
                 }
                 _ => {}
@@ -134,33 +134,39 @@
         let kept = match entry.input.clone() {
             input @ Input::New { .. } => input,
             input @ Input::Configure(_) if self.configured == Some(line) => input,
-            input @ Input::Told(Note::Stalls { .. } | Note::Shift(_)) if self.stalls.contains(&line) => input,
-            input @ Input::Told(Note::Floor { .. }) if self.floors.values().any(|n| *n == line) => input,
+            input @ Input::Told(PeerMessage::Stalls { .. } | PeerMessage::ViewChange(_))
+                if self.stalls.contains(&line) =>
+            {
+                input
+            }
+            input @ Input::Told(PeerMessage::Floor { .. }) if self.floors.values().any(|n| *n == line) => {
+                input
+            }
             input @ Input::Ask { id: Some(id), .. } if self.own.contains(&id) => input,
             input @ (Input::Up(_) | Input::Refused(_)) => {
                 let (Input::Up(id) | Input::Refused(id)) = &input else { return None };
                 return self.alive.contains(id).then_some(input);
             }
-            Input::Told(Note::Instances { version, all, mut set, mut gone }) => {
+            Input::Told(PeerMessage::Instances { version, all, mut set, mut gone }) => {
                 set.retain(|i| self.alive.contains(&i.id));
                 gone.retain(|id| self.alive.contains(id));
                 if set.is_empty() && gone.is_empty() && !all {
                     return None;
                 }
-                Input::Told(Note::Instances { version, all, set, gone })
+                Input::Told(PeerMessage::Instances { version, all, set, gone })
             }
             Input::Mail { from, life, mut notes } => {
                 if self.lives.get(&from) != Some(&life) {
                     return None;
                 }
                 notes.retain(|note| match note {
-                    Note::Ask { id, .. } | Note::Held { id, .. } => {
+                    PeerMessage::Ask { id, .. } | PeerMessage::Held { id, .. } => {
                         self.others.contains_key(&(from.clone(), *id))
                     }
-                    Note::Over { permits, .. } => {
+                    PeerMessage::Over { permits, .. } => {
                         permits.iter().any(|p| self.others.contains_key(&(p.who.clone(), p.id)))
                     }
-                    Note::Grant { id, .. } => self.own.contains(id),
+                    PeerMessage::Grant { id, .. } => self.own.contains(id),
                     _ => false,
                 });
                 if notes.is_empty() {
@@ -208,7 +214,7 @@
             continue;
         }
         before &= read.entry.at() < whole_from;
-        if let Entry::Desk(entry) = &read.entry {
+        if let Entry::Coordinator(entry) = &read.entry {
             if let Input::Ask { id: Some(id), .. } = entry.input {
                 survey.highest = survey.highest.max(id);
             }
@@ -268,7 +274,7 @@
                 let number = Some(cut.lines as u64);
                 put(RoundEntry { number, ..entry }.write(), &mut head, &mut cut)?;
             }
-            Entry::Desk(entry) => {
+            Entry::Coordinator(entry) => {
                 before &= entry.at < whole_from;
                 if before {
                     match survey.standing.keep(read.line, &entry) {
--- a/replay/src/diff.rs
+++ b/replay/src/diff.rs
@@ -55,7 +55,7 @@
     play(&mut lines, None, |event| {
         match event {
             Event::Begins { life, .. } => of = life,
-            Event::Desk(step) => {
+            Event::Coordinator(step) => {
                 for out in step.outs {
                     tell(outs::desk(step.at, step.line, of, out, step.numbers));
                 }
--- a/replay/src/duty.rs
+++ b/replay/src/duty.rs
@@ -137,7 +137,7 @@
                     self.heard.entry(fence).or_default().push((pass.node, pass.at));
                 }
             }
-            Event::Desk(_) => {}
+            Event::Coordinator(_) => {}
         }
     }
 
--- a/replay/src/explain.rs
+++ b/replay/src/explain.rs
@@ -5,9 +5,9 @@
 use std::path::Path;
 
 use compact_str::CompactString;
-use millpost_protocol::Note;
+use millpost_protocol::PeerMessage;
 use millpost_scheduler::tape::Input;
-use millpost_scheduler::{Nanos, Out, Outcome, Reason, Trail};
+use millpost_scheduler::{Nanos, Out, Outcome, Reason, TraceEvent};
 
 use crate::clocks::Node;
 use crate::errors::Error;
@@ -49,23 +49,25 @@
     let mut machines: BTreeMap<Node, CompactString> = BTreeMap::new();
     let which = Which { node: None, ..which.clone() };
     let day = Day::survey(path, which, progress, |read, _| {
-        let Entry::Desk(entry) = &read.entry else { return };
+        let Entry::Coordinator(entry) = &read.entry else { return };
         let (node, at, line) = ((read.source, read.life), entry.at, read.line);
         match &entry.input {
             Input::New { me, .. } => {
                 machines.insert(node, me.name.clone());
             }
-            Input::Trail(Trail::Begun { p, attempt, route, wish }) if *attempt == id => found.push(Found {
-                p: Some(*p),
-                node,
-                at,
-                line,
-                machine: machines.get(&node).cloned().unwrap_or_default(),
-                route: route.clone(),
-                service: wish.service.clone(),
-                ..Found::default()
-            }),
-            Input::Trail(Trail::Turned { attempt, status }) if *attempt == id => {
+            Input::TraceEvent(TraceEvent::Begun { p, attempt, route, wish }) if *attempt == id => {
+                found.push(Found {
+                    p: Some(*p),
+                    node,
+                    at,
+                    line,
+                    machine: machines.get(&node).cloned().unwrap_or_default(),
+                    route: route.clone(),
+                    service: wish.service.clone(),
+                    ..Found::default()
+                })
+            }
+            Input::TraceEvent(TraceEvent::Turned { attempt, status }) if *attempt == id => {
                 found.push(Found { node, at, line, turned: Some(*status), ..Found::default() });
             }
             Input::Ask { id: Some(ask), of: Some(p), .. } => {
@@ -79,7 +81,7 @@
     let mut steps: Vec<Vec<Step>> = vec![Vec::new(); found.len()];
     if found.iter().any(|f| f.p.is_some()) {
         day.play(true, |event| {
-            if let Event::Desk(step) = event {
+            if let Event::Coordinator(step) = event {
                 for (one, steps) in found.iter().zip(&mut steps) {
                     see(one, &step, steps);
                 }
@@ -163,7 +165,7 @@
 /// What its own stall does.
 fn asker(one: &Found, step: &Played<'_>, put: &mut Put<'_>) {
     let mine = |ask: u64| one.asks.contains(&step.numbers.recorded(ask));
-    let of = step.trail.and_then(Trail::of).filter(|p| Some(*p) == one.p);
+    let of = step.trail.and_then(TraceEvent::of).filter(|p| Some(*p) == one.p);
     if let Input::Ask { of: Some(p), ask, id, .. } = step.input
         && Some(*p) == one.p
     {
@@ -191,7 +193,7 @@
     }
     for out in step.outs {
         match out {
-            Out::Send { to, note: Note::Ask { id, .. } } if mine(*id) => {
+            Out::Send { to, note: PeerMessage::Ask { id, .. } } if mine(*id) => {
                 let owner = step.desk.owners().peers().iter().find(|p| p.address == *to);
                 let owner = owner.map_or(to.as_str(), |p| p.name.as_str());
                 let again = if matches!(step.input, Input::Ask { .. }) { "" } else { " (again)" };
@@ -220,7 +222,7 @@
     if let Input::Mail { from, notes, .. } = step.input {
         for note in notes {
             match note {
-                Note::Waits { id } if mine(*id) => {
+                PeerMessage::Waits { id } if mine(*id) => {
                     put(
                         step.at,
                         "waits",
@@ -228,7 +230,7 @@
                         vec![("owner", from.into())],
                     );
                 }
-                Note::Grant { id, .. }
+                PeerMessage::Grant { id, .. }
                     if mine(*id)
                         && !step
                             .outs
@@ -267,9 +269,9 @@
     }
 }
 
-fn trails(at: Nanos, trail: &Trail, put: &mut Put<'_>) {
+fn trails(at: Nanos, trail: &TraceEvent, put: &mut Put<'_>) {
     match trail {
-        Trail::Begun { wish, .. } => {
+        TraceEvent::Begun { wish, .. } => {
             let left = ms(wish.deadline.saturating_sub(wish.came));
             let kind = if wish.repeatable { "may run more than once" } else { "may run once" };
             let back =
@@ -281,7 +283,7 @@
             );
             put(at, "read", say, vec![("left_ms", left.into()), ("aim_ms", ms(wish.target).into())]);
         }
-        Trail::Ended { begun, instance, outcome, sent, status, .. } => {
+        TraceEvent::Ended { begun, instance, outcome, sent, status, .. } => {
             let answer = status.map_or(String::new(), |status| format!(" {status}"));
             let may = match outcome {
                 Outcome::Answered | Outcome::Failed => "it has run",
@@ -303,20 +305,20 @@
             parts.extend(status.map(|status| ("status", u64::from(status).into())));
             put(at, "call", say, parts);
         }
-        Trail::Moved { to, .. } => {
+        TraceEvent::Moved { to, .. } => {
             let say = match to {
                 Some(to) => format!("what it was for is gone: its route leads to {to}"),
                 None => "what it was for is gone, and so is its route".to_owned(),
             };
             put(at, "moved", say, to.iter().map(|to| ("to", to.into())).collect());
         }
-        Trail::Late { .. } => {
+        TraceEvent::Late { .. } => {
             put(at, "late", "its time ends before word of its ask".to_owned(), Parts::new())
         }
-        Trail::Left { .. } => {
+        TraceEvent::Left { .. } => {
             put(at, "left", "its client left before it was answered".to_owned(), Parts::new())
         }
-        Trail::Denied { .. } | Trail::Turned { .. } | Trail::Acts { .. } => {}
+        TraceEvent::Denied { .. } | TraceEvent::Turned { .. } | TraceEvent::Acts { .. } => {}
     }
 }
 
@@ -329,7 +331,7 @@
     if let Input::Mail { from, notes, .. } = step.input {
         for note in notes {
             match note {
-                Note::Ask { id, left, .. } if of_it(from, *id) => {
+                PeerMessage::Ask { id, left, .. } if of_it(from, *id) => {
                     put(
                         step.at,
                         "came",
@@ -337,15 +339,15 @@
                         vec![("ask", (*id).into())],
                     );
                 }
-                Note::Held { id, instance, .. } if of_it(from, *id) => {
+                PeerMessage::Held { id, instance, .. } if of_it(from, *id) => {
                     let say = format!("hears that permit {id} is out at {instance}, of an owner before");
                     put(step.at, "held", say, vec![("instance", instance.into())]);
                 }
-                Note::Done { id, outcome, took } if of_it(from, *id) => {
+                PeerMessage::Done { id, outcome, took } if of_it(from, *id) => {
                     let say = format!("has the slot of ask {id} back: {outcome} after {took:.1} ms");
                     put(step.at, "back", say, vec![("outcome", outcome.into())]);
                 }
-                Note::Drop { id } if of_it(from, *id) => {
+                PeerMessage::Drop { id } if of_it(from, *id) => {
                     put(step.at, "dropped", format!("hears that ask {id} is wanted no longer"), Parts::new());
                 }
                 _ => {}
--- a/replay/src/feeds.rs
+++ b/replay/src/feeds.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use millpost_agent::{Effect, Input};
-use millpost_protocol::{Note, Shift, Version};
+use millpost_protocol::{PeerMessage, Version, ViewChange};
 use millpost_scheduler::SECOND;
 
 use crate::play::Pass;
@@ -89,7 +89,7 @@
                 self.row.lines += 1;
                 self.row.bytes += line.len();
             }
-            Input::Letter(_) => self.row.letters += 1,
+            Input::MessageBatch(_) => self.row.letters += 1,
             Input::Ended { feed } => {
                 self.row.feeds[1] += 1;
                 self.open.remove(feed);
@@ -120,7 +120,7 @@
                 self.row.feeds[2] += 1;
                 self.open.remove(feed);
             }
-            Effect::Post { feed, to, .. } => {
+            Effect::Outbox { feed, to, .. } => {
                 self.row.notes[1] += 1;
                 if self.open.get(feed) != Some(to) {
                     self.breach(Must::Open, pass, format!("feed {feed} of {to}"));
@@ -134,18 +134,20 @@
         }
     }
 
-    fn told(&mut self, pass: &Pass<'_>, note: &Note) {
+    fn told(&mut self, pass: &Pass<'_>, note: &PeerMessage) {
         let (was, is) = match note {
-            Note::Config { revision, .. }
-            | Note::Packed { revision, .. }
-            | Note::Patch { revision, .. }
-            | Note::Folded { revision, .. } => {
+            PeerMessage::Config { revision, .. }
+            | PeerMessage::Packed { revision, .. }
+            | PeerMessage::Patch { revision, .. }
+            | PeerMessage::Folded { revision, .. } => {
                 ((std::mem::replace(&mut self.revision, *revision), 0), (*revision, 0))
             }
-            Note::Stalls { version, .. } | Note::Shift(Shift { version, .. }) => {
+            PeerMessage::Stalls { version, .. } | PeerMessage::ViewChange(ViewChange { version, .. }) => {
                 (std::mem::replace(&mut self.stalls, *version), *version)
             }
-            Note::Instances { version, .. } => (std::mem::replace(&mut self.instances, *version), *version),
+            PeerMessage::Instances { version, .. } => {
+                (std::mem::replace(&mut self.instances, *version), *version)
+            }
             _ => return,
         };
         if is < was {
--- a/replay/src/instance.rs
+++ b/replay/src/instance.rs
@@ -6,9 +6,9 @@
 use compact_str::CompactString;
 use millpost_autoscaler::tape::{Input, start_word, state_word, stop_word};
 use millpost_autoscaler::{Effect, State};
-use millpost_protocol::Note;
+use millpost_protocol::PeerMessage;
 use millpost_scheduler::tape::Input as DeskInput;
-use millpost_scheduler::{Out, Reason, SECOND, Trail, Why};
+use millpost_scheduler::{Out, Reason, SECOND, TraceEvent, Why};
 
 use crate::clocks::{Alignment, Node};
 use crate::errors::Error;
@@ -30,8 +30,8 @@
 }
 
 impl Known {
-    fn note(&mut self, id: &str, note: &Note) {
-        if let Note::Instances { set, .. } = note
+    fn note(&mut self, id: &str, note: &PeerMessage) {
+        if let PeerMessage::Instances { set, .. } = note
             && let Some(instance) = set.iter().find(|instance| instance.id == id)
         {
             self.service.get_or_insert_with(|| instance.service.clone());
@@ -51,7 +51,7 @@
                 }
                 _ => {}
             },
-            Entry::Desk(entry) => {
+            Entry::Coordinator(entry) => {
                 if let DeskInput::Told(note) = &entry.input {
                     self.note(id, note);
                 }
@@ -81,7 +81,7 @@
     day.play(true, |event| {
         match event {
             Event::Scaler(turn) => scaler(id, &mut known, &turn, &mut steps),
-            Event::Desk(step) => {
+            Event::Coordinator(step) => {
                 desk(id, &step, &mut steps, &mut used);
                 want(&known, &step, &mut wants);
             }
@@ -163,7 +163,7 @@
     let mut put = |kind: &'static str, say: String, parts: Parts| {
         steps.push(Step { node: step.node, at: step.at, line: step.line, kind, say, parts });
     };
-    if let DeskInput::Told(Note::Instances { set, gone, .. }) = step.input {
+    if let DeskInput::Told(PeerMessage::Instances { set, gone, .. }) = step.input {
         if let Some(instance) = set.iter().find(|instance| instance.id == id) {
             let state = ["booting", "ready", "draining"][usize::from(instance.stage.min(2))];
             put("hears", format!("hears of it: {state}"), vec![("state", state.into())]);
@@ -194,16 +194,16 @@
             Out::Scout { instance, .. } if instance.id == id => {
                 put("scouts", "is to find out when it accepts connections".into(), Parts::new());
             }
-            Out::Up(Note::Retire { instance }) if instance == id => {
+            Out::Up(PeerMessage::Retire { instance }) if instance == id => {
                 put("says", "says that it may be stopped".into(), Parts::new());
             }
-            Out::Up(Note::Lost { instance }) if instance == id => {
+            Out::Up(PeerMessage::Lost { instance }) if instance == id => {
                 put("says", "says that it is dead".into(), Parts::new());
             }
             _ => {}
         }
     }
-    if let Some(Trail::Ended { instance, outcome, .. }) = step.trail
+    if let Some(TraceEvent::Ended { instance, outcome, .. }) = step.trail
         && instance == id
     {
         *used.calls.entry(step.node).or_default().entry(outcome.word()).or_default() += 1;
--- a/replay/src/lines.rs
+++ b/replay/src/lines.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Entry {
     /// An input of a desk.
-    Desk(desk::Entry),
+    Coordinator(desk::Entry),
     /// An input of a scaler.
     Scaler(scaler::Entry),
     /// An input of a porter's round.
@@ -36,7 +36,7 @@
     /// It begins a life, or a term.
     pub fn begins(&self) -> bool {
         match self {
-            Entry::Desk(entry) => matches!(entry.input, desk::Input::New { .. }),
+            Entry::Coordinator(entry) => matches!(entry.input, desk::Input::New { .. }),
             Entry::Scaler(entry) => matches!(entry.input, scaler::Input::New(_)),
             Entry::Round(entry) => matches!(entry.input, millpost_agent::Input::New(_)),
         }
@@ -45,7 +45,7 @@
     /// When it came, in the process's life.
     pub fn at(&self) -> u64 {
         match self {
-            Entry::Desk(entry) => entry.at,
+            Entry::Coordinator(entry) => entry.at,
             Entry::Scaler(entry) => entry.at,
             Entry::Round(entry) => entry.at,
         }
@@ -54,7 +54,7 @@
     /// Its number in its life.
     pub fn number(&self) -> Option<u64> {
         match self {
-            Entry::Desk(entry) => entry.number,
+            Entry::Coordinator(entry) => entry.number,
             Entry::Scaler(entry) => entry.number,
             Entry::Round(entry) => entry.number,
         }
@@ -64,7 +64,7 @@
 /// Whose life it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
-    Desk,
+    Coordinator,
     Scaler,
     Round,
 }
@@ -260,14 +260,14 @@
     }
     if string(&parts, "in")? == "new" {
         *kind = match string(&parts, "of")?.as_str() {
-            desk::DESK => Kind::Desk,
+            desk::DESK => Kind::Coordinator,
             scaler::SCALER => Kind::Scaler,
             round::ROUND => Kind::Round,
             _ => return Err(Fault { key: "of".to_owned(), reason: "neither a desk, a scaler nor a round" }),
         };
     }
     let entry = match kind {
-        Kind::Desk => desk::Entry::of(&parts).map(Entry::Desk),
+        Kind::Coordinator => desk::Entry::of(&parts).map(Entry::Coordinator),
         Kind::Scaler => scaler::Entry::of(&parts).map(Entry::Scaler),
         Kind::Round => round::Entry::of(&parts).map(Entry::Round),
     };
@@ -386,7 +386,7 @@
         self.sources.push(Source {
             of: of.to_owned(),
             lives: Vec::new(),
-            kind: Kind::Desk,
+            kind: Kind::Coordinator,
             expected: None,
             last: 0,
             torn: None,
@@ -421,8 +421,9 @@
             _ => None,
         };
         let whole = std::str::from_utf8(bytes).is_ok();
-        let (mut kind, summed) =
-            at.and_then(|at| self.sources.get(at)).map_or((Kind::Desk, false), |s| (s.kind, s.summed()));
+        let (mut kind, summed) = at
+            .and_then(|at| self.sources.get(at))
+            .map_or((Kind::Coordinator, false), |s| (s.kind, s.summed()));
         let read = match wrote_of(wrote, &mut kind, summed) {
             _ if !whole => Err(Fault { key: "(line)".to_owned(), reason: "no UTF-8" }),
             read => read,
--- a/replay/src/machines.rs
+++ b/replay/src/machines.rs
@@ -5,7 +5,7 @@
 use millpost_autoscaler::tape::{Entry as ScalerEntry, Input as ScalerInput};
 use millpost_autoscaler::{Effect, Scaler};
 use millpost_scheduler::tape::{Entry as DeskEntry, Input as DeskInput};
-use millpost_scheduler::{Desk, Out, Reason, Trail};
+use millpost_scheduler::{Coordinator, Out, Reason, TraceEvent};
 
 use crate::clocks::Node;
 use crate::decided::Decided;
@@ -28,8 +28,8 @@
 /// A desk and its twin, and the requests of its stall.
 #[derive(Debug)]
 pub struct Desks {
-    desk: Desk,
-    twin: Option<Desk>,
+    desk: Coordinator,
+    twin: Option<Coordinator>,
     me: compact_str::CompactString,
     zone: compact_str::CompactString,
     numbers: Numbers,
@@ -51,13 +51,13 @@
 impl Desks {
     fn begin(entry: &DeskEntry, how: &How) -> Option<Self> {
         let DeskInput::New { me, terms, seed, first } = &entry.input else { return None };
-        let mut desk = Desk::new(me.clone(), terms.clone(), *seed, *first);
+        let mut desk = Coordinator::new(me.clone(), terms.clone(), *seed, *first);
         if how.reasons {
             desk.explain();
         }
         Some(Desks {
             desk,
-            twin: how.twins.then(|| Desk::new(me.clone(), terms.clone(), *seed, *first)),
+            twin: how.twins.then(|| Coordinator::new(me.clone(), terms.clone(), *seed, *first)),
             me: me.name.clone(),
             zone: me.zone.clone(),
             numbers: Numbers::default(),
@@ -92,7 +92,7 @@
             DeskInput::Ask { id: None, ask, first, of: Some(p) } => {
                 (shown.unlike, next) = self.requests.asks(*p, ask, *first, given.is_some());
             }
-            DeskInput::Trail(trail) => {
+            DeskInput::TraceEvent(trail) => {
                 next = self.requests.step(at, trail, &self.zone, self.desk.informed());
             }
             _ => {}
@@ -102,9 +102,10 @@
         for out in &outs {
             shown.decided.fold(line, at, |parts| outs::recorded(out, &self.numbers).fold(parts));
         }
-        let trail: Option<&Trail> = if let DeskInput::Trail(trail) = &input { Some(trail) } else { None };
+        let trail: Option<&TraceEvent> =
+            if let DeskInput::TraceEvent(trail) = &input { Some(trail) } else { None };
         let (desk, numbers, before) = (&self.desk, &self.numbers, self.twin.as_ref());
-        tell(Event::Desk(Step {
+        tell(Event::Coordinator(Step {
             line,
             node,
             life,
@@ -245,7 +246,7 @@
     /// The one whose life begins with this line; none with any other.
     pub(crate) fn begin(entry: &Entry, how: &How) -> Option<Self> {
         match entry {
-            Entry::Desk(entry) => Desks::begin(entry, how).map(|m| Machine::Desks(Box::new(m))),
+            Entry::Coordinator(entry) => Desks::begin(entry, how).map(|m| Machine::Desks(Box::new(m))),
             Entry::Scaler(entry) => Scalers::begin(entry, how).map(|m| Machine::Scalers(Box::new(m))),
             Entry::Round(entry) => Rounds::begin(entry, how).map(|m| Machine::Rounds(Box::new(m))),
         }
@@ -261,7 +262,7 @@
     ) -> Result<bool, Error> {
         let place = Place { line: read.line, node: (read.source, read.life), life };
         match (self, &read.entry) {
-            (Machine::Desks(desks), Entry::Desk(entry)) => desks.step(place, entry, shown, tell)?,
+            (Machine::Desks(desks), Entry::Coordinator(entry)) => desks.step(place, entry, shown, tell)?,
             (Machine::Scalers(scalers), Entry::Scaler(entry)) => scalers.step(place, entry, shown, tell)?,
             (Machine::Rounds(rounds), Entry::Round(entry)) => rounds.step(place, entry, shown, tell)?,
             _ => return Ok(false),
--- a/replay/src/numbers.rs
+++ b/replay/src/numbers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use millpost_protocol::Note;
+use millpost_protocol::PeerMessage;
 use millpost_scheduler::tape::Input as DeskInput;
 
 /// Numbers of asks as they were recorded, and as they are in this play, where they are not the same.
@@ -48,7 +48,7 @@
             // Of all that comes by mail only the answers to own asks bear own numbers.
             DeskInput::Mail { notes, .. } => {
                 for note in notes {
-                    if let Note::Grant { id, .. } | Note::No { id, .. } = note {
+                    if let PeerMessage::Grant { id, .. } | PeerMessage::No { id, .. } = note {
                         *id = self.here(*id);
                     }
                 }
--- a/replay/src/outs.rs
+++ b/replay/src/outs.rs
@@ -5,7 +5,7 @@
 use millpost_agent::Effect as RoundEffect;
 use millpost_autoscaler::Effect;
 use millpost_autoscaler::tape::state_word;
-use millpost_protocol::Note;
+use millpost_protocol::PeerMessage;
 use millpost_protocol::line::Line;
 use millpost_scheduler::{No, Out, Stage};
 
@@ -35,11 +35,13 @@
 }
 
 /// A note that is sent, with the numbers of the recording.
-fn said(note: &Note, numbers: &Numbers) -> Note {
+fn said(note: &PeerMessage, numbers: &Numbers) -> PeerMessage {
     let mut note = note.clone();
     // Grants and refusals bear the other's numbers.
-    if let Note::Ask { id, .. } | Note::Drop { id } | Note::Done { id, .. } | Note::Held { id, .. } =
-        &mut note
+    if let PeerMessage::Ask { id, .. }
+    | PeerMessage::Drop { id }
+    | PeerMessage::Done { id, .. }
+    | PeerMessage::Held { id, .. } = &mut note
     {
         *id = numbers.recorded(*id);
     }
@@ -131,7 +133,7 @@
             line.whole("feed", *feed);
             line
         }
-        RoundEffect::Post { feed, to, note } => {
+        RoundEffect::Outbox { feed, to, note } => {
             let mut line = begin("post");
             line.whole("feed", *feed).text("a", &to.to_string()).note("note", note);
             line
--- a/replay/src/play.rs
+++ b/replay/src/play.rs
@@ -7,7 +7,7 @@
 use millpost_autoscaler::tape::Input as ScalerInput;
 use millpost_autoscaler::{Effect, Scaler};
 use millpost_scheduler::tape::Input as DeskInput;
-use millpost_scheduler::{Desk, Nanos, Out, Reason, Trail};
+use millpost_scheduler::{Coordinator, Nanos, Out, Reason, TraceEvent};
 
 use crate::clocks::Node;
 use crate::decided::Unlike;
@@ -37,15 +37,15 @@
     /// What came of it.
     pub outs: &'a [Out],
     /// The desk before it, where it is played twice.
-    pub before: Option<&'a Desk>,
+    pub before: Option<&'a Coordinator>,
     /// The desk after it.
-    pub desk: &'a Desk,
+    pub desk: &'a Coordinator,
     /// Numbers, in this play and in the recording.
     pub numbers: &'a Numbers,
     /// Why it was decided so, where that is asked for.
     pub reasons: &'a [Reason],
     /// The step of a request that it is.
-    pub trail: Option<&'a Trail>,
+    pub trail: Option<&'a TraceEvent>,
     /// What comes next for the request, of which it is a step or an ask that found no room.
     pub next: Option<&'a Next>,
 }
@@ -103,7 +103,7 @@
         read: &'a Read,
     },
     /// An input of a desk.
-    Desk(Step<'a>),
+    Coordinator(Step<'a>),
     /// An input of a scaler.
     Scaler(Turn<'a>),
     /// An input of a porter's round.
--- a/replay/src/report/gather.rs
+++ b/replay/src/report/gather.rs
@@ -4,7 +4,7 @@
 
 use compact_str::CompactString;
 use millpost_scheduler::tape::Input;
-use millpost_scheduler::{Nanos, Out, Reason, SECOND, Step as Tells, Trail, Why};
+use millpost_scheduler::{Nanos, Out, Reason, SECOND, Step as Tells, TraceEvent, Why};
 
 use crate::check::{Check, Rule};
 use crate::clocks::{Alignment, Node};
@@ -192,12 +192,12 @@
                 }
                 let life = self.lives.entry(node).or_default();
                 match read.entry {
-                    crate::lines::Entry::Desk(_) => life.check = Some(Box::default()),
+                    crate::lines::Entry::Coordinator(_) => life.check = Some(Box::default()),
                     crate::lines::Entry::Round(_) => life.feeds = Some(Box::default()),
                     crate::lines::Entry::Scaler(_) => {}
                 }
             }
-            Event::Desk(step) => self.desk(step, clocks),
+            Event::Coordinator(step) => self.desk(step, clocks),
             Event::Scaler(turn) => self.scaler(turn, clocks),
             Event::Round(pass) => {
                 if let Some(feeds) = self.lives.entry(pass.node).or_default().feeds.as_mut() {
@@ -275,14 +275,14 @@
             Input::Finish { id, .. } | Input::GiveUp { id } => {
                 life.repeats.remove(id);
             }
-            Input::Trail(trail) => match trail {
-                Trail::Begun { p, .. } => drop(life.read.insert(*p, step.at)),
-                Trail::Left { p } => {
+            Input::TraceEvent(trail) => match trail {
+                TraceEvent::Begun { p, .. } => drop(life.read.insert(*p, step.at)),
+                TraceEvent::Left { p } => {
                     span.left += 1;
                     life.read.remove(p);
                 }
-                Trail::Turned { status, .. } => span.answers[kind(*status)] += 1,
-                Trail::Acts { revision } => {
+                TraceEvent::Turned { status, .. } => span.answers[kind(*status)] += 1,
+                TraceEvent::Acts { revision } => {
                     let before = life.on.replace((at, *revision));
                     self.on.extend(before.map(|(from, revision)| On {
                         node: step.node,
@@ -297,7 +297,7 @@
         }
         let p = match step.input {
             Input::Ask { of, .. } => *of,
-            _ => step.trail.and_then(Trail::of),
+            _ => step.trail.and_then(TraceEvent::of),
         };
         if let (Some(Tells::Tell(told)), Some(p)) = (step.next, p) {
             let status = told.as_ref().map_or_else(|refusal| refusal.answer().0, |status| *status);
--- a/replay/src/requests.rs
+++ b/replay/src/requests.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use millpost_scheduler::{Ask, Nanos, Passage, Refusal, Step, Trail};
+use millpost_scheduler::{Ask, Nanos, Refusal, RequestFlow, Step, TraceEvent};
 
 /// What comes next for a request, or what its client is told.
 pub type Next = Step<u16>;
@@ -10,7 +10,7 @@
 /// A request on its way.
 #[derive(Debug)]
 struct Walk {
-    passage: Passage<u16>,
+    passage: RequestFlow<u16>,
     /// The ask that it has decided on already.
     asks: Option<(Ask, bool)>,
 }
@@ -26,22 +26,22 @@
 impl Requests {
     /// A step of one. `zone` is the stall's, `informed` whether it knows the stalls. What comes of it; none where the recording does
     /// not hold its beginning.
-    pub fn step(&mut self, at: Nanos, trail: &Trail, zone: &str, informed: bool) -> Option<Next> {
+    pub fn step(&mut self, at: Nanos, trail: &TraceEvent, zone: &str, informed: bool) -> Option<Next> {
         let p = trail.of()?;
-        if let Trail::Begun { wish, .. } = trail {
+        if let TraceEvent::Begun { wish, .. } = trail {
             self.begun += 1;
             let mut wish = wish.clone();
             wish.zone = zone.into();
-            let mut walk = Walk { passage: Passage::new(wish), asks: None };
+            let mut walk = Walk { passage: RequestFlow::new(wish), asks: None };
             let next = walk.passage.begin(informed);
             return Some(self.follow(p, walk, next));
         }
         let mut walk = self.all.remove(&p)?;
         let next = match trail {
-            Trail::Denied { no, .. } => walk.passage.refused(at, *no),
-            Trail::Moved { to, .. } => walk.passage.moved(at, to.clone()),
-            Trail::Late { .. } => walk.passage.late(),
-            Trail::Ended { begun, instance, outcome, sent, status, .. } => {
+            TraceEvent::Denied { no, .. } => walk.passage.refused(at, *no),
+            TraceEvent::Moved { to, .. } => walk.passage.moved(at, to.clone()),
+            TraceEvent::Late { .. } => walk.passage.late(),
+            TraceEvent::Ended { begun, instance, outcome, sent, status, .. } => {
                 walk.passage.granted(*begun);
                 walk.passage.ended(at, instance.clone(), *outcome, *sent, *status)
             }
--- a/replay/src/state.rs
+++ b/replay/src/state.rs
@@ -5,7 +5,7 @@
 
 use millpost_agent::Round;
 use millpost_autoscaler::Scaler;
-use millpost_scheduler::{Desk, Nanos, Stage};
+use millpost_scheduler::{Coordinator, Nanos, Stage};
 
 /// Functions of a scaler that are shown.
 const MOST: usize = 100_000;
@@ -29,7 +29,7 @@
 }
 
 /// A desk; of one function, or of all that anything is known of.
-pub fn desk(desk: &Desk, service: Option<&str>) -> State {
+pub fn desk(desk: &Coordinator, service: Option<&str>) -> State {
     let (broker, owners) = (desk.broker(), desk.owners());
     let mut state = State::new();
     let peers: Vec<_> = owners.peers().iter().map(|p| p.name.as_str()).collect();
--- a/replay/src/table.rs
+++ b/replay/src/table.rs
@@ -6,7 +6,7 @@
 use compact_str::CompactString;
 use millpost_autoscaler::tape::Input as ScalerInput;
 use millpost_autoscaler::{Effect, State};
-use millpost_protocol::Note;
+use millpost_protocol::PeerMessage;
 use millpost_scheduler::tape::Input;
 use millpost_scheduler::{MS, Nanos, Out, SECOND, Stage};
 
@@ -123,7 +123,7 @@
             }
             Input::Mail { from, notes, .. } => {
                 for note in notes {
-                    if let Note::Ask { id, service, .. } = note {
+                    if let PeerMessage::Ask { id, service, .. } = note {
                         let key = (Some(from.clone()), *id);
                         if self.counts(service) && !self.open.contains_key(&key) {
                             self.row.mail += 1;
@@ -140,9 +140,11 @@
             match out {
                 Out::Granted { ask, .. } => self.grant(None, *ask, step.at),
                 Out::Refused { ask, no } => self.refuse(None, *ask, no.word()),
-                Out::Send { to, note: Note::Grant { id, .. } } => self.grant(name_of(to), *id, step.at),
-                Out::Send { to, note: Note::No { id, why, .. } } => self.refuse(name_of(to), *id, why),
-                Out::Up(Note::Want { service, count, .. }) => {
+                Out::Send { to, note: PeerMessage::Grant { id, .. } } => {
+                    self.grant(name_of(to), *id, step.at)
+                }
+                Out::Send { to, note: PeerMessage::No { id, why, .. } } => self.refuse(name_of(to), *id, why),
+                Out::Up(PeerMessage::Want { service, count, .. }) => {
                     self.wants.insert(service.clone(), *count);
                 }
                 _ => {}
@@ -154,7 +156,7 @@
             }
             Input::Mail { from, notes, .. } => {
                 for note in notes {
-                    if let Note::Drop { id } | Note::Done { id, .. } = note {
+                    if let PeerMessage::Drop { id } | PeerMessage::Done { id, .. } = note {
                         self.open.remove(&(Some(from.clone()), *id));
                     }
                 }
--- a/replay/src/until.rs
+++ b/replay/src/until.rs
@@ -60,7 +60,7 @@
 pub fn texts(event: &Event<'_>) -> Texts {
     match event {
         Event::Begins { .. } => Texts::default(),
-        Event::Desk(step) => {
+        Event::Coordinator(step) => {
             let entry =
                 millpost_scheduler::tape::Entry { number: None, at: step.at, input: step.input.clone() };
             let outs =
@@ -89,7 +89,7 @@
     pub fn holds(&self, event: &Event<'_>, breaches: usize) -> bool {
         let (line, at) = match event {
             Event::Begins { .. } => return false,
-            Event::Desk(step) => (step.line, step.at),
+            Event::Coordinator(step) => (step.line, step.at),
             Event::Scaler(turn) => (turn.line, turn.at),
             Event::Round(pass) => (pass.line, pass.at),
         };
@@ -98,7 +98,7 @@
             Until::Line(from) => line >= *from,
             Until::Breach => breaches > 0,
             Until::Ask(id) => {
-                let Event::Desk(step) = event else { return false };
+                let Event::Coordinator(step) = event else { return false };
                 let texts = texts(event);
                 let key = format!(r#""id":{id}"#);
                 let has = |text: &String| {
--- a/replay/src/version.rs
+++ b/replay/src/version.rs
@@ -5,8 +5,8 @@
 
 use millpost_agent::Input as RoundInput;
 use millpost_net::mail;
-use millpost_protocol::Note;
-use millpost_scheduler::Trail;
+use millpost_protocol::PeerMessage;
+use millpost_scheduler::TraceEvent;
 use tinyjson::JsonValue;
 
 use crate::clocks::Node;
@@ -30,9 +30,13 @@
 fn brought(line: &[u8], revision: u64) -> Option<&'static str> {
     let JsonValue::Object(parts) = mail::json(line)? else { return None };
     let JsonValue::Array(notes) = parts.get("notes")? else { return None };
-    notes.iter().find_map(|note| match Note::read(note).ok()? {
-        Note::Config { revision: r, .. } | Note::Packed { revision: r, .. } if r == revision => Some("whole"),
-        Note::Patch { revision: r, .. } | Note::Folded { revision: r, .. } if r == revision => {
+    notes.iter().find_map(|note| match PeerMessage::read(note).ok()? {
+        PeerMessage::Config { revision: r, .. } | PeerMessage::Packed { revision: r, .. }
+            if r == revision =>
+        {
+            Some("whole")
+        }
+        PeerMessage::Patch { revision: r, .. } | PeerMessage::Folded { revision: r, .. } if r == revision => {
             Some("as a change")
         }
         _ => None,
@@ -52,10 +56,10 @@
     day.play(false, |event| {
         match event {
             Event::Round(pass) => porter(&pass, revision, porters.entry(pass.node).or_default(), &mut steps),
-            Event::Desk(step) => {
+            Event::Coordinator(step) => {
                 let has = stalls.entry(step.node).or_default();
                 has.last = step.at;
-                if let Some(Trail::Acts { revision: now }) = step.trail {
+                if let Some(TraceEvent::Acts { revision: now }) = step.trail {
                     let say = acts(has, *now, revision);
                     if let Some((kind, say)) = say {
                         let parts = vec![("revision", (*now).into())];
--- a/replay/tests/day/mod.rs
+++ b/replay/tests/day/mod.rs
@@ -6,8 +6,10 @@
 
 use compact_str::{CompactString, format_compact};
 use millpost::Dice;
-use millpost_protocol::{Instance, Note};
-use millpost_scheduler::{Ask, MS, Nanos, Next, No, Out, Outcome, Peer, SECOND, Spec, Taped, Terms, Tries};
+use millpost_protocol::{Instance, PeerMessage};
+use millpost_scheduler::{
+    Ask, MS, Nanos, Next, No, Out, Outcome, Peer, Recorded, RetrySchedule, SECOND, Spec, Terms,
+};
 
 /// What happens on a day.
 #[derive(Clone)]
@@ -76,18 +78,18 @@
         to: usize,
         from: usize,
         life: u64,
-        notes: Vec<Note>,
+        notes: Vec<PeerMessage>,
     },
     Back {
         to: usize,
         address: CompactString,
-        notes: Vec<Note>,
+        notes: Vec<PeerMessage>,
     },
     Told {
         to: usize,
-        note: Note,
+        note: PeerMessage,
     },
-    Up(Note),
+    Up(PeerMessage),
     Crash,
     Gone(CompactString),
     End(usize),
@@ -101,7 +103,7 @@
     function: usize,
     deadline: Nanos,
     aim: Nanos,
-    tries: Tries,
+    tries: RetrySchedule,
     avoid: Vec<CompactString>,
     first: bool,
     ask: Option<u64>,
@@ -118,7 +120,7 @@
 }
 
 struct Stall {
-    desk: Option<Taped>,
+    desk: Option<Recorded>,
     life: u64,
     asks: BTreeMap<u64, usize>,
     scouting: BTreeSet<CompactString>,
@@ -254,7 +256,7 @@
         let me = Peer { name: name(stall), address: address(stall), zone: zone(stall) };
         let life = self.now / MS + 1;
         let (seed, first) = (self.plan.seed * 31 + stall as u64, life << 20);
-        let mut desk = Taped::new(me, self.plan.terms.clone(), seed, first, Some(sink));
+        let mut desk = Recorded::new(me, self.plan.terms.clone(), seed, first, Some(sink));
         let specs = self.plan.functions.iter().map(|(name, concurrency, boot, _)| Spec {
             name: (*name).into(),
             concurrency: *concurrency,
@@ -269,13 +271,16 @@
         });
         desk.configure(self.now, specs.chain(idle));
         let set = self.places.values().map(|p| p.told.clone()).collect();
-        desk.told(self.now, Note::Instances { version: (1, self.version), all: true, set, gone: Vec::new() });
+        desk.told(
+            self.now,
+            PeerMessage::Instances { version: (1, self.version), all: true, set, gone: Vec::new() },
+        );
         let one = &mut self.stalls[stall];
         (one.desk, one.life) = (Some(desk), life);
         self.carry_out(stall);
     }
 
-    fn tell(&mut self, note: &Note) {
+    fn tell(&mut self, note: &PeerMessage) {
         for to in 0..self.stalls.len() {
             self.later(2 * MS, Happens::Told { to, note: note.clone() });
         }
@@ -285,7 +290,7 @@
         self.version += 1;
         let set = self.places.get(id).filter(|_| !gone).map(|p| p.told.clone()).into_iter().collect();
         let gone = if gone { vec![id.into()] } else { Vec::new() };
-        self.tell(&Note::Instances { version: (1, self.version), all: false, set, gone });
+        self.tell(&PeerMessage::Instances { version: (1, self.version), all: false, set, gone });
     }
 
     fn happens(&mut self, what: Happens) {
@@ -340,7 +345,7 @@
                     address: address(n),
                     zone: zone(n),
                 });
-                let note = Note::Stalls {
+                let note = PeerMessage::Stalls {
                     version: (1, self.version),
                     peers: peers.collect(),
                     leaving: vec![],
@@ -351,7 +356,7 @@
         }
     }
 
-    fn with(&mut self, stall: usize, what: impl FnOnce(&mut Taped)) {
+    fn with(&mut self, stall: usize, what: impl FnOnce(&mut Recorded)) {
         if let Some(desk) = &mut self.stalls[stall].desk {
             what(desk);
             self.carry_out(stall);
@@ -366,7 +371,7 @@
                 return;
             }
             // Mail goes in letters.
-            let mut letters: BTreeMap<CompactString, Vec<Note>> = BTreeMap::new();
+            let mut letters: BTreeMap<CompactString, Vec<PeerMessage>> = BTreeMap::new();
             for out in outs {
                 self.outs[stall].push((now, out.clone()));
                 match out {
@@ -386,7 +391,8 @@
                 let to = (0..self.stalls.len()).find(|n| address(*n) == to).expect("a stall");
                 let life = self.stalls[stall].life;
                 // Hundredths of a millisecond, as between machines.
-                let notes = notes.iter().map(|note| Note::read(&note.to_json()).expect("a note")).collect();
+                let notes =
+                    notes.iter().map(|note| PeerMessage::read(&note.to_json()).expect("a note")).collect();
                 let after = MS + self.draw(0.5);
                 self.later(after, Happens::Mail { to, from: stall, life, notes });
             }
@@ -405,7 +411,7 @@
             function,
             deadline,
             aim: self.now + target,
-            tries: Tries::new(target, repeatable, 3, deadline),
+            tries: RetrySchedule::new(target, repeatable, 3, deadline),
             avoid: Vec::new(),
             first: true,
             ask: None,
@@ -564,26 +570,26 @@
         }
     }
 
-    fn control(&mut self, note: &Note) {
+    fn control(&mut self, note: &PeerMessage) {
         match note {
-            Note::Want { service, count, .. } => {
+            PeerMessage::Want { service, count, .. } => {
                 self.wants.insert(service.clone(), *count);
                 self.scale(service);
             }
-            Note::Up { instance } => {
+            PeerMessage::Up { instance } => {
                 if let Some(place) = self.places.get_mut(instance).filter(|p| p.told.stage == 0) {
                     place.told.stage = 1;
                     self.tell_instance(instance, false);
                 }
             }
-            Note::Retire { instance } => {
+            PeerMessage::Retire { instance } => {
                 if let Some(place) = self.places.get_mut(instance) {
                     place.told.stage = 2;
                     self.tell_instance(instance, false);
                     self.later(15 * MS, Happens::Gone(instance.clone()));
                 }
             }
-            Note::Lost { instance } if self.places.remove(instance).is_some() => {
+            PeerMessage::Lost { instance } if self.places.remove(instance).is_some() => {
                 self.tell_instance(instance, true)
             }
             _ => {}
--- a/replay/tests/days.rs
+++ b/replay/tests/days.rs
@@ -23,7 +23,7 @@
     let mut broken = Vec::new();
     play(&mut lines, None, |event| {
         match event {
-            Event::Desk(step) => {
+            Event::Coordinator(step) => {
                 seen.check.see(&step);
                 seen.outs.extend(step.outs.iter().map(|out| (step.at, out.clone())));
             }
--- a/replay/tests/stories.rs
+++ b/replay/tests/stories.rs
@@ -151,7 +151,7 @@
     let mut out: Vec<String> = text.lines().take(1).map(str::to_owned).collect();
     while let Some(read) = lines.read().expect("a line") {
         let line = match read.entry {
-            Entry::Desk(mut entry) => {
+            Entry::Coordinator(mut entry) => {
                 entry.at += ahead;
                 entry.write()
             }
--- a/replay/tests/traces.rs
+++ b/replay/tests/traces.rs
@@ -4,7 +4,7 @@
 
 use millpost::Dice;
 use millpost_agent::Effect;
-use millpost_protocol::Note;
+use millpost_protocol::PeerMessage;
 use millpost_replay::Error;
 use millpost_replay::check::{Check, Rule};
 use millpost_replay::cut::{Part, cut};
@@ -14,7 +14,7 @@
 use millpost_replay::play::{Event, Pass, Step, play};
 use millpost_replay::table::{Rounds, Table};
 use millpost_scheduler::tape::{Entry as DeskEntry, Input};
-use millpost_scheduler::{Desk, Instance, MS, Out, SECOND, Terms};
+use millpost_scheduler::{Coordinator, Instance, MS, Out, SECOND, Terms};
 
 fn path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/traces").join(name)
@@ -34,7 +34,7 @@
     play(&mut Lines::new(text, which), None, |event| {
         match event {
             Event::Begins { .. } => checks.push(Check::default()),
-            Event::Desk(step) => turn(checks.last_mut().expect("a life"), step),
+            Event::Coordinator(step) => turn(checks.last_mut().expect("a life"), step),
             Event::Scaler(_) | Event::Round(_) => {}
         }
         Ok(())
@@ -104,12 +104,13 @@
         if let Event::Round(pass) = event {
             feeds.see(&pass);
             // The first that was told comes again after all the others; a feed more is opened; a note goes astray.
-            let told = pass.outs.iter().find(|out| matches!(out, Effect::Tell(Note::Config { .. }))).cloned();
+            let told =
+                pass.outs.iter().find(|out| matches!(out, Effect::Tell(PeerMessage::Config { .. }))).cloned();
             let mut outs = pass.outs.to_vec();
             if pass.input == &millpost_agent::Input::Leave {
-                let (address, note) = (([10, 0, 0, 9], 1).into(), Note::Drop { id: 1 });
+                let (address, note) = (([10, 0, 0, 9], 1).into(), PeerMessage::Drop { id: 1 });
                 outs.extend(first.clone());
-                outs.push(Effect::Post { feed: 900, to: address, note });
+                outs.push(Effect::Outbox { feed: 900, to: address, note });
                 for feed in 901..904 {
                     outs.push(Effect::Open { feed, address, path: "/follow", notes: vec![] });
                 }
@@ -172,8 +173,9 @@
             outs = outs
                 .into_iter()
                 .flat_map(|out| match out {
-                    Out::Send { to, note: Note::Done { id, outcome, took } } => {
-                        let note = Note::Back { who: "edge-1".into(), id, instance: None, outcome, took };
+                    Out::Send { to, note: PeerMessage::Done { id, outcome, took } } => {
+                        let note =
+                            PeerMessage::Back { who: "edge-1".into(), id, instance: None, outcome, took };
                         vec![Out::Send { to, note }; times]
                     }
                     other => vec![other],
@@ -199,10 +201,10 @@
     let checks = checked(text.as_bytes(), which, |check, step| {
         let mut outs = step.outs.to_vec();
         if let (Input::Finish { id, .. }, true) = (step.input, outs.len() == 1)
-            && let Out::Send { to, note: Note::Done { .. } } = outs.remove(0)
+            && let Out::Send { to, note: PeerMessage::Done { .. } } = outs.remove(0)
         {
             let (instance, service) = ("i".into(), "s".into());
-            let notes = vec![Note::Held { id: *id, service, instance, left: 9.0 }];
+            let notes = vec![PeerMessage::Held { id: *id, service, instance, left: 9.0 }];
             check.see(&Step { input: &Input::Returned { address: to, notes }, outs: &[], ..step });
             count += 1;
             return check.see(&Step { outs: &outs, ..step });
@@ -219,7 +221,7 @@
     let checks = checked(text.as_bytes(), which, |check, step| {
         let mut outs = step.outs.to_vec();
         for out in &mut outs {
-            if let Out::Send { note: Note::Grant { instance, .. }, .. } = out {
+            if let Out::Send { note: PeerMessage::Grant { instance, .. }, .. } = out {
                 *instance = "i-none".into();
             }
         }
@@ -240,7 +242,7 @@
     let let_go = planted("calm.jsonl", |step| {
         let mut outs = step.outs.to_vec();
         if let Some(Out::Granted { instance, .. }) = step.outs.first() {
-            let note = Note::Retire { instance: instance.clone() };
+            let note = PeerMessage::Retire { instance: instance.clone() };
             outs.insert(0, Out::Up(note));
         }
         (step.input.clone(), outs, step.at)
@@ -429,11 +431,11 @@
     };
     let (mut one, mut other, mut differs) = (None, None, None);
     for (n, line) in text.lines().enumerate() {
-        let outs = |desk: &mut Option<Desk>, line: &str| {
+        let outs = |desk: &mut Option<Coordinator>, line: &str| {
             let entry = DeskEntry::read(line).expect("a line");
             match (desk, entry.input) {
                 (desk, Input::New { me, terms, seed, first }) => {
-                    *desk = Some(Desk::new(me, terms, seed, first));
+                    *desk = Some(Coordinator::new(me, terms, seed, first));
                     Vec::new()
                 }
                 (Some(desk), input) => {
@@ -506,7 +508,7 @@
         let mut of = text.lines();
         while let Some(read) = lines.read().expect("a line") {
             let again = match &read.entry {
-                Entry::Desk(entry) => entry.write(),
+                Entry::Coordinator(entry) => entry.write(),
                 Entry::Scaler(entry) => entry.write(),
                 Entry::Round(entry) => entry.write(),
             };
--- a/replay/tests/whole_days.rs
+++ b/replay/tests/whole_days.rs
@@ -6,7 +6,7 @@
 use millpost_replay::lines::{Lines, Which};
 use millpost_replay::play::{Event, How, Played, play_so};
 use millpost_scheduler::tape::Input;
-use millpost_scheduler::{Step, Trail};
+use millpost_scheduler::{Step, TraceEvent};
 use millpost_simulator::day::{Report, play, play_recorded};
 use millpost_simulator::plan::Plan;
 use millpost_simulator::record::Records;
@@ -32,18 +32,20 @@
                 checks.push(Check::default());
                 asked.clear();
             }
-            Event::Desk(step) => {
+            Event::Coordinator(step) => {
                 checks.last_mut().expect("a life").see(&step);
                 match (step.trail, step.next) {
-                    (Some(Trail::Begun { p, attempt, .. }), _) => drop(asked.insert(*p, attempt.to_string())),
-                    (Some(Trail::Turned { attempt, status }), _) => {
+                    (Some(TraceEvent::Begun { p, attempt, .. }), _) => {
+                        drop(asked.insert(*p, attempt.to_string()))
+                    }
+                    (Some(TraceEvent::Turned { attempt, status }), _) => {
                         answers.insert(attempt.to_string(), *status);
                     }
                     _ => {}
                 }
                 let p = match step.input {
                     Input::Ask { of, .. } => *of,
-                    _ => step.trail.and_then(Trail::of),
+                    _ => step.trail.and_then(TraceEvent::of),
                 };
                 if let (Some(Step::Tell(told)), Some(p)) = (step.next, p) {
                     let status = told.as_ref().map_or_else(|refusal| refusal.answer().0, |status| *status);
--- a/scheduler/src/desk.rs
+++ b/scheduler/src/desk.rs
@@ -12,13 +12,13 @@
 
 use compact_str::CompactString;
 use millpost_protocol::frame::Fold;
-use millpost_protocol::{Note, Roster, Version};
+use millpost_protocol::{MembershipView, PeerMessage, Version};
 
 use crate::desk::passing::Granted;
 use crate::effect::{Effect, No, Terms};
-use crate::function::{Broker, Transfer};
+use crate::function::{Scheduler, Transfer};
 use crate::instance::{Instance, Stage};
-use crate::owners::{Owners, Peer, Turn};
+use crate::owners::{Owners, OwnershipChange, Peer};
 use crate::reason::Reason;
 use crate::{Ask, MS, Nanos, Outcome, SECOND, Spec};
 
@@ -46,7 +46,7 @@
         /// Its address.
         to: CompactString,
         /// What it says.
-        note: Note,
+        note: PeerMessage,
     },
     /// An ask of this stall's own is granted.
     Granted {
@@ -65,7 +65,7 @@
         no: No,
     },
     /// Word for control.
-    Up(Note),
+    Up(PeerMessage),
     /// Find out when this instance accepts connections.
     Scout {
         /// The instance.
@@ -138,9 +138,9 @@
 
 /// A stall's dealings with the others.
 #[derive(Debug)]
-pub struct Desk {
+pub struct Coordinator {
     me: Peer,
-    broker: Broker,
+    broker: Scheduler,
     owners: Owners,
     /// Those of the naming before.
     owners_before: Owners,
@@ -180,14 +180,14 @@
     }
 }
 
-impl Desk {
+impl Coordinator {
     /// `first`: the number of the first ask; higher than those of any life before.
     pub fn new(me: Peer, terms: Terms, seed: u64, first: u64) -> Self {
         let owners = Owners::default();
-        Desk {
+        Coordinator {
             me,
             owners_before: Owners::default(),
-            broker: Broker::new(terms, seed),
+            broker: Scheduler::new(terms, seed),
             owners,
             digest: 0,
             seen: (0, 0),
@@ -229,7 +229,7 @@
     }
 
     /// The functions that are owned here.
-    pub fn broker(&self) -> &Broker {
+    pub fn broker(&self) -> &Scheduler {
         &self.broker
     }
 
@@ -266,11 +266,11 @@
     /// The functions of the configuration in force.
     pub fn configure(&mut self, now: Nanos, specs: impl Iterator<Item = Spec>) {
         self.broker.configure(now, specs);
-        self.own(now, &self.owners.clone(), &Turn::all());
+        self.own(now, &self.owners.clone(), &OwnershipChange::all());
     }
 
     /// Who owns what, after a change; `before`: who did.
-    fn own(&mut self, now: Nanos, before: &Owners, turn: &Turn) {
+    fn own(&mut self, now: Nanos, before: &Owners, turn: &OwnershipChange) {
         let (owners, me, told_over, missing) = (&self.owners, &self.me, &self.told_over, &self.missing);
         let transfer = |service: &str, zones: &BTreeSet<CompactString>| {
             let told = told_over.get(service);
@@ -344,7 +344,7 @@
             return self.carry_out(now);
         }
         let ms = |until: Nanos| (until as f64 - now as f64) / MS as f64;
-        let note = Note::Ask {
+        let note = PeerMessage::Ask {
             id,
             left: ms(ask.deadline),
             aim: ms(ask.aim),
@@ -389,9 +389,9 @@
             return self.carry_out(now);
         }
         let note = if open.granted.is_some() {
-            Note::Done { id, outcome: outcome.word().into(), took: took as f64 / MS as f64 }
+            PeerMessage::Done { id, outcome: outcome.word().into(), took: took as f64 / MS as f64 }
         } else {
-            Note::Drop { id }
+            PeerMessage::Drop { id }
         };
         self.send(&owner, note);
     }
@@ -402,7 +402,7 @@
         living.or_else(|| self.away.get(name))
     }
 
-    fn send(&mut self, name: &str, note: Note) {
+    fn send(&mut self, name: &str, note: PeerMessage) {
         match self.address(name).cloned() {
             Some(to) => self.outs.push_back(Out::Send { to, note }),
             None => self.broker.counts.unaddressed += 1,
@@ -412,7 +412,7 @@
     /// An instance was seen to accept connections.
     pub fn up(&mut self, now: Nanos, id: &str) {
         self.broker.up(now, id);
-        self.outs.push_back(Out::Up(Note::Up { instance: id.into() }));
+        self.outs.push_back(Out::Up(PeerMessage::Up { instance: id.into() }));
         self.carry_out(now);
     }
 
@@ -424,12 +424,12 @@
     /// A connection to an instance was refused outright.
     pub fn refused(&mut self, now: Nanos, id: &str) {
         self.broker.lose(now, id, false);
-        self.outs.push_back(Out::Up(Note::Lost { instance: id.into() }));
+        self.outs.push_back(Out::Up(PeerMessage::Lost { instance: id.into() }));
         self.carry_out(now);
     }
 
     /// Mail from a stall, in this life of it.
-    pub fn mail(&mut self, now: Nanos, from: &str, life: u64, notes: Vec<Note>) {
+    pub fn mail(&mut self, now: Nanos, from: &str, life: u64, notes: Vec<PeerMessage>) {
         match self.lives.get(from) {
             Some(known) if *known == life => {}
             // Late mail of a life that has ended, or the clock of its machine has stepped back: only one that lives can say.
@@ -456,28 +456,30 @@
     /// A stall is told by which later incarnation it is known here.
     fn refute(&mut self, name: &str, known: u64) {
         if let Some(to) = self.owners.find_living(name).map(|p| p.address.clone()) {
-            self.outs.push_back(Out::Send { to, note: Note::StaleIncarnation { known } });
+            self.outs.push_back(Out::Send { to, note: PeerMessage::StaleIncarnation { known } });
         }
     }
 
-    fn note(&mut self, now: Nanos, from: &str, note: Note) {
+    fn note(&mut self, now: Nanos, from: &str, note: PeerMessage) {
         let at = |left: f64| now.saturating_add_signed((left.clamp(-1e7, 1e7) * MS as f64) as i64);
         let span = |ms: f64| (ms.clamp(0.0, 1e7) * MS as f64) as Nanos;
         match note {
-            Note::Ask { id, service, left, aim, target, sent, first, returned, avoid, zone } => {
+            PeerMessage::Ask { id, service, left, aim, target, sent, first, returned, avoid, zone } => {
                 let (deadline, aim, target) = (at(left), at(aim), span(target));
                 let ask = Ask { id, service, deadline, aim, target, sent, returned, avoid, zone };
                 self.stand_back(now, &ask);
                 self.broker.ask(now, from.into(), ask, first);
             }
-            Note::Drop { id } => {
+            PeerMessage::Drop { id } => {
                 let passed = self.pass_on(from, id, Outcome::Unused.word(), 0.0);
                 if !passed {
                     self.broker.drop_ask(now, from, id);
                 }
             }
-            Note::Over { service, version, permits } => self.over(now, from, service, version, permits),
-            Note::Back { who, id, instance, outcome, took } => {
+            PeerMessage::Over { service, version, permits } => {
+                self.over(now, from, service, version, permits)
+            }
+            PeerMessage::Back { who, id, instance, outcome, took } => {
                 // It may have gone on from here by now.
                 if self.pass_on(&who, id, &outcome, took) {
                     return;
@@ -490,29 +492,29 @@
                     self.broker.came_back(now, &who, id, outcome);
                 }
             }
-            Note::Done { id, outcome, took } => {
+            PeerMessage::Done { id, outcome, took } => {
                 let passed = self.pass_on(from, id, &outcome, took);
                 if !passed {
                     let outcome = Outcome::read(&outcome).unwrap_or(Outcome::LeftAlone);
                     self.broker.done(now, from, id, outcome, span(took));
                 }
             }
-            Note::Held { id, instance, left, .. } => {
+            PeerMessage::Held { id, instance, left, .. } => {
                 self.broker.counts.held += 1;
                 self.broker.held(now, from.into(), id, &instance, at(left));
             }
-            Note::Grant { id, instance, address, zone } => {
+            PeerMessage::Grant { id, instance, address, zone } => {
                 let zone = zone.unwrap_or_else(|| self.me.zone.clone());
                 self.granted(now, from, id, Granted { instance, address, zone });
             }
-            Note::Waits { id } => {
+            PeerMessage::Waits { id } => {
                 if let Some(open) = self.open.get_mut(&id).filter(|o| o.owner.as_deref() == Some(from)) {
                     (open.said, open.again) = (now + WAITS - ASK_AGAIN, 0);
                     // It was answered: whoever gave it has nothing to say until then.
                     open.since = now + WAITS;
                 }
             }
-            Note::No { id, why, wait } => {
+            PeerMessage::No { id, why, wait } => {
                 let mine = self
                     .open
                     .get(&id)
@@ -534,20 +536,22 @@
     }
 
     /// What control tells.
-    pub fn told(&mut self, now: Nanos, note: Note) {
+    pub fn told(&mut self, now: Nanos, note: PeerMessage) {
         self.passed_over.remove(&self.me.name);
         match note {
-            Note::Stalls { version, peers, leaving, split } if version > self.owners.version() => {
-                self.named(now, Roster::new(version, peers, split).with_leaving(leaving).into());
+            PeerMessage::Stalls { version, peers, leaving, split } if version > self.owners.version() => {
+                self.named(now, MembershipView::new(version, peers, split).with_leaving(leaving).into());
             }
-            Note::Shift(shift) if shift.version > self.owners.version() => {
+            PeerMessage::ViewChange(shift) if shift.version > self.owners.version() => {
                 match self.owners.shifted(&shift) {
                     Some(owners) => self.named(now, owners),
                     // What lies between was missed: it comes whole.
-                    None => self.outs.push_back(Out::Up(Note::Behind { version: self.owners.version() })),
+                    None => {
+                        self.outs.push_back(Out::Up(PeerMessage::Behind { version: self.owners.version() }))
+                    }
                 }
             }
-            Note::Instances { version, all, set, gone }
+            PeerMessage::Instances { version, all, set, gone }
                 if version > self.seen || all && version == self.seen =>
             {
                 if version.0 > self.seen.0 && self.seen.0 > 0 {
@@ -579,7 +583,7 @@
                 }
                 self.carry_out(now);
             }
-            Note::Floor { service, count, fence, left } => {
+            PeerMessage::Floor { service, count, fence, left } => {
                 let until = now + (left.clamp(0.0, 1e7) * MS as f64) as Nanos;
                 self.broker.floor(now, &service, count, fence, until);
                 self.carry_out(now);
@@ -589,7 +593,7 @@
     }
 
     /// Mail to a stall came back: it is passed over for a while, and what it was asked goes to the next.
-    pub fn returned(&mut self, now: Nanos, address: &str, notes: Vec<Note>) {
+    pub fn returned(&mut self, now: Nanos, address: &str, notes: Vec<PeerMessage>) {
         let roster = self.owners.roster();
         let mut living = roster.peers().iter().chain(roster.leaving());
         let Some(name) = living.find(|p| p.address == address).map(|p| p.name.clone()) else { return };
@@ -598,9 +602,9 @@
             // It may have come all the same, late: a slot that was granted is not given to another on that account. Who did not hear of
             // it hears again, and says if it has no use for it.
             let again = match &note {
-                Note::Grant { id, .. } => self.broker.has(&name, *id),
-                Note::Over { version, .. } => *version == self.owners.version(),
-                Note::Back { .. } => true,
+                PeerMessage::Grant { id, .. } => self.broker.has(&name, *id),
+                PeerMessage::Over { version, .. } => *version == self.owners.version(),
+                PeerMessage::Back { .. } => true,
                 _ => false,
             };
             if again {
@@ -651,21 +655,33 @@
             Effect::Grant { to, ask, instance } => {
                 let near = self.owners.find(&to).is_some_and(|p| p.zone == instance.zone);
                 let zone = (!near).then_some(instance.zone);
-                let note = Note::Grant { id: ask, instance: instance.id, address: instance.address, zone };
+                let note =
+                    PeerMessage::Grant { id: ask, instance: instance.id, address: instance.address, zone };
                 self.send(&to, note);
             }
             Effect::Refuse { to, ask, no } => {
                 let wait = if let No::Full(wait) = no { wait } else { 0 };
-                self.send(&to, Note::No { id: ask, why: no.word().into(), wait: wait as f64 / MS as f64 });
+                self.send(
+                    &to,
+                    PeerMessage::No { id: ask, why: no.word().into(), wait: wait as f64 / MS as f64 },
+                );
             }
             Effect::Queued { to, .. } if to == self.me.name => {}
-            Effect::Queued { to, ask } => self.send(&to, Note::Waits { id: ask }),
+            Effect::Queued { to, ask } => self.send(&to, PeerMessage::Waits { id: ask }),
             Effect::Want { service, count, zones, strain, does, slow } => {
                 let lot = (self.owners.lots(&service) > 1).then(|| self.me.zone.clone());
-                self.outs.push_back(Out::Up(Note::Want { service, count, zones, lot, strain, does, slow }))
+                self.outs.push_back(Out::Up(PeerMessage::Want {
+                    service,
+                    count,
+                    zones,
+                    lot,
+                    strain,
+                    does,
+                    slow,
+                }))
             }
-            Effect::Retire(instance) => self.outs.push_back(Out::Up(Note::Retire { instance })),
-            Effect::Lost(instance) => self.outs.push_back(Out::Up(Note::Lost { instance })),
+            Effect::Retire(instance) => self.outs.push_back(Out::Up(PeerMessage::Retire { instance })),
+            Effect::Lost(instance) => self.outs.push_back(Out::Up(PeerMessage::Lost { instance })),
             Effect::Scout { instance, from } => self.outs.push_back(Out::Scout { instance, from }),
         }
     }
@@ -686,7 +702,7 @@
         }
         for peer in deaf {
             self.passed_over.insert(peer.clone(), now + PASSED_OVER);
-            self.outs.push_back(Out::Up(Note::Deaf { peer, from: self.me.name.clone() }));
+            self.outs.push_back(Out::Up(PeerMessage::Deaf { peer, from: self.me.name.clone() }));
         }
         self.replace(now);
         self.carry_out(now);
--- a/scheduler/src/desk/passing.rs
+++ b/scheduler/src/desk/passing.rs
@@ -3,16 +3,16 @@
 use std::collections::BTreeMap;
 
 use compact_str::CompactString;
-use millpost_protocol::{Note, Permit, Version};
+use millpost_protocol::{PeerMessage, Permit, Version};
 
-use super::{Desk, Handed, MOST_ASKS, Open, Out};
-use crate::function::Parted;
+use super::{Coordinator, Handed, MOST_ASKS, Open, Out};
+use crate::function::Released;
 use crate::owners::Owners;
 use crate::{MS, Nanos, Outcome};
 
-impl Desk {
+impl Coordinator {
     /// The new owners of a function hear which permits are out.
-    pub(super) fn hand_over(&mut self, now: Nanos, Parted { service, out }: Parted) {
+    pub(super) fn hand_over(&mut self, now: Nanos, Released { service, out }: Released) {
         let mut told: BTreeMap<CompactString, (CompactString, Vec<Permit>)> = BTreeMap::new();
         for zone in self.owners.lot_zones(&service, &self.me.zone) {
             if let Some(owner) =
@@ -33,7 +33,7 @@
         }
         let version = self.owners.version();
         for (to, permits) in told.into_values() {
-            let note = Note::Over { service: service.clone(), version, permits };
+            let note = PeerMessage::Over { service: service.clone(), version, permits };
             self.outs.push_back(Out::Send { to, note });
         }
     }
@@ -106,7 +106,7 @@
             }
         }
         let version = self.owners.version();
-        self.send(owner, Note::Over { service: service.clone(), version, permits });
+        self.send(owner, PeerMessage::Over { service: service.clone(), version, permits });
     }
 
     /// A permit of this stall's own that an owner had given out goes back to another one.
@@ -158,7 +158,7 @@
 
     /// Nobody waits for what was granted.
     fn unused(&mut self, from: &str, id: u64) {
-        self.send(from, Note::Done { id, outcome: Outcome::Unused.word().into(), took: 0.0 });
+        self.send(from, PeerMessage::Done { id, outcome: Outcome::Unused.word().into(), took: 0.0 });
     }
 
     /// Whether this stall owned the function in that zone by the naming before, and another one does now.
@@ -184,7 +184,7 @@
     pub(super) fn pass_on(&mut self, from: &str, id: u64, outcome: &str, took: f64) -> bool {
         let Some(handed) = self.handed.remove(&(from.into(), id)) else { return false };
         let (instance, outcome) = (Some(handed.instance), outcome.into());
-        let note = Note::Back { who: from.into(), id, instance, outcome, took };
+        let note = PeerMessage::Back { who: from.into(), id, instance, outcome, took };
         self.send(&handed.to, note);
         true
     }
--- a/scheduler/src/desk/turns.rs
+++ b/scheduler/src/desk/turns.rs
@@ -1,7 +1,7 @@
 //! Stalls come and go at random: a desk that works out what has changed does and says what one does that works out everything.
 
 use millpost::Dice;
-use millpost_protocol::{Instance as Told, Roster};
+use millpost_protocol::{Instance as Told, MembershipView};
 
 use super::*;
 use crate::tape::Input;
@@ -23,7 +23,7 @@
     count: u64,
     stalls: BTreeMap<u64, u64>,
     split: BTreeSet<u64>,
-    named: Roster,
+    named: MembershipView,
     instances: BTreeSet<u64>,
 }
 
@@ -38,7 +38,7 @@
     }
 
     /// A naming, as a whole or as a shift, sometimes one that goes from nothing that is known.
-    fn naming(&mut self) -> Note {
+    fn naming(&mut self) -> PeerMessage {
         for _ in 0..=self.below(3) {
             let n = self.below(14);
             if self.stalls.len() > 1 && self.below(3) == 0 {
@@ -59,20 +59,20 @@
         }
         let peers = self.stalls.iter().map(|(n, zone)| peer(*n, *zone)).collect();
         let split: Vec<_> = self.split.iter().map(|n| service(*n)).collect();
-        let next = Roster::new(self.version(), peers, split);
+        let next = MembershipView::new(self.version(), peers, split);
         let before = std::mem::replace(&mut self.named, next);
         let mut shift = self.named.shift(&before);
         match self.below(8) {
             0 => self.named.note(),
             1 => {
                 shift.from.1 += 1_000_000;
-                Note::Shift(shift)
+                PeerMessage::ViewChange(shift)
             }
-            _ => Note::Shift(shift),
+            _ => PeerMessage::ViewChange(shift),
         }
     }
 
-    fn told(&mut self) -> Note {
+    fn told(&mut self) -> PeerMessage {
         let (mut set, mut gone) = (Vec::new(), Vec::new());
         let all = self.below(4) == 0;
         for _ in 0..=self.below(4) {
@@ -96,7 +96,7 @@
             stage: (!n.is_multiple_of(5)).into(),
         };
         let set = set.into_iter().map(told).collect();
-        Note::Instances { version: self.version(), all, set, gone }
+        PeerMessage::Instances { version: self.version(), all, set, gone }
     }
 
     fn ask(&mut self, now: Nanos) -> Ask {
@@ -120,12 +120,12 @@
         let Ask { service, zone, .. } = self.ask(now);
         let (left, aim, target, first, returned) = (900.0, 300.0, 300.0, true, true);
         let (avoid, sent) = (vec![], 0);
-        let note = Note::Ask { id, service, left, aim, target, sent, first, returned, avoid, zone };
+        let note = PeerMessage::Ask { id, service, left, aim, target, sent, first, returned, avoid, zone };
         Input::Mail { from, life: 1, notes: vec![note] }
     }
 }
 
-fn given(desk: &mut Desk, now: Nanos, input: Input) -> Vec<Out> {
+fn given(desk: &mut Coordinator, now: Nanos, input: Input) -> Vec<Out> {
     input.give(now, desk);
     desk.take().into()
 }
@@ -133,11 +133,11 @@
 /// A row of inputs; how often a shift did not meet what was known, and how often a function was handed over.
 fn play(seed: u64) -> (usize, usize) {
     let terms = Terms { ratio: 0.2, window: 10 * SECOND, slack: 50.0, asks_per_s: 100.0, speeds: false };
-    let mut quick = Desk::new(peer(0, 0), terms.clone(), seed, 0);
-    let mut plain = Desk::new(peer(0, 0), terms, seed, 0);
+    let mut quick = Coordinator::new(peer(0, 0), terms.clone(), seed, 0);
+    let mut plain = Coordinator::new(peer(0, 0), terms, seed, 0);
     plain.plainly = true;
     let (stalls, split, instances) = (BTreeMap::new(), BTreeSet::new(), BTreeSet::new());
-    let (dice, named) = (Dice::seeded(seed), Roster::default());
+    let (dice, named) = (Dice::seeded(seed), MembershipView::default());
     let mut world = World { dice, count: 0, stalls, split, named, instances };
     let (mut now, mut granted) = (0, Vec::new());
     let (mut behind, mut parted) = (0, 0);
@@ -165,13 +165,13 @@
         for out in &outs {
             match out {
                 Out::Granted { ask, .. } => granted.push(*ask),
-                Out::Up(Note::Behind { version }) => {
+                Out::Up(PeerMessage::Behind { version }) => {
                     behind += 1;
                     assert_eq!(*version, quick.owners.version());
                     let whole = Input::Told(world.named.note());
                     assert_eq!(given(&mut quick, now, whole.clone()), given(&mut plain, now, whole));
                 }
-                Out::Send { note: Note::Over { .. }, .. } => parted += 1,
+                Out::Send { note: PeerMessage::Over { .. }, .. } => parted += 1,
                 _ => {}
             }
         }
--- a/scheduler/src/desk/view.rs
+++ b/scheduler/src/desk/view.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use crate::desk::{Desk, MISSING, Out};
+use crate::desk::{Coordinator, MISSING, Out};
 use crate::instance::Instance;
 #[cfg(test)]
-use crate::owners::Turn;
+use crate::owners::OwnershipChange;
 use crate::owners::{Owners, Peer};
 use crate::{MS, Nanos};
 use compact_str::CompactString;
-use millpost_protocol::Note;
+use millpost_protocol::PeerMessage;
 
 /// Stalls that are kept in mind though they are named no more.
 const MOST_AWAY: usize = 10_000;
@@ -22,12 +22,12 @@
     owners.version().0 > before.version().0
 }
 
-impl Desk {
+impl Coordinator {
     /// Control has named the stalls anew.
     pub(super) fn named(&mut self, now: Nanos, owners: Owners) {
         let turn = owners.turn(&self.owners, &self.me.name);
         #[cfg(test)]
-        let turn = if self.plainly { Turn::all() } else { turn };
+        let turn = if self.plainly { OwnershipChange::all() } else { turn };
         self.broker.counts.namings += 1;
         self.digest = owners.roster().digest();
         let before = std::mem::replace(&mut self.owners, owners);
@@ -103,7 +103,7 @@
         };
         let set: Vec<_> = self.broker.owned_instances().map(note).collect();
         if !set.is_empty() {
-            self.outs.push_back(Out::Up(Note::Mine { set }));
+            self.outs.push_back(Out::Up(PeerMessage::Mine { set }));
         }
     }
 
@@ -154,7 +154,7 @@
         deadline: Nanos,
     ) {
         let left = (deadline as f64 - now as f64) / MS as f64;
-        self.outs.push_back(Out::Send { to, note: Note::Held { id, service, instance, left } });
+        self.outs.push_back(Out::Send { to, note: PeerMessage::Held { id, service, instance, left } });
     }
 
     /// A stall lives anew, and knows nothing of what it had given out: it hears what is out here.
--- a/scheduler/src/effect.rs
+++ b/scheduler/src/effect.rs
@@ -1,7 +1,7 @@
 //! What an owner of functions may decide, and the bounds that it is given.
 
 use compact_str::CompactString;
-use millpost_protocol::Does;
+use millpost_protocol::FunctionStatus;
 
 use crate::Nanos;
 use crate::instance::Instance;
@@ -88,7 +88,7 @@
         /// The part of this stall's strength that it takes.
         strain: f64,
         /// How it does, while a floor asks for that.
-        does: Option<Does>,
+        does: Option<FunctionStatus>,
         /// Workers that are surely slow for it.
         slow: Vec<CompactString>,
     },
--- a/scheduler/src/function.rs
+++ b/scheduler/src/function.rs
@@ -16,7 +16,7 @@
 
 use compact_str::CompactString;
 use millpost::Dice;
-use millpost_latency::Assay;
+use millpost_latency::LatencyModel;
 
 use crate::budget::Budget;
 use crate::counts::Counts;
@@ -31,7 +31,7 @@
 pub(crate) use floor::Floor;
 use returned::Returned;
 pub(crate) use succession::SETTLES;
-pub use succession::{Parted, Transfer};
+pub use succession::{Released, Transfer};
 
 /// Requests of one function that may wait; more are turned away.
 const LONGEST_QUEUE: usize = 1_000;
@@ -68,12 +68,12 @@
     lingers: bool,
 }
 
-/// The functions that are owned here. What it decides comes out of [`Broker::take`].
+/// The functions that are owned here. What it decides comes out of [`Scheduler::take`].
 ///
 /// Each function has a place in a row for as long as anything is known of it; a permit is out as long as its instance is known.
 /// Nothing that is decided hangs on the order of a `HashMap`.
 #[derive(Debug)]
-pub struct Broker {
+pub struct Scheduler {
     terms: Terms,
     services: Vec<Service>,
     /// Of each in the row, where it is not owned here, the seed of a stall that stands before this one; 0 where none is known.
@@ -97,7 +97,7 @@
     /// What is looked at with each tick, in the order of the names.
     awake: Vec<usize>,
     /// How fast workers are, by what answers took.
-    speeds: Option<Assay>,
+    speeds: Option<LatencyModel>,
     count: u64,
     dice: Dice,
     effects: Vec<Effect>,
@@ -105,11 +105,11 @@
     pub(crate) counts: Counts,
 }
 
-impl Broker {
+impl Scheduler {
     /// Nothing is known yet.
     pub fn new(terms: Terms, seed: u64) -> Self {
-        let speeds = terms.speeds.then(Assay::new);
-        Broker {
+        let speeds = terms.speeds.then(LatencyModel::new);
+        Scheduler {
             terms,
             services: Vec::new(),
             rivals: Vec::new(),
--- a/scheduler/src/function/dropped.rs
+++ b/scheduler/src/function/dropped.rs
@@ -6,7 +6,7 @@
 
 use compact_str::CompactString;
 
-use super::{Broker, Key};
+use super::{Key, Scheduler};
 use crate::effect::No;
 use crate::reason::Why;
 use crate::{Nanos, SECOND};
@@ -33,7 +33,7 @@
     }
 }
 
-impl Broker {
+impl Scheduler {
     /// The configuration names a function no more.
     pub(super) fn drop_function(&mut self, now: Nanos, at: usize) {
         let Some(function) = self.services[at].function.take() else { return };
--- a/scheduler/src/function/floor.rs
+++ b/scheduler/src/function/floor.rs
@@ -2,9 +2,9 @@
 //!
 //! Invariant: a floor holds until its time is over, whoever owns the function; only its owner goes by it.
 
-use millpost_protocol::Does;
+use millpost_protocol::FunctionStatus;
 
-use super::Broker;
+use super::Scheduler;
 use crate::service::Service;
 use crate::{MS, Nanos};
 
@@ -51,7 +51,7 @@
         now >= said + TELL
     }
 
-    fn does(&mut self, now: Nanos, delay: Option<f64>) -> Does {
+    fn does(&mut self, now: Nanos, delay: Option<f64>) -> FunctionStatus {
         self.turn(now);
         if let Some(delay) = delay {
             self.lowest = Some(self.lowest.map_or(delay, |lowest| lowest.min(delay)));
@@ -59,7 +59,7 @@
         let sum = |of: fn(&(u32, u32)) -> u32| self.spans.iter().map(of).fold(0, u32::saturating_add);
         // Without any that works now there is nothing above the lowest.
         let lowest = self.lowest.unwrap_or(0.0);
-        Does { delay: delay.unwrap_or(lowest), lowest, asked: sum(|s| s.0), refused: sum(|s| s.1) }
+        FunctionStatus { delay: delay.unwrap_or(lowest), lowest, asked: sum(|s| s.0), refused: sum(|s| s.1) }
     }
 }
 
@@ -81,7 +81,7 @@
     }
 
     /// How the function does, where that is asked for: the mean over the instances that have served here.
-    pub fn does(&mut self, now: Nanos) -> Option<Does> {
+    pub fn does(&mut self, now: Nanos) -> Option<FunctionStatus> {
         self.function.as_ref()?.floor.as_ref()?;
         let served = self.places().iter().filter(|p| p.mine && p.open()).filter_map(|p| p.delay());
         let (sum, count) = served.fold((0.0, 0_u32), |(sum, count), delay| (sum + delay, count + 1));
@@ -90,7 +90,7 @@
     }
 }
 
-impl Broker {
+impl Scheduler {
     /// Control keeps a floor under a function until then, or none any more. A stall that does not own it holds the floor for the case
     /// that it will.
     pub fn floor(&mut self, now: Nanos, name: &str, count: u32, fence: u64, until: Nanos) {
--- a/scheduler/src/function/hardware.rs
+++ b/scheduler/src/function/hardware.rs
@@ -3,14 +3,14 @@
 //! An instance comes behind the others of its function only where it is clearly and surely slower; an owner names workers to control
 //! only where they are surely slow.
 
-use millpost_latency::{Assay, Lag};
+use millpost_latency::{LatencyModel, RelativeLatency};
 
 use crate::Nanos;
 use crate::service::Service;
 
-use super::Broker;
+use super::Scheduler;
 
-impl Broker {
+impl Scheduler {
     /// What was answered, so far, is worked out now and then; instances are put in the order that follows from it.
     pub(super) fn weigh(&mut self, now: Nanos) {
         let Some(speeds) = &mut self.speeds else { return };
@@ -39,12 +39,12 @@
 
 impl Service {
     /// Puts instances behind others of which it is sure that they end sooner.
-    fn rank(&mut self, speeds: &Assay) {
+    fn rank(&mut self, speeds: &LatencyModel) {
         let name = self.name.clone();
         let lags: Vec<_> = self.places().iter().map(|p| speeds.lag(&name, &p.of.worker)).collect();
         let open = self.places().iter().zip(&lags).filter(|(p, _)| p.open());
         let best = open.filter_map(|(_, lag)| *lag).min_by(|a, b| a.log.total_cmp(&b.log));
-        let step = |lag: Option<Lag>, slow: bool, already: bool| {
+        let step = |lag: Option<RelativeLatency>, slow: bool, already: bool| {
             let Some((lag, best)) = lag.zip(best) else { return 0 };
             let steps = ((lag.log - best.log) / STEP.ln()).clamp(0.0, 8.0) as u8;
             if slow || already || lag.surely_behind(&best, BEYOND, SURE) { steps } else { 0 }
--- a/scheduler/src/function/known.rs
+++ b/scheduler/src/function/known.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeSet;
 
-use super::Broker;
 use super::OVERDUE;
+use super::Scheduler;
 use super::succession::EARLY;
 use crate::Nanos;
 use crate::instance::{Instance, Place, Stage};
 use crate::service::Service;
 
-impl Broker {
+impl Scheduler {
     /// Control tells of an instance: new, or changed. `mine`: it belongs to what is owned here.
     pub fn known(&mut self, now: Nanos, of: Instance, mine: bool) {
         let id = of.id.clone();
--- a/scheduler/src/function/needs.rs
+++ b/scheduler/src/function/needs.rs
@@ -1,12 +1,12 @@
 //! What a function needs, as control is told: how many instances, and which of them are let go.
 
-use super::{Broker, RETIRE_AGAIN, SAY_AGAIN, STRAIN_STEP};
+use super::{RETIRE_AGAIN, SAY_AGAIN, STRAIN_STEP, Scheduler};
 use crate::Nanos;
 use crate::demand::keep;
 use crate::effect::Effect;
 use crate::reason::Reason;
 
-impl Broker {
+impl Scheduler {
     /// Says how many instances the function needs, where that has changed or was said long ago.
     pub(super) fn want(&mut self, now: Nanos, at: usize) {
         let service = &mut self.services[at];
--- a/scheduler/src/function/returned.rs
+++ b/scheduler/src/function/returned.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 
 use super::succession::{EARLY, MOST_EARLY};
-use super::{Broker, Key};
+use super::{Key, Scheduler};
 use crate::{Nanos, Outcome};
 
 /// Those that are remembered, and since when.
@@ -33,7 +33,7 @@
     }
 }
 
-impl Broker {
+impl Scheduler {
     /// A permit came back that is not known to be out here. One that was not used says nothing: its ask may use another.
     pub(crate) fn came_back(&mut self, now: Nanos, who: &str, ask: u64, outcome: Outcome) {
         if outcome != Outcome::Unused {
--- a/scheduler/src/function/succession.rs
+++ b/scheduler/src/function/succession.rs
@@ -7,8 +7,8 @@
 
 use compact_str::CompactString;
 
-use super::{Broker, OVERDUE, Permit};
-use crate::owners::{Owners, Peer, Turn};
+use super::{OVERDUE, Permit, Scheduler};
+use crate::owners::{Owners, OwnershipChange, Peer};
 use crate::service::Service;
 use crate::{MS, Nanos, SECOND};
 
@@ -31,7 +31,7 @@
 
 /// What an owner parts with.
 #[derive(Debug, PartialEq)]
-pub struct Parted {
+pub struct Released {
     /// The function.
     pub service: CompactString,
     /// Permits that are out.
@@ -53,7 +53,7 @@
     pub until: Nanos,
 }
 
-impl Broker {
+impl Scheduler {
     /// Which functions are owned here, by this stall among these, from now on; looked at are those that the turn concerns. `before`:
     /// what moves, of a function whose instances are known in these zones. Of another's nothing is wanted, stopped or scouted. What is not owned here
     /// any more comes back: its permits are for its new owners.
@@ -62,9 +62,9 @@
         now: Nanos,
         me: &Peer,
         owners: &Owners,
-        turn: &Turn,
+        turn: &OwnershipChange,
         before: impl Fn(&str, &BTreeSet<CompactString>) -> Transfer,
-    ) -> Vec<Parted> {
+    ) -> Vec<Released> {
         let (mut new, mut parted) = (Vec::new(), Vec::new());
         for at in self.concerned(turn) {
             let service = &mut self.services[at];
@@ -102,7 +102,7 @@
                     let settling = service.settling;
                     let out = self.part_with(now, at, mine);
                     self.services[at].settling = settling;
-                    parted.push(Parted { service: name.clone(), out });
+                    parted.push(Released { service: name.clone(), out });
                 }
                 if !transfer.from.is_empty() || !gained.is_empty() {
                     self.gain(now, at, transfer.from, &gained);
@@ -112,7 +112,7 @@
             service.anew();
             if was.0 {
                 let out = self.part_with(now, at, mine);
-                parted.push(Parted { service: name.clone(), out });
+                parted.push(Released { service: name.clone(), out });
             }
             if owned {
                 self.services[at].expects = transfer.from;
@@ -177,7 +177,7 @@
 
     /// The functions that a turn concerns, in the order of their names. One that was owned is lost to a stall that came and stands before
     /// this one; one that was not is won only where who stood before this one has gone.
-    fn concerned(&self, turn: &Turn) -> Vec<usize> {
+    fn concerned(&self, turn: &OwnershipChange) -> Vec<usize> {
         if turn.is_whole() {
             return self.sorted(|_| true);
         }
--- a/scheduler/src/lib.rs
+++ b/scheduler/src/lib.rs
@@ -1,7 +1,7 @@
 //! Who owns a function decides here which request goes to which of its instances, and when: its slots, its queue, the averages of
 //! its instances, the budget of further tries and how many instances it needs. No I/O, no clock, no randomness but a seed.
 //!
-//! A request is a permit: [`Broker::ask`] queues it, [`Effect::Grant`] names an instance, [`Broker::done`] gives the slot back.
+//! A request is a permit: [`Scheduler::ask`] queues it, [`Effect::Grant`] names an instance, [`Scheduler::done`] gives the slot back.
 
 mod budget;
 mod counts;
@@ -22,19 +22,19 @@
 mod tries;
 
 pub use counts::Counts;
-pub use desk::{Desk, OpenAsk, Out};
+pub use desk::{Coordinator, OpenAsk, Out};
 pub use effect::{Effect, No, Terms};
-pub use function::{Broker, Parted, Transfer};
+pub use function::{Released, Scheduler, Transfer};
 pub use instance::{Instance, Stage};
 pub use leaving::Phase;
-pub use margin::Margins;
-pub use owners::{Owners, Peer, Turn};
-pub use passage::{Passage, Patience, Refusal, Step, Wish};
-pub use ranks::Ranks;
+pub use margin::AttemptTimeouts;
+pub use owners::{Owners, OwnershipChange, Peer};
+pub use passage::{ClientTimeouts, Refusal, RequestFlow, RequestInfo, Step};
+pub use ranks::OwnerRanking;
 pub use reason::{Reason, Why};
-pub use tape::Taped;
-pub use trail::Trail;
-pub use tries::{Next, Outcome, Tries, first_gap};
+pub use tape::Recorded;
+pub use trail::TraceEvent;
+pub use tries::{Next, Outcome, RetrySchedule, first_gap};
 
 pub use millpost::api::Nanos;
 pub use millpost_protocol::line::Sink;
--- a/scheduler/src/margin.rs
+++ b/scheduler/src/margin.rs
@@ -39,9 +39,9 @@
 
 /// What the answers of each function take, as one stall sees them.
 #[derive(Debug, Default)]
-pub struct Margins(HashMap<CompactString, Seen>);
+pub struct AttemptTimeouts(HashMap<CompactString, Seen>);
 
-impl Margins {
+impl AttemptTimeouts {
     /// How long a try of this function may go unanswered before it is given up; none where too little is known, or too many were.
     pub fn within(&self, service: &str) -> Option<Nanos> {
         let seen = self.0.get(service).filter(|s| s.answers >= ENOUGH && s.spare >= 1.0)?;
@@ -80,8 +80,8 @@
 mod tests {
     use super::*;
 
-    fn seen(takes: Nanos, answers: u32) -> Margins {
-        let mut margins = Margins::default();
+    fn seen(takes: Nanos, answers: u32) -> AttemptTimeouts {
+        let mut margins = AttemptTimeouts::default();
         (0..answers).for_each(|_| margins.answered(&"f".into(), takes));
         margins
     }
--- a/scheduler/src/owners.rs
+++ b/scheduler/src/owners.rs
@@ -9,20 +9,20 @@
 
 use compact_str::CompactString;
 pub use millpost_protocol::Peer;
-use millpost_protocol::{Roster, Shift, Version, seed};
+use millpost_protocol::{MembershipView, Version, ViewChange, seed};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// The stalls that are alive, in the version that control named last.
 #[derive(Clone, Debug, Default)]
 pub struct Owners {
-    roster: Roster,
+    roster: MembershipView,
     /// Of each stall, in their order.
     seeds: Vec<u64>,
     zones: BTreeSet<CompactString>,
 }
 
-impl From<Roster> for Owners {
-    fn from(roster: Roster) -> Self {
+impl From<MembershipView> for Owners {
+    fn from(roster: MembershipView) -> Self {
         let seeds = roster.peers().iter().map(|p| seed(&p.name)).collect();
         let zones = roster.peers().iter().map(|p| &p.zone).collect::<BTreeSet<_>>();
         Owners { seeds, zones: zones.into_iter().cloned().collect(), roster }
@@ -36,16 +36,16 @@
 impl Owners {
     /// These stalls, named under this version, and the functions that have an owner in each zone.
     pub fn new(version: Version, peers: Vec<Peer>, split: impl IntoIterator<Item = CompactString>) -> Self {
-        Roster::new(version, peers, split).into()
+        MembershipView::new(version, peers, split).into()
     }
 
     /// The naming that a shift leads to; none where it goes from another than this.
-    pub fn shifted(&self, shift: &Shift) -> Option<Self> {
+    pub fn shifted(&self, shift: &ViewChange) -> Option<Self> {
         self.roster.shifted(shift).map(Owners::from)
     }
 
     /// The naming.
-    pub fn roster(&self) -> &Roster {
+    pub fn roster(&self) -> &MembershipView {
         &self.roster
     }
 
@@ -149,22 +149,22 @@
     }
 
     /// What this stall has to work out anew since the naming before.
-    pub fn turn(&self, before: &Owners, me: &str) -> Turn {
+    pub fn turn(&self, before: &Owners, me: &str) -> OwnershipChange {
         if self.find(me).is_some() != before.find(me).is_some() {
-            return Turn { all: true, ..Turn::default() };
+            return OwnershipChange { all: true, ..OwnershipChange::default() };
         }
         let (came, left) = self.roster.since(&before.roster);
         let came = came.into_iter().filter(|p| before.find(&p.name).is_none());
         let mut left: Vec<_> = left.into_iter().map(|p| seed(&p.name)).collect();
         left.sort_unstable();
         let split = self.split().union(before.split()).cloned().collect();
-        Turn { all: false, me: seed(me), came: came.map(|p| seed(&p.name)).collect(), left, split }
+        OwnershipChange { all: false, me: seed(me), came: came.map(|p| seed(&p.name)).collect(), left, split }
     }
 }
 
 /// What has to be worked out anew at a stall, where some have come or gone.
 #[derive(Debug, Default)]
-pub struct Turn {
+pub struct OwnershipChange {
     all: bool,
     me: u64,
     came: Vec<u64>,
@@ -174,10 +174,10 @@
     split: BTreeSet<CompactString>,
 }
 
-impl Turn {
+impl OwnershipChange {
     /// Everything.
     pub fn all() -> Self {
-        Turn { all: true, ..Turn::default() }
+        OwnershipChange { all: true, ..OwnershipChange::default() }
     }
 
     /// That it is.
--- a/scheduler/src/passage.rs
+++ b/scheduler/src/passage.rs
@@ -8,7 +8,7 @@
 use compact_str::CompactString;
 
 use crate::effect::No;
-use crate::tries::{Next, Outcome, Tries};
+use crate::tries::{Next, Outcome, RetrySchedule};
 use crate::{Ask, MS, Nanos, SECOND};
 
 /// One that gives less of its time than others on its route has been here before, or was made by a running request.
@@ -22,7 +22,7 @@
 
 /// What is known of a request when it was read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wish {
+pub struct RequestInfo {
     /// The function that it is for.
     pub service: CompactString,
     /// The zone in which it came in.
@@ -72,12 +72,12 @@
 /// What is next.
 #[derive(Debug, PartialEq)]
 pub enum Step<A> {
-    /// A permit is to be asked for, for the first time or again. [`Passage::unasked`], [`Passage::refused`], [`Passage::late`], or
-    /// [`Passage::granted`] and [`Passage::ended`] follow.
+    /// A permit is to be asked for, for the first time or again. [`RequestFlow::unasked`], [`RequestFlow::refused`], [`RequestFlow::late`], or
+    /// [`RequestFlow::granted`] and [`RequestFlow::ended`] follow.
     Ask(Ask, bool),
-    /// Nothing before this time; then [`Passage::ask`].
+    /// Nothing before this time; then [`RequestFlow::ask`].
     Wait(Nanos),
-    /// What it was for is gone: where its route leads now is looked for. [`Passage::moved`] follows at once.
+    /// What it was for is gone: where its route leads now is looked for. [`RequestFlow::moved`] follows at once.
     Find,
     /// The client is told this, and it is over.
     Tell(Result<A, Refusal>),
@@ -85,9 +85,9 @@
 
 /// One request; `A` is an endpoint's answer.
 #[derive(Debug)]
-pub struct Passage<A> {
-    wish: Wish,
-    tries: Tries,
+pub struct RequestFlow<A> {
+    wish: RequestInfo,
+    tries: RetrySchedule,
     first: bool,
     /// It goes elsewhere than it was read for.
     moved: bool,
@@ -96,12 +96,12 @@
     avoid: Vec<CompactString>,
 }
 
-impl<A> Passage<A> {
+impl<A> RequestFlow<A> {
     /// Of a request that was read.
-    pub fn new(wish: Wish) -> Self {
-        let tries = Tries::new(wish.target, wish.repeatable, wish.most, wish.deadline);
+    pub fn new(wish: RequestInfo) -> Self {
+        let tries = RetrySchedule::new(wish.target, wish.repeatable, wish.most, wish.deadline);
         let (first, moved, may_have_run) = (true, false, false);
-        Passage { wish, tries, first, moved, may_have_run, failed: None, avoid: Vec::new() }
+        RequestFlow { wish, tries, first, moved, may_have_run, failed: None, avoid: Vec::new() }
     }
 
     /// Its first step. `informed`: control has named the stalls.
@@ -217,7 +217,7 @@
     }
 
     /// The wish that it is of.
-    pub fn wish(&self) -> &Wish {
+    pub fn wish(&self) -> &RequestInfo {
         &self.wish
     }
 
@@ -241,9 +241,9 @@
 
 /// The longest time that clients were seen to give, by route, in milliseconds.
 #[derive(Debug, Default)]
-pub struct Patience(HashMap<CompactString, f64>);
+pub struct ClientTimeouts(HashMap<CompactString, f64>);
 
-impl Patience {
+impl ClientTimeouts {
     /// Whether a request that gives so much has been here before, or was made by a running request.
     pub fn returned(&mut self, route: &CompactString, given: f64) -> bool {
         let longest = self.0.entry(route.clone()).or_insert(given);
@@ -261,14 +261,14 @@
 mod tests {
     use super::*;
 
-    fn passage(repeatable: bool) -> Passage<u16> {
+    fn passage(repeatable: bool) -> RequestFlow<u16> {
         let (came, deadline) = (10 * MS, 1_500 * MS);
         let (service, zone) = ("s".into(), "z".into());
         let (target, most, returned) = (200 * MS, 2, false);
-        Passage::new(Wish { service, zone, target, repeatable, most, came, deadline, returned })
+        RequestFlow::new(RequestInfo { service, zone, target, repeatable, most, came, deadline, returned })
     }
 
-    fn sent(passage: &mut Passage<u16>, outcome: Outcome, answer: Option<u16>) -> Step<u16> {
+    fn sent(passage: &mut RequestFlow<u16>, outcome: Outcome, answer: Option<u16>) -> Step<u16> {
         passage.granted(20 * MS);
         passage.ended(30 * MS, "i".into(), outcome, !matches!(outcome, Outcome::Unreachable), answer)
     }
@@ -340,7 +340,7 @@
         let mut back = passage(true);
         back.wish.returned = true;
         assert!(matches!(back.begin(false), Step::Ask(_, true)));
-        let mut patience = Patience::default();
+        let mut patience = ClientTimeouts::default();
         let given = [1_000.0, 980.0, 960.0].map(|given| patience.returned(&"r".into(), given));
         assert_eq!(given, [false, false, true]);
     }
--- a/scheduler/src/ranks.rs
+++ b/scheduler/src/ranks.rs
@@ -15,7 +15,7 @@
 
 /// The stalls, and the first two of functions that were asked for.
 #[derive(Debug, Default)]
-pub struct Ranks {
+pub struct OwnerRanking {
     owners: Owners,
     /// By function, and by zone where it is split.
     kept: BTreeMap<(CompactString, CompactString), Two>,
@@ -29,7 +29,7 @@
     owners.first_two(service, zone).map(|p| p.map(|p| (hash(service, seed(&p.name)), p.name.clone())))
 }
 
-impl Ranks {
+impl OwnerRanking {
     /// The stalls.
     pub fn owners(&self) -> &Owners {
         &self.owners
@@ -119,7 +119,7 @@
         let mut below = |n: u64| (dice.share() * n as f64) as u64;
         let zones = ["a", "b", "c"].map(CompactString::from);
         let services: Vec<CompactString> = (0..30).map(|n| format!("f{n}").into()).collect();
-        let (mut ranks, mut alive, mut split) = (Ranks::default(), BTreeMap::new(), BTreeSet::new());
+        let (mut ranks, mut alive, mut split) = (OwnerRanking::default(), BTreeMap::new(), BTreeSet::new());
         for count in 1..600 {
             for _ in 0..=below(2) {
                 let n = below(12);
@@ -140,9 +140,10 @@
             let owners = Owners::new((1, count), alive.iter().map(peer).collect(), split.iter().cloned());
             let asked: Vec<_> =
                 services.iter().flat_map(|s| zones.iter().map(move |z| (s.clone(), z.clone()))).collect();
-            let two = |ranks: &mut Ranks, service: &CompactString, zone: &CompactString| -> BTreeSet<_> {
-                ranks.two(service, zone).cloned().collect()
-            };
+            let two = |ranks: &mut OwnerRanking,
+                       service: &CompactString,
+                       zone: &CompactString|
+             -> BTreeSet<_> { ranks.two(service, zone).cloned().collect() };
             let before: Vec<_> = asked.iter().map(|(s, z)| two(&mut ranks, s, z)).collect();
             let kept = ranks.kept.len();
             let (stand, turned) = ranks.turn(owners.clone());
--- a/scheduler/src/tape.rs
+++ b/scheduler/src/tape.rs
@@ -1,47 +1,47 @@
-//! A desk's inputs as lines of JSON, to be played again: each call of [`Desk`] that may change it, with its time. Written by
-//! [`Taped`], read by [`Entry::read`].
+//! A desk's inputs as lines of JSON, to be played again: each call of [`Coordinator`] that may change it, with its time. Written by
+//! [`Recorded`], read by [`Entry::read`].
 //!
 //! Times are nanoseconds of the process's life, whole numbers below 2^53. Of what comes from elsewhere nothing is rounded.
 
 use std::collections::{HashMap, VecDeque};
 
 use compact_str::CompactString;
-use millpost_protocol::line::{self, Line, Sink, Tape};
-use millpost_protocol::{Fault, Note, string, whole};
+use millpost_protocol::line::{self, Line, Recorder, Sink};
+use millpost_protocol::{Fault, PeerMessage, string, whole};
 use tinyjson::JsonValue;
 
-use crate::{Ask, Desk, Nanos, Out, Outcome, Peer, Spec, Terms, Trail};
+use crate::{Ask, Coordinator, Nanos, Out, Outcome, Peer, Spec, Terms, TraceEvent};
 
 /// What the first line of a desk says that it is of.
 pub const DESK: &str = "desk";
 
 /// A desk whose inputs are told as lines, where somebody wants them. Without a sink it costs nothing.
 #[derive(Debug)]
-pub struct Taped {
-    desk: Desk,
-    tape: Option<Tape>,
+pub struct Recorded {
+    desk: Coordinator,
+    tape: Option<Recorder>,
     /// Requests so far.
     requests: u64,
 }
 
-impl std::ops::Deref for Taped {
-    type Target = Desk;
+impl std::ops::Deref for Recorded {
+    type Target = Coordinator;
     // What changes a desk goes by the methods below.
-    fn deref(&self) -> &Desk {
+    fn deref(&self) -> &Coordinator {
         &self.desk
     }
 }
 
-impl Taped {
-    /// As [`Desk::new`].
+impl Recorded {
+    /// As [`Coordinator::new`].
     pub fn new(me: Peer, terms: Terms, seed: u64, first: u64, sink: Option<Sink>) -> Self {
-        let mut tape = sink.map(Tape::new);
+        let mut tape = sink.map(Recorder::new);
         if let Some(tape) = &mut tape {
             let mut line = tape.begin("new", 0);
             write_new(&mut line, &me, &terms, seed, first);
             tape.put(line);
         }
-        Taped { desk: Desk::new(me, terms, seed, first), tape, requests: 0 }
+        Recorded { desk: Coordinator::new(me, terms, seed, first), tape, requests: 0 }
     }
 
     fn tell(&mut self, name: &str, now: Nanos, fill: impl FnOnce(&mut Line)) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// As [`Desk::take`], which is no input.
+    /// As [`Coordinator::take`], which is no input.
     pub fn take(&mut self) -> VecDeque<Out> {
         let outs = self.desk.take();
         if let Some(tape) = &mut self.tape {
@@ -61,7 +61,7 @@
         outs
     }
 
-    /// As [`Desk::configure`].
+    /// As [`Coordinator::configure`].
     pub fn configure(&mut self, now: Nanos, specs: impl Iterator<Item = Spec>) {
         if self.tape.is_none() {
             return self.desk.configure(now, specs);
@@ -84,11 +84,11 @@
     }
 
     /// A step of a request's, which is no input of the desk.
-    pub fn trail(&mut self, now: Nanos, trail: &Trail) {
+    pub fn trail(&mut self, now: Nanos, trail: &TraceEvent) {
         self.tell(trail.name(), now, |line| trail.write(line));
     }
 
-    /// As [`Desk::ask`]; `of`: the request's number, where there is one.
+    /// As [`Coordinator::ask`]; `of`: the request's number, where there is one.
     pub fn ask(&mut self, now: Nanos, ask: Ask, first: bool, of: Option<u64>) -> Option<u64> {
         let Some(tape) = &mut self.tape else { return self.desk.ask(now, ask, first) };
         let mut line = tape.begin("ask", now);
@@ -101,7 +101,7 @@
         id
     }
 
-    /// As [`Desk::give_up`].
+    /// As [`Coordinator::give_up`].
     pub fn give_up(&mut self, now: Nanos, id: u64) {
         self.tell("give_up", now, |line| {
             line.whole("id", id);
@@ -109,7 +109,7 @@
         self.desk.give_up(now, id);
     }
 
-    /// As [`Desk::finish`].
+    /// As [`Coordinator::finish`].
     pub fn finish(&mut self, now: Nanos, id: u64, outcome: Outcome, took: Nanos) {
         self.tell("finish", now, |line| {
             line.whole("id", id).text("o", outcome.word()).time("took", took);
@@ -117,7 +117,7 @@
         self.desk.finish(now, id, outcome, took);
     }
 
-    /// As [`Desk::up`].
+    /// As [`Coordinator::up`].
     pub fn up(&mut self, now: Nanos, id: &str) {
         self.tell("up", now, |line| {
             line.text("i", id);
@@ -125,7 +125,7 @@
         self.desk.up(now, id);
     }
 
-    /// As [`Desk::refused`].
+    /// As [`Coordinator::refused`].
     pub fn refused(&mut self, now: Nanos, id: &str) {
         self.tell("refused", now, |line| {
             line.text("i", id);
@@ -133,37 +133,37 @@
         self.desk.refused(now, id);
     }
 
-    /// As [`Desk::mail`].
-    pub fn mail(&mut self, now: Nanos, from: &str, life: u64, notes: Vec<Note>) {
+    /// As [`Coordinator::mail`].
+    pub fn mail(&mut self, now: Nanos, from: &str, life: u64, notes: Vec<PeerMessage>) {
         self.tell("mail", now, |line| {
             line.text("from", from).whole("life", life).notes("notes", &notes);
         });
         self.desk.mail(now, from, life, notes);
     }
 
-    /// As [`Desk::told`].
-    pub fn told(&mut self, now: Nanos, note: Note) {
+    /// As [`Coordinator::told`].
+    pub fn told(&mut self, now: Nanos, note: PeerMessage) {
         self.tell("told", now, |line| {
             line.note("note", &note);
         });
         self.desk.told(now, note);
     }
 
-    /// As [`Desk::returned`].
-    pub fn returned(&mut self, now: Nanos, address: &str, notes: Vec<Note>) {
+    /// As [`Coordinator::returned`].
+    pub fn returned(&mut self, now: Nanos, address: &str, notes: Vec<PeerMessage>) {
         self.tell("returned", now, |line| {
             line.text("to", address).notes("notes", &notes);
         });
         self.desk.returned(now, address, notes);
     }
 
-    /// As [`Desk::mute`].
+    /// As [`Coordinator::mute`].
     pub fn mute(&mut self, now: Nanos) {
         self.tell("mute", now, |_| {});
         self.desk.mute(now);
     }
 
-    /// As [`Desk::tick`].
+    /// As [`Coordinator::tick`].
     pub fn tick(&mut self, now: Nanos) {
         self.tell("tick", now, |_| {});
         self.desk.tick(now);
@@ -184,9 +184,9 @@
         /// The number before the first ask's.
         first: u64,
     },
-    /// [`Desk::configure`].
+    /// [`Coordinator::configure`].
     Configure(Vec<Spec>),
-    /// [`Desk::ask`].
+    /// [`Coordinator::ask`].
     Ask {
         /// What is asked.
         ask: Ask,
@@ -197,12 +197,12 @@
         /// The request that it is for, by its number in the life's trails.
         of: Option<u64>,
     },
-    /// [`Desk::give_up`].
+    /// [`Coordinator::give_up`].
     GiveUp {
         /// The ask's number.
         id: u64,
     },
-    /// [`Desk::finish`].
+    /// [`Coordinator::finish`].
     Finish {
         /// The ask's number.
         id: u64,
@@ -211,34 +211,34 @@
         /// How long it took.
         took: Nanos,
     },
-    /// [`Desk::up`].
+    /// [`Coordinator::up`].
     Up(CompactString),
-    /// [`Desk::refused`].
+    /// [`Coordinator::refused`].
     Refused(CompactString),
-    /// [`Desk::mail`].
+    /// [`Coordinator::mail`].
     Mail {
         /// Who sent it.
         from: CompactString,
         /// In which life.
         life: u64,
         /// What it says.
-        notes: Vec<Note>,
+        notes: Vec<PeerMessage>,
     },
-    /// [`Desk::told`].
-    Told(Note),
-    /// [`Desk::returned`].
+    /// [`Coordinator::told`].
+    Told(PeerMessage),
+    /// [`Coordinator::returned`].
     Returned {
         /// The address that it went to.
         address: CompactString,
         /// What it said.
-        notes: Vec<Note>,
+        notes: Vec<PeerMessage>,
     },
-    /// [`Desk::mute`].
+    /// [`Coordinator::mute`].
     Mute,
-    /// [`Desk::tick`].
+    /// [`Coordinator::tick`].
     Tick,
     /// A step of a request's, of which the desk hears nothing.
-    Trail(Trail),
+    TraceEvent(TraceEvent),
 }
 
 /// A line of a recording.
@@ -371,7 +371,7 @@
                 line.text("to", address).notes("notes", notes);
             }
             Input::Mute | Input::Tick => {}
-            Input::Trail(trail) => trail.write(&mut line),
+            Input::TraceEvent(trail) => trail.write(&mut line),
         }
         line.end()
     }
@@ -408,7 +408,7 @@
             }
             "mute" => Input::Mute,
             "tick" => Input::Tick,
-            name => Input::Trail(Trail::read(name, from)?),
+            name => Input::TraceEvent(TraceEvent::read(name, from)?),
         };
         let number = from.contains_key("n").then(|| whole(from, "n")).transpose()?;
         Ok(Entry { number, at: whole(from, "at")?, input })
@@ -431,14 +431,14 @@
             Input::Returned { .. } => "returned",
             Input::Mute => "mute",
             Input::Tick => "tick",
-            Input::Trail(trail) => trail.name(),
+            Input::TraceEvent(trail) => trail.name(),
         }
     }
 
     /// Gives it to a desk. The number that an ask was given.
-    pub fn give(self, now: Nanos, desk: &mut Desk) -> Option<u64> {
+    pub fn give(self, now: Nanos, desk: &mut Coordinator) -> Option<u64> {
         match self {
-            Input::New { me, terms, seed, first } => *desk = Desk::new(me, terms, seed, first),
+            Input::New { me, terms, seed, first } => *desk = Coordinator::new(me, terms, seed, first),
             Input::Configure(specs) => desk.configure(now, specs.into_iter()),
             Input::Ask { ask, first, .. } => return desk.ask(now, ask, first),
             Input::GiveUp { id } => desk.give_up(now, id),
@@ -450,7 +450,7 @@
             Input::Returned { address, notes } => desk.returned(now, &address, notes),
             Input::Mute => desk.mute(now),
             Input::Tick => desk.tick(now),
-            Input::Trail(_) => {}
+            Input::TraceEvent(_) => {}
         }
         None
     }
@@ -462,7 +462,7 @@
     use std::rc::Rc;
 
     use super::*;
-    use crate::{MS, No, Wish};
+    use crate::{MS, No, RequestInfo};
 
     fn all() -> Vec<Input> {
         let me = Peer { name: "edge-1".into(), address: "10.0.0.1:1".into(), zone: "a".into() };
@@ -478,7 +478,7 @@
             zone: "a".into(),
         };
         let spec = Spec { name: "f".into(), concurrency: 2, boot: 300 * MS, memory_mb: 128 };
-        let wish = Wish {
+        let wish = RequestInfo {
             service: "f".into(),
             zone: "".into(),
             target: 200 * MS,
@@ -489,8 +489,14 @@
             returned: true,
         };
         let (instance, outcome) = (CompactString::from("i-1"), Outcome::Answered);
-        let ended =
-            |status| Trail::Ended { p: 3, begun: 8, instance: instance.clone(), outcome, sent: true, status };
+        let ended = |status| TraceEvent::Ended {
+            p: 3,
+            begun: 8,
+            instance: instance.clone(),
+            outcome,
+            sent: true,
+            status,
+        };
         vec![
             Input::New {
                 me,
@@ -511,23 +517,23 @@
             Input::Finish { id: 9, outcome: Outcome::NoAnswer, took: 12_345_678 },
             Input::Up("i-1".into()),
             Input::Refused("i-1".into()),
-            Input::Mail { from: "edge-2".into(), life: 3, notes: vec![Note::Drop { id: 4 }] },
-            Input::Told(Note::Instances { version: (1, 2), all: true, set: vec![], gone: vec![] }),
-            Input::Returned { address: "10.0.0.2:1".into(), notes: vec![Note::Drop { id: 5 }] },
+            Input::Mail { from: "edge-2".into(), life: 3, notes: vec![PeerMessage::Drop { id: 4 }] },
+            Input::Told(PeerMessage::Instances { version: (1, 2), all: true, set: vec![], gone: vec![] }),
+            Input::Returned { address: "10.0.0.2:1".into(), notes: vec![PeerMessage::Drop { id: 5 }] },
             Input::Mute,
             Input::Tick,
-            Input::Trail(Trail::Begun { p: 3, attempt: "9c41".into(), route: "r".into(), wish }),
-            Input::Trail(Trail::Denied { p: 3, no: No::Full(7) }),
-            Input::Trail(Trail::Denied { p: 3, no: No::Skip }),
-            Input::Trail(Trail::Denied { p: 3, no: No::Moved }),
-            Input::Trail(Trail::Moved { p: 3, to: Some("g".into()) }),
-            Input::Trail(Trail::Moved { p: 3, to: None }),
-            Input::Trail(Trail::Late { p: 3 }),
-            Input::Trail(ended(None)),
-            Input::Trail(ended(Some(200))),
-            Input::Trail(Trail::Left { p: 3 }),
-            Input::Trail(Trail::Turned { attempt: "".into(), status: 404 }),
-            Input::Trail(Trail::Acts { revision: 7 }),
+            Input::TraceEvent(TraceEvent::Begun { p: 3, attempt: "9c41".into(), route: "r".into(), wish }),
+            Input::TraceEvent(TraceEvent::Denied { p: 3, no: No::Full(7) }),
+            Input::TraceEvent(TraceEvent::Denied { p: 3, no: No::Skip }),
+            Input::TraceEvent(TraceEvent::Denied { p: 3, no: No::Moved }),
+            Input::TraceEvent(TraceEvent::Moved { p: 3, to: Some("g".into()) }),
+            Input::TraceEvent(TraceEvent::Moved { p: 3, to: None }),
+            Input::TraceEvent(TraceEvent::Late { p: 3 }),
+            Input::TraceEvent(ended(None)),
+            Input::TraceEvent(ended(Some(200))),
+            Input::TraceEvent(TraceEvent::Left { p: 3 }),
+            Input::TraceEvent(TraceEvent::Turned { attempt: "".into(), status: 404 }),
+            Input::TraceEvent(TraceEvent::Acts { revision: 7 }),
         ]
     }
 
@@ -559,7 +565,7 @@
         let sink: Sink = Box::new(move |line| told.borrow_mut().push(line.to_owned()));
         let inputs = all();
         let Input::New { me, terms, seed, first } = inputs[0].clone() else { panic!("a life begins") };
-        let mut desk = Taped::new(me, terms, seed, first, Some(sink));
+        let mut desk = Recorded::new(me, terms, seed, first, Some(sink));
         let mut expected = inputs.clone();
         for (n, input) in inputs.into_iter().enumerate().skip(1) {
             let now = n as u64 * MS;
@@ -579,7 +585,7 @@
                 Input::Returned { address, notes } => desk.returned(now, &address, notes),
                 Input::Mute => desk.mute(now),
                 Input::Tick => desk.tick(now),
-                Input::Trail(trail) => desk.trail(now, &trail),
+                Input::TraceEvent(trail) => desk.trail(now, &trail),
             }
         }
         let read: Vec<_> = lines.borrow().iter().map(|line| Entry::read(line).expect("a line")).collect();
