--- a/scheduler/src/trail.rs
+++ b/scheduler/src/trail.rs
@@ -1,5 +1,5 @@
 //! What a stall did with a request, as lines beside those of its desk: when it was read, what became of each of its tries, that its
-//! client left. They are the inputs of its [`Passage`](crate::Passage) with their exact times, so that the answer that it got follows
+//! client left. They are the inputs of its [`RequestFlow`](crate::RequestFlow) with their exact times, so that the answer that it got follows
 //! from them; the desk hears nothing of them.
 
 use std::collections::HashMap;
@@ -10,7 +10,7 @@
 use tinyjson::JsonValue;
 
 use crate::effect::No;
-use crate::passage::Wish;
+use crate::passage::RequestInfo;
 use crate::{Nanos, Outcome};
 
 /// A client's id of a try is cut to so many bytes.
@@ -18,7 +18,7 @@
 
 /// One step of a request, under the number that the life gave it; or a word of the stall's own.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trail {
+pub enum TraceEvent {
     /// It was read.
     Begun {
         /// Its number in this life; its asks name it.
@@ -28,7 +28,7 @@
         /// Its route.
         route: CompactString,
         /// What is known of it. Its zone is the stall's.
-        wish: Wish,
+        wish: RequestInfo,
     },
     /// Its ask was turned down.
     Denied {
@@ -91,31 +91,31 @@
 /// The words for these in lines.
 pub const WORDS: [&str; 8] = ["request", "denied", "late", "ended", "left", "turned", "acts", "moved"];
 
-impl Trail {
+impl TraceEvent {
     /// The word for it in a line.
     pub fn name(&self) -> &'static str {
         match self {
-            Trail::Begun { .. } => WORDS[0],
-            Trail::Denied { .. } => WORDS[1],
-            Trail::Late { .. } => WORDS[2],
-            Trail::Ended { .. } => WORDS[3],
-            Trail::Left { .. } => WORDS[4],
-            Trail::Turned { .. } => WORDS[5],
-            Trail::Acts { .. } => WORDS[6],
-            Trail::Moved { .. } => WORDS[7],
+            TraceEvent::Begun { .. } => WORDS[0],
+            TraceEvent::Denied { .. } => WORDS[1],
+            TraceEvent::Late { .. } => WORDS[2],
+            TraceEvent::Ended { .. } => WORDS[3],
+            TraceEvent::Left { .. } => WORDS[4],
+            TraceEvent::Turned { .. } => WORDS[5],
+            TraceEvent::Acts { .. } => WORDS[6],
+            TraceEvent::Moved { .. } => WORDS[7],
         }
     }
 
     /// The request's number.
     pub fn of(&self) -> Option<u64> {
         match self {
-            Trail::Begun { p, .. }
-            | Trail::Denied { p, .. }
-            | Trail::Moved { p, .. }
-            | Trail::Late { p }
-            | Trail::Ended { p, .. }
-            | Trail::Left { p } => Some(*p),
-            Trail::Turned { .. } | Trail::Acts { .. } => None,
+            TraceEvent::Begun { p, .. }
+            | TraceEvent::Denied { p, .. }
+            | TraceEvent::Moved { p, .. }
+            | TraceEvent::Late { p }
+            | TraceEvent::Ended { p, .. }
+            | TraceEvent::Left { p } => Some(*p),
+            TraceEvent::Turned { .. } | TraceEvent::Acts { .. } => None,
         }
     }
 
@@ -124,37 +124,37 @@
             line.whole("p", p);
         }
         match self {
-            Trail::Begun { attempt, route, wish, .. } => {
+            TraceEvent::Begun { attempt, route, wish, .. } => {
                 line.text("id", attempt).text("r", route).text("s", &wish.service);
                 line.time("came", wish.came).time("deadline", wish.deadline).time("target", wish.target);
                 line.whole("most", wish.most.into())
                     .mark("again", wish.repeatable)
                     .mark("back", wish.returned);
             }
-            Trail::Denied { no, .. } => {
+            TraceEvent::Denied { no, .. } => {
                 line.text("y", no.word());
                 if let No::Full(wait) = no {
                     line.time("wait", *wait);
                 }
             }
-            Trail::Moved { to, .. } => {
+            TraceEvent::Moved { to, .. } => {
                 if let Some(to) = to {
                     line.text("s", to);
                 }
             }
-            Trail::Ended { begun, instance, outcome, sent, status, .. } => {
+            TraceEvent::Ended { begun, instance, outcome, sent, status, .. } => {
                 line.time("begun", *begun).text("i", instance).text("o", outcome.word()).mark("sent", *sent);
                 if let Some(status) = status {
                     line.whole("status", (*status).into());
                 }
             }
-            Trail::Turned { attempt, status } => {
+            TraceEvent::Turned { attempt, status } => {
                 line.text("id", attempt).whole("status", (*status).into());
             }
-            Trail::Acts { revision } => {
+            TraceEvent::Acts { revision } => {
                 line.whole("v", *revision);
             }
-            Trail::Late { .. } | Trail::Left { .. } => {}
+            TraceEvent::Late { .. } | TraceEvent::Left { .. } => {}
         }
     }
 
@@ -166,11 +166,11 @@
             u16::try_from(whole(from, "status")?).map_err(|_| fault)
         };
         Ok(match name {
-            "request" => Trail::Begun {
+            "request" => TraceEvent::Begun {
                 p: p()?,
                 attempt: string(from, "id")?,
                 route: string(from, "r")?,
-                wish: Wish {
+                wish: RequestInfo {
                     service: string(from, "s")?,
                     zone: CompactString::default(),
                     target: whole(from, "target")?,
@@ -191,13 +191,14 @@
                     "moved" => No::Moved,
                     _ => return Err(Fault { key: "y".to_owned(), reason: "no word that is known" }),
                 };
-                Trail::Denied { p: p()?, no }
+                TraceEvent::Denied { p: p()?, no }
             }
-            "moved" => {
-                Trail::Moved { p: p()?, to: from.contains_key("s").then(|| string(from, "s")).transpose()? }
-            }
-            "late" => Trail::Late { p: p()? },
-            "ended" => Trail::Ended {
+            "moved" => TraceEvent::Moved {
+                p: p()?,
+                to: from.contains_key("s").then(|| string(from, "s")).transpose()?,
+            },
+            "late" => TraceEvent::Late { p: p()? },
+            "ended" => TraceEvent::Ended {
                 p: p()?,
                 begun: whole(from, "begun")?,
                 instance: string(from, "i")?,
@@ -206,9 +207,9 @@
                 sent: line::flag(from, "sent")?,
                 status: from.contains_key("status").then(status).transpose()?,
             },
-            "left" => Trail::Left { p: p()? },
-            "turned" => Trail::Turned { attempt: string(from, "id")?, status: status()? },
-            "acts" => Trail::Acts { revision: whole(from, "v")? },
+            "left" => TraceEvent::Left { p: p()? },
+            "turned" => TraceEvent::Turned { attempt: string(from, "id")?, status: status()? },
+            "acts" => TraceEvent::Acts { revision: whole(from, "v")? },
             _ => return Err(Fault { key: "in".to_owned(), reason: "no input of a desk" }),
         })
     }
--- a/scheduler/src/tries.rs
+++ b/scheduler/src/tries.rs
@@ -77,7 +77,7 @@
 
 /// The tries of one request.
 #[derive(Clone, Debug)]
-pub struct Tries {
+pub struct RetrySchedule {
     t1: Nanos,
     /// It may run more than once.
     repeatable: bool,
@@ -89,10 +89,10 @@
     pub sent: u32,
 }
 
-impl Tries {
+impl RetrySchedule {
     /// For a request that may be sent to `most` endpoints until `deadline`.
     pub fn new(target: Nanos, repeatable: bool, most: u32, deadline: Nanos) -> Self {
-        Tries {
+        RetrySchedule {
             t1: first_gap(target),
             repeatable,
             most: most.max(1),
@@ -156,8 +156,8 @@
 
     const T1: Nanos = 50 * MS;
 
-    fn tries(repeatable: bool) -> Tries {
-        let mut tries = Tries::new(200 * MS, repeatable, 2, 1_500 * MS);
+    fn tries(repeatable: bool) -> RetrySchedule {
+        let mut tries = RetrySchedule::new(200 * MS, repeatable, 2, 1_500 * MS);
         tries.sending(10 * MS);
         tries
     }
--- a/scheduler/tests/floor.rs
+++ b/scheduler/tests/floor.rs
@@ -1,23 +1,23 @@
 //! A floor under a function: who goes by it, how long it holds, and what is told meanwhile.
 
-use millpost_protocol::Does;
+use millpost_protocol::FunctionStatus;
 use millpost_scheduler::{
-    Ask, Broker, Effect, Instance, MS, Nanos, Outcome, Owners, Peer, SECOND, Spec, Stage, Terms, Transfer,
-    Turn,
+    Ask, Effect, Instance, MS, Nanos, Outcome, Owners, OwnershipChange, Peer, SECOND, Scheduler, Spec, Stage,
+    Terms, Transfer,
 };
 
 fn peer(name: &str) -> Peer {
     Peer { name: name.into(), address: "a:1".into(), zone: "z".into() }
 }
 
-fn own(broker: &mut Broker, now: Nanos, owner: &str) {
+fn own(broker: &mut Scheduler, now: Nanos, owner: &str) {
     let owners = Owners::new((1, 1), vec![peer(owner)], []);
-    broker.own(now, &peer("me"), &owners, &Turn::all(), |_, _| Transfer::default());
+    broker.own(now, &peer("me"), &owners, &OwnershipChange::all(), |_, _| Transfer::default());
 }
 
-fn broker(owner: &str) -> Broker {
+fn broker(owner: &str) -> Scheduler {
     let terms = Terms { ratio: 0.2, window: 10 * SECOND, slack: 50.0, asks_per_s: 100.0, speeds: false };
-    let mut broker = Broker::new(terms, 1);
+    let mut broker = Scheduler::new(terms, 1);
     let spec = Spec { name: "f".into(), concurrency: 1, boot: 400 * MS, memory_mb: 128 };
     broker.configure(0, [spec].into_iter());
     own(&mut broker, 0, owner);
@@ -38,7 +38,7 @@
 }
 
 /// What is wanted last, and how often it was said, and what was let go, from one time to another.
-fn pass(broker: &mut Broker, from: Nanos, to: Nanos) -> (Option<u32>, usize, usize) {
+fn pass(broker: &mut Scheduler, from: Nanos, to: Nanos) -> (Option<u32>, usize, usize) {
     let (mut wanted, mut said, mut retired) = (None, 0, 0);
     for now in (from..to).step_by(25 * MS as usize) {
         broker.tick(now);
@@ -86,7 +86,7 @@
 }
 
 /// Requests that are there at once, to their end.
-fn serve(broker: &mut Broker, now: Nanos, ids: std::ops::Range<u64>, outcome: Outcome, took: Nanos) {
+fn serve(broker: &mut Scheduler, now: Nanos, ids: std::ops::Range<u64>, outcome: Outcome, took: Nanos) {
     let ask = |id| Ask {
         id,
         service: "f".into(),
@@ -105,7 +105,7 @@
 #[test]
 fn with_a_floor_an_owner_tells_the_mean_delay_and_the_lowest_and_what_was_refused_lately() {
     let mut broker = broker("me");
-    let told = |broker: &mut Broker, now| -> Option<Does> {
+    let told = |broker: &mut Scheduler, now| -> Option<FunctionStatus> {
         broker.tick(now);
         let all = broker.take();
         all.iter().rev().find_map(|e| if let Effect::Want { does, .. } = e { Some(*does) } else { None })?
@@ -113,7 +113,7 @@
     serve(&mut broker, SECOND, 0..3, Outcome::Answered, 40 * MS);
     assert_eq!(told(&mut broker, 2 * SECOND), None, "nobody has asked for it");
     broker.floor(2 * SECOND, "f", 1, 7, 60 * SECOND);
-    let does = Does { delay: 40.0, lowest: 40.0, asked: 0, refused: 0 };
+    let does = FunctionStatus { delay: 40.0, lowest: 40.0, asked: 0, refused: 0 };
     assert_eq!(told(&mut broker, 2_100 * MS), Some(does));
     // All three take 240 ms once: a fifth of that, and the rest of before.
     serve(&mut broker, 2_200 * MS, 10..13, Outcome::Answered, 240 * MS);
--- a/scheduler/tests/handover.rs
+++ b/scheduler/tests/handover.rs
@@ -4,16 +4,16 @@
 
 use std::collections::BTreeMap;
 
-use millpost_protocol::{Instance, Note};
-use millpost_scheduler::{Desk, MS, Nanos, Out, Outcome, SECOND};
+use millpost_protocol::{Instance, PeerMessage};
+use millpost_scheduler::{Coordinator, MS, Nanos, Out, Outcome, SECOND};
 use town::{ALL, CONCURRENCY, T, Town, instances, owner, peer, stalls};
 
 /// What a life is numbered by goes back with its machine's clock. Only who lives can say that it does.
 #[test]
 fn mail_of_a_lower_life_counts_for_nothing_and_is_answered_with_the_life_that_is_known() {
     let mut town = Town::new(&[1, 2]);
-    let to_me = |life, note| move |desk: &mut Desk| desk.mail(T, "edge-2", life, vec![note]);
-    let ask = || Note::Ask {
+    let to_me = |life, note| move |desk: &mut Coordinator| desk.mail(T, "edge-2", life, vec![note]);
+    let ask = || PeerMessage::Ask {
         id: 7,
         service: "f".into(),
         left: 4_000.0,
@@ -25,13 +25,13 @@
         avoid: vec![],
         zone: "a".into(),
     };
-    town.with(T, "edge-1", to_me(9, Note::Drop { id: 1 }));
+    town.with(T, "edge-1", to_me(9, PeerMessage::Drop { id: 1 }));
     town.mail.clear();
     town.with(T, "edge-1", to_me(8, ask()));
-    assert_eq!(town.mail, [("edge-1".into(), "edge-2".into(), Note::StaleIncarnation { known: 9 })]);
+    assert_eq!(town.mail, [("edge-1".into(), "edge-2".into(), PeerMessage::StaleIncarnation { known: 9 })]);
     town.mail.clear();
     town.with(T, "edge-1", to_me(10, ask()));
-    assert!(town.mail.iter().all(|(.., note)| !matches!(note, Note::StaleIncarnation { .. })));
+    assert!(town.mail.iter().all(|(.., note)| !matches!(note, PeerMessage::StaleIncarnation { .. })));
     assert_eq!(town.mail.len(), 1, "the ask is answered: {:?}", town.mail);
 }
 
@@ -121,9 +121,9 @@
         let desk = town.desks.get_mut(&asker).expect("a desk");
         desk.tick(at);
         let outs = desk.take();
-        let deaf = |o: &Out| matches!(o, Out::Up(Note::Deaf { peer, .. }) if *peer == old);
+        let deaf = |o: &Out| matches!(o, Out::Up(PeerMessage::Deaf { peer, .. }) if *peer == old);
         let asks = outs.iter().filter_map(|o| match o {
-            Out::Send { to, note: Note::Ask { .. } } => Some(to.trim_end_matches(":1").to_owned()),
+            Out::Send { to, note: PeerMessage::Ask { .. } } => Some(to.trim_end_matches(":1").to_owned()),
             _ => None,
         });
         (outs.iter().any(deaf), asks.collect::<Vec<_>>())
@@ -151,16 +151,16 @@
     let friend = ALL.iter().map(|n| format!("edge-{n}")).find(|n| *n != old && *n != asker).expect("a third");
     town.ask(T, &asker);
     let asked = town.mail.iter().find_map(|(from, to, note)| match note {
-        Note::Ask { id, .. } if *from == asker && to.starts_with(&old) => Some(*id),
+        PeerMessage::Ask { id, .. } if *from == asker && to.starts_with(&old) => Some(*id),
         _ => None,
     });
-    let waits = Note::Waits { id: asked.expect("an ask") };
+    let waits = PeerMessage::Waits { id: asked.expect("an ask") };
     let desk = town.desks.get_mut(&asker).expect("a desk");
     desk.mail(T + 5 * MS, &old, 1, vec![waits]);
     let mut deaf = |at: Nanos| {
         desk.mail(at, &friend, 1, vec![]);
         desk.tick(at);
-        desk.take().iter().any(|o| matches!(o, Out::Up(Note::Deaf { .. })))
+        desk.take().iter().any(|o| matches!(o, Out::Up(PeerMessage::Deaf { .. })))
     };
     assert!(!deaf(T + 400 * MS) && !deaf(T + 1_500 * MS));
     // Asked again, it says nothing.
@@ -238,7 +238,7 @@
     let zone_of = |name: &str| peer(name[5..].parse().expect("a number")).zone;
     let new = ["a", "b"].map(|z| owner(&ALL, true, z)).into_iter().find(|n| *n != old).expect("another");
     let zone = zone_of(&new);
-    let starting = |version: u64, id: &str, all: bool| Note::Instances {
+    let starting = |version: u64, id: &str, all: bool| PeerMessage::Instances {
         version: (1, version),
         all,
         set: vec![Instance {
@@ -418,7 +418,7 @@
     town.ask(now, &asker);
     town.post(now, &[&asker]);
     let grant = town.mail.pop().expect("a grant on its way");
-    let Note::Grant { instance: old, .. } = grant.2.clone() else { panic!("{grant:?}") };
+    let PeerMessage::Grant { instance: old, .. } = grant.2.clone() else { panic!("{grant:?}") };
     for name in [&asker, &first, &second] {
         town.with(now, name, |desk| desk.told(now, stalls(3, &three, false)));
     }
@@ -428,9 +428,10 @@
         let word = town.mail.iter().position(|(from, ..)| *from == first).expect("its word");
         let word = town.mail.remove(word);
         // It knows all instances but that one, so that it grants another.
-        let Note::Instances { set, .. } = instances(2) else { panic!("instances") };
+        let PeerMessage::Instances { set, .. } = instances(2) else { panic!("instances") };
         let but: Vec<_> = set.iter().filter(|i| i.id != old).cloned().collect();
-        let whole = |version, set| Note::Instances { version: (1, version), all: true, set, gone: vec![] };
+        let whole =
+            |version, set| PeerMessage::Instances { version: (1, version), all: true, set, gone: vec![] };
         town.with(now, &second, |desk| desk.told(now, whole(3, but)));
         town.post(now, &[&asker]);
         for step in 0..80 {
@@ -438,7 +439,7 @@
             town.with(now, &second, |desk| desk.tick(now));
         }
         town.with(now, &second, |desk| desk.told(now, whole(4, set)));
-        assert!(town.mail.iter().any(|(_, _, note)| matches!(note, Note::Grant { .. })));
+        assert!(town.mail.iter().any(|(_, _, note)| matches!(note, PeerMessage::Grant { .. })));
         let place = if order == Order::TwiceOld { 0 } else { town.mail.len() };
         town.mail.insert(place, grant);
         town.mail.push(word);
--- a/scheduler/tests/hardware.rs
+++ b/scheduler/tests/hardware.rs
@@ -3,22 +3,22 @@
 use std::collections::BTreeSet;
 
 use millpost_scheduler::{
-    Ask, Broker, Effect, Instance, MS, Nanos, Outcome, Owners, Peer, SECOND, Spec, Stage, Terms, Transfer,
-    Turn,
+    Ask, Effect, Instance, MS, Nanos, Outcome, Owners, OwnershipChange, Peer, SECOND, Scheduler, Spec, Stage,
+    Terms, Transfer,
 };
 
 const T: Nanos = SECOND;
 const SLOTS: usize = 4;
 
 /// An owner of `f`, and three instances of it, each on a worker of its own.
-fn broker() -> Broker {
+fn broker() -> Scheduler {
     let terms = Terms { ratio: 0.2, window: 10 * SECOND, slack: 50.0, asks_per_s: 100.0, speeds: true };
-    let mut broker = Broker::new(terms, 1);
+    let mut broker = Scheduler::new(terms, 1);
     let spec = Spec { name: "f".into(), concurrency: SLOTS as u32, boot: 400 * MS, memory_mb: 128 };
     broker.configure(0, [spec].into_iter());
     let me = Peer { name: "edge".into(), address: "a:1".into(), zone: "z".into() };
     let owners = Owners::new((1, 1), vec![me.clone()], []);
-    broker.own(0, &me, &owners, &Turn::all(), |_, _| Transfer::default());
+    broker.own(0, &me, &owners, &OwnershipChange::all(), |_, _| Transfer::default());
     for n in 0..3 {
         let of = Instance {
             id: format!("i-{n}").into(),
@@ -49,7 +49,7 @@
 
 /// Asks come every 20 ms, and are answered after `took` of their instance's number, with `outcome`. Who got each, and whom wants named.
 fn play(
-    broker: &mut Broker,
+    broker: &mut Scheduler,
     took: impl Fn(&str) -> Nanos,
     outcome: Outcome,
 ) -> (Vec<String>, BTreeSet<String>) {
--- a/scheduler/tests/leaving.rs
+++ b/scheduler/tests/leaving.rs
@@ -2,14 +2,14 @@
 
 mod town;
 
-use millpost_protocol::{Instance, Note};
-use millpost_scheduler::{Desk, MS, Nanos, Outcome, Owners, SECOND, Spec, Terms};
+use millpost_protocol::{Instance, PeerMessage};
+use millpost_scheduler::{Coordinator, MS, Nanos, Outcome, Owners, SECOND, Spec, Terms};
 use town::{ALL, CONCURRENCY, T, Town, instances, owner, peer};
 
 /// The view after these have left: they own nothing any more, and live.
-fn view_without(version: u64, stay: &[usize], leaving: &[usize]) -> Note {
+fn view_without(version: u64, stay: &[usize], leaving: &[usize]) -> PeerMessage {
     let peers = |of: &[usize]| of.iter().map(|n| peer(*n)).collect();
-    Note::Stalls { version: (1, version), peers: peers(stay), leaving: peers(leaving), split: vec![] }
+    PeerMessage::Stalls { version: (1, version), peers: peers(stay), leaving: peers(leaving), split: vec![] }
 }
 
 fn name(n: usize) -> String {
@@ -118,7 +118,7 @@
     let view = || view_without(2, &with(new), &[leaver]);
     let mut town = Town::new(&ALL);
     let terms = Terms { ratio: 0.2, window: 10 * SECOND, slack: 50.0, asks_per_s: 100.0, speeds: false };
-    let mut started = Desk::new(peer(new), terms, new as u64, 1_000_000);
+    let mut started = Coordinator::new(peer(new), terms, new as u64, 1_000_000);
     let spec = Spec { name: "f".into(), concurrency: CONCURRENCY, boot: 400 * MS, memory_mb: 128 };
     started.configure(T, [spec].into_iter());
     started.told(T, view());
@@ -145,13 +145,13 @@
 }
 
 /// The view with these owners of lots, and those that leave.
-fn split_view(version: (u64, u64), stay: &[usize], leaving: &[usize]) -> Note {
+fn split_view(version: (u64, u64), stay: &[usize], leaving: &[usize]) -> PeerMessage {
     let peers = |of: &[usize]| of.iter().map(|n| peer(*n)).collect();
-    Note::Stalls { version, peers: peers(stay), leaving: peers(leaving), split: vec!["f".into()] }
+    PeerMessage::Stalls { version, peers: peers(stay), leaving: peers(leaving), split: vec!["f".into()] }
 }
 
 /// The only instance, in this zone.
-fn instance_in(version: (u64, u64), zone: &str) -> Note {
+fn instance_in(version: (u64, u64), zone: &str) -> PeerMessage {
     let instance = Instance {
         id: "i-c".into(),
         service: "f".into(),
@@ -160,7 +160,7 @@
         worker: "w".into(),
         stage: 1,
     };
-    Note::Instances { version, all: true, set: vec![instance], gone: vec![] }
+    PeerMessage::Instances { version, all: true, set: vec![instance], gone: vec![] }
 }
 
 /// The owner of the function's lot for this zone, among these.
@@ -176,7 +176,7 @@
     for n in [0, 1, 2, 3, 100] {
         town.with(T, &name(n), |desk| {
             desk.told(T, split_view((1, 2), &[0, 1, 2, 3, 100], &[]));
-            let none = Note::Instances { version: (1, 2), all: true, set: vec![], gone: vec![] };
+            let none = PeerMessage::Instances { version: (1, 2), all: true, set: vec![], gone: vec![] };
             desk.told(T, if known || n == 100 { instance_in((1, 2), zone) } else { none });
         });
     }
@@ -262,7 +262,7 @@
         town.post(T, &[]);
     }
     assert_eq!(town.granted.len(), 16);
-    let view = |version, who: &[usize]| Note::Stalls {
+    let view = |version, who: &[usize]| PeerMessage::Stalls {
         version,
         peers: who.iter().map(|n| peer(*n)).collect(),
         leaving: vec![],
--- a/scheduler/tests/owner.rs
+++ b/scheduler/tests/owner.rs
@@ -1,13 +1,13 @@
 //! An owner of functions, step by step: each test is what went wrong once on a day, in the small.
 
 use millpost_scheduler::{
-    Ask, Broker, Effect, Instance, MS, Nanos, No, Outcome, Owners, Peer, SECOND, Spec, Stage, Terms,
-    Transfer, Turn,
+    Ask, Effect, Instance, MS, Nanos, No, Outcome, Owners, OwnershipChange, Peer, SECOND, Scheduler, Spec,
+    Stage, Terms, Transfer,
 };
 
-fn broker(concurrency: u32) -> Broker {
+fn broker(concurrency: u32) -> Scheduler {
     let terms = Terms { ratio: 0.2, window: 10 * SECOND, slack: 50.0, asks_per_s: 100.0, speeds: false };
-    let mut broker = Broker::new(terms, 1);
+    let mut broker = Scheduler::new(terms, 1);
     let spec = Spec { name: "f".into(), concurrency, boot: 400 * MS, memory_mb: 128 };
     broker.configure(0, [spec].into_iter());
     own(&mut broker, 0, true);
@@ -19,10 +19,10 @@
 /// By then an owner gives out all its slots.
 const T: Nanos = SECOND;
 
-fn own(broker: &mut Broker, now: Nanos, mine: bool) {
+fn own(broker: &mut Scheduler, now: Nanos, mine: bool) {
     let who = if mine { peer("z") } else { peer("y") };
     let owners = Owners::new((1, 1), vec![who], []);
-    broker.own(now, &peer("z"), &owners, &Turn::all(), |_, _| Transfer::default());
+    broker.own(now, &peer("z"), &owners, &OwnershipChange::all(), |_, _| Transfer::default());
 }
 
 /// The stall of a zone; this one is that of `z`.
@@ -236,7 +236,7 @@
     broker.known(T, there, true);
     broker.known(T, instance("i", Stage::Ready), true);
     let owners = Owners::new((1, 2), vec![peer("y"), peer("z")], ["f".into()]);
-    broker.own(T, &peer("z"), &owners, &Turn::all(), |_, _| Transfer::default());
+    broker.own(T, &peer("z"), &owners, &OwnershipChange::all(), |_, _| Transfer::default());
     broker.tick(T + 400 * MS);
     broker.take();
     for id in 0..4 {
--- a/scheduler/tests/town/mod.rs
+++ b/scheduler/tests/town/mod.rs
@@ -4,16 +4,16 @@
 
 use std::collections::BTreeMap;
 
-use millpost_protocol::{Instance, Note};
-use millpost_scheduler::{Ask, Desk, MS, Nanos, Out, Outcome, Owners, Peer, SECOND, Spec, Terms};
+use millpost_protocol::{Instance, PeerMessage};
+use millpost_scheduler::{Ask, Coordinator, MS, Nanos, Out, Outcome, Owners, Peer, SECOND, Spec, Terms};
 
 pub const T: Nanos = 2 * SECOND;
 pub const CONCURRENCY: u32 = 4;
 
 pub struct Town {
-    pub desks: BTreeMap<String, Desk>,
+    pub desks: BTreeMap<String, Coordinator>,
     /// Mail that has not come yet: from, to, note.
-    pub mail: Vec<(String, String, Note)>,
+    pub mail: Vec<(String, String, PeerMessage)>,
     /// Granted, by desk: ask and instance.
     pub granted: Vec<(String, u64, String)>,
 }
@@ -23,10 +23,10 @@
     Peer { name: format!("edge-{n}").into(), address: format!("edge-{n}:1").into(), zone: zone.into() }
 }
 
-pub fn stalls(version: u64, who: &[usize], split: bool) -> Note {
+pub fn stalls(version: u64, who: &[usize], split: bool) -> PeerMessage {
     let split = if split { vec!["f".into()] } else { vec![] };
     let peers = who.iter().map(|n| peer(*n)).collect();
-    Note::Stalls { version: (1, version), peers, leaving: vec![], split }
+    PeerMessage::Stalls { version: (1, version), peers, leaving: vec![], split }
 }
 
 pub fn owner(who: &[usize], split: bool, zone: &str) -> String {
@@ -35,7 +35,7 @@
     owners.owner("f", zone, |_| true).expect("one").name.to_string()
 }
 
-pub fn instances(version: u64) -> Note {
+pub fn instances(version: u64) -> PeerMessage {
     let instance = |n: usize| Instance {
         id: format!("i-{n}").into(),
         service: "f".into(),
@@ -44,7 +44,12 @@
         worker: "w".into(),
         stage: 1,
     };
-    Note::Instances { version: (1, version), all: true, set: (0..4).map(instance).collect(), gone: vec![] }
+    PeerMessage::Instances {
+        version: (1, version),
+        all: true,
+        set: (0..4).map(instance).collect(),
+        gone: vec![],
+    }
 }
 
 impl Town {
@@ -55,7 +60,7 @@
             let me = peer(*n);
             let terms =
                 Terms { ratio: 0.2, window: 10 * SECOND, slack: 50.0, asks_per_s: 100.0, speeds: false };
-            let mut desk = Desk::new(me, terms, *n as u64, 1_000 * *n as u64);
+            let mut desk = Coordinator::new(me, terms, *n as u64, 1_000 * *n as u64);
             let spec = Spec { name: "f".into(), concurrency: CONCURRENCY, boot: 400 * MS, memory_mb: 128 };
             desk.configure(0, [spec].into_iter());
             desk.told(0, stalls(1, stalls_of, false));
@@ -67,7 +72,7 @@
         town
     }
 
-    pub fn with(&mut self, now: Nanos, name: &str, what: impl FnOnce(&mut Desk)) {
+    pub fn with(&mut self, now: Nanos, name: &str, what: impl FnOnce(&mut Coordinator)) {
         let desk = self.desks.get_mut(name).expect("a desk");
         what(desk);
         for out in desk.take() {
--- a/scheduler/tests/waiting.rs
+++ b/scheduler/tests/waiting.rs
@@ -1,8 +1,9 @@
 //! What waits for a function that the configuration names no more, from the owner that drops it to what its client is told.
 
-use millpost_protocol::{Instance, Note};
+use millpost_protocol::{Instance, PeerMessage};
 use millpost_scheduler::{
-    Desk, MS, Nanos, No, Out, Owners, Passage, Peer, Refusal, SECOND, Spec, Step, Terms, Wish,
+    Coordinator, MS, Nanos, No, Out, Owners, Peer, Refusal, RequestFlow, RequestInfo, SECOND, Spec, Step,
+    Terms,
 };
 
 const T: Nanos = 2 * SECOND;
@@ -23,8 +24,8 @@
 
 /// Two stalls with `s`, which has one instance, and `t`, which has two.
 struct Town {
-    desks: [Desk; 2],
-    mail: Vec<(usize, usize, Note)>,
+    desks: [Coordinator; 2],
+    mail: Vec<(usize, usize, PeerMessage)>,
     /// Words for asks: who asked, its number, the instance or why not.
     words: Vec<(usize, u64, Result<String, No>)>,
 }
@@ -34,11 +35,11 @@
         let desk = |n: usize| {
             let terms =
                 Terms { ratio: 0.2, window: 10 * SECOND, slack: 50.0, asks_per_s: 1e6, speeds: false };
-            let mut desk = Desk::new(peer(n), terms, n as u64, 1_000 * n as u64);
+            let mut desk = Coordinator::new(peer(n), terms, n as u64, 1_000 * n as u64);
             desk.configure(0, [spec("s"), spec("t")].into_iter());
             desk.told(
                 0,
-                Note::Stalls {
+                PeerMessage::Stalls {
                     version: (1, 1),
                     peers: vec![peer(0), peer(1)],
                     leaving: vec![],
@@ -54,7 +55,7 @@
                 stage: 1,
             };
             let set = [("i", "s"), ("j", "t"), ("k", "t")].map(instance).into();
-            desk.told(0, Note::Instances { version: (1, 1), all: true, set, gone: vec![] });
+            desk.told(0, PeerMessage::Instances { version: (1, 1), all: true, set, gone: vec![] });
             desk.tick(T);
             desk
         };
@@ -106,11 +107,11 @@
 }
 
 /// One that came back, so that it waits rather than be turned away.
-fn passage(came: Nanos) -> Passage<u16> {
+fn passage(came: Nanos) -> RequestFlow<u16> {
     let (service, zone) = ("s".into(), "z".into());
     let (target, repeatable, most, returned) = (400 * MS, false, 1, true);
     let deadline = came + 1_500 * MS;
-    Passage::new(Wish { service, zone, target, repeatable, most, came, deadline, returned })
+    RequestFlow::new(RequestInfo { service, zone, target, repeatable, most, came, deadline, returned })
 }
 
 /// Which of the two stalls asks, and whether the owner hears of the change before it does.
@@ -171,8 +172,8 @@
     assert_eq!(gone.refused(T, No::Moved), Step::Find);
     assert_eq!(gone.moved(T, None), Step::Tell(Err(Refusal::Empty)));
 
-    let wish = Wish { repeatable: true, most: 2, ..passage(T).wish().clone() };
-    let mut ran = Passage::<u16>::new(wish);
+    let wish = RequestInfo { repeatable: true, most: 2, ..passage(T).wish().clone() };
+    let mut ran = RequestFlow::<u16>::new(wish);
     ran.begin(true);
     ran.granted(T);
     let step = ran.ended(T + MS, "i".into(), Outcome::NoAnswer, true, None);
--- a/simulator/src/glue/hall.rs
+++ b/simulator/src/glue/hall.rs
@@ -8,15 +8,15 @@
 use millpost_autoscaler::{Sink, StartFault, StopFault};
 use millpost_controller::contact::Answered;
 use millpost_controller::core::{Back, Bounds, Core, Effect, Input, Start};
-use millpost_controller::feed::Seat;
-use millpost_controller::leadership::{Call, Errand, Heard};
+use millpost_controller::feed::ConnectionId;
+use millpost_controller::leadership::{Call, Heard, PlatformCall};
 use millpost_net::mail::{self, Content, Reply};
 use millpost_protocol::{object, text};
 use millpost_quorum::{Address, Members, Message};
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::keeper::Disk;
-use super::{In, Keeper, Out, Place, Said, letter};
+use super::{In, Out, Place, Said, VoterProcess, letter};
 use crate::plant::Plant;
 use crate::{MS, Time};
 
@@ -32,7 +32,7 @@
     /// To whom, and when.
     News(Address, Time),
     Fetch(u64),
-    Errand {
+    PlatformCall {
         fence: u64,
         asked: Time,
         call: Call,
@@ -59,15 +59,15 @@
 }
 
 /// Control on one core machine.
-pub struct Hall {
+pub struct ControllerProcess {
     place: Place,
     core: Core,
-    keeper: Keeper,
+    keeper: VoterProcess,
     standing: Option<(bool, Option<Members>)>,
     handed: BTreeMap<u64, Handed>,
     calls: BTreeMap<u64, Called>,
     /// Which call is answered by the lines of a seat.
-    seats: BTreeMap<Seat, u64>,
+    seats: BTreeMap<ConnectionId, u64>,
     /// Answers of the own voter that wait for the disk.
     later: Vec<(Time, Back, Message)>,
     next: u64,
@@ -88,7 +88,7 @@
     }
 }
 
-impl Hall {
+impl ControllerProcess {
     /// One that starts now. `bootstrap`: the whole system starts on empty disks.
     pub fn new(now: Time, place: Place, rates: Rates, disk: &mut Disk, bootstrap: bool) -> Self {
         let mut seeds = place.seeds.clone();
@@ -97,7 +97,7 @@
         let uid = format!("{:016x}", xxh3_64(seeds.join(" ").as_bytes()));
         let forgetful = place.plant == Some(Plant::Forgetful);
         let first = (bootstrap || forgetful).then(|| Members::first(&uid, seeds));
-        let keeper = Keeper::open(now, &place, disk, first);
+        let keeper = VoterProcess::open(now, &place, disk, first);
         let start = Start {
             me: place.address.clone(),
             life: place.life,
@@ -117,7 +117,7 @@
                 Box::new(move || records.sink(&name, "bourse")) as Box<dyn Fn() -> Sink>
             }),
         };
-        Hall {
+        ControllerProcess {
             core: Core::new(start),
             keeper,
             standing: None,
@@ -244,7 +244,7 @@
                 };
                 self.core.input(now, Input::Fetched(number, text));
             }
-            Called::Errand { fence, asked, call } => {
+            Called::PlatformCall { fence, asked, call } => {
                 let mut heard = heard(call, said);
                 if self.place.plant == Some(Plant::Deaf) {
                     match &mut heard {
@@ -324,7 +324,7 @@
                     self.outs.push(Out::Reply { call, said: Said::Body(Bytes::from_static(b"{}")) });
                 }
                 Effect::Answer(call, reply) => self.outs.push(Out::Reply { call, said: said(reply) }),
-                Effect::Seat(call, seat, line) => {
+                Effect::OpenFeed(call, seat, line) => {
                     self.seats.insert(seat, call);
                     self.outs.push(Out::Line { feed: call, line });
                 }
@@ -349,13 +349,13 @@
                 Effect::Fetch(number, from) => {
                     self.call_out(from, Said::Chosen, VOTE, Called::Fetch(number));
                 }
-                Effect::Errand(errand) => self.errand(now, errand),
+                Effect::PlatformCall(errand) => self.errand(now, errand),
             }
         }
         any
     }
 
-    fn errand(&mut self, now: Time, errand: Errand) {
+    fn errand(&mut self, now: Time, errand: PlatformCall) {
         let (fence, asked) = (errand.fence, errand.asked);
         let call = match errand.begin(now) {
             Ok(call) => call,
@@ -373,7 +373,7 @@
             }
             Call::Stop { id } => (Said::Stop { id: id.clone() }, STARTS),
         };
-        self.call_out(PLATFORM.into(), said, within, Called::Errand { fence, asked, call });
+        self.call_out(PLATFORM.into(), said, within, Called::PlatformCall { fence, asked, call });
     }
 }
 
--- a/simulator/src/glue/keeper.rs
+++ b/simulator/src/glue/keeper.rs
@@ -95,7 +95,7 @@
 }
 
 /// A voter, and what waits for it.
-pub struct Keeper {
+pub struct VoterProcess {
     voter: Voter,
     waiting: VecDeque<(u64, CompactString, Message)>,
     careless: bool,
@@ -104,7 +104,7 @@
 /// An answer: of which message, what, and when it may go.
 pub type Answer = (u64, Option<Message>, Time);
 
-impl Keeper {
+impl VoterProcess {
     /// Opens what is on the disk. `first`: the whole system starts on empty disks.
     pub fn open(now: Time, place: &Place, disk: &mut Disk, first: Option<Members>) -> Self {
         let mut voter = Self::read(now, place, disk);
@@ -112,7 +112,7 @@
             let put = |batch: &[Write]| disk.put(now, batch, true).map(drop);
             let _ = voter.bootstrap(first).carry_out(put);
         }
-        Keeper { voter, waiting: VecDeque::new(), careless: place.plant == Some(Plant::Unsynced) }
+        VoterProcess { voter, waiting: VecDeque::new(), careless: place.plant == Some(Plant::Unsynced) }
     }
 
     fn read(now: Time, place: &Place, disk: &mut Disk) -> Voter {
@@ -169,7 +169,7 @@
         (answers, if due { self.voter.on_tick(now) } else { Vec::new() })
     }
 
-    /// When [`Keeper::work`] is due.
+    /// When [`VoterProcess::work`] is due.
     pub fn wake(&self, disk: &Disk) -> Time {
         let queue = if self.waiting.is_empty() { Time::MAX } else { disk.free.max(disk.hangs_until) };
         queue.min(self.voter.next_wake().unwrap_or(Time::MAX))
--- a/simulator/src/glue/memo.rs
+++ b/simulator/src/glue/memo.rs
@@ -24,7 +24,7 @@
 
 /// What was read, by the digest of its text.
 #[derive(Default)]
-pub struct Memo {
+pub struct ParseCache {
     texts: Found<u64>,
     changed: Found<(u64, u64)>,
     tables: RefCell<HashMap<u64, Rc<Table>>>,
@@ -32,7 +32,7 @@
 
 const LONGEST: usize = 8 << 20;
 
-impl Memo {
+impl ParseCache {
     /// A configuration out of its content: JSON, or packed.
     pub fn read(&self, content: &str) -> Option<Rc<Known>> {
         let key = xxh3_64(content.as_bytes());
--- a/simulator/src/glue/mod.rs
+++ b/simulator/src/glue/mod.rs
@@ -10,11 +10,11 @@
 mod post;
 mod stall;
 
-pub use hall::{Hall, Rates};
-pub use keeper::{Disk, Keeper};
-pub use memo::Memo;
-pub use porter::Porter;
-pub use stall::Stall;
+pub use hall::{ControllerProcess, Rates};
+pub use keeper::{Disk, VoterProcess};
+pub use memo::ParseCache;
+pub use porter::AgentProcess;
+pub use stall::ProxyProcess;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -23,7 +23,7 @@
 use bytes::Bytes;
 use compact_str::CompactString;
 use millpost_autoscaler::{Entry, StartFault, StopFault, Worker};
-use millpost_protocol::{Note, object, text};
+use millpost_protocol::{PeerMessage, object, text};
 use millpost_quorum::Message;
 use millpost_scheduler::Outcome;
 use tinyjson::JsonValue;
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub enum Said {
     /// `POST /mail`, and an answer with notes.
-    Mail { from: CompactString, life: u64, notes: Vec<Note> },
+    Mail { from: CompactString, life: u64, notes: Vec<PeerMessage> },
     /// Taken, with nothing to say.
     Taken,
     /// A status that is no success.
@@ -59,7 +59,7 @@
     /// `GET /Config.Read`.
     Read,
     /// `POST /follow`.
-    Follow { from: CompactString, life: u64, notes: Vec<Note>, whole: bool },
+    Follow { from: CompactString, life: u64, notes: Vec<PeerMessage>, whole: bool },
     /// `GET /endpoints`, from this entry on.
     List { from: usize },
     /// One page of the list, and where the next begins.
@@ -178,7 +178,7 @@
     /// The guard that is taken out, for a test.
     pub plant: Option<Plant>,
     /// Configurations that were read already.
-    pub memo: Rc<Memo>,
+    pub memo: Rc<ParseCache>,
     /// Where what decides is recorded, if it is.
     pub records: Option<Records>,
 }
@@ -191,8 +191,8 @@
 }
 
 /// A letter as it is written.
-fn letter(from: &str, life: u64, notes: &[Note]) -> Bytes {
-    let notes = JsonValue::Array(notes.iter().map(Note::to_json).collect());
+fn letter(from: &str, life: u64, notes: &[PeerMessage]) -> Bytes {
+    let notes = JsonValue::Array(notes.iter().map(PeerMessage::to_json).collect());
     let body = object([("from", text(from)), ("life", JsonValue::Number(life as f64)), ("notes", notes)]);
     Bytes::from(body.stringify().unwrap_or_default())
 }
--- a/simulator/src/glue/porter.rs
+++ b/simulator/src/glue/porter.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use compact_str::CompactString;
-use millpost_agent::{Effect, Input, Taped as Round, Terms};
+use millpost_agent::{Effect, Input, Recorded as Round, Terms};
 
-use super::post::{Landed, Post};
+use super::post::{Landed, Outbox};
 use super::{In, Out, Place, Said, letter};
 use crate::plant::Plant;
 use crate::{MS, Time};
@@ -18,37 +18,37 @@
 
 struct Open {
     to: CompactString,
-    post: Post,
+    post: Outbox,
     /// It is given up then.
     until: Time,
 }
 
 /// One porter.
-pub struct Porter {
+pub struct AgentProcess {
     place: Place,
     stall_address: CompactString,
     round: Round,
     open: BTreeMap<u64, Open>,
-    stall: Post,
+    stall: Outbox,
     next: u64,
     over: bool,
     outs: Vec<Out>,
 }
 
-impl Porter {
+impl AgentProcess {
     /// One that starts now, for the stall at this address.
     pub fn new(now: Time, place: Place, stall_address: CompactString) -> Self {
         let blind = place.plant == Some(Plant::Blind) && place.restarted;
         let seeds = if blind { Vec::new() } else { place.seed_addresses() };
         let terms = Terms { name: place.name.clone(), life: place.life, seeds, grace: place.grace };
         let sink = place.records.as_ref().map(|r| r.life(&place.name, "porter", place.life));
-        Porter {
+        AgentProcess {
             round: Round::new(terms, now, sink),
             place,
             stall_address,
             open: BTreeMap::new(),
             // What is told of instances counts in its order.
-            stall: Post::new(1),
+            stall: Outbox::new(1),
             next: 0,
             over: false,
             outs: Vec::new(),
@@ -82,7 +82,7 @@
             In::Ended { feed } => self.ended(now, feed),
             In::Call { call, said: Said::Mail { from, life, notes } } => {
                 let body = letter(&from, life, &notes);
-                self.give(now, Input::Letter(body), Some(call));
+                self.give(now, Input::MessageBatch(body), Some(call));
             }
             In::Call { call, .. } => self.outs.push(Out::Reply { call, said: Said::Refused(404) }),
             In::Answer { id, said } => self.landed(now, id, matches!(said, Some(Said::Taken))),
@@ -132,14 +132,14 @@
                     let (from, whole) = (self.place.name.clone(), !path.ends_with("whole=0"));
                     let said = Said::Follow { from, life: self.place.life, notes, whole };
                     self.outs.push(Out::Follow { feed, to: to.clone(), said });
-                    self.open.insert(feed, Open { to, post: Post::new(1), until: now + BEGINS });
+                    self.open.insert(feed, Open { to, post: Outbox::new(1), until: now + BEGINS });
                 }
                 Effect::Close { feed } => {
                     if self.open.remove(&feed).is_some() {
                         self.outs.push(Out::Close { feed });
                     }
                 }
-                Effect::Post { feed, note, .. } => {
+                Effect::Outbox { feed, note, .. } => {
                     if let Some(open) = self.open.get_mut(&feed) {
                         open.post.push(note);
                     }
--- a/simulator/src/glue/post.rs
+++ b/simulator/src/glue/post.rs
@@ -1,7 +1,7 @@
 //! Notes to one peer, in batches: `millpost_net`'s post as a machine. While the peer is down one batch at a time finds out whether it
 //! still is.
 
-use millpost_protocol::Note;
+use millpost_protocol::PeerMessage;
 
 use crate::{MS, Time};
 
@@ -10,10 +10,10 @@
 const MOST: usize = 8_000;
 
 /// What waits for a peer, and what is on its way.
-pub struct Post {
+pub struct Outbox {
     at_once: usize,
-    waiting: Vec<Note>,
-    flying: Vec<(u64, Vec<Note>)>,
+    waiting: Vec<PeerMessage>,
+    flying: Vec<(u64, Vec<PeerMessage>)>,
     up: Option<bool>,
     pause: Time,
     not_before: Time,
@@ -26,17 +26,17 @@
     /// Nothing new.
     Well,
     /// These may not have been taken.
-    Lost(Vec<Note>),
+    Lost(Vec<PeerMessage>),
 }
 
-impl Post {
+impl Outbox {
     /// So many batches at once.
     pub fn new(at_once: usize) -> Self {
-        Post { at_once, waiting: Vec::new(), flying: Vec::new(), up: None, pause: 0, not_before: 0 }
+        Outbox { at_once, waiting: Vec::new(), flying: Vec::new(), up: None, pause: 0, not_before: 0 }
     }
 
     /// One more note, where there is room.
-    pub fn push(&mut self, note: Note) -> bool {
+    pub fn push(&mut self, note: PeerMessage) -> bool {
         let room = self.waiting.len() < MOST;
         if room {
             self.waiting.push(note);
@@ -45,7 +45,7 @@
     }
 
     /// A batch to be sent now under this number.
-    pub fn take(&mut self, now: Time, id: u64) -> Option<Vec<Note>> {
+    pub fn take(&mut self, now: Time, id: u64) -> Option<Vec<PeerMessage>> {
         let most = if self.up == Some(false) { 1 } else { self.at_once };
         if self.waiting.is_empty() || now < self.not_before || self.flying.len() >= most {
             return None;
@@ -55,7 +55,7 @@
         Some(notes)
     }
 
-    /// When [`Post::take`] may have something next.
+    /// When [`Outbox::take`] may have something next.
     pub fn due(&self) -> Option<Time> {
         let most = if self.up == Some(false) { 1 } else { self.at_once };
         (!self.waiting.is_empty() && self.flying.len() < most).then_some(self.not_before)
--- a/simulator/src/glue/stall.rs
+++ b/simulator/src/glue/stall.rs
@@ -7,15 +7,15 @@
 use compact_str::CompactString;
 use millpost_config::{Table, Traffic};
 use millpost_net::mail::Incarnation;
-use millpost_protocol::Note;
+use millpost_protocol::PeerMessage;
 use millpost_scheduler::{
-    Margins, No, Out as Decided, Outcome, Passage, Patience, Peer, Phase, Refusal, Spec, Step, Taped as Desk,
-    Terms, Trail, Wish,
+    AttemptTimeouts, ClientTimeouts, No, Out as Decided, Outcome, Peer, Phase, Recorded as Coordinator,
+    Refusal, RequestFlow, RequestInfo, Spec, Step, Terms, TraceEvent,
 };
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::memo::Known;
-use super::post::{Landed, Post};
+use super::post::{Landed, Outbox};
 use super::{Exchanged, In, Out, Place, Request, Said};
 use crate::plant::Plant;
 use crate::{MS, SECOND, Time};
@@ -44,7 +44,7 @@
     request: Request,
     service: CompactString,
     deadline: Time,
-    passage: Passage<Answer>,
+    passage: RequestFlow<Answer>,
     /// Its number, where its trail is recorded.
     number: Option<u64>,
     instance: CompactString,
@@ -53,7 +53,7 @@
 
 impl Asked {
     /// A step of its trail.
-    fn follow(&self, desk: &mut Desk, now: Time, step: impl FnOnce(u64) -> Trail) {
+    fn follow(&self, desk: &mut Coordinator, now: Time, step: impl FnOnce(u64) -> TraceEvent) {
         if let Some(p) = self.number {
             desk.trail(now, &step(p));
         }
@@ -62,7 +62,7 @@
     /// A try of it is over.
     fn over(
         &self,
-        desk: &mut Desk,
+        desk: &mut Coordinator,
         now: Time,
         begun: Time,
         outcome: Outcome,
@@ -70,7 +70,7 @@
         status: Option<u16>,
     ) {
         let instance = self.instance.clone();
-        self.follow(desk, now, |p| Trail::Ended { p, begun, instance, outcome, sent, status });
+        self.follow(desk, now, |p| TraceEvent::Ended { p, begun, instance, outcome, sent, status });
     }
 }
 
@@ -95,14 +95,14 @@
 }
 
 /// One stall.
-pub struct Stall {
+pub struct ProxyProcess {
     place: Place,
     porter: CompactString,
-    desk: Desk,
+    desk: Coordinator,
     force: Option<Force>,
-    patience: Patience,
-    margins: Margins,
-    posts: BTreeMap<CompactString, Post>,
+    patience: ClientTimeouts,
+    margins: AttemptTimeouts,
+    posts: BTreeMap<CompactString, Outbox>,
     /// Posts with notes that wait.
     ready: BTreeSet<CompactString>,
     /// To whom a batch is on its way.
@@ -125,7 +125,7 @@
     ends_at: Vec<Time>,
     /// Until when operators have taken it out.
     rests: Time,
-    replying: Option<(CompactString, Vec<Note>)>,
+    replying: Option<(CompactString, Vec<PeerMessage>)>,
     /// What other stalls are told of its life, by their addresses.
     incarnations: HashMap<CompactString, Incarnation>,
     /// Where a function was found first: kept only where a guard is out.
@@ -133,7 +133,7 @@
     outs: Vec<Out>,
 }
 
-impl Stall {
+impl ProxyProcess {
     /// One that starts now; `porter` takes its words.
     pub fn new(place: Place, porter: CompactString, mut terms: Terms) -> Self {
         let me = Peer { name: place.name.clone(), address: place.address.clone(), zone: place.zone.clone() };
@@ -142,14 +142,14 @@
             (terms.ratio, terms.slack) = (1e6, 1e6);
         }
         let sink = place.records.as_ref().map(|r| r.life(&place.name, "stall", place.life));
-        let desk = Desk::new(me, terms, seed, (place.life & 0xffff_ffff) << 20, sink);
-        Stall {
+        let desk = Coordinator::new(me, terms, seed, (place.life & 0xffff_ffff) << 20, sink);
+        ProxyProcess {
             place,
             porter,
             desk,
             force: None,
-            patience: Patience::default(),
-            margins: Margins::default(),
+            patience: ClientTimeouts::default(),
+            margins: AttemptTimeouts::default(),
             posts: BTreeMap::new(),
             ready: BTreeSet::new(),
             flights: HashMap::new(),
@@ -269,12 +269,12 @@
             };
             let split = self.desk.split();
             let digest = self.desk.digest();
-            self.up(Note::Alive { peer, serving: !self.closes(now), split, digest });
+            self.up(PeerMessage::Alive { peer, serving: !self.closes(now), split, digest });
             if now < self.rests {
                 let left = (self.rests - now) as f64 / MS as f64;
-                self.up(Note::Rest { name: self.place.name.clone(), left });
+                self.up(PeerMessage::Rest { name: self.place.name.clone(), left });
             }
-            self.up(Note::Acts { revision: self.acts(), number: 0 });
+            self.up(PeerMessage::Acts { revision: self.acts(), number: 0 });
         }
         let scouts: Vec<_> = self
             .scouting
@@ -303,12 +303,12 @@
         }
     }
 
-    fn up(&mut self, note: Note) {
+    fn up(&mut self, note: PeerMessage) {
         self.push(self.porter.clone(), note);
     }
 
-    fn push(&mut self, to: CompactString, note: Note) {
-        self.posts.entry(to.clone()).or_insert_with(|| Post::new(AT_ONCE)).push(note);
+    fn push(&mut self, to: CompactString, note: PeerMessage) {
+        self.posts.entry(to.clone()).or_insert_with(|| Outbox::new(AT_ONCE)).push(note);
         self.ready.insert(to);
     }
 
@@ -345,48 +345,51 @@
         }
     }
 
-    fn mail(&mut self, now: Time, from: &str, life: u64, notes: Vec<Note>) -> Said {
+    fn mail(&mut self, now: Time, from: &str, life: u64, notes: Vec<PeerMessage>) -> Said {
         let mut between = Vec::new();
         for mut note in notes {
             if matches!(self.place.plant, Some(Plant::Forsaken | Plant::Mute)) {
                 match &mut note {
-                    Note::Stalls { leaving, .. } => leaving.clear(),
-                    Note::Shift(shift) => shift.leaving.clear(),
+                    PeerMessage::Stalls { leaving, .. } => leaving.clear(),
+                    PeerMessage::ViewChange(shift) => shift.leaving.clear(),
                     _ => {}
                 }
             }
             match note {
-                Note::Packed { revision, packed } if revision > self.acts() => {
+                PeerMessage::Packed { revision, packed } if revision > self.acts() => {
                     if let Some(known) = self.place.memo.read(&packed) {
                         self.put_in_force(now, known);
                     }
                 }
-                Note::Config { revision, body } if revision > self.acts() => {
+                PeerMessage::Config { revision, body } if revision > self.acts() => {
                     let known = body.stringify().ok().and_then(|text| self.place.memo.read(&text));
                     if let Some(known) = known {
                         self.put_in_force(now, known);
                     }
                 }
-                Note::Patch { revision, change } if revision > self.acts() => {
+                PeerMessage::Patch { revision, change } if revision > self.acts() => {
                     let old = self.force.as_ref().map(|f| Rc::clone(&f.known));
                     if let Some(known) = old.and_then(|old| self.place.memo.change(&old, &change)) {
                         self.put_in_force(now, known);
                     }
                 }
-                Note::Folded { revision, packed } if revision > self.acts() => {
+                PeerMessage::Folded { revision, packed } if revision > self.acts() => {
                     let old = self.force.as_ref().map(|f| Rc::clone(&f.known));
                     let known = old.and_then(|old| self.place.memo.folded(&old, &packed));
                     if let Some(known) = known {
                         self.put_in_force(now, known);
                     }
                 }
-                Note::Packed { .. } | Note::Config { .. } | Note::Patch { .. } | Note::Folded { .. } => {}
-                Note::Stalls { .. }
-                | Note::Shift(_)
-                | Note::Instances { .. }
-                | Note::Floor { .. }
-                | Note::Steward { .. } => self.desk.told(now, note),
-                Note::Rest { left, .. } => self.rests = now + (left * MS as f64) as Time,
+                PeerMessage::Packed { .. }
+                | PeerMessage::Config { .. }
+                | PeerMessage::Patch { .. }
+                | PeerMessage::Folded { .. } => {}
+                PeerMessage::Stalls { .. }
+                | PeerMessage::ViewChange(_)
+                | PeerMessage::Instances { .. }
+                | PeerMessage::Floor { .. }
+                | PeerMessage::Steward { .. } => self.desk.told(now, note),
+                PeerMessage::Rest { left, .. } => self.rests = now + (left * MS as f64) as Time,
                 note => between.push(note),
             }
         }
@@ -407,10 +410,10 @@
     }
 
     /// Mail from another stall.
-    fn told(&mut self, now: Time, from: &str, life: u64, mut notes: Vec<Note>) {
-        for note in notes.extract_if(.., |note| matches!(note, Note::StaleIncarnation { .. })) {
+    fn told(&mut self, now: Time, from: &str, life: u64, mut notes: Vec<PeerMessage>) {
+        for note in notes.extract_if(.., |note| matches!(note, PeerMessage::StaleIncarnation { .. })) {
             let address = self.desk.address(from).cloned();
-            if let (Note::StaleIncarnation { known }, Some(address)) = (note, address) {
+            if let (PeerMessage::StaleIncarnation { known }, Some(address)) = (note, address) {
                 incarnation_for(&mut self.incarnations, self.place.life, &address).raise_above(known);
             }
         }
@@ -435,18 +438,18 @@
             self.desk.configure(now, specs);
         }
         let table = self.place.memo.table(&known);
-        self.desk.trail(now, &Trail::Acts { revision: known.config.revision });
+        self.desk.trail(now, &TraceEvent::Acts { revision: known.config.revision });
         self.patience.retain(|name| table.routes().iter().any(|r| r.name == *name));
         self.margins.retain(|name| known.config.services.iter().any(|s| s.name == *name));
         self.force = Some(Force { known, table });
-        self.up(Note::Acts { revision: self.acts(), number: 0 });
+        self.up(PeerMessage::Acts { revision: self.acts(), number: 0 });
     }
 
     /// A request is answered without any try.
     fn turn(&mut self, now: Time, client: u64, request: &Request, (status, again): (u16, Option<Time>)) {
         if self.desk.tapes() {
             let attempt = request.attempt.to_string().into();
-            self.desk.trail(now, &Trail::Turned { attempt, status });
+            self.desk.trail(now, &TraceEvent::Turned { attempt, status });
         }
         self.answer(client, status, again, None);
     }
@@ -477,7 +480,7 @@
             Some(Plant::Repeated) => route.max_tries + 1,
             _ => route.max_tries,
         };
-        let wish = Wish {
+        let wish = RequestInfo {
             service: service.clone(),
             zone: self.place.zone.clone(),
             target: route.target_latency_ms * MS,
@@ -490,9 +493,9 @@
         let number = self.desk.follow();
         if let Some(p) = number {
             let (attempt, wish) = (request.attempt.to_string().into(), wish.clone());
-            self.desk.trail(now, &Trail::Begun { p, attempt, route: route.name.clone(), wish });
+            self.desk.trail(now, &TraceEvent::Begun { p, attempt, route: route.name.clone(), wish });
         }
-        let mut passage = Passage::new(wish);
+        let mut passage = RequestFlow::new(wish);
         let step = passage.begin(self.desk.informed());
         let instance = CompactString::default();
         let waits = Waits::Pause(now);
@@ -532,7 +535,7 @@
         let of = &asked.request;
         let route = self.force.as_ref().and_then(|force| force.table.find(&of.host, &of.path));
         let to = route.and_then(|route| route.pick(xxh3_64(&of.attempt.to_le_bytes()))).cloned();
-        asked.follow(&mut self.desk, now, |p| Trail::Moved { p, to: to.clone() });
+        asked.follow(&mut self.desk, now, |p| TraceEvent::Moved { p, to: to.clone() });
         asked.service = to.clone().unwrap_or_default();
         let step = asked.passage.moved(now, to);
         self.step(now, client, step);
@@ -564,7 +567,7 @@
                 Waits::Word(ask) => {
                     self.words.remove(&ask);
                     self.desk.finish(now, ask, Outcome::Unused, 0);
-                    asked.follow(&mut self.desk, now, |p| Trail::Late { p });
+                    asked.follow(&mut self.desk, now, |p| TraceEvent::Late { p });
                     asked.passage.ends()
                 }
                 Waits::Pause(_) => asked.passage.ends(),
@@ -597,7 +600,7 @@
             Waits::Word(ask) => {
                 self.words.remove(&ask);
                 self.desk.finish(now, ask, Outcome::Unused, 0);
-                asked.follow(&mut self.desk, now, |p| Trail::Late { p });
+                asked.follow(&mut self.desk, now, |p| TraceEvent::Late { p });
                 asked.passage.late()
             }
             Waits::Exchange { ask, exchange, since, .. } => {
@@ -608,7 +611,7 @@
                 asked.passage.ended(now, asked.instance.clone(), Outcome::LeftAlone, true, None)
             }
             Waits::Pause(_) => {
-                asked.follow(&mut self.desk, now, |p| Trail::Late { p });
+                asked.follow(&mut self.desk, now, |p| TraceEvent::Late { p });
                 asked.passage.late()
             }
         };
@@ -629,7 +632,7 @@
             }
             Waits::Pause(_) => {}
         }
-        asked.follow(&mut self.desk, now, |p| Trail::Left { p });
+        asked.follow(&mut self.desk, now, |p| TraceEvent::Left { p });
     }
 
     fn word(&mut self, now: Time, ask: u64, word: Result<(CompactString, SocketAddr), No>) {
@@ -665,7 +668,7 @@
             }
             // The desk has forgotten an ask that it refused.
             Err(no) => {
-                asked.follow(&mut self.desk, now, |p| Trail::Denied { p, no });
+                asked.follow(&mut self.desk, now, |p| TraceEvent::Denied { p, no });
                 let step = asked.passage.refused(now, no);
                 self.step(now, client, step);
             }
--- a/simulator/src/world/client.rs
+++ b/simulator/src/world/client.rs
@@ -226,7 +226,7 @@
             self.ever_read.insert(attempt);
         }
         let request = Request { attempt, host: HOST.into(), path, left: deadline.saturating_sub(sent) };
-        self.give(at, Role::Stall, In::Request { client: attempt, request });
+        self.give(at, Role::ProxyProcess, In::Request { client: attempt, request });
     }
 
     pub(super) fn impatient(&mut self, place: usize, attempt: u64) {
@@ -313,7 +313,7 @@
         if let Some(attempt) = customer.current.take() {
             let at = self.auditor.tries[attempt as usize].machine;
             if self.machines[at].tries.remove(&attempt) && self.machines[at].frozen <= self.now {
-                self.give(at, Role::Stall, In::Gone { client: attempt });
+                self.give(at, Role::ProxyProcess, In::Gone { client: attempt });
             }
         }
         self.settle(place, false, 1);
--- a/simulator/src/world/endpoint.rs
+++ b/simulator/src/world/endpoint.rs
@@ -224,7 +224,7 @@
         m.exchanges.remove(&number);
         self.out.remove(&(machine, life, id));
         if m.life == life && m.powered {
-            self.give(machine, Role::Stall, In::Exchanged { id, done });
+            self.give(machine, Role::ProxyProcess, In::Exchanged { id, done });
         }
     }
 
@@ -287,6 +287,6 @@
         if m.frozen > self.now {
             return m.held.push(Event::Scout { machine, life, id, up });
         }
-        self.give(machine, Role::Stall, In::Scouted { id, up });
+        self.give(machine, Role::ProxyProcess, In::Scouted { id, up });
     }
 }
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -18,7 +18,9 @@
 use crate::auditor::Auditor;
 use crate::calm::Calm;
 use crate::chance::Chance;
-use crate::glue::{Exchanged, Hall, In, Memo, Out, Place, Porter, Said, Stall};
+use crate::glue::{
+    AgentProcess, ControllerProcess, Exchanged, In, Out, ParseCache, Place, ProxyProcess, Said,
+};
 use crate::plan::Plan;
 use crate::record::Records;
 use crate::site::{Classes, Site};
@@ -43,11 +45,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Role {
     /// On the edge.
-    Stall,
+    ProxyProcess,
     /// Beside it.
-    Porter,
+    AgentProcess,
     /// On the core.
-    Hall,
+    ControllerProcess,
 }
 
 /// Who calls, and who is called.
@@ -168,9 +170,9 @@
     clock: (i64, Time),
     /// It goes for good once its processes have left.
     retires: bool,
-    stall: Option<Stall>,
-    porter: Option<Porter>,
-    hall: Option<Hall>,
+    stall: Option<ProxyProcess>,
+    porter: Option<AgentProcess>,
+    hall: Option<ControllerProcess>,
     disk: crate::glue::Disk,
     life: u64,
     starts: u64,
@@ -202,9 +204,9 @@
 
     fn up(&self, role: Role) -> bool {
         match role {
-            Role::Stall => self.stall.is_some(),
-            Role::Porter => self.porter.is_some(),
-            Role::Hall => self.hall.is_some(),
+            Role::ProxyProcess => self.stall.is_some(),
+            Role::AgentProcess => self.porter.is_some(),
+            Role::ControllerProcess => self.hall.is_some(),
         }
     }
 }
@@ -231,7 +233,7 @@
     cores: Vec<usize>,
     spares: Vec<usize>,
     seeds: Vec<CompactString>,
-    memo: Rc<Memo>,
+    memo: Rc<ParseCache>,
     lives: u64,
     calls: HashMap<u64, Call>,
     streams: BTreeMap<u64, Stream>,
@@ -398,13 +400,13 @@
         world.names.insert("platform".into(), Who::Platform);
         for at in 0..count {
             let (who, address) = if world.machines[at].core {
-                (Role::Hall, world.address(at))
+                (Role::ControllerProcess, world.address(at))
             } else {
-                (Role::Stall, world.address(at))
+                (Role::ProxyProcess, world.address(at))
             };
             world.names.insert(address, Who::Process(at, who));
-            world.names.insert(format_compact!("porter-{at}"), Who::Process(at, Role::Porter));
-            world.names.insert(format_compact!("stall-{at}"), Who::Process(at, Role::Stall));
+            world.names.insert(format_compact!("porter-{at}"), Who::Process(at, Role::AgentProcess));
+            world.names.insert(format_compact!("stall-{at}"), Who::Process(at, Role::ProxyProcess));
             if !world.spares.contains(&at) {
                 let start = world.chance.between(0, 20 * MS);
                 world.at(start, Event::Start(at));
@@ -545,8 +547,8 @@
             };
             let machine = &mut self.machines[at];
             let bootstrap = !restarted && at < site.fronts.len() + site.cores.len();
-            machine.hall = Some(Hall::new(self.now, place, rates, &mut machine.disk, bootstrap));
-            self.give(at, Role::Hall, In::Tick);
+            machine.hall = Some(ControllerProcess::new(self.now, place, rates, &mut machine.disk, bootstrap));
+            self.give(at, Role::ControllerProcess, In::Tick);
         } else {
             let (bounds, speeds) = (&site.bounds, self.plan.speeds != Speeds::Even);
             let terms = millpost_scheduler::Terms {
@@ -557,10 +559,10 @@
                 speeds,
             };
             let machine = &mut self.machines[at];
-            machine.porter = Some(Porter::new(self.now, place.clone(), format_compact!("stall-{at}")));
-            machine.stall = Some(Stall::new(place, format_compact!("porter-{at}"), terms));
-            self.give(at, Role::Porter, In::Tick);
-            self.give(at, Role::Stall, In::Tick);
+            machine.porter = Some(AgentProcess::new(self.now, place.clone(), format_compact!("stall-{at}")));
+            machine.stall = Some(ProxyProcess::new(place, format_compact!("porter-{at}"), terms));
+            self.give(at, Role::AgentProcess, In::Tick);
+            self.give(at, Role::ProxyProcess, In::Tick);
         }
     }
 
@@ -569,15 +571,15 @@
         let now = self.now;
         let machine = &mut self.machines[at];
         let (outs, wake) = match role {
-            Role::Stall => {
+            Role::ProxyProcess => {
                 let Some(stall) = &mut machine.stall else { return };
                 (stall.input(now, input), stall.wake())
             }
-            Role::Porter => {
+            Role::AgentProcess => {
                 let Some(porter) = &mut machine.porter else { return };
                 (porter.input(now, input), porter.wake())
             }
-            Role::Hall => {
+            Role::ControllerProcess => {
                 let Some(hall) = &mut machine.hall else { return };
                 let outs = hall.input(now, input, &mut machine.disk);
                 (outs, hall.wake(now, &machine.disk))
@@ -657,6 +659,6 @@
     /// For stalls that are up, the lowest revision that one acts on.
     fn lowest(&self) -> u64 {
         let stalls = self.machines.iter().filter(|m| m.powered).filter_map(|m| m.stall.as_ref());
-        stalls.map(Stall::acts).min().unwrap_or(0)
+        stalls.map(ProxyProcess::acts).min().unwrap_or(0)
     }
 }
--- a/simulator/src/world/net.rs
+++ b/simulator/src/world/net.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use compact_str::CompactString;
-use millpost_protocol::{Note, Peer, Shift};
+use millpost_protocol::{Peer, PeerMessage, ViewChange};
 use millpost_quorum::Message;
 use tinyjson::JsonValue;
 
@@ -60,60 +60,66 @@
     pub clients: u64,
 }
 
-fn note_size(note: &Note) -> u64 {
+fn note_size(note: &PeerMessage) -> u64 {
     let text = match note {
-        Note::Packed { packed, .. } | Note::Folded { packed, .. } => return packed.len() as u64 + 40,
-        Note::Config { .. } | Note::Patch { .. } => note.to_json().stringify().map_or(0, |s| s.len()),
-        Note::Ask { service, avoid, zone, .. } => {
+        PeerMessage::Packed { packed, .. } | PeerMessage::Folded { packed, .. } => {
+            return packed.len() as u64 + 40;
+        }
+        PeerMessage::Config { .. } | PeerMessage::Patch { .. } => {
+            note.to_json().stringify().map_or(0, |s| s.len())
+        }
+        PeerMessage::Ask { service, avoid, zone, .. } => {
             77 + service.len() + zone.len() + avoid.iter().map(|a| a.len() + 8).sum::<usize>()
         }
-        Note::Grant { instance, address, .. } => 43 + instance.len() + address.len(),
-        Note::Done { outcome, .. } => 45 + outcome.len(),
-        Note::Held { service, instance, .. } => 58 + service.len() + instance.len(),
-        Note::Over { service, permits, .. } => 42 + service.len() + permits.len() * 70,
-        Note::Back { who, instance, outcome, .. } => {
+        PeerMessage::Grant { instance, address, .. } => 43 + instance.len() + address.len(),
+        PeerMessage::Done { outcome, .. } => 45 + outcome.len(),
+        PeerMessage::Held { service, instance, .. } => 58 + service.len() + instance.len(),
+        PeerMessage::Over { service, permits, .. } => 42 + service.len() + permits.len() * 70,
+        PeerMessage::Back { who, instance, outcome, .. } => {
             52 + who.len() + outcome.len() + instance.as_ref().map_or(0, |i| i.len() + 6)
         }
-        Note::No { .. } => 52,
-        Note::Drop { .. } | Note::Waits { .. } => 32,
-        Note::Floor { service, .. } => 46 + service.len(),
-        Note::Want { service, zones, does, slow, .. } => {
+        PeerMessage::No { .. } => 52,
+        PeerMessage::Drop { .. } | PeerMessage::Waits { .. } => 32,
+        PeerMessage::Floor { service, .. } => 46 + service.len(),
+        PeerMessage::Want { service, zones, does, slow, .. } => {
             let does = if does.is_some() { 24 } else { 0 };
             let slow = slow.iter().map(|w| w.len() + 3).reduce(|a, b| a + b).map_or(0, |sum| sum + 10);
             34 + service.len() + zones.iter().map(|z| z.len() + 3).sum::<usize>() + does + slow
         }
-        Note::Instances { set, gone, .. } => {
+        PeerMessage::Instances { set, gone, .. } => {
             let of = |i: &millpost_protocol::Instance| {
                 44 + i.id.len() + i.service.len() + i.address.len() + i.zone.len() + i.worker.len()
             };
             48 + set.iter().map(of).sum::<usize>() + gone.iter().map(|id| id.len() + 3).sum::<usize>()
         }
-        Note::Mine { set } => 24 + set.len() * 90,
-        Note::Stalls { peers, leaving, .. } => {
+        PeerMessage::Mine { set } => 24 + set.len() * 90,
+        PeerMessage::Stalls { peers, leaving, .. } => {
             let of = peers.iter().chain(leaving);
             34 + of.map(|p| 25 + p.name.len() + p.address.len() + p.zone.len()).sum::<usize>()
         }
-        Note::Shift(shift) => {
+        PeerMessage::ViewChange(shift) => {
             let peers = shift.came.iter().chain(&shift.leaving);
             let peers = peers.map(|p| 25 + p.name.len() + p.address.len() + p.zone.len());
             let names = [&shift.left, &shift.ended, &shift.split, &shift.joined].into_iter().flatten();
             44 + peers.chain(names.map(|name| name.len() + 3)).sum::<usize>()
         }
-        Note::Behind { .. } | Note::StaleIncarnation { .. } => 28,
-        Note::AskRevision => 14,
-        Note::Contact { .. } => 26,
-        Note::Stands { .. } => 24,
-        Note::Rest { name, .. } => 36 + name.len(),
-        Note::Steward { address, .. } => 34 + address.len(),
-        Note::Retire { instance } | Note::Lost { instance } | Note::Up { instance } => 24 + instance.len(),
-        Note::Acts { .. } => 28,
-        Note::Deaf { peer, from } => 26 + peer.len() + from.len(),
-        Note::Alive { peer, .. } => 60 + peer.name.len() + peer.address.len() + peer.zone.len(),
+        PeerMessage::Behind { .. } | PeerMessage::StaleIncarnation { .. } => 28,
+        PeerMessage::AskRevision => 14,
+        PeerMessage::Contact { .. } => 26,
+        PeerMessage::Stands { .. } => 24,
+        PeerMessage::Rest { name, .. } => 36 + name.len(),
+        PeerMessage::Steward { address, .. } => 34 + address.len(),
+        PeerMessage::Retire { instance } | PeerMessage::Lost { instance } | PeerMessage::Up { instance } => {
+            24 + instance.len()
+        }
+        PeerMessage::Acts { .. } => 28,
+        PeerMessage::Deaf { peer, from } => 26 + peer.len() + from.len(),
+        PeerMessage::Alive { peer, .. } => 60 + peer.name.len() + peer.address.len() + peer.zone.len(),
     };
     text as u64
 }
 
-fn notes_size(notes: &[Note]) -> u64 {
+fn notes_size(notes: &[PeerMessage]) -> u64 {
     notes.iter().map(|n| note_size(n) + 1).sum()
 }
 
@@ -150,7 +156,7 @@
 
 /// The notes as JSON, for a check of the sizes that are guessed.
 #[cfg(test)]
-fn exact(notes: &[Note]) -> u64 {
+fn exact(notes: &[PeerMessage]) -> u64 {
     notes.iter().map(|n| n.to_json().stringify().map_or(0, |s| s.len() as u64) + 1).sum()
 }
 
@@ -161,13 +167,13 @@
     let list = |what: &str, names: &[CompactString]| {
         if names.is_empty() { String::new() } else { format!(", {what} {}", names.join(" ")) }
     };
-    notes.iter().filter_map(|note| Note::read(note).ok()).find_map(|note| match note {
-        Note::Stalls { version, peers, leaving, split } => {
+    notes.iter().filter_map(|note| PeerMessage::read(note).ok()).find_map(|note| match note {
+        PeerMessage::Stalls { version, peers, leaving, split } => {
             let leaving = list("leaving", &leaving.into_iter().map(|p| p.name).collect::<Vec<_>>());
             let (count, split) = (peers.len(), list("split", &split));
             Some(format!("names {count} stalls{leaving}{split}, version {version:?}"))
         }
-        Note::Shift(Shift { version, from, came, left, leaving, ended, split, joined }) => {
+        PeerMessage::ViewChange(ViewChange { version, from, came, left, leaving, ended, split, joined }) => {
             let names = |of: Vec<Peer>| of.into_iter().map(|p| p.name).collect::<Vec<_>>();
             let (came, left) = (list("new", &names(came)), list("no more", &left));
             let (leaving, ended) = (list("leaving", &names(leaving)), list("gone", &ended));
@@ -250,7 +256,7 @@
             && let Said::Mail { from, notes, .. } = &said
         {
             for note in notes {
-                if let Note::Deaf { peer, .. } = note {
+                if let PeerMessage::Deaf { peer, .. } = note {
                     self.note(|| format!("{from} tells {to} that {peer} does not answer"));
                 }
             }
@@ -267,8 +273,10 @@
 
     /// Asks take of their owner's processor, one after the other.
     fn asked(&mut self, to: Who, said: &Said, there: Time) -> Time {
-        let (Who::Process(at, Role::Stall), Said::Mail { notes, .. }) = (to, said) else { return there };
-        let asks = notes.iter().filter(|n| matches!(n, Note::Ask { .. })).count();
+        let (Who::Process(at, Role::ProxyProcess), Said::Mail { notes, .. }) = (to, said) else {
+            return there;
+        };
+        let asks = notes.iter().filter(|n| matches!(n, PeerMessage::Ask { .. })).count();
         if !self.site.strained || asks == 0 {
             return there;
         }
@@ -379,7 +387,7 @@
         let Some(Who::Process(hall, _)) = self.names.get(to).copied() else { return };
         self.next += 1;
         let number = self.next;
-        let (from, to) = (Who::Process(at, Role::Porter), Who::Process(hall, Role::Hall));
+        let (from, to) = (Who::Process(at, Role::AgentProcess), Who::Process(hall, Role::ControllerProcess));
         let there = self.transit(from, to, REQUEST + size(&said), self.now);
         let porter_life = self.machines[at].life;
         let stream =
@@ -392,7 +400,8 @@
     pub(super) fn send_line(&mut self, number: u64, line: Bytes) {
         let Some(stream) = self.streams.get(&number) else { return };
         let (porter, hall) = (stream.porter, stream.hall);
-        let (from, to) = (Who::Process(hall, Role::Hall), Who::Process(porter, Role::Porter));
+        let (from, to) =
+            (Who::Process(hall, Role::ControllerProcess), Who::Process(porter, Role::AgentProcess));
         let there = self.transit(from, to, 6 + line.len() as u64, self.now);
         if self.trace.is_some()
             && let Some(named) = named(&line)
@@ -419,11 +428,11 @@
         if machine.frozen > self.now {
             return machine.held.push(Event::Line { stream: number, line });
         }
-        self.give(at, Role::Porter, In::Line { feed, line });
+        self.give(at, Role::AgentProcess, In::Line { feed, line });
     }
 
     pub(super) fn close(&mut self, at: usize, role: Role, feed: u64) {
-        if role == Role::Hall {
+        if role == Role::ControllerProcess {
             return self.at(self.now + MS, Event::Ended { stream: feed, at_hall: false });
         }
         let life = self.machines[at].life;
@@ -447,7 +456,7 @@
         let Some(stream) = self.streams.get(&number) else { return };
         let (porter, life, feed) = (stream.porter, stream.porter_life, stream.feed);
         let (hall, hall_life, open) = (stream.hall, stream.hall_life, stream.open_at_hall);
-        let (at, role) = if at_hall { (hall, Role::Hall) } else { (porter, Role::Porter) };
+        let (at, role) = if at_hall { (hall, Role::ControllerProcess) } else { (porter, Role::AgentProcess) };
         let machine = &mut self.machines[at];
         if machine.frozen > self.now {
             return machine.held.push(Event::Ended { stream: number, at_hall });
@@ -455,7 +464,7 @@
         if at_hall {
             self.streams.remove(&number);
             if self.machines[hall].life == hall_life && open {
-                self.give(hall, Role::Hall, In::Ended { feed: number });
+                self.give(hall, Role::ControllerProcess, In::Ended { feed: number });
             }
         } else {
             self.streams.remove(&number);
@@ -501,7 +510,7 @@
 
     #[test]
     fn guessed_sizes_are_near_what_is_written() {
-        let ask = Note::Ask {
+        let ask = PeerMessage::Ask {
             id: 1 << 33,
             service: "b17".into(),
             left: 1_432.25,
@@ -513,14 +522,14 @@
             avoid: Vec::new(),
             zone: "z1".into(),
         };
-        let grant = Note::Grant {
+        let grant = PeerMessage::Grant {
             id: 1 << 33,
             instance: "i-123".into(),
             address: "10.64.0.7:8080".into(),
             zone: None,
         };
-        let done = Note::Done { id: 1 << 33, outcome: "ok".into(), took: 45.25 };
-        for note in [ask, grant, done, Note::Retire { instance: "i-4".into() }] {
+        let done = PeerMessage::Done { id: 1 << 33, outcome: "ok".into(), took: 45.25 };
+        for note in [ask, grant, done, PeerMessage::Retire { instance: "i-4".into() }] {
             let (guess, truth) = (note_size(&note) as f64 + 1.0, exact(std::slice::from_ref(&note)) as f64);
             assert!((guess / truth - 1.0).abs() < 0.25, "{note:?}: {guess} {truth}");
         }
--- a/simulator/src/world/planned.rs
+++ b/simulator/src/world/planned.rs
@@ -66,7 +66,7 @@
 
     /// The processes of a machine read their settings again.
     pub(super) fn hang_up(&mut self, at: usize) {
-        for role in [Role::Porter, Role::Hall] {
+        for role in [Role::AgentProcess, Role::ControllerProcess] {
             if self.machines[at].powered && self.machines[at].up(role) {
                 self.give(at, role, In::Seeds(self.seeds.clone()));
             }
@@ -96,7 +96,7 @@
         if self.machines[at].core {
             self.calm.core(now, now + SECOND);
         }
-        for role in [Role::Stall, Role::Porter, Role::Hall] {
+        for role in [Role::ProxyProcess, Role::AgentProcess, Role::ControllerProcess] {
             self.give(at, role, In::Leave);
         }
         self.at(end, Event::Killed(at, life));
--- a/simulator/src/world/trouble.rs
+++ b/simulator/src/world/trouble.rs
@@ -262,7 +262,7 @@
         let soon = now + self.site.client;
         for attempt in tries {
             if kept {
-                self.give(at, super::Role::Stall, crate::glue::In::Gone { client: attempt });
+                self.give(at, super::Role::ProxyProcess, crate::glue::In::Gone { client: attempt });
             }
             self.at(soon, Event::ToClient { attempt, status: 0, again: None, seal: None });
         }
