--- a/agent/src/figures.rs
+++ b/agent/src/figures.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use millpost_agent::Round;
-use millpost_net::figures::Metrics;
+use millpost_net::metrics::Metrics;
 
 /// All figures of this moment.
 pub fn of(round: &Round, uptime: Duration) -> Metrics {
--- a/agent/src/lib.rs
+++ b/agent/src/lib.rs
@@ -3,11 +3,11 @@
 
 pub mod follow;
 pub mod newest;
+pub mod recording;
 pub mod round;
-pub mod tape;
 
+pub use recording::Recorded;
 pub use round::{Effect, Input, Round, Terms};
-pub use tape::Recorded;
 
 /// Nanoseconds of the process's life.
 pub type Nanos = u64;
--- a/agent/src/round.rs
+++ b/agent/src/round.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use compact_str::CompactString;
 use log::Level;
-use millpost_net::mail;
+use millpost_net::messaging;
 use millpost_protocol::{Fault, MessageBatch, PeerMessage, whole};
 use tinyjson::JsonValue;
 
@@ -285,7 +285,7 @@
 
     fn line(&mut self, now: Nanos, feed: u64, line: &[u8]) {
         let Some(from) = self.follow.heard(feed) else { return };
-        let Some(JsonValue::Object(parts)) = mail::json(line) else {
+        let Some(JsonValue::Object(parts)) = messaging::json(line) else {
             self.log(Level::Warn, format!("{from} sends what is no line of a feed"));
             self.follow.spoilt(now, feed);
             return self.steps(now);
@@ -380,14 +380,16 @@
 
     /// What control says in answer to the stall's question goes to the stall.
     fn answered(&mut self, body: &[u8]) {
-        let Some(letter) = mail::json(body).and_then(|json| MessageBatch::read(&json).ok()) else { return };
+        let Some(letter) = messaging::json(body).and_then(|json| MessageBatch::read(&json).ok()) else {
+            return;
+        };
         let stands = letter.notes.into_iter().filter(|note| matches!(note, PeerMessage::Stands { .. }));
         self.effects.extend(stands.map(Effect::Tell));
     }
 
     /// The stall's words.
     fn letter(&mut self, now: Nanos, body: &[u8]) {
-        let Some(letter) = mail::json(body).and_then(|json| MessageBatch::read(&json).ok()) else {
+        let Some(letter) = messaging::json(body).and_then(|json| MessageBatch::read(&json).ok()) else {
             return self.effects.push(Effect::Answer { read: false });
         };
         self.faults(&letter.from, &letter.faults);
--- a/agent/src/run.rs
+++ b/agent/src/run.rs
@@ -13,8 +13,8 @@
 use millpost_agent::newest::LONGEST;
 use millpost_agent::{Effect, Input, Nanos, Recorded, Terms};
 use millpost_config::Settings;
-use millpost_net::figures;
-use millpost_net::mail::{self, Bounds, Call, Event, Held, Incarnation, Limits, Outbox, Reply, To};
+use millpost_net::messaging::{self, Bounds, Call, Event, Held, Incarnation, Limits, Outbox, Reply, To};
+use millpost_net::metrics;
 use millpost_protocol::frame::Head;
 use millpost_protocol::line::Sink;
 use millpost_protocol::{PeerMessage, object, text};
@@ -95,7 +95,7 @@
     let (came, mut coming) = mpsc::channel(1_000);
     serve(listener, came.clone());
     if let Some(port) = metrics {
-        figures::serve_at(SocketAddr::new(settings.ip, port), handler(came.clone())).await;
+        metrics::serve_at(SocketAddr::new(settings.ip, port), handler(came.clone())).await;
     }
 
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
@@ -144,7 +144,7 @@
         connections: 16,
         unheard: None,
     };
-    tokio::spawn(mail::serve(listener, limits, handler(came), std::future::pending()));
+    tokio::spawn(messaging::serve(listener, limits, handler(came), std::future::pending()));
 }
 
 /// Puts calls to the loop, which answers them.
@@ -187,7 +187,7 @@
                 self.open.remove(&feed);
                 self.give(Input::Ended { feed }, None);
             }
-            Came::Call(call, reply) if call.method == Method::GET && call.path == figures::PATH => {
+            Came::Call(call, reply) if call.method == Method::GET && call.path == metrics::PATH => {
                 let _ = reply.send(crate::figures::of(&self.round, self.began.elapsed()).reply());
             }
             Came::Call(call, reply) if call.method != Method::POST || call.path != "/mail" => {
@@ -268,7 +268,7 @@
         let came = self.came.clone();
         let task = tokio::spawn(async move {
             let silence = Duration::from_millis(1_200);
-            let terms = mail::Terms { within: Duration::from_millis(700), longest: LONGEST, silence };
+            let terms = messaging::Terms { within: Duration::from_millis(700), longest: LONGEST, silence };
             match Held::open(address, path, body, terms).await {
                 Ok(mut held) => {
                     while let Some(line) = held.next_line().await {
--- a/autoscaler/src/lib.rs
+++ b/autoscaler/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`scaler`]: the state machine; [`scaler::view`]: how functions stand, for people.
 //! - [`pace`]: when the list and the workers are asked for, under the platform's rate.
 //! - [`platform`]: the platform's answers read, the bodies of calls written.
-//! - [`tape`]: the scaler's inputs as lines, to be played again.
+//! - [`recording`]: the scaler's inputs as lines, to be played again.
 //!
 //! Times are nanoseconds of one clock of the caller's that never goes back; its origin is free.
 
@@ -17,16 +17,16 @@
 mod life;
 pub mod pace;
 pub mod platform;
+pub mod recording;
 pub mod scaler;
-pub mod tape;
 pub mod terms;
 
 pub use life::{Instance, State};
 pub use millpost_protocol::line::Sink;
 pub use pace::{Ask, Pace};
 pub use platform::{Entry, StartFault, StopFault, Worker};
+pub use recording::Recorded;
 pub use scaler::{Effect, Scaler, ServiceSpec};
-pub use tape::Recorded;
 pub use terms::Terms;
 
 /// A point in time or a span, in nanoseconds.
--- a/controller/src/calls.rs
+++ b/controller/src/calls.rs
@@ -94,7 +94,7 @@
         wrong_method = { "GET", "/Config.Replace", Err(Kind::Method) },
         read = { "GET", "/Config.Read", Ok(What::Read) },
         below = { "POST", "/core/vote", Ok(What::Vote) },
-        figures = { "GET", millpost_net::figures::PATH, Ok(What::Metrics) },
+        figures = { "GET", millpost_net::metrics::PATH, Ok(What::Metrics) },
         between = { "GET", "/core", Ok(What::Status) },
         too_deep = { "GET", "/core/vote/x", Err(Kind::Unknown) },
         trailing = { "GET", "/Config.Read/", Err(Kind::Unknown) },
--- a/controller/src/contact.rs
+++ b/controller/src/contact.rs
@@ -50,7 +50,7 @@
 
     /// Reads such a body; none where it is something else.
     pub fn read(sent: Nanos, body: &[u8]) -> Option<Answered> {
-        let JsonValue::Object(parts) = millpost_net::mail::json(body)? else { return None };
+        let JsonValue::Object(parts) = millpost_net::messaging::json(body)? else { return None };
         let voting = parts.get("voting") == Some(&JsonValue::Boolean(true));
         let members = parts.get("members").and_then(|members| Members::read(members).ok());
         let (epoch, revision) = (whole(&parts, "epoch").ok()?, whole(&parts, "rev").ok()?);
--- a/controller/src/core.rs
+++ b/controller/src/core.rs
@@ -15,7 +15,7 @@
 use compact_str::{CompactString, ToCompactString};
 use millpost_autoscaler::{Sink, Terms};
 use millpost_config::{Config, Settings, change};
-use millpost_net::mail::{Call, Reply};
+use millpost_net::messaging::{Call, Reply};
 use millpost_net::pack;
 use millpost_protocol::PeerMessage;
 use millpost_quorum::{Address, Key, Kind as RoundKind, Members, Message, Outcome, Value};
--- a/controller/src/core/api.rs
+++ b/controller/src/core/api.rs
@@ -7,7 +7,7 @@
 use hyper::header::{HeaderValue, LOCATION};
 use millpost_config::Config;
 use millpost_migration::Input;
-use millpost_net::mail::{Call, Reply};
+use millpost_net::messaging::{Call, Reply};
 use millpost_net::pack::{self, pack};
 use millpost_protocol::{MessageBatch, PeerMessage, object, text};
 use millpost_quorum::{Address, Key, Kind as RoundKind, Message, Value};
--- a/controller/src/core/carts.rs
+++ b/controller/src/core/carts.rs
@@ -7,7 +7,7 @@
 use millpost_migration::{
     Effect, Function, Input, Kind as Said, Migrator, Moment, Order, OrderFailure, Standing, Stands, Terms,
 };
-use millpost_net::mail::{Call, Reply};
+use millpost_net::messaging::{Call, Reply};
 use millpost_protocol::{object, text};
 use millpost_quorum::{Key, Kind as RoundKind, Outcome, Value, Why};
 use percent_encoding::percent_decode_str;
--- a/controller/src/core/drains.rs
+++ b/controller/src/core/drains.rs
@@ -6,7 +6,7 @@
 use compact_str::CompactString;
 use hyper::StatusCode;
 use millpost_autoscaler::State;
-use millpost_net::mail::{Call, Reply};
+use millpost_net::messaging::{Call, Reply};
 use millpost_protocol::object;
 use tinyjson::JsonValue;
 
--- a/controller/src/core/figures.rs
+++ b/controller/src/core/figures.rs
@@ -1,6 +1,6 @@
 //! What a control machine tells of itself, for monitoring.
 
-use millpost_net::figures::Metrics;
+use millpost_net::metrics::Metrics;
 
 use super::Core;
 use crate::{MS, Nanos};
--- a/controller/src/core/follow.rs
+++ b/controller/src/core/follow.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use millpost_net::mail::Call;
+use millpost_net::messaging::Call;
 use millpost_protocol::{MessageBatch, PeerMessage};
 
 use super::{Core, Effect, api};
--- a/controller/src/duty.rs
+++ b/controller/src/duty.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use hyper::StatusCode;
-use millpost_net::mail::Reply;
+use millpost_net::messaging::Reply;
 use millpost_protocol::object;
 use tinyjson::JsonValue;
 
--- a/controller/src/errors.rs
+++ b/controller/src/errors.rs
@@ -2,7 +2,7 @@
 
 use compact_str::CompactString;
 use hyper::StatusCode;
-use millpost_net::mail::Reply;
+use millpost_net::messaging::Reply;
 use millpost_protocol::{object, text};
 use snafu::Snafu;
 
--- a/controller/src/feed.rs
+++ b/controller/src/feed.rs
@@ -351,7 +351,7 @@
             let mut feed = Feed::default();
             feed.configure(0, config(1), None);
             feed.follow(0, "a".into(), 1, true, &[]).expect("room");
-            let json = millpost_net::mail::json(&feed.configure(MS, new, None)[0].1).expect("JSON");
+            let json = millpost_net::messaging::json(&feed.configure(MS, new, None)[0].1).expect("JSON");
             let JsonValue::Object(parts) = json else { panic!("an object") };
             let Some(JsonValue::Array(notes)) = parts.get("notes") else { panic!("notes") };
             PeerMessage::read(&notes[0]).expect("a note")
--- a/controller/src/functions.rs
+++ b/controller/src/functions.rs
@@ -3,7 +3,7 @@
 use hyper::StatusCode;
 use millpost_autoscaler::Nanos;
 use millpost_autoscaler::scaler::view::{Lot, Seen, Standing, Starting};
-use millpost_net::mail::Reply;
+use millpost_net::messaging::Reply;
 use millpost_protocol::{object, text};
 use percent_encoding::percent_decode_str;
 use tinyjson::JsonValue;
--- a/controller/src/runtime.rs
+++ b/controller/src/runtime.rs
@@ -12,10 +12,10 @@
 use hyper::{Method, StatusCode};
 use millpost_autoscaler::Sink;
 use millpost_config::Settings;
-use millpost_net::figures;
 use millpost_net::lines::Lines;
 use millpost_net::link::Client;
-use millpost_net::mail::{self, Call, Limits, OPTIONS, Reply};
+use millpost_net::messaging::{self, Call, Limits, OPTIONS, Reply};
+use millpost_net::metrics;
 use millpost_protocol::frame::Head;
 use millpost_protocol::{object, text};
 use millpost_quorum::{Address, Members, Message};
@@ -100,9 +100,9 @@
         }
     };
     if let Some(port) = metrics {
-        figures::serve_at(SocketAddr::new(settings.ip, port), handler.clone()).await;
+        metrics::serve_at(SocketAddr::new(settings.ip, port), handler.clone()).await;
     }
-    let server = tokio::spawn(mail::serve(listener, limits, handler, std::future::pending()));
+    let server = tokio::spawn(messaging::serve(listener, limits, handler, std::future::pending()));
 
     let clock = Instant::now();
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
@@ -304,7 +304,7 @@
                 .await;
             match answer {
                 Ok((StatusCode::OK, _, body)) => {
-                    if let Some(answer) = mail::json(&body).and_then(|json| Message::read(&json).ok()) {
+                    if let Some(answer) = messaging::json(&body).and_then(|json| Message::read(&json).ok()) {
                         hand_back(to, answer);
                     }
                 }
--- a/controller/tests/market/mod.rs
+++ b/controller/tests/market/mod.rs
@@ -6,7 +6,7 @@
 use hyper::Method;
 use millpost_config::{At, Config, change};
 use millpost_controller::core::Input;
-use millpost_net::mail;
+use millpost_net::messaging;
 use millpost_net::pack::unpack;
 use millpost_protocol::{PeerMessage, object, text};
 use millpost_scheduler::{Ask, Coordinator, No, Out, Outcome, Peer, SECOND, Spec, Terms};
@@ -217,11 +217,11 @@
     }
 
     fn line(&mut self, now: u64, n: usize, line: &[u8]) {
-        let Some(JsonValue::Object(parts)) = mail::json(line) else { return };
+        let Some(JsonValue::Object(parts)) = messaging::json(line) else { return };
         let Some(JsonValue::Array(notes)) = parts.get("notes") else { return };
         let stall = &mut self.stalls[n];
         for note in notes {
-            let unpacked = |packed: &str| mail::json(unpack(packed, 1 << 20)?.as_bytes());
+            let unpacked = |packed: &str| messaging::json(unpack(packed, 1 << 20)?.as_bytes());
             let old = stall.config.as_ref();
             let new = match PeerMessage::read(note).expect("a note") {
                 PeerMessage::Config { body, .. } => Config::read(&At::root(&body)).ok(),
--- a/controller/tests/town/mod.rs
+++ b/controller/tests/town/mod.rs
@@ -11,7 +11,7 @@
 use millpost_controller::contact::Answered;
 use millpost_controller::core::{Back, Bounds, Core, Effect, Input, Start};
 use millpost_controller::leadership::{self, Heard, PlatformCall};
-use millpost_net::mail::{Call, Content, Reply, json};
+use millpost_net::messaging::{Call, Content, Reply, json};
 use millpost_quorum::{Address, Key, Members, Message, Voter, Write};
 use tinyjson::JsonValue;
 
--- a/ctl/src/ask.rs
+++ b/ctl/src/ask.rs
@@ -145,7 +145,7 @@
     let status = status.as_u16();
     match status {
         200 => {
-            let json = millpost_net::mail::json(&body);
+            let json = millpost_net::messaging::json(&body);
             json.ok_or_else(|| unclear(format!("{steward}: what it sent is no answer to this")))
         }
         409 | 500.. => Err(unclear(format!("{steward}: {}", said(status, &body)))),
@@ -155,12 +155,12 @@
 
 /// The kind of error that an answer names.
 fn word(body: &[u8]) -> Option<String> {
-    get_str(&millpost_net::mail::json(body)?, "error").map(str::to_owned)
+    get_str(&millpost_net::messaging::json(body)?, "error").map(str::to_owned)
 }
 
 /// What an answer says, where it is one of control's.
 pub fn said(status: u16, body: &[u8]) -> String {
-    let json = millpost_net::mail::json(body);
+    let json = millpost_net::messaging::json(body);
     let part = |key| json.as_ref().and_then(|json| get_str(json, key));
     match (part("error"), part("why")) {
         (Some(error), Some(why)) => format!("{status} {error}: {why}"),
--- a/ctl/src/config.rs
+++ b/ctl/src/config.rs
@@ -102,7 +102,7 @@
     let what = "to a change: it may be in force or may still come into force; put it again as it is";
     let given = controls.call(Method::POST, "/Config.Replace", body, what).await?;
     if given.status >= 300 {
-        let json = millpost_net::mail::json(&given.body);
+        let json = millpost_net::messaging::json(&given.body);
         if let Some(stands) = json.as_ref().and_then(conflict) {
             return OvertakenSnafu { ours, stands, how: WON }.fail();
         }
--- a/ctl/src/drain.rs
+++ b/ctl/src/drain.rs
@@ -50,7 +50,7 @@
     }
 
     fn read((steward, status, body): (SocketAddr, u16, Bytes)) -> Result<Self, Error> {
-        let json = millpost_net::mail::json(&body);
+        let json = millpost_net::messaging::json(&body);
         match json.as_ref().and_then(|json| get_list(json, "drains")) {
             Some(all) if status == 200 => Ok(Drains { steward, all: all.to_vec() }),
             _ => {
--- a/ctl/src/moves.rs
+++ b/ctl/src/moves.rs
@@ -57,7 +57,7 @@
     let body = Bytes::from(write(order));
     let what = "to an order; it may be obeyed or may still be: give it again as it is";
     let (by, status, body) = ask(controls, Method::POST, "/core/moves", body, what).await?;
-    let json = millpost_net::mail::json(&body);
+    let json = millpost_net::messaging::json(&body);
     let step = json.as_ref().and_then(|json| get_str(json, "step"));
     match step {
         Some(step) if status == 200 => Ok((step.to_owned(), by)),
@@ -117,7 +117,7 @@
         let path = format!("/core/moves{}", query.unwrap_or_default());
         let what = "of the steward to how moves stand";
         let (steward, status, body) = ask(controls, Method::GET, &path, Bytes::new(), what).await?;
-        let json = millpost_net::mail::json(&body).filter(|_| status == 200);
+        let json = millpost_net::messaging::json(&body).filter(|_| status == 200);
         let Some(all) = json.as_ref().and_then(|json| get_list(json, "moves")) else {
             return RefusedSnafu { by: steward, status, why: said(status, &body) }.fail();
         };
--- a/ctl/src/status.rs
+++ b/ctl/src/status.rs
@@ -171,7 +171,7 @@
 async fn ask(to: SocketAddr, within: Duration) -> Result<Standing, String> {
     match once(to, Method::GET, "/core", Bytes::new(), within).await {
         Ok((StatusCode::OK, _, body)) => {
-            let standing = millpost_net::mail::json(&body).as_ref().and_then(Standing::read);
+            let standing = millpost_net::messaging::json(&body).as_ref().and_then(Standing::read);
             standing.ok_or_else(|| "its answer is no status of control".to_owned())
         }
         Ok((status, _, body)) => Err(said(status.as_u16(), &body)),
--- a/ctl/tests/command.rs
+++ b/ctl/tests/command.rs
@@ -9,7 +9,7 @@
 
 use hyper::StatusCode;
 use hyper::header::{HeaderValue, LOCATION};
-use millpost_net::mail::{self, Limits, Reply};
+use millpost_net::messaging::{self, Limits, Reply};
 use tokio::net::TcpListener;
 
 const FILE: &str = r#"{"revision":7,"routes":[{"host":"h","path_prefix":"/a/","traffic_kind":"idempotent",
@@ -35,7 +35,7 @@
         let script: VecDeque<_> =
             script.iter().map(|(path, (s, t))| ((*path).to_owned(), *s, (*t).to_owned())).collect();
         let (script, calls) = (Arc::new(Mutex::new(script)), self.calls.clone());
-        let handler = move |call: mail::Call| {
+        let handler = move |call: messaging::Call| {
             let body = String::from_utf8_lossy(&call.body).into_owned();
             calls.lock().expect("whole").push((call.path.clone(), body));
             let mut script = script.lock().expect("whole");
@@ -56,7 +56,7 @@
         let address = listener.local_addr().expect("an address");
         let (idle, whole) = (Duration::from_secs(60), Duration::from_secs(5));
         let limits = Limits { body: 1 << 20, idle, whole, connections: 50, unheard: None };
-        self.runtime.spawn(mail::serve(listener, limits, handler, std::future::pending()));
+        self.runtime.spawn(messaging::serve(listener, limits, handler, std::future::pending()));
         address
     }
 
@@ -256,7 +256,7 @@
     let (code, out, _) = run(&[control], &["status"]);
     assert!(code == Some(1) && out.contains("edge-2 acts on 5, 2 behind 7"), "{out}");
     let (code, out, _) = run(&[control], &["--json", "status"]);
-    let json = mail::json(out.as_bytes()).expect("JSON");
+    let json = messaging::json(out.as_bytes()).expect("JSON");
     assert_eq!((code, json["well"].get::<bool>()), (Some(1), Some(&false)));
 }
 
--- a/dispatcher/src/hands.rs
+++ b/dispatcher/src/hands.rs
@@ -7,7 +7,7 @@
 use millpost::api::{MsgId, Nanos};
 use millpost_core::{CallId, Verdict};
 use millpost_handover::Frame;
-use millpost_net::room::ConnectionLimiter;
+use millpost_net::connection_limiter::ConnectionLimiter;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -32,7 +32,7 @@
 
 use millpost_core::{LAYOUT, Moved};
 use millpost_handover::{Frame, Moving};
-use millpost_net::room::ConnectionLimiter;
+use millpost_net::connection_limiter::ConnectionLimiter;
 use millpost_net::{link, meter};
 use millpost_store::{Disk, Ledger, ledger};
 use millpost_tier::sieve::Sieve;
--- a/migration/src/check.rs
+++ b/migration/src/check.rs
@@ -9,12 +9,12 @@
 use snafu::Snafu;
 
 use crate::Nanos;
-use crate::carter::Terms;
 use crate::contract::{Bounds, Contract, MOST_LOADS, MOST_ROUTES};
+use crate::migrator::Terms;
+use crate::observation::Observation;
 use crate::plant::{Guard, is_out};
 use crate::record::{MOST_OPEN, Move, Record, RouteMove};
 use crate::shift::{Place, places};
-use crate::sight::Observation;
 
 /// Room that is kept above what the source holds at its busiest.
 const MARGIN: f64 = 1.25;
--- a/migration/src/lib.rs
+++ b/migration/src/lib.rs
@@ -8,13 +8,13 @@
 //! - [`shift`]: the configuration of a step, out of the one below it.
 //! - [`Migrator`]: the whole of it on one control machine, which carries moves on while it holds the lease.
 
-mod carter;
 pub mod check;
 mod contract;
+mod migrator;
+mod observation;
 mod plant;
 mod record;
 pub mod shift;
-mod sight;
 mod standing;
 mod steps;
 mod tell;
@@ -23,11 +23,11 @@
 #[cfg(test)]
 mod tests;
 
-pub use carter::{Effect, Input, Migrator, OrderFailure, Terms};
 pub use check::{Estimate, Reason};
 pub use contract::{Bounds, Contract, Order};
+pub use migrator::{Effect, Input, Migrator, OrderFailure, Terms};
+pub use observation::{Function, Observation, PendingReason, Stands};
 pub use record::{BadRecord, Direction, Move, Put, Record, RouteMove, State};
-pub use sight::{Function, Observation, PendingReason, Stands};
 pub use standing::{Answer, Kind, Published, Said, Standing};
 
 pub use millpost_scheduler::{MS, Nanos};
--- a/migration/src/carter.rs
+++ b/migration/src/migrator.rs
@@ -8,9 +8,9 @@
 use millpost_quorum::{Outcome, Value};
 
 use crate::contract::Order;
+use crate::observation::{Function, Observation, Stands};
 use crate::plant::{Guard, is_out};
 use crate::record::{BadRecord, Move, Record, State};
-use crate::sight::{Function, Observation, Stands};
 use crate::standing::{Published, Standing};
 use crate::steps::{Ground, Obeyed, advance, obey};
 use crate::watch::Watch;
--- a/migration/src/sight.rs
+++ b/migration/src/observation.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use millpost_config::{Config, Fault};
 
-use crate::carter::Terms;
+use crate::migrator::Terms;
 use crate::plant::{Guard, is_out};
 use crate::{MS, Nanos};
 
--- a/migration/src/standing.rs
+++ b/migration/src/standing.rs
@@ -5,10 +5,10 @@
 use millpost_quorum::Value;
 
 use crate::check::Reason;
+use crate::observation::Stands;
 use crate::plant::{Guard, is_out};
 use crate::record::{BadRecord, Move, Record, State};
 use crate::shift::shifted;
-use crate::sight::Stands;
 
 /// What an operator is told.
 #[derive(Clone, Debug, PartialEq)]
--- a/migration/src/steps.rs
+++ b/migration/src/steps.rs
@@ -6,13 +6,13 @@
 
 use compact_str::CompactString;
 
-use crate::carter::Terms;
 use crate::check::{Estimate, Reason, check, check_again, numbers};
 use crate::contract::Order;
+use crate::migrator::Terms;
+use crate::observation::Observation;
 use crate::plant::{Guard, is_out};
 use crate::record::{Direction, Move, Put, Record, State};
 use crate::shift::fits;
-use crate::sight::Observation;
 use crate::watch::Watch;
 use crate::{MS, Moment, Nanos};
 
--- a/migration/src/tell.rs
+++ b/migration/src/tell.rs
@@ -4,11 +4,11 @@
 use millpost_config::values::{list, number, object, string};
 use tinyjson::JsonValue;
 
-use crate::carter::Migrator;
 use crate::check::revisions;
+use crate::migrator::Migrator;
+use crate::observation::Observation;
 use crate::record::{Direction, Move, Stamp, State};
 use crate::shift::fits;
-use crate::sight::Observation;
 use crate::watch::{Watch, target};
 use crate::{MS, Moment, Nanos};
 
--- a/migration/src/tests/small.rs
+++ b/migration/src/tests/small.rs
@@ -4,9 +4,9 @@
 use millpost_config::{At, values};
 
 use crate::check::check;
+use crate::observation::{Function, Observation, Stands};
 use crate::record::{Direction, Move, Put, Record, RouteMove, State};
 use crate::shift::{fits, shifted};
-use crate::sight::{Function, Observation, Stands};
 use crate::{Contract, MS, Order, Reason, Terms};
 
 const BASE: &str = r#"{"revision":7,"odd":{"a":[1]},"routes":[
--- a/migration/src/watch.rs
+++ b/migration/src/watch.rs
@@ -4,9 +4,9 @@
 use millpost::retry_probability;
 use millpost_scheduler::first_gap;
 
+use crate::observation::Observation;
 use crate::record::{Direction, Move, State};
 use crate::shift::fits;
-use crate::sight::Observation;
 use crate::{MS, Nanos};
 
 /// How often a move earns its target's probability; at 1 its next load goes.
--- a/net/src/lib.rs
+++ b/net/src/lib.rs
@@ -1,12 +1,12 @@
 //! Plumbing that the programs share: connections, what was written on them, rooms for clients, mail between our processes.
 
-pub mod figures;
+pub mod connection_limiter;
 pub mod lines;
 pub mod link;
 pub mod logs;
-pub mod mail;
+pub mod messaging;
 pub mod meter;
+pub mod metrics;
 pub mod pack;
-pub mod room;
 pub mod serving;
 pub mod written;
--- a/net/src/mail.rs
+++ b/net/src/messaging.rs
@@ -4,9 +4,9 @@
 //! [`call`] asks and gets an answer; a [`Held`] stream yields lines for as long as both sides live. [`serve`] is the
 //! other side of all three.
 
-mod held;
 mod incarnation;
-mod post;
+mod line_stream;
+mod outbox;
 mod serve;
 
 use std::net::SocketAddr;
@@ -20,9 +20,9 @@
 
 use crate::link::{Answer, Client, Error, Options};
 
-pub use held::{Ended, Error as HeldError, Held, Terms};
 pub use incarnation::Incarnation;
-pub use post::{Bounds, Event, Outbox, Refused, To};
+pub use line_stream::{Ended, Error as HeldError, Held, Terms};
+pub use outbox::{Bounds, Event, Outbox, Refused, To};
 pub use serve::{Call, Content, Limits, Reply, serve};
 
 /// What connections between our processes are like.
--- a/net/src/figures.rs
+++ b/net/src/metrics.rs
@@ -10,7 +10,7 @@
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use tokio::net::TcpListener;
 
-use crate::mail::{Call, Limits, Reply, serve};
+use crate::messaging::{Call, Limits, Reply, serve};
 
 /// The path under which a process tells them.
 pub const PATH: &str = "/metrics";
--- a/protocol/src/fold.rs
+++ b/protocol/src/fold.rs
@@ -2,7 +2,7 @@
 
 use crate::frame::Fold;
 use crate::line::Line;
-use crate::note::PeerMessage;
+use crate::peer_message::PeerMessage;
 
 impl PeerMessage {
     /// Puts it in, whole.
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -3,18 +3,18 @@
 //!
 //! What is not understood is an error that names the key; nothing from the network panics.
 
-mod does;
 mod fold;
 pub mod frame;
+mod function_status;
 mod json;
 pub mod line;
-mod note;
-mod roster;
+mod membership;
+mod peer_message;
 
-pub use does::FunctionStatus;
+pub use function_status::FunctionStatus;
 pub use json::{Fault, list, number, object, string, text, whole};
-pub use note::{Instance, Peer, PeerMessage, Permit, Version};
-pub use roster::{MembershipView, ViewChange, seed};
+pub use membership::{MembershipView, ViewChange, seed};
+pub use peer_message::{Instance, Peer, PeerMessage, Permit, Version};
 
-mod letter;
-pub use letter::MessageBatch;
+mod message_batch;
+pub use message_batch::MessageBatch;
--- a/protocol/src/line.rs
+++ b/protocol/src/line.rs
@@ -8,7 +8,7 @@
 
 use crate::frame::{self, Digest};
 use crate::json::{Fault, fault, get};
-use crate::note::{PeerMessage, Permit};
+use crate::peer_message::{PeerMessage, Permit};
 
 /// The most that a JSON number tells exactly; larger ones are written as text.
 const EXACT: u64 = 1 << 53;
--- a/protocol/src/roster.rs
+++ b/protocol/src/membership.rs
@@ -14,7 +14,9 @@
 use xxhash_rust::xxh3::{Xxh3, xxh3_64_with_seed};
 
 use crate::json::{Fault, list, object, text};
-use crate::note::{Peer, PeerMessage, Version, map, names, peers_or_none, read_names, read_version, version};
+use crate::peer_message::{
+    Peer, PeerMessage, Version, map, names, peers_or_none, read_names, read_version, version,
+};
 
 /// Stalls in a naming, and functions that are split; a shift that leads to more is none.
 const MOST: usize = 10_000;
--- a/protocol/src/letter.rs
+++ b/protocol/src/message_batch.rs
@@ -4,7 +4,7 @@
 use tinyjson::JsonValue;
 
 use crate::json::{Fault, list, string, whole};
-use crate::note::PeerMessage;
+use crate::peer_message::PeerMessage;
 
 /// A letter that was read.
 #[derive(Clone, Debug, PartialEq)]
--- a/protocol/src/note.rs
+++ b/protocol/src/peer_message.rs
@@ -5,9 +5,9 @@
 use compact_str::CompactString;
 use tinyjson::JsonValue;
 
-use crate::does::FunctionStatus;
+use crate::function_status::FunctionStatus;
 use crate::json::{Fault, list, number, object, string, text, whole};
-use crate::roster::ViewChange;
+use crate::membership::ViewChange;
 
 /// Which of two tellings is newer: the fence of the steward that tells, and its count.
 pub type Version = (u64, u64);
--- a/proxy/src/figures.rs
+++ b/proxy/src/figures.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use hyper::StatusCode;
-use millpost_net::figures::Metrics;
+use millpost_net::metrics::Metrics;
 use millpost_scheduler::{Coordinator, Counts, MS, Nanos, Outcome, Phase};
 
 /// Open requests that are told one by one when a process ends.
--- a/proxy/src/front.rs
+++ b/proxy/src/front.rs
@@ -18,7 +18,7 @@
 use hyper::{Request, Response};
 use hyper_util::rt::TokioTimer;
 use millpost_config::{Route, Traffic};
-use millpost_net::room::{ConnectionLimiter, ConnectionSlot};
+use millpost_net::connection_limiter::{ConnectionLimiter, ConnectionSlot};
 use millpost_net::serving::serve_one;
 use millpost_scheduler::{MS, Outcome, Phase, Refusal, RequestFlow, RequestInfo, Step, TraceEvent};
 use tokio::net::{TcpListener, TcpStream};
@@ -164,7 +164,7 @@
         Err(kind) => {
             if shop.records() {
                 let attempt =
-                    millpost_scheduler::trail::attempt(attempt.as_ref().map_or(&[], |id| id.as_bytes()));
+                    millpost_scheduler::trace::attempt(attempt.as_ref().map_or(&[], |id| id.as_bytes()));
                 shop.trail(shop.now(), &TraceEvent::Turned { attempt, status: kind.answer().0.as_u16() });
             }
             ours(kind)
--- a/proxy/src/opening.rs
+++ b/proxy/src/opening.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use hyper::StatusCode;
-use millpost_net::figures;
-use millpost_net::mail::{self, Limits, Reply};
-use millpost_net::room::ConnectionLimiter;
+use millpost_net::connection_limiter::ConnectionLimiter;
+use millpost_net::messaging::{self, Limits, Reply};
+use millpost_net::metrics;
 use millpost_scheduler::Phase;
 use snafu::{OptionExt, ResultExt};
 use tokio::net::TcpListener;
@@ -55,7 +55,7 @@
                 replied.await.unwrap_or_else(|_| gone())
             }
         };
-        tokio::spawn(mail::serve(listener, limits, handler, std::future::pending()));
+        tokio::spawn(messaging::serve(listener, limits, handler, std::future::pending()));
     }
     let (inputs, limits) = (shop.inputs(), Limits { body: 0, connections: 20, ..limits });
     let handler = move |call| {
@@ -67,9 +67,9 @@
         }
     };
     if let Some(port) = metrics {
-        figures::serve_at(SocketAddr::new(settings.ip, port), handler.clone()).await;
+        metrics::serve_at(SocketAddr::new(settings.ip, port), handler.clone()).await;
     }
-    tokio::spawn(mail::serve(ready, limits, handler, std::future::pending()));
+    tokio::spawn(messaging::serve(ready, limits, handler, std::future::pending()));
     let room = ConnectionLimiter::new((settings.limits.max_fds as usize).saturating_sub(200) / 2);
     tokio::task::spawn_local(front::serve(Rc::clone(shop), front, room, phases.clone()));
     shop.rounds(phases).await;
--- a/proxy/src/shop.rs
+++ b/proxy/src/shop.rs
@@ -10,8 +10,8 @@
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode};
 use millpost_config::{At, Config, Settings, Table, change};
-use millpost_net::figures;
-use millpost_net::mail::{self, Bounds, Call, Event, Incarnation, Outbox, Reply, To};
+use millpost_net::messaging::{self, Bounds, Call, Event, Incarnation, Outbox, Reply, To};
+use millpost_net::metrics;
 use millpost_protocol::frame::Head;
 use millpost_protocol::{MessageBatch, PeerMessage, object, text};
 use millpost_scheduler::{
@@ -322,7 +322,7 @@
             }
             Input::Mail(Event::Answered { body, .. }) => {
                 if let Some(letter) =
-                    mail::json(&body).as_ref().and_then(|json| MessageBatch::read(json).ok())
+                    messaging::json(&body).as_ref().and_then(|json| MessageBatch::read(json).ok())
                 {
                     self.mail(&letter.from, letter.life, letter.notes);
                 }
@@ -338,7 +338,7 @@
                 return Reply::empty(StatusCode::OK);
             }
             ("GET", "/readiness") => return Reply::empty(StatusCode::SERVICE_UNAVAILABLE),
-            ("GET", figures::PATH) => {
+            ("GET", metrics::PATH) => {
                 let (now, ready) = (self.now(), self.ready() && phase == Phase::Serving);
                 let desk = self.desk.borrow();
                 return self.counters.figures(now, &desk, phase, ready, self.currency.acted()).reply();
@@ -379,7 +379,7 @@
                     if self.has(revision) => {}
                 PeerMessage::Config { revision, body } => self.configure(revision, &body),
                 PeerMessage::Packed { revision, packed } => {
-                    match mail::json(
+                    match messaging::json(
                         millpost_net::pack::unpack(&packed, 16 << 20).unwrap_or_default().as_bytes(),
                     ) {
                         Some(body) => self.configure(revision, &body),
@@ -389,7 +389,7 @@
                 PeerMessage::Patch { revision, change } => self.patch(revision, &change),
                 PeerMessage::Folded { revision, packed } => {
                     let text = millpost_net::pack::unpack(&packed, 16 << 20).unwrap_or_default();
-                    match mail::json(text.as_bytes()) {
+                    match messaging::json(text.as_bytes()) {
                         Some(change) => self.patch(revision, &change),
                         None => log::error!("change to {revision} can't be unpacked"),
                     }
--- a/replay/examples/desks.rs
+++ b/replay/examples/desks.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use day::{Day, Plan};
-use millpost_scheduler::tape::{Entry, Input};
+use millpost_scheduler::recording::{Entry, Input};
 use millpost_scheduler::{Coordinator, SECOND, Terms};
 
 #[path = "../tests/day/mod.rs"]
--- a/replay/examples/recording.rs
+++ b/replay/examples/recording.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use day::{Day, Plan};
-use millpost_scheduler::tape::{Entry, Input};
+use millpost_scheduler::recording::{Entry, Input};
 use millpost_scheduler::{Coordinator, Recorded, SECOND, Sink, Terms};
 
 #[path = "../tests/day/mod.rs"]
--- a/replay/examples/traces.rs
+++ b/replay/examples/traces.rs
@@ -11,7 +11,7 @@
 };
 use millpost_config::{Config, change};
 use millpost_protocol::line::Sink;
-use millpost_scheduler::tape::Entry;
+use millpost_scheduler::recording::Entry;
 use millpost_scheduler::{MS, SECOND, Terms};
 
 #[path = "../tests/day/mod.rs"]
--- a/replay/src/check.rs
+++ b/replay/src/check.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use millpost::doubled_time;
 use millpost_protocol::PeerMessage;
-use millpost_scheduler::tape::Input;
+use millpost_scheduler::recording::Input;
 use millpost_scheduler::{Ask, MS, Nanos, Out, Outcome, Stage, Terms, first_gap};
 
 use crate::play::Step;
--- a/replay/src/clocks.rs
+++ b/replay/src/clocks.rs
@@ -8,12 +8,12 @@
 use std::collections::{BTreeMap, HashMap};
 
 use compact_str::CompactString;
-use millpost_agent::{Input as RoundInput, tape as round};
-use millpost_autoscaler::tape::Input as ScalerInput;
-use millpost_net::mail;
+use millpost_agent::{Input as RoundInput, recording as round};
+use millpost_autoscaler::recording::Input as ScalerInput;
+use millpost_net::messaging;
 use millpost_protocol::{MessageBatch, PeerMessage};
 use millpost_scheduler::MS;
-use millpost_scheduler::tape::{self as desk, Input as DeskInput};
+use millpost_scheduler::recording::{self as desk, Input as DeskInput};
 use tinyjson::JsonValue;
 
 use crate::lines::{Entry, Read, Source};
@@ -237,7 +237,7 @@
         let Some(me) = self.names.get(&node).cloned() else { return };
         match input {
             RoundInput::Line { line, .. } => {
-                let Some(JsonValue::Object(parts)) = mail::json(line) else { return };
+                let Some(JsonValue::Object(parts)) = messaging::json(line) else { return };
                 let Some(JsonValue::Array(notes)) = parts.get("notes") else { return };
                 for note in notes {
                     match PeerMessage::read(note) {
@@ -255,7 +255,7 @@
                 }
             }
             RoundInput::MessageBatch(body) => {
-                let letter = mail::json(body).and_then(|json| MessageBatch::read(&json).ok());
+                let letter = messaging::json(body).and_then(|json| MessageBatch::read(&json).ok());
                 let Some(letter) = letter.filter(|letter| letter.from == me) else { return };
                 // Word of a life that is not the only one comes from that alone.
                 let of = sources.iter().position(|s| s.machine() == me && s.of.ends_with("/stall"));
--- a/replay/src/command/play.rs
+++ b/replay/src/command/play.rs
@@ -11,7 +11,7 @@
 use millpost_replay::table::{Rounds, Table};
 use millpost_replay::until::Until;
 use millpost_replay::{Error, outs, rows};
-use millpost_scheduler::tape::Input;
+use millpost_scheduler::recording::Input;
 use millpost_scheduler::{MS, SECOND};
 
 use super::step::Steps;
--- a/replay/src/cut.rs
+++ b/replay/src/cut.rs
@@ -9,11 +9,11 @@
 use std::path::Path;
 
 use compact_str::CompactString;
-use millpost_agent::tape::Entry as RoundEntry;
-use millpost_autoscaler::tape::Entry as ScalerEntry;
+use millpost_agent::recording::Entry as RoundEntry;
+use millpost_autoscaler::recording::Entry as ScalerEntry;
 use millpost_protocol::PeerMessage;
 use millpost_protocol::frame::{Head, sealed};
-use millpost_scheduler::tape::{Entry as DeskEntry, Input};
+use millpost_scheduler::recording::{Entry as DeskEntry, Input};
 use millpost_scheduler::{MS, Nanos, SECOND};
 
 use crate::errors::{Error, LivesSnafu, NoLifeSnafu, NothingSnafu, SpoiltSnafu};
--- a/replay/src/duty.rs
+++ b/replay/src/duty.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use millpost_autoscaler::tape::Input;
+use millpost_autoscaler::recording::Input;
 use millpost_autoscaler::{Effect, StartFault};
 
 use crate::clocks::{Alignment, Node};
--- a/replay/src/explain.rs
+++ b/replay/src/explain.rs
@@ -6,7 +6,7 @@
 
 use compact_str::CompactString;
 use millpost_protocol::PeerMessage;
-use millpost_scheduler::tape::Input;
+use millpost_scheduler::recording::Input;
 use millpost_scheduler::{Nanos, Out, Outcome, Reason, TraceEvent};
 
 use crate::clocks::Node;
--- a/replay/src/instance.rs
+++ b/replay/src/instance.rs
@@ -4,10 +4,10 @@
 use std::path::Path;
 
 use compact_str::CompactString;
-use millpost_autoscaler::tape::{Input, start_word, state_word, stop_word};
+use millpost_autoscaler::recording::{Input, start_word, state_word, stop_word};
 use millpost_autoscaler::{Effect, State};
 use millpost_protocol::PeerMessage;
-use millpost_scheduler::tape::Input as DeskInput;
+use millpost_scheduler::recording::Input as DeskInput;
 use millpost_scheduler::{Out, Reason, SECOND, TraceEvent, Why};
 
 use crate::clocks::{Alignment, Node};
--- a/replay/src/lines.rs
+++ b/replay/src/lines.rs
@@ -8,11 +8,11 @@
 use std::io::BufRead;
 use std::path::{Path, PathBuf};
 
-use millpost_agent::tape as round;
-use millpost_autoscaler::tape as scaler;
+use millpost_agent::recording as round;
+use millpost_autoscaler::recording as scaler;
 use millpost_protocol::frame::{self, HEAD, Head, LEFT_OUT, Left, Sum};
 use millpost_protocol::{Fault, line, string};
-use millpost_scheduler::tape as desk;
+use millpost_scheduler::recording as desk;
 
 use crate::errors::{Error, SeveralSnafu, SpoiltSnafu};
 
--- a/replay/src/machines.rs
+++ b/replay/src/machines.rs
@@ -1,10 +1,10 @@
 //! The machines that a recording is played against, each beside a twin: one input at a time, and what comes of it.
 
-use millpost_agent::tape::Entry as RoundEntry;
+use millpost_agent::recording::Entry as RoundEntry;
 use millpost_agent::{Effect as RoundEffect, Input as RoundInput, Round};
-use millpost_autoscaler::tape::{Entry as ScalerEntry, Input as ScalerInput};
+use millpost_autoscaler::recording::{Entry as ScalerEntry, Input as ScalerInput};
 use millpost_autoscaler::{Effect, Scaler};
-use millpost_scheduler::tape::{Entry as DeskEntry, Input as DeskInput};
+use millpost_scheduler::recording::{Entry as DeskEntry, Input as DeskInput};
 use millpost_scheduler::{Coordinator, Out, Reason, TraceEvent};
 
 use crate::clocks::Node;
--- a/replay/src/numbers.rs
+++ b/replay/src/numbers.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use millpost_protocol::PeerMessage;
-use millpost_scheduler::tape::Input as DeskInput;
+use millpost_scheduler::recording::Input as DeskInput;
 
 /// Numbers of asks as they were recorded, and as they are in this play, where they are not the same.
 #[derive(Clone, Debug, Default)]
--- a/replay/src/outs.rs
+++ b/replay/src/outs.rs
@@ -4,7 +4,7 @@
 
 use millpost_agent::Effect as RoundEffect;
 use millpost_autoscaler::Effect;
-use millpost_autoscaler::tape::state_word;
+use millpost_autoscaler::recording::state_word;
 use millpost_protocol::PeerMessage;
 use millpost_protocol::line::Line;
 use millpost_scheduler::{No, Out, Stage};
--- a/replay/src/play.rs
+++ b/replay/src/play.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 
 use millpost_agent::{Effect as RoundEffect, Input as RoundInput, Round};
-use millpost_autoscaler::tape::Input as ScalerInput;
+use millpost_autoscaler::recording::Input as ScalerInput;
 use millpost_autoscaler::{Effect, Scaler};
-use millpost_scheduler::tape::Input as DeskInput;
+use millpost_scheduler::recording::Input as DeskInput;
 use millpost_scheduler::{Coordinator, Nanos, Out, Reason, TraceEvent};
 
 use crate::clocks::Node;
--- a/replay/src/report/gather.rs
+++ b/replay/src/report/gather.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use compact_str::CompactString;
-use millpost_scheduler::tape::Input;
+use millpost_scheduler::recording::Input;
 use millpost_scheduler::{Nanos, Out, Reason, SECOND, Step as Tells, TraceEvent, Why};
 
 use crate::check::{Check, Rule};
--- a/replay/src/table.rs
+++ b/replay/src/table.rs
@@ -4,10 +4,10 @@
 use std::fmt::Write;
 
 use compact_str::CompactString;
-use millpost_autoscaler::tape::Input as ScalerInput;
+use millpost_autoscaler::recording::Input as ScalerInput;
 use millpost_autoscaler::{Effect, State};
 use millpost_protocol::PeerMessage;
-use millpost_scheduler::tape::Input;
+use millpost_scheduler::recording::Input;
 use millpost_scheduler::{MS, Nanos, Out, SECOND, Stage};
 
 use crate::play::{Step, Turn};
--- a/replay/src/until.rs
+++ b/replay/src/until.rs
@@ -2,7 +2,7 @@
 
 use std::str::FromStr;
 
-use millpost_scheduler::tape::Input;
+use millpost_scheduler::recording::Input;
 use millpost_scheduler::{Nanos, SECOND};
 
 use crate::outs;
@@ -62,23 +62,27 @@
         Event::Begins { .. } => Texts::default(),
         Event::Coordinator(step) => {
             let entry =
-                millpost_scheduler::tape::Entry { number: None, at: step.at, input: step.input.clone() };
+                millpost_scheduler::recording::Entry { number: None, at: step.at, input: step.input.clone() };
             let outs =
                 step.outs.iter().map(|out| outs::desk(step.at, step.line, step.life, out, step.numbers));
             let (input, kind) = (entry.write(), step.input.name().to_owned());
             Texts { input, kind, outs: outs.collect() }
         }
         Event::Scaler(turn) => {
-            let entry =
-                millpost_autoscaler::tape::Entry { number: None, at: turn.at, input: turn.input.clone() };
+            let entry = millpost_autoscaler::recording::Entry {
+                number: None,
+                at: turn.at,
+                input: turn.input.clone(),
+            };
             let outs = turn.outs.iter().map(|out| outs::scaler(turn.at, turn.line, turn.life, out));
             let (input, kind) = (entry.write(), turn.input.name().to_owned());
             Texts { input, kind, outs: outs.collect() }
         }
         Event::Round(pass) => {
-            let entry = millpost_agent::tape::Entry { number: None, at: pass.at, input: pass.input.clone() };
+            let entry =
+                millpost_agent::recording::Entry { number: None, at: pass.at, input: pass.input.clone() };
             let outs = pass.outs.iter().map(|out| outs::round(pass.at, pass.line, pass.life, out));
-            let (input, kind) = (entry.write(), millpost_agent::tape::name(pass.input).to_owned());
+            let (input, kind) = (entry.write(), millpost_agent::recording::name(pass.input).to_owned());
             Texts { input, kind, outs: outs.collect() }
         }
     }
--- a/replay/src/version.rs
+++ b/replay/src/version.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use millpost_agent::Input as RoundInput;
-use millpost_net::mail;
+use millpost_net::messaging;
 use millpost_protocol::PeerMessage;
 use millpost_scheduler::TraceEvent;
 use tinyjson::JsonValue;
@@ -28,7 +28,7 @@
 
 /// How a line brings a revision: whole, or as a change.
 fn brought(line: &[u8], revision: u64) -> Option<&'static str> {
-    let JsonValue::Object(parts) = mail::json(line)? else { return None };
+    let JsonValue::Object(parts) = messaging::json(line)? else { return None };
     let JsonValue::Array(notes) = parts.get("notes")? else { return None };
     notes.iter().find_map(|note| match PeerMessage::read(note).ok()? {
         PeerMessage::Config { revision: r, .. } | PeerMessage::Packed { revision: r, .. }
--- a/replay/tests/traces.rs
+++ b/replay/tests/traces.rs
@@ -13,7 +13,7 @@
 use millpost_replay::lines::{Entry, Lines, Which};
 use millpost_replay::play::{Event, Pass, Step, play};
 use millpost_replay::table::{Rounds, Table};
-use millpost_scheduler::tape::{Entry as DeskEntry, Input};
+use millpost_scheduler::recording::{Entry as DeskEntry, Input};
 use millpost_scheduler::{Coordinator, Instance, MS, Out, SECOND, Terms};
 
 fn path(name: &str) -> PathBuf {
--- a/replay/tests/whole_days.rs
+++ b/replay/tests/whole_days.rs
@@ -5,7 +5,7 @@
 use millpost_replay::check::{Check, Rule};
 use millpost_replay::lines::{Lines, Which};
 use millpost_replay::play::{Event, How, Played, play_so};
-use millpost_scheduler::tape::Input;
+use millpost_scheduler::recording::Input;
 use millpost_scheduler::{Step, TraceEvent};
 use millpost_simulator::day::{Report, play, play_recorded};
 use millpost_simulator::plan::Plan;
--- a/scheduler/src/desk.rs
+++ b/scheduler/src/coordinator.rs
@@ -14,7 +14,7 @@
 use millpost_protocol::frame::Fold;
 use millpost_protocol::{MembershipView, PeerMessage, Version};
 
-use crate::desk::passing::Granted;
+use crate::coordinator::passing::Granted;
 use crate::effect::{Effect, No, Terms};
 use crate::function::{Scheduler, Transfer};
 use crate::instance::{Instance, Stage};
--- a/scheduler/src/desk/turns.rs
+++ b/scheduler/src/coordinator/turns.rs
@@ -4,7 +4,7 @@
 use millpost_protocol::{Instance as Told, MembershipView};
 
 use super::*;
-use crate::tape::Input;
+use crate::recording::Input;
 
 const FUNCTIONS: u64 = 40;
 
--- a/scheduler/src/desk/view.rs
+++ b/scheduler/src/coordinator/view.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::desk::{Coordinator, MISSING, Out};
+use crate::coordinator::{Coordinator, MISSING, Out};
 use crate::instance::Instance;
 #[cfg(test)]
 use crate::owners::OwnershipChange;
--- a/scheduler/src/lib.rs
+++ b/scheduler/src/lib.rs
@@ -3,38 +3,38 @@
 //!
 //! A request is a permit: [`Scheduler::ask`] queues it, [`Effect::Grant`] names an instance, [`Scheduler::done`] gives the slot back.
 
+mod attempt_timeouts;
 mod budget;
+mod coordinator;
 mod counts;
 mod demand;
-mod desk;
 mod effect;
 mod function;
 mod instance;
 mod leaving;
-mod margin;
+mod owner_ranking;
 mod owners;
-mod passage;
-mod ranks;
 mod reason;
+pub mod recording;
+mod request_flow;
+mod retry_schedule;
 mod service;
-pub mod tape;
-pub mod trail;
-mod tries;
+pub mod trace;
 
+pub use attempt_timeouts::AttemptTimeouts;
+pub use coordinator::{Coordinator, OpenAsk, Out};
 pub use counts::Counts;
-pub use desk::{Coordinator, OpenAsk, Out};
 pub use effect::{Effect, No, Terms};
 pub use function::{Released, Scheduler, Transfer};
 pub use instance::{Instance, Stage};
 pub use leaving::Phase;
-pub use margin::AttemptTimeouts;
+pub use owner_ranking::OwnerRanking;
 pub use owners::{Owners, OwnershipChange, Peer};
-pub use passage::{ClientTimeouts, Refusal, RequestFlow, RequestInfo, Step};
-pub use ranks::OwnerRanking;
 pub use reason::{Reason, Why};
-pub use tape::Recorded;
-pub use trail::TraceEvent;
-pub use tries::{Next, Outcome, RetrySchedule, first_gap};
+pub use recording::Recorded;
+pub use request_flow::{ClientTimeouts, Refusal, RequestFlow, RequestInfo, Step};
+pub use retry_schedule::{Next, Outcome, RetrySchedule, first_gap};
+pub use trace::TraceEvent;
 
 pub use millpost::api::Nanos;
 pub use millpost_protocol::line::Sink;
--- a/scheduler/src/passage.rs
+++ b/scheduler/src/request_flow.rs
@@ -8,7 +8,7 @@
 use compact_str::CompactString;
 
 use crate::effect::No;
-use crate::tries::{Next, Outcome, RetrySchedule};
+use crate::retry_schedule::{Next, Outcome, RetrySchedule};
 use crate::{Ask, MS, Nanos, SECOND};
 
 /// One that gives less of its time than others on its route has been here before, or was made by a running request.
--- a/scheduler/src/trail.rs
+++ b/scheduler/src/trace.rs
@@ -10,7 +10,7 @@
 use tinyjson::JsonValue;
 
 use crate::effect::No;
-use crate::passage::RequestInfo;
+use crate::request_flow::RequestInfo;
 use crate::{Nanos, Outcome};
 
 /// A client's id of a try is cut to so many bytes.
--- a/simulator/src/glue/hall.rs
+++ b/simulator/src/glue/hall.rs
@@ -10,7 +10,7 @@
 use millpost_controller::core::{Back, Bounds, Core, Effect, Input, Start};
 use millpost_controller::feed::ConnectionId;
 use millpost_controller::leadership::{Call, Heard, PlatformCall};
-use millpost_net::mail::{self, Content, Reply};
+use millpost_net::messaging::{self, Content, Reply};
 use millpost_protocol::{object, text};
 use millpost_quorum::{Address, Members, Message};
 use xxhash_rust::xxh3::xxh3_64;
@@ -74,10 +74,10 @@
     outs: Vec<Out>,
 }
 
-fn call(method: Method, path: &str, query: Option<&str>, body: Bytes) -> mail::Call {
+fn call(method: Method, path: &str, query: Option<&str>, body: Bytes) -> messaging::Call {
     let peer = ([127, 0, 0, 1], 1).into();
     let query = query.map(str::to_owned);
-    mail::Call { method, path: path.to_owned(), query, headers: HeaderMap::new(), body, peer }
+    messaging::Call { method, path: path.to_owned(), query, headers: HeaderMap::new(), body, peer }
 }
 
 fn said(reply: Reply) -> Said {
--- a/simulator/src/glue/memo.rs
+++ b/simulator/src/glue/memo.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use millpost_config::{Config, Table, change};
-use millpost_net::mail;
+use millpost_net::messaging;
 use millpost_net::pack::unpack;
 use tinyjson::JsonValue;
 use xxhash_rust::xxh3::xxh3_64;
@@ -68,7 +68,7 @@
         if let Some(known) = self.changed.borrow().get(&key) {
             return known.clone();
         }
-        let difference = unpack(packed, LONGEST).and_then(|text| mail::json(text.as_bytes()));
+        let difference = unpack(packed, LONGEST).and_then(|text| messaging::json(text.as_bytes()));
         let known = difference.and_then(|difference| self.change(old, &difference));
         self.changed.borrow_mut().insert(key, known.clone());
         known
--- a/simulator/src/glue/stall.rs
+++ b/simulator/src/glue/stall.rs
@@ -6,7 +6,7 @@
 
 use compact_str::CompactString;
 use millpost_config::{Table, Traffic};
-use millpost_net::mail::Incarnation;
+use millpost_net::messaging::Incarnation;
 use millpost_protocol::PeerMessage;
 use millpost_scheduler::{
     AttemptTimeouts, ClientTimeouts, No, Out as Decided, Outcome, Peer, Phase, Recorded as Coordinator,
--- a/simulator/src/world/net.rs
+++ b/simulator/src/world/net.rs
@@ -162,7 +162,7 @@
 
 /// What a line of a feed says of stalls that are alive.
 fn named(line: &[u8]) -> Option<String> {
-    let JsonValue::Object(parts) = millpost_net::mail::json(line)? else { return None };
+    let JsonValue::Object(parts) = millpost_net::messaging::json(line)? else { return None };
     let Some(JsonValue::Array(notes)) = parts.get("notes") else { return None };
     let list = |what: &str, names: &[CompactString]| {
         if names.is_empty() { String::new() } else { format!(", {what} {}", names.join(" ")) }
