--- a/e2e/examples/market.rs
+++ b/e2e/examples/cluster.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use millpost_e2e::{TestCluster, library, order, until};
-use millpost_standins::market::client::{Order, Outcome};
-use millpost_standins::market::function::{Endpoint, Phase};
-use millpost_standins::market::settings::{Bounds, Class, Configuration};
+use millpost_standins::cluster::client::{Order, Outcome};
+use millpost_standins::cluster::function::{Endpoint, Phase};
+use millpost_standins::cluster::settings::{Bounds, Class, Configuration};
 use tokio::signal::unix::{SignalKind, signal};
 
 /// A start that was seen.
--- a/e2e/src/lib.rs
+++ b/e2e/src/lib.rs
@@ -15,14 +15,14 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use millpost_standins::market::auditor::Auditor;
-use millpost_standins::market::client::{Clients, Door, Order, Outcome};
-use millpost_standins::market::fleet::Fleet;
-use millpost_standins::market::function::{Manner, Nested};
-use millpost_standins::market::message::{exchange, request};
-use millpost_standins::market::operator::Operator;
-use millpost_standins::market::platform::{self, Platform};
-use millpost_standins::market::settings::{
+use millpost_standins::cluster::auditor::Auditor;
+use millpost_standins::cluster::client::{Clients, Door, Order, Outcome};
+use millpost_standins::cluster::fleet::Fleet;
+use millpost_standins::cluster::function::{EndpointBehaviour, Nested};
+use millpost_standins::cluster::message::{exchange, request};
+use millpost_standins::cluster::operator::Operator;
+use millpost_standins::cluster::platform::{self, Platform};
+use millpost_standins::cluster::settings::{
     self, Bounds, Class, Configuration, Deployment, Function, Kind, Limits, Machine, Route,
 };
 use serde_json::Value;
@@ -259,7 +259,8 @@
         let (search, front) = (order("searches"), self.edge(edge).front());
         let nested =
             Nested { front, method: search.method, host: search.host, path: search.path, share: 1.0 };
-        self.platform.behave("loan-desk", &Manner { nested: Some(nested), ..Manner::default() });
+        self.platform
+            .behave("loan-desk", &EndpointBehaviour { nested: Some(nested), ..EndpointBehaviour::default() });
     }
 
     /// Every process is told to end, and has ended; how.
--- a/e2e/src/programs.rs
+++ b/e2e/src/programs.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 use std::sync::OnceLock;
 
-use millpost_standins::market::fleet::Programs;
+use millpost_standins::cluster::fleet::Programs;
 
 /// The system's programs. Cargo is asked once in each process, and by one process at a time; it builds what is older
 /// than its sources.
@@ -36,7 +36,7 @@
         Ok(status) if status.success() => Ok(programs),
         Ok(status) => Err(format!("the programs do not build: {status}")),
         // Where there is no cargo the programs may still be there.
-        Err(_) if [&programs.stall, &programs.porter, &programs.bourse].iter().all(|p| p.exists()) => {
+        Err(_) if [&programs.proxy, &programs.agent, &programs.controller].iter().all(|p| p.exists()) => {
             Ok(programs)
         }
         Err(e) => Err(format!("no programs in {}, and cargo can't be run: {e}", folder.display())),
--- a/e2e/src/soak.rs
+++ b/e2e/src/soak.rs
@@ -12,12 +12,12 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use millpost_standins::link::Weather;
-use millpost_standins::market::auditor::{Broken, Verdict as Audit};
-use millpost_standins::market::client::Order;
-use millpost_standins::market::function::Manner;
-use millpost_standins::market::operator::Operator;
-use millpost_standins::market::settings::{Bounds, Class, Configuration, Function, Kind, Role, Route};
+use millpost_standins::cluster::auditor::{Broken, Verdict as Audit};
+use millpost_standins::cluster::client::Order;
+use millpost_standins::cluster::function::EndpointBehaviour;
+use millpost_standins::cluster::operator::Operator;
+use millpost_standins::cluster::settings::{Bounds, Class, Configuration, Function, Kind, Role, Route};
+use millpost_standins::link::LinkConditions;
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
@@ -118,7 +118,7 @@
     for service in &every.services {
         let busy = library(0).services.iter().any(|function| function.name == service.name);
         let work = Duration::from_millis(if busy { 250 } else { 60 });
-        let manner = Manner { work, spread: 0.5, ..Manner::default() };
+        let manner = EndpointBehaviour { work, spread: 0.5, ..EndpointBehaviour::default() };
         fair.platform.behave(&service.name, &manner);
     }
     fair.put(&every).await;
@@ -241,7 +241,7 @@
             fair.fleet.processes[at].thaw();
         }
         if self.platform_back.take_if(|at| *at <= now).is_some() {
-            fair.platform.weather(Weather::Clear);
+            fair.platform.weather(LinkConditions::Clear);
         }
         for (_, worker) in self.workers_back.extract_if(.., |(at, _)| *at <= now) {
             fair.platform.worker_is_back(&worker);
@@ -256,7 +256,7 @@
                 let machine = edge(n);
                 fair.fleet.on(machine).for_each(|process| process.terminate());
             }
-            Act::EndCore(n) => fair.fleet.nth(Role::Bourse, n).terminate(),
+            Act::EndCore(n) => fair.fleet.nth(Role::Controller, n).terminate(),
             Act::HangUpEdge(n) => {
                 let machine = edge(n);
                 fair.fleet.on(machine).for_each(|process| process.hang_up());
@@ -272,7 +272,7 @@
                 self.workers_back.push((Instant::now() + WORKER_BACK, worker));
             }
             Act::Platform(lasts) => {
-                fair.platform.weather(Weather::Hang);
+                fair.platform.weather(LinkConditions::Hang);
                 self.platform_back = Some(Instant::now() + lasts);
             }
             Act::Kill(n, part) => {
@@ -324,8 +324,8 @@
 
 fn role(part: Part) -> Role {
     match part {
-        Part::Proxy => Role::Stall,
-        Part::Agent => Role::Porter,
+        Part::Proxy => Role::Proxy,
+        Part::Agent => Role::Agent,
     }
 }
 
--- a/e2e/src/soak/kept.rs
+++ b/e2e/src/soak/kept.rs
@@ -4,10 +4,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use millpost_standins::market::auditor::{Asked, Got, digest};
-use millpost_standins::market::client::{Clients, Order};
-use millpost_standins::market::function::attempt_id;
-use millpost_standins::market::message::{Connection, request};
+use millpost_standins::cluster::auditor::{Asked, ClientAnswer, digest};
+use millpost_standins::cluster::client::{Clients, Order};
+use millpost_standins::cluster::function::attempt_id;
+use millpost_standins::cluster::message::{Connection, request};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tokio::time::{sleep, timeout};
@@ -100,7 +100,7 @@
         let (end, keeps) = match answer {
             Err(_) => (End::Nothing, false),
             Ok(Ok(Some(answer))) if answer.status() > 0 => {
-                auditor.got(&id, Got::of(&answer));
+                auditor.got(&id, ClientAnswer::of(&answer));
                 (End::Answer(answer.status()), !answer.closes())
             }
             Ok(Err(e)) if e.kind() == std::io::ErrorKind::InvalidData => {
--- a/e2e/tests/configurations.rs
+++ b/e2e/tests/configurations.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use millpost_e2e::{PATIENCE, TestCluster, fairly, library, order, until};
-use millpost_standins::market::operator::Operator;
-use millpost_standins::market::settings::{Class, Configuration, Role};
+use millpost_standins::cluster::operator::Operator;
+use millpost_standins::cluster::settings::{Class, Configuration, Role};
 use serde_json::{Value, json};
 
 /// What every core machine reads.
@@ -28,8 +28,8 @@
             fair.fleet.wipe(by).expect("wiped");
             let other =
                 cores[(cores.iter().position(|c| *c == by).expect("a core machine") + 1) % cores.len()];
-            fair.fleet.restart(other, Role::Bourse).expect("started again");
-            fair.fleet.restart(by, Role::Bourse).expect("started again");
+            fair.fleet.restart(other, Role::Controller).expect("started again");
+            fair.fleet.restart(by, Role::Controller).expect("started again");
             for (machine, read) in read_everywhere(&fair).await {
                 assert_eq!(read.as_ref(), Some(&newest), "read at {machine}, put at {by}, {other} restarted");
             }
--- a/e2e/tests/leaving.rs
+++ b/e2e/tests/leaving.rs
@@ -4,10 +4,10 @@
 use std::time::{Duration, Instant};
 
 use millpost_e2e::{TestCluster, fairly, order, until};
-use millpost_standins::link::Weather;
-use millpost_standins::market::function::{Manner, attempt_id};
-use millpost_standins::market::message::{Connection, request};
-use millpost_standins::market::settings::Class;
+use millpost_standins::cluster::function::{EndpointBehaviour, attempt_id};
+use millpost_standins::cluster::message::{Connection, request};
+use millpost_standins::cluster::settings::Class;
+use millpost_standins::link::LinkConditions;
 use millpost_standins::wire::Message;
 use tokio::time::{sleep, timeout};
 
@@ -35,14 +35,14 @@
     fairly(async || {
         let mut fair = TestCluster::open_library().await;
         // A run outlasts the grace time. It has begun before the end does, and nothing is started after it.
-        let slow = Manner { work: Duration::from_secs(20), ..Manner::default() };
+        let slow = EndpointBehaviour { work: Duration::from_secs(20), ..EndpointBehaviour::default() };
         fair.platform.behave("catalogue", &slow);
         let front = fair.edge(0).front();
         let mut runs = Connection::open(front, CONNECT).await.expect("a connection");
         let (id, whole) = bytes("searches");
         runs.write(&whole).await.expect("written");
         until("it runs", async || (!fair.auditor.arrivals(&id).is_empty()).then_some(())).await;
-        fair.platform.weather(Weather::Hang);
+        fair.platform.weather(LinkConditions::Hang);
         let mut waits = Connection::open(front, CONNECT).await.expect("a connection");
         let mut in_pieces = Connection::open(front, CONNECT).await.expect("a connection");
         let leaving = fair.fleet.deployment.of(Class::Edge)[0];
--- a/e2e/tests/losses.rs
+++ b/e2e/tests/losses.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use millpost_e2e::{TestCluster, fairly, library, order, until};
-use millpost_standins::market::client::Order;
-use millpost_standins::market::settings::{Class, Function, Kind, Role, Route};
+use millpost_standins::cluster::client::Order;
+use millpost_standins::cluster::settings::{Class, Function, Kind, Role, Route};
 use tokio::time::{sleep_until, timeout};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -14,8 +14,8 @@
         let load = fair.load(60.0);
         load.serves(60).await;
         let began = fair.auditor.now();
-        fair.fleet.nth(Role::Stall, 0).kill();
-        fair.fleet.nth(Role::Porter, 1).kill();
+        fair.fleet.nth(Role::Proxy, 0).kill();
+        fair.fleet.nth(Role::Agent, 1).kill();
         load.serves(120).await;
         // A stall that hears nothing any more serves all the same.
         for route in ["loans", "holds", "searches"] {
@@ -24,8 +24,8 @@
         }
 
         let edges = fair.fleet.deployment.of(Class::Edge);
-        fair.fleet.restart(edges[0], Role::Stall).expect("started");
-        fair.fleet.restart(edges[1], Role::Porter).expect("started");
+        fair.fleet.restart(edges[0], Role::Proxy).expect("started");
+        fair.fleet.restart(edges[1], Role::Agent).expect("started");
         fair.in_force(1).await;
         fair.is_ready().await;
         for edge in 0..3 {
@@ -56,7 +56,7 @@
         load.serves(60).await;
         let old = fair.steward(0).await;
         let (frozen, began) = (Instant::now(), fair.auditor.now());
-        let at = fair.fleet.at(old.machine, Role::Bourse);
+        let at = fair.fleet.at(old.machine, Role::Controller);
         fair.fleet.processes[at].freeze();
         let new = fair.steward(old.fence).await;
         assert_ne!(new.machine, old.machine);
@@ -102,7 +102,7 @@
             assert!(outcome.served(), "{route}: {outcome:?}");
         }
         let old = fair.steward(0).await;
-        let at = fair.fleet.at(old.machine, Role::Bourse);
+        let at = fair.fleet.at(old.machine, Role::Controller);
         fair.fleet.processes[at].kill();
         fair.steward(old.fence).await;
         // Long before a steward stops by itself what nobody speaks of.
--- a/simulator/src/lib.rs
+++ b/simulator/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`site`]: machines, functions and bounds of a size.
 //! - [`speeds`]: how fast its workers are.
 //! - [`plan`]: a day as it is drawn from its seed: troubles and changes of the configuration.
-//! - [`glue`]: what daemons put round their state machines.
+//! - [`processes`]: what daemons put round their state machines.
 //! - [`world`]: all that is outside, and the loop.
 //! - [`auditor`]: the rules, from what clients, endpoints, platform and operator saw.
 //! - [`day`]: one day from beginning to end, and its figures.
@@ -16,10 +16,10 @@
 mod calm;
 mod chance;
 pub mod day;
-pub mod glue;
 pub mod hunt;
 pub mod plan;
 pub mod plant;
+pub mod processes;
 pub mod record;
 pub mod site;
 pub mod speeds;
--- a/simulator/src/glue/porter.rs
+++ b/simulator/src/processes/agent.rs
@@ -5,7 +5,7 @@
 use compact_str::CompactString;
 use millpost_agent::{Effect, Input, Recorded as Round, Terms};
 
-use super::post::{Landed, Outbox};
+use super::outbox::{Landed, Outbox};
 use super::{In, Out, Place, Said, letter};
 use crate::plant::Plant;
 use crate::{MS, Time};
--- a/simulator/src/glue/hall.rs
+++ b/simulator/src/processes/controller.rs
@@ -15,7 +15,7 @@
 use millpost_quorum::{Address, Members, Message};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::keeper::Disk;
+use super::voter::Disk;
 use super::{In, Out, Place, Said, VoterProcess, letter};
 use crate::plant::Plant;
 use crate::{MS, Time};
--- a/simulator/src/glue/mod.rs
+++ b/simulator/src/processes/mod.rs
@@ -3,18 +3,18 @@
 //!
 //! Invariant: a process takes a [`In`] at a time of its own clock and says what is to be done as [`Out`]; no I/O, no clock.
 
-mod hall;
-mod keeper;
-mod memo;
-mod porter;
-mod post;
-mod stall;
+mod agent;
+mod controller;
+mod outbox;
+mod parse_cache;
+mod proxy;
+mod voter;
 
-pub use hall::{ControllerProcess, Rates};
-pub use keeper::{Disk, VoterProcess};
-pub use memo::ParseCache;
-pub use porter::AgentProcess;
-pub use stall::ProxyProcess;
+pub use agent::AgentProcess;
+pub use controller::{ControllerProcess, Rates};
+pub use parse_cache::ParseCache;
+pub use proxy::ProxyProcess;
+pub use voter::{Disk, VoterProcess};
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/simulator/src/glue/stall.rs
+++ b/simulator/src/processes/proxy.rs
@@ -14,8 +14,8 @@
 };
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::memo::Known;
-use super::post::{Landed, Outbox};
+use super::outbox::{Landed, Outbox};
+use super::parse_cache::Known;
 use super::{Exchanged, In, Out, Place, Request, Said};
 use crate::plant::Plant;
 use crate::{MS, SECOND, Time};
--- a/simulator/src/world/client.rs
+++ b/simulator/src/world/client.rs
@@ -4,7 +4,7 @@
 
 use super::{Event, Role, World};
 use crate::auditor::Try;
-use crate::glue::{In, Request};
+use crate::processes::{In, Request};
 use crate::site::{Classes, HOST};
 use crate::{MS, SECOND, Time};
 
--- a/simulator/src/world/endpoint.rs
+++ b/simulator/src/world/endpoint.rs
@@ -7,7 +7,7 @@
 use millpost_scheduler::Outcome;
 
 use super::{Event, Role, World};
-use crate::glue::{Exchanged, In, Request};
+use crate::processes::{Exchanged, In, Request};
 use crate::{MS, SECOND, Time};
 
 /// An idle connection is used again for so long.
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -18,10 +18,10 @@
 use crate::auditor::Auditor;
 use crate::calm::Calm;
 use crate::chance::Chance;
-use crate::glue::{
+use crate::plan::Plan;
+use crate::processes::{
     AgentProcess, ControllerProcess, Exchanged, In, Out, ParseCache, Place, ProxyProcess, Said,
 };
-use crate::plan::Plan;
 use crate::record::Records;
 use crate::site::{Classes, Site};
 use crate::speeds::Speeds;
@@ -173,7 +173,7 @@
     stall: Option<ProxyProcess>,
     porter: Option<AgentProcess>,
     hall: Option<ControllerProcess>,
-    disk: crate::glue::Disk,
+    disk: crate::processes::Disk,
     life: u64,
     starts: u64,
     /// When each process is due, as queued.
@@ -312,7 +312,7 @@
             stall: None,
             porter: None,
             hall: None,
-            disk: crate::glue::Disk::new(500_000),
+            disk: crate::processes::Disk::new(500_000),
             life: 0,
             starts: 0,
             due: [Time::MAX; 3],
@@ -539,7 +539,7 @@
         };
         let place = Place { address: self.address(at), ..place };
         if core {
-            let rates = crate::glue::Rates {
+            let rates = crate::processes::Rates {
                 rate_per_s: site.rates.0,
                 duty_per_s: site.rates.1,
                 max_lag_ms: site.lag_ms,
--- a/simulator/src/world/net.rs
+++ b/simulator/src/world/net.rs
@@ -7,7 +7,7 @@
 use tinyjson::JsonValue;
 
 use super::{Event, Role, Who, World};
-use crate::glue::{In, Said};
+use crate::processes::{In, Said};
 use crate::{MS, SECOND, Time};
 
 /// What HTTP adds to a request and to its answer.
--- a/simulator/src/world/operator.rs
+++ b/simulator/src/world/operator.rs
@@ -6,7 +6,7 @@
 use millpost_config::Config;
 
 use super::{Event, Who, World};
-use crate::glue::Said;
+use crate::processes::Said;
 use crate::{MS, SECOND, Time};
 
 /// Silence after which an operator moves on.
--- a/simulator/src/world/planned.rs
+++ b/simulator/src/world/planned.rs
@@ -2,8 +2,8 @@
 
 use super::{Event, Role, World};
 use crate::chance::Chance;
-use crate::glue::In;
 use crate::plan::Whom;
+use crate::processes::In;
 use crate::{MS, SECOND, Time};
 
 /// A process that has left is started again after this.
--- a/simulator/src/world/platform.rs
+++ b/simulator/src/world/platform.rs
@@ -9,7 +9,7 @@
 use super::endpoint::Endpoint;
 use super::{Event, World};
 use crate::chance::Chance;
-use crate::glue::Said;
+use crate::processes::Said;
 use crate::site::Site;
 use crate::speeds::{Speed, Speeds};
 use crate::{MS, SECOND, Time};
--- a/simulator/src/world/trouble.rs
+++ b/simulator/src/world/trouble.rs
@@ -262,7 +262,7 @@
         let soon = now + self.site.client;
         for attempt in tries {
             if kept {
-                self.give(at, super::Role::ProxyProcess, crate::glue::In::Gone { client: attempt });
+                self.give(at, super::Role::ProxyProcess, crate::processes::In::Gone { client: attempt });
             }
             self.at(soon, Event::ToClient { attempt, status: 0, again: None, seal: None });
         }
@@ -270,7 +270,7 @@
             let exchanges: Vec<_> = self.machines[at].exchanges.iter().copied().collect();
             for number in exchanges {
                 let outcome = millpost_scheduler::Outcome::NoAnswer;
-                let done = crate::glue::Exchanged { outcome, sent: true, refused: false, answer: None };
+                let done = crate::processes::Exchanged { outcome, sent: true, refused: false, answer: None };
                 self.at(soon, Event::Back(number, done));
             }
         }
--- a/standins/examples/market.rs
+++ b/standins/examples/cluster.rs
@@ -1,16 +1,16 @@
 //! What the system's programs cost: processor time, wakes and memory, at rest and under load, on loopback:
-//! `cargo run --profile market -p millpost-standins --example market -- target/market [edges] [routes] [rate] [seconds]`.
+//! `cargo run --profile market -p millpost-standins --example cluster -- target/market [edges] [routes] [rate] [seconds]`.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use millpost_standins::market::auditor::Auditor;
-use millpost_standins::market::client::{Clients, Order};
-use millpost_standins::market::fleet::{Fleet, Programs};
-use millpost_standins::market::function::Manner;
-use millpost_standins::market::operator::Operator;
-use millpost_standins::market::platform::{Platform, Shape};
-use millpost_standins::market::settings::{
+use millpost_standins::cluster::auditor::Auditor;
+use millpost_standins::cluster::client::{Clients, Order};
+use millpost_standins::cluster::fleet::{Fleet, Programs};
+use millpost_standins::cluster::function::EndpointBehaviour;
+use millpost_standins::cluster::operator::Operator;
+use millpost_standins::cluster::platform::{Platform, Shape};
+use millpost_standins::cluster::settings::{
     Bounds, Class, Configuration, Deployment, Function, Kind, Role, Route, Shape as Site,
 };
 use tokio::time::sleep;
@@ -76,7 +76,7 @@
         );
     }
     let stalls =
-        fleet.processes.iter().zip(from.iter().zip(all(fleet))).filter(|(p, _)| p.role == Role::Stall);
+        fleet.processes.iter().zip(from.iter().zip(all(fleet))).filter(|(p, _)| p.role == Role::Proxy);
     let cpu: f64 = stalls.map(|(_, (from, to))| (to.cpu - from.cpu).as_secs_f64()).sum();
     println!(
         "  all stalls     {:7.4} of a core, {:.1} us a request",
@@ -127,8 +127,14 @@
     let look = Order::on(configuration.named("look"));
     let order = Order::on(configuration.named("order"));
     let watch = Order::on(configuration.named("watch"));
-    platform.behave("huvo11a", &Manner { work: Duration::from_millis(40), ..Manner::default() });
-    platform.behave("wuno96b", &Manner { work: Duration::from_millis(40), ..Manner::default() });
+    platform.behave(
+        "huvo11a",
+        &EndpointBehaviour { work: Duration::from_millis(40), ..EndpointBehaviour::default() },
+    );
+    platform.behave(
+        "wuno96b",
+        &EndpointBehaviour { work: Duration::from_millis(40), ..EndpointBehaviour::default() },
+    );
     let mut mix = vec![(look, 0.4), (order, 0.15), (watch, 0.15)];
     // The rest goes to many that are asked for now and then.
     let ways = configuration.routes.iter().filter(|r| r.name.starts_with("r-way")).take(60);
--- a/standins/src/market/auditor.rs
+++ b/standins/src/cluster/auditor.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-use crate::market::settings::{Bounds, Configuration, Kind};
+use crate::cluster::settings::{Bounds, Configuration, Kind};
 use crate::scripted::lock;
 
 /// A rule that can be seen from outside, by its name on the users' page.
@@ -72,7 +72,7 @@
 
 /// Why an endpoint turned a request away without running it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Away {
+pub enum NotExecuted {
     /// It holds as many as it may.
     Full,
     /// Another endpoint was meant.
@@ -95,14 +95,14 @@
     /// What came.
     pub asked: Asked,
     /// It has not run, and why.
-    pub away: Option<Away>,
+    pub away: Option<NotExecuted>,
     /// What was answered, if anything was.
-    pub gave: Option<Gave>,
+    pub gave: Option<EndpointAnswer>,
 }
 
 /// What an endpoint answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Gave {
+pub struct EndpointAnswer {
     /// Status.
     pub status: u16,
     /// The seal on it.
@@ -113,7 +113,7 @@
 
 /// What a client got for a try.
 #[derive(Clone, Debug, Default)]
-pub struct Got {
+pub struct ClientAnswer {
     /// Status.
     pub status: u16,
     /// The id that stands on it.
@@ -126,10 +126,10 @@
     pub encoded: bool,
 }
 
-impl Got {
+impl ClientAnswer {
     /// What an answer says.
     pub fn of(answer: &crate::wire::Message) -> Self {
-        Got {
+        ClientAnswer {
             status: answer.status(),
             id: answer.header("x-attempt-id").map(str::to_owned),
             seal: answer.header("x-endpoint-seal").map(str::to_owned),
@@ -145,7 +145,7 @@
     /// Made by a run that was itself a repeat.
     of_repeat: bool,
     arrivals: Vec<Arrival>,
-    got: Vec<(Duration, Got)>,
+    got: Vec<(Duration, ClientAnswer)>,
 }
 
 #[derive(Default)]
@@ -270,7 +270,7 @@
         endpoint: &str,
         service: &str,
         asked: Asked,
-        away: Option<Away>,
+        away: Option<NotExecuted>,
     ) -> usize {
         let at = self.now();
         let mut book = self.book();
@@ -281,7 +281,7 @@
     }
 
     /// The endpoint is about to answer that arrival.
-    pub fn gave(&self, id: &Arc<str>, arrival: usize, gave: Gave) {
+    pub fn gave(&self, id: &Arc<str>, arrival: usize, gave: EndpointAnswer) {
         let mut book = self.book();
         if let Some(arrival) = book.requests.get_mut(id).and_then(|r| r.arrivals.get_mut(arrival)) {
             arrival.gave = Some(gave);
@@ -289,7 +289,7 @@
     }
 
     /// A client got an answer to that try.
-    pub fn got(&self, id: &Arc<str>, got: Got) {
+    pub fn got(&self, id: &Arc<str>, got: ClientAnswer) {
         let at = self.now();
         self.book().requests.entry(id.clone()).or_default().got.push((at, got));
     }
@@ -394,7 +394,7 @@
         }
         verdict.arrivals += request.arrivals.len();
         verdict.runs += runs.len();
-        verdict.full += request.arrivals.iter().filter(|a| a.away == Some(Away::Full)).count();
+        verdict.full += request.arrivals.iter().filter(|a| a.away == Some(NotExecuted::Full)).count();
         if request.sent.is_none() {
             return;
         }
@@ -410,7 +410,9 @@
     fn limit(&self, bounds: &Bounds, verdict: &mut Verdict) {
         let mut full: BTreeMap<&str, Vec<Duration>> = BTreeMap::new();
         for arrival in self.requests.values().flat_map(|r| &r.arrivals) {
-            if arrival.away == Some(Away::Full) && !self.trouble.iter().any(|t| t.contains(&arrival.at)) {
+            if arrival.away == Some(NotExecuted::Full)
+                && !self.trouble.iter().any(|t| t.contains(&arrival.at))
+            {
                 full.entry(&arrival.service).or_default().push(arrival.at);
             }
         }
@@ -474,11 +476,11 @@
 }
 
 /// What is wrong with an answer.
-fn mixed(request: &Request, id: &str, got: &Got) -> Option<String> {
+fn mixed(request: &Request, id: &str, got: &ClientAnswer) -> Option<String> {
     if let Some(other) = got.id.as_deref().filter(|other| *other != id) {
         return Some(format!("with the answer to {other}"));
     }
-    let gave: Vec<&Gave> = request.arrivals.iter().filter_map(|a| a.gave.as_ref()).collect();
+    let gave: Vec<&EndpointAnswer> = request.arrivals.iter().filter_map(|a| a.gave.as_ref()).collect();
     let success = (200..300).contains(&got.status);
     let Some(seal) = &got.seal else {
         return success.then(|| "without a seal".to_owned());
--- a/standins/src/market/client.rs
+++ b/standins/src/cluster/client.rs
@@ -12,10 +12,10 @@
 use rand_pcg::Pcg64Mcg;
 use tokio::time::{sleep, sleep_until, timeout};
 
-use crate::market::auditor::{Asked, Auditor, Got, digest, promises};
-use crate::market::function::attempt_id;
-use crate::market::message::{Connection, exchange, request};
-use crate::market::settings::{Class, Deployment, Kind, Route};
+use crate::cluster::auditor::{Asked, Auditor, ClientAnswer, digest, promises};
+use crate::cluster::function::attempt_id;
+use crate::cluster::message::{Connection, exchange, request};
+use crate::cluster::settings::{Class, Deployment, Kind, Route};
 use crate::scripted::lock;
 use crate::wire::Message;
 
@@ -316,7 +316,7 @@
             connection.write(&bytes).await.map_err(|_| No::Answer)?;
             match connection.message().await {
                 Ok(Some(answer)) if answer.status() > 0 => {
-                    self.auditor.got(id, Got::of(&answer));
+                    self.auditor.got(id, ClientAnswer::of(&answer));
                     self.keep(door, connection, &answer, order.keeps);
                     Ok(answer)
                 }
--- a/standins/src/market/fleet.rs
+++ b/standins/src/cluster/fleet.rs
@@ -10,32 +10,32 @@
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::time::sleep;
 
-use crate::market::message::{exchange, request};
-use crate::market::settings::{Class, Deployment, Role};
+use crate::cluster::message::{exchange, request};
+use crate::cluster::settings::{Class, Deployment, Role};
 
 /// Where the programs are.
 #[derive(Clone, Debug)]
 pub struct Programs {
     /// Of the edge machines.
-    pub stall: PathBuf,
+    pub proxy: PathBuf,
     /// Beside it.
-    pub porter: PathBuf,
+    pub agent: PathBuf,
     /// Of the core machines.
-    pub bourse: PathBuf,
+    pub controller: PathBuf,
 }
 
 impl Programs {
     /// Those in this folder, such as `target/release`.
     pub fn of(folder: &Path) -> Self {
         let of = |role: Role| folder.join(role.program());
-        Programs { stall: of(Role::Stall), porter: of(Role::Porter), bourse: of(Role::Bourse) }
+        Programs { proxy: of(Role::Proxy), agent: of(Role::Agent), controller: of(Role::Controller) }
     }
 
     fn of_role(&self, role: Role) -> &Path {
         match role {
-            Role::Stall => &self.stall,
-            Role::Porter => &self.porter,
-            Role::Bourse => &self.bourse,
+            Role::Proxy => &self.proxy,
+            Role::Agent => &self.agent,
+            Role::Controller => &self.controller,
         }
     }
 }
@@ -209,7 +209,7 @@
     /// # Panics
     /// Where there are fewer.
     pub fn nth(&mut self, role: Role, n: usize) -> &mut Process {
-        let class = if role == Role::Bourse { Class::Core } else { Class::Edge };
+        let class = if role == Role::Controller { Class::Core } else { Class::Edge };
         let at = self.at(self.deployment.of(class)[n], role);
         &mut self.processes[at]
     }
@@ -279,7 +279,7 @@
         loop {
             let mut all = true;
             for machine in self.deployment.of(Class::Edge) {
-                let stall = self.at(machine, Role::Stall);
+                let stall = self.at(machine, Role::Proxy);
                 if self.processes[stall].runs() && !self.processes[stall].frozen {
                     let address = self.deployment.machines[machine].readiness();
                     let answer = exchange(address, &bytes, Duration::from_millis(500)).await;
--- a/standins/src/market/function.rs
+++ b/standins/src/cluster/function.rs
@@ -13,9 +13,9 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::time::{sleep, sleep_until, timeout};
 
-use crate::market::auditor::{Asked, Auditor, Away, Gave, Got, digest};
-use crate::market::message::{Connection, answer, exchange, request};
-use crate::market::settings::Function;
+use crate::cluster::auditor::{Asked, Auditor, ClientAnswer, EndpointAnswer, NotExecuted, digest};
+use crate::cluster::message::{Connection, answer, exchange, request};
+use crate::cluster::settings::Function;
 use crate::node::own_address;
 use crate::scripted::lock;
 use crate::wire::Message;
@@ -58,7 +58,7 @@
 
 /// How endpoints of a service behave.
 #[derive(Clone, Debug)]
-pub struct Manner {
+pub struct EndpointBehaviour {
     /// What a request takes.
     pub work: Duration,
     /// Each endpoint is slower by a share of up to this.
@@ -77,9 +77,9 @@
     pub drops: bool,
 }
 
-impl Default for Manner {
+impl Default for EndpointBehaviour {
     fn default() -> Self {
-        Manner {
+        EndpointBehaviour {
             work: Duration::from_millis(20),
             spread: 0.0,
             body: 64,
@@ -112,7 +112,7 @@
     function: Function,
     address: SocketAddr,
     auditor: Auditor,
-    manner: Mutex<Manner>,
+    manner: Mutex<EndpointBehaviour>,
     next: Mutex<VecDeque<Fault>>,
     rng: Mutex<Pcg64Mcg>,
     slowness: f64,
@@ -153,7 +153,7 @@
     /// called in.
     pub fn boot(
         function: &Function,
-        manner: Manner,
+        manner: EndpointBehaviour,
         boot: Duration,
         address: Option<SocketAddr>,
         auditor: Auditor,
@@ -209,7 +209,7 @@
         past(&mut self.0.phase.subscribe(), phase).await;
     }
     /// It behaves otherwise from now on.
-    pub fn behave(&self, manner: Manner) {
+    pub fn behave(&self, manner: EndpointBehaviour) {
         *lock(&self.0.manner) = manner;
     }
     /// What happens to the next request that it would run; after those that are waiting already.
@@ -351,7 +351,7 @@
         let echo = ("X-Attempt-Id", &*id);
         let away = |asked, why| self.auditor.arrived(&id, &self.id, &self.function.name, asked, Some(why));
         if message.header("x-expect-endpoint").is_some_and(|expected| expected != self.id) {
-            away(asked, Away::Misdirected);
+            away(asked, NotExecuted::Misdirected);
             let bytes = answer(421, &[echo, ("X-Endpoint-Id", &self.id)], b"", false);
             let _ = connection.write(&bytes).await;
             return Then::Keep;
@@ -359,7 +359,11 @@
         let left: Option<u64> = message.header("x-deadline-ms").and_then(|d| d.trim().parse().ok());
         let deadline = left.map(|ms| Instant::now() + Duration::from_millis(ms));
         let slot = self.slots.clone().try_acquire_owned();
-        let why = if left == Some(0) { Some(Away::Late) } else { slot.is_err().then_some(Away::Full) };
+        let why = if left == Some(0) {
+            Some(NotExecuted::Late)
+        } else {
+            slot.is_err().then_some(NotExecuted::Full)
+        };
         if let Some(why) = why {
             away(asked, why);
             let _ = connection.write(&answer(503, &[echo, not_run], b"", false)).await;
@@ -371,7 +375,7 @@
             manner.faults.iter().find(|(_, share)| rng.random::<f64>() < *share).map(|(fault, _)| *fault)
         });
         if fault == Some(Fault::Drop) {
-            away(asked, Away::Dropped);
+            away(asked, NotExecuted::Dropped);
             return Then::Reset;
         }
         let arrival = self.auditor.arrived(&id, &self.id, &self.function.name, asked, None);
@@ -413,7 +417,7 @@
             }
             _ => {}
         }
-        self.auditor.gave(&id, arrival, Gave { status, seal: seal.clone(), body: digest(body) });
+        self.auditor.gave(&id, arrival, EndpointAnswer { status, seal: seal.clone(), body: digest(body) });
         if connection.write(&bytes).await.is_err() || leaving {
             return Then::End;
         }
@@ -427,7 +431,13 @@
     }
 
     /// The work of a request, and its status.
-    async fn run(&self, id: &Arc<str>, repeat: bool, manner: &Manner, deadline: Option<Instant>) -> u16 {
+    async fn run(
+        &self,
+        id: &Arc<str>,
+        repeat: bool,
+        manner: &EndpointBehaviour,
+        deadline: Option<Instant>,
+    ) -> u16 {
         let work = async {
             let takes = manner.work.mul_f64(self.slowness);
             let calls = manner.nested.as_ref().filter(|n| lock(&self.rng).random::<f64>() < n.share);
@@ -474,7 +484,7 @@
         let fields = [("X-Attempt-Id", &*id), ("X-Deadline-Ms", ms.as_str())];
         let bytes = request(&nested.method, &nested.host, &nested.path, &fields, body, false);
         let Ok(answer) = exchange(nested.front, &bytes, left).await else { return false };
-        self.auditor.got(&id, Got::of(&answer));
+        self.auditor.got(&id, ClientAnswer::of(&answer));
         (200..300).contains(&answer.status())
     }
 }
--- a/standins/src/market/operator.rs
+++ b/standins/src/cluster/operator.rs
@@ -9,9 +9,9 @@
 use serde_json::Value;
 use tokio::time::sleep;
 
-use crate::market::auditor::Auditor;
-use crate::market::message::{exchange, request};
-use crate::market::settings::Configuration;
+use crate::cluster::auditor::Auditor;
+use crate::cluster::message::{exchange, request};
+use crate::cluster::settings::Configuration;
 use crate::wire::Message;
 
 /// One answer's wait; more for large bodies.
--- a/standins/src/market/platform.rs
+++ b/standins/src/cluster/platform.rs
@@ -17,11 +17,11 @@
 use tokio::runtime::Handle;
 use tokio::time::sleep;
 
-use crate::link::{Link, Weather};
-use crate::market::auditor::Auditor;
-use crate::market::function::{Endpoint, Manner, Phase};
-use crate::market::message::{Connection, answer};
-use crate::market::settings::{Configuration, Function};
+use crate::cluster::auditor::Auditor;
+use crate::cluster::function::{Endpoint, EndpointBehaviour, Phase};
+use crate::cluster::message::{Connection, answer};
+use crate::cluster::settings::{Configuration, Function};
+use crate::link::{Link, LinkConditions};
 use crate::scripted::lock;
 use crate::wire::Message;
 
@@ -130,7 +130,7 @@
 
 struct State {
     functions: BTreeMap<String, Function>,
-    manners: BTreeMap<String, Manner>,
+    manners: BTreeMap<String, EndpointBehaviour>,
     places: Vec<Place>,
     starts: Vec<Start>,
     nonces: HashMap<(String, String), usize>,
@@ -213,7 +213,7 @@
     }
 
     /// How a service's endpoints behave, those there are and those to come.
-    pub fn behave(&self, service: &str, manner: &Manner) {
+    pub fn behave(&self, service: &str, manner: &EndpointBehaviour) {
         let mut state = self.state();
         state.manners.insert(service.to_owned(), manner.clone());
         let of = state.starts.iter().filter(|s| s.endpoint.function().name == service);
@@ -221,7 +221,7 @@
     }
 
     /// Slow, silent or down, until it is told otherwise.
-    pub fn weather(&self, weather: Weather) {
+    pub fn weather(&self, weather: LinkConditions) {
         self.link.set(weather);
     }
 
--- a/standins/src/market/settings.rs
+++ b/standins/src/cluster/settings.rs
@@ -232,29 +232,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Carries the traffic of an edge machine.
-    Stall,
+    Proxy,
     /// Beside it.
-    Porter,
+    Agent,
     /// Control, on a core machine.
-    Bourse,
+    Controller,
 }
 
 impl Role {
     /// Its name in settings.
     pub fn name(self) -> &'static str {
         match self {
-            Role::Stall => "stall",
-            Role::Porter => "porter",
-            Role::Bourse => "bourse",
+            Role::Proxy => "stall",
+            Role::Agent => "porter",
+            Role::Controller => "bourse",
         }
     }
 
     /// Its program's name.
     pub fn program(self) -> &'static str {
         match self {
-            Role::Stall => "proxy",
-            Role::Porter => "agent",
-            Role::Bourse => "controller",
+            Role::Proxy => "proxy",
+            Role::Agent => "agent",
+            Role::Controller => "controller",
         }
     }
 }
@@ -270,8 +270,8 @@
     /// What runs on its machines.
     pub fn roles(self) -> &'static [Role] {
         match self {
-            Class::Edge => &[Role::Stall, Role::Porter],
-            Class::Core => &[Role::Bourse],
+            Class::Edge => &[Role::Proxy, Role::Agent],
+            Class::Core => &[Role::Controller],
         }
     }
 }
@@ -450,9 +450,9 @@
     pub fn settings(&self, machine: usize, role: Role, bootstrap: bool) -> Value {
         let m = &self.machines[machine];
         let (serves, bind) = match role {
-            Role::Stall => (json!(["edge"]), json!({"front": m.front(), "readiness": m.readiness()})),
-            Role::Porter => (json!([]), json!({})),
-            Role::Bourse => (json!(["control_plane"]), json!({"control": m.control()})),
+            Role::Proxy => (json!(["edge"]), json!({"front": m.front(), "readiness": m.readiness()})),
+            Role::Agent => (json!([]), json!({})),
+            Role::Controller => (json!(["control_plane"]), json!({"control": m.control()})),
         };
         let zones: serde_json::Map<String, Value> =
             self.shape.zones.iter().map(|z| (z.clone(), json!("lagos"))).collect();
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -6,10 +6,10 @@
 
 pub mod audit;
 pub mod client;
+pub mod cluster;
 pub mod discovery;
 pub mod fleet;
 pub mod link;
-pub mod market;
 pub mod node;
 pub mod partner;
 pub mod peers;
--- a/standins/src/link.rs
+++ b/standins/src/link.rs
@@ -14,7 +14,7 @@
 
 /// What the link does with what passes it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Weather {
+pub enum LinkConditions {
     /// All passes.
     #[default]
     Clear,
@@ -43,7 +43,7 @@
 pub struct Link {
     /// Where it listens.
     pub address: SocketAddr,
-    weather: Arc<watch::Sender<Weather>>,
+    weather: Arc<watch::Sender<LinkConditions>>,
     count: Arc<Count>,
 }
 
@@ -55,7 +55,7 @@
     pub async fn to(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
-        let (weather, seen) = watch::channel(Weather::Clear);
+        let (weather, seen) = watch::channel(LinkConditions::Clear);
         let count = Arc::new(Count::default());
         count.cut_out.store(u64::MAX, Ordering::Relaxed);
         count.cut_back.store(u64::MAX, Ordering::Relaxed);
@@ -74,7 +74,7 @@
     }
 
     /// Changes what it does from now on.
-    pub fn set(&self, weather: Weather) {
+    pub fn set(&self, weather: LinkConditions) {
         let _ = self.weather.send(weather);
     }
 
@@ -98,18 +98,18 @@
 async fn carry(
     near: TcpStream,
     target: SocketAddr,
-    mut seen: watch::Receiver<Weather>,
+    mut seen: watch::Receiver<LinkConditions>,
     count: Arc<Count>,
-    sender: Arc<watch::Sender<Weather>>,
+    sender: Arc<watch::Sender<LinkConditions>>,
 ) -> io::Result<()> {
     let reset = |stream: &TcpStream| {
         let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
     };
-    if *seen.borrow() == Weather::Cut {
+    if *seen.borrow() == LinkConditions::Cut {
         reset(&near);
         return Ok(());
     }
-    let _ = seen.wait_for(|w| *w != Weather::Hang).await;
+    let _ = seen.wait_for(|w| *w != LinkConditions::Hang).await;
     let far = TcpStream::connect(target).await?;
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     // For a cut: both ends are reset once the streams go.
@@ -124,7 +124,7 @@
         let both = async { tokio::try_join!(out, back) };
         let done = tokio::select! {
             done = both => done.is_ok(),
-            _ = seen.wait_for(|w| *w == Weather::Cut) => false,
+            _ = seen.wait_for(|w| *w == LinkConditions::Cut) => false,
         };
         let near = near_in.reunite(near_out).map_err(|_| io::ErrorKind::Other)?;
         let far = far_in.reunite(far_out).map_err(|_| io::ErrorKind::Other)?;
@@ -141,18 +141,18 @@
 async fn pass(
     from: &mut (impl tokio::io::AsyncRead + Unpin),
     to: &mut (impl tokio::io::AsyncWrite + Unpin),
-    mut seen: watch::Receiver<Weather>,
+    mut seen: watch::Receiver<LinkConditions>,
     count: &AtomicU64,
     cut: &AtomicU64,
-    sender: &watch::Sender<Weather>,
+    sender: &watch::Sender<LinkConditions>,
     back: bool,
 ) -> io::Result<()> {
     let mut buffer = vec![0; 16 * 1024];
     loop {
         let got = from.read(&mut buffer).await?;
-        let stopped = |w: &Weather| *w == Weather::Hang || back && *w == Weather::OneWay;
+        let stopped = |w: &LinkConditions| *w == LinkConditions::Hang || back && *w == LinkConditions::OneWay;
         let now = *seen.wait_for(|w| !stopped(w)).await.map_err(|_| io::ErrorKind::Other)?;
-        if let Weather::Delay(by) = now {
+        if let LinkConditions::Delay(by) = now {
             sleep(by).await;
         }
         if got == 0 {
@@ -164,7 +164,7 @@
             to.write_all(&buffer[..left as usize]).await?;
             to.flush().await?;
             cut.store(u64::MAX, Ordering::Relaxed);
-            let _ = sender.send(Weather::Cut);
+            let _ = sender.send(LinkConditions::Cut);
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         to.write_all(&buffer[..got]).await?;
--- a/standins/src/partner.rs
+++ b/standins/src/partner.rs
@@ -19,7 +19,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::audit::{Heard, Over, Recorder};
-use crate::link::{Link, Weather};
+use crate::link::{Link, LinkConditions};
 use crate::node::own_address;
 use crate::plan::{Fault, Partners as Shape, Plan, Target, What};
 use crate::scripted::lock;
@@ -223,9 +223,9 @@
             }
             Target::Link(dest) => {
                 let weather = match fault.what {
-                    What::Cut => Weather::Cut,
-                    What::Hang => Weather::Hang,
-                    _ => Weather::OneWay,
+                    What::Cut => LinkConditions::Cut,
+                    What::Hang => LinkConditions::Hang,
+                    _ => LinkConditions::OneWay,
                 };
                 self.links.get(&dest).into_iter().flatten().for_each(|link| link.set(weather));
             }
@@ -253,7 +253,7 @@
                     .for_each(|e| lock(&e.strikes).retain(|s| s.number != number));
             }
             Target::Link(dest) => {
-                self.links.get(&dest).into_iter().flatten().for_each(|link| link.set(Weather::Clear));
+                self.links.get(&dest).into_iter().flatten().for_each(|link| link.set(LinkConditions::Clear));
             }
             _ => {
                 for dest in self.world.of(fault.target) {
--- a/standins/tests/market.rs
+++ b/standins/tests/cluster.rs
@@ -4,17 +4,19 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use millpost_standins::link::Weather;
-use millpost_standins::market::auditor::{Asked, Auditor, Away, Gave, Got, Rule, digest};
-use millpost_standins::market::client::{Clients, Door, Order};
-use millpost_standins::market::fleet::{Fleet, Programs};
-use millpost_standins::market::function::{Endpoint, Fault, Manner, Nested, Phase};
-use millpost_standins::market::message::{Connection, exchange, request};
-use millpost_standins::market::operator::Operator;
-use millpost_standins::market::platform::{Platform, Shape};
-use millpost_standins::market::settings::{
+use millpost_standins::cluster::auditor::{
+    Asked, Auditor, ClientAnswer, EndpointAnswer, NotExecuted, Rule, digest,
+};
+use millpost_standins::cluster::client::{Clients, Door, Order};
+use millpost_standins::cluster::fleet::{Fleet, Programs};
+use millpost_standins::cluster::function::{Endpoint, EndpointBehaviour, Fault, Nested, Phase};
+use millpost_standins::cluster::message::{Connection, exchange, request};
+use millpost_standins::cluster::operator::Operator;
+use millpost_standins::cluster::platform::{Platform, Shape};
+use millpost_standins::cluster::settings::{
     self, Bounds, Class, Configuration, Deployment, Function, Kind, Role, Route,
 };
+use millpost_standins::link::LinkConditions;
 use millpost_standins::scripted::{PATIENCE, Reply, Server, answer};
 use millpost_standins::wire::Message;
 use serde_json::{Value, json};
@@ -117,7 +119,7 @@
     }
     assert_eq!(last, 429);
     // Silent, it does what it is told all the same.
-    p.weather(Weather::OneWay);
+    p.weather(LinkConditions::OneWay);
     let asked = json!({"service": "huvo11a", "worker": "w-1", "request_nonce": "x"}).to_string();
     let bytes = request("POST", "x", "/start", &[], asked.as_bytes(), false);
     assert!(exchange(p.address, &bytes, Duration::from_millis(200)).await.is_err());
@@ -142,7 +144,7 @@
 }
 
 /// An endpoint that is up.
-async fn endpoint(auditor: &Auditor, concurrency: usize, manner: Manner) -> Endpoint {
+async fn endpoint(auditor: &Auditor, concurrency: usize, manner: EndpointBehaviour) -> Endpoint {
     let function = Function::new("huvo11a", concurrency, 1);
     let endpoint = Endpoint::boot(&function, manner, Duration::ZERO, None, auditor.clone());
     endpoint.reaches(Phase::Up).await;
@@ -161,7 +163,12 @@
 #[tokio::test]
 async fn endpoint_turns_away_what_it_does_not_run() {
     let auditor = auditor();
-    let e = endpoint(&auditor, 1, Manner { work: Duration::from_millis(200), ..Manner::default() }).await;
+    let e = endpoint(
+        &auditor,
+        1,
+        EndpointBehaviour { work: Duration::from_millis(200), ..EndpointBehaviour::default() },
+    )
+    .await;
     let (first, second) = (asked(&auditor, "a1", "order", &[]), asked(&auditor, "a2", "order", &[]));
     let (one, other) = tokio::join!(exchange(e.address(), &first, PATIENCE), async {
         until("it works", async || e.running() == 1).await;
@@ -191,7 +198,7 @@
 #[tokio::test]
 async fn each_fault_of_an_endpoint() {
     let auditor = auditor();
-    let e = endpoint(&auditor, 4, Manner::default()).await;
+    let e = endpoint(&auditor, 4, EndpointBehaviour::default()).await;
     let runs = |id: &str| auditor.arrivals(id).iter().filter(|a| a.away.is_none()).count();
     for (id, fault, run) in [
         ("f1", Fault::Drop, 0),
@@ -224,7 +231,8 @@
 #[tokio::test]
 async fn a_run_calls_through_the_front_with_what_is_left_of_its_time() {
     let auditor = auditor();
-    let inner = endpoint(&auditor, 1, Manner { work: SECOND, ..Manner::default() }).await;
+    let inner =
+        endpoint(&auditor, 1, EndpointBehaviour { work: SECOND, ..EndpointBehaviour::default() }).await;
     let nested = Nested {
         front: inner.address(),
         method: "POST".into(),
@@ -232,10 +240,12 @@
         path: "/order/n".into(),
         share: 1.0,
     };
-    let outer = endpoint(&auditor, 1, Manner { nested: Some(nested), ..Manner::default() }).await;
+    let outer =
+        endpoint(&auditor, 1, EndpointBehaviour { nested: Some(nested), ..EndpointBehaviour::default() })
+            .await;
     let short = asked(&auditor, "o1", "order", &[("X-Deadline-Ms", "300")]);
     assert_eq!(exchange(outer.address(), &short, PATIENCE).await.map(|a| a.status()).ok(), Some(504));
-    inner.behave(Manner::default());
+    inner.behave(EndpointBehaviour::default());
     let long = asked(&auditor, "o2", "order", &[("X-Deadline-Ms", "3000")]);
     assert_eq!(exchange(outer.address(), &long, PATIENCE).await.map(|a| a.status()).ok(), Some(200));
     inner.strike(Fault::Fail);
@@ -258,16 +268,20 @@
     fn run(&self, id: &str, path: &str, service: &str) -> &Self {
         let id: Arc<str> = id.into();
         let arrival = self.0.arrived(&id, "i-1", service, Self::asked(path), None);
-        self.0.gave(&id, arrival, Gave { status: 200, seal: format!("seal {id} {arrival}"), body: 1 });
+        self.0.gave(
+            &id,
+            arrival,
+            EndpointAnswer { status: 200, seal: format!("seal {id} {arrival}"), body: 1 },
+        );
         self
     }
-    fn away(&self, id: &str, why: Away) -> &Self {
+    fn away(&self, id: &str, why: NotExecuted) -> &Self {
         self.0.arrived(&id.into(), "i-1", "huvo11a", Self::asked("/look/1"), Some(why));
         self
     }
     fn got(&self, id: &str, status: u16, seal: Option<&str>) -> &Self {
         let seal = seal.map(str::to_owned);
-        self.0.got(&id.into(), Got { status, seal, body: 1, ..Got::default() });
+        self.0.got(&id.into(), ClientAnswer { status, seal, body: 1, ..ClientAnswer::default() });
         self
     }
 }
@@ -288,7 +302,7 @@
         p.sent("a", look).run("a", look, "huvo11a").run("a", look, "huvo11a");
     });
     breach(None, &|p| {
-        p.sent("a", order).away("a", Away::Full).got("a", 503, None);
+        p.sent("a", order).away("a", NotExecuted::Full).got("a", 503, None);
     });
     breach(None, &|p| {
         p.sent("a", look).run("a", look, "huvo11a").got("a", 503, None);
@@ -319,7 +333,7 @@
     });
     let many = |p: &Plant, n: usize| {
         (0..n).for_each(|n| {
-            p.sent(&n.to_string(), look).away(&n.to_string(), Away::Full);
+            p.sent(&n.to_string(), look).away(&n.to_string(), NotExecuted::Full);
         })
     };
     breach(None, &|p| many(p, 10));
@@ -348,10 +362,15 @@
     breach(Some(Rule::Mixed), &|p| {
         p.sent("a", look).run("a", look, "huvo11a").got("a", 200, Some("seal b 0"));
     });
-    let odd = |change: &dyn Fn(&mut Got)| {
+    let odd = |change: &dyn Fn(&mut ClientAnswer)| {
         breach(Some(Rule::Mixed), &|p| {
             p.sent("a", look).run("a", look, "huvo11a");
-            let mut got = Got { status: 200, seal: Some("seal a 0".into()), body: 1, ..Got::default() };
+            let mut got = ClientAnswer {
+                status: 200,
+                seal: Some("seal a 0".into()),
+                body: 1,
+                ..ClientAnswer::default()
+            };
             change(&mut got);
             p.0.got(&"a".into(), got);
         });
@@ -366,7 +385,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn clients_try_again_as_they_may() {
     let auditor = auditor();
-    let e = endpoint(&auditor, 32, Manner::default()).await;
+    let e = endpoint(&auditor, 32, EndpointBehaviour::default()).await;
     let ready = Server::start(|_, _| answer("200 OK"));
     let clients = Clients::new(auditor.clone(), vec![Door::new(e.address(), ready.address, "ikeja")]);
     let configuration = Configuration::small(1);
@@ -420,7 +439,7 @@
 fn processes_of_a_fleet_are_told_signalled_and_ended() {
     let shape = settings::Shape::small("127.0.0.1:1".parse().expect("an address"));
     let deployment = Deployment::new(shape).expect("a deployment");
-    let told = deployment.settings(deployment.of(Class::Core)[0], Role::Bourse, true);
+    let told = deployment.settings(deployment.of(Class::Core)[0], Role::Controller, true);
     assert_eq!(told["seed_nodes"].as_array().map(Vec::len), Some(3));
     assert_eq!((&told["bootstrap"], &told["serves"]), (&json!(true), &json!(["control_plane"])));
     // Any program will do that stays: it puts out what it is told, then waits.
@@ -428,11 +447,11 @@
     std::fs::write(&program, "#!/bin/sh\ncat \"$DEWJUNCTION_CONFIG\"; exec sleep 600\n").expect("written");
     let mode = std::os::unix::fs::PermissionsExt::from_mode(0o755);
     std::fs::set_permissions(&program, mode).expect("a mode");
-    let programs = Programs { stall: program.clone(), porter: program.clone(), bourse: program };
+    let programs = Programs { proxy: program.clone(), agent: program.clone(), controller: program };
     let mut fleet = Fleet::start(deployment, &programs).expect("a fleet");
     assert_eq!(fleet.processes.len(), 9);
     let pids: Vec<u32> = fleet.processes.iter().filter_map(|p| p.pid()).collect();
-    let first = fleet.nth(Role::Bourse, 0);
+    let first = fleet.nth(Role::Controller, 0);
     first.freeze();
     first.thaw();
     assert!(first.runs());
@@ -441,12 +460,12 @@
     let machine = first.machine;
     fleet.wipe(machine).expect("wiped");
     fleet.restart_machine(machine).expect("started");
-    let stall = fleet.nth(Role::Stall, 1);
+    let stall = fleet.nth(Role::Proxy, 1);
     millpost_standins::scripted::until("it has read", || stall.said().contains("\"front\"").then_some(()));
     stall.terminate();
     millpost_standins::scripted::until("it ends", || stall.ended());
     assert_eq!(fleet.ended().len(), 1);
-    let bourse = fleet.nth(Role::Bourse, 0);
+    let bourse = fleet.nth(Role::Controller, 0);
     millpost_standins::scripted::until("both lives have said", || {
         (bourse.said().contains("\"bootstrap\": true") && bourse.said().contains("\"bootstrap\": false"))
             .then_some(())
--- a/standins/tests/standins.rs
+++ b/standins/tests/standins.rs
@@ -7,7 +7,7 @@
 use millpost_standins::audit::{Heard, Recorder};
 use millpost_standins::client::Clients;
 use millpost_standins::discovery::Discovery;
-use millpost_standins::link::{Link, Weather};
+use millpost_standins::link::{Link, LinkConditions};
 use millpost_standins::partner::Partners;
 use millpost_standins::peers::{LONGEST, Relay};
 use millpost_standins::plan::{Fault, Plan, Target, What};
@@ -173,7 +173,7 @@
         link.cut_after_out(at);
         assert!(call(&mut connect()).is_err(), "cut after {at} bytes");
         assert_eq!(partner.count(), before, "a part is no request");
-        link.set(Weather::Clear);
+        link.set(LinkConditions::Clear);
     }
     for at in [0, 1, back - 1] {
         let before = partner.count();
@@ -181,20 +181,20 @@
         let told = call(&mut connect());
         assert!(told.as_ref().map_or(true, |t| t.len() < whole.len()), "cut after {at} bytes back: {told:?}");
         assert_eq!(partner.count(), before + 1, "it came there all the same");
-        link.set(Weather::Clear);
+        link.set(LinkConditions::Clear);
     }
-    for weather in [Weather::Hang, Weather::OneWay] {
+    for weather in [LinkConditions::Hang, LinkConditions::OneWay] {
         let (mut stream, before) = (connect(), partner.count());
         call(&mut stream).expect("an answer");
         link.set(weather);
         assert_eq!(call(&mut stream), Ok(String::new()), "{weather:?}");
         let came = partner.count() - before;
-        assert_eq!(came, if weather == Weather::Hang { 1 } else { 2 });
-        link.set(Weather::Clear);
+        assert_eq!(came, if weather == LinkConditions::Hang { 1 } else { 2 });
+        link.set(LinkConditions::Clear);
         // What hung goes on its way.
         until("it comes", || (partner.count() == before + 2).then_some(()));
     }
-    link.set(Weather::Cut);
+    link.set(LinkConditions::Cut);
     assert!(call(&mut connect()).is_err());
 }
 
