--- a/porter/src/lib.rs
+++ b/agent/src/lib.rs
@@ -1,13 +1,13 @@
 //! What a porter decides, as a state machine without I/O and clock: [`Round`] takes inputs with their times and returns what is to be
-//! opened, closed, sent and answered. The program `porter` carries it out.
+//! opened, closed, sent and answered. The program `agent` carries it out.
 
 pub mod follow;
 pub mod newest;
+pub mod recording;
 pub mod round;
-pub mod tape;
 
+pub use recording::Recorded;
 pub use round::{Effect, Input, Round, Terms};
-pub use tape::Taped;
 
 /// Nanoseconds of the process's life.
 pub type Nanos = u64;
--- a/bourse/src/core/carts.rs
+++ b/controller/src/core/carts.rs
@@ -3,13 +3,13 @@
 //! when nothing old can come to stand any more, and not at all otherwise.
 
 use hyper::StatusCode;
-use millpost_barrow::mail::{Call, Reply};
-use millpost_carter::{
-    Carter, Effect, Function, Input, Kind as Said, Moment, Order, Standing, Stands, Terms, Turned,
+use millpost_config::At;
+use millpost_migration::{
+    Effect, Function, Input, Kind as Said, Migrator, Moment, Order, OrderFailure, Standing, Stands, Terms,
 };
-use millpost_crier::{object, text};
-use millpost_tally::{Key, Kind as RoundKind, Outcome, Value, Why};
-use millpost_tariff::At;
+use millpost_net::messaging::{Call, Reply};
+use millpost_protocol::{object, text};
+use millpost_quorum::{Key, Kind as RoundKind, Outcome, Value, Why};
 use percent_encoding::percent_decode_str;
 
 use super::{Core, api};
@@ -24,7 +24,7 @@
 
 /// The carter, and when it was told last.
 pub(super) struct Carts {
-    carter: Carter,
+    carter: Migrator,
     /// The time of day, in milliseconds, when the clock was at 0.
     day: u64,
     seen_at: Nanos,
@@ -33,7 +33,7 @@
 impl Carts {
     pub fn new(day: u64, contact: Nanos, duty_per_s: f64) -> Self {
         let terms = Terms { contact, duty_per_s, warms: true };
-        Carts { carter: Carter::new(terms), day, seen_at: 0 }
+        Carts { carter: Migrator::new(terms), day, seen_at: 0 }
     }
 
     fn at(&self, now: Nanos) -> Moment {
@@ -47,12 +47,12 @@
     Order::read(&At::root(&json)).map_err(|e| Kind::Invalid(e.to_string()))
 }
 
-fn refused(turned: Turned) -> Kind {
+fn refused(turned: OrderFailure) -> Kind {
     match turned {
-        Turned::NotHolder => Kind::NotLeader,
-        Turned::Busy => Kind::Busy,
-        Turned::Unclear => Kind::Unclear,
-        Turned::Unreadable => Kind::Unreadable,
+        OrderFailure::NotHolder => Kind::NotLeader,
+        OrderFailure::Busy => Kind::Busy,
+        OrderFailure::Unclear => Kind::Unclear,
+        OrderFailure::Unreadable => Kind::Unreadable,
     }
 }
 
@@ -111,7 +111,7 @@
                     self.round(now, RoundKind::Offer { version, content, over }, Key::Moves, For::Moves(ask));
                 }
                 Effect::ReadConfig => self.chosen_for_moves(now),
-                Effect::Turned(id, why) => self.answer(id, Err(refused(why))),
+                Effect::OrderFailure(id, why) => self.answer(id, Err(refused(why))),
                 Effect::Out(out) => match out.is() {
                     Said::Put { name, number, over, text } => {
                         log::info!("move {name}: configuration {number} is put over {over:?}");
@@ -127,11 +127,11 @@
                     }
                     Said::Answer(answer) => {
                         let reply = match &answer.said {
-                            millpost_carter::Said::Stands(step) => {
+                            millpost_migration::Said::Stands(step) => {
                                 let body = object([("step", text(step))]).stringify().unwrap_or_default();
                                 Ok(Reply::json(StatusCode::OK, body))
                             }
-                            millpost_carter::Said::Refused(all) => {
+                            millpost_migration::Said::Refused(all) => {
                                 Err(Kind::Refused(all.iter().map(ToString::to_string).collect()))
                             }
                         };
@@ -181,6 +181,6 @@
             return Err(Kind::NotLeader);
         }
         let told = self.carts.carter.tell(self.carts.at(now), name.as_deref()).ok_or(Kind::Unclear)?;
-        Ok(Reply::json(StatusCode::OK, millpost_tariff::values::write(&told)))
+        Ok(Reply::json(StatusCode::OK, millpost_config::values::write(&told)))
     }
 }
--- a/bourse/src/runtime.rs
+++ b/controller/src/runtime.rs
@@ -10,15 +10,15 @@
 use bytes::Bytes;
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
 use hyper::{Method, StatusCode};
-use millpost_barrow::figures;
-use millpost_barrow::lines::Lines;
-use millpost_barrow::link::Client;
-use millpost_barrow::mail::{self, Call, Limits, OPTIONS, Reply};
-use millpost_crier::frame::Head;
-use millpost_crier::{object, text};
-use millpost_pitches::Sink;
-use millpost_tally::{Address, Members, Message};
-use millpost_tariff::Settings;
+use millpost_autoscaler::Sink;
+use millpost_config::Settings;
+use millpost_net::lines::Lines;
+use millpost_net::link::Client;
+use millpost_net::messaging::{self, Call, Limits, OPTIONS, Reply};
+use millpost_net::metrics;
+use millpost_protocol::frame::Head;
+use millpost_protocol::{object, text};
+use millpost_quorum::{Address, Members, Message};
 use snafu::{OptionExt, ResultExt};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
@@ -30,8 +30,8 @@
 use crate::contact::Answered;
 use crate::core::{Back, Core, Effect, Input, Start, seeds};
 use crate::errors::{Error, Kind, ListenSnafu, NeededSnafu, SignalsSnafu};
-use crate::feed::Seat;
-use crate::leadership::Errand;
+use crate::feed::ConnectionId;
+use crate::leadership::PlatformCall;
 use crate::platform::Platform;
 use crate::voter_thread::{self, Said, VoterThread};
 use crate::{MS, Nanos};
@@ -62,7 +62,7 @@
     /// Whoever waits for an answer.
     calls: BTreeMap<u64, oneshot::Sender<Reply>>,
     last_call: u64,
-    seats: BTreeMap<Seat, mpsc::Sender<Bytes>>,
+    seats: BTreeMap<ConnectionId, mpsc::Sender<Bytes>>,
     /// The platform, as it is called under the fence.
     platform: Option<(u64, Arc<Platform>)>,
     reload_at: Nanos,
@@ -100,9 +100,9 @@
         }
     };
     if let Some(port) = metrics {
-        figures::serve_at(SocketAddr::new(settings.ip, port), handler.clone()).await;
+        metrics::serve_at(SocketAddr::new(settings.ip, port), handler.clone()).await;
     }
-    let server = tokio::spawn(mail::serve(listener, limits, handler, std::future::pending()));
+    let server = tokio::spawn(messaging::serve(listener, limits, handler, std::future::pending()));
 
     let clock = Instant::now();
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
@@ -221,7 +221,7 @@
         }
     }
 
-    fn left(&mut self, seat: Seat) {
+    fn left(&mut self, seat: ConnectionId) {
         self.seats.remove(&seat);
         let now = self.now();
         self.core.input(now, Input::Left(seat));
@@ -233,7 +233,7 @@
                 Effect::Vote(to, message, back) => self.vote(to, message, back),
                 Effect::Ask(call, from, message) => self.ask(call, from, message),
                 Effect::Answer(call, reply) => self.answer(call, reply),
-                Effect::Seat(call, seat, line) => {
+                Effect::OpenFeed(call, seat, line) => {
                     let (lines, pieces) = mpsc::channel(WAITING);
                     let _ = lines.try_send(line);
                     self.seats.insert(seat, lines);
@@ -251,7 +251,7 @@
                 Effect::News(to, body) => self.news(&to, body),
                 Effect::Peek(number) => self.peek(number),
                 Effect::Fetch(number, from) => self.fetch(number, &from),
-                Effect::Errand(errand) => self.errand(errand),
+                Effect::PlatformCall(errand) => self.errand(errand),
             }
         }
     }
@@ -304,7 +304,7 @@
                 .await;
             match answer {
                 Ok((StatusCode::OK, _, body)) => {
-                    if let Some(answer) = mail::json(&body).and_then(|json| Message::read(&json).ok()) {
+                    if let Some(answer) = messaging::json(&body).and_then(|json| Message::read(&json).ok()) {
                         hand_back(to, answer);
                     }
                 }
@@ -373,7 +373,7 @@
         });
     }
 
-    fn errand(&mut self, errand: Errand) {
+    fn errand(&mut self, errand: PlatformCall) {
         let (fence, asked) = (errand.fence, errand.asked);
         let Some(api) = &self.settings.platform_api else { return };
         let platform = match &self.platform {
--- a/bourse/tests/town/mod.rs
+++ b/controller/tests/town/mod.rs
@@ -7,12 +7,12 @@
 use compact_str::CompactString;
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode};
-use millpost_barrow::mail::{Call, Content, Reply, json};
-use millpost_bourse::contact::Answered;
-use millpost_bourse::core::{Back, Bounds, Core, Effect, Input, Start};
-use millpost_bourse::leadership::{self, Errand, Heard};
-use millpost_pitches::{Entry, Worker};
-use millpost_tally::{Address, Key, Members, Message, Voter, Write};
+use millpost_autoscaler::{Entry, Worker};
+use millpost_controller::contact::Answered;
+use millpost_controller::core::{Back, Bounds, Core, Effect, Input, Start};
+use millpost_controller::leadership::{self, Heard, PlatformCall};
+use millpost_net::messaging::{Call, Content, Reply, json};
+use millpost_quorum::{Address, Key, Members, Message, Voter, Write};
 use tinyjson::JsonValue;
 
 pub const MS: u64 = 1_000_000;
@@ -22,7 +22,7 @@
     Input(Input),
     /// For the voter here; its answer goes to that machine, or is that call's.
     Vote(Address, Message, Result<(usize, Back), u64>),
-    Begin(Errand),
+    Begin(PlatformCall),
 }
 
 struct Machine {
@@ -57,7 +57,7 @@
     /// Fetches by machine.
     pub fetches: Vec<usize>,
     /// Calls to the platform that went out, and those that were kept back: when, and by whom.
-    pub went: Vec<(u64, usize, Errand)>,
+    pub went: Vec<(u64, usize, PlatformCall)>,
     pub kept_back: Vec<(u64, usize)>,
     /// Memory that a worker has, and another half of; with none nothing starts.
     pub workers: u64,
@@ -371,7 +371,7 @@
     fn tick(&mut self, n: usize) {
         let machine = &mut self.machines[n];
         let standing =
-            (machine.voter.state() == millpost_tally::State::Voting, machine.voter.members().cloned());
+            (machine.voter.state() == millpost_quorum::State::Voting, machine.voter.members().cloned());
         if machine.told.as_ref() != Some(&standing) {
             machine.told = Some(standing.clone());
             machine.core.input(self.now, Input::Standing(standing.0, standing.1));
@@ -415,8 +415,8 @@
                         self.fetchers.insert(id, (n, number));
                     }
                 }
-                Effect::Errand(errand) => self.push(self.now + WAY, n, Event::Begin(errand)),
-                Effect::Seat(id, seat, line) => {
+                Effect::PlatformCall(errand) => self.push(self.now + WAY, n, Event::Begin(errand)),
+                Effect::OpenFeed(id, seat, line) => {
                     self.seats.insert(id, (n, seat));
                     self.lines.push((n, seat, line));
                 }
--- a/dispatcher/src/driver.rs
+++ b/dispatcher/src/driver.rs
@@ -10,10 +10,10 @@
 use millpost::Lesson;
 use millpost::api::{Event, Nanos, Outcome, Settings, State, Weights};
 use millpost_audit::entry::Author;
-use millpost_barrow::meter::{Part, within};
-use millpost_barrow::room::Room;
 use millpost_core::{Core, Count, Effect, Ended, Handed, LAYOUT, Moment, Moved, ReplyId, Verdict};
 use millpost_handover::{Does, Frame, Giver, Heard, Moving};
+use millpost_net::connection_limiter::ConnectionLimiter;
+use millpost_net::meter::{Part, within};
 use millpost_settings::{Classes, Shape};
 use millpost_store::ledger::Found;
 use millpost_store::{Disk, Ledger, Seq};
@@ -104,7 +104,7 @@
     heir: Option<Heir>,
     opening: Opening,
     station: Station,
-    room: Arc<Room>,
+    room: Arc<ConnectionLimiter>,
 }
 
 /// Where an answer goes.
@@ -195,7 +195,7 @@
     pub taken: Option<Taken>,
     pub opening: Opening,
     pub station: Station,
-    pub room: Arc<Room>,
+    pub room: Arc<ConnectionLimiter>,
 }
 
 /// What all dispatchers know an endpoint by.
@@ -675,7 +675,7 @@
         }
     }
 
-    fn ended(&mut self, at: Moment, call: u64, ended: Ended, link: Option<millpost_barrow::link::Link>) {
+    fn ended(&mut self, at: Moment, call: u64, ended: Ended, link: Option<millpost_net::link::Link>) {
         self.calls.over(call, &ended.fate, link, |endpoint| self.roster.ready(endpoint));
         within(Part::Module, || self.core.ended(at, call, ended));
     }
--- a/fair/src/lib.rs
+++ b/e2e/src/lib.rs
@@ -1,5 +1,5 @@
 //! The whole system on loopback: the platform and its workers, the functions, the operator and the clients are
-//! stand-ins; `stall`, `porter` and `bourse` are the real programs, each a process with the address of its machine.
+//! stand-ins; `proxy`, `agent` and `controller` are the real programs, each a process with the address of its machine.
 //!
 //! What is played is a library: `loans` and `holds` may run once for each try, `searches` may be repeated; a loan can be
 //! made to search through the system before it answers.
@@ -15,14 +15,14 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use millpost_standins::market::auditor::Auditor;
-use millpost_standins::market::client::{Clients, Door, Order, Outcome};
-use millpost_standins::market::fleet::Fleet;
-use millpost_standins::market::function::{Manner, Nested};
-use millpost_standins::market::message::{exchange, request};
-use millpost_standins::market::operator::Operator;
-use millpost_standins::market::platform::{self, Platform};
-use millpost_standins::market::settings::{
+use millpost_standins::cluster::auditor::Auditor;
+use millpost_standins::cluster::client::{Clients, Door, Order, Outcome};
+use millpost_standins::cluster::fleet::Fleet;
+use millpost_standins::cluster::function::{EndpointBehaviour, Nested};
+use millpost_standins::cluster::message::{exchange, request};
+use millpost_standins::cluster::operator::Operator;
+use millpost_standins::cluster::platform::{self, Platform};
+use millpost_standins::cluster::settings::{
     self, Bounds, Class, Configuration, Deployment, Function, Kind, Limits, Machine, Route,
 };
 use serde_json::Value;
@@ -77,7 +77,7 @@
 
 /// The steward, as control tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Steward {
+pub struct LeaderInfo {
     /// The number of its machine.
     pub machine: usize,
     /// Its fence.
@@ -85,7 +85,7 @@
 }
 
 /// The system and all round it. The processes end with it.
-pub struct Fair {
+pub struct TestCluster {
     /// What everybody notes.
     pub auditor: Auditor,
     /// The platform, with two workers in each zone.
@@ -98,7 +98,7 @@
     pub operator: Operator,
 }
 
-impl Fair {
+impl TestCluster {
     /// Starts everything, with nothing configured yet.
     ///
     /// # Panics
@@ -126,7 +126,7 @@
         let operator = Operator::new(deployment.controls(), auditor.clone());
         let fleet = Fleet::start(deployment, &programs).expect("processes");
         tokio::spawn(clients.clone().watch());
-        Fair { auditor, platform, fleet, clients, operator }
+        TestCluster { auditor, platform, fleet, clients, operator }
     }
 
     /// The same, with the library's configuration in force on all edge machines.
@@ -172,13 +172,13 @@
     ///
     /// # Panics
     /// Where none does in time.
-    pub async fn steward(&self, above: u64) -> Steward {
+    pub async fn steward(&self, above: u64) -> LeaderInfo {
         until("a steward", async || {
             for machine in self.fleet.deployment.of(Class::Core) {
                 let Some(status) = self.status(machine).await else { continue };
                 let fence = status["fence"].as_u64().unwrap_or(0);
                 if status["is_steward"] == true && fence > above {
-                    return Some(Steward { machine, fence });
+                    return Some(LeaderInfo { machine, fence });
                 }
             }
             None
@@ -259,7 +259,8 @@
         let (search, front) = (order("searches"), self.edge(edge).front());
         let nested =
             Nested { front, method: search.method, host: search.host, path: search.path, share: 1.0 };
-        self.platform.behave("loan-desk", &Manner { nested: Some(nested), ..Manner::default() });
+        self.platform
+            .behave("loan-desk", &EndpointBehaviour { nested: Some(nested), ..EndpointBehaviour::default() });
     }
 
     /// Every process is told to end, and has ended; how.
--- a/fair/src/soak.rs
+++ b/e2e/src/soak.rs
@@ -12,17 +12,17 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use millpost_standins::link::Weather;
-use millpost_standins::market::auditor::{Broken, Verdict as Audit};
-use millpost_standins::market::client::Order;
-use millpost_standins::market::function::Manner;
-use millpost_standins::market::operator::Operator;
-use millpost_standins::market::settings::{Bounds, Class, Configuration, Function, Kind, Role, Route};
+use millpost_standins::cluster::auditor::{Broken, Verdict as Audit};
+use millpost_standins::cluster::client::Order;
+use millpost_standins::cluster::function::EndpointBehaviour;
+use millpost_standins::cluster::operator::Operator;
+use millpost_standins::cluster::settings::{Bounds, Class, Configuration, Function, Kind, Role, Route};
+use millpost_standins::link::LinkConditions;
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
-use crate::{Fair, PATIENCE, library};
+use crate::{PATIENCE, TestCluster, library};
 use judge::{Seen, Terms, Verdict};
 use kept::Kept;
 use schedule::{Act, Due, Part, Size};
@@ -112,13 +112,13 @@
 
 /// Plays a soak to its end. Logs of all processes are left in `keep`, where a rule broke.
 pub async fn soak(setup: Setup, keep: Option<&Path>) -> Report {
-    let mut fair = Fair::open_with(Bounds::default(), setup.edges).await;
+    let mut fair = TestCluster::open_with(Bounds::default(), setup.edges).await;
     let every = configuration(1, true);
     fair.platform.knows(&every);
     for service in &every.services {
         let busy = library(0).services.iter().any(|function| function.name == service.name);
         let work = Duration::from_millis(if busy { 250 } else { 60 });
-        let manner = Manner { work, spread: 0.5, ..Manner::default() };
+        let manner = EndpointBehaviour { work, spread: 0.5, ..EndpointBehaviour::default() };
         fair.platform.behave(&service.name, &manner);
     }
     fair.put(&every).await;
@@ -148,7 +148,7 @@
     report
 }
 
-fn keep_logs(fair: &Fair, to: &Path) {
+fn keep_logs(fair: &TestCluster, to: &Path) {
     if std::fs::create_dir_all(to).is_err() {
         return;
     }
@@ -177,7 +177,7 @@
 }
 
 impl Run {
-    fn begin(fair: &Fair, setup: Setup) -> Self {
+    fn begin(fair: &TestCluster, setup: Setup) -> Self {
         let deployment = &fair.fleet.deployment;
         let (edges, cores) = (deployment.of(Class::Edge).len(), deployment.of(Class::Core).len());
         let size = Size { edges, cores, workers: 2 * deployment.shape.zones.len() };
@@ -203,7 +203,7 @@
         }
     }
 
-    async fn play(&mut self, fair: &mut Fair) {
+    async fn play(&mut self, fair: &mut TestCluster) {
         let began = Instant::now();
         let mut due = self.schedule.clone().into_iter().peekable();
         while began.elapsed() < self.setup.lasts {
@@ -217,7 +217,7 @@
     }
 
     /// Starts again what has ended, wakes what was frozen, lets workers back.
-    fn look_after(&mut self, fair: &mut Fair) {
+    fn look_after(&mut self, fair: &mut TestCluster) {
         let now = Instant::now();
         for at in 0..fair.fleet.processes.len() {
             let process = &mut fair.fleet.processes[at];
@@ -241,7 +241,7 @@
             fair.fleet.processes[at].thaw();
         }
         if self.platform_back.take_if(|at| *at <= now).is_some() {
-            fair.platform.weather(Weather::Clear);
+            fair.platform.weather(LinkConditions::Clear);
         }
         for (_, worker) in self.workers_back.extract_if(.., |(at, _)| *at <= now) {
             fair.platform.worker_is_back(&worker);
@@ -249,14 +249,14 @@
         self.report.memory_mb = self.report.memory_mb.max(memory_mb(fair));
     }
 
-    fn act(&mut self, fair: &mut Fair, act: Act) {
+    fn act(&mut self, fair: &mut TestCluster, act: Act) {
         let edge = |n: usize| fair.fleet.deployment.of(Class::Edge)[n];
         match act {
             Act::EndEdge(n) => {
                 let machine = edge(n);
                 fair.fleet.on(machine).for_each(|process| process.terminate());
             }
-            Act::EndCore(n) => fair.fleet.nth(Role::Bourse, n).terminate(),
+            Act::EndCore(n) => fair.fleet.nth(Role::Controller, n).terminate(),
             Act::HangUpEdge(n) => {
                 let machine = edge(n);
                 fair.fleet.on(machine).for_each(|process| process.hang_up());
@@ -272,7 +272,7 @@
                 self.workers_back.push((Instant::now() + WORKER_BACK, worker));
             }
             Act::Platform(lasts) => {
-                fair.platform.weather(Weather::Hang);
+                fair.platform.weather(LinkConditions::Hang);
                 self.platform_back = Some(Instant::now() + lasts);
             }
             Act::Kill(n, part) => {
@@ -289,14 +289,14 @@
     }
 
     /// Unplanned trouble at an edge machine.
-    fn strikes(&mut self, fair: &Fair, edge: usize, lasts: Duration) {
+    fn strikes(&mut self, fair: &TestCluster, edge: usize, lasts: Duration) {
         let now = fair.auditor.now();
         self.trouble.push((edge, now..now + lasts));
         fair.auditor.trouble(now..now + lasts);
     }
 
     /// All rules, over all that was seen.
-    async fn judge(mut self, fair: &Fair, seen: &[Seen]) -> Report {
+    async fn judge(mut self, fair: &TestCluster, seen: &[Seen]) -> Report {
         let bounds = fair.auditor.bounds();
         let contact = Duration::from_millis(bounds.contact_ms);
         let slack = Duration::from_millis(bounds.loss_slack_ms);
@@ -324,8 +324,8 @@
 
 fn role(part: Part) -> Role {
     match part {
-        Part::Proxy => Role::Stall,
-        Part::Agent => Role::Porter,
+        Part::Proxy => Role::Proxy,
+        Part::Agent => Role::Agent,
     }
 }
 
@@ -345,7 +345,7 @@
 }
 
 /// What all processes take now.
-fn memory_mb(fair: &Fair) -> u64 {
+fn memory_mb(fair: &TestCluster) -> u64 {
     let of = |pid: u32| -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
         let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
--- a/almanac/src/command/play.rs
+++ b/replay/src/command/play.rs
@@ -1,18 +1,18 @@
-//! `almanac play`: a recording played twice, counted by second, watched, and compared with what was decided on the day.
+//! `replay play`: a recording played twice, counted by second, watched, and compared with what was decided on the day.
 
 use std::io::{BufWriter, Write};
 use std::path::PathBuf;
 
-use millpost_almanac::check::{Check, Rule};
-use millpost_almanac::feeds::Feeds;
-use millpost_almanac::lines::{Entry, Lines, Read, Which};
-use millpost_almanac::play::{Event, How, Played, play_so};
-use millpost_almanac::table::{Rounds, Table};
-use millpost_almanac::until::Until;
-use millpost_almanac::{Error, outs, rows};
-use millpost_broker::tape::Input;
-use millpost_broker::{MS, SECOND};
-use millpost_crier::line::{Line, part};
+use millpost_protocol::line::{Line, part};
+use millpost_replay::check::{Check, Rule};
+use millpost_replay::feeds::Feeds;
+use millpost_replay::lines::{Entry, Lines, Read, Which};
+use millpost_replay::play::{Event, How, Played, play_so};
+use millpost_replay::table::{Rounds, Table};
+use millpost_replay::until::Until;
+use millpost_replay::{Error, outs, rows};
+use millpost_scheduler::recording::Input;
+use millpost_scheduler::{MS, SECOND};
 
 use super::step::Steps;
 use super::{output, progress};
@@ -56,7 +56,7 @@
 
 /// What of one life is counted.
 enum Counts {
-    Desk(Table, Box<Check>),
+    Coordinator(Table, Box<Check>),
     Scaler(Rounds),
     Round(Box<Feeds>),
 }
@@ -64,7 +64,7 @@
 impl Counts {
     fn of(entry: &Entry, service: Option<&str>) -> Self {
         match entry {
-            Entry::Desk(_) => Counts::Desk(Table::new(service), Box::default()),
+            Entry::Coordinator(_) => Counts::Coordinator(Table::new(service), Box::default()),
             Entry::Scaler(_) => Counts::Scaler(Rounds::new(service)),
             Entry::Round(_) => Counts::Round(Box::default()),
         }
@@ -72,7 +72,7 @@
 
     fn see(&mut self, event: &Event<'_>) {
         match (self, event) {
-            (Counts::Desk(table, check), Event::Desk(step)) => {
+            (Counts::Coordinator(table, check), Event::Coordinator(step)) => {
                 table.see(step);
                 check.see(step);
             }
@@ -85,10 +85,10 @@
     /// How often a rule was broken so far.
     fn broken(&self) -> usize {
         match self {
-            Counts::Desk(_, check) => Rule::ALL.iter().map(|rule| check.count(*rule)).sum(),
+            Counts::Coordinator(_, check) => Rule::ALL.iter().map(|rule| check.count(*rule)).sum(),
             Counts::Scaler(_) => 0,
             Counts::Round(feeds) => {
-                millpost_almanac::feeds::Must::ALL.iter().map(|must| feeds.count(*must)).sum()
+                millpost_replay::feeds::Must::ALL.iter().map(|must| feeds.count(*must)).sum()
             }
         }
     }
@@ -96,13 +96,13 @@
 
 fn heading(life: usize, read: &Read) -> String {
     let who = match &read.entry {
-        Entry::Desk(entry) => match &entry.input {
+        Entry::Coordinator(entry) => match &entry.input {
             Input::New { me, .. } => format!("the desk of {} in {}", me.name, me.zone),
             _ => String::new(),
         },
         Entry::Scaler(_) => "a scaler".to_owned(),
         Entry::Round(entry) => match &entry.input {
-            millpost_porter::Input::New(terms) => format!("the porter of {}", terms.name),
+            millpost_agent::Input::New(terms) => format!("the porter of {}", terms.name),
             _ => String::new(),
         },
     };
@@ -146,7 +146,7 @@
             }
             let node = match &event {
                 Event::Begins { .. } => return Ok(()),
-                Event::Desk(step) => step.node,
+                Event::Coordinator(step) => step.node,
                 Event::Scaler(turn) => turn.node,
                 Event::Round(pass) => pass.node,
             };
@@ -193,7 +193,7 @@
     fn print(&self, event: &Event<'_>, out: &mut impl Write) -> Result<(), Error> {
         let all: Vec<String> = match event {
             Event::Begins { .. } => Vec::new(),
-            Event::Desk(s) => {
+            Event::Coordinator(s) => {
                 s.outs.iter().map(|one| outs::desk(s.at, s.line, s.life, one, s.numbers)).collect()
             }
             Event::Scaler(t) => t.outs.iter().map(|one| outs::scaler(t.at, t.line, t.life, one)).collect(),
@@ -219,7 +219,9 @@
             let all = match of.counts {
                 Counts::Scaler(rounds) => rows::scaler(life, rounds),
                 Counts::Round(feeds) => [rows::round(life, &feeds), rows::musts(life, &feeds)].concat(),
-                Counts::Desk(table, check) => [rows::desk(life, table), rows::rules(life, &check)].concat(),
+                Counts::Coordinator(table, check) => {
+                    [rows::desk(life, table), rows::rules(life, &check)].concat()
+                }
             };
             all.iter().try_for_each(|line| put(line))?;
             return Ok(good);
@@ -227,7 +229,7 @@
         let text = match of.counts {
             Counts::Scaler(rounds) => rounds.text(),
             Counts::Round(feeds) => feeds.text().0,
-            Counts::Desk(table, check) => {
+            Counts::Coordinator(table, check) => {
                 let mut text = table.text();
                 judged(&check, &mut text);
                 text
--- a/almanac/src/until.rs
+++ b/replay/src/until.rs
@@ -2,8 +2,8 @@
 
 use std::str::FromStr;
 
-use millpost_broker::tape::Input;
-use millpost_broker::{Nanos, SECOND};
+use millpost_scheduler::recording::Input;
+use millpost_scheduler::{Nanos, SECOND};
 
 use crate::outs;
 use crate::play::Event;
@@ -60,24 +60,29 @@
 pub fn texts(event: &Event<'_>) -> Texts {
     match event {
         Event::Begins { .. } => Texts::default(),
-        Event::Desk(step) => {
-            let entry = millpost_broker::tape::Entry { number: None, at: step.at, input: step.input.clone() };
+        Event::Coordinator(step) => {
+            let entry =
+                millpost_scheduler::recording::Entry { number: None, at: step.at, input: step.input.clone() };
             let outs =
                 step.outs.iter().map(|out| outs::desk(step.at, step.line, step.life, out, step.numbers));
             let (input, kind) = (entry.write(), step.input.name().to_owned());
             Texts { input, kind, outs: outs.collect() }
         }
         Event::Scaler(turn) => {
-            let entry =
-                millpost_pitches::tape::Entry { number: None, at: turn.at, input: turn.input.clone() };
+            let entry = millpost_autoscaler::recording::Entry {
+                number: None,
+                at: turn.at,
+                input: turn.input.clone(),
+            };
             let outs = turn.outs.iter().map(|out| outs::scaler(turn.at, turn.line, turn.life, out));
             let (input, kind) = (entry.write(), turn.input.name().to_owned());
             Texts { input, kind, outs: outs.collect() }
         }
         Event::Round(pass) => {
-            let entry = millpost_porter::tape::Entry { number: None, at: pass.at, input: pass.input.clone() };
+            let entry =
+                millpost_agent::recording::Entry { number: None, at: pass.at, input: pass.input.clone() };
             let outs = pass.outs.iter().map(|out| outs::round(pass.at, pass.line, pass.life, out));
-            let (input, kind) = (entry.write(), millpost_porter::tape::name(pass.input).to_owned());
+            let (input, kind) = (entry.write(), millpost_agent::recording::name(pass.input).to_owned());
             Texts { input, kind, outs: outs.collect() }
         }
     }
@@ -88,7 +93,7 @@
     pub fn holds(&self, event: &Event<'_>, breaches: usize) -> bool {
         let (line, at) = match event {
             Event::Begins { .. } => return false,
-            Event::Desk(step) => (step.line, step.at),
+            Event::Coordinator(step) => (step.line, step.at),
             Event::Scaler(turn) => (turn.line, turn.at),
             Event::Round(pass) => (pass.line, pass.at),
         };
@@ -97,7 +102,7 @@
             Until::Line(from) => line >= *from,
             Until::Breach => breaches > 0,
             Until::Ask(id) => {
-                let Event::Desk(step) = event else { return false };
+                let Event::Coordinator(step) = event else { return false };
                 let texts = texts(event);
                 let key = format!(r#""id":{id}"#);
                 let has = |text: &String| {
--- a/broker/src/lib.rs
+++ b/scheduler/src/lib.rs
@@ -1,43 +1,43 @@
 //! Who owns a function decides here which request goes to which of its instances, and when: its slots, its queue, the averages of
 //! its instances, the budget of further tries and how many instances it needs. No I/O, no clock, no randomness but a seed.
 //!
-//! A request is a permit: [`Broker::ask`] queues it, [`Effect::Grant`] names an instance, [`Broker::done`] gives the slot back.
+//! A request is a permit: [`Scheduler::ask`] queues it, [`Effect::Grant`] names an instance, [`Scheduler::done`] gives the slot back.
 
+mod attempt_timeouts;
 mod budget;
+mod coordinator;
 mod counts;
 mod demand;
-mod desk;
 mod effect;
 mod function;
 mod instance;
 mod leaving;
-mod margin;
+mod owner_ranking;
 mod owners;
-mod passage;
-mod ranks;
 mod reason;
+pub mod recording;
+mod request_flow;
+mod retry_schedule;
 mod service;
-pub mod tape;
-pub mod trail;
-mod tries;
+pub mod trace;
 
+pub use attempt_timeouts::AttemptTimeouts;
+pub use coordinator::{Coordinator, OpenAsk, Out};
 pub use counts::Counts;
-pub use desk::{Desk, OpenAsk, Out};
 pub use effect::{Effect, No, Terms};
-pub use function::{Broker, Parted, Transfer};
+pub use function::{Released, Scheduler, Transfer};
 pub use instance::{Instance, Stage};
 pub use leaving::Phase;
-pub use margin::Margins;
-pub use owners::{Owners, Peer, Turn};
-pub use passage::{Passage, Patience, Refusal, Step, Wish};
-pub use ranks::Ranks;
+pub use owner_ranking::OwnerRanking;
+pub use owners::{Owners, OwnershipChange, Peer};
 pub use reason::{Reason, Why};
-pub use tape::Taped;
-pub use trail::Trail;
-pub use tries::{Next, Outcome, Tries, first_gap};
+pub use recording::Recorded;
+pub use request_flow::{ClientTimeouts, Refusal, RequestFlow, RequestInfo, Step};
+pub use retry_schedule::{Next, Outcome, RetrySchedule, first_gap};
+pub use trace::TraceEvent;
 
 pub use millpost::api::Nanos;
-pub use millpost_crier::line::Sink;
+pub use millpost_protocol::line::Sink;
 
 /// A millisecond in [`Nanos`].
 pub const MS: Nanos = 1_000_000;
--- a/arcade/src/glue/mod.rs
+++ b/simulator/src/processes/mod.rs
@@ -3,18 +3,18 @@
 //!
 //! Invariant: a process takes a [`In`] at a time of its own clock and says what is to be done as [`Out`]; no I/O, no clock.
 
-mod hall;
-mod keeper;
-mod memo;
-mod porter;
-mod post;
-mod stall;
+mod agent;
+mod controller;
+mod outbox;
+mod parse_cache;
+mod proxy;
+mod voter;
 
-pub use hall::{Hall, Rates};
-pub use keeper::{Disk, Keeper};
-pub use memo::Memo;
-pub use porter::Porter;
-pub use stall::Stall;
+pub use agent::AgentProcess;
+pub use controller::{ControllerProcess, Rates};
+pub use parse_cache::ParseCache;
+pub use proxy::ProxyProcess;
+pub use voter::{Disk, VoterProcess};
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,10 +22,10 @@
 
 use bytes::Bytes;
 use compact_str::CompactString;
-use millpost_broker::Outcome;
-use millpost_crier::{Note, object, text};
-use millpost_pitches::{Entry, StartFault, StopFault, Worker};
-use millpost_tally::Message;
+use millpost_autoscaler::{Entry, StartFault, StopFault, Worker};
+use millpost_protocol::{PeerMessage, object, text};
+use millpost_quorum::Message;
+use millpost_scheduler::Outcome;
 use tinyjson::JsonValue;
 
 use crate::Time;
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub enum Said {
     /// `POST /mail`, and an answer with notes.
-    Mail { from: CompactString, life: u64, notes: Vec<Note> },
+    Mail { from: CompactString, life: u64, notes: Vec<PeerMessage> },
     /// Taken, with nothing to say.
     Taken,
     /// A status that is no success.
@@ -59,7 +59,7 @@
     /// `GET /Config.Read`.
     Read,
     /// `POST /follow`.
-    Follow { from: CompactString, life: u64, notes: Vec<Note>, whole: bool },
+    Follow { from: CompactString, life: u64, notes: Vec<PeerMessage>, whole: bool },
     /// `GET /endpoints`, from this entry on.
     List { from: usize },
     /// One page of the list, and where the next begins.
@@ -178,7 +178,7 @@
     /// The guard that is taken out, for a test.
     pub plant: Option<Plant>,
     /// Configurations that were read already.
-    pub memo: Rc<Memo>,
+    pub memo: Rc<ParseCache>,
     /// Where what decides is recorded, if it is.
     pub records: Option<Records>,
 }
@@ -191,8 +191,8 @@
 }
 
 /// A letter as it is written.
-fn letter(from: &str, life: u64, notes: &[Note]) -> Bytes {
-    let notes = JsonValue::Array(notes.iter().map(Note::to_json).collect());
+fn letter(from: &str, life: u64, notes: &[PeerMessage]) -> Bytes {
+    let notes = JsonValue::Array(notes.iter().map(PeerMessage::to_json).collect());
     let body = object([("from", text(from)), ("life", JsonValue::Number(life as f64)), ("notes", notes)]);
     Bytes::from(body.stringify().unwrap_or_default())
 }
--- a/arcade/src/glue/memo.rs
+++ b/simulator/src/processes/parse_cache.rs
@@ -4,9 +4,9 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use millpost_barrow::mail;
-use millpost_barrow::pack::unpack;
-use millpost_tariff::{Config, Table, change};
+use millpost_config::{Config, Table, change};
+use millpost_net::messaging;
+use millpost_net::pack::unpack;
 use tinyjson::JsonValue;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -24,7 +24,7 @@
 
 /// What was read, by the digest of its text.
 #[derive(Default)]
-pub struct Memo {
+pub struct ParseCache {
     texts: Found<u64>,
     changed: Found<(u64, u64)>,
     tables: RefCell<HashMap<u64, Rc<Table>>>,
@@ -32,7 +32,7 @@
 
 const LONGEST: usize = 8 << 20;
 
-impl Memo {
+impl ParseCache {
     /// A configuration out of its content: JSON, or packed.
     pub fn read(&self, content: &str) -> Option<Rc<Known>> {
         let key = xxh3_64(content.as_bytes());
@@ -68,7 +68,7 @@
         if let Some(known) = self.changed.borrow().get(&key) {
             return known.clone();
         }
-        let difference = unpack(packed, LONGEST).and_then(|text| mail::json(text.as_bytes()));
+        let difference = unpack(packed, LONGEST).and_then(|text| messaging::json(text.as_bytes()));
         let known = difference.and_then(|difference| self.change(old, &difference));
         self.changed.borrow_mut().insert(key, known.clone());
         known
--- a/arcade/src/world/endpoint.rs
+++ b/simulator/src/world/endpoint.rs
@@ -4,10 +4,10 @@
 use std::net::SocketAddr;
 
 use compact_str::CompactString;
-use millpost_broker::Outcome;
+use millpost_scheduler::Outcome;
 
 use super::{Event, Role, World};
-use crate::glue::{Exchanged, In, Request};
+use crate::processes::{Exchanged, In, Request};
 use crate::{MS, SECOND, Time};
 
 /// An idle connection is used again for so long.
@@ -224,7 +224,7 @@
         m.exchanges.remove(&number);
         self.out.remove(&(machine, life, id));
         if m.life == life && m.powered {
-            self.give(machine, Role::Stall, In::Exchanged { id, done });
+            self.give(machine, Role::ProxyProcess, In::Exchanged { id, done });
         }
     }
 
@@ -287,6 +287,6 @@
         if m.frozen > self.now {
             return m.held.push(Event::Scout { machine, life, id, up });
         }
-        self.give(machine, Role::Stall, In::Scouted { id, up });
+        self.give(machine, Role::ProxyProcess, In::Scouted { id, up });
     }
 }
--- a/arcade/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -18,8 +18,10 @@
 use crate::auditor::Auditor;
 use crate::calm::Calm;
 use crate::chance::Chance;
-use crate::glue::{Exchanged, Hall, In, Memo, Out, Place, Porter, Said, Stall};
 use crate::plan::Plan;
+use crate::processes::{
+    AgentProcess, ControllerProcess, Exchanged, In, Out, ParseCache, Place, ProxyProcess, Said,
+};
 use crate::record::Records;
 use crate::site::{Classes, Site};
 use crate::speeds::Speeds;
@@ -43,11 +45,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Role {
     /// On the edge.
-    Stall,
+    ProxyProcess,
     /// Beside it.
-    Porter,
+    AgentProcess,
     /// On the core.
-    Hall,
+    ControllerProcess,
 }
 
 /// Who calls, and who is called.
@@ -168,10 +170,10 @@
     clock: (i64, Time),
     /// It goes for good once its processes have left.
     retires: bool,
-    stall: Option<Stall>,
-    porter: Option<Porter>,
-    hall: Option<Hall>,
-    disk: crate::glue::Disk,
+    stall: Option<ProxyProcess>,
+    porter: Option<AgentProcess>,
+    hall: Option<ControllerProcess>,
+    disk: crate::processes::Disk,
     life: u64,
     starts: u64,
     /// When each process is due, as queued.
@@ -202,9 +204,9 @@
 
     fn up(&self, role: Role) -> bool {
         match role {
-            Role::Stall => self.stall.is_some(),
-            Role::Porter => self.porter.is_some(),
-            Role::Hall => self.hall.is_some(),
+            Role::ProxyProcess => self.stall.is_some(),
+            Role::AgentProcess => self.porter.is_some(),
+            Role::ControllerProcess => self.hall.is_some(),
         }
     }
 }
@@ -231,7 +233,7 @@
     cores: Vec<usize>,
     spares: Vec<usize>,
     seeds: Vec<CompactString>,
-    memo: Rc<Memo>,
+    memo: Rc<ParseCache>,
     lives: u64,
     calls: HashMap<u64, Call>,
     streams: BTreeMap<u64, Stream>,
@@ -255,7 +257,7 @@
     up_at: Vec<(Time, usize)>,
     served: Served,
     orders: Vec<Order>,
-    model: millpost_tariff::Config,
+    model: millpost_config::Config,
     bursts: Vec<(usize, f64, Time)>,
     weights: [Vec<f64>; 2],
     lost_share: (f64, Time),
@@ -266,7 +268,7 @@
     /// This part of the answers to operators is lost, until then.
     lost_acks: (f64, Time),
     /// The newest configuration that an operator knows to be acknowledged.
-    last_acked: Option<millpost_tariff::Config>,
+    last_acked: Option<millpost_config::Config>,
     wiped_at: Option<Time>,
     closed: Option<(Time, Time)>,
     calm: Calm,
@@ -310,7 +312,7 @@
             stall: None,
             porter: None,
             hall: None,
-            disk: crate::glue::Disk::new(500_000),
+            disk: crate::processes::Disk::new(500_000),
             life: 0,
             starts: 0,
             due: [Time::MAX; 3],
@@ -398,13 +400,13 @@
         world.names.insert("platform".into(), Who::Platform);
         for at in 0..count {
             let (who, address) = if world.machines[at].core {
-                (Role::Hall, world.address(at))
+                (Role::ControllerProcess, world.address(at))
             } else {
-                (Role::Stall, world.address(at))
+                (Role::ProxyProcess, world.address(at))
             };
             world.names.insert(address, Who::Process(at, who));
-            world.names.insert(format_compact!("porter-{at}"), Who::Process(at, Role::Porter));
-            world.names.insert(format_compact!("stall-{at}"), Who::Process(at, Role::Stall));
+            world.names.insert(format_compact!("porter-{at}"), Who::Process(at, Role::AgentProcess));
+            world.names.insert(format_compact!("stall-{at}"), Who::Process(at, Role::ProxyProcess));
             if !world.spares.contains(&at) {
                 let start = world.chance.between(0, 20 * MS);
                 world.at(start, Event::Start(at));
@@ -537,7 +539,7 @@
         };
         let place = Place { address: self.address(at), ..place };
         if core {
-            let rates = crate::glue::Rates {
+            let rates = crate::processes::Rates {
                 rate_per_s: site.rates.0,
                 duty_per_s: site.rates.1,
                 max_lag_ms: site.lag_ms,
@@ -545,22 +547,22 @@
             };
             let machine = &mut self.machines[at];
             let bootstrap = !restarted && at < site.fronts.len() + site.cores.len();
-            machine.hall = Some(Hall::new(self.now, place, rates, &mut machine.disk, bootstrap));
-            self.give(at, Role::Hall, In::Tick);
+            machine.hall = Some(ControllerProcess::new(self.now, place, rates, &mut machine.disk, bootstrap));
+            self.give(at, Role::ControllerProcess, In::Tick);
         } else {
             let (bounds, speeds) = (&site.bounds, self.plan.speeds != Speeds::Even);
-            let terms = millpost_broker::Terms {
+            let terms = millpost_scheduler::Terms {
                 ratio: bounds.ratio,
                 window: bounds.window,
                 slack: bounds.slack,
-                asks_per_s: millpost_broker::asks_per_s(site.mbps.0, site.processors),
+                asks_per_s: millpost_scheduler::asks_per_s(site.mbps.0, site.processors),
                 speeds,
             };
             let machine = &mut self.machines[at];
-            machine.porter = Some(Porter::new(self.now, place.clone(), format_compact!("stall-{at}")));
-            machine.stall = Some(Stall::new(place, format_compact!("porter-{at}"), terms));
-            self.give(at, Role::Porter, In::Tick);
-            self.give(at, Role::Stall, In::Tick);
+            machine.porter = Some(AgentProcess::new(self.now, place.clone(), format_compact!("stall-{at}")));
+            machine.stall = Some(ProxyProcess::new(place, format_compact!("porter-{at}"), terms));
+            self.give(at, Role::AgentProcess, In::Tick);
+            self.give(at, Role::ProxyProcess, In::Tick);
         }
     }
 
@@ -569,15 +571,15 @@
         let now = self.now;
         let machine = &mut self.machines[at];
         let (outs, wake) = match role {
-            Role::Stall => {
+            Role::ProxyProcess => {
                 let Some(stall) = &mut machine.stall else { return };
                 (stall.input(now, input), stall.wake())
             }
-            Role::Porter => {
+            Role::AgentProcess => {
                 let Some(porter) = &mut machine.porter else { return };
                 (porter.input(now, input), porter.wake())
             }
-            Role::Hall => {
+            Role::ControllerProcess => {
                 let Some(hall) = &mut machine.hall else { return };
                 let outs = hall.input(now, input, &mut machine.disk);
                 (outs, hall.wake(now, &machine.disk))
@@ -657,6 +659,6 @@
     /// For stalls that are up, the lowest revision that one acts on.
     fn lowest(&self) -> u64 {
         let stalls = self.machines.iter().filter(|m| m.powered).filter_map(|m| m.stall.as_ref());
-        stalls.map(Stall::acts).min().unwrap_or(0)
+        stalls.map(ProxyProcess::acts).min().unwrap_or(0)
     }
 }
--- a/arcade/src/world/operator.rs
+++ b/simulator/src/world/operator.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 
 use compact_str::format_compact;
-use millpost_tariff::Config;
+use millpost_config::Config;
 
 use super::{Event, Who, World};
-use crate::glue::Said;
+use crate::processes::Said;
 use crate::{MS, SECOND, Time};
 
 /// Silence after which an operator moves on.
--- a/arcade/src/world/platform.rs
+++ b/simulator/src/world/platform.rs
@@ -4,12 +4,12 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use compact_str::{CompactString, format_compact};
-use millpost_pitches::{Entry, StartFault, StopFault, Worker};
+use millpost_autoscaler::{Entry, StartFault, StopFault, Worker};
 
 use super::endpoint::Endpoint;
 use super::{Event, World};
 use crate::chance::Chance;
-use crate::glue::Said;
+use crate::processes::Said;
 use crate::site::Site;
 use crate::speeds::{Speed, Speeds};
 use crate::{MS, SECOND, Time};
