--- a/agent/src/round.rs
+++ b/agent/src/round.rs
@@ -326,7 +326,7 @@
 
     /// Something that control tells.
     fn note(&mut self, now: Nanos, from: SocketAddr, note: PeerMessage, weight: usize) {
-        if let PeerMessage::Steward { address, fence } = &note {
+        if let PeerMessage::Leader { address, fence } = &note {
             if let Ok(address) = address.parse() {
                 self.follow.told(now, *fence, address);
                 self.steps(now);
--- a/agent/tests/round.rs
+++ b/agent/tests/round.rs
@@ -77,7 +77,7 @@
 }
 
 fn steward(fence: u64, n: u8) -> PeerMessage {
-    PeerMessage::Steward { address: at(n).to_string().into(), fence }
+    PeerMessage::Leader { address: at(n).to_string().into(), fence }
 }
 
 fn alive() -> PeerMessage {
@@ -637,7 +637,7 @@
         let feed = play.open.first().expect("one").0;
         play.give(Input::Line {
             feed,
-            line: line(&[PeerMessage::Steward { address: to.to_string().into(), fence }]),
+            line: line(&[PeerMessage::Leader { address: to.to_string().into(), fence }]),
         });
         let last = play.open.iter().find(|(_, a, _)| *a == to).expect("it is followed").0;
         play.open.retain(|(of, ..)| *of != last);
--- a/controller/src/core.rs
+++ b/controller/src/core.rs
@@ -462,7 +462,7 @@
             Next::Offer(fence) => {
                 let content = Arc::from(self.me.as_str());
                 let kind = RoundKind::Offer { version: fence, content, over: Some(fence - 1) };
-                self.round(now, kind, Key::Steward, For::Leadership(fence));
+                self.round(now, kind, Key::Leader, For::Leadership(fence));
             }
             Next::Take(fence) => {
                 let Some(bounds) = self.platform else { return };
@@ -497,7 +497,7 @@
     fn look_at_contact(&mut self, now: Nanos) {
         if let Some(read) = self.contact.look(now, self.rounds.members(), self.voting) {
             // A small value: the configuration may be long, and each voter would send the whole of it.
-            self.round(now, RoundKind::Read, Key::Steward, For::Confirm(read));
+            self.round(now, RoundKind::Read, Key::Leader, For::Confirm(read));
         }
         self.learn(now);
         self.tell_contact();
@@ -518,7 +518,7 @@
     /// Who is the leader, if that is news.
     fn know(&mut self, fence: u64, address: &str) {
         if self.gossip.know(fence, address) {
-            let lines = self.feed.tell(&[PeerMessage::Steward { address: address.into(), fence }]);
+            let lines = self.feed.tell(&[PeerMessage::Leader { address: address.into(), fence }]);
             self.lines(lines);
         }
     }
@@ -606,9 +606,9 @@
         self.vote(out, Back::Lease);
         match want {
             Some(Want::Last) if !self.rounds.at_work_for(For::Last) => {
-                self.round(now, RoundKind::Read, Key::Steward, For::Last);
+                self.round(now, RoundKind::Read, Key::Leader, For::Last);
             }
-            Some(Want::Fence) => self.round(now, RoundKind::Read, Key::Steward, For::Fence),
+            Some(Want::Fence) => self.round(now, RoundKind::Read, Key::Leader, For::Fence),
             Some(Want::Last) | None => {}
         }
     }
--- a/controller/src/core/follow.rs
+++ b/controller/src/core/follow.rs
@@ -76,7 +76,7 @@
             }
         }
         let (fence, address) = self.known();
-        let mut snapshot = vec![PeerMessage::Steward { address, fence }];
+        let mut snapshot = vec![PeerMessage::Leader { address, fence }];
         if let Some(leader) = self.leadership.leader_mut() {
             snapshot.extend(self.outs.drains().snapshot(now, &letter.from));
             snapshot.extend(leader.snapshot(&letter.from));
--- a/controller/src/feed.rs
+++ b/controller/src/feed.rs
@@ -289,7 +289,7 @@
         for name in ["a", "b"] {
             assert_eq!(feed.follow(0, name.into(), 0, true, &[]).map(|f| f.before), Some(None));
         }
-        let lines = feed.tell(&[PeerMessage::Steward { address: "x".into(), fence: 1 }]);
+        let lines = feed.tell(&[PeerMessage::Leader { address: "x".into(), fence: 1 }]);
         assert_eq!(lines.iter().map(|(seat, _)| *seat).collect::<Vec<_>>(), [1, 2]);
         assert_eq!(lines[0].1.as_ptr(), lines[1].1.as_ptr());
     }
--- a/controller/tests/market/mod.rs
+++ b/controller/tests/market/mod.rs
@@ -232,7 +232,7 @@
                 PeerMessage::Folded { packed, .. } => {
                     old.zip(unpacked(&packed)).and_then(|(old, change)| change::apply(old, &change).ok())
                 }
-                PeerMessage::Steward { .. } => None,
+                PeerMessage::Leader { .. } => None,
                 note => {
                     self.floors += usize::from(matches!(note, PeerMessage::Floor { .. }));
                     stall.desk.told(now, note);
--- a/ctl/src/lib.rs
+++ b/ctl/src/lib.rs
@@ -456,7 +456,7 @@
         What::Why(given) => {
             let about = match &given.what {
                 None => About::All,
-                Some(WhyWhat::Steward(WhySteward {})) => About::Steward,
+                Some(WhyWhat::Steward(WhySteward {})) => About::Leader,
                 Some(WhyWhat::Machine(of)) => About::Machine(&of.name),
                 Some(WhyWhat::Function(of)) => About::Function(&of.name),
             };
--- a/ctl/src/status.rs
+++ b/ctl/src/status.rs
@@ -71,9 +71,9 @@
         of: usize,
     },
     /// Nobody holds the lease.
-    NoSteward,
+    NoLeader,
     /// Two machines are steward under one fence, or are held to be.
-    Stewards {
+    SeveralLeaders {
         /// The fence.
         fence: u64,
         /// Who.
@@ -264,7 +264,7 @@
             troubles.push(Trouble::NoMajority { voting: 0, of: 0 });
         }
         if !self.reached().any(|s| s.is_steward) {
-            troubles.push(Trouble::NoSteward);
+            troubles.push(Trouble::NoLeader);
         }
         let mut by_fence: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
         for said in self.reached().filter(|s| s.fence > 0) {
@@ -273,7 +273,8 @@
             who.extend(said.is_steward.then_some(said.address.as_str()));
         }
         for (fence, who) in by_fence.into_iter().filter(|(_, who)| who.len() > 1) {
-            troubles.push(Trouble::Stewards { fence, who: who.into_iter().map(str::to_owned).collect() });
+            troubles
+                .push(Trouble::SeveralLeaders { fence, who: who.into_iter().map(str::to_owned).collect() });
         }
         let newest = self.newest();
         for said in self.reached().filter(|s| s.revision < newest) {
@@ -436,8 +437,8 @@
             Trouble::NoMajority { voting, of } => {
                 format!("no majority is seen: {voting} of {of} voters vote")
             }
-            Trouble::NoSteward => "nobody who answers is the steward: no instance starts or stops".to_owned(),
-            Trouble::Stewards { fence, who } => {
+            Trouble::NoLeader => "nobody who answers is the steward: no instance starts or stops".to_owned(),
+            Trouble::SeveralLeaders { fence, who } => {
                 format!("several stewards at fence {fence}: {}", who.join(" "))
             }
             Trouble::Stale { who, revision, newest } => {
@@ -452,8 +453,8 @@
     fn to_json(&self) -> JsonValue {
         let kind = match self {
             Trouble::NoMajority { .. } => "no_majority",
-            Trouble::NoSteward => "no_steward",
-            Trouble::Stewards { .. } => "several_stewards",
+            Trouble::NoLeader => "no_steward",
+            Trouble::SeveralLeaders { .. } => "several_stewards",
             Trouble::Stale { .. } => "control_behind",
             Trouble::Behind { .. } => "follower_behind",
         };
--- a/ctl/src/store.rs
+++ b/ctl/src/store.rs
@@ -73,7 +73,7 @@
                 (format!("a configuration: {routes} routes, {services} services"), config.revision)
             }
         },
-        Key::Steward => (format!("steward {}", content.escape_debug()), accepted.value.version),
+        Key::Leader => (format!("steward {}", content.escape_debug()), accepted.value.version),
         Key::Moves => match millpost_migration::Record::read(content) {
             Err(e) => return (String::new(), wrong("content", e)),
             Ok(record) => {
--- a/ctl/src/why.rs
+++ b/ctl/src/why.rs
@@ -25,7 +25,7 @@
     /// All that is not well.
     All,
     /// Who is the steward, or why nobody is.
-    Steward,
+    Leader,
     /// An edge machine, or a control machine by its address.
     Machine(&'a str),
     /// A function.
@@ -73,7 +73,7 @@
             other => other?,
         };
         match about {
-            About::Steward => why.steward(&status),
+            About::Leader => why.steward(&status),
             About::Machine(name) => why.machine(&status, &duty, name),
             About::Function(name) => {
                 let functions = Functions::ask(first, Which::Name(name), within).await?;
@@ -137,7 +137,7 @@
             match &trouble {
                 Trouble::Stale { who, .. } | Trouble::Behind { who, .. } => self.machine(status, duty, who),
                 // Told with the steward.
-                Trouble::NoMajority { .. } | Trouble::NoSteward | Trouble::Stewards { .. } => {}
+                Trouble::NoMajority { .. } | Trouble::NoLeader | Trouble::SeveralLeaders { .. } => {}
             }
         }
         for stall in get_list(duty, "stalls").unwrap_or_default() {
@@ -154,8 +154,8 @@
         let mut others = Vec::new();
         for trouble in status.troubles() {
             match &trouble {
-                Trouble::NoMajority { .. } | Trouble::Stewards { .. } => others.push(trouble.text()),
-                Trouble::NoSteward | Trouble::Stale { .. } | Trouble::Behind { .. } => {}
+                Trouble::NoMajority { .. } | Trouble::SeveralLeaders { .. } => others.push(trouble.text()),
+                Trouble::NoLeader | Trouble::Stale { .. } | Trouble::Behind { .. } => {}
             }
         }
         let holder = status.reached().filter(|s| s.is_steward).max_by_key(|s| s.fence);
--- a/ctl/tests/store.rs
+++ b/ctl/tests/store.rs
@@ -20,7 +20,7 @@
     let mut voter = Voter::open("10.0.0.1:1".into(), [], vec![], 1, 0).expect("empty");
     voter.bootstrap(members.clone()).carry_out(|batch| disk.put(batch)).expect("put");
     let ballots = Ballots::new("10.0.0.2:1", 5);
-    for (key, version, content) in [(Key::Config, version, content), (Key::Steward, 3, "10.0.0.2:1")] {
+    for (key, version, content) in [(Key::Config, version, content), (Key::Leader, 3, "10.0.0.2:1")] {
         let value = Value { version, content: content.into() };
         let write = Message::Write { key, ballot: ballots.next(0), value, members: members.clone() };
         voter.handle(0, "10.0.0.2:1", write).carry_out(|batch| disk.put(batch)).expect("put");
--- a/e2e/examples/cluster.rs
+++ b/e2e/examples/cluster.rs
@@ -28,27 +28,28 @@
     };
     println!("building what is not built yet ...");
     // A shorter end than in service.
-    let mut fair = TestCluster::open(Bounds { grace_s: 3.0, ..Bounds::default() }).await;
+    let mut cluster = TestCluster::open(Bounds { grace_s: 3.0, ..Bounds::default() }).await;
     println!(
         "started: bourse on 3 core machines, stall and porter on 3 edge machines, each process with settings and"
     );
-    println!("    output in {}", fair.fleet.deployment.folder().display());
+    println!("    output in {}", cluster.fleet.deployment.folder().display());
 
     let configuration = library(1);
-    let by = fair.put(&configuration).await;
-    let machines = fair.fleet.deployment.machines.clone();
+    let by = cluster.put(&configuration).await;
+    let machines = cluster.fleet.deployment.machines.clone();
     let name = |machine: usize| machines[machine].name.as_str();
     println!("configuration 1: acknowledged by {}", name(by));
-    let steward = fair.steward(0).await;
-    println!("steward: {}, fence {}", name(steward.machine), steward.fence);
-    fair.is_ready().await;
+    let leader = cluster.leader(0).await;
+    println!("steward: {}, fence {}", name(leader.machine), leader.fence);
+    cluster.is_ready().await;
     println!("ready for clients: all edge machines\n");
 
     // One request, where nothing runs yet.
     let loan = order("loans");
-    let sent = fair.auditor.now();
-    let (outcome, started) = tokio::join!(fair.clients.send(1, &loan), start_of(&fair, "loan-desk", sent));
-    tell(&fair, &loan, &outcome);
+    let sent = cluster.auditor.now();
+    let (outcome, started) =
+        tokio::join!(cluster.clients.send(1, &loan), start_of(&cluster, "loan-desk", sent));
+    tell(&cluster, &loan, &outcome);
     let function = started.endpoint.function();
     println!(
         "    started for it: {} of {} on worker {}, asked for after {:.0?}; up {:.0?} later (boot_ms {})",
@@ -60,22 +61,22 @@
         function.boot_ms
     );
     println!("\nthree of each, a loan searching through the system before it is answered:");
-    fair.loans_search_through(0);
+    cluster.loans_search_through(0);
     for route in &configuration.routes {
         let order = order(&route.name);
         for client in 0..3 {
-            let outcome = fair.clients.send(client, &order).await;
-            tell(&fair, &order, &outcome);
+            let outcome = cluster.clients.send(client, &order).await;
+            tell(&cluster, &order, &outcome);
         }
     }
-    let verdict = fair.auditor.verdict();
+    let verdict = cluster.auditor.verdict();
     println!("\nrules broken: {}; requests {}, runs {}", verdict.broken.len(), verdict.sent, verdict.runs);
-    let steward = fair.steward(0).await;
-    let status = fair.status(steward.machine).await.unwrap_or_default();
-    println!("how control stands, GET http://{}/core:\n{status:#}", machines[steward.machine].control());
+    let leader = cluster.leader(0).await;
+    let status = cluster.status(leader.machine).await.unwrap_or_default();
+    println!("how control stands, GET http://{}/core:\n{status:#}", machines[leader.machine].control());
 
     if keep {
-        by_hand(&fair, &configuration);
+        by_hand(&cluster, &configuration);
         // Ctrl-C goes to the processes too, and ends them; after SIGTERM they are killed.
         let mut term = signal(SignalKind::terminate()).expect("signals");
         tokio::select! {
@@ -84,25 +85,25 @@
         }
         return;
     }
-    for (name, status) in fair.close().await {
+    for (name, status) in cluster.close().await {
         println!("ended: {name}, {status}");
     }
     verdict.clean();
 }
 
 /// The next start of a function, once it has come up.
-async fn start_of(fair: &TestCluster, function: &str, since: Duration) -> Started {
+async fn start_of(cluster: &TestCluster, function: &str, since: Duration) -> Started {
     let (endpoint, worker, at, _) = until("a start", async || {
-        let starts = fair.platform.starts();
+        let starts = cluster.platform.starts();
         starts.into_iter().find(|(e, _, at, _)| e.function().name == function && *at >= since)
     })
     .await;
     endpoint.reaches(Phase::Up).await;
-    let took = fair.auditor.now().saturating_sub(at);
+    let took = cluster.auditor.now().saturating_sub(at);
     Started { endpoint, worker, after: at.saturating_sub(since), took }
 }
 
-fn tell(fair: &TestCluster, order: &Order, outcome: &Outcome) {
+fn tell(cluster: &TestCluster, order: &Order, outcome: &Outcome) {
     let door = outcome.tries.last().map_or(0, |t| t.door);
     let answer = outcome.answer.as_ref().map(|a| String::from_utf8_lossy(&a.body).into_owned());
     let answer = answer.as_deref().and_then(|a| a.lines().next()).unwrap_or("no answer");
@@ -114,16 +115,16 @@
         "{} {} at {}: {} after {:.0?}{tries}: {answer}",
         order.method,
         order.path,
-        fair.edge(door).name,
+        cluster.edge(door).name,
         outcome.status(),
         outcome.took,
     );
 }
 
 /// How to use it from another shell.
-fn by_hand(fair: &TestCluster, configuration: &Configuration) {
+fn by_hand(cluster: &TestCluster, configuration: &Configuration) {
     println!("\nby hand, until Ctrl-C:\n");
-    let front = fair.edge(0).front();
+    let front = cluster.edge(0).front();
     for route in &configuration.routes {
         let order = order(&route.name);
         let body = if order.mutating { " -d something" } else { "" };
@@ -132,11 +133,11 @@
             order.path, order.host
         );
     }
-    let control = fair.fleet.deployment.machines[fair.fleet.deployment.of(Class::Core)[0]].control();
+    let control = cluster.fleet.deployment.machines[cluster.fleet.deployment.of(Class::Core)[0]].control();
     println!("    curl http://{control}/core");
     println!("    curl -o configuration.json http://{control}/Config.Read");
     println!("    sed -i 's/\"revision\":1/\"revision\":2/' configuration.json");
     println!("    curl http://{control}/Config.Replace --data-binary @configuration.json");
-    println!("    curl http://{}/endpoints", fair.platform.address);
-    println!("    curl http://{}/workers", fair.platform.address);
+    println!("    curl http://{}/endpoints", cluster.platform.address);
+    println!("    curl http://{}/workers", cluster.platform.address);
 }
--- a/e2e/src/lib.rs
+++ b/e2e/src/lib.rs
@@ -30,7 +30,7 @@
 use tokio::time::{interval, sleep, timeout};
 
 /// Everything that is waited for comes within this.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The library's configuration: a route for each of its three functions.
 pub fn library(revision: u64) -> Configuration {
@@ -63,14 +63,14 @@
 /// Waits until there is something to give back, and gives it.
 ///
 /// # Panics
-/// Where there is nothing within [`PATIENCE`].
+/// Where there is nothing within [`TIMEOUT`].
 pub async fn until<T>(what: &str, mut check: impl AsyncFnMut() -> Option<T>) -> T {
     let began = Instant::now();
     loop {
         if let Some(found) = check().await {
             return found;
         }
-        assert!(began.elapsed() < PATIENCE, "not within {PATIENCE:?}: {what}");
+        assert!(began.elapsed() < TIMEOUT, "not within {TIMEOUT:?}: {what}");
         sleep(Duration::from_millis(20)).await;
     }
 }
@@ -134,10 +134,10 @@
     /// # Panics
     /// Where that takes too long.
     pub async fn open_library() -> Self {
-        let mut fair = Self::open(Bounds::default()).await;
-        fair.put(&library(1)).await;
-        fair.is_ready().await;
-        fair
+        let mut cluster = Self::open(Bounds::default()).await;
+        cluster.put(&library(1)).await;
+        cluster.is_ready().await;
+        cluster
     }
 
     /// Waits until all edge machines that run are ready for clients.
@@ -145,7 +145,7 @@
     /// # Panics
     /// Where that takes too long.
     pub async fn is_ready(&mut self) {
-        assert!(self.fleet.ready(PATIENCE).await, "not within {PATIENCE:?}: all edge machines are ready");
+        assert!(self.fleet.ready(TIMEOUT).await, "not within {TIMEOUT:?}: all edge machines are ready");
     }
 
     /// The operator puts a configuration, and it is acknowledged; by whom.
@@ -153,7 +153,7 @@
     /// # Panics
     /// Where it is not.
     pub async fn put(&self, configuration: &Configuration) -> usize {
-        let done = self.operator.replace(configuration, PATIENCE).await;
+        let done = self.operator.replace(configuration, TIMEOUT).await;
         assert!(done.acknowledged(), "revision {}: {:?}", configuration.revision, done.tries);
         let by = done.by.expect("somebody acknowledged");
         let machines = &self.fleet.deployment.machines;
@@ -172,7 +172,7 @@
     ///
     /// # Panics
     /// Where none does in time.
-    pub async fn steward(&self, above: u64) -> LeaderInfo {
+    pub async fn leader(&self, above: u64) -> LeaderInfo {
         until("a steward", async || {
             for machine in self.fleet.deployment.of(Class::Core) {
                 let Some(status) = self.status(machine).await else { continue };
@@ -192,8 +192,8 @@
     /// Where that takes too long.
     pub async fn in_force(&self, revision: u64) {
         until("all edge machines act on the revision", async || {
-            let steward = self.steward(0).await;
-            let status = self.status(steward.machine).await?;
+            let leader = self.leader(0).await;
+            let status = self.status(leader.machine).await?;
             let edges = self.fleet.deployment.of(Class::Edge);
             let name = |n: &usize| self.fleet.deployment.machines[*n].name.as_str();
             edges.iter().all(|n| status["followers_act_on"][name(n)] == revision).then_some(())
@@ -302,6 +302,6 @@
     /// Where that is not known in time.
     pub async fn end(self) -> Vec<(Order, Outcome)> {
         self.over.store(true, Ordering::Relaxed);
-        timeout(PATIENCE, self.task).await.expect("each request has its outcome").expect("no panic")
+        timeout(TIMEOUT, self.task).await.expect("each request has its outcome").expect("no panic")
     }
 }
--- a/e2e/src/soak.rs
+++ b/e2e/src/soak.rs
@@ -22,7 +22,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
-use crate::{PATIENCE, TestCluster, library};
+use crate::{TIMEOUT, TestCluster, library};
 use judge::{Seen, Terms, Verdict};
 use kept::Kept;
 use schedule::{Act, Due, Part, Size};
@@ -112,47 +112,47 @@
 
 /// Plays a soak to its end. Logs of all processes are left in `keep`, where a rule broke.
 pub async fn soak(setup: Setup, keep: Option<&Path>) -> Report {
-    let mut fair = TestCluster::open_with(Bounds::default(), setup.edges).await;
+    let mut cluster = TestCluster::open_with(Bounds::default(), setup.edges).await;
     let every = configuration(1, true);
-    fair.platform.knows(&every);
+    cluster.platform.knows(&every);
     for service in &every.services {
         let busy = library(0).services.iter().any(|function| function.name == service.name);
         let work = Duration::from_millis(if busy { 250 } else { 60 });
         let manner = EndpointBehaviour { work, spread: 0.5, ..EndpointBehaviour::default() };
-        fair.platform.behave(&service.name, &manner);
+        cluster.platform.behave(&service.name, &manner);
     }
-    fair.put(&every).await;
-    fair.is_ready().await;
+    cluster.put(&every).await;
+    cluster.is_ready().await;
     let over = Arc::<AtomicBool>::default();
     let (common, rare) = every.routes.split_at(library(0).routes.len());
     let orders = |of: &[Route]| of.iter().map(Order::on).collect::<Vec<_>>();
     let mut clients = JoinSet::new();
     for n in 0..setup.clients {
         let kept = Kept {
-            clients: fair.clients.clone(),
+            clients: cluster.clients.clone(),
             common: orders(common),
             rare: orders(rare),
             over: over.clone(),
         };
         clients.spawn(kept.run(setup.seed ^ (n as u64 + 1) << 32));
     }
-    let mut run = Run::begin(&fair, setup);
-    run.play(&mut fair).await;
+    let mut run = Run::begin(&cluster, setup);
+    run.play(&mut cluster).await;
     over.store(true, Ordering::Relaxed);
     let seen: Vec<Seen> = clients.join_all().await.into_iter().flatten().collect();
-    fair.clients.hang_up();
-    let report = run.judge(&fair, &seen).await;
+    cluster.clients.hang_up();
+    let report = run.judge(&cluster, &seen).await;
     if let Some(folder) = keep.filter(|_| !report.broken.is_empty()) {
-        keep_logs(&fair, &folder.join(format!("seed-{}", setup.seed)));
+        keep_logs(&cluster, &folder.join(format!("seed-{}", setup.seed)));
     }
     report
 }
 
-fn keep_logs(fair: &TestCluster, to: &Path) {
+fn keep_logs(cluster: &TestCluster, to: &Path) {
     if std::fs::create_dir_all(to).is_err() {
         return;
     }
-    for process in &fair.fleet.processes {
+    for process in &cluster.fleet.processes {
         if let Some(name) = process.log.file_name() {
             let _ = std::fs::copy(&process.log, to.join(name));
         }
@@ -177,16 +177,16 @@
 }
 
 impl Run {
-    fn begin(fair: &TestCluster, setup: Setup) -> Self {
-        let deployment = &fair.fleet.deployment;
+    fn begin(cluster: &TestCluster, setup: Setup) -> Self {
+        let deployment = &cluster.fleet.deployment;
         let (edges, cores) = (deployment.of(Class::Edge).len(), deployment.of(Class::Core).len());
         let size = Size { edges, cores, workers: 2 * deployment.shape.zones.len() };
         let schedule = schedule::draw(setup.seed, setup.lasts, size, setup.unplanned);
         let (orders, coming) = mpsc::unbounded_channel();
         let refused = Arc::<std::sync::Mutex<Vec<String>>>::default();
-        let operator = Operator::new(deployment.controls(), fair.auditor.clone());
+        let operator = Operator::new(deployment.controls(), cluster.auditor.clone());
         tokio::spawn(operate(operator, coming, refused.clone()));
-        let processes = fair.fleet.processes.len();
+        let processes = cluster.fleet.processes.len();
         Run {
             setup,
             schedule,
@@ -203,24 +203,24 @@
         }
     }
 
-    async fn play(&mut self, fair: &mut TestCluster) {
+    async fn play(&mut self, cluster: &mut TestCluster) {
         let began = Instant::now();
         let mut due = self.schedule.clone().into_iter().peekable();
         while began.elapsed() < self.setup.lasts {
             while let Some(next) = due.next_if(|next| next.at <= began.elapsed()) {
                 self.report.acts += 1;
-                self.act(fair, next.act);
+                self.act(cluster, next.act);
             }
-            self.look_after(fair);
+            self.look_after(cluster);
             sleep(STEP).await;
         }
     }
 
     /// Starts again what has ended, wakes what was frozen, lets workers back.
-    fn look_after(&mut self, fair: &mut TestCluster) {
+    fn look_after(&mut self, cluster: &mut TestCluster) {
         let now = Instant::now();
-        for at in 0..fair.fleet.processes.len() {
-            let process = &mut fair.fleet.processes[at];
+        for at in 0..cluster.fleet.processes.len() {
+            let process = &mut cluster.fleet.processes[at];
             let (machine, role) = (process.machine, process.role);
             let waits = self.restarts.iter().any(|(_, m, r)| (*m, *r) == (machine, role));
             if waits || process.runs() {
@@ -232,34 +232,34 @@
             self.restarts.push((now + RESTART, machine, role));
         }
         for (_, machine, role) in self.restarts.extract_if(.., |(at, ..)| *at <= now) {
-            if let Err(e) = fair.fleet.restart(machine, role) {
+            if let Err(e) = cluster.fleet.restart(machine, role) {
                 self.report.broken.push(format!("{} of machine {machine} can't start: {e}", role.name()));
             }
         }
         for (_, machine, role) in self.thaws.extract_if(.., |(at, ..)| *at <= now) {
-            let at = fair.fleet.at(machine, role);
-            fair.fleet.processes[at].thaw();
+            let at = cluster.fleet.at(machine, role);
+            cluster.fleet.processes[at].thaw();
         }
         if self.platform_back.take_if(|at| *at <= now).is_some() {
-            fair.platform.weather(LinkConditions::Clear);
+            cluster.platform.weather(LinkConditions::Clear);
         }
         for (_, worker) in self.workers_back.extract_if(.., |(at, _)| *at <= now) {
-            fair.platform.worker_is_back(&worker);
+            cluster.platform.worker_is_back(&worker);
         }
-        self.report.memory_mb = self.report.memory_mb.max(memory_mb(fair));
+        self.report.memory_mb = self.report.memory_mb.max(memory_mb(cluster));
     }
 
-    fn act(&mut self, fair: &mut TestCluster, act: Act) {
-        let edge = |n: usize| fair.fleet.deployment.of(Class::Edge)[n];
+    fn act(&mut self, cluster: &mut TestCluster, act: Act) {
+        let edge = |n: usize| cluster.fleet.deployment.of(Class::Edge)[n];
         match act {
             Act::EndEdge(n) => {
                 let machine = edge(n);
-                fair.fleet.on(machine).for_each(|process| process.terminate());
+                cluster.fleet.on(machine).for_each(|process| process.terminate());
             }
-            Act::EndCore(n) => fair.fleet.nth(Role::Controller, n).terminate(),
+            Act::EndCore(n) => cluster.fleet.nth(Role::Controller, n).terminate(),
             Act::HangUpEdge(n) => {
                 let machine = edge(n);
-                fair.fleet.on(machine).for_each(|process| process.hang_up());
+                cluster.fleet.on(machine).for_each(|process| process.hang_up());
             }
             Act::Change | Act::Toggle => {
                 self.toggled ^= act == Act::Toggle;
@@ -268,36 +268,36 @@
             }
             Act::Drain(n) => {
                 let worker = format!("w-{}", n + 1);
-                fair.platform.drain_worker(&worker);
+                cluster.platform.drain_worker(&worker);
                 self.workers_back.push((Instant::now() + WORKER_BACK, worker));
             }
             Act::Platform(lasts) => {
-                fair.platform.weather(LinkConditions::Hang);
+                cluster.platform.weather(LinkConditions::Hang);
                 self.platform_back = Some(Instant::now() + lasts);
             }
             Act::Kill(n, part) => {
-                self.strikes(fair, n, Duration::from_secs(1));
-                fair.fleet.nth(role(part), n).kill();
+                self.strikes(cluster, n, Duration::from_secs(1));
+                cluster.fleet.nth(role(part), n).kill();
             }
             Act::Freeze(n, part, lasts) => {
-                self.strikes(fair, n, lasts);
+                self.strikes(cluster, n, lasts);
                 let machine = edge(n);
-                fair.fleet.nth(role(part), n).freeze();
+                cluster.fleet.nth(role(part), n).freeze();
                 self.thaws.push((Instant::now() + lasts, machine, role(part)));
             }
         }
     }
 
     /// Unplanned trouble at an edge machine.
-    fn strikes(&mut self, fair: &TestCluster, edge: usize, lasts: Duration) {
-        let now = fair.auditor.now();
+    fn strikes(&mut self, cluster: &TestCluster, edge: usize, lasts: Duration) {
+        let now = cluster.auditor.now();
         self.trouble.push((edge, now..now + lasts));
-        fair.auditor.trouble(now..now + lasts);
+        cluster.auditor.trouble(now..now + lasts);
     }
 
     /// All rules, over all that was seen.
-    async fn judge(mut self, fair: &TestCluster, seen: &[Seen]) -> Report {
-        let bounds = fair.auditor.bounds();
+    async fn judge(mut self, cluster: &TestCluster, seen: &[Seen]) -> Report {
+        let bounds = cluster.auditor.bounds();
         let contact = Duration::from_millis(bounds.contact_ms);
         let slack = Duration::from_millis(bounds.loss_slack_ms);
         let terms = Terms { slack, trouble: std::mem::take(&mut self.trouble), contact };
@@ -311,7 +311,7 @@
                 self.report.broken.push(format!("{verdict:?}: {one:?}"));
             }
         }
-        let audit: Audit = fair.auditor.verdict();
+        let audit: Audit = cluster.auditor.verdict();
         self.report.turned_away = audit.full;
         self.report.broken.extend(audit.broken.iter().map(Broken::to_string));
         self.report.broken.extend(self.refused.lock().unwrap_or_else(|e| e.into_inner()).drain(..));
@@ -336,7 +336,7 @@
     refused: Arc<std::sync::Mutex<Vec<String>>>,
 ) {
     while let Some(configuration) = coming.recv().await {
-        let done = operator.replace(&configuration, PATIENCE).await;
+        let done = operator.replace(&configuration, TIMEOUT).await;
         if !done.acknowledged() {
             let what = format!("revision {} is not acknowledged: {:?}", configuration.revision, done.tries);
             refused.lock().unwrap_or_else(|e| e.into_inner()).push(what);
@@ -345,11 +345,11 @@
 }
 
 /// What all processes take now.
-fn memory_mb(fair: &TestCluster) -> u64 {
+fn memory_mb(cluster: &TestCluster) -> u64 {
     let of = |pid: u32| -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
         let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
         line.split_whitespace().nth(1)?.parse().ok()
     };
-    fair.fleet.processes.iter().filter_map(|p| of(p.pid()?)).sum::<u64>() / 1_024
+    cluster.fleet.processes.iter().filter_map(|p| of(p.pid()?)).sum::<u64>() / 1_024
 }
--- a/e2e/tests/leaving.rs
+++ b/e2e/tests/leaving.rs
@@ -33,28 +33,28 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn every_request_that_is_open_when_a_proxy_ends_is_answered_first() {
     fairly(async || {
-        let mut fair = TestCluster::open_library().await;
+        let mut cluster = TestCluster::open_library().await;
         // A run outlasts the grace time. It has begun before the end does, and nothing is started after it.
         let slow = EndpointBehaviour { work: Duration::from_secs(20), ..EndpointBehaviour::default() };
-        fair.platform.behave("catalogue", &slow);
-        let front = fair.edge(0).front();
+        cluster.platform.behave("catalogue", &slow);
+        let front = cluster.edge(0).front();
         let mut runs = Connection::open(front, CONNECT).await.expect("a connection");
         let (id, whole) = bytes("searches");
         runs.write(&whole).await.expect("written");
-        until("it runs", async || (!fair.auditor.arrivals(&id).is_empty()).then_some(())).await;
-        fair.platform.weather(LinkConditions::Hang);
+        until("it runs", async || (!cluster.auditor.arrivals(&id).is_empty()).then_some(())).await;
+        cluster.platform.weather(LinkConditions::Hang);
         let mut waits = Connection::open(front, CONNECT).await.expect("a connection");
         let mut in_pieces = Connection::open(front, CONNECT).await.expect("a connection");
-        let leaving = fair.fleet.deployment.of(Class::Edge)[0];
+        let leaving = cluster.fleet.deployment.of(Class::Edge)[0];
         let told = Instant::now();
-        fair.fleet.on(leaving).for_each(|process| process.terminate());
+        cluster.fleet.on(leaving).for_each(|process| process.terminate());
         sleep(Duration::from_millis(1_500)).await;
         waits.write(&bytes("holds").1).await.expect("written");
         let (_, whole) = bytes("loans");
         in_pieces.write(&whole[..whole.len() - 10]).await.expect("written");
         let (waits, runs, in_pieces) =
             tokio::join!(answer(&mut waits), answer(&mut runs), answer(&mut in_pieces));
-        let grace = Duration::from_secs_f64(fair.auditor.bounds().grace_s);
+        let grace = Duration::from_secs_f64(cluster.auditor.bounds().grace_s);
         assert!(told.elapsed() < grace, "{:?}", told.elapsed());
         let waits = waits.expect("an answer to the one that waits");
         assert_eq!(waits.status(), 503, "it has not run");
--- a/e2e/tests/losses.rs
+++ b/e2e/tests/losses.rs
@@ -10,33 +10,33 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_stall_and_a_porter_are_killed() {
     fairly(async || {
-        let mut fair = TestCluster::open_library().await;
-        let load = fair.load(60.0);
+        let mut cluster = TestCluster::open_library().await;
+        let load = cluster.load(60.0);
         load.serves(60).await;
-        let began = fair.auditor.now();
-        fair.fleet.nth(Role::Proxy, 0).kill();
-        fair.fleet.nth(Role::Agent, 1).kill();
+        let began = cluster.auditor.now();
+        cluster.fleet.nth(Role::Proxy, 0).kill();
+        cluster.fleet.nth(Role::Agent, 1).kill();
         load.serves(120).await;
         // A stall that hears nothing any more serves all the same.
         for route in ["loans", "holds", "searches"] {
-            let outcome = fair.clients_of(1).send(1, &order(route)).await;
+            let outcome = cluster.clients_of(1).send(1, &order(route)).await;
             assert!(outcome.served(), "{route}: {outcome:?}");
         }
 
-        let edges = fair.fleet.deployment.of(Class::Edge);
-        fair.fleet.restart(edges[0], Role::Proxy).expect("started");
-        fair.fleet.restart(edges[1], Role::Agent).expect("started");
-        fair.in_force(1).await;
-        fair.is_ready().await;
+        let edges = cluster.fleet.deployment.of(Class::Edge);
+        cluster.fleet.restart(edges[0], Role::Proxy).expect("started");
+        cluster.fleet.restart(edges[1], Role::Agent).expect("started");
+        cluster.in_force(1).await;
+        cluster.is_ready().await;
         for edge in 0..3 {
-            let outcome = fair.clients_of(edge).send(1, &order("loans")).await;
+            let outcome = cluster.clients_of(edge).send(1, &order("loans")).await;
             assert!(outcome.served(), "edge {edge}: {outcome:?}");
         }
         load.serves(60).await;
         let sent = load.end().await;
-        fair.auditor.trouble(began..fair.auditor.now());
-        fair.clients.hang_up();
-        fair.auditor.verdict().clean();
+        cluster.auditor.trouble(began..cluster.auditor.now());
+        cluster.clients.hang_up();
+        cluster.auditor.verdict().clean();
         // Of all requests only those are lost that the killed stall had taken, and that may not be repeated.
         let lost = sent.iter().filter(|(_, outcome)| !outcome.served());
         for (order, outcome) in lost {
@@ -50,44 +50,45 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_steward_is_frozen_and_thawed() {
     fairly(async || {
-        let mut fair = TestCluster::open_library().await;
-        fair.loans_search_through(0);
-        let load = fair.load(60.0);
+        let mut cluster = TestCluster::open_library().await;
+        cluster.loans_search_through(0);
+        let load = cluster.load(60.0);
         load.serves(60).await;
-        let old = fair.steward(0).await;
-        let (frozen, began) = (Instant::now(), fair.auditor.now());
-        let at = fair.fleet.at(old.machine, Role::Controller);
-        fair.fleet.processes[at].freeze();
-        let new = fair.steward(old.fence).await;
+        let old = cluster.leader(0).await;
+        let (frozen, began) = (Instant::now(), cluster.auditor.now());
+        let at = cluster.fleet.at(old.machine, Role::Controller);
+        cluster.fleet.processes[at].freeze();
+        let new = cluster.leader(old.fence).await;
         assert_ne!(new.machine, old.machine);
 
         // A function that the old one has never heard of: somebody else starts it.
         let mut next = library(2);
         next.services.push(Function::new("reading-room", 2, 200));
         next.routes.push(Route::new("seats", "reading-room", Kind::Mutating));
-        fair.platform.knows(&next);
-        fair.put(&next).await;
+        cluster.platform.knows(&next);
+        cluster.put(&next).await;
         let seats = Order::on(next.named("seats"));
-        until("a seat is served", async || fair.clients.send(2, &seats).await.served().then_some(())).await;
+        until("a seat is served", async || cluster.clients.send(2, &seats).await.served().then_some(()))
+            .await;
 
         sleep_until((frozen + Duration::from_secs(3)).into()).await;
-        fair.fleet.processes[at].thaw();
+        cluster.fleet.processes[at].thaw();
         until("the old one follows", async || {
-            let status = fair.status(old.machine).await?;
+            let status = cluster.status(old.machine).await?;
             (status["fence"].as_u64() >= Some(new.fence) && status["revision"] == 2).then_some(())
         })
         .await;
-        fair.put(&library(3)).await;
-        fair.in_force(3).await;
+        cluster.put(&library(3)).await;
+        cluster.in_force(3).await;
         load.serves(60).await;
         load.end().await;
 
-        let fences = fair.fences();
+        let fences = cluster.fences();
         assert!(fences.contains(&Some(old.fence)) && fences.len() > 1, "both have acted: {fences:?}");
         assert!(fences.is_sorted(), "the old one has acted again: {fences:?}");
-        fair.auditor.trouble(began..fair.auditor.now());
-        fair.clients.hang_up();
-        fair.auditor.verdict().clean();
+        cluster.auditor.trouble(began..cluster.auditor.now());
+        cluster.clients.hang_up();
+        cluster.auditor.verdict().clean();
     })
     .await;
 }
@@ -95,27 +96,27 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn what_falls_idle_while_there_is_no_steward_is_stopped_and_can_be_started_again() {
     fairly(async || {
-        let mut fair = TestCluster::open_library().await;
+        let mut cluster = TestCluster::open_library().await;
         let routes = ["loans", "holds", "searches"];
         for route in routes {
-            let outcome = fair.clients.send(1, &order(route)).await;
+            let outcome = cluster.clients.send(1, &order(route)).await;
             assert!(outcome.served(), "{route}: {outcome:?}");
         }
-        let old = fair.steward(0).await;
-        let at = fair.fleet.at(old.machine, Role::Controller);
-        fair.fleet.processes[at].kill();
-        fair.steward(old.fence).await;
+        let old = cluster.leader(0).await;
+        let at = cluster.fleet.at(old.machine, Role::Controller);
+        cluster.fleet.processes[at].kill();
+        cluster.leader(old.fence).await;
         // Long before a steward stops by itself what nobody speaks of.
         let stopped = until("all are stopped", async || {
-            let none = library(1).services.iter().all(|f| fair.platform.endpoints(&f.name).is_empty());
+            let none = library(1).services.iter().all(|f| cluster.platform.endpoints(&f.name).is_empty());
             none.then_some(())
         });
         timeout(Duration::from_secs(10), stopped).await.expect("the owners' word is heard");
         for route in routes {
-            let outcome = fair.clients.send(1, &order(route)).await;
+            let outcome = cluster.clients.send(1, &order(route)).await;
             assert!(outcome.served(), "{route}: {outcome:?}");
         }
-        fair.auditor.verdict().clean();
+        cluster.auditor.verdict().clean();
     })
     .await;
 }
@@ -123,26 +124,26 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_edge_machine_that_is_told_to_end_loses_no_request() {
     fairly(async || {
-        let mut fair = TestCluster::open_library().await;
-        let load = fair.load(60.0);
+        let mut cluster = TestCluster::open_library().await;
+        let load = cluster.load(60.0);
         load.serves(60).await;
-        let leaving = fair.fleet.deployment.of(Class::Edge)[0];
+        let leaving = cluster.fleet.deployment.of(Class::Edge)[0];
         let told = Instant::now();
-        fair.fleet.on(leaving).for_each(|process| process.terminate());
+        cluster.fleet.on(leaving).for_each(|process| process.terminate());
         let ended = until("both processes have ended", async || {
-            let ended = fair.fleet.ended();
+            let ended = cluster.fleet.ended();
             (ended.len() == 2).then_some(ended)
         })
         .await;
-        let grace = Duration::from_secs_f64(fair.auditor.bounds().grace_s);
+        let grace = Duration::from_secs_f64(cluster.auditor.bounds().grace_s);
         assert!(told.elapsed() <= grace + Duration::from_secs(2), "{:?}", told.elapsed());
         assert!(ended.iter().all(|(_, status)| status.success()), "{ended:?}");
         load.serves(60).await;
         let unserved: Vec<_> =
             load.end().await.into_iter().filter(|(_, outcome)| !outcome.served()).collect();
         assert!(unserved.is_empty(), "{unserved:?}");
-        fair.clients.hang_up();
-        fair.auditor.verdict().clean();
+        cluster.clients.hang_up();
+        cluster.auditor.verdict().clean();
     })
     .await;
 }
--- a/protocol/src/peer_message.rs
+++ b/protocol/src/peer_message.rs
@@ -216,7 +216,7 @@
         left: f64,
     },
     /// Down: who is the steward.
-    Steward {
+    Leader {
         /// Its address; empty while nobody is known.
         address: CompactString,
         /// Its fence.
@@ -516,7 +516,7 @@
                 ("set", JsonValue::Array(set.iter().map(Instance::to_json).collect())),
                 ("gone", names(gone)),
             ]),
-            PeerMessage::Steward { address, fence } => {
+            PeerMessage::Leader { address, fence } => {
                 object([("t", text("steward")), ("a", text(address)), ("f", n(fence))])
             }
             PeerMessage::Rest { name, left } => {
@@ -643,7 +643,7 @@
                 set: list(from, "set")?.iter().map(Instance::read).collect::<Result<_, _>>()?,
                 gone: read_names(from, "gone")?,
             },
-            "steward" => PeerMessage::Steward { address: string(from, "a")?, fence: whole(from, "f")? },
+            "steward" => PeerMessage::Leader { address: string(from, "a")?, fence: whole(from, "f")? },
             "rest" => PeerMessage::Rest { name: string(from, "n")?, left: number(from, "l")? },
             "want" => PeerMessage::Want {
                 service: string(from, "s")?,
--- a/protocol/src/peer_message/tests.rs
+++ b/protocol/src/peer_message/tests.rs
@@ -69,7 +69,7 @@
             gone: vec!["i-0".into()],
         },
         PeerMessage::Mine { set: vec![instance] },
-        PeerMessage::Steward { address: "10.0.0.2:80".into(), fence: 3 },
+        PeerMessage::Leader { address: "10.0.0.2:80".into(), fence: 3 },
         PeerMessage::Want {
             service: "f".into(),
             count: 2,
--- a/proxy/src/shop.rs
+++ b/proxy/src/shop.rs
@@ -364,7 +364,7 @@
                     | PeerMessage::ViewChange(_)
                     | PeerMessage::Instances { .. }
                     | PeerMessage::Floor { .. }
-                    | PeerMessage::Steward { .. }
+                    | PeerMessage::Leader { .. }
                     | PeerMessage::Rest { .. }
                     | PeerMessage::Stands { .. }
             )
--- a/quorum/src/ballot.rs
+++ b/quorum/src/ballot.rs
@@ -21,7 +21,7 @@
     /// The configuration.
     Config,
     /// The steward's fence.
-    Steward,
+    Leader,
     /// The record of moves. Nothing is there, on no disk, until an operator plans the first.
     Moves,
     /// The voters themselves.
@@ -30,13 +30,13 @@
 
 impl Key {
     /// All keys there are.
-    pub const ALL: [Self; 4] = [Self::Config, Self::Steward, Self::Moves, Self::Members];
+    pub const ALL: [Self; 4] = [Self::Config, Self::Leader, Self::Moves, Self::Members];
 
     /// The key's name.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Config => "config",
-            Self::Steward => "steward",
+            Self::Leader => "steward",
             Self::Moves => "moves",
             Self::Members => "members",
         }
--- a/quorum/tests/sim.rs
+++ b/quorum/tests/sim.rs
@@ -261,7 +261,7 @@
         }
         wakes.push(client.holder.next_wake());
         if client.op.is_none() && client.moving.is_none() && now >= client.next {
-            let key = [Key::Steward, Key::Config, Key::Moves][self.rng.below(3) as usize];
+            let key = [Key::Leader, Key::Config, Key::Moves][self.rng.below(3) as usize];
             let newest = self.oracle.newest.get(&key).copied().unwrap_or(0);
             let seed = self.rng.next();
             if at == 0 && self.rng.one_in(8) && client.members.next.is_none() {
--- a/simulator/src/processes/proxy.rs
+++ b/simulator/src/processes/proxy.rs
@@ -388,7 +388,7 @@
                 | PeerMessage::ViewChange(_)
                 | PeerMessage::Instances { .. }
                 | PeerMessage::Floor { .. }
-                | PeerMessage::Steward { .. } => self.desk.told(now, note),
+                | PeerMessage::Leader { .. } => self.desk.told(now, note),
                 PeerMessage::Rest { left, .. } => self.rests = now + (left * MS as f64) as Time,
                 note => between.push(note),
             }
--- a/simulator/src/world/net.rs
+++ b/simulator/src/world/net.rs
@@ -108,7 +108,7 @@
         PeerMessage::Contact { .. } => 26,
         PeerMessage::Stands { .. } => 24,
         PeerMessage::Rest { name, .. } => 36 + name.len(),
-        PeerMessage::Steward { address, .. } => 34 + address.len(),
+        PeerMessage::Leader { address, .. } => 34 + address.len(),
         PeerMessage::Retire { instance } | PeerMessage::Lost { instance } | PeerMessage::Up { instance } => {
             24 + instance.len()
         }
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -12,7 +12,7 @@
 use crate::discovery::{Discovery, line};
 use crate::node::{Node, Spec};
 use crate::peers::Relay;
-use crate::scripted::{PATIENCE, Reply, Server, answer, lock};
+use crate::scripted::{Reply, Server, TIMEOUT, answer, lock};
 use crate::service::Service;
 use crate::wire::{Message, read, request};
 
@@ -243,7 +243,7 @@
 
 fn hand_in(connection: &mut Option<BufReader<TcpStream>>, address: SocketAddr, bytes: &[u8]) -> Option<u16> {
     if connection.is_none() {
-        let stream = TcpStream::connect_timeout(&address, PATIENCE).ok()?;
+        let stream = TcpStream::connect_timeout(&address, TIMEOUT).ok()?;
         stream.set_read_timeout(Some(Duration::from_millis(500))).ok()?;
         *connection = Some(BufReader::new(stream));
     }
--- a/standins/src/node.rs
+++ b/standins/src/node.rs
@@ -11,7 +11,7 @@
 use socket2::{Domain, Socket, Type};
 
 use crate::peers::Relay;
-use crate::scripted::{PATIENCE, until};
+use crate::scripted::{TIMEOUT, until};
 use crate::service::Service;
 use crate::wire::{Message, read, request};
 
@@ -249,7 +249,7 @@
     /// A connection to it.
     pub fn connect(&self) -> BufReader<TcpStream> {
         let stream = TcpStream::connect(self.address).expect("it listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time limit");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a time limit");
         BufReader::new(stream)
     }
 
@@ -375,7 +375,7 @@
 
 fn staff(console: SocketAddr, line: &str) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(console)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(TIMEOUT))?;
     stream.write_all(format!("{line}\n").as_bytes())?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer)?;
--- a/standins/src/scripted.rs
+++ b/standins/src/scripted.rs
@@ -9,7 +9,7 @@
 use crate::wire::{Message, read};
 
 /// Ample: no test passes or fails by how fast the machine is.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Waits until something holds, and gives it.
 ///
@@ -21,7 +21,7 @@
         if let Some(found) = check() {
             return found;
         }
-        assert!(began.elapsed() < PATIENCE, "never: {what}");
+        assert!(began.elapsed() < TIMEOUT, "never: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/standins/tests/cluster.rs
+++ b/standins/tests/cluster.rs
@@ -17,7 +17,7 @@
     self, Bounds, Class, Configuration, Deployment, Function, Kind, Role, Route,
 };
 use millpost_standins::link::LinkConditions;
-use millpost_standins::scripted::{PATIENCE, Reply, Server, answer};
+use millpost_standins::scripted::{Reply, Server, TIMEOUT, answer};
 use millpost_standins::wire::Message;
 use serde_json::{Value, json};
 use tokio::time::sleep;
@@ -40,7 +40,7 @@
 async fn call(to: SocketAddr, method: &str, path: &str, body: Value) -> (u16, Value) {
     let text = if body.is_null() { String::new() } else { body.to_string() };
     let bytes = request(method, "x", path, &[("X-Fence-Number", "12")], text.as_bytes(), false);
-    let answer = exchange(to, &bytes, PATIENCE).await.expect("an answer");
+    let answer = exchange(to, &bytes, TIMEOUT).await.expect("an answer");
     (answer.status(), serde_json::from_slice(&answer.body).expect("JSON"))
 }
 
@@ -58,7 +58,7 @@
 async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let began = Instant::now();
     while !holds().await {
-        assert!(began.elapsed() < PATIENCE, "never: {what}");
+        assert!(began.elapsed() < TIMEOUT, "never: {what}");
         sleep(Duration::from_millis(10)).await;
     }
 }
@@ -170,9 +170,9 @@
     )
     .await;
     let (first, second) = (asked(&auditor, "a1", "order", &[]), asked(&auditor, "a2", "order", &[]));
-    let (one, other) = tokio::join!(exchange(e.address(), &first, PATIENCE), async {
+    let (one, other) = tokio::join!(exchange(e.address(), &first, TIMEOUT), async {
         until("it works", async || e.running() == 1).await;
-        exchange(e.address(), &second, PATIENCE).await
+        exchange(e.address(), &second, TIMEOUT).await
     });
     let (one, other) = (one.expect("an answer"), other.expect("an answer"));
     assert_eq!((one.status(), one.header("x-attempt-id")), (200, Some("a1")));
@@ -180,12 +180,12 @@
     assert_eq!((other.status(), other.header("x-not-executed")), (503, Some("1")));
 
     let stranger = asked(&auditor, "a3", "order", &[("X-Expect-Endpoint", "i-other")]);
-    let answer = exchange(e.address(), &stranger, PATIENCE).await.expect("an answer");
+    let answer = exchange(e.address(), &stranger, TIMEOUT).await.expect("an answer");
     assert_eq!((answer.status(), answer.header("x-endpoint-id")), (421, Some(e.id())));
     let named = asked(&auditor, "a4", "order", &[("X-Expect-Endpoint", e.id()), ("X-Deadline-Ms", "50")]);
-    assert_eq!(exchange(e.address(), &named, PATIENCE).await.map(|a| a.status()).ok(), Some(504));
+    assert_eq!(exchange(e.address(), &named, TIMEOUT).await.map(|a| a.status()).ok(), Some(504));
     let nameless = request("GET", "dese56.example", "/look/1", &[], b"", false);
-    let answer = exchange(e.address(), &nameless, PATIENCE).await.expect("an answer");
+    let answer = exchange(e.address(), &nameless, TIMEOUT).await.expect("an answer");
     assert_eq!((answer.status(), answer.header("x-not-executed")), (400, Some("1")));
 
     let verdict = auditor.verdict();
@@ -244,13 +244,13 @@
         endpoint(&auditor, 1, EndpointBehaviour { nested: Some(nested), ..EndpointBehaviour::default() })
             .await;
     let short = asked(&auditor, "o1", "order", &[("X-Deadline-Ms", "300")]);
-    assert_eq!(exchange(outer.address(), &short, PATIENCE).await.map(|a| a.status()).ok(), Some(504));
+    assert_eq!(exchange(outer.address(), &short, TIMEOUT).await.map(|a| a.status()).ok(), Some(504));
     inner.behave(EndpointBehaviour::default());
     let long = asked(&auditor, "o2", "order", &[("X-Deadline-Ms", "3000")]);
-    assert_eq!(exchange(outer.address(), &long, PATIENCE).await.map(|a| a.status()).ok(), Some(200));
+    assert_eq!(exchange(outer.address(), &long, TIMEOUT).await.map(|a| a.status()).ok(), Some(200));
     inner.strike(Fault::Fail);
     let long = asked(&auditor, "o3", "order", &[("X-Deadline-Ms", "3000")]);
-    assert_eq!(exchange(outer.address(), &long, PATIENCE).await.map(|a| a.status()).ok(), Some(500));
+    assert_eq!(exchange(outer.address(), &long, TIMEOUT).await.map(|a| a.status()).ok(), Some(500));
     assert_eq!(auditor.verdict().clean().sent, 6);
 }
 
@@ -427,12 +427,12 @@
     let silent = Server::start(|_, _| Reply::Silent);
     let controls = [&full, &silent, &sends_on].map(|s| s.address).to_vec();
     let operator = Operator::new(controls, auditor());
-    let done = operator.replace(&Configuration::small(2), PATIENCE).await;
+    let done = operator.replace(&Configuration::small(2), TIMEOUT).await;
     assert_eq!((done.tries, done.by), (vec![503, 0, 200], Some(good.address)));
     operator.begin_at(2);
-    assert_eq!(operator.replace_with("{", PATIENCE).await.status, 400);
+    assert_eq!(operator.replace_with("{", TIMEOUT).await.status, 400);
     let reader = Operator::new(vec![good.address], auditor());
-    assert_eq!(reader.read(PATIENCE).await, Some(Configuration::small(1)));
+    assert_eq!(reader.read(TIMEOUT).await, Some(Configuration::small(1)));
 }
 
 #[test]
--- a/standins/tests/standins.rs
+++ b/standins/tests/standins.rs
@@ -11,7 +11,7 @@
 use millpost_standins::partner::Partners;
 use millpost_standins::peers::{LONGEST, Relay};
 use millpost_standins::plan::{Fault, Plan, Target, What};
-use millpost_standins::scripted::{PATIENCE, answer, endpoint, until};
+use millpost_standins::scripted::{TIMEOUT, answer, endpoint, until};
 use tokio::runtime::Runtime;
 
 fn runtime() -> Runtime {
@@ -203,7 +203,7 @@
     let discovery = Discovery::start();
     let ask = |path: &str| {
         let mut stream = TcpStream::connect(discovery.server.address).expect("a connection");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a limit");
         write!(stream, "GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").expect("sent");
         millpost_standins::wire::read(&mut std::io::BufReader::new(stream)).expect("an answer")
     };
@@ -236,7 +236,7 @@
     let relay = Relay::start(3).expect("a relay");
     let sockets: Vec<_> =
         relay.listens.iter().map(|a| std::net::UdpSocket::bind(a).expect("its address")).collect();
-    sockets.iter().for_each(|s| s.set_read_timeout(Some(PATIENCE)).expect("a limit"));
+    sockets.iter().for_each(|s| s.set_read_timeout(Some(TIMEOUT)).expect("a limit"));
     sockets[0].send_to(&[7; LONGEST + 1], relay.all).expect("sent");
     sockets[0].send_to(b"note", relay.all).expect("sent");
     for hears in [1, 2] {
