--- a/core/src/call.rs
+++ b/core/src/call.rs
@@ -9,63 +9,63 @@
 use millpost_store::ledger::Final;
 use serde::{Deserialize, Serialize};
 
-use crate::shelf::Act;
-use crate::{Behind, CallId, Carried, Change, Core, Effect, Fault, Moment};
+use crate::durability::Act;
+use crate::{CallId, CallMessage, Change, Core, Deferred, Effect, Fault, Moment};
 
 /// How the call of one message ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct End {
+pub struct MessageEnd {
     /// How.
     pub outcome: Outcome,
     /// The message is over: delivered, or the endpoint says so.
     pub over: bool,
 }
 
-impl From<Outcome> for End {
+impl From<Outcome> for MessageEnd {
     fn from(outcome: Outcome) -> Self {
-        End { outcome, over: false }
+        MessageEnd { outcome, over: false }
     }
 }
 
 /// How a call ended for the messages in it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fate {
+pub enum MessageEnds {
     /// All fared alike.
-    All(End),
+    All(MessageEnd),
     /// One end for each, in their order.
-    Each(Vec<End>),
+    Each(Vec<MessageEnd>),
 }
 
-impl Fate {
+impl MessageEnds {
     /// The end of the message at this place in the call.
-    pub fn of(&self, place: usize) -> End {
+    pub fn of(&self, place: usize) -> MessageEnd {
         match self {
-            Fate::All(end) => *end,
+            MessageEnds::All(end) => *end,
             // An answer gives each an end; one that it did not would have proven nothing.
-            Fate::Each(ends) => ends.get(place).copied().unwrap_or(Outcome::Reset.into()),
+            MessageEnds::Each(ends) => ends.get(place).copied().unwrap_or(Outcome::Reset.into()),
         }
     }
     /// Whether it ended so for all.
     pub fn is(&self, outcome: Outcome) -> bool {
-        matches!(self, Fate::All(end) if end.outcome == outcome)
+        matches!(self, MessageEnds::All(end) if end.outcome == outcome)
     }
 }
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ended {
+pub struct CallEnd {
     /// For the messages in it.
-    pub fate: Fate,
+    pub ends: MessageEnds,
     /// A wait that an answer told though it turned away no message.
     pub wait: Option<Nanos>,
     /// A load report, if one came.
     pub report: Option<Report>,
 }
 
-impl Ended {
+impl CallEnd {
     /// An end without an answer.
     pub fn without_answer(outcome: Outcome) -> Self {
-        Ended { fate: Fate::All(outcome.into()), wait: None, report: None }
+        CallEnd { ends: MessageEnds::All(outcome.into()), wait: None, report: None }
     }
 }
 
@@ -92,13 +92,13 @@
 }
 
 /// The body of a call holds no more than so many bytes, as any other.
-pub const LONGEST_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// How much room a message may take in the body of a call with others: bytes, and never too few.
-pub fn room(carried: &Carried) -> usize {
+pub fn bundled_size(carried: &CallMessage) -> usize {
     // A key that is no text can't stand among others.
     if carried.key.as_ref().is_some_and(|key| std::str::from_utf8(key).is_err()) {
-        return LONGEST_BODY;
+        return MAX_BODY_BYTES;
     }
     // An escaped character takes six bytes at most, and Base64 four for each three.
     let text = 6 * (carried.reference.len() + carried.key.as_ref().map_or(0, |key| key.len()));
@@ -121,18 +121,18 @@
             let Some(held) = self.held.get_mut(id) else { continue };
             let member = Member { id: *id, attempt: held.attempts };
             held.attempts += 1;
-            let room = if messages.len() > 1 { room(&held.carried()) } else { 0 };
+            let room = if messages.len() > 1 { bundled_size(&held.call_message()) } else { 0 };
             match parts.back_mut().filter(|_| room <= left) {
                 Some(part) => part.push(member),
                 // Two bytes are the brackets'.
                 None => {
-                    left = LONGEST_BODY - 2;
+                    left = MAX_BODY_BYTES - 2;
                     parts.push_back(vec![member]);
                 }
             }
             left = left.saturating_sub(room);
         }
-        // One fate, one end: that of the message which may wait longest.
+        // One call has one deadline: that of the message which may wait longest.
         let timeout = messages.iter().map(|(_, timeout)| *timeout).max().unwrap_or(0);
         self.start(at, endpoint, at.now.saturating_add(timeout), parts);
     }
@@ -182,7 +182,7 @@
             self.effects.push_back(Effect::Append(change, None));
         }
         if !self.has(Fault::WriteBeforeNoting) {
-            self.effects.push_back(Effect::After(Behind(Act::Write { call })));
+            self.effects.push_back(Effect::AfterWrites(Deferred(Act::Write { call })));
         }
     }
 
@@ -194,7 +194,7 @@
     /// The connection of a call was gone before its last byte was written. A kept one had been given up, and a new
     /// one is opened; a new one of no use is a failure, or an endpoint that closes each at once would be connected
     /// to without end.
-    pub fn unsent(&mut self, at: Moment, call: CallId, fresh: bool) {
+    pub fn connection_lost(&mut self, at: Moment, call: CallId, fresh: bool) {
         let Some(out) = self.calls.get(&call) else { return };
         if fresh {
             return self.settle(at, call, Outcome::ConnectFailed);
@@ -254,29 +254,30 @@
         }
         let Some(out) = self.calls.get(&call) else { return };
         let held = || out.members.iter().filter_map(|m| self.held.get(&m.id));
-        let (sure, messages) = (held().any(|held| held.once), held().map(|held| held.carried()).collect());
+        let (sure, messages) =
+            (held().any(|held| held.once), held().map(|held| held.call_message()).collect());
         let (endpoint, until) = (out.endpoint, out.until);
         self.effects.push_back(Effect::Write { call, endpoint, sure, until, messages });
     }
 
     /// A call is over, and its connection closed or at rest.
-    pub fn ended(&mut self, at: Moment, call: CallId, ended: Ended) {
-        let Ended { fate, wait, report } = ended;
+    pub fn ended(&mut self, at: Moment, call: CallId, ended: CallEnd) {
+        let CallEnd { ends, wait, report } = ended;
         let Some(Call { members, rest, endpoint, sent, until, begun, .. }) = self.calls.remove(&call) else {
             return;
         };
         if let Some(wait) = wait {
-            self.control.on_event(at.now, Event::ToldToWait { endpoint, wait });
+            self.control.on_event(at.now, Event::WaitRequested { endpoint, wait });
         }
         if self.watched {
-            let outcome = fate.of(0).outcome;
+            let outcome = ends.of(0).outcome;
             let full = if let Outcome::Full(wait) = outcome { wait } else { None };
-            self.effects.push_back(Effect::Went { endpoint, outcome, wait: wait.max(full) });
+            self.effects.push_back(Effect::CallEnded { endpoint, outcome, wait: wait.max(full) });
         }
         for (place, member) in members.into_iter().enumerate() {
             // One report came, whatever the number of messages.
             let report = report.filter(|_| place == 0);
-            self.message_over(at, (endpoint, sent), member, begun, fate.of(place), report);
+            self.message_over(at, (endpoint, sent), member, begun, ends.of(place), report);
         }
         // A wait or a failure outlasts a crash from here on, and not only from the next round.
         if !self.has(Fault::LearnLate) {
@@ -287,7 +288,7 @@
 
     /// The outcome of a call of which nothing was written.
     fn settle(&mut self, at: Moment, call: CallId, outcome: Outcome) {
-        self.ended(at, call, Ended::without_answer(outcome));
+        self.ended(at, call, CallEnd::without_answer(outcome));
         if self.has(Fault::LoseWake) {
             self.wakes = [at.now].into();
         } else {
@@ -302,7 +303,7 @@
         (endpoint, sent): (EndpointId, Nanos),
         Member { id, attempt }: Member,
         begun: bool,
-        End { mut outcome, over }: End,
+        MessageEnd { mut outcome, over }: MessageEnd,
         report: Option<Report>,
     ) {
         if outcome == Outcome::Reset && self.has(Fault::ResetNeverRan) {
@@ -329,7 +330,7 @@
     pub(crate) fn call_off(&mut self, id: MsgId, attempt: u32) {
         let alone = |out: &Call| matches!(out.members[..], [m] if (m.id, m.attempt) == (id, attempt));
         if let Some((call, _)) = self.calls.iter().find(|(_, out)| alone(out)) {
-            self.effects.push_back(Effect::CallOff { call: *call });
+            self.effects.push_back(Effect::CancelCall { call: *call });
         }
     }
 }
--- a/core/src/tally.rs
+++ b/core/src/counts.rs
@@ -4,7 +4,7 @@
 
 /// Ends of the messages of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Count {
+pub struct ClassCounts {
     /// Delivered.
     pub delivered: u64,
     /// Refused at the door, or handed back: trying again is harmless.
@@ -13,7 +13,7 @@
     pub failed: u64,
 }
 
-impl std::ops::AddAssign for Count {
+impl std::ops::AddAssign for ClassCounts {
     fn add_assign(&mut self, other: Self) {
         self.delivered += other.delivered;
         self.refused += other.refused;
@@ -23,15 +23,15 @@
 
 /// The counts of all classes, by their positions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tally(BTreeMap<usize, Count>);
+pub struct OutcomeCounts(BTreeMap<usize, ClassCounts>);
 
-impl Tally {
-    pub(crate) fn of(&mut self, class: usize) -> &mut Count {
+impl OutcomeCounts {
+    pub(crate) fn of(&mut self, class: usize) -> &mut ClassCounts {
         self.0.entry(class).or_default()
     }
 
     /// What was counted of a class.
-    pub fn count(&self, class: usize) -> Count {
+    pub fn count(&self, class: usize) -> ClassCounts {
         self.0.get(&class).copied().unwrap_or_default()
     }
 }
--- a/core/src/shelf.rs
+++ b/core/src/durability.rs
@@ -1,6 +1,6 @@
 //! What waits for a write to last. The order *durable, then outward* is kept by the types here: what follows a write
-//! is handed out as a [`Behind`] that nobody can look into, only a [`Shelf`] makes a [`Ready`] of it, and only once
-//! the journal says that the write lasts; and [`crate::Core::go_on`] takes nothing but a `Ready`.
+//! is handed out as a [`Deferred`] that nobody can look into, only a [`DurabilityQueue`] makes a [`Durable`] of it, and only once
+//! the journal says that the write lasts; and [`crate::Core::run_deferred`] takes nothing but a `Durable`.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -66,42 +66,42 @@
     Tell { id: MsgId, answer: Answer },
 }
 
-/// What stands behind a write: given to a [`Shelf`] with the number of the write, or back to
-/// [`crate::Core::not_written`] where the write failed.
+/// What stands behind a write: given to a [`DurabilityQueue`] with the number of the write, or back to
+/// [`crate::Core::write_failed`] where the write failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[must_use = "what stands behind a write is owed"]
-pub struct Behind(pub(crate) Act);
+pub struct Deferred(pub(crate) Act);
 
 /// What stood behind a write that lasts.
 #[derive(Debug)]
 #[must_use = "what stood behind a write is owed"]
-pub struct Ready(pub(crate) Act);
+pub struct Durable(pub(crate) Act);
 
 /// What waits for a write to last, in the order of the writes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Shelf {
-    waiting: VecDeque<(Seq, Behind)>,
+pub struct DurabilityQueue {
+    waiting: VecDeque<(Seq, Deferred)>,
 }
 
-impl Shelf {
+impl DurabilityQueue {
     /// Keeps what stands behind the write of this number.
-    pub fn put(&mut self, seq: Seq, behind: Behind) {
+    pub fn push(&mut self, seq: Seq, behind: Deferred) {
         self.waiting.push_back((seq, behind));
     }
 
     /// The next that may be done, in the order of the writes. `lasts` is the journal's word on a write.
-    pub fn next(&mut self, lasts: impl Fn(Seq) -> bool) -> Option<Ready> {
-        let (_, Behind(act)) = self.waiting.pop_front_if(|(seq, _)| lasts(*seq))?;
-        Some(Ready(act))
+    pub fn pop_durable(&mut self, lasts: impl Fn(Seq) -> bool) -> Option<Durable> {
+        let (_, Deferred(act)) = self.waiting.pop_front_if(|(seq, _)| lasts(*seq))?;
+        Some(Durable(act))
     }
 
     /// Takes out what clients wait for and does not last yet: the disk refuses, and they are told to come again.
-    pub fn clients(&mut self, lasts: impl Fn(Seq) -> bool) -> Vec<Behind> {
+    pub fn take_client_replies(&mut self, lasts: impl Fn(Seq) -> bool) -> Vec<Deferred> {
         let mut taken = Vec::new();
-        for (seq, Behind(act)) in std::mem::take(&mut self.waiting) {
+        for (seq, Deferred(act)) in std::mem::take(&mut self.waiting) {
             match act {
-                Act::Accept { .. } | Act::Confirm { .. } if !lasts(seq) => taken.push(Behind(act)),
-                act => self.waiting.push_back((seq, Behind(act))),
+                Act::Accept { .. } | Act::Confirm { .. } if !lasts(seq) => taken.push(Deferred(act)),
+                act => self.waiting.push_back((seq, Deferred(act))),
             }
         }
         taken
@@ -109,7 +109,7 @@
 
     /// Calls get other numbers, by [`crate::Core::renumber`], and writes are counted from `base` on.
     pub fn renumber(&mut self, new: &BTreeMap<CallId, CallId>, base: Seq) {
-        for (seq, Behind(act)) in &mut self.waiting {
+        for (seq, Deferred(act)) in &mut self.waiting {
             *seq = seq.saturating_sub(base);
             if let Act::Write { call } = act {
                 // One that is over by now stays one that nobody knows.
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -3,18 +3,18 @@
 //!
 //! The caller tells a [`Core`] what happened and when ([`Moment`]); the core puts what is to be done into a queue of
 //! [`Effect`]s, which the caller carries out in their order. What may only be done once a write lasts is handed out
-//! as a [`Behind`]: see [`shelf`].
+//! as a [`Deferred`]: see [`durability`].
 //!
 //! Invariants kept here: a message has one final answer; it has one attempt out at most, and that attempt belongs to
 //! one call; a call is written only after each of its attempts was noted, and only while every check that the module
 //! would make still holds; what is answered in the journal is told to the platform until that has taken it.
 
 mod call;
+mod counts;
+pub mod durability;
 mod faults;
 mod message;
-mod moved;
-pub mod shelf;
-mod tally;
+mod snapshot;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::fmt;
@@ -22,18 +22,18 @@
 
 use bytes::Bytes;
 use millpost::api::{Action, EndpointId, Entry, Event, MsgId, Nanos, Outcome, Settings};
-use millpost::{Control, Dice, Lesson};
+use millpost::{Control, LearnedState, RandomSource};
 use millpost_store::ledger::Answer;
 use serde::{Serialize, Serializer};
 
 use call::Call;
-pub use call::{End, Ended, Fate, LONGEST_BODY, room};
+pub use call::{CallEnd, MAX_BODY_BYTES, MessageEnd, MessageEnds, bundled_size};
+pub use counts::{ClassCounts, OutcomeCounts};
+pub use durability::{Change, Deferred, DurabilityQueue, Durable};
 pub use faults::Fault;
 use message::Held;
-pub use message::{Handed, Verdict};
-pub use moved::{LAYOUT, Moved};
-pub use shelf::{Behind, Change, Ready, Shelf};
-pub use tally::{Count, Tally};
+pub use message::{Submission, SubmitReply};
+pub use snapshot::{CoreSnapshot, SNAPSHOT_VERSION};
 
 /// A call, as the core numbers it.
 pub type CallId = u64;
@@ -56,14 +56,14 @@
         self.wall.saturating_add(at).saturating_sub(self.now)
     }
     /// A time of the wall clock as the module's clock would show it.
-    pub fn at_wall(self, at: Nanos) -> Nanos {
+    pub fn to_monotonic(self, at: Nanos) -> Nanos {
         self.now.saturating_add(at).saturating_sub(self.wall)
     }
 }
 
 /// A message as it is written in a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Carried {
+pub struct CallMessage {
     /// Its id at its client.
     pub reference: String,
     /// Its idempotency key.
@@ -75,17 +75,17 @@
 /// Something to be done. Effects are carried out in their order, each before the next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Write this to the journal. What stands behind it goes on a [`Shelf`] with the number of the write; where the
-    /// write fails, [`Core::not_written`] is told.
-    Append(Change, Option<Behind>),
+    /// Write this to the journal. What stands behind it goes on a [`DurabilityQueue`] with the number of the write; where the
+    /// write fails, [`Core::write_failed`] is told.
+    Append(Change, Option<Deferred>),
     /// Nothing is to be written; this waits for all that was written so far.
-    After(Behind),
+    AfterWrites(Deferred),
     /// Answer a client.
     Reply {
         /// Which.
         reply: ReplyId,
         /// What to say.
-        verdict: Verdict,
+        verdict: SubmitReply,
         /// The message that it takes on: whether the client was still there is told by [`Core::replied`].
         taken: Option<MsgId>,
     },
@@ -103,7 +103,7 @@
         /// No longer than this.
         until: Nanos,
     },
-    /// Write a call on the connection that was found. Ends in [`Core::ended`], or in [`Core::unsent`] where the
+    /// Write a call on the connection that was found. Ends in [`Core::ended`], or in [`Core::connection_lost`] where the
     /// connection was gone before the last byte.
     Write {
         /// The call.
@@ -115,7 +115,7 @@
         /// When it is given up.
         until: Nanos,
         /// One message, or several in one body.
-        messages: Vec<Carried>,
+        messages: Vec<CallMessage>,
     },
     /// Nothing will be written: the connection that was found may serve another call.
     Release {
@@ -123,7 +123,7 @@
         call: CallId,
     },
     /// Call off a call that is out; it ends in [`Core::ended`] all the same.
-    CallOff {
+    CancelCall {
         /// The call.
         call: CallId,
     },
@@ -133,11 +133,11 @@
         endpoint: EndpointId,
     },
     /// Send a note to all other dispatchers.
-    Note {
+    Broadcast {
         /// What to say.
         bytes: Vec<u8>,
     },
-    /// Tell the platform how a message ended, until it has taken that: see [`Core::noticed`].
+    /// Tell the platform how a message ended, until it has taken that: see [`Core::notice_accepted`].
     Notice {
         /// The message.
         id: MsgId,
@@ -147,9 +147,9 @@
         answer: Answer,
     },
     /// Keep what was learnt of destinations, before anything that follows.
-    Learn(Vec<Lesson>),
-    /// A call ended so; only where that is [watched](Core::watch).
-    Went {
+    SaveLearned(Vec<LearnedState>),
+    /// A call ended so; only where that is [watched](Core::report_call_ends).
+    CallEnded {
         /// Where it went.
         endpoint: EndpointId,
         /// How the first of its messages ended.
@@ -187,7 +187,7 @@
     /// When the process may end if it is idle, and when it ends.
     stop: Option<(Nanos, Nanos)>,
     effects: VecDeque<Effect>,
-    tally: Tally,
+    counts: OutcomeCounts,
     watched: bool,
     /// No new messages are taken on.
     closed: bool,
@@ -213,7 +213,7 @@
             soon: false,
             stop: None,
             effects: VecDeque::new(),
-            tally: Tally::default(),
+            counts: OutcomeCounts::default(),
             watched: false,
             closed: false,
             #[cfg(feature = "faults")]
@@ -222,12 +222,12 @@
     }
 
     /// From now on it is told how each call ends.
-    pub fn watch(&mut self) {
+    pub fn report_call_ends(&mut self) {
         self.watched = true;
     }
 
     /// New messages are refused with a time to return, or taken on again. What was taken on goes on.
-    pub fn close(&mut self, closed: bool) {
+    pub fn refuse_new(&mut self, closed: bool) {
         self.closed = closed;
     }
 
@@ -237,8 +237,8 @@
     }
 
     /// What a destination takes a second from all dispatchers, as far as that is told, and the messages that wait for it.
-    pub fn need(&self, dest: millpost::api::DestId) -> (f64, usize) {
-        self.control.need(dest)
+    pub fn demand(&self, dest: millpost::api::DestId) -> (f64, usize) {
+        self.control.demand(dest)
     }
 
     /// The next thing to be done.
@@ -269,14 +269,14 @@
         self.control.on_event(at.now, Event::Listed { whole, entries });
     }
 
-    /// An endpoint that was out by hand is put back: see [`Event::Returned`].
-    pub fn returned(&mut self, at: Moment, endpoint: EndpointId) {
-        self.control.on_event(at.now, Event::Returned { endpoint });
+    /// An endpoint that was out by hand is put back: see [`Event::EndpointReturned`].
+    pub fn endpoint_returned(&mut self, at: Moment, endpoint: EndpointId) {
+        self.control.on_event(at.now, Event::EndpointReturned { endpoint });
         self.learn_grave(at);
     }
 
     /// New settings, with the classes of open messages where they stood.
-    pub fn settle_on(&mut self, at: Moment, settings: Settings) {
+    pub fn apply_settings(&mut self, at: Moment, settings: Settings) {
         self.settings = Arc::new(settings);
         self.control.on_event(at.now, Event::Settings { settings: self.settings.clone() });
     }
@@ -289,11 +289,11 @@
     }
 
     /// What was learnt before a restart.
-    pub fn recall(&mut self, at: Moment, lesson: &Lesson, age: Nanos) {
+    pub fn restore_learned(&mut self, at: Moment, lesson: &LearnedState, age: Nanos) {
         if self.has(Fault::ForgetWaits) {
             return;
         }
-        self.control.recall(at.now, lesson.dest, lesson.route, age, &lesson.bytes);
+        self.control.restore_learned(at.now, lesson.dest, lesson.route, age, &lesson.bytes);
     }
 
     /// The process ends after this time.
@@ -304,18 +304,18 @@
     }
 
     /// The process has been told to end, and may.
-    pub fn done(&self, now: Nanos) -> bool {
+    pub fn may_exit(&self, now: Nanos) -> bool {
         let idle = self.held.is_empty() && self.calls.is_empty();
         self.stop.is_some_and(|(least, most)| now >= most || idle && now >= least)
     }
 
     /// When [`Self::decide`] is to be called next, if nothing happens.
-    pub fn wake(&self) -> Option<Nanos> {
+    pub fn next_wake(&self) -> Option<Nanos> {
         if self.soon { Some(0) } else { self.wakes.first().copied() }
     }
 
     /// Something is on its way to an end that nothing but time will bring on: it is looked after often.
-    pub fn restless(&self) -> bool {
+    pub fn needs_polling(&self) -> bool {
         self.stop.is_some() || !self.unwritten.is_empty()
     }
 
@@ -325,18 +325,18 @@
     }
 
     /// Messages that are owed something: their end, or its notice.
-    pub fn owed(&self) -> usize {
+    pub fn unfinished(&self) -> usize {
         self.held.len()
     }
 
     /// Messages taken on that have no final answer yet.
-    pub fn open(&self) -> usize {
+    pub fn unanswered(&self) -> usize {
         self.open
     }
 
     /// How messages ended since the process began.
-    pub fn tally(&self) -> &Tally {
-        &self.tally
+    pub fn outcome_counts(&self) -> &OutcomeCounts {
+        &self.counts
     }
 
     /// The module sends nothing to this endpoint now, if it has another choice: it drains, or is in trouble.
@@ -369,7 +369,7 @@
                 Action::Fail { id } => self.answer(id, Answer::Failed),
                 Action::Cancel { id, attempt } => self.call_off(id, attempt),
                 Action::Probe { endpoint } => self.effects.push_back(Effect::Probe { endpoint }),
-                Action::Tell { bytes } => self.effects.push_back(Effect::Note { bytes }),
+                Action::Broadcast { bytes } => self.effects.push_back(Effect::Broadcast { bytes }),
                 // The watch goes on by itself.
                 Action::Subscribe => {}
                 Action::Wake { at } => {
@@ -389,16 +389,16 @@
     }
 
     fn learn_grave(&mut self, at: Moment) {
-        if self.control.has_grave_news() {
-            self.learn(at, true);
+        if self.control.has_urgent_state() {
+            self.save_learned(at, true);
         }
     }
 
     /// Has what was learnt kept: all of it, or only what can't wait.
-    pub fn learn(&mut self, at: Moment, grave_only: bool) {
-        let lessons = self.control.learnt(at.now, grave_only);
+    pub fn save_learned(&mut self, at: Moment, grave_only: bool) {
+        let lessons = self.control.take_learned(at.now, grave_only);
         if !lessons.is_empty() {
-            self.effects.push_back(Effect::Learn(lessons));
+            self.effects.push_back(Effect::SaveLearned(lessons));
         }
     }
 
@@ -409,16 +409,16 @@
     }
 
     /// What stood behind a write that lasts by now is done.
-    pub fn go_on(&mut self, at: Moment, Ready(act): Ready) {
-        use shelf::Act;
+    pub fn run_deferred(&mut self, at: Moment, Durable(act): Durable) {
+        use durability::Act;
         match act {
             Act::Accept { id, class, dest, order, reply } => self.accept(id, class, dest, order, reply),
-            Act::Confirm { reply, .. } => self.reply(reply, Verdict::Taken),
+            Act::Confirm { reply, .. } => self.reply(reply, SubmitReply::Accepted),
             Act::Write { call } => self.write(at, call),
             Act::Tell { id, answer } => {
                 self.tell(id, answer);
                 if self.has(Fault::EndBeforeNoticed) {
-                    self.noticed(at, id);
+                    self.notice_accepted(at, id);
                 }
             }
         }
@@ -431,24 +431,24 @@
     }
 
     /// Calls that the module takes to be out.
-    pub fn slots_taken(&self) -> usize {
-        self.control.calls_out()
+    pub fn slots_in_use(&self) -> usize {
+        self.control.calls_in_flight()
     }
 
     /// Other dice for the module from now on; the ones before are given back.
-    pub fn set_dice(&mut self, dice: Dice) -> Dice {
-        self.control.set_dice(dice)
+    pub fn set_random_source(&mut self, dice: RandomSource) -> RandomSource {
+        self.control.set_random_source(dice)
     }
 
     /// Drops what was learnt and nobody was given yet. For exploring what comes where no start will ask for it.
-    pub fn forget_lessons(&mut self, at: Moment) {
-        drop(self.control.learnt(at.now, false));
+    pub fn discard_learned(&mut self, at: Moment) {
+        drop(self.control.take_learned(at.now, false));
     }
 
     /// Blanks what is not read before it is set anew, where no load report is ever heard: see
-    /// [`Control::blank_unread`].
-    pub fn blank_unread(&mut self, at: Moment) {
-        self.control.blank_unread(at.now);
+    /// [`Control::reset_unread`].
+    pub fn reset_unread(&mut self, at: Moment) {
+        self.control.reset_unread(at.now);
     }
 
     /// Numbers the calls that are out anew, from 0 on in their order, and says which is which. What follows is the same,
@@ -462,7 +462,7 @@
         new
     }
 
-    fn reply(&mut self, reply: ReplyId, verdict: Verdict) {
+    fn reply(&mut self, reply: ReplyId, verdict: SubmitReply) {
         self.effects.push_back(Effect::Reply { reply, verdict, taken: None });
     }
 }
--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -8,12 +8,12 @@
 use millpost_store::ledger::{Answer, Final, Found, History, Taken};
 use serde::{Deserialize, Serialize};
 
-use crate::shelf::Act;
-use crate::{Behind, Carried, Change, Core, Effect, Fault, KEEP_ANSWER, Moment, ReplyId};
+use crate::durability::Act;
+use crate::{CallMessage, Change, Core, Deferred, Effect, Fault, KEEP_ANSWER, Moment, ReplyId};
 
 /// What a client hands in.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Handed {
+pub struct Submission {
     /// Its id at its client.
     pub reference: String,
     /// Position of its class.
@@ -32,16 +32,16 @@
 
 /// What a client is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum SubmitReply {
     /// Taken on.
-    Taken,
+    Accepted,
     /// Refused: handing it in again is harmless.
     Refused {
         /// How long to stay away, nanoseconds; 0 for no hint.
         wait: Nanos,
     },
     /// Its destination does not exist.
-    Unheard,
+    UnknownDestination,
     /// It was here before, and was given up then: nothing is promised.
     Failed,
 }
@@ -67,8 +67,8 @@
 }
 
 impl Held {
-    pub fn carried(&self) -> Carried {
-        Carried { reference: self.reference.clone(), key: self.key.clone(), body: self.body.clone() }
+    pub fn call_message(&self) -> CallMessage {
+        CallMessage { reference: self.reference.clone(), key: self.key.clone(), body: self.body.clone() }
     }
 }
 
@@ -80,33 +80,33 @@
 
     /// A client hands a message in. `ended` is how a message of this reference ended before, where that is still
     /// kept; it is not looked at while the message is held.
-    pub fn handed(&mut self, at: Moment, handed: Handed, ended: Option<Final>, reply: ReplyId) {
+    pub fn submit(&mut self, at: Moment, handed: Submission, ended: Option<Final>, reply: ReplyId) {
         // Handed in once more, since a connection closed under it: it is taken on already.
         if self.holds(&handed.reference) && !self.has(Fault::TakeTwice) {
-            let behind = Behind(Act::Confirm { dest: handed.dest, reply });
-            return self.effects.push_back(Effect::After(behind));
+            let behind = Deferred(Act::Confirm { dest: handed.dest, reply });
+            return self.effects.push_back(Effect::AfterWrites(behind));
         }
         // It comes again after its end: it gets the same answer, and nothing is sent again.
         if let Some(end) = ended {
             let verdict = match end {
-                Final::Delivered => Verdict::Taken,
-                Final::Answered(Answer::Failed) => Verdict::Failed,
+                Final::Delivered => SubmitReply::Accepted,
+                Final::Answered(Answer::Failed) => SubmitReply::Failed,
                 Final::Answered(Answer::Refused { wait_ms }) => {
-                    Verdict::Refused { wait: wait_ms.saturating_mul(1_000_000) }
+                    SubmitReply::Refused { wait: wait_ms.saturating_mul(1_000_000) }
                 }
             };
             return self.reply(reply, verdict);
         }
-        if !self.control.has_heard_of(handed.dest) {
-            self.tally.of(handed.class).failed += 1;
-            return self.reply(reply, Verdict::Unheard);
+        if !self.control.knows_destination(handed.dest) {
+            self.counts.of(handed.class).failed += 1;
+            return self.reply(reply, SubmitReply::UnknownDestination);
         }
         // No more are held than the settings allow; notices that are owed take room too.
         if self.closed || self.open >= self.settings.hold || self.held.len() >= 4 * self.settings.hold {
-            self.tally.of(handed.class).refused += 1;
+            self.counts.of(handed.class).refused += 1;
             return self.refuse(at, handed.dest, reply);
         }
-        let Handed { reference, class, dest, time_left, key, order, body } = handed;
+        let Submission { reference, class, dest, time_left, key, order, body } = handed;
         let deadline = at.to_wall(at.now.saturating_add(time_left));
         let id = self.next_message;
         self.next_message += 1;
@@ -128,14 +128,14 @@
             self.accept(id, class, dest, order, reply);
         }
         let taken = Taken { reference, class: class as u32, dest, deadline, key, order, body };
-        let behind = Behind(Act::Accept { id, class, dest, order, reply });
+        let behind = Deferred(Act::Accept { id, class, dest, order, reply });
         self.effects.push_back(Effect::Append(Change::Take { id, taken }, Some(behind)));
     }
 
     /// Refused for want of room, with a time to come back.
     fn refuse(&mut self, at: Moment, dest: DestId, reply: ReplyId) {
-        let wait = self.control.wait_for_room(at.now, dest);
-        self.reply(reply, Verdict::Refused { wait });
+        let wait = self.control.retry_after_hint(at.now, dest);
+        self.reply(reply, SubmitReply::Refused { wait });
     }
 
     /// The message lasts: its client hears so, then the module.
@@ -149,7 +149,7 @@
     ) {
         let Some(held) = self.held.get_mut(&id) else { return };
         held.told_of = Some((class, dest, order));
-        self.effects.push_back(Effect::Reply { reply, verdict: Verdict::Taken, taken: Some(id) });
+        self.effects.push_back(Effect::Reply { reply, verdict: SubmitReply::Accepted, taken: Some(id) });
     }
 
     /// Whether the client was still there to hear that its message was taken on. One that left before voids its id:
@@ -160,7 +160,7 @@
         if !heard {
             return self.over(at, id, None);
         }
-        let time_left = at.at_wall(held.deadline).saturating_sub(at.now);
+        let time_left = at.to_monotonic(held.deadline).saturating_sub(at.now);
         let key = order.filter(|_| !self.has(Fault::ForgetOrder));
         let event = Event::Message { id, class, tenant: None, key, dest, time_left };
         self.control.on_event(at.now, event);
@@ -197,7 +197,7 @@
             return self.answer(id, answer);
         }
         let out = history.out.filter(|_| !self.has(Fault::ForgetOut));
-        let since = |(when, zone): (Nanos, u32)| (at.at_wall(when), zone as usize);
+        let since = |(when, zone): (Nanos, u32)| (at.to_monotonic(when), zone as usize);
         self.control.on_event(
             at.now,
             Event::Restored {
@@ -205,9 +205,9 @@
                 class: class as usize,
                 key: order,
                 dest,
-                deadline: at.at_wall(deadline),
+                deadline: at.to_monotonic(deadline),
                 attempts: history.attempts,
-                first_sent: at.at_wall(history.first_sent),
+                first_sent: at.to_monotonic(history.first_sent),
                 // An attempt that was out when the process ended may have run.
                 may_have_run: history.may_have_run.or(out).map(since),
             },
@@ -225,7 +225,7 @@
         }
         let Some(held) = self.held.get_mut(&id).filter(|h| h.answer.is_none()) else { return };
         held.answer = Some(answer);
-        let count = self.tally.of(held.class);
+        let count = self.counts.of(held.class);
         match answer {
             Answer::Failed => count.failed += 1,
             Answer::Refused { .. } => count.refused += 1,
@@ -241,12 +241,12 @@
 
     /// On disk first: a message whose notice may be out is not sent again after a restart.
     fn write_answer(&mut self, id: MsgId, answer: Answer) {
-        let behind = Behind(Act::Tell { id, answer });
+        let behind = Deferred(Act::Tell { id, answer });
         self.effects.push_back(Effect::Append(Change::Answer { id, answer }, Some(behind)));
     }
 
     /// Final answers that could not be written are written now, if they can.
-    pub fn tend(&mut self) {
+    pub fn retry_unwritten(&mut self) {
         if self.has(Fault::ForgetUnwritten) {
             return self.unwritten.clear();
         }
@@ -258,7 +258,7 @@
     }
 
     /// The platform has taken the notice of a message.
-    pub fn noticed(&mut self, at: Moment, id: MsgId) {
+    pub fn notice_accepted(&mut self, at: Moment, id: MsgId) {
         let answer = self.held.get(&id).and_then(|held| held.answer);
         self.over(at, id, answer.map(Final::Answered));
     }
@@ -269,7 +269,7 @@
         self.by_reference.remove(&held.reference);
         // Counted by its answer already, where it has one.
         if end == Some(Final::Delivered) && held.answer.is_none() {
-            self.tally.of(held.class).delivered += 1;
+            self.counts.of(held.class).delivered += 1;
         }
         self.open -= usize::from(held.answer.is_none());
         let until = held.deadline.max(at.wall).saturating_add(KEEP_ANSWER);
@@ -281,11 +281,11 @@
     }
 
     /// This change could not be written, and what stood behind it is not to be done.
-    pub fn not_written(&mut self, at: Moment, change: &Change, behind: Option<Behind>) {
+    pub fn write_failed(&mut self, at: Moment, change: &Change, behind: Option<Deferred>) {
         match (change, behind) {
             // An attempt that is not noted is not sent.
             (Change::Begin { id, .. }, _) => self.unnoted(at, *id),
-            (_, Some(behind)) => self.unlasting(at, behind),
+            (_, Some(behind)) => self.abandon(at, behind),
             // The next change of the same message, or its end, says the same again; after a restart an attempt
             // without an outcome may have run.
             (_, None) => {}
@@ -293,16 +293,16 @@
     }
 
     /// What this waits for will not last: clients are told to come again, an answer is written once more.
-    pub fn unlasting(&mut self, at: Moment, Behind(act): Behind) {
+    pub fn abandon(&mut self, at: Moment, Deferred(act): Deferred) {
         match act {
             Act::Accept { id, class, dest, reply, .. } => {
-                self.tally.of(class).refused += 1;
+                self.counts.of(class).refused += 1;
                 self.refuse(at, dest, reply);
                 self.over(at, id, None);
             }
             Act::Confirm { dest, reply } => self.refuse(at, dest, reply),
             Act::Tell { id, answer } => self.unwritten.push_back((id, answer)),
-            Act::Write { call } => self.unsent(at, call, true),
+            Act::Write { call } => self.connection_lost(at, call, true),
         }
     }
 }
--- a/core/src/moved.rs
+++ b/core/src/snapshot.rs
@@ -9,41 +9,41 @@
 
 use bytes::Bytes;
 use millpost::api::{EndpointId, Entry, MsgId, Nanos, Outcome, Settings};
-use millpost::{Control, Frozen};
+use millpost::{Control, ControlSnapshot};
 use millpost_store::ledger::Answer;
 use serde::Deserialize;
 
 use crate::call::Call;
+use crate::counts::OutcomeCounts;
 use crate::message::Held;
-use crate::tally::Tally;
-use crate::{CallId, Core, Effect, Ended, Fault, Moment};
+use crate::{CallEnd, CallId, Core, Effect, Fault, Moment};
 
 /// The form of the bytes. Raised with any change of what a core or a module consists of: another version of the program
 /// reads none but its own.
-pub const LAYOUT: u32 = 2;
+pub const SNAPSHOT_VERSION: u32 = 2;
 
 type Messages = (BTreeMap<MsgId, Held>, MsgId, usize, VecDeque<(MsgId, Answer)>);
 type Calls = (BTreeMap<CallId, Call>, CallId, BTreeMap<EndpointId, Entry>);
 
 /// A core as it was written, without its settings.
 #[derive(Deserialize)]
-pub struct Moved(Messages, Calls, BTreeSet<Nanos>, bool, Option<(Nanos, Nanos)>, Frozen);
+pub struct CoreSnapshot(Messages, Calls, BTreeSet<Nanos>, bool, Option<(Nanos, Nanos)>, ControlSnapshot);
 
 impl Core {
     /// Nothing is to be done yet that hangs on anything but what comes from outside: it may be written as bytes.
-    pub fn at_rest(&self) -> bool {
+    pub fn is_quiescent(&self) -> bool {
         self.effects.is_empty() && self.unwritten.is_empty() && self.stop.is_none()
     }
 
     /// Goes on where the core that was written stopped. `written`: the calls that its process has written and finishes;
     /// `body`: what the store has of a message.
-    pub fn take_over(
+    pub fn from_snapshot(
         settings: Settings,
-        moved: Moved,
+        moved: CoreSnapshot,
         written: &BTreeSet<CallId>,
         mut body: impl FnMut(MsgId) -> Bytes,
     ) -> Self {
-        let Moved(
+        let CoreSnapshot(
             (held, next_message, open, unwritten),
             (calls, next_call, endpoints),
             wakes,
@@ -53,7 +53,7 @@
         ) = moved;
         let settings = Arc::new(settings);
         let mut core = Core {
-            control: Control::thaw(settings.clone(), frozen),
+            control: Control::from_snapshot(settings.clone(), frozen),
             settings,
             by_reference: held.iter().map(|(id, held)| (held.reference.clone(), *id)).collect(),
             held,
@@ -67,7 +67,7 @@
             soon,
             stop: None,
             effects: VecDeque::new(),
-            tally: Tally::default(),
+            counts: OutcomeCounts::default(),
             watched: false,
             closed: false,
             #[cfg(feature = "faults")]
@@ -88,11 +88,11 @@
     }
 
     /// The process that finished these calls is gone: they may have run.
-    pub fn lost(&mut self, at: Moment, calls: &BTreeSet<CallId>) {
+    pub fn calls_lost(&mut self, at: Moment, calls: &BTreeSet<CallId>) {
         let never = self.has(Fault::LostNeverRan);
         let outcome = if never { Outcome::ConnectFailed } else { Outcome::Reset };
         for call in calls {
-            self.ended(at, *call, Ended::without_answer(outcome));
+            self.ended(at, *call, CallEnd::without_answer(outcome));
         }
     }
 }
--- a/core/tests/life.rs
+++ b/core/tests/life.rs
@@ -4,7 +4,8 @@
 use bytes::Bytes;
 use millpost::api::*;
 use millpost_core::{
-    Behind, Carried, Change, Core, Effect, End, Ended, Fate, Handed, LAYOUT, Moment, Moved, Shelf, Verdict,
+    CallEnd, CallMessage, Change, Core, CoreSnapshot, Deferred, DurabilityQueue, Effect, MessageEnd,
+    MessageEnds, Moment, SNAPSHOT_VERSION, Submission, SubmitReply,
 };
 use millpost_store::ledger::{Answer, Found, History, Taken};
 
@@ -27,7 +28,7 @@
         tenants: vec![],
         over_share_worth: 1.0,
         kinds: vec![Kind { bundle, apart: false }],
-        late: Late::Even,
+        late: LateDecay::Even,
         slots: 4,
         hold: 100,
         try_limit: 6,
@@ -36,7 +37,7 @@
         keepalive: 5_000 * MS,
         streams: 1,
         max_retry_after: 2_000 * MS,
-        allow: Allow { probes: false, notes: false, cancel: false, retry_after: true },
+        allow: Permissions { probes: false, notes: false, cancel: false, retry_after: true },
         rules: Rules {
             answer_grace: 20 * MS,
             drain_grace: 500 * MS,
@@ -58,9 +59,9 @@
     Moment { now: ms * MS, wall: (ms + 3_600_000) * MS }
 }
 
-fn handed(reference: &str, class: usize, body: usize) -> Handed {
+fn handed(reference: &str, class: usize, body: usize) -> Submission {
     let body = Bytes::from(vec![7; body]);
-    Handed {
+    Submission {
         reference: reference.to_owned(),
         class,
         dest: 7,
@@ -74,7 +75,7 @@
 /// A core with one endpoint, and a shelf that is asked by hand.
 struct Bench {
     core: Core,
-    shelf: Shelf,
+    shelf: DurabilityQueue,
     written: u64,
 }
 
@@ -83,7 +84,7 @@
         let mut core = Core::new(settings(bundle), 1, 1);
         let entry = Entry { endpoint: 1, zone: 0, kind: 0, dest: 7, state: State::Ready, weight: 0.0 };
         core.listed(at(0), true, vec![entry]);
-        Bench { core, shelf: Shelf::default(), written: 0 }
+        Bench { core, shelf: DurabilityQueue::default(), written: 0 }
     }
     /// All effects that are wanted now; writes go well, and last at once where `lasts`.
     fn effects(&mut self, now: Moment, lasts: bool) -> Vec<Effect> {
@@ -93,20 +94,20 @@
                 match effect.clone() {
                     Effect::Append(_, behind) => {
                         self.written += 1;
-                        behind.into_iter().for_each(|behind| self.shelf.put(self.written, behind));
+                        behind.into_iter().for_each(|behind| self.shelf.push(self.written, behind));
                     }
-                    Effect::After(behind) => self.shelf.put(self.written, behind),
+                    Effect::AfterWrites(behind) => self.shelf.push(self.written, behind),
                     Effect::Reply { taken: Some(id), .. } => self.core.replied(now, id, true),
                     _ => {}
                 }
                 all.push(effect);
             }
-            let Some(ready) = self.shelf.next(|_| lasts) else { return all };
-            self.core.go_on(now, ready);
+            let Some(ready) = self.shelf.pop_durable(|_| lasts) else { return all };
+            self.core.run_deferred(now, ready);
         }
     }
     fn take(&mut self, now: Moment, reference: &str, class: usize, body: usize) {
-        self.core.handed(now, handed(reference, class, body), None, 0);
+        self.core.submit(now, handed(reference, class, body), None, 0);
         self.effects(now, true);
     }
     /// Decides, and gives the calls that are to be connected.
@@ -117,7 +118,7 @@
     }
 }
 
-fn messages(effects: &[Effect]) -> Vec<&[Carried]> {
+fn messages(effects: &[Effect]) -> Vec<&[CallMessage]> {
     let all = effects
         .iter()
         .filter_map(|e| if let Effect::Write { messages, .. } = e { Some(&messages[..]) } else { None });
@@ -127,11 +128,11 @@
 #[test]
 fn nobody_hears_202_and_no_byte_goes_out_before_the_write_lasts() {
     let mut bench = Bench::new(1);
-    bench.core.handed(at(0), handed("r", 1, 3), None, 5);
+    bench.core.submit(at(0), handed("r", 1, 3), None, 5);
     let before = bench.effects(at(0), false);
     assert!(matches!(before[..], [Effect::Append(Change::Take { id: 1, .. }, Some(_))]), "{before:?}");
     let after = bench.effects(at(0), true);
-    let told = Effect::Reply { reply: 5, verdict: Verdict::Taken, taken: Some(1) };
+    let told = Effect::Reply { reply: 5, verdict: SubmitReply::Accepted, taken: Some(1) };
     assert_eq!(after, [told]);
     let [call] = bench.connects(at(1))[..] else { panic!("one call") };
     bench.core.connected(at(2), call);
@@ -148,9 +149,9 @@
     let [call] = bench.connects(at(1))[..] else { panic!("one call") };
     bench.core.connected(at(2), call);
     bench.effects(at(2), true);
-    bench.core.ended(at(9), call, Ended::without_answer(Outcome::Reset));
+    bench.core.ended(at(9), call, CallEnd::without_answer(Outcome::Reset));
     bench.core.decide(at(10));
-    let mut wanted: Vec<(Change, Option<Behind>)> = Vec::new();
+    let mut wanted: Vec<(Change, Option<Deferred>)> = Vec::new();
     while let Some(effect) = bench.core.effect() {
         if let Effect::Append(change, behind) = effect {
             wanted.push((change, behind));
@@ -161,15 +162,15 @@
         matches!(change, Change::Answer { id: 1, answer: Answer::Failed }),
         "it may have run: {change:?}"
     );
-    bench.core.not_written(at(10), &change, behind);
-    assert!(bench.core.restless());
-    bench.core.tend();
+    bench.core.write_failed(at(10), &change, behind);
+    assert!(bench.core.needs_polling());
+    bench.core.retry_unwritten();
     let effects = bench.effects(at(30), true);
     let notice = Effect::Notice { id: 1, reference: "r".to_owned(), answer: Answer::Failed };
     assert_eq!(effects.last(), Some(&notice), "{effects:?}");
-    assert!(!bench.core.restless());
-    bench.core.noticed(at(40), 1);
-    assert_eq!(bench.core.owed(), 0);
+    assert!(!bench.core.needs_polling());
+    bench.core.notice_accepted(at(40), 1);
+    assert_eq!(bench.core.unfinished(), 0);
 }
 
 /// The module does not ask twice for the same wake-up. Found by exploration: a settled call took its place, and with
@@ -182,18 +183,22 @@
     let [one, two] = bench.connects(at(1))[..] else { panic!("two calls") };
     bench.core.connected(at(2), two);
     bench.effects(at(2), true);
-    let wait = Fate::All(Outcome::Full(Some(300 * MS)).into());
-    bench.core.ended(at(3), two, Ended { fate: wait, wait: None, report: None });
+    let wait = MessageEnds::All(Outcome::Full(Some(300 * MS)).into());
+    bench.core.ended(at(3), two, CallEnd { ends: wait, wait: None, report: None });
     bench.core.decide(at(4));
     bench.effects(at(4), true);
-    let asked = bench.core.wake();
+    let asked = bench.core.next_wake();
     // The wait holds for the other call too: nothing of it is written, and it is settled.
     bench.core.connected(at(5), one);
     assert!(messages(&bench.effects(at(5), true)).is_empty());
-    assert!(bench.core.wake().is_some_and(|wake| wake <= at(5).now), "acted on in the next round");
+    assert!(bench.core.next_wake().is_some_and(|wake| wake <= at(5).now), "acted on in the next round");
     bench.core.decide(at(6));
     bench.effects(at(6), true);
-    assert!(bench.core.wake().is_some_and(|wake| Some(wake) <= asked), "{:?} {asked:?}", bench.core.wake());
+    assert!(
+        bench.core.next_wake().is_some_and(|wake| Some(wake) <= asked),
+        "{:?} {asked:?}",
+        bench.core.next_wake()
+    );
 }
 
 /// Found by exploration: the wait was kept with the next round only.
@@ -204,10 +209,10 @@
     let [call] = bench.connects(at(1))[..] else { panic!("one call") };
     bench.core.connected(at(2), call);
     bench.effects(at(2), true);
-    let wait = Fate::All(Outcome::Full(Some(300 * MS)).into());
-    bench.core.ended(at(3), call, Ended { fate: wait, wait: None, report: None });
+    let wait = MessageEnds::All(Outcome::Full(Some(300 * MS)).into());
+    bench.core.ended(at(3), call, CallEnd { ends: wait, wait: None, report: None });
     let effects = bench.effects(at(3), true);
-    assert!(effects.iter().any(|e| matches!(e, Effect::Learn(_))), "{effects:?}");
+    assert!(effects.iter().any(|e| matches!(e, Effect::SaveLearned(_))), "{effects:?}");
 }
 
 #[test]
@@ -221,15 +226,15 @@
     while let Some(effect) = bench.core.effect() {
         match effect {
             Effect::Append(change @ Change::Begin { .. }, behind) => {
-                bench.core.not_written(at(2), &change, behind);
+                bench.core.write_failed(at(2), &change, behind);
             }
-            Effect::After(behind) => bench.shelf.put(9, behind),
+            Effect::AfterWrites(behind) => bench.shelf.push(9, behind),
             Effect::Release { .. } => released = true,
             other => assert!(!matches!(other, Effect::Write { .. }), "{other:?}"),
         }
     }
     assert!(released, "not held until a sync");
-    assert_eq!((bench.core.calls(), bench.core.slots_taken()), (0, 0));
+    assert_eq!((bench.core.calls(), bench.core.slots_in_use()), (0, 0));
     // What was to follow the notes finds nothing to do.
     assert!(messages(&bench.effects(at(3), true)).is_empty());
 }
@@ -247,8 +252,8 @@
         let effects = bench.effects(at(2), true);
         sizes.extend(messages(&effects).iter().map(|all| all.len()));
         assert_eq!(bench.core.calls(), 1);
-        let served = End { outcome: Outcome::Served, over: true };
-        bench.core.ended(at(3), call, Ended { fate: Fate::All(served), wait: None, report: None });
+        let served = MessageEnd { outcome: Outcome::Served, over: true };
+        bench.core.ended(at(3), call, CallEnd { ends: MessageEnds::All(served), wait: None, report: None });
         let next = bench.effects(at(3), true).into_iter().find_map(|e| match e {
             Effect::Connect { call, .. } => Some(call),
             _ => None,
@@ -256,7 +261,7 @@
         let Some(next) = next else { break };
         call = next;
     }
-    assert_eq!((sizes, bench.core.owed(), bench.core.slots_taken()), (vec![2, 2], 0, 0));
+    assert_eq!((sizes, bench.core.unfinished(), bench.core.slots_in_use()), (vec![2, 2], 0, 0));
 }
 
 #[test]
@@ -282,7 +287,7 @@
         let notice = Effect::Notice { id, reference: reference.to_owned(), answer: Answer::Failed };
         assert!(effects.contains(&notice), "unsafe and out, or of no class that is known: {effects:?}");
     }
-    bench.core.handed(at(12), handed("new", 0, 0), None, 0);
+    bench.core.submit(at(12), handed("new", 0, 0), None, 0);
     let effects = bench.effects(at(12), true);
     assert!(
         matches!(effects[0], Effect::Append(Change::Take { id: 6, .. }, _)),
@@ -299,15 +304,18 @@
     let [call] = bench.connects(at(0))[..] else { panic!("one call") };
     bench.core.connected(at(0), call);
     bench.effects(at(0), true);
-    let first = bench.core.wake().expect("the call may stay silent");
+    let first = bench.core.next_wake().expect("the call may stay silent");
     // Just before that the partner asks for a wait, and the module for a wake-up at its end.
     let before = Moment { now: first - MS, wall: first - MS };
     let full = Outcome::Full(Some(10_000 * MS));
-    bench.core.ended(before, call, Ended::without_answer(full));
+    bench.core.ended(before, call, CallEnd::without_answer(full));
     bench.core.decide(before);
     let when = Moment { now: first, wall: first };
     bench.core.decide(when);
-    assert!(bench.core.wake().is_some_and(|next| next > first), "nothing would bring the message on its way");
+    assert!(
+        bench.core.next_wake().is_some_and(|next| next > first),
+        "nothing would bring the message on its way"
+    );
 }
 
 /// A core with a call that is written, one that is not, a message that waits and one whose notice is owed.
@@ -324,7 +332,7 @@
     b.take(at(4), "refused", 0, 30);
     b.core.decide(at(4));
     b.effects(at(4), true);
-    let refused = Ended::without_answer(Outcome::ConnectFailed);
+    let refused = CallEnd::without_answer(Outcome::ConnectFailed);
     b.core.ended(at(5), 2, refused);
     b.core.decide(at(20_100));
     b.effects(at(20_100), true);
@@ -336,17 +344,17 @@
 #[test]
 fn a_core_goes_on_in_another_process() {
     let b = busy();
-    assert!(b.core.at_rest());
+    assert!(b.core.is_quiescent());
     let bytes = postcard::to_stdvec(&b.core).expect("bytes");
-    let moved: Moved = postcard::from_bytes(&bytes).expect("they are read");
+    let moved: CoreSnapshot = postcard::from_bytes(&bytes).expect("they are read");
     let body = |id| Bytes::from(vec![7; 10 * id as usize]);
-    let core = Core::take_over(settings(1), moved, &[0].into(), body);
+    let core = Core::from_snapshot(settings(1), moved, &[0].into(), body);
     assert_eq!(postcard::to_stdvec(&core).expect("bytes"), bytes, "nothing is lost on the way");
     assert_eq!(
-        (core.open(), core.calls(), core.slots_taken()),
-        (b.core.open(), b.core.calls(), b.core.slots_taken())
+        (core.unanswered(), core.calls(), core.slots_in_use()),
+        (b.core.unanswered(), b.core.calls(), b.core.slots_in_use())
     );
-    let mut other = Bench { core, shelf: Shelf::default(), written: 0 };
+    let mut other = Bench { core, shelf: DurabilityQueue::default(), written: 0 };
     let now = at(20_110);
     let again = other.effects(now, true);
     let connects =
@@ -355,7 +363,7 @@
     assert_eq!((again.len(), connects), (connects + notices, 1), "{again:?}");
     assert!(notices > 0, "{again:?}");
     // The written call of an unsafe message is lost with its process: it may have run.
-    other.core.lost(now, &[0].into());
+    other.core.calls_lost(now, &[0].into());
     other.core.decide(now);
     let ends = other.effects(now, true);
     let failed = |e: &&Effect| matches!(e, Effect::Append(Change::Answer { answer: Answer::Failed, .. }, _));
@@ -371,27 +379,27 @@
 #[test]
 fn a_part_of_a_budget_ends_with_the_process_that_had_it() {
     let mut b = Bench::new(1);
-    let none = Part { rate: 0.0, until: Nanos::MAX, after: 0.0 };
-    b.core.on_event(at(0), Event::Part { dest: 7, part: Some(none) });
+    let none = RateShare { rate: 0.0, until: Nanos::MAX, after: 0.0 };
+    b.core.on_event(at(0), Event::RateShare { dest: 7, part: Some(none) });
     b.take(at(1), "waits", 0, 10);
     b.core.decide(at(1));
     let connects = |all: Vec<Effect>| all.iter().filter(|e| matches!(e, Effect::Connect { .. })).count();
     assert_eq!(connects(b.effects(at(1), true)), 0);
     let bytes = postcard::to_stdvec(&b.core).expect("bytes");
-    let moved: Moved = postcard::from_bytes(&bytes).expect("they are read");
-    let core = Core::take_over(settings(1), moved, &[].into(), |_| Bytes::from_static(b"x"));
-    let mut other = Bench { core, shelf: Shelf::default(), written: 0 };
+    let moved: CoreSnapshot = postcard::from_bytes(&bytes).expect("they are read");
+    let core = Core::from_snapshot(settings(1), moved, &[].into(), |_| Bytes::from_static(b"x"));
+    let mut other = Bench { core, shelf: DurabilityQueue::default(), written: 0 };
     other.core.decide(at(2));
     assert_eq!(connects(other.effects(at(2), true)), 1);
 }
 
 /// The bytes of a known core: where they change, another version of the program reads them wrongly. Raise
-/// [`LAYOUT`], then the sum.
+/// [`SNAPSHOT_VERSION`], then the sum.
 #[test]
 fn the_layout_of_a_core_is_numbered() {
     let bytes = postcard::to_stdvec(&busy().core).expect("bytes");
     let sum = bytes
         .iter()
         .fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x100_0000_01b3));
-    assert_eq!((LAYOUT, bytes.len(), sum), (2, 459, 3_741_916_390_052_069_714));
+    assert_eq!((SNAPSHOT_VERSION, bytes.len(), sum), (2, 459, 3_741_916_390_052_069_714));
 }
--- a/dispatcher/src/batch.rs
+++ b/dispatcher/src/batch.rs
@@ -71,7 +71,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use millpost_core::Carried;
+    use millpost_core::CallMessage;
 
     #[test]
     fn a_call_holds_each_message_unchanged_and_no_more_than_was_reckoned() {
@@ -82,8 +82,9 @@
         let items: Vec<String> = messages.iter().map(|(r, k, b)| item(r, *k, b).expect("text")).collect();
         for ((reference, key, body), item) in messages.iter().zip(&items) {
             let own = |bytes: &[u8]| Bytes::copy_from_slice(bytes);
-            let carried = Carried { reference: (*reference).to_owned(), key: key.map(own), body: own(body) };
-            assert!(item.len() < millpost_core::room(&carried), "{item}");
+            let carried =
+                CallMessage { reference: (*reference).to_owned(), key: key.map(own), body: own(body) };
+            assert!(item.len() < millpost_core::bundled_size(&carried), "{item}");
         }
         let read: Vec<serde_json::Value> = serde_json::from_slice(&body(&items)).expect("a list");
         assert_eq!(read.len(), 3);
--- a/dispatcher/src/book.rs
+++ b/dispatcher/src/book.rs
@@ -8,7 +8,7 @@
 use millpost_audit::entry::{Author, Entry};
 use millpost_audit::log::{Log, Stood};
 use millpost_audit::{End, State, message};
-use millpost_core::{CallId, Carried, Change, Moment, ReplyId, Verdict};
+use millpost_core::{CallId, CallMessage, Change, Moment, ReplyId, SubmitReply};
 use millpost_store::ledger::{Answer, Final};
 use millpost_tier::lend::WHOLE;
 use millpost_tier::{Kind, Loan, Part, Standing};
@@ -86,9 +86,9 @@
     }
 
     /// Its client is answered.
-    pub fn replied(&mut self, at: Moment, reply: ReplyId, verdict: Verdict, taken: bool) {
+    pub fn replied(&mut self, at: Moment, reply: ReplyId, verdict: SubmitReply, taken: bool) {
         let Some(message) = self.handing.remove(&reply) else { return };
-        if let (Verdict::Refused { wait }, false, Some(log)) = (verdict, taken, &mut self.log) {
+        if let (SubmitReply::Refused { wait }, false, Some(log)) = (verdict, taken, &mut self.log) {
             log.refused(at.wall, message, wait, self.stood);
         }
     }
@@ -137,7 +137,7 @@
     }
 
     /// It is written, to this endpoint and destination.
-    pub fn written(&mut self, at: Moment, call: CallId, to: (u64, u64), messages: &[Carried]) {
+    pub fn written(&mut self, at: Moment, call: CallId, to: (u64, u64), messages: &[CallMessage]) {
         let (on, since) = self.decided.remove(&call).unwrap_or((self.stood, at.wall));
         let Some(log) = &mut self.log else { return };
         for carried in messages {
--- a/dispatcher/src/calls.rs
+++ b/dispatcher/src/calls.rs
@@ -9,7 +9,7 @@
 use hyper::header::{HeaderMap, HeaderValue, RETRY_AFTER};
 use hyper::{Request, Response, StatusCode};
 use millpost::api::{EndpointId, Nanos, Outcome, Report};
-use millpost_core::{CallId, Carried, End, Ended, Fate};
+use millpost_core::{CallEnd, CallId, CallMessage, MessageEnd, MessageEnds};
 use millpost_net::link::{Error, Link};
 use millpost_net::meter::{Part, metered};
 use millpost_net::written::Sent;
@@ -36,9 +36,9 @@
     /// The connection of a call was gone before its last byte was written.
     Unsent { call: CallId },
     /// A call is over; its connection, if that can be used again.
-    Ended { call: CallId, ended: Ended, link: Option<Link> },
+    Ended { call: CallId, ended: CallEnd, link: Option<Link> },
     /// A probe is over.
-    Probed { endpoint: EndpointId, took: Duration, ended: Ended, link: Option<Link> },
+    Probed { endpoint: EndpointId, took: Duration, ended: CallEnd, link: Option<Link> },
 }
 
 /// An endpoint may give connections up much sooner than it says, without a word: each is then reset at its next
@@ -254,7 +254,7 @@
     pub fn over(
         &mut self,
         call: CallId,
-        fate: &Fate,
+        ends: &MessageEnds,
         link: Option<Link>,
         ready: impl Fn(EndpointId) -> bool,
     ) {
@@ -263,11 +263,11 @@
         if let Some(link) = link.filter(|_| ready(endpoint)) {
             self.keep(endpoint, address, link);
         }
-        if fate.is(Outcome::Reset) && !fresh && since.elapsed() < AT_ONCE {
+        if ends.is(Outcome::Reset) && !fresh && since.elapsed() < AT_ONCE {
             self.was_given_up(endpoint, idle_for);
         }
         // A connection that was reset says nothing of the others: each is looked at before it is used.
-        if fate.is(Outcome::TimedOut) {
+        if ends.is(Outcome::TimedOut) {
             self.forget(endpoint);
         }
     }
@@ -283,7 +283,7 @@
     pub fn write(
         &mut self,
         call: CallId,
-        messages: Vec<Carried>,
+        messages: Vec<CallMessage>,
         sure: bool,
         until: Instant,
         within: Duration,
@@ -349,8 +349,8 @@
                 // follows that tells.
                 Ok(Err(_)) | Err(_) if link.status() == Some(200) && references.is_empty() => {
                     link.close().await;
-                    let served = Fate::All(End { outcome: Outcome::Served, over: true });
-                    Ended { fate: served, wait: None, report: None }.into()
+                    let served = MessageEnds::All(MessageEnd { outcome: Outcome::Served, over: true });
+                    CallEnd { ends: served, wait: None, report: None }.into()
                 }
                 Ok(Err(_)) => broken(link, Outcome::Reset).await,
                 Err(outcome) => {
@@ -381,8 +381,8 @@
             };
             let ended = match timeout(within, exchange).await {
                 Ok(Ok(ended)) => ended,
-                Ok(Err(outcome)) => Ended::without_answer(outcome).into(),
-                Err(_) => Ended::without_answer(Outcome::TimedOut).into(),
+                Ok(Err(outcome)) => CallEnd::without_answer(outcome).into(),
+                Err(_) => CallEnd::without_answer(Outcome::TimedOut).into(),
             };
             let (took, Over { ended, link }) = (began.elapsed(), ended);
             let _ = told.send(Event::Probed { endpoint, took, ended, link }.into()).await;
@@ -392,12 +392,12 @@
 
 /// How an exchange ended, and its connection, if that can be used again.
 struct Over {
-    ended: Ended,
+    ended: CallEnd,
     link: Option<Link>,
 }
 
-impl From<Ended> for Over {
-    fn from(ended: Ended) -> Self {
+impl From<CallEnd> for Over {
+    fn from(ended: CallEnd) -> Self {
         Over { ended, link: None }
     }
 }
@@ -405,7 +405,7 @@
 /// The connection is closed before the outcome is told: no other attempt may go while it is open.
 async fn broken(link: Link, outcome: Outcome) -> Over {
     link.close().await;
-    Ended::without_answer(outcome).into()
+    CallEnd::without_answer(outcome).into()
 }
 
 /// Reads the rest of an answer. A first line of 200 is true whatever follows, to a call with one message; any other
@@ -423,17 +423,17 @@
     if !whole && (several || head.status != StatusCode::OK) {
         let wait = told.filter(|_| several);
         let broken = broken(link, Outcome::Reset).await;
-        return Over { ended: Ended { wait, ..broken.ended }, ..broken };
+        return Over { ended: CallEnd { wait, ..broken.ended }, ..broken };
     }
-    let fate = match body.filter(|_| several && head.status == StatusCode::OK) {
-        Some(body) => Fate::Each(ends(&body, references, told)),
-        None if several => Fate::All(outcome_of_several(head.status, &head.headers)),
-        None => Fate::All(outcome(head.status, &head.headers)),
+    let ends = match body.filter(|_| several && head.status == StatusCode::OK) {
+        Some(body) => MessageEnds::Each(ends(&body, references, told)),
+        None if several => MessageEnds::All(outcome_of_several(head.status, &head.headers)),
+        None => MessageEnds::All(outcome(head.status, &head.headers)),
     };
     // Whoever was refused tells of it already.
-    let wait = told.filter(|_| matches!(fate, Fate::Each(_)));
+    let wait = told.filter(|_| matches!(ends, MessageEnds::Each(_)));
     let report = head.headers.get("Srv-Load").and_then(|v| v.to_str().ok()).and_then(report);
-    let ended = Ended { fate, wait, report };
+    let ended = CallEnd { ends, wait, report };
     if whole && timeout(BODY_WITHIN, link.rested()).await.unwrap_or(false) {
         return Over { ended, link: Some(link) };
     }
@@ -442,11 +442,11 @@
 }
 
 /// What the answer to a call with several messages says of each.
-fn ends(body: &[u8], references: &[String], wait: Option<Nanos>) -> Vec<End> {
+fn ends(body: &[u8], references: &[String], wait: Option<Nanos>) -> Vec<MessageEnd> {
     let end = |told: Option<batch::End>| match told {
-        Some(batch::End::Delivered) => End { outcome: Outcome::Served, over: true },
+        Some(batch::End::Delivered) => MessageEnd { outcome: Outcome::Served, over: true },
         Some(batch::End::Refused) => Outcome::Full(wait).into(),
-        Some(batch::End::Over) => End { outcome: Outcome::NotSent, over: true },
+        Some(batch::End::Over) => MessageEnd { outcome: Outcome::NotSent, over: true },
         Some(batch::End::Spent) => Outcome::Exhausted.into(),
         Some(batch::End::Failed) => Outcome::Error.into(),
         None => Outcome::Reset.into(),
@@ -455,7 +455,7 @@
 }
 
 /// What an answer to a call with several messages means that tells no end of each.
-fn outcome_of_several(status: StatusCode, headers: &HeaderMap) -> End {
+fn outcome_of_several(status: StatusCode, headers: &HeaderMap) -> MessageEnd {
     match status {
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => outcome(status, headers),
         // It was not understood, and none has run.
@@ -466,16 +466,16 @@
 }
 
 /// What an answer means, and whether the message is over with it.
-fn outcome(status: StatusCode, headers: &HeaderMap) -> End {
+fn outcome(status: StatusCode, headers: &HeaderMap) -> MessageEnd {
     match status {
-        StatusCode::OK => End { outcome: Outcome::Served, over: true },
+        StatusCode::OK => MessageEnd { outcome: Outcome::Served, over: true },
         StatusCode::TOO_MANY_REQUESTS => Outcome::Full(wait(headers)).into(),
         StatusCode::SERVICE_UNAVAILABLE if headers.get("X-Over-Slots").is_some_and(|v| v == "1") => {
             Outcome::NotSent.into()
         }
         StatusCode::SERVICE_UNAVAILABLE => Outcome::Full(wait(headers)).into(),
         StatusCode::GATEWAY_TIMEOUT => Outcome::Exhausted.into(),
-        StatusCode::GONE => End { outcome: Outcome::NotSent, over: true },
+        StatusCode::GONE => MessageEnd { outcome: Outcome::NotSent, over: true },
         // An answer that the protocol does not know proves nothing: it may have run.
         _ => Outcome::Error.into(),
     }
@@ -507,10 +507,10 @@
 /// The request of a call, and the messages in it, where there are several.
 fn requested(
     address: SocketAddr,
-    messages: Vec<Carried>,
+    messages: Vec<CallMessage>,
     within: Duration,
 ) -> (Option<Request<Full<Bytes>>>, Vec<String>) {
-    if let [Carried { reference, key, body }] = &messages[..] {
+    if let [CallMessage { reference, key, body }] = &messages[..] {
         return (request(address, reference, key.as_ref(), body.clone(), within), Vec::new());
     }
     let items: Option<Vec<String>> =
@@ -595,7 +595,7 @@
             }
             for _ in 0..8 {
                 match inputs.recv().await {
-                    Some(Event::Ended { ended, .. }) => assert_eq!(ended.fate.of(0).outcome, Outcome::Served),
+                    Some(Event::Ended { ended, .. }) => assert_eq!(ended.ends.of(0).outcome, Outcome::Served),
                     _ => panic!("not the end of a call"),
                 }
             }
--- a/dispatcher/src/console/line.rs
+++ b/dispatcher/src/console/line.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use millpost_core::Count;
+use millpost_core::ClassCounts;
 use millpost_tier::sieve::Sifted;
 
 /// The longest line that is read.
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Figures {
     /// Ends of messages, by the names of the classes.
-    pub classes: BTreeMap<String, Count>,
+    pub classes: BTreeMap<String, ClassCounts>,
     /// Messages written whole to endpoints.
     pub calls: u64,
     /// Messages taken on that have no final answer yet.
@@ -133,7 +133,7 @@
             let _ = writeln!(text, "{PREFIX}.{name}={figure}");
         };
         for (name, of) in [
-            ("success", (|count| count.delivered) as fn(&Count) -> u64),
+            ("success", (|count| count.delivered) as fn(&ClassCounts) -> u64),
             ("busy", |count| count.refused),
             ("failure", |count| count.failed),
         ] {
@@ -184,7 +184,7 @@
 
     #[test]
     fn figures_are_named_by_class_and_ended() {
-        let count = Count { delivered: 812, refused: 3, failed: 1 };
+        let count = ClassCounts { delivered: 812, refused: 3, failed: 1 };
         let classes = [("loan-report".to_owned(), count)].into();
         let text =
             Figures { classes, calls: 830, inflight: 14, listed: 30, down: 2, ..Figures::default() }.render();
--- a/dispatcher/src/cordons.rs
+++ b/dispatcher/src/cordons.rs
@@ -58,7 +58,7 @@
 mod tests {
     use std::collections::BTreeMap;
 
-    use millpost::Dice;
+    use millpost::RandomSource;
 
     use super::*;
 
@@ -66,12 +66,12 @@
     #[test]
     fn an_endpoint_is_out_from_the_call_that_takes_it_out_to_the_one_that_puts_it_back() {
         for seed in 0..50 {
-            let (mut dice, mut cordons) = (Dice::seeded(seed), Cordons::default());
+            let (mut dice, mut cordons) = (RandomSource::seeded(seed), Cordons::default());
             let mut model: BTreeMap<String, (bool, bool)> = BTreeMap::new();
             for _ in 0..400 {
-                let name = format!("s-{}", (dice.share() * 6.0) as u32);
+                let name = format!("s-{}", (dice.next_f64() * 6.0) as u32);
                 let (listed, is_out) = model.entry(name.clone()).or_default();
-                match (dice.share() * 4.0) as u32 {
+                match (dice.next_f64() * 4.0) as u32 {
                     0 => *listed = !*listed,
                     n => {
                         let out = n == 1 || n == 2;
--- a/dispatcher/src/driver.rs
+++ b/dispatcher/src/driver.rs
@@ -7,10 +7,13 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use millpost::Lesson;
+use millpost::LearnedState;
 use millpost::api::{Event, Nanos, Outcome, Settings, State, Weights};
 use millpost_audit::entry::Author;
-use millpost_core::{Core, Count, Effect, Ended, Handed, LAYOUT, Moment, Moved, ReplyId, Verdict};
+use millpost_core::{
+    CallEnd, ClassCounts, Core, CoreSnapshot, Effect, Moment, ReplyId, SNAPSHOT_VERSION, Submission,
+    SubmitReply,
+};
 use millpost_handover::{Does, Frame, Giver, Heard, Moving};
 use millpost_net::connection_limiter::ConnectionLimiter;
 use millpost_net::meter::{Part, within};
@@ -110,7 +113,7 @@
 /// Where an answer goes.
 enum Waits {
     /// To a client of this process.
-    Here(oneshot::Sender<Verdict>),
+    Here(oneshot::Sender<SubmitReply>),
     /// To one of the process before it.
     There(u64),
 }
@@ -136,7 +139,7 @@
     pub line: Line,
     pub moving: Box<Moving>,
     /// What it knew and the settings it had in force, where they could be read.
-    pub known: Option<(Moved, Config)>,
+    pub known: Option<(CoreSnapshot, Config)>,
 }
 
 /// What came of giving the work away.
@@ -257,7 +260,7 @@
                 let mut bodies: HashMap<_, _> =
                     found.iter().map(|found| (found.id, found.taken.body.clone())).collect();
                 let body = |id| bodies.remove(&id).unwrap_or_default();
-                core = Some(Core::take_over(classes.settings(config.settings), state, &written, body));
+                core = Some(Core::from_snapshot(classes.settings(config.settings), state, &written, body));
                 clock = Clock::going_on(moving.now, moving.wall);
                 let digest = crate::config::digest(&config.text);
                 moved = Some((moving, config.shape, config.text.to_string(), digest));
@@ -318,7 +321,7 @@
                 sharing.keep_roll(at, rules, begun, seed, &driver.record);
             }
             driver.sharing = Some(sharing);
-            driver.core.watch();
+            driver.core.report_call_ends();
         }
         if let Some(recording) = recording {
             driver.record_in(at, recording, &own.0, in_force);
@@ -361,7 +364,7 @@
             if age > FORGET_LESSON {
                 old.push((dest, route));
             } else {
-                self.core.recall(at, &Lesson { dest, route, bytes }, age);
+                self.core.restore_learned(at, &LearnedState { dest, route, bytes }, age);
             }
         }
         self.record.forget_lessons(at, old);
@@ -394,7 +397,7 @@
         loop {
             let at = self.clock.moment();
             news |= self.share(at);
-            let due = news || self.core.wake().is_some_and(|wake| wake <= at.now);
+            let due = news || self.core.next_wake().is_some_and(|wake| wake <= at.now);
             if due && at.now >= asked + self.tick {
                 (asked, news) = (at.now, false);
                 within(Part::Module, || self.core.decide(at));
@@ -411,24 +414,24 @@
                 swept = at.now;
                 self.calls.sweep();
                 self.record.tidy(at);
-                self.core.learn(at, false);
+                self.core.save_learned(at, false);
             }
-            self.core.tend();
+            self.core.retry_unwritten();
             self.carry(at);
             self.sync(at);
-            if self.core.done(at.now) {
+            if self.core.may_exit(at.now) {
                 return None;
             }
             if let Some(heir) = self.heir.take() {
                 return Some(heir);
             }
-            let wake = self.core.wake().unwrap_or(Nanos::MAX);
+            let wake = self.core.next_wake().unwrap_or(Nanos::MAX);
             let next = if due { asked + self.tick } else { wake.max(asked + self.tick) };
             let next = self.sharing.as_ref().map_or(next, |sharing| next.min(sharing.due()));
             // Nothing of what was decided goes out before the loop waits.
             self.book.iter_mut().for_each(|book| book.write(at));
             // Never far off, so that notices, idle connections and the end are seen to.
-            let soon = self.core.restless() || !self.unsent.is_empty() || self.record.waits();
+            let soon = self.core.needs_polling() || !self.unsent.is_empty() || self.record.waits();
             let pause = if soon { 20_000_000 } else { SWEEP };
             tokio::select! {
                 biased;
@@ -464,13 +467,15 @@
             Input::Client(asked) => self.asked(at, asked),
             Input::Calls(event) => self.called(at, event),
             Input::Listed(list) => self.listed(at, list, true),
-            Input::Noticed(notices::Taken(ids)) => ids.into_iter().for_each(|id| self.core.noticed(at, id)),
+            Input::Noticed(notices::Taken(ids)) => {
+                ids.into_iter().for_each(|id| self.core.notice_accepted(at, id))
+            }
             Input::Synced(synced) => {
                 for behind in self.record.synced(at, synced) {
-                    self.core.unlasting(at, behind);
+                    self.core.abandon(at, behind);
                 }
             }
-            Input::Note(Note { from, bytes }) => self.core.on_event(at, Event::Note { from, bytes }),
+            Input::Note(Note { from, bytes }) => self.core.on_event(at, Event::PeerMessage { from, bytes }),
             Input::Shared(frame) => {
                 let book = self.book.as_mut();
                 if let Some(sharing) = &mut self.sharing {
@@ -526,13 +531,13 @@
             }
             Act::ShutOut(kind) => {
                 eprintln!("roll: shut out: most find this dispatcher behind on its {}", kind.name());
-                self.core.close(!sharing.serves());
+                self.core.refuse_new(!sharing.serves());
                 self.shared.figures().shut_out = Some(kind.name());
                 self.book.iter_mut().for_each(|book| book.service(at, Some(kind)));
             }
             Act::Back => {
                 eprintln!("roll: it has caught up, and takes messages again");
-                self.core.close(false);
+                self.core.refuse_new(false);
                 self.shared.figures().shut_out = None;
                 self.book.iter_mut().for_each(|book| book.service(at, None));
             }
@@ -567,7 +572,7 @@
         let Some(entry) = entry else { return };
         self.core.listed(at, false, vec![entry]);
         if back && entry.state == State::Ready {
-            self.core.returned(at, entry.endpoint);
+            self.core.endpoint_returned(at, entry.endpoint);
         }
         if let (Some(book), Some(state)) = (&mut self.book, self.roster.state(entry.endpoint)) {
             let name = self.roster.name(entry.endpoint).unwrap_or_default();
@@ -634,7 +639,7 @@
         self.handed(at, handed, came.elapsed(), Waits::Here(reply));
     }
 
-    fn handed(&mut self, at: Moment, handed: Handed, ago: Duration, waits: Waits) {
+    fn handed(&mut self, at: Moment, handed: Submission, ago: Duration, waits: Waits) {
         let number = self.next_reply;
         self.next_reply += 1;
         self.replies.insert(number, waits);
@@ -645,7 +650,7 @@
         // A copy, so that no buffer that it was read into is kept for it.
         let body = Bytes::copy_from_slice(&handed.body);
         let dest = handed.dest;
-        self.core.handed(at, Handed { time_left, body, ..handed }, ended, number);
+        self.core.submit(at, Submission { time_left, body, ..handed }, ended, number);
         self.sharing.iter_mut().for_each(|sharing| sharing.wanted(at, &self.core, dest));
     }
 
@@ -660,7 +665,7 @@
             }
             calls::Event::Unsent { call } => {
                 let fresh = self.calls.unsent(call);
-                self.core.unsent(at, call, fresh);
+                self.core.connection_lost(at, call, fresh);
             }
             calls::Event::Ended { call, ended, link } => self.ended(at, call, ended, link),
             calls::Event::Probed { endpoint, took, ended, link } => {
@@ -668,15 +673,15 @@
                 if let (Some(link), Some(address)) = (link, address) {
                     self.calls.keep(endpoint, address, link);
                 }
-                let Ended { fate, report, .. } = ended;
-                let (outcome, took) = (fate.of(0).outcome, took.as_nanos() as Nanos);
-                self.core.on_event(at, Event::Probed { endpoint, outcome, took, report });
+                let CallEnd { ends, report, .. } = ended;
+                let (outcome, took) = (ends.of(0).outcome, took.as_nanos() as Nanos);
+                self.core.on_event(at, Event::ProbeEnded { endpoint, outcome, took, report });
             }
         }
     }
 
-    fn ended(&mut self, at: Moment, call: u64, ended: Ended, link: Option<millpost_net::link::Link>) {
-        self.calls.over(call, &ended.fate, link, |endpoint| self.roster.ready(endpoint));
+    fn ended(&mut self, at: Moment, call: u64, ended: CallEnd, link: Option<millpost_net::link::Link>) {
+        self.calls.over(call, &ended.ends, link, |endpoint| self.roster.ready(endpoint));
         within(Part::Module, || self.core.ended(at, call, ended));
     }
 
@@ -710,7 +715,7 @@
     fn asked_for_work(&mut self, mut heir: Heir) {
         let busy =
             self.heir.is_some() || self.before.is_some() || !self.granted.is_empty() || self.record.waits();
-        if busy || !self.core.at_rest() {
+        if busy || !self.core.is_quiescent() {
             tokio::spawn(async move {
                 let _ = heir.0.say(&Frame::No("it is busy".to_owned())).await;
             });
@@ -723,14 +728,14 @@
     async fn give(mut self, Heir(mut line): Heir) -> Given {
         let (mut giver, at) = (Giver::default(), self.clock.moment());
         let mark = self.record.ledger().owner();
-        let fit = self.core.at_rest() && !self.record.waits();
+        let fit = self.core.is_quiescent() && !self.record.waits();
         let core = postcard::to_stdvec(&self.core).ok().filter(|_| fit);
         let (Some(core), Does::Offer) = (core, giver.heard(Heard::Asked { fit, mark })) else {
             let _ = line.say(&Frame::No("it is busy".to_owned())).await;
             return Given::Kept(Box::new(self));
         };
         let moving = Moving {
-            layout: LAYOUT,
+            layout: SNAPSHOT_VERSION,
             now: at.now,
             wall: at.wall,
             core: core.into(),
@@ -791,7 +796,7 @@
         let Some(before) = &mut self.before else { return };
         match said {
             Some(Frame::Handed { number, handed, .. }) if handed.class >= self.classes.all().count() => {
-                before.verdict(number, Verdict::Unheard, None);
+                before.verdict(number, SubmitReply::UnknownDestination, None);
             }
             Some(Frame::Handed { number, ago, handed }) => {
                 self.handed(at, *handed, Duration::from_nanos(ago), Waits::There(number));
@@ -805,7 +810,7 @@
                 self.core.ended(at, call, ended);
             }
             Some(Frame::Unsent { call, fresh }) if before.written.remove(&call) => {
-                self.core.unsent(at, call, fresh);
+                self.core.connection_lost(at, call, fresh);
             }
             Some(Frame::Maintain { number, id, out }) => {
                 let (done, answer) = oneshot::channel();
@@ -818,7 +823,7 @@
                 let (written, unheard) =
                     (std::mem::take(&mut before.written), std::mem::take(&mut before.unheard));
                 self.before = None;
-                self.core.lost(at, &written);
+                self.core.calls_lost(at, &written);
                 // They may have heard, and then hand nothing in again.
                 unheard.into_values().for_each(|id| self.core.replied(at, id, true));
                 self.room.set_most(self.descriptors.clients);
@@ -849,7 +854,7 @@
         self.calls.settle_on(idle, settings.keepalive, settings.connect_timeout);
         self.roster.settle_on(shape);
         self.sharing.iter_mut().for_each(|sharing| sharing.settle_on(settings.slots));
-        self.core.settle_on(at, settings);
+        self.core.apply_settings(at, settings);
         self.text = text;
         if let Some(sharing) = &mut self.sharing {
             sharing.moves(at, Kind::Settings, digest);
@@ -916,8 +921,8 @@
     fn tell_figures(&mut self, at: Moment) {
         let down = self.roster.all().filter(|endpoint| self.core.avoids(at.now, *endpoint)).count();
         let mut figures = self.shared.figures();
-        figures.classes.values_mut().for_each(|count| *count = Count::default());
-        let tally = self.core.tally();
+        figures.classes.values_mut().for_each(|count| *count = ClassCounts::default());
+        let tally = self.core.outcome_counts();
         for (class, (name, _)) in self.classes.all().enumerate() {
             let count = tally.count(class);
             match figures.classes.get_mut(name) {
@@ -925,7 +930,7 @@
                 None => drop(figures.classes.insert(name.to_owned(), count)),
             }
         }
-        (figures.inflight, figures.calls) = (self.core.open(), self.calls.sent().count());
+        (figures.inflight, figures.calls) = (self.core.unanswered(), self.calls.sent().count());
         (figures.listed, figures.down) = (self.roster.all().len(), down);
         if let (Some(sharing), Some(peers)) = (&self.sharing, &self.peers) {
             figures.shared = Some(sharing.figures(at, peers));
@@ -952,7 +957,7 @@
                 self.carry_out(at, effect);
             }
             let Some(ready) = self.record.ready() else { return };
-            self.core.go_on(at, ready);
+            self.core.run_deferred(at, ready);
         }
     }
 
@@ -963,9 +968,9 @@
                     self.book.iter_mut().for_each(|book| book.changed(at, &change));
                     behind.into_iter().for_each(|behind| self.record.put(Some(seq), behind));
                 }
-                None => self.core.not_written(at, &change, behind),
+                None => self.core.write_failed(at, &change, behind),
             },
-            Effect::After(behind) => self.record.put(None, behind),
+            Effect::AfterWrites(behind) => self.record.put(None, behind),
             Effect::Reply { reply, verdict, taken } => {
                 self.book.iter_mut().for_each(|book| book.replied(at, reply, verdict, taken.is_some()));
                 let heard = match self.replies.remove(&reply) {
@@ -1001,14 +1006,14 @@
                 }
                 let left = Duration::from_nanos(until.saturating_sub(at.now));
                 if !self.calls.write(call, messages, sure, self.clock.instant(until), left) {
-                    self.core.ended(at, call, Ended::without_answer(Outcome::NotSent));
+                    self.core.ended(at, call, CallEnd::without_answer(Outcome::NotSent));
                 }
             }
             Effect::Release { call } => {
                 self.book.iter_mut().for_each(|book| book.dropped(call));
                 self.calls.release(call, |endpoint| self.roster.ready(endpoint));
             }
-            Effect::CallOff { call } => match &self.before {
+            Effect::CancelCall { call } => match &self.before {
                 Some(before) if before.written.contains(&call) => before.say(Frame::CallOff { call }),
                 _ => self.calls.call_off(call),
             },
@@ -1017,13 +1022,13 @@
                     self.calls.probe(endpoint, address);
                 }
             }
-            Effect::Note { bytes } => self.peers.iter().for_each(|peers| peers.tell(&bytes)),
+            Effect::Broadcast { bytes } => self.peers.iter().for_each(|peers| peers.tell(&bytes)),
             Effect::Notice { id, reference, answer } => {
                 self.unsent.push_back(Notice { id, reference, answer });
                 self.hand_on_notices();
             }
-            Effect::Learn(lessons) => self.record.learn(at, lessons),
-            Effect::Went { endpoint, outcome, wait } => {
+            Effect::SaveLearned(lessons) => self.record.learn(at, lessons),
+            Effect::CallEnded { endpoint, outcome, wait } => {
                 self.sharing.iter_mut().for_each(|sharing| sharing.went(at, endpoint, outcome, wait));
             }
         }
--- a/dispatcher/src/hands.rs
+++ b/dispatcher/src/hands.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use millpost::api::{MsgId, Nanos};
-use millpost_core::{CallId, Verdict};
+use millpost_core::{CallId, SubmitReply};
 use millpost_handover::Frame;
 use millpost_net::connection_limiter::ConnectionLimiter;
 use tokio::sync::{mpsc, oneshot};
@@ -36,7 +36,7 @@
     }
 
     /// Tells a client there.
-    pub fn verdict(&mut self, number: u64, verdict: Verdict, taken: Option<MsgId>) {
+    pub fn verdict(&mut self, number: u64, verdict: SubmitReply, taken: Option<MsgId>) {
         self.unheard.extend(taken.map(|id| (number, id)));
         self.say(Frame::Verdict { number, verdict });
     }
@@ -70,7 +70,7 @@
     say: mpsc::UnboundedSender<Frame>,
     room: std::sync::Arc<ConnectionLimiter>,
     shared: console::Shared,
-    replies: HashMap<u64, oneshot::Sender<Verdict>>,
+    replies: HashMap<u64, oneshot::Sender<SubmitReply>>,
     staff: HashMap<u64, oneshot::Sender<Result<(), String>>>,
     next: u64,
     out: BTreeSet<CallId>,
@@ -166,7 +166,7 @@
     fn called(&mut self, event: calls::Event) {
         match event {
             calls::Event::Ended { call, ended, link: _ } => {
-                self.calls.over(call, &ended.fate, None, |_| false);
+                self.calls.over(call, &ended.ends, None, |_| false);
                 if self.out.remove(&call) {
                     self.tell(Frame::Ended { call, ended });
                 }
--- a/dispatcher/src/intake.rs
+++ b/dispatcher/src/intake.rs
@@ -13,7 +13,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioTimer;
 use millpost::api::{Effect, Nanos};
-use millpost_core::{Handed, Verdict};
+use millpost_core::{Submission, SubmitReply};
 use millpost_net::connection_limiter::{ConnectionLimiter, ConnectionSlot};
 use millpost_net::meter::{Part, metered};
 use millpost_net::serving::serve_one;
@@ -37,10 +37,10 @@
 
 /// A message that a client hands in, and where its answer goes.
 pub struct Asked {
-    pub handed: Handed,
+    pub handed: Submission,
     /// Its time runs from here: the deadline counts from the client's send, also while the body is on its way.
     pub came: Instant,
-    pub reply: oneshot::Sender<Verdict>,
+    pub reply: oneshot::Sender<SubmitReply>,
 }
 
 /// How far the end of the process has come.
@@ -160,10 +160,10 @@
 impl<I: From<Asked>> Intake<I> {
     async fn answer(&self, request: Request<Incoming>, seat: &ConnectionSlot) -> Response<Full<Bytes>> {
         let mut response = match self.take(request, seat).await {
-            Ok(Verdict::Taken) => plain(StatusCode::ACCEPTED),
-            Ok(Verdict::Unheard) => plain(StatusCode::NOT_FOUND),
-            Ok(Verdict::Failed) => plain(StatusCode::GONE),
-            Ok(Verdict::Refused { wait }) => {
+            Ok(SubmitReply::Accepted) => plain(StatusCode::ACCEPTED),
+            Ok(SubmitReply::UnknownDestination) => plain(StatusCode::NOT_FOUND),
+            Ok(SubmitReply::Failed) => plain(StatusCode::GONE),
+            Ok(SubmitReply::Refused { wait }) => {
                 let mut response = plain(StatusCode::SERVICE_UNAVAILABLE);
                 let seconds = HeaderValue::from_str(&format!("{:.3}", wait as f64 / 1e9));
                 if let Some(seconds) = seconds.ok().filter(|_| wait > 0) {
@@ -185,7 +185,11 @@
     }
 
     /// Hands a message to the driver. An error is a status of its own.
-    async fn take(&self, request: Request<Incoming>, seat: &ConnectionSlot) -> Result<Verdict, StatusCode> {
+    async fn take(
+        &self,
+        request: Request<Incoming>,
+        seat: &ConnectionSlot,
+    ) -> Result<SubmitReply, StatusCode> {
         let (came, (head, body)) = (Instant::now(), request.into_parts());
         let whole_by = seat.reading() + WHOLE_WITHIN;
         // Beside a Content-Length it may hide another request in the body, and the header map does not show
@@ -217,7 +221,7 @@
         })?;
         seat.answering();
         let Fields { reference, dest, time_left, key, order } = fields;
-        let handed = Handed { reference, class, dest, time_left, key, order, body: body.to_bytes() };
+        let handed = Submission { reference, class, dest, time_left, key, order, body: body.to_bytes() };
         let (reply, verdict) = oneshot::channel();
         let asked = Asked { handed, came, reply };
         // No driver any more: the process is about to end, and has not taken the message.
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -30,7 +30,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use millpost_core::{LAYOUT, Moved};
+use millpost_core::{CoreSnapshot, SNAPSHOT_VERSION};
 use millpost_handover::{Frame, Moving};
 use millpost_net::connection_limiter::ConnectionLimiter;
 use millpost_net::{link, meter};
@@ -148,9 +148,13 @@
     }
 }
 
-fn read_state(moving: &Moving, config: &Config, opened: &ledger::Opened) -> Result<(Moved, Config), String> {
-    if moving.layout != LAYOUT {
-        return Err(format!("its layout is {}, and {LAYOUT} is known", moving.layout));
+fn read_state(
+    moving: &Moving,
+    config: &Config,
+    opened: &ledger::Opened,
+) -> Result<(CoreSnapshot, Config), String> {
+    if moving.layout != SNAPSHOT_VERSION {
+        return Err(format!("its layout is {}, and {SNAPSHOT_VERSION} is known", moving.layout));
     }
     let moved = postcard::from_bytes(&moving.core).map_err(|e| e.to_string())?;
     let before = config::of_before(&moving.config).map_err(|e| e.to_string())?;
--- a/dispatcher/src/peers/sharing.rs
+++ b/dispatcher/src/peers/sharing.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use millpost::api::{DestId, EndpointId, Event, Nanos, Outcome, Part};
+use millpost::api::{DestId, EndpointId, Event, Nanos, Outcome, RateShare};
 use millpost_core::{Core, Moment};
 use millpost_tier::frame::Frame;
 use millpost_tier::judge::View;
@@ -263,18 +263,17 @@
                     if let Some(book) = book {
                         book.part(at, dest, part);
                     }
-                    let part = part.map(|p| Part { rate: p.rate, until: p.until, after: p.after });
-                    Some(Event::Part { dest, part })
+                    let part = part.map(|p| RateShare { rate: p.rate, until: p.until, after: p.after });
+                    Some(Event::RateShare { dest, part })
                 }
-                News::Wait { place, until } => self.endpoints.get(&place).map(|endpoint| Event::ToldToWait {
-                    endpoint: *endpoint,
-                    wait: until.saturating_sub(at.now),
+                News::Wait { place, until } => self.endpoints.get(&place).map(|endpoint| {
+                    Event::WaitRequested { endpoint: *endpoint, wait: until.saturating_sub(at.now) }
                 }),
                 News::Hearsay { place, until, hold } => self
                     .endpoints
                     .get(&place)
-                    .map(|endpoint| Event::Hearsay { endpoint: *endpoint, until, avoid: hold }),
-                News::Cold { dest } => Some(Event::CameBack { dest }),
+                    .map(|endpoint| Event::PeersUnreachable { endpoint: *endpoint, until, avoid: hold }),
+                News::Cold { dest } => Some(Event::PeersSawRecovery { dest }),
             };
             if let Some(event) = event {
                 core.on_event(at, event);
@@ -322,6 +321,6 @@
 
 /// With all slots taken a message does not wait for a part.
 fn need(core: &Core, slots: usize, dest: DestId) -> Need {
-    let (limit, waiting) = core.need(dest);
-    Need { dest, limit, waiting: if core.slots_taken() < slots { waiting } else { 0 } }
+    let (limit, waiting) = core.demand(dest);
+    Need { dest, limit, waiting: if core.slots_in_use() < slots { waiting } else { 0 } }
 }
--- a/dispatcher/src/record.rs
+++ b/dispatcher/src/record.rs
@@ -1,9 +1,9 @@
 //! The store as the driver uses it: one change after the other, what waits for them to last, and the one sync that is
 //! under way for all that waits by then.
 
-use millpost::Lesson;
+use millpost::LearnedState;
 use millpost::api::Nanos;
-use millpost_core::{Behind, Change, Moment, Ready, Shelf};
+use millpost_core::{Change, Deferred, DurabilityQueue, Durable, Moment};
 use millpost_net::meter::{Part, within};
 use millpost_store::ledger::Final;
 use millpost_store::{Disk, Error, Folder, Ledger, Seq, SyncJob, Synced};
@@ -15,7 +15,7 @@
 
 pub struct Record {
     ledger: Ledger<Disk>,
-    shelf: Shelf,
+    shelf: DurabilityQueue,
     /// When a write last failed, and the number that the next frame had then.
     failing: Option<(Nanos, Seq)>,
     /// A sync is under way, or may be tried again at this time.
@@ -25,7 +25,7 @@
 
 impl Record {
     pub fn new(ledger: Ledger<Disk>) -> Self {
-        Record { ledger, shelf: Shelf::default(), failing: None, syncing: false, sync_at: 0 }
+        Record { ledger, shelf: DurabilityQueue::default(), failing: None, syncing: false, sync_at: 0 }
     }
 
     /// The tables.
@@ -54,14 +54,14 @@
     }
 
     /// Keeps what stands behind the write of this number, or behind all so far.
-    pub fn put(&mut self, seq: Option<Seq>, behind: Behind) {
+    pub fn put(&mut self, seq: Option<Seq>, behind: Deferred) {
         let last = self.ledger.store().next_seq() - 1;
-        self.shelf.put(seq.unwrap_or(last), behind);
+        self.shelf.push(seq.unwrap_or(last), behind);
     }
 
     /// The next that no longer waits.
-    pub fn ready(&mut self) -> Option<Ready> {
-        self.shelf.next(|seq| self.ledger.lasts(seq))
+    pub fn ready(&mut self) -> Option<Durable> {
+        self.shelf.pop_durable(|seq| self.ledger.lasts(seq))
     }
 
     /// Something waits for a write to last.
@@ -70,7 +70,7 @@
     }
 
     /// Keeps lessons.
-    pub fn learn(&mut self, at: Moment, lessons: Vec<Lesson>) {
+    pub fn learn(&mut self, at: Moment, lessons: Vec<LearnedState>) {
         let lessons = lessons.into_iter().map(|lesson| (lesson.dest, lesson.route, Some(lesson.bytes)));
         let done = within(Part::Journal, || self.ledger.learn(at.wall, lessons));
         self.noted(at, done);
@@ -149,14 +149,14 @@
     }
 
     /// A sync is over. What clients wait for and will not last is given back.
-    pub fn synced(&mut self, at: Moment, synced: Synced) -> Vec<Behind> {
+    pub fn synced(&mut self, at: Moment, synced: Synced) -> Vec<Deferred> {
         self.syncing = false;
         let done = self.ledger.synced(synced);
         if self.noted(at, done).is_some() {
             return Vec::new();
         }
         self.sync_at = at.now.saturating_add(SYNC_AGAIN);
-        self.shelf.clients(|seq| self.ledger.lasts(seq))
+        self.shelf.take_client_replies(|seq| self.ledger.lasts(seq))
     }
 
     /// What came of a write. That writes fail is said once, and once that they work again.
--- a/dispatcher/src/retry.rs
+++ b/dispatcher/src/retry.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use millpost::Dice;
+use millpost::RandomSource;
 
 /// How far apart the calls of a fleet are, in the mean.
 const EACH: Duration = Duration::from_millis(80);
@@ -24,19 +24,19 @@
 pub struct Retry {
     span: Duration,
     failures: u32,
-    dice: Dice,
+    dice: RandomSource,
 }
 
 impl Retry {
     /// One of so many callers; the seed is its own.
     pub fn new(callers: usize, seed: u64) -> Self {
         let callers = u32::try_from(callers.max(1)).unwrap_or(u32::MAX);
-        Retry { span: EACH.saturating_mul(callers).min(ALL), failures: 0, dice: Dice::seeded(seed) }
+        Retry { span: EACH.saturating_mul(callers).min(ALL), failures: 0, dice: RandomSource::seeded(seed) }
     }
 
     /// How long to wait before the first call, while the list from before serves.
     pub fn first(&mut self) -> Duration {
-        self.span.min(FIRST).mul_f64(self.dice.share())
+        self.span.min(FIRST).mul_f64(self.dice.next_f64())
     }
 
     /// It was answered.
@@ -48,7 +48,7 @@
     pub fn failed(&mut self) -> Duration {
         let mean = self.span.saturating_mul(1 << self.failures.min(16)).min(LONGEST + 2 * self.span);
         self.failures += 1;
-        mean.mul_f64(0.5 + self.dice.share())
+        mean.mul_f64(0.5 + self.dice.next_f64())
     }
 }
 
--- a/dispatcher/src/versions.rs
+++ b/dispatcher/src/versions.rs
@@ -1,7 +1,7 @@
 //! What this dispatcher acts on, where no roll keeps it; and what of it lasts. Nothing is decided here.
 
 use millpost::api::Nanos;
-use millpost_core::{LAYOUT, Moment};
+use millpost_core::{Moment, SNAPSHOT_VERSION};
 use millpost_tier::records::Word;
 use millpost_tier::standing::{Kind, Stamp, Standing, digest};
 use serde::{Deserialize, Serialize};
@@ -25,7 +25,7 @@
 pub fn begin(at: Moment, settings: u32, record: &mut Record) -> (Standing, [Nanos; 4]) {
     let mut standing = Standing::default();
     let release = concat!(env!("CARGO_PKG_VERSION"));
-    standing.program = Stamp { digest: digest(release.as_bytes()), generation: LAYOUT };
+    standing.program = Stamp { digest: digest(release.as_bytes()), generation: SNAPSHOT_VERSION };
     standing.moves(Kind::Settings, settings);
     let held = held(at, SETTLED, settings, record).unwrap_or_else(|| {
         settled(at, settings, record);
--- a/explore/src/world.rs
+++ b/explore/src/world.rs
@@ -8,11 +8,14 @@
 
 use bytes::Bytes;
 use millpost::api::{
-    Allow, Class, Effect as Repeats, EndpointId, Entry, Kind, Late, MsgId, Nanos, Outcome, Rules, Settings,
-    State, Weights,
+    Class, Effect as Repeats, EndpointId, Entry, Kind, LateDecay, MsgId, Nanos, Outcome, Permissions, Rules,
+    Settings, State, Weights,
+};
+use millpost::{LearnedState, RandomSource};
+use millpost_core::{
+    CallEnd, CallId, Core, CoreSnapshot, DurabilityQueue, Effect, Fault, MessageEnd, MessageEnds, Moment,
+    Submission, SubmitReply,
 };
-use millpost::{Dice, Lesson};
-use millpost_core::{CallId, Core, Effect, End, Ended, Fate, Fault, Handed, Moment, Moved, Shelf, Verdict};
 use millpost_store::ledger::{Answer, Found};
 use serde::Serialize;
 
@@ -98,7 +101,7 @@
     now: Nanos,
     core: Core,
     journal: Journal,
-    shelf: Shelf,
+    shelf: DurabilityQueue,
     news: bool,
     messages: Vec<Message>,
     flights: BTreeMap<CallId, Flight>,
@@ -139,7 +142,7 @@
         tenants: Vec::new(),
         over_share_worth: 1.0,
         kinds: vec![Kind { bundle: bounds.bundle, apart: false }],
-        late: Late::Even,
+        late: LateDecay::Even,
         slots: bounds.slots,
         hold: 100,
         try_limit: bounds.tries,
@@ -148,7 +151,7 @@
         keepalive: 10 * T1,
         streams: 1,
         max_retry_after: 2 * T1,
-        allow: Allow { probes: false, notes: false, cancel: false, retry_after: true },
+        allow: Permissions { probes: false, notes: false, cancel: false, retry_after: true },
         rules: Rules {
             answer_grace: T1 / 5,
             drain_grace: DRAIN_GRACE,
@@ -196,7 +199,7 @@
             now: T1,
             core: Core::new(settings(&bounds, &messages), 0, journal.next()),
             journal,
-            shelf: Shelf::default(),
+            shelf: DurabilityQueue::default(),
             news: false,
             messages,
             flights: BTreeMap::new(),
@@ -221,7 +224,7 @@
     fn start(&mut self) {
         let at = self.at();
         self.core = Core::new(settings(&self.left, &self.messages), 0, self.journal.next());
-        self.core.set_dice(Dice::Told { bits: 0, drawn: 0 });
+        self.core.set_random_source(RandomSource::Scripted { bits: 0, drawn: 0 });
         self.core.plant(self.fault);
         let state =
             |away: Option<&(Nanos, bool)>| if away.is_some() { State::Draining } else { State::Ready };
@@ -230,7 +233,7 @@
         self.core.listed(at, true, listed);
         let lessons: Vec<_> = self.journal.lessons().map(|(d, r, w, b)| (d, r, w, b.to_vec())).collect();
         for (dest, route, wall, bytes) in lessons {
-            self.core.recall(at, &Lesson { dest, route, bytes }, at.wall - wall);
+            self.core.restore_learned(at, &LearnedState { dest, route, bytes }, at.wall - wall);
         }
         self.core.resume(at);
         let found: Vec<Found> = self.journal.found();
@@ -247,11 +250,11 @@
     pub fn over(&self) -> bool {
         let done = |m: &Message| m.refused || m.delivered || m.noticed;
         let quiet = self.flights.is_empty() && self.running.is_empty();
-        self.messages.iter().all(done) && quiet && self.core.owed() == 0
+        self.messages.iter().all(done) && quiet && self.core.unfinished() == 0
     }
 
     fn due(&self) -> bool {
-        self.news || self.core.wake().is_some_and(|wake| wake <= self.now)
+        self.news || self.core.next_wake().is_some_and(|wake| wake <= self.now)
     }
 
     /// The next moment at which something is due.
@@ -261,18 +264,18 @@
         // Beyond that nothing is left to be found out: whatever was taken on has its end, or the want of it was seen.
         let horizon = self.messages.iter().filter_map(|m| Some(m.deadline? + T1)).max().unwrap_or(0);
         // The loop looks after what is restless every so often.
-        let soon = self.core.restless().then_some(self.now + T1 / 5);
-        let all = flights.chain(self.core.wake()).chain(ends).chain(soon);
+        let soon = self.core.needs_polling().then_some(self.now + T1 / 5);
+        let all = flights.chain(self.core.next_wake()).chain(ends).chain(soon);
         all.filter(|at| *at > self.now && *at <= horizon).min()
     }
 
     /// Something happens, and the module's draws fall so; how many there were.
     fn make(&mut self, what: Happening, bits: u32) -> u32 {
-        self.core.set_dice(Dice::Told { bits, drawn: 0 });
+        self.core.set_random_source(RandomSource::Scripted { bits, drawn: 0 });
         self.happen(what);
-        match self.core.set_dice(Dice::Told { bits: 0, drawn: 0 }) {
-            Dice::Told { drawn, .. } => drawn,
-            Dice::Seeded(_) => 0,
+        match self.core.set_random_source(RandomSource::Scripted { bits: 0, drawn: 0 }) {
+            RandomSource::Scripted { drawn, .. } => drawn,
+            RandomSource::Seeded(_) => 0,
         }
     }
 
@@ -327,7 +330,7 @@
                 self.messages[message].noticed = true;
                 if heard {
                     self.notices.remove(place);
-                    self.core.noticed(at, id);
+                    self.core.notice_accepted(at, id);
                 } else {
                     self.left.unheard -= 1;
                 }
@@ -343,7 +346,7 @@
                     let crash = Crash { after: 0, ran };
                     all.into_iter().for_each(|message| self.ran(message, began, crash.of(n)));
                 }
-                self.core.lost(at, &theirs);
+                self.core.calls_lost(at, &theirs);
             }
             Happening::Sync => self.journal.sync(),
             Happening::FailNext => {
@@ -360,7 +363,7 @@
                 }
                 let now = self.now;
                 self.running.retain(|running| running.until > now);
-                self.core.tend();
+                self.core.retry_unwritten();
             }
         }
     }
@@ -369,7 +372,7 @@
         let Some(deadline) = self.messages[message].deadline else { return };
         let reply = (0..).find(|reply| !self.asked.contains_key(reply)).unwrap_or(0);
         self.asked.insert(reply, (message, left));
-        let handed = Handed {
+        let handed = Submission {
             reference: reference(message),
             class: message,
             dest: DEST,
@@ -379,12 +382,12 @@
             body: Bytes::new(),
         };
         let ended = self.journal.end(&handed.reference);
-        self.core.handed(self.at(), handed, ended, reply);
+        self.core.submit(self.at(), handed, ended, reply);
     }
 
     /// The work may be given away now.
     fn may_change(&self) -> bool {
-        let rests = self.core.at_rest() && self.shelf.is_empty() && self.asked.is_empty();
+        let rests = self.core.is_quiescent() && self.shelf.is_empty() && self.asked.is_empty();
         rests && !self.journal.pending() && !self.flights.values().any(|flight| flight.theirs)
     }
 
@@ -392,7 +395,7 @@
     fn change(&mut self) {
         self.left.changes -= 1;
         let bytes = postcard::to_stdvec(&self.core).unwrap_or_default();
-        let Ok(moved) = postcard::from_bytes::<Moved>(&bytes) else {
+        let Ok(moved) = postcard::from_bytes::<CoreSnapshot>(&bytes) else {
             return self.breach(property::NOTICE_SENT);
         };
         self.flights.retain(|_, flight| matches!(flight.stage, Stage::Out(_)));
@@ -406,7 +409,8 @@
                 }
             }
         }
-        self.core = Core::take_over(settings(&self.left, &self.messages), moved, &written, |_| Bytes::new());
+        self.core =
+            Core::from_snapshot(settings(&self.left, &self.messages), moved, &written, |_| Bytes::new());
         self.core.plant(self.fault);
         // The old one tells the platform no more; what was on its way is told again.
         self.notices.clear();
@@ -415,7 +419,7 @@
     fn partner(&mut self, call: CallId, reply: Reply) {
         let at = self.at();
         match reply {
-            Reply::Served => self.end(call, Ran::Before, End { outcome: Outcome::Served, over: true }),
+            Reply::Served => self.end(call, Ran::Before, MessageEnd { outcome: Outcome::Served, over: true }),
             Reply::Error { ran } => {
                 self.left.refusals -= 1;
                 self.end(call, if ran { Ran::Before } else { Ran::Never }, Outcome::Error.into());
@@ -436,7 +440,7 @@
                 if fresh {
                     self.flights.remove(&call);
                 }
-                self.core.unsent(at, call, fresh);
+                self.core.connection_lost(at, call, fresh);
             }
             Reply::BreakAfter { ran } => {
                 self.left.breaks -= 1;
@@ -446,7 +450,7 @@
     }
 
     /// A call that is out ends: its connection is closed or at rest, then the core hears.
-    fn end(&mut self, call: CallId, ran: Ran, end: End) {
+    fn end(&mut self, call: CallId, ran: Ran, end: MessageEnd) {
         let Some(Flight { stage: Stage::Out(messages), began, .. }) = self.flights.remove(&call) else {
             return;
         };
@@ -454,7 +458,7 @@
             self.ran(message, began, ran);
             self.messages[message].delivered |= end.over;
         }
-        let ended = Ended { fate: Fate::All(end), wait: None, report: None };
+        let ended = CallEnd { ends: MessageEnds::All(end), wait: None, report: None };
         self.core.ended(self.at(), call, ended);
     }
 
@@ -502,8 +506,8 @@
         let mut carried = 0;
         while most.is_none_or(|most| carried < most) {
             let Some(effect) = self.core.effect() else {
-                let Some(ready) = self.shelf.next(|seq| self.journal.lasts(seq)) else { break };
-                self.core.go_on(self.at(), ready);
+                let Some(ready) = self.shelf.pop_durable(|seq| self.journal.lasts(seq)) else { break };
+                self.core.run_deferred(self.at(), ready);
                 continue;
             };
             // A crash between these and what is next leaves nothing behind that one before them would not.
@@ -517,10 +521,10 @@
         let at = self.at();
         match effect {
             Effect::Append(change, behind) => match self.journal.append(&change) {
-                Some(seq) => behind.into_iter().for_each(|behind| self.shelf.put(seq, behind)),
-                None => self.core.not_written(at, &change, behind),
+                Some(seq) => behind.into_iter().for_each(|behind| self.shelf.push(seq, behind)),
+                None => self.core.write_failed(at, &change, behind),
             },
-            Effect::After(behind) => self.shelf.put(self.journal.written(), behind),
+            Effect::AfterWrites(behind) => self.shelf.push(self.journal.written(), behind),
             Effect::Reply { reply, verdict, taken } => {
                 let Some((message, left)) = self.asked.remove(&reply) else { return };
                 let m = &mut self.messages[message];
@@ -529,12 +533,12 @@
                 }
                 if left {
                     m.refused = true;
-                } else if verdict == Verdict::Taken {
+                } else if verdict == SubmitReply::Accepted {
                     m.taken = true;
                 } else {
                     // Told so of one that was taken on, it is the answer that was given before.
                     m.refused |= !m.taken;
-                    let refused = matches!(verdict, Verdict::Refused { .. });
+                    let refused = matches!(verdict, SubmitReply::Refused { .. });
                     if refused && m.kind.once() && m.effects > 0 {
                         self.breach(property::TRUE_REFUSAL);
                     }
@@ -558,12 +562,15 @@
                 let Some(message) = number(&reference) else { return };
                 self.notice(id, message, answer);
             }
-            Effect::Learn(lessons) => {
-                for Lesson { dest, route, bytes } in lessons {
+            Effect::SaveLearned(lessons) => {
+                for LearnedState { dest, route, bytes } in lessons {
                     self.journal.learn(at.wall, dest, route, bytes);
                 }
             }
-            Effect::CallOff { .. } | Effect::Probe { .. } | Effect::Note { .. } | Effect::Went { .. } => {}
+            Effect::CancelCall { .. }
+            | Effect::Probe { .. }
+            | Effect::Broadcast { .. }
+            | Effect::CallEnded { .. } => {}
         }
     }
 
@@ -633,7 +640,7 @@
             self.messages[message].refused |= !self.messages[message].taken;
         }
         self.notices.clear();
-        self.shelf = Shelf::default();
+        self.shelf = DurabilityQueue::default();
         self.journal.crash();
         for found in self.journal.found().into_iter().filter(|_| unsure) {
             if let Some(message) = number(&found.taken.reference) {
@@ -656,7 +663,7 @@
         if self.messages.iter().enumerate().any(late) {
             self.breach(property::NOTICE_SENT);
         }
-        if self.core.slots_taken() != self.core.calls() || self.core.calls() != self.flights.len() {
+        if self.core.slots_in_use() != self.core.calls() || self.core.calls() != self.flights.len() {
             self.breach(property::SLOTS);
         }
     }
--- a/explore/src/world/same.rs
+++ b/explore/src/world/same.rs
@@ -12,13 +12,13 @@
     ///
     /// - which numbers calls, answers and writes have: they are only compared, and keep their order;
     /// - what the journal holds once no crash can come, but for ends that may be asked for;
-    /// - what the module does not read before it is set anew ([`millpost::Control::blank_unread`]), since no partner here
+    /// - what the module does not read before it is set anew ([`millpost::Control::reset_unread`]), since no partner here
     ///   sends load reports;
     /// - when a wait, a drain or a key's life was that is over by now;
     /// - how often a message took effect, beyond what a property asks.
     pub fn settle(&mut self) {
         let at = self.at();
-        self.core.set_dice(Dice::Told { bits: 0, drawn: 0 });
+        self.core.set_random_source(RandomSource::Scripted { bits: 0, drawn: 0 });
         let new = self.core.renumber();
         let base = self.journal.recount();
         self.shelf.renumber(&new, base);
@@ -30,12 +30,12 @@
         if self.left.crashes == 0 {
             // Where writes wait for a sync, that a lesson is written is seen by others.
             if !self.left.synced {
-                self.core.forget_lessons(at);
+                self.core.discard_learned(at);
             }
             let held = self.messages.iter().any(|m| m.deadline.is_some());
             self.journal.forget(self.left.again == 0 || !held);
         }
-        self.core.blank_unread(at);
+        self.core.reset_unread(at);
         let now = self.now;
         if self.waits_until <= now {
             self.waits_until = 0;
--- a/handover/src/frame.rs
+++ b/handover/src/frame.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use millpost::api::Nanos;
-use millpost_core::{CallId, Ended, Handed, Verdict};
+use millpost_core::{CallEnd, CallId, Submission, SubmitReply};
 use serde::{Deserialize, Serialize};
 
 /// The version of what is said here.
@@ -63,13 +63,13 @@
     /// off, since what it knew could not be read.
     Mine { afresh: bool },
     /// Old to new: a client handed a message in, so long ago.
-    Handed { number: u64, ago: Nanos, handed: Box<Handed> },
+    Handed { number: u64, ago: Nanos, handed: Box<Submission> },
     /// New to old: what to tell that client.
-    Verdict { number: u64, verdict: Verdict },
+    Verdict { number: u64, verdict: SubmitReply },
     /// Old to new: whether it was still there to hear it.
     Heard { number: u64, heard: bool },
     /// Old to new: a call is over.
-    Ended { call: CallId, ended: Ended },
+    Ended { call: CallId, ended: CallEnd },
     /// Old to new: the connection of a call was gone before its last byte; whether it was a new one.
     Unsent { call: CallId, fresh: bool },
     /// New to old: call this call off.
@@ -149,7 +149,7 @@
 
     fn all() -> Vec<Frame> {
         let body = Bytes::from_static(b"\x00body\xff");
-        let handed = Handed {
+        let handed = Submission {
             reference: "r".to_owned(),
             class: 1,
             dest: 7,
@@ -177,9 +177,9 @@
             Frame::Offer(Box::new(moving)),
             Frame::Mine { afresh: false },
             Frame::Handed { number: 1, ago: 9, handed: Box::new(handed) },
-            Frame::Verdict { number: 1, verdict: Verdict::Refused { wait: 7 } },
+            Frame::Verdict { number: 1, verdict: SubmitReply::Refused { wait: 7 } },
             Frame::Heard { number: 1, heard: true },
-            Frame::Ended { call: 4, ended: Ended::without_answer(Outcome::Full(Some(3))) },
+            Frame::Ended { call: 4, ended: CallEnd::without_answer(Outcome::Full(Some(3))) },
             Frame::Unsent { call: 9, fresh: true },
             Frame::CallOff { call: 9 },
             Frame::Maintain { number: 2, id: "s-1".to_owned(), out: true },
--- a/latency/tests/days.rs
+++ b/latency/tests/days.rs
@@ -1,11 +1,11 @@
 //! Days of answers under a seed: how soon a slow worker is told, and how often one that is not.
 
-use millpost::Dice;
+use millpost::RandomSource;
 use millpost_latency::{LatencyModel, Nanos, SECOND};
 
 /// Answers of functions on workers, with the spread that work has and the differences that instances have by nature.
 struct Day {
-    dice: Dice,
+    dice: RandomSource,
     assay: LatencyModel,
     now: Nanos,
     instances: Vec<Vec<f64>>,
@@ -13,18 +13,18 @@
 
 impl Day {
     fn new(seed: u64, functions: usize, workers: usize) -> Self {
-        let mut dice = Dice::seeded(seed);
+        let mut dice = RandomSource::seeded(seed);
         let instances =
-            (0..functions).map(|_| (0..workers).map(|_| 0.8 + 0.4 * dice.share()).collect()).collect();
+            (0..functions).map(|_| (0..workers).map(|_| 0.8 + 0.4 * dice.next_f64()).collect()).collect();
         Day { dice, assay: LatencyModel::new(), now: SECOND, instances }
     }
 
     /// An answer of this function from this worker, which is slower by a factor.
     fn answer(&mut self, f: usize, w: usize, times: f64) {
-        let (one, two) = (1.0 - self.dice.share(), self.dice.share());
+        let (one, two) = (1.0 - self.dice.next_f64(), self.dice.next_f64());
         let normal = (-2.0 * one.ln()).sqrt() * (std::f64::consts::TAU * two).cos();
         let mut took = 45e6 * (normal * 0.5 - 0.125).exp() * self.instances[f][w] * times;
-        if self.dice.share() < 0.3 {
+        if self.dice.next_f64() < 0.3 {
             took += 50e6;
         }
         self.assay.saw(self.now, &format!("f{f}"), &format!("w{w}"), took as Nanos);
@@ -34,8 +34,8 @@
     fn play(&mut self, answers: usize, gap: Nanos, times: impl Fn(usize, usize) -> f64) {
         for _ in 0..answers {
             self.now += gap;
-            let f = (self.dice.share() * self.instances.len() as f64) as usize;
-            let w = (self.dice.share() * self.instances[0].len() as f64) as usize;
+            let f = (self.dice.next_f64() * self.instances.len() as f64) as usize;
+            let w = (self.dice.next_f64() * self.instances[0].len() as f64) as usize;
             self.answer(f, w, times(f, w));
             self.assay.settle(self.now);
         }
--- a/replay/tests/day/mod.rs
+++ b/replay/tests/day/mod.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use compact_str::{CompactString, format_compact};
-use millpost::Dice;
+use millpost::RandomSource;
 use millpost_protocol::{Instance, PeerMessage};
 use millpost_scheduler::{
     Ask, MS, Nanos, Next, No, Out, Outcome, Peer, Recorded, RetrySchedule, SECOND, Spec, Terms,
@@ -132,7 +132,7 @@
 /// The day as it goes.
 pub struct Day {
     plan: Plan,
-    dice: Dice,
+    dice: RandomSource,
     now: Nanos,
     count: u64,
     events: BTreeMap<(Nanos, u64), Happens>,
@@ -169,7 +169,7 @@
     pub fn of(plan: Plan) -> Day {
         let lines: Vec<Lines> = (0..plan.stalls).map(|_| Lines::default()).collect();
         let mut day = Day {
-            dice: Dice::seeded(plan.seed),
+            dice: RandomSource::seeded(plan.seed),
             now: 0,
             count: 0,
             events: BTreeMap::new(),
@@ -217,7 +217,7 @@
     }
 
     fn draw(&mut self, mean_ms: f64) -> Nanos {
-        (-(1.0 - self.dice.share()).ln() * mean_ms * MS as f64) as Nanos + 1_000
+        (-(1.0 - self.dice.next_f64()).ln() * mean_ms * MS as f64) as Nanos + 1_000
     }
 
     fn begin(&mut self) {
@@ -404,7 +404,7 @@
             return;
         }
         let (target, deadline) = (self.plan.target_ms * MS, self.now + self.plan.deadline_ms * MS);
-        let repeatable = self.dice.share() < 0.7;
+        let repeatable = self.dice.next_f64() < 0.7;
         self.requests.push(Request {
             stall,
             life: self.stalls[stall].life,
@@ -469,7 +469,7 @@
             self.repeats += 1;
         }
         let function = one.function;
-        let (work, chance) = (self.draw(self.plan.functions[function].3), self.dice.share());
+        let (work, chance) = (self.draw(self.plan.functions[function].3), self.dice.next_f64());
         let (fails, silent) = (self.plan.fails, self.plan.silent);
         let outcome = match chance {
             c if c < fails => Outcome::Failed,
@@ -611,7 +611,7 @@
                 stage: 0,
             };
             let boot = self.plan.functions[function].2 as f64;
-            let boot = (boot * (0.8 + 0.4 * self.dice.share()) * MS as f64) as Nanos;
+            let boot = (boot * (0.8 + 0.4 * self.dice.next_f64()) * MS as f64) as Nanos;
             let up_at = self.now + boot;
             self.places.insert(id.clone(), Place { told, function, up_at, dead: false, holds: 0 });
             self.tell_instance(&id, false);
--- a/replay/tests/traces.rs
+++ b/replay/tests/traces.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use millpost::Dice;
+use millpost::RandomSource;
 use millpost_agent::Effect;
 use millpost_protocol::PeerMessage;
 use millpost_replay::Error;
@@ -324,8 +324,8 @@
     let odd =
         ["9007199254740992", "-1", "0", "1e308", "0.5", "\"\"", "null", "[]", "{}", "true", "4294967295"];
     let lines: Vec<&str> = text.lines().collect();
-    let mut dice = Dice::seeded(seed);
-    let mut draw = |most: usize| ((dice.share() * most as f64) as usize).min(most - 1);
+    let mut dice = RandomSource::seeded(seed);
+    let mut draw = |most: usize| ((dice.next_f64() * most as f64) as usize).min(most - 1);
     let mut errors = 0;
     for _ in 0..400 {
         let at = if draw(3) == 0 { draw(5) } else { draw(lines.len()) };
--- a/scheduler/src/coordinator/turns.rs
+++ b/scheduler/src/coordinator/turns.rs
@@ -1,6 +1,6 @@
 //! Stalls come and go at random: a desk that works out what has changed does and says what one does that works out everything.
 
-use millpost::Dice;
+use millpost::RandomSource;
 use millpost_protocol::{Instance as Told, MembershipView};
 
 use super::*;
@@ -19,7 +19,7 @@
 
 /// Draws, and what control would tell.
 struct World {
-    dice: Dice,
+    dice: RandomSource,
     count: u64,
     stalls: BTreeMap<u64, u64>,
     split: BTreeSet<u64>,
@@ -29,7 +29,7 @@
 
 impl World {
     fn below(&mut self, n: u64) -> u64 {
-        (self.dice.share() * n as f64) as u64
+        (self.dice.next_f64() * n as f64) as u64
     }
 
     fn version(&mut self) -> Version {
@@ -137,7 +137,7 @@
     let mut plain = Coordinator::new(peer(0, 0), terms, seed, 0);
     plain.plainly = true;
     let (stalls, split, instances) = (BTreeMap::new(), BTreeSet::new(), BTreeSet::new());
-    let (dice, named) = (Dice::seeded(seed), MembershipView::default());
+    let (dice, named) = (RandomSource::seeded(seed), MembershipView::default());
     let mut world = World { dice, count: 0, stalls, split, named, instances };
     let (mut now, mut granted) = (0, Vec::new());
     let (mut behind, mut parted) = (0, 0);
--- a/scheduler/src/function.rs
+++ b/scheduler/src/function.rs
@@ -15,7 +15,7 @@
 use std::collections::{BTreeSet, HashMap};
 
 use compact_str::CompactString;
-use millpost::Dice;
+use millpost::RandomSource;
 use millpost_latency::LatencyModel;
 
 use crate::budget::Budget;
@@ -99,7 +99,7 @@
     /// How fast workers are, by what answers took.
     speeds: Option<LatencyModel>,
     count: u64,
-    dice: Dice,
+    dice: RandomSource,
     effects: Vec<Effect>,
     reasons: Reasons,
     pub(crate) counts: Counts,
@@ -125,7 +125,7 @@
             awake: Vec::new(),
             speeds,
             count: 0,
-            dice: Dice::seeded(seed),
+            dice: RandomSource::seeded(seed),
             effects: Vec::new(),
             reasons: Reasons::default(),
             counts: Counts::default(),
@@ -368,7 +368,7 @@
                 Some(id) => service.place(id).map_or(1.0, |p| p.chance(t1)),
                 None => service.mean_chance(t1),
             };
-            let drawn = self.dice.share();
+            let drawn = self.dice.next_f64();
             if drawn >= chance {
                 let why = || Why::Thinned { chance, drawn, instance: chosen };
                 return self.turn_down(key.0, ask.id, No::Skip, why);
--- a/scheduler/src/owner_ranking.rs
+++ b/scheduler/src/owner_ranking.rs
@@ -108,15 +108,15 @@
 
 #[cfg(test)]
 mod tests {
-    use millpost::Dice;
+    use millpost::RandomSource;
 
     use super::*;
     use crate::owners::Peer;
 
     #[test]
     fn what_is_kept_is_what_is_worked_out_anew_and_who_stands_otherwise_is_told() {
-        let mut dice = Dice::seeded(3);
-        let mut below = |n: u64| (dice.share() * n as f64) as u64;
+        let mut dice = RandomSource::seeded(3);
+        let mut below = |n: u64| (dice.next_f64() * n as f64) as u64;
         let zones = ["a", "b", "c"].map(CompactString::from);
         let services: Vec<CompactString> = (0..30).map(|n| format!("f{n}").into()).collect();
         let (mut ranks, mut alive, mut split) = (OwnerRanking::default(), BTreeMap::new(), BTreeSet::new());
--- a/settings/src/classes.rs
+++ b/settings/src/classes.rs
@@ -75,7 +75,7 @@
 
 #[cfg(test)]
 mod tests {
-    use millpost::Dice;
+    use millpost::RandomSource;
     use millpost::api::Effect;
 
     use super::*;
@@ -130,21 +130,21 @@
     #[test]
     fn a_position_means_the_same_class_while_a_message_is_of_it() {
         for seed in 0..200 {
-            let (mut dice, mut classes) = (Dice::seeded(seed), Classes::default());
+            let (mut dice, mut classes) = (RandomSource::seeded(seed), Classes::default());
             let mut open: Vec<(usize, Class)> = Vec::new();
             for step in 0..30 {
                 let named: Vec<(&str, Class)> = ["a", "b", "c"]
                     .into_iter()
-                    .filter(|_| dice.share() < 0.7)
+                    .filter(|_| dice.next_f64() < 0.7)
                     .collect::<Vec<_>>()
                     .into_iter()
                     .map(|name| {
-                        let effect = if dice.share() < 0.5 { Effect::Safe } else { Effect::Unsafe };
-                        (name, class(1 + (dice.share() * 3.0) as u64, effect))
+                        let effect = if dice.next_f64() < 0.5 { Effect::Safe } else { Effect::Unsafe };
+                        (name, class(1 + (dice.next_f64() * 3.0) as u64, effect))
                     })
                     .collect();
                 let places = open.iter().map(|(place, _)| *place).collect();
-                let restart = dice.share() < 0.3;
+                let restart = dice.next_f64() < 0.3;
                 if restart {
                     classes = Classes::read(&classes.write()).expect("it was written");
                 }
@@ -162,7 +162,7 @@
                         "seed {seed}, step {step}"
                     );
                 }
-                open.retain(|_| dice.share() < 0.5);
+                open.retain(|_| dice.next_f64() < 0.5);
             }
         }
     }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -176,7 +176,7 @@
         tenants: conf.parties.iter().map(|t| api::Tenant { quota_per_s: t.quota_rps }).collect(),
         over_share_worth: conf.over_share_worth,
         kinds: kinds.collect(),
-        late: if family.late == "by_half" { api::Late::Halves } else { api::Late::Even },
+        late: if family.late == "by_half" { api::LateDecay::Halves } else { api::LateDecay::Even },
         slots: family.workers,
         hold: conf.limits.open_cap,
         try_limit: conf.limits.try_limit,
@@ -185,7 +185,7 @@
         keepalive: conf.limits.keepalive_ns,
         streams: conf.limits.streams_per_conn,
         max_retry_after: conf.limits.max_retry_after_ns,
-        allow: api::Allow {
+        allow: api::Permissions {
             probes: conf.limits.probes,
             notes: conf.limits.peer_messages,
             cancel: conf.limits.cancel,
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -345,7 +345,7 @@
             let endpoint = instance.known(parts.text("endpoint")?)?;
             let outcome = parts.outcome()?;
             let took = parts.number("tookNs")?;
-            Event::Probed { endpoint, outcome, took, report: parts.report()? }
+            Event::ProbeEnded { endpoint, outcome, took, report: parts.report()? }
         }
         "UPDATE" => {
             let kind = parts.text("kind")?;
@@ -384,7 +384,7 @@
             let from = parts.number("author")?;
             let text = parts.text("contents")?;
             let bytes = if text == "-" { Ok(Vec::new()) } else { STANDARD.decode(text) };
-            Event::Note { from, bytes: bytes.map_err(|_| "field `contents`: not base64")? }
+            Event::PeerMessage { from, bytes: bytes.map_err(|_| "field `contents`: not base64")? }
         }
         "TIMEOUT_FIRED" => {
             parts.number::<u64>("label")?;
@@ -404,7 +404,7 @@
         Action::Fail { id } => writeln!(out, "ABORT {id}"),
         Action::Cancel { id, attempt } => writeln!(out, "ABORT_ATTEMPT {id} {attempt}"),
         Action::Probe { endpoint } => writeln!(out, "TEST {}", name(endpoint)),
-        Action::Tell { bytes } => writeln!(out, "SAY all {}", STANDARD.encode(bytes)),
+        Action::Broadcast { bytes } => writeln!(out, "SAY all {}", STANDARD.encode(bytes)),
         Action::Subscribe => writeln!(out, "TRACK 1"),
         Action::Wake { at } => writeln!(out, "SLEEP {LABEL} {at}"),
     };
--- a/simulator/src/chance.rs
+++ b/simulator/src/chance.rs
@@ -1,21 +1,21 @@
 //! Chance from a seed; the same seed gives the same day.
 
-use millpost::Dice;
+use millpost::RandomSource;
 
 use crate::{MS, Time};
 
 /// A stream of chance.
-pub struct Chance(Dice);
+pub struct Chance(RandomSource);
 
 impl Chance {
     /// The stream of this seed.
     pub fn new(seed: u64) -> Self {
-        Chance(Dice::seeded(seed))
+        Chance(RandomSource::seeded(seed))
     }
 
     /// From 0 on and under 1.
     pub fn share(&mut self) -> f64 {
-        self.0.share()
+        self.0.next_f64()
     }
 
     /// Under `n`; 0 where `n` is 0.
--- a/src/api.rs
+++ b/src/api.rs
@@ -66,7 +66,7 @@
 
 /// How worth falls once the aim has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum Late {
+pub enum LateDecay {
     /// Evenly, down to `late_worth` at the deadline.
     Even,
     /// By half with each further aim, not under `late_worth`.
@@ -86,7 +86,7 @@
 
 /// What a dispatcher may do.
 #[derive(Clone, Copy, Debug, serde::Serialize, serde::Deserialize)]
-pub struct Allow {
+pub struct Permissions {
     /// Probe an endpoint.
     pub probes: bool,
     /// Send notes to other dispatchers.
@@ -132,7 +132,7 @@
     /// The kinds of destination; endpoints name them by position.
     pub kinds: Vec<Kind>,
     /// How worth falls after the aim.
-    pub late: Late,
+    pub late: LateDecay,
     /// Calls that may be out at once.
     pub slots: usize,
     /// Messages that may be held, those with an attempt out included.
@@ -150,7 +150,7 @@
     /// Longest wait that a refused client heeds.
     pub max_retry_after: Nanos,
     /// Permissions.
-    pub allow: Allow,
+    pub allow: Permissions,
     /// Figures of the rules.
     pub rules: Rules,
     /// Meaning of the weights in the list.
@@ -204,7 +204,7 @@
 
 /// What a dispatcher may send to a destination, of what all may send together.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct Part {
+pub struct RateShare {
     /// Calls a second, until `until`.
     pub rate: f64,
     /// When some of it, which is borrowed, is another's again.
@@ -213,7 +213,7 @@
     pub after: f64,
 }
 
-impl Part {
+impl RateShare {
     /// Calls a second at this time.
     pub fn rate_at(&self, now: Nanos) -> f64 {
         if now < self.until { self.rate } else { self.after }
@@ -325,7 +325,7 @@
         report: Option<Report>,
     },
     /// An endpoint asked for a wait in an answer that turned no message away.
-    ToldToWait {
+    WaitRequested {
         /// The endpoint.
         endpoint: EndpointId,
         /// How long, from now.
@@ -337,7 +337,7 @@
         id: MsgId,
     },
     /// A probe ended.
-    Probed {
+    ProbeEnded {
         /// The endpoint.
         endpoint: EndpointId,
         /// How it ended.
@@ -355,7 +355,7 @@
         entries: Vec<Entry>,
     },
     /// An endpoint that was out by hand is put back, and listed as ready by now; it was restarted meanwhile.
-    Returned {
+    EndpointReturned {
         /// The endpoint.
         endpoint: EndpointId,
     },
@@ -367,14 +367,14 @@
     /// Asking for the list failed, or the subscription broke.
     ListFailed,
     /// What this dispatcher may send to a destination from now on, whatever it knows itself; `None` lifts that.
-    Part {
+    RateShare {
         /// The destination.
         dest: DestId,
         /// How much.
-        part: Option<Part>,
+        part: Option<RateShare>,
     },
     /// Other dispatchers can't reach an endpoint, and this one has not seen otherwise.
-    Hearsay {
+    PeersUnreachable {
         /// The endpoint.
         endpoint: EndpointId,
         /// Until when that counts; a time that has passed lifts it.
@@ -383,12 +383,12 @@
         avoid: bool,
     },
     /// A destination that was out for other dispatchers is back, as they say: it is cold.
-    CameBack {
+    PeersSawRecovery {
         /// The destination.
         dest: DestId,
     },
     /// A note from another dispatcher.
-    Note {
+    PeerMessage {
         /// Its number.
         from: usize,
         /// What it says.
@@ -435,7 +435,7 @@
         endpoint: EndpointId,
     },
     /// Send a note to all other dispatchers.
-    Tell {
+    Broadcast {
         /// What to say.
         bytes: Vec<u8>,
     },
--- a/src/control.rs
+++ b/src/control.rs
@@ -13,14 +13,14 @@
 
 use crate::agenda::{Agenda, Timers};
 use crate::api::*;
-use crate::dice::Dice;
 use crate::measure::{Bucket, Rank};
+use crate::random::RandomSource;
 
 mod inspect;
 mod learnt;
 mod lesson;
-pub use inspect::Frozen;
-pub use lesson::Lesson;
+pub use inspect::ControlSnapshot;
+pub use lesson::LearnedState;
 use lesson::News;
 
 /// Weight of a new sample in the averages (the paper's w_q).
@@ -104,7 +104,7 @@
     /// When an endpoint of it was last in the list.
     listed_at: Nanos,
     /// This dispatcher's part of what all may send together, and when borrowed parts last ended unnoticed.
-    part: Option<Part>,
+    part: Option<RateShare>,
     parted: Bucket,
     part_over: Nanos,
     news: News,
@@ -161,7 +161,7 @@
 #[derive(Clone)]
 pub struct Control {
     set: Arc<Settings>,
-    rng: Dice,
+    rng: RandomSource,
     t1: Nanos,
     msgs: BTreeMap<MsgId, Msg>,
     /// What falls due when.
@@ -392,7 +392,7 @@
     /// A dispatcher that knows its settings and nothing else.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Control {
-            rng: Dice::seeded(seed),
+            rng: RandomSource::seeded(seed),
             t1: t1(&settings),
             msgs: BTreeMap::new(),
             agenda: Agenda::default(),
@@ -436,7 +436,7 @@
                 self.heard(endpoint, report);
                 self.attempt_over(now, id, outcome, took, closed);
             }
-            Event::ToldToWait { endpoint, wait } => {
+            Event::WaitRequested { endpoint, wait } => {
                 let Some(id) = self.endpoints.get(&endpoint).map(|e| e.lane) else { return };
                 let Some(lane) = self.lanes.get_mut(&id) else { return };
                 lane.wait_until = lane.wait_until.max(now.saturating_add(wait));
@@ -444,22 +444,22 @@
                 self.note_news(id);
             }
             Event::Withdrawn { id } => self.end(id),
-            Event::Probed { endpoint, outcome, took, report } => {
+            Event::ProbeEnded { endpoint, outcome, took, report } => {
                 self.heard(endpoint, report);
                 self.judge(now, endpoint, outcome, took, took);
             }
             Event::Listed { whole, entries } => self.listed(now, whole, &entries),
             // Nobody saw it go down, but with no other endpoint the destination was out, and is cold.
-            Event::Returned { endpoint } => {
+            Event::EndpointReturned { endpoint } => {
                 let Some(id) = self.endpoints.get(&endpoint).map(|e| e.lane) else { return };
                 if !self.endpoints.iter().any(|(other, e)| *other != endpoint && e.lane == id && e.ready) {
-                    let (lane, luck) = (self.lanes.entry(id).or_default(), self.rng.share());
+                    let (lane, luck) = (self.lanes.entry(id).or_default(), self.rng.next_f64());
                     lane.out_from = now;
                     lane.comes_back(now, luck);
                     self.note_news(id);
                 }
             }
-            Event::Part { dest, part } => {
+            Event::RateShare { dest, part } => {
                 let Some(lane) = self.lanes.get_mut(&(dest, None)) else { return };
                 if let Some(old) = lane.part {
                     lane.parted.ready_at(now, old.rate_at(now), old.burst());
@@ -468,14 +468,14 @@
                 lane.part = part;
                 self.agenda.unpark(dest);
             }
-            Event::Hearsay { endpoint, until, avoid } => {
+            Event::PeersUnreachable { endpoint, until, avoid } => {
                 let Some(e) = self.endpoints.get_mut(&endpoint) else { return };
                 e.hearsay = (until, avoid);
                 self.agenda.unpark(e.lane.0);
             }
             // What others saw lifts no care that is taken already.
-            Event::CameBack { dest } => {
-                let (rules, luck) = (&self.set.rules, self.rng.share());
+            Event::PeersSawRecovery { dest } => {
+                let (rules, luck) = (&self.set.rules, self.rng.next_f64());
                 let lane = self.lanes.get_mut(&(dest, None));
                 let lane = lane.filter(|l| !l.in_trouble(now, rules) && !l.cold(now, rules));
                 if let Some(lane) = lane {
@@ -499,7 +499,7 @@
             // A clock coarser than a nanosecond may wake a little early; that request is spent all the same.
             Event::Wake if self.wake_at <= now.saturating_add(self.set.tick) => self.wake_at = NEVER,
             // No answer is streamed here.
-            Event::Note { .. } | Event::Wake | Event::Started { .. } => {}
+            Event::PeerMessage { .. } | Event::Wake | Event::Started { .. } => {}
         }
     }
 
@@ -652,7 +652,7 @@
                 }
                 // No passing excess over a limit needs so long: it is shut, and opens cold when it said.
                 if told.saturating_sub(now) > self.set.rules.fall {
-                    lane.comes_back(told, self.rng.share());
+                    lane.comes_back(told, self.rng.next_f64());
                 }
             }
             _ => {
@@ -858,12 +858,12 @@
     }
 
     /// The list has named an endpoint of this destination.
-    pub fn has_heard_of(&self, dest: DestId) -> bool {
+    pub fn knows_destination(&self, dest: DestId) -> bool {
         self.lanes.range((dest, None)..=(dest, Some(EndpointId::MAX))).next().is_some()
     }
 
     /// How long a client should stay away whose message was turned away for want of room.
-    pub fn wait_for_room(&self, now: Nanos, dest: DestId) -> Nanos {
+    pub fn retry_after_hint(&self, now: Nanos, dest: DestId) -> Nanos {
         self.time_to_come_back(now, dest)
     }
 
@@ -890,8 +890,8 @@
         let late = at.saturating_sub(m.aim_at) as f64;
         let span = class.deadline.saturating_sub(class.aim).max(1) as f64;
         match self.set.late {
-            Late::Even => 1.0 - (1.0 - class.late_worth) * (late / span).min(1.0),
-            Late::Halves => 0.5f64.powf(late / class.aim.max(1) as f64).max(class.late_worth),
+            LateDecay::Even => 1.0 - (1.0 - class.late_worth) * (late / span).min(1.0),
+            LateDecay::Halves => 0.5f64.powf(late / class.aim.max(1) as f64).max(class.late_worth),
         }
     }
 
--- a/src/control/inspect.rs
+++ b/src/control/inspect.rs
@@ -7,12 +7,12 @@
 use super::*;
 
 impl Control {
-    pub(crate) fn dice(&mut self) -> &mut Dice {
+    pub(crate) fn dice(&mut self) -> &mut RandomSource {
         &mut self.rng
     }
 
     /// Calls that the module takes to be out, each of which holds a slot.
-    pub fn calls_out(&self) -> usize {
+    pub fn calls_in_flight(&self) -> usize {
         self.calls.len()
     }
 
@@ -28,7 +28,7 @@
 
     /// What a destination takes a second from all dispatchers, as far as it or the list tells, and the messages that
     /// wait for a call to it.
-    pub fn need(&self, dest: DestId) -> (f64, usize) {
+    pub fn demand(&self, dest: DestId) -> (f64, usize) {
         let limit = self.lanes.get(&(dest, None)).map_or(0.0, |lane| lane.capacity(&self.set));
         (limit, self.agenda.ready_for(dest).count())
     }
@@ -64,13 +64,13 @@
 
 /// A module as it was written, without its settings.
 #[derive(Deserialize)]
-pub struct Frozen(Dice, Messages, (Lanes, Endpoints), Times, BTreeMap<LaneId, News>, bool);
+pub struct ControlSnapshot(RandomSource, Messages, (Lanes, Endpoints), Times, BTreeMap<LaneId, News>, bool);
 
 impl Control {
     /// Goes on where the module that was written stopped. The process that goes on does not end. What dispatchers share is
     /// not passed on: a process that shares something is told anew before its first round.
-    pub fn thaw(settings: Arc<Settings>, frozen: Frozen) -> Self {
-        let Frozen(rng, messages, (lanes, endpoints), times, news, grave) = frozen;
+    pub fn from_snapshot(settings: Arc<Settings>, frozen: ControlSnapshot) -> Self {
+        let ControlSnapshot(rng, messages, (lanes, endpoints), times, news, grave) = frozen;
         let (msgs, mut agenda, keys, rests, calls, next_call) = messages;
         let ((mut lanes, busy, unlisted), (mut endpoints, leaving, by_dest)) = (lanes, endpoints);
         for ((dest, _), lane) in lanes.iter_mut().filter(|(_, lane)| lane.part.is_some()) {
@@ -129,7 +129,7 @@
     /// - Times of calls out are read while there are any, the time of a failure while it counts.
     /// - An averaged delay that has drained to nothing stays there until a sample comes.
     /// - Whether a message that may be repeated freely has run is not asked.
-    pub fn blank_unread(&mut self, now: Nanos) {
+    pub fn reset_unread(&mut self, now: Nanos) {
         for lane in self.lanes.values_mut().filter(|lane| lane.limit <= 0.0 && lane.pace <= 0.0) {
             (lane.sending, lane.paced, lane.eased_at) = (0.0, Bucket::default(), 0);
             if lane.calls == 0 {
--- a/src/control/learnt.rs
+++ b/src/control/learnt.rs
@@ -8,7 +8,7 @@
     /// A wait is heeded to its end, an outage until a call gets through, and a return for as long as it is
     /// cold, however old the lesson. Speed, pace and reports count for as long as a message may live and a
     /// destination be cold: later it may be another machine. What is known by now goes before it.
-    pub fn recall(
+    pub fn restore_learned(
         &mut self,
         now: Nanos,
         dest: DestId,
--- a/src/control/lesson.rs
+++ b/src/control/lesson.rs
@@ -21,12 +21,12 @@
 
 /// What was learnt of a destination, or of a route where routes are apart.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Lesson {
+pub struct LearnedState {
     /// The destination.
     pub dest: DestId,
     /// The route.
     pub route: Option<EndpointId>,
-    /// For [`Control::recall`], in this version of the module or a later one.
+    /// For [`Control::restore_learned`], in this version of the module or a later one.
     pub bytes: Vec<u8>,
 }
 
@@ -84,14 +84,14 @@
 
 impl Control {
     /// What was learnt since this was last asked: all of it, or only what must be kept at once.
-    pub fn learnt(&mut self, now: Nanos, grave_only: bool) -> Vec<Lesson> {
+    pub fn take_learned(&mut self, now: Nanos, grave_only: bool) -> Vec<LearnedState> {
         let least = if grave_only { News::Grave } else { News::Some };
         let lanes = &mut self.lanes;
         let mut lessons = Vec::new();
         self.news.retain(|id, news| {
             if *news >= least {
                 let lane = lanes.get(id).map(|lane| lane.write(now));
-                lessons.extend(lane.map(|bytes| Lesson { dest: id.0, route: id.1, bytes }));
+                lessons.extend(lane.map(|bytes| LearnedState { dest: id.0, route: id.1, bytes }));
             }
             *news < least
         });
@@ -100,7 +100,7 @@
     }
 
     /// Something was learnt that must be kept at once.
-    pub fn has_grave_news(&self) -> bool {
+    pub fn has_urgent_state(&self) -> bool {
         self.grave
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -25,7 +25,7 @@
 //!     tenants: vec![],
 //!     over_share_worth: 1.0,
 //!     kinds: vec![Kind { bundle: 1, apart: false }],
-//!     late: Late::Even,
+//!     late: LateDecay::Even,
 //!     slots: 16,
 //!     hold: 300,
 //!     try_limit: 6,
@@ -34,7 +34,7 @@
 //!     keepalive: 5_000 * MS,
 //!     streams: 1,
 //!     max_retry_after: 2_000 * MS,
-//!     allow: Allow { probes: false, notes: false, cancel: false, retry_after: false },
+//!     allow: Permissions { probes: false, notes: false, cancel: false, retry_after: false },
 //!     rules: Rules {
 //!         answer_grace: 20 * MS,
 //!         drain_grace: 500 * MS,
@@ -75,8 +75,8 @@
 pub mod api;
 mod codec;
 mod control;
-mod dice;
 mod measure;
+mod random;
 
-pub use control::{Control, Frozen, Lesson, doubled_time, retry_probability};
-pub use dice::Dice;
+pub use control::{Control, ControlSnapshot, LearnedState, doubled_time, retry_probability};
+pub use random::RandomSource;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -38,7 +38,7 @@
             Kind { bundle: 10, apart: false },
             Kind { bundle: 1, apart: true },
         ],
-        late: Late::Even,
+        late: LateDecay::Even,
         slots: 8,
         hold: 100,
         try_limit: 6,
@@ -47,7 +47,7 @@
         keepalive: 5 * S,
         streams: 1,
         max_retry_after: 2 * S,
-        allow: Allow { probes: true, notes: true, cancel: true, retry_after: true },
+        allow: Permissions { probes: true, notes: true, cancel: true, retry_after: true },
         rules: Rules {
             answer_grace: 20 * MS,
             drain_grace: 500 * MS,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -10,7 +10,7 @@
 
 use common::{MS, S, class, entry};
 use millpost::api::*;
-use millpost::{Control, Dice};
+use millpost::{Control, RandomSource};
 
 const STEP: Nanos = 5 * MS;
 /// Time from a dispatcher to the destination and back, and what a call takes there.
@@ -26,7 +26,7 @@
         classes: vec![Class { deadline: 12 * S, ..class(Effect::Safe) }, class(Effect::Unsafe)],
         slots: 4,
         hold: 80,
-        allow: Allow { probes: false, notes: false, cancel: false, retry_after: false },
+        allow: Permissions { probes: false, notes: false, cancel: false, retry_after: false },
         weights: Weights::Rough,
         ..common::settings()
     }
@@ -81,7 +81,7 @@
 
 /// Plays a world. Refused calls use the limit up too: its allowance, half a second's worth, sinks with each call.
 fn play(dispatchers: usize, until: Nanos, world: &World) -> Seen {
-    let mut dice = Dice::seeded(20_261_201);
+    let mut dice = RandomSource::seeded(20_261_201);
     let listed = Entry { weight: 1.3 * (world.limit)(0), ..entry(1, 7, 0) };
     let mut nodes: Vec<Control> = (0..dispatchers)
         .map(|me| {
@@ -116,8 +116,8 @@
         due += (world.load)(now) * STEP as f64 / S as f64;
         while due >= 1.0 {
             due -= 1.0;
-            let n = (dice.share() * dispatchers as f64) as usize;
-            let class = usize::from(dice.share() < 0.2);
+            let n = (dice.next_f64() * dispatchers as f64) as usize;
+            let class = usize::from(dice.next_f64() < 0.2);
             next += 1;
             let time_left = 12 * S;
             nodes[n].on_event(
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -329,8 +329,8 @@
     b.over(5, 0, 44, Outcome::TimedOut, 0);
     b.tell(Event::Withdrawn { id: 6 });
     b.tell(Event::Started { id: 7, attempt: 0, took: 0 });
-    b.tell(Event::Note { from: 9, bytes: vec![255; 300] });
-    b.tell(Event::Probed { endpoint: 3, outcome: Outcome::Served, took: 0, report: None });
+    b.tell(Event::PeerMessage { from: 9, bytes: vec![255; 300] });
+    b.tell(Event::ProbeEnded { endpoint: 3, outcome: Outcome::Served, took: 0, report: None });
     assert!(b.decide().is_empty());
 }
 
@@ -497,7 +497,7 @@
     b.over(1, 0, 2, Outcome::Full(Some(60 * S)), 0);
     let replaced = |b: &mut Bench, n: u64| {
         b.tell(Event::Listed { whole: true, entries: vec![entry(n, 8, 0)] });
-        [7, 9].map(|dest| b.control.has_heard_of(dest))
+        [7, 9].map(|dest| b.control.knows_destination(dest))
     };
     assert_eq!(replaced(&mut b, 10), [true, true], "it may be back at once");
     b.now = 31 * S;
@@ -506,7 +506,7 @@
     assert_eq!(replaced(&mut b, 12), [false, true], "a wait is heeded to its end");
     b.now = 93 * S;
     assert_eq!(replaced(&mut b, 13), [false, false]);
-    assert!(b.control.has_heard_of(8));
+    assert!(b.control.knows_destination(8));
 }
 
 /// Messages of a backlog that go within two seconds after refusals have eased the pace.
@@ -559,9 +559,9 @@
     bench.take(1, 0, 1);
     assert_eq!(sent(&bench.decide()), [1]);
     bench.now += 50 * MS;
-    bench.tell(Event::ToldToWait { endpoint: 1, wait: 3 * S });
+    bench.tell(Event::WaitRequested { endpoint: 1, wait: 3 * S });
     bench.over(1, 0, 1, Outcome::Served, 50 * MS);
-    assert!(bench.control.has_grave_news(), "it outlasts a restart");
+    assert!(bench.control.has_urgent_state(), "it outlasts a restart");
     bench.take(2, 0, 1);
     assert_eq!(sent(&bench.decide()), []);
     assert!(!bench.control.may_still_send(bench.now, 2));
@@ -584,7 +584,7 @@
         b.now = S;
         b.tell(Event::Listed { whole: true, entries: list(State::Ready) });
         if returned {
-            b.tell(Event::Returned { endpoint: 1 });
+            b.tell(Event::EndpointReturned { endpoint: 1 });
         }
         let mut all = 0;
         for n in 1..=100 {
--- a/tests/learnt.rs
+++ b/tests/learnt.rs
@@ -4,16 +4,16 @@
 
 use common::*;
 use millpost::api::*;
-use millpost::{Control, Lesson};
+use millpost::{Control, LearnedState};
 use proptest::prelude::*;
 
 /// A new process: what the old one had learnt, taken up `age` later by a clock of any origin.
 fn restart(old: &mut Bench, age: Nanos, origin: Nanos) -> Bench {
-    let lessons = old.control.learnt(old.now, false);
+    let lessons = old.control.take_learned(old.now, false);
     let mut b = Bench { control: Control::new(settings(), 2), now: origin, wake: None };
     b.tell(Event::Listed { whole: true, entries: vec![entry(1, 7, 0)] });
-    for Lesson { dest, route, bytes } in lessons {
-        assert!(b.control.recall(b.now, dest, route, age, &bytes));
+    for LearnedState { dest, route, bytes } in lessons {
+        assert!(b.control.restore_learned(b.now, dest, route, age, &bytes));
     }
     b
 }
@@ -111,12 +111,12 @@
         sends.first().map(|(_, id)| *id)
     });
     b.over(sent.expect("a careful call"), 0, 1, Outcome::Served, 10 * MS);
-    let lessons = b.control.learnt(b.now, true);
+    let lessons = b.control.take_learned(b.now, true);
     assert_eq!(lessons.len(), 1, "a return is told at once");
     let burst = |age: Nanos| {
         let mut again = Bench { control: Control::new(settings(), 2), now: 7_000 * S, wake: None };
         again.tell(Event::Listed { whole: true, entries: vec![entry(1, 7, 0)] });
-        assert!(again.control.recall(again.now, 7, None, age, &lessons[0].bytes));
+        assert!(again.control.restore_learned(again.now, 7, None, age, &lessons[0].bytes));
         sends_of_a_burst(again, 2 * S, Outcome::Served)
     };
     let (soon, later) = (burst(S), burst(60 * S));
@@ -132,20 +132,20 @@
     b.now = S;
     b.over(1, 0, 1, Outcome::Served, 50 * MS);
     b.over(2, 0, 2, Outcome::Full(Some(S)), 50 * MS);
-    assert_eq!(b.control.learnt(b.now, true).iter().map(|l| l.dest).collect::<Vec<_>>(), [8]);
-    assert_eq!(b.control.learnt(b.now, false).iter().map(|l| l.dest).collect::<Vec<_>>(), [7]);
-    assert!(b.control.learnt(b.now, false).is_empty());
+    assert_eq!(b.control.take_learned(b.now, true).iter().map(|l| l.dest).collect::<Vec<_>>(), [8]);
+    assert_eq!(b.control.take_learned(b.now, false).iter().map(|l| l.dest).collect::<Vec<_>>(), [7]);
+    assert!(b.control.take_learned(b.now, false).is_empty());
 }
 
 #[test]
 fn what_is_known_by_now_goes_before_what_was_learnt() {
-    let lesson = refused(10 * S).control.learnt(100 * S, false).remove(0);
+    let lesson = refused(10 * S).control.take_learned(100 * S, false).remove(0);
     let mut b = Bench::new(settings(), vec![entry(1, 7, 0)]);
     b.now = S;
     b.take(1, 0, 7);
     b.decide();
     b.over(1, 0, 1, Outcome::Served, 50 * MS);
-    assert!(!b.control.recall(b.now, 7, None, 0, &lesson.bytes));
+    assert!(!b.control.restore_learned(b.now, 7, None, 0, &lesson.bytes));
     b.take(2, 0, 7);
     assert_eq!(sent(&b.decide()), [2]);
 }
@@ -153,13 +153,13 @@
 #[test]
 fn a_lesson_survives_being_taken_up_and_told_again() {
     let mut old = out();
-    let first = old.control.learnt(old.now, false).remove(0);
+    let first = old.control.take_learned(old.now, false).remove(0);
     let mut b = Bench::new(settings(), vec![entry(1, 7, 0)]);
     b.now = 9_000 * S;
-    assert!(b.control.recall(b.now, 7, None, 0, &first.bytes));
+    assert!(b.control.restore_learned(b.now, 7, None, 0, &first.bytes));
     b.take(9, 2, 7);
     assert_eq!(sent(&b.decide()).len(), 0, "the first call after an outage waits for its budget");
-    assert!(!b.control.recall(b.now, 7, None, 0, &first.bytes), "it is known by now");
+    assert!(!b.control.restore_learned(b.now, 7, None, 0, &first.bytes), "it is known by now");
 }
 
 proptest! {
@@ -172,7 +172,7 @@
         good in any::<bool>(),
         age in any::<u64>(),
     ) {
-        let mut whole = out().control.learnt(110 * S, false).remove(0).bytes;
+        let mut whole = out().control.take_learned(110 * S, false).remove(0).bytes;
         if good {
             for (to, from) in whole.iter_mut().skip(1).zip(&bytes) {
                 *to ^= from;
@@ -182,7 +182,7 @@
         }
         let mut b = Bench::new(settings(), vec![entry(1, 7, 0)]);
         b.now = 200 * S;
-        b.control.recall(b.now, 7, None, age, &whole);
+        b.control.restore_learned(b.now, 7, None, age, &whole);
         b.take(1, 0, 7);
         b.decide();
         b.sends(230 * S);
