--- a/controller/src/contact.rs
+++ b/controller/src/contact.rs
@@ -21,7 +21,7 @@
 
 /// What another control machine answered, and when it was asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answered {
+pub struct GossipReply {
     /// When the message that it answers was sent, by this machine's clock.
     pub sent: Nanos,
     /// The epoch of the members that the other machine goes by.
@@ -34,9 +34,9 @@
     pub members: Option<Members>,
 }
 
-impl Answered {
+impl GossipReply {
     /// The body of an answer to news of a machine that goes by members of the epoch `known`, if by any.
-    pub fn body(members: Option<&Members>, known: Option<u64>, voting: bool, revision: u64) -> String {
+    pub fn encode(members: Option<&Members>, known: Option<u64>, voting: bool, revision: u64) -> String {
         let epoch = members.map_or(0, |members| members.epoch);
         let newer = members.filter(|members| known.is_none_or(|known| known < members.epoch));
         let parts = object([
@@ -49,12 +49,12 @@
     }
 
     /// Reads such a body; none where it is something else.
-    pub fn read(sent: Nanos, body: &[u8]) -> Option<Answered> {
+    pub fn decode(sent: Nanos, body: &[u8]) -> Option<GossipReply> {
         let JsonValue::Object(parts) = millpost_net::messaging::json(body)? else { return None };
         let voting = parts.get("voting") == Some(&JsonValue::Boolean(true));
         let members = parts.get("members").and_then(|members| Members::read(members).ok());
         let (epoch, revision) = (whole(&parts, "epoch").ok()?, whole(&parts, "rev").ok()?);
-        Some(Answered { sent, epoch, voting, revision, members })
+        Some(GossipReply { sent, epoch, voting, revision, members })
     }
 }
 
@@ -78,7 +78,7 @@
     span: Nanos,
     /// When the process started.
     began: Option<Nanos>,
-    answered: BTreeMap<Address, Answered>,
+    answered: BTreeMap<Address, GossipReply>,
     state: State,
     reads: u64,
 }
@@ -90,7 +90,7 @@
     }
 
     /// Another machine has answered.
-    pub fn reached(&mut self, peer: Address, answered: Answered) {
+    pub fn reached(&mut self, peer: Address, answered: GossipReply) {
         let known = self.answered.get(&peer);
         if known.is_some_and(|known| known.sent >= answered.sent) {
             return;
@@ -116,7 +116,7 @@
             self.state = State::Lost;
             return None;
         };
-        let fresh = |answered: &Answered| answered.sent + self.span > now;
+        let fresh = |answered: &GossipReply| answered.sent + self.span > now;
         let reaches = |voter: &Address| match self.answered.get(voter) {
             _ if *voter == self.me => voting,
             Some(answered) => fresh(answered) && answered.voting,
@@ -201,8 +201,8 @@
         Members { epoch, ..Members::first("u", ["a", "b", "c"].map(Address::from)) }
     }
 
-    fn answered(sent_ms: u64, epoch: u64, voting: bool) -> Answered {
-        Answered { sent: sent_ms * MS, epoch, voting, revision: 0, members: None }
+    fn answered(sent_ms: u64, epoch: u64, voting: bool) -> GossipReply {
+        GossipReply { sent: sent_ms * MS, epoch, voting, revision: 0, members: None }
     }
 
     /// One that holds since 10 ms.
@@ -296,13 +296,13 @@
     fn an_answer_is_read_as_it_is_sent_and_nothing_else_is() {
         for (known, told) in [(None, true), (Some(6), true), (Some(7), false)] {
             let newer = members(7);
-            let body = Answered::body(Some(&newer), known, true, 5);
+            let body = GossipReply::encode(Some(&newer), known, true, 5);
             let members = told.then_some(newer);
-            let answered = Answered { sent: 3, epoch: 7, voting: true, revision: 5, members };
-            assert_eq!(Answered::read(3, body.as_bytes()), Some(answered), "{known:?}");
+            let answered = GossipReply { sent: 3, epoch: 7, voting: true, revision: 5, members };
+            assert_eq!(GossipReply::decode(3, body.as_bytes()), Some(answered), "{known:?}");
         }
         for other in ["", "[]", "{}", r#"{"epoch":-1}"#] {
-            assert_eq!(Answered::read(3, other.as_bytes()), None, "{other}");
+            assert_eq!(GossipReply::decode(3, other.as_bytes()), None, "{other}");
         }
     }
 }
--- a/controller/src/core.rs
+++ b/controller/src/core.rs
@@ -22,7 +22,7 @@
 use tinyjson::JsonValue;
 
 use crate::calls::LONGEST_BODY;
-use crate::contact::{Answered, Contact};
+use crate::contact::{Contact, GossipReply};
 use crate::core::carts::Carts;
 use crate::core::drains::Outs;
 use crate::core::follow::Waiting;
@@ -30,7 +30,7 @@
 use crate::feed::{BEAT, ConnectionId, Feed};
 use crate::gossip::{self, Gossip};
 use crate::leader::{Leader, Told};
-use crate::leadership::{Done, Heard, Leadership, Next, PlatformCall, Want};
+use crate::leadership::{Done, Leadership, Next, PlatformCall, PlatformReply, Want};
 use crate::ledger::Ledger;
 use crate::orders::Orders;
 use crate::rounds::{self, For, Rounds};
@@ -49,7 +49,7 @@
 const NEW: Nanos = 5_000 * MS;
 
 /// What the core starts from.
-pub struct Start {
+pub struct CoreOptions {
     /// This machine's address, which is its name among the voters.
     pub me: Address,
     /// Differs at each start: the time of day, in milliseconds, when the clock that is handed in was at 0.
@@ -57,15 +57,15 @@
     /// Ways in.
     pub seeds: Vec<Address>,
     /// Machines that may be lost at once.
-    pub losses: u32,
+    pub tolerated_losses: u32,
     /// Who was not heard of for so long is not in touch.
-    pub contact: Nanos,
+    pub contact_timeout: Nanos,
     /// A configuration is in force everywhere so long after its acknowledgement.
-    pub apply: Nanos,
+    pub config_apply_time: Nanos,
     /// From the word to end to the last moment of the process.
-    pub grace: Nanos,
+    pub shutdown_grace: Nanos,
     /// The platform's `duty_per_s`, `max_lag_ms` and `rate_per_s`, where there is one.
-    pub platform: Option<Bounds>,
+    pub platform: Option<PlatformLimits>,
     /// Where each scaler's lines go, if they are wanted.
     pub sink: Option<Box<dyn Fn() -> Sink>>,
 }
@@ -73,28 +73,28 @@
 /// What the platform bears.
 #[derive(Clone, Copy, Debug)]
 #[allow(missing_docs, reason = "the names are those of the settings file")]
-pub struct Bounds {
+pub struct PlatformLimits {
     pub duty_per_s: f64,
     pub max_lag_ms: u64,
     pub rate_per_s: f64,
 }
 
-impl Start {
+impl CoreOptions {
     /// Of the machine at this address, from its settings.
-    pub fn of(settings: &Settings, address: SocketAddr, life: u64) -> Start {
-        let platform = settings.platform_api.as_ref().map(|api| Bounds {
+    pub fn from_settings(settings: &Settings, address: SocketAddr, life: u64) -> CoreOptions {
+        let platform = settings.platform_api.as_ref().map(|api| PlatformLimits {
             duty_per_s: api.duty_per_s,
             max_lag_ms: api.max_lag_ms,
             rate_per_s: api.rate_per_s,
         });
-        Start {
+        CoreOptions {
             me: address.to_compact_string(),
             life,
             seeds: seeds(settings),
-            losses: settings.tolerance.machine_losses,
-            contact: settings.bounds.contact_ms * MS,
-            apply: settings.bounds.config_apply_ms * MS,
-            grace: (settings.bounds.grace_s * 1e9) as Nanos,
+            tolerated_losses: settings.tolerance.machine_losses,
+            contact_timeout: settings.bounds.contact_ms * MS,
+            config_apply_time: settings.bounds.config_apply_ms * MS,
+            shutdown_grace: (settings.bounds.grace_s * 1e9) as Nanos,
             platform,
             sink: None,
         }
@@ -108,10 +108,10 @@
 
 /// Whom a voter's answer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Back {
-    /// A round; it comes as [`Input::Answer`].
+pub enum ReplyTarget {
+    /// A round; it comes as [`Input::RoundReply`].
     Round(u64),
-    /// The lease; it comes as [`Input::Lease`].
+    /// The lease; it comes as [`Input::LeaseReply`].
     Lease,
     /// This machine's own voter, and it goes there.
     Voter,
@@ -123,52 +123,52 @@
     /// A call, with a number that no other has.
     Call(u64, Call),
     /// Its own voter's state, and the members that it knows.
-    Standing(bool, Option<Members>),
+    VoterStatus(bool, Option<Members>),
     /// Its own voter copies: this is for others, and their answers are for the voter.
-    Copy(Vec<(Address, Message)>),
+    VoterRequests(Vec<(Address, Message)>),
     /// A voter's answer to the round of this number.
-    Answer(u64, Address, Message),
+    RoundReply(u64, Address, Message),
     /// A voter's answer about the lease.
-    Lease(Address, Message),
-    /// What stands on the own disk, chosen or not: the answer to [`Effect::Peek`].
-    Peeked(u64, Option<Value>),
-    /// The answer to [`Effect::Fetch`]: the configuration as the other machine keeps it.
-    Fetched(u64, Option<String>),
+    LeaseReply(Address, Message),
+    /// What stands on the own disk, chosen or not: the answer to [`Effect::ReadLocalConfig`].
+    LocalConfig(u64, Option<Value>),
+    /// The answer to [`Effect::FetchConfig`]: the configuration as the other machine keeps it.
+    FetchedConfig(u64, Option<String>),
     /// The platform's answer to an errand of this fence that was decided on at this time.
-    Heard(u64, Nanos, Heard),
+    PlatformReply(u64, Nanos, PlatformReply),
     /// Another control machine has answered to news.
-    Reached(Address, Answered),
+    GossipReply(Address, GossipReply),
     /// A follower's connection has ended, or had no room.
-    Left(ConnectionId),
+    FeedClosed(ConnectionId),
     /// The seeds have changed.
     Seeds(Vec<Address>),
     /// The process is to end.
-    Leave,
+    Shutdown,
 }
 
 /// What is to be done.
 #[derive(Debug)]
 pub enum Effect {
     /// A message goes to a voter, perhaps this machine's own.
-    Vote(Address, Message, Back),
+    SendToVoter(Address, Message, ReplyTarget),
     /// A message goes to this machine's voter, and what that says is the answer of the call of this number.
-    Ask(u64, Address, Message),
+    AskLocalVoter(u64, Address, Message),
     /// The answer of the call of this number.
-    Answer(u64, Reply),
+    Reply(u64, Reply),
     /// The call of this number is answered by lines for as long as its seat is kept; this is the first.
     OpenFeed(u64, ConnectionId, Bytes),
     /// A line.
-    Line(ConnectionId, Bytes),
+    FeedLine(ConnectionId, Bytes),
     /// The seat is no more.
-    Unseat(ConnectionId),
+    CloseFeed(ConnectionId),
     /// An empty line for all seats; who has no room for it needs none.
-    Beat,
-    /// News for another control machine; its answer comes as [`Input::Reached`].
-    News(Address, Bytes),
+    Heartbeat,
+    /// News for another control machine; its answer comes as [`Input::GossipReply`].
+    Gossip(Address, Bytes),
     /// What stands on the own disk under the configuration's key is wanted.
-    Peek(u64),
+    ReadLocalConfig(u64),
     /// What this machine holds as chosen is wanted.
-    Fetch(u64, Address),
+    FetchConfig(u64, Address),
     /// The platform is called, unless it is too late.
     PlatformCall(PlatformCall),
 }
@@ -178,7 +178,7 @@
     me: Address,
     seeds: Vec<Address>,
     losses: u32,
-    platform: Option<Bounds>,
+    platform: Option<PlatformLimits>,
     sink: Option<Box<dyn Fn() -> Sink>>,
     voting: bool,
     /// A read of the configuration has ended well in this life, whatever it found.
@@ -214,8 +214,18 @@
 
 impl Core {
     /// Of a machine that starts.
-    pub fn new(start: Start) -> Self {
-        let Start { me, life, seeds, losses, contact, apply, grace, platform, sink } = start;
+    pub fn new(start: CoreOptions) -> Self {
+        let CoreOptions {
+            me,
+            life,
+            seeds,
+            tolerated_losses: losses,
+            contact_timeout: contact,
+            config_apply_time: apply,
+            shutdown_grace: grace,
+            platform,
+            sink,
+        } = start;
         let seed = life ^ xxhash_rust::xxh3::xxh3_64(me.as_bytes());
         Core {
             seeds,
@@ -248,12 +258,12 @@
     }
 
     /// What is to be done, in order.
-    pub fn take(&mut self) -> Vec<Effect> {
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
     /// When to call [`Core::tick`] next, at the latest.
-    pub fn wake(&self, now: Nanos) -> Nanos {
+    pub fn next_wake(&self, now: Nanos) -> Nanos {
         let due = self.rounds.next_wake().min(self.leadership.next_wake()).min(now + LONGEST_WAIT);
         let leave = self.leave.map_or(Nanos::MAX, |leave| leave.due(now));
         due.min(self.gossip.due()).min(self.waiting.due()).min(leave).max(now + MS)
@@ -265,15 +275,15 @@
     }
 
     /// Rounds of the register that are under way.
-    pub fn under_way(&self) -> usize {
+    pub fn rounds_in_progress(&self) -> usize {
         self.rounds.under_way()
     }
 
     /// Something happened.
-    pub fn input(&mut self, now: Nanos, input: Input) {
+    pub fn handle(&mut self, now: Nanos, input: Input) {
         match input {
             Input::Call(id, call) => self.call(now, id, &call),
-            Input::Standing(voting, members) => {
+            Input::VoterStatus(voting, members) => {
                 if voting != self.voting {
                     log::info!("{}", if voting { "votes" } else { "has no state yet" });
                 }
@@ -282,23 +292,23 @@
                     self.adopt(&members);
                 }
             }
-            Input::Copy(out) => self.vote(out, Back::Voter),
-            Input::Answer(id, from, message) => {
+            Input::VoterRequests(out) => self.vote(out, ReplyTarget::Voter),
+            Input::RoundReply(id, from, message) => {
                 let out = self.rounds.on_answer(now, id, &from, &message);
                 self.rounds(now, out);
             }
-            Input::Lease(from, message) => {
+            Input::LeaseReply(from, message) => {
                 let out = self.leadership.on_lease(now, &from, &message);
                 if let Some(members) = self.leadership.members() {
                     self.rounds.adopt(members);
                 }
-                self.vote(out, Back::Lease);
+                self.vote(out, ReplyTarget::Lease);
             }
-            Input::Peeked(number, value) => {
+            Input::LocalConfig(number, value) => {
                 let next = self.gossip.peeked(number, value);
                 self.bring(now, next);
             }
-            Input::Fetched(number, text) => {
+            Input::FetchedConfig(number, text) => {
                 self.gossip.fetched(number);
                 let read = |text: &str| Config::parse(&api::plain(text)?).ok();
                 if let Some(text) = text
@@ -307,23 +317,23 @@
                     self.choose(now, config.revision, Arc::from(text), config);
                 }
             }
-            Input::Heard(fence, asked, heard) => {
+            Input::PlatformReply(fence, asked, heard) => {
                 if self.leadership.term().is_some_and(|(of, _)| of == fence) {
                     self.ledger.heard(now, &heard);
                 }
                 let heard = self.with_outs(now, heard);
                 self.leadership.on_heard(now, fence, asked, heard);
             }
-            Input::Reached(peer, mut answered) => {
+            Input::GossipReply(peer, mut answered) => {
                 if let Some(members) = answered.members.take() {
                     self.adopt(&members);
                 }
                 self.contact.reached(peer, answered);
                 self.look_at_contact(now);
             }
-            Input::Left(seat) => self.feed.left(seat),
+            Input::FeedClosed(seat) => self.feed.left(seat),
             Input::Seeds(seeds) => self.seeds = seeds,
-            Input::Leave => self.leave(now),
+            Input::Shutdown => self.leave(now),
         }
     }
 
@@ -342,7 +352,7 @@
         }
         if now >= self.beat_at {
             self.beat_at = now + BEAT;
-            self.effects.push(Effect::Beat);
+            self.effects.push(Effect::Heartbeat);
             let lines = self.feed.late(now);
             self.lines(lines);
         }
@@ -365,12 +375,12 @@
         }
     }
 
-    fn vote(&mut self, out: Vec<(Address, Message)>, back: Back) {
-        self.effects.extend(out.into_iter().map(|(to, message)| Effect::Vote(to, message, back)));
+    fn vote(&mut self, out: Vec<(Address, Message)>, back: ReplyTarget) {
+        self.effects.extend(out.into_iter().map(|(to, message)| Effect::SendToVoter(to, message, back)));
     }
 
     fn lines(&mut self, lines: impl IntoIterator<Item = (ConnectionId, Bytes)>) {
-        self.effects.extend(lines.into_iter().map(|(seat, line)| Effect::Line(seat, line)));
+        self.effects.extend(lines.into_iter().map(|(seat, line)| Effect::FeedLine(seat, line)));
     }
 
     fn adopt(&mut self, members: &Members) {
@@ -388,7 +398,7 @@
         if let Some(members) = self.rounds.members() {
             self.leadership.adopt(members);
         }
-        let vote = |(id, to, message)| Effect::Vote(to, message, Back::Round(id));
+        let vote = |(id, to, message)| Effect::SendToVoter(to, message, ReplyTarget::Round(id));
         self.effects.extend(out.send.into_iter().map(vote));
         for ended in out.ended {
             self.ended(now, ended);
@@ -458,7 +468,7 @@
     fn enter(&mut self, now: Nanos, next: Next) {
         match next {
             Next::Rest => {}
-            Next::StandBack(out) => self.vote(out, Back::Lease),
+            Next::StandBack(out) => self.vote(out, ReplyTarget::Lease),
             Next::Offer(fence) => {
                 let content = Arc::from(self.me.as_str());
                 let kind = RoundKind::Offer { version: fence, content, over: Some(fence - 1) };
@@ -526,14 +536,14 @@
     /// The next step towards a newer configuration.
     fn bring(&mut self, now: Nanos, next: Option<gossip::Next>) {
         match next {
-            Some(gossip::Next::Peek(number)) => self.effects.push(Effect::Peek(number)),
+            Some(gossip::Next::Peek(number)) => self.effects.push(Effect::ReadLocalConfig(number)),
             Some(gossip::Next::Here(value, step)) => {
                 let stepped = self.step(now, &value, step);
                 if !stepped {
                     self.install(now, &value);
                 }
             }
-            Some(gossip::Next::Fetch(number, from)) => self.effects.push(Effect::Fetch(number, from)),
+            Some(gossip::Next::Fetch(number, from)) => self.effects.push(Effect::FetchConfig(number, from)),
             None => {}
         }
     }
@@ -596,14 +606,14 @@
             parts.insert("drains".to_owned(), outs);
         }
         let body = Bytes::from(news.stringify().unwrap_or_default());
-        self.effects.extend(to.into_iter().map(|to| Effect::News(to, body.clone())));
+        self.effects.extend(to.into_iter().map(|to| Effect::Gossip(to, body.clone())));
     }
 
     fn lease(&mut self, now: Nanos) {
         // Without a platform there is nothing to start or to poll, and nobody is the leader.
         let stands = self.voting && self.platform.is_some();
         let (out, want) = self.leadership.tick(now, self.rounds.members(), stands);
-        self.vote(out, Back::Lease);
+        self.vote(out, ReplyTarget::Lease);
         match want {
             Some(Want::Last) if !self.rounds.at_work_for(For::Last) => {
                 self.round(now, RoundKind::Read, Key::Steward, For::Last);
--- a/controller/src/core/api.rs
+++ b/controller/src/core/api.rs
@@ -15,7 +15,7 @@
 
 use super::{Core, Effect, carts};
 use crate::calls::{LONGEST_BODY, What, what};
-use crate::contact::Answered;
+use crate::contact::GossipReply;
 use crate::errors::Kind;
 use crate::gossip::News;
 use crate::rounds::For;
@@ -72,7 +72,7 @@
 
 impl Core {
     pub(super) fn answer(&mut self, id: u64, answer: Result<Reply, Kind>) {
-        self.effects.push(Effect::Answer(id, answer.unwrap_or_else(|kind| kind.answer())));
+        self.effects.push(Effect::Reply(id, answer.unwrap_or_else(|kind| kind.answer())));
     }
 
     /// A call is answered now, or by the round or the voter that it is handed to.
@@ -104,7 +104,7 @@
             Ok(What::Vote) => match vote(call) {
                 Ok((from, message)) => {
                     self.overhear(now, &message);
-                    return self.effects.push(Effect::Ask(id, from, message));
+                    return self.effects.push(Effect::AskLocalVoter(id, from, message));
                 }
                 Err(kind) => Err(kind),
             },
@@ -183,7 +183,7 @@
         if !self.contact.reaches() {
             self.gossip.hasten(now);
         }
-        let body = Answered::body(self.rounds.members(), known, self.voting, self.gossip.revision());
+        let body = GossipReply::encode(self.rounds.members(), known, self.voting, self.gossip.revision());
         Ok(Reply::json(StatusCode::OK, body))
     }
 
--- a/controller/src/core/drains.rs
+++ b/controller/src/core/drains.rs
@@ -13,7 +13,7 @@
 use super::Core;
 use crate::drains::{Drains, Order, Seen};
 use crate::errors::Kind;
-use crate::leadership::Heard;
+use crate::leadership::PlatformReply;
 use crate::{MS, Nanos};
 
 /// Instances on workers that are out are looked at this often.
@@ -79,12 +79,12 @@
     }
 
     /// The platform's word on workers, as the scaler is to take it: one that is out takes no starts, and its instances drain.
-    pub(super) fn with_outs(&self, now: Nanos, heard: Heard) -> Heard {
+    pub(super) fn with_outs(&self, now: Nanos, heard: PlatformReply) -> PlatformReply {
         let drains = &self.outs.drains;
         match heard {
-            Heard::Workers(Some(mut all)) if !drains.is_empty() => {
+            PlatformReply::Workers(Some(mut all)) if !drains.is_empty() => {
                 all.iter_mut().for_each(|worker| worker.draining |= drains.has_worker(now, &worker.name));
-                Heard::Workers(Some(all))
+                PlatformReply::Workers(Some(all))
             }
             other => other,
         }
--- a/controller/src/core/follow.rs
+++ b/controller/src/core/follow.rs
@@ -82,7 +82,7 @@
             snapshot.extend(leader.snapshot(&letter.from));
         }
         let followed = self.feed.follow(now, letter.from, acts, whole, &snapshot).ok_or(Kind::Busy)?;
-        self.effects.extend(followed.before.map(Effect::Unseat));
+        self.effects.extend(followed.before.map(Effect::CloseFeed));
         self.effects.push(Effect::OpenFeed(call, followed.seat, followed.line));
         Ok(())
     }
--- a/controller/src/core/leave.rs
+++ b/controller/src/core/leave.rs
@@ -3,7 +3,7 @@
 
 use millpost_quorum::{Key, Kind as RoundKind};
 
-use super::{Back, Core};
+use super::{Core, ReplyTarget};
 use crate::rounds::For;
 use crate::{MS, Nanos, voters};
 
@@ -41,13 +41,13 @@
         log::info!("leaving");
         self.leave = Some(Leave::new(now, self.grace));
         let out = self.leadership.leave(now);
-        self.vote(out, Back::Lease);
+        self.vote(out, ReplyTarget::Lease);
         self.news(now);
         self.hand_over(now);
     }
 
     /// Whether the process may end.
-    pub fn is_over(&self, now: Nanos) -> bool {
+    pub fn can_exit(&self, now: Nanos) -> bool {
         let Some(leave) = &self.leave else { return false };
         now >= leave.latest || now >= leave.earliest && self.is_dispensable(now)
     }
--- a/controller/src/leadership.rs
+++ b/controller/src/leadership.rs
@@ -36,7 +36,7 @@
 /// What the platform answered; none, or unclear, where it did not.
 #[derive(Debug)]
 #[allow(missing_docs, reason = "the fields are the platform's own words")]
-pub enum Heard {
+pub enum PlatformReply {
     Listed(Option<Page>),
     Workers(Option<Vec<Worker>>),
     Started { nonce: CompactString, answer: Result<(CompactString, SocketAddr), StartFault> },
@@ -45,12 +45,12 @@
 
 impl Call {
     /// What is known of it where there is no answer.
-    pub fn unanswered(self) -> Heard {
+    pub fn unanswered(self) -> PlatformReply {
         match self {
-            Call::List { .. } => Heard::Listed(None),
-            Call::Workers => Heard::Workers(None),
-            Call::Start { nonce, .. } => Heard::Started { nonce, answer: Err(StartFault::Unclear) },
-            Call::Stop { id } => Heard::Stopped { id, answer: Err(StopFault::Unclear) },
+            Call::List { .. } => PlatformReply::Listed(None),
+            Call::Workers => PlatformReply::Workers(None),
+            Call::Start { nonce, .. } => PlatformReply::Started { nonce, answer: Err(StartFault::Unclear) },
+            Call::Stop { id } => PlatformReply::Stopped { id, answer: Err(StopFault::Unclear) },
         }
     }
 }
@@ -61,17 +61,17 @@
     /// The leader's fence.
     pub fence: u64,
     /// When it was decided on.
-    pub asked: Nanos,
+    pub decided_at: Nanos,
     /// The end of the lease.
-    pub until: Nanos,
+    pub deadline: Nanos,
     /// What is called.
     pub call: Call,
 }
 
 impl PlatformCall {
     /// The call, where it may still begin; else what is known of it without an answer.
-    pub fn begin(self, now: Nanos) -> Result<Call, Heard> {
-        if now < self.until { Ok(self.call) } else { Err(self.call.unanswered()) }
+    pub fn begin(self, now: Nanos) -> Result<Call, PlatformReply> {
+        if now < self.deadline { Ok(self.call) } else { Err(self.call.unanswered()) }
     }
 }
 
@@ -318,20 +318,23 @@
             None => {}
         }
         let fence = leader.fence;
-        let errands = calls.into_iter().map(|call| PlatformCall { fence, asked: now, until, call }).collect();
+        let errands = calls
+            .into_iter()
+            .map(|call| PlatformCall { fence, decided_at: now, deadline: until, call })
+            .collect();
         Some(Done { named, told, errands })
     }
 
     /// The platform's answer to a call that was decided on at `asked`.
-    pub fn on_heard(&mut self, now: Nanos, fence: u64, asked: Nanos, heard: Heard) {
+    pub fn on_heard(&mut self, now: Nanos, fence: u64, asked: Nanos, heard: PlatformReply) {
         let Some(leader) = self.leader.as_mut().filter(|s| s.fence == fence) else { return };
         match heard {
-            Heard::Listed(None) => {
+            PlatformReply::Listed(None) => {
                 leader.pace.refused(now);
                 leader.pace.listed();
                 self.pages.clear();
             }
-            Heard::Listed(Some((entries, next))) => match self.pages.page(asked, entries, next) {
+            PlatformReply::Listed(Some((entries, next))) => match self.pages.page(asked, entries, next) {
                 Paged::More => {}
                 Paged::Whole(asked, entries) => {
                     leader.pace.listed_whole(now, entries.len());
@@ -342,15 +345,15 @@
                     leader.pace.listed();
                 }
             },
-            Heard::Workers(Some(all)) => leader.scaler.workers(now, asked, all),
-            Heard::Workers(None) => leader.pace.refused(now),
-            Heard::Started { nonce, answer } => {
+            PlatformReply::Workers(Some(all)) => leader.scaler.workers(now, asked, all),
+            PlatformReply::Workers(None) => leader.pace.refused(now),
+            PlatformReply::Started { nonce, answer } => {
                 if let Err(fault) = &answer {
                     log::info!("start {nonce}: {fault:?}");
                 }
                 leader.scaler.started(now, &nonce, answer);
             }
-            Heard::Stopped { id, answer } => {
+            PlatformReply::Stopped { id, answer } => {
                 if let Err(fault) = &answer {
                     log::info!("stop of {id}: {fault:?}");
                 }
@@ -461,7 +464,7 @@
             errands.into_iter().find(|e| matches!(e.call, Call::List { .. }))
         };
         let errand = (103..1_000).find_map(|at| list(&mut leadership, at)).expect("a list");
-        let (fence, asked, until) = (errand.fence, errand.asked, errand.until);
+        let (fence, asked, until) = (errand.fence, errand.decided_at, errand.deadline);
         // Its turn comes too late, while the lease was renewed.
         let kept_back = errand.begin(until).expect_err("too late");
         leadership.on_heard(until, fence, asked, kept_back);
--- a/controller/src/ledger.rs
+++ b/controller/src/ledger.rs
@@ -8,7 +8,7 @@
 use millpost_protocol::{object, text};
 use tinyjson::JsonValue;
 
-use crate::leadership::Heard;
+use crate::leadership::PlatformReply;
 use crate::{MS, Nanos};
 
 /// Faults that are kept, and workers that are told of.
@@ -44,13 +44,13 @@
 }
 
 /// The word for an answer, and what it is about.
-fn word(heard: &Heard) -> (Word, &str) {
+fn word(heard: &PlatformReply) -> (Word, &str) {
     let of = |call, (answer, status)| Word { call, answer, status };
     let whole = |there: bool| if there { ("ok", 200) } else { ("none", 0) };
     match heard {
-        Heard::Listed(page) => (of("list", whole(page.is_some())), ""),
-        Heard::Workers(all) => (of("workers", whole(all.is_some())), ""),
-        Heard::Started { nonce, answer } => {
+        PlatformReply::Listed(page) => (of("list", whole(page.is_some())), ""),
+        PlatformReply::Workers(all) => (of("workers", whole(all.is_some())), ""),
+        PlatformReply::Started { nonce, answer } => {
             let answer = match answer {
                 Ok(_) => ("ok", 200),
                 Err(StartFault::NoRoom) => ("no_room", 409),
@@ -60,7 +60,7 @@
             };
             (of("start", answer), nonce)
         }
-        Heard::Stopped { id, answer } => {
+        PlatformReply::Stopped { id, answer } => {
             let answer = match answer {
                 Ok(()) => ("ok", 200),
                 Err(StopFault::Unknown) => ("unknown", 404),
@@ -95,7 +95,7 @@
     }
 
     /// The platform has answered, or has not.
-    pub fn heard(&mut self, now: Nanos, heard: &Heard) {
+    pub fn heard(&mut self, now: Nanos, heard: &PlatformReply) {
         let (word, of) = word(heard);
         let tally = self.tallies.entry(word).or_default();
         *tally = (tally.0 + 1, now);
@@ -103,7 +103,7 @@
             self.faults.push_back(Fault { word, of: of.into(), at: now });
             self.faults.drain(..self.faults.len().saturating_sub(MOST));
         }
-        if let Heard::Workers(Some(all)) = heard {
+        if let PlatformReply::Workers(Some(all)) = heard {
             self.workers = Some((now, all.clone()));
         }
     }
@@ -160,12 +160,12 @@
     #[test]
     fn answers_are_counted_and_faults_are_bounded() {
         let mut ledger = Ledger::default();
-        let started = |answer| Heard::Started { nonce: "4.7.f".into(), answer };
+        let started = |answer| PlatformReply::Started { nonce: "4.7.f".into(), answer };
         ledger.heard(0, &started(Ok(("i-1".into(), ([10, 0, 0, 1], 80).into()))));
         for n in 1..=2 * MOST as u64 {
             ledger.heard(n * MS, &started(Err(StartFault::NoRoom)));
         }
-        ledger.heard(201 * MS, &Heard::Listed(None));
+        ledger.heard(201 * MS, &PlatformReply::Listed(None));
         let answers = ledger.answers_json(202 * MS).stringify().expect("text");
         for part in [r#""count":200"#, r#""status":409"#, r#""call":"list""#, r#""answer":"ok""#] {
             assert!(answers.contains(part), "{answers}");
--- a/controller/src/platform.rs
+++ b/controller/src/platform.rs
@@ -11,7 +11,7 @@
 use millpost_autoscaler::platform::{self, StartFault, StopFault, Worker};
 use millpost_net::link::{Client, Options};
 
-use crate::leadership::{Call, Heard, Page};
+use crate::leadership::{Call, Page, PlatformReply};
 
 /// The list and the workers answer within this, or the next time.
 const LIST_WITHIN: Duration = Duration::from_millis(1_500);
@@ -58,17 +58,17 @@
     }
 
     /// Makes a call.
-    pub async fn carry_out(&self, call: Call) -> Heard {
+    pub async fn carry_out(&self, call: Call) -> PlatformReply {
         match call {
-            Call::List { token } => Heard::Listed(self.list(token.as_deref()).await),
-            Call::Workers => Heard::Workers(self.workers().await),
+            Call::List { token } => PlatformReply::Listed(self.list(token.as_deref()).await),
+            Call::Workers => PlatformReply::Workers(self.workers().await),
             Call::Start { service, worker, nonce } => {
                 let answer = self.start(&service, &worker, &nonce).await;
-                Heard::Started { nonce, answer }
+                PlatformReply::Started { nonce, answer }
             }
             Call::Stop { id } => {
                 let answer = self.stop(&id).await;
-                Heard::Stopped { id, answer }
+                PlatformReply::Stopped { id, answer }
             }
         }
     }
--- a/controller/src/runtime.rs
+++ b/controller/src/runtime.rs
@@ -27,8 +27,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::calls::LONGEST_BODY;
-use crate::contact::Answered;
-use crate::core::{Back, Core, Effect, Input, Start, seeds};
+use crate::contact::GossipReply;
+use crate::core::{Core, CoreOptions, Effect, Input, ReplyTarget, seeds};
 use crate::errors::{Error, Kind, ListenSnafu, NeededSnafu, SignalsSnafu};
 use crate::feed::ConnectionId;
 use crate::leadership::PlatformCall;
@@ -107,7 +107,7 @@
     let clock = Instant::now();
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     let life = unix.as_millis() as u64;
-    let mut start = Start::of(&settings, address, life);
+    let mut start = CoreOptions::from_settings(&settings, address, life);
     if let Some(lines) = &lines {
         lines.sink()(&Head::new(&settings.node_name, "bourse", life, life).line());
     }
@@ -127,8 +127,8 @@
     tokio::spawn(async move {
         while let Some(said) = says.recv().await {
             let _ = told.send(Event::Input(match said {
-                Said::Standing { voting, members } => Input::Standing(voting, members),
-                Said::Ask(out) => Input::Copy(out),
+                Said::Standing { voting, members } => Input::VoterStatus(voting, members),
+                Said::Ask(out) => Input::VoterRequests(out),
             }));
         }
     });
@@ -150,14 +150,14 @@
     };
     log::info!("control on {address}");
     loop {
-        let wake = runtime.core.wake(runtime.now());
+        let wake = runtime.core.next_wake(runtime.now());
         tokio::select! {
             event = coming.recv() => match event {
                 Some(event) => runtime.event(event),
                 None => return Ok(()),
             },
             _ = hang_up.recv() => runtime.reload(),
-            _ = term.recv() => runtime.input(Input::Leave),
+            _ = term.recv() => runtime.input(Input::Shutdown),
             () = sleep_until(runtime.clock + Duration::from_nanos(wake)) => {}
         }
         // All that has come is taken in before anything is decided.
@@ -165,7 +165,7 @@
             runtime.event(event);
         }
         runtime.tick();
-        if runtime.core.is_over(runtime.now()) {
+        if runtime.core.can_exit(runtime.now()) {
             server.abort();
             return Ok(());
         }
@@ -202,7 +202,7 @@
 
     fn input(&mut self, input: Input) {
         let now = self.now();
-        self.core.input(now, input);
+        self.core.handle(now, input);
         self.carry_out();
     }
 
@@ -224,33 +224,33 @@
     fn left(&mut self, seat: ConnectionId) {
         self.seats.remove(&seat);
         let now = self.now();
-        self.core.input(now, Input::Left(seat));
+        self.core.handle(now, Input::FeedClosed(seat));
     }
 
     fn carry_out(&mut self) {
-        for effect in self.core.take() {
+        for effect in self.core.take_effects() {
             match effect {
-                Effect::Vote(to, message, back) => self.vote(to, message, back),
-                Effect::Ask(call, from, message) => self.ask(call, from, message),
-                Effect::Answer(call, reply) => self.answer(call, reply),
+                Effect::SendToVoter(to, message, back) => self.vote(to, message, back),
+                Effect::AskLocalVoter(call, from, message) => self.ask(call, from, message),
+                Effect::Reply(call, reply) => self.answer(call, reply),
                 Effect::OpenFeed(call, seat, line) => {
                     let (lines, pieces) = mpsc::channel(WAITING);
                     let _ = lines.try_send(line);
                     self.seats.insert(seat, lines);
                     self.answer(call, Reply::held(pieces));
                 }
-                Effect::Line(seat, line) => {
+                Effect::FeedLine(seat, line) => {
                     if self.seats.get(&seat).is_some_and(|lines| lines.try_send(line).is_err()) {
                         self.left(seat);
                     }
                 }
-                Effect::Unseat(seat) => drop(self.seats.remove(&seat)),
-                Effect::Beat => {
+                Effect::CloseFeed(seat) => drop(self.seats.remove(&seat)),
+                Effect::Heartbeat => {
                     self.seats.values().for_each(|lines| drop(lines.try_send(Bytes::from_static(b"\n"))));
                 }
-                Effect::News(to, body) => self.news(&to, body),
-                Effect::Peek(number) => self.peek(number),
-                Effect::Fetch(number, from) => self.fetch(number, &from),
+                Effect::Gossip(to, body) => self.news(&to, body),
+                Effect::ReadLocalConfig(number) => self.peek(number),
+                Effect::FetchConfig(number, from) => self.fetch(number, &from),
                 Effect::PlatformCall(errand) => self.errand(errand),
             }
         }
@@ -276,13 +276,13 @@
     }
 
     /// Sends a message to a voter; its answer goes where `back` says.
-    fn vote(&mut self, to: Address, message: Message, back: Back) {
+    fn vote(&mut self, to: Address, message: Message, back: ReplyTarget) {
         let (events, voter) = (self.events.clone(), self.voter.clone());
         let hand_back = move |from, answer| {
             let input = match back {
-                Back::Round(id) => Input::Answer(id, from, answer),
-                Back::Lease => Input::Lease(from, answer),
-                Back::Voter => return drop(voter.ask(from, answer)),
+                ReplyTarget::Round(id) => Input::RoundReply(id, from, answer),
+                ReplyTarget::Lease => Input::LeaseReply(from, answer),
+                ReplyTarget::Voter => return drop(voter.ask(from, answer)),
             };
             let _ = events.send(Event::Input(input));
         };
@@ -338,8 +338,8 @@
         tokio::spawn(async move {
             match client.call(Method::POST, "/core/news", json_headers(), body, VOTE, 1_024).await {
                 Ok((StatusCode::OK, _, body)) => {
-                    if let Some(answered) = Answered::read(sent, &body) {
-                        let _ = events.send(Event::Input(Input::Reached(to, answered)));
+                    if let Some(answered) = GossipReply::decode(sent, &body) {
+                        let _ = events.send(Event::Input(Input::GossipReply(to, answered)));
                     }
                 }
                 Ok(_) => {}
@@ -351,7 +351,7 @@
     fn peek(&self, number: u64) {
         let (events, here) = (self.events.clone(), self.voter.peek());
         tokio::spawn(async move {
-            let _ = events.send(Event::Input(Input::Peeked(number, here.await.ok().flatten())));
+            let _ = events.send(Event::Input(Input::LocalConfig(number, here.await.ok().flatten())));
         });
     }
 
@@ -369,12 +369,12 @@
                 Some((StatusCode::OK, _, body)) => String::from_utf8(body.to_vec()).ok(),
                 _ => None,
             };
-            let _ = events.send(Event::Input(Input::Fetched(number, text)));
+            let _ = events.send(Event::Input(Input::FetchedConfig(number, text)));
         });
     }
 
     fn errand(&mut self, errand: PlatformCall) {
-        let (fence, asked) = (errand.fence, errand.asked);
+        let (fence, asked) = (errand.fence, errand.decided_at);
         let Some(api) = &self.settings.platform_api else { return };
         let platform = match &self.platform {
             Some((of, platform)) if *of == fence => Arc::clone(platform),
@@ -388,7 +388,7 @@
                 Ok(call) => platform.carry_out(call).await,
                 Err(kept_back) => kept_back,
             };
-            let _ = events.send(Event::Input(Input::Heard(fence, asked, heard)));
+            let _ = events.send(Event::Input(Input::PlatformReply(fence, asked, heard)));
         });
     }
 }
--- a/controller/tests/control.rs
+++ b/controller/tests/control.rs
@@ -270,11 +270,11 @@
     town.cut(0, 1);
     let ids: Vec<_> = (0..2 * rounds::MOST).map(|_| town.read(0)).collect();
     town.run(town.now + MS);
-    assert!(town.core(0).under_way() <= rounds::MOST);
+    assert!(town.core(0).rounds_in_progress() <= rounds::MOST);
     town.run(town.now + 900 * MS);
     let busy = ids.iter().filter(|id| town.answers[id].2.contains("busy")).count();
     assert!((rounds::MOST..2 * rounds::MOST).contains(&busy), "{busy}");
-    assert!(town.core(0).under_way() <= 2);
+    assert!(town.core(0).rounds_in_progress() <= 2);
 }
 
 #[test]
@@ -285,7 +285,7 @@
     town.freeze(leader, thaws);
     town.run(thaws + 2_000 * MS);
     assert_eq!(town.kept_back.iter().map(|(at, n)| (*at, *n)).collect::<Vec<_>>(), [(thaws, leader)]);
-    assert!(town.went.iter().all(|(at, _, errand)| *at < errand.until));
+    assert!(town.went.iter().all(|(at, _, errand)| *at < errand.deadline));
     assert!(town.went.iter().all(|(at, n, _)| *n != leader || *at < thaws));
     assert!(town.leader().is_some_and(|n| n != leader));
 }
@@ -293,7 +293,7 @@
 #[test]
 fn a_leader_whose_voter_says_nothing_is_none_after_its_lease() {
     let (mut town, leader) = settled(0);
-    town.input(leader, Input::Standing(false, None));
+    town.input(leader, Input::VoterStatus(false, None));
     let note = r#"{"from":"e","life":1,"notes":[{"t":"want","s":"f","c":1}]}"#;
     town.run(town.now + 1_600 * MS);
     let id = town.call(leader, Method::POST, "/mail", note);
@@ -337,9 +337,9 @@
     let leaves = (leader + beyond) % 3;
     town.put(leader, &config(1, "one"));
     town.run(8_000 * MS);
-    town.input(leaves, Input::Leave);
+    town.input(leaves, Input::Shutdown);
     let left = town.now;
-    assert!(town.until(3_000 * MS, |town| town.core(leaves).is_over(town.now)));
+    assert!(town.until(3_000 * MS, |town| town.core(leaves).can_exit(town.now)));
     assert!(
         town.now < left + 2_900 * MS,
         "it waited for a spare, not for its time: {}",
@@ -371,12 +371,12 @@
     town.cut(lacks, 0);
     town.run(town.now + 3_000 * MS);
     assert_eq!(town.holders(1), 2);
-    town.input(leaves, Input::Leave);
+    town.input(leaves, Input::Shutdown);
     let left = town.now;
     town.run(left + 299 * MS);
-    assert!(!town.core(leaves).is_over(town.now));
+    assert!(!town.core(leaves).can_exit(town.now));
     town.run(left + 300 * MS);
-    assert!(town.core(leaves).is_over(town.now));
+    assert!(town.core(leaves).can_exit(town.now));
     assert_eq!(town.holders(1), 3);
 }
 
@@ -387,12 +387,12 @@
     town.down((leader + 2) % 3);
     town.run(town.now + 1_000 * MS);
     let leaves = (leader + 1) % 3;
-    town.input(leaves, Input::Leave);
+    town.input(leaves, Input::Shutdown);
     let left = town.now;
     town.run(left + 2_999 * MS);
-    assert!(!town.core(leaves).is_over(town.now));
+    assert!(!town.core(leaves).can_exit(town.now));
     town.run(left + 3_000 * MS);
-    assert!(town.core(leaves).is_over(town.now));
+    assert!(town.core(leaves).can_exit(town.now));
 }
 
 /// Memory, disk and the time to catch up hang on what stands, not on how many changes there were: one voter is down throughout, a spare
@@ -451,14 +451,14 @@
     let (mut town, leader) = settled(0);
     let put = town.put(leader, &config(1, "one"));
     town.run(town.now + MS);
-    town.input(leader, Input::Leave);
+    town.input(leader, Input::Shutdown);
     let left = town.now;
     let new = town.read(leader);
     town.run(left + 299 * MS);
     assert_eq!(town.answer_to(put).map(|a| a.0), Some(200));
     assert!(town.answer_to(new).is_some_and(|(status, body)| status == 503 && body.contains("busy")));
-    assert!(!town.core(leader).is_leader() && !town.core(leader).is_over(left + 299 * MS));
-    assert!(town.core(leader).is_over(left + 300 * MS));
+    assert!(!town.core(leader).is_leader() && !town.core(leader).can_exit(left + 299 * MS));
+    assert!(town.core(leader).can_exit(left + 300 * MS));
     assert!(town.until(700 * MS, |town| town.leader().is_some()), "the lease was given back");
 }
 
@@ -499,7 +499,7 @@
         let read = town.answer_to(id).and_then(|(_, text)| millpost_config::Config::parse(text).ok());
         assert!(read.map(|config| config.revision) >= newest, "{luck}: {newest:?} was acknowledged");
         assert_eq!(town.chosen().len(), 1, "{luck}");
-        assert!(town.went.iter().all(|(at, _, errand)| *at < errand.until), "{luck}");
+        assert!(town.went.iter().all(|(at, _, errand)| *at < errand.deadline), "{luck}");
         assert!(town.went.is_sorted_by_key(|(_, _, errand)| errand.fence), "{luck}: two act at once");
         changes += town.went.last().map_or(0, |(_, _, errand)| errand.fence);
     }
--- a/controller/tests/market/mod.rs
+++ b/controller/tests/market/mod.rs
@@ -128,7 +128,7 @@
     pub fn kill(&mut self, n: usize) {
         self.stalls[n].up = false;
         for ((machine, seat), _) in self.seats.iter().filter(|(_, of)| **of == n) {
-            self.town.input(*machine, Input::Left(*seat));
+            self.town.input(*machine, Input::FeedClosed(*seat));
         }
     }
 
--- a/controller/tests/town/mod.rs
+++ b/controller/tests/town/mod.rs
@@ -8,9 +8,9 @@
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode};
 use millpost_autoscaler::{Entry, Worker};
-use millpost_controller::contact::Answered;
-use millpost_controller::core::{Back, Bounds, Core, Effect, Input, Start};
-use millpost_controller::leadership::{self, Heard, PlatformCall};
+use millpost_controller::contact::GossipReply;
+use millpost_controller::core::{Core, CoreOptions, Effect, Input, PlatformLimits, ReplyTarget};
+use millpost_controller::leadership::{self, PlatformCall, PlatformReply};
 use millpost_net::messaging::{Call, Content, Reply, json};
 use millpost_quorum::{Address, Key, Members, Message, Voter, Write};
 use tinyjson::JsonValue;
@@ -21,7 +21,7 @@
 enum Event {
     Input(Input),
     /// For the voter here; its answer goes to that machine, or is that call's.
-    Vote(Address, Message, Result<(usize, Back), u64>),
+    Vote(Address, Message, Result<(usize, ReplyTarget), u64>),
     Begin(PlatformCall),
 }
 
@@ -85,16 +85,16 @@
 }
 
 /// What a machine starts from.
-fn start(n: usize, life: u64, seeds: &[Address]) -> Start {
-    Start {
+fn start(n: usize, life: u64, seeds: &[Address]) -> CoreOptions {
+    CoreOptions {
         me: address(n),
         life,
         seeds: seeds.to_vec(),
-        losses: seeds.len() as u32 / 2,
-        contact: 4_000 * MS,
-        apply: 3_000 * MS,
-        grace: 6_000 * MS,
-        platform: Some(Bounds { duty_per_s: 20.0, max_lag_ms: 100, rate_per_s: 20.0 }),
+        tolerated_losses: seeds.len() as u32 / 2,
+        contact_timeout: 4_000 * MS,
+        config_apply_time: 3_000 * MS,
+        shutdown_grace: 6_000 * MS,
+        platform: Some(PlatformLimits { duty_per_s: 20.0, max_lag_ms: 100, rate_per_s: 20.0 }),
         sink: None,
     }
 }
@@ -274,7 +274,7 @@
                 self.now = self.now.max(at);
                 let out = self.machines[n].voter.on_tick(self.now);
                 if !out.is_empty() {
-                    self.event(n, Event::Input(Input::Copy(out)));
+                    self.event(n, Event::Input(Input::VoterRequests(out)));
                 }
                 self.tick(n);
             } else {
@@ -287,25 +287,27 @@
     fn event(&mut self, n: usize, event: Event) {
         match event {
             Event::Input(input) => {
-                self.machines[n].core.input(self.now, input);
+                self.machines[n].core.handle(self.now, input);
                 self.effects(n);
-                self.machines[n].wake = self.machines[n].core.wake(self.now);
+                self.machines[n].wake = self.machines[n].core.next_wake(self.now);
             }
             Event::Vote(from, message, back) => {
                 let Machine { voter, disk, .. } = &mut self.machines[n];
                 let step = voter.handle(self.now, &from, message);
                 let Ok(Some(answer)) = step.carry_out(|batch| write(disk, batch)) else { return };
                 match back {
-                    Ok((to, Back::Round(id))) => self.hand(n, to, Input::Answer(id, address(n), answer)),
-                    Ok((to, Back::Lease)) => self.hand(n, to, Input::Lease(address(n), answer)),
-                    Ok((to, Back::Voter)) => {
+                    Ok((to, ReplyTarget::Round(id))) => {
+                        self.hand(n, to, Input::RoundReply(id, address(n), answer))
+                    }
+                    Ok((to, ReplyTarget::Lease)) => self.hand(n, to, Input::LeaseReply(address(n), answer)),
+                    Ok((to, ReplyTarget::Voter)) => {
                         self.push(self.now + WAY, to, Event::Vote(address(n), answer, Err(0)));
                     }
                     Err(_) => {}
                 }
             }
             Event::Begin(errand) => {
-                let (fence, asked) = (errand.fence, errand.asked);
+                let (fence, asked) = (errand.fence, errand.decided_at);
                 let heard = match errand.clone().begin(self.now) {
                     Ok(call) => {
                         self.went.push((self.now, n, errand));
@@ -316,16 +318,16 @@
                         heard
                     }
                 };
-                self.push(self.now + WAY, n, Event::Input(Input::Heard(fence, asked, heard)));
+                self.push(self.now + WAY, n, Event::Input(Input::PlatformReply(fence, asked, heard)));
             }
         }
     }
 
-    fn platform(&mut self, call: leadership::Call) -> Heard {
+    fn platform(&mut self, call: leadership::Call) -> PlatformReply {
         match call {
             leadership::Call::List { .. } => {
                 let up = self.started.iter().filter(|(at, _)| at + 400 * MS < self.now);
-                Heard::Listed(Some((up.map(|(_, entry)| entry.clone()).collect(), None)))
+                PlatformReply::Listed(Some((up.map(|(_, entry)| entry.clone()).collect(), None)))
             }
             leadership::Call::Workers => {
                 let worker = |(name, mb): (&str, u64)| Worker {
@@ -337,7 +339,7 @@
                 };
                 let all = [("w-1", self.workers), ("w-2", self.workers / 2)];
                 let all = all.map(worker).into_iter().filter(|worker| worker.memory_mb > 0);
-                Heard::Workers(Some(all.collect()))
+                PlatformReply::Workers(Some(all.collect()))
             }
             leadership::Call::Start { service, worker, nonce } if self.workers > 0 => {
                 let id = CompactString::from(format!("i-{}", self.names));
@@ -352,11 +354,11 @@
                     draining: false,
                 };
                 self.started.push((self.now, entry));
-                Heard::Started { nonce, answer: Ok((id, address)) }
+                PlatformReply::Started { nonce, answer: Ok((id, address)) }
             }
             leadership::Call::Stop { id } => {
                 self.started.retain(|(_, entry)| entry.id != id);
-                Heard::Stopped { id, answer: Ok(()) }
+                PlatformReply::Stopped { id, answer: Ok(()) }
             }
             call => call.unanswered(),
         }
@@ -374,27 +376,27 @@
             (machine.voter.state() == millpost_quorum::State::Voting, machine.voter.members().cloned());
         if machine.told.as_ref() != Some(&standing) {
             machine.told = Some(standing.clone());
-            machine.core.input(self.now, Input::Standing(standing.0, standing.1));
+            machine.core.handle(self.now, Input::VoterStatus(standing.0, standing.1));
         }
         machine.core.tick(self.now);
-        machine.wake = machine.core.wake(self.now);
+        machine.wake = machine.core.next_wake(self.now);
         self.effects(n);
     }
 
     fn effects(&mut self, n: usize) {
-        for effect in self.machines[n].core.take() {
+        for effect in self.machines[n].core.take_effects() {
             match effect {
-                Effect::Vote(to, message, back) => {
+                Effect::SendToVoter(to, message, back) => {
                     let to = (0..self.machines.len()).find(|n| address(*n) == to).expect("a machine");
                     if let Some(at) = self.way(n, to) {
                         self.push(at, to, Event::Vote(address(n), message, Ok((n, back))));
                     }
                 }
-                Effect::Ask(id, from, message) => {
+                Effect::AskLocalVoter(id, from, message) => {
                     self.push(self.now, n, Event::Vote(from, message, Err(id)));
                 }
-                Effect::Answer(id, reply) => self.answer(n, id, reply),
-                Effect::News(to, body) => {
+                Effect::Reply(id, reply) => self.answer(n, id, reply),
+                Effect::Gossip(to, body) => {
                     let to = (0..self.machines.len()).find(|n| address(*n) == to).expect("a machine");
                     if self.way(n, to).is_some() && self.machines[to].up {
                         let body = String::from_utf8_lossy(&body).into_owned();
@@ -402,12 +404,12 @@
                         self.tellers.insert(id, (n, self.now));
                     }
                 }
-                Effect::Peek(number) => {
+                Effect::ReadLocalConfig(number) => {
                     let slot = self.machines[n].voter.slot(Key::Config);
                     let value = slot.and_then(|slot| slot.accepted.as_ref()).map(|a| a.value.clone());
-                    self.push(self.now + WAY, n, Event::Input(Input::Peeked(number, value)));
+                    self.push(self.now + WAY, n, Event::Input(Input::LocalConfig(number, value)));
                 }
-                Effect::Fetch(number, from) => {
+                Effect::FetchConfig(number, from) => {
                     self.fetches.push(n);
                     let from = (0..self.machines.len()).find(|n| address(*n) == from).expect("a machine");
                     if self.way(n, from).is_some() {
@@ -420,8 +422,8 @@
                     self.seats.insert(id, (n, seat));
                     self.lines.push((n, seat, line));
                 }
-                Effect::Line(seat, line) => self.lines.push((n, seat, line)),
-                Effect::Unseat(_) | Effect::Beat => {}
+                Effect::FeedLine(seat, line) => self.lines.push((n, seat, line)),
+                Effect::CloseFeed(_) | Effect::Heartbeat => {}
             }
         }
     }
@@ -431,12 +433,12 @@
         let body = String::from_utf8_lossy(&body).into_owned();
         if let Some((to, number)) = self.fetchers.remove(&id) {
             let text = (reply.status == StatusCode::OK).then(|| body.clone());
-            self.hand(n, to, Input::Fetched(number, text));
+            self.hand(n, to, Input::FetchedConfig(number, text));
         }
         if let Some((to, sent)) = self.tellers.remove(&id)
-            && let Some(answered) = Answered::read(sent, body.as_bytes())
+            && let Some(answered) = GossipReply::decode(sent, body.as_bytes())
         {
-            self.hand(n, to, Input::Reached(address(n), answered));
+            self.hand(n, to, Input::GossipReply(address(n), answered));
         }
         let before = self.answers.insert(id, (self.now, reply.status, body));
         assert!(before.is_none(), "call {id} is answered twice");
--- a/simulator/src/processes/controller.rs
+++ b/simulator/src/processes/controller.rs
@@ -6,10 +6,10 @@
 use compact_str::CompactString;
 use hyper::{HeaderMap, Method, StatusCode};
 use millpost_autoscaler::{Sink, StartFault, StopFault};
-use millpost_controller::contact::Answered;
-use millpost_controller::core::{Back, Bounds, Core, Effect, Input, Start};
+use millpost_controller::contact::GossipReply;
+use millpost_controller::core::{Core, CoreOptions, Effect, Input, PlatformLimits, ReplyTarget};
 use millpost_controller::feed::ConnectionId;
-use millpost_controller::leadership::{Call, Heard, PlatformCall};
+use millpost_controller::leadership::{Call, PlatformCall, PlatformReply};
 use millpost_net::messaging::{self, Content, Reply};
 use millpost_protocol::{object, text};
 use millpost_quorum::{Address, Members, Message};
@@ -28,7 +28,7 @@
 
 /// What a call of one's own was for.
 enum Called {
-    Vote(Address, Back),
+    Vote(Address, ReplyTarget),
     /// To whom, and when.
     News(Address, Time),
     Fetch(u64),
@@ -42,7 +42,7 @@
 /// Who handed a message to the voter.
 enum Handed {
     Other(u64),
-    Own(Back),
+    Own(ReplyTarget),
 }
 
 /// What the platform allows, and how many machines may be lost.
@@ -69,7 +69,7 @@
     /// Which call is answered by the lines of a seat.
     seats: BTreeMap<ConnectionId, u64>,
     /// Answers of the own voter that wait for the disk.
-    later: Vec<(Time, Back, Message)>,
+    later: Vec<(Time, ReplyTarget, Message)>,
     next: u64,
     outs: Vec<Out>,
 }
@@ -98,15 +98,15 @@
         let forgetful = place.plant == Some(Plant::Forgetful);
         let first = (bootstrap || forgetful).then(|| Members::first(&uid, seeds));
         let keeper = VoterProcess::open(now, &place, disk, first);
-        let start = Start {
+        let start = CoreOptions {
             me: place.address.clone(),
             life: place.life,
             seeds: place.seeds.clone(),
-            losses: rates.losses,
-            contact: 4_000 * MS,
-            apply: 3_000 * MS,
-            grace: place.grace,
-            platform: Some(Bounds {
+            tolerated_losses: rates.losses,
+            contact_timeout: 4_000 * MS,
+            config_apply_time: 3_000 * MS,
+            shutdown_grace: place.grace,
+            platform: Some(PlatformLimits {
                 duty_per_s: rates.duty_per_s,
                 max_lag_ms: rates.max_lag_ms,
                 rate_per_s: rates.rate_per_s,
@@ -138,13 +138,13 @@
 
     /// Its process ends.
     pub fn over(&self, now: Time) -> bool {
-        self.core.is_over(now)
+        self.core.can_exit(now)
     }
 
     /// When [`In::Tick`] is due.
     pub fn wake(&self, now: Time, disk: &Disk) -> Time {
         let later = self.later.iter().map(|l| l.0).min().unwrap_or(Time::MAX);
-        self.core.wake(now).min(later).min(self.keeper.wake(disk)).max(now + MS / 10)
+        self.core.next_wake(now).min(later).min(self.keeper.wake(disk)).max(now + MS / 10)
     }
 
     /// What it does with this.
@@ -160,14 +160,14 @@
                 if let Some(seat) = self.seats.iter().find(|(_, call)| **call == feed).map(|(seat, _)| *seat)
                 {
                     self.seats.remove(&seat);
-                    self.core.input(now, Input::Left(seat));
+                    self.core.handle(now, Input::FeedClosed(seat));
                 }
             }
             In::Seeds(seeds) => {
                 self.place.seeds.clone_from(&seeds);
-                self.core.input(now, Input::Seeds(seeds));
+                self.core.handle(now, Input::Seeds(seeds));
             }
-            In::Leave => self.core.input(now, Input::Leave),
+            In::Leave => self.core.handle(now, Input::Shutdown),
             _ => {}
         }
         self.settle(now, disk);
@@ -220,7 +220,7 @@
             }
             _ => return self.outs.push(Out::Reply { call: id, said: Said::Refused(404) }),
         };
-        self.core.input(now, Input::Call(id, call));
+        self.core.handle(now, Input::Call(id, call));
     }
 
     fn answered(&mut self, now: Time, called: Called, said: Option<Said>) {
@@ -232,9 +232,9 @@
             }
             Called::News(to, sent) => {
                 if let Some(Said::Body(body)) = said
-                    && let Some(answered) = Answered::read(sent, &body)
+                    && let Some(answered) = GossipReply::decode(sent, &body)
                 {
-                    self.core.input(now, Input::Reached(to, answered));
+                    self.core.handle(now, Input::GossipReply(to, answered));
                 }
             }
             Called::Fetch(number) => {
@@ -242,28 +242,30 @@
                     Some(Said::Body(body)) => String::from_utf8(body.to_vec()).ok(),
                     _ => None,
                 };
-                self.core.input(now, Input::Fetched(number, text));
+                self.core.handle(now, Input::FetchedConfig(number, text));
             }
             Called::PlatformCall { fence, asked, call } => {
                 let mut heard = heard(call, said);
                 if self.place.plant == Some(Plant::Deaf) {
                     match &mut heard {
-                        Heard::Listed(Some((all, _))) => all.iter_mut().for_each(|e| e.draining = false),
-                        Heard::Workers(Some(all)) => all.iter_mut().for_each(|w| w.draining = false),
+                        PlatformReply::Listed(Some((all, _))) => {
+                            all.iter_mut().for_each(|e| e.draining = false)
+                        }
+                        PlatformReply::Workers(Some(all)) => all.iter_mut().for_each(|w| w.draining = false),
                         _ => {}
                     }
                 }
-                self.core.input(now, Input::Heard(fence, asked, heard));
+                self.core.handle(now, Input::PlatformReply(fence, asked, heard));
             }
         }
     }
 
     /// A voter's answer goes where it is wanted.
-    fn voted(&mut self, now: Time, from: Address, back: Back, message: Message) {
+    fn voted(&mut self, now: Time, from: Address, back: ReplyTarget, message: Message) {
         match back {
-            Back::Round(id) => self.core.input(now, Input::Answer(id, from, message)),
-            Back::Lease => self.core.input(now, Input::Lease(from, message)),
-            Back::Voter => {
+            ReplyTarget::Round(id) => self.core.handle(now, Input::RoundReply(id, from, message)),
+            ReplyTarget::Lease => self.core.handle(now, Input::LeaseReply(from, message)),
+            ReplyTarget::Voter => {
                 self.next += 1;
                 self.keeper.hand(self.next, from, message);
             }
@@ -283,12 +285,12 @@
             }
         }
         if !asks.is_empty() {
-            self.core.input(now, Input::Copy(asks));
+            self.core.handle(now, Input::VoterRequests(asks));
         }
         let standing = self.keeper.standing();
         if self.standing.as_ref() != Some(&standing) {
             self.standing = Some(standing.clone());
-            self.core.input(now, Input::Standing(standing.0, standing.1));
+            self.core.handle(now, Input::VoterStatus(standing.0, standing.1));
         }
     }
 
@@ -306,47 +308,49 @@
 
     /// Whether there was anything.
     fn carry_out(&mut self, now: Time) -> bool {
-        let effects = self.core.take();
+        let effects = self.core.take_effects();
         let any = !effects.is_empty();
         let me = self.place.address.clone();
         for effect in effects {
             match effect {
-                Effect::Vote(to, message, back) if to == me => self.hand(to, message, Handed::Own(back)),
-                Effect::Vote(to, message, back) => {
+                Effect::SendToVoter(to, message, back) if to == me => {
+                    self.hand(to, message, Handed::Own(back))
+                }
+                Effect::SendToVoter(to, message, back) => {
                     let said = Said::Vote { from: me.clone(), message };
                     self.call_out(to.clone(), said, VOTE, Called::Vote(to, back));
                 }
-                Effect::Ask(call, from, message) => self.hand(from, message, Handed::Other(call)),
+                Effect::AskLocalVoter(call, from, message) => self.hand(from, message, Handed::Other(call)),
                 // A test of the auditor.
-                Effect::Answer(call, reply)
+                Effect::Reply(call, reply)
                     if self.place.plant == Some(Plant::Lenient) && reply.status == StatusCode::CONFLICT =>
                 {
                     self.outs.push(Out::Reply { call, said: Said::Body(Bytes::from_static(b"{}")) });
                 }
-                Effect::Answer(call, reply) => self.outs.push(Out::Reply { call, said: said(reply) }),
+                Effect::Reply(call, reply) => self.outs.push(Out::Reply { call, said: said(reply) }),
                 Effect::OpenFeed(call, seat, line) => {
                     self.seats.insert(seat, call);
                     self.outs.push(Out::Line { feed: call, line });
                 }
-                Effect::Line(seat, line) => {
+                Effect::FeedLine(seat, line) => {
                     self.outs.extend(self.seats.get(&seat).map(|feed| Out::Line { feed: *feed, line }));
                 }
-                Effect::Unseat(seat) => {
+                Effect::CloseFeed(seat) => {
                     self.outs.extend(self.seats.remove(&seat).map(|feed| Out::Close { feed }));
                 }
-                Effect::Beat => {
+                Effect::Heartbeat => {
                     let beat = |feed: &u64| Out::Line { feed: *feed, line: Bytes::from_static(b"\n") };
                     self.outs.extend(self.seats.values().map(beat));
                 }
-                Effect::News(to, body) => {
+                Effect::Gossip(to, body) => {
                     let called = Called::News(to.clone(), now);
                     self.call_out(to, Said::News(body), VOTE, called);
                 }
-                Effect::Peek(number) => {
+                Effect::ReadLocalConfig(number) => {
                     let here = self.keeper.peek();
-                    self.core.input(now, Input::Peeked(number, here));
+                    self.core.handle(now, Input::LocalConfig(number, here));
                 }
-                Effect::Fetch(number, from) => {
+                Effect::FetchConfig(number, from) => {
                     self.call_out(from, Said::Chosen, VOTE, Called::Fetch(number));
                 }
                 Effect::PlatformCall(errand) => self.errand(now, errand),
@@ -356,10 +360,10 @@
     }
 
     fn errand(&mut self, now: Time, errand: PlatformCall) {
-        let (fence, asked) = (errand.fence, errand.asked);
+        let (fence, asked) = (errand.fence, errand.decided_at);
         let call = match errand.begin(now) {
             Ok(call) => call,
-            Err(kept_back) => return self.core.input(now, Input::Heard(fence, asked, kept_back)),
+            Err(kept_back) => return self.core.handle(now, Input::PlatformReply(fence, asked, kept_back)),
         };
         let (said, within) = match &call {
             Call::List { token } => {
@@ -378,25 +382,25 @@
 }
 
 /// What the platform answered to a call.
-fn heard(call: Call, said: Option<Said>) -> Heard {
+fn heard(call: Call, said: Option<Said>) -> PlatformReply {
     match (call, said) {
         (Call::List { .. }, Some(Said::Listed { entries, next })) => {
-            Heard::Listed(Some((entries, next.map(|n| CompactString::from(n.to_string())))))
+            PlatformReply::Listed(Some((entries, next.map(|n| CompactString::from(n.to_string())))))
         }
-        (Call::Workers, Some(Said::Staff(all))) => Heard::Workers(Some(all)),
+        (Call::Workers, Some(Said::Staff(all))) => PlatformReply::Workers(Some(all)),
         (Call::Start { nonce, .. }, said) => {
             let answer = match said {
                 Some(Said::Started(answer)) => answer,
                 _ => Err(StartFault::Unclear),
             };
-            Heard::Started { nonce, answer }
+            PlatformReply::Started { nonce, answer }
         }
         (Call::Stop { id }, said) => {
             let answer = match said {
                 Some(Said::Stopped(answer)) => answer,
                 _ => Err(StopFault::Unclear),
             };
-            Heard::Stopped { id, answer }
+            PlatformReply::Stopped { id, answer }
         }
         (call, _) => call.unanswered(),
     }
