--- a/controller/src/leader.rs
+++ b/controller/src/leader.rs
@@ -454,7 +454,7 @@
         if !first {
             self.join(now);
         }
-        let before = self.ranks.owners().roster();
+        let before = self.ranks.owners().view();
         let stalls = || self.stalls.values().filter(alive).map(|s| &s.peer);
         let leaving = || self.stalls.values().filter(|s| lives(s) && !stays(s)).map(|s| &s.peer);
         // With one zone there is nothing to split by.
@@ -472,7 +472,7 @@
         self.named_at = now;
         let roster = MembershipView::new(self.version(), peers, split).with_leaving(leaving);
         let note = match known.filter(|(v, d)| *v < roster.version() && *d == roster.digest()) {
-            _ if !first => PeerMessage::ViewChange(roster.shift(self.ranks.owners().roster())),
+            _ if !first => PeerMessage::ViewChange(roster.shift(self.ranks.owners().view())),
             Some((from, _)) => PeerMessage::ViewChange(ViewChange {
                 version: roster.version(),
                 from,
@@ -483,10 +483,10 @@
         tell(&roster, &note);
         // Of others whoever stands for them was told.
         let inherited = std::mem::take(&mut self.inherited);
-        inherited.iter().for_each(|(service, zone)| self.ranks.keep(service, zone));
-        let (mut stand, turned) = self.ranks.turn(Owners::from(roster));
+        inherited.iter().for_each(|(service, zone)| self.ranks.track(service, zone));
+        let (mut stand, turned) = self.ranks.update(Owners::from(roster));
         for (service, zone) in &inherited {
-            stand.extend(self.ranks.two(service, zone).cloned());
+            stand.extend(self.ranks.owner_and_deputy(service, zone).cloned());
         }
         Some((note, self.shared_out(if first { None } else { Some((stand, turned)) })))
     }
@@ -500,7 +500,7 @@
             None => all.extend(named.peers().iter().map(|p| (p.name.clone(), Vec::new()))),
             Some((mut stand, turned)) => {
                 for instance in self.scaler.shown().filter(|i| turned.contains(&i.service)) {
-                    stand.extend(self.ranks.two(&instance.service, &instance.zone).cloned());
+                    stand.extend(self.ranks.owner_and_deputy(&instance.service, &instance.zone).cloned());
                 }
                 let named = self.ranks.owners();
                 all.extend(stand.into_iter().filter(|n| named.find(n).is_some()).map(|n| (n, Vec::new())));
@@ -508,7 +508,7 @@
         }
         if !all.is_empty() {
             for instance in self.scaler.shown() {
-                for name in self.ranks.two(&instance.service, &instance.zone) {
+                for name in self.ranks.owner_and_deputy(&instance.service, &instance.zone) {
                     if let Some(set) = all.get_mut(name) {
                         set.push(told(instance));
                     }
@@ -527,7 +527,7 @@
 
     /// All of the naming, where there is one.
     fn stalls_note(&self) -> Option<PeerMessage> {
-        self.has_named().then(|| self.ranks.owners().roster().note())
+        self.has_named().then(|| self.ranks.owners().view().note())
     }
 
     /// The stall that owns a function, or its lot in a zone.
@@ -542,7 +542,7 @@
         // Who is not named stands for nothing.
         if self.ranks.owners().find(name).is_some() {
             for instance in self.scaler.shown() {
-                if self.ranks.two(&instance.service, &instance.zone).any(|n| n == name) {
+                if self.ranks.owner_and_deputy(&instance.service, &instance.zone).any(|n| n == name) {
                     set.push(told(instance));
                 }
             }
@@ -563,7 +563,7 @@
         let effects = self.scaler.take();
         let ranks = &mut self.ranks;
         let mut to = |service: &CompactString, zone: &CompactString, change: &dyn Fn(&mut Changed)| {
-            for name in ranks.two(service, zone) {
+            for name in ranks.owner_and_deputy(service, zone) {
                 change(changes.entry(name.clone()).or_default());
             }
         };
--- a/controller/src/leader/floors.rs
+++ b/controller/src/leader/floors.rs
@@ -69,14 +69,14 @@
         into: &mut Told,
     ) {
         let zones: Vec<CompactString> =
-            ranks.owners().lot_zones(service, "").into_iter().map(Into::into).collect();
+            ranks.owners().partition_zones(service, "").into_iter().map(Into::into).collect();
         let lots = zones.len().max(1) as u32;
         let mut stand: BTreeMap<CompactString, u32> = BTreeMap::new();
         for (n, zone) in zones.iter().enumerate() {
             let part = floor.count / lots + u32::from((n as u32) < floor.count % lots);
             // One at least: a lot without any would not be told of either.
             let part = if floor.count > 0 { part.max(1) } else { 0 };
-            stand.extend(ranks.two(service, zone).map(|name| (name.clone(), part)));
+            stand.extend(ranks.owner_and_deputy(service, zone).map(|name| (name.clone(), part)));
         }
         // Who stands for it no more needs no floor.
         let gone = floor.told.iter().filter(|name| !stand.contains_key(*name)).cloned();
@@ -138,7 +138,8 @@
         let floor = self.floors.all.get(service)?;
         let fresh = |lot: &str| floor.does.get(lot).filter(|(_, at)| now < at + FRESH).map(|(does, _)| *does);
         let owners = self.ranks.owners();
-        let lots = if owners.lots(service) > 1 { owners.lot_zones(service, "") } else { vec![""] };
+        let lots =
+            if owners.partition_count(service) > 1 { owners.partition_zones(service, "") } else { vec![""] };
         let Some(all) = lots.iter().map(|lot| fresh(lot)).collect::<Option<Vec<_>>>() else {
             return Some(None);
         };
--- a/controller/tests/leader.rs
+++ b/controller/tests/leader.rs
@@ -330,7 +330,7 @@
 /// The instances of the functions that a stall owns or is next for.
 fn its(all: &[Instance], owners: &Owners, peer: &Peer) -> BTreeSet<String> {
     let stands = |i: &&Instance| {
-        owners.first_two(&i.service, &i.zone).into_iter().flatten().any(|p| p.name == peer.name)
+        owners.owner_and_deputy(&i.service, &i.zone).into_iter().flatten().any(|p| p.name == peer.name)
     };
     all.iter().filter(stands).map(|i| i.id.to_string()).collect()
 }
--- a/controller/tests/market/mod.rs
+++ b/controller/tests/market/mod.rs
@@ -9,7 +9,9 @@
 use millpost_net::messaging;
 use millpost_net::pack::unpack;
 use millpost_protocol::{PeerMessage, object, text};
-use millpost_scheduler::{Ask, Coordinator, No, Out, Outcome, Peer, SECOND, Spec, Terms};
+use millpost_scheduler::{
+    Action, Coordinator, DenialReason, Outcome, Peer, PermitRequest, SECOND, SchedulerLimits, Spec,
+};
 use tinyjson::JsonValue;
 
 use crate::town::{MS, Town};
@@ -90,8 +92,13 @@
                 address: format!("edge-{n}").into(),
                 zone: "z".into(),
             };
-            let terms =
-                Terms { ratio: 0.2, window: 10 * SECOND, slack: 50.0, asks_per_s: 1e6, speeds: false };
+            let terms = SchedulerLimits {
+                ratio: 0.2,
+                window: 10 * SECOND,
+                slack: 50.0,
+                requests_per_s: 1e6,
+                rank_by_latency: false,
+            };
             let desk = Coordinator::new(peer.clone(), terms, n, 1_000_000 * n);
             market.stalls.push(Stall { peer, desk, config: None, up: true, says: Vec::new() });
             for machine in 0..3 {
@@ -141,7 +148,7 @@
 
     /// Instances of a function that its owner knows to work.
     pub fn ready(&self, service: &str) -> usize {
-        let of = self.stalls[self.owner(service)].desk.broker();
+        let of = self.stalls[self.owner(service)].desk.scheduler();
         let ready = |i: &&millpost_scheduler::Instance| {
             i.service == service && i.stage == millpost_scheduler::Stage::Ready
         };
@@ -235,7 +242,7 @@
                 PeerMessage::Steward { .. } => None,
                 note => {
                     self.floors += usize::from(matches!(note, PeerMessage::Floor { .. }));
-                    stall.desk.told(now, note);
+                    stall.desk.receive_from_controller(now, note);
                     None
                 }
             };
@@ -260,19 +267,19 @@
         match event {
             Event::Over { stall, ask, service, outcome, took } => {
                 *self.busy.entry(service.clone()).or_default() -= 1;
-                *self.told.entry(format!("{service} {}", outcome.word())).or_default() += 1;
+                *self.told.entry(format!("{service} {}", outcome.as_str())).or_default() += 1;
                 if self.stalls[stall].up {
                     self.stalls[stall].desk.finish(now, ask, outcome, took);
                 }
             }
             Event::Up { stall, instance } if self.stalls[stall].up => {
-                if self.stalls[stall].desk.boots(&instance) {
-                    self.stalls[stall].desk.up(now, &instance);
+                if self.stalls[stall].desk.is_booting(&instance) {
+                    self.stalls[stall].desk.instance_up(now, &instance);
                 }
             }
             Event::Mail { from, to, note } if self.stalls[to].up => {
                 let name = self.stalls[from].peer.name.clone();
-                self.stalls[to].desk.mail(now, &name, 1, vec![note]);
+                self.stalls[to].desk.receive(now, &name, 1, vec![note]);
             }
             Event::Up { .. } | Event::Mail { .. } => {}
         }
@@ -286,7 +293,7 @@
         let route = &config.routes[self.count as usize / 3 % config.routes.len()];
         let service = route.pick(self.count).expect("a service").clone();
         let (deadline, target) = (now + route.deadline_ms * MS, route.target_latency_ms * MS);
-        let ask = Ask {
+        let ask = PermitRequest {
             id: 0,
             service: service.clone(),
             deadline,
@@ -297,7 +304,7 @@
             avoid: vec![],
             zone: "z".into(),
         };
-        if let Some(id) = stall.desk.ask(now, ask, true) {
+        if let Some(id) = stall.desk.request_permit(now, ask, true) {
             self.asks += 1;
             self.open.insert((n, id), service.into());
         }
@@ -307,25 +314,25 @@
         if !self.stalls[n].up {
             return;
         }
-        for out in self.stalls[n].desk.take() {
+        for out in self.stalls[n].desk.take_actions() {
             match out {
-                Out::Send { to, note } => {
+                Action::Send { to, note } => {
                     let to = self.stalls.iter().position(|s| s.peer.address == to).expect("a stall");
                     self.later(now + STEP, Event::Mail { from: n, to, note });
                 }
-                Out::Granted { ask, .. } => {
+                Action::Granted { ask, .. } => {
                     let service = self.open.remove(&(n, ask)).expect("an ask, granted once");
                     let busy = self.busy.entry(service.clone()).or_default();
                     *busy += 1;
                     let (outcome, took) = (self.serves)(&service, *busy);
                     self.later(now + took, Event::Over { stall: n, ask, service, outcome, took });
                 }
-                Out::Refused { ask, no } => {
+                Action::Refused { ask, reason: no } => {
                     let service = self.open.remove(&(n, ask)).expect("an ask");
-                    let why = if matches!(no, No::Full(_)) { "full" } else { no.word() };
+                    let why = if matches!(no, DenialReason::Full(_)) { "full" } else { no.as_str() };
                     *self.told.entry(format!("{service} no: {why}")).or_default() += 1;
                 }
-                Out::Up(note) => {
+                Action::NotifyController(note) => {
                     match &note {
                         PeerMessage::Retire { instance } => self.retired.push(instance.to_string()),
                         PeerMessage::Want { service, does: Some(_), .. } => {
@@ -335,7 +342,7 @@
                     }
                     self.stalls[n].says.push(note);
                 }
-                Out::Scout { instance, from } => {
+                Action::ProbeReadiness { instance, from } => {
                     let instance = instance.id.to_string();
                     self.later(from.max(now) + BOOT, Event::Up { stall: n, instance });
                 }
@@ -350,7 +357,7 @@
             return;
         }
         if now.is_multiple_of(450 * MS) {
-            let (split, digest) = (stall.desk.split(), stall.desk.digest());
+            let (split, digest) = (stall.desk.view_split(), stall.desk.view_digest());
             stall.says.push(PeerMessage::Alive { peer: stall.peer.clone(), serving: true, split, digest });
             let revision = stall.config.as_ref().map_or(0, |c| c.revision);
             stall.says.push(PeerMessage::Acts { revision, number: 0 });
--- a/explore/src/owners.rs
+++ b/explore/src/owners.rs
@@ -9,7 +9,9 @@
 
 use compact_str::{CompactString, format_compact};
 use millpost_protocol::{Instance, PeerMessage};
-use millpost_scheduler::{Ask, Coordinator, MS, Nanos, Out, Outcome, Owners, Peer, SECOND, Spec, Terms};
+use millpost_scheduler::{
+    Action, Coordinator, MS, Nanos, Outcome, Owners, Peer, PermitRequest, SECOND, SchedulerLimits, Spec,
+};
 
 use crate::part::print;
 use crate::search::{State, Way};
@@ -177,19 +179,24 @@
             way: Vec::new(),
         };
         for (at, n) in names.into_iter().enumerate() {
-            let terms =
-                Terms { ratio: 0.2, window: 10 * SECOND, slack: 50.0, asks_per_s: 100.0, speeds: false };
+            let terms = SchedulerLimits {
+                ratio: 0.2,
+                window: 10 * SECOND,
+                slack: 50.0,
+                requests_per_s: 100.0,
+                rank_by_latency: false,
+            };
             let mut desk = Coordinator::new(peer(n), terms, n as u64, 1_000 * (at as u64 + 1));
             let concurrency = if fault == Some(Fault::OneSlotTooMany) { 2 } else { 1 };
             let spec = Spec { name: SERVICE.into(), concurrency, boot: 400 * MS, memory_mb: 128 };
             desk.configure(0, [spec].into_iter());
-            desk.told(0, world.naming(1));
+            desk.receive_from_controller(0, world.naming(1));
             // Only owners hear of instances.
             if at == OLD {
-                desk.told(0, world.instances(1));
+                desk.receive_from_controller(0, world.instances(1));
             }
             desk.tick(T);
-            desk.take();
+            desk.take_actions();
             world.desks.push(desk);
         }
         world
@@ -233,10 +240,10 @@
         self.heard[place] = print(&(self.heard[place], self.now, what));
         let Some(desk) = self.desks.get_mut(place) else { return };
         hear(desk, self.now);
-        for out in desk.take() {
+        for out in desk.take_actions() {
             match out {
-                Out::Send { to, note } => self.send(at, &to, note),
-                Out::Granted { ask, instance, .. } => self.grant(Granted { desk: at, ask, instance }),
+                Action::Send { to, note } => self.send(at, &to, note),
+                Action::Granted { ask, instance, .. } => self.grant(Granted { desk: at, ask, instance }),
                 _ => {}
             }
         }
@@ -285,7 +292,7 @@
                 self.left[usize::from(at)] -= 1;
                 let zone = peer(self.names[usize::from(at)]).zone;
                 self.with(at, &"ask", |desk, now| {
-                    let ask = Ask {
+                    let ask = PermitRequest {
                         id: 0,
                         service: SERVICE.into(),
                         deadline: now + 4 * SECOND,
@@ -296,23 +303,23 @@
                         avoid: vec![],
                         zone,
                     };
-                    desk.ask(now, ask, true);
+                    desk.request_permit(now, ask, true);
                 });
             }
             Step::Named(at) => {
                 self.named[usize::from(at)] = true;
                 let (naming, instances) = (self.naming(2), self.instances(2));
                 self.with(at, &"named", |desk, now| {
-                    desk.told(now, naming);
+                    desk.receive_from_controller(now, naming);
                     if usize::from(at) == NEW {
-                        desk.told(now, instances);
+                        desk.receive_from_controller(now, instances);
                     }
                 });
             }
             Step::Comes(place) => {
                 let (Mail { from, to, text }, note) = self.mail.remove(usize::from(place));
                 let name = peer(self.names[usize::from(from)]).name;
-                self.with(to, &(from, text), |desk, now| desk.mail(now, &name, 1, vec![note]));
+                self.with(to, &(from, text), |desk, now| desk.receive(now, &name, 1, vec![note]));
             }
             Step::Ends(place) => {
                 let Granted { desk, ask, .. } = self.granted.remove(usize::from(place));
@@ -334,7 +341,10 @@
                 self.act(step);
             }
         }
-        let out = self.desks.iter().any(|desk| desk.broker().permits().count() > 0 || desk.asks() > 0);
+        let out = self
+            .desks
+            .iter()
+            .any(|desk| desk.scheduler().permits().count() > 0 || desk.open_request_count() > 0);
         let asked: usize = self.case.asks.iter().map(|n| usize::from(*n)).sum();
         if out || self.ever.len() < asked {
             self.breach = self.breach.or(Some(property::END));
--- a/migration/src/watch.rs
+++ b/migration/src/watch.rs
@@ -2,7 +2,7 @@
 //! allows. Soft: a new holder begins anew, so that a change of holder makes a move longer, never shorter.
 
 use millpost::retry_probability;
-use millpost_scheduler::first_gap;
+use millpost_scheduler::first_retry_delay;
 
 use crate::observation::Observation;
 use crate::record::{Direction, Move, State};
@@ -112,7 +112,7 @@
         route.map(|route| route.target_latency_ms)
     };
     let aim = of.hauls.iter().filter_map(aim).min().unwrap_or(1_000);
-    let t1 = first_gap(aim.saturating_mul(MS));
+    let t1 = first_retry_delay(aim.saturating_mul(MS));
     let mut does = Does { chance: 1.0, refused: 0.0 };
     for (name, _) in &of.needs {
         let function = sight.function(now, name)?;
--- a/proxy/src/errors.rs
+++ b/proxy/src/errors.rs
@@ -72,10 +72,10 @@
 
     #[yare::parameterized(
         full = { Kind::Refused(Refusal::Full(300 * MS)), 503, true },
-        none = { Kind::Refused(Refusal::Empty), 503, true },
+        none = { Kind::Refused(Refusal::NotReady), 503, true },
         unsent = { Kind::Refused(Refusal::NotSent), 503, true },
         no_answer = { Kind::Refused(Refusal::NoAnswer), 502, false },
-        late = { Kind::Refused(Refusal::Late), 504, false },
+        late = { Kind::Refused(Refusal::TimedOut), 504, false },
         no_route = { Kind::NoRoute, 404, false },
     )]
     fn what_may_have_run_gets_no_status_that_promises_otherwise(kind: Kind, status: u16, wait: bool) {
--- a/proxy/src/figures.rs
+++ b/proxy/src/figures.rs
@@ -7,7 +7,7 @@
 
 use hyper::StatusCode;
 use millpost_net::metrics::Metrics;
-use millpost_scheduler::{Coordinator, Counts, MS, Nanos, Outcome, Phase};
+use millpost_scheduler::{Coordinator, Counts, MS, Nanos, Outcome, ShutdownPhase};
 
 /// Open requests that are told one by one when a process ends.
 const TOLD_AT_THE_END: usize = 20;
@@ -41,13 +41,13 @@
 
     /// A try is over.
     pub fn tried(&self, outcome: Outcome) {
-        *self.tries.borrow_mut().entry(outcome.word()).or_default() += 1;
+        *self.tries.borrow_mut().entry(outcome.as_str()).or_default() += 1;
     }
 
     /// Tells the log what became of permits since it was told last: with each naming, and where instances turn requests away.
     pub fn tell_permits(&self, now: Nanos, desk: &Coordinator) {
-        let (counts, mut told) = (desk.broker().counts(), self.told.borrow_mut());
-        if counts.namings > told.namings {
+        let (counts, mut told) = (desk.scheduler().counts(), self.told.borrow_mut());
+        if counts.views_applied > told.views_applied {
             log::info!(
                 "naming {:?}: {} permits freed, {} handed over, {} taken over, {} told of by holders, {} notes without an address",
                 desk.owners().version(),
@@ -74,12 +74,12 @@
 
     /// Tells the log of the requests that are still open when the process ends.
     pub fn tell_open(&self, now: Nanos, desk: &Coordinator) {
-        let open = desk.asks();
+        let open = desk.open_request_count();
         if open == 0 {
             return;
         }
         log::warn!("{open} requests are open at the end of the process");
-        for ask in desk.open_asks().take(TOLD_AT_THE_END) {
+        for ask in desk.open_requests().take(TOLD_AT_THE_END) {
             log::warn!(
                 "open: for {}, with {}, {}, {} ms left",
                 ask.service,
@@ -91,12 +91,19 @@
     }
 
     /// All figures of this moment.
-    pub fn figures(&self, now: Nanos, desk: &Coordinator, phase: Phase, ready: bool, acted: u64) -> Metrics {
+    pub fn figures(
+        &self,
+        now: Nanos,
+        desk: &Coordinator,
+        phase: ShutdownPhase,
+        ready: bool,
+        acted: u64,
+    ) -> Metrics {
         let mut figures = Metrics::default();
-        let counts = desk.broker().counts();
-        let waiting = desk.open_asks().filter(|ask| ask.instance.is_none()).count();
+        let counts = desk.scheduler().counts();
+        let waiting = desk.open_requests().filter(|ask| ask.instance.is_none()).count();
         let (fence, count) = desk.owners().version();
-        let queued: usize = desk.broker().queues().map(|(_, waiting)| waiting).sum();
+        let queued: usize = desk.scheduler().queues().map(|(_, waiting)| waiting).sum();
         figures.put("proxy_uptime_seconds", now / (1_000 * MS));
         figures.put("proxy_phase", phase as u8);
         figures.put("proxy_ready", u8::from(ready));
@@ -112,8 +119,8 @@
             figures.put_of("proxy_tries_total", "outcome", outcome, count);
         }
         figures.put("proxy_requests_waiting", waiting);
-        figures.put("proxy_requests_sent", desk.asks() - waiting);
-        figures.put("owner_permits_out", desk.broker().permits().count());
+        figures.put("proxy_requests_sent", desk.open_request_count() - waiting);
+        figures.put("owner_permits_out", desk.scheduler().permits().count());
         figures.put("owner_requests_queued", queued);
         figures.put("owner_permits_freed_total", counts.freed);
         figures.put("owner_permits_handed_over_total", counts.handed_over);
--- a/proxy/src/front.rs
+++ b/proxy/src/front.rs
@@ -20,7 +20,7 @@
 use millpost_config::{Route, Traffic};
 use millpost_net::connection_limiter::{ConnectionLimiter, ConnectionSlot};
 use millpost_net::serving::serve_one;
-use millpost_scheduler::{MS, Outcome, Phase, Refusal, RequestFlow, RequestInfo, Step, TraceEvent};
+use millpost_scheduler::{MS, Outcome, Refusal, RequestFlow, RequestInfo, ShutdownPhase, Step, TraceEvent};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
@@ -52,18 +52,18 @@
     shop: Rc<Shop>,
     listener: TcpListener,
     room: std::sync::Arc<ConnectionLimiter>,
-    mut phases: watch::Receiver<Phase>,
+    mut phases: watch::Receiver<ShutdownPhase>,
 ) {
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = phases.wait_for(|p| *p >= Phase::Closing) => break,
+            _ = phases.wait_for(|p| *p >= ShutdownPhase::Closing) => break,
         };
         match accepted {
             Ok((stream, _)) => {
                 let (seat, leave) = tokio::select! {
                     entered = room.enter() => entered,
-                    _ = phases.wait_for(|p| *p >= Phase::Closing) => break,
+                    _ = phases.wait_for(|p| *p >= ShutdownPhase::Closing) => break,
                 };
                 let (shop, phases) = (Rc::clone(&shop), phases.clone());
                 tokio::task::spawn_local(async move {
@@ -85,7 +85,7 @@
     stream: TcpStream,
     shop: Rc<Shop>,
     seat: Rc<ConnectionSlot>,
-    mut phases: watch::Receiver<Phase>,
+    mut phases: watch::Receiver<ShutdownPhase>,
 ) {
     let _ = stream.set_nodelay(true);
     let (most, idle) = match &*shop.force.borrow() {
@@ -100,7 +100,7 @@
             let mut answer = answer(&shop, request, &seat, &End(phase.clone())).await;
             shop.counters.answered(answer.status());
             seat.idle();
-            if *phase.borrow() >= Phase::Leaving || shop.rests() {
+            if *phase.borrow() >= ShutdownPhase::Leaving || shop.rests() {
                 answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
             Ok::<_, Infallible>(answer)
@@ -112,7 +112,7 @@
         .max_buf_size(most.clamp(8 * 1024, 1 << 20) + 1_024)
         .auto_date_header(false);
     let closing = async move {
-        let _ = phases.wait_for(|p| *p >= Phase::Closing).await;
+        let _ = phases.wait_for(|p| *p >= ShutdownPhase::Closing).await;
     };
     serve_one(&http, stream, service, closing).await;
 }
@@ -134,11 +134,11 @@
 }
 
 /// The end of the process, as a request waits for it.
-struct End(watch::Receiver<Phase>);
+struct End(watch::Receiver<ShutdownPhase>);
 
 impl End {
     /// Waits for that phase; for ever where nothing leads to it any more.
-    async fn comes(&self, phase: Phase) {
+    async fn comes(&self, phase: ShutdownPhase) {
         let mut phases = self.0.clone();
         if phases.wait_for(|p| *p >= phase).await.is_err() {
             std::future::pending::<()>().await;
@@ -158,14 +158,14 @@
     let read = tokio::select! {
         biased;
         read = read(shop, request, came) => read,
-        () = end.comes(Phase::Refusing) => Err(Kind::Slow),
+        () = end.comes(ShutdownPhase::Refusing) => Err(Kind::Slow),
     };
     match read {
         Err(kind) => {
             if shop.records() {
                 let attempt =
                     millpost_scheduler::trace::attempt(attempt.as_ref().map_or(&[], |id| id.as_bytes()));
-                shop.trail(shop.now(), &TraceEvent::Turned { attempt, status: kind.answer().0.as_u16() });
+                shop.trail(shop.now(), &TraceEvent::Rejected { attempt, status: kind.answer().0.as_u16() });
             }
             ours(kind)
         }
@@ -213,7 +213,7 @@
 }
 
 async fn read(shop: &Rc<Shop>, request: Request<Incoming>, came: Instant) -> Result<Asked, Kind> {
-    let force = shop.force.borrow().clone().ok_or(Kind::Refused(Refusal::Empty))?;
+    let force = shop.force.borrow().clone().ok_or(Kind::Refused(Refusal::NotReady))?;
     let (mut head, body) = request.into_parts();
     let one = |name: &HeaderName| {
         let mut all = head.headers.get_all(name).iter();
@@ -221,7 +221,7 @@
     };
     one(&ATTEMPT).ok_or(Kind::Malformed)?;
     let host = one(&HOST).and_then(|h| h.to_str().ok()).ok_or(Kind::Malformed)?;
-    let unknown = if shop.currency.knows_routes() { Kind::NoRoute } else { Kind::Refused(Refusal::Empty) };
+    let unknown = if shop.currency.knows_routes() { Kind::NoRoute } else { Kind::Refused(Refusal::NotReady) };
     let route = force.table.find(host, head.uri.path()).ok_or(unknown)?.clone();
     let given = match one(&DEADLINE) {
         Some(ms) => ms
@@ -243,7 +243,7 @@
     let body = body.map_err(|_| Kind::Slow)?;
     let body = body.map_err(|e| if e.is::<LengthLimitError>() { Kind::TooLarge } else { Kind::Malformed })?;
     strip(&mut head.headers);
-    let returned = shop.patience.borrow_mut().returned(&route.name, given);
+    let returned = shop.patience.borrow_mut().is_returning(&route.name, given);
     let service = route.pick(drawn(&head.headers)).cloned().ok_or(Kind::NoRoute)?;
     // An absolute target is passed on as its path.
     if let Some(path) = head.uri.path_and_query().cloned() {
@@ -311,11 +311,11 @@
     let mut step = passage.begin(shop.informed());
     loop {
         step = match step {
-            Step::Tell(told) => {
+            Step::Respond(told) => {
                 follow.over();
                 return told.map_err(Kind::Refused);
             }
-            Step::Find => {
+            Step::ResolveRoute => {
                 let force = shop.force.borrow().clone();
                 let to = force.as_ref().and_then(|force| leads(force, &request));
                 if let (Some(force), Some(to)) = (&force, &to) {
@@ -323,23 +323,23 @@
                 }
                 let now = shop.now();
                 follow.step(now, |p| TraceEvent::Moved { p, to: to.clone() });
-                passage.moved(now, to)
+                passage.route_resolved(now, to)
             }
             Step::Wait(at) => tokio::select! {
-                () = sleep_until(shop.moment(at)) => passage.ask(),
-                () = end.comes(Phase::Refusing) => passage.ends(),
+                () = sleep_until(shop.moment(at)) => passage.request_permit(),
+                () = end.comes(ShutdownPhase::Refusing) => passage.shutdown(),
             },
-            Step::Ask(ask, first) => match shop.ask(ask, first, follow.number()) {
-                None => passage.unasked(),
+            Step::RequestPermit(ask, first) => match shop.ask(ask, first, follow.number()) {
+                None => passage.too_many_open(),
                 Some((id, word)) => {
                     let permit =
                         Permit { shop, id, outcome: Cell::new(Outcome::Unused), since: Cell::new(None) };
                     let word = tokio::select! {
                         biased;
                         word = timeout_at(deadline, word) => word,
-                        () = end.comes(Phase::Refusing) => {
-                            follow.step(shop.now(), |p| TraceEvent::Late { p });
-                            step = passage.ends();
+                        () = end.comes(ShutdownPhase::Refusing) => {
+                            follow.step(shop.now(), |p| TraceEvent::DeadlinePassed { p });
+                            step = passage.shutdown();
                             continue;
                         }
                     };
@@ -349,17 +349,17 @@
                             let since = shop.at(begun);
                             passage.granted(since);
                             permit.since.set(Some(begun));
-                            permit.outcome.set(Outcome::LeftAlone);
-                            let within = shop.margins.borrow().within(&passage.wish().service);
-                            let until = passage.waits(since, within).map(|at| shop.moment(at));
+                            permit.outcome.set(Outcome::Abandoned);
+                            let within = shop.margins.borrow().timeout(&passage.info().service);
+                            let until = passage.attempt_deadline(since, within).map(|at| shop.moment(at));
                             let call = Call { request: &request, once: !repeatable, deadline, until, most };
                             let done = tokio::select! {
                                 biased;
                                 done = shop.pool.exchange(&instance, address, call) => done,
-                                () = end.comes(Phase::Ending) => Exchange::cut(),
+                                () = end.comes(ShutdownPhase::Ending) => Exchange::cut(),
                             };
                             permit.outcome.set(done.outcome);
-                            shop.took(&passage.wish().service, done.outcome, begun);
+                            shop.took(&passage.info().service, done.outcome, begun);
                             shop.counters.tried(done.outcome);
                             drop(permit);
                             if done.refused {
@@ -371,16 +371,16 @@
                                 let instance = instance.clone();
                                 TraceEvent::Ended { p, begun: since, instance, outcome, sent, status }
                             });
-                            passage.ended(now, instance, outcome, sent, done.answer)
+                            passage.attempt_ended(now, instance, outcome, sent, done.answer)
                         }
                         Ok(Ok(Err(no))) => {
                             let now = shop.now();
-                            follow.step(now, |p| TraceEvent::Denied { p, no });
-                            passage.refused(now, no)
+                            follow.step(now, |p| TraceEvent::Denied { p, reason: no });
+                            passage.denied(now, no)
                         }
                         _ => {
-                            follow.step(shop.now(), |p| TraceEvent::Late { p });
-                            passage.late()
+                            follow.step(shop.now(), |p| TraceEvent::DeadlinePassed { p });
+                            passage.deadline_passed()
                         }
                     }
                 }
--- a/proxy/src/opening.rs
+++ b/proxy/src/opening.rs
@@ -8,7 +8,7 @@
 use millpost_net::connection_limiter::ConnectionLimiter;
 use millpost_net::messaging::{self, Limits, Reply};
 use millpost_net::metrics;
-use millpost_scheduler::Phase;
+use millpost_scheduler::ShutdownPhase;
 use snafu::{OptionExt, ResultExt};
 use tokio::net::TcpListener;
 use tokio::sync::{oneshot, watch};
@@ -24,7 +24,7 @@
 /// Serves until the end.
 pub async fn work(
     shop: &Rc<Shop>,
-    phases: watch::Receiver<Phase>,
+    phases: watch::Receiver<ShutdownPhase>,
     metrics: Option<u16>,
 ) -> Result<(), Error> {
     let settings = &shop.settings;
--- a/proxy/src/pool.rs
+++ b/proxy/src/pool.rs
@@ -79,7 +79,7 @@
 impl Exchange {
     /// One that is waited for no more: its request may be running.
     pub fn cut() -> Self {
-        Exchange::of(Outcome::LeftAlone, true)
+        Exchange::of(Outcome::Abandoned, true)
     }
 
     fn of(outcome: Outcome, sent: bool) -> Self {
@@ -138,8 +138,8 @@
     pub async fn exchange(&self, instance: &CompactString, address: SocketAddr, call: Call<'_>) -> Exchange {
         let Call { request, once, deadline, until, most } = call;
         let (until, unheard) = match until.filter(|until| *until < deadline) {
-            Some(until) => (until, Outcome::Silent),
-            None => (deadline, Outcome::LeftAlone),
+            Some(until) => (until, Outcome::TimedOut),
+            None => (deadline, Outcome::Abandoned),
         };
         let mut fresh = false;
         loop {
@@ -161,7 +161,7 @@
             };
             let proof = once || age >= JUST_USED;
             let Some(out) = outward(request, instance, deadline) else {
-                return Exchange::of(Outcome::LeftAlone, false);
+                return Exchange::of(Outcome::Abandoned, false);
             };
             let asked = timeout_at(until, link.send(out, proof, None)).await;
             let answer = match asked {
@@ -225,7 +225,7 @@
         return Outcome::NoAnswer;
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
-        return Outcome::Elsewhere;
+        return Outcome::AddressReused;
     }
     if headers.contains_key(NOT_RUN) {
         return Outcome::Full;
@@ -272,7 +272,7 @@
         failure = { 500, &[("x-attempt-id", "mine")], Outcome::Failed },
         turned_away = { 503, &[("x-attempt-id", "mine"), ("x-not-executed", "1")], Outcome::Full },
         another_was_turned_away = { 503, &[("x-attempt-id", "other"), ("x-not-executed", "1")], Outcome::NoAnswer },
-        elsewhere = { 421, &[("x-attempt-id", "mine")], Outcome::Elsewhere },
+        elsewhere = { 421, &[("x-attempt-id", "mine")], Outcome::AddressReused },
         another_was_elsewhere = { 421, &[("x-attempt-id", "other")], Outcome::NoAnswer },
         a_promise_of_nobody = { 503, &[("x-attempt-id", "mine")], Outcome::NoAnswer },
     )]
--- a/proxy/src/shop.rs
+++ b/proxy/src/shop.rs
@@ -15,8 +15,9 @@
 use millpost_protocol::frame::Head;
 use millpost_protocol::{MessageBatch, PeerMessage, object, text};
 use millpost_scheduler::{
-    Ask, AttemptTimeouts, ClientTimeouts, MS, Nanos, No, Out, Outcome, Peer, Phase, Recorded as Coordinator,
-    Sink, Spec, Terms, TraceEvent, asks_per_s,
+    Action, AttemptTimeouts, ClientTimeouts, DenialReason, MS, Nanos, Outcome, Peer, PermitRequest,
+    RecordedCoordinator as Coordinator, SchedulerLimits, ShutdownPhase, Sink, Spec, TraceEvent,
+    max_requests_per_s,
 };
 use tinyjson::JsonValue;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -58,7 +59,7 @@
 const PORTER: &str = "porter";
 
 /// A word for a request that waits for its permit.
-pub type Word = Result<(CompactString, SocketAddr), No>;
+pub type Word = Result<(CompactString, SocketAddr), DenialReason>;
 
 /// What the parts of a stall share. All on one thread.
 pub struct Shop {
@@ -160,15 +161,15 @@
             address: address.to_string().into(),
             zone: settings.zone.clone(),
         };
-        let terms = Terms {
+        let terms = SchedulerLimits {
             ratio: settings.bounds.retry_ratio,
             window: (settings.bounds.retry_window_s * 1e9) as Nanos,
             slack: settings.bounds.retry_slack,
-            asks_per_s: asks_per_s(
+            requests_per_s: max_requests_per_s(
                 settings.limits.link_mbps,
                 settings.limits.cpu_share * settings.limits.cpu_cores,
             ),
-            speeds,
+            rank_by_latency: speeds,
         };
         // Numbers of asks are never used twice, in no life; 2^53 is the most that a JSON number tells.
         let first = (life & 0xffff_ffff) << 20;
@@ -221,7 +222,7 @@
 
     /// Whether clients may be sent here.
     pub fn ready(&self) -> bool {
-        self.force.borrow().is_some() && self.desk.borrow().informed() && !self.rests()
+        self.force.borrow().is_some() && self.desk.borrow().has_view() && !self.rests()
     }
 
     /// Whether operators have taken this stall out for a while.
@@ -246,14 +247,14 @@
     }
 
     /// Takes in what comes, and carries out what is decided, to the end.
-    pub async fn rounds(self: &Rc<Self>, mut phases: watch::Receiver<Phase>) {
+    pub async fn rounds(self: &Rc<Self>, mut phases: watch::Receiver<ShutdownPhase>) {
         let Some(mut coming) = self.coming.borrow_mut().take() else { return };
         // The first word of it goes out at once: others wait for that after a restart.
         let (mut beat, mut sweep, mut due) = (None::<Instant>, Instant::now(), Instant::now());
         loop {
             let mut came = None;
             tokio::select! {
-                _ = phases.wait_for(|p| *p == Phase::Over) => {
+                _ = phases.wait_for(|p| *p == ShutdownPhase::Finished) => {
                     return self.counters.tell_open(self.now(), &self.desk.borrow());
                 }
                 input = coming.recv() => came = input,
@@ -281,9 +282,9 @@
                         .into(),
                     zone: self.settings.zone.clone(),
                 };
-                let serving = *phases.borrow() < Phase::Closing;
-                let split = self.desk.borrow().split();
-                let digest = self.desk.borrow().digest();
+                let serving = *phases.borrow() < ShutdownPhase::Closing;
+                let split = self.desk.borrow().view_split();
+                let digest = self.desk.borrow().view_digest();
                 self.up(&PeerMessage::Alive { peer, serving, split, digest });
                 if let Some(left) = self.rest.left(self.now()) {
                     self.up(&PeerMessage::Rest { name: self.settings.node_name.clone(), left });
@@ -307,18 +308,18 @@
         }
     }
 
-    fn input(self: &Rc<Self>, input: Input, phase: Phase) {
+    fn input(self: &Rc<Self>, input: Input, phase: ShutdownPhase) {
         match input {
             Input::Call(call, reply) => {
                 let _ = reply.send(self.call(&call, phase));
             }
             Input::Mail(Event::Lost { peer, .. }) if &*peer == PORTER => {
                 self.hurry.set(Some(Instant::now() + HURRY));
-                self.desk.borrow_mut().mute(self.now())
+                self.desk.borrow_mut().controller_unreachable(self.now())
             }
             Input::Mail(Event::Lost { peer, notes }) => {
                 let notes = notes.iter().filter_map(|n| PeerMessage::read(n).ok()).collect();
-                self.desk.borrow_mut().returned(self.now(), &peer, notes);
+                self.desk.borrow_mut().undelivered(self.now(), &peer, notes);
             }
             Input::Mail(Event::Answered { body, .. }) => {
                 if let Some(letter) =
@@ -332,14 +333,14 @@
     }
 
     /// Mail from another stall or from the porter, or the platform asks whether clients may be sent here.
-    fn call(self: &Rc<Self>, call: &Call, phase: Phase) -> Reply {
+    fn call(self: &Rc<Self>, call: &Call, phase: ShutdownPhase) -> Reply {
         match (call.method.as_str(), call.path.as_str()) {
-            ("GET", "/readiness") if self.ready() && phase == Phase::Serving => {
+            ("GET", "/readiness") if self.ready() && phase == ShutdownPhase::Serving => {
                 return Reply::empty(StatusCode::OK);
             }
             ("GET", "/readiness") => return Reply::empty(StatusCode::SERVICE_UNAVAILABLE),
             ("GET", metrics::PATH) => {
-                let (now, ready) = (self.now(), self.ready() && phase == Phase::Serving);
+                let (now, ready) = (self.now(), self.ready() && phase == ShutdownPhase::Serving);
                 let desk = self.desk.borrow();
                 return self.counters.figures(now, &desk, phase, ready, self.currency.acted()).reply();
             }
@@ -396,14 +397,14 @@
                 }
                 PeerMessage::Rest { name, left } => self.rest(&name, left),
                 PeerMessage::Stands { revision } => self.currency.stands(revision),
-                note => self.desk.borrow_mut().told(now, note),
+                note => self.desk.borrow_mut().receive_from_controller(now, note),
             }
         }
         if between.is_empty() {
             return Reply::empty(StatusCode::OK);
         }
         // What is to be said in return goes with the answer, and needs no mail of its own.
-        let address = self.desk.borrow().address(&letter.from).cloned();
+        let address = self.desk.borrow().address_of(&letter.from).cloned();
         self.mail(&letter.from, letter.life, between);
         *self.replying.borrow_mut() = address.map(|address| (address, Vec::new()));
         self.carry_out();
@@ -428,12 +429,12 @@
                 self.raise_incarnation(from, known);
             }
         }
-        self.desk.borrow_mut().mail(self.now(), from, life, notes);
+        self.desk.borrow_mut().receive(self.now(), from, life, notes);
     }
 
     /// Another stall knows this one by a later life.
     fn raise_incarnation(&self, by: &str, known: u64) {
-        let Some(address) = self.desk.borrow().address(by).cloned() else { return };
+        let Some(address) = self.desk.borrow().address_of(by).cloned() else { return };
         if self.incarnation_for(&address).raise_above(known) {
             log::warn!("{by} knows this stall by a later life: the time of day has stepped back");
         }
@@ -472,7 +473,7 @@
 
     fn put_in_force(&self, config: Config) {
         self.currency.act(config.revision);
-        self.trail(self.now(), &TraceEvent::Acts { revision: config.revision });
+        self.trail(self.now(), &TraceEvent::ConfigInForce { revision: config.revision });
         let named: HashSet<_> = config.routes.iter().map(|r| &r.name).collect();
         self.patience.borrow_mut().retain(|name| named.contains(name));
         let served: HashSet<_> = config.services.iter().map(|s| &s.name).collect();
@@ -508,35 +509,35 @@
 
     /// Control has named the stalls: there is somebody to ask.
     pub fn informed(&self) -> bool {
-        self.desk.borrow().informed()
+        self.desk.borrow().has_view()
     }
 
     /// What is decided on is recorded.
     pub fn records(&self) -> bool {
-        self.desk.borrow().tapes()
+        self.desk.borrow().is_recording()
     }
 
     /// A number for the next request's trail; none where nothing is recorded.
     pub fn follow(&self) -> Option<u64> {
-        self.desk.borrow_mut().follow()
+        self.desk.borrow_mut().next_request_number()
     }
 
     /// A step of a request's, for whoever records.
     pub fn trail(&self, now: Nanos, trail: &TraceEvent) {
-        self.desk.borrow_mut().trail(now, trail);
+        self.desk.borrow_mut().trace(now, trail);
     }
 
     /// Asks for a permit. The word for it comes by the channel; the number is for [`Shop::finish`]. `of`: the request's number.
     pub fn ask(
         self: &Rc<Self>,
-        ask: Ask,
+        ask: PermitRequest,
         first: bool,
         of: Option<u64>,
     ) -> Option<(u64, oneshot::Receiver<Word>)> {
         let (told, word) = oneshot::channel();
         let id = {
             let mut desk = self.desk.borrow_mut();
-            desk.ask(self.now(), ask, first, of)?
+            desk.request_permit(self.now(), ask, first, of)?
         };
         self.waiting.borrow_mut().insert(id, told);
         self.carry_out();
@@ -555,21 +556,21 @@
         let took = begun.elapsed().as_nanos() as Nanos;
         match outcome {
             Outcome::Answered => self.margins.borrow_mut().answered(service, took),
-            Outcome::Silent => self.margins.borrow_mut().given_up(service, took),
+            Outcome::TimedOut => self.margins.borrow_mut().timed_out(service, took),
             _ => {}
         }
     }
 
     /// An instance refuses connections.
     pub fn refused(self: &Rc<Self>, instance: &CompactString) {
-        self.desk.borrow_mut().refused(self.now(), instance);
+        self.desk.borrow_mut().connection_refused(self.now(), instance);
         self.carry_out();
     }
 
     /// Carries out what the desk has decided.
     fn carry_out(self: &Rc<Self>) {
         loop {
-            let outs = self.desk.borrow_mut().take();
+            let outs = self.desk.borrow_mut().take_actions();
             if outs.is_empty() {
                 return;
             }
@@ -579,10 +580,10 @@
         }
     }
 
-    fn out(self: &Rc<Self>, out: Out) {
+    fn out(self: &Rc<Self>, out: Action) {
         match out {
-            Out::Send { to, note } => self.send(to, &note),
-            Out::Granted { ask, instance, address } => {
+            Action::Send { to, note } => self.send(to, &note),
+            Action::Granted { ask, instance, address } => {
                 let told = self.waiting.borrow_mut().remove(&ask);
                 let Ok(address) = address.parse() else {
                     log::error!("instance {instance}: {address} is no address");
@@ -593,13 +594,13 @@
                     self.desk.borrow_mut().finish(self.now(), ask, Outcome::Unused, 0);
                 }
             }
-            Out::Refused { ask, no } => {
+            Action::Refused { ask, reason: no } => {
                 if let Some(told) = self.waiting.borrow_mut().remove(&ask) {
                     let _ = told.send(Err(no));
                 }
             }
-            Out::Up(note) => self.up(&note),
-            Out::Scout { instance, from } => self.scout(instance.id, &instance.address, from),
+            Action::NotifyController(note) => self.up(&note),
+            Action::ProbeReadiness { instance, from } => self.scout(instance.id, &instance.address, from),
         }
     }
 
@@ -638,9 +639,9 @@
         tokio::task::spawn_local(async move {
             let until = Instant::now() + SCOUT_FOR;
             sleep_until(shop.moment(from)).await;
-            while Instant::now() < until && shop.desk.borrow().boots(&id) {
+            while Instant::now() < until && shop.desk.borrow().is_booting(&id) {
                 if shop.pool.scout(&id, address, true).await {
-                    shop.desk.borrow_mut().up(shop.now(), &id);
+                    shop.desk.borrow_mut().instance_up(shop.now(), &id);
                     break;
                 }
                 sleep(SCOUT).await;
--- a/proxy/src/signals.rs
+++ b/proxy/src/signals.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use millpost_scheduler::Phase;
+use millpost_scheduler::ShutdownPhase;
 use snafu::ResultExt;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
@@ -12,8 +12,8 @@
 
 /// Follows SIGTERM through the phases; a second one changes nothing. SIGHUP means that the settings file has changed: nothing in it that
 /// a stall uses may change in its life, and the porter follows the seeds.
-pub fn phases(grace: Duration) -> Result<watch::Receiver<Phase>, Error> {
-    let (told, phases) = watch::channel(Phase::Serving);
+pub fn phases(grace: Duration) -> Result<watch::Receiver<ShutdownPhase>, Error> {
+    let (told, phases) = watch::channel(ShutdownPhase::Serving);
     let mut term = signal(SignalKind::terminate()).context(SignalsSnafu)?;
     let mut hang_up = signal(SignalKind::hangup()).context(SignalsSnafu)?;
     tokio::task::spawn_local(async move {
@@ -25,7 +25,7 @@
         }
         let began = Instant::now();
         log::info!("leaving");
-        for (phase, after) in Phase::schedule(grace.as_nanos() as u64) {
+        for (phase, after) in ShutdownPhase::schedule(grace.as_nanos() as u64) {
             sleep_until(began + Duration::from_nanos(after)).await;
             let _ = told.send(phase);
         }
--- a/proxy/src/trail.rs
+++ b/proxy/src/trail.rs
@@ -19,7 +19,7 @@
         let p = shop.follow();
         if let Some(p) = p {
             let attempt = millpost_scheduler::trace::attempt(attempt);
-            let begun = TraceEvent::Begun { p, attempt, route: route.into(), wish: wish.clone() };
+            let begun = TraceEvent::Received { p, attempt, route: route.into(), info: wish.clone() };
             shop.trail(shop.now(), &begun);
         }
         Follow { shop, p }
@@ -45,6 +45,6 @@
 
 impl Drop for Follow<'_> {
     fn drop(&mut self) {
-        self.step(self.shop.now(), |p| TraceEvent::Left { p });
+        self.step(self.shop.now(), |p| TraceEvent::ClientLeft { p });
     }
 }
--- a/replay/examples/desks.rs
+++ b/replay/examples/desks.rs
@@ -8,7 +8,7 @@
 
 use day::{Day, Plan};
 use millpost_scheduler::recording::{Entry, Input};
-use millpost_scheduler::{Coordinator, SECOND, Terms};
+use millpost_scheduler::{Coordinator, SECOND, SchedulerLimits};
 
 #[path = "../tests/day/mod.rs"]
 #[allow(dead_code)]
@@ -20,7 +20,13 @@
 fn main() -> std::io::Result<()> {
     let folder = std::env::args_os().nth(1).map(PathBuf::from);
     let only = std::env::args().nth(2);
-    let terms = Terms { ratio: 0.2, window: 10 * SECOND, slack: 52.0, asks_per_s: 300.0, speeds: false };
+    let terms = SchedulerLimits {
+        ratio: 0.2,
+        window: 10 * SECOND,
+        slack: 52.0,
+        requests_per_s: 300.0,
+        rank_by_latency: false,
+    };
     let named = |n: usize| -> &'static str { format!("made-{n}").leak() };
     let hot = Plan {
         stalls: 4,
@@ -80,8 +86,8 @@
                 continue;
             };
             let began = Instant::now();
-            entry.input.give(entry.at, desk);
-            let told = desk.take();
+            entry.input.apply(entry.at, desk);
+            let told = desk.take_actions();
             let cost = costs.entry(kind).or_default();
             (cost.0, cost.1) = (cost.0 + 1, cost.1 + began.elapsed());
             if play == 0 {
--- a/replay/examples/recording.rs
+++ b/replay/examples/recording.rs
@@ -7,7 +7,7 @@
 
 use day::{Day, Plan};
 use millpost_scheduler::recording::{Entry, Input};
-use millpost_scheduler::{Coordinator, Recorded, SECOND, Sink, Terms};
+use millpost_scheduler::{Coordinator, RecordedCoordinator, SECOND, SchedulerLimits, Sink};
 
 #[path = "../tests/day/mod.rs"]
 #[allow(dead_code)]
@@ -17,7 +17,13 @@
 const PLAYS: u32 = 40;
 
 fn main() {
-    let terms = Terms { ratio: 0.2, window: 10 * SECOND, slack: 52.0, asks_per_s: 300.0, speeds: false };
+    let terms = SchedulerLimits {
+        ratio: 0.2,
+        window: 10 * SECOND,
+        slack: 52.0,
+        requests_per_s: 300.0,
+        rank_by_latency: false,
+    };
     let plan = Plan {
         stalls: 3,
         functions: vec![("hot", 2, 900, 60.0), ("warm", 8, 500, 30.0)],
@@ -62,35 +68,35 @@
     let (mut desk, given) = (Coordinator::new(me, terms, seed, first), entries[1..].to_vec());
     let begun = Instant::now();
     for entry in given {
-        entry.input.give(entry.at, &mut desk);
-        std::hint::black_box(desk.take());
+        entry.input.apply(entry.at, &mut desk);
+        std::hint::black_box(desk.take_actions());
     }
     begun.elapsed().as_nanos() as f64
 }
 
 fn taped(entries: &[Entry], sink: Option<Sink>) -> f64 {
     let Input::New { me, terms, seed, first } = entries[0].input.clone() else { panic!("a life begins") };
-    let (mut desk, given) = (Recorded::new(me, terms, seed, first, sink), entries[1..].to_vec());
+    let (mut desk, given) = (RecordedCoordinator::new(me, terms, seed, first, sink), entries[1..].to_vec());
     let begun = Instant::now();
     for Entry { at, input, .. } in given {
         match input {
             Input::New { .. } => {}
             Input::Configure(specs) => desk.configure(at, specs.into_iter()),
-            Input::Ask { ask, first, .. } => {
-                desk.ask(at, ask, first, None);
+            Input::RequestPermit { ask, first, .. } => {
+                desk.request_permit(at, ask, first, None);
             }
-            Input::GiveUp { id } => desk.give_up(at, id),
+            Input::Cancel { id } => desk.cancel(at, id),
             Input::Finish { id, outcome, took } => desk.finish(at, id, outcome, took),
-            Input::Up(id) => desk.up(at, &id),
-            Input::Refused(id) => desk.refused(at, &id),
-            Input::Mail { from, life, notes } => desk.mail(at, &from, life, notes),
-            Input::Told(note) => desk.told(at, note),
-            Input::Returned { address, notes } => desk.returned(at, &address, notes),
-            Input::Mute => desk.mute(at),
+            Input::InstanceUp(id) => desk.instance_up(at, &id),
+            Input::ConnectionRefused(id) => desk.connection_refused(at, &id),
+            Input::PeerMessages { from, life, notes } => desk.receive(at, &from, life, notes),
+            Input::ControllerMessage(note) => desk.receive_from_controller(at, note),
+            Input::Undelivered { address, notes } => desk.undelivered(at, &address, notes),
+            Input::ControllerUnreachable => desk.controller_unreachable(at),
             Input::Tick => desk.tick(at),
-            Input::TraceEvent(trail) => desk.trail(at, &trail),
+            Input::TraceEvent(trail) => desk.trace(at, &trail),
         }
-        std::hint::black_box(desk.take());
+        std::hint::black_box(desk.take_actions());
     }
     begun.elapsed().as_nanos() as f64
 }
--- a/replay/examples/traces.rs
+++ b/replay/examples/traces.rs
@@ -12,7 +12,7 @@
 use millpost_config::{Config, change};
 use millpost_protocol::line::Sink;
 use millpost_scheduler::recording::Entry;
-use millpost_scheduler::{MS, SECOND, Terms};
+use millpost_scheduler::{MS, SECOND, SchedulerLimits};
 
 #[path = "../tests/day/mod.rs"]
 #[allow(dead_code)]
@@ -21,7 +21,13 @@
 fn main() -> std::io::Result<()> {
     let folder = std::env::args_os().nth(1).map(PathBuf::from).expect("a folder");
     let write = |name: &str, lines: &[String]| write(&folder, name, lines);
-    let terms = Terms { ratio: 0.2, window: 2 * SECOND, slack: 4.0, asks_per_s: 300.0, speeds: false };
+    let terms = SchedulerLimits {
+        ratio: 0.2,
+        window: 2 * SECOND,
+        slack: 4.0,
+        requests_per_s: 300.0,
+        rank_by_latency: false,
+    };
     let calm = Plan { rates: vec![15.0, 15.0], ..Plan::default() };
     write("calm.jsonl", &Day::of(calm).recorded(0))?;
     let burst = Plan { seed: 2, stalls: 3, rates: vec![2.0, 30.0], ..Plan::default() };
--- a/replay/src/check.rs
+++ b/replay/src/check.rs
@@ -8,7 +8,9 @@
 use millpost::doubled_time;
 use millpost_protocol::PeerMessage;
 use millpost_scheduler::recording::Input;
-use millpost_scheduler::{Ask, MS, Nanos, Out, Outcome, Stage, Terms, first_gap};
+use millpost_scheduler::{
+    Action, MS, Nanos, Outcome, PermitRequest, SchedulerLimits, Stage, first_retry_delay,
+};
 
 use crate::play::Step;
 
@@ -111,7 +113,7 @@
 #[derive(Debug, Default)]
 pub struct Check {
     me: CompactString,
-    terms: Option<Terms>,
+    terms: Option<SchedulerLimits>,
     concurrency: BTreeMap<CompactString, u32>,
     known: BTreeMap<CompactString, Seen>,
     version: (u64, u64),
@@ -162,19 +164,21 @@
         self.comes(step);
         for out in step.outs {
             match out {
-                Out::Send { to, note } => self.sent(step, to, note),
-                Out::Granted { ask, instance, .. } => self.granted(step, *ask, instance),
-                Out::Refused { ask, .. } => {
+                Action::Send { to, note } => self.sent(step, to, note),
+                Action::Granted { ask, instance, .. } => self.granted(step, *ask, instance),
+                Action::Refused { ask, .. } => {
                     if self.own.get(ask).is_none_or(|own| own.granted) {
                         self.broken(Rule::Once, step, || format!("ask {ask} is refused, and is not open"));
                     }
                 }
-                Out::Up(PeerMessage::Retire { instance } | PeerMessage::Lost { instance }) => {
+                Action::NotifyController(
+                    PeerMessage::Retire { instance } | PeerMessage::Lost { instance },
+                ) => {
                     if let Some(seen) = self.known.get_mut(instance) {
                         seen.let_go = true;
                     }
                 }
-                Out::Up(_) | Out::Scout { .. } => {}
+                Action::NotifyController(_) | Action::ProbeReadiness { .. } => {}
             }
         }
         self.ended(step);
@@ -193,16 +197,16 @@
                 self.concurrency = specs.iter().map(|s| (s.name.clone(), s.concurrency.max(1))).collect();
                 self.judged_anew();
             }
-            Input::Ask { ask, first, .. } => self.asked(step, ask, *first),
-            Input::Up(id) => {
+            Input::RequestPermit { ask, first, .. } => self.asked(step, ask, *first),
+            Input::InstanceUp(id) => {
                 if let Some(seen) = self.known.get_mut(id).filter(|seen| seen.stage == Stage::Booting) {
                     seen.stage = Stage::Ready;
                 }
             }
-            Input::Mail { from, life, notes } => self.mail(step, from, *life, notes),
-            Input::Told(note) => self.told(step, note),
+            Input::PeerMessages { from, life, notes } => self.mail(step, from, *life, notes),
+            Input::ControllerMessage(note) => self.told(step, note),
             // Whom it stands with now shows where it is sent anew; else that is this stall itself.
-            Input::Returned { address, notes } => {
+            Input::Undelivered { address, notes } => {
                 for note in notes {
                     if let PeerMessage::Ask { id, .. } | PeerMessage::Held { id, .. } = note
                         && let Some(own) = self.own.get_mut(id)
@@ -241,7 +245,7 @@
                 self.version = *version;
                 if *all {
                     let renews = step.at < self.renews;
-                    let keeps = |id: &str| renews && step.desk.broker().knows(id);
+                    let keeps = |id: &str| renews && step.desk.scheduler().knows(id);
                     self.known.retain(|id, _| set.iter().any(|i| i.id == *id) || keeps(id));
                 }
                 for instance in set {
@@ -268,15 +272,15 @@
         self.tallies.entry(service.into()).or_default()
     }
 
-    fn asked(&mut self, step: &Step<'_>, ask: &Ask, first: bool) {
+    fn asked(&mut self, step: &Step<'_>, ask: &PermitRequest, first: bool) {
         let request = (ask.service.clone(), ask.deadline, ask.aim);
         if first {
             // One that goes elsewhere counts there.
-            let elsewhere = |out: &Out| matches!(out, Out::Send { note: PeerMessage::Ask { id, .. }, .. } if Some(*id) == step.given);
+            let elsewhere = |out: &Action| matches!(out, Action::Send { note: PeerMessage::Ask { id, .. }, .. } if Some(*id) == step.given);
             if !step.outs.iter().any(elsewhere) {
                 self.tally(&ask.service).requests.push_back(step.at);
             }
-            let t1 = first_gap(ask.target);
+            let t1 = first_retry_delay(ask.target);
             self.tries.insert(request.clone(), RetrySchedule { t1, first: None, unused: false });
         } else if let Some(RetrySchedule { t1, first: Some(begun), unused: false }) = self.tries.get(&request)
         {
@@ -339,14 +343,14 @@
         }
         // Permits of an owner of before are taken in whatever they come to.
         let taken_in = match step.input {
-            Input::Told(PeerMessage::Stalls { .. } | PeerMessage::ViewChange(_)) => true,
-            Input::Mail { notes, .. } => {
+            Input::ControllerMessage(PeerMessage::Stalls { .. } | PeerMessage::ViewChange(_)) => true,
+            Input::PeerMessages { notes, .. } => {
                 notes.iter().any(|note| matches!(note, PeerMessage::Held { .. } | PeerMessage::Over { .. }))
             }
             _ => false,
         };
         let most = self.concurrency.get(service).map_or(1, |c| *c as usize);
-        let out = step.desk.broker().permits().filter(|(.., id)| *id == instance).count();
+        let out = step.desk.scheduler().permits().filter(|(.., id)| *id == instance).count();
         if out > most && !taken_in {
             self.broken(Rule::Full, step, || {
                 format!("{instance} of {service} holds {out}, and may hold {most}")
@@ -385,7 +389,7 @@
             self.broken(Rule::Once, step, || format!("ask {ask} is granted twice"));
         }
         // Else another stall has granted it.
-        if step.desk.broker().has(&self.me, ask) {
+        if step.desk.scheduler().has_request(&self.me, ask) {
             self.given(step, &service, sent, instance);
         }
     }
@@ -404,8 +408,8 @@
                     return;
                 };
                 // One that was taken in from the owner of before is told again, and takes no further slot.
-                let again = step.before.is_some_and(|desk| desk.broker().has(&name, *id));
-                let here = step.desk.broker().has(&name, *id) && !again;
+                let again = step.before.is_some_and(|desk| desk.scheduler().has_request(&name, *id));
+                let here = step.desk.scheduler().has_request(&name, *id) && !again;
                 let Some(other) = self.others.get_mut(&(name.clone(), *id)) else {
                     return self
                         .broken(Rule::Once, step, || format!("ask {id} of {name} is granted unasked"));
@@ -432,9 +436,9 @@
     /// What an input ends, after what came of it.
     fn ended(&mut self, step: &Step<'_>) {
         match step.input {
-            Input::GiveUp { id } => self.finished(step, *id, Outcome::Unused, 0),
+            Input::Cancel { id } => self.finished(step, *id, Outcome::Unused, 0),
             Input::Finish { id, outcome, took } => self.finished(step, *id, *outcome, *took),
-            Input::Mail { from, life, notes } if self.lives.get(from) == Some(life) => {
+            Input::PeerMessages { from, life, notes } if self.lives.get(from) == Some(life) => {
                 for note in notes {
                     match note {
                         PeerMessage::Drop { id } => {
@@ -445,8 +449,8 @@
                     }
                 }
             }
-            Input::Told(PeerMessage::Instances { .. }) => {
-                let broker = step.desk.broker();
+            Input::ControllerMessage(PeerMessage::Instances { .. }) => {
+                let broker = step.desk.scheduler();
                 let there: BTreeSet<_> = broker.instances().map(|i| i.id.as_str()).collect();
                 let orphan = broker
                     .permits()
@@ -465,11 +469,11 @@
     fn returned(&mut self, step: &Step<'_>, from: &CompactString, id: u64, outcome: &str) {
         let key = (from.clone(), id);
         let granted = self.others.get(&key).is_some_and(|other| other.granted.is_some());
-        match step.desk.broker().has(from, id) {
+        match step.desk.scheduler().has_request(from, id) {
             // Granted in the recording, and not in this play: it waits still.
             true if !granted => {}
             // What was given up may be running still: its slot stays taken for a while.
-            true if Outcome::read(outcome).unwrap_or(Outcome::LeftAlone).lingers() => {
+            true if Outcome::parse(outcome).unwrap_or(Outcome::Abandoned).may_still_run() => {
                 self.others.remove(&key);
             }
             true => self.broken(Rule::Once, step, || format!("permit {id} of {from} is back, and still out")),
@@ -481,7 +485,7 @@
 
     fn finished(&mut self, step: &Step<'_>, id: u64, outcome: Outcome, took: Nanos) {
         let count = |is: &dyn Fn(&PeerMessage) -> bool| {
-            step.outs.iter().filter(|out| matches!(out, Out::Send { note, .. } if is(note))).count()
+            step.outs.iter().filter(|out| matches!(out, Action::Send { note, .. } if is(note))).count()
         };
         let back = count(
             &|note| matches!(note, PeerMessage::Done { id: of, .. } | PeerMessage::Drop { id: of } if *of == id),
@@ -508,7 +512,7 @@
         if !by_hand && (back + passed > expected || back < expected && granted) {
             self.broken(Rule::Once, step, || format!("ask {id} is given back {back} times, for {expected}"));
         }
-        if !outcome.lingers() && step.desk.broker().has(&self.me, id) {
+        if !outcome.may_still_run() && step.desk.scheduler().has_request(&self.me, id) {
             self.broken(Rule::Once, step, || format!("ask {id} is over, and its permit is still out"));
         }
         if let Some(tries) = own.and_then(|own| self.tries.get_mut(&own.request)) {
--- a/replay/src/clocks.rs
+++ b/replay/src/clocks.rs
@@ -194,12 +194,12 @@
     fn desk(&mut self, node: Node, at: i64, input: &DeskInput) {
         let Some(me) = self.names.get(&node).cloned() else { return };
         match input {
-            DeskInput::Ask { id: Some(id), .. } => {
+            DeskInput::RequestPermit { id: Some(id), .. } => {
                 if let Some(ask) = self.ask(&me, *id) {
                     ask.asked.get_or_insert((node, at));
                 }
             }
-            DeskInput::Mail { from, life, notes } => {
+            DeskInput::PeerMessages { from, life, notes } => {
                 for note in notes {
                     match note {
                         PeerMessage::Ask { id, .. } => {
@@ -221,12 +221,12 @@
                     }
                 }
             }
-            DeskInput::Up(id) => self.says(node, at, Word::Up(me, "up", id.clone())),
-            DeskInput::Refused(id) => self.says(node, at, Word::Up(me, "lost", id.clone())),
-            DeskInput::Told(PeerMessage::Stalls { version, .. }) => {
+            DeskInput::InstanceUp(id) => self.says(node, at, Word::Up(me, "up", id.clone())),
+            DeskInput::ConnectionRefused(id) => self.says(node, at, Word::Up(me, "lost", id.clone())),
+            DeskInput::ControllerMessage(PeerMessage::Stalls { version, .. }) => {
                 self.hears(node, at, Word::Told(me, "stalls", *version));
             }
-            DeskInput::Told(PeerMessage::Instances { version, .. }) => {
+            DeskInput::ControllerMessage(PeerMessage::Instances { version, .. }) => {
                 self.hears(node, at, Word::Told(me, "instances", *version));
             }
             _ => {}
--- a/replay/src/cut.rs
+++ b/replay/src/cut.rs
@@ -67,21 +67,23 @@
     fn see(&mut self, line: usize, entry: &DeskEntry) {
         match &entry.input {
             Input::Configure(_) => self.configured = Some(line),
-            Input::Ask { id: Some(id), .. } => {
+            Input::RequestPermit { id: Some(id), .. } => {
                 self.own.insert(*id);
             }
-            Input::GiveUp { id } | Input::Finish { id, .. } => {
+            Input::Cancel { id } | Input::Finish { id, .. } => {
                 self.own.remove(id);
             }
-            Input::Told(PeerMessage::Stalls { peers, .. }) => {
+            Input::ControllerMessage(PeerMessage::Stalls { peers, .. }) => {
                 self.stalls = vec![line];
                 self.others.retain(|(who, _), _| peers.iter().any(|p| p.name == *who));
             }
-            Input::Told(PeerMessage::ViewChange(shift)) => {
+            Input::ControllerMessage(PeerMessage::ViewChange(shift)) => {
                 self.stalls.push(line);
                 self.others.retain(|(who, _), _| !shift.left.contains(who));
             }
-            Input::Told(PeerMessage::Instances { version, all, set, gone }) if *version >= self.version => {
+            Input::ControllerMessage(PeerMessage::Instances { version, all, set, gone })
+                if *version >= self.version =>
+            {
                 self.version = *version;
                 if *all {
                     self.alive.clear();
@@ -93,10 +95,10 @@
                     });
                 }
             }
-            Input::Told(PeerMessage::Floor { service, .. }) => {
+            Input::ControllerMessage(PeerMessage::Floor { service, .. }) => {
                 self.floors.insert(service.clone(), line);
             }
-            Input::Mail { from, life, notes } => self.mail(entry.at, from, *life, notes),
+            Input::PeerMessages { from, life, notes } => self.mail(entry.at, from, *life, notes),
             _ => {}
         }
     }
@@ -134,28 +136,30 @@
         let kept = match entry.input.clone() {
             input @ Input::New { .. } => input,
             input @ Input::Configure(_) if self.configured == Some(line) => input,
-            input @ Input::Told(PeerMessage::Stalls { .. } | PeerMessage::ViewChange(_))
+            input @ Input::ControllerMessage(PeerMessage::Stalls { .. } | PeerMessage::ViewChange(_))
                 if self.stalls.contains(&line) =>
             {
                 input
             }
-            input @ Input::Told(PeerMessage::Floor { .. }) if self.floors.values().any(|n| *n == line) => {
+            input @ Input::ControllerMessage(PeerMessage::Floor { .. })
+                if self.floors.values().any(|n| *n == line) =>
+            {
                 input
             }
-            input @ Input::Ask { id: Some(id), .. } if self.own.contains(&id) => input,
-            input @ (Input::Up(_) | Input::Refused(_)) => {
-                let (Input::Up(id) | Input::Refused(id)) = &input else { return None };
+            input @ Input::RequestPermit { id: Some(id), .. } if self.own.contains(&id) => input,
+            input @ (Input::InstanceUp(_) | Input::ConnectionRefused(_)) => {
+                let (Input::InstanceUp(id) | Input::ConnectionRefused(id)) = &input else { return None };
                 return self.alive.contains(id).then_some(input);
             }
-            Input::Told(PeerMessage::Instances { version, all, mut set, mut gone }) => {
+            Input::ControllerMessage(PeerMessage::Instances { version, all, mut set, mut gone }) => {
                 set.retain(|i| self.alive.contains(&i.id));
                 gone.retain(|id| self.alive.contains(id));
                 if set.is_empty() && gone.is_empty() && !all {
                     return None;
                 }
-                Input::Told(PeerMessage::Instances { version, all, set, gone })
+                Input::ControllerMessage(PeerMessage::Instances { version, all, set, gone })
             }
-            Input::Mail { from, life, mut notes } => {
+            Input::PeerMessages { from, life, mut notes } => {
                 if self.lives.get(&from) != Some(&life) {
                     return None;
                 }
@@ -172,7 +176,7 @@
                 if notes.is_empty() {
                     return None;
                 }
-                Input::Mail { from, life, notes }
+                Input::PeerMessages { from, life, notes }
             }
             _ => return None,
         };
@@ -215,7 +219,7 @@
         }
         before &= read.entry.at() < whole_from;
         if let Entry::Coordinator(entry) = &read.entry {
-            if let Input::Ask { id: Some(id), .. } = entry.input {
+            if let Input::RequestPermit { id: Some(id), .. } = entry.input {
                 survey.highest = survey.highest.max(id);
             }
             if before {
@@ -282,7 +286,7 @@
                         Some(input) => held.push(DeskEntry { input, ..entry }),
                         None => {
                             cut.left_out += 1;
-                            asks_left_out |= matches!(entry.input, Input::Ask { .. });
+                            asks_left_out |= matches!(entry.input, Input::RequestPermit { .. });
                         }
                     }
                     continue;
--- a/replay/src/explain.rs
+++ b/replay/src/explain.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use millpost_protocol::PeerMessage;
 use millpost_scheduler::recording::Input;
-use millpost_scheduler::{Nanos, Out, Outcome, Reason, TraceEvent};
+use millpost_scheduler::{Action, Nanos, Outcome, Reason, TraceEvent};
 
 use crate::clocks::Node;
 use crate::errors::Error;
@@ -55,7 +55,7 @@
             Input::New { me, .. } => {
                 machines.insert(node, me.name.clone());
             }
-            Input::TraceEvent(TraceEvent::Begun { p, attempt, route, wish }) if *attempt == id => {
+            Input::TraceEvent(TraceEvent::Received { p, attempt, route, info: wish }) if *attempt == id => {
                 found.push(Found {
                     p: Some(*p),
                     node,
@@ -67,10 +67,10 @@
                     ..Found::default()
                 })
             }
-            Input::TraceEvent(TraceEvent::Turned { attempt, status }) if *attempt == id => {
+            Input::TraceEvent(TraceEvent::Rejected { attempt, status }) if *attempt == id => {
                 found.push(Found { node, at, line, turned: Some(*status), ..Found::default() });
             }
-            Input::Ask { id: Some(ask), of: Some(p), .. } => {
+            Input::RequestPermit { id: Some(ask), of: Some(p), .. } => {
                 if let Some(one) = found.iter_mut().find(|f| f.node == node && f.p == Some(*p)) {
                     one.asks.insert(*ask);
                 }
@@ -166,7 +166,7 @@
 fn asker(one: &Found, step: &Played<'_>, put: &mut Put<'_>) {
     let mine = |ask: u64| one.asks.contains(&step.numbers.recorded(ask));
     let of = step.trail.and_then(TraceEvent::of).filter(|p| Some(*p) == one.p);
-    if let Input::Ask { of: Some(p), ask, id, .. } = step.input
+    if let Input::RequestPermit { of: Some(p), ask, id, .. } = step.input
         && Some(*p) == one.p
     {
         let avoid = if ask.avoid.is_empty() {
@@ -193,10 +193,10 @@
     }
     for out in step.outs {
         match out {
-            Out::Send { to, note: PeerMessage::Ask { id, .. } } if mine(*id) => {
+            Action::Send { to, note: PeerMessage::Ask { id, .. } } if mine(*id) => {
                 let owner = step.desk.owners().peers().iter().find(|p| p.address == *to);
                 let owner = owner.map_or(to.as_str(), |p| p.name.as_str());
-                let again = if matches!(step.input, Input::Ask { .. }) { "" } else { " (again)" };
+                let again = if matches!(step.input, Input::RequestPermit { .. }) { "" } else { " (again)" };
                 put(
                     step.at,
                     "asks",
@@ -204,22 +204,22 @@
                     vec![("owner", owner.into())],
                 );
             }
-            Out::Granted { ask, instance, address } if mine(*ask) => {
+            Action::Granted { ask, instance, address } if mine(*ask) => {
                 let say = format!("has its permit: {instance} at {address}");
                 put(step.at, "granted", say, vec![("instance", instance.into())]);
             }
-            Out::Refused { ask, no } if mine(*ask) => {
+            Action::Refused { ask, reason: no } if mine(*ask) => {
                 put(
                     step.at,
                     "refused",
-                    format!("is refused: {}", no.word()),
-                    vec![("why", no.word().into())],
+                    format!("is refused: {}", no.as_str()),
+                    vec![("why", no.as_str().into())],
                 );
             }
             _ => {}
         }
     }
-    if let Input::Mail { from, notes, .. } = step.input {
+    if let Input::PeerMessages { from, notes, .. } = step.input {
         for note in notes {
             match note {
                 PeerMessage::Waits { id } if mine(*id) => {
@@ -235,7 +235,7 @@
                         && !step
                             .outs
                             .iter()
-                            .any(|out| matches!(out, Out::Granted { ask, .. } if ask == id)) =>
+                            .any(|out| matches!(out, Action::Granted { ask, .. } if ask == id)) =>
                 {
                     put(
                         step.at,
@@ -249,16 +249,16 @@
         }
     }
     if let (Some(next), true) =
-        (step.next, of.is_some() || matches!(step.input, Input::Ask { of, .. } if *of == one.p))
+        (step.next, of.is_some() || matches!(step.input, Input::RequestPermit { of, .. } if *of == one.p))
     {
         match next {
-            Next::Ask(..) | Next::Find => {}
+            Next::RequestPermit(..) | Next::ResolveRoute => {}
             Next::Wait(at) => {
                 let wait = ms(at.saturating_sub(step.at));
                 let say = format!("goes again after {wait:.3} ms, at its next doubled time");
                 put(step.at, "again", say, vec![("wait_ms", wait.into())]);
             }
-            Next::Tell(result) => {
+            Next::Respond(result) => {
                 let status = match result {
                     Ok(status) => *status,
                     Err(refusal) => refusal.answer().0,
@@ -271,7 +271,7 @@
 
 fn trails(at: Nanos, trail: &TraceEvent, put: &mut Put<'_>) {
     match trail {
-        TraceEvent::Begun { wish, .. } => {
+        TraceEvent::Received { info: wish, .. } => {
             let left = ms(wish.deadline.saturating_sub(wish.came));
             let kind = if wish.repeatable { "may run more than once" } else { "may run once" };
             let back =
@@ -287,7 +287,7 @@
             let answer = status.map_or(String::new(), |status| format!(" {status}"));
             let may = match outcome {
                 Outcome::Answered | Outcome::Failed => "it has run",
-                outcome if outcome.not_run() => "it has not run",
+                outcome if outcome.proves_not_run() => "it has not run",
                 _ => "it may have run",
             };
             let sent = if *sent { "" } else { ", nothing was sent" };
@@ -295,11 +295,11 @@
             let took = ms(at.saturating_sub(*begun));
             let say = format!(
                 "call to {instance} ends after {took:.3} ms: {}{answer} ({may}{sent})",
-                outcome.word()
+                outcome.as_str()
             );
             let mut parts: Parts = vec![
                 ("instance", instance.into()),
-                ("outcome", outcome.word().into()),
+                ("outcome", outcome.as_str().into()),
                 ("begun", (*begun).into()),
             ];
             parts.extend(status.map(|status| ("status", u64::from(status).into())));
@@ -312,13 +312,13 @@
             };
             put(at, "moved", say, to.iter().map(|to| ("to", to.into())).collect());
         }
-        TraceEvent::Late { .. } => {
+        TraceEvent::DeadlinePassed { .. } => {
             put(at, "late", "its time ends before word of its ask".to_owned(), Parts::new())
         }
-        TraceEvent::Left { .. } => {
+        TraceEvent::ClientLeft { .. } => {
             put(at, "left", "its client left before it was answered".to_owned(), Parts::new())
         }
-        TraceEvent::Denied { .. } | TraceEvent::Turned { .. } | TraceEvent::Acts { .. } => {}
+        TraceEvent::Denied { .. } | TraceEvent::Rejected { .. } | TraceEvent::ConfigInForce { .. } => {}
     }
 }
 
@@ -328,7 +328,7 @@
     let of_it = |who: &str, ask: u64| {
         who == one.machine && one.asks.contains(&if here { step.numbers.recorded(ask) } else { ask })
     };
-    if let Input::Mail { from, notes, .. } = step.input {
+    if let Input::PeerMessages { from, notes, .. } = step.input {
         for note in notes {
             match note {
                 PeerMessage::Ask { id, left, .. } if of_it(from, *id) => {
@@ -355,7 +355,7 @@
         }
     }
     for reason in step.reasons {
-        if let Reason::Ask { who, ask, why } = reason
+        if let Reason::Request { who, ask, why } = reason
             && of_it(who, *ask)
         {
             let (kind, say, parts) = because(why);
--- a/replay/src/instance.rs
+++ b/replay/src/instance.rs
@@ -8,7 +8,7 @@
 use millpost_autoscaler::{Effect, State};
 use millpost_protocol::PeerMessage;
 use millpost_scheduler::recording::Input as DeskInput;
-use millpost_scheduler::{Out, Reason, SECOND, TraceEvent, Why};
+use millpost_scheduler::{Action, Reason, RequestDecision, SECOND, TraceEvent};
 
 use crate::clocks::{Alignment, Node};
 use crate::errors::Error;
@@ -52,7 +52,7 @@
                 _ => {}
             },
             Entry::Coordinator(entry) => {
-                if let DeskInput::Told(note) = &entry.input {
+                if let DeskInput::ControllerMessage(note) = &entry.input {
                     self.note(id, note);
                 }
             }
@@ -163,7 +163,7 @@
     let mut put = |kind: &'static str, say: String, parts: Parts| {
         steps.push(Step { node: step.node, at: step.at, line: step.line, kind, say, parts });
     };
-    if let DeskInput::Told(PeerMessage::Instances { set, gone, .. }) = step.input {
+    if let DeskInput::ControllerMessage(PeerMessage::Instances { set, gone, .. }) = step.input {
         if let Some(instance) = set.iter().find(|instance| instance.id == id) {
             let state = ["booting", "ready", "draining"][usize::from(instance.stage.min(2))];
             put("hears", format!("hears of it: {state}"), vec![("state", state.into())]);
@@ -171,19 +171,19 @@
             put("hears", "hears that it is gone".into(), vec![("state", "gone".into())]);
         }
     }
-    if matches!(step.input, DeskInput::Up(of) if of == id) {
+    if matches!(step.input, DeskInput::InstanceUp(of) if of == id) {
         put("seen", "sees it accept connections".into(), Parts::new());
     }
     for reason in step.reasons {
         match reason {
-            Reason::Spare { instance, need, live } if instance == id => {
+            Reason::SurplusInstance { instance, need, live } if instance == id => {
                 let say = words::spare("it", *need, *live);
                 put("spare", say, vec![("need", u64::from(*need).into()), ("live", (*live as u64).into())]);
             }
-            Reason::Dead { instance, failing } if instance == id => {
+            Reason::DeadInstance { instance, failing } if instance == id => {
                 put("dead", words::dead("it", *failing), Parts::new());
             }
-            Reason::Ask { why: Why::Granted { instance, .. }, .. } if instance == id => {
+            Reason::Request { why: RequestDecision::Granted { instance, .. }, .. } if instance == id => {
                 *used.permits.entry(step.node).or_default() += 1;
             }
             _ => {}
@@ -191,13 +191,13 @@
     }
     for out in step.outs {
         match out {
-            Out::Scout { instance, .. } if instance.id == id => {
+            Action::ProbeReadiness { instance, .. } if instance.id == id => {
                 put("scouts", "is to find out when it accepts connections".into(), Parts::new());
             }
-            Out::Up(PeerMessage::Retire { instance }) if instance == id => {
+            Action::NotifyController(PeerMessage::Retire { instance }) if instance == id => {
                 put("says", "says that it may be stopped".into(), Parts::new());
             }
-            Out::Up(PeerMessage::Lost { instance }) if instance == id => {
+            Action::NotifyController(PeerMessage::Lost { instance }) if instance == id => {
                 put("says", "says that it is dead".into(), Parts::new());
             }
             _ => {}
@@ -206,14 +206,14 @@
     if let Some(TraceEvent::Ended { instance, outcome, .. }) = step.trail
         && instance == id
     {
-        *used.calls.entry(step.node).or_default().entry(outcome.word()).or_default() += 1;
+        *used.calls.entry(step.node).or_default().entry(outcome.as_str()).or_default() += 1;
     }
 }
 
 /// What its function's owners want, while that may be why it is started.
 fn want(known: &Known, step: &Played<'_>, wants: &mut Vec<Step>) {
     for reason in step.reasons {
-        if let Reason::Want { service, need, live, held, queued, wait } = reason
+        if let Reason::InstanceTarget { service, need, live, held, queued, wait } = reason
             && known.service.as_ref().is_none_or(|of| of == service)
         {
             let say = words::want(service, *need, *live, *held, *queued, *wait);
--- a/replay/src/lines.rs
+++ b/replay/src/lines.rs
@@ -260,14 +260,14 @@
     }
     if string(&parts, "in")? == "new" {
         *kind = match string(&parts, "of")?.as_str() {
-            desk::DESK => Kind::Coordinator,
+            desk::COORDINATOR_LOG => Kind::Coordinator,
             scaler::SCALER => Kind::Scaler,
             round::ROUND => Kind::Round,
             _ => return Err(Fault { key: "of".to_owned(), reason: "neither a desk, a scaler nor a round" }),
         };
     }
     let entry = match kind {
-        Kind::Coordinator => desk::Entry::of(&parts).map(Entry::Coordinator),
+        Kind::Coordinator => desk::Entry::from_json(&parts).map(Entry::Coordinator),
         Kind::Scaler => scaler::Entry::of(&parts).map(Entry::Scaler),
         Kind::Round => round::Entry::of(&parts).map(Entry::Round),
     };
--- a/replay/src/machines.rs
+++ b/replay/src/machines.rs
@@ -5,7 +5,7 @@
 use millpost_autoscaler::recording::{Entry as ScalerEntry, Input as ScalerInput};
 use millpost_autoscaler::{Effect, Scaler};
 use millpost_scheduler::recording::{Entry as DeskEntry, Input as DeskInput};
-use millpost_scheduler::{Coordinator, Out, Reason, TraceEvent};
+use millpost_scheduler::{Action, Coordinator, Reason, TraceEvent};
 
 use crate::clocks::Node;
 use crate::decided::Decided;
@@ -75,29 +75,31 @@
         let (Place { line, node, life }, at) = (place, entry.at);
         let input = self.numbers.turn(&entry.input);
         let had = match &input {
-            DeskInput::GiveUp { id } | DeskInput::Finish { id, .. } => self.desk.broker().has(&self.me, *id),
+            DeskInput::Cancel { id } | DeskInput::Finish { id, .. } => {
+                self.desk.scheduler().has_request(&self.me, *id)
+            }
             _ => false,
         };
         let begins = matches!(input, DeskInput::New { .. });
-        let given = if begins { None } else { input.clone().give(at, &mut self.desk) };
+        let given = if begins { None } else { input.clone().apply(at, &mut self.desk) };
         let mut next = None;
         match &entry.input {
-            DeskInput::Ask { id: Some(recorded), ask, first, of } => {
+            DeskInput::RequestPermit { id: Some(recorded), ask, first, of } => {
                 self.numbers.add(*recorded, given);
                 if let Some(p) = of {
                     let (unlike, told) = self.requests.asks(*p, ask, *first, given.is_some());
                     (shown.unlike, next) = (unlike, told);
                 }
             }
-            DeskInput::Ask { id: None, ask, first, of: Some(p) } => {
+            DeskInput::RequestPermit { id: None, ask, first, of: Some(p) } => {
                 (shown.unlike, next) = self.requests.asks(*p, ask, *first, given.is_some());
             }
             DeskInput::TraceEvent(trail) => {
-                next = self.requests.step(at, trail, &self.zone, self.desk.informed());
+                next = self.requests.step(at, trail, &self.zone, self.desk.has_view());
             }
             _ => {}
         }
-        let outs = Vec::from(self.desk.take());
+        let outs = Vec::from(self.desk.take_actions());
         let reasons: Vec<Reason> = self.desk.reasons();
         for out in &outs {
             shown.decided.fold(line, at, |parts| outs::recorded(out, &self.numbers).fold(parts));
@@ -122,11 +124,11 @@
             next: next.as_ref(),
         }))?;
         let Some(twin) = &mut self.twin else { return Ok(()) };
-        let other = if begins { None } else { input.clone().give(at, twin) };
-        let twin = Vec::from(twin.take());
+        let other = if begins { None } else { input.clone().apply(at, twin) };
+        let twin = Vec::from(twin.take_actions());
         if (given, &outs) != (other, &twin) {
             let unlike = first_unlike(&outs, &twin);
-            let word = |outs: &[Out]| {
+            let word = |outs: &[Action]| {
                 let out = outs.get(unlike).map(|out| outs::desk(at, line, 0, out, &self.numbers));
                 out.unwrap_or_else(|| "nothing".to_owned())
             };
--- a/replay/src/numbers.rs
+++ b/replay/src/numbers.rs
@@ -44,9 +44,9 @@
             return input;
         }
         match &mut input {
-            DeskInput::GiveUp { id } | DeskInput::Finish { id, .. } => *id = self.here(*id),
+            DeskInput::Cancel { id } | DeskInput::Finish { id, .. } => *id = self.here(*id),
             // Of all that comes by mail only the answers to own asks bear own numbers.
-            DeskInput::Mail { notes, .. } => {
+            DeskInput::PeerMessages { notes, .. } => {
                 for note in notes {
                     if let PeerMessage::Grant { id, .. } | PeerMessage::No { id, .. } = note {
                         *id = self.here(*id);
--- a/replay/src/outs.rs
+++ b/replay/src/outs.rs
@@ -7,7 +7,7 @@
 use millpost_autoscaler::recording::state_word;
 use millpost_protocol::PeerMessage;
 use millpost_protocol::line::Line;
-use millpost_scheduler::{No, Out, Stage};
+use millpost_scheduler::{Action, DenialReason, Stage};
 
 use crate::numbers::Numbers;
 
@@ -21,15 +21,15 @@
 }
 
 /// An output, with the numbers of the recording.
-pub fn recorded<'a>(out: &'a Out, numbers: &Numbers) -> Cow<'a, Out> {
+pub fn recorded<'a>(out: &'a Action, numbers: &Numbers) -> Cow<'a, Action> {
     if numbers.are_the_same() {
         return Cow::Borrowed(out);
     }
     let mut out = out.clone();
     match &mut out {
-        Out::Send { note, .. } => *note = said(note, numbers),
-        Out::Granted { ask, .. } | Out::Refused { ask, .. } => *ask = numbers.recorded(*ask),
-        Out::Up(_) | Out::Scout { .. } => {}
+        Action::Send { note, .. } => *note = said(note, numbers),
+        Action::Granted { ask, .. } | Action::Refused { ask, .. } => *ask = numbers.recorded(*ask),
+        Action::NotifyController(_) | Action::ProbeReadiness { .. } => {}
     }
     Cow::Owned(out)
 }
@@ -49,33 +49,33 @@
 }
 
 /// An output of a desk.
-pub fn desk(at: u64, line: usize, life: usize, out: &Out, numbers: &Numbers) -> String {
+pub fn desk(at: u64, line: usize, life: usize, out: &Action, numbers: &Numbers) -> String {
     let begin = |out: &str| begin(out, life, at, line);
     match out {
-        Out::Send { to, note } => {
+        Action::Send { to, note } => {
             let mut line = begin("send");
             line.text("to", to).note("note", &said(note, numbers));
             line.end()
         }
-        Out::Granted { ask, instance, address } => {
+        Action::Granted { ask, instance, address } => {
             let mut line = begin("granted");
             line.whole("id", numbers.recorded(*ask)).text("i", instance).text("a", address);
             line.end()
         }
-        Out::Refused { ask, no } => {
+        Action::Refused { ask, reason: no } => {
             let mut line = begin("refused");
-            line.whole("id", numbers.recorded(*ask)).text("y", no.word());
-            if let No::Full(wait) = no {
+            line.whole("id", numbers.recorded(*ask)).text("y", no.as_str());
+            if let DenialReason::Full(wait) = no {
                 line.time("wait", *wait);
             }
             line.end()
         }
-        Out::Up(note) => {
+        Action::NotifyController(note) => {
             let mut line = begin("up");
             line.note("note", note);
             line.end()
         }
-        Out::Scout { instance, from } => {
+        Action::ProbeReadiness { instance, from } => {
             let mut line = begin("scout");
             let stage = match instance.stage {
                 Stage::Booting => "booting",
--- a/replay/src/play.rs
+++ b/replay/src/play.rs
@@ -7,7 +7,7 @@
 use millpost_autoscaler::recording::Input as ScalerInput;
 use millpost_autoscaler::{Effect, Scaler};
 use millpost_scheduler::recording::Input as DeskInput;
-use millpost_scheduler::{Coordinator, Nanos, Out, Reason, TraceEvent};
+use millpost_scheduler::{Action, Coordinator, Nanos, Reason, TraceEvent};
 
 use crate::clocks::Node;
 use crate::decided::Unlike;
@@ -35,7 +35,7 @@
     /// Before the input, the ask that it ends waited or had its permit here.
     pub had: bool,
     /// What came of it.
-    pub outs: &'a [Out],
+    pub outs: &'a [Action],
     /// The desk before it, where it is played twice.
     pub before: Option<&'a Coordinator>,
     /// The desk after it.
--- a/replay/src/report/gather.rs
+++ b/replay/src/report/gather.rs
@@ -4,7 +4,7 @@
 
 use compact_str::CompactString;
 use millpost_scheduler::recording::Input;
-use millpost_scheduler::{Nanos, Out, Reason, SECOND, Step as Tells, TraceEvent, Why};
+use millpost_scheduler::{Action, Nanos, Reason, RequestDecision, SECOND, Step as Tells, TraceEvent};
 
 use crate::check::{Check, Rule};
 use crate::clocks::{Alignment, Node};
@@ -233,7 +233,7 @@
             check.see(step);
         }
         if let Some(place) = self.due(step.node, at) {
-            let broker = step.desk.broker();
+            let broker = step.desk.scheduler();
             for (service, queue) in broker.queues().filter(|(_, queue)| *queue > 0) {
                 self.sample(service, place).queue += queue as u32;
             }
@@ -248,41 +248,46 @@
         let life = self.lives.entry(step.node).or_default();
         let span = &mut self.spans[place];
         for reason in step.reasons {
-            if let Reason::Ask { why, .. } = reason {
+            if let Reason::Request { why, .. } = reason {
                 let kind = match why {
-                    Why::Thinned { .. } => 0,
-                    Why::Spent { .. } => 1,
-                    Why::Hopeless { .. } | Why::TooLate { .. } | Why::Long { .. } | Why::Overdue => 2,
-                    Why::Unknown => 3,
-                    Why::Granted { .. } | Why::Again | Why::Queued { .. } => continue,
+                    RequestDecision::RetrySuppressed { .. } => 0,
+                    RequestDecision::BudgetSpent { .. } => 1,
+                    RequestDecision::DeadlineUnreachable { .. }
+                    | RequestDecision::WouldMissTarget { .. }
+                    | RequestDecision::QueueFull { .. }
+                    | RequestDecision::DeadlinePassed => 2,
+                    RequestDecision::UnknownFunction => 3,
+                    RequestDecision::Granted { .. }
+                    | RequestDecision::Duplicate
+                    | RequestDecision::Queued { .. } => continue,
                 };
                 span.refused[kind] += 1;
             }
         }
         for out in step.outs {
-            if let Out::Granted { ask, .. } = out {
+            if let Action::Granted { ask, .. } = out {
                 span.repeats += usize::from(life.repeats.remove(ask));
             }
         }
         match step.input {
-            Input::Ask { ask, first, .. } => {
+            Input::RequestPermit { ask, first, .. } => {
                 if *first {
                     self.functions.entry(ask.service.clone()).or_default().requests += 1;
                 } else if let Some(id) = step.given.filter(|_| ask.sent > 0) {
                     life.repeats.insert(id);
                 }
             }
-            Input::Finish { id, .. } | Input::GiveUp { id } => {
+            Input::Finish { id, .. } | Input::Cancel { id } => {
                 life.repeats.remove(id);
             }
             Input::TraceEvent(trail) => match trail {
-                TraceEvent::Begun { p, .. } => drop(life.read.insert(*p, step.at)),
-                TraceEvent::Left { p } => {
+                TraceEvent::Received { p, .. } => drop(life.read.insert(*p, step.at)),
+                TraceEvent::ClientLeft { p } => {
                     span.left += 1;
                     life.read.remove(p);
                 }
-                TraceEvent::Turned { status, .. } => span.answers[kind(*status)] += 1,
-                TraceEvent::Acts { revision } => {
+                TraceEvent::Rejected { status, .. } => span.answers[kind(*status)] += 1,
+                TraceEvent::ConfigInForce { revision } => {
                     let before = life.on.replace((at, *revision));
                     self.on.extend(before.map(|(from, revision)| On {
                         node: step.node,
@@ -296,10 +301,10 @@
             _ => {}
         }
         let p = match step.input {
-            Input::Ask { of, .. } => *of,
+            Input::RequestPermit { of, .. } => *of,
             _ => step.trail.and_then(TraceEvent::of),
         };
-        if let (Some(Tells::Tell(told)), Some(p)) = (step.next, p) {
+        if let (Some(Tells::Respond(told)), Some(p)) = (step.next, p) {
             let status = told.as_ref().map_or_else(|refusal| refusal.answer().0, |status| *status);
             span.answers[kind(status)] += 1;
             if let Some(read) = self.lives.entry(step.node).or_default().read.remove(&p) {
--- a/replay/src/requests.rs
+++ b/replay/src/requests.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use millpost_scheduler::{Ask, Nanos, Refusal, RequestFlow, Step, TraceEvent};
+use millpost_scheduler::{Nanos, PermitRequest, Refusal, RequestFlow, Step, TraceEvent};
 
 /// What comes next for a request, or what its client is told.
 pub type Next = Step<u16>;
@@ -12,7 +12,7 @@
 struct Walk {
     passage: RequestFlow<u16>,
     /// The ask that it has decided on already.
-    asks: Option<(Ask, bool)>,
+    asks: Option<(PermitRequest, bool)>,
 }
 
 /// All that are on their way, by their numbers.
@@ -28,7 +28,7 @@
     /// not hold its beginning.
     pub fn step(&mut self, at: Nanos, trail: &TraceEvent, zone: &str, informed: bool) -> Option<Next> {
         let p = trail.of()?;
-        if let TraceEvent::Begun { wish, .. } = trail {
+        if let TraceEvent::Received { info: wish, .. } = trail {
             self.begun += 1;
             let mut wish = wish.clone();
             wish.zone = zone.into();
@@ -38,12 +38,12 @@
         }
         let mut walk = self.all.remove(&p)?;
         let next = match trail {
-            TraceEvent::Denied { no, .. } => walk.passage.refused(at, *no),
-            TraceEvent::Moved { to, .. } => walk.passage.moved(at, to.clone()),
-            TraceEvent::Late { .. } => walk.passage.late(),
+            TraceEvent::Denied { reason: no, .. } => walk.passage.denied(at, *no),
+            TraceEvent::Moved { to, .. } => walk.passage.route_resolved(at, to.clone()),
+            TraceEvent::DeadlinePassed { .. } => walk.passage.deadline_passed(),
             TraceEvent::Ended { begun, instance, outcome, sent, status, .. } => {
                 walk.passage.granted(*begun);
-                walk.passage.ended(at, instance.clone(), *outcome, *sent, *status)
+                walk.passage.attempt_ended(at, instance.clone(), *outcome, *sent, *status)
             }
             _ => return None,
         };
@@ -51,25 +51,32 @@
     }
 
     fn follow(&mut self, p: u64, mut walk: Walk, next: Next) -> Next {
-        if let Step::Ask(ask, first) = &next {
+        if let Step::RequestPermit(ask, first) = &next {
             walk.asks = Some((ask.clone(), *first));
         }
-        if !matches!(next, Step::Tell(_)) {
+        if !matches!(next, Step::Respond(_)) {
             self.all.insert(p, walk);
         }
         next
     }
 
     /// It asks. What the recording holds, where that is something else; and what the client is told, where no more asks may be open.
-    pub fn asks(&mut self, p: u64, ask: &Ask, first: bool, given: bool) -> (Option<String>, Option<Next>) {
+    pub fn asks(
+        &mut self,
+        p: u64,
+        ask: &PermitRequest,
+        first: bool,
+        given: bool,
+    ) -> (Option<String>, Option<Next>) {
         let Some(walk) = self.all.get_mut(&p) else { return (None, None) };
-        let mine = walk.asks.take().or_else(|| match walk.passage.ask() {
-            Step::Ask(ask, first) => Some((ask, first)),
+        let mine = walk.asks.take().or_else(|| match walk.passage.request_permit() {
+            Step::RequestPermit(ask, first) => Some((ask, first)),
             _ => None,
         });
         let same = mine.as_ref().is_some_and(|(mine, is_first)| mine == ask && *is_first == first);
         let unlike = (!same).then(|| format!("request {p} asks {mine:?}, and was recorded with {ask:?}"));
-        let told = if given { None } else { self.all.remove(&p).map(|mut walk| walk.passage.unasked()) };
+        let told =
+            if given { None } else { self.all.remove(&p).map(|mut walk| walk.passage.too_many_open()) };
         (unlike, told)
     }
 }
@@ -81,11 +88,11 @@
         Err(refusal) => {
             let (status, wait) = refusal.answer();
             let why = match refusal {
-                Refusal::Empty => "nothing is known here yet of configuration, stalls or the function",
+                Refusal::NotReady => "nothing is known here yet of configuration, stalls or the function",
                 Refusal::Full(_) => "no slot in time",
                 Refusal::NotSent => "its time ended before it was sent anywhere",
                 Refusal::NoAnswer => "it was sent, and there is no answer that counts",
-                Refusal::Late => "it was sent, and its time has ended",
+                Refusal::TimedOut => "it was sent, and its time has ended",
             };
             let again =
                 wait.map_or(String::new(), |wait| format!(", again after {:.0} ms", wait as f64 / 1e6));
--- a/replay/src/state.rs
+++ b/replay/src/state.rs
@@ -30,12 +30,12 @@
 
 /// A desk; of one function, or of all that anything is known of.
 pub fn desk(desk: &Coordinator, service: Option<&str>) -> State {
-    let (broker, owners) = (desk.broker(), desk.owners());
+    let (broker, owners) = (desk.scheduler(), desk.owners());
     let mut state = State::new();
     let peers: Vec<_> = owners.peers().iter().map(|p| p.name.as_str()).collect();
     let (fence, count) = owners.version();
     state.insert("stalls".to_owned(), format!("{fence}.{count}: {}", peers.join(" ")));
-    state.insert("asks open".to_owned(), desk.asks().to_string());
+    state.insert("asks open".to_owned(), desk.open_request_count().to_string());
     let mut functions: BTreeMap<&str, Function<'_>> = BTreeMap::new();
     for (name, queued) in broker.queues().filter(|(name, queued)| *queued > 0 && counts(service, name)) {
         functions.entry(name).or_default().0 = queued;
--- a/replay/src/table.rs
+++ b/replay/src/table.rs
@@ -8,7 +8,7 @@
 use millpost_autoscaler::{Effect, State};
 use millpost_protocol::PeerMessage;
 use millpost_scheduler::recording::Input;
-use millpost_scheduler::{MS, Nanos, Out, SECOND, Stage};
+use millpost_scheduler::{Action, MS, Nanos, SECOND, Stage};
 
 use crate::play::{Step, Turn};
 
@@ -113,7 +113,7 @@
             }
         }
         match step.input {
-            Input::Ask { ask, .. } => {
+            Input::RequestPermit { ask, .. } => {
                 if self.counts(&ask.service) {
                     self.row.asks += 1;
                 }
@@ -121,7 +121,7 @@
                     self.open.insert((None, id), (step.at, ask.service.clone(), false));
                 }
             }
-            Input::Mail { from, notes, .. } => {
+            Input::PeerMessages { from, notes, .. } => {
                 for note in notes {
                     if let PeerMessage::Ask { id, service, .. } = note {
                         let key = (Some(from.clone()), *id);
@@ -138,23 +138,25 @@
             |to: &str| step.desk.owners().peers().iter().find(|p| p.address == to).map(|p| p.name.clone());
         for out in step.outs {
             match out {
-                Out::Granted { ask, .. } => self.grant(None, *ask, step.at),
-                Out::Refused { ask, no } => self.refuse(None, *ask, no.word()),
-                Out::Send { to, note: PeerMessage::Grant { id, .. } } => {
+                Action::Granted { ask, .. } => self.grant(None, *ask, step.at),
+                Action::Refused { ask, reason: no } => self.refuse(None, *ask, no.as_str()),
+                Action::Send { to, note: PeerMessage::Grant { id, .. } } => {
                     self.grant(name_of(to), *id, step.at)
                 }
-                Out::Send { to, note: PeerMessage::No { id, why, .. } } => self.refuse(name_of(to), *id, why),
-                Out::Up(PeerMessage::Want { service, count, .. }) => {
+                Action::Send { to, note: PeerMessage::No { id, why, .. } } => {
+                    self.refuse(name_of(to), *id, why)
+                }
+                Action::NotifyController(PeerMessage::Want { service, count, .. }) => {
                     self.wants.insert(service.clone(), *count);
                 }
                 _ => {}
             }
         }
         match step.input {
-            Input::Finish { id, .. } | Input::GiveUp { id } => {
+            Input::Finish { id, .. } | Input::Cancel { id } => {
                 self.open.remove(&(None, *id));
             }
-            Input::Mail { from, notes, .. } => {
+            Input::PeerMessages { from, notes, .. } => {
                 for note in notes {
                     if let PeerMessage::Drop { id } | PeerMessage::Done { id, .. } = note {
                         self.open.remove(&(Some(from.clone()), *id));
@@ -168,9 +170,9 @@
 
     /// How things stand now.
     fn stand(&mut self, step: &Step<'_>) {
-        let broker = step.desk.broker();
+        let broker = step.desk.scheduler();
         // Ticks come all the time: the last of a second is near enough to its end.
-        if matches!(step.input, Input::Tick | Input::Told(_) | Input::New { .. }) {
+        if matches!(step.input, Input::Tick | Input::ControllerMessage(_) | Input::New { .. }) {
             let queue = broker.queues().filter(|(service, _)| self.counts(service)).map(|(_, n)| n).sum();
             let out = broker.permits().filter(|(_, _, service, _)| self.counts(service)).count();
             let mut stages = [0; 3];
--- a/replay/src/until.rs
+++ b/replay/src/until.rs
@@ -109,7 +109,7 @@
                     let mut found = text.match_indices(&key).map(|(n, _)| &text[n + key.len()..]);
                     found.any(|rest| !rest.starts_with(|c: char| c.is_ascii_digit()))
                 };
-                let own = matches!(step.input, Input::Ask { .. }) && step.given == Some(*id);
+                let own = matches!(step.input, Input::RequestPermit { .. }) && step.given == Some(*id);
                 own || has(&texts.input) || texts.outs.iter().any(has)
             }
             Until::In(kind) => texts(event).kind == *kind,
--- a/replay/src/version.rs
+++ b/replay/src/version.rs
@@ -59,7 +59,7 @@
             Event::Coordinator(step) => {
                 let has = stalls.entry(step.node).or_default();
                 has.last = step.at;
-                if let Some(TraceEvent::Acts { revision: now }) = step.trail {
+                if let Some(TraceEvent::ConfigInForce { revision: now }) = step.trail {
                     let say = acts(has, *now, revision);
                     if let Some((kind, say)) = say {
                         let parts = vec![("revision", (*now).into())];
--- a/replay/src/words.rs
+++ b/replay/src/words.rs
@@ -1,6 +1,6 @@
 //! Why owners decided as they did, in words.
 
-use millpost_scheduler::{Nanos, Reason, Why};
+use millpost_scheduler::{Nanos, Reason, RequestDecision};
 
 use crate::story::Parts;
 
@@ -11,12 +11,12 @@
 /// Any reason.
 pub fn reason(reason: &Reason) -> String {
     match reason {
-        Reason::Ask { who, ask, why } => format!("ask {ask} of {who}: {}", because(why).1),
-        Reason::Want { service, need, live, held, queued, wait } => {
+        Reason::Request { who, ask, why } => format!("ask {ask} of {who}: {}", because(why).1),
+        Reason::InstanceTarget { service, need, live, held, queued, wait } => {
             want(service, *need, *live, *held, *queued, *wait)
         }
-        Reason::Spare { instance, need, live } => spare(instance, *need, *live),
-        Reason::Dead { instance, failing } => dead(instance, *failing),
+        Reason::SurplusInstance { instance, need, live } => spare(instance, *need, *live),
+        Reason::DeadInstance { instance, failing } => dead(instance, *failing),
     }
 }
 
@@ -40,9 +40,9 @@
 }
 
 /// What became of an ask: in one word, in words, and for programs.
-pub fn because(why: &Why) -> (&'static str, String, Parts) {
+pub fn because(why: &RequestDecision) -> (&'static str, String, Parts) {
     match why {
-        Why::Granted { instance, out, most, failed_there, waited } => {
+        RequestDecision::Granted { instance, out, most, failed_there, waited } => {
             let there = if *failed_there { ", where it has failed before: no other has a slot" } else { "" };
             let when = if *waited { "a slot comes free: " } else { "a slot is free: " };
             let say = format!("{when}granted {instance}, {out} of {most} out{there}");
@@ -53,8 +53,8 @@
             ];
             ("slot", say, parts)
         }
-        Why::Again => ("known", "it is known here already".to_owned(), Parts::new()),
-        Why::Queued { ahead, wait, open, coming, unheard } => {
+        RequestDecision::Duplicate => ("known", "it is known here already".to_owned(), Parts::new()),
+        RequestDecision::Queued { ahead, wait, open, coming, awaiting_instances: unheard } => {
             let say = if *unheard {
                 format!("waits: no instance is known here, word of one may be on its way; {ahead} before it")
             } else {
@@ -71,12 +71,12 @@
             ];
             ("queued", say, parts)
         }
-        Why::Thinned { chance, drawn, instance } => {
+        RequestDecision::RetrySuppressed { chance, drawn, instance } => {
             let at = instance.as_ref().map_or("by the mean of all".to_owned(), |i| format!("at {i}"));
             let say = format!("thinned out: goes with p = {chance:.3} {at}, and {drawn:.3} was drawn");
             ("thinned", say, vec![("p", (*chance).into()), ("drawn", (*drawn).into())])
         }
-        Why::Spent { requests, repeats, most } => {
+        RequestDecision::BudgetSpent { requests, repeats, most } => {
             let say = format!(
                 "budget of further tries spent: {repeats} to {requests} requests in the window, {most:.1} may be"
             );
@@ -90,11 +90,11 @@
                 ],
             )
         }
-        Why::Hopeless { wait, left } => {
+        RequestDecision::DeadlineUnreachable { wait, left } => {
             let say = format!("no slot in time: {:.1} ms to wait, {:.1} ms left", ms(*wait), ms(*left));
             ("hopeless", say, vec![("wait_ms", ms(*wait).into()), ("left_ms", ms(*left).into())])
         }
-        Why::TooLate { wait, takes, left } => {
+        RequestDecision::WouldMissTarget { wait, takes, left } => {
             let say = format!(
                 "turned away, as its answer would be late: {:.1} ms to wait and {:.1} ms to run, {:.1} ms to its aim",
                 ms(*wait),
@@ -111,10 +111,14 @@
                 ],
             )
         }
-        Why::Long { queued } => {
+        RequestDecision::QueueFull { queued } => {
             ("long", format!("too many wait: {queued}"), vec![("queued", (*queued as u64).into())])
         }
-        Why::Overdue => ("overdue", "its deadline has come while it waited".to_owned(), Parts::new()),
-        Why::Unknown => ("unknown", "the function is not known here".to_owned(), Parts::new()),
+        RequestDecision::DeadlinePassed => {
+            ("overdue", "its deadline has come while it waited".to_owned(), Parts::new())
+        }
+        RequestDecision::UnknownFunction => {
+            ("unknown", "the function is not known here".to_owned(), Parts::new())
+        }
     }
 }
--- a/replay/tests/day/mod.rs
+++ b/replay/tests/day/mod.rs
@@ -8,7 +8,8 @@
 use millpost::Dice;
 use millpost_protocol::{Instance, PeerMessage};
 use millpost_scheduler::{
-    Ask, MS, Nanos, Next, No, Out, Outcome, Peer, Recorded, RetrySchedule, SECOND, Spec, Terms,
+    Action, DenialReason, MS, Nanos, Next, Outcome, Peer, PermitRequest, RecordedCoordinator, RetrySchedule,
+    SECOND, SchedulerLimits, Spec,
 };
 
 /// What happens on a day.
@@ -24,7 +25,7 @@
     pub rates: Vec<f64>,
     pub target_ms: u64,
     pub deadline_ms: u64,
-    pub terms: Terms,
+    pub terms: SchedulerLimits,
     /// Parts of the tries that fail, and that get no answer.
     pub fails: f64,
     pub silent: f64,
@@ -44,7 +45,13 @@
             rates: vec![20.0, 20.0],
             target_ms: 200,
             deadline_ms: 1_000,
-            terms: Terms { ratio: 0.2, window: 2 * SECOND, slack: 4.0, asks_per_s: 300.0, speeds: false },
+            terms: SchedulerLimits {
+                ratio: 0.2,
+                window: 2 * SECOND,
+                slack: 4.0,
+                requests_per_s: 300.0,
+                rank_by_latency: false,
+            },
             fails: 0.0,
             silent: 0.0,
             crashes: Vec::new(),
@@ -120,7 +127,7 @@
 }
 
 struct Stall {
-    desk: Option<Recorded>,
+    desk: Option<RecordedCoordinator>,
     life: u64,
     asks: BTreeMap<u64, usize>,
     scouting: BTreeSet<CompactString>,
@@ -143,7 +150,7 @@
     version: u64,
     lines: Vec<Lines>,
     /// What came of each stall's inputs.
-    pub outs: Vec<Vec<(Nanos, Out)>>,
+    pub outs: Vec<Vec<(Nanos, Action)>>,
     /// Tries that an instance turned away, since it was full.
     pub turned_away: usize,
     /// Requests that were answered.
@@ -205,9 +212,11 @@
     /// Whether nothing waits and nothing is out at any stall.
     pub fn at_rest(&self) -> bool {
         self.stalls.iter().filter_map(|s| s.desk.as_ref()).all(|desk| {
-            let (queued, out) =
-                (desk.broker().queues().map(|(_, n)| n).sum::<usize>(), desk.broker().permits().count());
-            queued == 0 && out == 0 && desk.asks() == 0
+            let (queued, out) = (
+                desk.scheduler().queues().map(|(_, n)| n).sum::<usize>(),
+                desk.scheduler().permits().count(),
+            );
+            queued == 0 && out == 0 && desk.open_request_count() == 0
         })
     }
 
@@ -256,7 +265,7 @@
         let me = Peer { name: name(stall), address: address(stall), zone: zone(stall) };
         let life = self.now / MS + 1;
         let (seed, first) = (self.plan.seed * 31 + stall as u64, life << 20);
-        let mut desk = Recorded::new(me, self.plan.terms.clone(), seed, first, Some(sink));
+        let mut desk = RecordedCoordinator::new(me, self.plan.terms.clone(), seed, first, Some(sink));
         let specs = self.plan.functions.iter().map(|(name, concurrency, boot, _)| Spec {
             name: (*name).into(),
             concurrency: *concurrency,
@@ -271,7 +280,7 @@
         });
         desk.configure(self.now, specs.chain(idle));
         let set = self.places.values().map(|p| p.told.clone()).collect();
-        desk.told(
+        desk.receive_from_controller(
             self.now,
             PeerMessage::Instances { version: (1, self.version), all: true, set, gone: Vec::new() },
         );
@@ -312,13 +321,15 @@
             Happens::Scout { stall, instance } => self.scout(stall, &instance),
             Happens::Mail { to, from, life, notes } => {
                 if self.stalls[to].desk.is_some() {
-                    self.with(to, |desk| desk.mail(now, &name(from), life, notes));
+                    self.with(to, |desk| desk.receive(now, &name(from), life, notes));
                 } else if self.stalls[from].life == life {
                     self.later(5 * MS, Happens::Back { to: from, address: address(to), notes });
                 }
             }
-            Happens::Back { to, address, notes } => self.with(to, |desk| desk.returned(now, &address, notes)),
-            Happens::Told { to, note } => self.with(to, |desk| desk.told(now, note)),
+            Happens::Back { to, address, notes } => {
+                self.with(to, |desk| desk.undelivered(now, &address, notes))
+            }
+            Happens::Told { to, note } => self.with(to, |desk| desk.receive_from_controller(now, note)),
             Happens::Up(note) => self.control(&note),
             Happens::Crash => self.crash(),
             Happens::Gone(id) => {
@@ -356,7 +367,7 @@
         }
     }
 
-    fn with(&mut self, stall: usize, what: impl FnOnce(&mut Recorded)) {
+    fn with(&mut self, stall: usize, what: impl FnOnce(&mut RecordedCoordinator)) {
         if let Some(desk) = &mut self.stalls[stall].desk {
             what(desk);
             self.carry_out(stall);
@@ -366,7 +377,7 @@
     fn carry_out(&mut self, stall: usize) {
         let now = self.now;
         while let Some(desk) = &mut self.stalls[stall].desk {
-            let outs = desk.take();
+            let outs = desk.take_actions();
             if outs.is_empty() {
                 return;
             }
@@ -375,11 +386,11 @@
             for out in outs {
                 self.outs[stall].push((now, out.clone()));
                 match out {
-                    Out::Send { to, note } => letters.entry(to).or_default().push(note),
-                    Out::Granted { ask, instance, .. } => self.granted(stall, ask, instance),
-                    Out::Refused { ask, no } => self.refused(stall, ask, no),
-                    Out::Up(note) => self.later(3 * MS, Happens::Up(note)),
-                    Out::Scout { instance, from } => {
+                    Action::Send { to, note } => letters.entry(to).or_default().push(note),
+                    Action::Granted { ask, instance, .. } => self.granted(stall, ask, instance),
+                    Action::Refused { ask, reason: no } => self.refused(stall, ask, no),
+                    Action::NotifyController(note) => self.later(3 * MS, Happens::Up(note)),
+                    Action::ProbeReadiness { instance, from } => {
                         if self.stalls[stall].scouting.insert(instance.id.clone()) {
                             let after = from.saturating_sub(now);
                             self.later(after, Happens::Scout { stall, instance: instance.id });
@@ -436,7 +447,7 @@
         let now = self.now;
         let one = &mut self.requests[request];
         let (stall, first) = (one.stall, std::mem::replace(&mut one.first, false));
-        let ask = Ask {
+        let ask = PermitRequest {
             id: 0,
             service: self.plan.functions[one.function].0.into(),
             deadline: one.deadline,
@@ -450,7 +461,7 @@
         let id = self.stalls[stall]
             .desk
             .as_mut()
-            .and_then(|desk| desk.ask(now, ask, first, None))
+            .and_then(|desk| desk.request_permit(now, ask, first, None))
             .expect("a number");
         self.requests[request].ask = Some(id);
         self.stalls[stall].asks.insert(id, request);
@@ -512,7 +523,7 @@
         self.stalls[stall].asks.remove(&id);
         self.with(stall, |desk| desk.finish(now, id, outcome, now - since));
         if outcome == Outcome::Unreachable {
-            self.with(stall, |desk| desk.refused(now, &instance));
+            self.with(stall, |desk| desk.connection_refused(now, &instance));
         }
         self.answered += usize::from(outcome == Outcome::Answered);
         self.goes_on(request, next);
@@ -520,19 +531,19 @@
 
     fn goes_on(&mut self, request: usize, next: Next) {
         match next {
-            Next::AskAt(at) => self.later(at.saturating_sub(self.now), Happens::Again(request)),
-            Next::Over => self.requests[request].over = true,
+            Next::RetryAt(at) => self.later(at.saturating_sub(self.now), Happens::Again(request)),
+            Next::GiveUp => self.requests[request].over = true,
         }
     }
 
-    fn refused(&mut self, stall: usize, id: u64, no: No) {
+    fn refused(&mut self, stall: usize, id: u64, no: DenialReason) {
         let now = self.now;
         let Some(request) = self.stalls[stall].asks.remove(&id) else { return };
         self.requests[request].ask = None;
         self.with(stall, |desk| desk.finish(now, id, Outcome::Unused, 0));
         let next = match no {
-            No::Skip => self.requests[request].tries.skipped(now),
-            _ => Next::Over,
+            DenialReason::Skip => self.requests[request].tries.skipped(now),
+            _ => Next::GiveUp,
         };
         self.goes_on(request, next);
     }
@@ -549,19 +560,19 @@
         let Some(id) = one.ask.take() else { return };
         self.stalls[stall].asks.remove(&id);
         match since {
-            Some(since) => self.with(stall, |desk| desk.finish(now, id, Outcome::LeftAlone, now - since)),
-            None => self.with(stall, |desk| desk.give_up(now, id)),
+            Some(since) => self.with(stall, |desk| desk.finish(now, id, Outcome::Abandoned, now - since)),
+            None => self.with(stall, |desk| desk.cancel(now, id)),
         }
     }
 
     fn scout(&mut self, stall: usize, id: &CompactString) {
         let now = self.now;
         let there = self.places.get(id).is_some_and(|p| !p.dead);
-        let boots = self.stalls[stall].desk.as_ref().is_some_and(|desk| desk.boots(id));
+        let boots = self.stalls[stall].desk.as_ref().is_some_and(|desk| desk.is_booting(id));
         if there && boots {
             if self.places.get(id).is_some_and(|p| p.up_at <= now) {
                 self.stalls[stall].scouting.remove(id);
-                self.with(stall, |desk| desk.up(now, id));
+                self.with(stall, |desk| desk.instance_up(now, id));
             } else {
                 self.later(12 * MS, Happens::Scout { stall, instance: id.clone() });
             }
--- a/replay/tests/days.rs
+++ b/replay/tests/days.rs
@@ -6,13 +6,13 @@
 use millpost_replay::check::{Check, Rule};
 use millpost_replay::lines::{Lines, Which};
 use millpost_replay::play::{Event, play};
-use millpost_scheduler::{MS, Nanos, Out, SECOND, Terms};
+use millpost_scheduler::{Action, MS, Nanos, SECOND, SchedulerLimits};
 
 /// Days of each kind.
 const SEEDS: u64 = 6;
 
 struct Seen {
-    outs: Vec<(Nanos, Out)>,
+    outs: Vec<(Nanos, Action)>,
     check: Check,
 }
 
@@ -74,7 +74,13 @@
 fn failures_and_silence() {
     let mut repeats = 0;
     for seed in 0..SEEDS {
-        let terms = Terms { ratio: 0.2, window: 2 * SECOND, slack: 6.0, asks_per_s: 300.0, speeds: false };
+        let terms = SchedulerLimits {
+            ratio: 0.2,
+            window: 2 * SECOND,
+            slack: 6.0,
+            requests_per_s: 300.0,
+            rank_by_latency: false,
+        };
         let rates = vec![40.0; 4];
         let plan = Plan { seed, stalls: 2, rates, terms, fails: 0.15, silent: 0.25, ..Plan::default() };
         let day = holds(plan);
--- a/replay/tests/traces.rs
+++ b/replay/tests/traces.rs
@@ -14,7 +14,7 @@
 use millpost_replay::play::{Event, Pass, Step, play};
 use millpost_replay::table::{Rounds, Table};
 use millpost_scheduler::recording::{Entry as DeskEntry, Input};
-use millpost_scheduler::{Coordinator, Instance, MS, Out, SECOND, Terms};
+use millpost_scheduler::{Action, Coordinator, Instance, MS, SECOND, SchedulerLimits};
 
 fn path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/traces").join(name)
@@ -131,7 +131,7 @@
 }
 
 /// What comes of a play where something goes wrong in the machine, seen by one who watches from outside.
-fn planted(name: &str, mut plant: impl FnMut(&Step<'_>) -> (Input, Vec<Out>, u64)) -> Vec<(Rule, usize)> {
+fn planted(name: &str, mut plant: impl FnMut(&Step<'_>) -> (Input, Vec<Action>, u64)) -> Vec<(Rule, usize)> {
     let text = text(name);
     let checks = checked(text.as_bytes(), Which::default(), |check, step| {
         let (input, outs, at) = plant(&step);
@@ -146,7 +146,7 @@
     let mut done = false;
     let twice = planted("calm.jsonl", |step| {
         let mut outs = step.outs.to_vec();
-        let granted = outs.iter().find(|out| matches!(out, Out::Granted { .. })).cloned();
+        let granted = outs.iter().find(|out| matches!(out, Action::Granted { .. })).cloned();
         outs.extend(granted.filter(|_| !std::mem::replace(&mut done, true)));
         (step.input.clone(), outs, step.at)
     });
@@ -154,7 +154,7 @@
     let stranger = planted("calm.jsonl", |step| {
         let mut outs = step.outs.to_vec();
         for out in &mut outs {
-            if let Out::Granted { instance, .. } = out {
+            if let Action::Granted { instance, .. } = out {
                 *instance = "i-none".into();
             }
         }
@@ -173,10 +173,10 @@
             outs = outs
                 .into_iter()
                 .flat_map(|out| match out {
-                    Out::Send { to, note: PeerMessage::Done { id, outcome, took } } => {
+                    Action::Send { to, note: PeerMessage::Done { id, outcome, took } } => {
                         let note =
                             PeerMessage::Back { who: "edge-1".into(), id, instance: None, outcome, took };
-                        vec![Out::Send { to, note }; times]
+                        vec![Action::Send { to, note }; times]
                     }
                     other => vec![other],
                 })
@@ -201,11 +201,11 @@
     let checks = checked(text.as_bytes(), which, |check, step| {
         let mut outs = step.outs.to_vec();
         if let (Input::Finish { id, .. }, true) = (step.input, outs.len() == 1)
-            && let Out::Send { to, note: PeerMessage::Done { .. } } = outs.remove(0)
+            && let Action::Send { to, note: PeerMessage::Done { .. } } = outs.remove(0)
         {
             let (instance, service) = ("i".into(), "s".into());
             let notes = vec![PeerMessage::Held { id: *id, service, instance, left: 9.0 }];
-            check.see(&Step { input: &Input::Returned { address: to, notes }, outs: &[], ..step });
+            check.see(&Step { input: &Input::Undelivered { address: to, notes }, outs: &[], ..step });
             count += 1;
             return check.see(&Step { outs: &outs, ..step });
         }
@@ -221,7 +221,7 @@
     let checks = checked(text.as_bytes(), which, |check, step| {
         let mut outs = step.outs.to_vec();
         for out in &mut outs {
-            if let Out::Send { note: PeerMessage::Grant { instance, .. }, .. } = out {
+            if let Action::Send { note: PeerMessage::Grant { instance, .. }, .. } = out {
                 *instance = "i-none".into();
             }
         }
@@ -241,9 +241,9 @@
 fn a_permit_for_what_was_let_go_or_is_full_is_seen() {
     let let_go = planted("calm.jsonl", |step| {
         let mut outs = step.outs.to_vec();
-        if let Some(Out::Granted { instance, .. }) = step.outs.first() {
+        if let Some(Action::Granted { instance, .. }) = step.outs.first() {
             let note = PeerMessage::Retire { instance: instance.clone() };
-            outs.insert(0, Out::Up(note));
+            outs.insert(0, Action::NotifyController(note));
         }
         (step.input.clone(), outs, step.at)
     });
@@ -263,7 +263,7 @@
     let mut last = 0;
     let early = planted("failures.jsonl", |step| {
         // As if the retry had come with the input before it.
-        let retry = matches!(step.input, Input::Ask { first: false, .. });
+        let retry = matches!(step.input, Input::RequestPermit { first: false, .. });
         let at = if retry { last } else { step.at };
         last = if let Input::Finish { .. } = step.input { step.at } else { last };
         (step.input.clone(), step.outs.to_vec(), at)
@@ -272,7 +272,7 @@
     let spent = planted("failures.jsonl", |step| {
         let mut input = step.input.clone();
         if let Input::New { terms, .. } = &mut input {
-            *terms = Terms { ratio: 0.0, slack: 1.0, ..terms.clone() };
+            *terms = SchedulerLimits { ratio: 0.0, slack: 1.0, ..terms.clone() };
         }
         (input, step.outs.to_vec(), step.at)
     });
@@ -439,8 +439,8 @@
                     Vec::new()
                 }
                 (Some(desk), input) => {
-                    input.give(entry.at, desk);
-                    Vec::from(desk.take())
+                    input.apply(entry.at, desk);
+                    Vec::from(desk.take_actions())
                 }
                 (None, _) => panic!("a life begins"),
             }
@@ -480,7 +480,7 @@
     let mut scouts: Vec<Instance> = Vec::new();
     checked(text("calm.jsonl").as_bytes(), Which::default(), |_, step| {
         scouts.extend(step.outs.iter().filter_map(|out| match out {
-            Out::Scout { instance, .. } => Some(instance.clone()),
+            Action::ProbeReadiness { instance, .. } => Some(instance.clone()),
             _ => None,
         }));
     })
--- a/replay/tests/whole_days.rs
+++ b/replay/tests/whole_days.rs
@@ -35,19 +35,19 @@
             Event::Coordinator(step) => {
                 checks.last_mut().expect("a life").see(&step);
                 match (step.trail, step.next) {
-                    (Some(TraceEvent::Begun { p, attempt, .. }), _) => {
+                    (Some(TraceEvent::Received { p, attempt, .. }), _) => {
                         drop(asked.insert(*p, attempt.to_string()))
                     }
-                    (Some(TraceEvent::Turned { attempt, status }), _) => {
+                    (Some(TraceEvent::Rejected { attempt, status }), _) => {
                         answers.insert(attempt.to_string(), *status);
                     }
                     _ => {}
                 }
                 let p = match step.input {
-                    Input::Ask { of, .. } => *of,
+                    Input::RequestPermit { of, .. } => *of,
                     _ => step.trail.and_then(TraceEvent::of),
                 };
-                if let (Some(Step::Tell(told)), Some(p)) = (step.next, p) {
+                if let (Some(Step::Respond(told)), Some(p)) = (step.next, p) {
                     let status = told.as_ref().map_or_else(|refusal| refusal.answer().0, |status| *status);
                     let id = asked.get(&p).expect("it was read");
                     assert_eq!(answers.insert(id.clone(), status), None, "{id} is answered once");
--- a/scheduler/src/attempt_timeouts.rs
+++ b/scheduler/src/attempt_timeouts.rs
@@ -43,7 +43,7 @@
 
 impl AttemptTimeouts {
     /// How long a try of this function may go unanswered before it is given up; none where too little is known, or too many were.
-    pub fn within(&self, service: &str) -> Option<Nanos> {
+    pub fn timeout(&self, service: &str) -> Option<Nanos> {
         let seen = self.0.get(service).filter(|s| s.answers >= ENOUGH && s.spare >= 1.0)?;
         Some((seen.usual * USUAL).max(seen.longest * LONGEST).max(LEAST) as Nanos)
     }
@@ -63,7 +63,7 @@
     }
 
     /// One was given up after so long: the next is given more time.
-    pub fn given_up(&mut self, service: &str, took: Nanos) {
+    pub fn timed_out(&mut self, service: &str, took: Nanos) {
         if let Some(seen) = self.0.get_mut(service) {
             seen.longest = seen.longest.max(took as f64);
             seen.spare = (seen.spare - 1.0).max(0.0);
@@ -94,18 +94,18 @@
         quick = { 2, 40, Some(100) },
     )]
     fn a_wide_margin_once_enough_is_known(takes_ms: Nanos, answers: u32, within_ms: Option<Nanos>) {
-        assert_eq!(seen(takes_ms * MS, answers).within("f"), within_ms.map(|ms| ms * MS));
+        assert_eq!(seen(takes_ms * MS, answers).timeout("f"), within_ms.map(|ms| ms * MS));
     }
 
     #[test]
     fn a_long_answer_widens_it_for_a_while_and_so_does_one_that_was_given_up() {
         let mut margins = seen(50 * MS, 100);
         margins.answered(&"f".into(), 300 * MS);
-        assert_eq!(margins.within("f"), Some(600 * MS));
+        assert_eq!(margins.timeout("f"), Some(600 * MS));
         (0..100).for_each(|_| margins.answered(&"f".into(), 50 * MS));
-        assert_eq!(margins.within("f").map(|within| within / MS), Some(400));
-        margins.given_up("f", 400 * MS);
-        assert_eq!(margins.within("f"), Some(800 * MS));
+        assert_eq!(margins.timeout("f").map(|within| within / MS), Some(400));
+        margins.timed_out("f", 400 * MS);
+        assert_eq!(margins.timeout("f"), Some(800 * MS));
     }
 
     /// Where a function's endpoints have all turned slow, its tries are waited for.
@@ -113,9 +113,9 @@
     fn where_most_are_slow_few_are_given_up() {
         let (mut margins, mut given_up, mut answered) = (seen(50 * MS, 100), 0, 0);
         for _ in 0..1_000 {
-            match margins.within("f").filter(|within| *within < 1_200 * MS) {
+            match margins.timeout("f").filter(|within| *within < 1_200 * MS) {
                 Some(within) => {
-                    margins.given_up("f", within);
+                    margins.timed_out("f", within);
                     given_up += 1;
                 }
                 None => {
@@ -126,6 +126,6 @@
         }
         assert!(given_up <= 3 && answered >= 997, "{given_up} given up");
         margins.retain(|name| name != "f");
-        assert_eq!(margins.within("f"), None);
+        assert_eq!(margins.timeout("f"), None);
     }
 }
--- a/scheduler/src/coordinator.rs
+++ b/scheduler/src/coordinator.rs
@@ -15,12 +15,12 @@
 use millpost_protocol::{MembershipView, PeerMessage, Version};
 
 use crate::coordinator::passing::Granted;
-use crate::effect::{Effect, No, Terms};
+use crate::effect::{DenialReason, Effect, SchedulerLimits};
 use crate::function::{Scheduler, Transfer};
 use crate::instance::{Instance, Stage};
 use crate::owners::{Owners, OwnershipChange, Peer};
 use crate::reason::Reason;
-use crate::{Ask, MS, Nanos, Outcome, SECOND, Spec};
+use crate::{MS, Nanos, Outcome, PermitRequest, SECOND, Spec};
 
 /// An ask that nothing was heard of is sent again after this time,
 const ASK_AGAIN: Nanos = 300 * MS;
@@ -40,7 +40,7 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum Action {
     /// Mail for another stall.
     Send {
         /// Its address.
@@ -62,12 +62,12 @@
         /// Its number.
         ask: u64,
         /// Why.
-        no: No,
+        reason: DenialReason,
     },
     /// Word for control.
-    Up(PeerMessage),
+    NotifyController(PeerMessage),
     /// Find out when this instance accepts connections.
-    Scout {
+    ProbeReadiness {
         /// The instance.
         instance: Instance,
         /// Not before.
@@ -75,22 +75,22 @@
     },
 }
 
-impl Out {
+impl Action {
     /// Puts it into a digest, whole.
     pub fn fold(&self, into: &mut Fold<'_>) {
         match self {
-            Out::Send { to, note } => note.fold(into.text("send").text(to)),
-            Out::Granted { ask, instance, address } => {
+            Action::Send { to, note } => note.fold(into.text("send").text(to)),
+            Action::Granted { ask, instance, address } => {
                 into.text("granted").whole(*ask).text(instance).text(address);
             }
-            Out::Refused { ask, no } => {
-                into.text("refused").whole(*ask).text(no.word());
-                if let No::Full(wait) = no {
+            Action::Refused { ask, reason: no } => {
+                into.text("refused").whole(*ask).text(no.as_str());
+                if let DenialReason::Full(wait) = no {
                     into.whole(*wait);
                 }
             }
-            Out::Up(note) => note.fold(into.text("up")),
-            Out::Scout { instance, from } => {
+            Action::NotifyController(note) => note.fold(into.text("up")),
+            Action::ProbeReadiness { instance, from } => {
                 into.text("scout").text(&instance.id).text(&instance.service).text(&instance.address);
                 into.whole(instance.stage as u64).whole(*from);
             }
@@ -100,7 +100,7 @@
 
 /// An ask of this proxy's own, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OpenAsk<'a> {
+pub struct OpenRequest<'a> {
     /// The function.
     pub service: &'a str,
     /// With which proxy it stands, if with any.
@@ -113,7 +113,7 @@
 
 #[derive(Debug)]
 struct Open {
-    ask: Ask,
+    ask: PermitRequest,
     first: bool,
     /// With whom it stands; none while nobody is known.
     owner: Option<CompactString>,
@@ -166,7 +166,7 @@
     /// Owners of before that have told of all they had out, by function, and by which naming.
     told_over: BTreeMap<CompactString, BTreeMap<CompactString, Version>>,
     next: u64,
-    outs: VecDeque<Out>,
+    outs: VecDeque<Action>,
     /// All is worked out anew whatever has changed, for a comparison.
     #[cfg(test)]
     plainly: bool,
@@ -182,7 +182,7 @@
 
 impl Coordinator {
     /// `first`: the number of the first ask; higher than those of any life before.
-    pub fn new(me: Peer, terms: Terms, seed: u64, first: u64) -> Self {
+    pub fn new(me: Peer, terms: SchedulerLimits, seed: u64, first: u64) -> Self {
         let owners = Owners::default();
         Coordinator {
             me,
@@ -209,7 +209,7 @@
     }
 
     /// What is to be done since.
-    pub fn take(&mut self) -> VecDeque<Out> {
+    pub fn take_actions(&mut self) -> VecDeque<Action> {
         std::mem::take(&mut self.outs)
     }
 
@@ -229,33 +229,33 @@
     }
 
     /// The functions that are owned here.
-    pub fn broker(&self) -> &Scheduler {
+    pub fn scheduler(&self) -> &Scheduler {
         &self.broker
     }
 
     /// Control has named the stalls.
-    pub fn informed(&self) -> bool {
+    pub fn has_view(&self) -> bool {
         self.owners.version() > (0, 0)
     }
 
     /// The naming of stalls that is known here, and the functions that were split in it.
-    pub fn split(&self) -> Option<((u64, u64), Vec<CompactString>)> {
-        self.informed().then(|| (self.owners.version(), self.owners.split().iter().cloned().collect()))
+    pub fn view_split(&self) -> Option<((u64, u64), Vec<CompactString>)> {
+        self.has_view().then(|| (self.owners.version(), self.owners.split().iter().cloned().collect()))
     }
 
     /// The digest of that naming.
-    pub fn digest(&self) -> Option<u64> {
-        self.informed().then_some(self.digest)
+    pub fn view_digest(&self) -> Option<u64> {
+        self.has_view().then_some(self.digest)
     }
 
     /// Asks that are open or granted.
-    pub fn asks(&self) -> usize {
+    pub fn open_request_count(&self) -> usize {
         self.open.len()
     }
 
     /// Each of them, in the order in which they were made.
-    pub fn open_asks(&self) -> impl Iterator<Item = OpenAsk<'_>> {
-        self.open.values().map(|open| OpenAsk {
+    pub fn open_requests(&self) -> impl Iterator<Item = OpenRequest<'_>> {
+        self.open.values().map(|open| OpenRequest {
             service: &open.ask.service,
             owner: open.owner.as_deref(),
             instance: open.granted.as_ref().map(|(instance, _)| instance.as_str()),
@@ -283,7 +283,7 @@
             };
             let mut transfer = Transfer::default();
             // Of a function with one owner before and after, it is the same in all zones.
-            let is_split = before.lots(service) > 1 || owners.lots(service) > 1;
+            let is_split = before.partition_count(service) > 1 || owners.partition_count(service) > 1;
             let all = zones.iter().chain(&self.zones);
             for zone in all.take(if is_split { usize::MAX } else { 1 }) {
                 let of = |owners: &Owners| owners.owner(service, zone, |_| true).map(|p| p.name.clone());
@@ -298,7 +298,7 @@
             }
             transfer
         };
-        let parted = self.broker.own(now, me, owners, turn, transfer);
+        let parted = self.broker.update_ownership(now, me, owners, turn, transfer);
         for parted in parted {
             self.hand_over(now, parted);
         }
@@ -307,7 +307,7 @@
 
     /// With whom a function's asks stand. Until control has named the stalls nobody owns anything: each would give out the same slots.
     fn owner_of(&self, now: Nanos, service: &str) -> Option<&Peer> {
-        if !self.informed() {
+        if !self.has_view() {
             return None;
         }
         let heard = |p: &Peer| self.passed_over.get(&p.name).is_none_or(|until| *until <= now);
@@ -315,7 +315,7 @@
     }
 
     /// A request needs a permit. The number under which it is granted or refused, perhaps at once.
-    pub fn ask(&mut self, now: Nanos, mut ask: Ask, first: bool) -> Option<u64> {
+    pub fn request_permit(&mut self, now: Nanos, mut ask: PermitRequest, first: bool) -> Option<u64> {
         if self.open.len() >= MOST_ASKS {
             return None;
         }
@@ -340,7 +340,7 @@
         let (ask, first) = (open.ask.clone(), open.first);
         if owner.name == self.me.name {
             self.stand_back(now, &ask);
-            self.broker.ask(now, self.me.name.clone(), ask, first);
+            self.broker.request_permit(now, self.me.name.clone(), ask, first);
             return self.carry_out(now);
         }
         let ms = |until: Nanos| (until as f64 - now as f64) / MS as f64;
@@ -356,20 +356,20 @@
             avoid: ask.avoid,
             zone: ask.zone,
         };
-        self.outs.push_back(Out::Send { to: owner.address, note });
+        self.outs.push_back(Action::Send { to: owner.address, note });
     }
 
     /// An owner that is heard of lives, and gives its slots itself: who is asked in its place waits until it is not heard of any more.
-    fn stand_back(&mut self, now: Nanos, ask: &Ask) {
+    fn stand_back(&mut self, now: Nanos, ask: &PermitRequest) {
         let owner = self.owners.owner(&ask.service, &ask.zone, |_| true);
         let heard = owner.filter(|p| p.name != self.me.name).and_then(|p| self.heard.get(&p.name));
         if let Some(at) = heard.filter(|at| **at + DEAF > now) {
-            self.broker.stand_back(&ask.service, at + DEAF);
+            self.broker.defer_to_owner(&ask.service, at + DEAF);
         }
     }
 
     /// A request no longer waits for its permit.
-    pub fn give_up(&mut self, now: Nanos, id: u64) {
+    pub fn cancel(&mut self, now: Nanos, id: u64) {
         self.finish(now, id, Outcome::Unused, 0);
     }
 
@@ -380,16 +380,16 @@
         if owner == self.me.name {
             let me = self.me.name.clone();
             if open.granted.is_some() {
-                if !self.pass_on(&me, id, outcome.word(), took as f64 / MS as f64) {
-                    self.broker.done(now, &me, id, outcome, took);
+                if !self.pass_on(&me, id, outcome.as_str(), took as f64 / MS as f64) {
+                    self.broker.release(now, &me, id, outcome, took);
                 }
             } else {
-                self.broker.drop_ask(now, &me, id);
+                self.broker.cancel(now, &me, id);
             }
             return self.carry_out(now);
         }
         let note = if open.granted.is_some() {
-            PeerMessage::Done { id, outcome: outcome.word().into(), took: took as f64 / MS as f64 }
+            PeerMessage::Done { id, outcome: outcome.as_str().into(), took: took as f64 / MS as f64 }
         } else {
             PeerMessage::Drop { id }
         };
@@ -397,39 +397,39 @@
     }
 
     /// Where a stall is that lives, or was named once.
-    pub fn address(&self, name: &str) -> Option<&CompactString> {
+    pub fn address_of(&self, name: &str) -> Option<&CompactString> {
         let living = self.owners.find_living(name).map(|peer| &peer.address);
         living.or_else(|| self.away.get(name))
     }
 
     fn send(&mut self, name: &str, note: PeerMessage) {
-        match self.address(name).cloned() {
-            Some(to) => self.outs.push_back(Out::Send { to, note }),
+        match self.address_of(name).cloned() {
+            Some(to) => self.outs.push_back(Action::Send { to, note }),
             None => self.broker.counts.unaddressed += 1,
         }
     }
 
     /// An instance was seen to accept connections.
-    pub fn up(&mut self, now: Nanos, id: &str) {
-        self.broker.up(now, id);
-        self.outs.push_back(Out::Up(PeerMessage::Up { instance: id.into() }));
+    pub fn instance_up(&mut self, now: Nanos, id: &str) {
+        self.broker.instance_up(now, id);
+        self.outs.push_back(Action::NotifyController(PeerMessage::Up { instance: id.into() }));
         self.carry_out(now);
     }
 
     /// An instance is known, and was not seen to accept connections yet.
-    pub fn boots(&self, id: &str) -> bool {
-        self.broker.boots(id)
+    pub fn is_booting(&self, id: &str) -> bool {
+        self.broker.is_booting(id)
     }
 
     /// A connection to an instance was refused outright.
-    pub fn refused(&mut self, now: Nanos, id: &str) {
-        self.broker.lose(now, id, false);
-        self.outs.push_back(Out::Up(PeerMessage::Lost { instance: id.into() }));
+    pub fn connection_refused(&mut self, now: Nanos, id: &str) {
+        self.broker.mark_lost(now, id, false);
+        self.outs.push_back(Action::NotifyController(PeerMessage::Lost { instance: id.into() }));
         self.carry_out(now);
     }
 
     /// Mail from a stall, in this life of it.
-    pub fn mail(&mut self, now: Nanos, from: &str, life: u64, notes: Vec<PeerMessage>) {
+    pub fn receive(&mut self, now: Nanos, from: &str, life: u64, notes: Vec<PeerMessage>) {
         match self.lives.get(from) {
             Some(known) if *known == life => {}
             // Late mail of a life that has ended, or the clock of its machine has stepped back: only one that lives can say.
@@ -440,7 +440,7 @@
                 self.lives.insert(from.into(), life);
                 // Of one that is heard for the first time, what another owner told of before is out still.
                 if anew {
-                    self.broker.left(now, from);
+                    self.broker.proxy_left(now, from);
                     self.tell_anew(now, from);
                 }
             }
@@ -456,7 +456,7 @@
     /// A stall is told by which later incarnation it is known here.
     fn refute(&mut self, name: &str, known: u64) {
         if let Some(to) = self.owners.find_living(name).map(|p| p.address.clone()) {
-            self.outs.push_back(Out::Send { to, note: PeerMessage::StaleIncarnation { known } });
+            self.outs.push_back(Action::Send { to, note: PeerMessage::StaleIncarnation { known } });
         }
     }
 
@@ -466,14 +466,14 @@
         match note {
             PeerMessage::Ask { id, service, left, aim, target, sent, first, returned, avoid, zone } => {
                 let (deadline, aim, target) = (at(left), at(aim), span(target));
-                let ask = Ask { id, service, deadline, aim, target, sent, returned, avoid, zone };
+                let ask = PermitRequest { id, service, deadline, aim, target, sent, returned, avoid, zone };
                 self.stand_back(now, &ask);
-                self.broker.ask(now, from.into(), ask, first);
+                self.broker.request_permit(now, from.into(), ask, first);
             }
             PeerMessage::Drop { id } => {
-                let passed = self.pass_on(from, id, Outcome::Unused.word(), 0.0);
+                let passed = self.pass_on(from, id, Outcome::Unused.as_str(), 0.0);
                 if !passed {
-                    self.broker.drop_ask(now, from, id);
+                    self.broker.cancel(now, from, id);
                 }
             }
             PeerMessage::Over { service, version, permits } => {
@@ -484,10 +484,10 @@
                 if self.pass_on(&who, id, &outcome, took) {
                     return;
                 }
-                let outcome = Outcome::read(&outcome).unwrap_or(Outcome::LeftAlone);
+                let outcome = Outcome::parse(&outcome).unwrap_or(Outcome::Abandoned);
                 let stands = |at: &CompactString| self.broker.is_out_at(&who, id, at);
                 if instance.as_ref().is_none_or(stands) {
-                    self.broker.done(now, &who, id, outcome, span(took));
+                    self.broker.release(now, &who, id, outcome, span(took));
                 } else if !self.broker.is_out(&who, id) {
                     self.broker.came_back(now, &who, id, outcome);
                 }
@@ -495,13 +495,13 @@
             PeerMessage::Done { id, outcome, took } => {
                 let passed = self.pass_on(from, id, &outcome, took);
                 if !passed {
-                    let outcome = Outcome::read(&outcome).unwrap_or(Outcome::LeftAlone);
-                    self.broker.done(now, from, id, outcome, span(took));
+                    let outcome = Outcome::parse(&outcome).unwrap_or(Outcome::Abandoned);
+                    self.broker.release(now, from, id, outcome, span(took));
                 }
             }
             PeerMessage::Held { id, instance, left, .. } => {
                 self.broker.counts.held += 1;
-                self.broker.held(now, from.into(), id, &instance, at(left));
+                self.broker.hold_permit(now, from.into(), id, &instance, at(left));
             }
             PeerMessage::Grant { id, instance, address, zone } => {
                 let zone = zone.unwrap_or_else(|| self.me.zone.clone());
@@ -522,13 +522,13 @@
                 if mine {
                     self.open.remove(&id);
                     let no = match why.as_str() {
-                        "skip" => No::Skip,
-                        "spent" => No::Spent,
-                        "unknown" => No::Unknown,
-                        "moved" => No::Moved,
-                        _ => No::Full(span(wait)),
+                        "skip" => DenialReason::Skip,
+                        "spent" => DenialReason::Spent,
+                        "unknown" => DenialReason::Unknown,
+                        "moved" => DenialReason::Moved,
+                        _ => DenialReason::Full(span(wait)),
                     };
-                    self.outs.push_back(Out::Refused { ask: id, no });
+                    self.outs.push_back(Action::Refused { ask: id, reason: no });
                 }
             }
             _ => {}
@@ -536,19 +536,19 @@
     }
 
     /// What control tells.
-    pub fn told(&mut self, now: Nanos, note: PeerMessage) {
+    pub fn receive_from_controller(&mut self, now: Nanos, note: PeerMessage) {
         self.passed_over.remove(&self.me.name);
         match note {
             PeerMessage::Stalls { version, peers, leaving, split } if version > self.owners.version() => {
                 self.named(now, MembershipView::new(version, peers, split).with_leaving(leaving).into());
             }
             PeerMessage::ViewChange(shift) if shift.version > self.owners.version() => {
-                match self.owners.shifted(&shift) {
+                match self.owners.apply_change(&shift) {
                     Some(owners) => self.named(now, owners),
                     // What lies between was missed: it comes whole.
-                    None => {
-                        self.outs.push_back(Out::Up(PeerMessage::Behind { version: self.owners.version() }))
-                    }
+                    None => self.outs.push_back(Action::NotifyController(PeerMessage::Behind {
+                        version: self.owners.version(),
+                    })),
                 }
             }
             PeerMessage::Instances { version, all, set, gone }
@@ -571,21 +571,21 @@
                 let (owners, me) = (&self.owners, &self.me.name);
                 let mine = |i: &Instance| owners.owns(me, &i.service, &i.zone).is_ok();
                 if all && now < self.renews {
-                    self.broker.renewed(now, set, mine);
+                    self.broker.merge_instances(now, set, mine);
                 } else if all {
-                    self.broker.whole(now, set, mine);
+                    self.broker.replace_instances(now, set, mine);
                 } else {
                     for i in set {
                         let mine = mine(&i);
-                        self.broker.known(now, i, mine);
+                        self.broker.update_instance(now, i, mine);
                     }
-                    gone.iter().for_each(|id| self.broker.gone(now, id));
+                    gone.iter().for_each(|id| self.broker.remove_instance(now, id));
                 }
                 self.carry_out(now);
             }
             PeerMessage::Floor { service, count, fence, left } => {
                 let until = now + (left.clamp(0.0, 1e7) * MS as f64) as Nanos;
-                self.broker.floor(now, &service, count, fence, until);
+                self.broker.set_floor(now, &service, count, fence, until);
                 self.carry_out(now);
             }
             _ => {}
@@ -593,8 +593,8 @@
     }
 
     /// Mail to a stall came back: it is passed over for a while, and what it was asked goes to the next.
-    pub fn returned(&mut self, now: Nanos, address: &str, notes: Vec<PeerMessage>) {
-        let roster = self.owners.roster();
+    pub fn undelivered(&mut self, now: Nanos, address: &str, notes: Vec<PeerMessage>) {
+        let roster = self.owners.view();
         let mut living = roster.peers().iter().chain(roster.leaving());
         let Some(name) = living.find(|p| p.address == address).map(|p| p.name.clone()) else { return };
         self.passed_over.insert(name.clone(), now + PASSED_OVER);
@@ -602,13 +602,13 @@
             // It may have come all the same, late: a slot that was granted is not given to another on that account. Who did not hear of
             // it hears again, and says if it has no use for it.
             let again = match &note {
-                PeerMessage::Grant { id, .. } => self.broker.has(&name, *id),
+                PeerMessage::Grant { id, .. } => self.broker.has_request(&name, *id),
                 PeerMessage::Over { version, .. } => *version == self.owners.version(),
                 PeerMessage::Back { .. } => true,
                 _ => false,
             };
             if again {
-                self.outs.push_back(Out::Send { to: address.into(), note });
+                self.outs.push_back(Action::Send { to: address.into(), note });
             }
         }
         self.carry_out(now);
@@ -617,7 +617,7 @@
     }
 
     /// Control can't be told anything: for a while others own what this stall owned, so that it can be started and stopped.
-    pub fn mute(&mut self, now: Nanos) {
+    pub fn controller_unreachable(&mut self, now: Nanos) {
         self.passed_over.insert(self.me.name.clone(), now + PASSED_OVER);
         self.replace(now);
         self.carry_out(now);
@@ -626,7 +626,7 @@
     fn carry_out(&mut self, now: Nanos) {
         // Refusals and grants of this stall's own may lead to further ones.
         loop {
-            let effects = self.broker.take();
+            let effects = self.broker.take_effects();
             if effects.is_empty() {
                 return;
             }
@@ -642,14 +642,14 @@
                 Some(open) if open.granted.is_none() => {
                     open.granted = Some((instance.id.clone(), instance.zone.clone()));
                     let (instance, address) = (instance.id, instance.address);
-                    self.outs.push_back(Out::Granted { ask, instance, address });
+                    self.outs.push_back(Action::Granted { ask, instance, address });
                 }
                 Some(_) => {}
-                None => self.broker.done(now, &to, ask, Outcome::Unused, 0),
+                None => self.broker.release(now, &to, ask, Outcome::Unused, 0),
             },
-            Effect::Refuse { to, ask, no } if to == self.me.name => {
+            Effect::Refuse { to, ask, reason: no } if to == self.me.name => {
                 if self.open.remove(&ask).is_some() {
-                    self.outs.push_back(Out::Refused { ask, no });
+                    self.outs.push_back(Action::Refused { ask, reason: no });
                 }
             }
             Effect::Grant { to, ask, instance } => {
@@ -659,18 +659,18 @@
                     PeerMessage::Grant { id: ask, instance: instance.id, address: instance.address, zone };
                 self.send(&to, note);
             }
-            Effect::Refuse { to, ask, no } => {
-                let wait = if let No::Full(wait) = no { wait } else { 0 };
+            Effect::Refuse { to, ask, reason: no } => {
+                let wait = if let DenialReason::Full(wait) = no { wait } else { 0 };
                 self.send(
                     &to,
-                    PeerMessage::No { id: ask, why: no.word().into(), wait: wait as f64 / MS as f64 },
+                    PeerMessage::No { id: ask, why: no.as_str().into(), wait: wait as f64 / MS as f64 },
                 );
             }
             Effect::Queued { to, .. } if to == self.me.name => {}
             Effect::Queued { to, ask } => self.send(&to, PeerMessage::Waits { id: ask }),
-            Effect::Want { service, count, zones, strain, does, slow } => {
-                let lot = (self.owners.lots(&service) > 1).then(|| self.me.zone.clone());
-                self.outs.push_back(Out::Up(PeerMessage::Want {
+            Effect::SetInstanceTarget { service, count, zones, strain, does, slow } => {
+                let lot = (self.owners.partition_count(&service) > 1).then(|| self.me.zone.clone());
+                self.outs.push_back(Action::NotifyController(PeerMessage::Want {
                     service,
                     count,
                     zones,
@@ -680,9 +680,15 @@
                     slow,
                 }))
             }
-            Effect::Retire(instance) => self.outs.push_back(Out::Up(PeerMessage::Retire { instance })),
-            Effect::Lost(instance) => self.outs.push_back(Out::Up(PeerMessage::Lost { instance })),
-            Effect::Scout { instance, from } => self.outs.push_back(Out::Scout { instance, from }),
+            Effect::Retire(instance) => {
+                self.outs.push_back(Action::NotifyController(PeerMessage::Retire { instance }))
+            }
+            Effect::ReportLost(instance) => {
+                self.outs.push_back(Action::NotifyController(PeerMessage::Lost { instance }))
+            }
+            Effect::ProbeReadiness { instance, from } => {
+                self.outs.push_back(Action::ProbeReadiness { instance, from })
+            }
         }
     }
 
@@ -702,7 +708,8 @@
         }
         for peer in deaf {
             self.passed_over.insert(peer.clone(), now + PASSED_OVER);
-            self.outs.push_back(Out::Up(PeerMessage::Deaf { peer, from: self.me.name.clone() }));
+            self.outs
+                .push_back(Action::NotifyController(PeerMessage::Deaf { peer, from: self.me.name.clone() }));
         }
         self.replace(now);
         self.carry_out(now);
--- a/scheduler/src/coordinator/passing.rs
+++ b/scheduler/src/coordinator/passing.rs
@@ -5,7 +5,7 @@
 use compact_str::CompactString;
 use millpost_protocol::{PeerMessage, Permit, Version};
 
-use super::{Coordinator, Handed, MOST_ASKS, Open, Out};
+use super::{Action, Coordinator, Handed, MOST_ASKS, Open};
 use crate::function::Released;
 use crate::owners::Owners;
 use crate::{MS, Nanos, Outcome};
@@ -14,7 +14,7 @@
     /// The new owners of a function hear which permits are out.
     pub(super) fn hand_over(&mut self, now: Nanos, Released { service, out }: Released) {
         let mut told: BTreeMap<CompactString, (CompactString, Vec<Permit>)> = BTreeMap::new();
-        for zone in self.owners.lot_zones(&service, &self.me.zone) {
+        for zone in self.owners.partition_zones(&service, &self.me.zone) {
             if let Some(owner) =
                 self.owners.owner(&service, zone, |_| true).filter(|p| p.name != self.me.name)
             {
@@ -34,7 +34,7 @@
         let version = self.owners.version();
         for (to, permits) in told.into_values() {
             let note = PeerMessage::Over { service: service.clone(), version, permits };
-            self.outs.push_back(Out::Send { to, note });
+            self.outs.push_back(Action::Send { to, note });
         }
     }
 
@@ -69,16 +69,16 @@
         if self.told_over.len() < MOST_ASKS {
             self.told_over.entry(service.clone()).or_default().insert(from.into(), version);
         }
-        self.broker.settled(now, &service, from);
+        self.broker.transfer_complete(now, &service, from);
     }
 
     /// A permit of an owner of before counts here from now on.
     fn take_over(&mut self, now: Nanos, from: &str, permit: Permit) {
         let until = until(now, permit.left);
         let own = permit.who == self.me.name;
-        self.broker.taken_over(now, permit.who, permit.id, &permit.instance, until);
+        self.broker.take_over_permit(now, permit.who, permit.id, &permit.instance, until);
         // One of this stall's own is given back here from now on: by way of who had it, its slot would stay taken for that long.
-        if own && self.broker.has(&self.me.name, permit.id) {
+        if own && self.broker.has_request(&self.me.name, permit.id) {
             let me = self.me.name.clone();
             self.give_back_to(from, permit.id, &permit.instance, me);
         }
@@ -124,7 +124,7 @@
         let zone = match self.broker.zone_of(instance) {
             Some(zone) => zone,
             // Of a function with one owner the zone says nothing.
-            None if self.owners.lots(service) <= 1 => &self.me.zone,
+            None if self.owners.partition_count(service) <= 1 => &self.me.zone,
             None => return None,
         };
         let owner = self.owners.owner(service, zone, |_| true)?;
@@ -153,12 +153,16 @@
     fn take_grant(&mut self, id: u64, granted: Granted) {
         let Some(open) = self.open.get_mut(&id) else { return };
         open.granted = Some((granted.instance.clone(), granted.zone));
-        self.outs.push_back(Out::Granted { ask: id, instance: granted.instance, address: granted.address });
+        self.outs.push_back(Action::Granted {
+            ask: id,
+            instance: granted.instance,
+            address: granted.address,
+        });
     }
 
     /// Nobody waits for what was granted.
     fn unused(&mut self, from: &str, id: u64) {
-        self.send(from, PeerMessage::Done { id, outcome: Outcome::Unused.word().into(), took: 0.0 });
+        self.send(from, PeerMessage::Done { id, outcome: Outcome::Unused.as_str().into(), took: 0.0 });
     }
 
     /// Whether this stall owned the function in that zone by the naming before, and another one does now.
@@ -173,7 +177,7 @@
         let (Some(owner), Some((instance, _))) = (open.owner.clone(), open.granted.clone()) else { return };
         let (service, deadline) = (open.ask.service.clone(), open.ask.deadline);
         if owner == self.me.name {
-            return self.broker.held(now, owner, id, &instance, deadline);
+            return self.broker.hold_permit(now, owner, id, &instance, deadline);
         }
         if let Some(to) = self.owners.find_living(&owner).map(|peer| peer.address.clone()) {
             self.held(now, to, id, service, instance, deadline);
--- a/scheduler/src/coordinator/turns.rs
+++ b/scheduler/src/coordinator/turns.rs
@@ -99,8 +99,8 @@
         PeerMessage::Instances { version: self.version(), all, set, gone }
     }
 
-    fn ask(&mut self, now: Nanos) -> Ask {
-        Ask {
+    fn ask(&mut self, now: Nanos) -> PermitRequest {
+        PermitRequest {
             id: 0,
             service: service(self.below(FUNCTIONS)),
             deadline: now + 900 * MS,
@@ -117,22 +117,28 @@
     fn mail(&mut self, now: Nanos) -> Input {
         self.count += 1;
         let (id, from) = (self.count, peer(1 + self.below(13), 0).name);
-        let Ask { service, zone, .. } = self.ask(now);
+        let PermitRequest { service, zone, .. } = self.ask(now);
         let (left, aim, target, first, returned) = (900.0, 300.0, 300.0, true, true);
         let (avoid, sent) = (vec![], 0);
         let note = PeerMessage::Ask { id, service, left, aim, target, sent, first, returned, avoid, zone };
-        Input::Mail { from, life: 1, notes: vec![note] }
+        Input::PeerMessages { from, life: 1, notes: vec![note] }
     }
 }
 
-fn given(desk: &mut Coordinator, now: Nanos, input: Input) -> Vec<Out> {
-    input.give(now, desk);
-    desk.take().into()
+fn given(desk: &mut Coordinator, now: Nanos, input: Input) -> Vec<Action> {
+    input.apply(now, desk);
+    desk.take_actions().into()
 }
 
 /// A row of inputs; how often a shift did not meet what was known, and how often a function was handed over.
 fn play(seed: u64) -> (usize, usize) {
-    let terms = Terms { ratio: 0.2, window: 10 * SECOND, slack: 50.0, asks_per_s: 100.0, speeds: false };
+    let terms = SchedulerLimits {
+        ratio: 0.2,
+        window: 10 * SECOND,
+        slack: 50.0,
+        requests_per_s: 100.0,
+        rank_by_latency: false,
+    };
     let mut quick = Coordinator::new(peer(0, 0), terms.clone(), seed, 0);
     let mut plain = Coordinator::new(peer(0, 0), terms, seed, 0);
     plain.plainly = true;
@@ -149,39 +155,39 @@
                 let from = world.below(6);
                 Input::Configure((from..FUNCTIONS).map(spec).collect())
             }
-            0 | 1 => Input::Told(world.naming()),
-            2 => Input::Told(world.told()),
-            3 | 4 => Input::Ask { ask: world.ask(now), first: true, id: None, of: None },
+            0 | 1 => Input::ControllerMessage(world.naming()),
+            2 => Input::ControllerMessage(world.told()),
+            3 | 4 => Input::RequestPermit { ask: world.ask(now), first: true, id: None, of: None },
             5 | 6 => world.mail(now),
             7 if !granted.is_empty() => {
                 let at = world.below(granted.len() as u64) as usize;
                 Input::Finish { id: granted.swap_remove(at), outcome: Outcome::Answered, took: 40 * MS }
             }
-            8 => Input::Up(format!("i{}", world.below(80)).into()),
+            8 => Input::InstanceUp(format!("i{}", world.below(80)).into()),
             _ => Input::Tick,
         };
         let outs = given(&mut quick, now, input.clone());
         assert_eq!(outs, given(&mut plain, now, input.clone()), "seed {seed}, {input:?}");
         for out in &outs {
             match out {
-                Out::Granted { ask, .. } => granted.push(*ask),
-                Out::Up(PeerMessage::Behind { version }) => {
+                Action::Granted { ask, .. } => granted.push(*ask),
+                Action::NotifyController(PeerMessage::Behind { version }) => {
                     behind += 1;
                     assert_eq!(*version, quick.owners.version());
-                    let whole = Input::Told(world.named.note());
+                    let whole = Input::ControllerMessage(world.named.note());
                     assert_eq!(given(&mut quick, now, whole.clone()), given(&mut plain, now, whole));
                 }
-                Out::Send { note: PeerMessage::Over { .. }, .. } => parted += 1,
+                Action::Send { note: PeerMessage::Over { .. }, .. } => parted += 1,
                 _ => {}
             }
         }
-        assert_eq!(quick.owners.roster(), plain.owners.roster());
+        assert_eq!(quick.owners.view(), plain.owners.view());
         assert_eq!(quick.broker.standing(), plain.broker.standing(), "seed {seed}, {input:?}");
         let home = quick.owners.find("edge-0").is_none_or(|p| p.zone == "a");
         for (name, owned, split) in quick.broker.standing() {
             let mine = quick.owners.owner(&name, "a", |_| true).is_some_and(|p| p.name == "edge-0");
             assert!(!home || owned == mine, "{name}");
-            assert_eq!(split, quick.owners.lots(&name) > 1, "{name}");
+            assert_eq!(split, quick.owners.partition_count(&name) > 1, "{name}");
         }
     }
     (behind, parted)
--- a/scheduler/src/coordinator/view.rs
+++ b/scheduler/src/coordinator/view.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::coordinator::{Coordinator, MISSING, Out};
+use crate::coordinator::{Action, Coordinator, MISSING};
 use crate::instance::Instance;
 #[cfg(test)]
 use crate::owners::OwnershipChange;
@@ -25,18 +25,18 @@
 impl Coordinator {
     /// Control has named the stalls anew.
     pub(super) fn named(&mut self, now: Nanos, owners: Owners) {
-        let turn = owners.turn(&self.owners, &self.me.name);
+        let turn = owners.change_since(&self.owners, &self.me.name);
         #[cfg(test)]
         let turn = if self.plainly { OwnershipChange::all() } else { turn };
-        self.broker.counts.namings += 1;
-        self.digest = owners.roster().digest();
+        self.broker.counts.views_applied += 1;
+        self.digest = owners.view().digest();
         let before = std::mem::replace(&mut self.owners, owners);
         // Who leaves lives, and so do its requests: what it has out stays out until it comes back. A stall knows of itself that it lives,
         // whatever it is told.
-        let roster = self.owners.roster().clone();
+        let roster = self.owners.view().clone();
         self.hear_of_zones(roster.peers().iter().chain(roster.leaving()).map(|peer| &peer.zone));
         let newer = owners_are_newer(&self.owners, &before);
-        for peer in roster.gone_since(before.roster()) {
+        for peer in roster.gone_since(before.view()) {
             if self.away.len() < MOST_AWAY {
                 self.away.insert(peer.name.clone(), peer.address.clone());
             }
@@ -44,7 +44,7 @@
             if newer && peer.name != self.me.name && self.missing.len() < MOST_AWAY {
                 self.missing.insert(peer.name.clone(), now + MISSING);
             } else if peer.name != self.me.name {
-                self.broker.left(now, &peer.name);
+                self.broker.proxy_left(now, &peer.name);
             }
         }
         let owners = &self.owners;
@@ -52,7 +52,7 @@
         self.passed_over.retain(|_, until| *until > now);
         self.heard.retain(|name, _| owners.find(name).is_some());
         if newer {
-            self.broker.say_all_again();
+            self.broker.resend_targets();
         }
         self.own(now, &before, &turn);
         let version = self.owners.version();
@@ -85,7 +85,7 @@
             std::mem::take(&mut self.missing).into_iter().partition(|(_, until)| *until <= now);
         self.missing = missing;
         let gone: BTreeMap<CompactString, Nanos> = gone;
-        gone.keys().for_each(|name| self.broker.left(now, name));
+        gone.keys().for_each(|name| self.broker.proxy_left(now, name));
         self.carry_out(now);
         // What they had given out is told of by those who have it.
         self.replace(now);
@@ -103,7 +103,7 @@
         };
         let set: Vec<_> = self.broker.owned_instances().map(note).collect();
         if !set.is_empty() {
-            self.outs.push_back(Out::Up(PeerMessage::Mine { set }));
+            self.outs.push_back(Action::NotifyController(PeerMessage::Mine { set }));
         }
     }
 
@@ -137,7 +137,7 @@
                 open.owner = Some(owner.name.clone());
             }
             if owner.name == self.me.name {
-                self.broker.held(now, self.me.name.clone(), id, &instance, deadline);
+                self.broker.hold_permit(now, self.me.name.clone(), id, &instance, deadline);
             } else {
                 self.held(now, owner.address, id, service, instance, deadline);
             }
@@ -154,7 +154,7 @@
         deadline: Nanos,
     ) {
         let left = (deadline as f64 - now as f64) / MS as f64;
-        self.outs.push_back(Out::Send { to, note: PeerMessage::Held { id, service, instance, left } });
+        self.outs.push_back(Action::Send { to, note: PeerMessage::Held { id, service, instance, left } });
     }
 
     /// A stall lives anew, and knows nothing of what it had given out: it hears what is out here.
--- a/scheduler/src/counts.rs
+++ b/scheduler/src/counts.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Namings that were taken in.
-    pub namings: u64,
+    pub views_applied: u64,
     /// Permits whose slots were freed because the proxy that had them was taken to be gone.
     pub freed: u64,
     /// Permits that were told to a new owner.
--- a/scheduler/src/effect.rs
+++ b/scheduler/src/effect.rs
@@ -8,7 +8,7 @@
 
 /// The bounds of further tries.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct SchedulerLimits {
     /// Repeats for each request, at most, within a window.
     pub ratio: f64,
     /// The window.
@@ -16,14 +16,14 @@
     /// Repeats beyond that, within a window.
     pub slack: f64,
     /// First asks a second that are all that this stall can take as an owner, by its link and its processor.
-    pub asks_per_s: f64,
+    pub requests_per_s: f64,
     /// How fast workers are is learnt from what answers take, and instances on slow ones come last.
-    pub speeds: bool,
+    pub rank_by_latency: bool,
 }
 
 /// Why there is no permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum No {
+pub enum DenialReason {
     /// No slot comes free in time; one may after this.
     Full(Nanos),
     /// Thinned out: ask again at the next doubled time.
@@ -36,15 +36,15 @@
     Moved,
 }
 
-impl No {
+impl DenialReason {
     /// The word for it between processes, and to people.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            No::Full(_) => "full",
-            No::Skip => "skip",
-            No::Spent => "spent",
-            No::Unknown => "unknown",
-            No::Moved => "moved",
+            DenialReason::Full(_) => "full",
+            DenialReason::Skip => "skip",
+            DenialReason::Spent => "spent",
+            DenialReason::Unknown => "unknown",
+            DenialReason::Moved => "moved",
         }
     }
 }
@@ -68,7 +68,7 @@
         /// Its number for the request.
         ask: u64,
         /// Why.
-        no: No,
+        reason: DenialReason,
     },
     /// It waits in the queue.
     Queued {
@@ -78,7 +78,7 @@
         ask: u64,
     },
     /// The function wants so many instances in all.
-    Want {
+    SetInstanceTarget {
         /// The function.
         service: CompactString,
         /// Live instances.
@@ -95,9 +95,9 @@
     /// Nothing more goes to the instance: it may be stopped.
     Retire(CompactString),
     /// The instance refuses connections: it is gone.
-    Lost(CompactString),
+    ReportLost(CompactString),
     /// Find out when this instance accepts connections, from then on.
-    Scout {
+    ProbeReadiness {
         /// The instance.
         instance: Instance,
         /// Not before.
--- a/scheduler/src/function.rs
+++ b/scheduler/src/function.rs
@@ -21,11 +21,11 @@
 use crate::budget::Budget;
 use crate::counts::Counts;
 use crate::demand::Demand;
-use crate::effect::{Effect, No, Terms};
+use crate::effect::{DenialReason, Effect, SchedulerLimits};
 use crate::instance::{Instance, Stage};
-use crate::reason::{Reason, Reasons, Why};
+use crate::reason::{Reason, Reasons, RequestDecision};
 use crate::service::{Function, Service, Waiting};
-use crate::{Ask, MS, Nanos, Outcome, SECOND, Spec, first_gap};
+use crate::{MS, Nanos, Outcome, PermitRequest, SECOND, Spec, first_retry_delay};
 
 use dropped::Dropped;
 pub(crate) use floor::Floor;
@@ -68,13 +68,13 @@
     lingers: bool,
 }
 
-/// The functions that are owned here. What it decides comes out of [`Scheduler::take`].
+/// The functions that are owned here. What it decides comes out of [`Scheduler::take_effects`].
 ///
 /// Each function has a place in a row for as long as anything is known of it; a permit is out as long as its instance is known.
 /// Nothing that is decided hangs on the order of a `HashMap`.
 #[derive(Debug)]
 pub struct Scheduler {
-    terms: Terms,
+    terms: SchedulerLimits,
     services: Vec<Service>,
     /// Of each in the row, where it is not owned here, the seed of a stall that stands before this one; 0 where none is known.
     rivals: Vec<u64>,
@@ -107,8 +107,8 @@
 
 impl Scheduler {
     /// Nothing is known yet.
-    pub fn new(terms: Terms, seed: u64) -> Self {
-        let speeds = terms.speeds.then(LatencyModel::new);
+    pub fn new(terms: SchedulerLimits, seed: u64) -> Self {
+        let speeds = terms.rank_by_latency.then(LatencyModel::new);
         Scheduler {
             terms,
             services: Vec::new(),
@@ -138,7 +138,7 @@
     }
 
     /// What was decided since.
-    pub fn take(&mut self) -> Vec<Effect> {
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
@@ -245,12 +245,12 @@
         let Some(function) = &service.function else { return };
         if service.owned && place.mine {
             let from = (place.since + function.spec.boot * 2 / 5).max(now);
-            self.effects.push(Effect::Scout { instance: place.of.clone(), from });
+            self.effects.push(Effect::ProbeReadiness { instance: place.of.clone(), from });
         }
     }
 
     /// Another steward has taken office, who has heard of nothing: all that is wanted is said again.
-    pub fn say_all_again(&mut self) {
+    pub fn resend_targets(&mut self) {
         for at in 0..self.services.len() {
             if let Some(function) = &mut self.services[at].function {
                 function.said = None;
@@ -260,7 +260,7 @@
     }
 
     /// It is known, and was not seen to accept connections yet.
-    pub fn boots(&self, id: &str) -> bool {
+    pub fn is_booting(&self, id: &str) -> bool {
         self.homes.get(id).is_some_and(|at| self.services[*at].boots(id))
     }
 
@@ -300,7 +300,7 @@
     }
 
     /// Somebody waits for a permit here, or has one.
-    pub fn has(&self, who: &str, ask: u64) -> bool {
+    pub fn has_request(&self, who: &str, ask: u64) -> bool {
         let key = (who.into(), ask);
         self.permits.contains_key(&key) || self.queued.contains_key(&key)
     }
@@ -321,20 +321,26 @@
         self.services[at].place(instance).map(|place| &place.of.zone)
     }
 
-    fn refuse(&mut self, to: CompactString, ask: u64, no: No) {
-        self.effects.push(Effect::Refuse { to, ask, no });
+    fn refuse(&mut self, to: CompactString, ask: u64, no: DenialReason) {
+        self.effects.push(Effect::Refuse { to, ask, reason: no });
     }
 
-    fn turn_down(&mut self, to: CompactString, ask: u64, no: No, why: impl FnOnce() -> Why) {
+    fn turn_down(
+        &mut self,
+        to: CompactString,
+        ask: u64,
+        no: DenialReason,
+        why: impl FnOnce() -> RequestDecision,
+    ) {
         self.reasons.ask(&to, ask, why);
         self.refuse(to, ask, no);
     }
 
     /// A permit is asked for. The same ask again is no other one.
-    pub fn ask(&mut self, now: Nanos, from: CompactString, ask: Ask, first: bool) {
+    pub fn request_permit(&mut self, now: Nanos, from: CompactString, ask: PermitRequest, first: bool) {
         let key = (from, ask.id);
         if self.permits.contains_key(&key) || self.queued.contains_key(&key) {
-            self.reasons.ask(&key.0, key.1, || Why::Again);
+            self.reasons.ask(&key.0, key.1, || RequestDecision::Duplicate);
         }
         if let Some(permit) = self.permits.get(&key) {
             if let Some(place) = self.services[permit.service].place(&permit.instance) {
@@ -363,22 +369,22 @@
         let chosen = service.choose(now, &key.0, &ask).cloned();
         if ask.sent > 0 {
             // The design: a further try goes with the probability of the instance that it would go to.
-            let t1 = first_gap(ask.target);
+            let t1 = first_retry_delay(ask.target);
             let chance = match &chosen {
                 Some(id) => service.place(id).map_or(1.0, |p| p.chance(t1)),
                 None => service.mean_chance(t1),
             };
             let drawn = self.dice.share();
             if drawn >= chance {
-                let why = || Why::Thinned { chance, drawn, instance: chosen };
-                return self.turn_down(key.0, ask.id, No::Skip, why);
+                let why = || RequestDecision::RetrySuppressed { chance, drawn, instance: chosen };
+                return self.turn_down(key.0, ask.id, DenialReason::Skip, why);
             }
             if let Some(f) = &mut service.function
                 && !f.budget.repeat(now)
             {
                 let (requests, repeats, most) = f.budget.counts(now);
-                let why = || Why::Spent { requests, repeats, most };
-                return self.turn_down(key.0, ask.id, No::Spent, why);
+                let why = || RequestDecision::BudgetSpent { requests, repeats, most };
+                return self.turn_down(key.0, ask.id, DenialReason::Spent, why);
             }
         }
         if let Some(id) = chosen {
@@ -396,20 +402,30 @@
         let queued = function.queue.len();
         if queued >= LONGEST_QUEUE || hopeless || late {
             let why = || match () {
-                () if hopeless => Why::Hopeless { wait, left: ask.deadline.saturating_sub(now) },
-                () if late => {
-                    Why::TooLate { wait, takes: end - now - wait, left: ask.aim.saturating_sub(now) }
+                () if hopeless => {
+                    RequestDecision::DeadlineUnreachable { wait, left: ask.deadline.saturating_sub(now) }
                 }
-                () => Why::Long { queued },
+                () if late => RequestDecision::WouldMissTarget {
+                    wait,
+                    takes: end - now - wait,
+                    left: ask.aim.saturating_sub(now),
+                },
+                () => RequestDecision::QueueFull { queued },
             };
-            self.turn_down(key.0, ask.id, No::Full(wait), why);
+            self.turn_down(key.0, ask.id, DenialReason::Full(wait), why);
             self.services[at].refuses(now);
         } else {
             self.count += 1;
             let place = (ask.deadline, self.count);
             let why = || {
                 let ahead = function.queue.range(..place).count();
-                Why::Queued { ahead, wait, open: stock.open, coming: stock.coming, unheard }
+                RequestDecision::Queued {
+                    ahead,
+                    wait,
+                    open: stock.open,
+                    coming: stock.coming,
+                    awaiting_instances: unheard,
+                }
             };
             self.reasons.ask(&key.0, key.1, why);
             self.effects.push(Effect::Queued { to: key.0.clone(), ask: ask.id });
@@ -421,14 +437,22 @@
         self.want(now, at);
     }
 
-    fn grant(&mut self, now: Nanos, at: usize, key: Key, ask: &Ask, id: &CompactString, waited: bool) {
+    fn grant(
+        &mut self,
+        now: Nanos,
+        at: usize,
+        key: Key,
+        ask: &PermitRequest,
+        id: &CompactString,
+        waited: bool,
+    ) {
         let service = &mut self.services[at];
         let most = service.function.as_ref().map_or(1, |f| f.spec.concurrency);
         let Some(place) = service.give(id, key.clone()) else { return };
         self.count += 1;
         (place.turn, place.used) = (self.count, now);
         let (out, failed_there) = (place.out.len(), ask.avoid.contains(id));
-        let why = || Why::Granted { instance: id.clone(), out, most, failed_there, waited };
+        let why = || RequestDecision::Granted { instance: id.clone(), out, most, failed_there, waited };
         self.reasons.ask(&key.0, key.1, why);
         self.effects.push(Effect::Grant { to: key.0.clone(), ask: ask.id, instance: place.of.clone() });
         service.hold(now);
@@ -450,9 +474,9 @@
     }
 
     /// The asker no longer waits.
-    pub fn drop_ask(&mut self, now: Nanos, from: &str, ask: u64) {
+    pub fn cancel(&mut self, now: Nanos, from: &str, ask: u64) {
         self.unqueue(&(from.into(), ask));
-        self.done(now, from, ask, Outcome::Unused, 0);
+        self.release(now, from, ask, Outcome::Unused, 0);
     }
 
     /// The ask goes to another owner, with its permit if it has one: here it is over, and nobody gets its slot on that account.
@@ -466,16 +490,17 @@
     }
 
     /// A permit comes back.
-    pub fn done(&mut self, now: Nanos, from: &str, ask: u64, outcome: Outcome, took: Nanos) {
+    pub fn release(&mut self, now: Nanos, from: &str, ask: u64, outcome: Outcome, took: Nanos) {
         let key = (from.into(), ask);
         let Some(permit) = self.permits.get_mut(&key) else {
             return self.came_back(now, from, ask, outcome);
         };
         let (at, service) = (permit.service, &mut self.services[permit.service]);
-        if outcome.lingers() && !permit.lingers {
-            if outcome == Outcome::Silent {
+        if outcome.may_still_run() && !permit.lingers {
+            if outcome == Outcome::TimedOut {
                 let target = service.function.as_ref().map_or(200 * MS, |f| f.target);
-                service.change_one(&permit.instance, |p| p.over(now, outcome, took, first_gap(target)));
+                service
+                    .change_one(&permit.instance, |p| p.over(now, outcome, took, first_retry_delay(target)));
             }
             // Not every endpoint drops what nobody waits for any more: its slot is given again when it is done by its usual time.
             let usual = service.function.as_ref().map_or(0.0, |f| f.demand.usual()) as Nanos;
@@ -495,7 +520,7 @@
             service.tried(now, outcome == Outcome::Full);
         }
         if let Some(place) = service.take_back(&permit.instance, from, ask) {
-            place.over(now, outcome, took, first_gap(target));
+            place.over(now, outcome, took, first_retry_delay(target));
             place.used = now;
             place.proven =
                 unsure && (outcome == Outcome::Answered || place.proven && outcome != Outcome::Full);
@@ -520,26 +545,26 @@
             self.timed(now, at, &permit.instance, took);
         }
         if lost {
-            self.lose(now, &permit.instance, true);
+            self.mark_lost(now, &permit.instance, true);
         }
         self.serve(now, at);
         self.retire(now, at);
     }
 
     /// An instance was seen to be dead; `failing`: by tries that failed one after the other.
-    pub fn lose(&mut self, now: Nanos, id: &str, failing: bool) {
+    pub fn mark_lost(&mut self, now: Nanos, id: &str, failing: bool) {
         let Some(at) = self.homes.get(id).copied() else { return };
         if self.services[at].place(id).is_none_or(|p| p.retired) {
             return;
         }
         self.services[at].change_one(id, |place| (place.retired, place.lost, place.told) = (true, true, now));
-        self.reasons.put(|| Reason::Dead { instance: id.into(), failing });
-        self.effects.push(Effect::Lost(id.into()));
+        self.reasons.put(|| Reason::DeadInstance { instance: id.into(), failing });
+        self.effects.push(Effect::ReportLost(id.into()));
         self.want(now, at);
     }
 
     /// A stall is gone: what it had out is free, what it waited for is nobody's.
-    pub fn left(&mut self, now: Nanos, from: &str) {
+    pub fn proxy_left(&mut self, now: Nanos, from: &str) {
         self.services.iter_mut().for_each(|service| service.expect_no_more(now, from, true));
         let mut permits: Vec<_> = self.permits.keys().filter(|k| k.0 == from).map(|k| k.1).collect();
         let mut queued: Vec<_> = self.queued.keys().filter(|k| k.0 == from).map(|k| k.1).collect();
@@ -547,7 +572,7 @@
         queued.sort_unstable();
         self.counts.freed += permits.len() as u64;
         for ask in permits.into_iter().chain(queued) {
-            self.drop_ask(now, from, ask);
+            self.cancel(now, from, ask);
         }
     }
 
@@ -570,7 +595,7 @@
                 Some(id) => self.grant(now, at, key, &ask, &id, true),
                 None => {
                     self.services[at].refuses(now);
-                    self.turn_down(key.0, ask.id, No::Full(0), || Why::Overdue);
+                    self.turn_down(key.0, ask.id, DenialReason::Full(0), || RequestDecision::DeadlinePassed);
                 }
             }
         }
@@ -594,9 +619,10 @@
                 let (left, aim) = (ask.deadline.saturating_sub(now), ask.aim.saturating_sub(now));
                 function.queue.remove(&place);
                 self.queued.remove(&(from.clone(), id));
-                let late = Why::TooLate { wait, takes: usual, left: aim };
-                let why = || if hopeless { Why::Hopeless { wait, left } } else { late };
-                self.turn_down(from, id, No::Full(wait), why);
+                let late = RequestDecision::WouldMissTarget { wait, takes: usual, left: aim };
+                let why =
+                    || if hopeless { RequestDecision::DeadlineUnreachable { wait, left } } else { late };
+                self.turn_down(from, id, DenialReason::Full(wait), why);
                 self.services[at].refuses(now);
             }
         }
@@ -614,7 +640,7 @@
             if let Some(permit) = self.permits.get_mut(&(from.clone(), ask)) {
                 permit.lingers = true;
             }
-            self.done(now, &from, ask, Outcome::LeftAlone, 0);
+            self.release(now, &from, ask, Outcome::Abandoned, 0);
         }
         self.overdue = self.permits.values().map(|p| p.until).min().unwrap_or(Nanos::MAX);
     }
--- a/scheduler/src/function/dropped.rs
+++ b/scheduler/src/function/dropped.rs
@@ -7,8 +7,8 @@
 use compact_str::CompactString;
 
 use super::{Key, Scheduler};
-use crate::effect::No;
-use crate::reason::Why;
+use crate::effect::DenialReason;
+use crate::reason::RequestDecision;
 use crate::{Nanos, SECOND};
 
 /// Those who have not heard of it ask for it for so long.
@@ -40,7 +40,7 @@
         self.dropped.put(now, self.services[at].name.clone());
         for waiting in function.queue.into_values() {
             self.queued.remove(&(waiting.from.clone(), waiting.ask.id));
-            self.refuse(waiting.from, waiting.ask.id, No::Moved);
+            self.refuse(waiting.from, waiting.ask.id, DenialReason::Moved);
         }
         self.vacate(at);
     }
@@ -48,7 +48,7 @@
     /// A function is asked for that is none here.
     pub(super) fn unknown(&mut self, now: Nanos, (from, ask): Key, name: &str) {
         let moved = self.dropped.0.get(name).is_some_and(|until| now < *until);
-        let no = if moved { No::Moved } else { No::Unknown };
-        self.turn_down(from, ask, no, || Why::Unknown);
+        let no = if moved { DenialReason::Moved } else { DenialReason::Unknown };
+        self.turn_down(from, ask, no, || RequestDecision::UnknownFunction);
     }
 }
--- a/scheduler/src/function/floor.rs
+++ b/scheduler/src/function/floor.rs
@@ -93,7 +93,7 @@
 impl Scheduler {
     /// Control keeps a floor under a function until then, or none any more. A stall that does not own it holds the floor for the case
     /// that it will.
-    pub fn floor(&mut self, now: Nanos, name: &str, count: u32, fence: u64, until: Nanos) {
+    pub fn set_floor(&mut self, now: Nanos, name: &str, count: u32, fence: u64, until: Nanos) {
         let Some(at) = self.names.get(name).copied() else { return };
         let Some(function) = &mut self.services[at].function else { return };
         if function.floor.as_ref().is_some_and(|floor| floor.fence > fence) {
--- a/scheduler/src/function/known.rs
+++ b/scheduler/src/function/known.rs
@@ -11,7 +11,7 @@
 
 impl Scheduler {
     /// Control tells of an instance: new, or changed. `mine`: it belongs to what is owned here.
-    pub fn known(&mut self, now: Nanos, of: Instance, mine: bool) {
+    pub fn update_instance(&mut self, now: Nanos, of: Instance, mine: bool) {
         let id = of.id.clone();
         if let Some(at) = self.homes.get(&id).copied() {
             self.services[at].change_one(&id, |place| {
@@ -34,7 +34,7 @@
         self.scout(now, at, &id);
         for ((from, ask), until, heard) in self.early.remove(&id).unwrap_or_default() {
             if now < heard + EARLY && now < until.saturating_add(OVERDUE) {
-                self.held(now, from, ask, &id, until);
+                self.hold_permit(now, from, ask, &id, until);
             }
         }
         if adopted && mine && self.services[at].owned {
@@ -44,14 +44,14 @@
     }
 
     /// An instance accepts connections.
-    pub fn up(&mut self, now: Nanos, id: &str) {
+    pub fn instance_up(&mut self, now: Nanos, id: &str) {
         let Some(at) = self.homes.get(id).copied().filter(|at| self.services[*at].boots(id)) else { return };
         self.services[at].change_one(id, |place| (place.of.stage, place.used) = (Stage::Ready, now));
         self.serve(now, at);
     }
 
     /// Control says that an instance is no more.
-    pub fn gone(&mut self, now: Nanos, id: &str) {
+    pub fn remove_instance(&mut self, now: Nanos, id: &str) {
         let Some(at) = self.homes.remove(id) else { return };
         let out = self.services[at].remove(id).map(|place| place.out);
         for key in out.into_iter().flatten() {
@@ -63,12 +63,12 @@
     }
 
     /// The instances that there are, whole: others are no more.
-    pub fn whole(&mut self, now: Nanos, all: Vec<Instance>, mine: impl Fn(&Instance) -> bool) {
+    pub fn replace_instances(&mut self, now: Nanos, all: Vec<Instance>, mine: impl Fn(&Instance) -> bool) {
         let stay: BTreeSet<_> = all.iter().map(|i| &i.id).collect();
         let mut gone: Vec<_> = self.homes.keys().filter(|id| !stay.contains(id)).cloned().collect();
         gone.sort_unstable();
         for id in gone {
-            self.gone(now, &id);
+            self.remove_instance(now, &id);
         }
         for instance in all {
             self.heard_of(now, instance, &mine);
@@ -83,7 +83,7 @@
         let settles = |s: &Service| s.owned && (now < s.settling || !s.expects.is_empty());
         let found = new && self.names.get(&instance.service).is_some_and(|at| settles(&self.services[*at]));
         if !found {
-            return self.known(now, instance, mine);
+            return self.update_instance(now, instance, mine);
         }
         let at = self.enter(&instance.service);
         self.homes.insert(id.clone(), at);
@@ -94,12 +94,12 @@
 
     /// A new steward names the instances that it knows. Those of functions that are owned here stay beside them, since it hears of them
     /// from here; it says so once one is no more.
-    pub fn renewed(&mut self, now: Nanos, known: Vec<Instance>, mine: impl Fn(&Instance) -> bool) {
+    pub fn merge_instances(&mut self, now: Nanos, known: Vec<Instance>, mine: impl Fn(&Instance) -> bool) {
         let stay: BTreeSet<_> =
             known.iter().map(|i| i.id.clone()).chain(self.owned_instances().map(|i| i.id.clone())).collect();
         let gone: Vec<_> = self.instances().map(|i| i.id.clone()).filter(|id| !stay.contains(id)).collect();
         for id in gone {
-            self.gone(now, &id);
+            self.remove_instance(now, &id);
         }
         for instance in known {
             self.heard_of(now, instance, &mine);
