--- a/scheduler/src/function/needs.rs
+++ b/scheduler/src/function/needs.rs
@@ -20,7 +20,7 @@
         let patience = (function.target / 4).min(function.spec.boot / 2);
         let queued = if live == 0 || wait > patience { function.queue.len() } else { 0 };
         let need = function.demand.needed(now, &function.spec, queued).max(floor);
-        let strain = function.demand.rate(now) / self.terms.asks_per_s.max(1.0);
+        let strain = function.demand.rate(now) / self.terms.requests_per_s.max(1.0);
         let idle = function.demand.asked.is_none_or(|at| at + 3 * keep(&function.spec) < now);
         let say = match function.said {
             None => need > 0 || live > 0,
@@ -37,11 +37,11 @@
             let (service, zones) = (service.name.clone(), function.zones());
             self.reasons.put(|| {
                 let service = service.clone();
-                Reason::Want { service, need, live, held, queued: waits, wait }
+                Reason::InstanceTarget { service, need, live, held, queued: waits, wait }
             });
             let does = self.services[at].does(now);
             let slow = self.speeds.as_ref().map(|speeds| speeds.slow_ones(&service)).unwrap_or_default();
-            self.effects.push(Effect::Want { service, count: need, zones, strain, does, slow });
+            self.effects.push(Effect::SetInstanceTarget { service, count: need, zones, strain, does, slow });
             if need > 0 {
                 self.rouse(at);
             }
@@ -56,7 +56,7 @@
         let live = service.live();
         if let Some(old) = service.spare(now, need as usize) {
             service.change_one(&old, |place| place.leaving = true);
-            self.reasons.put(|| Reason::Spare { instance: old, need, live });
+            self.reasons.put(|| Reason::SurplusInstance { instance: old, need, live });
         }
         if service.stock().leaving == 0 {
             return;
@@ -81,7 +81,7 @@
             for place in places.iter_mut().filter(|p| p.retired && p.told + RETIRE_AGAIN <= now) {
                 place.told = now;
                 let id = place.of.id.clone();
-                effects.push(if place.lost { Effect::Lost(id) } else { Effect::Retire(id) });
+                effects.push(if place.lost { Effect::ReportLost(id) } else { Effect::Retire(id) });
             }
         });
     }
--- a/scheduler/src/function/succession.rs
+++ b/scheduler/src/function/succession.rs
@@ -35,12 +35,12 @@
     /// The function.
     pub service: CompactString,
     /// Permits that are out.
-    pub out: Vec<Out>,
+    pub out: Vec<OutstandingPermit>,
 }
 
 /// A permit that is out.
 #[derive(Debug, PartialEq)]
-pub struct Out {
+pub struct OutstandingPermit {
     /// Who has it.
     pub who: CompactString,
     /// Its number for the request.
@@ -57,7 +57,7 @@
     /// Which functions are owned here, by this stall among these, from now on; looked at are those that the turn concerns. `before`:
     /// what moves, of a function whose instances are known in these zones. Of another's nothing is wanted, stopped or scouted. What is not owned here
     /// any more comes back: its permits are for its new owners.
-    pub fn own(
+    pub fn update_ownership(
         &mut self,
         now: Nanos,
         me: &Peer,
@@ -69,7 +69,7 @@
         for at in self.concerned(turn) {
             let service = &mut self.services[at];
             let name = service.name.clone();
-            let lots = owners.lots(&name);
+            let lots = owners.partition_count(&name);
             let here = owners.owns(&me.name, &name, &me.zone);
             let mine =
                 |zone: &str| if lots > 1 { owners.owns(&me.name, &name, zone).is_ok() } else { here.is_ok() };
@@ -193,7 +193,7 @@
     }
 
     /// What is out of a function's instances that are not owned here any more is taken off, and who waits from there waits elsewhere.
-    fn part_with(&mut self, now: Nanos, at: usize, mine: impl Fn(&str) -> bool) -> Vec<Out> {
+    fn part_with(&mut self, now: Nanos, at: usize, mine: impl Fn(&str) -> bool) -> Vec<OutstandingPermit> {
         let service = &mut self.services[at];
         service.settling = now + SETTLES_WITH;
         let gone: Vec<_> = match &service.function {
@@ -217,7 +217,7 @@
         for ((who, ask), zone) in keys {
             let Some(permit) = self.permits.remove(&(who.clone(), ask)) else { continue };
             self.services[at].take_back(&permit.instance, &who, ask);
-            out.push(Out { who, ask, zone, instance: permit.instance, until: permit.until });
+            out.push(OutstandingPermit { who, ask, zone, instance: permit.instance, until: permit.until });
         }
         self.services[at].hold(now);
         out
@@ -231,7 +231,7 @@
     }
 
     /// This stall stands in for nobody before then.
-    pub fn stand_back(&mut self, name: &str, until: Nanos) {
+    pub fn defer_to_owner(&mut self, name: &str, until: Nanos) {
         let Some(at) = self.names.get(name).copied() else { return };
         let service = &mut self.services[at];
         if !service.owned {
@@ -240,7 +240,7 @@
     }
 
     /// An owner of before has told of all that it has out of a function that is owned here.
-    pub fn settled(&mut self, now: Nanos, name: &str, from: &str) {
+    pub fn transfer_complete(&mut self, now: Nanos, name: &str, from: &str) {
         let Some(at) = self.names.get(name).copied() else { return };
         let service = &mut self.services[at];
         service.expect_no_more(now, from, false);
@@ -250,17 +250,17 @@
     }
 
     /// A permit that an owner of before had given out.
-    pub fn taken_over(&mut self, now: Nanos, who: CompactString, ask: u64, id: &str, until: Nanos) {
+    pub fn take_over_permit(&mut self, now: Nanos, who: CompactString, ask: u64, id: &str, until: Nanos) {
         // One that was granted here meanwhile stays, until its asker says that it uses the other.
         if !self.permits.contains_key(&(who.clone(), ask)) {
             self.counts.taken_over += 1;
-            self.held(now, who, ask, id, until.saturating_sub(OVERDUE));
+            self.hold_permit(now, who, ask, id, until.saturating_sub(OVERDUE));
         }
     }
 
     /// A permit that somebody has out under an owner of before. Its ask waits here no more, and one that was granted to it here is not
     /// used.
-    pub fn held(&mut self, now: Nanos, from: CompactString, ask: u64, id: &str, until: Nanos) {
+    pub fn hold_permit(&mut self, now: Nanos, from: CompactString, ask: u64, id: &str, until: Nanos) {
         let key = (from, ask);
         if self.is_out_at(&key.0, ask, id) || self.permits.len() > 100_000 || self.is_back(now, &key) {
             return;
--- a/scheduler/src/instance.rs
+++ b/scheduler/src/instance.rs
@@ -195,7 +195,7 @@
                 self.shunned = now + 15 * MS;
                 self.narrow.refused(now, self.out.len());
             }
-            Outcome::NoAnswer | Outcome::Silent => {
+            Outcome::NoAnswer | Outcome::TimedOut => {
                 self.sample(now, (took as f64).max(self.average));
                 self.fails += 1;
                 if self.fails >= 2 {
@@ -206,7 +206,7 @@
                 self.fails += 1;
                 self.shunned = now + 25 * MS * (1 << self.fails.min(6));
             }
-            Outcome::Elsewhere | Outcome::Unused | Outcome::LeftAlone => {}
+            Outcome::AddressReused | Outcome::Unused | Outcome::Abandoned => {}
         }
     }
 }
--- a/scheduler/src/lib.rs
+++ b/scheduler/src/lib.rs
@@ -1,7 +1,7 @@
 //! Who owns a function decides here which request goes to which of its instances, and when: its slots, its queue, the averages of
 //! its instances, the budget of further tries and how many instances it needs. No I/O, no clock, no randomness but a seed.
 //!
-//! A request is a permit: [`Scheduler::ask`] queues it, [`Effect::Grant`] names an instance, [`Scheduler::done`] gives the slot back.
+//! A request is a permit: [`Scheduler::request_permit`] queues it, [`Effect::Grant`] names an instance, [`Scheduler::release`] gives the slot back.
 
 mod attempt_timeouts;
 mod budget;
@@ -11,7 +11,6 @@
 mod effect;
 mod function;
 mod instance;
-mod leaving;
 mod owner_ranking;
 mod owners;
 mod reason;
@@ -19,21 +18,22 @@
 mod request_flow;
 mod retry_schedule;
 mod service;
+mod shutdown;
 pub mod trace;
 
 pub use attempt_timeouts::AttemptTimeouts;
-pub use coordinator::{Coordinator, OpenAsk, Out};
+pub use coordinator::{Action, Coordinator, OpenRequest};
 pub use counts::Counts;
-pub use effect::{Effect, No, Terms};
+pub use effect::{DenialReason, Effect, SchedulerLimits};
 pub use function::{Released, Scheduler, Transfer};
 pub use instance::{Instance, Stage};
-pub use leaving::Phase;
 pub use owner_ranking::OwnerRanking;
 pub use owners::{Owners, OwnershipChange, Peer};
-pub use reason::{Reason, Why};
-pub use recording::Recorded;
+pub use reason::{Reason, RequestDecision};
+pub use recording::RecordedCoordinator;
 pub use request_flow::{ClientTimeouts, Refusal, RequestFlow, RequestInfo, Step};
-pub use retry_schedule::{Next, Outcome, RetrySchedule, first_gap};
+pub use retry_schedule::{Next, Outcome, RetrySchedule, first_retry_delay};
+pub use shutdown::ShutdownPhase;
 pub use trace::TraceEvent;
 
 pub use millpost::api::Nanos;
@@ -50,7 +50,7 @@
 const ASK_SECONDS: f64 = 0.000_25;
 
 /// First asks a second that would take all of an owner's link or processors, if it did nothing else.
-pub fn asks_per_s(link_mbps: f64, processors: f64) -> f64 {
+pub fn max_requests_per_s(link_mbps: f64, processors: f64) -> f64 {
     let by_link = link_mbps * 1e6 / 8.0 / ASK_BYTES;
     by_link.min(processors / ASK_SECONDS).max(1.0)
 }
@@ -70,7 +70,7 @@
 
 /// A request for a permit.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct PermitRequest {
     /// The asker's own number for it, never used twice in one of its lives.
     pub id: u64,
     /// The function.
--- a/scheduler/src/owner_ranking.rs
+++ b/scheduler/src/owner_ranking.rs
@@ -1,6 +1,6 @@
 //! Who owns each function that is asked for, and who is asked next, kept as stalls come and go.
 //!
-//! Invariant: what is kept is what [`Owners::first_two`] says. A stall that came costs one hash for each function; one that is gone
+//! Invariant: what is kept is what [`Owners::owner_and_deputy`] says. A stall that came costs one hash for each function; one that is gone
 //! costs all of them for the functions that it stood for, and nothing for others.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,7 +26,7 @@
 }
 
 fn work_out(owners: &Owners, service: &str, zone: &str) -> Two {
-    owners.first_two(service, zone).map(|p| p.map(|p| (hash(service, seed(&p.name)), p.name.clone())))
+    owners.owner_and_deputy(service, zone).map(|p| p.map(|p| (hash(service, seed(&p.name)), p.name.clone())))
 }
 
 impl OwnerRanking {
@@ -36,20 +36,21 @@
     }
 
     /// The owner of a function in a zone, and the stall that is asked where the owner can't be.
-    pub fn two(
+    pub fn owner_and_deputy(
         &mut self,
         service: &CompactString,
         zone: &CompactString,
     ) -> impl Iterator<Item = &CompactString> {
-        let zone = if self.owners.lots(service) > 1 { zone.clone() } else { CompactString::default() };
+        let zone =
+            if self.owners.partition_count(service) > 1 { zone.clone() } else { CompactString::default() };
         let key = (service.clone(), zone);
         let owners = &self.owners;
         names(self.kept.entry(key).or_insert_with_key(|(service, zone)| work_out(owners, service, zone)))
     }
 
     /// A function is asked for.
-    pub fn keep(&mut self, service: &CompactString, zone: &CompactString) {
-        let _ = self.two(service, zone);
+    pub fn track(&mut self, service: &CompactString, zone: &CompactString) {
+        let _ = self.owner_and_deputy(service, zone);
     }
 
     /// Of functions that are gone nothing is kept.
@@ -59,10 +60,10 @@
 
     /// A new naming. Those who stand for other functions than before, or for none any more, among the functions that were asked for; and
     /// the functions that are split now and were not, or the other way round: of those nothing is kept.
-    pub fn turn(&mut self, owners: Owners) -> (BTreeSet<CompactString>, BTreeSet<CompactString>) {
+    pub fn update(&mut self, owners: Owners) -> (BTreeSet<CompactString>, BTreeSet<CompactString>) {
         let before = std::mem::replace(&mut self.owners, owners);
         let owners = &self.owners;
-        let (came, left) = owners.roster().since(before.roster());
+        let (came, left) = owners.view().since(before.view());
         let left: BTreeSet<_> = left.into_iter().map(|p| &p.name).collect();
         let mut stand: BTreeSet<_> = came.iter().map(|p| p.name.clone()).collect();
         let came: Vec<_> = came
@@ -73,7 +74,7 @@
         let split: BTreeSet<_> = owners.split().union(before.split()).collect();
         let turned: BTreeSet<_> = split
             .iter()
-            .filter(|s| (owners.lots(s) > 1) != (before.lots(s) > 1))
+            .filter(|s| (owners.partition_count(s) > 1) != (before.partition_count(s) > 1))
             .map(|s| (*s).clone())
             .collect();
         self.kept.retain(|(service, zone), two| {
@@ -140,18 +141,18 @@
             let owners = Owners::new((1, count), alive.iter().map(peer).collect(), split.iter().cloned());
             let asked: Vec<_> =
                 services.iter().flat_map(|s| zones.iter().map(move |z| (s.clone(), z.clone()))).collect();
-            let two = |ranks: &mut OwnerRanking,
-                       service: &CompactString,
-                       zone: &CompactString|
-             -> BTreeSet<_> { ranks.two(service, zone).cloned().collect() };
+            let two =
+                |ranks: &mut OwnerRanking, service: &CompactString, zone: &CompactString| -> BTreeSet<_> {
+                    ranks.owner_and_deputy(service, zone).cloned().collect()
+                };
             let before: Vec<_> = asked.iter().map(|(s, z)| two(&mut ranks, s, z)).collect();
             let kept = ranks.kept.len();
-            let (stand, turned) = ranks.turn(owners.clone());
+            let (stand, turned) = ranks.update(owners.clone());
             assert!(ranks.kept.len() == kept || !turned.is_empty());
             for ((service, zone), before) in asked.iter().zip(before) {
-                let first_two = owners.first_two(service, zone).map(|p| p.map(|p| &p.name));
+                let first_two = owners.owner_and_deputy(service, zone).map(|p| p.map(|p| &p.name));
                 assert_eq!(
-                    ranks.two(service, zone).collect::<Vec<_>>(),
+                    ranks.owner_and_deputy(service, zone).collect::<Vec<_>>(),
                     Vec::from_iter(first_two.into_iter().flatten())
                 );
                 let now = two(&mut ranks, service, zone);
--- a/scheduler/src/owners.rs
+++ b/scheduler/src/owners.rs
@@ -40,12 +40,12 @@
     }
 
     /// The naming that a shift leads to; none where it goes from another than this.
-    pub fn shifted(&self, shift: &ViewChange) -> Option<Self> {
+    pub fn apply_change(&self, shift: &ViewChange) -> Option<Self> {
         self.roster.shifted(shift).map(Owners::from)
     }
 
     /// The naming.
-    pub fn roster(&self) -> &MembershipView {
+    pub fn view(&self) -> &MembershipView {
         &self.roster
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// In how many lots a function is kept.
-    pub fn lots(&self, service: &str) -> usize {
+    pub fn partition_count(&self, service: &str) -> usize {
         if self.split().contains(service) { self.zones.len().max(1) } else { 1 }
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// The owner of a function in a zone, and the stall that is asked where the owner can't be.
-    pub fn first_two(&self, service: &str, zone: &str) -> [Option<&Peer>; 2] {
+    pub fn owner_and_deputy(&self, service: &str, zone: &str) -> [Option<&Peer>; 2] {
         let first = self.owner(service, zone, |_| true);
         let second = first.and_then(|first| self.owner(service, zone, |p| p.name != first.name));
         [first, second]
@@ -135,7 +135,7 @@
     }
 
     /// The zones of a function's lots; one that stands for all where it has one owner.
-    pub fn lot_zones<'a>(&'a self, service: &str, home: &'a str) -> Vec<&'a str> {
+    pub fn partition_zones<'a>(&'a self, service: &str, home: &'a str) -> Vec<&'a str> {
         if self.split().contains(service) {
             self.zones.iter().map(CompactString::as_str).collect()
         } else {
@@ -149,7 +149,7 @@
     }
 
     /// What this stall has to work out anew since the naming before.
-    pub fn turn(&self, before: &Owners, me: &str) -> OwnershipChange {
+    pub fn change_since(&self, before: &Owners, me: &str) -> OwnershipChange {
         if self.find(me).is_some() != before.find(me).is_some() {
             return OwnershipChange { all: true, ..OwnershipChange::default() };
         }
@@ -232,10 +232,10 @@
             zone: ["a", "b", "c"][n % 3].into(),
         };
         let named = Owners::new((1, 1), (0..12).map(peer).collect(), ["hot".into()]);
-        assert_eq!((named.lots("hot"), named.lots("rare")), (3, 1));
+        assert_eq!((named.partition_count("hot"), named.partition_count("rare")), (3, 1));
         let mut owners = BTreeSet::new();
         for zone in ["a", "b", "c"] {
-            let [first, second] = named.first_two("hot", zone).map(|p| p.expect("one").clone());
+            let [first, second] = named.owner_and_deputy("hot", zone).map(|p| p.expect("one").clone());
             assert!(first.zone == zone && second.zone == zone && first.name != second.name);
             owners.insert(first.name.clone());
             // Where none of the zone can be asked, somebody else is.
--- a/scheduler/src/reason.rs
+++ b/scheduler/src/reason.rs
@@ -9,16 +9,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reason {
     /// An ask.
-    Ask {
+    Request {
         /// Who asked.
         who: CompactString,
         /// Its number for it.
         ask: u64,
         /// What became of it.
-        why: Why,
+        why: RequestDecision,
     },
     /// How many instances are wanted.
-    Want {
+    InstanceTarget {
         /// The function.
         service: CompactString,
         /// So many.
@@ -33,7 +33,7 @@
         wait: Nanos,
     },
     /// An instance is not needed.
-    Spare {
+    SurplusInstance {
         /// It.
         instance: CompactString,
         /// So many are needed, and so many there are.
@@ -42,7 +42,7 @@
         live: usize,
     },
     /// An instance was found dead.
-    Dead {
+    DeadInstance {
         /// It.
         instance: CompactString,
         /// Tries failed one after the other; else its stall said that it refuses connections.
@@ -52,7 +52,7 @@
 
 /// What became of an ask, and why.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Why {
+pub enum RequestDecision {
     /// It got a slot.
     Granted {
         /// Where.
@@ -67,7 +67,7 @@
         waited: bool,
     },
     /// It has its permit, or its place in the queue, already.
-    Again,
+    Duplicate,
     /// It waits: no slot is free.
     Queued {
         /// Requests before it.
@@ -79,10 +79,10 @@
         #[allow(missing_docs)]
         coming: usize,
         /// No instance is known, and word of one may be on its way.
-        unheard: bool,
+        awaiting_instances: bool,
     },
     /// A further try that was thinned out.
-    Thinned {
+    RetrySuppressed {
         /// The probability with which it goes, and what was drawn: it goes where that is less.
         chance: f64,
         #[allow(missing_docs)]
@@ -91,7 +91,7 @@
         instance: Option<CompactString>,
     },
     /// The budget of further tries is spent.
-    Spent {
+    BudgetSpent {
         /// Requests and repeats in the window, and how many repeats may be.
         requests: u64,
         #[allow(missing_docs)]
@@ -100,14 +100,14 @@
         most: f64,
     },
     /// No slot would come free before its deadline.
-    Hopeless {
+    DeadlineUnreachable {
         /// How long it would wait, and how long it has.
         wait: Nanos,
         #[allow(missing_docs)]
         left: Nanos,
     },
     /// Its answer would come after its aim: one that is fresh is turned away for that.
-    TooLate {
+    WouldMissTarget {
         /// How long it would wait, and take then.
         wait: Nanos,
         #[allow(missing_docs)]
@@ -116,14 +116,14 @@
         left: Nanos,
     },
     /// Too many wait.
-    Long {
+    QueueFull {
         /// So many.
         queued: usize,
     },
     /// Its deadline has come while it waited.
-    Overdue,
+    DeadlinePassed,
     /// The function is not known here.
-    Unknown,
+    UnknownFunction,
 }
 
 /// Reasons in the order of what they are for; nothing where nobody asks.
@@ -145,7 +145,7 @@
         }
     }
 
-    pub fn ask(&mut self, who: &CompactString, ask: u64, why: impl FnOnce() -> Why) {
-        self.put(|| Reason::Ask { who: who.clone(), ask, why: why() });
+    pub fn ask(&mut self, who: &CompactString, ask: u64, why: impl FnOnce() -> RequestDecision) {
+        self.put(|| Reason::Request { who: who.clone(), ask, why: why() });
     }
 }
--- a/scheduler/src/recording.rs
+++ b/scheduler/src/recording.rs
@@ -1,5 +1,5 @@
 //! A desk's inputs as lines of JSON, to be played again: each call of [`Coordinator`] that may change it, with its time. Written by
-//! [`Recorded`], read by [`Entry::read`].
+//! [`RecordedCoordinator`], read by [`Entry::read`].
 //!
 //! Times are nanoseconds of the process's life, whole numbers below 2^53. Of what comes from elsewhere nothing is rounded.
 
@@ -10,21 +10,21 @@
 use millpost_protocol::{Fault, PeerMessage, string, whole};
 use tinyjson::JsonValue;
 
-use crate::{Ask, Coordinator, Nanos, Out, Outcome, Peer, Spec, Terms, TraceEvent};
+use crate::{Action, Coordinator, Nanos, Outcome, Peer, PermitRequest, SchedulerLimits, Spec, TraceEvent};
 
 /// What the first line of a desk says that it is of.
-pub const DESK: &str = "desk";
+pub const COORDINATOR_LOG: &str = "desk";
 
 /// A desk whose inputs are told as lines, where somebody wants them. Without a sink it costs nothing.
 #[derive(Debug)]
-pub struct Recorded {
+pub struct RecordedCoordinator {
     desk: Coordinator,
     tape: Option<Recorder>,
     /// Requests so far.
     requests: u64,
 }
 
-impl std::ops::Deref for Recorded {
+impl std::ops::Deref for RecordedCoordinator {
     type Target = Coordinator;
     // What changes a desk goes by the methods below.
     fn deref(&self) -> &Coordinator {
@@ -32,16 +32,16 @@
     }
 }
 
-impl Recorded {
+impl RecordedCoordinator {
     /// As [`Coordinator::new`].
-    pub fn new(me: Peer, terms: Terms, seed: u64, first: u64, sink: Option<Sink>) -> Self {
+    pub fn new(me: Peer, terms: SchedulerLimits, seed: u64, first: u64, sink: Option<Sink>) -> Self {
         let mut tape = sink.map(Recorder::new);
         if let Some(tape) = &mut tape {
             let mut line = tape.begin("new", 0);
             write_new(&mut line, &me, &terms, seed, first);
             tape.put(line);
         }
-        Recorded { desk: Coordinator::new(me, terms, seed, first), tape, requests: 0 }
+        RecordedCoordinator { desk: Coordinator::new(me, terms, seed, first), tape, requests: 0 }
     }
 
     fn tell(&mut self, name: &str, now: Nanos, fill: impl FnOnce(&mut Line)) {
@@ -52,9 +52,9 @@
         }
     }
 
-    /// As [`Coordinator::take`], which is no input.
-    pub fn take(&mut self) -> VecDeque<Out> {
-        let outs = self.desk.take();
+    /// As [`Coordinator::take_actions`], which is no input.
+    pub fn take_actions(&mut self) -> VecDeque<Action> {
+        let outs = self.desk.take_actions();
         if let Some(tape) = &mut self.tape {
             outs.iter().for_each(|out| tape.digest().fold(|parts| out.fold(parts)));
         }
@@ -72,28 +72,34 @@
     }
 
     /// Somebody wants the lines.
-    pub fn tapes(&self) -> bool {
+    pub fn is_recording(&self) -> bool {
         self.tape.is_some()
     }
 
     /// A number for the next request's trail; none where nothing is taped.
-    pub fn follow(&mut self) -> Option<u64> {
+    pub fn next_request_number(&mut self) -> Option<u64> {
         self.tape.as_ref()?;
         self.requests += 1;
         Some(self.requests)
     }
 
     /// A step of a request's, which is no input of the desk.
-    pub fn trail(&mut self, now: Nanos, trail: &TraceEvent) {
+    pub fn trace(&mut self, now: Nanos, trail: &TraceEvent) {
         self.tell(trail.name(), now, |line| trail.write(line));
     }
 
-    /// As [`Coordinator::ask`]; `of`: the request's number, where there is one.
-    pub fn ask(&mut self, now: Nanos, ask: Ask, first: bool, of: Option<u64>) -> Option<u64> {
-        let Some(tape) = &mut self.tape else { return self.desk.ask(now, ask, first) };
+    /// As [`Coordinator::request_permit`]; `of`: the request's number, where there is one.
+    pub fn request_permit(
+        &mut self,
+        now: Nanos,
+        ask: PermitRequest,
+        first: bool,
+        of: Option<u64>,
+    ) -> Option<u64> {
+        let Some(tape) = &mut self.tape else { return self.desk.request_permit(now, ask, first) };
         let mut line = tape.begin("ask", now);
         write_ask(&mut line, &ask, first, of);
-        let id = self.desk.ask(now, ask, first);
+        let id = self.desk.request_permit(now, ask, first);
         if let Some(id) = id {
             line.whole("id", id);
         }
@@ -101,66 +107,66 @@
         id
     }
 
-    /// As [`Coordinator::give_up`].
-    pub fn give_up(&mut self, now: Nanos, id: u64) {
+    /// As [`Coordinator::cancel`].
+    pub fn cancel(&mut self, now: Nanos, id: u64) {
         self.tell("give_up", now, |line| {
             line.whole("id", id);
         });
-        self.desk.give_up(now, id);
+        self.desk.cancel(now, id);
     }
 
     /// As [`Coordinator::finish`].
     pub fn finish(&mut self, now: Nanos, id: u64, outcome: Outcome, took: Nanos) {
         self.tell("finish", now, |line| {
-            line.whole("id", id).text("o", outcome.word()).time("took", took);
+            line.whole("id", id).text("o", outcome.as_str()).time("took", took);
         });
         self.desk.finish(now, id, outcome, took);
     }
 
-    /// As [`Coordinator::up`].
-    pub fn up(&mut self, now: Nanos, id: &str) {
+    /// As [`Coordinator::instance_up`].
+    pub fn instance_up(&mut self, now: Nanos, id: &str) {
         self.tell("up", now, |line| {
             line.text("i", id);
         });
-        self.desk.up(now, id);
+        self.desk.instance_up(now, id);
     }
 
-    /// As [`Coordinator::refused`].
-    pub fn refused(&mut self, now: Nanos, id: &str) {
+    /// As [`Coordinator::connection_refused`].
+    pub fn connection_refused(&mut self, now: Nanos, id: &str) {
         self.tell("refused", now, |line| {
             line.text("i", id);
         });
-        self.desk.refused(now, id);
+        self.desk.connection_refused(now, id);
     }
 
-    /// As [`Coordinator::mail`].
-    pub fn mail(&mut self, now: Nanos, from: &str, life: u64, notes: Vec<PeerMessage>) {
+    /// As [`Coordinator::receive`].
+    pub fn receive(&mut self, now: Nanos, from: &str, life: u64, notes: Vec<PeerMessage>) {
         self.tell("mail", now, |line| {
             line.text("from", from).whole("life", life).notes("notes", &notes);
         });
-        self.desk.mail(now, from, life, notes);
+        self.desk.receive(now, from, life, notes);
     }
 
-    /// As [`Coordinator::told`].
-    pub fn told(&mut self, now: Nanos, note: PeerMessage) {
+    /// As [`Coordinator::receive_from_controller`].
+    pub fn receive_from_controller(&mut self, now: Nanos, note: PeerMessage) {
         self.tell("told", now, |line| {
             line.note("note", &note);
         });
-        self.desk.told(now, note);
+        self.desk.receive_from_controller(now, note);
     }
 
-    /// As [`Coordinator::returned`].
-    pub fn returned(&mut self, now: Nanos, address: &str, notes: Vec<PeerMessage>) {
+    /// As [`Coordinator::undelivered`].
+    pub fn undelivered(&mut self, now: Nanos, address: &str, notes: Vec<PeerMessage>) {
         self.tell("returned", now, |line| {
             line.text("to", address).notes("notes", &notes);
         });
-        self.desk.returned(now, address, notes);
+        self.desk.undelivered(now, address, notes);
     }
 
-    /// As [`Coordinator::mute`].
-    pub fn mute(&mut self, now: Nanos) {
+    /// As [`Coordinator::controller_unreachable`].
+    pub fn controller_unreachable(&mut self, now: Nanos) {
         self.tell("mute", now, |_| {});
-        self.desk.mute(now);
+        self.desk.controller_unreachable(now);
     }
 
     /// As [`Coordinator::tick`].
@@ -178,7 +184,7 @@
         /// The stall itself.
         me: Peer,
         /// The bounds of further tries.
-        terms: Terms,
+        terms: SchedulerLimits,
         /// What its chance is drawn from.
         seed: u64,
         /// The number before the first ask's.
@@ -186,10 +192,10 @@
     },
     /// [`Coordinator::configure`].
     Configure(Vec<Spec>),
-    /// [`Coordinator::ask`].
-    Ask {
+    /// [`Coordinator::request_permit`].
+    RequestPermit {
         /// What is asked.
-        ask: Ask,
+        ask: PermitRequest,
         /// The request's first one.
         first: bool,
         /// The number that it was given; none where too many were open.
@@ -197,8 +203,8 @@
         /// The request that it is for, by its number in the life's trails.
         of: Option<u64>,
     },
-    /// [`Coordinator::give_up`].
-    GiveUp {
+    /// [`Coordinator::cancel`].
+    Cancel {
         /// The ask's number.
         id: u64,
     },
@@ -211,12 +217,12 @@
         /// How long it took.
         took: Nanos,
     },
-    /// [`Coordinator::up`].
-    Up(CompactString),
-    /// [`Coordinator::refused`].
-    Refused(CompactString),
-    /// [`Coordinator::mail`].
-    Mail {
+    /// [`Coordinator::instance_up`].
+    InstanceUp(CompactString),
+    /// [`Coordinator::connection_refused`].
+    ConnectionRefused(CompactString),
+    /// [`Coordinator::receive`].
+    PeerMessages {
         /// Who sent it.
         from: CompactString,
         /// In which life.
@@ -224,17 +230,17 @@
         /// What it says.
         notes: Vec<PeerMessage>,
     },
-    /// [`Coordinator::told`].
-    Told(PeerMessage),
-    /// [`Coordinator::returned`].
-    Returned {
+    /// [`Coordinator::receive_from_controller`].
+    ControllerMessage(PeerMessage),
+    /// [`Coordinator::undelivered`].
+    Undelivered {
         /// The address that it went to.
         address: CompactString,
         /// What it said.
         notes: Vec<PeerMessage>,
     },
-    /// [`Coordinator::mute`].
-    Mute,
+    /// [`Coordinator::controller_unreachable`].
+    ControllerUnreachable,
     /// [`Coordinator::tick`].
     Tick,
     /// A step of a request's, of which the desk hears nothing.
@@ -252,13 +258,13 @@
     pub input: Input,
 }
 
-fn write_new(line: &mut Line, me: &Peer, terms: &Terms, seed: u64, first: u64) {
-    line.text("of", DESK).text("me", &me.name).text("a", &me.address).text("z", &me.zone);
+fn write_new(line: &mut Line, me: &Peer, terms: &SchedulerLimits, seed: u64, first: u64) {
+    line.text("of", COORDINATOR_LOG).text("me", &me.name).text("a", &me.address).text("z", &me.zone);
     line.number("ratio", terms.ratio).time("window", terms.window).number("slack", terms.slack);
-    if terms.asks_per_s.is_finite() {
-        line.number("asks", terms.asks_per_s);
+    if terms.requests_per_s.is_finite() {
+        line.number("asks", terms.requests_per_s);
     }
-    if terms.speeds {
+    if terms.rank_by_latency {
         line.mark("speeds", true);
     }
     line.whole("seed", seed).whole("first", first);
@@ -273,7 +279,7 @@
     });
 }
 
-fn write_ask(line: &mut Line, ask: &Ask, first: bool, of: Option<u64>) {
+fn write_ask(line: &mut Line, ask: &PermitRequest, first: bool, of: Option<u64>) {
     line.text("s", &ask.service).time("deadline", ask.deadline).time("aim", ask.aim);
     line.time("target", ask.target);
     if ask.sent > 0 {
@@ -301,22 +307,22 @@
 }
 
 fn read_new(from: &Parts) -> Result<Input, Fault> {
-    if string(from, "of")? != DESK {
+    if string(from, "of")? != COORDINATOR_LOG {
         return Err(Fault { key: "of".to_owned(), reason: "no desk" });
     }
     Ok(Input::New {
         me: Peer { name: string(from, "me")?, address: string(from, "a")?, zone: string(from, "z")? },
-        terms: Terms {
+        terms: SchedulerLimits {
             ratio: millpost_protocol::number(from, "ratio")?,
             window: whole(from, "window")?,
             slack: millpost_protocol::number(from, "slack")?,
             // Recordings from before it was a bound have none.
-            asks_per_s: if from.contains_key("asks") {
+            requests_per_s: if from.contains_key("asks") {
                 millpost_protocol::number(from, "asks")?
             } else {
                 f64::INFINITY
             },
-            speeds: line::flag(from, "speeds")?,
+            rank_by_latency: line::flag(from, "speeds")?,
         },
         seed: line::large(from, "seed")?,
         first: line::large(from, "first")?,
@@ -324,7 +330,7 @@
 }
 
 fn read_ask(from: &Parts) -> Result<Input, Fault> {
-    let ask = Ask {
+    let ask = PermitRequest {
         id: 0,
         service: string(from, "s")?,
         deadline: whole(from, "deadline")?,
@@ -336,7 +342,7 @@
         zone: string(from, "z")?,
     };
     let number = |key| from.contains_key(key).then(|| line::large(from, key)).transpose();
-    Ok(Input::Ask { ask, first: line::flag(from, "first")?, id: number("id")?, of: number("p")? })
+    Ok(Input::RequestPermit { ask, first: line::flag(from, "first")?, id: number("id")?, of: number("p")? })
 }
 
 impl Entry {
@@ -346,31 +352,31 @@
         match &self.input {
             Input::New { me, terms, seed, first } => write_new(&mut line, me, terms, *seed, *first),
             Input::Configure(specs) => write_specs(&mut line, specs),
-            Input::Ask { ask, first, id, of } => {
+            Input::RequestPermit { ask, first, id, of } => {
                 write_ask(&mut line, ask, *first, *of);
                 if let Some(id) = id {
                     line.whole("id", *id);
                 }
             }
-            Input::GiveUp { id } => {
+            Input::Cancel { id } => {
                 line.whole("id", *id);
             }
             Input::Finish { id, outcome, took } => {
-                line.whole("id", *id).text("o", outcome.word()).time("took", *took);
+                line.whole("id", *id).text("o", outcome.as_str()).time("took", *took);
             }
-            Input::Up(id) | Input::Refused(id) => {
+            Input::InstanceUp(id) | Input::ConnectionRefused(id) => {
                 line.text("i", id);
             }
-            Input::Mail { from, life, notes } => {
+            Input::PeerMessages { from, life, notes } => {
                 line.text("from", from).whole("life", *life).notes("notes", notes);
             }
-            Input::Told(note) => {
+            Input::ControllerMessage(note) => {
                 line.note("note", note);
             }
-            Input::Returned { address, notes } => {
+            Input::Undelivered { address, notes } => {
                 line.text("to", address).notes("notes", notes);
             }
-            Input::Mute | Input::Tick => {}
+            Input::ControllerUnreachable | Input::Tick => {}
             Input::TraceEvent(trail) => trail.write(&mut line),
         }
         line.end()
@@ -378,35 +384,35 @@
 
     /// Reads a line.
     pub fn read(text: &str) -> Result<Entry, Fault> {
-        Entry::of(&line::read(text)?)
+        Entry::from_json(&line::read(text)?)
     }
 
     /// Reads a line that was read as JSON.
-    pub fn of(from: &HashMap<String, JsonValue>) -> Result<Entry, Fault> {
+    pub fn from_json(from: &HashMap<String, JsonValue>) -> Result<Entry, Fault> {
         let id = |key| line::large(from, key);
         let input = match string(from, "in")?.as_str() {
             "new" => read_new(from)?,
             "configure" => Input::Configure(line::objects(from, "specs", read_spec)?),
             "ask" => read_ask(from)?,
-            "give_up" => Input::GiveUp { id: id("id")? },
+            "give_up" => Input::Cancel { id: id("id")? },
             "finish" => Input::Finish {
                 id: id("id")?,
-                outcome: Outcome::read(&string(from, "o")?)
+                outcome: Outcome::parse(&string(from, "o")?)
                     .ok_or(Fault { key: "o".to_owned(), reason: "no outcome" })?,
                 took: whole(from, "took")?,
             },
-            "up" => Input::Up(string(from, "i")?),
-            "refused" => Input::Refused(string(from, "i")?),
-            "mail" => Input::Mail {
+            "up" => Input::InstanceUp(string(from, "i")?),
+            "refused" => Input::ConnectionRefused(string(from, "i")?),
+            "mail" => Input::PeerMessages {
                 from: string(from, "from")?,
                 life: line::large(from, "life")?,
                 notes: line::notes_of(from, "notes")?,
             },
-            "told" => Input::Told(line::note_of(from, "note")?),
+            "told" => Input::ControllerMessage(line::note_of(from, "note")?),
             "returned" => {
-                Input::Returned { address: string(from, "to")?, notes: line::notes_of(from, "notes")? }
+                Input::Undelivered { address: string(from, "to")?, notes: line::notes_of(from, "notes")? }
             }
-            "mute" => Input::Mute,
+            "mute" => Input::ControllerUnreachable,
             "tick" => Input::Tick,
             name => Input::TraceEvent(TraceEvent::read(name, from)?),
         };
@@ -421,34 +427,34 @@
         match self {
             Input::New { .. } => "new",
             Input::Configure(_) => "configure",
-            Input::Ask { .. } => "ask",
-            Input::GiveUp { .. } => "give_up",
+            Input::RequestPermit { .. } => "ask",
+            Input::Cancel { .. } => "give_up",
             Input::Finish { .. } => "finish",
-            Input::Up(_) => "up",
-            Input::Refused(_) => "refused",
-            Input::Mail { .. } => "mail",
-            Input::Told(_) => "told",
-            Input::Returned { .. } => "returned",
-            Input::Mute => "mute",
+            Input::InstanceUp(_) => "up",
+            Input::ConnectionRefused(_) => "refused",
+            Input::PeerMessages { .. } => "mail",
+            Input::ControllerMessage(_) => "told",
+            Input::Undelivered { .. } => "returned",
+            Input::ControllerUnreachable => "mute",
             Input::Tick => "tick",
             Input::TraceEvent(trail) => trail.name(),
         }
     }
 
     /// Gives it to a desk. The number that an ask was given.
-    pub fn give(self, now: Nanos, desk: &mut Coordinator) -> Option<u64> {
+    pub fn apply(self, now: Nanos, desk: &mut Coordinator) -> Option<u64> {
         match self {
             Input::New { me, terms, seed, first } => *desk = Coordinator::new(me, terms, seed, first),
             Input::Configure(specs) => desk.configure(now, specs.into_iter()),
-            Input::Ask { ask, first, .. } => return desk.ask(now, ask, first),
-            Input::GiveUp { id } => desk.give_up(now, id),
+            Input::RequestPermit { ask, first, .. } => return desk.request_permit(now, ask, first),
+            Input::Cancel { id } => desk.cancel(now, id),
             Input::Finish { id, outcome, took } => desk.finish(now, id, outcome, took),
-            Input::Up(id) => desk.up(now, &id),
-            Input::Refused(id) => desk.refused(now, &id),
-            Input::Mail { from, life, notes } => desk.mail(now, &from, life, notes),
-            Input::Told(note) => desk.told(now, note),
-            Input::Returned { address, notes } => desk.returned(now, &address, notes),
-            Input::Mute => desk.mute(now),
+            Input::InstanceUp(id) => desk.instance_up(now, &id),
+            Input::ConnectionRefused(id) => desk.connection_refused(now, &id),
+            Input::PeerMessages { from, life, notes } => desk.receive(now, &from, life, notes),
+            Input::ControllerMessage(note) => desk.receive_from_controller(now, note),
+            Input::Undelivered { address, notes } => desk.undelivered(now, &address, notes),
+            Input::ControllerUnreachable => desk.controller_unreachable(now),
             Input::Tick => desk.tick(now),
             Input::TraceEvent(_) => {}
         }
@@ -462,11 +468,11 @@
     use std::rc::Rc;
 
     use super::*;
-    use crate::{MS, No, RequestInfo};
+    use crate::{DenialReason, MS, RequestInfo};
 
     fn all() -> Vec<Input> {
         let me = Peer { name: "edge-1".into(), address: "10.0.0.1:1".into(), zone: "a".into() };
-        let ask = Ask {
+        let ask = PermitRequest {
             id: 0,
             service: "f".into(),
             deadline: 900 * MS + 1,
@@ -500,40 +506,50 @@
         vec![
             Input::New {
                 me,
-                terms: Terms {
+                terms: SchedulerLimits {
                     ratio: 0.2,
                     window: 10_000 * MS,
                     slack: 52.0,
-                    asks_per_s: 300.0,
-                    speeds: true,
+                    requests_per_s: 300.0,
+                    rank_by_latency: true,
                 },
                 seed: u64::MAX,
                 first: 7 << 20,
             },
             Input::Configure(vec![spec]),
-            Input::Ask { ask: ask.clone(), first: false, id: Some(9), of: Some(3) },
-            Input::Ask { ask, first: true, id: None, of: None },
-            Input::GiveUp { id: 9 },
+            Input::RequestPermit { ask: ask.clone(), first: false, id: Some(9), of: Some(3) },
+            Input::RequestPermit { ask, first: true, id: None, of: None },
+            Input::Cancel { id: 9 },
             Input::Finish { id: 9, outcome: Outcome::NoAnswer, took: 12_345_678 },
-            Input::Up("i-1".into()),
-            Input::Refused("i-1".into()),
-            Input::Mail { from: "edge-2".into(), life: 3, notes: vec![PeerMessage::Drop { id: 4 }] },
-            Input::Told(PeerMessage::Instances { version: (1, 2), all: true, set: vec![], gone: vec![] }),
-            Input::Returned { address: "10.0.0.2:1".into(), notes: vec![PeerMessage::Drop { id: 5 }] },
-            Input::Mute,
+            Input::InstanceUp("i-1".into()),
+            Input::ConnectionRefused("i-1".into()),
+            Input::PeerMessages { from: "edge-2".into(), life: 3, notes: vec![PeerMessage::Drop { id: 4 }] },
+            Input::ControllerMessage(PeerMessage::Instances {
+                version: (1, 2),
+                all: true,
+                set: vec![],
+                gone: vec![],
+            }),
+            Input::Undelivered { address: "10.0.0.2:1".into(), notes: vec![PeerMessage::Drop { id: 5 }] },
+            Input::ControllerUnreachable,
             Input::Tick,
-            Input::TraceEvent(TraceEvent::Begun { p: 3, attempt: "9c41".into(), route: "r".into(), wish }),
-            Input::TraceEvent(TraceEvent::Denied { p: 3, no: No::Full(7) }),
-            Input::TraceEvent(TraceEvent::Denied { p: 3, no: No::Skip }),
-            Input::TraceEvent(TraceEvent::Denied { p: 3, no: No::Moved }),
+            Input::TraceEvent(TraceEvent::Received {
+                p: 3,
+                attempt: "9c41".into(),
+                route: "r".into(),
+                info: wish,
+            }),
+            Input::TraceEvent(TraceEvent::Denied { p: 3, reason: DenialReason::Full(7) }),
+            Input::TraceEvent(TraceEvent::Denied { p: 3, reason: DenialReason::Skip }),
+            Input::TraceEvent(TraceEvent::Denied { p: 3, reason: DenialReason::Moved }),
             Input::TraceEvent(TraceEvent::Moved { p: 3, to: Some("g".into()) }),
             Input::TraceEvent(TraceEvent::Moved { p: 3, to: None }),
-            Input::TraceEvent(TraceEvent::Late { p: 3 }),
+            Input::TraceEvent(TraceEvent::DeadlinePassed { p: 3 }),
             Input::TraceEvent(ended(None)),
             Input::TraceEvent(ended(Some(200))),
-            Input::TraceEvent(TraceEvent::Left { p: 3 }),
-            Input::TraceEvent(TraceEvent::Turned { attempt: "".into(), status: 404 }),
-            Input::TraceEvent(TraceEvent::Acts { revision: 7 }),
+            Input::TraceEvent(TraceEvent::ClientLeft { p: 3 }),
+            Input::TraceEvent(TraceEvent::Rejected { attempt: "".into(), status: 404 }),
+            Input::TraceEvent(TraceEvent::ConfigInForce { revision: 7 }),
         ]
     }
 
@@ -547,10 +563,10 @@
             for key in parts.keys() {
                 let mut fewer = parts.clone();
                 fewer.remove(key);
-                assert_ne!(Entry::of(&fewer), Ok(entry.clone()), "{key} of {text}");
+                assert_ne!(Entry::from_json(&fewer), Ok(entry.clone()), "{key} of {text}");
                 let mut odd = parts.clone();
                 odd.insert(key.clone(), JsonValue::Object(HashMap::new()));
-                assert!(Entry::of(&odd).is_err(), "{key} of {text}");
+                assert!(Entry::from_json(&odd).is_err(), "{key} of {text}");
             }
             for end in 0..text.len() {
                 assert!(Entry::read(&text[..end]).is_err());
@@ -565,27 +581,27 @@
         let sink: Sink = Box::new(move |line| told.borrow_mut().push(line.to_owned()));
         let inputs = all();
         let Input::New { me, terms, seed, first } = inputs[0].clone() else { panic!("a life begins") };
-        let mut desk = Recorded::new(me, terms, seed, first, Some(sink));
+        let mut desk = RecordedCoordinator::new(me, terms, seed, first, Some(sink));
         let mut expected = inputs.clone();
         for (n, input) in inputs.into_iter().enumerate().skip(1) {
             let now = n as u64 * MS;
             match input {
                 Input::New { .. } => {}
                 Input::Configure(specs) => desk.configure(now, specs.into_iter()),
-                Input::Ask { ask, first, of, .. } => {
-                    let given = desk.ask(now, ask.clone(), first, of);
-                    expected[n] = Input::Ask { ask, first, id: given, of };
+                Input::RequestPermit { ask, first, of, .. } => {
+                    let given = desk.request_permit(now, ask.clone(), first, of);
+                    expected[n] = Input::RequestPermit { ask, first, id: given, of };
                 }
-                Input::GiveUp { id } => desk.give_up(now, id),
+                Input::Cancel { id } => desk.cancel(now, id),
                 Input::Finish { id, outcome, took } => desk.finish(now, id, outcome, took),
-                Input::Up(id) => desk.up(now, &id),
-                Input::Refused(id) => desk.refused(now, &id),
-                Input::Mail { from, life, notes } => desk.mail(now, &from, life, notes),
-                Input::Told(note) => desk.told(now, note),
-                Input::Returned { address, notes } => desk.returned(now, &address, notes),
-                Input::Mute => desk.mute(now),
+                Input::InstanceUp(id) => desk.instance_up(now, &id),
+                Input::ConnectionRefused(id) => desk.connection_refused(now, &id),
+                Input::PeerMessages { from, life, notes } => desk.receive(now, &from, life, notes),
+                Input::ControllerMessage(note) => desk.receive_from_controller(now, note),
+                Input::Undelivered { address, notes } => desk.undelivered(now, &address, notes),
+                Input::ControllerUnreachable => desk.controller_unreachable(now),
                 Input::Tick => desk.tick(now),
-                Input::TraceEvent(trail) => desk.trail(now, &trail),
+                Input::TraceEvent(trail) => desk.trace(now, &trail),
             }
         }
         let read: Vec<_> = lines.borrow().iter().map(|line| Entry::read(line).expect("a line")).collect();
--- a/scheduler/src/request_flow.rs
+++ b/scheduler/src/request_flow.rs
@@ -7,9 +7,9 @@
 
 use compact_str::CompactString;
 
-use crate::effect::No;
+use crate::effect::DenialReason;
 use crate::retry_schedule::{Next, Outcome, RetrySchedule};
-use crate::{Ask, MS, Nanos, SECOND};
+use crate::{MS, Nanos, PermitRequest, SECOND};
 
 /// One that gives less of its time than others on its route has been here before, or was made by a running request.
 const RETURNED: f64 = 0.97;
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// Nothing is known here yet of configuration, stalls or the function.
-    Empty,
+    NotReady,
     /// No slot in time; one may be free after this.
     Full(Nanos),
     /// Its time ended before it was sent anywhere.
@@ -53,18 +53,18 @@
     /// It was sent, and there is no answer that counts.
     NoAnswer,
     /// It was sent, and its time has ended.
-    Late,
+    TimedOut,
 }
 
 impl Refusal {
     /// The status, and when to come back.
     pub fn answer(self) -> (u16, Option<Nanos>) {
         match self {
-            Refusal::Empty => (503, Some(INFORMED)),
+            Refusal::NotReady => (503, Some(INFORMED)),
             Refusal::Full(wait) => (503, Some(wait.max(10 * MS))),
             Refusal::NotSent => (503, Some(SOON)),
             Refusal::NoAnswer => (502, None),
-            Refusal::Late => (504, None),
+            Refusal::TimedOut => (504, None),
         }
     }
 }
@@ -72,15 +72,15 @@
 /// What is next.
 #[derive(Debug, PartialEq)]
 pub enum Step<A> {
-    /// A permit is to be asked for, for the first time or again. [`RequestFlow::unasked`], [`RequestFlow::refused`], [`RequestFlow::late`], or
-    /// [`RequestFlow::granted`] and [`RequestFlow::ended`] follow.
-    Ask(Ask, bool),
-    /// Nothing before this time; then [`RequestFlow::ask`].
+    /// A permit is to be asked for, for the first time or again. [`RequestFlow::too_many_open`], [`RequestFlow::denied`], [`RequestFlow::deadline_passed`], or
+    /// [`RequestFlow::granted`] and [`RequestFlow::attempt_ended`] follow.
+    RequestPermit(PermitRequest, bool),
+    /// Nothing before this time; then [`RequestFlow::request_permit`].
     Wait(Nanos),
-    /// What it was for is gone: where its route leads now is looked for. [`RequestFlow::moved`] follows at once.
-    Find,
+    /// What it was for is gone: where its route leads now is looked for. [`RequestFlow::route_resolved`] follows at once.
+    ResolveRoute,
     /// The client is told this, and it is over.
-    Tell(Result<A, Refusal>),
+    Respond(Result<A, Refusal>),
 }
 
 /// One request; `A` is an endpoint's answer.
@@ -108,15 +108,15 @@
     pub fn begin(&mut self, informed: bool) -> Step<A> {
         // One that has been here before has few tries left: it waits until there is somebody to ask.
         if !self.wish.returned && !informed {
-            return Step::Tell(Err(Refusal::Empty));
+            return Step::Respond(Err(Refusal::NotReady));
         }
-        self.ask()
+        self.request_permit()
     }
 
     /// A permit is asked for.
-    pub fn ask(&mut self) -> Step<A> {
+    pub fn request_permit(&mut self) -> Step<A> {
         let wish = &self.wish;
-        let ask = Ask {
+        let ask = PermitRequest {
             id: 0,
             service: wish.service.clone(),
             deadline: wish.deadline,
@@ -127,57 +127,57 @@
             avoid: self.avoid.clone(),
             zone: wish.zone.clone(),
         };
-        Step::Ask(ask, std::mem::take(&mut self.first))
+        Step::RequestPermit(ask, std::mem::take(&mut self.first))
     }
 
     /// Too many asks are open.
-    pub fn unasked(&mut self) -> Step<A> {
-        Step::Tell(Err(if self.may_have_run { Refusal::NoAnswer } else { Refusal::Full(SOON) }))
+    pub fn too_many_open(&mut self) -> Step<A> {
+        Step::Respond(Err(if self.may_have_run { Refusal::NoAnswer } else { Refusal::Full(SOON) }))
     }
 
     /// The process ends: nothing more is sent anywhere, and its client is told at once.
-    pub fn ends(&mut self) -> Step<A> {
+    pub fn shutdown(&mut self) -> Step<A> {
         self.over(false)
     }
 
     /// Its time ended before word came.
-    pub fn late(&mut self) -> Step<A> {
+    pub fn deadline_passed(&mut self) -> Step<A> {
         self.over(true)
     }
 
     /// The ask was turned down.
-    pub fn refused(&mut self, now: Nanos, no: No) -> Step<A> {
+    pub fn denied(&mut self, now: Nanos, no: DenialReason) -> Step<A> {
         match no {
-            No::Skip => {
+            DenialReason::Skip => {
                 let next = self.tries.skipped(now);
                 self.follow(now, next)
             }
-            No::Full(wait) if !self.may_have_run => Step::Tell(Err(Refusal::Full(wait))),
-            No::Moved if !self.may_have_run => Step::Find,
-            No::Unknown if self.moved && !self.may_have_run => self.look_again(now),
-            No::Unknown if !self.may_have_run => Step::Tell(Err(Refusal::Empty)),
+            DenialReason::Full(wait) if !self.may_have_run => Step::Respond(Err(Refusal::Full(wait))),
+            DenialReason::Moved if !self.may_have_run => Step::ResolveRoute,
+            DenialReason::Unknown if self.moved && !self.may_have_run => self.look_again(now),
+            DenialReason::Unknown if !self.may_have_run => Step::Respond(Err(Refusal::NotReady)),
             _ => self.over(false),
         }
     }
 
     /// Until when this try, which goes out now, is waited for, if its endpoint may take so long; none where nothing could follow.
-    pub fn waits(&self, now: Nanos, within: Option<Nanos>) -> Option<Nanos> {
+    pub fn attempt_deadline(&self, now: Nanos, within: Option<Nanos>) -> Option<Nanos> {
         let until = now + within.filter(|_| self.tries.may_run_again())?;
         // Whoever goes elsewhere needs as long there.
         (until + (until - now) / 2 < self.wish.deadline).then_some(until)
     }
 
     /// Its route leads there now. It keeps the time that it came and its deadline, and counts as one that was here before: it has waited.
-    pub fn moved(&mut self, now: Nanos, to: Option<CompactString>) -> Step<A> {
+    pub fn route_resolved(&mut self, now: Nanos, to: Option<CompactString>) -> Step<A> {
         match to {
-            None => Step::Tell(Err(Refusal::Empty)),
+            None => Step::Respond(Err(Refusal::NotReady)),
             // Its owner has heard of the change, and this stall has not.
             Some(to) if to == self.wish.service => self.look_again(now),
             Some(to) => {
                 (self.wish.service, self.wish.returned) = (to, true);
                 (self.first, self.moved) = (true, true);
                 self.avoid.clear();
-                self.ask()
+                self.request_permit()
             }
         }
     }
@@ -192,7 +192,7 @@
     }
 
     /// The exchange with this instance is over. `sent`: something may have reached it.
-    pub fn ended(
+    pub fn attempt_ended(
         &mut self,
         now: Nanos,
         instance: CompactString,
@@ -204,11 +204,11 @@
             self.tries.unsent();
         }
         match answer {
-            Some(answer) if outcome == Outcome::Answered => return Step::Tell(Ok(answer)),
+            Some(answer) if outcome == Outcome::Answered => return Step::Respond(Ok(answer)),
             answer if outcome == Outcome::Failed => self.failed = answer,
             _ => {}
         }
-        self.may_have_run |= !outcome.not_run();
+        self.may_have_run |= !outcome.proves_not_run();
         if !self.avoid.contains(&instance) {
             self.avoid.push(instance);
         }
@@ -217,22 +217,22 @@
     }
 
     /// The wish that it is of.
-    pub fn wish(&self) -> &RequestInfo {
+    pub fn info(&self) -> &RequestInfo {
         &self.wish
     }
 
     fn follow(&mut self, now: Nanos, next: Next) -> Step<A> {
         match next {
-            Next::AskAt(at) => Step::Wait(at),
-            Next::Over => self.over(now >= self.wish.deadline),
+            Next::RetryAt(at) => Step::Wait(at),
+            Next::GiveUp => self.over(now >= self.wish.deadline),
         }
     }
 
     /// Nothing more can be done.
     fn over(&mut self, late: bool) -> Step<A> {
-        Step::Tell(match (self.failed.take(), self.may_have_run) {
+        Step::Respond(match (self.failed.take(), self.may_have_run) {
             (Some(answer), _) => Ok(answer),
-            (None, true) if late => Err(Refusal::Late),
+            (None, true) if late => Err(Refusal::TimedOut),
             (None, true) => Err(Refusal::NoAnswer),
             (None, false) => Err(Refusal::NotSent),
         })
@@ -245,7 +245,7 @@
 
 impl ClientTimeouts {
     /// Whether a request that gives so much has been here before, or was made by a running request.
-    pub fn returned(&mut self, route: &CompactString, given: f64) -> bool {
+    pub fn is_returning(&mut self, route: &CompactString, given: f64) -> bool {
         let longest = self.0.entry(route.clone()).or_insert(given);
         *longest = longest.max(given);
         given < *longest * RETURNED
@@ -270,52 +270,52 @@
 
     fn sent(passage: &mut RequestFlow<u16>, outcome: Outcome, answer: Option<u16>) -> Step<u16> {
         passage.granted(20 * MS);
-        passage.ended(30 * MS, "i".into(), outcome, !matches!(outcome, Outcome::Unreachable), answer)
+        passage.attempt_ended(30 * MS, "i".into(), outcome, !matches!(outcome, Outcome::Unreachable), answer)
     }
 
     /// What a client is told after a try with this outcome, and a no to whatever is asked after it.
     #[yare::parameterized(
-        unreachable = { true, Outcome::Unreachable, None, No::Full(MS), Err(Refusal::Full(MS)) },
-        full = { false, Outcome::Full, None, No::Unknown, Err(Refusal::Empty) },
-        full_spent = { false, Outcome::Full, None, No::Spent, Err(Refusal::NotSent) },
-        broken = { true, Outcome::NoAnswer, None, No::Full(MS), Err(Refusal::NoAnswer) },
-        silent = { true, Outcome::Silent, None, No::Full(MS), Err(Refusal::NoAnswer) },
-        silent_once = { false, Outcome::NoAnswer, None, No::Unknown, Err(Refusal::NoAnswer) },
-        garbled = { false, Outcome::NoAnswer, Some(200), No::Spent, Err(Refusal::NoAnswer) },
-        failed = { true, Outcome::Failed, Some(500), No::Spent, Ok(500) },
-        failed_once = { false, Outcome::Failed, Some(500), No::Unknown, Ok(500) },
-        answered = { false, Outcome::Answered, Some(200), No::Spent, Ok(200) },
+        unreachable = { true, Outcome::Unreachable, None, DenialReason::Full(MS), Err(Refusal::Full(MS)) },
+        full = { false, Outcome::Full, None, DenialReason::Unknown, Err(Refusal::NotReady) },
+        full_spent = { false, Outcome::Full, None, DenialReason::Spent, Err(Refusal::NotSent) },
+        broken = { true, Outcome::NoAnswer, None, DenialReason::Full(MS), Err(Refusal::NoAnswer) },
+        silent = { true, Outcome::TimedOut, None, DenialReason::Full(MS), Err(Refusal::NoAnswer) },
+        silent_once = { false, Outcome::NoAnswer, None, DenialReason::Unknown, Err(Refusal::NoAnswer) },
+        garbled = { false, Outcome::NoAnswer, Some(200), DenialReason::Spent, Err(Refusal::NoAnswer) },
+        failed = { true, Outcome::Failed, Some(500), DenialReason::Spent, Ok(500) },
+        failed_once = { false, Outcome::Failed, Some(500), DenialReason::Unknown, Ok(500) },
+        answered = { false, Outcome::Answered, Some(200), DenialReason::Spent, Ok(200) },
     )]
     fn what_may_have_run_is_never_promised_not_to_have(
         repeatable: bool,
         outcome: Outcome,
         answer: Option<u16>,
-        no: No,
+        no: DenialReason,
         told: Result<u16, Refusal>,
     ) {
         let mut passage = passage(repeatable);
-        assert!(matches!(passage.begin(true), Step::Ask(_, true)));
+        assert!(matches!(passage.begin(true), Step::RequestPermit(_, true)));
         let step = match sent(&mut passage, outcome, answer) {
             Step::Wait(_) => {
-                let Step::Ask(ask, first) = passage.ask() else { panic!("it asks") };
+                let Step::RequestPermit(ask, first) = passage.request_permit() else { panic!("it asks") };
                 assert_eq!((first, ask.avoid), (false, vec!["i".into()]));
-                passage.refused(100 * MS, no)
+                passage.denied(100 * MS, no)
             }
             step => step,
         };
-        assert_eq!(step, Step::Tell(told));
+        assert_eq!(step, Step::Respond(told));
     }
 
     #[test]
     fn one_whose_time_ends_while_it_runs_is_late_and_one_that_waits_was_never_sent() {
         let mut waits = passage(true);
         waits.begin(true);
-        assert_eq!(waits.late(), Step::Tell(Err(Refusal::NotSent)));
+        assert_eq!(waits.deadline_passed(), Step::Respond(Err(Refusal::NotSent)));
         let mut runs = passage(true);
         runs.begin(true);
         runs.granted(20 * MS);
-        let step = runs.ended(1_500 * MS, "i".into(), Outcome::LeftAlone, true, None);
-        assert_eq!(step, Step::Tell(Err(Refusal::Late)));
+        let step = runs.attempt_ended(1_500 * MS, "i".into(), Outcome::Abandoned, true, None);
+        assert_eq!(step, Step::Respond(Err(Refusal::TimedOut)));
     }
 
     /// What waits when the process ends has not run, or may have, and its client is told which.
@@ -323,25 +323,25 @@
     fn when_the_process_ends_each_is_told_what_became_of_it() {
         let mut waits = passage(true);
         waits.begin(true);
-        assert_eq!(waits.ends(), Step::Tell(Err(Refusal::NotSent)));
+        assert_eq!(waits.shutdown(), Step::Respond(Err(Refusal::NotSent)));
         let mut again = passage(true);
         again.begin(true);
         sent(&mut again, Outcome::NoAnswer, None);
-        assert_eq!(again.ends(), Step::Tell(Err(Refusal::NoAnswer)));
+        assert_eq!(again.shutdown(), Step::Respond(Err(Refusal::NoAnswer)));
         let mut failed = passage(true);
         failed.begin(true);
         sent(&mut failed, Outcome::Failed, Some(500));
-        assert_eq!(failed.ends(), Step::Tell(Ok(500)));
+        assert_eq!(failed.shutdown(), Step::Respond(Ok(500)));
     }
 
     #[test]
     fn with_nobody_to_ask_only_what_came_back_waits() {
-        assert_eq!(passage(true).begin(false), Step::Tell(Err(Refusal::Empty)));
+        assert_eq!(passage(true).begin(false), Step::Respond(Err(Refusal::NotReady)));
         let mut back = passage(true);
         back.wish.returned = true;
-        assert!(matches!(back.begin(false), Step::Ask(_, true)));
+        assert!(matches!(back.begin(false), Step::RequestPermit(_, true)));
         let mut patience = ClientTimeouts::default();
-        let given = [1_000.0, 980.0, 960.0].map(|given| patience.returned(&"r".into(), given));
+        let given = [1_000.0, 980.0, 960.0].map(|given| patience.is_returning(&"r".into(), given));
         assert_eq!(given, [false, false, true]);
     }
 }
--- a/scheduler/src/retry_schedule.rs
+++ b/scheduler/src/retry_schedule.rs
@@ -16,48 +16,48 @@
     /// Turned away by the endpoint; it has not run.
     Full,
     /// Another endpoint has the address; it has not run.
-    Elsewhere,
+    AddressReused,
     /// No connection, or it broke before the last byte was written: it has not run.
     Unreachable,
     /// The connection broke, or what came is no answer: it may have run.
     NoAnswer,
     /// Nothing came within a wide margin over what it usually takes, and there is time to go elsewhere: it may be running still.
-    Silent,
+    TimedOut,
     /// The client gave up, or the deadline came.
-    LeftAlone,
+    Abandoned,
     /// The permit was not used.
     Unused,
 }
 
 impl Outcome {
     /// It proves that the request has not run.
-    pub fn not_run(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::Elsewhere | Outcome::Unreachable | Outcome::Unused)
+    pub fn proves_not_run(self) -> bool {
+        matches!(self, Outcome::Full | Outcome::AddressReused | Outcome::Unreachable | Outcome::Unused)
     }
     /// Its request may be running still, where the endpoint does not drop what nobody waits for.
-    pub fn lingers(self) -> bool {
-        matches!(self, Outcome::Silent | Outcome::LeftAlone)
+    pub fn may_still_run(self) -> bool {
+        matches!(self, Outcome::TimedOut | Outcome::Abandoned)
     }
     /// The word for it between processes.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Answered => "ok",
             Outcome::Failed => "failed",
             Outcome::Full => "full",
-            Outcome::Elsewhere => "elsewhere",
+            Outcome::AddressReused => "elsewhere",
             Outcome::Unreachable => "unreachable",
             Outcome::NoAnswer => "noanswer",
-            Outcome::Silent => "silent",
-            Outcome::LeftAlone => "left",
+            Outcome::TimedOut => "silent",
+            Outcome::Abandoned => "left",
             Outcome::Unused => "unused",
         }
     }
     /// Reads that word.
-    pub fn read(word: &str) -> Option<Self> {
+    pub fn parse(word: &str) -> Option<Self> {
         use Outcome::*;
-        [Answered, Failed, Full, Elsewhere, Unreachable, NoAnswer, Silent, LeftAlone, Unused]
+        [Answered, Failed, Full, AddressReused, Unreachable, NoAnswer, TimedOut, Abandoned, Unused]
             .into_iter()
-            .find(|o| o.word() == word)
+            .find(|o| o.as_str() == word)
     }
 }
 
@@ -65,13 +65,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
     /// Ask for another permit then.
-    AskAt(Nanos),
+    RetryAt(Nanos),
     /// The client is answered at once.
-    Over,
+    GiveUp,
 }
 
 /// T1 for a route: a quarter of the time in which an answer earns its full worth.
-pub fn first_gap(target: Nanos) -> Nanos {
+pub fn first_retry_delay(target: Nanos) -> Nanos {
     (target / 4).clamp(20 * MS, 500 * MS)
 }
 
@@ -93,7 +93,7 @@
     /// For a request that may be sent to `most` endpoints until `deadline`.
     pub fn new(target: Nanos, repeatable: bool, most: u32, deadline: Nanos) -> Self {
         RetrySchedule {
-            t1: first_gap(target),
+            t1: first_retry_delay(target),
             repeatable,
             most: most.max(1),
             deadline,
@@ -126,19 +126,19 @@
             self.step += 1;
         }
         let due = doubled_time(first, self.t1, self.step);
-        if due >= self.deadline { Next::Over } else { Next::AskAt(due) }
+        if due >= self.deadline { Next::GiveUp } else { Next::RetryAt(due) }
     }
 
     /// A try has ended so. A try that never left its machine is no retry: the next one goes at once.
     pub fn ended(&mut self, now: Nanos, outcome: Outcome) -> Next {
         let may = match outcome {
-            Outcome::Answered | Outcome::LeftAlone => false,
-            Outcome::Unused => return Next::AskAt(now),
-            o if o.not_run() => true,
+            Outcome::Answered | Outcome::Abandoned => false,
+            Outcome::Unused => return Next::RetryAt(now),
+            o if o.proves_not_run() => true,
             _ => self.repeatable,
         };
         if !may || self.sent >= self.most && outcome != Outcome::Unreachable {
-            return Next::Over;
+            return Next::GiveUp;
         }
         self.next(now)
     }
@@ -165,36 +165,36 @@
     #[test]
     fn retries_follow_the_doubled_times_and_skipped_ones_wait_for_the_next() {
         let mut t = tries(true);
-        assert_eq!(t.ended(12 * MS, Outcome::NoAnswer), Next::AskAt(10 * MS + T1));
-        assert_eq!(t.skipped(60 * MS), Next::AskAt(10 * MS + 3 * T1));
-        assert_eq!(t.skipped(160 * MS), Next::AskAt(10 * MS + 7 * T1));
+        assert_eq!(t.ended(12 * MS, Outcome::NoAnswer), Next::RetryAt(10 * MS + T1));
+        assert_eq!(t.skipped(60 * MS), Next::RetryAt(10 * MS + 3 * T1));
+        assert_eq!(t.skipped(160 * MS), Next::RetryAt(10 * MS + 7 * T1));
         // Later than its time: the next doubled one after the outcome.
         let mut late = tries(true);
-        assert_eq!(late.ended(300 * MS, Outcome::NoAnswer), Next::AskAt(10 * MS + 7 * T1));
+        assert_eq!(late.ended(300 * MS, Outcome::NoAnswer), Next::RetryAt(10 * MS + 7 * T1));
     }
 
     #[yare::parameterized(
         answered = { Outcome::Answered, false, false },
         failed = { Outcome::Failed, true, false },
         full = { Outcome::Full, true, true },
-        elsewhere = { Outcome::Elsewhere, true, true },
+        elsewhere = { Outcome::AddressReused, true, true },
         unreachable = { Outcome::Unreachable, true, true },
-        silent = { Outcome::Silent, true, false },
+        silent = { Outcome::TimedOut, true, false },
         broken = { Outcome::NoAnswer, true, false },
-        left = { Outcome::LeftAlone, false, false },
+        left = { Outcome::Abandoned, false, false },
     )]
     fn what_may_go_again(outcome: Outcome, repeatable: bool, once: bool) {
         for (safe, may) in [(true, repeatable), (false, once)] {
-            assert_eq!(tries(safe).ended(20 * MS, outcome) != Next::Over, may, "{outcome:?} {safe}");
+            assert_eq!(tries(safe).ended(20 * MS, outcome) != Next::GiveUp, may, "{outcome:?} {safe}");
         }
-        assert_eq!(Outcome::read(outcome.word()), Some(outcome));
+        assert_eq!(Outcome::parse(outcome.as_str()), Some(outcome));
     }
 
     #[test]
     fn no_more_endpoints_than_the_route_allows_and_none_past_the_deadline() {
         let mut t = tries(true);
         t.sending(60 * MS);
-        assert_eq!(t.ended(70 * MS, Outcome::NoAnswer), Next::Over);
-        assert_eq!(tries(true).ended(1_490 * MS, Outcome::NoAnswer), Next::Over);
+        assert_eq!(t.ended(70 * MS, Outcome::NoAnswer), Next::GiveUp);
+        assert_eq!(tries(true).ended(1_490 * MS, Outcome::NoAnswer), Next::GiveUp);
     }
 }
--- a/scheduler/src/service.rs
+++ b/scheduler/src/service.rs
@@ -11,7 +11,7 @@
 use crate::demand::Demand;
 use crate::function::{Floor, SETTLES};
 use crate::instance::{Place, Stage};
-use crate::{Ask, MS, Nanos, SECOND, Spec};
+use crate::{MS, Nanos, PermitRequest, SECOND, Spec};
 
 /// An owner of before that lives, and has not said what it has out by the time that it was given, is counted with for so long.
 const UNSURE: Nanos = 4_500 * MS;
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub(crate) struct Waiting {
     pub from: CompactString,
-    pub ask: Ask,
+    pub ask: PermitRequest,
     /// It waits for word of any instance, until then; after that it is judged as others are.
     pub unheard: Option<Nanos>,
 }
@@ -231,7 +231,7 @@
     }
 
     /// The instance that gets the next request: one that surely ends no later than others, not nearly full, near by, with fewest calls out, then in turns.
-    pub fn choose(&self, now: Nanos, from: &str, ask: &Ask) -> Option<&CompactString> {
+    pub fn choose(&self, now: Nanos, from: &str, ask: &PermitRequest) -> Option<&CompactString> {
         let all = self.function.as_ref()?.spec.concurrency.max(1) as usize;
         if self.stock.open == 0 {
             return None;
--- a/scheduler/src/leaving.rs
+++ b/scheduler/src/shutdown.rs
@@ -7,7 +7,7 @@
 
 /// How far the end has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
+pub enum ShutdownPhase {
     /// As ever.
     Serving,
     /// Not ready; every answer closes its connection.
@@ -19,7 +19,7 @@
     /// What still runs is told that there is no answer.
     Ending,
     /// The process ends.
-    Over,
+    Finished,
 }
 
 /// The platform asks every second whether a proxy is ready, and needs two misses.
@@ -31,9 +31,9 @@
 /// ... and the process ends so long before it.
 const OVER_BEFORE: Nanos = 600 * MS;
 
-impl Phase {
+impl ShutdownPhase {
     /// After being told to end, the next phases and how long after that word each begins.
-    pub fn schedule(grace: Nanos) -> [(Phase, Nanos); 5] {
+    pub fn schedule(grace: Nanos) -> [(ShutdownPhase, Nanos); 5] {
         let before = |span: Nanos| grace.saturating_sub(span);
         let closing = LEAVING.min(grace / 2);
         // A short grace time leaves less for each; none begins before the one that it follows.
@@ -41,18 +41,18 @@
         let ending = before(ENDING_BEFORE).max(refusing);
         let over = before(OVER_BEFORE).max(ending);
         [
-            (Phase::Leaving, 0),
-            (Phase::Closing, closing),
-            (Phase::Refusing, refusing),
-            (Phase::Ending, ending),
-            (Phase::Over, over),
+            (ShutdownPhase::Leaving, 0),
+            (ShutdownPhase::Closing, closing),
+            (ShutdownPhase::Refusing, refusing),
+            (ShutdownPhase::Ending, ending),
+            (ShutdownPhase::Finished, over),
         ]
     }
 
     /// The phase so long after the word to end.
-    pub fn after(grace: Nanos, since: Nanos) -> Phase {
-        let reached = Phase::schedule(grace).into_iter().rev().find(|(_, at)| since >= *at);
-        reached.map_or(Phase::Leaving, |(phase, _)| phase)
+    pub fn after(grace: Nanos, since: Nanos) -> ShutdownPhase {
+        let reached = ShutdownPhase::schedule(grace).into_iter().rev().find(|(_, at)| since >= *at);
+        reached.map_or(ShutdownPhase::Leaving, |(phase, _)| phase)
     }
 }
 
@@ -69,18 +69,18 @@
         long = { 60 * SECOND },
     )]
     fn phases_come_in_their_order_and_within_the_grace_time(grace: Nanos) {
-        let schedule = Phase::schedule(grace);
+        let schedule = ShutdownPhase::schedule(grace);
         assert!(schedule.is_sorted_by(|a, b| a.0 < b.0 && a.1 <= b.1), "{schedule:?}");
         assert!(schedule.iter().all(|(_, at)| *at <= grace));
         for (phase, at) in schedule {
-            assert!(Phase::after(grace, at) >= phase);
+            assert!(ShutdownPhase::after(grace, at) >= phase);
         }
     }
 
     /// What was sent in the first 3 s and is still at work may be told so in the last sixth of the grace time, and not before.
     #[test]
     fn what_runs_is_waited_for_into_the_last_sixth_of_the_grace_time() {
-        let [.., (_, ending), (_, over)] = Phase::schedule(6 * SECOND);
+        let [.., (_, ending), (_, over)] = ShutdownPhase::schedule(6 * SECOND);
         assert!(ending >= 5 * SECOND && over > ending && over < 6 * SECOND, "{ending}, {over}");
     }
 }
--- a/scheduler/src/trace.rs
+++ b/scheduler/src/trace.rs
@@ -9,7 +9,7 @@
 use millpost_protocol::{Fault, string, whole};
 use tinyjson::JsonValue;
 
-use crate::effect::No;
+use crate::effect::DenialReason;
 use crate::request_flow::RequestInfo;
 use crate::{Nanos, Outcome};
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum TraceEvent {
     /// It was read.
-    Begun {
+    Received {
         /// Its number in this life; its asks name it.
         p: u64,
         /// The client's id of this try.
@@ -28,14 +28,14 @@
         /// Its route.
         route: CompactString,
         /// What is known of it. Its zone is the stall's.
-        wish: RequestInfo,
+        info: RequestInfo,
     },
     /// Its ask was turned down.
     Denied {
         /// Its number.
         p: u64,
         /// Why.
-        no: No,
+        reason: DenialReason,
     },
     /// The function that it was for is gone, and this is looked for in its place.
     Moved {
@@ -45,7 +45,7 @@
         to: Option<CompactString>,
     },
     /// Its time ended before word of its ask came.
-    Late {
+    DeadlinePassed {
         /// Its number.
         p: u64,
     },
@@ -65,19 +65,19 @@
         status: Option<u16>,
     },
     /// Its client left before it was answered.
-    Left {
+    ClientLeft {
         /// Its number.
         p: u64,
     },
     /// A request was answered without any try: it makes no sense, or has no route.
-    Turned {
+    Rejected {
         /// The client's id of this try; empty where it has none.
         attempt: CompactString,
         /// The answer.
         status: u16,
     },
     /// A configuration is in force.
-    Acts {
+    ConfigInForce {
         /// Its revision.
         revision: u64,
     },
@@ -89,33 +89,33 @@
 }
 
 /// The words for these in lines.
-pub const WORDS: [&str; 8] = ["request", "denied", "late", "ended", "left", "turned", "acts", "moved"];
+pub const NAMES: [&str; 8] = ["request", "denied", "late", "ended", "left", "turned", "acts", "moved"];
 
 impl TraceEvent {
     /// The word for it in a line.
     pub fn name(&self) -> &'static str {
         match self {
-            TraceEvent::Begun { .. } => WORDS[0],
-            TraceEvent::Denied { .. } => WORDS[1],
-            TraceEvent::Late { .. } => WORDS[2],
-            TraceEvent::Ended { .. } => WORDS[3],
-            TraceEvent::Left { .. } => WORDS[4],
-            TraceEvent::Turned { .. } => WORDS[5],
-            TraceEvent::Acts { .. } => WORDS[6],
-            TraceEvent::Moved { .. } => WORDS[7],
+            TraceEvent::Received { .. } => NAMES[0],
+            TraceEvent::Denied { .. } => NAMES[1],
+            TraceEvent::DeadlinePassed { .. } => NAMES[2],
+            TraceEvent::Ended { .. } => NAMES[3],
+            TraceEvent::ClientLeft { .. } => NAMES[4],
+            TraceEvent::Rejected { .. } => NAMES[5],
+            TraceEvent::ConfigInForce { .. } => NAMES[6],
+            TraceEvent::Moved { .. } => NAMES[7],
         }
     }
 
     /// The request's number.
     pub fn of(&self) -> Option<u64> {
         match self {
-            TraceEvent::Begun { p, .. }
+            TraceEvent::Received { p, .. }
             | TraceEvent::Denied { p, .. }
             | TraceEvent::Moved { p, .. }
-            | TraceEvent::Late { p }
+            | TraceEvent::DeadlinePassed { p }
             | TraceEvent::Ended { p, .. }
-            | TraceEvent::Left { p } => Some(*p),
-            TraceEvent::Turned { .. } | TraceEvent::Acts { .. } => None,
+            | TraceEvent::ClientLeft { p } => Some(*p),
+            TraceEvent::Rejected { .. } | TraceEvent::ConfigInForce { .. } => None,
         }
     }
 
@@ -124,16 +124,16 @@
             line.whole("p", p);
         }
         match self {
-            TraceEvent::Begun { attempt, route, wish, .. } => {
+            TraceEvent::Received { attempt, route, info: wish, .. } => {
                 line.text("id", attempt).text("r", route).text("s", &wish.service);
                 line.time("came", wish.came).time("deadline", wish.deadline).time("target", wish.target);
                 line.whole("most", wish.most.into())
                     .mark("again", wish.repeatable)
                     .mark("back", wish.returned);
             }
-            TraceEvent::Denied { no, .. } => {
-                line.text("y", no.word());
-                if let No::Full(wait) = no {
+            TraceEvent::Denied { reason: no, .. } => {
+                line.text("y", no.as_str());
+                if let DenialReason::Full(wait) = no {
                     line.time("wait", *wait);
                 }
             }
@@ -143,18 +143,21 @@
                 }
             }
             TraceEvent::Ended { begun, instance, outcome, sent, status, .. } => {
-                line.time("begun", *begun).text("i", instance).text("o", outcome.word()).mark("sent", *sent);
+                line.time("begun", *begun)
+                    .text("i", instance)
+                    .text("o", outcome.as_str())
+                    .mark("sent", *sent);
                 if let Some(status) = status {
                     line.whole("status", (*status).into());
                 }
             }
-            TraceEvent::Turned { attempt, status } => {
+            TraceEvent::Rejected { attempt, status } => {
                 line.text("id", attempt).whole("status", (*status).into());
             }
-            TraceEvent::Acts { revision } => {
+            TraceEvent::ConfigInForce { revision } => {
                 line.whole("v", *revision);
             }
-            TraceEvent::Late { .. } | TraceEvent::Left { .. } => {}
+            TraceEvent::DeadlinePassed { .. } | TraceEvent::ClientLeft { .. } => {}
         }
     }
 
@@ -166,11 +169,11 @@
             u16::try_from(whole(from, "status")?).map_err(|_| fault)
         };
         Ok(match name {
-            "request" => TraceEvent::Begun {
+            "request" => TraceEvent::Received {
                 p: p()?,
                 attempt: string(from, "id")?,
                 route: string(from, "r")?,
-                wish: RequestInfo {
+                info: RequestInfo {
                     service: string(from, "s")?,
                     zone: CompactString::default(),
                     target: whole(from, "target")?,
@@ -184,32 +187,32 @@
             },
             "denied" => {
                 let no = match string(from, "y")?.as_str() {
-                    "full" => No::Full(whole(from, "wait")?),
-                    "skip" => No::Skip,
-                    "spent" => No::Spent,
-                    "unknown" => No::Unknown,
-                    "moved" => No::Moved,
+                    "full" => DenialReason::Full(whole(from, "wait")?),
+                    "skip" => DenialReason::Skip,
+                    "spent" => DenialReason::Spent,
+                    "unknown" => DenialReason::Unknown,
+                    "moved" => DenialReason::Moved,
                     _ => return Err(Fault { key: "y".to_owned(), reason: "no word that is known" }),
                 };
-                TraceEvent::Denied { p: p()?, no }
+                TraceEvent::Denied { p: p()?, reason: no }
             }
             "moved" => TraceEvent::Moved {
                 p: p()?,
                 to: from.contains_key("s").then(|| string(from, "s")).transpose()?,
             },
-            "late" => TraceEvent::Late { p: p()? },
+            "late" => TraceEvent::DeadlinePassed { p: p()? },
             "ended" => TraceEvent::Ended {
                 p: p()?,
                 begun: whole(from, "begun")?,
                 instance: string(from, "i")?,
-                outcome: Outcome::read(&string(from, "o")?)
+                outcome: Outcome::parse(&string(from, "o")?)
                     .ok_or(Fault { key: "o".to_owned(), reason: "no outcome" })?,
                 sent: line::flag(from, "sent")?,
                 status: from.contains_key("status").then(status).transpose()?,
             },
-            "left" => TraceEvent::Left { p: p()? },
-            "turned" => TraceEvent::Turned { attempt: string(from, "id")?, status: status()? },
-            "acts" => TraceEvent::Acts { revision: whole(from, "v")? },
+            "left" => TraceEvent::ClientLeft { p: p()? },
+            "turned" => TraceEvent::Rejected { attempt: string(from, "id")?, status: status()? },
+            "acts" => TraceEvent::ConfigInForce { revision: whole(from, "v")? },
             _ => return Err(Fault { key: "in".to_owned(), reason: "no input of a desk" }),
         })
     }
--- a/scheduler/tests/floor.rs
+++ b/scheduler/tests/floor.rs
@@ -2,8 +2,8 @@
 
 use millpost_protocol::FunctionStatus;
 use millpost_scheduler::{
-    Ask, Effect, Instance, MS, Nanos, Outcome, Owners, OwnershipChange, Peer, SECOND, Scheduler, Spec, Stage,
-    Terms, Transfer,
+    Effect, Instance, MS, Nanos, Outcome, Owners, OwnershipChange, Peer, PermitRequest, SECOND, Scheduler,
+    SchedulerLimits, Spec, Stage, Transfer,
 };
 
 fn peer(name: &str) -> Peer {
@@ -12,11 +12,17 @@
 
 fn own(broker: &mut Scheduler, now: Nanos, owner: &str) {
     let owners = Owners::new((1, 1), vec![peer(owner)], []);
-    broker.own(now, &peer("me"), &owners, &OwnershipChange::all(), |_, _| Transfer::default());
+    broker.update_ownership(now, &peer("me"), &owners, &OwnershipChange::all(), |_, _| Transfer::default());
 }
 
 fn broker(owner: &str) -> Scheduler {
-    let terms = Terms { ratio: 0.2, window: 10 * SECOND, slack: 50.0, asks_per_s: 100.0, speeds: false };
+    let terms = SchedulerLimits {
+        ratio: 0.2,
+        window: 10 * SECOND,
+        slack: 50.0,
+        requests_per_s: 100.0,
+        rank_by_latency: false,
+    };
     let mut broker = Scheduler::new(terms, 1);
     let spec = Spec { name: "f".into(), concurrency: 1, boot: 400 * MS, memory_mb: 128 };
     broker.configure(0, [spec].into_iter());
@@ -32,7 +38,7 @@
             worker: name("w"),
             stage,
         };
-        broker.known(0, of, true);
+        broker.update_instance(0, of, true);
     }
     broker
 }
@@ -42,12 +48,12 @@
     let (mut wanted, mut said, mut retired) = (None, 0, 0);
     for now in (from..to).step_by(25 * MS as usize) {
         broker.tick(now);
-        for effect in broker.take() {
+        for effect in broker.take_effects() {
             if let Effect::Retire(id) = &effect {
-                broker.gone(now, id);
+                broker.remove_instance(now, id);
             }
             match effect {
-                Effect::Want { count, .. } => (wanted, said) = (Some(count), said + 1),
+                Effect::SetInstanceTarget { count, .. } => (wanted, said) = (Some(count), said + 1),
                 Effect::Retire(_) => retired += 1,
                 _ => {}
             }
@@ -59,14 +65,14 @@
 #[test]
 fn an_owner_lets_nothing_go_that_a_floor_keeps_until_the_floor_is_over() {
     let mut broker = broker("me");
-    broker.floor(0, "f", 2, 7, 20 * SECOND);
+    broker.set_floor(0, "f", 2, 7, 20 * SECOND);
     let (wanted, said, retired) = pass(&mut broker, 0, 10 * SECOND);
     assert_eq!((wanted, retired), (Some(2), 1), "one more than the floor");
     assert!((18..=24).contains(&said), "twice a second: {said}");
     // A steward of before says nothing that counts any more; the same one and the next do.
-    broker.floor(10 * SECOND, "f", 0, 6, 0);
+    broker.set_floor(10 * SECOND, "f", 0, 6, 0);
     assert_eq!(pass(&mut broker, 10 * SECOND, 12 * SECOND).2, 0);
-    broker.floor(12 * SECOND, "f", 1, 8, 14 * SECOND);
+    broker.set_floor(12 * SECOND, "f", 1, 8, 14 * SECOND);
     assert_eq!(pass(&mut broker, 12 * SECOND, 13 * SECOND), (Some(1), 2, 1));
     // Its time is over, without another word.
     let (wanted, _, retired) = pass(&mut broker, 13 * SECOND, 16 * SECOND);
@@ -77,7 +83,7 @@
 #[test]
 fn who_comes_to_own_it_goes_by_the_floor_and_who_does_not_own_it_says_nothing() {
     let mut broker = broker("you");
-    broker.floor(0, "f", 3, 7, 9 * SECOND);
+    broker.set_floor(0, "f", 3, 7, 9 * SECOND);
     assert_eq!(pass(&mut broker, 0, SECOND), (None, 0, 0));
     own(&mut broker, SECOND, "me");
     assert_eq!(pass(&mut broker, SECOND, 8 * SECOND).0, Some(3));
@@ -87,7 +93,7 @@
 
 /// Requests that are there at once, to their end.
 fn serve(broker: &mut Scheduler, now: Nanos, ids: std::ops::Range<u64>, outcome: Outcome, took: Nanos) {
-    let ask = |id| Ask {
+    let ask = |id| PermitRequest {
         id,
         service: "f".into(),
         deadline: now + SECOND,
@@ -98,8 +104,8 @@
         avoid: vec![],
         zone: "z".into(),
     };
-    ids.clone().for_each(|id| broker.ask(now, "me".into(), ask(id), true));
-    ids.for_each(|id| broker.done(now + took, "me", id, outcome, took));
+    ids.clone().for_each(|id| broker.request_permit(now, "me".into(), ask(id), true));
+    ids.for_each(|id| broker.release(now + took, "me", id, outcome, took));
 }
 
 #[test]
@@ -107,12 +113,14 @@
     let mut broker = broker("me");
     let told = |broker: &mut Scheduler, now| -> Option<FunctionStatus> {
         broker.tick(now);
-        let all = broker.take();
-        all.iter().rev().find_map(|e| if let Effect::Want { does, .. } = e { Some(*does) } else { None })?
+        let all = broker.take_effects();
+        all.iter()
+            .rev()
+            .find_map(|e| if let Effect::SetInstanceTarget { does, .. } = e { Some(*does) } else { None })?
     };
     serve(&mut broker, SECOND, 0..3, Outcome::Answered, 40 * MS);
     assert_eq!(told(&mut broker, 2 * SECOND), None, "nobody has asked for it");
-    broker.floor(2 * SECOND, "f", 1, 7, 60 * SECOND);
+    broker.set_floor(2 * SECOND, "f", 1, 7, 60 * SECOND);
     let does = FunctionStatus { delay: 40.0, lowest: 40.0, asked: 0, refused: 0 };
     assert_eq!(told(&mut broker, 2_100 * MS), Some(does));
     // All three take 240 ms once: a fifth of that, and the rest of before.
@@ -123,6 +131,6 @@
     serve(&mut broker, 2_800 * MS, 20..21, Outcome::Full, MS);
     assert_eq!(told(&mut broker, 3_300 * MS).map(|d| (d.asked, d.refused)), Some((4, 1)));
     assert_eq!(told(&mut broker, 6_000 * MS).map(|d| (d.asked, d.refused)), Some((0, 0)));
-    broker.floor(6_100 * MS, "f", 0, 7, 0);
+    broker.set_floor(6_100 * MS, "f", 0, 7, 0);
     assert_eq!(told(&mut broker, 8_500 * MS), None);
 }
--- a/scheduler/tests/handover.rs
+++ b/scheduler/tests/handover.rs
@@ -5,14 +5,14 @@
 use std::collections::BTreeMap;
 
 use millpost_protocol::{Instance, PeerMessage};
-use millpost_scheduler::{Coordinator, MS, Nanos, Out, Outcome, SECOND};
+use millpost_scheduler::{Action, Coordinator, MS, Nanos, Outcome, SECOND};
 use town::{ALL, CONCURRENCY, T, Town, instances, owner, peer, stalls};
 
 /// What a life is numbered by goes back with its machine's clock. Only who lives can say that it does.
 #[test]
 fn mail_of_a_lower_life_counts_for_nothing_and_is_answered_with_the_life_that_is_known() {
     let mut town = Town::new(&[1, 2]);
-    let to_me = |life, note| move |desk: &mut Coordinator| desk.mail(T, "edge-2", life, vec![note]);
+    let to_me = |life, note| move |desk: &mut Coordinator| desk.receive(T, "edge-2", life, vec![note]);
     let ask = || PeerMessage::Ask {
         id: 7,
         service: "f".into(),
@@ -49,7 +49,7 @@
     // The new owners hear first, the old one and the askers a moment later; what was out ends meanwhile.
     let first: Vec<_> = [&new, &other].into_iter().filter(|n| **n != old).cloned().collect();
     for name in &first {
-        town.with(T, name, |desk| desk.told(T, stalls(2, &ALL, true)));
+        town.with(T, name, |desk| desk.receive_from_controller(T, stalls(2, &ALL, true)));
     }
     town.post(T + 10 * MS, &[]);
     assert_eq!(town.granted.len(), 16, "nothing is given twice");
@@ -59,7 +59,9 @@
     for n in ALL {
         let name = format!("edge-{n}");
         if !first.contains(&name) {
-            town.with(T + 30 * MS, &name, |desk| desk.told(T + 30 * MS, stalls(2, &ALL, true)));
+            town.with(T + 30 * MS, &name, |desk| {
+                desk.receive_from_controller(T + 30 * MS, stalls(2, &ALL, true))
+            });
         }
     }
     town.post(T + 30 * MS, &[]);
@@ -73,7 +75,7 @@
         assert!(town.within_limits(), "{:?}", town.out());
     }
     assert!(town.granted.is_empty());
-    assert!(town.desks.values().all(|desk| desk.broker().permits().count() == 0));
+    assert!(town.desks.values().all(|desk| desk.scheduler().permits().count() == 0));
     for _ in 0..3 {
         ALL.iter().for_each(|n| town.ask(T + 2 * SECOND, &format!("edge-{n}")));
     }
@@ -96,17 +98,17 @@
     town.mail.clear();
     let left: Vec<_> = ALL.into_iter().filter(|n| format!("edge-{n}") != old).collect();
     let new = owner(&left, false, "a");
-    town.with(T, &new, |desk| desk.told(T + SECOND, stalls(2, &left, false)));
+    town.with(T, &new, |desk| desk.receive_from_controller(T + SECOND, stalls(2, &left, false)));
     town.ask(T + SECOND, &new);
     for name in askers.iter().filter(|n| **n != new) {
-        town.with(T, name, |desk| desk.told(T + SECOND, stalls(2, &left, false)));
+        town.with(T, name, |desk| desk.receive_from_controller(T + SECOND, stalls(2, &left, false)));
     }
     town.post(T + SECOND, &[]);
     // One slot more than is known at that moment, of four that were free by what was known.
     assert!(town.out().values().all(|n| *n <= CONCURRENCY as usize + 1), "{:?}", town.out());
     town.finish(T + 2 * SECOND, 17);
     town.post(T + 2 * SECOND, &[]);
-    assert!(town.desks.values().all(|desk| desk.broker().permits().count() <= town.granted.len()));
+    assert!(town.desks.values().all(|desk| desk.scheduler().permits().count() <= town.granted.len()));
 }
 
 /// An owner without power kept its askers waiting until their mail timed out, 0.7 s, and until control missed it, 1.5 s.
@@ -120,10 +122,10 @@
     let up = |town: &mut Town, at: Nanos| {
         let desk = town.desks.get_mut(&asker).expect("a desk");
         desk.tick(at);
-        let outs = desk.take();
-        let deaf = |o: &Out| matches!(o, Out::Up(PeerMessage::Deaf { peer, .. }) if *peer == old);
+        let outs = desk.take_actions();
+        let deaf = |o: &Action| matches!(o, Action::NotifyController(PeerMessage::Deaf { peer, .. }) if *peer == old);
         let asks = outs.iter().filter_map(|o| match o {
-            Out::Send { to, note: PeerMessage::Ask { .. } } => Some(to.trim_end_matches(":1").to_owned()),
+            Action::Send { to, note: PeerMessage::Ask { .. } } => Some(to.trim_end_matches(":1").to_owned()),
             _ => None,
         });
         (outs.iter().any(deaf), asks.collect::<Vec<_>>())
@@ -131,13 +133,13 @@
     town.ask(T, &asker);
     // Nobody at all was heard: it may be this stall's own link.
     assert!(!up(&mut town, T + 450 * MS).0);
-    town.with(T + 500 * MS, &asker, |desk| desk.mail(T + 500 * MS, &friend, 1, vec![]));
+    town.with(T + 500 * MS, &asker, |desk| desk.receive(T + 500 * MS, &friend, 1, vec![]));
     let (deaf, asks) = up(&mut town, T + 525 * MS);
     assert!(deaf && asks.iter().any(|to| *to != old), "{asks:?}");
     // One that is slow, and is heard of, is waited for.
     let mut town = Town::new(&ALL);
     town.ask(T, &asker);
-    town.with(T + 300 * MS, &asker, |desk| desk.mail(T + 300 * MS, &old, 1, vec![]));
+    town.with(T + 300 * MS, &asker, |desk| desk.receive(T + 300 * MS, &old, 1, vec![]));
     assert!(!up(&mut town, T + 425 * MS).0);
     assert!(!up(&mut town, T + 575 * MS).0);
 }
@@ -156,11 +158,11 @@
     });
     let waits = PeerMessage::Waits { id: asked.expect("an ask") };
     let desk = town.desks.get_mut(&asker).expect("a desk");
-    desk.mail(T + 5 * MS, &old, 1, vec![waits]);
+    desk.receive(T + 5 * MS, &old, 1, vec![waits]);
     let mut deaf = |at: Nanos| {
-        desk.mail(at, &friend, 1, vec![]);
+        desk.receive(at, &friend, 1, vec![]);
         desk.tick(at);
-        desk.take().iter().any(|o| matches!(o, Out::Up(PeerMessage::Deaf { .. })))
+        desk.take_actions().iter().any(|o| matches!(o, Action::NotifyController(PeerMessage::Deaf { .. })))
     };
     assert!(!deaf(T + 400 * MS) && !deaf(T + 1_500 * MS));
     // Asked again, it says nothing.
@@ -177,15 +179,15 @@
     town.post(T, &[&asker]);
     let (_, _, grant) = town.mail.pop().expect("a grant on its way");
     let address = format!("{asker}:1");
-    town.with(T + 700 * MS, &old, |desk| desk.returned(T + 700 * MS, &address, vec![grant.clone()]));
-    assert_eq!(town.desks[&old].broker().permits().count(), 1);
+    town.with(T + 700 * MS, &old, |desk| desk.undelivered(T + 700 * MS, &address, vec![grant.clone()]));
+    assert_eq!(town.desks[&old].scheduler().permits().count(), 1);
     assert!(town.mail.iter().any(|(from, to, note)| *from == old && *to == asker && *note == grant));
     town.post(T + 700 * MS, &[]);
     assert_eq!(town.granted.len(), 1);
     town.finish(T + 800 * MS, 1);
     town.post(T + 800 * MS, &[]);
     // What is not out any more is not told again.
-    town.with(T + 900 * MS, &old, |desk| desk.returned(T + 900 * MS, &address, vec![grant]));
+    town.with(T + 900 * MS, &old, |desk| desk.undelivered(T + 900 * MS, &address, vec![grant]));
     assert!(town.mail.is_empty());
 }
 
@@ -203,7 +205,7 @@
     assert_eq!(town.granted.len(), 16);
     let kept = std::mem::take(&mut town.granted);
     for name in &new {
-        town.with(T, name, |desk| desk.told(T, stalls(2, &ALL, true)));
+        town.with(T, name, |desk| desk.receive_from_controller(T, stalls(2, &ALL, true)));
         (0..4).for_each(|_| town.ask(T, name));
     }
     let mut full = 0;
@@ -221,7 +223,7 @@
     let left: Vec<_> = ALL.into_iter().filter(|n| format!("edge-{n}") != old).collect();
     let now = T + 4_200 * MS;
     for name in &new {
-        town.with(now, name, |desk| desk.told(now, stalls(3, &left, true)));
+        town.with(now, name, |desk| desk.receive_from_controller(now, stalls(3, &left, true)));
         town.ask(now + 25 * MS, name);
         town.with(now + 325 * MS, name, |desk| desk.tick(now + 325 * MS));
     }
@@ -252,16 +254,16 @@
         gone: vec![],
     };
     town.with(T, &new, |desk| {
-        desk.told(T, stalls(2, &ALL, true));
-        desk.told(T, starting(2, "i-9", true));
-        desk.up(T + 100 * MS, "i-9");
+        desk.receive_from_controller(T, stalls(2, &ALL, true));
+        desk.receive_from_controller(T, starting(2, "i-9", true));
+        desk.instance_up(T + 100 * MS, "i-9");
     });
     (0..4).for_each(|_| town.ask(T + 100 * MS, &new));
     assert!(town.granted.is_empty(), "{:?}", town.out());
     // One that was started for it is its own.
     town.with(T, &new, |desk| {
-        desk.told(T + 200 * MS, starting(3, "i-10", false));
-        desk.up(T + 300 * MS, "i-10");
+        desk.receive_from_controller(T + 200 * MS, starting(3, "i-10", false));
+        desk.instance_up(T + 300 * MS, "i-10");
     });
     assert_eq!(town.out(), BTreeMap::from([("i-10", 4)]));
 }
@@ -273,9 +275,9 @@
     let left: Vec<_> = ALL.into_iter().filter(|n| format!("edge-{n}") != old).collect();
     let next = owner(&left, false, "a");
     let mut town = Town::new(&ALL);
-    town.with(T, &next, |desk| desk.mail(T, &old, 1, vec![]));
+    town.with(T, &next, |desk| desk.receive(T, &old, 1, vec![]));
     let asker = left.iter().map(|n| format!("edge-{n}")).find(|n| *n != next).expect("a third");
-    town.with(T + 10 * MS, &asker, |desk| desk.returned(T + 10 * MS, &format!("{old}:1"), vec![]));
+    town.with(T + 10 * MS, &asker, |desk| desk.undelivered(T + 10 * MS, &format!("{old}:1"), vec![]));
     town.ask(T + 10 * MS, &asker);
     town.post(T + 10 * MS, &[]);
     assert!(town.granted.is_empty(), "{:?}", town.out());
@@ -301,7 +303,7 @@
     assert_eq!(town.granted.len(), 16);
     for n in ALL {
         let name = format!("edge-{n}");
-        town.with(T, &name, |desk| desk.told(T, stalls(2, &ALL, true)));
+        town.with(T, &name, |desk| desk.receive_from_controller(T, stalls(2, &ALL, true)));
     }
     // Only the old owner's word comes, then something from each of the others.
     town.mail.retain(|(from, ..)| *from == old);
@@ -309,7 +311,7 @@
     for n in ALL {
         let from = format!("edge-{n}");
         if from != new {
-            town.with(T + 10 * MS, &new, |desk| desk.mail(T + 10 * MS, &from, 1, vec![]));
+            town.with(T + 10 * MS, &new, |desk| desk.receive(T + 10 * MS, &from, 1, vec![]));
         }
     }
     (0..8).for_each(|_| town.ask(T + 20 * MS, &new));
@@ -328,16 +330,16 @@
     assert_eq!(town.granted.len(), 16);
     for n in ALL {
         let name = format!("edge-{n}");
-        town.with(T, &name, |desk| desk.told(T, stalls(2, &ALL, true)));
+        town.with(T, &name, |desk| desk.receive_from_controller(T, stalls(2, &ALL, true)));
     }
     town.post(T, &[]);
-    let counted = town.desks[&new].broker().permits().count();
+    let counted = town.desks[&new].scheduler().permits().count();
     assert_eq!(counted, 8, "those of its zone");
     town.finish(T + 20 * MS, 16);
-    assert_eq!(town.desks[&new].broker().permits().count(), 0, "before any mail");
+    assert_eq!(town.desks[&new].scheduler().permits().count(), 0, "before any mail");
     assert_eq!(town.mail.len(), 8, "those of the other zone");
     town.post(T + 30 * MS, &[]);
-    assert!(town.desks.values().all(|desk| desk.broker().permits().count() == 0));
+    assert!(town.desks.values().all(|desk| desk.scheduler().permits().count() == 0));
 }
 
 /// Owners of a function one after the other, and the stalls that are named with each: another stall comes each time, and owns it.
@@ -360,7 +362,9 @@
     let [(one, first), (two, second), (three, third)] = three_owners();
     let mut town = Town::new(&ALL);
     let names: Vec<_> = ALL.iter().map(|n| format!("edge-{n}")).collect();
-    names.iter().for_each(|name| town.with(T, name, |desk| desk.told(T, stalls(2, &one, false))));
+    names
+        .iter()
+        .for_each(|name| town.with(T, name, |desk| desk.receive_from_controller(T, stalls(2, &one, false))));
     town.post(T, &[]);
     let asker = names.iter().find(|n| ![&first, &second, &third].contains(n)).expect("another");
     let start = T + 3 * SECOND;
@@ -368,14 +372,14 @@
     town.post(start, &[]);
     assert_eq!(town.granted.len(), 16);
     // The first one's word goes out under the next naming; the others know the one after it before it comes.
-    town.with(start, &first, |desk| desk.told(start, stalls(3, &two, false)));
+    town.with(start, &first, |desk| desk.receive_from_controller(start, stalls(3, &two, false)));
     for name in [&second, &third] {
-        town.with(start, name, |desk| desk.told(start, stalls(3, &two, false)));
-        town.with(start, name, |desk| desk.told(start, stalls(4, &three, false)));
+        town.with(start, name, |desk| desk.receive_from_controller(start, stalls(3, &two, false)));
+        town.with(start, name, |desk| desk.receive_from_controller(start, stalls(4, &three, false)));
     }
     town.post(start + 5 * MS, &[]);
-    assert_eq!(town.desks[&third].broker().permits().count(), 16, "all that is out");
-    assert_eq!(town.desks[&second].broker().permits().count(), 0);
+    assert_eq!(town.desks[&third].scheduler().permits().count(), 16, "all that is out");
+    assert_eq!(town.desks[&second].scheduler().permits().count(), 0);
     // The owner of now gives none of those slots before they come back, by way of both.
     let later = start + 2 * SECOND;
     (0..4).for_each(|_| town.ask(later, &third));
@@ -384,7 +388,7 @@
     town.finish(later, 16);
     town.post(later, &[]);
     assert_eq!(town.granted.len(), 4, "those that waited");
-    assert_eq!(town.desks[&third].broker().permits().count(), 4);
+    assert_eq!(town.desks[&third].scheduler().permits().count(), 4);
 }
 
 /// In which order the asker and the new owner hear of one ask's grant by the owner of before.
@@ -411,7 +415,9 @@
     let [_, (two, first), (three, second)] = three_owners();
     let mut town = Town::new(&ALL);
     let names: Vec<_> = ALL.iter().map(|n| format!("edge-{n}")).collect();
-    names.iter().for_each(|name| town.with(T, name, |desk| desk.told(T, stalls(2, &two, false))));
+    names
+        .iter()
+        .for_each(|name| town.with(T, name, |desk| desk.receive_from_controller(T, stalls(2, &two, false))));
     town.post(T, &[]);
     let asker = names.iter().find(|n| **n != first && **n != second).expect("another").clone();
     let now = T + 3 * SECOND;
@@ -420,7 +426,7 @@
     let grant = town.mail.pop().expect("a grant on its way");
     let PeerMessage::Grant { instance: old, .. } = grant.2.clone() else { panic!("{grant:?}") };
     for name in [&asker, &first, &second] {
-        town.with(now, name, |desk| desk.told(now, stalls(3, &three, false)));
+        town.with(now, name, |desk| desk.receive_from_controller(now, stalls(3, &three, false)));
     }
     town.mail.sort_by_key(|(from, ..)| (*from == first) != (order == Order::Word));
     let now = now + 10 * MS;
@@ -432,13 +438,13 @@
         let but: Vec<_> = set.iter().filter(|i| i.id != old).cloned().collect();
         let whole =
             |version, set| PeerMessage::Instances { version: (1, version), all: true, set, gone: vec![] };
-        town.with(now, &second, |desk| desk.told(now, whole(3, but)));
+        town.with(now, &second, |desk| desk.receive_from_controller(now, whole(3, but)));
         town.post(now, &[&asker]);
         for step in 0..80 {
             let now = now + step * 25 * MS;
             town.with(now, &second, |desk| desk.tick(now));
         }
-        town.with(now, &second, |desk| desk.told(now, whole(4, set)));
+        town.with(now, &second, |desk| desk.receive_from_controller(now, whole(4, set)));
         assert!(town.mail.iter().any(|(_, _, note)| matches!(note, PeerMessage::Grant { .. })));
         let place = if order == Order::TwiceOld { 0 } else { town.mail.len() };
         town.mail.insert(place, grant);
@@ -452,10 +458,10 @@
     assert_eq!(used.len(), 1, "one grant is used");
     assert_eq!(used[0] == old, order != Order::TwiceNew);
     let out: Vec<_> =
-        town.desks[&second].broker().permits().map(|(.., instance)| instance.to_owned()).collect();
+        town.desks[&second].scheduler().permits().map(|(.., instance)| instance.to_owned()).collect();
     assert_eq!(out, used, "and that one is counted");
     let end = now + 2 * SECOND + 100 * MS;
     town.finish(end, 1);
     town.post(end, &[]);
-    assert!(town.desks.values().all(|desk| desk.broker().permits().count() == 0));
+    assert!(town.desks.values().all(|desk| desk.scheduler().permits().count() == 0));
 }
--- a/scheduler/tests/hardware.rs
+++ b/scheduler/tests/hardware.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use millpost_scheduler::{
-    Ask, Effect, Instance, MS, Nanos, Outcome, Owners, OwnershipChange, Peer, SECOND, Scheduler, Spec, Stage,
-    Terms, Transfer,
+    Effect, Instance, MS, Nanos, Outcome, Owners, OwnershipChange, Peer, PermitRequest, SECOND, Scheduler,
+    SchedulerLimits, Spec, Stage, Transfer,
 };
 
 const T: Nanos = SECOND;
@@ -12,13 +12,19 @@
 
 /// An owner of `f`, and three instances of it, each on a worker of its own.
 fn broker() -> Scheduler {
-    let terms = Terms { ratio: 0.2, window: 10 * SECOND, slack: 50.0, asks_per_s: 100.0, speeds: true };
+    let terms = SchedulerLimits {
+        ratio: 0.2,
+        window: 10 * SECOND,
+        slack: 50.0,
+        requests_per_s: 100.0,
+        rank_by_latency: true,
+    };
     let mut broker = Scheduler::new(terms, 1);
     let spec = Spec { name: "f".into(), concurrency: SLOTS as u32, boot: 400 * MS, memory_mb: 128 };
     broker.configure(0, [spec].into_iter());
     let me = Peer { name: "edge".into(), address: "a:1".into(), zone: "z".into() };
     let owners = Owners::new((1, 1), vec![me.clone()], []);
-    broker.own(0, &me, &owners, &OwnershipChange::all(), |_, _| Transfer::default());
+    broker.update_ownership(0, &me, &owners, &OwnershipChange::all(), |_, _| Transfer::default());
     for n in 0..3 {
         let of = Instance {
             id: format!("i-{n}").into(),
@@ -28,13 +34,13 @@
             worker: format!("w-{n}").into(),
             stage: Stage::Ready,
         };
-        broker.known(0, of, true);
+        broker.update_instance(0, of, true);
     }
     broker
 }
 
-fn ask(id: u64, now: Nanos) -> Ask {
-    Ask {
+fn ask(id: u64, now: Nanos) -> PermitRequest {
+    PermitRequest {
         id,
         service: "f".into(),
         deadline: now + 2 * SECOND,
@@ -57,13 +63,13 @@
     for step in 0..1_000u64 {
         let now = T + step * 10 * MS;
         if step % 2 == 0 {
-            broker.ask(now, "edge".into(), ask(step, now), true);
+            broker.request_permit(now, "edge".into(), ask(step, now), true);
         }
         for (_, id, took) in out.extract_if(.., |(due, ..)| *due <= now).collect::<Vec<_>>() {
-            broker.done(now, "edge", id, outcome, took);
+            broker.release(now, "edge", id, outcome, took);
         }
         broker.tick(now);
-        for effect in broker.take() {
+        for effect in broker.take_effects() {
             match effect {
                 Effect::Grant { ask, instance, .. } => {
                     // Durations differ as those of work do.
@@ -71,7 +77,7 @@
                     out.push((now + took, ask, took));
                     got.push(instance.id.to_string());
                 }
-                Effect::Want { slow, .. } => named.extend(slow.iter().map(|w| w.to_string())),
+                Effect::SetInstanceTarget { slow, .. } => named.extend(slow.iter().map(|w| w.to_string())),
                 _ => {}
             }
         }
--- a/scheduler/tests/leaving.rs
+++ b/scheduler/tests/shutdown.rs
@@ -3,7 +3,7 @@
 mod town;
 
 use millpost_protocol::{Instance, PeerMessage};
-use millpost_scheduler::{Coordinator, MS, Nanos, Outcome, Owners, SECOND, Spec, Terms};
+use millpost_scheduler::{Coordinator, MS, Nanos, Outcome, Owners, SECOND, SchedulerLimits, Spec};
 use town::{ALL, CONCURRENCY, T, Town, instances, owner, peer};
 
 /// The view after these have left: they own nothing any more, and live.
@@ -36,7 +36,7 @@
         Order::LeaverLast | Order::MailBetween => who.push(leaver),
     }
     for n in who {
-        town.with(now, &name(n), |desk| desk.told(now, view_without(2, &stay, &[leaver])));
+        town.with(now, &name(n), |desk| desk.receive_from_controller(now, view_without(2, &stay, &[leaver])));
         if matches!(order, Order::MailBetween) {
             town.post(now, &[]);
             assert!(town.within_limits(), "once {n} has heard: {:?}", town.out());
@@ -86,7 +86,7 @@
         assert!(town.within_limits(), "{:?}", town.out());
     }
     assert_eq!((served, town.granted.len()), (30, 0));
-    assert!(town.desks.values().all(|desk| desk.broker().permits().count() == 0));
+    assert!(town.desks.values().all(|desk| desk.scheduler().permits().count() == 0));
 }
 
 /// A request that waits at a proxy which leaves keeps its place: its owner had dropped it, and heard of it again after 1.5 s only.
@@ -117,15 +117,21 @@
     let new = (6..40).find(|n| owner(&with(*n), false, "a") == name(*n)).expect("one that owns it");
     let view = || view_without(2, &with(new), &[leaver]);
     let mut town = Town::new(&ALL);
-    let terms = Terms { ratio: 0.2, window: 10 * SECOND, slack: 50.0, asks_per_s: 100.0, speeds: false };
+    let terms = SchedulerLimits {
+        ratio: 0.2,
+        window: 10 * SECOND,
+        slack: 50.0,
+        requests_per_s: 100.0,
+        rank_by_latency: false,
+    };
     let mut started = Coordinator::new(peer(new), terms, new as u64, 1_000_000);
     let spec = Spec { name: "f".into(), concurrency: CONCURRENCY, boot: 400 * MS, memory_mb: 128 };
     started.configure(T, [spec].into_iter());
-    started.told(T, view());
-    started.told(T, instances(2));
+    started.receive_from_controller(T, view());
+    started.receive_from_controller(T, instances(2));
     town.desks.insert(name(new), started);
     for n in ALL {
-        town.with(T, &name(n), |desk| desk.told(T, view()));
+        town.with(T, &name(n), |desk| desk.receive_from_controller(T, view()));
     }
     town.ask(T + SECOND, &name(leaver));
     town.post(T + SECOND, &[]);
@@ -135,13 +141,13 @@
         names.iter().for_each(|name| town.with(now, name, |desk| desk.tick(now)));
         town.post(now, &[]);
     }
-    let unanswered = town.desks.values().map(|desk| desk.broker().counts().unaddressed).sum::<u64>();
+    let unanswered = town.desks.values().map(|desk| desk.scheduler().counts().unaddressed).sum::<u64>();
     assert_eq!((town.granted.len(), unanswered), (1, 0), "it is answered");
     let (who, id, _) = town.granted.remove(0);
     assert_eq!(who, name(leaver));
     town.with(T + 3 * SECOND, &who, |desk| desk.finish(T + 3 * SECOND, id, Outcome::Answered, 50 * MS));
     town.post(T + 3 * SECOND, &[]);
-    assert_eq!(town.desks[&name(new)].broker().permits().count(), 0, "and its slot is free again");
+    assert_eq!(town.desks[&name(new)].scheduler().permits().count(), 0, "and its slot is free again");
 }
 
 /// The view with these owners of lots, and those that leave.
@@ -175,9 +181,9 @@
     let mut town = Town::new(&[0, 1, 2, 3, 100]);
     for n in [0, 1, 2, 3, 100] {
         town.with(T, &name(n), |desk| {
-            desk.told(T, split_view((1, 2), &[0, 1, 2, 3, 100], &[]));
+            desk.receive_from_controller(T, split_view((1, 2), &[0, 1, 2, 3, 100], &[]));
             let none = PeerMessage::Instances { version: (1, 2), all: true, set: vec![], gone: vec![] };
-            desk.told(T, if known || n == 100 { instance_in((1, 2), zone) } else { none });
+            desk.receive_from_controller(T, if known || n == 100 { instance_in((1, 2), zone) } else { none });
         });
     }
     // The change to one owner for each zone has settled.
@@ -212,15 +218,17 @@
     let (mut town, heir) = lot_of_one(&zone, known);
     let now = T + 2 * SECOND + 10 * MS;
     town.with(now, &heir, |desk| {
-        desk.told(now, split_view((1, 3), &[0, 1, 2, 3], &[100]));
-        desk.told(now, instance_in((1, 3), &zone));
+        desk.receive_from_controller(now, split_view((1, 3), &[0, 1, 2, 3], &[100]));
+        desk.receive_from_controller(now, instance_in((1, 3), &zone));
     });
     (0..6).for_each(|_| town.ask(now, &heir));
     town.post(now, &[]);
     assert!(town.within_limits(), "before the one of before has said anything: {:?}", town.out());
     for n in [0, 1, 2, 3, 100] {
         if name(n) != heir {
-            town.with(now, &name(n), |desk| desk.told(now, split_view((1, 3), &[0, 1, 2, 3], &[100])));
+            town.with(now, &name(n), |desk| {
+                desk.receive_from_controller(now, split_view((1, 3), &[0, 1, 2, 3], &[100]))
+            });
         }
     }
     town.post(now, &[]);
@@ -232,16 +240,20 @@
     assert_eq!((of_heir(&town), town.out().get("i-c")), (2, Some(&4)));
     // The other is back: it owns the lot again, and gives nothing that is out.
     let now = now + SECOND;
-    town.with(now, &name(100), |desk| desk.told(now, split_view((1, 4), &[0, 1, 2, 3, 100], &[])));
+    town.with(now, &name(100), |desk| {
+        desk.receive_from_controller(now, split_view((1, 4), &[0, 1, 2, 3, 100], &[]))
+    });
     (0..6).for_each(|_| town.ask(now, &name(100)));
     town.post(now, &[]);
     assert!(town.within_limits(), "{:?}", town.out());
     for n in [0, 1, 2, 3] {
-        town.with(now, &name(n), |desk| desk.told(now, split_view((1, 4), &[0, 1, 2, 3, 100], &[])));
+        town.with(now, &name(n), |desk| {
+            desk.receive_from_controller(now, split_view((1, 4), &[0, 1, 2, 3, 100], &[]))
+        });
     }
     town.post(now, &[]);
     assert!(town.within_limits(), "{:?}", town.out());
-    assert_eq!(town.desks[&name(100)].broker().counts().taken_over, 4, "it is told of all that is out");
+    assert_eq!(town.desks[&name(100)].scheduler().counts().taken_over, 4, "it is told of all that is out");
     for step in 1..60 {
         let now = now + step * 25 * MS;
         town.finish(now, 2);
@@ -250,7 +262,7 @@
         assert!(town.within_limits(), "{:?}", town.out());
     }
     assert!(town.granted.is_empty(), "all are served: {:?}", town.granted);
-    assert!(town.desks.values().all(|desk| desk.broker().permits().count() == 0));
+    assert!(town.desks.values().all(|desk| desk.scheduler().permits().count() == 0));
 }
 
 /// Found by the soak: a new leader's first view held whom it had heard of, one of six, and all others took the rest for gone.
@@ -277,7 +289,7 @@
     for (at, version, who) in [(10, (2, 1), vec![first]), (150, (2, 2), live.clone())] {
         let now = T + at * MS;
         for n in &live {
-            town.with(now, &name(*n), |desk| desk.told(now, view(version, &who)));
+            town.with(now, &name(*n), |desk| desk.receive_from_controller(now, view(version, &who)));
             town.post(now, &[&name(dead)]);
             assert!(town.within_limits(), "{at} ms, once {n} has heard: {:?}", town.out());
         }
--- a/scheduler/tests/town/mod.rs
+++ b/scheduler/tests/town/mod.rs
@@ -5,7 +5,9 @@
 use std::collections::BTreeMap;
 
 use millpost_protocol::{Instance, PeerMessage};
-use millpost_scheduler::{Ask, Coordinator, MS, Nanos, Out, Outcome, Owners, Peer, SECOND, Spec, Terms};
+use millpost_scheduler::{
+    Action, Coordinator, MS, Nanos, Outcome, Owners, Peer, PermitRequest, SECOND, SchedulerLimits, Spec,
+};
 
 pub const T: Nanos = 2 * SECOND;
 pub const CONCURRENCY: u32 = 4;
@@ -58,13 +60,18 @@
         let mut town = Town { desks: BTreeMap::new(), mail: vec![], granted: vec![] };
         for n in stalls_of {
             let me = peer(*n);
-            let terms =
-                Terms { ratio: 0.2, window: 10 * SECOND, slack: 50.0, asks_per_s: 100.0, speeds: false };
+            let terms = SchedulerLimits {
+                ratio: 0.2,
+                window: 10 * SECOND,
+                slack: 50.0,
+                requests_per_s: 100.0,
+                rank_by_latency: false,
+            };
             let mut desk = Coordinator::new(me, terms, *n as u64, 1_000 * *n as u64);
             let spec = Spec { name: "f".into(), concurrency: CONCURRENCY, boot: 400 * MS, memory_mb: 128 };
             desk.configure(0, [spec].into_iter());
-            desk.told(0, stalls(1, stalls_of, false));
-            desk.told(0, instances(1));
+            desk.receive_from_controller(0, stalls(1, stalls_of, false));
+            desk.receive_from_controller(0, instances(1));
             town.desks.insert(format!("edge-{n}"), desk);
         }
         let names: Vec<_> = town.desks.keys().cloned().collect();
@@ -75,12 +82,12 @@
     pub fn with(&mut self, now: Nanos, name: &str, what: impl FnOnce(&mut Coordinator)) {
         let desk = self.desks.get_mut(name).expect("a desk");
         what(desk);
-        for out in desk.take() {
+        for out in desk.take_actions() {
             match out {
-                Out::Send { to, note } => {
+                Action::Send { to, note } => {
                     self.mail.push((name.into(), to.trim_end_matches(":1").to_owned(), note));
                 }
-                Out::Granted { ask, instance, .. } => {
+                Action::Granted { ask, instance, .. } => {
                     self.granted.push((name.into(), ask, instance.into()));
                 }
                 _ => {}
@@ -91,7 +98,7 @@
 
     pub fn ask(&mut self, now: Nanos, name: &str) {
         self.with(now, name, |desk| {
-            let ask = Ask {
+            let ask = PermitRequest {
                 id: 0,
                 service: "f".into(),
                 deadline: now + 4 * SECOND,
@@ -102,7 +109,7 @@
                 avoid: vec![],
                 zone: peer(name[5..].parse().expect("a number")).zone,
             };
-            desk.ask(now, ask, true);
+            desk.request_permit(now, ask, true);
         });
     }
 
@@ -114,7 +121,7 @@
             };
             let (from, to, note) = self.mail.remove(at);
             if self.desks.contains_key(&to) {
-                self.with(now, &to, |desk| desk.mail(now, &from, 1, vec![note]));
+                self.with(now, &to, |desk| desk.receive(now, &from, 1, vec![note]));
             }
         }
     }
--- a/scheduler/tests/waiting.rs
+++ b/scheduler/tests/waiting.rs
@@ -2,8 +2,8 @@
 
 use millpost_protocol::{Instance, PeerMessage};
 use millpost_scheduler::{
-    Coordinator, MS, Nanos, No, Out, Owners, Peer, Refusal, RequestFlow, RequestInfo, SECOND, Spec, Step,
-    Terms,
+    Action, Coordinator, DenialReason, MS, Nanos, Owners, Peer, Refusal, RequestFlow, RequestInfo, SECOND,
+    SchedulerLimits, Spec, Step,
 };
 
 const T: Nanos = 2 * SECOND;
@@ -27,17 +27,22 @@
     desks: [Coordinator; 2],
     mail: Vec<(usize, usize, PeerMessage)>,
     /// Words for asks: who asked, its number, the instance or why not.
-    words: Vec<(usize, u64, Result<String, No>)>,
+    words: Vec<(usize, u64, Result<String, DenialReason>)>,
 }
 
 impl Town {
     fn new() -> Self {
         let desk = |n: usize| {
-            let terms =
-                Terms { ratio: 0.2, window: 10 * SECOND, slack: 50.0, asks_per_s: 1e6, speeds: false };
+            let terms = SchedulerLimits {
+                ratio: 0.2,
+                window: 10 * SECOND,
+                slack: 50.0,
+                requests_per_s: 1e6,
+                rank_by_latency: false,
+            };
             let mut desk = Coordinator::new(peer(n), terms, n as u64, 1_000 * n as u64);
             desk.configure(0, [spec("s"), spec("t")].into_iter());
-            desk.told(
+            desk.receive_from_controller(
                 0,
                 PeerMessage::Stalls {
                     version: (1, 1),
@@ -55,7 +60,10 @@
                 stage: 1,
             };
             let set = [("i", "s"), ("j", "t"), ("k", "t")].map(instance).into();
-            desk.told(0, PeerMessage::Instances { version: (1, 1), all: true, set, gone: vec![] });
+            desk.receive_from_controller(
+                0,
+                PeerMessage::Instances { version: (1, 1), all: true, set, gone: vec![] },
+            );
             desk.tick(T);
             desk
         };
@@ -68,13 +76,15 @@
     fn carry_out(&mut self, now: Nanos) {
         loop {
             for n in 0..2 {
-                for out in self.desks[n].take() {
+                for out in self.desks[n].take_actions() {
                     match out {
-                        Out::Send { to, note } => {
+                        Action::Send { to, note } => {
                             self.mail.push((n, to[5..].parse().expect("a number"), note))
                         }
-                        Out::Granted { ask, instance, .. } => self.words.push((n, ask, Ok(instance.into()))),
-                        Out::Refused { ask, no } => self.words.push((n, ask, Err(no))),
+                        Action::Granted { ask, instance, .. } => {
+                            self.words.push((n, ask, Ok(instance.into())))
+                        }
+                        Action::Refused { ask, reason: no } => self.words.push((n, ask, Err(no))),
                         _ => {}
                     }
                 }
@@ -83,20 +93,20 @@
                 return;
             }
             for (from, to, note) in std::mem::take(&mut self.mail) {
-                self.desks[to].mail(now, &format!("edge-{from}"), 1, vec![note]);
+                self.desks[to].receive(now, &format!("edge-{from}"), 1, vec![note]);
             }
         }
     }
 
     /// Asks as a passage wants it, and what is said to it at once.
     fn ask(&mut self, now: Nanos, n: usize, step: Step<u16>) -> u64 {
-        let Step::Ask(ask, first) = step else { panic!("{step:?}") };
-        let id = self.desks[n].ask(now, ask, first).expect("room");
+        let Step::RequestPermit(ask, first) = step else { panic!("{step:?}") };
+        let id = self.desks[n].request_permit(now, ask, first).expect("room");
         self.carry_out(now);
         id
     }
 
-    fn word(&self, n: usize, id: u64) -> Option<&Result<String, No>> {
+    fn word(&self, n: usize, id: u64) -> Option<&Result<String, DenialReason>> {
         self.words.iter().find(|(who, ask, _)| (*who, *ask) == (n, id)).map(|(.., word)| word)
     }
 
@@ -141,23 +151,29 @@
         assert_eq!(town.word(asks, before), None, "it waits as before");
         town.drop_s(now, owns);
     }
-    assert_eq!(town.word(asks, before), Some(&Err(No::Moved)));
-    assert_eq!(waits.refused(now, No::Moved), Step::Find);
-    let (mut now, mut step) = (now, waits.moved(now, Some("t".into())));
+    assert_eq!(town.word(asks, before), Some(&Err(DenialReason::Moved)));
+    assert_eq!(waits.denied(now, DenialReason::Moved), Step::ResolveRoute);
+    let (mut now, mut step) = (now, waits.route_resolved(now, Some("t".into())));
     if owner_first && !same {
         // By its own configuration, for a moment, the route leads where it led.
         let mut behind = passage(T + 10 * MS);
         behind.begin(true);
-        behind.refused(now, No::Moved);
-        let Step::Wait(again) = behind.moved(now, Some("s".into())) else { panic!("it looks again") };
-        let asked_again = behind.ask();
+        behind.denied(now, DenialReason::Moved);
+        let Step::Wait(again) = behind.route_resolved(now, Some("s".into())) else {
+            panic!("it looks again")
+        };
+        let asked_again = behind.request_permit();
         let id = town.ask(again, asks, asked_again);
-        assert_eq!(town.word(asks, id), Some(&Err(No::Moved)), "as long as stalls may not have heard");
+        assert_eq!(
+            town.word(asks, id),
+            Some(&Err(DenialReason::Moved)),
+            "as long as stalls may not have heard"
+        );
         town.drop_s(again, asks);
-        behind.refused(again, No::Moved);
-        (now, step) = (again, behind.moved(again, Some("t".into())));
+        behind.denied(again, DenialReason::Moved);
+        (now, step) = (again, behind.route_resolved(again, Some("t".into())));
     }
-    let Step::Ask(ask, first) = &step else { panic!("{step:?}") };
+    let Step::RequestPermit(ask, first) = &step else { panic!("{step:?}") };
     assert_eq!((ask.service.as_str(), *first, ask.returned), ("t", true, true));
     assert_eq!((ask.deadline, ask.aim), (T + 1_510 * MS, T + 410 * MS));
     let id = town.ask(now, asks, step);
@@ -169,25 +185,25 @@
     use millpost_scheduler::Outcome;
     let mut gone = passage(T);
     gone.begin(true);
-    assert_eq!(gone.refused(T, No::Moved), Step::Find);
-    assert_eq!(gone.moved(T, None), Step::Tell(Err(Refusal::Empty)));
+    assert_eq!(gone.denied(T, DenialReason::Moved), Step::ResolveRoute);
+    assert_eq!(gone.route_resolved(T, None), Step::Respond(Err(Refusal::NotReady)));
 
-    let wish = RequestInfo { repeatable: true, most: 2, ..passage(T).wish().clone() };
+    let wish = RequestInfo { repeatable: true, most: 2, ..passage(T).info().clone() };
     let mut ran = RequestFlow::<u16>::new(wish);
     ran.begin(true);
     ran.granted(T);
-    let step = ran.ended(T + MS, "i".into(), Outcome::NoAnswer, true, None);
+    let step = ran.attempt_ended(T + MS, "i".into(), Outcome::NoAnswer, true, None);
     assert!(matches!(step, Step::Wait(_)));
-    ran.ask();
-    assert_eq!(ran.refused(T + 100 * MS, No::Moved), Step::Tell(Err(Refusal::NoAnswer)));
+    ran.request_permit();
+    assert_eq!(ran.denied(T + 100 * MS, DenialReason::Moved), Step::Respond(Err(Refusal::NoAnswer)));
 
     // Where the new owner has not heard of the function yet, it is asked again until the time is over.
     let mut early = passage(T);
     early.begin(true);
-    early.refused(T, No::Moved);
-    assert!(matches!(early.moved(T, Some("t".into())), Step::Ask(..)));
-    assert_eq!(early.refused(T, No::Unknown), Step::Wait(T + 50 * MS));
-    assert_eq!(early.refused(T + 1_460 * MS, No::Unknown), Step::Tell(Err(Refusal::NotSent)));
+    early.denied(T, DenialReason::Moved);
+    assert!(matches!(early.route_resolved(T, Some("t".into())), Step::RequestPermit(..)));
+    assert_eq!(early.denied(T, DenialReason::Unknown), Step::Wait(T + 50 * MS));
+    assert_eq!(early.denied(T + 1_460 * MS, DenialReason::Unknown), Step::Respond(Err(Refusal::NotSent)));
 }
 
 /// An owner remembers for a while what it has dropped; what comes again with a later configuration is there as before.
@@ -196,7 +212,7 @@
     let mut town = Town::new();
     let owns = owner("s");
     town.drop_s(T, owns);
-    for (at, no) in [(T + 9 * SECOND, No::Moved), (T + 11 * SECOND, No::Unknown)] {
+    for (at, no) in [(T + 9 * SECOND, DenialReason::Moved), (T + 11 * SECOND, DenialReason::Unknown)] {
         let step = passage(at).begin(true);
         let id = town.ask(at, owns, step);
         assert_eq!(town.word(owns, id), Some(&Err(no)));
--- a/simulator/src/processes/proxy.rs
+++ b/simulator/src/processes/proxy.rs
@@ -9,8 +9,9 @@
 use millpost_net::messaging::Incarnation;
 use millpost_protocol::PeerMessage;
 use millpost_scheduler::{
-    AttemptTimeouts, ClientTimeouts, No, Out as Decided, Outcome, Peer, Phase, Recorded as Coordinator,
-    Refusal, RequestFlow, RequestInfo, Spec, Step, Terms, TraceEvent,
+    Action as Decided, AttemptTimeouts, ClientTimeouts, DenialReason, Outcome, Peer,
+    RecordedCoordinator as Coordinator, Refusal, RequestFlow, RequestInfo, SchedulerLimits, ShutdownPhase,
+    Spec, Step, TraceEvent,
 };
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -55,7 +56,7 @@
     /// A step of its trail.
     fn follow(&self, desk: &mut Coordinator, now: Time, step: impl FnOnce(u64) -> TraceEvent) {
         if let Some(p) = self.number {
-            desk.trail(now, &step(p));
+            desk.trace(now, &step(p));
         }
     }
 
@@ -135,7 +136,7 @@
 
 impl ProxyProcess {
     /// One that starts now; `porter` takes its words.
-    pub fn new(place: Place, porter: CompactString, mut terms: Terms) -> Self {
+    pub fn new(place: Place, porter: CompactString, mut terms: SchedulerLimits) -> Self {
         let me = Peer { name: place.name.clone(), address: place.address.clone(), zone: place.zone.clone() };
         let seed = place.life ^ xxh3_64(place.name.as_bytes());
         if place.plant == Some(Plant::Unbudgeted) {
@@ -174,24 +175,24 @@
 
     /// Clients may be sent here.
     pub fn ready(&self, now: Time) -> bool {
-        self.force.is_some() && self.desk.informed() && self.leaving.is_none() && now >= self.rests
+        self.force.is_some() && self.desk.has_view() && self.leaving.is_none() && now >= self.rests
     }
 
     /// How far its end has come.
-    fn phase(&self, now: Time) -> Phase {
-        let after = |at: Time| Phase::after(self.place.grace, now.saturating_sub(at));
-        self.leaving.map_or(Phase::Serving, after)
+    fn phase(&self, now: Time) -> ShutdownPhase {
+        let after = |at: Time| ShutdownPhase::after(self.place.grace, now.saturating_sub(at));
+        self.leaving.map_or(ShutdownPhase::Serving, after)
     }
 
     /// It takes no connections any more.
     pub fn closes(&self, now: Time) -> bool {
-        self.phase(now) >= Phase::Closing
+        self.phase(now) >= ShutdownPhase::Closing
     }
 
     /// Its process ends.
     pub fn over(&self, now: Time) -> bool {
         let hurried = self.place.plant == Some(Plant::Hurried) && self.leaving.is_some();
-        hurried || self.phase(now) == Phase::Over
+        hurried || self.phase(now) == ShutdownPhase::Finished
     }
 
     /// The revision that it acts on.
@@ -216,7 +217,8 @@
             In::Leave => {
                 if self.leaving.is_none() {
                     self.leaving = Some(now);
-                    self.ends_at = Phase::schedule(self.place.grace).map(|(_, after)| now + after).to_vec();
+                    self.ends_at =
+                        ShutdownPhase::schedule(self.place.grace).map(|(_, after)| now + after).to_vec();
                 }
             }
             In::Line { .. } | In::Ended { .. } | In::Seeds(_) => {}
@@ -246,7 +248,7 @@
             let Some(asked) = self.asked.get_mut(&client) else { continue };
             match asked.waits {
                 Waits::Pause(until) if until <= now => {
-                    let step = asked.passage.ask();
+                    let step = asked.passage.request_permit();
                     self.step(now, client, step);
                 }
                 _ if at >= asked.deadline => self.late(now, client),
@@ -267,8 +269,8 @@
                 address: self.place.address.clone(),
                 zone: self.place.zone.clone(),
             };
-            let split = self.desk.split();
-            let digest = self.desk.digest();
+            let split = self.desk.view_split();
+            let digest = self.desk.view_digest();
             self.up(PeerMessage::Alive { peer, serving: !self.closes(now), split, digest });
             if now < self.rests {
                 let left = (self.rests - now) as f64 / MS as f64;
@@ -283,7 +285,7 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in scouts {
-            let boots = self.desk.boots(&id);
+            let boots = self.desk.is_booting(&id);
             let Some(scouting) = self.scouting.get_mut(&id) else { continue };
             if now >= scouting.until || !boots {
                 self.scouting.remove(&id);
@@ -297,7 +299,7 @@
     fn scouted(&mut self, now: Time, id: &CompactString, up: bool) {
         if up {
             self.scouting.remove(id);
-            self.desk.up(now, id);
+            self.desk.instance_up(now, id);
         } else if let Some(scouting) = self.scouting.get_mut(id) {
             scouting.next = Some(now + SCOUT);
         }
@@ -335,9 +337,9 @@
         match post.landed(now, id, taken) {
             Landed::Lost(_) if to == self.porter => {
                 self.hurry = Some(now + HURRY);
-                self.desk.mute(now);
+                self.desk.controller_unreachable(now);
             }
-            Landed::Lost(notes) => self.desk.returned(now, &to, notes),
+            Landed::Lost(notes) => self.desk.undelivered(now, &to, notes),
             Landed::Up | Landed::Well => {}
         }
         if let Some(Said::Mail { from, life, notes }) = said {
@@ -388,7 +390,7 @@
                 | PeerMessage::ViewChange(_)
                 | PeerMessage::Instances { .. }
                 | PeerMessage::Floor { .. }
-                | PeerMessage::Steward { .. } => self.desk.told(now, note),
+                | PeerMessage::Steward { .. } => self.desk.receive_from_controller(now, note),
                 PeerMessage::Rest { left, .. } => self.rests = now + (left * MS as f64) as Time,
                 note => between.push(note),
             }
@@ -396,7 +398,7 @@
         if between.is_empty() {
             return Said::Taken;
         }
-        let address = self.desk.address(from).cloned();
+        let address = self.desk.address_of(from).cloned();
         self.told(now, from, life, between);
         self.replying = address.map(|address| (address, Vec::new()));
         self.carry_out(now);
@@ -412,12 +414,12 @@
     /// Mail from another stall.
     fn told(&mut self, now: Time, from: &str, life: u64, mut notes: Vec<PeerMessage>) {
         for note in notes.extract_if(.., |note| matches!(note, PeerMessage::StaleIncarnation { .. })) {
-            let address = self.desk.address(from).cloned();
+            let address = self.desk.address_of(from).cloned();
             if let (PeerMessage::StaleIncarnation { known }, Some(address)) = (note, address) {
                 incarnation_for(&mut self.incarnations, self.place.life, &address).raise_above(known);
             }
         }
-        self.desk.mail(now, from, life, notes);
+        self.desk.receive(now, from, life, notes);
     }
 
     fn put_in_force(&mut self, now: Time, known: Rc<Known>) {
@@ -438,7 +440,7 @@
             self.desk.configure(now, specs);
         }
         let table = self.place.memo.table(&known);
-        self.desk.trail(now, &TraceEvent::Acts { revision: known.config.revision });
+        self.desk.trace(now, &TraceEvent::ConfigInForce { revision: known.config.revision });
         self.patience.retain(|name| table.routes().iter().any(|r| r.name == *name));
         self.margins.retain(|name| known.config.services.iter().any(|s| s.name == *name));
         self.force = Some(Force { known, table });
@@ -447,9 +449,9 @@
 
     /// A request is answered without any try.
     fn turn(&mut self, now: Time, client: u64, request: &Request, (status, again): (u16, Option<Time>)) {
-        if self.desk.tapes() {
+        if self.desk.is_recording() {
             let attempt = request.attempt.to_string().into();
-            self.desk.trail(now, &TraceEvent::Turned { attempt, status });
+            self.desk.trace(now, &TraceEvent::Rejected { attempt, status });
         }
         self.answer(client, status, again, None);
     }
@@ -461,7 +463,7 @@
 
     fn request(&mut self, now: Time, client: u64, request: Request) {
         let Some(force) = &self.force else {
-            return self.turn(now, client, &request, Refusal::Empty.answer());
+            return self.turn(now, client, &request, Refusal::NotReady.answer());
         };
         let Some(route) = force.table.find(&request.host, &request.path).cloned() else {
             return self.turn(now, client, &request, (404, None));
@@ -469,7 +471,7 @@
         if self.place.plant == Some(Plant::Surly) && request.attempt.is_multiple_of(50) {
             return self.turn(now, client, &request, (403, None));
         }
-        let returned = self.patience.returned(&route.name, request.left as f64 / MS as f64);
+        let returned = self.patience.is_returning(&route.name, request.left as f64 / MS as f64);
         let deadline = now + request.left.min(route.deadline_ms * MS);
         let Some(service) = route.pick(xxh3_64(&request.attempt.to_le_bytes())).cloned() else {
             return self.turn(now, client, &request, (404, None));
@@ -490,13 +492,13 @@
             deadline,
             returned,
         };
-        let number = self.desk.follow();
+        let number = self.desk.next_request_number();
         if let Some(p) = number {
             let (attempt, wish) = (request.attempt.to_string().into(), wish.clone());
-            self.desk.trail(now, &TraceEvent::Begun { p, attempt, route: route.name.clone(), wish });
+            self.desk.trace(now, &TraceEvent::Received { p, attempt, route: route.name.clone(), info: wish });
         }
         let mut passage = RequestFlow::new(wish);
-        let step = passage.begin(self.desk.informed());
+        let step = passage.begin(self.desk.has_view());
         let instance = CompactString::default();
         let waits = Waits::Pause(now);
         let asked = Asked { request, service, deadline, passage, number, instance, waits };
@@ -509,23 +511,25 @@
     fn step(&mut self, now: Time, client: u64, step: Step<Answer>) {
         let Some(asked) = self.asked.get_mut(&client) else { return };
         match step {
-            Step::Tell(Ok((status, seal))) => self.answer(client, status, None, Some(seal)),
-            Step::Tell(Err(refusal)) => self.refuse(client, refusal),
-            Step::Find => self.find(now, client),
+            Step::Respond(Ok((status, seal))) => self.answer(client, status, None, Some(seal)),
+            Step::Respond(Err(refusal)) => self.refuse(client, refusal),
+            Step::ResolveRoute => self.find(now, client),
             Step::Wait(at) => {
                 asked.waits = Waits::Pause(at.max(now));
                 self.due.insert((at.max(now), client));
             }
-            Step::Ask(ask, first) => match self.desk.ask(now, ask, first, asked.number) {
-                Some(id) => {
-                    asked.waits = Waits::Word(id);
-                    self.words.insert(id, client);
-                }
-                None => {
-                    let step = asked.passage.unasked();
-                    self.step(now, client, step);
+            Step::RequestPermit(ask, first) => {
+                match self.desk.request_permit(now, ask, first, asked.number) {
+                    Some(id) => {
+                        asked.waits = Waits::Word(id);
+                        self.words.insert(id, client);
+                    }
+                    None => {
+                        let step = asked.passage.too_many_open();
+                        self.step(now, client, step);
+                    }
                 }
-            },
+            }
         }
     }
 
@@ -537,14 +541,14 @@
         let to = route.and_then(|route| route.pick(xxh3_64(&of.attempt.to_le_bytes()))).cloned();
         asked.follow(&mut self.desk, now, |p| TraceEvent::Moved { p, to: to.clone() });
         asked.service = to.clone().unwrap_or_default();
-        let step = asked.passage.moved(now, to);
+        let step = asked.passage.route_resolved(now, to);
         self.step(now, client, step);
     }
 
     fn refuse(&mut self, client: u64, refusal: Refusal) {
         let promised = self.place.plant == Some(Plant::Promised);
         let (status, again) = match refusal {
-            Refusal::Late | Refusal::NoAnswer if promised => Refusal::NotSent.answer(),
+            Refusal::TimedOut | Refusal::NoAnswer if promised => Refusal::NotSent.answer(),
             refusal => refusal.answer(),
         };
         self.answer(client, status, again, None);
@@ -554,11 +558,11 @@
     fn end(&mut self, now: Time) {
         self.ends_at.retain(|at| *at > now);
         let phase = self.phase(now);
-        if phase < Phase::Refusing || self.place.plant == Some(Plant::Mute) {
+        if phase < ShutdownPhase::Refusing || self.place.plant == Some(Plant::Mute) {
             return;
         }
         let runs = |waits: Waits| matches!(waits, Waits::Exchange { .. });
-        let due = self.asked.iter().filter(|(_, asked)| phase >= Phase::Ending || !runs(asked.waits));
+        let due = self.asked.iter().filter(|(_, asked)| phase >= ShutdownPhase::Ending || !runs(asked.waits));
         let mut due: Vec<_> = due.map(|(client, _)| *client).collect();
         due.sort_unstable();
         for client in due {
@@ -567,10 +571,10 @@
                 Waits::Word(ask) => {
                     self.words.remove(&ask);
                     self.desk.finish(now, ask, Outcome::Unused, 0);
-                    asked.follow(&mut self.desk, now, |p| TraceEvent::Late { p });
-                    asked.passage.ends()
+                    asked.follow(&mut self.desk, now, |p| TraceEvent::DeadlinePassed { p });
+                    asked.passage.shutdown()
                 }
-                Waits::Pause(_) => asked.passage.ends(),
+                Waits::Pause(_) => asked.passage.shutdown(),
                 Waits::Exchange { .. } => {
                     self.late(now, client);
                     continue;
@@ -586,10 +590,10 @@
         let Waits::Exchange { ask, exchange, since, .. } = asked.waits else { return };
         self.exchanges.remove(&exchange);
         self.outs.push(Out::Abort { id: exchange });
-        self.margins.given_up(&asked.service, now - since);
-        self.desk.finish(now, ask, Outcome::Silent, now - since);
-        asked.over(&mut self.desk, now, since, Outcome::Silent, true, None);
-        let step = asked.passage.ended(now, asked.instance.clone(), Outcome::Silent, true, None);
+        self.margins.timed_out(&asked.service, now - since);
+        self.desk.finish(now, ask, Outcome::TimedOut, now - since);
+        asked.over(&mut self.desk, now, since, Outcome::TimedOut, true, None);
+        let step = asked.passage.attempt_ended(now, asked.instance.clone(), Outcome::TimedOut, true, None);
         self.step(now, client, step);
     }
 
@@ -600,19 +604,19 @@
             Waits::Word(ask) => {
                 self.words.remove(&ask);
                 self.desk.finish(now, ask, Outcome::Unused, 0);
-                asked.follow(&mut self.desk, now, |p| TraceEvent::Late { p });
-                asked.passage.late()
+                asked.follow(&mut self.desk, now, |p| TraceEvent::DeadlinePassed { p });
+                asked.passage.deadline_passed()
             }
             Waits::Exchange { ask, exchange, since, .. } => {
                 self.exchanges.remove(&exchange);
                 self.outs.push(Out::Abort { id: exchange });
-                self.desk.finish(now, ask, Outcome::LeftAlone, now - since);
-                asked.over(&mut self.desk, now, since, Outcome::LeftAlone, true, None);
-                asked.passage.ended(now, asked.instance.clone(), Outcome::LeftAlone, true, None)
+                self.desk.finish(now, ask, Outcome::Abandoned, now - since);
+                asked.over(&mut self.desk, now, since, Outcome::Abandoned, true, None);
+                asked.passage.attempt_ended(now, asked.instance.clone(), Outcome::Abandoned, true, None)
             }
             Waits::Pause(_) => {
-                asked.follow(&mut self.desk, now, |p| TraceEvent::Late { p });
-                asked.passage.late()
+                asked.follow(&mut self.desk, now, |p| TraceEvent::DeadlinePassed { p });
+                asked.passage.deadline_passed()
             }
         };
         self.step(now, client, step);
@@ -628,14 +632,14 @@
             Waits::Exchange { ask, exchange, since, .. } => {
                 self.exchanges.remove(&exchange);
                 self.outs.push(Out::Abort { id: exchange });
-                self.desk.finish(now, ask, Outcome::LeftAlone, now - since);
+                self.desk.finish(now, ask, Outcome::Abandoned, now - since);
             }
             Waits::Pause(_) => {}
         }
-        asked.follow(&mut self.desk, now, |p| TraceEvent::Left { p });
+        asked.follow(&mut self.desk, now, |p| TraceEvent::ClientLeft { p });
     }
 
-    fn word(&mut self, now: Time, ask: u64, word: Result<(CompactString, SocketAddr), No>) {
+    fn word(&mut self, now: Time, ask: u64, word: Result<(CompactString, SocketAddr), DenialReason>) {
         let Some(client) = self.words.remove(&ask) else {
             if word.is_ok() {
                 self.desk.finish(now, ask, Outcome::Unused, 0);
@@ -648,7 +652,7 @@
                 asked.passage.granted(now);
                 self.next += 1;
                 let id = self.next;
-                let until = asked.passage.waits(now, self.margins.within(&asked.service));
+                let until = asked.passage.attempt_deadline(now, self.margins.timeout(&asked.service));
                 asked.waits = Waits::Exchange { ask, exchange: id, since: now, until };
                 self.due.extend(until.map(|until| (until, client)));
                 asked.instance = instance.clone();
@@ -668,8 +672,8 @@
             }
             // The desk has forgotten an ask that it refused.
             Err(no) => {
-                asked.follow(&mut self.desk, now, |p| TraceEvent::Denied { p, no });
-                let step = asked.passage.refused(now, no);
+                asked.follow(&mut self.desk, now, |p| TraceEvent::Denied { p, reason: no });
+                let step = asked.passage.denied(now, no);
                 self.step(now, client, step);
             }
         }
@@ -685,7 +689,7 @@
             self.margins.answered(&asked.service, now - since);
         }
         if done.refused {
-            self.desk.refused(now, &instance);
+            self.desk.connection_refused(now, &instance);
         }
         let garbled = done.outcome == Outcome::NoAnswer && self.place.plant == Some(Plant::Unsealed);
         if let Some((status, seal)) = done.answer.filter(|_| garbled) {
@@ -693,13 +697,13 @@
         }
         let status = done.answer.map(|(status, _)| status);
         asked.over(&mut self.desk, now, since, done.outcome, done.sent, status);
-        let step = asked.passage.ended(now, instance, done.outcome, done.sent, done.answer);
+        let step = asked.passage.attempt_ended(now, instance, done.outcome, done.sent, done.answer);
         self.step(now, client, step);
     }
 
     fn carry_out(&mut self, now: Time) {
         loop {
-            let decided = self.desk.take();
+            let decided = self.desk.take_actions();
             if decided.is_empty() {
                 return;
             }
@@ -713,9 +717,9 @@
                         Ok(address) => self.word(now, ask, Ok((instance, address))),
                         Err(_) => self.desk.finish(now, ask, Outcome::Unused, 0),
                     },
-                    Decided::Refused { ask, no } => self.word(now, ask, Err(no)),
-                    Decided::Up(note) => self.up(note),
-                    Decided::Scout { instance, from } => {
+                    Decided::Refused { ask, reason: no } => self.word(now, ask, Err(no)),
+                    Decided::NotifyController(note) => self.up(note),
+                    Decided::ProbeReadiness { instance, from } => {
                         let Ok(address) = instance.address.parse() else { continue };
                         self.scouting.entry(instance.id).or_insert(Scouting {
                             address,
--- a/simulator/src/world/endpoint.rs
+++ b/simulator/src/world/endpoint.rs
@@ -132,7 +132,7 @@
             return self.at(now + way, Event::Back(number, refuse));
         }
         if expect.is_some_and(|id| *id != endpoint.id) {
-            return self.at(now + way, Event::Back(number, ended(Outcome::Elsewhere, true)));
+            return self.at(now + way, Event::Back(number, ended(Outcome::AddressReused, true)));
         }
         let over = endpoint.runs.len() >= endpoint.slots as usize;
         let lag = self.site.lag_ms * MS;
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -551,12 +551,12 @@
             self.give(at, Role::ControllerProcess, In::Tick);
         } else {
             let (bounds, speeds) = (&site.bounds, self.plan.speeds != Speeds::Even);
-            let terms = millpost_scheduler::Terms {
+            let terms = millpost_scheduler::SchedulerLimits {
                 ratio: bounds.ratio,
                 window: bounds.window,
                 slack: bounds.slack,
-                asks_per_s: millpost_scheduler::asks_per_s(site.mbps.0, site.processors),
-                speeds,
+                requests_per_s: millpost_scheduler::max_requests_per_s(site.mbps.0, site.processors),
+                rank_by_latency: speeds,
             };
             let machine = &mut self.machines[at];
             machine.porter = Some(AgentProcess::new(self.now, place.clone(), format_compact!("stall-{at}")));
--- a/simulator/src/world/net.rs
+++ b/simulator/src/world/net.rs
@@ -281,7 +281,8 @@
             return there;
         }
         // As many a second as would take all of its processors.
-        let each = SECOND as f64 / millpost_scheduler::asks_per_s(f64::INFINITY, self.site.processors);
+        let each =
+            SECOND as f64 / millpost_scheduler::max_requests_per_s(f64::INFINITY, self.site.processors);
         let machine = &mut self.machines[at];
         machine.busy = machine.busy.max(there) + (asks as f64 * each) as Time;
         machine.busy
