--- a/controller/tests/market/mod.rs
+++ b/controller/tests/market/mod.rs
@@ -10,7 +10,7 @@
 use millpost_net::pack::unpack;
 use millpost_protocol::{PeerMessage, object, text};
 use millpost_scheduler::{
-    Action, Coordinator, DenialReason, Outcome, Peer, PermitRequest, SECOND, SchedulerLimits, Spec,
+    Action, Coordinator, DenialReason, FunctionSpec, Outcome, Peer, PermitRequest, SECOND, SchedulerLimits,
 };
 use tinyjson::JsonValue;
 
@@ -93,9 +93,9 @@
                 zone: "z".into(),
             };
             let terms = SchedulerLimits {
-                ratio: 0.2,
-                window: 10 * SECOND,
-                slack: 50.0,
+                retry_ratio: 0.2,
+                retry_window: 10 * SECOND,
+                retry_slack: 50.0,
                 requests_per_s: 1e6,
                 rank_by_latency: false,
             };
@@ -250,10 +250,10 @@
                 continue;
             };
             stall.says.push(PeerMessage::Acts { revision: new.revision, number: 0 });
-            let specs = new.services.iter().map(|s| Spec {
+            let specs = new.services.iter().map(|s| FunctionSpec {
                 name: s.name.clone(),
                 concurrency: s.concurrency,
-                boot: s.boot_ms * MS,
+                startup_time: s.boot_ms * MS,
                 memory_mb: s.memory_mb,
             });
             if old.is_none_or(|old| old.services != new.services) {
@@ -297,9 +297,9 @@
             id: 0,
             service: service.clone(),
             deadline,
-            aim: now + target,
+            soft_deadline: now + target,
             target,
-            sent: 0,
+            attempts_sent: 0,
             returned: false,
             avoid: vec![],
             zone: "z".into(),
--- a/explore/src/owners.rs
+++ b/explore/src/owners.rs
@@ -10,7 +10,8 @@
 use compact_str::{CompactString, format_compact};
 use millpost_protocol::{Instance, PeerMessage};
 use millpost_scheduler::{
-    Action, Coordinator, MS, Nanos, Outcome, Owners, Peer, PermitRequest, SECOND, SchedulerLimits, Spec,
+    Action, Coordinator, FunctionSpec, MS, Nanos, Outcome, Owners, Peer, PermitRequest, SECOND,
+    SchedulerLimits,
 };
 
 use crate::part::print;
@@ -180,15 +181,16 @@
         };
         for (at, n) in names.into_iter().enumerate() {
             let terms = SchedulerLimits {
-                ratio: 0.2,
-                window: 10 * SECOND,
-                slack: 50.0,
+                retry_ratio: 0.2,
+                retry_window: 10 * SECOND,
+                retry_slack: 50.0,
                 requests_per_s: 100.0,
                 rank_by_latency: false,
             };
             let mut desk = Coordinator::new(peer(n), terms, n as u64, 1_000 * (at as u64 + 1));
             let concurrency = if fault == Some(Fault::OneSlotTooMany) { 2 } else { 1 };
-            let spec = Spec { name: SERVICE.into(), concurrency, boot: 400 * MS, memory_mb: 128 };
+            let spec =
+                FunctionSpec { name: SERVICE.into(), concurrency, startup_time: 400 * MS, memory_mb: 128 };
             desk.configure(0, [spec].into_iter());
             desk.receive_from_controller(0, world.naming(1));
             // Only owners hear of instances.
@@ -296,9 +298,9 @@
                         id: 0,
                         service: SERVICE.into(),
                         deadline: now + 4 * SECOND,
-                        aim: now + 300 * MS,
+                        soft_deadline: now + 300 * MS,
                         target: 300 * MS,
-                        sent: 0,
+                        attempts_sent: 0,
                         returned: true,
                         avoid: vec![],
                         zone,
--- a/proxy/src/front.rs
+++ b/proxy/src/front.rs
@@ -20,7 +20,9 @@
 use millpost_config::{Route, Traffic};
 use millpost_net::connection_limiter::{ConnectionLimiter, ConnectionSlot};
 use millpost_net::serving::serve_one;
-use millpost_scheduler::{MS, Outcome, Refusal, RequestFlow, RequestInfo, ShutdownPhase, Step, TraceEvent};
+use millpost_scheduler::{
+    FlowStep, MS, Outcome, Refusal, RequestFlow, RequestInfo, ShutdownPhase, TraceEvent,
+};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
@@ -164,7 +166,7 @@
         Err(kind) => {
             if shop.records() {
                 let attempt =
-                    millpost_scheduler::trace::attempt(attempt.as_ref().map_or(&[], |id| id.as_bytes()));
+                    millpost_scheduler::trace::attempt_id(attempt.as_ref().map_or(&[], |id| id.as_bytes()));
                 shop.trail(shop.now(), &TraceEvent::Rejected { attempt, status: kind.answer().0.as_u16() });
             }
             ours(kind)
@@ -300,8 +302,8 @@
         zone: shop.settings.zone.clone(),
         target: route.target_latency_ms * MS,
         repeatable,
-        most: route.max_tries,
-        came: shop.at(came),
+        max_attempts: route.max_tries,
+        received_at: shop.at(came),
         deadline: shop.at(deadline),
         returned,
     };
@@ -311,11 +313,11 @@
     let mut step = passage.begin(shop.informed());
     loop {
         step = match step {
-            Step::Respond(told) => {
+            FlowStep::Respond(told) => {
                 follow.over();
                 return told.map_err(Kind::Refused);
             }
-            Step::ResolveRoute => {
+            FlowStep::ResolveRoute => {
                 let force = shop.force.borrow().clone();
                 let to = force.as_ref().and_then(|force| leads(force, &request));
                 if let (Some(force), Some(to)) = (&force, &to) {
@@ -325,11 +327,11 @@
                 follow.step(now, |p| TraceEvent::Moved { p, to: to.clone() });
                 passage.route_resolved(now, to)
             }
-            Step::Wait(at) => tokio::select! {
+            FlowStep::Wait(at) => tokio::select! {
                 () = sleep_until(shop.moment(at)) => passage.request_permit(),
                 () = end.comes(ShutdownPhase::Refusing) => passage.shutdown(),
             },
-            Step::RequestPermit(ask, first) => match shop.ask(ask, first, follow.number()) {
+            FlowStep::RequestPermit(ask, first) => match shop.ask(ask, first, follow.number()) {
                 None => passage.too_many_open(),
                 Some((id, word)) => {
                     let permit =
--- a/proxy/src/shop.rs
+++ b/proxy/src/shop.rs
@@ -15,8 +15,8 @@
 use millpost_protocol::frame::Head;
 use millpost_protocol::{MessageBatch, PeerMessage, object, text};
 use millpost_scheduler::{
-    Action, AttemptTimeouts, ClientTimeouts, DenialReason, MS, Nanos, Outcome, Peer, PermitRequest,
-    RecordedCoordinator as Coordinator, SchedulerLimits, ShutdownPhase, Sink, Spec, TraceEvent,
+    Action, AttemptTimeouts, ClientTimeouts, DenialReason, FunctionSpec, MS, Nanos, Outcome, Peer,
+    PermitRequest, RecordedCoordinator as Coordinator, SchedulerLimits, ShutdownPhase, Sink, TraceEvent,
     max_requests_per_s,
 };
 use tinyjson::JsonValue;
@@ -162,9 +162,9 @@
             zone: settings.zone.clone(),
         };
         let terms = SchedulerLimits {
-            ratio: settings.bounds.retry_ratio,
-            window: (settings.bounds.retry_window_s * 1e9) as Nanos,
-            slack: settings.bounds.retry_slack,
+            retry_ratio: settings.bounds.retry_ratio,
+            retry_window: (settings.bounds.retry_window_s * 1e9) as Nanos,
+            retry_slack: settings.bounds.retry_slack,
             requests_per_s: max_requests_per_s(
                 settings.limits.link_mbps,
                 settings.limits.cpu_share * settings.limits.cpu_cores,
@@ -493,10 +493,10 @@
         let specs: Vec<_> = config
             .services
             .iter()
-            .map(|s| Spec {
+            .map(|s| FunctionSpec {
                 name: s.name.clone(),
                 concurrency: s.concurrency.max(1),
-                boot: s.boot_ms * MS,
+                startup_time: s.boot_ms * MS,
                 memory_mb: s.memory_mb,
             })
             .collect();
--- a/proxy/src/trail.rs
+++ b/proxy/src/trail.rs
@@ -18,7 +18,7 @@
     pub fn begin(shop: &'a Shop, attempt: &[u8], route: &str, wish: &RequestInfo) -> Self {
         let p = shop.follow();
         if let Some(p) = p {
-            let attempt = millpost_scheduler::trace::attempt(attempt);
+            let attempt = millpost_scheduler::trace::attempt_id(attempt);
             let begun = TraceEvent::Received { p, attempt, route: route.into(), info: wish.clone() };
             shop.trail(shop.now(), &begun);
         }
--- a/replay/examples/desks.rs
+++ b/replay/examples/desks.rs
@@ -21,9 +21,9 @@
     let folder = std::env::args_os().nth(1).map(PathBuf::from);
     let only = std::env::args().nth(2);
     let terms = SchedulerLimits {
-        ratio: 0.2,
-        window: 10 * SECOND,
-        slack: 52.0,
+        retry_ratio: 0.2,
+        retry_window: 10 * SECOND,
+        retry_slack: 52.0,
         requests_per_s: 300.0,
         rank_by_latency: false,
     };
--- a/replay/examples/recording.rs
+++ b/replay/examples/recording.rs
@@ -18,9 +18,9 @@
 
 fn main() {
     let terms = SchedulerLimits {
-        ratio: 0.2,
-        window: 10 * SECOND,
-        slack: 52.0,
+        retry_ratio: 0.2,
+        retry_window: 10 * SECOND,
+        retry_slack: 52.0,
         requests_per_s: 300.0,
         rank_by_latency: false,
     };
@@ -89,9 +89,11 @@
             Input::Finish { id, outcome, took } => desk.finish(at, id, outcome, took),
             Input::InstanceUp(id) => desk.instance_up(at, &id),
             Input::ConnectionRefused(id) => desk.connection_refused(at, &id),
-            Input::PeerMessages { from, life, notes } => desk.receive(at, &from, life, notes),
+            Input::PeerMessages { from, incarnation: life, messages: notes } => {
+                desk.receive(at, &from, life, notes)
+            }
             Input::ControllerMessage(note) => desk.receive_from_controller(at, note),
-            Input::Undelivered { address, notes } => desk.undelivered(at, &address, notes),
+            Input::Undelivered { address, messages: notes } => desk.undelivered(at, &address, notes),
             Input::ControllerUnreachable => desk.controller_unreachable(at),
             Input::Tick => desk.tick(at),
             Input::TraceEvent(trail) => desk.trace(at, &trail),
--- a/replay/examples/traces.rs
+++ b/replay/examples/traces.rs
@@ -22,9 +22,9 @@
     let folder = std::env::args_os().nth(1).map(PathBuf::from).expect("a folder");
     let write = |name: &str, lines: &[String]| write(&folder, name, lines);
     let terms = SchedulerLimits {
-        ratio: 0.2,
-        window: 2 * SECOND,
-        slack: 4.0,
+        retry_ratio: 0.2,
+        retry_window: 2 * SECOND,
+        retry_slack: 4.0,
         requests_per_s: 300.0,
         rank_by_latency: false,
     };
--- a/replay/src/check.rs
+++ b/replay/src/check.rs
@@ -203,10 +203,12 @@
                     seen.stage = Stage::Ready;
                 }
             }
-            Input::PeerMessages { from, life, notes } => self.mail(step, from, *life, notes),
+            Input::PeerMessages { from, incarnation: life, messages: notes } => {
+                self.mail(step, from, *life, notes)
+            }
             Input::ControllerMessage(note) => self.told(step, note),
             // Whom it stands with now shows where it is sent anew; else that is this stall itself.
-            Input::Undelivered { address, notes } => {
+            Input::Undelivered { address, messages: notes } => {
                 for note in notes {
                     if let PeerMessage::Ask { id, .. } | PeerMessage::Held { id, .. } = note
                         && let Some(own) = self.own.get_mut(id)
@@ -273,7 +275,7 @@
     }
 
     fn asked(&mut self, step: &Step<'_>, ask: &PermitRequest, first: bool) {
-        let request = (ask.service.clone(), ask.deadline, ask.aim);
+        let request = (ask.service.clone(), ask.deadline, ask.soft_deadline);
         if first {
             // One that goes elsewhere counts there.
             let elsewhere = |out: &Action| matches!(out, Action::Send { note: PeerMessage::Ask { id, .. }, .. } if Some(*id) == step.given);
@@ -302,7 +304,7 @@
             }
         }
         if let Some(id) = step.given {
-            self.own.insert(id, Own { sent_to: None, granted: false, sent: ask.sent, request });
+            self.own.insert(id, Own { sent_to: None, granted: false, sent: ask.attempts_sent, request });
         }
     }
 
@@ -344,7 +346,7 @@
         // Permits of an owner of before are taken in whatever they come to.
         let taken_in = match step.input {
             Input::ControllerMessage(PeerMessage::Stalls { .. } | PeerMessage::ViewChange(_)) => true,
-            Input::PeerMessages { notes, .. } => {
+            Input::PeerMessages { messages: notes, .. } => {
                 notes.iter().any(|note| matches!(note, PeerMessage::Held { .. } | PeerMessage::Over { .. }))
             }
             _ => false,
@@ -363,7 +365,7 @@
 
     fn repeated(&mut self, step: &Step<'_>, service: &str) {
         let Some(terms) = self.terms.clone() else { return };
-        let from = step.at.saturating_sub(terms.window);
+        let from = step.at.saturating_sub(terms.retry_window);
         let tally = self.tally(service);
         tally.repeats.push_back(step.at);
         for times in [&mut tally.repeats, &mut tally.requests] {
@@ -372,7 +374,7 @@
             }
         }
         let (repeats, requests) = (tally.repeats.len(), tally.requests.len());
-        if repeats as f64 > requests as f64 * terms.ratio + terms.slack {
+        if repeats as f64 > requests as f64 * terms.retry_ratio + terms.retry_slack {
             self.broken(Rule::Budget, step, || {
                 format!("{service}: {repeats} repeats to {requests} requests in a window")
             });
@@ -438,7 +440,9 @@
         match step.input {
             Input::Cancel { id } => self.finished(step, *id, Outcome::Unused, 0),
             Input::Finish { id, outcome, took } => self.finished(step, *id, *outcome, *took),
-            Input::PeerMessages { from, life, notes } if self.lives.get(from) == Some(life) => {
+            Input::PeerMessages { from, incarnation: life, messages: notes }
+                if self.lives.get(from) == Some(life) =>
+            {
                 for note in notes {
                     match note {
                         PeerMessage::Drop { id } => {
--- a/replay/src/clocks.rs
+++ b/replay/src/clocks.rs
@@ -199,7 +199,7 @@
                     ask.asked.get_or_insert((node, at));
                 }
             }
-            DeskInput::PeerMessages { from, life, notes } => {
+            DeskInput::PeerMessages { from, incarnation: life, messages: notes } => {
                 for note in notes {
                     match note {
                         PeerMessage::Ask { id, .. } => {
--- a/replay/src/cut.rs
+++ b/replay/src/cut.rs
@@ -98,7 +98,9 @@
             Input::ControllerMessage(PeerMessage::Floor { service, .. }) => {
                 self.floors.insert(service.clone(), line);
             }
-            Input::PeerMessages { from, life, notes } => self.mail(entry.at, from, *life, notes),
+            Input::PeerMessages { from, incarnation: life, messages: notes } => {
+                self.mail(entry.at, from, *life, notes)
+            }
             _ => {}
         }
     }
@@ -159,7 +161,7 @@
                 }
                 Input::ControllerMessage(PeerMessage::Instances { version, all, set, gone })
             }
-            Input::PeerMessages { from, life, mut notes } => {
+            Input::PeerMessages { from, incarnation: life, messages: mut notes } => {
                 if self.lives.get(&from) != Some(&life) {
                     return None;
                 }
@@ -176,7 +178,7 @@
                 if notes.is_empty() {
                     return None;
                 }
-                Input::PeerMessages { from, life, notes }
+                Input::PeerMessages { from, incarnation: life, messages: notes }
             }
             _ => return None,
         };
--- a/replay/src/explain.rs
+++ b/replay/src/explain.rs
@@ -175,17 +175,17 @@
             format!(", not at {} if it can be", ask.avoid.join(", "))
         };
         let number = id.map_or("too many asks are open".to_owned(), |id| format!("ask {id}"));
-        let try_ = if ask.sent == 0 {
+        let try_ = if ask.attempts_sent == 0 {
             "a first try".to_owned()
         } else {
-            format!("a further try after {}", ask.sent)
+            format!("a further try after {}", ask.attempts_sent)
         };
         let say = format!("wants a permit for {}: {number}, {try_}{avoid}", ask.service);
         put(
             step.at,
             "wants",
             say,
-            vec![("ask", id.unwrap_or(0).into()), ("sent", u64::from(ask.sent).into())],
+            vec![("ask", id.unwrap_or(0).into()), ("sent", u64::from(ask.attempts_sent).into())],
         );
     }
     if let (Some(_), Some(trail)) = (of, step.trail) {
@@ -219,7 +219,7 @@
             _ => {}
         }
     }
-    if let Input::PeerMessages { from, notes, .. } = step.input {
+    if let Input::PeerMessages { from, messages: notes, .. } = step.input {
         for note in notes {
             match note {
                 PeerMessage::Waits { id } if mine(*id) => {
@@ -272,13 +272,13 @@
 fn trails(at: Nanos, trail: &TraceEvent, put: &mut Put<'_>) {
     match trail {
         TraceEvent::Received { info: wish, .. } => {
-            let left = ms(wish.deadline.saturating_sub(wish.came));
+            let left = ms(wish.deadline.saturating_sub(wish.received_at));
             let kind = if wish.repeatable { "may run more than once" } else { "may run once" };
             let back =
                 if wish.returned { ", has been here before or was made by a running request" } else { "" };
             let say = format!(
                 "read: {kind}, {} endpoints at most, {left:.1} ms left, {:.0} ms aimed at{back}",
-                wish.most,
+                wish.max_attempts,
                 ms(wish.target)
             );
             put(at, "read", say, vec![("left_ms", left.into()), ("aim_ms", ms(wish.target).into())]);
@@ -328,7 +328,7 @@
     let of_it = |who: &str, ask: u64| {
         who == one.machine && one.asks.contains(&if here { step.numbers.recorded(ask) } else { ask })
     };
-    if let Input::PeerMessages { from, notes, .. } = step.input {
+    if let Input::PeerMessages { from, messages: notes, .. } = step.input {
         for note in notes {
             match note {
                 PeerMessage::Ask { id, left, .. } if of_it(from, *id) => {
--- a/replay/src/numbers.rs
+++ b/replay/src/numbers.rs
@@ -46,7 +46,7 @@
         match &mut input {
             DeskInput::Cancel { id } | DeskInput::Finish { id, .. } => *id = self.here(*id),
             // Of all that comes by mail only the answers to own asks bear own numbers.
-            DeskInput::PeerMessages { notes, .. } => {
+            DeskInput::PeerMessages { messages: notes, .. } => {
                 for note in notes {
                     if let PeerMessage::Grant { id, .. } | PeerMessage::No { id, .. } = note {
                         *id = self.here(*id);
--- a/replay/src/report/gather.rs
+++ b/replay/src/report/gather.rs
@@ -4,7 +4,7 @@
 
 use compact_str::CompactString;
 use millpost_scheduler::recording::Input;
-use millpost_scheduler::{Action, Nanos, Reason, RequestDecision, SECOND, Step as Tells, TraceEvent};
+use millpost_scheduler::{Action, FlowStep as Tells, Nanos, Reason, RequestDecision, SECOND, TraceEvent};
 
 use crate::check::{Check, Rule};
 use crate::clocks::{Alignment, Node};
@@ -273,7 +273,7 @@
             Input::RequestPermit { ask, first, .. } => {
                 if *first {
                     self.functions.entry(ask.service.clone()).or_default().requests += 1;
-                } else if let Some(id) = step.given.filter(|_| ask.sent > 0) {
+                } else if let Some(id) = step.given.filter(|_| ask.attempts_sent > 0) {
                     life.repeats.insert(id);
                 }
             }
--- a/replay/src/requests.rs
+++ b/replay/src/requests.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use millpost_scheduler::{Nanos, PermitRequest, Refusal, RequestFlow, Step, TraceEvent};
+use millpost_scheduler::{FlowStep, Nanos, PermitRequest, Refusal, RequestFlow, TraceEvent};
 
 /// What comes next for a request, or what its client is told.
-pub type Next = Step<u16>;
+pub type Next = FlowStep<u16>;
 
 /// A request on its way.
 #[derive(Debug)]
@@ -51,10 +51,10 @@
     }
 
     fn follow(&mut self, p: u64, mut walk: Walk, next: Next) -> Next {
-        if let Step::RequestPermit(ask, first) = &next {
+        if let FlowStep::RequestPermit(ask, first) = &next {
             walk.asks = Some((ask.clone(), *first));
         }
-        if !matches!(next, Step::Respond(_)) {
+        if !matches!(next, FlowStep::Respond(_)) {
             self.all.insert(p, walk);
         }
         next
@@ -70,7 +70,7 @@
     ) -> (Option<String>, Option<Next>) {
         let Some(walk) = self.all.get_mut(&p) else { return (None, None) };
         let mine = walk.asks.take().or_else(|| match walk.passage.request_permit() {
-            Step::RequestPermit(ask, first) => Some((ask, first)),
+            FlowStep::RequestPermit(ask, first) => Some((ask, first)),
             _ => None,
         });
         let same = mine.as_ref().is_some_and(|(mine, is_first)| mine == ask && *is_first == first);
--- a/replay/src/table.rs
+++ b/replay/src/table.rs
@@ -121,7 +121,7 @@
                     self.open.insert((None, id), (step.at, ask.service.clone(), false));
                 }
             }
-            Input::PeerMessages { from, notes, .. } => {
+            Input::PeerMessages { from, messages: notes, .. } => {
                 for note in notes {
                     if let PeerMessage::Ask { id, service, .. } = note {
                         let key = (Some(from.clone()), *id);
@@ -156,7 +156,7 @@
             Input::Finish { id, .. } | Input::Cancel { id } => {
                 self.open.remove(&(None, *id));
             }
-            Input::PeerMessages { from, notes, .. } => {
+            Input::PeerMessages { from, messages: notes, .. } => {
                 for note in notes {
                     if let PeerMessage::Drop { id } | PeerMessage::Done { id, .. } = note {
                         self.open.remove(&(Some(from.clone()), *id));
--- a/replay/tests/day/mod.rs
+++ b/replay/tests/day/mod.rs
@@ -8,8 +8,8 @@
 use millpost::Dice;
 use millpost_protocol::{Instance, PeerMessage};
 use millpost_scheduler::{
-    Action, DenialReason, MS, Nanos, Next, Outcome, Peer, PermitRequest, RecordedCoordinator, RetrySchedule,
-    SECOND, SchedulerLimits, Spec,
+    Action, DenialReason, FunctionSpec, MS, Nanos, Outcome, Peer, PermitRequest, RecordedCoordinator,
+    RetryDecision, RetrySchedule, SECOND, SchedulerLimits,
 };
 
 /// What happens on a day.
@@ -46,9 +46,9 @@
             target_ms: 200,
             deadline_ms: 1_000,
             terms: SchedulerLimits {
-                ratio: 0.2,
-                window: 2 * SECOND,
-                slack: 4.0,
+                retry_ratio: 0.2,
+                retry_window: 2 * SECOND,
+                retry_slack: 4.0,
                 requests_per_s: 300.0,
                 rank_by_latency: false,
             },
@@ -266,16 +266,16 @@
         let life = self.now / MS + 1;
         let (seed, first) = (self.plan.seed * 31 + stall as u64, life << 20);
         let mut desk = RecordedCoordinator::new(me, self.plan.terms.clone(), seed, first, Some(sink));
-        let specs = self.plan.functions.iter().map(|(name, concurrency, boot, _)| Spec {
+        let specs = self.plan.functions.iter().map(|(name, concurrency, boot, _)| FunctionSpec {
             name: (*name).into(),
             concurrency: *concurrency,
-            boot: boot * MS,
+            startup_time: boot * MS,
             memory_mb: 128,
         });
-        let idle = (0..self.plan.idle).map(|n| Spec {
+        let idle = (0..self.plan.idle).map(|n| FunctionSpec {
             name: format_compact!("idle-{n}"),
             concurrency: 1,
-            boot: 200 * MS,
+            startup_time: 200 * MS,
             memory_mb: 128,
         });
         desk.configure(self.now, specs.chain(idle));
@@ -451,9 +451,9 @@
             id: 0,
             service: self.plan.functions[one.function].0.into(),
             deadline: one.deadline,
-            aim: one.aim,
+            soft_deadline: one.aim,
             target: self.plan.target_ms * MS,
-            sent: one.tries.sent,
+            attempts_sent: one.tries.sent,
             returned: false,
             avoid: one.avoid.clone(),
             zone: zone(stall),
@@ -529,10 +529,10 @@
         self.goes_on(request, next);
     }
 
-    fn goes_on(&mut self, request: usize, next: Next) {
+    fn goes_on(&mut self, request: usize, next: RetryDecision) {
         match next {
-            Next::RetryAt(at) => self.later(at.saturating_sub(self.now), Happens::Again(request)),
-            Next::GiveUp => self.requests[request].over = true,
+            RetryDecision::RetryAt(at) => self.later(at.saturating_sub(self.now), Happens::Again(request)),
+            RetryDecision::GiveUp => self.requests[request].over = true,
         }
     }
 
@@ -543,7 +543,7 @@
         self.with(stall, |desk| desk.finish(now, id, Outcome::Unused, 0));
         let next = match no {
             DenialReason::Skip => self.requests[request].tries.skipped(now),
-            _ => Next::GiveUp,
+            _ => RetryDecision::GiveUp,
         };
         self.goes_on(request, next);
     }
--- a/replay/tests/days.rs
+++ b/replay/tests/days.rs
@@ -75,9 +75,9 @@
     let mut repeats = 0;
     for seed in 0..SEEDS {
         let terms = SchedulerLimits {
-            ratio: 0.2,
-            window: 2 * SECOND,
-            slack: 6.0,
+            retry_ratio: 0.2,
+            retry_window: 2 * SECOND,
+            retry_slack: 6.0,
             requests_per_s: 300.0,
             rank_by_latency: false,
         };
--- a/replay/tests/traces.rs
+++ b/replay/tests/traces.rs
@@ -205,7 +205,11 @@
         {
             let (instance, service) = ("i".into(), "s".into());
             let notes = vec![PeerMessage::Held { id: *id, service, instance, left: 9.0 }];
-            check.see(&Step { input: &Input::Undelivered { address: to, notes }, outs: &[], ..step });
+            check.see(&Step {
+                input: &Input::Undelivered { address: to, messages: notes },
+                outs: &[],
+                ..step
+            });
             count += 1;
             return check.see(&Step { outs: &outs, ..step });
         }
@@ -272,7 +276,7 @@
     let spent = planted("failures.jsonl", |step| {
         let mut input = step.input.clone();
         if let Input::New { terms, .. } = &mut input {
-            *terms = SchedulerLimits { ratio: 0.0, slack: 1.0, ..terms.clone() };
+            *terms = SchedulerLimits { retry_ratio: 0.0, retry_slack: 1.0, ..terms.clone() };
         }
         (input, step.outs.to_vec(), step.at)
     });
--- a/replay/tests/whole_days.rs
+++ b/replay/tests/whole_days.rs
@@ -6,7 +6,7 @@
 use millpost_replay::lines::{Lines, Which};
 use millpost_replay::play::{Event, How, Played, play_so};
 use millpost_scheduler::recording::Input;
-use millpost_scheduler::{Step, TraceEvent};
+use millpost_scheduler::{FlowStep, TraceEvent};
 use millpost_simulator::day::{Report, play, play_recorded};
 use millpost_simulator::plan::Plan;
 use millpost_simulator::record::Records;
@@ -47,7 +47,7 @@
                     Input::RequestPermit { of, .. } => *of,
                     _ => step.trail.and_then(TraceEvent::of),
                 };
-                if let (Some(Step::Respond(told)), Some(p)) = (step.next, p) {
+                if let (Some(FlowStep::Respond(told)), Some(p)) = (step.next, p) {
                     let status = told.as_ref().map_or_else(|refusal| refusal.answer().0, |status| *status);
                     let id = asked.get(&p).expect("it was read");
                     assert_eq!(answers.insert(id.clone(), status), None, "{id} is answered once");
--- a/scheduler/src/coordinator.rs
+++ b/scheduler/src/coordinator.rs
@@ -20,7 +20,7 @@
 use crate::instance::{Instance, Stage};
 use crate::owners::{Owners, OwnershipChange, Peer};
 use crate::reason::Reason;
-use crate::{MS, Nanos, Outcome, PermitRequest, SECOND, Spec};
+use crate::{FunctionSpec, MS, Nanos, Outcome, PermitRequest, SECOND};
 
 /// An ask that nothing was heard of is sent again after this time,
 const ASK_AGAIN: Nanos = 300 * MS;
@@ -264,7 +264,7 @@
     }
 
     /// The functions of the configuration in force.
-    pub fn configure(&mut self, now: Nanos, specs: impl Iterator<Item = Spec>) {
+    pub fn configure(&mut self, now: Nanos, specs: impl Iterator<Item = FunctionSpec>) {
         self.broker.configure(now, specs);
         self.own(now, &self.owners.clone(), &OwnershipChange::all());
     }
@@ -347,10 +347,10 @@
         let note = PeerMessage::Ask {
             id,
             left: ms(ask.deadline),
-            aim: ms(ask.aim),
+            aim: ms(ask.soft_deadline),
             target: ask.target as f64 / MS as f64,
             service: ask.service,
-            sent: ask.sent,
+            sent: ask.attempts_sent,
             first,
             returned: ask.returned,
             avoid: ask.avoid,
@@ -466,7 +466,17 @@
         match note {
             PeerMessage::Ask { id, service, left, aim, target, sent, first, returned, avoid, zone } => {
                 let (deadline, aim, target) = (at(left), at(aim), span(target));
-                let ask = PermitRequest { id, service, deadline, aim, target, sent, returned, avoid, zone };
+                let ask = PermitRequest {
+                    id,
+                    service,
+                    deadline,
+                    soft_deadline: aim,
+                    target,
+                    attempts_sent: sent,
+                    returned,
+                    avoid,
+                    zone,
+                };
                 self.stand_back(now, &ask);
                 self.broker.request_permit(now, from.into(), ask, first);
             }
--- a/scheduler/src/coordinator/turns.rs
+++ b/scheduler/src/coordinator/turns.rs
@@ -104,9 +104,9 @@
             id: 0,
             service: service(self.below(FUNCTIONS)),
             deadline: now + 900 * MS,
-            aim: now + 300 * MS,
+            soft_deadline: now + 300 * MS,
             target: 300 * MS,
-            sent: 0,
+            attempts_sent: 0,
             returned: self.below(2) == 0,
             avoid: vec![],
             zone: ["a", "b", "c"][self.below(3) as usize].into(),
@@ -121,7 +121,7 @@
         let (left, aim, target, first, returned) = (900.0, 300.0, 300.0, true, true);
         let (avoid, sent) = (vec![], 0);
         let note = PeerMessage::Ask { id, service, left, aim, target, sent, first, returned, avoid, zone };
-        Input::PeerMessages { from, life: 1, notes: vec![note] }
+        Input::PeerMessages { from, incarnation: 1, messages: vec![note] }
     }
 }
 
@@ -133,9 +133,9 @@
 /// A row of inputs; how often a shift did not meet what was known, and how often a function was handed over.
 fn play(seed: u64) -> (usize, usize) {
     let terms = SchedulerLimits {
-        ratio: 0.2,
-        window: 10 * SECOND,
-        slack: 50.0,
+        retry_ratio: 0.2,
+        retry_window: 10 * SECOND,
+        retry_slack: 50.0,
         requests_per_s: 100.0,
         rank_by_latency: false,
     };
@@ -151,7 +151,12 @@
         now += world.below(60) * MS;
         let input = match world.below(10) {
             0 if world.below(8) == 0 => {
-                let spec = |n| Spec { name: service(n), concurrency: 2, boot: 300 * MS, memory_mb: 1 };
+                let spec = |n| FunctionSpec {
+                    name: service(n),
+                    concurrency: 2,
+                    startup_time: 300 * MS,
+                    memory_mb: 1,
+                };
                 let from = world.below(6);
                 Input::Configure((from..FUNCTIONS).map(spec).collect())
             }
--- a/scheduler/src/demand.rs
+++ b/scheduler/src/demand.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::{MS, Nanos, SECOND, Spec};
+use crate::{FunctionSpec, MS, Nanos, SECOND};
 
 /// The averages forget over this time.
 const SPAN: f64 = 1.5 * SECOND as f64;
@@ -109,7 +109,7 @@
     }
 
     /// Instances that are needed now, for `queued` requests that wait longer than they should.
-    pub fn needed(&mut self, now: Nanos, spec: &Spec, queued: usize) -> u32 {
+    pub fn needed(&mut self, now: Nanos, spec: &FunctionSpec, queued: usize) -> u32 {
         self.pass(now);
         let concurrency = f64::from(spec.concurrency.max(1));
         let load = self.busy.max(self.rate * self.usual() / SECOND as f64);
@@ -133,16 +133,16 @@
 }
 
 /// An instance that nobody needs stays for so long: the more a start takes, the longer.
-pub(crate) fn keep(spec: &Spec) -> Nanos {
-    (spec.boot * 5 / 2).clamp(500 * MS, 10 * SECOND)
+pub(crate) fn keep(spec: &FunctionSpec) -> Nanos {
+    (spec.startup_time * 5 / 2).clamp(500 * MS, 10 * SECOND)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn spec(concurrency: u32) -> Spec {
-        Spec { name: "f".into(), concurrency, boot: 400 * MS, memory_mb: 128 }
+    fn spec(concurrency: u32) -> FunctionSpec {
+        FunctionSpec { name: "f".into(), concurrency, startup_time: 400 * MS, memory_mb: 128 }
     }
 
     #[test]
--- a/scheduler/src/effect.rs
+++ b/scheduler/src/effect.rs
@@ -10,11 +10,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct SchedulerLimits {
     /// Repeats for each request, at most, within a window.
-    pub ratio: f64,
+    pub retry_ratio: f64,
     /// The window.
-    pub window: Nanos,
+    pub retry_window: Nanos,
     /// Repeats beyond that, within a window.
-    pub slack: f64,
+    pub retry_slack: f64,
     /// First asks a second that are all that this stall can take as an owner, by its link and its processor.
     pub requests_per_s: f64,
     /// How fast workers are is learnt from what answers take, and instances on slow ones come last.
--- a/scheduler/src/function.rs
+++ b/scheduler/src/function.rs
@@ -25,7 +25,7 @@
 use crate::instance::{Instance, Stage};
 use crate::reason::{Reason, Reasons, RequestDecision};
 use crate::service::{Function, Service, Waiting};
-use crate::{MS, Nanos, Outcome, PermitRequest, SECOND, Spec, first_retry_delay};
+use crate::{FunctionSpec, MS, Nanos, Outcome, PermitRequest, SECOND, first_retry_delay};
 
 use dropped::Dropped;
 pub(crate) use floor::Floor;
@@ -206,7 +206,7 @@
     }
 
     /// The functions of the configuration in force.
-    pub fn configure(&mut self, now: Nanos, specs: impl Iterator<Item = Spec>) {
+    pub fn configure(&mut self, now: Nanos, specs: impl Iterator<Item = FunctionSpec>) {
         let mut gone: BTreeSet<usize> = self.sorted(|s| s.function.is_some()).into_iter().collect();
         let begins = gone.is_empty();
         for spec in specs {
@@ -217,7 +217,7 @@
                 function.spec = spec;
                 continue;
             }
-            let budget = Budget::new(self.terms.window, self.terms.ratio, self.terms.slack);
+            let budget = Budget::new(self.terms.retry_window, self.terms.retry_ratio, self.terms.retry_slack);
             let mut demand = Demand::new(now);
             if begins && spec.concurrency > 1 {
                 demand.stand_by(now + STAND_BY);
@@ -244,7 +244,7 @@
         let Some(place) = service.place(id).filter(|p| p.of.stage == Stage::Booting) else { return };
         let Some(function) = &service.function else { return };
         if service.owned && place.mine {
-            let from = (place.since + function.spec.boot * 2 / 5).max(now);
+            let from = (place.since + function.spec.startup_time * 2 / 5).max(now);
             self.effects.push(Effect::ProbeReadiness { instance: place.of.clone(), from });
         }
     }
@@ -367,7 +367,7 @@
             function.came(now, &ask.zone);
         }
         let chosen = service.choose(now, &key.0, &ask).cloned();
-        if ask.sent > 0 {
+        if ask.attempts_sent > 0 {
             // The design: a further try goes with the probability of the instance that it would go to.
             let t1 = first_retry_delay(ask.target);
             let chance = match &chosen {
@@ -398,7 +398,7 @@
         let Some(function) = &mut service.function else { return };
         let end = now + wait + function.demand.usual() as Nanos;
         let hopeless = now + wait >= ask.deadline;
-        let late = !ask.returned && ask.sent == 0 && end > ask.aim && !unheard;
+        let late = !ask.returned && ask.attempts_sent == 0 && end > ask.soft_deadline && !unheard;
         let queued = function.queue.len();
         if queued >= LONGEST_QUEUE || hopeless || late {
             let why = || match () {
@@ -408,7 +408,7 @@
                 () if late => RequestDecision::WouldMissTarget {
                     wait,
                     takes: end - now - wait,
-                    left: ask.aim.saturating_sub(now),
+                    left: ask.soft_deadline.saturating_sub(now),
                 },
                 () => RequestDecision::QueueFull { queued },
             };
@@ -614,9 +614,9 @@
             waiting.unheard = None;
             let ask = &waiting.ask;
             let hopeless = now + wait >= ask.deadline;
-            if hopeless || !ask.returned && ask.sent == 0 && now + wait + usual > ask.aim {
+            if hopeless || !ask.returned && ask.attempts_sent == 0 && now + wait + usual > ask.soft_deadline {
                 let (from, id) = (waiting.from.clone(), ask.id);
-                let (left, aim) = (ask.deadline.saturating_sub(now), ask.aim.saturating_sub(now));
+                let (left, aim) = (ask.deadline.saturating_sub(now), ask.soft_deadline.saturating_sub(now));
                 function.queue.remove(&place);
                 self.queued.remove(&(from.clone(), id));
                 let late = RequestDecision::WouldMissTarget { wait, takes: usual, left: aim };
--- a/scheduler/src/function/needs.rs
+++ b/scheduler/src/function/needs.rs
@@ -17,7 +17,7 @@
         let floor = service.floor(now);
         let Some(function) = &mut service.function else { return };
         // A queue that moves within a part of its aim needs nothing new.
-        let patience = (function.target / 4).min(function.spec.boot / 2);
+        let patience = (function.target / 4).min(function.spec.startup_time / 2);
         let queued = if live == 0 || wait > patience { function.queue.len() } else { 0 };
         let need = function.demand.needed(now, &function.spec, queued).max(floor);
         let strain = function.demand.rate(now) / self.terms.requests_per_s.max(1.0);
--- a/scheduler/src/lib.rs
+++ b/scheduler/src/lib.rs
@@ -31,8 +31,8 @@
 pub use owners::{Owners, OwnershipChange, Peer};
 pub use reason::{Reason, RequestDecision};
 pub use recording::RecordedCoordinator;
-pub use request_flow::{ClientTimeouts, Refusal, RequestFlow, RequestInfo, Step};
-pub use retry_schedule::{Next, Outcome, RetrySchedule, first_retry_delay};
+pub use request_flow::{ClientTimeouts, FlowStep, Refusal, RequestFlow, RequestInfo};
+pub use retry_schedule::{Outcome, RetryDecision, RetrySchedule, first_retry_delay};
 pub use shutdown::ShutdownPhase;
 pub use trace::TraceEvent;
 
@@ -57,13 +57,13 @@
 
 /// What the configuration says of a function.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spec {
+pub struct FunctionSpec {
     /// The service's name.
     pub name: compact_str::CompactString,
     /// Requests that one instance may hold at once, at least 1.
     pub concurrency: u32,
     /// The average time of a start.
-    pub boot: Nanos,
+    pub startup_time: Nanos,
     /// What one instance takes, in MB.
     pub memory_mb: u64,
 }
@@ -78,11 +78,11 @@
     /// Until when its client waits.
     pub deadline: Nanos,
     /// Until when an answer earns all it is worth, by the client's first try.
-    pub aim: Nanos,
+    pub soft_deadline: Nanos,
     /// The whole time inside which an answer earns its full worth.
     pub target: Nanos,
     /// Tries of it that were sent already.
-    pub sent: u32,
+    pub attempts_sent: u32,
     /// It has been here before, or was made by a request that is running: turning it away costs more than its own worth.
     pub returned: bool,
     /// Instances that have failed it.
--- a/scheduler/src/recording.rs
+++ b/scheduler/src/recording.rs
@@ -10,7 +10,9 @@
 use millpost_protocol::{Fault, PeerMessage, string, whole};
 use tinyjson::JsonValue;
 
-use crate::{Action, Coordinator, Nanos, Outcome, Peer, PermitRequest, SchedulerLimits, Spec, TraceEvent};
+use crate::{
+    Action, Coordinator, FunctionSpec, Nanos, Outcome, Peer, PermitRequest, SchedulerLimits, TraceEvent,
+};
 
 /// What the first line of a desk says that it is of.
 pub const COORDINATOR_LOG: &str = "desk";
@@ -62,11 +64,11 @@
     }
 
     /// As [`Coordinator::configure`].
-    pub fn configure(&mut self, now: Nanos, specs: impl Iterator<Item = Spec>) {
+    pub fn configure(&mut self, now: Nanos, specs: impl Iterator<Item = FunctionSpec>) {
         if self.tape.is_none() {
             return self.desk.configure(now, specs);
         }
-        let specs: Vec<Spec> = specs.collect();
+        let specs: Vec<FunctionSpec> = specs.collect();
         self.tell("configure", now, |line| write_specs(line, &specs));
         self.desk.configure(now, specs.into_iter());
     }
@@ -191,7 +193,7 @@
         first: u64,
     },
     /// [`Coordinator::configure`].
-    Configure(Vec<Spec>),
+    Configure(Vec<FunctionSpec>),
     /// [`Coordinator::request_permit`].
     RequestPermit {
         /// What is asked.
@@ -226,9 +228,9 @@
         /// Who sent it.
         from: CompactString,
         /// In which life.
-        life: u64,
+        incarnation: u64,
         /// What it says.
-        notes: Vec<PeerMessage>,
+        messages: Vec<PeerMessage>,
     },
     /// [`Coordinator::receive_from_controller`].
     ControllerMessage(PeerMessage),
@@ -237,7 +239,7 @@
         /// The address that it went to.
         address: CompactString,
         /// What it said.
-        notes: Vec<PeerMessage>,
+        messages: Vec<PeerMessage>,
     },
     /// [`Coordinator::controller_unreachable`].
     ControllerUnreachable,
@@ -260,7 +262,9 @@
 
 fn write_new(line: &mut Line, me: &Peer, terms: &SchedulerLimits, seed: u64, first: u64) {
     line.text("of", COORDINATOR_LOG).text("me", &me.name).text("a", &me.address).text("z", &me.zone);
-    line.number("ratio", terms.ratio).time("window", terms.window).number("slack", terms.slack);
+    line.number("ratio", terms.retry_ratio)
+        .time("window", terms.retry_window)
+        .number("slack", terms.retry_slack);
     if terms.requests_per_s.is_finite() {
         line.number("asks", terms.requests_per_s);
     }
@@ -270,20 +274,20 @@
     line.whole("seed", seed).whole("first", first);
 }
 
-fn write_specs(line: &mut Line, specs: &[Spec]) {
+fn write_specs(line: &mut Line, specs: &[FunctionSpec]) {
     line.list("specs", specs, |out, spec| {
         line::part(out, |line| {
             line.text("s", &spec.name).whole("c", spec.concurrency.into());
-            line.time("boot", spec.boot).whole("mb", spec.memory_mb);
+            line.time("boot", spec.startup_time).whole("mb", spec.memory_mb);
         });
     });
 }
 
 fn write_ask(line: &mut Line, ask: &PermitRequest, first: bool, of: Option<u64>) {
-    line.text("s", &ask.service).time("deadline", ask.deadline).time("aim", ask.aim);
+    line.text("s", &ask.service).time("deadline", ask.deadline).time("aim", ask.soft_deadline);
     line.time("target", ask.target);
-    if ask.sent > 0 {
-        line.whole("sent", ask.sent.into());
+    if ask.attempts_sent > 0 {
+        line.whole("sent", ask.attempts_sent.into());
     }
     line.mark("first", first).mark("back", ask.returned).names("avoid", &ask.avoid).text("z", &ask.zone);
     if let Some(of) = of {
@@ -297,11 +301,11 @@
     u32::try_from(whole(from, key)?).map_err(|_| Fault { key: key.to_owned(), reason: "too large" })
 }
 
-fn read_spec(from: &Parts) -> Result<Spec, Fault> {
-    Ok(Spec {
+fn read_spec(from: &Parts) -> Result<FunctionSpec, Fault> {
+    Ok(FunctionSpec {
         name: string(from, "s")?,
         concurrency: small(from, "c")?,
-        boot: whole(from, "boot")?,
+        startup_time: whole(from, "boot")?,
         memory_mb: line::large(from, "mb")?,
     })
 }
@@ -313,9 +317,9 @@
     Ok(Input::New {
         me: Peer { name: string(from, "me")?, address: string(from, "a")?, zone: string(from, "z")? },
         terms: SchedulerLimits {
-            ratio: millpost_protocol::number(from, "ratio")?,
-            window: whole(from, "window")?,
-            slack: millpost_protocol::number(from, "slack")?,
+            retry_ratio: millpost_protocol::number(from, "ratio")?,
+            retry_window: whole(from, "window")?,
+            retry_slack: millpost_protocol::number(from, "slack")?,
             // Recordings from before it was a bound have none.
             requests_per_s: if from.contains_key("asks") {
                 millpost_protocol::number(from, "asks")?
@@ -334,9 +338,9 @@
         id: 0,
         service: string(from, "s")?,
         deadline: whole(from, "deadline")?,
-        aim: whole(from, "aim")?,
+        soft_deadline: whole(from, "aim")?,
         target: whole(from, "target")?,
-        sent: if from.contains_key("sent") { small(from, "sent")? } else { 0 },
+        attempts_sent: if from.contains_key("sent") { small(from, "sent")? } else { 0 },
         returned: line::flag(from, "back")?,
         avoid: line::names(from, "avoid")?,
         zone: string(from, "z")?,
@@ -367,13 +371,13 @@
             Input::InstanceUp(id) | Input::ConnectionRefused(id) => {
                 line.text("i", id);
             }
-            Input::PeerMessages { from, life, notes } => {
-                line.text("from", from).whole("life", *life).notes("notes", notes);
+            Input::PeerMessages { from, incarnation, messages } => {
+                line.text("from", from).whole("life", *incarnation).notes("notes", messages);
             }
             Input::ControllerMessage(note) => {
                 line.note("note", note);
             }
-            Input::Undelivered { address, notes } => {
+            Input::Undelivered { address, messages: notes } => {
                 line.text("to", address).notes("notes", notes);
             }
             Input::ControllerUnreachable | Input::Tick => {}
@@ -405,12 +409,12 @@
             "refused" => Input::ConnectionRefused(string(from, "i")?),
             "mail" => Input::PeerMessages {
                 from: string(from, "from")?,
-                life: line::large(from, "life")?,
-                notes: line::notes_of(from, "notes")?,
+                incarnation: line::large(from, "life")?,
+                messages: line::notes_of(from, "notes")?,
             },
             "told" => Input::ControllerMessage(line::note_of(from, "note")?),
             "returned" => {
-                Input::Undelivered { address: string(from, "to")?, notes: line::notes_of(from, "notes")? }
+                Input::Undelivered { address: string(from, "to")?, messages: line::notes_of(from, "notes")? }
             }
             "mute" => Input::ControllerUnreachable,
             "tick" => Input::Tick,
@@ -451,9 +455,11 @@
             Input::Finish { id, outcome, took } => desk.finish(now, id, outcome, took),
             Input::InstanceUp(id) => desk.instance_up(now, &id),
             Input::ConnectionRefused(id) => desk.connection_refused(now, &id),
-            Input::PeerMessages { from, life, notes } => desk.receive(now, &from, life, notes),
+            Input::PeerMessages { from, incarnation, messages } => {
+                desk.receive(now, &from, incarnation, messages)
+            }
             Input::ControllerMessage(note) => desk.receive_from_controller(now, note),
-            Input::Undelivered { address, notes } => desk.undelivered(now, &address, notes),
+            Input::Undelivered { address, messages } => desk.undelivered(now, &address, messages),
             Input::ControllerUnreachable => desk.controller_unreachable(now),
             Input::Tick => desk.tick(now),
             Input::TraceEvent(_) => {}
@@ -476,21 +482,21 @@
             id: 0,
             service: "f".into(),
             deadline: 900 * MS + 1,
-            aim: 200 * MS,
+            soft_deadline: 200 * MS,
             target: 200 * MS,
-            sent: 2,
+            attempts_sent: 2,
             returned: true,
             avoid: vec!["i-2".into()],
             zone: "a".into(),
         };
-        let spec = Spec { name: "f".into(), concurrency: 2, boot: 300 * MS, memory_mb: 128 };
+        let spec = FunctionSpec { name: "f".into(), concurrency: 2, startup_time: 300 * MS, memory_mb: 128 };
         let wish = RequestInfo {
             service: "f".into(),
             zone: "".into(),
             target: 200 * MS,
             repeatable: true,
-            most: 2,
-            came: 5,
+            max_attempts: 2,
+            received_at: 5,
             deadline: 1_500 * MS,
             returned: true,
         };
@@ -507,9 +513,9 @@
             Input::New {
                 me,
                 terms: SchedulerLimits {
-                    ratio: 0.2,
-                    window: 10_000 * MS,
-                    slack: 52.0,
+                    retry_ratio: 0.2,
+                    retry_window: 10_000 * MS,
+                    retry_slack: 52.0,
                     requests_per_s: 300.0,
                     rank_by_latency: true,
                 },
@@ -523,14 +529,18 @@
             Input::Finish { id: 9, outcome: Outcome::NoAnswer, took: 12_345_678 },
             Input::InstanceUp("i-1".into()),
             Input::ConnectionRefused("i-1".into()),
-            Input::PeerMessages { from: "edge-2".into(), life: 3, notes: vec![PeerMessage::Drop { id: 4 }] },
+            Input::PeerMessages {
+                from: "edge-2".into(),
+                incarnation: 3,
+                messages: vec![PeerMessage::Drop { id: 4 }],
+            },
             Input::ControllerMessage(PeerMessage::Instances {
                 version: (1, 2),
                 all: true,
                 set: vec![],
                 gone: vec![],
             }),
-            Input::Undelivered { address: "10.0.0.2:1".into(), notes: vec![PeerMessage::Drop { id: 5 }] },
+            Input::Undelivered { address: "10.0.0.2:1".into(), messages: vec![PeerMessage::Drop { id: 5 }] },
             Input::ControllerUnreachable,
             Input::Tick,
             Input::TraceEvent(TraceEvent::Received {
@@ -596,9 +606,11 @@
                 Input::Finish { id, outcome, took } => desk.finish(now, id, outcome, took),
                 Input::InstanceUp(id) => desk.instance_up(now, &id),
                 Input::ConnectionRefused(id) => desk.connection_refused(now, &id),
-                Input::PeerMessages { from, life, notes } => desk.receive(now, &from, life, notes),
+                Input::PeerMessages { from, incarnation, messages } => {
+                    desk.receive(now, &from, incarnation, messages)
+                }
                 Input::ControllerMessage(note) => desk.receive_from_controller(now, note),
-                Input::Undelivered { address, notes } => desk.undelivered(now, &address, notes),
+                Input::Undelivered { address, messages } => desk.undelivered(now, &address, messages),
                 Input::ControllerUnreachable => desk.controller_unreachable(now),
                 Input::Tick => desk.tick(now),
                 Input::TraceEvent(trail) => desk.trace(now, &trail),
--- a/scheduler/src/request_flow.rs
+++ b/scheduler/src/request_flow.rs
@@ -8,7 +8,7 @@
 use compact_str::CompactString;
 
 use crate::effect::DenialReason;
-use crate::retry_schedule::{Next, Outcome, RetrySchedule};
+use crate::retry_schedule::{Outcome, RetryDecision, RetrySchedule};
 use crate::{MS, Nanos, PermitRequest, SECOND};
 
 /// One that gives less of its time than others on its route has been here before, or was made by a running request.
@@ -32,9 +32,9 @@
     /// It may run more than once.
     pub repeatable: bool,
     /// Endpoints that it may be sent to.
-    pub most: u32,
+    pub max_attempts: u32,
     /// When it came.
-    pub came: Nanos,
+    pub received_at: Nanos,
     /// Until when its client waits.
     pub deadline: Nanos,
     /// It has been here before, or was made by a running request.
@@ -71,7 +71,7 @@
 
 /// What is next.
 #[derive(Debug, PartialEq)]
-pub enum Step<A> {
+pub enum FlowStep<A> {
     /// A permit is to be asked for, for the first time or again. [`RequestFlow::too_many_open`], [`RequestFlow::denied`], [`RequestFlow::deadline_passed`], or
     /// [`RequestFlow::granted`] and [`RequestFlow::attempt_ended`] follow.
     RequestPermit(PermitRequest, bool),
@@ -99,63 +99,63 @@
 impl<A> RequestFlow<A> {
     /// Of a request that was read.
     pub fn new(wish: RequestInfo) -> Self {
-        let tries = RetrySchedule::new(wish.target, wish.repeatable, wish.most, wish.deadline);
+        let tries = RetrySchedule::new(wish.target, wish.repeatable, wish.max_attempts, wish.deadline);
         let (first, moved, may_have_run) = (true, false, false);
         RequestFlow { wish, tries, first, moved, may_have_run, failed: None, avoid: Vec::new() }
     }
 
     /// Its first step. `informed`: control has named the stalls.
-    pub fn begin(&mut self, informed: bool) -> Step<A> {
+    pub fn begin(&mut self, informed: bool) -> FlowStep<A> {
         // One that has been here before has few tries left: it waits until there is somebody to ask.
         if !self.wish.returned && !informed {
-            return Step::Respond(Err(Refusal::NotReady));
+            return FlowStep::Respond(Err(Refusal::NotReady));
         }
         self.request_permit()
     }
 
     /// A permit is asked for.
-    pub fn request_permit(&mut self) -> Step<A> {
+    pub fn request_permit(&mut self) -> FlowStep<A> {
         let wish = &self.wish;
         let ask = PermitRequest {
             id: 0,
             service: wish.service.clone(),
             deadline: wish.deadline,
-            aim: wish.came + wish.target,
+            soft_deadline: wish.received_at + wish.target,
             target: wish.target,
-            sent: self.tries.sent,
+            attempts_sent: self.tries.sent,
             returned: wish.returned,
             avoid: self.avoid.clone(),
             zone: wish.zone.clone(),
         };
-        Step::RequestPermit(ask, std::mem::take(&mut self.first))
+        FlowStep::RequestPermit(ask, std::mem::take(&mut self.first))
     }
 
     /// Too many asks are open.
-    pub fn too_many_open(&mut self) -> Step<A> {
-        Step::Respond(Err(if self.may_have_run { Refusal::NoAnswer } else { Refusal::Full(SOON) }))
+    pub fn too_many_open(&mut self) -> FlowStep<A> {
+        FlowStep::Respond(Err(if self.may_have_run { Refusal::NoAnswer } else { Refusal::Full(SOON) }))
     }
 
     /// The process ends: nothing more is sent anywhere, and its client is told at once.
-    pub fn shutdown(&mut self) -> Step<A> {
+    pub fn shutdown(&mut self) -> FlowStep<A> {
         self.over(false)
     }
 
     /// Its time ended before word came.
-    pub fn deadline_passed(&mut self) -> Step<A> {
+    pub fn deadline_passed(&mut self) -> FlowStep<A> {
         self.over(true)
     }
 
     /// The ask was turned down.
-    pub fn denied(&mut self, now: Nanos, no: DenialReason) -> Step<A> {
+    pub fn denied(&mut self, now: Nanos, no: DenialReason) -> FlowStep<A> {
         match no {
             DenialReason::Skip => {
                 let next = self.tries.skipped(now);
                 self.follow(now, next)
             }
-            DenialReason::Full(wait) if !self.may_have_run => Step::Respond(Err(Refusal::Full(wait))),
-            DenialReason::Moved if !self.may_have_run => Step::ResolveRoute,
+            DenialReason::Full(wait) if !self.may_have_run => FlowStep::Respond(Err(Refusal::Full(wait))),
+            DenialReason::Moved if !self.may_have_run => FlowStep::ResolveRoute,
             DenialReason::Unknown if self.moved && !self.may_have_run => self.look_again(now),
-            DenialReason::Unknown if !self.may_have_run => Step::Respond(Err(Refusal::NotReady)),
+            DenialReason::Unknown if !self.may_have_run => FlowStep::Respond(Err(Refusal::NotReady)),
             _ => self.over(false),
         }
     }
@@ -168,9 +168,9 @@
     }
 
     /// Its route leads there now. It keeps the time that it came and its deadline, and counts as one that was here before: it has waited.
-    pub fn route_resolved(&mut self, now: Nanos, to: Option<CompactString>) -> Step<A> {
+    pub fn route_resolved(&mut self, now: Nanos, to: Option<CompactString>) -> FlowStep<A> {
         match to {
-            None => Step::Respond(Err(Refusal::NotReady)),
+            None => FlowStep::Respond(Err(Refusal::NotReady)),
             // Its owner has heard of the change, and this stall has not.
             Some(to) if to == self.wish.service => self.look_again(now),
             Some(to) => {
@@ -182,8 +182,8 @@
         }
     }
 
-    fn look_again(&mut self, now: Nanos) -> Step<A> {
-        if now + LOOK < self.wish.deadline { Step::Wait(now + LOOK) } else { self.over(true) }
+    fn look_again(&mut self, now: Nanos) -> FlowStep<A> {
+        if now + LOOK < self.wish.deadline { FlowStep::Wait(now + LOOK) } else { self.over(true) }
     }
 
     /// A permit came, and it goes out now.
@@ -199,12 +199,12 @@
         outcome: Outcome,
         sent: bool,
         answer: Option<A>,
-    ) -> Step<A> {
+    ) -> FlowStep<A> {
         if !sent {
             self.tries.unsent();
         }
         match answer {
-            Some(answer) if outcome == Outcome::Answered => return Step::Respond(Ok(answer)),
+            Some(answer) if outcome == Outcome::Answered => return FlowStep::Respond(Ok(answer)),
             answer if outcome == Outcome::Failed => self.failed = answer,
             _ => {}
         }
@@ -221,16 +221,16 @@
         &self.wish
     }
 
-    fn follow(&mut self, now: Nanos, next: Next) -> Step<A> {
+    fn follow(&mut self, now: Nanos, next: RetryDecision) -> FlowStep<A> {
         match next {
-            Next::RetryAt(at) => Step::Wait(at),
-            Next::GiveUp => self.over(now >= self.wish.deadline),
+            RetryDecision::RetryAt(at) => FlowStep::Wait(at),
+            RetryDecision::GiveUp => self.over(now >= self.wish.deadline),
         }
     }
 
     /// Nothing more can be done.
-    fn over(&mut self, late: bool) -> Step<A> {
-        Step::Respond(match (self.failed.take(), self.may_have_run) {
+    fn over(&mut self, late: bool) -> FlowStep<A> {
+        FlowStep::Respond(match (self.failed.take(), self.may_have_run) {
             (Some(answer), _) => Ok(answer),
             (None, true) if late => Err(Refusal::TimedOut),
             (None, true) => Err(Refusal::NoAnswer),
@@ -265,10 +265,19 @@
         let (came, deadline) = (10 * MS, 1_500 * MS);
         let (service, zone) = ("s".into(), "z".into());
         let (target, most, returned) = (200 * MS, 2, false);
-        RequestFlow::new(RequestInfo { service, zone, target, repeatable, most, came, deadline, returned })
+        RequestFlow::new(RequestInfo {
+            service,
+            zone,
+            target,
+            repeatable,
+            max_attempts: most,
+            received_at: came,
+            deadline,
+            returned,
+        })
     }
 
-    fn sent(passage: &mut RequestFlow<u16>, outcome: Outcome, answer: Option<u16>) -> Step<u16> {
+    fn sent(passage: &mut RequestFlow<u16>, outcome: Outcome, answer: Option<u16>) -> FlowStep<u16> {
         passage.granted(20 * MS);
         passage.attempt_ended(30 * MS, "i".into(), outcome, !matches!(outcome, Outcome::Unreachable), answer)
     }
@@ -294,28 +303,28 @@
         told: Result<u16, Refusal>,
     ) {
         let mut passage = passage(repeatable);
-        assert!(matches!(passage.begin(true), Step::RequestPermit(_, true)));
+        assert!(matches!(passage.begin(true), FlowStep::RequestPermit(_, true)));
         let step = match sent(&mut passage, outcome, answer) {
-            Step::Wait(_) => {
-                let Step::RequestPermit(ask, first) = passage.request_permit() else { panic!("it asks") };
+            FlowStep::Wait(_) => {
+                let FlowStep::RequestPermit(ask, first) = passage.request_permit() else { panic!("it asks") };
                 assert_eq!((first, ask.avoid), (false, vec!["i".into()]));
                 passage.denied(100 * MS, no)
             }
             step => step,
         };
-        assert_eq!(step, Step::Respond(told));
+        assert_eq!(step, FlowStep::Respond(told));
     }
 
     #[test]
     fn one_whose_time_ends_while_it_runs_is_late_and_one_that_waits_was_never_sent() {
         let mut waits = passage(true);
         waits.begin(true);
-        assert_eq!(waits.deadline_passed(), Step::Respond(Err(Refusal::NotSent)));
+        assert_eq!(waits.deadline_passed(), FlowStep::Respond(Err(Refusal::NotSent)));
         let mut runs = passage(true);
         runs.begin(true);
         runs.granted(20 * MS);
         let step = runs.attempt_ended(1_500 * MS, "i".into(), Outcome::Abandoned, true, None);
-        assert_eq!(step, Step::Respond(Err(Refusal::TimedOut)));
+        assert_eq!(step, FlowStep::Respond(Err(Refusal::TimedOut)));
     }
 
     /// What waits when the process ends has not run, or may have, and its client is told which.
@@ -323,23 +332,23 @@
     fn when_the_process_ends_each_is_told_what_became_of_it() {
         let mut waits = passage(true);
         waits.begin(true);
-        assert_eq!(waits.shutdown(), Step::Respond(Err(Refusal::NotSent)));
+        assert_eq!(waits.shutdown(), FlowStep::Respond(Err(Refusal::NotSent)));
         let mut again = passage(true);
         again.begin(true);
         sent(&mut again, Outcome::NoAnswer, None);
-        assert_eq!(again.shutdown(), Step::Respond(Err(Refusal::NoAnswer)));
+        assert_eq!(again.shutdown(), FlowStep::Respond(Err(Refusal::NoAnswer)));
         let mut failed = passage(true);
         failed.begin(true);
         sent(&mut failed, Outcome::Failed, Some(500));
-        assert_eq!(failed.shutdown(), Step::Respond(Ok(500)));
+        assert_eq!(failed.shutdown(), FlowStep::Respond(Ok(500)));
     }
 
     #[test]
     fn with_nobody_to_ask_only_what_came_back_waits() {
-        assert_eq!(passage(true).begin(false), Step::Respond(Err(Refusal::NotReady)));
+        assert_eq!(passage(true).begin(false), FlowStep::Respond(Err(Refusal::NotReady)));
         let mut back = passage(true);
         back.wish.returned = true;
-        assert!(matches!(back.begin(false), Step::RequestPermit(_, true)));
+        assert!(matches!(back.begin(false), FlowStep::RequestPermit(_, true)));
         let mut patience = ClientTimeouts::default();
         let given = [1_000.0, 980.0, 960.0].map(|given| patience.is_returning(&"r".into(), given));
         assert_eq!(given, [false, false, true]);
--- a/scheduler/src/retry_schedule.rs
+++ b/scheduler/src/retry_schedule.rs
@@ -63,7 +63,7 @@
 
 /// What comes after an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum RetryDecision {
     /// Ask for another permit then.
     RetryAt(Nanos),
     /// The client is answered at once.
@@ -120,31 +120,31 @@
     }
 
     /// The first doubled time that is not before `now`, if it leaves any time.
-    fn next(&mut self, now: Nanos) -> Next {
+    fn next(&mut self, now: Nanos) -> RetryDecision {
         let first = *self.first.get_or_insert(now);
         while doubled_time(first, self.t1, self.step) < now && self.step < 40 {
             self.step += 1;
         }
         let due = doubled_time(first, self.t1, self.step);
-        if due >= self.deadline { Next::GiveUp } else { Next::RetryAt(due) }
+        if due >= self.deadline { RetryDecision::GiveUp } else { RetryDecision::RetryAt(due) }
     }
 
     /// A try has ended so. A try that never left its machine is no retry: the next one goes at once.
-    pub fn ended(&mut self, now: Nanos, outcome: Outcome) -> Next {
+    pub fn ended(&mut self, now: Nanos, outcome: Outcome) -> RetryDecision {
         let may = match outcome {
             Outcome::Answered | Outcome::Abandoned => false,
-            Outcome::Unused => return Next::RetryAt(now),
+            Outcome::Unused => return RetryDecision::RetryAt(now),
             o if o.proves_not_run() => true,
             _ => self.repeatable,
         };
         if !may || self.sent >= self.most && outcome != Outcome::Unreachable {
-            return Next::GiveUp;
+            return RetryDecision::GiveUp;
         }
         self.next(now)
     }
 
     /// The retry was thinned out: it waits for the next doubled time.
-    pub fn skipped(&mut self, now: Nanos) -> Next {
+    pub fn skipped(&mut self, now: Nanos) -> RetryDecision {
         self.step += 1;
         self.next(now)
     }
@@ -165,12 +165,12 @@
     #[test]
     fn retries_follow_the_doubled_times_and_skipped_ones_wait_for_the_next() {
         let mut t = tries(true);
-        assert_eq!(t.ended(12 * MS, Outcome::NoAnswer), Next::RetryAt(10 * MS + T1));
-        assert_eq!(t.skipped(60 * MS), Next::RetryAt(10 * MS + 3 * T1));
-        assert_eq!(t.skipped(160 * MS), Next::RetryAt(10 * MS + 7 * T1));
+        assert_eq!(t.ended(12 * MS, Outcome::NoAnswer), RetryDecision::RetryAt(10 * MS + T1));
+        assert_eq!(t.skipped(60 * MS), RetryDecision::RetryAt(10 * MS + 3 * T1));
+        assert_eq!(t.skipped(160 * MS), RetryDecision::RetryAt(10 * MS + 7 * T1));
         // Later than its time: the next doubled one after the outcome.
         let mut late = tries(true);
-        assert_eq!(late.ended(300 * MS, Outcome::NoAnswer), Next::RetryAt(10 * MS + 7 * T1));
+        assert_eq!(late.ended(300 * MS, Outcome::NoAnswer), RetryDecision::RetryAt(10 * MS + 7 * T1));
     }
 
     #[yare::parameterized(
@@ -185,7 +185,11 @@
     )]
     fn what_may_go_again(outcome: Outcome, repeatable: bool, once: bool) {
         for (safe, may) in [(true, repeatable), (false, once)] {
-            assert_eq!(tries(safe).ended(20 * MS, outcome) != Next::GiveUp, may, "{outcome:?} {safe}");
+            assert_eq!(
+                tries(safe).ended(20 * MS, outcome) != RetryDecision::GiveUp,
+                may,
+                "{outcome:?} {safe}"
+            );
         }
         assert_eq!(Outcome::parse(outcome.as_str()), Some(outcome));
     }
@@ -194,7 +198,7 @@
     fn no_more_endpoints_than_the_route_allows_and_none_past_the_deadline() {
         let mut t = tries(true);
         t.sending(60 * MS);
-        assert_eq!(t.ended(70 * MS, Outcome::NoAnswer), Next::GiveUp);
-        assert_eq!(tries(true).ended(1_490 * MS, Outcome::NoAnswer), Next::GiveUp);
+        assert_eq!(t.ended(70 * MS, Outcome::NoAnswer), RetryDecision::GiveUp);
+        assert_eq!(tries(true).ended(1_490 * MS, Outcome::NoAnswer), RetryDecision::GiveUp);
     }
 }
--- a/scheduler/src/service.rs
+++ b/scheduler/src/service.rs
@@ -11,7 +11,7 @@
 use crate::demand::Demand;
 use crate::function::{Floor, SETTLES};
 use crate::instance::{Place, Stage};
-use crate::{MS, Nanos, PermitRequest, SECOND, Spec};
+use crate::{FunctionSpec, MS, Nanos, PermitRequest, SECOND};
 
 /// An owner of before that lives, and has not said what it has out by the time that it was given, is counted with for so long.
 const UNSURE: Nanos = 4_500 * MS;
@@ -28,7 +28,7 @@
 /// What is kept of a function that the configuration names.
 #[derive(Debug)]
 pub(crate) struct Function {
-    pub spec: Spec,
+    pub spec: FunctionSpec,
     /// By deadline: what was made by a running request comes before the younger ones that it waits among.
     pub queue: BTreeMap<(Nanos, u64), Waiting>,
     pub budget: Budget,
@@ -45,7 +45,7 @@
 }
 
 impl Function {
-    pub fn new(spec: Spec, budget: Budget, demand: Demand) -> Self {
+    pub fn new(spec: FunctionSpec, budget: Budget, demand: Demand) -> Self {
         Function {
             spec,
             queue: BTreeMap::new(),
@@ -322,9 +322,9 @@
         let ahead = function.queue.len() as f64 + 1.0;
         let by_slots = if slots > 0.0 { ahead / slots * hold } else { f64::INFINITY };
         let boots = if self.stock.coming > 0 {
-            (self.stock.since + function.spec.boot).max(now + function.spec.boot / 10) - now
+            (self.stock.since + function.spec.startup_time).max(now + function.spec.startup_time / 10) - now
         } else {
-            function.spec.boot + 30 * MS
+            function.spec.startup_time + 30 * MS
         };
         if by_slots <= boots as f64 {
             return by_slots as Nanos;
--- a/scheduler/src/trace.rs
+++ b/scheduler/src/trace.rs
@@ -84,7 +84,7 @@
 }
 
 /// A client's id of a try, as lines hold it.
-pub fn attempt(id: &[u8]) -> CompactString {
+pub fn attempt_id(id: &[u8]) -> CompactString {
     String::from_utf8_lossy(&id[..id.len().min(LONGEST_ID)]).into()
 }
 
@@ -126,8 +126,10 @@
         match self {
             TraceEvent::Received { attempt, route, info: wish, .. } => {
                 line.text("id", attempt).text("r", route).text("s", &wish.service);
-                line.time("came", wish.came).time("deadline", wish.deadline).time("target", wish.target);
-                line.whole("most", wish.most.into())
+                line.time("came", wish.received_at)
+                    .time("deadline", wish.deadline)
+                    .time("target", wish.target);
+                line.whole("most", wish.max_attempts.into())
                     .mark("again", wish.repeatable)
                     .mark("back", wish.returned);
             }
@@ -178,9 +180,9 @@
                     zone: CompactString::default(),
                     target: whole(from, "target")?,
                     repeatable: line::flag(from, "again")?,
-                    most: u32::try_from(whole(from, "most")?)
+                    max_attempts: u32::try_from(whole(from, "most")?)
                         .map_err(|_| Fault { key: "most".to_owned(), reason: "too large" })?,
-                    came: whole(from, "came")?,
+                    received_at: whole(from, "came")?,
                     deadline: whole(from, "deadline")?,
                     returned: line::flag(from, "back")?,
                 },
--- a/scheduler/tests/floor.rs
+++ b/scheduler/tests/floor.rs
@@ -2,8 +2,8 @@
 
 use millpost_protocol::FunctionStatus;
 use millpost_scheduler::{
-    Effect, Instance, MS, Nanos, Outcome, Owners, OwnershipChange, Peer, PermitRequest, SECOND, Scheduler,
-    SchedulerLimits, Spec, Stage, Transfer,
+    Effect, FunctionSpec, Instance, MS, Nanos, Outcome, Owners, OwnershipChange, Peer, PermitRequest, SECOND,
+    Scheduler, SchedulerLimits, Stage, Transfer,
 };
 
 fn peer(name: &str) -> Peer {
@@ -17,14 +17,14 @@
 
 fn broker(owner: &str) -> Scheduler {
     let terms = SchedulerLimits {
-        ratio: 0.2,
-        window: 10 * SECOND,
-        slack: 50.0,
+        retry_ratio: 0.2,
+        retry_window: 10 * SECOND,
+        retry_slack: 50.0,
         requests_per_s: 100.0,
         rank_by_latency: false,
     };
     let mut broker = Scheduler::new(terms, 1);
-    let spec = Spec { name: "f".into(), concurrency: 1, boot: 400 * MS, memory_mb: 128 };
+    let spec = FunctionSpec { name: "f".into(), concurrency: 1, startup_time: 400 * MS, memory_mb: 128 };
     broker.configure(0, [spec].into_iter());
     own(&mut broker, 0, owner);
     for id in ["i", "j", "k"] {
@@ -97,9 +97,9 @@
         id,
         service: "f".into(),
         deadline: now + SECOND,
-        aim: now + 400 * MS,
+        soft_deadline: now + 400 * MS,
         target: 400 * MS,
-        sent: 0,
+        attempts_sent: 0,
         returned: false,
         avoid: vec![],
         zone: "z".into(),
--- a/scheduler/tests/hardware.rs
+++ b/scheduler/tests/hardware.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use millpost_scheduler::{
-    Effect, Instance, MS, Nanos, Outcome, Owners, OwnershipChange, Peer, PermitRequest, SECOND, Scheduler,
-    SchedulerLimits, Spec, Stage, Transfer,
+    Effect, FunctionSpec, Instance, MS, Nanos, Outcome, Owners, OwnershipChange, Peer, PermitRequest, SECOND,
+    Scheduler, SchedulerLimits, Stage, Transfer,
 };
 
 const T: Nanos = SECOND;
@@ -13,14 +13,15 @@
 /// An owner of `f`, and three instances of it, each on a worker of its own.
 fn broker() -> Scheduler {
     let terms = SchedulerLimits {
-        ratio: 0.2,
-        window: 10 * SECOND,
-        slack: 50.0,
+        retry_ratio: 0.2,
+        retry_window: 10 * SECOND,
+        retry_slack: 50.0,
         requests_per_s: 100.0,
         rank_by_latency: true,
     };
     let mut broker = Scheduler::new(terms, 1);
-    let spec = Spec { name: "f".into(), concurrency: SLOTS as u32, boot: 400 * MS, memory_mb: 128 };
+    let spec =
+        FunctionSpec { name: "f".into(), concurrency: SLOTS as u32, startup_time: 400 * MS, memory_mb: 128 };
     broker.configure(0, [spec].into_iter());
     let me = Peer { name: "edge".into(), address: "a:1".into(), zone: "z".into() };
     let owners = Owners::new((1, 1), vec![me.clone()], []);
@@ -44,9 +45,9 @@
         id,
         service: "f".into(),
         deadline: now + 2 * SECOND,
-        aim: now + SECOND,
+        soft_deadline: now + SECOND,
         target: SECOND,
-        sent: 0,
+        attempts_sent: 0,
         returned: false,
         avoid: vec![],
         zone: "z".into(),
--- a/scheduler/tests/owner.rs
+++ b/scheduler/tests/owner.rs
@@ -1,20 +1,20 @@
 //! An owner of functions, step by step: each test is what went wrong once on a day, in the small.
 
 use millpost_scheduler::{
-    DenialReason, Effect, Instance, MS, Nanos, Outcome, Owners, OwnershipChange, Peer, PermitRequest, SECOND,
-    Scheduler, SchedulerLimits, Spec, Stage, Transfer,
+    DenialReason, Effect, FunctionSpec, Instance, MS, Nanos, Outcome, Owners, OwnershipChange, Peer,
+    PermitRequest, SECOND, Scheduler, SchedulerLimits, Stage, Transfer,
 };
 
 fn broker(concurrency: u32) -> Scheduler {
     let terms = SchedulerLimits {
-        ratio: 0.2,
-        window: 10 * SECOND,
-        slack: 50.0,
+        retry_ratio: 0.2,
+        retry_window: 10 * SECOND,
+        retry_slack: 50.0,
         requests_per_s: 100.0,
         rank_by_latency: false,
     };
     let mut broker = Scheduler::new(terms, 1);
-    let spec = Spec { name: "f".into(), concurrency, boot: 400 * MS, memory_mb: 128 };
+    let spec = FunctionSpec { name: "f".into(), concurrency, startup_time: 400 * MS, memory_mb: 128 };
     broker.configure(0, [spec].into_iter());
     own(&mut broker, 0, true);
     broker.tick(T);
@@ -53,9 +53,9 @@
         id,
         service: "f".into(),
         deadline,
-        aim: now + 200 * MS,
+        soft_deadline: now + 200 * MS,
         target: 200 * MS,
-        sent: 0,
+        attempts_sent: 0,
         returned,
         avoid: vec![],
         zone: "z".into(),
@@ -256,7 +256,7 @@
     assert_eq!(broker.owned_instances().count(), 1);
     // Fifty are the slack of all, and half of what a window allows is used: twelve of this lot.
     let tries = (10..60).filter(|id| {
-        let again = PermitRequest { sent: 1, ..ask(*id, T, T + 1_500 * MS, true) };
+        let again = PermitRequest { attempts_sent: 1, ..ask(*id, T, T + 1_500 * MS, true) };
         broker.request_permit(T + 500 * MS, "s".into(), again, false);
         !broker.take_effects().iter().any(|e| matches!(e, Effect::Refuse { reason: DenialReason::Spent, .. }))
     });
--- a/scheduler/tests/shutdown.rs
+++ b/scheduler/tests/shutdown.rs
@@ -3,7 +3,7 @@
 mod town;
 
 use millpost_protocol::{Instance, PeerMessage};
-use millpost_scheduler::{Coordinator, MS, Nanos, Outcome, Owners, SECOND, SchedulerLimits, Spec};
+use millpost_scheduler::{Coordinator, FunctionSpec, MS, Nanos, Outcome, Owners, SECOND, SchedulerLimits};
 use town::{ALL, CONCURRENCY, T, Town, instances, owner, peer};
 
 /// The view after these have left: they own nothing any more, and live.
@@ -118,14 +118,15 @@
     let view = || view_without(2, &with(new), &[leaver]);
     let mut town = Town::new(&ALL);
     let terms = SchedulerLimits {
-        ratio: 0.2,
-        window: 10 * SECOND,
-        slack: 50.0,
+        retry_ratio: 0.2,
+        retry_window: 10 * SECOND,
+        retry_slack: 50.0,
         requests_per_s: 100.0,
         rank_by_latency: false,
     };
     let mut started = Coordinator::new(peer(new), terms, new as u64, 1_000_000);
-    let spec = Spec { name: "f".into(), concurrency: CONCURRENCY, boot: 400 * MS, memory_mb: 128 };
+    let spec =
+        FunctionSpec { name: "f".into(), concurrency: CONCURRENCY, startup_time: 400 * MS, memory_mb: 128 };
     started.configure(T, [spec].into_iter());
     started.receive_from_controller(T, view());
     started.receive_from_controller(T, instances(2));
--- a/scheduler/tests/town/mod.rs
+++ b/scheduler/tests/town/mod.rs
@@ -6,7 +6,8 @@
 
 use millpost_protocol::{Instance, PeerMessage};
 use millpost_scheduler::{
-    Action, Coordinator, MS, Nanos, Outcome, Owners, Peer, PermitRequest, SECOND, SchedulerLimits, Spec,
+    Action, Coordinator, FunctionSpec, MS, Nanos, Outcome, Owners, Peer, PermitRequest, SECOND,
+    SchedulerLimits,
 };
 
 pub const T: Nanos = 2 * SECOND;
@@ -61,14 +62,19 @@
         for n in stalls_of {
             let me = peer(*n);
             let terms = SchedulerLimits {
-                ratio: 0.2,
-                window: 10 * SECOND,
-                slack: 50.0,
+                retry_ratio: 0.2,
+                retry_window: 10 * SECOND,
+                retry_slack: 50.0,
                 requests_per_s: 100.0,
                 rank_by_latency: false,
             };
             let mut desk = Coordinator::new(me, terms, *n as u64, 1_000 * *n as u64);
-            let spec = Spec { name: "f".into(), concurrency: CONCURRENCY, boot: 400 * MS, memory_mb: 128 };
+            let spec = FunctionSpec {
+                name: "f".into(),
+                concurrency: CONCURRENCY,
+                startup_time: 400 * MS,
+                memory_mb: 128,
+            };
             desk.configure(0, [spec].into_iter());
             desk.receive_from_controller(0, stalls(1, stalls_of, false));
             desk.receive_from_controller(0, instances(1));
@@ -102,9 +108,9 @@
                 id: 0,
                 service: "f".into(),
                 deadline: now + 4 * SECOND,
-                aim: now + 300 * MS,
+                soft_deadline: now + 300 * MS,
                 target: 300 * MS,
-                sent: 0,
+                attempts_sent: 0,
                 returned: true,
                 avoid: vec![],
                 zone: peer(name[5..].parse().expect("a number")).zone,
--- a/scheduler/tests/waiting.rs
+++ b/scheduler/tests/waiting.rs
@@ -2,8 +2,8 @@
 
 use millpost_protocol::{Instance, PeerMessage};
 use millpost_scheduler::{
-    Action, Coordinator, DenialReason, MS, Nanos, Owners, Peer, Refusal, RequestFlow, RequestInfo, SECOND,
-    SchedulerLimits, Spec, Step,
+    Action, Coordinator, DenialReason, FlowStep, FunctionSpec, MS, Nanos, Owners, Peer, Refusal, RequestFlow,
+    RequestInfo, SECOND, SchedulerLimits,
 };
 
 const T: Nanos = 2 * SECOND;
@@ -18,8 +18,8 @@
     owners.owner(service, "z", |_| true).expect("one").name[5..].parse().expect("a number")
 }
 
-fn spec(name: &str) -> Spec {
-    Spec { name: name.into(), concurrency: 1, boot: 400 * MS, memory_mb: 128 }
+fn spec(name: &str) -> FunctionSpec {
+    FunctionSpec { name: name.into(), concurrency: 1, startup_time: 400 * MS, memory_mb: 128 }
 }
 
 /// Two stalls with `s`, which has one instance, and `t`, which has two.
@@ -34,9 +34,9 @@
     fn new() -> Self {
         let desk = |n: usize| {
             let terms = SchedulerLimits {
-                ratio: 0.2,
-                window: 10 * SECOND,
-                slack: 50.0,
+                retry_ratio: 0.2,
+                retry_window: 10 * SECOND,
+                retry_slack: 50.0,
                 requests_per_s: 1e6,
                 rank_by_latency: false,
             };
@@ -99,8 +99,8 @@
     }
 
     /// Asks as a passage wants it, and what is said to it at once.
-    fn ask(&mut self, now: Nanos, n: usize, step: Step<u16>) -> u64 {
-        let Step::RequestPermit(ask, first) = step else { panic!("{step:?}") };
+    fn ask(&mut self, now: Nanos, n: usize, step: FlowStep<u16>) -> u64 {
+        let FlowStep::RequestPermit(ask, first) = step else { panic!("{step:?}") };
         let id = self.desks[n].request_permit(now, ask, first).expect("room");
         self.carry_out(now);
         id
@@ -121,7 +121,16 @@
     let (service, zone) = ("s".into(), "z".into());
     let (target, repeatable, most, returned) = (400 * MS, false, 1, true);
     let deadline = came + 1_500 * MS;
-    RequestFlow::new(RequestInfo { service, zone, target, repeatable, most, came, deadline, returned })
+    RequestFlow::new(RequestInfo {
+        service,
+        zone,
+        target,
+        repeatable,
+        max_attempts: most,
+        received_at: came,
+        deadline,
+        returned,
+    })
 }
 
 /// Which of the two stalls asks, and whether the owner hears of the change before it does.
@@ -152,14 +161,14 @@
         town.drop_s(now, owns);
     }
     assert_eq!(town.word(asks, before), Some(&Err(DenialReason::Moved)));
-    assert_eq!(waits.denied(now, DenialReason::Moved), Step::ResolveRoute);
+    assert_eq!(waits.denied(now, DenialReason::Moved), FlowStep::ResolveRoute);
     let (mut now, mut step) = (now, waits.route_resolved(now, Some("t".into())));
     if owner_first && !same {
         // By its own configuration, for a moment, the route leads where it led.
         let mut behind = passage(T + 10 * MS);
         behind.begin(true);
         behind.denied(now, DenialReason::Moved);
-        let Step::Wait(again) = behind.route_resolved(now, Some("s".into())) else {
+        let FlowStep::Wait(again) = behind.route_resolved(now, Some("s".into())) else {
             panic!("it looks again")
         };
         let asked_again = behind.request_permit();
@@ -173,9 +182,9 @@
         behind.denied(again, DenialReason::Moved);
         (now, step) = (again, behind.route_resolved(again, Some("t".into())));
     }
-    let Step::RequestPermit(ask, first) = &step else { panic!("{step:?}") };
+    let FlowStep::RequestPermit(ask, first) = &step else { panic!("{step:?}") };
     assert_eq!((ask.service.as_str(), *first, ask.returned), ("t", true, true));
-    assert_eq!((ask.deadline, ask.aim), (T + 1_510 * MS, T + 410 * MS));
+    assert_eq!((ask.deadline, ask.soft_deadline), (T + 1_510 * MS, T + 410 * MS));
     let id = town.ask(now, asks, step);
     assert!(matches!(town.word(asks, id), Some(Ok(instance)) if instance != "i"));
 }
@@ -185,25 +194,25 @@
     use millpost_scheduler::Outcome;
     let mut gone = passage(T);
     gone.begin(true);
-    assert_eq!(gone.denied(T, DenialReason::Moved), Step::ResolveRoute);
-    assert_eq!(gone.route_resolved(T, None), Step::Respond(Err(Refusal::NotReady)));
+    assert_eq!(gone.denied(T, DenialReason::Moved), FlowStep::ResolveRoute);
+    assert_eq!(gone.route_resolved(T, None), FlowStep::Respond(Err(Refusal::NotReady)));
 
-    let wish = RequestInfo { repeatable: true, most: 2, ..passage(T).info().clone() };
+    let wish = RequestInfo { repeatable: true, max_attempts: 2, ..passage(T).info().clone() };
     let mut ran = RequestFlow::<u16>::new(wish);
     ran.begin(true);
     ran.granted(T);
     let step = ran.attempt_ended(T + MS, "i".into(), Outcome::NoAnswer, true, None);
-    assert!(matches!(step, Step::Wait(_)));
+    assert!(matches!(step, FlowStep::Wait(_)));
     ran.request_permit();
-    assert_eq!(ran.denied(T + 100 * MS, DenialReason::Moved), Step::Respond(Err(Refusal::NoAnswer)));
+    assert_eq!(ran.denied(T + 100 * MS, DenialReason::Moved), FlowStep::Respond(Err(Refusal::NoAnswer)));
 
     // Where the new owner has not heard of the function yet, it is asked again until the time is over.
     let mut early = passage(T);
     early.begin(true);
     early.denied(T, DenialReason::Moved);
-    assert!(matches!(early.route_resolved(T, Some("t".into())), Step::RequestPermit(..)));
-    assert_eq!(early.denied(T, DenialReason::Unknown), Step::Wait(T + 50 * MS));
-    assert_eq!(early.denied(T + 1_460 * MS, DenialReason::Unknown), Step::Respond(Err(Refusal::NotSent)));
+    assert!(matches!(early.route_resolved(T, Some("t".into())), FlowStep::RequestPermit(..)));
+    assert_eq!(early.denied(T, DenialReason::Unknown), FlowStep::Wait(T + 50 * MS));
+    assert_eq!(early.denied(T + 1_460 * MS, DenialReason::Unknown), FlowStep::Respond(Err(Refusal::NotSent)));
 }
 
 /// An owner remembers for a while what it has dropped; what comes again with a later configuration is there as before.
--- a/simulator/src/processes/proxy.rs
+++ b/simulator/src/processes/proxy.rs
@@ -9,9 +9,9 @@
 use millpost_net::messaging::Incarnation;
 use millpost_protocol::PeerMessage;
 use millpost_scheduler::{
-    Action as Decided, AttemptTimeouts, ClientTimeouts, DenialReason, Outcome, Peer,
+    Action as Decided, AttemptTimeouts, ClientTimeouts, DenialReason, FlowStep, FunctionSpec, Outcome, Peer,
     RecordedCoordinator as Coordinator, Refusal, RequestFlow, RequestInfo, SchedulerLimits, ShutdownPhase,
-    Spec, Step, TraceEvent,
+    TraceEvent,
 };
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -140,7 +140,7 @@
         let me = Peer { name: place.name.clone(), address: place.address.clone(), zone: place.zone.clone() };
         let seed = place.life ^ xxh3_64(place.name.as_bytes());
         if place.plant == Some(Plant::Unbudgeted) {
-            (terms.ratio, terms.slack) = (1e6, 1e6);
+            (terms.retry_ratio, terms.retry_slack) = (1e6, 1e6);
         }
         let sink = place.records.as_ref().map(|r| r.life(&place.name, "stall", place.life));
         let desk = Coordinator::new(me, terms, seed, (place.life & 0xffff_ffff) << 20, sink);
@@ -430,10 +430,10 @@
         let same = |f: &Force| f.known.config.services == known.config.services;
         let unchanged = self.force.as_ref().is_some_and(same);
         let more = if self.place.plant == Some(Plant::Crowded) { 3 } else { 0 };
-        let specs = known.config.services.iter().map(|s| Spec {
+        let specs = known.config.services.iter().map(|s| FunctionSpec {
             name: s.name.clone(),
             concurrency: s.concurrency.max(1) + more,
-            boot: s.boot_ms * MS,
+            startup_time: s.boot_ms * MS,
             memory_mb: s.memory_mb,
         });
         if !unchanged {
@@ -487,8 +487,8 @@
             zone: self.place.zone.clone(),
             target: route.target_latency_ms * MS,
             repeatable,
-            most,
-            came: now,
+            max_attempts: most,
+            received_at: now,
             deadline,
             returned,
         };
@@ -508,17 +508,17 @@
     }
 
     /// What its passage has decided is done.
-    fn step(&mut self, now: Time, client: u64, step: Step<Answer>) {
+    fn step(&mut self, now: Time, client: u64, step: FlowStep<Answer>) {
         let Some(asked) = self.asked.get_mut(&client) else { return };
         match step {
-            Step::Respond(Ok((status, seal))) => self.answer(client, status, None, Some(seal)),
-            Step::Respond(Err(refusal)) => self.refuse(client, refusal),
-            Step::ResolveRoute => self.find(now, client),
-            Step::Wait(at) => {
+            FlowStep::Respond(Ok((status, seal))) => self.answer(client, status, None, Some(seal)),
+            FlowStep::Respond(Err(refusal)) => self.refuse(client, refusal),
+            FlowStep::ResolveRoute => self.find(now, client),
+            FlowStep::Wait(at) => {
                 asked.waits = Waits::Pause(at.max(now));
                 self.due.insert((at.max(now), client));
             }
-            Step::RequestPermit(ask, first) => {
+            FlowStep::RequestPermit(ask, first) => {
                 match self.desk.request_permit(now, ask, first, asked.number) {
                     Some(id) => {
                         asked.waits = Waits::Word(id);
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -552,9 +552,9 @@
         } else {
             let (bounds, speeds) = (&site.bounds, self.plan.speeds != Speeds::Even);
             let terms = millpost_scheduler::SchedulerLimits {
-                ratio: bounds.ratio,
-                window: bounds.window,
-                slack: bounds.slack,
+                retry_ratio: bounds.ratio,
+                retry_window: bounds.window,
+                retry_slack: bounds.slack,
                 requests_per_s: millpost_scheduler::max_requests_per_s(site.mbps.0, site.processors),
                 rank_by_latency: speeds,
             };
