--- a/agent/src/round.rs
+++ b/agent/src/agent.rs
@@ -12,8 +12,8 @@
 use millpost_protocol::{Fault, MessageBatch, PeerMessage, whole};
 use tinyjson::JsonValue;
 
-use crate::follow::{Follow, Step};
-use crate::newest::{Newest, Taken};
+use crate::feeds::{FeedAction, FeedSet};
+use crate::latest::{Applied, LatestState};
 use crate::{MS, Nanos, SECOND};
 
 /// How often those who are followed are looked after, and the settings file for new seeds.
@@ -34,7 +34,7 @@
 
 /// What a life begins with.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct AgentConfig {
     /// The machine's name.
     pub name: CompactString,
     /// Which of the process's lives this is.
@@ -49,39 +49,39 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// A life begins.
-    New(Terms),
+    New(AgentConfig),
     /// A line of a feed, without its end.
-    Line {
+    FeedLine {
         /// The feed's number.
         feed: u64,
         /// All of it.
         line: Bytes,
     },
     /// A feed has ended, or did not begin.
-    Ended {
+    FeedEnded {
         /// Its number.
         feed: u64,
     },
     /// A control machine's answer to notes: a letter.
-    Answered(Bytes),
-    /// A letter of the stall; [`Effect::Answer`] follows.
-    MessageBatch(Bytes),
+    ControlAnswered(Bytes),
+    /// A letter of the stall; [`Effect::AnswerProxy`] follows.
+    ProxyMessages(Bytes),
     /// The stall takes mail, for the first time or again.
-    Up,
+    ProxyUp,
     /// A note to the stall had no room in its mail, and is lost.
-    Full,
+    ProxyQueueFull,
     /// Notes to a control machine came back.
-    Lost {
+    MessagesLost {
         /// The feed that they went beside.
         feed: u64,
         /// How many.
-        notes: u64,
+        messages: u64,
     },
     /// The seeds that the settings file has.
     Seeds(Vec<SocketAddr>),
     /// SIGTERM.
-    Leave,
-    /// Time has passed: no later than [`Round::due`], unless something else comes.
+    Shutdown,
+    /// Time has passed: no later than [`Agent::due`], unless something else comes.
     Tick,
 }
 
@@ -97,7 +97,7 @@
         /// The path of the request.
         path: &'static str,
         /// The notes of the letter that is its body.
-        notes: Vec<PeerMessage>,
+        messages: Vec<PeerMessage>,
     },
     /// A feed is to be closed, and its mail; nothing more is awaited of it.
     Close {
@@ -105,18 +105,18 @@
         feed: u64,
     },
     /// A note to a control machine that is followed.
-    Outbox {
+    SendToControl {
         /// The feed beside which it goes.
         feed: u64,
         /// Where it goes.
         to: SocketAddr,
         /// What it says.
-        note: PeerMessage,
+        message: PeerMessage,
     },
     /// A note to the stall.
-    Tell(PeerMessage),
+    SendToProxy(PeerMessage),
     /// The answer to the stall's letter.
-    Answer {
+    AnswerProxy {
         /// It could be read.
         read: bool,
     },
@@ -125,14 +125,14 @@
     /// A line of the log.
     Log(Level, String),
     /// The process ends.
-    End,
+    Exit,
 }
 
 /// The machine.
 #[derive(Debug)]
-pub struct Round {
-    follow: Follow,
-    newest: Newest,
+pub struct Agent {
+    follow: FeedSet,
+    newest: LatestState,
     /// The stall's last word of itself.
     alive: Option<(Nanos, PeerMessage)>,
     /// Until when control has it rest.
@@ -150,12 +150,12 @@
     effects: Vec<Effect>,
 }
 
-impl Round {
+impl Agent {
     /// A life begins: control is followed.
-    pub fn new(terms: Terms, now: Nanos) -> Self {
-        let mut round = Round {
-            follow: Follow::new(terms.seeds, terms.life),
-            newest: Newest::default(),
+    pub fn new(terms: AgentConfig, now: Nanos) -> Self {
+        let mut round = Agent {
+            follow: FeedSet::new(terms.seeds, terms.life),
+            newest: LatestState::default(),
             alive: None,
             rest: None,
             acts: 0,
@@ -182,57 +182,57 @@
     }
 
     /// Who is followed.
-    pub fn follow(&self) -> &Follow {
+    pub fn feeds(&self) -> &FeedSet {
         &self.follow
     }
 
     /// What is held.
-    pub fn newest(&self) -> &Newest {
+    pub fn latest(&self) -> &LatestState {
         &self.newest
     }
 
     /// It was told to end.
-    pub fn leaves(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         self.end.is_some()
     }
 
     /// The revision that the stall acts on, as far as it said.
-    pub fn acts(&self) -> u64 {
+    pub fn proxy_revision(&self) -> u64 {
         self.acts
     }
 }
 
-impl Round {
+impl Agent {
     /// Takes an input in.
-    pub fn give(&mut self, now: Nanos, input: Input) {
+    pub fn handle(&mut self, now: Nanos, input: Input) {
         match input {
-            Input::New(terms) => *self = Round::new(terms, now),
-            Input::Line { feed, line } => self.line(now, feed, &line),
-            Input::Ended { feed } => {
-                self.follow.ended(now, feed);
+            Input::New(terms) => *self = Agent::new(terms, now),
+            Input::FeedLine { feed, line } => self.line(now, feed, &line),
+            Input::FeedEnded { feed } => {
+                self.follow.feed_ended(now, feed);
                 self.steps(now);
             }
-            Input::Answered(body) => self.answered(&body),
-            Input::MessageBatch(body) => self.letter(now, &body),
+            Input::ControlAnswered(body) => self.answered(&body),
+            Input::ProxyMessages(body) => self.letter(now, &body),
             // A stall that is there again has forgotten all.
-            Input::Up => self.tell_all(now),
-            Input::Full => {
+            Input::ProxyUp => self.tell_all(now),
+            Input::ProxyQueueFull => {
                 if self.mend.is_none() {
                     self.log(Level::Warn, "the stall takes nothing more".to_owned());
                     self.mend = Some(now.saturating_add(MEND));
                 }
             }
-            Input::Lost { feed, notes } => {
+            Input::MessagesLost { feed, messages: notes } => {
                 if let Some(peer) = self.follow.address(feed) {
                     self.log(Level::Debug, format!("{notes} notes to {peer} came back"));
                 }
             }
             Input::Seeds(seeds) => {
-                if self.follow.seeds(seeds) {
-                    self.log(Level::Info, format!("seeds are now {:?}", self.follow.known_seeds()));
+                if self.follow.set_seeds(seeds) {
+                    self.log(Level::Info, format!("seeds are now {:?}", self.follow.seeds()));
                 }
             }
-            Input::Leave => {
+            Input::Shutdown => {
                 if self.end.is_none() {
                     self.log(Level::Info, "leaving".to_owned());
                     self.end = Some(now.saturating_add(self.grace.saturating_sub(BEFORE_GRACE)));
@@ -245,7 +245,7 @@
             self.look(now);
         }
         if self.end.is_some_and(|end| now >= end) {
-            self.effects.push(Effect::End);
+            self.effects.push(Effect::Exit);
         }
     }
 
@@ -255,7 +255,7 @@
 
     fn look(&mut self, now: Nanos) {
         self.due = now.saturating_add(LOOK);
-        self.follow.look_after(now);
+        self.follow.maintain(now);
         self.steps(now);
         if self.mend.is_some_and(|mend| now >= mend) {
             self.tell_all(now);
@@ -270,30 +270,30 @@
     fn steps(&mut self, now: Nanos) {
         for step in self.follow.take() {
             let effect = match step {
-                Step::Open { feed, address, whole } => {
+                FeedAction::Open { feed, address, whole } => {
                     let path = if whole { "/follow" } else { "/follow?whole=0" };
                     let acts = PeerMessage::Acts { revision: self.newest.revision(), number: 0 };
                     let alive = self.alive.iter().filter(|(at, _)| now.saturating_sub(*at) <= ALIVE);
                     let notes = alive.map(|(_, note)| note.clone()).chain([acts]).collect();
-                    Effect::Open { feed, address, path, notes }
+                    Effect::Open { feed, address, path, messages: notes }
                 }
-                Step::Close { feed } => Effect::Close { feed },
+                FeedAction::Close { feed } => Effect::Close { feed },
             };
             self.effects.push(effect);
         }
     }
 
     fn line(&mut self, now: Nanos, feed: u64, line: &[u8]) {
-        let Some(from) = self.follow.heard(feed) else { return };
+        let Some(from) = self.follow.line_received(feed) else { return };
         let Some(JsonValue::Object(parts)) = messaging::json(line) else {
             self.log(Level::Warn, format!("{from} sends what is no line of a feed"));
-            self.follow.spoilt(now, feed);
+            self.follow.feed_invalid(now, feed);
             return self.steps(now);
         };
         let Some(JsonValue::Array(notes)) = parts.get("notes") else { return };
         if notes.len() > MOST_NOTES {
             self.log(Level::Warn, format!("{from} sends {} notes in a line", notes.len()));
-            self.follow.spoilt(now, feed);
+            self.follow.feed_invalid(now, feed);
             return self.steps(now);
         }
         let mut faults = Vec::new();
@@ -307,7 +307,7 @@
         if self.follow.address(feed).is_some() {
             let number = whole(&parts, "n").unwrap_or(0);
             let note = PeerMessage::Acts { revision: self.acts, number };
-            self.effects.push(Effect::Outbox { feed, to: from, note });
+            self.effects.push(Effect::SendToControl { feed, to: from, message: note });
         }
     }
 
@@ -328,40 +328,40 @@
     fn note(&mut self, now: Nanos, from: SocketAddr, note: PeerMessage, weight: usize) {
         if let PeerMessage::Steward { address, fence } = &note {
             if let Ok(address) = address.parse() {
-                self.follow.told(now, *fence, address);
+                self.follow.set_leader(now, *fence, address);
                 self.steps(now);
             }
             return;
         }
         if let PeerMessage::Contact { holds } = &note {
-            self.follow.contact(now, from, *holds);
+            self.follow.set_contact(now, from, *holds);
             return self.steps(now);
         }
         if let PeerMessage::Rest { name, left } = &note {
             let lasts = (left.clamp(0.0, 1e9) * 1e6) as Nanos;
             self.rest = (lasts > 0).then(|| (name.clone(), now.saturating_add(lasts)));
-            return self.effects.push(Effect::Tell(note));
+            return self.effects.push(Effect::SendToProxy(note));
         }
-        match self.newest.take(note, weight) {
-            Taken::Old => {}
-            Taken::News(note) => self.effects.push(Effect::Tell(note)),
-            Taken::Part(note, left_out) => {
-                self.effects.push(Effect::Tell(note));
+        match self.newest.apply(note, weight) {
+            Applied::Stale => {}
+            Applied::New(note) => self.effects.push(Effect::SendToProxy(note)),
+            Applied::Partial(note, left_out) => {
+                self.effects.push(Effect::SendToProxy(note));
                 self.log(Level::Warn, format!("no room for {left_out} instances"));
             }
-            Taken::Unread(why) => self.log(Level::Error, why),
+            Applied::Unreadable(why) => self.log(Level::Error, why),
             // What lies between was missed: it comes whole.
-            Taken::Gap(goes_from, held) => {
+            Applied::VersionGap(goes_from, held) => {
                 self.log(
                     Level::Info,
                     format!("a naming of {from} goes from {goes_from:?}, and {held:?} is known"),
                 );
-                self.follow.behind(now, from);
+                self.follow.snapshot_needed(now, from);
                 self.steps(now);
             }
-            Taken::Missed(what, why) => {
+            Applied::BaseMissing(what, why) => {
                 self.log(Level::Info, format!("{what} of {from}: {why}"));
-                self.follow.missed(now, from);
+                self.follow.base_missing(now, from);
                 self.steps(now);
             }
         }
@@ -373,9 +373,9 @@
         self.rest = self.rest.take().filter(|(_, until)| *until > now);
         if let Some((name, until)) = &self.rest {
             let left = (until - now) as f64 / 1e6;
-            self.effects.push(Effect::Tell(PeerMessage::Rest { name: name.clone(), left }));
+            self.effects.push(Effect::SendToProxy(PeerMessage::Rest { name: name.clone(), left }));
         }
-        self.effects.extend(self.newest.all().into_iter().map(Effect::Tell));
+        self.effects.extend(self.newest.snapshot().into_iter().map(Effect::SendToProxy));
     }
 
     /// What control says in answer to the stall's question goes to the stall.
@@ -384,13 +384,13 @@
             return;
         };
         let stands = letter.notes.into_iter().filter(|note| matches!(note, PeerMessage::Stands { .. }));
-        self.effects.extend(stands.map(Effect::Tell));
+        self.effects.extend(stands.map(Effect::SendToProxy));
     }
 
     /// The stall's words.
     fn letter(&mut self, now: Nanos, body: &[u8]) {
         let Some(letter) = messaging::json(body).and_then(|json| MessageBatch::read(&json).ok()) else {
-            return self.effects.push(Effect::Answer { read: false });
+            return self.effects.push(Effect::AnswerProxy { read: false });
         };
         self.faults(&letter.from, &letter.faults);
         for note in letter.notes {
@@ -411,7 +411,7 @@
                 note => self.up(note, false),
             }
         }
-        self.effects.push(Effect::Answer { read: true });
+        self.effects.push(Effect::AnswerProxy { read: true });
     }
 
     fn acts_on(&mut self, now: Nanos, revision: u64) {
@@ -421,7 +421,7 @@
             self.tell_all(now);
         } else if revision < newest && now.saturating_sub(self.told) > AGAIN {
             self.told = now;
-            self.effects.extend(self.newest.whole().map(Effect::Tell));
+            self.effects.extend(self.newest.full_config().map(Effect::SendToProxy));
         }
         if revision != self.acts {
             self.acts = revision;
@@ -431,10 +431,10 @@
 
     /// To the steward, or to all that are followed.
     fn up(&mut self, note: PeerMessage, all: bool) {
-        let steward = self.follow.steward().map(|(_, steward)| steward);
+        let steward = self.follow.leader().map(|(_, steward)| steward);
         for (feed, to, _) in self.follow.feeds() {
             if all || steward == Some(to) {
-                self.effects.push(Effect::Outbox { feed, to, note: note.clone() });
+                self.effects.push(Effect::SendToControl { feed, to, message: note.clone() });
             }
         }
     }
--- a/agent/src/follow.rs
+++ b/agent/src/feeds.rs
@@ -35,7 +35,7 @@
 
 /// What is to be done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum FeedAction {
     /// A feed is to be opened.
     Open {
         /// Its number.
@@ -72,7 +72,7 @@
 
 /// Who is followed, and who might be.
 #[derive(Clone, Debug)]
-pub struct Follow {
+pub struct FeedSet {
     seeds: Vec<SocketAddr>,
     /// Control machines that were heard of, beside the seeds.
     others: Vec<SocketAddr>,
@@ -92,13 +92,13 @@
     /// When the process started to look, until a feed was heard.
     eager: Option<Nanos>,
     begun: bool,
-    steps: Vec<Step>,
+    steps: Vec<FeedAction>,
 }
 
-impl Follow {
+impl FeedSet {
     /// Nobody is followed yet.
     pub fn new(seeds: Vec<SocketAddr>, life: u64) -> Self {
-        Follow {
+        FeedSet {
             seeds,
             others: Vec::new(),
             steward: None,
@@ -117,24 +117,24 @@
     }
 
     /// What is to be done, in this order.
-    pub fn take(&mut self) -> Vec<Step> {
+    pub fn take(&mut self) -> Vec<FeedAction> {
         std::mem::take(&mut self.steps)
     }
 
     /// Other seeds. Whether they are others.
-    pub fn seeds(&mut self, seeds: Vec<SocketAddr>) -> bool {
+    pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) -> bool {
         let others = seeds != self.seeds;
         self.seeds = seeds;
         others
     }
 
     /// The seeds.
-    pub fn known_seeds(&self) -> &[SocketAddr] {
+    pub fn seeds(&self) -> &[SocketAddr] {
         &self.seeds
     }
 
     /// The newest steward that was heard of: its fence and address.
-    pub fn steward(&self) -> Option<(u64, SocketAddr)> {
+    pub fn leader(&self) -> Option<(u64, SocketAddr)> {
         self.steward
     }
 
@@ -144,12 +144,12 @@
     }
 
     /// Feeds of machines that have lost contact, by their own word.
-    pub fn without_contact(&self) -> usize {
+    pub fn feeds_without_contact(&self) -> usize {
         self.followed.values().filter(|f| f.lost.is_some()).count()
     }
 
     /// How many addresses are kept in mind, for whatever reason.
-    pub fn kept(&self) -> usize {
+    pub fn tracked_addresses(&self) -> usize {
         self.seeds.len() + self.others.len() + self.failed.len() + self.followed.len()
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// Follows as many as it should, the steward among them.
-    pub fn look_after(&mut self, now: Nanos) {
+    pub fn maintain(&mut self, now: Nanos) {
         if !std::mem::replace(&mut self.begun, true) {
             self.eager = Some(now + EAGER);
         }
@@ -217,11 +217,11 @@
     }
 
     /// A control machine that is followed says whether it has contact with a majority.
-    pub fn contact(&mut self, now: Nanos, address: SocketAddr, holds: bool) {
+    pub fn set_contact(&mut self, now: Nanos, address: SocketAddr, holds: bool) {
         if let Some(feed) = self.followed.get_mut(&address) {
             feed.lost = if holds { None } else { feed.lost.or(Some(now)) };
         }
-        self.look_after(now);
+        self.maintain(now);
     }
 
     /// Where only changes come for too long, what they change may have been missed.
@@ -256,17 +256,17 @@
         self.last += 1;
         let number = self.last;
         self.followed.insert(address, Feed { number, since: now, heard: false, whole, lost: None });
-        self.steps.push(Step::Open { feed: number, address, whole });
+        self.steps.push(FeedAction::Open { feed: number, address, whole });
     }
 
     fn close(&mut self, address: SocketAddr) {
         if let Some(feed) = self.followed.remove(&address) {
-            self.steps.push(Step::Close { feed: feed.number });
+            self.steps.push(FeedAction::Close { feed: feed.number });
         }
     }
 
     /// Something came from a feed. Where it comes from; none where it was closed.
-    pub fn heard(&mut self, feed: u64) -> Option<SocketAddr> {
+    pub fn line_received(&mut self, feed: u64) -> Option<SocketAddr> {
         let (address, feed) = self.followed.iter_mut().find(|(_, f)| f.number == feed)?;
         feed.heard = true;
         self.eager = None;
@@ -274,16 +274,16 @@
     }
 
     /// A feed has ended, or did not begin.
-    pub fn ended(&mut self, now: Nanos, feed: u64) {
+    pub fn feed_ended(&mut self, now: Nanos, feed: u64) {
         if self.fail(now, feed) {
-            self.look_after(now);
+            self.maintain(now);
         }
     }
 
     /// A feed brings what is none.
-    pub fn spoilt(&mut self, now: Nanos, feed: u64) {
+    pub fn feed_invalid(&mut self, now: Nanos, feed: u64) {
         if self.fail(now, feed) {
-            self.steps.push(Step::Close { feed });
+            self.steps.push(FeedAction::Close { feed });
         }
     }
 
@@ -308,10 +308,10 @@
 
     /// What a feed told does not meet what is held. One that sends whole configurations begins anew, with the whole; one that sends changes
     /// only is asked for the whole instead.
-    pub fn missed(&mut self, now: Nanos, address: SocketAddr) {
+    pub fn base_missing(&mut self, now: Nanos, address: SocketAddr) {
         let Some(feed) = self.followed.get(&address) else { return };
         if feed.whole {
-            return self.behind(now, address);
+            return self.snapshot_needed(now, address);
         }
         if now.saturating_sub(feed.since) <= SETTLED {
             return;
@@ -323,7 +323,7 @@
     }
 
     /// What a feed tells of stalls does not meet what is held: its snapshot is wanted.
-    pub fn behind(&mut self, now: Nanos, address: SocketAddr) {
+    pub fn snapshot_needed(&mut self, now: Nanos, address: SocketAddr) {
         self.behind = Some(address);
         self.catch_up(now);
     }
@@ -341,7 +341,7 @@
     }
 
     /// Somebody tells of a steward; the higher fence counts.
-    pub fn told(&mut self, now: Nanos, fence: u64, address: SocketAddr) {
+    pub fn set_leader(&mut self, now: Nanos, fence: u64, address: SocketAddr) {
         if fence <= self.steward.map_or(0, |(fence, _)| fence) {
             return;
         }
@@ -352,6 +352,6 @@
                 self.others.remove(0);
             }
         }
-        self.look_after(now);
+        self.maintain(now);
     }
 }
--- a/agent/src/figures.rs
+++ b/agent/src/figures.rs
@@ -2,22 +2,22 @@
 
 use std::time::Duration;
 
-use millpost_agent::Round;
+use millpost_agent::Agent;
 use millpost_net::metrics::Metrics;
 
 /// All figures of this moment.
-pub fn of(round: &Round, uptime: Duration) -> Metrics {
+pub fn of(round: &Agent, uptime: Duration) -> Metrics {
     let mut figures = Metrics::default();
-    let ((fence, count), _) = round.newest().versions();
+    let ((fence, count), _) = round.latest().versions();
     figures.put("agent_uptime_seconds", uptime.as_secs());
-    figures.put("agent_leaving", u8::from(round.leaves()));
-    figures.put("agent_feeds", round.follow().feeds().count());
-    figures.put("agent_feeds_without_contact", round.follow().without_contact());
-    figures.put("agent_leader_fence", round.follow().steward().map_or(0, |(fence, _)| fence));
-    figures.put("agent_config_revision", round.newest().revision());
-    figures.put("agent_proxy_config_revision", round.acts());
+    figures.put("agent_leaving", u8::from(round.is_shutting_down()));
+    figures.put("agent_feeds", round.feeds().feeds().count());
+    figures.put("agent_feeds_without_contact", round.feeds().feeds_without_contact());
+    figures.put("agent_leader_fence", round.feeds().leader().map_or(0, |(fence, _)| fence));
+    figures.put("agent_config_revision", round.latest().revision());
+    figures.put("agent_proxy_config_revision", round.proxy_revision());
     figures.put("agent_view_fence", fence);
     figures.put("agent_view_count", count);
-    figures.put("agent_instances", round.newest().instances());
+    figures.put("agent_instances", round.latest().instances());
     figures
 }
--- a/agent/src/newest.rs
+++ b/agent/src/latest.rs
@@ -11,10 +11,10 @@
 use tinyjson::JsonValue;
 
 /// Lines of the feed, and a configuration out of its pack.
-pub const LONGEST: usize = 8 << 20;
+pub const MAX_CONFIG_BYTES: usize = 8 << 20;
 /// A configuration and the changes to it, before it has to come whole again.
 const MOST: usize = 32 << 20;
-/// Instances, as text; the stall takes no longer letter than [`LONGEST`].
+/// Instances, as text; the stall takes no longer letter than [`MAX_CONFIG_BYTES`].
 const MOST_OF_INSTANCES: usize = 6 << 20;
 
 fn weight_of(i: &Instance) -> usize {
@@ -23,24 +23,24 @@
 
 /// What becomes of something that control tells.
 #[derive(Debug)]
-pub enum Taken {
+pub enum Applied {
     /// It is no newer than what is held, or is of another kind.
-    Old,
+    Stale,
     /// It is new, and goes on to the stall.
-    News(PeerMessage),
+    New(PeerMessage),
     /// Likewise, without so many instances: there is no room for them.
-    Part(PeerMessage, usize),
+    Partial(PeerMessage, usize),
     /// It can't be read, for this reason.
-    Unread(String),
+    Unreadable(String),
     /// This does not meet what is held, for this reason.
-    Missed(String, String),
+    BaseMissing(String, String),
     /// A shift goes from another naming of stalls than the one that is held: the two versions.
-    Gap(Version, Version),
+    VersionGap(Version, Version),
 }
 
 /// What is held.
 #[derive(Clone, Debug, Default)]
-pub struct Newest {
+pub struct LatestState {
     config: Option<Config>,
     /// Bytes that the whole one came in, and all changes since.
     weight: usize,
@@ -54,7 +54,7 @@
     instances_weight: usize,
 }
 
-impl Newest {
+impl LatestState {
     /// The revision of the configuration; 0 without one.
     pub fn revision(&self) -> u64 {
         self.config.as_ref().map_or(0, |c| c.revision)
@@ -71,7 +71,7 @@
     }
 
     /// Takes in what control tells, in a line of this many bytes.
-    pub fn take(&mut self, note: PeerMessage, weight: usize) -> Taken {
+    pub fn apply(&mut self, note: PeerMessage, weight: usize) -> Applied {
         match note {
             PeerMessage::Config { revision, .. }
             | PeerMessage::Packed { revision, .. }
@@ -79,60 +79,66 @@
             | PeerMessage::Folded { revision, .. }
                 if self.config.is_some() && self.revision() >= revision =>
             {
-                Taken::Old
+                Applied::Stale
             }
             PeerMessage::Config { revision, body } => match Config::read(&At::root(&body)) {
                 Ok(config) => self.install(config, PeerMessage::Config { revision, body }, weight),
-                Err(e) => Taken::Unread(format!("configuration {revision}: {e}")),
+                Err(e) => Applied::Unreadable(format!("configuration {revision}: {e}")),
             },
             PeerMessage::Packed { revision, packed } => {
-                match unpack(&packed, LONGEST).map(|text| (text.len(), Config::parse(&text))) {
+                match unpack(&packed, MAX_CONFIG_BYTES).map(|text| (text.len(), Config::parse(&text))) {
                     Some((long, Ok(config))) => {
                         self.install(config, PeerMessage::Packed { revision, packed }, long)
                     }
-                    Some((_, Err(e))) => Taken::Unread(format!("configuration {revision}: {e}")),
-                    None => Taken::Unread(format!("configuration {revision} can't be unpacked")),
+                    Some((_, Err(e))) => Applied::Unreadable(format!("configuration {revision}: {e}")),
+                    None => Applied::Unreadable(format!("configuration {revision} can't be unpacked")),
                 }
             }
             PeerMessage::Patch { revision, ref change } => self.change(revision, change, weight, &note),
             PeerMessage::Folded { revision, ref packed } => {
-                let text = unpack(packed, LONGEST);
+                let text = unpack(packed, MAX_CONFIG_BYTES);
                 match text.map(|text| (text.len(), text.parse::<JsonValue>())) {
                     Some((long, Ok(change))) => self.change(revision, &change, long, &note),
-                    _ => Taken::Unread(format!("change to {revision} can't be unpacked")),
+                    _ => Applied::Unreadable(format!("change to {revision} can't be unpacked")),
                 }
             }
             PeerMessage::Stalls { version, peers, leaving, split } => {
                 if self.stalls.version() >= version {
-                    return Taken::Old;
+                    return Applied::Stale;
                 }
                 self.stalls = MembershipView::new(version, peers, split).with_leaving(leaving);
-                Taken::News(self.stalls.note())
+                Applied::New(self.stalls.note())
             }
-            PeerMessage::ViewChange(shift) if self.stalls.version() >= shift.version => Taken::Old,
+            PeerMessage::ViewChange(shift) if self.stalls.version() >= shift.version => Applied::Stale,
             PeerMessage::ViewChange(shift) => match self.stalls.shifted(&shift) {
                 Some(stalls) => {
                     self.stalls = stalls;
-                    Taken::News(PeerMessage::ViewChange(shift))
+                    Applied::New(PeerMessage::ViewChange(shift))
                 }
-                None => Taken::Gap(shift.from, self.stalls.version()),
+                None => Applied::VersionGap(shift.from, self.stalls.version()),
             },
             PeerMessage::Instances { version, all, set, gone } => {
                 if version < self.version || !all && version == self.version {
-                    return Taken::Old;
+                    return Applied::Stale;
                 }
                 self.version = version;
                 self.list(all, set, gone)
             }
             // Said again and again while it holds: nothing is kept.
-            note @ PeerMessage::Floor { .. } => Taken::News(note),
-            _ => Taken::Old,
+            note @ PeerMessage::Floor { .. } => Applied::New(note),
+            _ => Applied::Stale,
         }
     }
 
     /// A change to the configuration, as `note` brings it.
-    fn change(&mut self, revision: u64, difference: &JsonValue, weight: usize, note: &PeerMessage) -> Taken {
-        let missed = |why| Taken::Missed(format!("change to {revision}"), why);
+    fn change(
+        &mut self,
+        revision: u64,
+        difference: &JsonValue,
+        weight: usize,
+        note: &PeerMessage,
+    ) -> Applied {
+        let missed = |why| Applied::BaseMissing(format!("change to {revision}"), why);
         let Some(config) = &self.config else {
             return missed("nothing to change yet".to_owned());
         };
@@ -147,7 +153,7 @@
     }
 
     /// Instances that are new, changed or gone. Those for which there is no room are not told on.
-    fn list(&mut self, all: bool, mut set: Vec<Instance>, gone: Vec<CompactString>) -> Taken {
+    fn list(&mut self, all: bool, mut set: Vec<Instance>, gone: Vec<CompactString>) -> Applied {
         if all {
             self.instances.clear();
             self.instances_weight = 0;
@@ -169,31 +175,31 @@
         });
         let left_out = came - set.len();
         let note = PeerMessage::Instances { version: self.version, all, set, gone };
-        if left_out > 0 { Taken::Part(note, left_out) } else { Taken::News(note) }
+        if left_out > 0 { Applied::Partial(note, left_out) } else { Applied::New(note) }
     }
 
-    fn install(&mut self, config: Config, note: PeerMessage, weight: usize) -> Taken {
+    fn install(&mut self, config: Config, note: PeerMessage, weight: usize) -> Applied {
         let (PeerMessage::Config { revision, .. }
         | PeerMessage::Packed { revision, .. }
         | PeerMessage::Patch { revision, .. }
         | PeerMessage::Folded { revision, .. }) = note
         else {
-            return Taken::Old;
+            return Applied::Stale;
         };
         if config.revision != revision {
-            return Taken::Unread(format!(
+            return Applied::Unreadable(format!(
                 "configuration {revision}: it says that it is {}",
                 config.revision
             ));
         }
         self.packed = matches!(note, PeerMessage::Packed { .. }).then(|| note.clone());
         (self.config, self.weight) = (Some(config), weight);
-        Taken::News(note)
+        Applied::New(note)
     }
 
     /// The whole configuration, for a stall that starts or could not follow a change. Packed: as a tree of values it takes some ten
     /// times the memory of its text, in the note that waits and at the stall that reads it.
-    pub fn whole(&mut self) -> Option<PeerMessage> {
+    pub fn full_config(&mut self) -> Option<PeerMessage> {
         if self.packed.is_none() {
             let config = self.config.as_ref()?;
             let packed = pack(&config.to_json())?;
@@ -203,8 +209,8 @@
     }
 
     /// Everything, for a stall that starts.
-    pub fn all(&mut self) -> Vec<PeerMessage> {
-        let mut notes = Vec::from_iter(self.whole());
+    pub fn snapshot(&mut self) -> Vec<PeerMessage> {
+        let mut notes = Vec::from_iter(self.full_config());
         if self.version > (0, 0) {
             let set = self.instances.values().cloned().collect();
             notes.push(PeerMessage::Instances { version: self.version, all: true, set, gone: Vec::new() });
--- a/agent/src/lib.rs
+++ b/agent/src/lib.rs
@@ -1,13 +1,13 @@
-//! What a porter decides, as a state machine without I/O and clock: [`Round`] takes inputs with their times and returns what is to be
+//! What a porter decides, as a state machine without I/O and clock: [`Agent`] takes inputs with their times and returns what is to be
 //! opened, closed, sent and answered. The program `agent` carries it out.
 
-pub mod follow;
-pub mod newest;
+pub mod agent;
+pub mod feeds;
+pub mod latest;
 pub mod recording;
-pub mod round;
 
+pub use agent::{Agent, AgentConfig, Effect, Input};
 pub use recording::Recorded;
-pub use round::{Effect, Input, Round, Terms};
 
 /// Nanoseconds of the process's life.
 pub type Nanos = u64;
--- a/agent/src/recording.rs
+++ b/agent/src/recording.rs
@@ -14,7 +14,7 @@
 use millpost_protocol::{Fault, string, whole};
 use tinyjson::JsonValue;
 
-use crate::{Effect, Input, Nanos, Round, Terms};
+use crate::{Agent, AgentConfig, Effect, Input, Nanos};
 
 /// What the first line of a round says that it is of.
 pub const ROUND: &str = "round";
@@ -22,41 +22,41 @@
 /// A round whose inputs are told as lines, where somebody wants them. Without a sink it costs nothing.
 #[derive(Debug)]
 pub struct Recorded {
-    round: Round,
+    round: Agent,
     tape: Option<Recorder>,
 }
 
 impl std::ops::Deref for Recorded {
-    type Target = Round;
+    type Target = Agent;
     // What changes a round goes by the methods below.
-    fn deref(&self) -> &Round {
+    fn deref(&self) -> &Agent {
         &self.round
     }
 }
 
 impl Recorded {
-    /// As [`Round::new`].
-    pub fn new(terms: Terms, now: Nanos, sink: Option<Sink>) -> Self {
-        let mut taped = Recorded { round: Round::new(terms.clone(), now), tape: sink.map(Recorder::new) };
+    /// As [`Agent::new`].
+    pub fn new(terms: AgentConfig, now: Nanos, sink: Option<Sink>) -> Self {
+        let mut taped = Recorded { round: Agent::new(terms.clone(), now), tape: sink.map(Recorder::new) };
         taped.tell(now, &Input::New(terms));
         taped
     }
 
     fn tell(&mut self, now: Nanos, input: &Input) {
         if let Some(tape) = &mut self.tape {
-            let mut line = tape.begin(name(input), now);
+            let mut line = tape.begin(input_name(input), now);
             write(&mut line, input);
             tape.put(line);
         }
     }
 
-    /// As [`Round::give`].
-    pub fn give(&mut self, now: Nanos, input: Input) {
+    /// As [`Agent::handle`].
+    pub fn handle(&mut self, now: Nanos, input: Input) {
         self.tell(now, &input);
-        self.round.give(now, input);
+        self.round.handle(now, input);
     }
 
-    /// As [`Round::take`], which is no input.
+    /// As [`Agent::take`], which is no input.
     pub fn take(&mut self) -> Vec<Effect> {
         let effects = self.round.take();
         if let Some(tape) = &mut self.tape {
@@ -72,18 +72,18 @@
     /// Puts it into a digest, whole.
     pub fn fold(&self, into: &mut Fold<'_>) {
         match self {
-            Effect::Open { feed, address, path, notes } => {
+            Effect::Open { feed, address, path, messages: notes } => {
                 into.text("open").whole(*feed).text(&address.to_compact_string()).text(path);
                 notes.iter().for_each(|note| note.fold(into));
             }
             Effect::Close { feed } => {
                 into.text("close").whole(*feed);
             }
-            Effect::Outbox { feed, to, note } => {
+            Effect::SendToControl { feed, to, message: note } => {
                 note.fold(into.text("post").whole(*feed).text(&to.to_compact_string()));
             }
-            Effect::Tell(note) => note.fold(into.text("tell")),
-            Effect::Answer { read } => {
+            Effect::SendToProxy(note) => note.fold(into.text("tell")),
+            Effect::AnswerProxy { read } => {
                 into.text("answer").whole((*read).into());
             }
             Effect::ReadSettings => {
@@ -92,7 +92,7 @@
             Effect::Log(level, text) => {
                 into.text("log").text(level.as_str()).text(text);
             }
-            Effect::End => {
+            Effect::Exit => {
                 into.text("end");
             }
         }
@@ -111,18 +111,18 @@
 }
 
 /// The word for an input in a line.
-pub fn name(input: &Input) -> &'static str {
+pub fn input_name(input: &Input) -> &'static str {
     match input {
         Input::New(_) => "new",
-        Input::Line { .. } => "line",
-        Input::Ended { .. } => "ended",
-        Input::Answered(_) => "answered",
-        Input::MessageBatch(_) => "letter",
-        Input::Up => "up",
-        Input::Full => "full",
-        Input::Lost { .. } => "lost",
+        Input::FeedLine { .. } => "line",
+        Input::FeedEnded { .. } => "ended",
+        Input::ControlAnswered(_) => "answered",
+        Input::ProxyMessages(_) => "letter",
+        Input::ProxyUp => "up",
+        Input::ProxyQueueFull => "full",
+        Input::MessagesLost { .. } => "lost",
         Input::Seeds(_) => "seeds",
-        Input::Leave => "leave",
+        Input::Shutdown => "leave",
         Input::Tick => "tick",
     }
 }
@@ -133,21 +133,21 @@
             line.text("of", ROUND).text("me", &terms.name).whole("life", terms.life);
             seeds(line, &terms.seeds).time("grace", terms.grace);
         }
-        Input::Line { feed, line: of } => {
+        Input::FeedLine { feed, line: of } => {
             line.whole("feed", *feed);
             body(line, of);
         }
-        Input::Ended { feed } => {
+        Input::FeedEnded { feed } => {
             line.whole("feed", *feed);
         }
-        Input::Answered(of) | Input::MessageBatch(of) => body(line, of),
-        Input::Lost { feed, notes } => {
+        Input::ControlAnswered(of) | Input::ProxyMessages(of) => body(line, of),
+        Input::MessagesLost { feed, messages: notes } => {
             line.whole("feed", *feed).whole("c", *notes);
         }
         Input::Seeds(all) => {
             seeds(line, all);
         }
-        Input::Up | Input::Full | Input::Leave | Input::Tick => {}
+        Input::ProxyUp | Input::ProxyQueueFull | Input::Shutdown | Input::Tick => {}
     }
 }
 
@@ -201,36 +201,36 @@
 impl Entry {
     /// As a line, without its end.
     pub fn write(&self) -> String {
-        let mut line = line::begin(name(&self.input), self.number, self.at);
+        let mut line = line::begin(input_name(&self.input), self.number, self.at);
         write(&mut line, &self.input);
         line.end()
     }
 
     /// Reads a line.
     pub fn read(text: &str) -> Result<Entry, Fault> {
-        Entry::of(&line::read(text)?)
+        Entry::from_json(&line::read(text)?)
     }
 
     /// Reads a line that was read as JSON.
-    pub fn of(from: &Parts) -> Result<Entry, Fault> {
+    pub fn from_json(from: &Parts) -> Result<Entry, Fault> {
         let feed = || line::large(from, "feed");
         let input = match string(from, "in")?.as_str() {
             "new" if string(from, "of")? != ROUND => return Err(fault("of", "no round")),
-            "new" => Input::New(Terms {
+            "new" => Input::New(AgentConfig {
                 name: string(from, "me")?,
                 life: line::large(from, "life")?,
                 seeds: read_seeds(from)?,
                 grace: whole(from, "grace")?,
             }),
-            "line" => Input::Line { feed: feed()?, line: read_body(from)? },
-            "ended" => Input::Ended { feed: feed()? },
-            "answered" => Input::Answered(read_body(from)?),
-            "letter" => Input::MessageBatch(read_body(from)?),
-            "up" => Input::Up,
-            "full" => Input::Full,
-            "lost" => Input::Lost { feed: feed()?, notes: whole(from, "c")? },
+            "line" => Input::FeedLine { feed: feed()?, line: read_body(from)? },
+            "ended" => Input::FeedEnded { feed: feed()? },
+            "answered" => Input::ControlAnswered(read_body(from)?),
+            "letter" => Input::ProxyMessages(read_body(from)?),
+            "up" => Input::ProxyUp,
+            "full" => Input::ProxyQueueFull,
+            "lost" => Input::MessagesLost { feed: feed()?, messages: whole(from, "c")? },
             "seeds" => Input::Seeds(read_seeds(from)?),
-            "leave" => Input::Leave,
+            "leave" => Input::Shutdown,
             "tick" => Input::Tick,
             _ => return Err(fault("in", "no input of a round")),
         };
@@ -249,7 +249,8 @@
 
     fn all() -> Vec<Input> {
         let seeds = vec![SocketAddr::from(([10, 0, 0, 1], 8428))];
-        let terms = Terms { name: "edge-1".into(), life: u64::MAX, seeds: seeds.clone(), grace: 6 * SECOND };
+        let terms =
+            AgentConfig { name: "edge-1".into(), life: u64::MAX, seeds: seeds.clone(), grace: 6 * SECOND };
         let spoilt = Bytes::from_static(b"{\"n\":\xff\x00}");
         let long = format!(
             r#"{{"n":4,"notes":[{{"t":"steward","a":"10.0.0.2:1","f":2}}],"x":"{}"}}"#,
@@ -257,20 +258,20 @@
         );
         vec![
             Input::New(terms),
-            Input::Line { feed: 1, line: Bytes::from(long) },
-            Input::Line { feed: 1, line: spoilt.clone() },
-            Input::Ended { feed: 1 },
-            Input::Answered(Bytes::from_static(b"{}")),
-            Input::MessageBatch(Bytes::from_static(
+            Input::FeedLine { feed: 1, line: Bytes::from(long) },
+            Input::FeedLine { feed: 1, line: spoilt.clone() },
+            Input::FeedEnded { feed: 1 },
+            Input::ControlAnswered(Bytes::from_static(b"{}")),
+            Input::ProxyMessages(Bytes::from_static(
                 br#"{"from":"edge-1","life":1,"notes":[{"t":"acts","v":3,"n":0}]}"#,
             )),
-            Input::MessageBatch(spoilt),
-            Input::Up,
-            Input::Full,
-            Input::Lost { feed: 2, notes: 3 },
+            Input::ProxyMessages(spoilt),
+            Input::ProxyUp,
+            Input::ProxyQueueFull,
+            Input::MessagesLost { feed: 2, messages: 3 },
             Input::Seeds(seeds),
             Input::Tick,
-            Input::Leave,
+            Input::Shutdown,
         ]
     }
 
@@ -284,10 +285,10 @@
             for key in parts.keys() {
                 let mut fewer = parts.clone();
                 fewer.remove(key);
-                assert_ne!(Entry::of(&fewer), Ok(entry.clone()), "{key} of {text}");
+                assert_ne!(Entry::from_json(&fewer), Ok(entry.clone()), "{key} of {text}");
                 let mut odd = parts.clone();
                 odd.insert(key.clone(), JsonValue::Object(HashMap::new()));
-                assert!(Entry::of(&odd).is_err(), "{key} of {text}");
+                assert!(Entry::from_json(&odd).is_err(), "{key} of {text}");
             }
             for end in (0..text.len()).filter(|end| text.is_char_boundary(*end)).take(600) {
                 assert!(Entry::read(&text[..end]).is_err());
@@ -305,16 +306,16 @@
         let mut taped = Recorded::new(terms.clone(), 0, Some(sink));
         let mut effects = taped.take();
         for (n, input) in inputs.iter().cloned().enumerate().skip(1) {
-            taped.give(n as u64 * 40 * MS, input);
+            taped.handle(n as u64 * 40 * MS, input);
             effects.extend(taped.take());
         }
         let read: Vec<_> = lines.borrow().iter().map(|line| Entry::read(line).expect("a line")).collect();
         assert_eq!(read.iter().map(|e| e.input.clone()).collect::<Vec<_>>(), inputs);
-        let mut again = Round::new(Terms { seeds: Vec::new(), ..terms }, 0);
+        let mut again = Agent::new(AgentConfig { seeds: Vec::new(), ..terms }, 0);
         again.take();
         let mut same = Vec::new();
         for entry in read {
-            again.give(entry.at, entry.input);
+            again.handle(entry.at, entry.input);
             same.extend(again.take());
         }
         assert_eq!(same, effects);
--- a/agent/src/run.rs
+++ b/agent/src/run.rs
@@ -10,8 +10,8 @@
 use bytes::Bytes;
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode};
-use millpost_agent::newest::LONGEST;
-use millpost_agent::{Effect, Input, Nanos, Recorded, Terms};
+use millpost_agent::latest::MAX_CONFIG_BYTES;
+use millpost_agent::{AgentConfig, Effect, Input, Nanos, Recorded};
 use millpost_config::Settings;
 use millpost_net::messaging::{self, Bounds, Call, Event, Held, Incarnation, Limits, Outbox, Reply, To};
 use millpost_net::metrics;
@@ -107,7 +107,8 @@
     let to = to(STALL, SocketAddr::new(loopback, ports + 1), &name, &number);
     let stall = Outbox::new(to, bounds(Duration::from_millis(800)), came.clone());
     let grace = Duration::from_secs_f64(settings.bounds.grace_s);
-    let terms = Terms { name: settings.node_name, life, seeds: settings.seed_nodes, grace: nanos(grace) };
+    let terms =
+        AgentConfig { name: settings.node_name, life, seeds: settings.seed_nodes, grace: nanos(grace) };
     let mut porter = Porter {
         path,
         name,
@@ -128,7 +129,7 @@
                 None => break,
             },
             _ = hang_up.recv() => porter.read_settings(),
-            _ = term.recv() => porter.give(Input::Leave, None),
+            _ = term.recv() => porter.give(Input::Shutdown, None),
             () = sleep_until(due) => porter.give(Input::Tick, None),
         }
     }
@@ -182,10 +183,10 @@
 impl Porter {
     fn came(&mut self, came: Came) {
         match came {
-            Came::Line(feed, line) => self.give(Input::Line { feed, line }, None),
+            Came::Line(feed, line) => self.give(Input::FeedLine { feed, line }, None),
             Came::Ended(feed) => {
                 self.open.remove(&feed);
-                self.give(Input::Ended { feed }, None);
+                self.give(Input::FeedEnded { feed }, None);
             }
             Came::Call(call, reply) if call.method == Method::GET && call.path == metrics::PATH => {
                 let _ = reply.send(crate::figures::of(&self.round, self.began.elapsed()).reply());
@@ -193,23 +194,23 @@
             Came::Call(call, reply) if call.method != Method::POST || call.path != "/mail" => {
                 let _ = reply.send(Reply::empty(StatusCode::NOT_FOUND));
             }
-            Came::Call(call, reply) => self.give(Input::MessageBatch(call.body), Some(reply)),
-            Came::Mail(Event::Up { peer }) if &*peer == STALL => self.give(Input::Up, None),
+            Came::Call(call, reply) => self.give(Input::ProxyMessages(call.body), Some(reply)),
+            Came::Mail(Event::Up { peer }) if &*peer == STALL => self.give(Input::ProxyUp, None),
             Came::Mail(Event::Lost { peer, notes }) => {
                 // What the stall did not take it is told once it is up.
                 if let Ok(feed) = peer.parse() {
-                    self.give(Input::Lost { feed, notes: notes.len() as u64 }, None);
+                    self.give(Input::MessagesLost { feed, messages: notes.len() as u64 }, None);
                 }
             }
             Came::Mail(Event::Answered { peer, body }) if &*peer != STALL => {
-                self.give(Input::Answered(body), None);
+                self.give(Input::ControlAnswered(body), None);
             }
             Came::Mail(_) => {}
         }
     }
 
     fn give(&mut self, input: Input, reply: Option<oneshot::Sender<Reply>>) {
-        self.round.give(nanos(self.began.elapsed()), input);
+        self.round.handle(nanos(self.began.elapsed()), input);
         self.carry_out(reply);
     }
 
@@ -218,20 +219,20 @@
         let (mut read_settings, mut full) = (false, false);
         for effect in self.round.take() {
             match effect {
-                Effect::Open { feed, address, path, notes } => {
+                Effect::Open { feed, address, path, messages: notes } => {
                     let open = self.feed(feed, address, path, &notes);
                     self.open.insert(feed, open);
                 }
                 Effect::Close { feed } => drop(self.open.remove(&feed)),
-                Effect::Outbox { feed, note, .. } => {
+                Effect::SendToControl { feed, message: note, .. } => {
                     if let Some(open) = self.open.get(&feed) {
                         let _ = open.post.push(note.to_json());
                     }
                 }
-                Effect::Tell(note) => {
+                Effect::SendToProxy(note) => {
                     full |= self.stall.push(note.to_json()).is_err();
                 }
-                Effect::Answer { read } => {
+                Effect::AnswerProxy { read } => {
                     if let Some(reply) = reply.take() {
                         let status = if read { StatusCode::OK } else { StatusCode::BAD_REQUEST };
                         let _ = reply.send(Reply::empty(status));
@@ -239,11 +240,11 @@
                 }
                 Effect::ReadSettings => read_settings = true,
                 Effect::Log(level, text) => log::log!(target: OF, level, "{text}"),
-                Effect::End => self.over = true,
+                Effect::Exit => self.over = true,
             }
         }
         if full {
-            self.give(Input::Full, None);
+            self.give(Input::ProxyQueueFull, None);
         }
         if read_settings {
             self.read_settings();
@@ -268,7 +269,8 @@
         let came = self.came.clone();
         let task = tokio::spawn(async move {
             let silence = Duration::from_millis(1_200);
-            let terms = messaging::Terms { within: Duration::from_millis(700), longest: LONGEST, silence };
+            let terms =
+                messaging::Terms { within: Duration::from_millis(700), longest: MAX_CONFIG_BYTES, silence };
             match Held::open(address, path, body, terms).await {
                 Ok(mut held) => {
                     while let Some(line) = held.next_line().await {
--- a/agent/tests/round.rs
+++ b/agent/tests/round.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use log::Level;
-use millpost_agent::{Effect, Input, MS, Nanos, Round, SECOND, Terms};
+use millpost_agent::{Agent, AgentConfig, Effect, Input, MS, Nanos, SECOND};
 use millpost_config::{Config, change};
 use millpost_net::pack::pack;
 use millpost_protocol::{Instance, Peer, PeerMessage, ViewChange, object};
@@ -91,7 +91,7 @@
 
 /// A machine, and what it wants carried out.
 struct Play {
-    round: Round,
+    round: Agent,
     now: Nanos,
     /// Feeds that are open: number, address, path.
     open: Vec<(u64, SocketAddr, &'static str)>,
@@ -112,9 +112,9 @@
 impl Play {
     fn new(seeds: &[u8]) -> Self {
         let seeds = seeds.iter().map(|n| at(*n)).collect();
-        let terms = Terms { name: "edge-1".into(), life: 0, seeds, grace: 6 * SECOND };
+        let terms = AgentConfig { name: "edge-1".into(), life: 0, seeds, grace: 6 * SECOND };
         let mut play = Play {
-            round: Round::new(terms, 0),
+            round: Agent::new(terms, 0),
             now: 0,
             open: Vec::new(),
             opening: Vec::new(),
@@ -133,28 +133,28 @@
     fn carry_out(&mut self) {
         for effect in self.round.take() {
             match effect {
-                Effect::Open { feed, address, path, notes } => {
+                Effect::Open { feed, address, path, messages: notes } => {
                     self.opening = notes;
                     assert!(self.open.iter().all(|(n, a, _)| *n != feed && *a != address), "{address}");
                     self.open.push((feed, address, path));
                     assert!(self.open.len() <= 2 + self.without_contact);
                 }
                 Effect::Close { feed } => self.open.retain(|(n, ..)| *n != feed),
-                Effect::Outbox { feed, to, note } => {
+                Effect::SendToControl { feed, to, message: note } => {
                     assert!(self.open.iter().any(|(n, a, _)| *n == feed && *a == to));
                     self.posts.push((to, note));
                 }
-                Effect::Tell(note) => self.told.push(note),
-                Effect::Answer { read } => self.answers.push(read),
+                Effect::SendToProxy(note) => self.told.push(note),
+                Effect::AnswerProxy { read } => self.answers.push(read),
                 Effect::ReadSettings => self.reads += 1,
                 Effect::Log(level, text) => self.log.push((level, text)),
-                Effect::End => self.over = true,
+                Effect::Exit => self.over = true,
             }
         }
     }
 
     fn give(&mut self, input: Input) {
-        self.round.give(self.now, input);
+        self.round.handle(self.now, input);
         self.carry_out();
     }
 
@@ -173,13 +173,13 @@
     /// A line from a feed that is open.
     fn line(&mut self, n: u8, notes: &[PeerMessage]) {
         let feed = self.feed(n);
-        self.give(Input::Line { feed, line: line(notes) });
+        self.give(Input::FeedLine { feed, line: line(notes) });
     }
 
     fn ended(&mut self, n: u8) {
         let feed = self.feed(n);
         self.open.retain(|(of, ..)| *of != feed);
-        self.give(Input::Ended { feed });
+        self.give(Input::FeedEnded { feed });
     }
 
     fn letter(&mut self, notes: &[PeerMessage]) {
@@ -189,7 +189,7 @@
             ("life", JsonValue::from(1.0)),
             ("notes", notes),
         ];
-        self.give(Input::MessageBatch(object(parts).stringify().expect("JSON").into()));
+        self.give(Input::ProxyMessages(object(parts).stringify().expect("JSON").into()));
     }
 
     /// Those who are followed; who brings whole configurations.
@@ -275,7 +275,7 @@
     assert_eq!((all.len(), whole.len()), (2, 1));
     let feeds: Vec<_> = play.open.iter().map(|(feed, ..)| *feed).collect();
     for feed in feeds {
-        play.give(Input::Line { feed, line: line(&[]) });
+        play.give(Input::FeedLine { feed, line: line(&[]) });
     }
     assert_eq!(play.posts.len(), 2);
     assert!(play.posts.iter().all(|(_, note)| *note == PeerMessage::Acts { revision: 0, number: 7 }));
@@ -332,8 +332,8 @@
     assert!(play.followed().0.contains(&at(9)));
     // Mail that came back is told, of feeds that are open.
     let feed = play.feed(9);
-    play.give(Input::Lost { feed, notes: 3 });
-    play.give(Input::Lost { feed: 1_000, notes: 3 });
+    play.give(Input::MessagesLost { feed, messages: 3 });
+    play.give(Input::MessagesLost { feed: 1_000, messages: 3 });
     let lost = play.log.iter().filter(|(level, _)| *level == Level::Debug).count();
     assert_eq!(lost, 1, "{:?}", play.log);
 }
@@ -364,7 +364,7 @@
 #[test]
 fn a_stall_that_starts_anew_gets_everything() {
     let mut play = Play::new(&[1, 2]);
-    play.give(Input::Up);
+    play.give(Input::ProxyUp);
     assert_eq!(play.told, []);
     let heavy = if play.followed().1 == [at(1)] { 1 } else { 2 };
     play.line(heavy, &[packed(2), stalls((1, 1)), instances((1, 2), true, &["a", "b"], &[])]);
@@ -374,7 +374,7 @@
     for revision in [None, Some(0), Some(2), Some(1)] {
         play.told.clear();
         match revision {
-            None => play.give(Input::Up),
+            None => play.give(Input::ProxyUp),
             Some(revision) => play.letter(&[acts(revision)]),
         }
         let expected = if revision == Some(2) { &[][..] } else { &all };
@@ -383,7 +383,7 @@
     // After changes the whole is what they came to.
     play.line(heavy, &[patch(2, 3)]);
     play.told.clear();
-    play.give(Input::Up);
+    play.give(Input::ProxyUp);
     assert_eq!(play.told[0], packed(3));
 }
 
@@ -454,9 +454,9 @@
     play.give(Input::Seeds(vec![at(2), at(3)]));
     play.pass(100 * MS);
     assert!(play.log[0].1.starts_with("seeds are now") && play.followed().0.len() == 2);
-    play.give(Input::Leave);
+    play.give(Input::Shutdown);
     play.pass(5_400 * MS);
-    play.give(Input::Leave);
+    play.give(Input::Shutdown);
     assert!(!play.over);
     play.pass(100 * MS);
     assert!(play.over);
@@ -471,13 +471,13 @@
     play.line(light, &[patch(3, 4)]);
     let after = play.feed(light);
     assert_ne!(before, after);
-    play.give(Input::Ended { feed: before });
+    play.give(Input::FeedEnded { feed: before });
     assert_eq!(play.feed(light), after);
     play.line(light, &[packed(4)]);
     // It would tell of a steward, and be answered.
     play.posts.clear();
-    play.give(Input::Line { feed: before, line: line(&[steward(5, 9), packed(5)]) });
-    assert_eq!((play.told.len(), play.posts.len(), play.round.follow().steward()), (1, 0, None));
+    play.give(Input::FeedLine { feed: before, line: line(&[steward(5, 9), packed(5)]) });
+    assert_eq!((play.told.len(), play.posts.len(), play.round.feeds().leader()), (1, 0, None));
     // The old one counts for nothing, so nobody is opened twice.
     play.pass(SECOND);
     assert_eq!((play.feed(light), play.open.len()), (after, 2));
@@ -526,7 +526,7 @@
         if let Some((feed, ..)) = play.open.first().copied() {
             opened += 1;
             for _ in 0..3 {
-                play.give(Input::Line { feed, line: Bytes::from_static(garbage) });
+                play.give(Input::FeedLine { feed, line: Bytes::from_static(garbage) });
             }
             assert_eq!(play.open, []);
         }
@@ -556,7 +556,7 @@
             play.open.iter().map(|(f, a, _)| (*f, *a)).filter(|(_, a)| *a != light).collect();
         for (feed, _) in others {
             play.open.retain(|(of, ..)| *of != feed);
-            play.give(Input::Ended { feed });
+            play.give(Input::FeedEnded { feed });
         }
     }
     assert_eq!(play.told, [packed(2)]);
@@ -581,7 +581,7 @@
     play.line(1, &[packed(2), instances((1, 1), true, &["a"], &[])]);
     play.told.clear();
     for _ in 0..3 {
-        play.give(Input::Full);
+        play.give(Input::ProxyQueueFull);
     }
     play.pass(900 * MS);
     assert_eq!((play.told.len(), play.log.len()), (0, 1));
@@ -595,10 +595,10 @@
 fn notes_that_cannot_be_read_are_told_and_the_others_stand() {
     let mut play = Play::new(&[1]);
     let letter = br#"{"from":"edge-1","life":1,"notes":[{"t":"acts","v":-1},{"t":"acts","v":3,"n":0}]}"#;
-    play.give(Input::MessageBatch(Bytes::from_static(letter)));
-    assert_eq!((play.answers.as_slice(), play.round.acts()), (&[true][..], 3));
+    play.give(Input::ProxyMessages(Bytes::from_static(letter)));
+    assert_eq!((play.answers.as_slice(), play.round.proxy_revision()), (&[true][..], 3));
     assert_eq!(play.log, [(Level::Warn, "a note of edge-1: v: no whole number".to_owned())]);
-    play.give(Input::MessageBatch(Bytes::from_static(b"[]")));
+    play.give(Input::ProxyMessages(Bytes::from_static(b"[]")));
     assert_eq!(play.answers, [true, false]);
 }
 
@@ -617,33 +617,33 @@
         });
         assert!(told == (n > 58) || (55..=58).contains(&n), "{n}");
     }
-    assert!(play.round.newest().instances() < 6_000);
+    assert!(play.round.latest().instances() < 6_000);
     // Once there is room again, it is used.
     play.line(1, &[instances((2, 0), true, &["a"], &[])]);
-    assert_eq!(play.round.newest().instances(), 1);
+    assert_eq!(play.round.latest().instances(), 1);
     // Notes without end.
     play.log.clear();
     let spoilt = format!(r#"{{"n":1,"notes":[{}1]}}"#, "1,".repeat(9_000));
     let feed = play.feed(1);
-    play.give(Input::Line { feed, line: spoilt.into() });
+    play.give(Input::FeedLine { feed, line: spoilt.into() });
     assert!(play.log.len() < 10 && play.open.len() == 2);
     let spoilt = format!(r#"{{"n":1,"notes":[{}1]}}"#, "1,".repeat(50_000));
-    play.give(Input::Line { feed, line: spoilt.into() });
+    play.give(Input::FeedLine { feed, line: spoilt.into() });
     assert!(play.log.len() < 10 && play.open.len() == 1);
     // Stewards without end.
     for n in 0..300_u64 {
         let to = SocketAddr::from(([10, 9, (n / 250) as u8, (n % 250) as u8], 1));
         let fence = n + 1;
         let feed = play.open.first().expect("one").0;
-        play.give(Input::Line {
+        play.give(Input::FeedLine {
             feed,
             line: line(&[PeerMessage::Steward { address: to.to_string().into(), fence }]),
         });
         let last = play.open.iter().find(|(_, a, _)| *a == to).expect("it is followed").0;
         play.open.retain(|(of, ..)| *of != last);
-        play.give(Input::Ended { feed: last });
+        play.give(Input::FeedEnded { feed: last });
     }
-    assert!(play.round.follow().kept() <= 2 + 32 + 64 + 2);
+    assert!(play.round.feeds().tracked_addresses() <= 2 + 32 + 64 + 2);
 }
 
 /// A porter or a stall that was started alone, a new steward whose naming goes from one that is not known here.
@@ -688,14 +688,14 @@
     // The stall's own word goes up.
     play.letter(&[rest(900.0)]);
     play.now += 400 * MS;
-    play.give(Input::Up);
+    play.give(Input::ProxyUp);
     assert_eq!(std::mem::take(&mut play.told), [rest(600.0), packed(1)]);
     play.now += 600 * MS;
-    play.give(Input::Up);
+    play.give(Input::ProxyUp);
     assert_eq!(std::mem::take(&mut play.told), [packed(1)]);
     play.line(1, &[rest(1_000.0), rest(0.0)]);
     play.told.clear();
-    play.give(Input::Up);
+    play.give(Input::ProxyUp);
     assert_eq!(play.told, [packed(1)]);
 }
 
@@ -713,11 +713,11 @@
     let answer = |notes: &[PeerMessage]| {
         let notes: Vec<_> = notes.iter().map(|note| note.to_json().stringify().expect("text")).collect();
         let text = format!(r#"{{"from":"10.0.0.1:1","life":0,"notes":[{}]}}"#, notes.join(","));
-        Input::Answered(Bytes::from(text))
+        Input::ControlAnswered(Bytes::from(text))
     };
     play.give(answer(&[PeerMessage::Stands { revision: 3 }, steward(9, 9)]));
     assert_eq!(play.told, [PeerMessage::Stands { revision: 3 }]);
-    play.give(Input::Answered(Bytes::from_static(b"{")));
+    play.give(Input::ControlAnswered(Bytes::from_static(b"{")));
     assert_eq!(play.told.len(), 1);
 }
 
@@ -729,7 +729,7 @@
     let (old, new) = (config(1, 1), config(2, 2));
     play.line(1, &[PeerMessage::Patch { revision: 2, change: millpost_config::change::between(&old, &new) }]);
     play.told.clear();
-    play.give(Input::Up);
+    play.give(Input::ProxyUp);
     let packed = millpost_net::pack::pack(&new.to_json()).expect("packed");
     assert_eq!(play.told, [PeerMessage::Packed { revision: 2, packed }]);
 }
--- a/autoscaler/src/lib.rs
+++ b/autoscaler/src/lib.rs
@@ -4,30 +4,30 @@
 //! answers and what the owners of functions say, calls [`Scaler::tick`] after each round of inputs and at the time that the
 //! tick names, and carries out what [`Scaler::take`] gives.
 //!
-//! - [`terms`]: what the platform allows, and the scaler's own times.
+//! - [`config`]: what the platform allows, and the scaler's own times.
 //! - [`scaler`]: the state machine; [`scaler::view`]: how functions stand, for people.
-//! - [`pace`]: when the list and the workers are asked for, under the platform's rate.
+//! - [`poll_schedule`]: when the list and the workers are asked for, under the platform's rate.
 //! - [`platform`]: the platform's answers read, the bodies of calls written.
 //! - [`recording`]: the scaler's inputs as lines, to be played again.
 //!
 //! Times are nanoseconds of one clock of the caller's that never goes back; its origin is free.
 
+pub mod config;
 mod duty;
 mod fleet;
 mod life;
-pub mod pace;
 pub mod platform;
+pub mod poll_schedule;
 pub mod recording;
 pub mod scaler;
-pub mod terms;
 
+pub use config::ScalerConfig;
 pub use life::{Instance, State};
 pub use millpost_protocol::line::Sink;
-pub use pace::{Ask, Pace};
-pub use platform::{Entry, StartFault, StopFault, Worker};
+pub use platform::{Endpoint, StartFault, StopFault, Worker};
+pub use poll_schedule::{Poll, PollSchedule};
 pub use recording::Recorded;
 pub use scaler::{Effect, Scaler, ServiceSpec};
-pub use terms::Terms;
 
 /// A point in time or a span, in nanoseconds.
 pub type Nanos = u64;
--- a/autoscaler/src/platform.rs
+++ b/autoscaler/src/platform.rs
@@ -10,11 +10,11 @@
 use tinyjson::JsonValue;
 
 /// The largest answer that is read, in bytes.
-pub const TEXT_MAX: usize = 8 << 20;
+pub const MAX_ANSWER_BYTES: usize = 8 << 20;
 /// The most entries of one answer.
-pub const COUNT_MAX: usize = 20_000;
+pub const MAX_ENTRIES: usize = 20_000;
 /// The longest name, in bytes.
-pub const NAME_MAX: usize = 256;
+pub const MAX_NAME_BYTES: usize = 256;
 /// How deep an answer may nest.
 const DEPTH_MAX: usize = 16;
 
@@ -24,13 +24,13 @@
 pub enum Error {
     /// Too many bytes.
     #[snafu(display("an answer of {bytes} bytes"))]
-    Long {
+    TooLong {
         /// How many.
         bytes: usize,
     },
     /// Nested too deeply.
     #[snafu(display("an answer nested too deeply"))]
-    Deep,
+    TooDeep,
     /// Not JSON.
     #[snafu(display("not JSON: {source}"))]
     Json {
@@ -49,7 +49,7 @@
 
 /// An endpoint in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct Endpoint {
     /// Names one life.
     pub id: CompactString,
     /// The service that it serves.
@@ -106,12 +106,12 @@
 }
 
 /// One page of the list, and the token of the next.
-pub fn read_endpoints(text: &str) -> Result<(Vec<Entry>, Option<CompactString>), Error> {
+pub fn read_endpoints(text: &str) -> Result<(Vec<Endpoint>, Option<CompactString>), Error> {
     let answer = parse(text)?;
     let top = Part::top(&answer)?;
     let entries = top.list("endpoints", |entry| {
         let worker = if entry.has("worker") { Some(entry.name("worker")?) } else { None };
-        Ok(Entry {
+        Ok(Endpoint {
             id: entry.name("id")?,
             service: entry.name("service")?,
             address: entry.address("address")?,
@@ -189,7 +189,7 @@
 }
 
 fn parse(text: &str) -> Result<JsonValue, Error> {
-    ensure!(text.len() <= TEXT_MAX, LongSnafu { bytes: text.len() });
+    ensure!(text.len() <= MAX_ANSWER_BYTES, TooLongSnafu { bytes: text.len() });
     // The parser calls itself for each level.
     let (mut depth, mut quoted, mut escaped) = (0_usize, false, false);
     for byte in text.bytes() {
@@ -201,7 +201,7 @@
             b']' | b'}' if !quoted => depth = depth.saturating_sub(1),
             _ => {}
         }
-        ensure!(depth <= DEPTH_MAX, DeepSnafu);
+        ensure!(depth <= DEPTH_MAX, TooDeepSnafu);
     }
     text.parse().context(JsonSnafu)
 }
@@ -238,7 +238,7 @@
         read: impl Fn(&Part<'_>) -> Result<T, Error>,
     ) -> Result<Vec<T>, Error> {
         let Some(JsonValue::Array(values)) = self.keys.get(key) else { return self.fault(key, "a list") };
-        if values.len() > COUNT_MAX {
+        if values.len() > MAX_ENTRIES {
             return self.fault(key, "fewer entries");
         }
         let parts = values.iter().enumerate().map(|(at, value)| {
@@ -252,7 +252,9 @@
 
     fn name(&self, key: &str) -> Result<CompactString, Error> {
         match self.keys.get(key) {
-            Some(JsonValue::String(text)) if !text.is_empty() && text.len() <= NAME_MAX => Ok(text.into()),
+            Some(JsonValue::String(text)) if !text.is_empty() && text.len() <= MAX_NAME_BYTES => {
+                Ok(text.into())
+            }
             _ => self.fault(key, "a name"),
         }
     }
--- a/autoscaler/src/pace.rs
+++ b/autoscaler/src/poll_schedule.rs
@@ -11,18 +11,18 @@
 
 /// What to ask for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum Poll {
     /// The list of endpoints, from its first page.
     List,
     /// The list's next page.
-    Page,
+    NextPage,
     /// The workers.
     Workers,
 }
 
 /// Spaces calls out. One list is read at a time, and its pages count as calls.
 #[derive(Debug)]
-pub struct Pace {
+pub struct PollSchedule {
     gap: Nanos,
     free: Nanos,
     list: Nanos,
@@ -30,7 +30,7 @@
     reading: bool,
 }
 
-impl Pace {
+impl PollSchedule {
     /// Under `rate_per_s` calls of all.
     pub fn new(rate_per_s: f64, now: Nanos) -> Self {
         let gap = (1e9 / (rate_per_s * SHARE).max(0.5)) as Nanos;
@@ -38,42 +38,42 @@
     }
 
     /// What to ask for now, if anything. It is counted as asked.
-    pub fn ask(&mut self, now: Nanos) -> Option<Ask> {
-        if now < self.next() {
+    pub fn next_poll(&mut self, now: Nanos) -> Option<Poll> {
+        if now < self.next_at() {
             return None;
         }
         self.free = now + self.gap;
         if now >= self.workers {
             self.workers = now + WORKERS_EVERY;
-            return Some(Ask::Workers);
+            return Some(Poll::Workers);
         }
         if self.reading {
-            return Some(Ask::Page);
+            return Some(Poll::NextPage);
         }
         (self.reading, self.list) = (true, now + LIST_EVERY);
-        Some(Ask::List)
+        Some(Poll::List)
     }
 
     /// The list was read to its end, or given up.
-    pub fn listed(&mut self) {
+    pub fn list_ended(&mut self) {
         self.reading = false;
     }
 
     /// The list was read to its end and had so many entries: a long one costs more to read, and is read less often, though never
     /// less than about once a second.
-    pub fn listed_whole(&mut self, now: Nanos, entries: usize) {
+    pub fn list_completed(&mut self, now: Nanos, entries: usize) {
         self.reading = false;
         let longer = (entries as Nanos / 4 * MS).min(LIST_EVERY);
         self.list = self.list.max(now) + longer;
     }
 
     /// A call got 429, or none of its answers came.
-    pub fn refused(&mut self, now: Nanos) {
+    pub fn throttled(&mut self, now: Nanos) {
         self.free = self.free.max(now + HOLD);
     }
 
-    /// When to call [`Pace::ask`] next. While a list is read, ask when its last page has come.
-    pub fn next(&self) -> Nanos {
+    /// When to call [`PollSchedule::next_poll`] next. While a list is read, ask when its last page has come.
+    pub fn next_at(&self) -> Nanos {
         let due = if self.reading { self.free } else { self.list.min(self.workers) };
         due.max(self.free)
     }
--- a/autoscaler/src/recording.rs
+++ b/autoscaler/src/recording.rs
@@ -13,8 +13,8 @@
 use tinyjson::JsonValue;
 
 use crate::{
-    Effect, Entry as Listed, Instance, Nanos, Scaler, ServiceSpec, StartFault, State, StopFault, Terms,
-    Worker,
+    Effect, Endpoint as Listed, Instance, Nanos, Scaler, ScalerConfig, ServiceSpec, StartFault, State,
+    StopFault, Worker,
 };
 
 /// What the first line of a scaler says that it is of.
@@ -37,7 +37,7 @@
 
 impl Recorded {
     /// As [`Scaler::new`].
-    pub fn new(terms: Terms, now: Nanos, sink: Option<Sink>) -> Self {
+    pub fn new(terms: ScalerConfig, now: Nanos, sink: Option<Sink>) -> Self {
         let mut tape = sink.map(Recorder::new);
         if let Some(tape) = &mut tape {
             let mut line = tape.begin("new", now);
@@ -84,37 +84,37 @@
         self.scaler.inherit(now, instances);
     }
 
-    /// As [`Scaler::listed`].
-    pub fn listed(&mut self, now: Nanos, asked_at: Nanos, entries: Vec<Listed>) {
+    /// As [`Scaler::endpoints_listed`].
+    pub fn endpoints_listed(&mut self, now: Nanos, asked_at: Nanos, entries: Vec<Listed>) {
         self.tell("listed", now, |line| write_listed(line, asked_at, &entries));
-        self.scaler.listed(now, asked_at, entries);
+        self.scaler.endpoints_listed(now, asked_at, entries);
     }
 
-    /// As [`Scaler::workers`].
-    pub fn workers(&mut self, now: Nanos, asked_at: Nanos, workers: Vec<Worker>) {
+    /// As [`Scaler::workers_listed`].
+    pub fn workers_listed(&mut self, now: Nanos, asked_at: Nanos, workers: Vec<Worker>) {
         self.tell("workers", now, |line| write_workers(line, asked_at, &workers));
-        self.scaler.workers(now, asked_at, workers);
+        self.scaler.workers_listed(now, asked_at, workers);
     }
 
-    /// As [`Scaler::started`].
-    pub fn started(
+    /// As [`Scaler::start_answered`].
+    pub fn start_answered(
         &mut self,
         now: Nanos,
         nonce: &str,
         answer: Result<(CompactString, SocketAddr), StartFault>,
     ) {
         self.tell("started", now, |line| write_started(line, nonce, &answer));
-        self.scaler.started(now, nonce, answer);
+        self.scaler.start_answered(now, nonce, answer);
     }
 
-    /// As [`Scaler::stopped`].
-    pub fn stopped(&mut self, now: Nanos, id: &str, answer: Result<(), StopFault>) {
+    /// As [`Scaler::stop_answered`].
+    pub fn stop_answered(&mut self, now: Nanos, id: &str, answer: Result<(), StopFault>) {
         self.tell("stopped", now, |line| write_stopped(line, id, answer));
-        self.scaler.stopped(now, id, answer);
+        self.scaler.stop_answered(now, id, answer);
     }
 
-    /// As [`Scaler::want`].
-    pub fn want(
+    /// As [`Scaler::set_target`].
+    pub fn set_target(
         &mut self,
         now: Nanos,
         service: &str,
@@ -123,23 +123,29 @@
         zones: &[CompactString],
     ) {
         self.tell("want", now, |line| write_want(line, service, lot, count, zones));
-        self.scaler.want(now, service, lot, count, zones);
+        self.scaler.set_target(now, service, lot, count, zones);
     }
 
-    /// As [`Scaler::avoid`]. That none is slow is told only where one was.
-    pub fn avoid(&mut self, now: Nanos, service: &str, lot: Option<&CompactString>, slow: &[CompactString]) {
-        if !slow.is_empty() || self.scaler.avoids(service) {
+    /// As [`Scaler::set_slow_workers`]. That none is slow is told only where one was.
+    pub fn set_slow_workers(
+        &mut self,
+        now: Nanos,
+        service: &str,
+        lot: Option<&CompactString>,
+        slow: &[CompactString],
+    ) {
+        if !slow.is_empty() || self.scaler.has_slow_workers(service) {
             self.tell("avoid", now, |line| write_avoid(line, service, lot, slow));
-            self.scaler.avoid(now, service, lot, slow);
+            self.scaler.set_slow_workers(now, service, lot, slow);
         }
     }
 
-    /// As [`Scaler::split`].
-    pub fn split(&mut self, now: Nanos, services: &BTreeSet<CompactString>) {
+    /// As [`Scaler::set_split`].
+    pub fn set_split(&mut self, now: Nanos, services: &BTreeSet<CompactString>) {
         self.tell("split", now, |line| {
             line.names("all", &services.iter().cloned().collect::<Vec<_>>());
         });
-        self.scaler.split(now, services);
+        self.scaler.set_split(now, services);
     }
 
     /// As [`Scaler::retire`].
@@ -150,24 +156,24 @@
         self.scaler.retire(now, id);
     }
 
-    /// As [`Scaler::lost`].
-    pub fn lost(&mut self, now: Nanos, id: &str) {
+    /// As [`Scaler::mark_unreachable`].
+    pub fn mark_unreachable(&mut self, now: Nanos, id: &str) {
         self.tell("lost", now, |line| {
             line.text("i", id);
         });
-        self.scaler.lost(now, id);
+        self.scaler.mark_unreachable(now, id);
     }
 
-    /// As [`Scaler::up`].
-    pub fn up(&mut self, now: Nanos, id: &str) {
+    /// As [`Scaler::mark_up`].
+    pub fn mark_up(&mut self, now: Nanos, id: &str) {
         self.tell("up", now, |line| {
             line.text("i", id);
         });
-        self.scaler.up(now, id);
+        self.scaler.mark_up(now, id);
     }
 
     /// The term is over, which is no input.
-    pub fn over(&mut self, now: Nanos) {
+    pub fn end_term(&mut self, now: Nanos) {
         self.tell("over", now, |_| {});
     }
 
@@ -188,12 +194,12 @@
             Effect::Stop { id } => {
                 into.text("stop").text(id);
             }
-            Effect::Known { instance: of } => {
+            Effect::Updated { instance: of } => {
                 into.text("known").text(&of.id).text(&of.service).text(&of.address.to_compact_string());
-                into.text(&of.zone).text(&of.worker).text(state_word(of.state));
+                into.text(&of.zone).text(&of.worker).text(state_name(of.state));
                 into.whole(of.boot_ms.into()).whole(of.since);
             }
-            Effect::Gone { id, service, zone } => {
+            Effect::Removed { id, service, zone } => {
                 into.text("gone").text(id).text(service).text(zone);
             }
         }
@@ -204,66 +210,66 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// A term begins.
-    New(Terms),
+    New(ScalerConfig),
     /// [`Scaler::configure`].
     Configure(Vec<ServiceSpec>),
     /// [`Scaler::inherit`].
     Inherit(Vec<Instance>),
-    /// [`Scaler::listed`].
+    /// [`Scaler::endpoints_listed`].
     Listed {
         /// When the list was asked for.
         asked: Nanos,
         /// All of it.
         entries: Vec<Listed>,
     },
-    /// [`Scaler::workers`].
+    /// [`Scaler::workers_listed`].
     Workers {
         /// When they were asked for.
         asked: Nanos,
         /// All of them.
         workers: Vec<Worker>,
     },
-    /// [`Scaler::started`].
+    /// [`Scaler::start_answered`].
     Started {
         /// The start's nonce.
         nonce: CompactString,
         /// Its answer.
         answer: Result<(CompactString, SocketAddr), StartFault>,
     },
-    /// [`Scaler::stopped`].
+    /// [`Scaler::stop_answered`].
     Stopped {
         /// The instance.
         id: CompactString,
         /// The answer.
         answer: Result<(), StopFault>,
     },
-    /// [`Scaler::split`].
+    /// [`Scaler::set_split`].
     Split(BTreeSet<CompactString>),
-    /// [`Scaler::want`].
+    /// [`Scaler::set_target`].
     Want {
         /// The function.
         service: CompactString,
         /// The zone that its owner speaks for.
-        lot: Option<CompactString>,
+        zone: Option<CompactString>,
         /// In all.
         count: u32,
         /// Where, most first.
         zones: Vec<CompactString>,
     },
-    /// [`Scaler::avoid`].
+    /// [`Scaler::set_slow_workers`].
     Avoid {
         /// The function.
         service: CompactString,
         /// The zone that its owner speaks for.
-        lot: Option<CompactString>,
+        zone: Option<CompactString>,
         /// Workers.
         slow: Vec<CompactString>,
     },
     /// [`Scaler::retire`].
     Retire(CompactString),
-    /// [`Scaler::lost`].
+    /// [`Scaler::mark_unreachable`].
     Lost(CompactString),
-    /// [`Scaler::up`].
+    /// [`Scaler::mark_up`].
     Up(CompactString),
     /// [`Scaler::tick`].
     Tick,
@@ -282,22 +288,22 @@
     pub input: Input,
 }
 
-fn write_terms(line: &mut Line, terms: &Terms) {
+fn write_terms(line: &mut Line, terms: &ScalerConfig) {
     line.text("of", SCALER).whole("fence", terms.fence).number("duty_per_s", terms.duty_per_s);
     for (key, value) in times(terms) {
         line.time(key, value);
     }
 }
 
-fn times(terms: &Terms) -> [(&'static str, u64); 9] {
+fn times(terms: &ScalerConfig) -> [(&'static str, u64); 9] {
     [
         ("max_lag_ms", terms.max_lag_ms),
-        ("want_ms", terms.want_ms),
-        ("leave_ms", terms.leave_ms),
-        ("let_go_ms", terms.let_go_ms),
-        ("pause_ms", terms.pause_ms),
-        ("pause_max_ms", terms.pause_max_ms),
-        ("answer_ms", terms.answer_ms),
+        ("want_ms", terms.target_ttl_ms),
+        ("leave_ms", terms.unowned_grace_ms),
+        ("let_go_ms", terms.drain_ms),
+        ("pause_ms", terms.retry_ms),
+        ("pause_max_ms", terms.retry_max_ms),
+        ("answer_ms", terms.answer_timeout_ms),
         ("boots", terms.boots),
         ("settle_boots", terms.settle_boots),
     ]
@@ -316,7 +322,7 @@
     line.list("set", instances, |out, of| {
         line::part(out, |line| {
             line.text("i", &of.id).text("s", &of.service).text("a", &of.address.to_compact_string());
-            line.text("z", &of.zone).text("w", &of.worker).text("st", state_word(of.state));
+            line.text("z", &of.zone).text("w", &of.worker).text("st", state_name(of.state));
             line.whole("boot", of.boot_ms.into()).time("since", of.since);
         });
     });
@@ -368,14 +374,14 @@
     line.text("nonce", nonce);
     match answer {
         Ok((id, address)) => line.text("i", id).text("a", &address.to_compact_string()),
-        Err(fault) => line.text("no", start_word(*fault)),
+        Err(fault) => line.text("no", start_fault_name(*fault)),
     };
 }
 
 fn write_stopped(line: &mut Line, id: &str, answer: Result<(), StopFault>) {
     line.text("i", id);
     if let Err(fault) = answer {
-        line.text("no", stop_word(fault));
+        line.text("no", stop_fault_name(fault));
     }
 }
 
@@ -405,17 +411,17 @@
 }
 
 /// The word for a state of an instance.
-pub fn state_word(state: State) -> &'static str {
+pub fn state_name(state: State) -> &'static str {
     word_of(&STATES, &state)
 }
 
 /// The word for why a start did not come through.
-pub fn start_word(fault: StartFault) -> &'static str {
+pub fn start_fault_name(fault: StartFault) -> &'static str {
     word_of(&STARTS, &fault)
 }
 
 /// The word for why a stop did not come through.
-pub fn stop_word(fault: StopFault) -> &'static str {
+pub fn stop_fault_name(fault: StopFault) -> &'static str {
     word_of(&STOPS, &fault)
 }
 
@@ -448,20 +454,20 @@
     string(from, "a")?.parse().map_err(|_| Fault { key: "a".to_owned(), reason: "no address with a port" })
 }
 
-fn read_terms(from: &Parts) -> Result<Terms, Fault> {
+fn read_terms(from: &Parts) -> Result<ScalerConfig, Fault> {
     if string(from, "of")? != SCALER {
         return Err(Fault { key: "of".to_owned(), reason: "no scaler" });
     }
-    Ok(Terms {
+    Ok(ScalerConfig {
         fence: whole(from, "fence")?,
         duty_per_s: number(from, "duty_per_s")?,
         max_lag_ms: millis(from, "max_lag_ms")?,
-        want_ms: millis(from, "want_ms")?,
-        leave_ms: millis(from, "leave_ms")?,
-        let_go_ms: millis(from, "let_go_ms")?,
-        pause_ms: millis(from, "pause_ms")?,
-        pause_max_ms: millis(from, "pause_max_ms")?,
-        answer_ms: millis(from, "answer_ms")?,
+        target_ttl_ms: millis(from, "want_ms")?,
+        unowned_grace_ms: millis(from, "leave_ms")?,
+        drain_ms: millis(from, "let_go_ms")?,
+        retry_ms: millis(from, "pause_ms")?,
+        retry_max_ms: millis(from, "pause_max_ms")?,
+        answer_timeout_ms: millis(from, "answer_ms")?,
         boots: bounded(from, "boots", MOST_BOOTS)?,
         settle_boots: bounded(from, "settle_boots", MOST_BOOTS)?,
     })
@@ -536,10 +542,10 @@
             Input::Workers { asked, workers } => write_workers(&mut line, *asked, workers),
             Input::Started { nonce, answer } => write_started(&mut line, nonce, answer),
             Input::Stopped { id, answer } => write_stopped(&mut line, id, *answer),
-            Input::Want { service, lot, count, zones } => {
+            Input::Want { service, zone: lot, count, zones } => {
                 write_want(&mut line, service, lot.as_ref(), *count, zones);
             }
-            Input::Avoid { service, lot, slow } => write_avoid(&mut line, service, lot.as_ref(), slow),
+            Input::Avoid { service, zone: lot, slow } => write_avoid(&mut line, service, lot.as_ref(), slow),
             Input::Split(all) => {
                 line.names("all", &all.iter().cloned().collect::<Vec<_>>());
             }
@@ -553,11 +559,11 @@
 
     /// Reads a line.
     pub fn read(text: &str) -> Result<Entry, Fault> {
-        Entry::of(&line::read(text)?)
+        Entry::from_json(&line::read(text)?)
     }
 
     /// Reads a line that was read as JSON.
-    pub fn of(from: &HashMap<String, JsonValue>) -> Result<Entry, Fault> {
+    pub fn from_json(from: &HashMap<String, JsonValue>) -> Result<Entry, Fault> {
         let input = match string(from, "in")?.as_str() {
             "new" => Input::New(read_terms(from)?),
             "configure" => Input::Configure(line::objects(from, "specs", read_spec)?),
@@ -574,13 +580,13 @@
             "stopped" => read_stopped(from)?,
             "want" => Input::Want {
                 service: string(from, "s")?,
-                lot: if from.contains_key("lot") { Some(string(from, "lot")?) } else { None },
+                zone: if from.contains_key("lot") { Some(string(from, "lot")?) } else { None },
                 count: small(from, "c")?,
                 zones: line::names(from, "z")?,
             },
             "avoid" => Input::Avoid {
                 service: string(from, "s")?,
-                lot: if from.contains_key("lot") { Some(string(from, "lot")?) } else { None },
+                zone: if from.contains_key("lot") { Some(string(from, "lot")?) } else { None },
                 slow: line::names(from, "slow")?,
             },
             "split" => Input::Split(line::names(from, "all")?.into_iter().collect()),
@@ -619,23 +625,25 @@
     }
 
     /// Gives it to a scaler.
-    pub fn give(self, now: Nanos, scaler: &mut Scaler) {
+    pub fn apply(self, now: Nanos, scaler: &mut Scaler) {
         match self {
             Input::New(terms) => *scaler = Scaler::new(terms, now),
             Input::Configure(specs) => scaler.configure(now, specs),
             Input::Inherit(instances) => scaler.inherit(now, instances),
-            Input::Listed { asked, entries } => scaler.listed(now, asked, entries),
-            Input::Workers { asked, workers } => scaler.workers(now, asked, workers),
-            Input::Started { nonce, answer } => scaler.started(now, &nonce, answer),
-            Input::Stopped { id, answer } => scaler.stopped(now, &id, answer),
-            Input::Want { service, lot, count, zones } => {
-                scaler.want(now, &service, lot.as_ref(), count, &zones);
+            Input::Listed { asked, entries } => scaler.endpoints_listed(now, asked, entries),
+            Input::Workers { asked, workers } => scaler.workers_listed(now, asked, workers),
+            Input::Started { nonce, answer } => scaler.start_answered(now, &nonce, answer),
+            Input::Stopped { id, answer } => scaler.stop_answered(now, &id, answer),
+            Input::Want { service, zone: lot, count, zones } => {
+                scaler.set_target(now, &service, lot.as_ref(), count, &zones);
+            }
+            Input::Avoid { service, zone: lot, slow } => {
+                scaler.set_slow_workers(now, &service, lot.as_ref(), &slow)
             }
-            Input::Avoid { service, lot, slow } => scaler.avoid(now, &service, lot.as_ref(), &slow),
-            Input::Split(all) => scaler.split(now, &all),
+            Input::Split(all) => scaler.set_split(now, &all),
             Input::Retire(id) => scaler.retire(now, &id),
-            Input::Lost(id) => scaler.lost(now, &id),
-            Input::Up(id) => scaler.up(now, &id),
+            Input::Lost(id) => scaler.mark_unreachable(now, &id),
+            Input::Up(id) => scaler.mark_up(now, &id),
             Input::Tick => {
                 scaler.tick(now);
             }
@@ -681,7 +689,7 @@
         };
         let spec = ServiceSpec { name: "f".into(), memory_mb: 128, boot_ms: 300, concurrency: 2 };
         vec![
-            Input::New(Terms::new(3, 1.0 / 3.0, 800)),
+            Input::New(ScalerConfig::new(3, 1.0 / 3.0, 800)),
             Input::Configure(vec![spec]),
             Input::Inherit(vec![instance]),
             Input::Listed { asked: 5, entries: vec![entry(Some("w")), entry(None)] },
@@ -690,10 +698,10 @@
             Input::Started { nonce: "3.2.f".into(), answer: Err(StartFault::Unclear) },
             Input::Stopped { id: "i-1".into(), answer: Ok(()) },
             Input::Stopped { id: "i-1".into(), answer: Err(StopFault::Busy) },
-            Input::Want { service: "f".into(), lot: None, count: 2, zones: vec!["a".into()] },
+            Input::Want { service: "f".into(), zone: None, count: 2, zones: vec!["a".into()] },
             Input::Split(["f".into()].into()),
-            Input::Want { service: "f".into(), lot: Some("a".into()), count: 2, zones: vec!["a".into()] },
-            Input::Avoid { service: "f".into(), lot: Some("a".into()), slow: vec!["w".into()] },
+            Input::Want { service: "f".into(), zone: Some("a".into()), count: 2, zones: vec!["a".into()] },
+            Input::Avoid { service: "f".into(), zone: Some("a".into()), slow: vec!["w".into()] },
             Input::Retire("i-1".into()),
             Input::Lost("i-1".into()),
             Input::Up("i-1".into()),
@@ -712,10 +720,10 @@
             for key in parts.keys() {
                 let mut fewer = parts.clone();
                 fewer.remove(key);
-                assert_ne!(Entry::of(&fewer), Ok(entry.clone()), "{key} of {text}");
+                assert_ne!(Entry::from_json(&fewer), Ok(entry.clone()), "{key} of {text}");
                 let mut odd = parts.clone();
                 odd.insert(key.clone(), JsonValue::Object(HashMap::new()));
-                assert!(Entry::of(&odd).is_err(), "{key} of {text}");
+                assert!(Entry::from_json(&odd).is_err(), "{key} of {text}");
             }
             for end in 0..text.len() {
                 assert!(Entry::read(&text[..end]).is_err());
@@ -737,22 +745,24 @@
                 Input::New(_) => {}
                 Input::Configure(specs) => taped.configure(now, specs),
                 Input::Inherit(instances) => taped.inherit(now, instances),
-                Input::Listed { asked, entries } => taped.listed(now, asked, entries),
-                Input::Workers { asked, workers } => taped.workers(now, asked, workers),
-                Input::Started { nonce, answer } => taped.started(now, &nonce, answer),
-                Input::Stopped { id, answer } => taped.stopped(now, &id, answer),
-                Input::Want { service, lot, count, zones } => {
-                    taped.want(now, &service, lot.as_ref(), count, &zones);
+                Input::Listed { asked, entries } => taped.endpoints_listed(now, asked, entries),
+                Input::Workers { asked, workers } => taped.workers_listed(now, asked, workers),
+                Input::Started { nonce, answer } => taped.start_answered(now, &nonce, answer),
+                Input::Stopped { id, answer } => taped.stop_answered(now, &id, answer),
+                Input::Want { service, zone: lot, count, zones } => {
+                    taped.set_target(now, &service, lot.as_ref(), count, &zones);
+                }
+                Input::Avoid { service, zone: lot, slow } => {
+                    taped.set_slow_workers(now, &service, lot.as_ref(), &slow)
                 }
-                Input::Avoid { service, lot, slow } => taped.avoid(now, &service, lot.as_ref(), &slow),
-                Input::Split(all) => taped.split(now, &all),
+                Input::Split(all) => taped.set_split(now, &all),
                 Input::Retire(id) => taped.retire(now, &id),
-                Input::Lost(id) => taped.lost(now, &id),
-                Input::Up(id) => taped.up(now, &id),
+                Input::Lost(id) => taped.mark_unreachable(now, &id),
+                Input::Up(id) => taped.mark_up(now, &id),
                 Input::Tick => {
                     taped.tick(now);
                 }
-                Input::Over => taped.over(now),
+                Input::Over => taped.end_term(now),
             }
         }
         let read: Vec<_> = lines.borrow().iter().map(|line| Entry::read(line).expect("a line")).collect();
@@ -761,9 +771,9 @@
             assert_eq!((entry.number, entry.at), (Some(n as u64), n as u64 * MS));
         }
         // Played again it does the same.
-        let mut again = Scaler::new(Terms::new(1, 1.0, 1), 0);
+        let mut again = Scaler::new(ScalerConfig::new(1, 1.0, 1), 0);
         for entry in read {
-            entry.input.give(entry.at, &mut again);
+            entry.input.apply(entry.at, &mut again);
         }
         assert_eq!(again.take(), taped.take());
         assert_eq!(again.snapshot(), taped.snapshot());
--- a/autoscaler/src/scaler.rs
+++ b/autoscaler/src/scaler.rs
@@ -13,7 +13,7 @@
 use crate::fleet::Fleet;
 use crate::life::{Instance, Life, Phase, State};
 use crate::platform::{StartFault, StopFault};
-use crate::{MS, Nanos, Terms};
+use crate::{MS, Nanos, ScalerConfig};
 
 /// Workers that an owner may call slow.
 const MOST_SLOW: usize = 1_000;
@@ -36,7 +36,7 @@
 /// What is to be done or told.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Call the platform; tell [`Scaler::started`].
+    /// Call the platform; tell [`Scaler::start_answered`].
     Start {
         /// What is started.
         service: CompactString,
@@ -45,18 +45,18 @@
         /// The same for each repetition.
         nonce: CompactString,
     },
-    /// Call the platform; tell [`Scaler::stopped`].
+    /// Call the platform; tell [`Scaler::stop_answered`].
     Stop {
         /// What is stopped.
         id: CompactString,
     },
     /// For the feed: new, or changed.
-    Known {
+    Updated {
         /// As it is now.
         instance: Instance,
     },
     /// For the feed: no request goes there any more.
-    Gone {
+    Removed {
         /// What is gone.
         id: CompactString,
         /// The service that it served.
@@ -126,7 +126,7 @@
 /// The scaler of the steward. See the crate's page for its use.
 #[derive(Debug)]
 pub struct Scaler {
-    terms: Terms,
+    terms: ScalerConfig,
     born: Nanos,
     duty: Duty,
     fleet: Fleet,
@@ -147,7 +147,7 @@
 
 impl Scaler {
     /// One that knows nothing yet. It starts nothing before it has seen a whole list.
-    pub fn new(terms: Terms, now: Nanos) -> Self {
+    pub fn new(terms: ScalerConfig, now: Nanos) -> Self {
         Self {
             born: now,
             duty: Duty::new(terms.duty_per_s, now),
@@ -195,7 +195,7 @@
     }
 
     /// These services have an owner in each zone from now on, others one in all. What was wanted before counts no more.
-    pub fn split(&mut self, now: Nanos, services: &BTreeSet<CompactString>) {
+    pub fn set_split(&mut self, now: Nanos, services: &BTreeSet<CompactString>) {
         for (name, service) in &mut self.services {
             let split = services.contains(name);
             if service.split != split {
@@ -218,7 +218,7 @@
 
     /// The owner of a service wants so many live instances, in these zones in order of preference. A zone named twice takes
     /// two shares; without any, all are alike. `lot`: the zone that it speaks for, where each has an owner.
-    pub fn want(
+    pub fn set_target(
         &mut self,
         now: Nanos,
         service: &str,
@@ -251,7 +251,13 @@
     }
 
     /// The owner of a service, or of its lot, names the workers that are surely slow for it; what it has named before counts no more.
-    pub fn avoid(&mut self, _now: Nanos, service: &str, lot: Option<&CompactString>, slow: &[CompactString]) {
+    pub fn set_slow_workers(
+        &mut self,
+        _now: Nanos,
+        service: &str,
+        lot: Option<&CompactString>,
+        slow: &[CompactString],
+    ) {
         let lot = lot.map_or(WHOLE, CompactString::as_str);
         let want = self.services.get_mut(service).and_then(|service| service.wants.get_mut(lot));
         if let Some(want) = want
@@ -262,7 +268,7 @@
     }
 
     /// Some worker was named slow for this service.
-    pub fn avoids(&self, service: &str) -> bool {
+    pub fn has_slow_workers(&self, service: &str) -> bool {
         self.services.get(service).is_some_and(|s| s.wants.values().any(|want| !want.slow.is_empty()))
     }
 
@@ -286,7 +292,7 @@
     }
 
     /// An owner found it dead. Gone until lists read later than this and the lag show it twice.
-    pub fn lost(&mut self, now: Nanos, id: &str) {
+    pub fn mark_unreachable(&mut self, now: Nanos, id: &str) {
         // One that boots refuses connections.
         if self.lives.get(id).is_some_and(|life| life.shown() && life.told.state != State::Booting) {
             self.doubt(now, id, seen::SEEN_AGAIN);
@@ -294,7 +300,7 @@
     }
 
     /// An owner is connected to it.
-    pub fn up(&mut self, now: Nanos, id: &str) {
+    pub fn mark_up(&mut self, now: Nanos, id: &str) {
         let Some(life) = self.lives.get_mut(id) else { return };
         match life.phase {
             Phase::Shown if life.told.state == State::Booting => {}
@@ -305,7 +311,7 @@
             life.told.state = State::Ready;
         }
         life.show_by = now + self.terms.lag();
-        self.effects.push(Effect::Known { instance: life.told.clone() });
+        self.effects.push(Effect::Updated { instance: life.told.clone() });
     }
 
     /// Decides what to start and stop. Call it after inputs, and at the time that it gives.
@@ -338,11 +344,11 @@
 
     /// All instances that are told of, as they are.
     pub fn snapshot(&self) -> Vec<Instance> {
-        self.shown().cloned().collect()
+        self.visible_instances().cloned().collect()
     }
 
     /// The same, one by one.
-    pub fn shown(&self) -> impl Iterator<Item = &Instance> {
+    pub fn visible_instances(&self) -> impl Iterator<Item = &Instance> {
         self.lives.values().filter(|life| life.shown()).map(|life| &life.told)
     }
 
@@ -362,8 +368,11 @@
 
     /// Wants that end, services that nobody speaks for, calls that nobody answers.
     fn sweep(&mut self, now: Nanos) {
-        let (want, leave, answer) =
-            (self.terms.want_ms * MS, self.terms.leave_ms * MS, self.terms.answer_ms * MS);
+        let (want, leave, answer) = (
+            self.terms.target_ttl_ms * MS,
+            self.terms.unowned_grace_ms * MS,
+            self.terms.answer_timeout_ms * MS,
+        );
         let (mut ended, mut silent) = (Vec::new(), Vec::new());
         for (name, service) in &mut self.services {
             if now < service.said + want {
@@ -386,10 +395,10 @@
         let late = |sent: Option<Nanos>| sent.is_some_and(|sent| now >= sent + answer);
         let starts: Vec<_> =
             self.pending.values().filter(|start| late(start.sent)).map(|start| start.nonce.clone()).collect();
-        starts.iter().for_each(|nonce| self.started(now, nonce, Err(StartFault::Unclear)));
+        starts.iter().for_each(|nonce| self.start_answered(now, nonce, Err(StartFault::Unclear)));
         let stops = self.lives.iter().filter(|(_, life)| life.halt.is_some_and(|halt| late(halt.sent)));
         let stops: Vec<_> = stops.map(|(id, _)| id.clone()).collect();
-        stops.iter().for_each(|id| self.stopped(now, id, Err(StopFault::Unclear)));
+        stops.iter().for_each(|id| self.stop_answered(now, id, Err(StopFault::Unclear)));
     }
 }
 
--- a/autoscaler/src/scaler/calls.rs
+++ b/autoscaler/src/scaler/calls.rs
@@ -23,7 +23,7 @@
 
 impl Scaler {
     /// The answer to a start.
-    pub fn started(
+    pub fn start_answered(
         &mut self,
         now: Nanos,
         nonce: &str,
@@ -71,7 +71,7 @@
     }
 
     /// The answer to a stop.
-    pub fn stopped(&mut self, now: Nanos, id: &str, answer: Result<(), StopFault>) {
+    pub fn stop_answered(&mut self, now: Nanos, id: &str, answer: Result<(), StopFault>) {
         let Some(life) = self.lives.get_mut(id) else { return };
         let Some(halt) = life.halt.as_mut().filter(|halt| halt.sent.is_some()) else { return };
         halt.sent = None;
--- a/autoscaler/src/scaler/seen.rs
+++ b/autoscaler/src/scaler/seen.rs
@@ -8,7 +8,7 @@
 use super::{Effect, Scaler, Service, ServiceSpec};
 use crate::fleet::Stands;
 use crate::life::{Cause, Instance, Life, Phase, State};
-use crate::platform::{Entry, Worker};
+use crate::platform::{Endpoint, Worker};
 use crate::{MS, Nanos};
 
 /// An instance that is listed as ready for so long after its stop was answered, beyond the lag, is stopped again.
@@ -36,13 +36,13 @@
             if drains {
                 life.cause = Some(Cause::Ours);
                 let id = life.told.id.clone();
-                self.halt(&id, now + self.terms.let_go_ms * MS);
+                self.halt(&id, now + self.terms.drain_ms * MS);
             }
         }
     }
 
     /// A whole list of endpoints, all its pages, whose first page was asked for at `asked_at`.
-    pub fn listed(&mut self, now: Nanos, asked_at: Nanos, entries: Vec<Entry>) {
+    pub fn endpoints_listed(&mut self, now: Nanos, asked_at: Nanos, entries: Vec<Endpoint>) {
         if asked_at < self.born || self.listed.is_some_and(|at| asked_at <= at) {
             return;
         }
@@ -60,7 +60,7 @@
     }
 
     /// An answer to `GET /workers`, asked for at `asked_at`.
-    pub fn workers(&mut self, now: Nanos, asked_at: Nanos, workers: Vec<Worker>) {
+    pub fn workers_listed(&mut self, now: Nanos, asked_at: Nanos, workers: Vec<Worker>) {
         if !self.fleet.report(asked_at, workers) {
             return;
         }
@@ -79,7 +79,7 @@
     }
 
     /// One entry of a list.
-    fn sighted(&mut self, now: Nanos, asked_at: Nanos, entry: Entry) {
+    fn sighted(&mut self, now: Nanos, asked_at: Nanos, entry: Endpoint) {
         let lag = self.terms.lag();
         let Some(life) = self.lives.get_mut(&entry.id) else {
             return self.adopt(now, asked_at, entry);
@@ -117,7 +117,7 @@
                 if entry.draining || stands == Stands::Draining {
                     (life.told.state, life.cause) = (State::Draining, Some(Cause::Listed));
                 }
-                self.effects.push(Effect::Known { instance: life.told.clone() });
+                self.effects.push(Effect::Updated { instance: life.told.clone() });
             }
             Phase::Shown if entry.draining => self.drain(&entry.id, Cause::Listed),
             Phase::Shown => {
@@ -128,14 +128,14 @@
                 }
                 if back || life.told.state == State::Booting {
                     life.told.state = State::Ready;
-                    self.effects.push(Effect::Known { instance: life.told.clone() });
+                    self.effects.push(Effect::Updated { instance: life.told.clone() });
                 }
             }
         }
     }
 
     /// An endpoint in the list that nobody here has started.
-    fn adopt(&mut self, now: Nanos, asked_at: Nanos, entry: Entry) {
+    fn adopt(&mut self, now: Nanos, asked_at: Nanos, entry: Endpoint) {
         // Not one of ours to start or stop.
         let Some(worker) = entry.worker else { return };
         self.fleet.named(&worker, &entry.zone);
@@ -155,7 +155,7 @@
         let life = self.admit(now, told, asked_at + self.terms.lag());
         life.seen = Some(asked_at);
         life.cause = drains.then_some(if entry.draining { Cause::Listed } else { Cause::Worker });
-        self.effects.push(Effect::Known { instance });
+        self.effects.push(Effect::Updated { instance });
     }
 
     /// A start that was answered.
@@ -186,7 +186,7 @@
         let life = self.admit(now, told, show_by);
         life.cause = drains.then_some(Cause::Worker);
         if configured {
-            self.effects.push(Effect::Known { instance });
+            self.effects.push(Effect::Updated { instance });
         } else {
             // Its service was dropped meanwhile: nobody hears of it.
             life.phase = Phase::Ended;
@@ -228,7 +228,7 @@
         };
         if life.live() {
             life.told.state = State::Draining;
-            self.effects.push(Effect::Known { instance: life.told.clone() });
+            self.effects.push(Effect::Updated { instance: life.told.clone() });
             self.needy.insert(life.told.service.clone());
         }
     }
@@ -240,7 +240,7 @@
         if !life.shown() {
             life.phase = Phase::Ended;
         }
-        self.halt(id, now + self.terms.let_go_ms * MS);
+        self.halt(id, now + self.terms.drain_ms * MS);
     }
 
     /// Told as gone, if it was shown.
@@ -250,7 +250,7 @@
             let (id, service, zone) =
                 (life.told.id.clone(), life.told.service.clone(), life.told.zone.clone());
             self.needy.insert(service.clone());
-            self.effects.push(Effect::Gone { id, service, zone });
+            self.effects.push(Effect::Removed { id, service, zone });
         }
         life.phase = phase;
     }
--- a/autoscaler/src/scaler/view.rs
+++ b/autoscaler/src/scaler/view.rs
@@ -16,7 +16,7 @@
 
 /// How one function stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct FunctionSummary {
     /// Its name.
     pub name: CompactString,
     /// Whether it is in the configuration.
@@ -30,22 +30,22 @@
     /// What its owners want, and how many milliseconds ago one spoke last; none where nobody has spoken for it lately.
     pub wanted: Option<(u32, u64)>,
     /// Its lots, where each zone has an owner.
-    pub lots: Vec<Lot>,
+    pub zone_targets: Vec<ZoneTarget>,
     /// The zones that its requests come from, and their shares; most first.
     pub zones: Vec<(CompactString, u32)>,
     /// Starts that are called or are to be called again: the first 20.
-    pub starts: Vec<Starting>,
+    pub starts: Vec<PendingStart>,
     /// All of those.
     pub starting: usize,
     /// Starts that the platform has refused since one went well.
     pub refusals: u32,
     /// Why there are no more instances; of several lots the one that is held most.
-    pub hold: Hold,
+    pub hold: HoldReason,
 }
 
 /// A zone's part of a function that has an owner in each.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Lot {
+pub struct ZoneTarget {
     /// The zone.
     pub zone: CompactString,
     /// What its owner wants.
@@ -53,12 +53,12 @@
     /// Instances that boot or are ready, and starts.
     pub live: usize,
     /// Why there are no more.
-    pub hold: Hold,
+    pub hold: HoldReason,
 }
 
 /// A start that is called or is to be called again.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Starting {
+pub struct PendingStart {
     /// Where.
     pub worker: CompactString,
     /// The same for each repetition.
@@ -71,7 +71,7 @@
 
 /// An instance, with what is not told to stalls.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct InstanceSummary {
     /// Names one life.
     pub id: CompactString,
     /// Where it listens.
@@ -91,13 +91,13 @@
 
 /// Why there are no more instances of a function; what holds most is last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Hold {
+pub enum HoldReason {
     /// Nobody wants any.
     Unwanted,
     /// There are as many as are wanted, with those that start.
-    Enough,
+    Satisfied,
     /// Starts and stops are called as fast as may be: it waits for its turn.
-    Turn,
+    RateLimited,
     /// What the steward before has started may not show yet; for so many milliseconds.
     Settling(u64),
     /// No worker has room.
@@ -108,18 +108,18 @@
     NoList,
 }
 
-impl Hold {
+impl HoldReason {
     /// The word for it.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Hold::Unwanted => "unwanted",
-            Hold::Enough => "enough",
-            Hold::NoList => "no_list",
-            Hold::Settling(_) => "settling",
-            Hold::Refused(_) => "refused",
-            Hold::NoRoom => "no_room",
-            Hold::Turn => "turn",
+            HoldReason::Unwanted => "unwanted",
+            HoldReason::Satisfied => "enough",
+            HoldReason::NoList => "no_list",
+            HoldReason::Settling(_) => "settling",
+            HoldReason::Refused(_) => "refused",
+            HoldReason::NoRoom => "no_room",
+            HoldReason::RateLimited => "turn",
         }
     }
 
@@ -127,7 +127,7 @@
     #[must_use]
     pub fn left_ms(self) -> Option<u64> {
         match self {
-            Hold::Settling(left) | Hold::Refused(left) => Some(left),
+            HoldReason::Settling(left) | HoldReason::Refused(left) => Some(left),
             _ => None,
         }
     }
@@ -136,7 +136,7 @@
 impl Scaler {
     /// How functions stand, in the order of their names: so many after a name, or from the first one.
     #[must_use]
-    pub fn functions(&self, now: Nanos, after: Option<&str>, most: usize) -> Vec<Standing> {
+    pub fn functions(&self, now: Nanos, after: Option<&str>, most: usize) -> Vec<FunctionSummary> {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         let found = self.services.range::<str, _>((from, Bound::Unbounded)).take(most);
         found.map(|(name, service)| self.standing(now, name, service)).collect()
@@ -144,19 +144,19 @@
 
     /// How one function stands.
     #[must_use]
-    pub fn function(&self, now: Nanos, name: &str) -> Option<Standing> {
+    pub fn function(&self, now: Nanos, name: &str) -> Option<FunctionSummary> {
         self.services.get_key_value(name).map(|(name, service)| self.standing(now, name, service))
     }
 
     /// Memory that is free on each worker that takes starts, in MB; none where no answer told of workers yet.
     #[must_use]
-    pub fn room(&self) -> Option<Vec<u64>> {
+    pub fn free_memory(&self) -> Option<Vec<u64>> {
         self.fleet.room()
     }
 
     /// The instances of one function, the first 200 by their ids.
     #[must_use]
-    pub fn instances(&self, now: Nanos, function: &str) -> Vec<Seen> {
+    pub fn instances(&self, now: Nanos, function: &str) -> Vec<InstanceSummary> {
         let lives = self.services.get(function).into_iter().flat_map(|service| &service.lives);
         lives.filter_map(|id| self.lives.get(id)).take(INSTANCES).map(|life| seen(life, now)).collect()
     }
@@ -167,7 +167,7 @@
         self.lives.get(instance).map(|life| life.told.service.as_str())
     }
 
-    fn standing(&self, now: Nanos, name: &CompactString, service: &Service) -> Standing {
+    fn standing(&self, now: Nanos, name: &CompactString, service: &Service) -> FunctionSummary {
         let shown = service.lives.iter().filter_map(|id| self.lives.get(id)).filter(|life| life.shown());
         let (mut booting, mut ready, mut draining) = (0, 0, 0);
         for life in shown {
@@ -177,7 +177,7 @@
                 State::Draining => draining += 1,
             }
         }
-        let starting = |start: &Pending| Starting {
+        let starting = |start: &Pending| PendingStart {
             worker: start.worker.clone(),
             nonce: start.nonce.clone(),
             sent_ms_ago: start.sent.map(|sent| now.saturating_sub(sent) / MS),
@@ -186,7 +186,7 @@
         let starts = service.pending.iter().filter_map(|number| self.pending.get(number));
         let mut zones = service.wants.get(WHOLE).map(|want| want.zones.clone()).unwrap_or_default();
         zones.sort_by_key(|(_, share)| std::cmp::Reverse(*share));
-        let lot = |(zone, want): (&CompactString, &Want)| Lot {
+        let lot = |(zone, want): (&CompactString, &Want)| ZoneTarget {
             zone: zone.clone(),
             wanted: want.count,
             live: self.stock(now, service, zone).0,
@@ -195,15 +195,15 @@
         let lots: Vec<_> = service.wants.iter().map(lot).collect();
         let said = now.saturating_sub(service.said) / MS;
         let sum = lots.iter().fold(0_u32, |sum, lot| sum.saturating_add(lot.wanted));
-        Standing {
+        FunctionSummary {
             name: name.clone(),
             configured: service.configured,
             booting,
             ready,
             draining,
             wanted: (!lots.is_empty()).then_some((sum, said)),
-            hold: lots.iter().map(|lot| lot.hold).max().unwrap_or(Hold::Unwanted),
-            lots: if service.split { lots } else { Vec::new() },
+            hold: lots.iter().map(|lot| lot.hold).max().unwrap_or(HoldReason::Unwanted),
+            zone_targets: if service.split { lots } else { Vec::new() },
             zones,
             starts: starts.take(STARTS).map(starting).collect(),
             starting: service.pending.len(),
@@ -211,27 +211,29 @@
         }
     }
 
-    fn hold(&self, now: Nanos, name: &str, service: &Service, lot: &str) -> Hold {
+    fn hold(&self, now: Nanos, name: &str, service: &Service, lot: &str) -> HoldReason {
         let left = |until: Nanos| until.saturating_sub(now).div_ceil(MS);
-        let Some(want) = service.wants.get(lot).filter(|want| want.count > 0) else { return Hold::Unwanted };
+        let Some(want) = service.wants.get(lot).filter(|want| want.count > 0) else {
+            return HoldReason::Unwanted;
+        };
         let (live, short) = self.stock(now, service, lot);
         if live >= want.count as usize {
-            return Hold::Enough;
+            return HoldReason::Satisfied;
         }
         if self.listed.is_none() {
-            return Hold::NoList;
+            return HoldReason::NoList;
         }
         if service.paused > now {
-            return Hold::Refused(left(service.paused));
+            return HoldReason::Refused(left(service.paused));
         }
         if short == 0 {
-            return Hold::Settling(left(self.settled(service)));
+            return HoldReason::Settling(left(self.settled(service)));
         }
-        if self.place(name, lot).is_none() { Hold::NoRoom } else { Hold::Turn }
+        if self.place(name, lot).is_none() { HoldReason::NoRoom } else { HoldReason::RateLimited }
     }
 }
 
-fn seen(life: &Life, now: Nanos) -> Seen {
+fn seen(life: &Life, now: Nanos) -> InstanceSummary {
     let Instance { id, address, worker, zone, since, .. } = life.told.clone();
     let state = match (life.phase, life.told.state) {
         (Phase::Doubted { .. }, _) => "doubted",
@@ -245,5 +247,5 @@
         Halt { sent: Some(_), .. } => "called",
         _ => "due",
     });
-    Seen { id, address, worker, zone, state, since_ms: now.saturating_sub(since) / MS, stop }
+    InstanceSummary { id, address, worker, zone, state, since_ms: now.saturating_sub(since) / MS, stop }
 }
--- a/autoscaler/tests/reading.rs
+++ b/autoscaler/tests/reading.rs
@@ -3,7 +3,7 @@
 use millpost_autoscaler::platform::{
     read_endpoints, read_started, read_workers, start_answer, start_body, stop_body,
 };
-use millpost_autoscaler::{Ask, Pace, StartFault};
+use millpost_autoscaler::{Poll, PollSchedule, StartFault};
 use yare::parameterized;
 
 const LIST: &str = r#"{"endpoints":[{"service":"huvo11a","address":"10.128.0.9:8080","zone":"ikeja","revision":"v1",
@@ -61,19 +61,19 @@
 
 #[test]
 fn polling_keeps_to_half_the_rate() {
-    let mut pace = Pace::new(26.0, 0);
+    let mut pace = PollSchedule::new(26.0, 0);
     let (mut now, mut asked) = (0, Vec::new());
     while now < 10_000_000_000 {
-        if let Some(ask) = pace.ask(now) {
+        if let Some(ask) = pace.next_poll(now) {
             asked.push(ask);
             // A list of forty pages.
-            if asked.iter().filter(|ask| **ask != Ask::Workers).count() % 40 == 0 {
-                pace.listed();
+            if asked.iter().filter(|ask| **ask != Poll::Workers).count() % 40 == 0 {
+                pace.list_ended();
             }
         }
-        now = pace.next().max(now + 1);
+        now = pace.next_at().max(now + 1);
     }
-    let count = |which: Ask| asked.iter().filter(|ask| **ask == which).count();
+    let count = |which: Poll| asked.iter().filter(|ask| **ask == which).count();
     assert!((120..=131).contains(&asked.len()), "{}", asked.len());
-    assert!((9..=11).contains(&count(Ask::Workers)) && (3..=4).contains(&count(Ask::List)), "{asked:?}");
+    assert!((9..=11).contains(&count(Poll::Workers)) && (3..=4).contains(&count(Poll::List)), "{asked:?}");
 }
--- a/autoscaler/tests/traces.rs
+++ b/autoscaler/tests/traces.rs
@@ -7,7 +7,7 @@
 
 use compact_str::CompactString;
 use millpost_autoscaler::{
-    Effect, Entry, Instance, Scaler, ServiceSpec, StartFault, State, StopFault, Terms, Worker,
+    Effect, Endpoint, Instance, Scaler, ScalerConfig, ServiceSpec, StartFault, State, StopFault, Worker,
 };
 use yare::parameterized;
 
@@ -23,16 +23,16 @@
     match effect {
         Effect::Start { service, worker, nonce } => format!("start {service} {worker} {nonce}"),
         Effect::Stop { id } => format!("stop {id}"),
-        Effect::Known { instance: Instance { id, service, worker, state, .. } } => {
+        Effect::Updated { instance: Instance { id, service, worker, state, .. } } => {
             format!("known {id} {service} {worker} {state:?}")
         }
-        Effect::Gone { id, service, .. } => format!("gone {id} {service}"),
+        Effect::Removed { id, service, .. } => format!("gone {id} {service}"),
     }
 }
 
-fn entry(text: &str) -> Entry {
+fn entry(text: &str) -> Endpoint {
     let parts: Vec<&str> = text.split(':').collect();
-    Entry {
+    Endpoint {
         id: parts[0].into(),
         service: parts[1].into(),
         address: address(parts[0]),
@@ -56,19 +56,21 @@
     match words {
         ["tick"] => {}
         ["conf", names @ ..] => scaler.configure(now, names.iter().map(|name| spec(name))),
-        ["list", entries @ ..] => scaler.listed(now, now, entries.iter().map(|text| entry(text)).collect()),
+        ["list", entries @ ..] => {
+            scaler.endpoints_listed(now, now, entries.iter().map(|text| entry(text)).collect())
+        }
         ["workers", workers @ ..] => {
-            scaler.workers(now, now, workers.iter().map(|text| worker(text)).collect());
+            scaler.workers_listed(now, now, workers.iter().map(|text| worker(text)).collect());
         }
         ["want", service, count, zones @ ..] => {
             let zones: Vec<CompactString> = zones.iter().map(|zone| (*zone).into()).collect();
-            scaler.want(now, service, None, count.parse().expect("a count"), &zones);
+            scaler.set_target(now, service, None, count.parse().expect("a count"), &zones);
         }
-        ["split", names @ ..] => scaler.split(now, &names.iter().map(|name| (*name).into()).collect()),
+        ["split", names @ ..] => scaler.set_split(now, &names.iter().map(|name| (*name).into()).collect()),
         ["lot", service, zone, count] => {
-            scaler.want(now, service, Some(&(*zone).into()), count.parse().expect("a count"), &[]);
+            scaler.set_target(now, service, Some(&(*zone).into()), count.parse().expect("a count"), &[]);
         }
-        ["ok", nonce, id] => scaler.started(now, nonce, Ok(((*id).into(), address(id)))),
+        ["ok", nonce, id] => scaler.start_answered(now, nonce, Ok(((*id).into(), address(id)))),
         ["fault", nonce, fault] => {
             let fault = match *fault {
                 "room" => StartFault::NoRoom,
@@ -76,15 +78,15 @@
                 "refused" => StartFault::Refused,
                 _ => StartFault::Unclear,
             };
-            scaler.started(now, nonce, Err(fault));
+            scaler.start_answered(now, nonce, Err(fault));
         }
-        ["stopped", id, "ok"] => scaler.stopped(now, id, Ok(())),
-        ["stopped", id, _] => scaler.stopped(now, id, Err(StopFault::Unclear)),
+        ["stopped", id, "ok"] => scaler.stop_answered(now, id, Ok(())),
+        ["stopped", id, _] => scaler.stop_answered(now, id, Err(StopFault::Unclear)),
         ["retire", id] => scaler.retire(now, id),
-        ["lost", id] => scaler.lost(now, id),
-        ["up", id] => scaler.up(now, id),
+        ["lost", id] => scaler.mark_unreachable(now, id),
+        ["up", id] => scaler.mark_up(now, id),
         ["inherit", state, text] => {
-            let Entry { id, service, address, zone, worker, .. } = entry(text);
+            let Endpoint { id, service, address, zone, worker, .. } = entry(text);
             let state = if *state == "booting" { State::Booting } else { State::Ready };
             let worker = worker.expect("a worker");
             let told = Instance { id, service, address, zone, worker, state, boot_ms: 300, since: 0 };
@@ -96,7 +98,7 @@
 
 /// Plays a trace and compares what comes of each line.
 fn play(fence: u64, duty_per_s: f64, trace: &str) {
-    let mut scaler = Scaler::new(Terms::new(fence, duty_per_s, 800), 0);
+    let mut scaler = Scaler::new(ScalerConfig::new(fence, duty_per_s, 800), 0);
     let lines: Vec<&str> = trace.lines().map(str::trim).filter(|line| !line.is_empty()).collect();
     let mut at = 0;
     while at < lines.len() {
@@ -474,12 +476,12 @@
 
 #[test]
 fn calls_keep_under_the_rate() {
-    let mut scaler = Scaler::new(Terms::new(1, 20.0, 800), 0);
+    let mut scaler = Scaler::new(ScalerConfig::new(1, 20.0, 800), 0);
     let names: Vec<String> = (0..60).map(|n| format!("s{n}")).collect();
     scaler.configure(0, names.iter().map(|name| spec(name)));
-    scaler.workers(0, 1, vec![worker("w1:a:9000")]);
-    scaler.listed(0, 1, Vec::new());
-    names.iter().for_each(|name| scaler.want(0, name, None, 1, &[]));
+    scaler.workers_listed(0, 1, vec![worker("w1:a:9000")]);
+    scaler.endpoints_listed(0, 1, Vec::new());
+    names.iter().for_each(|name| scaler.set_target(0, name, None, 1, &[]));
     let (mut calls, mut now) = (Vec::new(), 0);
     while calls.len() < 60 && now < 4_000 * MS {
         let wake = scaler.tick(now);
@@ -487,7 +489,7 @@
             let Effect::Start { nonce, .. } = effect else { continue };
             let id = format!("i{}", calls.len());
             calls.push(now);
-            scaler.started(now, &nonce, Ok((id.as_str().into(), address(&id))));
+            scaler.start_answered(now, &nonce, Ok((id.as_str().into(), address(&id))));
         }
         now = wake;
     }
@@ -497,12 +499,12 @@
 
 #[test]
 fn a_nonce_is_bounded() {
-    let mut scaler = Scaler::new(Terms::new(u64::MAX, 20.0, 0), 0);
+    let mut scaler = Scaler::new(ScalerConfig::new(u64::MAX, 20.0, 0), 0);
     let name = "n".repeat(200);
     scaler.configure(0, [spec(&name)]);
-    scaler.workers(0, 1, vec![worker("w1:a:9000")]);
-    scaler.listed(0, 1, Vec::new());
-    scaler.want(0, &name, None, 1, &[]);
+    scaler.workers_listed(0, 1, vec![worker("w1:a:9000")]);
+    scaler.endpoints_listed(0, 1, Vec::new());
+    scaler.set_target(0, &name, None, 1, &[]);
     scaler.tick(1_000 * MS);
     let effects = scaler.take();
     assert!(matches!(&effects[..], [Effect::Start { nonce, .. }] if nonce.len() == 64), "{effects:?}");
@@ -511,20 +513,20 @@
 /// A zone without room would have kept its own requests waiting for good.
 #[test]
 fn a_lot_whose_zone_has_no_room_is_named() {
-    let mut scaler = Scaler::new(Terms::new(1, 20.0, 0), 0);
+    let mut scaler = Scaler::new(ScalerConfig::new(1, 20.0, 0), 0);
     scaler.configure(0, ["f", "g"].map(spec));
-    scaler.workers(0, 1, vec![worker("w1:a:9000"), worker("w2:b:90")]);
-    scaler.listed(0, 1, Vec::new());
-    scaler.split(0, &["f".into(), "g".into()].into());
+    scaler.workers_listed(0, 1, vec![worker("w1:a:9000"), worker("w2:b:90")]);
+    scaler.endpoints_listed(0, 1, Vec::new());
+    scaler.set_split(0, &["f".into(), "g".into()].into());
     for (service, zone) in [("f", "a"), ("f", "b"), ("g", "a")] {
-        scaler.want(0, service, Some(&zone.into()), 1, &[]);
+        scaler.set_target(0, service, Some(&zone.into()), 1, &[]);
     }
     let starved = |scaler: &Scaler, at| scaler.starved(at, 1_500 * MS).cloned().collect::<Vec<_>>();
     scaler.tick(10 * MS);
     assert!(starved(&scaler, 1_400 * MS).is_empty());
     scaler.tick(1_600 * MS);
     assert_eq!(starved(&scaler, 1_600 * MS), ["f"]);
-    scaler.workers(1_700 * MS, 1_700 * MS, vec![worker("w1:a:9000"), worker("w2:b:900")]);
+    scaler.workers_listed(1_700 * MS, 1_700 * MS, vec![worker("w1:a:9000"), worker("w2:b:900")]);
     scaler.tick(1_700 * MS);
     assert!(starved(&scaler, 9_000 * MS).is_empty());
 }
@@ -533,15 +535,15 @@
 #[test]
 fn slow_workers_are_left_out_while_others_have_room() {
     let first = |named: &[(&str, &[&str])], rooms: [&str; 3]| {
-        let mut scaler = Scaler::new(Terms::new(1, 20.0, 0), 0);
+        let mut scaler = Scaler::new(ScalerConfig::new(1, 20.0, 0), 0);
         scaler.configure(0, ["f", "g", "h"].map(spec));
-        scaler.workers(0, 1, rooms.map(worker).to_vec());
-        scaler.listed(0, 1, Vec::new());
+        scaler.workers_listed(0, 1, rooms.map(worker).to_vec());
+        scaler.endpoints_listed(0, 1, Vec::new());
         for (service, slow) in named {
-            scaler.want(0, service, None, 0, &[]);
-            scaler.avoid(0, service, None, &slow.iter().map(|w| (*w).into()).collect::<Vec<_>>());
+            scaler.set_target(0, service, None, 0, &[]);
+            scaler.set_slow_workers(0, service, None, &slow.iter().map(|w| (*w).into()).collect::<Vec<_>>());
         }
-        scaler.want(0, "f", None, 1, &["a".into()]);
+        scaler.set_target(0, "f", None, 1, &["a".into()]);
         scaler.tick(MS);
         match &scaler.take()[..] {
             [Effect::Start { worker, .. }] => worker.to_string(),
--- a/autoscaler/tests/view.rs
+++ b/autoscaler/tests/view.rs
@@ -1,13 +1,13 @@
 //! How functions stand, as it is told to people.
 
-use millpost_autoscaler::scaler::view::{Hold, Starting};
-use millpost_autoscaler::{Scaler, ServiceSpec, StartFault, Terms, Worker};
+use millpost_autoscaler::scaler::view::{HoldReason, PendingStart};
+use millpost_autoscaler::{Scaler, ScalerConfig, ServiceSpec, StartFault, Worker};
 use yare::parameterized;
 
 const MS: u64 = 1_000_000;
 
 fn scaler(fence: u64) -> Scaler {
-    let mut scaler = Scaler::new(Terms::new(fence, 78.0, 800), 0);
+    let mut scaler = Scaler::new(ScalerConfig::new(fence, 78.0, 800), 0);
     let spec =
         |name: &&str| ServiceSpec { name: (*name).into(), memory_mb: 100, boot_ms: 300, concurrency: 1 };
     scaler.configure(0, ["f", "g", "h"].iter().map(spec));
@@ -26,27 +26,36 @@
 }
 
 #[parameterized(
-    unwanted = { 1, 0, 1_000, Did::List, Hold::Unwanted, 0 },
-    no_list = { 1, 2, 1_000, Did::Nothing, Hold::NoList, 0 },
-    starting = { 1, 2, 1_000, Did::List, Hold::Enough, 2 },
-    started = { 1, 2, 1_000, Did::Started, Hold::Enough, 1 },
-    called_again = { 1, 2, 1_000, Did::Answer(StartFault::Unclear), Hold::Enough, 2 },
-    refused = { 1, 2, 1_000, Did::Answer(StartFault::Refused), Hold::Refused(1_000), 1 },
-    no_room = { 1, 2, 50, Did::List, Hold::NoRoom, 0 },
-    successor = { 2, 2, 1_000, Did::List, Hold::Settling(0), 1 },
+    unwanted = { 1, 0, 1_000, Did::List, HoldReason::Unwanted, 0 },
+    no_list = { 1, 2, 1_000, Did::Nothing, HoldReason::NoList, 0 },
+    starting = { 1, 2, 1_000, Did::List, HoldReason::Satisfied, 2 },
+    started = { 1, 2, 1_000, Did::Started, HoldReason::Satisfied, 1 },
+    called_again = { 1, 2, 1_000, Did::Answer(StartFault::Unclear), HoldReason::Satisfied, 2 },
+    refused = { 1, 2, 1_000, Did::Answer(StartFault::Refused), HoldReason::Refused(1_000), 1 },
+    no_room = { 1, 2, 50, Did::List, HoldReason::NoRoom, 0 },
+    successor = { 2, 2, 1_000, Did::List, HoldReason::Settling(0), 1 },
 )]
-fn why_there_are_no_more_is_told(fence: u64, count: u32, free: u64, did: Did, hold: Hold, starting: usize) {
+fn why_there_are_no_more_is_told(
+    fence: u64,
+    count: u32,
+    free: u64,
+    did: Did,
+    hold: HoldReason,
+    starting: usize,
+) {
     let (mut scaler, now) = (scaler(fence), 10 * MS);
-    scaler.workers(MS, MS, vec![worker(free)]);
+    scaler.workers_listed(MS, MS, vec![worker(free)]);
     if !matches!(did, Did::Nothing) {
-        scaler.listed(MS, MS, Vec::new());
+        scaler.endpoints_listed(MS, MS, Vec::new());
     }
-    scaler.want(4 * MS, "f", None, count, &["b".into(), "a".into(), "a".into()]);
+    scaler.set_target(4 * MS, "f", None, count, &["b".into(), "a".into(), "a".into()]);
     scaler.tick(4 * MS);
     let nonce = format!("{fence}.1.f");
     match did {
-        Did::Answer(fault) => scaler.started(now, &nonce, Err(fault)),
-        Did::Started => scaler.started(now, &nonce, Ok(("i1".into(), "10.0.0.1:80".parse().expect("one")))),
+        Did::Answer(fault) => scaler.start_answered(now, &nonce, Err(fault)),
+        Did::Started => {
+            scaler.start_answered(now, &nonce, Ok(("i1".into(), "10.0.0.1:80".parse().expect("one"))))
+        }
         Did::Nothing | Did::List => {}
     }
     let before = format!("{scaler:?}");
@@ -54,7 +63,7 @@
     assert_eq!(format!("{scaler:?}"), before);
     match (found.hold, hold) {
         // How long that is follows from the terms.
-        (Hold::Settling(left), Hold::Settling(_)) => assert!(left > 800, "{left}"),
+        (HoldReason::Settling(left), HoldReason::Settling(_)) => assert!(left > 800, "{left}"),
         (found, hold) => assert_eq!(found, hold),
     }
     assert_eq!((found.wanted, found.starting, found.ready), (Some((count, 6)), starting, 0));
@@ -63,7 +72,7 @@
     if starting == 2 {
         let failed = u32::from(matches!(did, Did::Answer(_)));
         let sent_ms_ago = (failed == 0).then_some(6);
-        let first = Starting { worker: "w1".into(), nonce: nonce.into(), sent_ms_ago, failed };
+        let first = PendingStart { worker: "w1".into(), nonce: nonce.into(), sent_ms_ago, failed };
         assert_eq!(found.starts[0], first);
     }
 }
@@ -85,27 +94,28 @@
 #[test]
 fn a_function_with_an_owner_in_each_zone_is_told_by_lot() {
     let mut scaler = scaler(1);
-    scaler.workers(MS, MS, vec![worker(1_000)]);
-    scaler.listed(MS, MS, Vec::new());
-    scaler.split(MS, &["f".into()].into());
-    scaler.want(2 * MS, "f", Some(&"a".into()), 2, &[]);
-    scaler.want(2 * MS, "f", Some(&"b".into()), 3, &[]);
+    scaler.workers_listed(MS, MS, vec![worker(1_000)]);
+    scaler.endpoints_listed(MS, MS, Vec::new());
+    scaler.set_split(MS, &["f".into()].into());
+    scaler.set_target(2 * MS, "f", Some(&"a".into()), 2, &[]);
+    scaler.set_target(2 * MS, "f", Some(&"b".into()), 3, &[]);
     scaler.tick(2 * MS);
     let found = scaler.function(5 * MS, "f").expect("it is there");
-    let lots: Vec<_> = found.lots.iter().map(|l| (l.zone.as_str(), l.wanted, l.live, l.hold)).collect();
+    let lots: Vec<_> =
+        found.zone_targets.iter().map(|l| (l.zone.as_str(), l.wanted, l.live, l.hold)).collect();
     // The only worker is in zone a.
-    assert_eq!(lots, [("a", 2, 2, Hold::Enough), ("b", 3, 0, Hold::NoRoom)]);
-    assert_eq!((found.wanted, found.hold), (Some((5, 3)), Hold::NoRoom));
+    assert_eq!(lots, [("a", 2, 2, HoldReason::Satisfied), ("b", 3, 0, HoldReason::NoRoom)]);
+    assert_eq!((found.wanted, found.hold), (Some((5, 3)), HoldReason::NoRoom));
 }
 
 #[test]
 fn an_instance_is_told_from_its_start_to_its_stop() {
     let mut scaler = scaler(1);
-    scaler.workers(MS, MS, vec![worker(1_000)]);
-    scaler.listed(MS, MS, Vec::new());
-    scaler.want(2 * MS, "f", None, 1, &[]);
+    scaler.workers_listed(MS, MS, vec![worker(1_000)]);
+    scaler.endpoints_listed(MS, MS, Vec::new());
+    scaler.set_target(2 * MS, "f", None, 1, &[]);
     scaler.tick(2 * MS);
-    scaler.started(3 * MS, "1.1.f", Ok(("i1".into(), "10.0.0.1:80".parse().expect("one"))));
+    scaler.start_answered(3 * MS, "1.1.f", Ok(("i1".into(), "10.0.0.1:80".parse().expect("one"))));
     let seen = |scaler: &Scaler, now: u64| {
         let all = scaler.instances(now * MS, "f");
         all.iter()
@@ -113,13 +123,13 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(seen(&scaler, 5), ["i1 w1 booting 2 None"]);
-    scaler.up(6 * MS, "i1");
+    scaler.mark_up(6 * MS, "i1");
     assert_eq!(seen(&scaler, 6), ["i1 w1 ready 3 None"]);
     scaler.retire(7 * MS, "i1");
     assert_eq!(seen(&scaler, 7), ["i1 w1 ended 4 Some(\"due\")"]);
     scaler.tick(7 * MS);
     assert_eq!(seen(&scaler, 7), ["i1 w1 ended 4 Some(\"called\")"]);
-    scaler.stopped(8 * MS, "i1", Ok(()));
+    scaler.stop_answered(8 * MS, "i1", Ok(()));
     assert_eq!(seen(&scaler, 8), ["i1 w1 ended 5 Some(\"answered\")"]);
     assert_eq!((scaler.function_of("i1"), scaler.function_of("i2")), (Some("f"), None));
     assert!(scaler.instances(0, "g").is_empty());
--- a/controller/src/core.rs
+++ b/controller/src/core.rs
@@ -13,7 +13,7 @@
 
 use bytes::Bytes;
 use compact_str::{CompactString, ToCompactString};
-use millpost_autoscaler::{Sink, Terms};
+use millpost_autoscaler::{ScalerConfig, Sink};
 use millpost_config::{Config, Settings, change};
 use millpost_net::messaging::{Call, Reply};
 use millpost_net::pack;
@@ -466,7 +466,7 @@
             }
             Next::Take(fence) => {
                 let Some(bounds) = self.platform else { return };
-                let terms = Terms::new(fence, bounds.duty_per_s, bounds.max_lag_ms);
+                let terms = ScalerConfig::new(fence, bounds.duty_per_s, bounds.max_lag_ms);
                 let sink = self.sink.as_ref().map(|sink| sink());
                 let mut leader = Leader::new(now, terms, bounds.rate_per_s, self.feed.config(), sink);
                 leader.control_is_new = self.contact.age(now) < NEW;
--- a/controller/src/core/carts.rs
+++ b/controller/src/core/carts.rs
@@ -75,7 +75,7 @@
         let acts = self.feed.followers().map(|(name, acts)| (name.clone(), acts)).collect();
         self.cart(now, Input::Acts(acts));
         let Some(leader) = self.leadership.leader() else { return };
-        let room = leader.scaler.room();
+        let room = leader.scaler.free_memory();
         let names = self.carts.carter.looks_at();
         let config = self.feed.config();
         let does = names.into_iter().filter_map(|name| {
--- a/controller/src/core/drains.rs
+++ b/controller/src/core/drains.rs
@@ -66,7 +66,7 @@
         let longest = longest.map_or(REQUESTS, |ms| (ms * MS).min(REQUESTS));
         let Some(leader) = self.leadership.leader_mut() else { return };
         let drains = &self.outs.drains;
-        let goes = leader.scaler.shown().filter(|i| i.state == State::Draining);
+        let goes = leader.scaler.visible_instances().filter(|i| i.state == State::Draining);
         let goes: Vec<_> = goes.filter(|i| drains.has_worker(now, &i.worker)).map(|i| i.id.clone()).collect();
         let before = std::mem::take(&mut self.outs.empties);
         for id in goes {
@@ -112,7 +112,7 @@
     pub(super) fn told_outs(&self, now: Nanos) -> Result<Reply, Kind> {
         let leader = self.leadership.leader().ok_or(Kind::NotLeader)?;
         let mut on: BTreeMap<&str, usize> = BTreeMap::new();
-        for instance in leader.scaler.shown() {
+        for instance in leader.scaler.visible_instances() {
             *on.entry(&instance.worker).or_default() += 1;
         }
         let named = |name: &str| leader.standing(now).any(|stall| stall.name == name && stall.named);
--- a/controller/src/duty.rs
+++ b/controller/src/duty.rs
@@ -20,7 +20,7 @@
 pub fn reply(leader: Option<&Leader>, ledger: &Ledger, now: Nanos) -> Result<Reply, Kind> {
     let leader = leader.ok_or(Kind::NotLeader)?;
     let mut on: BTreeMap<&str, usize> = BTreeMap::new();
-    for instance in leader.scaler.shown() {
+    for instance in leader.scaler.visible_instances() {
         *on.entry(&instance.worker).or_default() += 1;
     }
     let body = object([
--- a/controller/src/functions.rs
+++ b/controller/src/functions.rs
@@ -2,7 +2,7 @@
 
 use hyper::StatusCode;
 use millpost_autoscaler::Nanos;
-use millpost_autoscaler::scaler::view::{Lot, Seen, Standing, Starting};
+use millpost_autoscaler::scaler::view::{FunctionSummary, InstanceSummary, PendingStart, ZoneTarget};
 use millpost_net::messaging::Reply;
 use millpost_protocol::{object, text};
 use percent_encoding::percent_decode_str;
@@ -54,7 +54,7 @@
     value.map_or(JsonValue::Null, of)
 }
 
-fn start(of: &Starting) -> JsonValue {
+fn start(of: &PendingStart) -> JsonValue {
     object([
         ("worker", text(&of.worker)),
         ("nonce", text(&of.nonce)),
@@ -63,18 +63,18 @@
     ])
 }
 
-fn lot(of: &Lot, function: &str, leader: &Leader) -> JsonValue {
+fn lot(of: &ZoneTarget, function: &str, leader: &Leader) -> JsonValue {
     object([
         ("zone", text(&of.zone)),
         ("owner", maybe(leader.owner(function, &of.zone), text)),
         ("wanted", number(of.wanted.into())),
         ("live", number(of.live as u64)),
-        ("hold", text(of.hold.word())),
+        ("hold", text(of.hold.as_str())),
         ("hold_ms", maybe(of.hold.left_ms(), number)),
     ])
 }
 
-fn instance(of: &Seen) -> JsonValue {
+fn instance(of: &InstanceSummary) -> JsonValue {
     object([
         ("id", text(&of.id)),
         ("address", text(&of.address.to_string())),
@@ -87,10 +87,10 @@
 }
 
 /// A function; its instances only where it was asked for by name.
-fn function(of: &Standing, leader: &Leader, instances: Option<Vec<Seen>>) -> JsonValue {
+fn function(of: &FunctionSummary, leader: &Leader, instances: Option<Vec<InstanceSummary>>) -> JsonValue {
     // One owner, or one for each lot.
-    let owner = if of.lots.is_empty() { leader.owner(&of.name, "") } else { None };
-    let lots: Vec<_> = of.lots.iter().map(|part| lot(part, &of.name, leader)).collect();
+    let owner = if of.zone_targets.is_empty() { leader.owner(&of.name, "") } else { None };
+    let lots: Vec<_> = of.zone_targets.iter().map(|part| lot(part, &of.name, leader)).collect();
     let zones =
         of.zones.iter().map(|(zone, share)| JsonValue::Array(vec![text(zone), number((*share).into())]));
     object([
@@ -109,7 +109,7 @@
         ("starts", JsonValue::Array(of.starts.iter().map(start).collect())),
         ("instances", maybe(instances, |all| JsonValue::Array(all.iter().map(instance).collect()))),
         ("refusals", number(of.refusals.into())),
-        ("hold", text(of.hold.word())),
+        ("hold", text(of.hold.as_str())),
         ("hold_ms", maybe(of.hold.left_ms(), number)),
     ])
 }
@@ -139,8 +139,8 @@
             (found, next)
         }
     };
-    let instances = |of: &Standing| one.is_some().then(|| scaler.instances(now, &of.name));
-    let each = found.iter().map(|of: &Standing| function(of, leader, instances(of)));
+    let instances = |of: &FunctionSummary| one.is_some().then(|| scaler.instances(now, &of.name));
+    let each = found.iter().map(|of: &FunctionSummary| function(of, leader, instances(of)));
     Ok(object([
         ("fence", number(leader.fence)),
         ("functions", JsonValue::Array(each.collect())),
@@ -150,7 +150,7 @@
 
 #[cfg(test)]
 mod tests {
-    use millpost_autoscaler::Terms;
+    use millpost_autoscaler::ScalerConfig;
     use millpost_config::Config;
     use millpost_protocol::{Peer, PeerMessage};
 
@@ -163,7 +163,7 @@
             ["f g", "a", "c"].iter().map(|name| format!(r#"{{"name":"{name}"}}"#)).collect();
         let config = format!(r#"{{"revision":1,"routes":[],"services":[{}]}}"#, services.join(","));
         let config = Config::parse(&config).expect("valid");
-        let mut leader = Leader::new(0, Terms::new(3, 78.0, 800), 26.0, Some(&config), None);
+        let mut leader = Leader::new(0, ScalerConfig::new(3, 78.0, 800), 26.0, Some(&config), None);
         let peer = Peer { name: "edge-1".into(), address: "10.0.0.1:1".into(), zone: "z".into() };
         leader.note(0, &PeerMessage::Alive { peer, serving: true, split: None, digest: None });
         assert!(leader.name(250 * MS).is_some());
--- a/controller/src/leader.rs
+++ b/controller/src/leader.rs
@@ -7,7 +7,8 @@
 
 use compact_str::CompactString;
 use millpost_autoscaler::{
-    Effect, Instance as Known, Nanos, Pace, Recorded as Scaler, ServiceSpec, Sink, State, Terms,
+    Effect, Instance as Known, Nanos, PollSchedule, Recorded as Scaler, ScalerConfig, ServiceSpec, Sink,
+    State,
 };
 use millpost_config::Config;
 use millpost_protocol::{Instance, MembershipView, Peer, PeerMessage, Version, ViewChange};
@@ -87,7 +88,7 @@
     /// The scaler.
     pub scaler: Scaler,
     /// When the platform is asked.
-    pub pace: Pace,
+    pub pace: PollSchedule,
     began: Nanos,
     /// When a stall was heard for the first time.
     newest: Nanos,
@@ -199,7 +200,7 @@
     /// Takes office under a fence. What its scaler is given goes to `sink` too.
     pub fn new(
         now: Nanos,
-        terms: Terms,
+        terms: ScalerConfig,
         rate_per_s: f64,
         config: Option<&Config>,
         sink: Option<Sink>,
@@ -210,7 +211,7 @@
         if config.is_some() {
             scaler.configure(now, specs.iter().cloned());
         }
-        let pace = Pace::new(rate_per_s, now);
+        let pace = PollSchedule::new(rate_per_s, now);
         Leader {
             fence,
             scaler,
@@ -249,7 +250,7 @@
         self.specs = specs;
         let boots = &self.boots;
         // What is gone from it is there until its instances are.
-        let shown: BTreeSet<_> = self.scaler.shown().map(|i| i.service.as_str()).collect();
+        let shown: BTreeSet<_> = self.scaler.visible_instances().map(|i| i.service.as_str()).collect();
         self.ranks.retain(|service| boots.contains_key(service) || shown.contains(service));
     }
 
@@ -303,8 +304,8 @@
                     self.floors.told(now, service, lot.as_ref(), *does);
                 }
                 self.strained(now, service, lot.as_ref(), *strain);
-                self.scaler.want(now, service, lot.as_ref(), *count, zones);
-                self.scaler.avoid(now, service, lot.as_ref(), slow);
+                self.scaler.set_target(now, service, lot.as_ref(), *count, zones);
+                self.scaler.set_slow_workers(now, service, lot.as_ref(), slow);
             }
             PeerMessage::Mine { set } => {
                 let known: Vec<_> = set.iter().filter_map(|i| self.known(now, i)).collect();
@@ -314,8 +315,8 @@
                 self.scaler.inherit(now, known);
             }
             PeerMessage::Retire { instance } => self.scaler.retire(now, instance),
-            PeerMessage::Lost { instance } => self.scaler.lost(now, instance),
-            PeerMessage::Up { instance } => self.scaler.up(now, instance),
+            PeerMessage::Lost { instance } => self.scaler.mark_unreachable(now, instance),
+            PeerMessage::Up { instance } => self.scaler.mark_up(now, instance),
             _ => {}
         }
     }
@@ -468,7 +469,7 @@
         let leaving = leaving().cloned().collect();
         // What the leader before has named may stand as it is; else all of it goes to those who know nothing yet, or something else.
         let known = self.stalls.values().filter(alive).filter_map(|s| s.knows).max();
-        self.scaler.split(now, &split);
+        self.scaler.set_split(now, &split);
         self.named_at = now;
         let roster = MembershipView::new(self.version(), peers, split).with_leaving(leaving);
         let note = match known.filter(|(v, d)| *v < roster.version() && *d == roster.digest()) {
@@ -499,7 +500,7 @@
         match turn {
             None => all.extend(named.peers().iter().map(|p| (p.name.clone(), Vec::new()))),
             Some((mut stand, turned)) => {
-                for instance in self.scaler.shown().filter(|i| turned.contains(&i.service)) {
+                for instance in self.scaler.visible_instances().filter(|i| turned.contains(&i.service)) {
                     stand.extend(self.ranks.two(&instance.service, &instance.zone).cloned());
                 }
                 let named = self.ranks.owners();
@@ -507,7 +508,7 @@
             }
         }
         if !all.is_empty() {
-            for instance in self.scaler.shown() {
+            for instance in self.scaler.visible_instances() {
                 for name in self.ranks.two(&instance.service, &instance.zone) {
                     if let Some(set) = all.get_mut(name) {
                         set.push(told(instance));
@@ -541,7 +542,7 @@
         let mut set = Vec::new();
         // Who is not named stands for nothing.
         if self.ranks.owners().find(name).is_some() {
-            for instance in self.scaler.shown() {
+            for instance in self.scaler.visible_instances() {
                 if self.ranks.two(&instance.service, &instance.zone).any(|n| n == name) {
                     set.push(told(instance));
                 }
@@ -569,10 +570,10 @@
         };
         for effect in effects {
             match effect {
-                Effect::Known { instance } => {
+                Effect::Updated { instance } => {
                     to(&instance.service, &instance.zone, &|(set, _)| set.push(told(&instance)));
                 }
-                Effect::Gone { id, service, zone } => to(&service, &zone, &|(set, gone)| {
+                Effect::Removed { id, service, zone } => to(&service, &zone, &|(set, gone)| {
                     set.retain(|i| i.id != id);
                     gone.push(id.clone());
                 }),
--- a/controller/src/leadership.rs
+++ b/controller/src/leadership.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use compact_str::CompactString;
-use millpost_autoscaler::{Ask, Effect, Entry, StartFault, StopFault, Worker};
+use millpost_autoscaler::{Effect, Endpoint, Poll, StartFault, StopFault, Worker};
 use millpost_protocol::PeerMessage;
 use millpost_quorum::{Address, Holder, Members, Message, Outcome, Value};
 
@@ -31,7 +31,7 @@
 }
 
 /// A page of the list, and the token of the next one.
-pub type Page = (Vec<Entry>, Option<CompactString>);
+pub type Page = (Vec<Endpoint>, Option<CompactString>);
 
 /// What the platform answered; none, or unclear, where it did not.
 #[derive(Debug)]
@@ -166,7 +166,7 @@
     /// When to call [`Leadership::tick`] next.
     pub fn next_wake(&self) -> Nanos {
         let holder = self.holder.as_ref().map_or(Nanos::MAX, Holder::next_wake);
-        holder.min(self.leader.as_ref().map_or(Nanos::MAX, |s| s.pace.next()))
+        holder.min(self.leader.as_ref().map_or(Nanos::MAX, |s| s.pace.next_at()))
     }
 
     /// The members that the lease is counted by.
@@ -204,7 +204,7 @@
         if !self.may_act(now)
             && let Some(mut leader) = self.leader.take()
         {
-            leader.scaler.over(now);
+            leader.scaler.end_term(now);
             log::info!("steward no more");
         }
         let Some(members) = members.filter(|_| stands && !self.leaving) else { return (Vec::new(), None) };
@@ -288,7 +288,7 @@
     pub fn leave(&mut self, now: Nanos) -> Vec<(Address, Message)> {
         self.leaving = true;
         if let Some(mut leader) = self.leader.take() {
-            leader.scaler.over(now);
+            leader.scaler.end_term(now);
         }
         self.holder.as_mut().map_or_else(Vec::new, |holder| holder.release(now))
     }
@@ -301,20 +301,20 @@
         leader.scaler.tick(now);
         let (mut told, effects) = leader.take();
         leader.floors(now, &mut told);
-        let ask = leader.pace.ask(now);
+        let ask = leader.pace.next_poll(now);
         let start_or_stop = |effect| match effect {
             Effect::Start { service, worker, nonce } => Some(Call::Start { service, worker, nonce }),
             Effect::Stop { id } => Some(Call::Stop { id }),
-            Effect::Known { .. } | Effect::Gone { .. } => None,
+            Effect::Updated { .. } | Effect::Removed { .. } => None,
         };
         let mut calls: Vec<_> = effects.into_iter().filter_map(start_or_stop).collect();
         match ask {
-            Some(Ask::List) => {
+            Some(Poll::List) => {
                 self.pages.clear();
                 calls.push(Call::List { token: None });
             }
-            Some(Ask::Page) => calls.extend(self.pages.token().map(|t| Call::List { token: Some(t) })),
-            Some(Ask::Workers) => calls.push(Call::Workers),
+            Some(Poll::NextPage) => calls.extend(self.pages.token().map(|t| Call::List { token: Some(t) })),
+            Some(Poll::Workers) => calls.push(Call::Workers),
             None => {}
         }
         let fence = leader.fence;
@@ -327,34 +327,34 @@
         let Some(leader) = self.leader.as_mut().filter(|s| s.fence == fence) else { return };
         match heard {
             Heard::Listed(None) => {
-                leader.pace.refused(now);
-                leader.pace.listed();
+                leader.pace.throttled(now);
+                leader.pace.list_ended();
                 self.pages.clear();
             }
             Heard::Listed(Some((entries, next))) => match self.pages.page(asked, entries, next) {
                 Paged::More => {}
                 Paged::Whole(asked, entries) => {
-                    leader.pace.listed_whole(now, entries.len());
-                    leader.scaler.listed(now, asked, entries);
+                    leader.pace.list_completed(now, entries.len());
+                    leader.scaler.endpoints_listed(now, asked, entries);
                 }
                 Paged::Endless => {
                     log::error!("the list has no end");
-                    leader.pace.listed();
+                    leader.pace.list_ended();
                 }
             },
-            Heard::Workers(Some(all)) => leader.scaler.workers(now, asked, all),
-            Heard::Workers(None) => leader.pace.refused(now),
+            Heard::Workers(Some(all)) => leader.scaler.workers_listed(now, asked, all),
+            Heard::Workers(None) => leader.pace.throttled(now),
             Heard::Started { nonce, answer } => {
                 if let Err(fault) = &answer {
                     log::info!("start {nonce}: {fault:?}");
                 }
-                leader.scaler.started(now, &nonce, answer);
+                leader.scaler.start_answered(now, &nonce, answer);
             }
             Heard::Stopped { id, answer } => {
                 if let Err(fault) = &answer {
                     log::info!("stop of {id}: {fault:?}");
                 }
-                leader.scaler.stopped(now, &id, answer);
+                leader.scaler.stop_answered(now, &id, answer);
             }
         }
     }
@@ -362,7 +362,7 @@
 
 #[cfg(test)]
 mod tests {
-    use millpost_autoscaler::Terms;
+    use millpost_autoscaler::ScalerConfig;
 
     use super::*;
     use crate::MS;
@@ -399,7 +399,7 @@
         let mut leadership = held(None);
         assert_eq!(leadership.on_fence(now, Ok(None)), Next::Offer(1));
         assert_eq!(leadership.on_fence_written(now, 1, Ok(Outcome::Written(stands("a")))), Next::Take(1));
-        leadership.seat(Leader::new(now, Terms::new(1, BOUNDS, 100), BOUNDS, None, None));
+        leadership.seat(Leader::new(now, ScalerConfig::new(1, BOUNDS, 100), BOUNDS, None, None));
         leadership
     }
 
--- a/controller/src/pages.rs
+++ b/controller/src/pages.rs
@@ -1,7 +1,7 @@
 //! The platform's list, page by page.
 
 use compact_str::CompactString;
-use millpost_autoscaler::Entry;
+use millpost_autoscaler::Endpoint;
 
 use crate::Nanos;
 
@@ -14,7 +14,7 @@
     /// More is to come.
     More,
     /// This is all of it, as it stood when its first page was asked for.
-    Whole(Nanos, Vec<Entry>),
+    Whole(Nanos, Vec<Endpoint>),
     /// It has no end, and is given up.
     Endless,
 }
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 pub struct Pages {
     asked: Option<Nanos>,
-    entries: Vec<Entry>,
+    entries: Vec<Endpoint>,
     next: Option<CompactString>,
 }
 
@@ -39,7 +39,7 @@
     }
 
     /// A page that was asked for at this time.
-    pub fn page(&mut self, asked: Nanos, entries: Vec<Entry>, next: Option<CompactString>) -> Paged {
+    pub fn page(&mut self, asked: Nanos, entries: Vec<Endpoint>, next: Option<CompactString>) -> Paged {
         let first = *self.asked.get_or_insert(asked);
         self.entries.extend(entries);
         self.next = next;
@@ -60,8 +60,8 @@
 mod tests {
     use super::*;
 
-    fn entries(from: usize, count: usize) -> Vec<Entry> {
-        let entry = |n| Entry {
+    fn entries(from: usize, count: usize) -> Vec<Endpoint> {
+        let entry = |n| Endpoint {
             id: format!("i-{n}").into(),
             service: "s".into(),
             address: ([127, 0, 0, 1], 1).into(),
--- a/controller/src/platform.rs
+++ b/controller/src/platform.rs
@@ -47,7 +47,7 @@
     ) -> Option<(u16, String)> {
         let body = Bytes::from(body);
         let headers = if method == Method::GET { HeaderMap::new() } else { self.headers.clone() };
-        match self.client.call(method, path, headers, body, within, platform::TEXT_MAX).await {
+        match self.client.call(method, path, headers, body, within, platform::MAX_ANSWER_BYTES).await {
             Ok((status, _, body)) => Some((status.as_u16(), String::from_utf8_lossy(&body).into_owned())),
             Err(e) => {
                 self.client.clear();
--- a/controller/tests/leader.rs
+++ b/controller/tests/leader.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use compact_str::CompactString;
-use millpost_autoscaler::Terms;
+use millpost_autoscaler::ScalerConfig;
 use millpost_config::Config;
 use millpost_controller::leader::Leader;
 use millpost_protocol::{Instance, MembershipView, Peer, PeerMessage, Version, ViewChange};
@@ -48,7 +48,7 @@
 }
 
 fn leader(fence: u64, now: u64, zones: &[&str], split: Option<(Version, &[&str])>) -> Leader {
-    let mut leader = Leader::new(now, Terms::new(fence, 100.0, 100), 100.0, Some(&config()), None);
+    let mut leader = Leader::new(now, ScalerConfig::new(fence, 100.0, 100), 100.0, Some(&config()), None);
     (0..6).for_each(|n| leader.note(now, &alive(n, zones, split)));
     leader
 }
@@ -229,7 +229,7 @@
     assert_eq!(named(&mut first, 700 * MS, &zones), set(&[]));
     let before = whole(&mut first);
     let told = |split: &[&str], digest: u64, gone: usize| {
-        let mut second = Leader::new(0, Terms::new(7, 100.0, 100), 100.0, Some(&config()), None);
+        let mut second = Leader::new(0, ScalerConfig::new(7, 100.0, 100), 100.0, Some(&config()), None);
         for n in (0..6).filter(|n| *n != gone) {
             // One is behind, and one knows of nothing.
             let of = [None, Some((5, 90)), Some(before.version())][n.min(2)];
@@ -261,7 +261,7 @@
     one_goes_by_a_naming = { true, Some((1, 4)), 600 },
 )]
 fn the_first_naming_waits_less_where_nobody_can_own_anything(is_new: bool, known: Option<Version>, at: u64) {
-    let mut leader = Leader::new(0, Terms::new(2, 100.0, 100), 100.0, Some(&config()), None);
+    let mut leader = Leader::new(0, ScalerConfig::new(2, 100.0, 100), 100.0, Some(&config()), None);
     leader.control_is_new = is_new;
     let named = (0..=700).find(|ms| {
         if ms % 50 == 0 {
@@ -276,7 +276,7 @@
 #[test]
 fn many_that_come_within_a_short_span_are_named_together_and_few_at_once() {
     for (many, expected) in [(40, 40), (200, 3)] {
-        let mut leader = Leader::new(0, Terms::new(1, 100.0, 100), 100.0, Some(&config()), None);
+        let mut leader = Leader::new(0, ScalerConfig::new(1, 100.0, 100), 100.0, Some(&config()), None);
         (0..many).for_each(|n| leader.note(0, &alive(n, &["a"], None)));
         let first = (0..1_000).find(|at| leader.look(at * MS, |_| true).is_some());
         assert_eq!(first, Some(120), "the first naming waits no longer than for few");
--- a/controller/tests/town/mod.rs
+++ b/controller/tests/town/mod.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode};
-use millpost_autoscaler::{Entry, Worker};
+use millpost_autoscaler::{Endpoint, Worker};
 use millpost_controller::contact::Answered;
 use millpost_controller::core::{Back, Bounds, Core, Effect, Input, Start};
 use millpost_controller::leadership::{self, Heard, PlatformCall};
@@ -62,7 +62,7 @@
     /// Memory that a worker has, and another half of; with none nothing starts.
     pub workers: u64,
     /// Instances that were started: when, and what the list shows of each a while later.
-    pub started: Vec<(u64, Entry)>,
+    pub started: Vec<(u64, Endpoint)>,
     names: usize,
     /// Lines for porters, by machine and seat; first those of calls that follow, by the call.
     pub lines: Vec<(usize, u64, Bytes)>,
@@ -343,7 +343,7 @@
                 let id = CompactString::from(format!("i-{}", self.names));
                 let address = ([10, 1, 0, self.names as u8], 80).into();
                 self.names += 1;
-                let entry = Entry {
+                let entry = Endpoint {
                     id: id.clone(),
                     service,
                     address,
--- a/latency/src/fit.rs
+++ b/latency/src/fit.rs
@@ -59,20 +59,20 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RelativeLatency {
     /// log(time there / time on the reference).
-    pub log: f64,
+    pub log_ratio: f64,
     /// The standard deviation of that.
-    pub doubt: f64,
+    pub std_dev: f64,
 }
 
 impl RelativeLatency {
     /// How many times as long it takes.
-    pub fn times(&self) -> f64 {
-        self.log.exp()
+    pub fn ratio(&self) -> f64 {
+        self.log_ratio.exp()
     }
 
     /// It takes longer there than at another place by more than this factor, so surely, in standard deviations.
-    pub fn surely_behind(&self, other: &RelativeLatency, times: f64, sure: f64) -> bool {
-        self.log - other.log - sure * self.doubt.hypot(other.doubt) >= times.ln()
+    pub fn is_slower_than(&self, other: &RelativeLatency, times: f64, sure: f64) -> bool {
+        self.log_ratio - other.log_ratio - sure * self.std_dev.hypot(other.std_dev) >= times.ln()
     }
 }
 
@@ -95,7 +95,7 @@
     }
 
     /// A whole answer came from an instance of `function` on `worker`, after so long. Errors say nothing of speed and do not come here.
-    pub fn saw(&mut self, now: Nanos, function: &str, worker: &str, took: Nanos) {
+    pub fn observe(&mut self, now: Nanos, function: &str, worker: &str, took: Nanos) {
         if worker.is_empty() || took == 0 {
             return;
         }
@@ -140,7 +140,7 @@
     }
 
     /// Works out what was seen. False where that was done a moment ago, or nothing new has come since.
-    pub fn settle(&mut self, now: Nanos) -> bool {
+    pub fn update(&mut self, now: Nanos) -> bool {
         if now < self.settled + PAUSE || !self.news && now < self.settled + 4 * SECOND {
             return false;
         }
@@ -246,8 +246,10 @@
         self.reference = reference;
         let alone = known.len() < 2;
         for worker in self.workers.iter_mut().flatten() {
-            let lag =
-                RelativeLatency { log: worker.part - reference, doubt: (worker.variance + unsure).sqrt() };
+            let lag = RelativeLatency {
+                log_ratio: worker.part - reference,
+                std_dev: (worker.variance + unsure).sqrt(),
+            };
             worker.slow = !alone && worker.functions > 1 && is_slow(&lag, worker.slow, SLOW);
         }
         let parts: Vec<_> = (0..self.workers.len()).map(|at| self.part(at as u16)).collect();
@@ -255,46 +257,49 @@
             let (level, variance, many) = (function.level, function.variance, function.cells.len() > 1);
             for (at, cell) in &mut function.cells {
                 let lag = at_cell(level, variance, cell, parts[*at as usize], now);
-                let lag = RelativeLatency { log: lag.log - reference, doubt: lag.doubt.hypot(unsure.sqrt()) };
+                let lag = RelativeLatency {
+                    log_ratio: lag.log_ratio - reference,
+                    std_dev: lag.std_dev.hypot(unsure.sqrt()),
+                };
                 cell.slow = many && !alone && is_slow(&lag, cell.slow, SLOW_FOR_ONE);
             }
         }
     }
 
     /// What is expected of a function on a worker, as last worked out. None where nothing is known of that worker.
-    pub fn lag(&self, function: &str, worker: &str) -> Option<RelativeLatency> {
+    pub fn relative_latency(&self, function: &str, worker: &str) -> Option<RelativeLatency> {
         let at = *self.places.get(worker)?;
         let part = self.part(at);
         let of = self.functions.get(function);
         let lag = match of.and_then(|f| Some((f, f.cells.get(&at)?))) {
             Some((f, cell)) => at_cell(f.level, f.variance, cell, part, self.settled),
-            None => RelativeLatency { log: part.0, doubt: (part.1 + INSTANCES).sqrt() },
+            None => RelativeLatency { log_ratio: part.0, std_dev: (part.1 + INSTANCES).sqrt() },
         };
-        Some(RelativeLatency { log: lag.log - self.reference, ..lag })
+        Some(RelativeLatency { log_ratio: lag.log_ratio - self.reference, ..lag })
     }
 
     /// The time that a function's work takes on a worker.
-    pub fn expects(&self, function: &str, worker: &str) -> Option<Nanos> {
+    pub fn expected_latency(&self, function: &str, worker: &str) -> Option<Nanos> {
         let level = self.functions.get(function)?.level;
-        Some((level + self.reference + self.lag(function, worker)?.log).exp() as Nanos)
+        Some((level + self.reference + self.relative_latency(function, worker)?.log_ratio).exp() as Nanos)
     }
 
     /// The worker is slow, for all functions as far as is known.
-    pub fn slow(&self, worker: &str) -> bool {
+    pub fn is_slow(&self, worker: &str) -> bool {
         let at = self.places.get(worker);
         at.is_some_and(|at| self.workers[*at as usize].as_ref().is_some_and(|w| w.slow))
     }
 
     /// The worker is slow for this function.
-    pub fn slow_for(&self, function: &str, worker: &str) -> bool {
+    pub fn is_slow_for(&self, function: &str, worker: &str) -> bool {
         let Some(at) = self.places.get(worker) else { return false };
-        self.slow(worker)
+        self.is_slow(worker)
             || self.functions.get(function).and_then(|f| f.cells.get(at)).is_some_and(|c| c.slow)
     }
 
     /// The workers that are slow for this function, in the order of their names.
-    pub fn slow_ones(&self, function: &str) -> Vec<CompactString> {
-        let all = self.workers.iter().flatten().filter(|w| self.slow_for(function, &w.name));
+    pub fn slow_workers(&self, function: &str) -> Vec<CompactString> {
+        let all = self.workers.iter().flatten().filter(|w| self.is_slow_for(function, &w.name));
         let mut names: Vec<_> = all.map(|w| w.name.clone()).collect();
         names.sort_unstable();
         names
@@ -326,9 +331,13 @@
 ) -> RelativeLatency {
     let (seen, guess) = (cell.worth(now) / variance, 1.0 / (unsure + INSTANCES));
     let log = ((cell.mean - level) * seen + part * guess) / (seen + guess);
-    RelativeLatency { log, doubt: (1.0 / (seen + guess)).sqrt() }
+    RelativeLatency { log_ratio: log, std_dev: (1.0 / (seen + guess)).sqrt() }
 }
 
 fn is_slow(lag: &RelativeLatency, already: bool, bar: f64) -> bool {
-    if already { lag.log >= FINE } else { lag.log >= bar && lag.log - SURE * lag.doubt >= SURELY }
+    if already {
+        lag.log_ratio >= FINE
+    } else {
+        lag.log_ratio >= bar && lag.log_ratio - SURE * lag.std_dev >= SURELY
+    }
 }
--- a/latency/src/lib.rs
+++ b/latency/src/lib.rs
@@ -4,7 +4,7 @@
 //! than a bound. Said is what is expected at a place, how sure that is, and which workers are slow, for all or for one function.
 //! No I/O, no clock, no randomness.
 //!
-//! [`LatencyModel::saw`] takes answers as they come; [`LatencyModel::settle`] works out what they say, and is to be called now and then. All that is
+//! [`LatencyModel::observe`] takes answers as they come; [`LatencyModel::update`] works out what they say, and is to be called now and then. All that is
 //! asked is answered by what was last worked out.
 
 mod cell;
--- a/latency/tests/days.rs
+++ b/latency/tests/days.rs
@@ -27,7 +27,7 @@
         if self.dice.share() < 0.3 {
             took += 50e6;
         }
-        self.assay.saw(self.now, &format!("f{f}"), &format!("w{w}"), took as Nanos);
+        self.assay.observe(self.now, &format!("f{f}"), &format!("w{w}"), took as Nanos);
     }
 
     /// So many answers, every `gap` one, evenly over functions and workers by chance.
@@ -37,12 +37,12 @@
             let f = (self.dice.share() * self.instances.len() as f64) as usize;
             let w = (self.dice.share() * self.instances[0].len() as f64) as usize;
             self.answer(f, w, times(f, w));
-            self.assay.settle(self.now);
+            self.assay.update(self.now);
         }
     }
 
     fn slow(&self) -> Vec<usize> {
-        (0..self.instances[0].len()).filter(|w| self.assay.slow(&format!("w{w}"))).collect()
+        (0..self.instances[0].len()).filter(|w| self.assay.is_slow(&format!("w{w}"))).collect()
     }
 }
 
@@ -77,7 +77,7 @@
             false_ones += day.slow().len();
             cells += (0..8)
                 .flat_map(|f| (0..12).map(move |w| (f, w)))
-                .filter(|(f, w)| day.assay.slow_for(&format!("f{f}"), &format!("w{w}")))
+                .filter(|(f, w)| day.assay.is_slow_for(&format!("f{f}"), &format!("w{w}")))
                 .count();
         }
     }
@@ -95,7 +95,7 @@
     assert!(day.slow().is_empty());
     day.play(3_000, GAP, |f, _| if f == 1 { 4.0 } else { 1.0 });
     assert!(day.slow().is_empty());
-    let (usual, slow) = (day.assay.expects("f0", "w0"), day.assay.expects("f1", "w0"));
+    let (usual, slow) = (day.assay.expected_latency("f0", "w0"), day.assay.expected_latency("f1", "w0"));
     assert!(slow > usual.map(|t| t * 2), "{usual:?} {slow:?}");
 }
 
@@ -105,9 +105,9 @@
         let mut day = Day::new(200 + seed, 5, 6);
         day.play(3_000, GAP, |f, w| if (f, w) == (1, 3) { 2.5 } else { 1.0 });
         assert!(day.slow().is_empty(), "{seed}");
-        assert!(day.assay.slow_for("f1", "w3"), "{seed}");
-        assert!(!day.assay.slow_for("f0", "w3"), "{seed}");
-        assert_eq!(day.assay.slow_ones("f1"), ["w3"]);
+        assert!(day.assay.is_slow_for("f1", "w3"), "{seed}");
+        assert!(!day.assay.is_slow_for("f0", "w3"), "{seed}");
+        assert_eq!(day.assay.slow_workers("f1"), ["w3"]);
     }
 }
 
@@ -115,7 +115,7 @@
 fn one_answer_in_ten_seconds_says_little_and_what_was_seen_fades() {
     let mut day = Day::new(3, 1, 2);
     day.play(30, 10 * SECOND, |_, w| if w == 1 { 3.0 } else { 1.0 });
-    assert!(!day.assay.slow_for("f0", "w1"));
+    assert!(!day.assay.is_slow_for("f0", "w1"));
     let mut day = Day::new(3, 4, 6);
     day.play(3_000, GAP, |_, w| if w == 1 { 3.0 } else { 1.0 });
     assert_eq!(day.slow(), [1]);
@@ -146,8 +146,8 @@
     assert_eq!(day.slow(), [0, 1, 2, 3, 4, 5]);
     let mut assay = LatencyModel::new();
     for n in 0..60_000u64 {
-        assay.saw(n * 1_000_000, &format!("f{}", n % 1_009), &format!("w{}", n % 41), 45_000_000);
-        assay.settle(n * 1_000_000);
+        assay.observe(n * 1_000_000, &format!("f{}", n % 1_009), &format!("w{}", n % 41), 45_000_000);
+        assay.update(n * 1_000_000);
         assert!(assay.len() <= 16_384);
     }
 }
--- a/replay/examples/traces.rs
+++ b/replay/examples/traces.rs
@@ -7,7 +7,7 @@
 
 use day::{Day, Plan};
 use millpost_autoscaler::{
-    Entry as Listed, Recorded, ServiceSpec, StartFault, StopFault, Terms as Pace, Worker,
+    Endpoint as Listed, Recorded, ScalerConfig as Pace, ServiceSpec, StartFault, StopFault, Worker,
 };
 use millpost_config::{Config, change};
 use millpost_protocol::line::Sink;
@@ -88,35 +88,37 @@
     for step in 1..260u64 {
         let now = 2 * SECOND + step * 25 * MS;
         match step {
-            1 => scaler.workers(now, now - MS, (1..5).map(|n| worker(n, false)).collect()),
-            2 => scaler.listed(now, now - MS, Vec::new()),
-            120 => scaler.workers(now, now - MS, (1..5).map(|n| worker(n, n == 1)).collect()),
-            130 => scaler.lost(now, "i2"),
+            1 => scaler.workers_listed(now, now - MS, (1..5).map(|n| worker(n, false)).collect()),
+            2 => scaler.endpoints_listed(now, now - MS, Vec::new()),
+            120 => scaler.workers_listed(now, now - MS, (1..5).map(|n| worker(n, n == 1)).collect()),
+            130 => scaler.mark_unreachable(now, "i2"),
             150 => scaler.retire(now, "i1"),
-            _ if step % 40 == 0 && step < 120 => scaler.listed(now, now - MS, vec![entry(1), entry(2)]),
+            _ if step % 40 == 0 && step < 120 => {
+                scaler.endpoints_listed(now, now - MS, vec![entry(1), entry(2)])
+            }
             _ => {}
         }
         if step % 20 == 3 {
-            scaler.want(now, "mill", None, if step < 200 { 2 } else { 0 }, &["a".into(), "b".into()]);
+            scaler.set_target(now, "mill", None, if step < 200 { 2 } else { 0 }, &["a".into(), "b".into()]);
         }
         let mut born = step as u8;
         scaler.tick(now);
         for effect in scaler.take() {
             match effect {
                 millpost_autoscaler::Effect::Start { nonce, .. } if step % 7 == 0 => {
-                    scaler.started(now + 3 * MS, &nonce, Err(StartFault::Busy));
+                    scaler.start_answered(now + 3 * MS, &nonce, Err(StartFault::Busy));
                 }
                 millpost_autoscaler::Effect::Start { nonce, .. } => {
                     let id = format!("i{}", if step < 10 { step - 2 } else { step });
-                    scaler.started(now + 5 * MS, &nonce, Ok((id.into(), address(born))));
+                    scaler.start_answered(now + 5 * MS, &nonce, Ok((id.into(), address(born))));
                     born = born.wrapping_add(100);
                 }
                 millpost_autoscaler::Effect::Stop { id } if step % 2 == 0 => {
-                    scaler.stopped(now + 4 * MS, &id, Err(StopFault::Unclear));
+                    scaler.stop_answered(now + 4 * MS, &id, Err(StopFault::Unclear));
                 }
-                millpost_autoscaler::Effect::Stop { id } => scaler.stopped(now + 4 * MS, &id, Ok(())),
-                millpost_autoscaler::Effect::Known { instance } if step > 15 => {
-                    scaler.up(now + 6 * MS, &instance.id)
+                millpost_autoscaler::Effect::Stop { id } => scaler.stop_answered(now + 4 * MS, &id, Ok(())),
+                millpost_autoscaler::Effect::Updated { instance } if step > 15 => {
+                    scaler.mark_up(now + 6 * MS, &instance.id)
                 }
                 _ => {}
             }
@@ -130,8 +132,12 @@
     let lines = Rc::new(RefCell::new(Vec::new()));
     let told = Rc::clone(&lines);
     let seeds = (1..=3).map(|n| SocketAddr::from(([10, 0, 0, n], 8428))).collect();
-    let terms =
-        millpost_agent::Terms { name: "edge-1".into(), life: 1_796_172_615_944, seeds, grace: 2 * SECOND };
+    let terms = millpost_agent::AgentConfig {
+        name: "edge-1".into(),
+        life: 1_796_172_615_944,
+        seeds,
+        grace: 2 * SECOND,
+    };
     let sink: Sink = Box::new(move |line| told.borrow_mut().push(line.to_owned()));
     let mut day =
         Rounds { round: millpost_agent::Recorded::new(terms, 0, Some(sink)), open: Vec::new(), now: 0 };
@@ -173,7 +179,7 @@
     );
     day.line(light, &steward(1, 1));
     day.letter(&[alive, &acts(0)].join(","));
-    day.round.give(day.now, millpost_agent::Input::Up);
+    day.round.handle(day.now, millpost_agent::Input::ProxyUp);
     day.letter(&acts(2));
     for round in 0..8 {
         day.pass(3);
@@ -204,24 +210,24 @@
     day.pass(2);
     day.letter(&acts(5));
     // Garbage, also such as is no text; then nobody is there for a while.
-    day.round.give(day.now, millpost_agent::Input::Line { feed, line: "{\"n\":".into() });
+    day.round.handle(day.now, millpost_agent::Input::FeedLine { feed, line: "{\"n\":".into() });
     day.take();
     let feed = day.open[0].0;
-    day.round.give(day.now, millpost_agent::Input::Line { feed, line: vec![b'{', 0xff].into() });
+    day.round.handle(day.now, millpost_agent::Input::FeedLine { feed, line: vec![b'{', 0xff].into() });
     day.take();
     for _ in 0..20 {
         day.pass(2);
         for feed in day.feeds() {
             day.open.retain(|(of, _)| *of != feed);
-            day.round.give(day.now, millpost_agent::Input::Ended { feed });
+            day.round.handle(day.now, millpost_agent::Input::FeedEnded { feed });
             day.take();
         }
         day.letter(&[alive, &acts(5)].join(","));
     }
-    day.round.give(day.now, millpost_agent::Input::Full);
-    day.round.give(day.now, millpost_agent::Input::Seeds(vec![SocketAddr::from(([10, 0, 0, 4], 8428))]));
+    day.round.handle(day.now, millpost_agent::Input::ProxyQueueFull);
+    day.round.handle(day.now, millpost_agent::Input::Seeds(vec![SocketAddr::from(([10, 0, 0, 4], 8428))]));
     day.pass(15);
-    day.round.give(day.now, millpost_agent::Input::Leave);
+    day.round.handle(day.now, millpost_agent::Input::Shutdown);
     day.pass(16);
     drop(day);
     Rc::try_unwrap(lines).expect("the porter is gone").into_inner()
@@ -254,7 +260,7 @@
     fn pass(&mut self, ticks: u64) {
         for _ in 0..ticks {
             self.now += 100 * MS + 12_345;
-            self.round.give(self.now, millpost_agent::Input::Tick);
+            self.round.handle(self.now, millpost_agent::Input::Tick);
             self.take();
         }
     }
@@ -262,14 +268,14 @@
     fn line(&mut self, feed: u64, notes: &str) {
         self.now += 777_777;
         let line = format!(r#"{{"n":7,"notes":[{notes}]}}"#).into();
-        self.round.give(self.now, millpost_agent::Input::Line { feed, line });
+        self.round.handle(self.now, millpost_agent::Input::FeedLine { feed, line });
         self.take();
     }
 
     fn letter(&mut self, notes: &str) {
         self.now += 333_333;
         let body = format!(r#"{{"from":"edge-1","life":5,"notes":[{notes}]}}"#).into();
-        self.round.give(self.now, millpost_agent::Input::MessageBatch(body));
+        self.round.handle(self.now, millpost_agent::Input::ProxyMessages(body));
         self.take();
     }
 }
--- a/replay/src/clocks.rs
+++ b/replay/src/clocks.rs
@@ -236,7 +236,7 @@
     fn round(&mut self, node: Node, at: i64, input: &RoundInput, sources: &[Source]) {
         let Some(me) = self.names.get(&node).cloned() else { return };
         match input {
-            RoundInput::Line { line, .. } => {
+            RoundInput::FeedLine { line, .. } => {
                 let Some(JsonValue::Object(parts)) = messaging::json(line) else { return };
                 let Some(JsonValue::Array(notes)) = parts.get("notes") else { return };
                 for note in notes {
@@ -254,7 +254,7 @@
                     }
                 }
             }
-            RoundInput::MessageBatch(body) => {
+            RoundInput::ProxyMessages(body) => {
                 let letter = messaging::json(body).and_then(|json| MessageBatch::read(&json).ok());
                 let Some(letter) = letter.filter(|letter| letter.from == me) else { return };
                 // Word of a life that is not the only one comes from that alone.
--- a/replay/src/duty.rs
+++ b/replay/src/duty.rs
@@ -132,7 +132,7 @@
                 }
             }
             Event::Round(pass) => {
-                let Some((fence, _)) = pass.round.follow().steward() else { return };
+                let Some((fence, _)) = pass.round.feeds().leader() else { return };
                 if self.fences.insert(pass.node, fence) != Some(fence) {
                     self.heard.entry(fence).or_default().push((pass.node, pass.at));
                 }
--- a/replay/src/feeds.rs
+++ b/replay/src/feeds.rs
@@ -85,12 +85,12 @@
             self.second = Some(second);
         }
         match pass.input {
-            Input::Line { line, .. } => {
+            Input::FeedLine { line, .. } => {
                 self.row.lines += 1;
                 self.row.bytes += line.len();
             }
-            Input::MessageBatch(_) => self.row.letters += 1,
-            Input::Ended { feed } => {
+            Input::ProxyMessages(_) => self.row.letters += 1,
+            Input::FeedEnded { feed } => {
                 self.row.feeds[1] += 1;
                 self.open.remove(feed);
             }
@@ -100,17 +100,22 @@
             self.out(pass, out);
         }
         let round = pass.round;
-        let fence = round.follow().steward().map_or(0, |(fence, _)| fence);
-        let newest = round.newest();
-        self.row.stand =
-            [self.open.len() as u64, newest.revision(), round.acts(), newest.instances() as u64, fence];
+        let fence = round.feeds().leader().map_or(0, |(fence, _)| fence);
+        let newest = round.latest();
+        self.row.stand = [
+            self.open.len() as u64,
+            newest.revision(),
+            round.proxy_revision(),
+            newest.instances() as u64,
+            fence,
+        ];
     }
 
     fn out(&mut self, pass: &Pass<'_>, out: &Effect) {
         match out {
             Effect::Open { feed, address, .. } => {
                 self.row.feeds[0] += 1;
-                let most = MOST + pass.round.follow().without_contact();
+                let most = MOST + pass.round.feeds().feeds_without_contact();
                 if self.open.len() >= most || self.open.values().any(|a| a == address) {
                     self.breach(Must::Two, pass, format!("{address} beside {:?}", self.open));
                 }
@@ -120,13 +125,13 @@
                 self.row.feeds[2] += 1;
                 self.open.remove(feed);
             }
-            Effect::Outbox { feed, to, .. } => {
+            Effect::SendToControl { feed, to, .. } => {
                 self.row.notes[1] += 1;
                 if self.open.get(feed) != Some(to) {
                     self.breach(Must::Open, pass, format!("feed {feed} of {to}"));
                 }
             }
-            Effect::Tell(note) => {
+            Effect::SendToProxy(note) => {
                 self.row.notes[0] += 1;
                 self.told(pass, note);
             }
--- a/replay/src/instance.rs
+++ b/replay/src/instance.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use compact_str::CompactString;
-use millpost_autoscaler::recording::{Input, start_word, state_word, stop_word};
+use millpost_autoscaler::recording::{Input, start_fault_name, state_name, stop_fault_name};
 use millpost_autoscaler::{Effect, State};
 use millpost_protocol::PeerMessage;
 use millpost_scheduler::recording::Input as DeskInput;
@@ -117,12 +117,12 @@
                 put("started", format!("start {nonce} is answered: {id} at {address}"), Parts::new())
             }
             Err(fault) => {
-                let say = format!("start {nonce} is answered: {}", start_word(*fault));
-                put("not started", say, vec![("why", start_word(*fault).into())]);
+                let say = format!("start {nonce} is answered: {}", start_fault_name(*fault));
+                put("not started", say, vec![("why", start_fault_name(*fault).into())]);
             }
         },
         Input::Stopped { id: of, answer } if of == id => {
-            let word = answer.map_or_else(stop_word, |()| "done");
+            let word = answer.map_or_else(stop_fault_name, |()| "done");
             put("stopped", format!("its stop is answered: {word}"), vec![("answer", word.into())]);
         }
         Input::Retire(of) if of == id => {
@@ -142,15 +142,15 @@
                 let say = format!("calls start {nonce} of {service} on {worker}");
                 put("start", say, vec![("worker", worker.into()), ("nonce", nonce.into())]);
             }
-            Effect::Known { instance } if instance.id == id => {
+            Effect::Updated { instance } if instance.id == id => {
                 let why = cause(turn.input, id);
                 let why =
                     if instance.state == State::Draining { format!(", since {why}") } else { String::new() };
-                let (state, worker) = (state_word(instance.state), &instance.worker);
+                let (state, worker) = (state_name(instance.state), &instance.worker);
                 let say = format!("tells of it: {state} on {worker} in {}{why}", instance.zone);
                 put("told", say, vec![("state", state.into()), ("worker", worker.into())]);
             }
-            Effect::Gone { id: of, .. } if of == id => {
+            Effect::Removed { id: of, .. } if of == id => {
                 put("gone", format!("tells that it is gone: {}", cause(turn.input, id)), Parts::new());
             }
             Effect::Stop { id: of } if of == id => put("stop", "calls its stop".into(), Parts::new()),
--- a/replay/src/lines.rs
+++ b/replay/src/lines.rs
@@ -268,8 +268,8 @@
     }
     let entry = match kind {
         Kind::Coordinator => desk::Entry::of(&parts).map(Entry::Coordinator),
-        Kind::Scaler => scaler::Entry::of(&parts).map(Entry::Scaler),
-        Kind::Round => round::Entry::of(&parts).map(Entry::Round),
+        Kind::Scaler => scaler::Entry::from_json(&parts).map(Entry::Scaler),
+        Kind::Round => round::Entry::from_json(&parts).map(Entry::Round),
     };
     Ok(Wrote::Entry(entry?, frame::decided(&parts)?))
 }
--- a/replay/src/machines.rs
+++ b/replay/src/machines.rs
@@ -1,7 +1,7 @@
 //! The machines that a recording is played against, each beside a twin: one input at a time, and what comes of it.
 
 use millpost_agent::recording::Entry as RoundEntry;
-use millpost_agent::{Effect as RoundEffect, Input as RoundInput, Round};
+use millpost_agent::{Agent, Effect as RoundEffect, Input as RoundInput};
 use millpost_autoscaler::recording::{Entry as ScalerEntry, Input as ScalerInput};
 use millpost_autoscaler::{Effect, Scaler};
 use millpost_scheduler::recording::{Entry as DeskEntry, Input as DeskInput};
@@ -160,7 +160,7 @@
         let (Place { line, node, life }, at) = (place, entry.at);
         let begins = matches!(entry.input, ScalerInput::New(_));
         if !begins {
-            entry.input.clone().give(at, &mut self.scaler);
+            entry.input.clone().apply(at, &mut self.scaler);
         }
         let outs = self.scaler.take();
         outs.iter().for_each(|out| shown.decided.fold(line, at, |parts| out.fold(parts)));
@@ -168,7 +168,7 @@
         tell(Event::Scaler(Turn { line, node, life, at, input, outs: &outs, before, scaler }))?;
         let Some(twin) = &mut self.twin else { return Ok(()) };
         if !begins {
-            entry.input.clone().give(at, twin);
+            entry.input.clone().apply(at, twin);
         }
         let twin = twin.take();
         if outs != twin {
@@ -186,14 +186,14 @@
 /// A porter's round and its twin.
 #[derive(Debug)]
 pub struct Rounds {
-    round: Round,
-    twin: Option<Round>,
+    round: Agent,
+    twin: Option<Agent>,
 }
 
 impl Rounds {
     fn begin(entry: &RoundEntry, how: &How) -> Option<Self> {
         let RoundInput::New(terms) = &entry.input else { return None };
-        let round = || Round::new(terms.clone(), entry.at);
+        let round = || Agent::new(terms.clone(), entry.at);
         Some(Rounds { round: round(), twin: how.twins.then(round) })
     }
 
@@ -207,7 +207,7 @@
         let (Place { line, node, life }, at) = (place, entry.at);
         let begins = matches!(entry.input, RoundInput::New(_));
         if !begins {
-            self.round.give(at, entry.input.clone());
+            self.round.handle(at, entry.input.clone());
         }
         let outs = self.round.take();
         let decided = outs.iter().filter(|out| !matches!(out, RoundEffect::Log(..)));
@@ -216,7 +216,7 @@
         tell(Event::Round(Pass { line, node, life, at, input, outs: &outs, before, round }))?;
         let Some(twin) = &mut self.twin else { return Ok(()) };
         if !begins {
-            twin.give(at, entry.input.clone());
+            twin.handle(at, entry.input.clone());
         }
         let twin = twin.take();
         if outs != twin {
--- a/replay/src/outs.rs
+++ b/replay/src/outs.rs
@@ -4,7 +4,7 @@
 
 use millpost_agent::Effect as RoundEffect;
 use millpost_autoscaler::Effect;
-use millpost_autoscaler::recording::state_word;
+use millpost_autoscaler::recording::state_name;
 use millpost_protocol::PeerMessage;
 use millpost_protocol::line::Line;
 use millpost_scheduler::{No, Out, Stage};
@@ -103,14 +103,14 @@
             line.text("i", id);
             line.end()
         }
-        Effect::Known { instance: i } => {
+        Effect::Updated { instance: i } => {
             let mut line = begin("known");
             line.text("i", &i.id).text("s", &i.service).text("a", &i.address.to_string());
-            line.text("z", &i.zone).text("w", &i.worker).text("st", state_word(i.state));
+            line.text("z", &i.zone).text("w", &i.worker).text("st", state_name(i.state));
             line.whole("boot", i.boot_ms.into()).time("since", i.since);
             line.end()
         }
-        Effect::Gone { id, service, zone } => {
+        Effect::Removed { id, service, zone } => {
             let mut line = begin("gone");
             line.text("i", id).text("s", service).text("z", zone);
             line.end()
@@ -122,7 +122,7 @@
 pub fn round(at: u64, line: usize, life: usize, out: &RoundEffect) -> String {
     let begin = |out: &str| begin(out, life, at, line);
     let line = match out {
-        RoundEffect::Open { feed, address, path, notes } => {
+        RoundEffect::Open { feed, address, path, messages: notes } => {
             let mut line = begin("open");
             line.whole("feed", *feed).text("a", &address.to_string()).text("path", path);
             line.notes("notes", notes);
@@ -133,17 +133,17 @@
             line.whole("feed", *feed);
             line
         }
-        RoundEffect::Outbox { feed, to, note } => {
+        RoundEffect::SendToControl { feed, to, message: note } => {
             let mut line = begin("post");
             line.whole("feed", *feed).text("a", &to.to_string()).note("note", note);
             line
         }
-        RoundEffect::Tell(note) => {
+        RoundEffect::SendToProxy(note) => {
             let mut line = begin("tell");
             line.note("note", note);
             line
         }
-        RoundEffect::Answer { read } => {
+        RoundEffect::AnswerProxy { read } => {
             let mut line = begin("answer");
             line.mark("read", *read);
             line
@@ -154,7 +154,7 @@
             line.text("level", level.as_str()).text("say", text);
             line
         }
-        RoundEffect::End => begin("end"),
+        RoundEffect::Exit => begin("end"),
     };
     line.end()
 }
--- a/replay/src/play.rs
+++ b/replay/src/play.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use millpost_agent::{Effect as RoundEffect, Input as RoundInput, Round};
+use millpost_agent::{Agent, Effect as RoundEffect, Input as RoundInput};
 use millpost_autoscaler::recording::Input as ScalerInput;
 use millpost_autoscaler::{Effect, Scaler};
 use millpost_scheduler::recording::Input as DeskInput;
@@ -87,9 +87,9 @@
     /// What came of it.
     pub outs: &'a [RoundEffect],
     /// The round before it, where it is played twice.
-    pub before: Option<&'a Round>,
+    pub before: Option<&'a Agent>,
     /// The round after it.
-    pub round: &'a Round,
+    pub round: &'a Agent,
 }
 
 /// What happens in a play.
--- a/replay/src/state.rs
+++ b/replay/src/state.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use millpost_agent::Round;
+use millpost_agent::Agent;
 use millpost_autoscaler::Scaler;
 use millpost_scheduler::{Coordinator, Nanos, Stage};
 
@@ -77,7 +77,7 @@
         if wanted == "-" && instances.is_empty() && of.starting == 0 {
             continue;
         }
-        let mut text = format!("{wanted} wanted, {} starting, {}", of.starting, of.hold.word());
+        let mut text = format!("{wanted} wanted, {} starting, {}", of.starting, of.hold.as_str());
         for one in instances {
             let stop = one.stop.map_or(String::new(), |stop| format!(", stop {stop}"));
             let _ = write!(text, "; {} {} on {}{stop}", one.id, one.state, one.worker);
@@ -88,17 +88,17 @@
 }
 
 /// A porter's round.
-pub fn round(round: &Round) -> State {
-    let (follow, newest) = (round.follow(), round.newest());
+pub fn round(round: &Agent) -> State {
+    let (follow, newest) = (round.feeds(), round.latest());
     let ((stalls, stalls_count), (instances, instances_count)) = newest.versions();
     let feeds: Vec<_> = follow.feeds().map(|(feed, address, _)| format!("{feed} from {address}")).collect();
     let steward =
-        follow.steward().map_or("-".to_owned(), |(fence, address)| format!("{address}, fence {fence}"));
+        follow.leader().map_or("-".to_owned(), |(fence, address)| format!("{address}, fence {fence}"));
     State::from([
         ("feeds".to_owned(), feeds.join("; ")),
         ("steward".to_owned(), steward),
         ("configuration".to_owned(), newest.revision().to_string()),
-        ("stall acts on".to_owned(), round.acts().to_string()),
+        ("stall acts on".to_owned(), round.proxy_revision().to_string()),
         ("stalls".to_owned(), format!("{stalls}.{stalls_count}")),
         ("instances".to_owned(), format!("{instances}.{instances_count}: {}", newest.instances())),
     ])
--- a/replay/src/table.rs
+++ b/replay/src/table.rs
@@ -323,11 +323,11 @@
                     self.mine.insert(nonce.clone(), ());
                     self.round.starts[0] += 1;
                 }
-                Effect::Known { instance } if self.counts(&instance.service) => {
+                Effect::Updated { instance } if self.counts(&instance.service) => {
                     self.mine.insert(instance.id.clone(), ());
                 }
                 Effect::Stop { id } if self.called(id) => self.round.stops[0] += 1,
-                Effect::Gone { service, .. } if self.counts(service) => self.round.gone += 1,
+                Effect::Removed { service, .. } if self.counts(service) => self.round.gone += 1,
                 _ => {}
             }
         }
--- a/replay/src/until.rs
+++ b/replay/src/until.rs
@@ -82,7 +82,7 @@
             let entry =
                 millpost_agent::recording::Entry { number: None, at: pass.at, input: pass.input.clone() };
             let outs = pass.outs.iter().map(|out| outs::round(pass.at, pass.line, pass.life, out));
-            let (input, kind) = (entry.write(), millpost_agent::recording::name(pass.input).to_owned());
+            let (input, kind) = (entry.write(), millpost_agent::recording::input_name(pass.input).to_owned());
             Texts { input, kind, outs: outs.collect() }
         }
     }
--- a/replay/src/version.rs
+++ b/replay/src/version.rs
@@ -88,7 +88,7 @@
 }
 
 fn porter(pass: &Pass<'_>, revision: u64, has: &mut Has, steps: &mut Vec<Step>) {
-    let now = pass.round.newest().revision();
+    let now = pass.round.latest().revision();
     let before = std::mem::replace(&mut has.newest, now);
     has.last = pass.at;
     if now == before {
@@ -97,8 +97,8 @@
     let (kind, say) = if now == revision {
         has.had = true;
         let (how, from) = match pass.input {
-            RoundInput::Line { feed, line } => {
-                let from = pass.round.follow().address(*feed).map(|a| format!(" from {a}"));
+            RoundInput::FeedLine { feed, line } => {
+                let from = pass.round.feeds().address(*feed).map(|a| format!(" from {a}"));
                 (brought(line, revision).unwrap_or_default(), from.unwrap_or_default())
             }
             _ => ("", String::new()),
--- a/replay/tests/traces.rs
+++ b/replay/tests/traces.rs
@@ -104,15 +104,18 @@
         if let Event::Round(pass) = event {
             feeds.see(&pass);
             // The first that was told comes again after all the others; a feed more is opened; a note goes astray.
-            let told =
-                pass.outs.iter().find(|out| matches!(out, Effect::Tell(PeerMessage::Config { .. }))).cloned();
+            let told = pass
+                .outs
+                .iter()
+                .find(|out| matches!(out, Effect::SendToProxy(PeerMessage::Config { .. })))
+                .cloned();
             let mut outs = pass.outs.to_vec();
-            if pass.input == &millpost_agent::Input::Leave {
+            if pass.input == &millpost_agent::Input::Shutdown {
                 let (address, note) = (([10, 0, 0, 9], 1).into(), PeerMessage::Drop { id: 1 });
                 outs.extend(first.clone());
-                outs.push(Effect::Outbox { feed: 900, to: address, note });
+                outs.push(Effect::SendToControl { feed: 900, to: address, message: note });
                 for feed in 901..904 {
-                    outs.push(Effect::Open { feed, address, path: "/follow", notes: vec![] });
+                    outs.push(Effect::Open { feed, address, path: "/follow", messages: vec![] });
                 }
             }
             first = first.take().or(told);
--- a/scheduler/src/function/hardware.rs
+++ b/scheduler/src/function/hardware.rs
@@ -14,7 +14,7 @@
     /// What was answered, so far, is worked out now and then; instances are put in the order that follows from it.
     pub(super) fn weigh(&mut self, now: Nanos) {
         let Some(speeds) = &mut self.speeds else { return };
-        if !speeds.settle(now) {
+        if !speeds.update(now) {
             return;
         }
         let speeds = &*speeds;
@@ -25,7 +25,7 @@
     pub(super) fn timed(&mut self, now: Nanos, at: usize, id: &str, took: Nanos) {
         let service = &self.services[at];
         if let (Some(place), Some(speeds)) = (service.place(id), &mut self.speeds) {
-            speeds.saw(now, &service.name, &place.of.worker, took);
+            speeds.observe(now, &service.name, &place.of.worker, took);
         }
     }
 }
@@ -41,16 +41,17 @@
     /// Puts instances behind others of which it is sure that they end sooner.
     fn rank(&mut self, speeds: &LatencyModel) {
         let name = self.name.clone();
-        let lags: Vec<_> = self.places().iter().map(|p| speeds.lag(&name, &p.of.worker)).collect();
+        let lags: Vec<_> =
+            self.places().iter().map(|p| speeds.relative_latency(&name, &p.of.worker)).collect();
         let open = self.places().iter().zip(&lags).filter(|(p, _)| p.open());
-        let best = open.filter_map(|(_, lag)| *lag).min_by(|a, b| a.log.total_cmp(&b.log));
+        let best = open.filter_map(|(_, lag)| *lag).min_by(|a, b| a.log_ratio.total_cmp(&b.log_ratio));
         let step = |lag: Option<RelativeLatency>, slow: bool, already: bool| {
             let Some((lag, best)) = lag.zip(best) else { return 0 };
-            let steps = ((lag.log - best.log) / STEP.ln()).clamp(0.0, 8.0) as u8;
-            if slow || already || lag.surely_behind(&best, BEYOND, SURE) { steps } else { 0 }
+            let steps = ((lag.log_ratio - best.log_ratio) / STEP.ln()).clamp(0.0, 8.0) as u8;
+            if slow || already || lag.is_slower_than(&best, BEYOND, SURE) { steps } else { 0 }
         };
         self.reorder(|at, place| {
-            place.slow = speeds.slow_for(&name, &place.of.worker);
+            place.slow = speeds.is_slow_for(&name, &place.of.worker);
             place.behind = step(lags[at], place.slow, place.behind > 0);
         });
     }
--- a/scheduler/src/function/needs.rs
+++ b/scheduler/src/function/needs.rs
@@ -40,7 +40,7 @@
                 Reason::Want { service, need, live, held, queued: waits, wait }
             });
             let does = self.services[at].does(now);
-            let slow = self.speeds.as_ref().map(|speeds| speeds.slow_ones(&service)).unwrap_or_default();
+            let slow = self.speeds.as_ref().map(|speeds| speeds.slow_workers(&service)).unwrap_or_default();
             self.effects.push(Effect::Want { service, count: need, zones, strain, does, slow });
             if need > 0 {
                 self.rouse(at);
