--- a/simulator/src/processes/agent.rs
+++ b/simulator/src/processes/agent.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use compact_str::CompactString;
-use millpost_agent::{Effect, Input, Recorded as Round, Terms};
+use millpost_agent::{AgentConfig, Effect, Input, Recorded as Round};
 
 use super::outbox::{Landed, Outbox};
 use super::{In, Out, Place, Said, letter};
@@ -40,7 +40,7 @@
     pub fn new(now: Time, place: Place, stall_address: CompactString) -> Self {
         let blind = place.plant == Some(Plant::Blind) && place.restarted;
         let seeds = if blind { Vec::new() } else { place.seed_addresses() };
-        let terms = Terms { name: place.name.clone(), life: place.life, seeds, grace: place.grace };
+        let terms = AgentConfig { name: place.name.clone(), life: place.life, seeds, grace: place.grace };
         let sink = place.records.as_ref().map(|r| r.life(&place.name, "porter", place.life));
         AgentProcess {
             round: Round::new(terms, now, sink),
@@ -75,19 +75,19 @@
                     open.until = now + SILENCE;
                     let line = line.strip_suffix(b"\n").map_or(line.clone(), |text| line.slice_ref(text));
                     if !line.is_empty() {
-                        self.give(now, Input::Line { feed, line }, None);
+                        self.give(now, Input::FeedLine { feed, line }, None);
                     }
                 }
             }
             In::Ended { feed } => self.ended(now, feed),
             In::Call { call, said: Said::Mail { from, life, notes } } => {
                 let body = letter(&from, life, &notes);
-                self.give(now, Input::MessageBatch(body), Some(call));
+                self.give(now, Input::ProxyMessages(body), Some(call));
             }
             In::Call { call, .. } => self.outs.push(Out::Reply { call, said: Said::Refused(404) }),
             In::Answer { id, said } => self.landed(now, id, matches!(said, Some(Said::Taken))),
             In::Seeds(seeds) => self.place.seeds = seeds,
-            In::Leave => self.give(now, Input::Leave, None),
+            In::Leave => self.give(now, Input::Shutdown, None),
             _ => {}
         }
         let silent: Vec<_> =
@@ -105,29 +105,29 @@
 
     fn ended(&mut self, now: Time, feed: u64) {
         self.open.remove(&feed);
-        self.give(now, Input::Ended { feed }, None);
+        self.give(now, Input::FeedEnded { feed }, None);
     }
 
     fn landed(&mut self, now: Time, id: u64, taken: bool) {
         if self.stall.has(id) {
             if matches!(self.stall.landed(now, id, taken), Landed::Up) {
-                self.give(now, Input::Up, None);
+                self.give(now, Input::ProxyUp, None);
             }
             return;
         }
         let Some((feed, open)) = self.open.iter_mut().find(|(_, o)| o.post.has(id)) else { return };
         if let Landed::Lost(notes) = open.post.landed(now, id, taken) {
             let (feed, notes) = (*feed, notes.len() as u64);
-            self.give(now, Input::Lost { feed, notes }, None);
+            self.give(now, Input::MessagesLost { feed, messages: notes }, None);
         }
     }
 
     fn give(&mut self, now: Time, input: Input, call: Option<u64>) {
-        self.round.give(now, input);
+        self.round.handle(now, input);
         let (mut settings, mut full) = (false, false);
         for effect in self.round.take() {
             match effect {
-                Effect::Open { feed, address, path, notes } => {
+                Effect::Open { feed, address, path, messages: notes } => {
                     let to = CompactString::from(address.to_string());
                     let (from, whole) = (self.place.name.clone(), !path.ends_with("whole=0"));
                     let said = Said::Follow { from, life: self.place.life, notes, whole };
@@ -139,23 +139,23 @@
                         self.outs.push(Out::Close { feed });
                     }
                 }
-                Effect::Outbox { feed, note, .. } => {
+                Effect::SendToControl { feed, message: note, .. } => {
                     if let Some(open) = self.open.get_mut(&feed) {
                         open.post.push(note);
                     }
                 }
-                Effect::Tell(note) => full |= !self.stall.push(note),
-                Effect::Answer { read } => {
+                Effect::SendToProxy(note) => full |= !self.stall.push(note),
+                Effect::AnswerProxy { read } => {
                     let said = if read { Said::Taken } else { Said::Refused(400) };
                     self.outs.extend(call.map(|call| Out::Reply { call, said }));
                 }
                 Effect::ReadSettings => settings = true,
                 Effect::Log(level, text) => log::log!(level, "{}: {text}", self.place.name),
-                Effect::End => self.over = true,
+                Effect::Exit => self.over = true,
             }
         }
         if full {
-            self.give(now, Input::Full, None);
+            self.give(now, Input::ProxyQueueFull, None);
         }
         // A blind one never hears of seeds.
         if settings && !(self.place.plant == Some(Plant::Blind) && self.place.restarted) {
--- a/simulator/src/processes/mod.rs
+++ b/simulator/src/processes/mod.rs
@@ -22,7 +22,7 @@
 
 use bytes::Bytes;
 use compact_str::CompactString;
-use millpost_autoscaler::{Entry, StartFault, StopFault, Worker};
+use millpost_autoscaler::{Endpoint, StartFault, StopFault, Worker};
 use millpost_protocol::{PeerMessage, object, text};
 use millpost_quorum::Message;
 use millpost_scheduler::Outcome;
@@ -63,7 +63,7 @@
     /// `GET /endpoints`, from this entry on.
     List { from: usize },
     /// One page of the list, and where the next begins.
-    Listed { entries: Vec<Entry>, next: Option<usize> },
+    Listed { entries: Vec<Endpoint>, next: Option<usize> },
     /// `GET /workers`.
     Workers,
     /// Its answer.
--- a/simulator/src/world/platform.rs
+++ b/simulator/src/world/platform.rs
@@ -4,7 +4,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use compact_str::{CompactString, format_compact};
-use millpost_autoscaler::{Entry, StartFault, StopFault, Worker};
+use millpost_autoscaler::{Endpoint as ListedEndpoint, StartFault, StopFault, Worker};
 
 use super::endpoint::Endpoint;
 use super::{Event, World};
@@ -135,7 +135,7 @@
                 next = Some(at);
                 break;
             }
-            entries.push(Entry {
+            entries.push(ListedEndpoint {
                 id: e.id.clone(),
                 service: self.site.service(e.service),
                 address: e.address,
