--- a/autoscaler/src/lib.rs
+++ b/autoscaler/src/lib.rs
@@ -1,28 +1,28 @@
-//! When and where instances of functions start and stop; no I/O, no clock, no randomness.
+//! Decides when and where instances of functions start and stop. No I/O, no clock, no randomness.
 //!
-//! The steward, the control program that holds the lease, keeps one [`Scaler`]. It hands in what the platform lists and
-//! answers and what the owners of functions say, calls [`Scaler::tick`] after each round of inputs and at the time that the
-//! tick names, and carries out what [`Scaler::take`] gives.
+//! The leader, the controller that holds the lease, runs one [`Scaler`]. It passes in the platform's lists
+//! and answers and the requests of the functions' owners, calls [`Scaler::tick`] after each batch of inputs
+//! and at the time that the last tick returned, and carries out the effects that [`Scaler::take`] returns.
 //!
-//! - [`config`]: what the platform allows, and the scaler's own times.
-//! - [`scaler`]: the state machine; [`scaler::view`]: how functions stand, for people.
-//! - [`poll_schedule`]: when the list and the workers are asked for, under the platform's rate.
-//! - [`platform`]: the platform's answers read, the bodies of calls written.
-//! - [`recording`]: the scaler's inputs as lines, to be played again.
+//! - [`config`]: the platform's limits and the scaler's own timeouts.
+//! - [`scaler`]: the state machine; [`scaler::view`]: the status of functions, for operators.
+//! - [`poll_schedule`]: when to request the endpoint list and the workers, within the platform's rate limit.
+//! - [`platform`]: parsing of the platform's answers, encoding of request bodies.
+//! - [`recording`]: the scaler's inputs as lines of JSON, for replay.
 //!
-//! Times are nanoseconds of one clock of the caller's that never goes back; its origin is free.
+//! Times are nanoseconds of one monotonic clock of the caller's, with any origin.
 
 pub mod config;
-mod duty;
-mod fleet;
-mod life;
+mod instance;
 pub mod platform;
 pub mod poll_schedule;
+mod rate_limiter;
 pub mod recording;
 pub mod scaler;
+mod workers;
 
 pub use config::ScalerConfig;
-pub use life::{Instance, State};
+pub use instance::{Instance, State};
 pub use millpost_protocol::line::Sink;
 pub use platform::{Endpoint, StartFault, StopFault, Worker};
 pub use poll_schedule::{Poll, PollSchedule};
--- a/autoscaler/src/platform.rs
+++ b/autoscaler/src/platform.rs
@@ -1,6 +1,7 @@
-//! The platform's answers read, the bodies of calls written.
+//! Parses the platform's answers and encodes request bodies.
 //!
-//! What is read is bounded: in bytes, in nesting, in the number of entries and the length of names. An error names the key.
+//! Answers are bounded in bytes, nesting, number of entries and length of names. An error names the offending
+//! key.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,40 +10,40 @@
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 use tinyjson::JsonValue;
 
-/// The largest answer that is read, in bytes.
+/// The largest answer that is parsed, in bytes.
 pub const MAX_ANSWER_BYTES: usize = 8 << 20;
-/// The most entries of one answer.
+/// The most entries in one answer.
 pub const MAX_ENTRIES: usize = 20_000;
 /// The longest name, in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
 /// How deep an answer may nest.
 const DEPTH_MAX: usize = 16;
 
-/// Why an answer is not read.
+/// Why an answer was not parsed.
 #[derive(Debug, Snafu)]
 #[non_exhaustive]
 pub enum Error {
-    /// Too many bytes.
-    #[snafu(display("an answer of {bytes} bytes"))]
+    /// The answer is too large.
+    #[snafu(display("the answer has {bytes} bytes, more than {MAX_ANSWER_BYTES}"))]
     TooLong {
-        /// How many.
+        /// Its size.
         bytes: usize,
     },
-    /// Nested too deeply.
-    #[snafu(display("an answer nested too deeply"))]
+    /// The answer is nested too deeply.
+    #[snafu(display("the answer is nested too deeply"))]
     TooDeep,
-    /// Not JSON.
-    #[snafu(display("not JSON: {source}"))]
+    /// The answer is not JSON.
+    #[snafu(display("the answer is not JSON: {source}"))]
     Json {
-        /// Where and why.
+        /// The parser's error.
         source: tinyjson::JsonParseError,
     },
-    /// A key is missing, or holds something else.
+    /// A key is missing or has a value of the wrong type.
     #[snafu(display("{path}: expected {expected}"))]
     Key {
-        /// The key, with its place in a list.
+        /// The key, with its index in a list.
         path: String,
-        /// What should be there.
+        /// The expected value.
         expected: &'static str,
     },
 }
@@ -50,7 +51,7 @@
 /// An endpoint in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Names one life.
+    /// Identifies one run of the endpoint.
     pub id: CompactString,
     /// The service that it serves.
     pub service: CompactString,
@@ -58,9 +59,9 @@
     pub address: SocketAddr,
     /// Its zone.
     pub zone: CompactString,
-    /// The worker that it runs on; none if nobody started it through the platform.
+    /// The worker that it runs on; `None` if it was not started through the platform.
     pub worker: Option<CompactString>,
-    /// It is leaving.
+    /// Whether it is shutting down.
     pub draining: bool,
 }
 
@@ -71,44 +72,44 @@
     pub name: CompactString,
     /// Its zone.
     pub zone: CompactString,
-    /// All its memory.
+    /// Its total memory.
     pub memory_mb: u64,
-    /// What is free of it.
+    /// Its free memory.
     pub free_memory_mb: u64,
-    /// It takes no starts, and its endpoints are leaving.
+    /// Whether it rejects starts and its endpoints are shutting down.
     pub draining: bool,
 }
 
-/// Why a start did not come through.
+/// Why a start failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartFault {
     /// 409: no room, or the worker is down, draining or unknown.
     NoRoom,
     /// 429: too many starts and stops.
     Busy,
-    /// Another 4xx: not like this.
+    /// Another 4xx: the request is invalid.
     Refused,
-    /// Anything else: it may have been done.
+    /// Anything else: the call may have taken effect.
     Unclear,
 }
 
-/// Why a stop did not come through.
+/// Why a stop failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopFault {
     /// 404: there never was such an endpoint.
     Unknown,
     /// 429: too many starts and stops.
     Busy,
-    /// Another 4xx: not like this.
+    /// Another 4xx: the request is invalid.
     Refused,
-    /// Anything else: it may have been done.
+    /// Anything else: the call may have taken effect.
     Unclear,
 }
 
-/// One page of the list, and the token of the next.
+/// Parses one page of the endpoint list, and the token of the next page.
 pub fn read_endpoints(text: &str) -> Result<(Vec<Endpoint>, Option<CompactString>), Error> {
     let answer = parse(text)?;
-    let top = Part::top(&answer)?;
+    let top = Object::top(&answer)?;
     let entries = top.list("endpoints", |entry| {
         let worker = if entry.has("worker") { Some(entry.name("worker")?) } else { None };
         Ok(Endpoint {
@@ -117,35 +118,35 @@
             address: entry.address("address")?,
             zone: entry.name("zone")?,
             worker,
-            draining: entry.draining("state")?,
+            draining: entry.is_draining("state")?,
         })
     })?;
     let next = if top.has("next_token") { Some(top.name("next_token")?) } else { None };
     Ok((entries, next))
 }
 
-/// The workers that are up.
+/// Parses the workers that are up.
 pub fn read_workers(text: &str) -> Result<Vec<Worker>, Error> {
     let answer = parse(text)?;
-    Part::top(&answer)?.list("workers", |worker| {
+    Object::top(&answer)?.list("workers", |worker| {
         Ok(Worker {
             name: worker.name("name")?,
             zone: worker.name("zone")?,
-            memory_mb: worker.count("memory_mb")?,
-            free_memory_mb: worker.count("free_memory_mb")?,
-            draining: worker.draining("state")?,
+            memory_mb: worker.number("memory_mb")?,
+            free_memory_mb: worker.number("free_memory_mb")?,
+            draining: worker.is_draining("state")?,
         })
     })
 }
 
-/// The endpoint that a start gave: its id and address.
+/// Parses the answer to a start: the endpoint's id and address.
 pub fn read_started(text: &str) -> Result<(CompactString, SocketAddr), Error> {
     let answer = parse(text)?;
-    let top = Part::top(&answer)?;
+    let top = Object::top(&answer)?;
     Ok((top.name("id")?, top.address("address")?))
 }
 
-/// What an answer to a start means. One that can't be read is unclear.
+/// Interprets an answer to a start. A success that can't be parsed is [`StartFault::Unclear`].
 pub fn start_answer(status: u16, text: &str) -> Result<(CompactString, SocketAddr), StartFault> {
     match status {
         200..=299 => read_started(text).map_err(|_| StartFault::Unclear),
@@ -157,7 +158,7 @@
     }
 }
 
-/// What an answer to a stop means.
+/// Interprets an answer to a stop.
 pub fn stop_answer(status: u16) -> Result<(), StopFault> {
     match status {
         200..=299 => Ok(()),
@@ -169,7 +170,7 @@
     }
 }
 
-/// The body of a start.
+/// The request body of a start.
 pub fn start_body(service: &str, worker: &str, nonce: &str) -> String {
     format!(
         r#"{{"service":{},"worker":{},"request_nonce":{}}}"#,
@@ -179,7 +180,7 @@
     )
 }
 
-/// The body of a stop.
+/// The request body of a stop.
 pub fn stop_body(id: &str) -> String {
     format!(r#"{{"id":{}}}"#, quoted(id))
 }
@@ -190,7 +191,7 @@
 
 fn parse(text: &str) -> Result<JsonValue, Error> {
     ensure!(text.len() <= MAX_ANSWER_BYTES, TooLongSnafu { bytes: text.len() });
-    // The parser calls itself for each level.
+    // The parser recurses for each level, so the depth is checked first.
     let (mut depth, mut quoted, mut escaped) = (0_usize, false, false);
     for byte in text.bytes() {
         match byte {
@@ -206,14 +207,14 @@
     text.parse().context(JsonSnafu)
 }
 
-/// An object, and where it stands.
-struct Part<'a> {
+/// A JSON object, with its position for error messages.
+struct Object<'a> {
     keys: &'a HashMap<String, JsonValue>,
     list: &'static str,
     at: usize,
 }
 
-impl<'a> Part<'a> {
+impl<'a> Object<'a> {
     fn top(value: &'a JsonValue) -> Result<Self, Error> {
         let keys = value.get().context(KeySnafu { path: "(top)", expected: "an object" })?;
         Ok(Self { keys, list: "", at: 0 })
@@ -227,7 +228,7 @@
         KeySnafu { path: self.path(key), expected }.fail()
     }
 
-    /// Present, and not null.
+    /// Whether the key is present and not null.
     fn has(&self, key: &str) -> bool {
         self.keys.get(key).is_some_and(|value| !value.is_null())
     }
@@ -235,19 +236,19 @@
     fn list<T>(
         &self,
         key: &'static str,
-        read: impl Fn(&Part<'_>) -> Result<T, Error>,
+        read: impl Fn(&Object<'_>) -> Result<T, Error>,
     ) -> Result<Vec<T>, Error> {
         let Some(JsonValue::Array(values)) = self.keys.get(key) else { return self.fault(key, "a list") };
         if values.len() > MAX_ENTRIES {
-            return self.fault(key, "fewer entries");
+            return self.fault(key, "at most 20000 entries");
         }
-        let parts = values.iter().enumerate().map(|(at, value)| {
+        let entries = values.iter().enumerate().map(|(at, value)| {
             let keys = value
                 .get()
                 .with_context(|| KeySnafu { path: format!("{key}[{at}]"), expected: "an object" })?;
-            read(&Part { keys, list: key, at })
+            read(&Object { keys, list: key, at })
         });
-        parts.collect()
+        entries.collect()
     }
 
     fn name(&self, key: &str) -> Result<CompactString, Error> {
@@ -264,14 +265,14 @@
         text.parse().or_else(|_| self.fault(key, "an address with a port"))
     }
 
-    fn count(&self, key: &str) -> Result<u64, Error> {
+    fn number(&self, key: &str) -> Result<u64, Error> {
         match self.keys.get(key) {
-            Some(JsonValue::Number(number)) if (0.0..=1e12).contains(number) => Ok(*number as u64),
-            _ => self.fault(key, "a count"),
+            Some(JsonValue::Number(n)) if (0.0..=1e12).contains(n) => Ok(*n as u64),
+            _ => self.fault(key, "a number from 0 to 1e12"),
         }
     }
 
-    fn draining(&self, key: &str) -> Result<bool, Error> {
+    fn is_draining(&self, key: &str) -> Result<bool, Error> {
         match self.keys.get(key) {
             Some(JsonValue::String(text)) if text == "ready" => Ok(false),
             Some(JsonValue::String(text)) if text == "draining" => Ok(true),
--- a/autoscaler/src/duty.rs
+++ b/autoscaler/src/rate_limiter.rs
@@ -1,29 +1,30 @@
-//! Starts and stops under the platform's rate.
+//! Limits starts and stops to the platform's rate.
 
 use crate::{MS, Nanos};
 
-/// Tokens gathered while nothing is called, as a share of a second's; with the rest as the rate, no second has more calls
-/// than are allowed.
+/// The bucket's capacity, as a share of the calls of one second. The refill rate is the rest, so that no
+/// second has more calls than the platform allows.
 const BURST: f64 = 0.25;
 
-/// A bucket of calls that may be made.
+/// A token bucket; each call to the platform takes one token.
 #[derive(Debug)]
-pub(crate) struct Duty {
+pub(crate) struct RateLimiter {
     burst: f64,
     per_ns: f64,
     tokens: f64,
+    /// When `tokens` was last brought up to date.
     at: Nanos,
 }
 
-impl Duty {
+impl RateLimiter {
     pub(crate) fn new(per_s: f64, now: Nanos) -> Self {
         let burst = (per_s * BURST).max(1.0);
         let per_ns = (per_s - burst).max(per_s * 0.5).max(0.1) / 1e9;
         Self { burst, per_ns, tokens: burst, at: now }
     }
 
-    /// Takes one call, if there is one.
-    pub(crate) fn draw(&mut self, now: Nanos) -> bool {
+    /// Takes one token. Returns false if there is none.
+    pub(crate) fn try_acquire(&mut self, now: Nanos) -> bool {
         let passed = now.saturating_sub(self.at);
         self.at = self.at.max(now);
         self.tokens = (self.tokens + passed as f64 * self.per_ns).min(self.burst);
@@ -34,14 +35,14 @@
         any
     }
 
-    /// The platform has had enough.
-    pub(crate) fn empty(&mut self, now: Nanos) {
+    /// Drops all tokens, after the platform has answered 429.
+    pub(crate) fn clear(&mut self, now: Nanos) {
         self.at = self.at.max(now);
         self.tokens = 0.0;
     }
 
-    /// When there is one again.
-    pub(crate) fn next(&self) -> Nanos {
+    /// The time at which the next token is available.
+    pub(crate) fn next_at(&self) -> Nanos {
         self.at + (((1.0 - self.tokens).max(0.0) / self.per_ns) as Nanos).max(MS)
     }
 }
--- a/autoscaler/src/recording.rs
+++ b/autoscaler/src/recording.rs
@@ -1,7 +1,8 @@
-//! A scaler's inputs as lines of JSON, to be played again: each call of [`Scaler`] that may change it, with its time. Written by
-//! [`Recorded`], read by [`Entry::read`].
+//! Records a scaler's inputs as lines of JSON for replay: each call of [`Scaler`] that may change its state,
+//! with its time. [`Recorded`] writes them, [`Entry::read`] parses them.
 //!
-//! Times are nanoseconds of the process's life, whole numbers below 2^53; a steward's term begins in the midst of it.
+//! Times are nanoseconds since the process started, whole numbers below 2^53. A leader's term may begin at
+//! any of them.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -17,19 +18,19 @@
     StopFault, Worker,
 };
 
-/// What the first line of a scaler says that it is of.
+/// The value of the key `of` in the first line of a scaler's recording.
 pub const SCALER: &str = "scaler";
 
-/// A scaler whose inputs are told as lines, where somebody wants them. Without a sink it costs nothing.
+/// A scaler whose inputs are written to a sink, if there is one. Without a sink it costs nothing.
 #[derive(Debug)]
 pub struct Recorded {
     scaler: Scaler,
-    tape: Option<Recorder>,
+    recorder: Option<Recorder>,
 }
 
 impl std::ops::Deref for Recorded {
     type Target = Scaler;
-    // What changes a scaler goes by the methods below.
+    // Read access only: each method that changes the scaler is wrapped below.
     fn deref(&self) -> &Scaler {
         &self.scaler
     }
@@ -37,62 +38,62 @@
 
 impl Recorded {
     /// As [`Scaler::new`].
-    pub fn new(terms: ScalerConfig, now: Nanos, sink: Option<Sink>) -> Self {
-        let mut tape = sink.map(Recorder::new);
-        if let Some(tape) = &mut tape {
-            let mut line = tape.begin("new", now);
-            write_terms(&mut line, &terms);
-            tape.put(line);
+    pub fn new(config: ScalerConfig, now: Nanos, sink: Option<Sink>) -> Self {
+        let mut recorder = sink.map(Recorder::new);
+        if let Some(recorder) = &mut recorder {
+            let mut line = recorder.begin("new", now);
+            write_config(&mut line, &config);
+            recorder.put(line);
         }
-        Recorded { scaler: Scaler::new(terms, now), tape }
+        Recorded { scaler: Scaler::new(config, now), recorder }
     }
 
-    fn tell(&mut self, name: &str, now: Nanos, fill: impl FnOnce(&mut Line)) {
-        if let Some(tape) = &mut self.tape {
-            let mut line = tape.begin(name, now);
+    fn record(&mut self, name: &str, now: Nanos, fill: impl FnOnce(&mut Line)) {
+        if let Some(recorder) = &mut self.recorder {
+            let mut line = recorder.begin(name, now);
             fill(&mut line);
-            tape.put(line);
+            recorder.put(line);
         }
     }
 
-    /// As [`Scaler::take`], which is no input.
+    /// As [`Scaler::take`]. Not an input: the effects only go into the recording's digest.
     pub fn take(&mut self) -> Vec<Effect> {
         let effects = self.scaler.take();
-        if let Some(tape) = &mut self.tape {
-            effects.iter().for_each(|effect| tape.digest().fold(|parts| effect.fold(parts)));
+        if let Some(recorder) = &mut self.recorder {
+            effects.iter().for_each(|effect| recorder.digest().fold(|parts| effect.fold(parts)));
         }
         effects
     }
 
     /// As [`Scaler::configure`].
     pub fn configure(&mut self, now: Nanos, specs: impl IntoIterator<Item = ServiceSpec>) {
-        if self.tape.is_none() {
+        if self.recorder.is_none() {
             return self.scaler.configure(now, specs);
         }
         let specs: Vec<ServiceSpec> = specs.into_iter().collect();
-        self.tell("configure", now, |line| write_specs(line, &specs));
+        self.record("configure", now, |line| write_specs(line, &specs));
         self.scaler.configure(now, specs);
     }
 
     /// As [`Scaler::inherit`].
     pub fn inherit(&mut self, now: Nanos, instances: impl IntoIterator<Item = Instance>) {
-        if self.tape.is_none() {
+        if self.recorder.is_none() {
             return self.scaler.inherit(now, instances);
         }
         let instances: Vec<Instance> = instances.into_iter().collect();
-        self.tell("inherit", now, |line| write_instances(line, &instances));
+        self.record("inherit", now, |line| write_instances(line, &instances));
         self.scaler.inherit(now, instances);
     }
 
     /// As [`Scaler::endpoints_listed`].
     pub fn endpoints_listed(&mut self, now: Nanos, asked_at: Nanos, entries: Vec<Listed>) {
-        self.tell("listed", now, |line| write_listed(line, asked_at, &entries));
+        self.record("listed", now, |line| write_listed(line, asked_at, &entries));
         self.scaler.endpoints_listed(now, asked_at, entries);
     }
 
     /// As [`Scaler::workers_listed`].
     pub fn workers_listed(&mut self, now: Nanos, asked_at: Nanos, workers: Vec<Worker>) {
-        self.tell("workers", now, |line| write_workers(line, asked_at, &workers));
+        self.record("workers", now, |line| write_workers(line, asked_at, &workers));
         self.scaler.workers_listed(now, asked_at, workers);
     }
 
@@ -103,13 +104,13 @@
         nonce: &str,
         answer: Result<(CompactString, SocketAddr), StartFault>,
     ) {
-        self.tell("started", now, |line| write_started(line, nonce, &answer));
+        self.record("started", now, |line| write_started(line, nonce, &answer));
         self.scaler.start_answered(now, nonce, answer);
     }
 
     /// As [`Scaler::stop_answered`].
     pub fn stop_answered(&mut self, now: Nanos, id: &str, answer: Result<(), StopFault>) {
-        self.tell("stopped", now, |line| write_stopped(line, id, answer));
+        self.record("stopped", now, |line| write_stopped(line, id, answer));
         self.scaler.stop_answered(now, id, answer);
     }
 
@@ -118,31 +119,31 @@
         &mut self,
         now: Nanos,
         service: &str,
-        lot: Option<&CompactString>,
+        owner_zone: Option<&CompactString>,
         count: u32,
         zones: &[CompactString],
     ) {
-        self.tell("want", now, |line| write_want(line, service, lot, count, zones));
-        self.scaler.set_target(now, service, lot, count, zones);
+        self.record("want", now, |line| write_want(line, service, owner_zone, count, zones));
+        self.scaler.set_target(now, service, owner_zone, count, zones);
     }
 
-    /// As [`Scaler::set_slow_workers`]. That none is slow is told only where one was.
+    /// As [`Scaler::set_slow_workers`]. An empty list is recorded only if it clears an earlier one.
     pub fn set_slow_workers(
         &mut self,
         now: Nanos,
         service: &str,
-        lot: Option<&CompactString>,
+        owner_zone: Option<&CompactString>,
         slow: &[CompactString],
     ) {
         if !slow.is_empty() || self.scaler.has_slow_workers(service) {
-            self.tell("avoid", now, |line| write_avoid(line, service, lot, slow));
-            self.scaler.set_slow_workers(now, service, lot, slow);
+            self.record("avoid", now, |line| write_avoid(line, service, owner_zone, slow));
+            self.scaler.set_slow_workers(now, service, owner_zone, slow);
         }
     }
 
     /// As [`Scaler::set_split`].
     pub fn set_split(&mut self, now: Nanos, services: &BTreeSet<CompactString>) {
-        self.tell("split", now, |line| {
+        self.record("split", now, |line| {
             line.names("all", &services.iter().cloned().collect::<Vec<_>>());
         });
         self.scaler.set_split(now, services);
@@ -150,7 +151,7 @@
 
     /// As [`Scaler::retire`].
     pub fn retire(&mut self, now: Nanos, id: &str) {
-        self.tell("retire", now, |line| {
+        self.record("retire", now, |line| {
             line.text("i", id);
         });
         self.scaler.retire(now, id);
@@ -158,7 +159,7 @@
 
     /// As [`Scaler::mark_unreachable`].
     pub fn mark_unreachable(&mut self, now: Nanos, id: &str) {
-        self.tell("lost", now, |line| {
+        self.record("lost", now, |line| {
             line.text("i", id);
         });
         self.scaler.mark_unreachable(now, id);
@@ -166,26 +167,26 @@
 
     /// As [`Scaler::mark_up`].
     pub fn mark_up(&mut self, now: Nanos, id: &str) {
-        self.tell("up", now, |line| {
+        self.record("up", now, |line| {
             line.text("i", id);
         });
         self.scaler.mark_up(now, id);
     }
 
-    /// The term is over, which is no input.
+    /// Records that the term has ended. The scaler itself does not change.
     pub fn end_term(&mut self, now: Nanos) {
-        self.tell("over", now, |_| {});
+        self.record("over", now, |_| {});
     }
 
     /// As [`Scaler::tick`].
     pub fn tick(&mut self, now: Nanos) -> Nanos {
-        self.tell("tick", now, |_| {});
+        self.record("tick", now, |_| {});
         self.scaler.tick(now)
     }
 }
 
 impl Effect {
-    /// Puts it into a digest, whole.
+    /// Adds all of the effect to a digest.
     pub fn fold(&self, into: &mut Fold<'_>) {
         match self {
             Effect::Start { service, worker, nonce } => {
@@ -194,10 +195,11 @@
             Effect::Stop { id } => {
                 into.text("stop").text(id);
             }
-            Effect::Updated { instance: of } => {
-                into.text("known").text(&of.id).text(&of.service).text(&of.address.to_compact_string());
-                into.text(&of.zone).text(&of.worker).text(state_name(of.state));
-                into.whole(of.boot_ms.into()).whole(of.since);
+            Effect::Updated { instance } => {
+                let address = instance.address.to_compact_string();
+                into.text("known").text(&instance.id).text(&instance.service).text(&address);
+                into.text(&instance.zone).text(&instance.worker).text(state_name(instance.state));
+                into.whole(instance.boot_ms.into()).whole(instance.since);
             }
             Effect::Removed { id, service, zone } => {
                 into.text("gone").text(id).text(service).text(zone);
@@ -209,7 +211,7 @@
 /// One input of a scaler.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// A term begins.
+    /// A leader's term begins.
     New(ScalerConfig),
     /// [`Scaler::configure`].
     Configure(Vec<ServiceSpec>),
@@ -217,30 +219,30 @@
     Inherit(Vec<Instance>),
     /// [`Scaler::endpoints_listed`].
     Listed {
-        /// When the list was asked for.
+        /// When the list was requested.
         asked: Nanos,
-        /// All of it.
+        /// The whole list.
         entries: Vec<Listed>,
     },
     /// [`Scaler::workers_listed`].
     Workers {
-        /// When they were asked for.
+        /// When the workers were requested.
         asked: Nanos,
-        /// All of them.
+        /// All workers.
         workers: Vec<Worker>,
     },
     /// [`Scaler::start_answered`].
     Started {
         /// The start's nonce.
         nonce: CompactString,
-        /// Its answer.
+        /// The platform's answer.
         answer: Result<(CompactString, SocketAddr), StartFault>,
     },
     /// [`Scaler::stop_answered`].
     Stopped {
         /// The instance.
         id: CompactString,
-        /// The answer.
+        /// The platform's answer.
         answer: Result<(), StopFault>,
     },
     /// [`Scaler::set_split`].
@@ -249,20 +251,20 @@
     Want {
         /// The function.
         service: CompactString,
-        /// The zone that its owner speaks for.
+        /// The zone that the owner is responsible for, if each zone has an owner.
         zone: Option<CompactString>,
-        /// In all.
+        /// The number of instances requested.
         count: u32,
-        /// Where, most first.
+        /// The preferred zones, in order of preference.
         zones: Vec<CompactString>,
     },
     /// [`Scaler::set_slow_workers`].
     Avoid {
         /// The function.
         service: CompactString,
-        /// The zone that its owner speaks for.
+        /// The zone that the owner is responsible for, if each zone has an owner.
         zone: Option<CompactString>,
-        /// Workers.
+        /// The workers that are slow for it.
         slow: Vec<CompactString>,
     },
     /// [`Scaler::retire`].
@@ -273,39 +275,39 @@
     Up(CompactString),
     /// [`Scaler::tick`].
     Tick,
-    /// The term is over; the scaler hears nothing of it.
+    /// The term has ended. The scaler is not called.
     Over,
 }
 
 /// A line of a recording.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Its number in the term; lines made by hand may have none.
+    /// Its number within the term; lines written by hand may have none.
     pub number: Option<u64>,
-    /// When it came, in the process's life.
+    /// When the input came, in nanoseconds since the process started.
     pub at: Nanos,
-    /// What came.
+    /// The input.
     pub input: Input,
 }
 
-fn write_terms(line: &mut Line, terms: &ScalerConfig) {
-    line.text("of", SCALER).whole("fence", terms.fence).number("duty_per_s", terms.duty_per_s);
-    for (key, value) in times(terms) {
+fn write_config(line: &mut Line, config: &ScalerConfig) {
+    line.text("of", SCALER).whole("fence", config.fence).number("duty_per_s", config.duty_per_s);
+    for (key, value) in times(config) {
         line.time(key, value);
     }
 }
 
-fn times(terms: &ScalerConfig) -> [(&'static str, u64); 9] {
+fn times(config: &ScalerConfig) -> [(&'static str, u64); 9] {
     [
-        ("max_lag_ms", terms.max_lag_ms),
-        ("want_ms", terms.target_ttl_ms),
-        ("leave_ms", terms.unowned_grace_ms),
-        ("let_go_ms", terms.drain_ms),
-        ("pause_ms", terms.retry_ms),
-        ("pause_max_ms", terms.retry_max_ms),
-        ("answer_ms", terms.answer_timeout_ms),
-        ("boots", terms.boots),
-        ("settle_boots", terms.settle_boots),
+        ("max_lag_ms", config.max_lag_ms),
+        ("want_ms", config.target_ttl_ms),
+        ("leave_ms", config.unowned_grace_ms),
+        ("let_go_ms", config.drain_ms),
+        ("pause_ms", config.retry_ms),
+        ("pause_max_ms", config.retry_max_ms),
+        ("answer_ms", config.answer_timeout_ms),
+        ("boots", config.boots),
+        ("settle_boots", config.settle_boots),
     ]
 }
 
@@ -319,33 +321,33 @@
 }
 
 fn write_instances(line: &mut Line, instances: &[Instance]) {
-    line.list("set", instances, |out, of| {
+    line.list("set", instances, |out, item| {
         line::part(out, |line| {
-            line.text("i", &of.id).text("s", &of.service).text("a", &of.address.to_compact_string());
-            line.text("z", &of.zone).text("w", &of.worker).text("st", state_name(of.state));
-            line.whole("boot", of.boot_ms.into()).time("since", of.since);
+            line.text("i", &item.id).text("s", &item.service).text("a", &item.address.to_compact_string());
+            line.text("z", &item.zone).text("w", &item.worker).text("st", state_name(item.state));
+            line.whole("boot", item.boot_ms.into()).time("since", item.since);
         });
     });
 }
 
 fn write_listed(line: &mut Line, asked: Nanos, entries: &[Listed]) {
-    line.time("asked", asked).list("set", entries, |out, of| {
+    line.time("asked", asked).list("set", entries, |out, item| {
         line::part(out, |line| {
-            line.text("i", &of.id).text("s", &of.service).text("a", &of.address.to_compact_string());
-            line.text("z", &of.zone);
-            if let Some(worker) = &of.worker {
+            line.text("i", &item.id).text("s", &item.service).text("a", &item.address.to_compact_string());
+            line.text("z", &item.zone);
+            if let Some(worker) = &item.worker {
                 line.text("w", worker);
             }
-            line.mark("d", of.draining);
+            line.mark("d", item.draining);
         });
     });
 }
 
 fn write_workers(line: &mut Line, asked: Nanos, workers: &[Worker]) {
-    line.time("asked", asked).list("set", workers, |out, of| {
+    line.time("asked", asked).list("set", workers, |out, item| {
         line::part(out, |line| {
-            line.text("w", &of.name).text("z", &of.zone).whole("mb", of.memory_mb);
-            line.whole("free", of.free_memory_mb).mark("d", of.draining);
+            line.text("w", &item.name).text("z", &item.zone).whole("mb", item.memory_mb);
+            line.whole("free", item.free_memory_mb).mark("d", item.draining);
         });
     });
 }
@@ -353,20 +355,20 @@
 fn write_want(
     line: &mut Line,
     service: &str,
-    lot: Option<&CompactString>,
+    owner_zone: Option<&CompactString>,
     count: u32,
     zones: &[CompactString],
 ) {
     line.text("s", service).whole("c", count.into()).names("z", zones);
-    if let Some(lot) = lot {
-        line.text("lot", lot);
+    if let Some(zone) = owner_zone {
+        line.text("lot", zone);
     }
 }
 
-fn write_avoid(line: &mut Line, service: &str, lot: Option<&CompactString>, slow: &[CompactString]) {
+fn write_avoid(line: &mut Line, service: &str, owner_zone: Option<&CompactString>, slow: &[CompactString]) {
     line.text("s", service).names("slow", slow);
-    if let Some(lot) = lot {
-        line.text("lot", lot);
+    if let Some(zone) = owner_zone {
+        line.text("lot", zone);
     }
 }
 
@@ -400,63 +402,65 @@
     (StopFault::Unclear, "unclear"),
 ];
 
-fn word_of<T: PartialEq>(all: &[(T, &'static str)], of: &T) -> &'static str {
-    all.iter().find(|(one, _)| one == of).map_or("", |(_, word)| word)
+fn name_of<T: PartialEq>(all: &[(T, &'static str)], value: &T) -> &'static str {
+    all.iter().find(|(known, _)| known == value).map_or("", |(_, name)| name)
 }
 
-fn of_word<T: Copy>(all: &[(T, &'static str)], from: &Parts, key: &str) -> Result<T, Fault> {
-    let word = string(from, key)?;
-    let found = all.iter().find(|(_, known)| *known == word);
-    found.map(|(one, _)| *one).ok_or(Fault { key: key.to_owned(), reason: "no word that is known" })
+fn by_name<T: Copy>(all: &[(T, &'static str)], from: &Object, key: &str) -> Result<T, Fault> {
+    let name = string(from, key)?;
+    let found = all.iter().find(|(_, known)| *known == name);
+    found.map(|(value, _)| *value).ok_or(Fault { key: key.to_owned(), reason: "unknown value" })
 }
 
-/// The word for a state of an instance.
+/// The name of an instance's state in a recording.
 pub fn state_name(state: State) -> &'static str {
-    word_of(&STATES, &state)
+    name_of(&STATES, &state)
 }
 
-/// The word for why a start did not come through.
+/// The name of a failure to start in a recording.
 pub fn start_fault_name(fault: StartFault) -> &'static str {
-    word_of(&STARTS, &fault)
+    name_of(&STARTS, &fault)
 }
 
-/// The word for why a stop did not come through.
+/// The name of a failure to stop in a recording.
 pub fn stop_fault_name(fault: StopFault) -> &'static str {
-    word_of(&STOPS, &fault)
+    name_of(&STOPS, &fault)
 }
 
-type Parts = HashMap<String, JsonValue>;
+type Object = HashMap<String, JsonValue>;
 
-/// Eleven days.
-const LONGEST_MS: u64 = 1_000_000_000;
-/// Starts that a span is counted in.
-const MOST_BOOTS: u64 = 1_000;
+/// The longest span: eleven days.
+const MAX_MS: u64 = 1_000_000_000;
+/// The largest span that is counted in average starts.
+const MAX_BOOTS: u64 = 1_000;
 
-fn small(from: &Parts, key: &str) -> Result<u32, Fault> {
+fn small(from: &Object, key: &str) -> Result<u32, Fault> {
     u32::try_from(whole(from, key)?).map_err(|_| Fault { key: key.to_owned(), reason: "too large" })
 }
 
-/// At most so much: what is counted from it must not overflow.
-fn bounded(from: &Parts, key: &str, most: u64) -> Result<u64, Fault> {
+/// Parses a whole number of at most `most`, so that times computed from it do not overflow.
+fn bounded(from: &Object, key: &str, most: u64) -> Result<u64, Fault> {
     let n = whole(from, key)?;
     if n <= most { Ok(n) } else { Err(Fault { key: key.to_owned(), reason: "too large" }) }
 }
 
-fn millis(from: &Parts, key: &str) -> Result<u64, Fault> {
-    bounded(from, key, LONGEST_MS)
+fn millis(from: &Object, key: &str) -> Result<u64, Fault> {
+    bounded(from, key, MAX_MS)
 }
 
-fn boot(from: &Parts) -> Result<u32, Fault> {
+fn boot(from: &Object) -> Result<u32, Fault> {
     millis(from, "boot").map(|ms| ms as u32)
 }
 
-fn address(from: &Parts) -> Result<SocketAddr, Fault> {
-    string(from, "a")?.parse().map_err(|_| Fault { key: "a".to_owned(), reason: "no address with a port" })
+fn address(from: &Object) -> Result<SocketAddr, Fault> {
+    string(from, "a")?
+        .parse()
+        .map_err(|_| Fault { key: "a".to_owned(), reason: "not an address with a port" })
 }
 
-fn read_terms(from: &Parts) -> Result<ScalerConfig, Fault> {
+fn read_config(from: &Object) -> Result<ScalerConfig, Fault> {
     if string(from, "of")? != SCALER {
-        return Err(Fault { key: "of".to_owned(), reason: "no scaler" });
+        return Err(Fault { key: "of".to_owned(), reason: "not a recording of a scaler" });
     }
     Ok(ScalerConfig {
         fence: whole(from, "fence")?,
@@ -468,12 +472,12 @@
         retry_ms: millis(from, "pause_ms")?,
         retry_max_ms: millis(from, "pause_max_ms")?,
         answer_timeout_ms: millis(from, "answer_ms")?,
-        boots: bounded(from, "boots", MOST_BOOTS)?,
-        settle_boots: bounded(from, "settle_boots", MOST_BOOTS)?,
+        boots: bounded(from, "boots", MAX_BOOTS)?,
+        settle_boots: bounded(from, "settle_boots", MAX_BOOTS)?,
     })
 }
 
-fn read_spec(from: &Parts) -> Result<ServiceSpec, Fault> {
+fn read_spec(from: &Object) -> Result<ServiceSpec, Fault> {
     Ok(ServiceSpec {
         name: string(from, "s")?,
         memory_mb: small(from, "mb")?,
@@ -482,20 +486,20 @@
     })
 }
 
-fn read_instance(from: &Parts) -> Result<Instance, Fault> {
+fn read_instance(from: &Object) -> Result<Instance, Fault> {
     Ok(Instance {
         id: string(from, "i")?,
         service: string(from, "s")?,
         address: address(from)?,
         zone: string(from, "z")?,
         worker: string(from, "w")?,
-        state: of_word(&STATES, from, "st")?,
+        state: by_name(&STATES, from, "st")?,
         boot_ms: boot(from)?,
         since: whole(from, "since")?,
     })
 }
 
-fn read_listed(from: &Parts) -> Result<Listed, Fault> {
+fn read_listed(from: &Object) -> Result<Listed, Fault> {
     Ok(Listed {
         id: string(from, "i")?,
         service: string(from, "s")?,
@@ -506,7 +510,7 @@
     })
 }
 
-fn read_worker(from: &Parts) -> Result<Worker, Fault> {
+fn read_worker(from: &Object) -> Result<Worker, Fault> {
     Ok(Worker {
         name: string(from, "w")?,
         zone: string(from, "z")?,
@@ -516,36 +520,36 @@
     })
 }
 
-fn read_started(from: &Parts) -> Result<Input, Fault> {
+fn read_started(from: &Object) -> Result<Input, Fault> {
     let answer = if from.contains_key("no") {
-        Err(of_word(&STARTS, from, "no")?)
+        Err(by_name(&STARTS, from, "no")?)
     } else {
         Ok((string(from, "i")?, address(from)?))
     };
     Ok(Input::Started { nonce: string(from, "nonce")?, answer })
 }
 
-fn read_stopped(from: &Parts) -> Result<Input, Fault> {
-    let answer = if from.contains_key("no") { Err(of_word(&STOPS, from, "no")?) } else { Ok(()) };
+fn read_stopped(from: &Object) -> Result<Input, Fault> {
+    let answer = if from.contains_key("no") { Err(by_name(&STOPS, from, "no")?) } else { Ok(()) };
     Ok(Input::Stopped { id: string(from, "i")?, answer })
 }
 
 impl Entry {
-    /// As a line, without its end.
+    /// Formats the entry as a line, without the line feed.
     pub fn write(&self) -> String {
         let mut line = line::begin(self.input.name(), self.number, self.at);
         match &self.input {
-            Input::New(terms) => write_terms(&mut line, terms),
+            Input::New(config) => write_config(&mut line, config),
             Input::Configure(specs) => write_specs(&mut line, specs),
             Input::Inherit(instances) => write_instances(&mut line, instances),
             Input::Listed { asked, entries } => write_listed(&mut line, *asked, entries),
             Input::Workers { asked, workers } => write_workers(&mut line, *asked, workers),
             Input::Started { nonce, answer } => write_started(&mut line, nonce, answer),
             Input::Stopped { id, answer } => write_stopped(&mut line, id, *answer),
-            Input::Want { service, zone: lot, count, zones } => {
-                write_want(&mut line, service, lot.as_ref(), *count, zones);
+            Input::Want { service, zone, count, zones } => {
+                write_want(&mut line, service, zone.as_ref(), *count, zones);
             }
-            Input::Avoid { service, zone: lot, slow } => write_avoid(&mut line, service, lot.as_ref(), slow),
+            Input::Avoid { service, zone, slow } => write_avoid(&mut line, service, zone.as_ref(), slow),
             Input::Split(all) => {
                 line.names("all", &all.iter().cloned().collect::<Vec<_>>());
             }
@@ -557,15 +561,15 @@
         line.end()
     }
 
-    /// Reads a line.
+    /// Parses a line.
     pub fn read(text: &str) -> Result<Entry, Fault> {
         Entry::from_json(&line::read(text)?)
     }
 
-    /// Reads a line that was read as JSON.
+    /// Converts a line that was parsed as a JSON object.
     pub fn from_json(from: &HashMap<String, JsonValue>) -> Result<Entry, Fault> {
         let input = match string(from, "in")?.as_str() {
-            "new" => Input::New(read_terms(from)?),
+            "new" => Input::New(read_config(from)?),
             "configure" => Input::Configure(line::objects(from, "specs", read_spec)?),
             "inherit" => Input::Inherit(line::objects(from, "set", read_instance)?),
             "listed" => Input::Listed {
@@ -595,7 +599,7 @@
             "up" => Input::Up(string(from, "i")?),
             "tick" => Input::Tick,
             "over" => Input::Over,
-            _ => return Err(Fault { key: "in".to_owned(), reason: "no input of a scaler" }),
+            _ => return Err(Fault { key: "in".to_owned(), reason: "not an input of a scaler" }),
         };
         let number = from.contains_key("n").then(|| whole(from, "n")).transpose()?;
         Ok(Entry { number, at: whole(from, "at")?, input })
@@ -603,7 +607,7 @@
 }
 
 impl Input {
-    /// The word for it in a line.
+    /// Its name in a recording.
     pub fn name(&self) -> &'static str {
         match self {
             Input::New(_) => "new",
@@ -624,21 +628,21 @@
         }
     }
 
-    /// Gives it to a scaler.
+    /// Calls the method of the scaler that this input stands for.
     pub fn apply(self, now: Nanos, scaler: &mut Scaler) {
         match self {
-            Input::New(terms) => *scaler = Scaler::new(terms, now),
+            Input::New(config) => *scaler = Scaler::new(config, now),
             Input::Configure(specs) => scaler.configure(now, specs),
             Input::Inherit(instances) => scaler.inherit(now, instances),
             Input::Listed { asked, entries } => scaler.endpoints_listed(now, asked, entries),
             Input::Workers { asked, workers } => scaler.workers_listed(now, asked, workers),
             Input::Started { nonce, answer } => scaler.start_answered(now, &nonce, answer),
             Input::Stopped { id, answer } => scaler.stop_answered(now, &id, answer),
-            Input::Want { service, zone: lot, count, zones } => {
-                scaler.set_target(now, &service, lot.as_ref(), count, &zones);
+            Input::Want { service, zone, count, zones } => {
+                scaler.set_target(now, &service, zone.as_ref(), count, &zones);
             }
-            Input::Avoid { service, zone: lot, slow } => {
-                scaler.set_slow_workers(now, &service, lot.as_ref(), &slow)
+            Input::Avoid { service, zone, slow } => {
+                scaler.set_slow_workers(now, &service, zone.as_ref(), &slow)
             }
             Input::Split(all) => scaler.set_split(now, &all),
             Input::Retire(id) => scaler.retire(now, &id),
@@ -711,17 +715,17 @@
     }
 
     #[test]
-    fn every_input_reads_back_and_without_a_part_it_is_an_error_or_another() {
+    fn inputs_round_trip_and_a_missing_key_changes_or_invalidates_them() {
         for (number, input) in all().into_iter().enumerate() {
             let entry = Entry { number: Some(number as u64), at: number as u64 * MS, input };
             let text = entry.write();
             assert_eq!(Entry::read(&text), Ok(entry.clone()), "{text}");
-            let parts = line::read(&text).expect("an object");
-            for key in parts.keys() {
-                let mut fewer = parts.clone();
+            let object = line::read(&text).expect("an object");
+            for key in object.keys() {
+                let mut fewer = object.clone();
                 fewer.remove(key);
                 assert_ne!(Entry::from_json(&fewer), Ok(entry.clone()), "{key} of {text}");
-                let mut odd = parts.clone();
+                let mut odd = object.clone();
                 odd.insert(key.clone(), JsonValue::Object(HashMap::new()));
                 assert!(Entry::from_json(&odd).is_err(), "{key} of {text}");
             }
@@ -732,37 +736,37 @@
     }
 
     #[test]
-    fn what_a_taped_scaler_tells_is_what_it_was_given() {
+    fn a_recording_holds_all_inputs_and_replays_to_the_same_state() {
         let lines = Rc::new(RefCell::new(Vec::new()));
-        let told = Rc::clone(&lines);
-        let sink: Sink = Box::new(move |line| told.borrow_mut().push(line.to_owned()));
+        let written = Rc::clone(&lines);
+        let sink: Sink = Box::new(move |line| written.borrow_mut().push(line.to_owned()));
         let inputs = all();
-        let Input::New(terms) = inputs[0].clone() else { panic!("a term begins") };
-        let mut taped = Recorded::new(terms, 0, Some(sink));
+        let Input::New(config) = inputs[0].clone() else { panic!("the first input begins a term") };
+        let mut recorded = Recorded::new(config, 0, Some(sink));
         for (n, input) in inputs.iter().cloned().enumerate().skip(1) {
             let now = n as u64 * MS;
             match input {
                 Input::New(_) => {}
-                Input::Configure(specs) => taped.configure(now, specs),
-                Input::Inherit(instances) => taped.inherit(now, instances),
-                Input::Listed { asked, entries } => taped.endpoints_listed(now, asked, entries),
-                Input::Workers { asked, workers } => taped.workers_listed(now, asked, workers),
-                Input::Started { nonce, answer } => taped.start_answered(now, &nonce, answer),
-                Input::Stopped { id, answer } => taped.stop_answered(now, &id, answer),
-                Input::Want { service, zone: lot, count, zones } => {
-                    taped.set_target(now, &service, lot.as_ref(), count, &zones);
+                Input::Configure(specs) => recorded.configure(now, specs),
+                Input::Inherit(instances) => recorded.inherit(now, instances),
+                Input::Listed { asked, entries } => recorded.endpoints_listed(now, asked, entries),
+                Input::Workers { asked, workers } => recorded.workers_listed(now, asked, workers),
+                Input::Started { nonce, answer } => recorded.start_answered(now, &nonce, answer),
+                Input::Stopped { id, answer } => recorded.stop_answered(now, &id, answer),
+                Input::Want { service, zone, count, zones } => {
+                    recorded.set_target(now, &service, zone.as_ref(), count, &zones);
                 }
-                Input::Avoid { service, zone: lot, slow } => {
-                    taped.set_slow_workers(now, &service, lot.as_ref(), &slow)
+                Input::Avoid { service, zone, slow } => {
+                    recorded.set_slow_workers(now, &service, zone.as_ref(), &slow)
                 }
-                Input::Split(all) => taped.set_split(now, &all),
-                Input::Retire(id) => taped.retire(now, &id),
-                Input::Lost(id) => taped.mark_unreachable(now, &id),
-                Input::Up(id) => taped.mark_up(now, &id),
+                Input::Split(all) => recorded.set_split(now, &all),
+                Input::Retire(id) => recorded.retire(now, &id),
+                Input::Lost(id) => recorded.mark_unreachable(now, &id),
+                Input::Up(id) => recorded.mark_up(now, &id),
                 Input::Tick => {
-                    taped.tick(now);
+                    recorded.tick(now);
                 }
-                Input::Over => taped.end_term(now),
+                Input::Over => recorded.end_term(now),
             }
         }
         let read: Vec<_> = lines.borrow().iter().map(|line| Entry::read(line).expect("a line")).collect();
@@ -770,12 +774,12 @@
         for (n, entry) in read.iter().enumerate() {
             assert_eq!((entry.number, entry.at), (Some(n as u64), n as u64 * MS));
         }
-        // Played again it does the same.
-        let mut again = Scaler::new(ScalerConfig::new(1, 1.0, 1), 0);
+        // The replay has the same effects.
+        let mut replayed = Scaler::new(ScalerConfig::new(1, 1.0, 1), 0);
         for entry in read {
-            entry.input.apply(entry.at, &mut again);
+            entry.input.apply(entry.at, &mut replayed);
         }
-        assert_eq!(again.take(), taped.take());
-        assert_eq!(again.snapshot(), taped.snapshot());
+        assert_eq!(replayed.take(), recorded.take());
+        assert_eq!(replayed.snapshot(), recorded.snapshot());
     }
 }
--- a/autoscaler/src/scaler.rs
+++ b/autoscaler/src/scaler.rs
@@ -1,7 +1,7 @@
-//! The state machine: what it keeps, what owners and the configuration say, and its tick.
+//! The scaler's state machine: its state, the inputs of owners and of the configuration, and its tick.
 
 mod calls;
-mod seen;
+mod tracking;
 pub mod view;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -9,165 +9,176 @@
 
 use compact_str::CompactString;
 
-use crate::duty::Duty;
-use crate::fleet::Fleet;
-use crate::life::{Instance, Life, Phase, State};
+use crate::instance::{Instance, Phase, State, TrackedInstance};
 use crate::platform::{StartFault, StopFault};
+use crate::rate_limiter::RateLimiter;
+use crate::workers::WorkerPool;
 use crate::{MS, Nanos, ScalerConfig};
 
-/// Workers that an owner may call slow.
-const MOST_SLOW: usize = 1_000;
-/// How often wants and silences are looked through.
-const SWEEP: Nanos = 250 * MS;
+/// The most workers that an owner may report as slow.
+const MAX_SLOW: usize = 1_000;
+/// The most owners of one service: one for each zone.
+const MAX_OWNERS: usize = 64;
+/// How often expired targets, services without an owner and calls without an answer are looked for.
+const SWEEP_EVERY: Nanos = 250 * MS;
 
-/// What the configuration says of a function's service.
+/// A function's service, from the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceSpec {
     /// Its name.
     pub name: CompactString,
-    /// The memory of one instance.
+    /// The memory that one instance takes.
     pub memory_mb: u32,
-    /// The average time of a start.
+    /// The average time that a start takes.
     pub boot_ms: u32,
-    /// The requests that one instance holds at once.
+    /// How many requests one instance serves at once.
     pub concurrency: u32,
 }
 
-/// What is to be done or told.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Call the platform; tell [`Scaler::start_answered`].
+    /// Call the platform, and pass the answer to [`Scaler::start_answered`].
     Start {
-        /// What is started.
+        /// The service to start.
         service: CompactString,
-        /// Where.
+        /// The worker to start it on.
         worker: CompactString,
-        /// The same for each repetition.
+        /// The idempotency key, the same for each repetition of the call.
         nonce: CompactString,
     },
-    /// Call the platform; tell [`Scaler::stop_answered`].
+    /// Call the platform, and pass the answer to [`Scaler::stop_answered`].
     Stop {
-        /// What is stopped.
+        /// The instance to stop.
         id: CompactString,
     },
-    /// For the feed: new, or changed.
+    /// Announce that an instance is new or has changed.
     Updated {
-        /// As it is now.
+        /// Its current state.
         instance: Instance,
     },
-    /// For the feed: no request goes there any more.
+    /// Announce that an instance is gone and gets no more requests.
     Removed {
-        /// What is gone.
+        /// The instance.
         id: CompactString,
         /// The service that it served.
         service: CompactString,
-        /// Where it stood.
+        /// The zone that it ran in.
         zone: CompactString,
     },
 }
 
-/// What an owner wants.
+/// The number of instances that an owner requests.
 #[derive(Debug)]
-struct Want {
+struct Target {
     count: u32,
     zones: Vec<(CompactString, u32)>,
-    /// Workers that are slow for it, by its owner's word.
+    /// Workers that the owner reports as slow for the service.
     slow: BTreeSet<CompactString>,
-    /// No worker of its zone has had room since then.
-    starved: Option<Nanos>,
+    /// Since when no allowed worker has had room.
+    starved_since: Option<Nanos>,
 }
 
-/// The lot of a service that has one owner.
-const WHOLE: &str = "";
+/// The scope of the owner of a service that is not split by zone.
+const ALL_ZONES: &str = "";
 
 #[derive(Debug)]
 struct Service {
     spec: ServiceSpec,
     configured: bool,
-    /// By lot: by zone where each has an owner, else [`WHOLE`] alone.
-    wants: BTreeMap<CompactString, Want>,
+    /// By owner's scope: by zone if the service is split, else [`ALL_ZONES`] alone.
+    targets: BTreeMap<CompactString, Target>,
+    /// Whether each zone has an owner of its own.
     split: bool,
-    /// When an owner spoke last.
-    said: Nanos,
-    /// What a predecessor has started of it is known.
+    /// When an owner last sent a target, or the service was configured or its split changed.
+    last_request: Nanos,
+    /// Whether the instances that the previous leader has started are known.
     inherited: bool,
-    lives: BTreeSet<CompactString>,
+    instances: BTreeSet<CompactString>,
     pending: BTreeSet<u64>,
+    /// Starts that the platform has refused since the last that succeeded.
     refusals: u32,
-    paused: Nanos,
+    /// No start is called before this time.
+    paused_until: Nanos,
 }
 
-/// A start that is called or to be called again.
+/// A start that was called and has not succeeded yet.
 #[derive(Debug)]
 struct Pending {
     service: CompactString,
     worker: CompactString,
     nonce: CompactString,
+    /// When it was called, while there is no answer.
     sent: Option<Nanos>,
+    /// When it is to be called again.
     due: Nanos,
     failed: u32,
 }
 
-/// Which starts may take a call now.
+/// Which starts may be called in this step of a tick.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Starts {
-    /// Those of services without any instance.
-    First,
+enum StartClass {
+    /// Starts for owners without any live instance.
+    Unserved,
     All,
 }
 
-/// Which stops may take a call now.
+/// Which stops may be called in this step of a tick.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Stops {
+enum StopClass {
     Overdue,
     All,
 }
 
-/// The scaler of the steward. See the crate's page for its use.
+/// The leader's scaler. The crate's documentation describes its use.
 #[derive(Debug)]
 pub struct Scaler {
-    terms: ScalerConfig,
-    born: Nanos,
-    duty: Duty,
-    fleet: Fleet,
+    config: ScalerConfig,
+    /// When this leader's term began.
+    started_at: Nanos,
+    rate_limiter: RateLimiter,
+    workers: WorkerPool,
+    /// Whether a configuration has been received.
     configured: bool,
+    /// When the newest whole list was requested.
     listed: Option<Nanos>,
-    number: u64,
+    /// The number of the last start.
+    last_number: u64,
     services: BTreeMap<CompactString, Service>,
-    lives: BTreeMap<CompactString, Life>,
+    instances: BTreeMap<CompactString, TrackedInstance>,
     addresses: HashMap<SocketAddr, CompactString>,
     pending: BTreeMap<u64, Pending>,
-    /// Stops to be called, by when.
-    halts: BTreeSet<(Nanos, CompactString)>,
+    /// Stops to be called, by due time.
+    stops: BTreeSet<(Nanos, CompactString)>,
     /// Services that may have too few instances.
-    needy: BTreeSet<CompactString>,
-    swept: Nanos,
+    understaffed: BTreeSet<CompactString>,
+    next_sweep: Nanos,
     effects: Vec<Effect>,
 }
 
 impl Scaler {
-    /// One that knows nothing yet. It starts nothing before it has seen a whole list.
-    pub fn new(terms: ScalerConfig, now: Nanos) -> Self {
+    /// Creates a scaler that starts nothing until it has received a whole list.
+    pub fn new(config: ScalerConfig, now: Nanos) -> Self {
         Self {
-            born: now,
-            duty: Duty::new(terms.duty_per_s, now),
-            fleet: Fleet::new(terms.lag()),
+            started_at: now,
+            rate_limiter: RateLimiter::new(config.duty_per_s, now),
+            workers: WorkerPool::new(config.lag()),
             configured: false,
             listed: None,
-            number: 0,
+            last_number: 0,
             services: BTreeMap::new(),
-            lives: BTreeMap::new(),
+            instances: BTreeMap::new(),
             addresses: HashMap::new(),
             pending: BTreeMap::new(),
-            halts: BTreeSet::new(),
-            needy: BTreeSet::new(),
-            swept: now,
+            stops: BTreeSet::new(),
+            understaffed: BTreeSet::new(),
+            next_sweep: now,
             effects: Vec::new(),
-            terms,
+            config,
         }
     }
 
-    /// The configuration's functions. A service that is not among them any more loses its instances.
+    /// Sets the configuration's functions. A service that is no longer among them loses its instances.
     pub fn configure(&mut self, now: Nanos, specs: impl IntoIterator<Item = ServiceSpec>) {
         self.configured = true;
         let mut dropped: BTreeSet<CompactString> =
@@ -178,225 +189,241 @@
             let service =
                 self.services.entry(name.clone()).or_insert_with(|| Service::new(spec.clone(), now));
             if !service.configured {
-                (service.configured, service.said) = (true, now);
+                (service.configured, service.last_request) = (true, now);
             }
             service.spec = spec;
-            service.paused = now;
-            self.needy.insert(name);
+            service.paused_until = now;
+            self.understaffed.insert(name);
         }
         for name in dropped {
             let Some(service) = self.services.get_mut(&name) else { continue };
             service.configured = false;
-            service.wants.clear();
-            let lives: Vec<_> = service.lives.iter().cloned().collect();
-            lives.iter().for_each(|id| self.let_go(now, id));
+            service.targets.clear();
+            let instances: Vec<_> = service.instances.iter().cloned().collect();
+            instances.iter().for_each(|id| self.drain_and_stop(now, id));
             self.drop_pending(&name);
         }
     }
 
-    /// These services have an owner in each zone from now on, others one in all. What was wanted before counts no more.
+    /// Sets which services have an owner in each zone; all others have a single owner. Clears the targets of
+    /// a service that changes.
     pub fn set_split(&mut self, now: Nanos, services: &BTreeSet<CompactString>) {
         for (name, service) in &mut self.services {
             let split = services.contains(name);
             if service.split != split {
                 service.split = split;
-                service.wants.clear();
-                service.said = now;
-                self.needy.insert(name.clone());
+                service.targets.clear();
+                service.last_request = now;
+                self.understaffed.insert(name.clone());
             }
         }
     }
 
-    /// Services with an owner in each zone that want instances in a zone which has had no room for them for so long.
+    /// Services with an owner in each zone of which one needs instances and its zone has had no room for at
+    /// least `span`.
     pub fn starved(&self, now: Nanos, span: Nanos) -> impl Iterator<Item = &CompactString> {
-        let starves = move |w: &Want| w.starved.is_some_and(|since| since + span <= now);
+        let starves = move |target: &Target| target.starved_since.is_some_and(|since| since + span <= now);
         self.services
             .iter()
-            .filter(move |(_, s)| s.split && s.wants.values().any(starves))
+            .filter(move |(_, s)| s.split && s.targets.values().any(starves))
             .map(|(name, _)| name)
     }
 
-    /// The owner of a service wants so many live instances, in these zones in order of preference. A zone named twice takes
-    /// two shares; without any, all are alike. `lot`: the zone that it speaks for, where each has an owner.
+    /// Sets how many live instances the owner of a service requests, and in which zones, in order of
+    /// preference. A zone that is named twice gets two shares; without `zones`, all zones are equal.
+    /// `owner_zone` is the zone that the owner is responsible for, if each zone has an owner.
     pub fn set_target(
         &mut self,
         now: Nanos,
         service: &str,
-        lot: Option<&CompactString>,
+        owner_zone: Option<&CompactString>,
         count: u32,
         zones: &[CompactString],
     ) {
         let Some(service) = self.services.get_mut(service).filter(|service| service.configured) else {
             return;
         };
-        // One who does not know yet who owns what.
-        if service.split != lot.is_some() || service.wants.len() > 64 {
+        // The sender does not know yet whether the service is split.
+        if service.split != owner_zone.is_some() || service.targets.len() > MAX_OWNERS {
             return;
         }
         let mut shares: Vec<(CompactString, u32)> = Vec::new();
-        for zone in zones.iter().filter(|_| lot.is_none()) {
+        for zone in zones.iter().filter(|_| owner_zone.is_none()) {
             match shares.iter_mut().find(|(name, _)| name == zone) {
                 Some((_, share)) => *share += 1,
                 None => shares.push((zone.clone(), 1)),
             }
         }
-        let lot = lot.cloned().unwrap_or(WHOLE.into());
-        let (starved, slow) = match service.wants.remove(&lot) {
-            Some(want) => (want.starved, want.slow),
+        let scope = owner_zone.cloned().unwrap_or(ALL_ZONES.into());
+        let (starved_since, slow) = match service.targets.remove(&scope) {
+            Some(target) => (target.starved_since, target.slow),
             None => (None, BTreeSet::new()),
         };
-        service.wants.insert(lot, Want { count, zones: shares, slow, starved });
-        service.said = service.said.max(now);
-        self.needy.insert(service.spec.name.clone());
+        service.targets.insert(scope, Target { count, zones: shares, slow, starved_since });
+        service.last_request = service.last_request.max(now);
+        self.understaffed.insert(service.spec.name.clone());
     }
 
-    /// The owner of a service, or of its lot, names the workers that are surely slow for it; what it has named before counts no more.
+    /// Sets the workers that are slow for a service, as reported by its owner or the owner of one zone.
+    /// Replaces the earlier report of that owner.
     pub fn set_slow_workers(
         &mut self,
         _now: Nanos,
         service: &str,
-        lot: Option<&CompactString>,
+        owner_zone: Option<&CompactString>,
         slow: &[CompactString],
     ) {
-        let lot = lot.map_or(WHOLE, CompactString::as_str);
-        let want = self.services.get_mut(service).and_then(|service| service.wants.get_mut(lot));
-        if let Some(want) = want
-            && !(slow.is_empty() && want.slow.is_empty())
+        let scope = owner_zone.map_or(ALL_ZONES, CompactString::as_str);
+        let target = self.services.get_mut(service).and_then(|service| service.targets.get_mut(scope));
+        if let Some(target) = target
+            && !(slow.is_empty() && target.slow.is_empty())
         {
-            want.slow = slow.iter().take(MOST_SLOW).cloned().collect();
+            target.slow = slow.iter().take(MAX_SLOW).cloned().collect();
         }
     }
 
-    /// Some worker was named slow for this service.
+    /// Whether an owner has reported a slow worker for this service.
     pub fn has_slow_workers(&self, service: &str) -> bool {
-        self.services.get(service).is_some_and(|s| s.wants.values().any(|want| !want.slow.is_empty()))
+        self.services.get(service).is_some_and(|s| s.targets.values().any(|target| !target.slow.is_empty()))
     }
 
-    /// The owner sends no more to it and wants it stopped. It is not replaced before the owner says what it wants again.
+    /// The owner sends no more requests to an instance and has it stopped. It is not replaced before the
+    /// owner sends its next target.
     pub fn retire(&mut self, now: Nanos, id: &str) {
-        if !self.lives.contains_key(id) {
-            // Not known yet, to a successor: a list that shows it must not bring it back.
-            let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-            let told = Instance::unknown(id, nowhere, now);
-            self.lives.insert(id.into(), Life { phase: Phase::Ended, ..Life::new(told, now) });
+        if !self.instances.contains_key(id) {
+            // A new leader may not know it yet: a list that shows it must not bring it back.
+            let no_address = SocketAddr::from(([0, 0, 0, 0], 0));
+            let instance = Instance::unknown(id, no_address, now);
+            self.instances.insert(
+                id.into(),
+                TrackedInstance { phase: Phase::Ended, ..TrackedInstance::new(instance, now) },
+            );
         }
-        self.want_no_more(now, id);
+        self.reduce_target(now, id);
         self.end(id);
         if self
-            .lives
+            .instances
             .get(id)
-            .is_some_and(|life| life.halt.is_none_or(|halt| halt.sent.is_none() && halt.due > now))
+            .is_some_and(|tracked| tracked.stop.is_none_or(|stop| stop.sent.is_none() && stop.due > now))
         {
-            self.halt(id, now);
+            self.schedule_stop(id, now);
         }
     }
 
-    /// An owner found it dead. Gone until lists read later than this and the lag show it twice.
+    /// An owner could not reach an instance. It counts as gone until two lists read later than `now` plus the
+    /// lag show it.
     pub fn mark_unreachable(&mut self, now: Nanos, id: &str) {
-        // One that boots refuses connections.
-        if self.lives.get(id).is_some_and(|life| life.shown() && life.told.state != State::Booting) {
-            self.doubt(now, id, seen::SEEN_AGAIN);
+        // A booting instance refuses connections.
+        if self
+            .instances
+            .get(id)
+            .is_some_and(|tracked| tracked.is_visible() && tracked.instance.state != State::Booting)
+        {
+            self.suspect(now, id, tracking::RELISTED_MIN);
         }
     }
 
-    /// An owner is connected to it.
+    /// An owner is connected to an instance.
     pub fn mark_up(&mut self, now: Nanos, id: &str) {
-        let Some(life) = self.lives.get_mut(id) else { return };
-        match life.phase {
-            Phase::Shown if life.told.state == State::Booting => {}
-            Phase::Doubted { .. } if life.halt.is_none() => life.phase = Phase::Shown,
+        let Some(tracked) = self.instances.get_mut(id) else { return };
+        match tracked.phase {
+            Phase::Visible if tracked.instance.state == State::Booting => {}
+            Phase::Suspect { .. } if tracked.stop.is_none() => tracked.phase = Phase::Visible,
             _ => return,
         }
-        if life.told.state == State::Booting {
-            life.told.state = State::Ready;
+        if tracked.instance.state == State::Booting {
+            tracked.instance.state = State::Ready;
         }
-        life.show_by = now + self.terms.lag();
-        self.effects.push(Effect::Updated { instance: life.told.clone() });
+        tracked.listed_by = now + self.config.lag();
+        self.effects.push(Effect::Updated { instance: tracked.instance.clone() });
     }
 
-    /// Decides what to start and stop. Call it after inputs, and at the time that it gives.
+    /// Decides what to start and stop. Call it after inputs, and at the time that it returns.
     pub fn tick(&mut self, now: Nanos) -> Nanos {
-        if now >= self.swept {
+        if now >= self.next_sweep {
             self.sweep(now);
-            self.swept = now + SWEEP;
+            self.next_sweep = now + SWEEP_EVERY;
         }
-        let mut wake = self.swept;
-        let rounds: [(Option<Starts>, Option<Stops>); 4] = [
-            (Some(Starts::First), None),
-            (None, Some(Stops::Overdue)),
-            (Some(Starts::All), None),
-            (None, Some(Stops::All)),
+        let mut wake = self.next_sweep;
+        let rounds: [(Option<StartClass>, Option<StopClass>); 4] = [
+            (Some(StartClass::Unserved), None),
+            (None, Some(StopClass::Overdue)),
+            (Some(StartClass::All), None),
+            (None, Some(StopClass::All)),
         ];
         for (starts, stops) in rounds {
-            let done = starts.is_none_or(|which| self.start(now, which, &mut wake))
-                && stops.is_none_or(|which| self.stop(now, which, &mut wake));
+            let done = starts.is_none_or(|which| self.call_starts(now, which, &mut wake))
+                && stops.is_none_or(|which| self.call_stops(now, which, &mut wake));
             if !done {
-                return self.swept.min(self.duty.next()).max(now + 1);
+                return self.next_sweep.min(self.rate_limiter.next_at()).max(now + 1);
             }
         }
         wake.max(now + 1)
     }
 
-    /// What is to be done and told since the last call, in order.
+    /// The effects since the last call, in order.
     pub fn take(&mut self) -> Vec<Effect> {
         mem::take(&mut self.effects)
     }
 
-    /// All instances that are told of, as they are.
+    /// A copy of all instances that are announced to the proxies.
     pub fn snapshot(&self) -> Vec<Instance> {
         self.visible_instances().cloned().collect()
     }
 
-    /// The same, one by one.
+    /// The instances that are announced to the proxies.
     pub fn visible_instances(&self) -> impl Iterator<Item = &Instance> {
-        self.lives.values().filter(|life| life.shown()).map(|life| &life.told)
+        self.instances.values().filter(|tracked| tracked.is_visible()).map(|tracked| &tracked.instance)
     }
 
-    /// A retired instance is one less that is wanted, where it would be replaced.
-    fn want_no_more(&mut self, now: Nanos, id: &str) {
-        let Some(life) = self.lives.get(id).filter(|life| life.live()) else { return };
-        let Some(service) = self.services.get(&life.told.service) else { return };
-        let lot = if service.split { life.told.zone.clone() } else { WHOLE.into() };
-        let (live, _) = self.stock(now, service, &lot);
-        let name = life.told.service.clone();
-        if let Some(want) = self.services.get_mut(&name).and_then(|service| service.wants.get_mut(&lot))
-            && live <= want.count as usize
+    /// Lowers the target by one for a retired instance that would be replaced otherwise.
+    fn reduce_target(&mut self, now: Nanos, id: &str) {
+        let Some(tracked) = self.instances.get(id).filter(|tracked| tracked.is_live()) else { return };
+        let Some(service) = self.services.get(&tracked.instance.service) else { return };
+        let scope = if service.split { tracked.instance.zone.clone() } else { ALL_ZONES.into() };
+        let (live, _) = self.live_and_missing(now, service, &scope);
+        let name = tracked.instance.service.clone();
+        if let Some(target) = self.services.get_mut(&name).and_then(|service| service.targets.get_mut(&scope))
+            && live <= target.count as usize
         {
-            want.count = want.count.saturating_sub(1);
+            target.count = target.count.saturating_sub(1);
         }
     }
 
-    /// Wants that end, services that nobody speaks for, calls that nobody answers.
+    /// Handles targets that have expired, services without an owner and calls without an answer.
     fn sweep(&mut self, now: Nanos) {
-        let (want, leave, answer) = (
-            self.terms.target_ttl_ms * MS,
-            self.terms.unowned_grace_ms * MS,
-            self.terms.answer_timeout_ms * MS,
+        let (ttl, grace, timeout) = (
+            self.config.target_ttl_ms * MS,
+            self.config.unowned_grace_ms * MS,
+            self.config.answer_timeout_ms * MS,
         );
-        let (mut ended, mut silent) = (Vec::new(), Vec::new());
+        let (mut expired, mut unowned) = (Vec::new(), Vec::new());
         for (name, service) in &mut self.services {
-            if now < service.said + want {
+            if now < service.last_request + ttl {
                 continue;
             }
-            if !service.wants.is_empty() {
-                service.wants.clear();
-                ended.push(name.clone());
+            if !service.targets.is_empty() {
+                service.targets.clear();
+                expired.push(name.clone());
             }
-            if self.configured && now >= service.said + want + leave {
-                let alone = |id: &&CompactString| {
-                    self.lives.get(*id).is_some_and(|life| life.live() && now >= life.told.since + leave)
+            if self.configured && now >= service.last_request + ttl + grace {
+                let is_old = |id: &&CompactString| {
+                    self.instances
+                        .get(*id)
+                        .is_some_and(|tracked| tracked.is_live() && now >= tracked.instance.since + grace)
                 };
-                silent.extend(service.lives.iter().filter(alone).cloned());
+                unowned.extend(service.instances.iter().filter(is_old).cloned());
             }
         }
-        ended.iter().for_each(|name| self.drop_pending(name));
-        silent.iter().for_each(|id| self.let_go(now, id));
-        self.services.retain(|_, s| s.configured || !s.lives.is_empty() || !s.pending.is_empty());
-        let late = |sent: Option<Nanos>| sent.is_some_and(|sent| now >= sent + answer);
+        expired.iter().for_each(|name| self.drop_pending(name));
+        unowned.iter().for_each(|id| self.drain_and_stop(now, id));
+        self.services.retain(|_, s| s.configured || !s.instances.is_empty() || !s.pending.is_empty());
+        let late = |sent: Option<Nanos>| sent.is_some_and(|sent| now >= sent + timeout);
         let starts: Vec<_> =
             self.pending.values().filter(|start| late(start.sent)).map(|start| start.nonce.clone()).collect();
         starts.iter().for_each(|nonce| self.start_answered(now, nonce, Err(StartFault::Unclear)));
-        let stops = self.lives.iter().filter(|(_, life)| life.halt.is_some_and(|halt| late(halt.sent)));
+        let stops =
+            self.instances.iter().filter(|(_, tracked)| tracked.stop.is_some_and(|stop| late(stop.sent)));
         let stops: Vec<_> = stops.map(|(id, _)| id.clone()).collect();
         stops.iter().for_each(|id| self.stop_answered(now, id, Err(StopFault::Unclear)));
     }
@@ -407,14 +434,14 @@
         Self {
             spec,
             configured: true,
-            wants: BTreeMap::new(),
+            targets: BTreeMap::new(),
             split: false,
-            said: now,
+            last_request: now,
             inherited: false,
-            lives: BTreeSet::new(),
+            instances: BTreeSet::new(),
             pending: BTreeSet::new(),
             refusals: 0,
-            paused: now,
+            paused_until: now,
         }
     }
 }
--- a/autoscaler/src/scaler/view.rs
+++ b/autoscaler/src/scaler/view.rs
@@ -1,78 +1,79 @@
-//! How functions stand, for people: a view that changes nothing.
+//! The status of functions, for operators. Read only.
 
 use std::net::SocketAddr;
 use std::ops::Bound;
 
 use compact_str::CompactString;
 
-use super::{Pending, Scaler, Service, WHOLE, Want};
-use crate::life::{Halt, Instance, Life, Phase, State};
+use super::{ALL_ZONES, Pending, Scaler, Service, Target};
+use crate::instance::{Instance, Phase, State, Stop, TrackedInstance};
 use crate::{MS, Nanos};
 
-/// Starts that are told of one function.
-const STARTS: usize = 20;
-/// Instances that are told of one function.
-const INSTANCES: usize = 200;
+/// The most starts that are listed for one function.
+const MAX_STARTS: usize = 20;
+/// The most instances that are listed for one function.
+const MAX_INSTANCES: usize = 200;
 
-/// How one function stands.
+/// The status of one function.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FunctionSummary {
     /// Its name.
     pub name: CompactString,
     /// Whether it is in the configuration.
     pub configured: bool,
-    /// Instances that boot, that are ready, and that drain.
+    /// How many instances boot.
     pub booting: usize,
-    #[allow(missing_docs)]
+    /// How many instances are ready.
     pub ready: usize,
-    #[allow(missing_docs)]
+    /// How many instances drain.
     pub draining: usize,
-    /// What its owners want, and how many milliseconds ago one spoke last; none where nobody has spoken for it lately.
+    /// How many instances its owners request in all, and how many milliseconds ago the last request came.
+    /// `None` if there is no current request.
     pub wanted: Option<(u32, u64)>,
-    /// Its lots, where each zone has an owner.
+    /// The targets by zone, if each zone has an owner; else empty.
     pub zone_targets: Vec<ZoneTarget>,
-    /// The zones that its requests come from, and their shares; most first.
+    /// The preferred zones and their shares, largest first.
     pub zones: Vec<(CompactString, u32)>,
-    /// Starts that are called or are to be called again: the first 20.
+    /// The first 20 pending starts.
     pub starts: Vec<PendingStart>,
-    /// All of those.
+    /// The number of all pending starts.
     pub starting: usize,
-    /// Starts that the platform has refused since one went well.
+    /// Starts that the platform has refused since the last that succeeded.
     pub refusals: u32,
-    /// Why there are no more instances; of several lots the one that is held most.
+    /// Why no more instances are started; for several zones, the greatest reason.
     pub hold: HoldReason,
 }
 
-/// A zone's part of a function that has an owner in each.
+/// The target of one zone's owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneTarget {
     /// The zone.
     pub zone: CompactString,
-    /// What its owner wants.
+    /// How many instances its owner requests.
     pub wanted: u32,
-    /// Instances that boot or are ready, and starts.
+    /// Instances that boot or are ready, and pending starts.
     pub live: usize,
-    /// Why there are no more.
+    /// Why no more instances are started.
     pub hold: HoldReason,
 }
 
-/// A start that is called or is to be called again.
+/// A start that was called and has not succeeded yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingStart {
-    /// Where.
+    /// The worker it is called on.
     pub worker: CompactString,
-    /// The same for each repetition.
+    /// The idempotency key, the same for each repetition of the call.
     pub nonce: CompactString,
-    /// How many milliseconds ago it was called; none while it waits to be called again.
+    /// How many milliseconds ago it was called; `None` while it waits to be called again.
     pub sent_ms_ago: Option<u64>,
-    /// How often it was called in vain.
+    /// How many calls have failed.
     pub failed: u32,
 }
 
-/// An instance, with what is not told to stalls.
+/// An instance, with state that is not announced to the proxies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InstanceSummary {
-    /// Names one life.
+    /// Identifies one run of the instance.
     pub id: CompactString,
     /// Where it listens.
     pub address: SocketAddr,
@@ -80,36 +81,37 @@
     pub worker: CompactString,
     /// Its worker's zone.
     pub zone: CompactString,
-    /// `booting`, `ready` or `draining`; to stalls it is gone where it is `doubted` (an owner found it dead, or lists miss it) or
-    /// `ended` (it is to be stopped, or is stopped and may still be listed).
+    /// `booting`, `ready` or `draining`; or, for an instance that is announced as gone, `doubted` (an owner
+    /// could not reach it, or its worker is gone) or `ended` (it is to be stopped, or is stopped and may
+    /// still be listed).
     pub state: &'static str,
-    /// How many milliseconds ago its start was answered, or it was first seen.
+    /// How many milliseconds ago its start was answered, or it was first listed.
     pub since_ms: u64,
-    /// Its stop: `due`, `called` or `answered`.
+    /// The state of its stop: `due`, `called` or `answered`.
     pub stop: Option<&'static str>,
 }
 
-/// Why there are no more instances of a function; what holds most is last.
+/// Why no more instances of a function are started, in ascending order of precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HoldReason {
-    /// Nobody wants any.
+    /// No owner requests any.
     Unwanted,
-    /// There are as many as are wanted, with those that start.
+    /// There are as many as are requested, including those that start.
     Satisfied,
-    /// Starts and stops are called as fast as may be: it waits for its turn.
+    /// The next start waits for the rate limit.
     RateLimited,
-    /// What the steward before has started may not show yet; for so many milliseconds.
+    /// Instances that the previous leader has started may not be listed yet; milliseconds left.
     Settling(u64),
     /// No worker has room.
     NoRoom,
-    /// The platform has refused a start; the next try is in so many milliseconds.
+    /// The platform has refused a start; milliseconds until the next try.
     Refused(u64),
-    /// No whole list was read yet.
+    /// No whole list has been read yet.
     NoList,
 }
 
 impl HoldReason {
-    /// The word for it.
+    /// The reason's name in answers to operators.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -123,7 +125,7 @@
         }
     }
 
-    /// How many milliseconds it lasts, where that is known.
+    /// The milliseconds that it still lasts, if that is known.
     #[must_use]
     pub fn left_ms(self) -> Option<u64> {
         match self {
@@ -134,117 +136,126 @@
 }
 
 impl Scaler {
-    /// How functions stand, in the order of their names: so many after a name, or from the first one.
+    /// The status of up to `most` functions in the order of their names, beginning after the name `after` if
+    /// given.
     #[must_use]
     pub fn functions(&self, now: Nanos, after: Option<&str>, most: usize) -> Vec<FunctionSummary> {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         let found = self.services.range::<str, _>((from, Bound::Unbounded)).take(most);
-        found.map(|(name, service)| self.standing(now, name, service)).collect()
+        found.map(|(name, service)| self.summary(now, name, service)).collect()
     }
 
-    /// How one function stands.
+    /// The status of one function.
     #[must_use]
     pub fn function(&self, now: Nanos, name: &str) -> Option<FunctionSummary> {
-        self.services.get_key_value(name).map(|(name, service)| self.standing(now, name, service))
+        self.services.get_key_value(name).map(|(name, service)| self.summary(now, name, service))
     }
 
-    /// Memory that is free on each worker that takes starts, in MB; none where no answer told of workers yet.
+    /// Free memory in MB of each worker that accepts starts; `None` before the first answer about workers.
     #[must_use]
     pub fn free_memory(&self) -> Option<Vec<u64>> {
-        self.fleet.room()
+        self.workers.free_memory()
     }
 
-    /// The instances of one function, the first 200 by their ids.
+    /// The first 200 instances of one function, in the order of their ids.
     #[must_use]
     pub fn instances(&self, now: Nanos, function: &str) -> Vec<InstanceSummary> {
-        let lives = self.services.get(function).into_iter().flat_map(|service| &service.lives);
-        lives.filter_map(|id| self.lives.get(id)).take(INSTANCES).map(|life| seen(life, now)).collect()
+        let instances = self.services.get(function).into_iter().flat_map(|service| &service.instances);
+        instances
+            .filter_map(|id| self.instances.get(id))
+            .take(MAX_INSTANCES)
+            .map(|tracked| instance_summary(tracked, now))
+            .collect()
     }
 
-    /// The function of an instance.
+    /// The function that an instance serves.
     #[must_use]
     pub fn function_of(&self, instance: &str) -> Option<&str> {
-        self.lives.get(instance).map(|life| life.told.service.as_str())
+        self.instances.get(instance).map(|tracked| tracked.instance.service.as_str())
     }
 
-    fn standing(&self, now: Nanos, name: &CompactString, service: &Service) -> FunctionSummary {
-        let shown = service.lives.iter().filter_map(|id| self.lives.get(id)).filter(|life| life.shown());
+    fn summary(&self, now: Nanos, name: &CompactString, service: &Service) -> FunctionSummary {
+        let visible = service
+            .instances
+            .iter()
+            .filter_map(|id| self.instances.get(id))
+            .filter(|tracked| tracked.is_visible());
         let (mut booting, mut ready, mut draining) = (0, 0, 0);
-        for life in shown {
-            match life.told.state {
+        for tracked in visible {
+            match tracked.instance.state {
                 State::Booting => booting += 1,
                 State::Ready => ready += 1,
                 State::Draining => draining += 1,
             }
         }
-        let starting = |start: &Pending| PendingStart {
+        let pending_start = |start: &Pending| PendingStart {
             worker: start.worker.clone(),
             nonce: start.nonce.clone(),
             sent_ms_ago: start.sent.map(|sent| now.saturating_sub(sent) / MS),
             failed: start.failed,
         };
         let starts = service.pending.iter().filter_map(|number| self.pending.get(number));
-        let mut zones = service.wants.get(WHOLE).map(|want| want.zones.clone()).unwrap_or_default();
+        let mut zones = service.targets.get(ALL_ZONES).map(|target| target.zones.clone()).unwrap_or_default();
         zones.sort_by_key(|(_, share)| std::cmp::Reverse(*share));
-        let lot = |(zone, want): (&CompactString, &Want)| ZoneTarget {
+        let zone_target = |(zone, target): (&CompactString, &Target)| ZoneTarget {
             zone: zone.clone(),
-            wanted: want.count,
-            live: self.stock(now, service, zone).0,
+            wanted: target.count,
+            live: self.live_and_missing(now, service, zone).0,
             hold: self.hold(now, name, service, zone),
         };
-        let lots: Vec<_> = service.wants.iter().map(lot).collect();
-        let said = now.saturating_sub(service.said) / MS;
-        let sum = lots.iter().fold(0_u32, |sum, lot| sum.saturating_add(lot.wanted));
+        let targets: Vec<_> = service.targets.iter().map(zone_target).collect();
+        let requested_ms_ago = now.saturating_sub(service.last_request) / MS;
+        let sum = targets.iter().fold(0_u32, |sum, target| sum.saturating_add(target.wanted));
         FunctionSummary {
             name: name.clone(),
             configured: service.configured,
             booting,
             ready,
             draining,
-            wanted: (!lots.is_empty()).then_some((sum, said)),
-            hold: lots.iter().map(|lot| lot.hold).max().unwrap_or(HoldReason::Unwanted),
-            zone_targets: if service.split { lots } else { Vec::new() },
+            wanted: (!targets.is_empty()).then_some((sum, requested_ms_ago)),
+            hold: targets.iter().map(|target| target.hold).max().unwrap_or(HoldReason::Unwanted),
+            zone_targets: if service.split { targets } else { Vec::new() },
             zones,
-            starts: starts.take(STARTS).map(starting).collect(),
+            starts: starts.take(MAX_STARTS).map(pending_start).collect(),
             starting: service.pending.len(),
             refusals: service.refusals,
         }
     }
 
-    fn hold(&self, now: Nanos, name: &str, service: &Service, lot: &str) -> HoldReason {
+    fn hold(&self, now: Nanos, name: &str, service: &Service, scope: &str) -> HoldReason {
         let left = |until: Nanos| until.saturating_sub(now).div_ceil(MS);
-        let Some(want) = service.wants.get(lot).filter(|want| want.count > 0) else {
+        let Some(target) = service.targets.get(scope).filter(|target| target.count > 0) else {
             return HoldReason::Unwanted;
         };
-        let (live, short) = self.stock(now, service, lot);
-        if live >= want.count as usize {
+        let (live, short) = self.live_and_missing(now, service, scope);
+        if live >= target.count as usize {
             return HoldReason::Satisfied;
         }
         if self.listed.is_none() {
             return HoldReason::NoList;
         }
-        if service.paused > now {
-            return HoldReason::Refused(left(service.paused));
+        if service.paused_until > now {
+            return HoldReason::Refused(left(service.paused_until));
         }
         if short == 0 {
-            return HoldReason::Settling(left(self.settled(service)));
+            return HoldReason::Settling(left(self.settled_at(service)));
         }
-        if self.place(name, lot).is_none() { HoldReason::NoRoom } else { HoldReason::RateLimited }
+        if self.pick_worker(name, scope).is_none() { HoldReason::NoRoom } else { HoldReason::RateLimited }
     }
 }
 
-fn seen(life: &Life, now: Nanos) -> InstanceSummary {
-    let Instance { id, address, worker, zone, since, .. } = life.told.clone();
-    let state = match (life.phase, life.told.state) {
-        (Phase::Doubted { .. }, _) => "doubted",
+fn instance_summary(tracked: &TrackedInstance, now: Nanos) -> InstanceSummary {
+    let Instance { id, address, worker, zone, since, .. } = tracked.instance.clone();
+    let state = match (tracked.phase, tracked.instance.state) {
+        (Phase::Suspect { .. }, _) => "doubted",
         (Phase::Ended, _) => "ended",
-        (Phase::Shown, State::Booting) => "booting",
-        (Phase::Shown, State::Ready) => "ready",
-        (Phase::Shown, State::Draining) => "draining",
+        (Phase::Visible, State::Booting) => "booting",
+        (Phase::Visible, State::Ready) => "ready",
+        (Phase::Visible, State::Draining) => "draining",
     };
-    let stop = life.halt.map(|halt| match halt {
-        Halt { answered: Some(_), .. } => "answered",
-        Halt { sent: Some(_), .. } => "called",
+    let stop = tracked.stop.map(|stop| match stop {
+        Stop { answered: Some(_), .. } => "answered",
+        Stop { sent: Some(_), .. } => "called",
         _ => "due",
     });
     InstanceSummary { id, address, worker, zone, state, since_ms: now.saturating_sub(since) / MS, stop }
--- a/autoscaler/tests/reading.rs
+++ b/autoscaler/tests/reading.rs
@@ -1,4 +1,5 @@
-//! The platform's answers, as its page shows them, and broken ones.
+//! Parsing of the platform's answers, as its API documentation shows them, and of invalid ones; the schedule
+//! of requests.
 
 use millpost_autoscaler::platform::{
     read_endpoints, read_started, read_workers, start_answer, start_body, stop_body,
@@ -12,7 +13,7 @@
     r#"{"workers":[{"name":"w-3","zone":"ikeja","memory_mb":4096,"free_memory_mb":1280,"state":"ready"}]}"#;
 
 #[test]
-fn pages_are_read() {
+fn valid_answers_are_parsed() {
     let (entries, next) = read_endpoints(LIST).unwrap();
     assert_eq!((entries.len(), next.as_deref()), (1, Some("p-50")));
     assert_eq!((entries[0].worker.as_deref(), entries[0].draining), (Some("w-3"), false));
@@ -30,21 +31,21 @@
     id = { LIST, r#""i-7f3a91c2""#, "7", "endpoints[0].id: expected a name" },
     list = { LIST, "endpoints", "endpoint", "endpoints: expected a list" },
     entry = { r#"{"endpoints":[0]}"#, "", "", "endpoints[0]: expected an object" },
-    memory = { WORKERS, "1280", "-1", "workers[0].free_memory_mb: expected a count" },
+    memory = { WORKERS, "1280", "-1", "workers[0].free_memory_mb: expected a number from 0 to 1e12" },
     deep = { "[[[[[[[[[[[[[[[[[[[[", "", "", "nested too deeply" },
 )]
-fn broken_answers(text: &str, from: &str, to: &str, error: &str) {
+fn invalid_answers_name_the_key(text: &str, from: &str, to: &str, error: &str) {
     let text = if from.is_empty() { text.to_owned() } else { text.replacen(from, to, 1) };
-    let said = if text.contains("workers") {
+    let message = if text.contains("workers") {
         read_workers(&text).unwrap_err().to_string()
     } else {
         read_endpoints(&text).unwrap_err().to_string()
     };
-    assert!(said.contains(error), "{said}");
+    assert!(message.contains(error), "{message}");
 }
 
 #[test]
-fn calls_are_written_and_answers_told_apart() {
+fn request_bodies_and_answer_statuses() {
     assert_eq!(
         start_body("huvo11a", "w-3", "n-\"1"),
         r#"{"service":"huvo11a","worker":"w-3","request_nonce":"n-\"1"}"#
@@ -60,20 +61,20 @@
 }
 
 #[test]
-fn polling_keeps_to_half_the_rate() {
-    let mut pace = PollSchedule::new(26.0, 0);
-    let (mut now, mut asked) = (0, Vec::new());
+fn polling_uses_half_the_rate_limit() {
+    let mut schedule = PollSchedule::new(26.0, 0);
+    let (mut now, mut polls) = (0, Vec::new());
     while now < 10_000_000_000 {
-        if let Some(ask) = pace.next_poll(now) {
-            asked.push(ask);
+        if let Some(poll) = schedule.next_poll(now) {
+            polls.push(poll);
             // A list of forty pages.
-            if asked.iter().filter(|ask| **ask != Poll::Workers).count() % 40 == 0 {
-                pace.list_ended();
+            if polls.iter().filter(|poll| **poll != Poll::Workers).count() % 40 == 0 {
+                schedule.list_ended();
             }
         }
-        now = pace.next_at().max(now + 1);
+        now = schedule.next_at().max(now + 1);
     }
-    let count = |which: Poll| asked.iter().filter(|ask| **ask == which).count();
-    assert!((120..=131).contains(&asked.len()), "{}", asked.len());
-    assert!((9..=11).contains(&count(Poll::Workers)) && (3..=4).contains(&count(Poll::List)), "{asked:?}");
+    let count = |which: Poll| polls.iter().filter(|poll| **poll == which).count();
+    assert!((120..=131).contains(&polls.len()), "{}", polls.len());
+    assert!((9..=11).contains(&count(Poll::Workers)) && (3..=4).contains(&count(Poll::List)), "{polls:?}");
 }
--- a/autoscaler/tests/traces.rs
+++ b/autoscaler/tests/traces.rs
@@ -1,7 +1,8 @@
-//! Recorded traces played against the scaler.
+//! Traces of inputs and expected effects, run against the scaler.
 //!
-//! A line is a time in milliseconds and an input; a tick follows each. The lines with `>` under it are all that came of it.
-//! `w1:a:1000` is a worker with its zone and free memory, `i1:f:w1:a` an entry with its service; `:d` means draining.
+//! A line is a time in milliseconds and an input; a tick follows each. The lines with `>` below it are all
+//! its effects. `w1:a:1000` is a worker with its zone and free memory, `i1:f:w1:a` a listed endpoint with its
+//! service, worker and zone; `:d` means draining.
 
 use std::net::SocketAddr;
 
@@ -14,23 +15,23 @@
 const MS: u64 = 1_000_000;
 
 fn address(id: &str) -> SocketAddr {
-    // `i7b` listens where `i7` did.
+    // `i7b` has the same address as `i7`.
     let digits: String = id.chars().filter(char::is_ascii_digit).collect();
     SocketAddr::from(([10, 0, 0, digits.parse().expect("a number")], 80))
 }
 
-fn told(effect: Effect) -> String {
+fn describe(effect: Effect) -> String {
     match effect {
         Effect::Start { service, worker, nonce } => format!("start {service} {worker} {nonce}"),
         Effect::Stop { id } => format!("stop {id}"),
         Effect::Updated { instance: Instance { id, service, worker, state, .. } } => {
-            format!("known {id} {service} {worker} {state:?}")
+            format!("updated {id} {service} {worker} {state:?}")
         }
-        Effect::Removed { id, service, .. } => format!("gone {id} {service}"),
+        Effect::Removed { id, service, .. } => format!("removed {id} {service}"),
     }
 }
 
-fn entry(text: &str) -> Endpoint {
+fn endpoint(text: &str) -> Endpoint {
     let parts: Vec<&str> = text.split(':').collect();
     Endpoint {
         id: parts[0].into(),
@@ -55,19 +56,19 @@
 fn input(scaler: &mut Scaler, now: u64, words: &[&str]) {
     match words {
         ["tick"] => {}
-        ["conf", names @ ..] => scaler.configure(now, names.iter().map(|name| spec(name))),
+        ["configure", names @ ..] => scaler.configure(now, names.iter().map(|name| spec(name))),
         ["list", entries @ ..] => {
-            scaler.endpoints_listed(now, now, entries.iter().map(|text| entry(text)).collect())
+            scaler.endpoints_listed(now, now, entries.iter().map(|text| endpoint(text)).collect())
         }
         ["workers", workers @ ..] => {
             scaler.workers_listed(now, now, workers.iter().map(|text| worker(text)).collect());
         }
-        ["want", service, count, zones @ ..] => {
+        ["target", service, count, zones @ ..] => {
             let zones: Vec<CompactString> = zones.iter().map(|zone| (*zone).into()).collect();
             scaler.set_target(now, service, None, count.parse().expect("a count"), &zones);
         }
         ["split", names @ ..] => scaler.set_split(now, &names.iter().map(|name| (*name).into()).collect()),
-        ["lot", service, zone, count] => {
+        ["zone_target", service, zone, count] => {
             scaler.set_target(now, service, Some(&(*zone).into()), count.parse().expect("a count"), &[]);
         }
         ["ok", nonce, id] => scaler.start_answered(now, nonce, Ok(((*id).into(), address(id)))),
@@ -83,21 +84,21 @@
         ["stopped", id, "ok"] => scaler.stop_answered(now, id, Ok(())),
         ["stopped", id, _] => scaler.stop_answered(now, id, Err(StopFault::Unclear)),
         ["retire", id] => scaler.retire(now, id),
-        ["lost", id] => scaler.mark_unreachable(now, id),
+        ["unreachable", id] => scaler.mark_unreachable(now, id),
         ["up", id] => scaler.mark_up(now, id),
         ["inherit", state, text] => {
-            let Endpoint { id, service, address, zone, worker, .. } = entry(text);
+            let Endpoint { id, service, address, zone, worker, .. } = endpoint(text);
             let state = if *state == "booting" { State::Booting } else { State::Ready };
             let worker = worker.expect("a worker");
-            let told = Instance { id, service, address, zone, worker, state, boot_ms: 300, since: 0 };
-            scaler.inherit(now, [told]);
+            let instance = Instance { id, service, address, zone, worker, state, boot_ms: 300, since: 0 };
+            scaler.inherit(now, [instance]);
         }
         _ => panic!("no such input: {words:?}"),
     }
 }
 
-/// Plays a trace and compares what comes of each line.
-fn play(fence: u64, duty_per_s: f64, trace: &str) {
+/// Runs a trace and compares the effects of each line.
+fn run(fence: u64, duty_per_s: f64, trace: &str) {
     let mut scaler = Scaler::new(ScalerConfig::new(fence, duty_per_s, 800), 0);
     let lines: Vec<&str> = trace.lines().map(str::trim).filter(|line| !line.is_empty()).collect();
     let mut at = 0;
@@ -107,33 +108,33 @@
         input(&mut scaler, now, &words[1..]);
         let wake = scaler.tick(now);
         assert!(wake > now && wake <= now + 250 * MS, "{}: wakes at {wake}", lines[at]);
-        let came: Vec<String> = scaler.take().into_iter().map(told).collect();
+        let effects: Vec<String> = scaler.take().into_iter().map(describe).collect();
         let expected: Vec<&str> = lines[at + 1..].iter().map_while(|line| line.strip_prefix("> ")).collect();
-        assert_eq!(came, expected, "after `{}`", lines[at]);
+        assert_eq!(effects, expected, "after `{}`", lines[at]);
         at += 1 + expected.len();
     }
 }
 
-const STEADY: &str = "0 conf f g
+const STEADY: &str = "0 configure f g
     1 workers w1:a:1000 w2:a:1000 w3:b:1000 w4:b:1000
     2 list";
 
 #[parameterized(
-    life = { "
-        3 want f 1 a b
+    start_to_stop = { "
+        3 target f 1 a b
         > start f w1 1.1.f
         20 ok 1.1.f i1
-        > known i1 f w1 Booting
-        300 want f 1 a b
+        > updated i1 f w1 Booting
+        300 target f 1 a b
         400 list
         500 up i1
-        > known i1 f w1 Ready
+        > updated i1 f w1 Ready
         600 list
         1400 list i1:f:w1:a
         1500 retire i1
-        > gone i1 f
+        > removed i1 f
         > stop i1
-        1505 want f 0 a b
+        1505 target f 0 a b
         1510 stopped i1 ok
         1600 list i1:f:w1:a
         2400 list
@@ -141,54 +142,54 @@
         > stop i1
     " },
     spread_over_workers_then_zones = { "
-        3 want f 3 a a b
+        3 target f 3 a a b
         > start f w1 1.1.f
         > start f w2 1.2.f
         > start f w3 1.3.f
-        4 want f 5 a a b
+        4 target f 5 a a b
         > start f w4 1.4.f
         > start f w1 1.5.f
     " },
-    lots_start_in_their_own_zones = { "
+    split_service_starts_in_each_owners_zone = { "
         3 split f
-        4 want f 5 a
-        5 lot f b 2
+        4 target f 5 a
+        5 zone_target f b 2
         > start f w3 1.1.f
         > start f w4 1.2.f
         10 ok 1.1.f i1
-        > known i1 f w3 Booting
+        > updated i1 f w3 Booting
         11 ok 1.2.f i2
-        > known i2 f w4 Booting
-        20 lot f a 1
+        > updated i2 f w4 Booting
+        20 zone_target f a 1
         > start f w1 1.3.f
         30 retire i1
-        > gone i1 f
+        > removed i1 f
         > stop i1
         40 tick
         50 split
-        60 lot f b 9
-        70 want f 3 a
+        60 zone_target f b 9
+        70 target f 3 a
         > start f w2 1.4.f
         80 split f
-        90 lot f c 1
-        100 lot f b 2
+        90 zone_target f c 1
+        100 zone_target f b 2
         > start f w3 1.5.f
     " },
-    none_at_all_goes_first = { "
-        3 want f 1 a
+    services_without_instances_start_first = { "
+        3 target f 1 a
         > start f w1 1.1.f
         4 workers w5:c:90
-        5 want f 3 a
-        6 want g 2 b
+        5 target f 3 a
+        6 target g 2 b
         7 workers w1:a:1000 w3:b:1000
         > start g w3 1.2.g
         > start f w1 1.3.f
         > start f w1 1.4.f
         > start g w3 1.5.g
     " },
-    room_counts_what_was_started_since = { "
+    free_memory_excludes_starts_not_reported_yet = { "
         3 workers w1:a:250
-        4 want f 4 a
+        4 target f 4 a
         > start f w1 1.1.f
         > start f w1 1.2.f
         500 workers w1:a:250
@@ -196,23 +197,23 @@
         > start f w1 1.3.f
     " },
     no_room_takes_another_worker = { "
-        3 want f 1 a
+        3 target f 1 a
         > start f w1 1.1.f
         9 fault 1.1.f room
         > start f w2 1.2.f
         15 fault 1.2.f room
         > start f w3 1.3.f
         21 ok 1.3.f i1
-        > known i1 f w3 Booting
-        1000 want f 3 a
+        > updated i1 f w3 Booting
+        1000 target f 3 a
         > start f w4 1.4.f
         > start f w3 1.5.f
         1001 workers w1:a:1000 w2:a:1000 w3:b:1000 w4:b:1000
-        1002 want f 4 a
+        1002 target f 4 a
         > start f w1 1.6.f
     " },
-    unclear_and_busy_keep_nonce_and_worker = { "
-        3 want f 1 a
+    unclear_and_busy_repeat_with_same_nonce_and_worker = { "
+        3 target f 1 a
         > start f w1 1.1.f
         10 fault 1.1.f unclear
         40 tick
@@ -223,11 +224,11 @@
         > start f w1 1.1.f
         120 fault 1.1.f busy
         130 list i1:f:w1:a
-        > known i1 f w1 Ready
+        > updated i1 f w1 Ready
         240 tick
     " },
-    unclear_that_was_done_is_one_instance = { "
-        3 want f 2 a
+    unclear_start_that_succeeded_is_one_instance = { "
+        3 target f 2 a
         > start f w1 1.1.f
         > start f w2 1.2.f
         10 fault 1.1.f unclear
@@ -237,66 +238,66 @@
         42 tick
         > start f w2 1.2.f
         400 list i1:f:w1:a
-        > known i1 f w1 Ready
+        > updated i1 f w1 Ready
         500 ok 1.1.f i1
         510 ok 1.2.f i2
-        > known i2 f w2 Booting
+        > updated i2 f w2 Booting
     " },
-    unclear_on_a_worker_that_drains_goes_elsewhere = { "
-        3 want f 1 a
+    unclear_start_moves_off_a_draining_worker = { "
+        3 target f 1 a
         > start f w1 1.1.f
         10 fault 1.1.f unclear
         20 workers w1:a:1000:d w2:a:1000
         > start f w2 1.2.f
     " },
-    silent_call_counts_as_unclear_and_a_refused_one_pauses = { "
-        3 want f 1 a
+    unanswered_start_is_repeated_and_refused_start_pauses = { "
+        3 target f 1 a
         > start f w1 1.1.f
-        4000 want f 1 a
-        8000 want f 1 a
+        4000 target f 1 a
+        8000 target f 1 a
         10100 tick
         10130 tick
         > start f w1 1.1.f
         10140 fault 1.1.f refused
-        11139 want f 1 a
+        11139 target f 1 a
         11140 tick
         > start f w1 1.2.f
         11150 fault 1.2.f refused
-        11200 conf f g
+        11200 configure f g
         > start f w1 1.3.f
     " },
-    drain_is_replaced_at_once = { "
+    draining_instance_is_replaced_at_once = { "
         100 list i1:f:w1:a i2:f:w2:a
-        > known i1 f w1 Ready
-        > known i2 f w2 Ready
-        101 want f 2 a
+        > updated i1 f w1 Ready
+        > updated i2 f w2 Ready
+        101 target f 2 a
         900 list i1:f:w1:a:d i2:f:w2:a
-        > known i1 f w1 Draining
+        > updated i1 f w1 Draining
         > start f w1 1.1.f
-        1000 lost i1
-        > gone i1 f
+        1000 unreachable i1
+        > removed i1 f
         3000 list i2:f:w2:a
     " },
     draining_worker = { "
         100 list i1:f:w1:a
-        > known i1 f w1 Ready
-        101 want f 1 a
+        > updated i1 f w1 Ready
+        101 target f 1 a
         200 workers w1:a:1000:d w2:a:1000 w3:b:1000 w4:b:1000
-        > known i1 f w1 Draining
+        > updated i1 f w1 Draining
         > start f w2 1.1.f
         300 list i1:f:w1:a
         1300 list i1:f:w1:a:d
         4400 list
-        > gone i1 f
+        > removed i1 f
     " },
     crash_of_a_worker = { "
         100 list i1:f:w1:a i2:f:w2:a
-        > known i1 f w1 Ready
-        > known i2 f w2 Ready
-        101 want f 2 a b
+        > updated i1 f w1 Ready
+        > updated i2 f w2 Ready
+        101 target f 2 a b
         1000 workers w2:a:1000 w3:b:1000
         2000 workers w2:a:1000 w3:b:1000
-        > gone i1 f
+        > removed i1 f
         > start f w3 1.1.f
         2100 list i1:f:w1:a i2:f:w2:a
         2900 list i1:f:w1:a i2:f:w2:a
@@ -304,92 +305,92 @@
         4000 list i2:f:w2:a
         4500 workers w1:a:8000 w2:a:1000 w3:b:1000
     " },
-    lag_does_not_end_what_was_just_started = { "
-        3 want f 1 a
+    started_instance_survives_lists_that_lag = { "
+        3 target f 1 a
         > start f w1 1.1.f
         20 ok 1.1.f i1
-        > known i1 f w1 Booting
-        30 lost i1
+        > updated i1 f w1 Booting
+        30 unreachable i1
         1500 list
-        2619 want f 1 a
+        2619 target f 1 a
         2620 list
         2621 list
-        > gone i1 f
+        > removed i1 f
         > start f w2 1.2.f
     " },
-    one_that_flickers_when_new_stays = { "
+    listed_instance_survives_one_list_without_it = { "
         100 list i1:f:w1:a
-        > known i1 f w1 Ready
+        > updated i1 f w1 Ready
         500 list
         800 list i1:f:w1:a
         1300 list
-        > gone i1 f
+        > removed i1 f
     " },
-    lost_and_seen_again = { "
+    unreachable_and_listed_again = { "
         100 list i1:f:w1:a
-        > known i1 f w1 Ready
-        101 want f 1 a
-        1000 lost i1
-        > gone i1 f
+        > updated i1 f w1 Ready
+        101 target f 1 a
+        1000 unreachable i1
+        > removed i1 f
         > start f w2 1.1.f
         1700 list i1:f:w1:a
         1801 list i1:f:w1:a
         2000 list i1:f:w1:a
-        > known i1 f w1 Ready
-        2100 lost i1
-        > gone i1 f
+        > updated i1 f w1 Ready
+        2100 unreachable i1
+        > removed i1 f
         3000 list
     " },
     dropped_service = { "
         100 list i1:f:w1:a i2:f:w2:a
-        > known i1 f w1 Ready
-        > known i2 f w2 Ready
-        101 want f 3 a
+        > updated i1 f w1 Ready
+        > updated i2 f w2 Ready
+        101 target f 3 a
         > start f w1 1.1.f
-        200 conf g
-        > known i1 f w1 Draining
-        > known i2 f w2 Draining
-        250 want f 3 a
+        200 configure g
+        > updated i1 f w1 Draining
+        > updated i2 f w2 Draining
+        250 target f 3 a
         300 ok 1.1.f i3
         > stop i3
         500 retire i1
-        > gone i1 f
+        > removed i1 f
         > stop i1
         1200 tick
-        > gone i2 f
+        > removed i2 f
         > stop i2
         1210 stopped i2 unclear
         1240 tick
         > stop i2
     " },
-    nobody_speaks = { "
+    no_owner = { "
         100 list i1:f:w1:a
-        > known i1 f w1 Ready
-        101 want f 2 a
+        > updated i1 f w1 Ready
+        101 target f 2 a
         > start f w2 1.1.f
         150 ok 1.1.f i2
-        > known i2 f w2 Booting
+        > updated i2 f w2 Booting
         1000 list i1:f:w1:a i2:f:w2:a
-        > known i2 f w2 Ready
-        5200 lost i2
-        > gone i2 f
+        > updated i2 f w2 Ready
+        5200 unreachable i2
+        > removed i2 f
         15000 list i1:f:w1:a
         15250 tick
-        > known i1 f w1 Draining
+        > updated i1 f w1 Draining
     " },
-    an_address_that_is_used_again = { "
+    reused_address = { "
         100 list i1:f:w1:a
-        > known i1 f w1 Ready
+        > updated i1 f w1 Ready
         3000 list i1:f:w1:a i1b:g:w2:a
-        > gone i1 f
-        > known i1b g w2 Ready
+        > removed i1 f
+        > updated i1b g w2 Ready
         3500 list i1:f:w1:a i1b:g:w2:a i2:f:-:a
     " },
     stopped_and_still_listed = { "
         100 list i1:f:w1:a
-        > known i1 f w1 Ready
+        > updated i1 f w1 Ready
         200 retire i1
-        > gone i1 f
+        > removed i1 f
         > stop i1
         210 stopped i1 ok
         6000 list i1:f:w1:a
@@ -397,71 +398,71 @@
         > stop i1
     " },
 )]
-fn first_holder(trace: &str) {
-    play(1, 100.0, &format!("{STEADY}\n{trace}"));
+fn first_leader(trace: &str) {
+    run(1, 100.0, &format!("{STEADY}\n{trace}"));
 }
 
 #[parameterized(
-    nothing_before_the_list = { "
-        0 conf f
+    no_start_before_the_first_list = { "
+        0 configure f
         1 workers w1:a:1000
-        2 want f 1 a
+        2 target f 1 a
         1000 tick
         1100 list i1:f:w1:a
-        > known i1 f w1 Ready
+        > updated i1 f w1 Ready
     " },
-    starts_in_flight_are_adopted = { "
-        0 conf f
+    starts_of_the_predecessor_are_taken_over = { "
+        0 configure f
         1 workers w1:a:1000 w2:a:1000 w3:a:1000
         2 inherit ready i1:f:w1:a
         3 inherit booting i2:f:w2:a
         4 list i1:f:w1:a
-        10 want f 2 a
+        10 target f 2 a
         400 list i1:f:w1:a i3:f:w3:a
-        > known i3 f w3 Ready
+        > updated i3 f w3 Ready
         500 list i1:f:w1:a i2:f:w2:a i3:f:w3:a
-        > known i2 f w2 Ready
-        1500 want f 4 a
+        > updated i2 f w2 Ready
+        1500 target f 4 a
         > start f w1 2.1.f
     " },
-    what_owners_tell_of_is_all_there_is = { "
-        0 conf f
+    inherited_service_does_not_wait_to_settle = { "
+        0 configure f
         1 workers w1:a:1000 w2:a:1000 w3:a:1000
         2 list i1:f:w1:a
-        > known i1 f w1 Ready
+        > updated i1 f w1 Ready
         3 inherit booting i2:f:w2:a
-        10 want f 3 a
+        10 target f 3 a
         > start f w3 2.1.f
     " },
-    one_is_started_where_none_is_known = { "
-        0 conf f
+    one_instance_is_started_before_settled = { "
+        0 configure f
         1 workers w1:a:1000 w2:a:1000
         2 list
-        10 want f 2 a
+        10 target f 2 a
         > start f w1 2.1.f
         20 ok 2.1.f i1
-        > known i1 f w1 Booting
+        > updated i1 f w1 Booting
         1000 list i1:f:w1:a i2:f:w2:a
-        > known i1 f w1 Ready
-        > known i2 f w2 Ready
+        > updated i1 f w1 Ready
+        > updated i2 f w2 Ready
         1400 tick
     " },
-    a_dead_holder_and_dead_owners = { "
-        0 conf f
+    predecessor_and_owners_gone = { "
+        0 configure f
         1 workers w1:a:1000
         2 list i1:f:w1:a
-        > known i1 f w1 Ready
+        > updated i1 f w1 Ready
         14999 tick
         15249 tick
-        > known i1 f w1 Draining
-        15500 want f 1 a
+        > updated i1 f w1 Draining
+        15500 target f 1 a
         > start f w1 2.1.f
         16249 tick
-        > gone i1 f
+        > removed i1 f
         > stop i1
     " },
-    retired_before_it_is_known = { "
-        0 conf f
+    retired_before_it_is_listed = { "
+        0 configure f
         1 workers w1:a:1000
         2 retire i1
         > stop i1
@@ -471,11 +472,11 @@
     " },
 )]
 fn successor(trace: &str) {
-    play(2, 100.0, trace);
+    run(2, 100.0, trace);
 }
 
 #[test]
-fn calls_keep_under_the_rate() {
+fn calls_stay_within_the_rate_limit() {
     let mut scaler = Scaler::new(ScalerConfig::new(1, 20.0, 800), 0);
     let names: Vec<String> = (0..60).map(|n| format!("s{n}")).collect();
     scaler.configure(0, names.iter().map(|name| spec(name)));
@@ -510,9 +511,9 @@
     assert!(matches!(&effects[..], [Effect::Start { nonce, .. }] if nonce.len() == 64), "{effects:?}");
 }
 
-/// A zone without room would have kept its own requests waiting for good.
+/// Without this report, requests of a zone whose workers are full would wait forever.
 #[test]
-fn a_lot_whose_zone_has_no_room_is_named() {
+fn split_service_with_a_full_zone_is_reported_as_starved() {
     let mut scaler = Scaler::new(ScalerConfig::new(1, 20.0, 0), 0);
     scaler.configure(0, ["f", "g"].map(spec));
     scaler.workers_listed(0, 1, vec![worker("w1:a:9000"), worker("w2:b:90")]);
@@ -531,9 +532,10 @@
     assert!(starved(&scaler, 9_000 * MS).is_empty());
 }
 
-/// What one service's owner calls slow counts for that service; what two say counts for all.
+/// A worker that one service's owner reports as slow is avoided for that service; one that two services
+/// report is avoided for all.
 #[test]
-fn slow_workers_are_left_out_while_others_have_room() {
+fn slow_workers_are_avoided_while_others_have_room() {
     let first = |named: &[(&str, &[&str])], rooms: [&str; 3]| {
         let mut scaler = Scaler::new(ScalerConfig::new(1, 20.0, 0), 0);
         scaler.configure(0, ["f", "g", "h"].map(spec));
