--- a/agent/src/newest.rs
+++ b/agent/src/newest.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use compact_str::CompactString;
-use millpost_config::{At, Config, change};
+use millpost_config::{Config, JsonCursor, change};
 use millpost_net::pack::{pack, unpack};
 use millpost_protocol::{Instance, MembershipView, PeerMessage, Version};
 use tinyjson::JsonValue;
@@ -81,7 +81,7 @@
             {
                 Taken::Old
             }
-            PeerMessage::Config { revision, body } => match Config::read(&At::root(&body)) {
+            PeerMessage::Config { revision, body } => match Config::read(&JsonCursor::root(&body)) {
                 Ok(config) => self.install(config, PeerMessage::Config { revision, body }, weight),
                 Err(e) => Taken::Unread(format!("configuration {revision}: {e}")),
             },
--- a/agent/tests/round.rs
+++ b/agent/tests/round.rs
@@ -39,7 +39,7 @@
 }
 
 fn patch(from: u64, revision: u64) -> PeerMessage {
-    let change = change::between(&config(from, from), &config(revision, revision));
+    let change = change::diff(&config(from, from), &config(revision, revision));
     PeerMessage::Patch { revision, change }
 }
 
@@ -247,7 +247,7 @@
     says_another = {
         vec![whole(5), PeerMessage::Config { revision: 9, body: config(3, 1).to_value() }, PeerMessage::Patch {
             revision: 9,
-            change: change::between(&config(5, 5), &config(4, 4)),
+            change: change::diff(&config(5, 5), &config(4, 4)),
         }],
         vec![whole(5)]
     },
@@ -727,7 +727,7 @@
     let mut play = Play::new(&[1]);
     play.line(1, &[whole(1)]);
     let (old, new) = (config(1, 1), config(2, 2));
-    play.line(1, &[PeerMessage::Patch { revision: 2, change: millpost_config::change::between(&old, &new) }]);
+    play.line(1, &[PeerMessage::Patch { revision: 2, change: millpost_config::change::diff(&old, &new) }]);
     play.told.clear();
     play.give(Input::Up);
     let packed = millpost_net::pack::pack(&new.to_json()).expect("packed");
--- a/config/src/change.rs
+++ b/config/src/change.rs
@@ -10,13 +10,13 @@
 use snafu::ensure;
 use tinyjson::JsonValue;
 
-use crate::fault::BaseSnafu;
+use crate::fault::BaseMismatchSnafu;
 use crate::values::{list, number, object, string};
-use crate::{At, Config, Fault, Limits, Route, Service};
+use crate::{Config, ConfigError, JsonCursor, Limits, Route, Service};
 
 /// The change from one configuration to another.
 #[must_use]
-pub fn between(old: &Config, new: &Config) -> JsonValue {
+pub fn diff(old: &Config, new: &Config) -> JsonValue {
     let pair = |(host, prefix): &(CompactString, CompactString)| list([string(host), string(prefix)]);
     object([
         ("from", state(old)),
@@ -37,29 +37,33 @@
 }
 
 /// Makes the new configuration out of the old one and a change.
-pub fn apply(config: &Config, change: &JsonValue) -> Result<Config, Fault> {
-    let at = At::root(change);
-    meets(config, &at.need("from")?)?;
+pub fn apply(config: &Config, change: &JsonValue) -> Result<Config, ConfigError> {
+    let at = JsonCursor::root(change);
+    meets(config, &at.required("from")?)?;
     let mut next = config.clone();
-    next.revision = at.need("to")?.need("revision")?.whole()?;
-    next.limits = Limits::read(&at.need("limits")?)?;
+    next.revision = at.required("to")?.required("revision")?.uint()?;
+    next.limits = Limits::read(&at.required("limits")?)?;
 
-    let routes = at.need("routes")?;
-    let gone =
-        routes.need("removed")?.items()?.map(|at| removed_route(&at)).collect::<Result<HashSet<_>, _>>()?;
+    let routes = at.required("routes")?;
+    let gone = routes
+        .required("removed")?
+        .items()?
+        .map(|at| removed_route(&at))
+        .collect::<Result<HashSet<_>, _>>()?;
     next.routes.retain(|route| !gone.contains(&key(route)));
-    let put = routes.need("put")?.items()?.map(|at| Route::read(&at)).collect::<Result<Vec<_>, _>>()?;
+    let put = routes.required("put")?.items()?.map(|at| Route::read(&at)).collect::<Result<Vec<_>, _>>()?;
     replace(&mut next.routes, put, key);
 
-    let services = at.need("services")?;
-    let gone = services.need("removed")?;
+    let services = at.required("services")?;
+    let gone = services.required("removed")?;
     let gone = gone.items()?.map(|at| at.str()).collect::<Result<HashSet<_>, _>>()?;
     next.services.retain(|service| !gone.contains(service.name.as_str()));
-    let put = services.need("put")?.items()?.map(|at| Service::read(&at)).collect::<Result<Vec<_>, _>>()?;
+    let put =
+        services.required("put")?.items()?.map(|at| Service::read(&at)).collect::<Result<Vec<_>, _>>()?;
     replace(&mut next.services, put, |service| service.name.clone());
 
     next.check()?;
-    meets(&next, &at.need("to")?)?;
+    meets(&next, &at.required("to")?)?;
     Ok(next)
 }
 
@@ -73,10 +77,10 @@
     format!("{:016x}", config.digest())
 }
 
-fn meets(config: &Config, state: &At<'_>) -> Result<(), Fault> {
-    let wanted = format!("{} {}", state.need("revision")?.whole()?, state.need("digest")?.str()?);
+fn meets(config: &Config, state: &JsonCursor<'_>) -> Result<(), ConfigError> {
+    let wanted = format!("{} {}", state.required("revision")?.uint()?, state.required("digest")?.str()?);
     let held = format!("{} {}", config.revision, digest(config));
-    ensure!(wanted == held, BaseSnafu { wanted, held });
+    ensure!(wanted == held, BaseMismatchSnafu { wanted, held });
     Ok(())
 }
 
@@ -84,9 +88,10 @@
     (route.host.clone(), route.path_prefix.clone())
 }
 
-fn removed_route(at: &At<'_>) -> Result<(CompactString, CompactString), Fault> {
-    let names = at.items()?.map(|at| Ok(at.str()?.into())).collect::<Result<Vec<CompactString>, Fault>>()?;
-    let [host, prefix] = <[_; 2]>::try_from(names).map_err(|_| at.fault("is not a host and a prefix"))?;
+fn removed_route(at: &JsonCursor<'_>) -> Result<(CompactString, CompactString), ConfigError> {
+    let names =
+        at.items()?.map(|at| Ok(at.str()?.into())).collect::<Result<Vec<CompactString>, ConfigError>>()?;
+    let [host, prefix] = <[_; 2]>::try_from(names).map_err(|_| at.error("is not a host and a prefix"))?;
     Ok((host, prefix))
 }
 
--- a/config/src/config.rs
+++ b/config/src/config.rs
@@ -12,7 +12,7 @@
 use crate::gather::Gather;
 use crate::routes::host_key;
 use crate::values::{self, list, number, object, string};
-use crate::{At, Fault, Faults, digest, shares};
+use crate::{ConfigError, ConfigErrors, JsonCursor, digest, shares};
 
 /// A whole configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -104,27 +104,27 @@
 impl Config {
     /// Reads and checks a configuration; the first fault where there are several. Unknown fields are passed over; of services
     /// with one name the last holds.
-    pub fn parse(text: &str) -> Result<Self, Fault> {
-        Self::checked(text).map_err(Faults::first)
+    pub fn parse(text: &str) -> Result<Self, ConfigError> {
+        Self::parse_collecting_errors(text).map_err(ConfigErrors::into_first)
     }
 
     /// The same; all faults where there are several. What rests on a part that can't be read is judged once it can be.
-    pub fn checked(text: &str) -> Result<Self, Faults> {
-        Self::gathered(&At::root(&values::parse(text)?))
+    pub fn parse_collecting_errors(text: &str) -> Result<Self, ConfigErrors> {
+        Self::gathered(&JsonCursor::root(&values::parse(text)?))
     }
 
     /// Reads and checks a configuration that is part of something larger.
-    pub fn read(at: &At<'_>) -> Result<Self, Fault> {
-        Self::gathered(at).map_err(Faults::first)
+    pub fn read(at: &JsonCursor<'_>) -> Result<Self, ConfigError> {
+        Self::gathered(at).map_err(ConfigErrors::into_first)
     }
 
-    fn gathered(at: &At<'_>) -> Result<Self, Faults> {
+    fn gathered(at: &JsonCursor<'_>) -> Result<Self, ConfigErrors> {
         at.object()?;
         let mut faults = Gather::default();
-        let revision = faults.get(at.need("revision").and_then(|at| at.whole()));
+        let revision = faults.get(at.required("revision").and_then(|at| at.uint()));
         let mut routes = Vec::new();
         let named = names(at);
-        if let Some(at) = faults.some(at.need("routes")) {
+        if let Some(at) = faults.some(at.required("routes")) {
             let mut whole = Whole { services: named, places: HashMap::new() };
             for (number, at) in faults.some(at.items()).into_iter().flatten().enumerate() {
                 if faults.some(at.object()).is_none() {
@@ -137,7 +137,7 @@
         }
         let mut services: Vec<Service> = Vec::new();
         let mut places = HashMap::new();
-        if let Some(at) = faults.some(at.need("services")) {
+        if let Some(at) = faults.some(at.required("services")) {
             for at in faults.some(at.items()).into_iter().flatten() {
                 if faults.some(at.object()).is_none() {
                     continue;
@@ -152,12 +152,13 @@
                 }
             }
         }
-        let limits = at.key("limits").map_or_else(Limits::default, |at| Limits::gather(&at, &mut faults));
+        let limits =
+            at.optional("limits").map_or_else(Limits::default, |at| Limits::gather(&at, &mut faults));
         faults.end(Self { revision, routes, services, limits })
     }
 
     /// Checks what no single route shows.
-    pub(crate) fn check(&self) -> Result<(), Fault> {
+    pub(crate) fn check(&self) -> Result<(), ConfigError> {
         let services = Some(self.services.iter().map(|service| service.name.as_str()).collect());
         let mut whole = Whole { services, places: HashMap::with_capacity(self.routes.len()) };
         for (number, route) in self.routes.iter().enumerate() {
@@ -212,7 +213,7 @@
 
     /// Whether both say the same, in whatever order.
     #[must_use]
-    pub fn same(&self, other: &Self) -> bool {
+    pub fn same_content(&self, other: &Self) -> bool {
         let sorted = |config: &Self| {
             let mut config = config.clone();
             config.routes.sort_by(|a, b| (&a.host, &a.path_prefix).cmp(&(&b.host, &b.path_prefix)));
@@ -231,7 +232,7 @@
 }
 
 /// The names of all services, where all can be read.
-fn names<'a>(at: &At<'a>) -> Option<HashSet<&'a str>> {
+fn names<'a>(at: &JsonCursor<'a>) -> Option<HashSet<&'a str>> {
     let services = values::get_list(at.value(), "services")?;
     services.iter().map(|service| values::get_str(service, "name")).collect()
 }
@@ -247,23 +248,26 @@
     }
 
     /// All services of a route are there.
-    fn known(&self, number: usize, shares: &[(CompactString, u32)]) -> Result<(), Fault> {
+    fn known(&self, number: usize, shares: &[(CompactString, u32)]) -> Result<(), ConfigError> {
         let Some(services) = &self.services else { return Ok(()) };
         match shares.iter().find(|(name, _)| !services.contains(name.as_str())) {
             Some((name, _)) => {
                 let path = format!("routes[{number}].service");
-                Err(Fault::Field { path, reason: format!("is {name:?}, which is no service") })
+                Err(ConfigError::Field { path, reason: format!("is {name:?}, which is no service") })
             }
             None => Ok(()),
         }
     }
 
     /// No route before has the same host and prefix.
-    fn once(&mut self, number: usize, host: &'a str, prefix: &'a str) -> Result<(), Fault> {
+    fn once(&mut self, number: usize, host: &'a str, prefix: &'a str) -> Result<(), ConfigError> {
         match self.places.insert((host_key(host), prefix), number) {
             Some(other) => {
                 let path = format!("routes[{number}].path_prefix");
-                Err(Fault::Field { path, reason: format!("has the host and prefix of routes[{other}]") })
+                Err(ConfigError::Field {
+                    path,
+                    reason: format!("has the host and prefix of routes[{other}]"),
+                })
             }
             None => Ok(()),
         }
@@ -271,24 +275,24 @@
 }
 
 impl Route {
-    pub(crate) fn read(at: &At<'_>) -> Result<Self, Fault> {
+    pub(crate) fn read(at: &JsonCursor<'_>) -> Result<Self, ConfigError> {
         at.object()?;
         let mut faults = Gather::default();
         let route = Self::gather(at, &mut faults);
-        faults.end(route).map_err(Faults::first)
+        faults.end(route).map_err(ConfigErrors::into_first)
     }
 
-    fn gather(at: &At<'_>, faults: &mut Gather) -> Self {
-        let text = |key| at.need(key).and_then(|at| Ok(CompactString::from(at.str()?)));
-        let deadline = at.need("deadline_ms").and_then(|at| match at.whole()? {
-            0 => Err(at.fault("is 0; at least 1")),
+    fn gather(at: &JsonCursor<'_>, faults: &mut Gather) -> Self {
+        let text = |key| at.required(key).and_then(|at| Ok(CompactString::from(at.str()?)));
+        let deadline = at.required("deadline_ms").and_then(|at| match at.uint()? {
+            0 => Err(at.error("is 0; at least 1")),
             deadline => Ok(deadline),
         });
         let deadline_ms = faults.get(deadline);
-        let traffic = at.need("traffic_kind").and_then(|at| match at.str()? {
+        let traffic = at.required("traffic_kind").and_then(|at| match at.str()? {
             "idempotent" => Ok(Traffic::Idempotent),
             "mutating" => Ok(Traffic::Mutating),
-            other => Err(at.fault(format!("is {other:?}; idempotent or mutating"))),
+            other => Err(at.error(format!("is {other:?}; idempotent or mutating"))),
         });
         Self {
             name: faults.get(at.str_or("name", "")).into(),
@@ -296,9 +300,9 @@
             path_prefix: faults.get(text("path_prefix")),
             traffic: faults.or(traffic, Traffic::Mutating),
             deadline_ms,
-            target_latency_ms: faults.get(at.whole_or("target_latency_ms", deadline_ms)),
-            priority: faults.get(at.count_or("priority", 2)),
-            max_tries: faults.get(at.count_or("max_tries", 1)),
+            target_latency_ms: faults.get(at.uint_or("target_latency_ms", deadline_ms)),
+            priority: faults.get(at.saturating_u32_or("priority", 2)),
+            max_tries: faults.get(at.saturating_u32_or("max_tries", 1)),
             shares: shares::gather(at, faults),
         }
     }
@@ -336,23 +340,23 @@
 }
 
 impl Service {
-    pub(crate) fn read(at: &At<'_>) -> Result<Self, Fault> {
+    pub(crate) fn read(at: &JsonCursor<'_>) -> Result<Self, ConfigError> {
         at.object()?;
         let mut faults = Gather::default();
         let service = Self::gather(at, &mut faults);
-        faults.end(service).map_err(Faults::first)
+        faults.end(service).map_err(ConfigErrors::into_first)
     }
 
-    fn gather(at: &At<'_>, faults: &mut Gather) -> Self {
+    fn gather(at: &JsonCursor<'_>, faults: &mut Gather) -> Self {
         Self {
-            name: faults.get(at.need("name").and_then(|at| Ok(at.str()?.into()))),
-            health_path: faults.get(at.key("health_path").map(|at| Ok(at.str()?.into())).transpose()),
-            max_conns: faults.get(at.count_or("max_conns", u32::MAX)),
+            name: faults.get(at.required("name").and_then(|at| Ok(at.str()?.into()))),
+            health_path: faults.get(at.optional("health_path").map(|at| Ok(at.str()?.into())).transpose()),
+            max_conns: faults.get(at.saturating_u32_or("max_conns", u32::MAX)),
             protocol: faults.get(at.str_or("protocol", "h1")).into(),
-            tls: faults.get(at.flag_or("tls", false)),
-            memory_mb: faults.get(at.whole_or("memory_mb", 128)),
-            boot_ms: faults.get(at.whole_or("boot_ms", 1000)),
-            concurrency: faults.get(at.count_or("concurrency", 1)),
+            tls: faults.get(at.boolean_or("tls", false)),
+            memory_mb: faults.get(at.uint_or("memory_mb", 128)),
+            boot_ms: faults.get(at.uint_or("boot_ms", 1000)),
+            concurrency: faults.get(at.saturating_u32_or("concurrency", 1)),
         }
     }
 
@@ -371,18 +375,18 @@
 }
 
 impl Limits {
-    pub(crate) fn read(at: &At<'_>) -> Result<Self, Fault> {
+    pub(crate) fn read(at: &JsonCursor<'_>) -> Result<Self, ConfigError> {
         let mut faults = Gather::default();
         let limits = Self::gather(at, &mut faults);
-        faults.end(limits).map_err(Faults::first)
+        faults.end(limits).map_err(ConfigErrors::into_first)
     }
 
-    fn gather(at: &At<'_>, faults: &mut Gather) -> Self {
+    fn gather(at: &JsonCursor<'_>, faults: &mut Gather) -> Self {
         let other = Self::default();
         if faults.some(at.object()).is_none() {
             return other;
         }
-        let mut whole = |key, other| faults.get(at.whole_or(key, other));
+        let mut whole = |key, other| faults.get(at.uint_or(key, other));
         Self {
             max_header_bytes: whole("max_header_bytes", other.max_header_bytes),
             max_body_bytes: whole("max_body_bytes", other.max_body_bytes),
--- a/config/src/fault.rs
+++ b/config/src/fault.rs
@@ -7,7 +7,7 @@
 /// Why something was not read or not applied.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum Fault {
+pub enum ConfigError {
     /// The text is no JSON, or more of it than is read here.
     #[snafu(display("not read: {reason}"))]
     Text {
@@ -24,7 +24,7 @@
     },
     /// A change was made for another configuration than the one it met.
     #[snafu(display("a change from {wanted} met {held}"))]
-    Base {
+    BaseMismatch {
         /// Revision and digest that the change starts from.
         wanted: String,
         /// Revision and digest of the configuration held.
@@ -40,11 +40,11 @@
     },
     /// A file was read, but not what stands in it.
     #[snafu(display("{}: {source}", path.display()))]
-    Content {
+    FileContent {
         /// The file.
         path: PathBuf,
         /// What is wrong in it.
-        #[snafu(source(from(Fault, Box::new)))]
-        source: Box<Fault>,
+        #[snafu(source(from(ConfigError, Box::new)))]
+        source: Box<ConfigError>,
     },
 }
--- a/config/src/lib.rs
+++ b/config/src/lib.rs
@@ -12,9 +12,9 @@
 pub mod values;
 
 pub use config::{Config, Limits, Route, Service, Traffic};
-pub use fault::Fault;
-pub use gather::Faults;
-pub use read::At;
-pub use routes::Table;
+pub use fault::ConfigError;
+pub use gather::ConfigErrors;
+pub use read::JsonCursor;
+pub use routes::RouteTable;
 pub use settings::Settings;
-pub use shares::redirect;
+pub use shares::set_services;
--- a/config/src/read.rs
+++ b/config/src/read.rs
@@ -5,12 +5,12 @@
 
 use tinyjson::JsonValue;
 
-use crate::Fault;
-use crate::values::whole;
+use crate::ConfigError;
+use crate::values::to_uint;
 
 /// A value and the way to it from the outermost one.
 #[derive(Clone, Copy)]
-pub struct At<'a> {
+pub struct JsonCursor<'a> {
     value: &'a JsonValue,
     step: Step<'a>,
 }
@@ -18,22 +18,22 @@
 #[derive(Clone, Copy)]
 enum Step<'a> {
     Root,
-    Key(&'a At<'a>, &'a str),
-    Item(&'a At<'a>, usize),
+    Key(&'a JsonCursor<'a>, &'a str),
+    Item(&'a JsonCursor<'a>, usize),
 }
 
-impl fmt::Display for At<'_> {
+impl fmt::Display for JsonCursor<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.step {
             Step::Root => Ok(()),
-            Step::Key(At { step: Step::Root, .. }, key) => f.write_str(key),
+            Step::Key(JsonCursor { step: Step::Root, .. }, key) => f.write_str(key),
             Step::Key(up, key) => write!(f, "{up}.{key}"),
             Step::Item(up, number) => write!(f, "{up}[{number}]"),
         }
     }
 }
 
-impl<'a> At<'a> {
+impl<'a> JsonCursor<'a> {
     /// The outermost value.
     #[must_use]
     pub fn root(value: &'a JsonValue) -> Self {
@@ -48,123 +48,123 @@
 
     /// A fault at this place.
     #[must_use]
-    pub fn fault(&self, reason: impl Into<String>) -> Fault {
+    pub fn error(&self, reason: impl Into<String>) -> ConfigError {
         let path = match self.step {
             Step::Root => "the whole".to_owned(),
             _ => self.to_string(),
         };
-        Fault::Field { path, reason: reason.into() }
+        ConfigError::Field { path, reason: reason.into() }
     }
 
     /// What stands under a key. A null counts as left out.
     #[must_use]
-    pub fn key<'b>(&'b self, key: &'b str) -> Option<At<'b>> {
+    pub fn optional<'b>(&'b self, key: &'b str) -> Option<JsonCursor<'b>> {
         let JsonValue::Object(object) = self.value else { return None };
         let value = object.get(key).filter(|value| !value.is_null())?;
-        Some(At { value, step: Step::Key(self, key) })
+        Some(JsonCursor { value, step: Step::Key(self, key) })
     }
 
     /// What stands under a key that must be there.
-    pub fn need<'b>(&'b self, key: &'b str) -> Result<At<'b>, Fault> {
+    pub fn required<'b>(&'b self, key: &'b str) -> Result<JsonCursor<'b>, ConfigError> {
         self.object()?;
-        let missing = || At { value: self.value, step: Step::Key(self, key) }.fault("is missing");
-        self.key(key).ok_or_else(missing)
+        let missing = || JsonCursor { value: self.value, step: Step::Key(self, key) }.error("is missing");
+        self.optional(key).ok_or_else(missing)
     }
 
     /// Checks that this is an object.
-    pub fn object(&self) -> Result<(), Fault> {
-        if self.value.is_object() { Ok(()) } else { Err(self.fault("is not an object")) }
+    pub fn object(&self) -> Result<(), ConfigError> {
+        if self.value.is_object() { Ok(()) } else { Err(self.error("is not an object")) }
     }
 
     /// A string.
-    pub fn str(&self) -> Result<&'a str, Fault> {
+    pub fn str(&self) -> Result<&'a str, ConfigError> {
         match self.value {
             JsonValue::String(text) => Ok(text),
-            _ => Err(self.fault("is not a string")),
+            _ => Err(self.error("is not a string")),
         }
     }
 
     /// A finite number.
-    pub fn number(&self) -> Result<f64, Fault> {
+    pub fn number(&self) -> Result<f64, ConfigError> {
         match self.value {
             JsonValue::Number(number) if number.is_finite() => Ok(*number),
-            _ => Err(self.fault("is not a number")),
+            _ => Err(self.error("is not a number")),
         }
     }
 
     /// A finite number that is not below 0.
-    pub fn amount(&self) -> Result<f64, Fault> {
+    pub fn non_negative(&self) -> Result<f64, ConfigError> {
         let number = self.number()?;
-        if number >= 0.0 { Ok(number) } else { Err(self.fault(format!("is {number}; at least 0"))) }
+        if number >= 0.0 { Ok(number) } else { Err(self.error(format!("is {number}; at least 0"))) }
     }
 
     /// A whole number from 0 to 2^53.
-    pub fn whole(&self) -> Result<u64, Fault> {
+    pub fn uint(&self) -> Result<u64, ConfigError> {
         let number = self.number()?;
-        whole(number)
-            .ok_or_else(|| self.fault(format!("is {number}; a whole number from 0 to 2^53 is needed")))
+        to_uint(number)
+            .ok_or_else(|| self.error(format!("is {number}; a whole number from 0 to 2^53 is needed")))
     }
 
     /// A whole number; what is above `u32` counts as its largest.
-    pub fn count(&self) -> Result<u32, Fault> {
-        Ok(u32::try_from(self.whole()?).unwrap_or(u32::MAX))
+    pub fn saturating_u32(&self) -> Result<u32, ConfigError> {
+        Ok(u32::try_from(self.uint()?).unwrap_or(u32::MAX))
     }
 
     /// True or false.
-    pub fn flag(&self) -> Result<bool, Fault> {
+    pub fn boolean(&self) -> Result<bool, ConfigError> {
         match self.value {
             JsonValue::Boolean(flag) => Ok(*flag),
-            _ => Err(self.fault("is neither true nor false")),
+            _ => Err(self.error("is neither true nor false")),
         }
     }
 
     /// A string that holds something, such as an address.
-    pub fn parsed<T: FromStr>(&self, what: &str) -> Result<T, Fault> {
+    pub fn parse_as<T: FromStr>(&self, what: &str) -> Result<T, ConfigError> {
         let text = self.str()?;
-        text.parse().map_err(|_| self.fault(format!("is {text:?}; {what} is needed")))
+        text.parse().map_err(|_| self.error(format!("is {text:?}; {what} is needed")))
     }
 
     /// The items of a list.
-    pub fn items<'b>(&'b self) -> Result<impl ExactSizeIterator<Item = At<'b>>, Fault> {
-        let JsonValue::Array(items) = self.value else { return Err(self.fault("is not a list")) };
-        let item = move |(number, value)| At { value, step: Step::Item(self, number) };
+    pub fn items<'b>(&'b self) -> Result<impl ExactSizeIterator<Item = JsonCursor<'b>>, ConfigError> {
+        let JsonValue::Array(items) = self.value else { return Err(self.error("is not a list")) };
+        let item = move |(number, value)| JsonCursor { value, step: Step::Item(self, number) };
         Ok(items.iter().enumerate().map(item))
     }
 
     /// The items of an object in the order of their keys; what is null counts as left out.
-    pub fn entries<'b>(&'b self) -> Result<Vec<(&'b str, At<'b>)>, Fault> {
-        let JsonValue::Object(object) = self.value else { return Err(self.fault("is not an object")) };
+    pub fn entries<'b>(&'b self) -> Result<Vec<(&'b str, JsonCursor<'b>)>, ConfigError> {
+        let JsonValue::Object(object) = self.value else { return Err(self.error("is not an object")) };
         let mut entries: Vec<_> = object
             .iter()
             .filter(|(_, value)| !value.is_null())
-            .map(|(key, value)| (key.as_str(), At { value, step: Step::Key(self, key) }))
+            .map(|(key, value)| (key.as_str(), JsonCursor { value, step: Step::Key(self, key) }))
             .collect();
         entries.sort_unstable_by_key(|(key, _)| *key);
         Ok(entries)
     }
 
     /// A string, or something else where the key is left out.
-    pub fn str_or<'b>(&'b self, key: &'b str, other: &'b str) -> Result<&'b str, Fault> {
-        self.key(key).map_or(Ok(other), |at| at.str())
+    pub fn str_or<'b>(&'b self, key: &'b str, other: &'b str) -> Result<&'b str, ConfigError> {
+        self.optional(key).map_or(Ok(other), |at| at.str())
     }
 
     /// A whole number, or something else where the key is left out.
-    pub fn whole_or(&self, key: &str, other: u64) -> Result<u64, Fault> {
-        self.key(key).map_or(Ok(other), |at| at.whole())
+    pub fn uint_or(&self, key: &str, other: u64) -> Result<u64, ConfigError> {
+        self.optional(key).map_or(Ok(other), |at| at.uint())
     }
 
     /// A count, or something else where the key is left out.
-    pub fn count_or(&self, key: &str, other: u32) -> Result<u32, Fault> {
-        self.key(key).map_or(Ok(other), |at| at.count())
+    pub fn saturating_u32_or(&self, key: &str, other: u32) -> Result<u32, ConfigError> {
+        self.optional(key).map_or(Ok(other), |at| at.saturating_u32())
     }
 
     /// A number from 0, or something else where the key is left out.
-    pub fn amount_or(&self, key: &str, other: f64) -> Result<f64, Fault> {
-        self.key(key).map_or(Ok(other), |at| at.amount())
+    pub fn non_negative_or(&self, key: &str, other: f64) -> Result<f64, ConfigError> {
+        self.optional(key).map_or(Ok(other), |at| at.non_negative())
     }
 
     /// True or false, or something else where the key is left out.
-    pub fn flag_or(&self, key: &str, other: bool) -> Result<bool, Fault> {
-        self.key(key).map_or(Ok(other), |at| at.flag())
+    pub fn boolean_or(&self, key: &str, other: bool) -> Result<bool, ConfigError> {
+        self.optional(key).map_or(Ok(other), |at| at.boolean())
     }
 }
--- a/config/src/routes.rs
+++ b/config/src/routes.rs
@@ -9,7 +9,7 @@
 
 /// The routes of a configuration, ready to be asked for each request.
 #[derive(Debug, Clone, Default)]
-pub struct Table {
+pub struct RouteTable {
     routes: Vec<Route>,
     hosts: HashMap<CompactString, Vec<Entry>>,
 }
@@ -23,7 +23,7 @@
     shorter: Option<usize>,
 }
 
-impl Table {
+impl RouteTable {
     /// A table of all routes.
     #[must_use]
     pub fn new(config: &Config) -> Self {
@@ -46,7 +46,7 @@
         self.position(host, path).map(|route| &self.routes[route])
     }
 
-    /// The number of that route among [`Table::routes`].
+    /// The number of that route among [`RouteTable::routes`].
     #[must_use]
     pub fn position(&self, host: &str, path: &str) -> Option<usize> {
         let entries = self.hosts.get(&*host_key(host))?;
--- a/config/src/settings.rs
+++ b/config/src/settings.rs
@@ -9,7 +9,7 @@
 
 use crate::fault::FileSnafu;
 use crate::gather::Gather;
-use crate::{At, Fault, Faults, values};
+use crate::{ConfigError, ConfigErrors, JsonCursor, values};
 
 /// Everything that is read from the settings file.
 #[derive(Debug, Clone, PartialEq)]
@@ -159,36 +159,36 @@
 
 impl Settings {
     /// Reads a settings file; the first fault where there are several.
-    pub fn load(path: &Path) -> Result<Self, Fault> {
-        Self::checked(path).map_err(Faults::first)
+    pub fn load(path: &Path) -> Result<Self, ConfigError> {
+        Self::load_collecting_errors(path).map_err(ConfigErrors::into_first)
     }
 
     /// Reads a settings file; all faults where there are several.
-    pub fn checked(path: &Path) -> Result<Self, Faults> {
-        Self::checked_for(path, &[])
+    pub fn load_collecting_errors(path: &Path) -> Result<Self, ConfigErrors> {
+        Self::load_for(path, &[])
     }
 
     /// The same for a program that needs these keys, as `bind_addrs.front`.
-    pub fn checked_for(path: &Path, needs: &[&str]) -> Result<Self, Faults> {
+    pub fn load_for(path: &Path, needs: &[&str]) -> Result<Self, ConfigErrors> {
         let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
-        let content = |source| Fault::Content { path: path.to_owned(), source: Box::new(source) };
-        Self::checked_text_for(&text, needs).map_err(|faults| faults.map(content))
+        let content = |source| ConfigError::FileContent { path: path.to_owned(), source: Box::new(source) };
+        Self::parse_for(&text, needs).map_err(|faults| faults.map(content))
     }
 
     /// Reads the text of a settings file. Unknown fields are passed over.
-    pub fn parse(text: &str) -> Result<Self, Fault> {
-        Self::checked_text(text).map_err(Faults::first)
+    pub fn parse(text: &str) -> Result<Self, ConfigError> {
+        Self::parse_collecting_errors(text).map_err(ConfigErrors::into_first)
     }
 
     /// The same; all faults where there are several.
-    pub fn checked_text(text: &str) -> Result<Self, Faults> {
-        Self::checked_text_for(text, &[])
+    pub fn parse_collecting_errors(text: &str) -> Result<Self, ConfigErrors> {
+        Self::parse_for(text, &[])
     }
 
     /// The same for a program that needs these keys.
-    pub fn checked_text_for(text: &str, needs: &[&str]) -> Result<Self, Faults> {
+    pub fn parse_for(text: &str, needs: &[&str]) -> Result<Self, ConfigErrors> {
         let value = values::parse(text)?;
-        let at = At::root(&value);
+        let at = JsonCursor::root(&value);
         at.object()?;
         let mut faults = Gather::default();
         let settings = Self::read(&at, &mut faults);
@@ -196,14 +196,16 @@
             let found = path.split('.').try_fold(&value, |at, key| values::get(at, key));
             let reason = || "is missing, and this program needs it".to_owned();
             faults.get(
-                found.map(|_| ()).ok_or_else(|| Fault::Field { path: (*path).to_owned(), reason: reason() }),
+                found
+                    .map(|_| ())
+                    .ok_or_else(|| ConfigError::Field { path: (*path).to_owned(), reason: reason() }),
             );
         }
         faults.end(settings)
     }
 
-    fn read(at: &At<'_>, faults: &mut Gather) -> Self {
-        let text = |key| at.need(key).and_then(|at| Ok(at.str()?.into()));
+    fn read(at: &JsonCursor<'_>, faults: &mut Gather) -> Self {
+        let text = |key| at.required(key).and_then(|at| Ok(at.str()?.into()));
         let text_or = |key, other| at.str_or(key, other).map(CompactString::from);
         let nobody = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
         let mut settings = Self {
@@ -211,28 +213,28 @@
             role: faults.get(text_or("role", "")),
             machine_class: faults.get(text_or("machine_class", "")),
             serves: names(at, "serves", faults),
-            ip: faults.or(at.need("ip").and_then(|at| at.parsed("an IP address")), nobody),
+            ip: faults.or(at.required("ip").and_then(|at| at.parse_as("an IP address")), nobody),
             zone: faults.get(text("zone")),
             region: faults.get(text_or("region", "")),
             zones: zones(at, faults),
             bind_addrs: part(at, "bind_addrs", BindAddrs::read, faults),
-            internal_ports: faults.get(at.need("internal_ports").and_then(|at| ports(&at))),
+            internal_ports: faults.get(at.required("internal_ports").and_then(|at| ports(&at))),
             seed_nodes: seeds(at, faults),
-            bootstrap: faults.get(at.flag_or("bootstrap", false)),
-            counts_loss: faults.get(at.flag_or("counts_loss", false)),
-            limits: match faults.some(at.need("limits")) {
+            bootstrap: faults.get(at.boolean_or("bootstrap", false)),
+            counts_loss: faults.get(at.boolean_or("counts_loss", false)),
+            limits: match faults.some(at.required("limits")) {
                 Some(at) => MachineLimits::read(&at, faults),
                 None => MachineLimits::default(),
             },
-            data_dir: faults.get(at.key("data_dir").map(|at| Ok(at.str()?.into())).transpose()),
+            data_dir: faults.get(at.optional("data_dir").map(|at| Ok(at.str()?.into())).transpose()),
             beat_interval_ms: faults.get(millis_or(at, "beat_interval_ms", 1200)),
             contracts: names(at, "contracts", faults),
             tolerance: part(at, "tolerance", Tolerance::read, faults),
             bounds: part(at, "bounds", Bounds::read, faults),
             config_mode: faults.get(text_or("config_mode", "highest")),
-            platform_api: at.key("platform_api").and_then(|at| PlatformApi::read(&at, faults)),
+            platform_api: at.optional("platform_api").and_then(|at| PlatformApi::read(&at, faults)),
         };
-        if at.key("region").is_none() {
+        if at.optional("region").is_none() {
             settings.region = settings.zones.get(&settings.zone).cloned().unwrap_or_default();
         }
         settings
@@ -246,32 +248,32 @@
 }
 
 impl BindAddrs {
-    fn read(at: &At<'_>, faults: &mut Gather) -> Self {
-        let mut address = |key| faults.get(at.key(key).map(|at| at.parsed("IP:port")).transpose());
+    fn read(at: &JsonCursor<'_>, faults: &mut Gather) -> Self {
+        let mut address = |key| faults.get(at.optional(key).map(|at| at.parse_as("IP:port")).transpose());
         Self { front: address("front"), readiness: address("readiness"), control: address("control") }
     }
 }
 
 impl MachineLimits {
-    fn read(at: &At<'_>, faults: &mut Gather) -> Self {
+    fn read(at: &JsonCursor<'_>, faults: &mut Gather) -> Self {
         if faults.some(at.object()).is_none() {
             return Self::default();
         }
-        let need = |key| at.need(key).and_then(|at| at.whole());
+        let need = |key| at.required(key).and_then(|at| at.uint());
         Self {
-            cpu_share: faults.get(at.amount_or("cpu_share", 1.0)),
-            cpu_cores: faults.get(at.amount_or("cpu_cores", 1.0)),
+            cpu_share: faults.get(at.non_negative_or("cpu_share", 1.0)),
+            cpu_cores: faults.get(at.non_negative_or("cpu_cores", 1.0)),
             memory_mb: faults.get(need("memory_mb")),
             max_fds: faults.get(need("max_fds")),
-            link_mbps: faults.get(at.amount_or("link_mbps", 1000.0)),
-            disk_mb: faults.get(at.whole_or("disk_mb", 0)),
+            link_mbps: faults.get(at.non_negative_or("link_mbps", 1000.0)),
+            disk_mb: faults.get(at.uint_or("disk_mb", 0)),
         }
     }
 }
 
 impl Tolerance {
-    fn read(at: &At<'_>, faults: &mut Gather) -> Self {
-        let mut count = |key| faults.get(at.count_or(key, 0));
+    fn read(at: &JsonCursor<'_>, faults: &mut Gather) -> Self {
+        let mut count = |key| faults.get(at.saturating_u32_or(key, 0));
         Self {
             machine_losses: count("machine_losses"),
             zones: count("zones"),
@@ -281,9 +283,9 @@
 }
 
 impl Bounds {
-    fn read(at: &At<'_>, faults: &mut Gather) -> Self {
+    fn read(at: &JsonCursor<'_>, faults: &mut Gather) -> Self {
         let other = Self::default();
-        let amount = |key, other, faults: &mut Gather| faults.get(at.amount_or(key, other));
+        let amount = |key, other, faults: &mut Gather| faults.get(at.non_negative_or(key, other));
         let millis = |key, other, faults: &mut Gather| faults.get(millis_or(at, key, other));
         Self {
             seed_lag_s: amount("seed_lag_s", other.seed_lag_s, faults),
@@ -307,20 +309,25 @@
 }
 
 impl PlatformApi {
-    fn read(at: &At<'_>, faults: &mut Gather) -> Option<Self> {
+    fn read(at: &JsonCursor<'_>, faults: &mut Gather) -> Option<Self> {
         faults.some(at.object())?;
-        let address = faults.some(at.need("address").and_then(|at| at.parsed("IP:port")));
-        let rate_per_s = faults.get(at.amount_or("rate_per_s", 1.0));
+        let address = faults.some(at.required("address").and_then(|at| at.parse_as("IP:port")));
+        let rate_per_s = faults.get(at.non_negative_or("rate_per_s", 1.0));
         let duties = names(at, "duties", faults);
         let max_lag_ms = faults.get(millis_or(at, "max_lag_ms", 800));
-        let duty_per_s = faults.get(at.amount_or("duty_per_s", 1.0));
+        let duty_per_s = faults.get(at.non_negative_or("duty_per_s", 1.0));
         Some(Self { address: address?, rate_per_s, duties, max_lag_ms, duty_per_s })
     }
 }
 
 /// A part that may be left out as a whole.
-fn part<T: Default>(at: &At<'_>, key: &str, read: fn(&At<'_>, &mut Gather) -> T, faults: &mut Gather) -> T {
-    let Some(at) = at.key(key) else { return T::default() };
+fn part<T: Default>(
+    at: &JsonCursor<'_>,
+    key: &str,
+    read: fn(&JsonCursor<'_>, &mut Gather) -> T,
+    faults: &mut Gather,
+) -> T {
+    let Some(at) = at.optional(key) else { return T::default() };
     match faults.some(at.object()) {
         Some(()) => read(&at, faults),
         None => T::default(),
@@ -329,37 +336,37 @@
 
 /// Figures may be fractions; of a millisecond none matters.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn millis_or(at: &At<'_>, key: &str, other: u64) -> Result<u64, Fault> {
-    at.key(key).map_or(Ok(other), |at| Ok(at.amount()?.round() as u64))
+fn millis_or(at: &JsonCursor<'_>, key: &str, other: u64) -> Result<u64, ConfigError> {
+    at.optional(key).map_or(Ok(other), |at| Ok(at.non_negative()?.round() as u64))
 }
 
-fn names(at: &At<'_>, key: &str, faults: &mut Gather) -> Vec<CompactString> {
-    let Some(at) = at.key(key) else { return Vec::new() };
+fn names(at: &JsonCursor<'_>, key: &str, faults: &mut Gather) -> Vec<CompactString> {
+    let Some(at) = at.optional(key) else { return Vec::new() };
     let Some(names) = faults.some(at.items()) else { return Vec::new() };
     names.map(|at| faults.get(at.str()).into()).collect()
 }
 
-fn seeds(at: &At<'_>, faults: &mut Gather) -> Vec<SocketAddr> {
-    let Some(at) = at.key("seed_nodes") else { return Vec::new() };
+fn seeds(at: &JsonCursor<'_>, faults: &mut Gather) -> Vec<SocketAddr> {
+    let Some(at) = at.optional("seed_nodes") else { return Vec::new() };
     let Some(seeds) = faults.some(at.items()) else { return Vec::new() };
-    seeds.filter_map(|at| faults.some(at.parsed("IP:port"))).collect()
+    seeds.filter_map(|at| faults.some(at.parse_as("IP:port"))).collect()
 }
 
-fn zones(at: &At<'_>, faults: &mut Gather) -> BTreeMap<CompactString, CompactString> {
-    let Some(at) = at.key("zones") else { return BTreeMap::new() };
+fn zones(at: &JsonCursor<'_>, faults: &mut Gather) -> BTreeMap<CompactString, CompactString> {
+    let Some(at) = at.optional("zones") else { return BTreeMap::new() };
     let zones = faults.get(at.entries());
     zones.into_iter().map(|(zone, at)| (zone.into(), faults.get(at.str()).into())).collect()
 }
 
-fn ports(at: &At<'_>) -> Result<(u16, u16), Fault> {
-    let port = |at: At<'_>| {
-        let port = at.whole()?;
-        u16::try_from(port).map_err(|_| at.fault(format!("is {port}; at most 65535")))
+fn ports(at: &JsonCursor<'_>) -> Result<(u16, u16), ConfigError> {
+    let port = |at: JsonCursor<'_>| {
+        let port = at.uint()?;
+        u16::try_from(port).map_err(|_| at.error(format!("is {port}; at most 65535")))
     };
     let ports = at.items()?.map(port).collect::<Result<Vec<_>, _>>()?;
     match ports[..] {
         [first, last] if first <= last => Ok((first, last)),
-        [first, last] => Err(at.fault(format!("end at {last}, before they begin at {first}"))),
-        _ => Err(at.fault("are not two ports, the first and the last")),
+        [first, last] => Err(at.error(format!("end at {last}, before they begin at {first}"))),
+        _ => Err(at.error("are not two ports, the first and the last")),
     }
 }
--- a/config/src/values.rs
+++ b/config/src/values.rs
@@ -4,7 +4,7 @@
 
 use tinyjson::JsonValue;
 
-use crate::Fault;
+use crate::ConfigError;
 
 /// The longest text that is read.
 pub const MAX_BYTES: usize = 4 << 20;
@@ -14,8 +14,8 @@
 pub const MAX_VALUES: usize = 250_000;
 
 /// Reads a text that may come from anywhere.
-pub fn parse(text: &str) -> Result<JsonValue, Fault> {
-    let refuse = |reason: String| Fault::Text { reason };
+pub fn parse(text: &str) -> Result<JsonValue, ConfigError> {
+    let refuse = |reason: String| ConfigError::Text { reason };
     if text.len() > MAX_BYTES {
         return Err(refuse(format!("{} bytes; at most {MAX_BYTES}", text.len())));
     }
@@ -64,7 +64,7 @@
         JsonValue::Boolean(flag) => out.push_str(if *flag { "true" } else { "false" }),
         // JSON knows no infinity.
         JsonValue::Number(number) if !number.is_finite() => out.push_str("null"),
-        JsonValue::Number(number) => match whole(*number) {
+        JsonValue::Number(number) => match to_uint(*number) {
             Some(number) => _ = write!(out, "{number}"),
             None => _ = write!(out, "{number}"),
         },
@@ -109,7 +109,7 @@
 /// The number as a whole one from 0 to 2^53, the last up to which each whole number has its own value.
 #[must_use]
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-pub fn whole(number: f64) -> Option<u64> {
+pub fn to_uint(number: f64) -> Option<u64> {
     let fits = (0.0..=9_007_199_254_740_992.0).contains(&number) && number.fract() == 0.0;
     fits.then_some(number as u64)
 }
@@ -169,7 +169,7 @@
 /// A whole number from 0 to 2^53 under a key.
 #[must_use]
 pub fn get_u64(value: &JsonValue, key: &str) -> Option<u64> {
-    whole(get_f64(value, key)?)
+    to_uint(get_f64(value, key)?)
 }
 
 /// True or false under a key.
--- a/config/tests/change.rs
+++ b/config/tests/change.rs
@@ -3,15 +3,15 @@
 mod common;
 
 use common::{CONFIG, drawn};
-use millpost_config::{Config, Fault, change, values};
+use millpost_config::{Config, ConfigError, change, values};
 
 #[test]
 fn round_trip() {
     for seed in 0..300 {
         let (old, new) = (drawn(seed), drawn(seed + 1));
-        let text = values::write(&change::between(&old, &new));
+        let text = values::write(&change::diff(&old, &new));
         let made = change::apply(&old, &values::parse(&text).unwrap()).unwrap();
-        assert!(made.same(&new), "{text}");
+        assert!(made.same_content(&new), "{text}");
         assert_eq!(made.digest(), new.digest());
     }
 }
@@ -23,21 +23,21 @@
     new.revision = 9;
     new.routes[1].deadline_ms = 1;
     new.routes.reverse();
-    let change = change::between(&old, &new);
+    let change = change::diff(&old, &new);
     let routes = values::get(&change, "routes").unwrap();
     assert_eq!(values::get_list(routes, "put").unwrap().len(), 1);
     assert!(values::get_list(routes, "removed").unwrap().is_empty());
-    assert!(change::apply(&old, &change).unwrap().same(&new));
+    assert!(change::apply(&old, &change).unwrap().same_content(&new));
 }
 
 #[test]
 fn another_base_is_refused() {
     let (old, new) = (drawn(1), drawn(2));
-    let change = change::between(&old, &new);
+    let change = change::diff(&old, &new);
     let mut other = old.clone();
     other.limits.idle_timeout_ms += 1;
     for base in [&other, &new] {
-        assert!(matches!(change::apply(base, &change), Err(Fault::Base { .. })));
+        assert!(matches!(change::apply(base, &change), Err(ConfigError::BaseMismatch { .. })));
     }
 }
 
@@ -47,7 +47,7 @@
     let mut new = old.clone();
     new.routes.truncate(1);
     new.services[0].concurrency = 3;
-    let text = values::write(&change::between(&old, &new));
+    let text = values::write(&change::diff(&old, &new));
     for (from, to) in [(r#""concurrency":3"#, r#""concurrency":4"#), ("/yeje571/", "/"), ("huvo11a", "x")] {
         assert!(text.contains(from), "{from} in {text}");
         let spoilt = values::parse(&text.replace(from, to)).unwrap();
--- a/config/tests/config.rs
+++ b/config/tests/config.rs
@@ -60,7 +60,7 @@
         assert!(text.contains(from), "{from}");
         text.replacen(from, to, 1)
     });
-    let found: Vec<_> = Config::checked(&text).unwrap_err().lines().collect();
+    let found: Vec<_> = Config::parse_collecting_errors(&text).unwrap_err().lines().collect();
     assert_eq!(found.len(), faults.len(), "{found:#?}");
     found.iter().zip(faults).for_each(|(found, fault)| assert!(found.starts_with(fault), "{found}"));
 }
@@ -68,8 +68,8 @@
 #[test]
 fn faults_beyond_a_hundred_are_counted() {
     let text = format!(r#"{{"revision":1,"services":[],"routes":[0{}]}}"#, ",0".repeat(999));
-    let faults = Config::checked(&text).unwrap_err();
-    assert_eq!((faults.list().len(), faults.more()), (100, 900));
+    let faults = Config::parse_collecting_errors(&text).unwrap_err();
+    assert_eq!((faults.list().len(), faults.omitted()), (100, 900));
     assert_eq!(faults.lines().last().unwrap(), "and 900 more");
 }
 
--- a/config/tests/routes.rs
+++ b/config/tests/routes.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::Draw;
-use millpost_config::{Config, Table};
+use millpost_config::{Config, RouteTable};
 use yare::parameterized;
 
 fn config(routes: &[(String, String)]) -> Config {
@@ -44,7 +44,7 @@
     ];
     let mut config = config(&routes.map(|(host, prefix)| (host.to_owned(), prefix.to_owned())));
     config.routes[4].name = "/six/".into();
-    assert_eq!(Table::new(&config).find(host, path).map(|route| route.name.as_str()), found);
+    assert_eq!(RouteTable::new(&config).find(host, path).map(|route| route.name.as_str()), found);
 }
 
 #[test]
@@ -57,7 +57,7 @@
     routes.dedup();
     routes.truncate(1_000);
     let config = config(&routes);
-    let table = Table::new(&config);
+    let table = RouteTable::new(&config);
     for n in 0..5_000 {
         let (host, path) = (format!("h{}.example", n % 8), format!("/{}", part(7)));
         let begins = |(h, prefix): &&(String, String)| *h == host && path.starts_with(prefix.as_str());
--- a/config/tests/settings.rs
+++ b/config/tests/settings.rs
@@ -55,7 +55,7 @@
         assert!(text.contains(from), "{from}");
         text.replacen(from, to, 1)
     });
-    let found: Vec<_> = Settings::checked_text(&text).unwrap_err().lines().collect();
+    let found: Vec<_> = Settings::parse_collecting_errors(&text).unwrap_err().lines().collect();
     assert_eq!(found.len(), faults.len(), "{found:#?}");
     found.iter().zip(faults).for_each(|(found, fault)| assert!(found.starts_with(fault), "{found}"));
     assert_eq!(Settings::parse(&text).unwrap_err().to_string(), found[0]);
@@ -65,13 +65,13 @@
 fn what_a_program_needs_is_missed_with_all_else() {
     let needs = ["bind_addrs.front", "bind_addrs.back", "data_dir", "x"];
     let text = SETTINGS.replacen("node_name", "name", 1);
-    let found: Vec<_> = Settings::checked_text_for(&text, &needs).unwrap_err().lines().collect();
+    let found: Vec<_> = Settings::parse_for(&text, &needs).unwrap_err().lines().collect();
     let missing = |key: &str| format!("{key}: is missing, and this program needs it");
     let mut expected = vec!["node_name: is missing".to_owned(), missing("bind_addrs.back")];
     expected.extend((!SETTINGS.contains("data_dir")).then(|| missing("data_dir")));
     expected.push(missing("x"));
     assert_eq!(found, expected);
-    assert!(Settings::checked_text_for(SETTINGS, &needs[..1]).is_ok());
+    assert!(Settings::parse_for(SETTINGS, &needs[..1]).is_ok());
 }
 
 #[test]
@@ -80,7 +80,7 @@
     assert!(Settings::load(&path).unwrap_err().to_string().contains(path.to_str().unwrap()));
     let text = SETTINGS.replace("node_name", "name").replace("\"zone\"", "\"zona\"");
     std::fs::write(&path, text).unwrap();
-    let found: Vec<_> = Settings::checked(&path).unwrap_err().lines().collect();
+    let found: Vec<_> = Settings::load_collecting_errors(&path).unwrap_err().lines().collect();
     let first = Settings::load(&path).unwrap_err().to_string();
     std::fs::remove_file(&path).unwrap();
     assert_eq!(found, ["node_name", "zone"].map(|key| format!("{}: {key}: is missing", path.display())));
--- a/controller/src/contact.rs
+++ b/controller/src/contact.rs
@@ -52,7 +52,7 @@
     pub fn read(sent: Nanos, body: &[u8]) -> Option<Answered> {
         let JsonValue::Object(parts) = millpost_net::messaging::json(body)? else { return None };
         let voting = parts.get("voting") == Some(&JsonValue::Boolean(true));
-        let members = parts.get("members").and_then(|members| Members::read(members).ok());
+        let members = parts.get("members").and_then(|members| Members::from_json(members).ok());
         let (epoch, revision) = (whole(&parts, "epoch").ok()?, whole(&parts, "rev").ok()?);
         Some(Answered { sent, epoch, voting, revision, members })
     }
@@ -122,7 +122,7 @@
             Some(answered) => fresh(answered) && answered.voting,
             None => false,
         };
-        if !members.quorum(reaches) {
+        if !members.has_quorum(reaches) {
             if self.state != State::Lost {
                 log::warn!("no majority of the voters is reached");
             }
@@ -198,7 +198,7 @@
     const SPAN: Nanos = 1_500 * MS;
 
     fn members(epoch: u64) -> Members {
-        Members { epoch, ..Members::first("u", ["a", "b", "c"].map(Address::from)) }
+        Members { epoch, ..Members::initial("u", ["a", "b", "c"].map(Address::from)) }
     }
 
     fn answered(sent_ms: u64, epoch: u64, voting: bool) -> Answered {
--- a/controller/src/core.rs
+++ b/controller/src/core.rs
@@ -18,7 +18,7 @@
 use millpost_net::messaging::{Call, Reply};
 use millpost_net::pack;
 use millpost_protocol::PeerMessage;
-use millpost_quorum::{Address, Key, Kind as RoundKind, Members, Message, Outcome, Value};
+use millpost_quorum::{Address, Key, Members, Message, Operation, Outcome, Value};
 use tinyjson::JsonValue;
 
 use crate::calls::LONGEST_BODY;
@@ -351,7 +351,7 @@
             self.overheard = None;
             if version > self.gossip.revision() && looks < LOOKS {
                 self.overheard = Some((version, due + LEARN, looks + 1));
-                self.round(now, RoundKind::Read, Key::Config, For::Learn);
+                self.round(now, Operation::Read, Key::Config, For::Learn);
             }
         }
     }
@@ -378,7 +378,7 @@
         self.leadership.adopt(members);
     }
 
-    fn round(&mut self, now: Nanos, kind: RoundKind, key: Key, to: For) {
+    fn round(&mut self, now: Nanos, kind: Operation, key: Key, to: For) {
         let out = self.rounds.round(now, kind, key, to);
         self.rounds(now, out);
     }
@@ -398,8 +398,8 @@
     fn ended(&mut self, now: Nanos, rounds::Ended { to, outcome }: rounds::Ended) {
         let value = |outcome| match outcome {
             Outcome::Written(value) => Some(value),
-            Outcome::Found(value) | Outcome::Held(value) => value,
-            Outcome::Lost(_) => None,
+            Outcome::Found(value) | Outcome::Conflict(value) => value,
+            Outcome::Indeterminate(_) => None,
         };
         match to {
             For::Replace(id) => {
@@ -461,8 +461,8 @@
             Next::StandBack(out) => self.vote(out, Back::Lease),
             Next::Offer(fence) => {
                 let content = Arc::from(self.me.as_str());
-                let kind = RoundKind::Offer { version: fence, content, over: Some(fence - 1) };
-                self.round(now, kind, Key::Steward, For::Leadership(fence));
+                let kind = Operation::Propose { version: fence, content, expected_version: Some(fence - 1) };
+                self.round(now, kind, Key::Leader, For::Leadership(fence));
             }
             Next::Take(fence) => {
                 let Some(bounds) = self.platform else { return };
@@ -489,7 +489,7 @@
     fn learn(&mut self, now: Nanos) {
         if self.gossip.chosen().is_none() && self.rounds.members().is_some() && now >= self.learn_at {
             self.learn_at = now + LEARN;
-            self.round(now, RoundKind::Read, Key::Config, For::Learn);
+            self.round(now, Operation::Read, Key::Config, For::Learn);
         }
     }
 
@@ -497,7 +497,7 @@
     fn look_at_contact(&mut self, now: Nanos) {
         if let Some(read) = self.contact.look(now, self.rounds.members(), self.voting) {
             // A small value: the configuration may be long, and each voter would send the whole of it.
-            self.round(now, RoundKind::Read, Key::Steward, For::Confirm(read));
+            self.round(now, Operation::Read, Key::Leader, For::Confirm(read));
         }
         self.learn(now);
         self.tell_contact();
@@ -606,9 +606,9 @@
         self.vote(out, Back::Lease);
         match want {
             Some(Want::Last) if !self.rounds.at_work_for(For::Last) => {
-                self.round(now, RoundKind::Read, Key::Steward, For::Last);
+                self.round(now, Operation::Read, Key::Leader, For::Last);
             }
-            Some(Want::Fence) => self.round(now, RoundKind::Read, Key::Steward, For::Fence),
+            Some(Want::Fence) => self.round(now, Operation::Read, Key::Leader, For::Fence),
             Some(Want::Last) | None => {}
         }
     }
--- a/controller/src/core/api.rs
+++ b/controller/src/core/api.rs
@@ -10,7 +10,7 @@
 use millpost_net::messaging::{Call, Reply};
 use millpost_net::pack::{self, pack};
 use millpost_protocol::{MessageBatch, PeerMessage, object, text};
-use millpost_quorum::{Address, Key, Kind as RoundKind, Message, Value};
+use millpost_quorum::{Address, Key, Message, Operation, Value};
 use tinyjson::JsonValue;
 
 use super::{Core, Effect, carts};
@@ -65,7 +65,7 @@
     let read = || {
         let JsonValue::Object(parts) = call.json()? else { return None };
         let from = millpost_protocol::string(&parts, "from").ok()?;
-        Some((from, Message::read(parts.get("m")?).ok()?))
+        Some((from, Message::from_json(parts.get("m")?).ok()?))
     };
     read().ok_or_else(|| Kind::Invalid("no message of a register".to_owned()))
 }
@@ -100,7 +100,7 @@
                 }
                 Err(kind) => Err(kind),
             },
-            Ok(What::Read) => return self.round(now, RoundKind::Read, Key::Config, For::Read(id)),
+            Ok(What::Read) => return self.round(now, Operation::Read, Key::Config, For::Read(id)),
             Ok(What::Vote) => match vote(call) {
                 Ok((from, message)) => {
                     self.overhear(now, &message);
@@ -148,7 +148,7 @@
     }
 
     /// The offer of a configuration, which is read and packed.
-    pub(super) fn offer(&mut self, text: &str, over: Option<u64>) -> Result<RoundKind, String> {
+    pub(super) fn offer(&mut self, text: &str, over: Option<u64>) -> Result<Operation, String> {
         let config = Config::parse(text).map_err(|e| e.to_string())?;
         let packed = if text.len() > PACK_FROM { pack(text) } else { None };
         // What begins otherwise would be taken for packed.
@@ -158,10 +158,10 @@
             self.read.remove(0);
         }
         self.read.push((Arc::clone(&content), config));
-        Ok(RoundKind::Offer { version, content, over })
+        Ok(Operation::Propose { version, content, expected_version: over })
     }
 
-    fn config(&mut self, call: &Call) -> Result<RoundKind, Kind> {
+    fn config(&mut self, call: &Call) -> Result<Operation, Kind> {
         let text = std::str::from_utf8(&call.body).map_err(|e| e.to_string());
         let read = text.and_then(|text| self.offer(text, None));
         read.map_err(|why| {
--- a/controller/src/core/carts.rs
+++ b/controller/src/core/carts.rs
@@ -3,13 +3,13 @@
 //! when nothing old can come to stand any more, and not at all otherwise.
 
 use hyper::StatusCode;
-use millpost_config::At;
+use millpost_config::JsonCursor;
 use millpost_migration::{
     Effect, Function, Input, Kind as Said, Migrator, Moment, Order, OrderFailure, Standing, Stands, Terms,
 };
 use millpost_net::messaging::{Call, Reply};
 use millpost_protocol::{object, text};
-use millpost_quorum::{Key, Kind as RoundKind, Outcome, Value, Why};
+use millpost_quorum::{FailureReason, Key, Operation, Outcome, Value};
 use percent_encoding::percent_decode_str;
 
 use super::{Core, api};
@@ -44,7 +44,7 @@
 /// An operator's order.
 pub(super) fn order(call: &Call) -> Result<Order, Kind> {
     let json = call.json().ok_or_else(|| Kind::Invalid("no JSON".to_owned()))?;
-    Order::read(&At::root(&json)).map_err(|e| Kind::Invalid(e.to_string()))
+    Order::read(&JsonCursor::root(&json)).map_err(|e| Kind::Invalid(e.to_string()))
 }
 
 fn refused(turned: OrderFailure) -> Kind {
@@ -106,9 +106,14 @@
         self.carts.carter.input(at, input);
         for effect in self.carts.carter.take() {
             match effect {
-                Effect::ReadRecord(ask) => self.round(now, RoundKind::Read, Key::Moves, For::Moves(ask)),
+                Effect::ReadRecord(ask) => self.round(now, Operation::Read, Key::Migrations, For::Moves(ask)),
                 Effect::Write { ask, value: Value { version, content }, over } => {
-                    self.round(now, RoundKind::Offer { version, content, over }, Key::Moves, For::Moves(ask));
+                    self.round(
+                        now,
+                        Operation::Propose { version, content, expected_version: over },
+                        Key::Migrations,
+                        For::Moves(ask),
+                    );
                 }
                 Effect::ReadConfig => self.chosen_for_moves(now),
                 Effect::OrderFailure(id, why) => self.answer(id, Err(refused(why))),
@@ -144,7 +149,7 @@
 
     /// The register's word on the record.
     pub(super) fn recorded(&mut self, now: Nanos, ask: u64, outcome: Result<Outcome, Kind>) {
-        let outcome = outcome.unwrap_or(Outcome::Lost(Why::NoMajority));
+        let outcome = outcome.unwrap_or(Outcome::Indeterminate(FailureReason::NoMajority));
         self.cart(now, Input::Record(ask, outcome));
     }
 
--- a/controller/src/core/leave.rs
+++ b/controller/src/core/leave.rs
@@ -1,7 +1,7 @@
 //! A process that was told to end. Invariant: a voter does not end, inside half of its grace, before a spare that there is votes in its
 //! place, or, where there is none, before all that it holds stands on a majority of the voters without it.
 
-use millpost_quorum::{Key, Kind as RoundKind};
+use millpost_quorum::{Key, Operation};
 
 use super::{Back, Core};
 use crate::rounds::For;
@@ -62,7 +62,7 @@
     }
 
     fn is_voter(&self) -> bool {
-        self.voting && self.rounds.members().is_some_and(|members| members.names(&self.me))
+        self.voting && self.rounds.members().is_some_and(|members| members.contains(&self.me))
     }
 
     /// The next key is read from a majority of the others, which writes there what only this machine and too few of them hold.
@@ -70,7 +70,7 @@
         let Some(leave) = self.leave else { return };
         let Some(key) = Key::ALL.get(leave.handed).copied().filter(|_| self.is_voter()) else { return };
         if now < leave.latest && !self.rounds.at_work_for(For::HandOver(key)) {
-            let out = self.rounds.round_without(now, RoundKind::Read, key, For::HandOver(key), &self.me);
+            let out = self.rounds.round_without(now, Operation::Read, key, For::HandOver(key), &self.me);
             self.rounds(now, out);
         }
     }
--- a/controller/src/disk.rs
+++ b/controller/src/disk.rs
@@ -1,6 +1,6 @@
 //! The records on disk.
 
-pub use millpost_quorum_store::{Disk, read};
+pub use millpost_quorum_store::{RecordStore, read};
 
 /// Reads a folder that was just closed: threads of the store may keep its lock for a moment.
 #[cfg(test)]
--- a/controller/src/feed.rs
+++ b/controller/src/feed.rs
@@ -173,7 +173,7 @@
         let (mut long, mut patch) = (false, None);
         self.change = None;
         if let Some(before) = &before {
-            let (revision, change) = (config.revision, change::between(before, &config));
+            let (revision, change) = (config.revision, change::diff(before, &config));
             // Keys in their order: the same change is the same text, and packs the shorter.
             let text = values::write(&change);
             self.change = Some(text.clone());
--- a/controller/src/gossip.rs
+++ b/controller/src/gossip.rs
@@ -253,7 +253,7 @@
     ) -> (Vec<Address>, News) {
         self.at = now + NEWS;
         let mut to = seeds.to_vec();
-        to.extend(members.into_iter().flat_map(Members::all));
+        to.extend(members.into_iter().flat_map(Members::all_voters));
         to.extend(self.others.iter().filter(|(_, s)| s.heard + TOLD > now).map(|(a, _)| a.clone()));
         to.sort();
         to.dedup();
--- a/controller/src/leadership.rs
+++ b/controller/src/leadership.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use millpost_autoscaler::{Ask, Effect, Entry, StartFault, StopFault, Worker};
 use millpost_protocol::PeerMessage;
-use millpost_quorum::{Address, Holder, Members, Message, Outcome, Value};
+use millpost_quorum::{Address, LeaseHolder, Members, Message, Outcome, Value};
 
 use crate::Nanos;
 use crate::errors::Kind;
@@ -120,7 +120,7 @@
     me: Address,
     life: u64,
     seed: u64,
-    holder: Option<Holder>,
+    holder: Option<LeaseHolder>,
     /// Whether the register named this machine as the leader when its process started; none until that is known.
     last: Option<bool>,
     seeking: Seeking,
@@ -138,7 +138,7 @@
 
     /// The fence and the end of the lease, while this machine is the leader.
     pub fn term(&self) -> Option<(u64, Nanos)> {
-        let until = self.holder.as_ref()?.until();
+        let until = self.holder.as_ref()?.expires_at();
         self.leader.as_ref().map(|leader| (leader.fence, until))
     }
 
@@ -165,13 +165,13 @@
 
     /// When to call [`Leadership::tick`] next.
     pub fn next_wake(&self) -> Nanos {
-        let holder = self.holder.as_ref().map_or(Nanos::MAX, Holder::next_wake);
+        let holder = self.holder.as_ref().map_or(Nanos::MAX, LeaseHolder::next_wake);
         holder.min(self.leader.as_ref().map_or(Nanos::MAX, |s| s.pace.next()))
     }
 
     /// The members that the lease is counted by.
     pub fn members(&self) -> Option<&Members> {
-        self.holder.as_ref().map(Holder::members)
+        self.holder.as_ref().map(LeaseHolder::members)
     }
 
     /// These are chosen.
@@ -182,7 +182,7 @@
     }
 
     fn may_act(&self, now: Nanos) -> bool {
-        self.holder.as_ref().is_some_and(|h| h.may_act(now))
+        self.holder.as_ref().is_some_and(|h| h.is_held(now))
     }
 
     /// A fence that was asked for under a lease is of no use once that has ended, even if it is held again.
@@ -211,12 +211,12 @@
         let Some(last) = self.last else { return (Vec::new(), Some(Want::Last)) };
         let (me, life, seed) = (&self.me, self.life, self.seed);
         let holder = self.holder.get_or_insert_with(|| {
-            let mut holder = Holder::new(DUTY, me, life, members.clone(), seed, now);
-            holder.set_again(last);
+            let mut holder = LeaseHolder::new(DUTY, me, life, members.clone(), seed, now);
+            holder.set_previous_holder(last);
             holder
         });
         let out = holder.on_tick(now);
-        let wanted = holder.may_act(now) && self.leader.is_none() && self.seeking == Seeking::No;
+        let wanted = holder.is_held(now) && self.leader.is_none() && self.seeking == Seeking::No;
         if wanted {
             self.seeking = Seeking::Yes;
         }
@@ -240,7 +240,7 @@
         let seeking = std::mem::replace(&mut self.seeking, Seeking::No);
         let Ok(value) = outcome else { return Next::Rest };
         let mine = value.as_ref().is_some_and(|v| *v.content == *self.me);
-        if !mine && self.is_again() {
+        if !mine && self.is_previous_holder() {
             // Somebody has taken over since: that lease is waited for like any other's.
             return self.stand_back(now);
         }
@@ -258,26 +258,26 @@
         match outcome {
             Ok(Outcome::Written(_)) if seeking == Seeking::Yes && !self.leaving => Next::Take(fence),
             Ok(Outcome::Written(_)) | Err(_) => Next::Rest,
-            Ok(_) if self.is_again() => self.stand_back(now),
+            Ok(_) if self.is_previous_holder() => self.stand_back(now),
             Ok(_) => Next::Rest,
         }
     }
 
-    fn is_again(&self) -> bool {
-        self.holder.as_ref().is_some_and(Holder::is_again)
+    fn is_previous_holder(&self) -> bool {
+        self.holder.as_ref().is_some_and(LeaseHolder::is_previous_holder)
     }
 
     /// Gives back a lease that was asked for as the last leader, who it turned out not to be.
     fn stand_back(&mut self, now: Nanos) -> Next {
         let Some(holder) = &mut self.holder else { return Next::Rest };
-        holder.set_again(false);
+        holder.set_previous_holder(false);
         Next::StandBack(holder.release(now))
     }
 
     /// The leader that was asked for with [`Next::Take`].
     pub fn seat(&mut self, leader: Leader) {
         if let Some(holder) = &mut self.holder {
-            holder.set_again(false);
+            holder.set_previous_holder(false);
         }
         log::info!("steward, fence {}", leader.fence);
         self.pages.clear();
@@ -295,7 +295,7 @@
 
     /// What the leader does. `has` says whose porter is connected.
     pub fn duties(&mut self, now: Nanos, has: impl Fn(&str) -> bool) -> Option<Done> {
-        let until = self.holder.as_ref().map_or(0, Holder::until);
+        let until = self.holder.as_ref().map_or(0, LeaseHolder::expires_at);
         let leader = self.leader.as_mut()?;
         let named = leader.look(now, has);
         leader.scaler.tick(now);
@@ -371,11 +371,11 @@
 
     /// Leadership under one voter, which grants what is asked at this time.
     fn granted(leadership: &mut Leadership, now: Nanos) -> Option<Want> {
-        let members = Members::first("u", ["a".into()]);
+        let members = Members::initial("u", ["a".into()]);
         let (out, want) = leadership.tick(now, Some(&members), true);
         for (from, message) in out {
-            if let Message::Ask { duty, life, ask, .. } = message {
-                leadership.on_lease(now, &from, &Message::Granted { duty, life, ask });
+            if let Message::LeaseRequest { lease, incarnation, request, .. } = message {
+                leadership.on_lease(now, &from, &Message::LeaseGranted { lease, incarnation, request });
             }
         }
         want
@@ -446,7 +446,7 @@
     #[test]
     fn an_office_ends_with_its_lease_also_where_nothing_more_is_asked_for() {
         let mut leadership = seated(102 * MS);
-        let members = Members::first("u", ["a".into()]);
+        let members = Members::initial("u", ["a".into()]);
         assert_eq!(leadership.tick(1_400 * MS, Some(&members), false), (Vec::new(), None));
         assert!(leadership.leader().is_some());
         assert_eq!(leadership.tick(1_501 * MS, Some(&members), false), (Vec::new(), None));
--- a/controller/src/main.rs
+++ b/controller/src/main.rs
@@ -40,7 +40,7 @@
         log::error!("no settings: neither --config nor DEWJUNCTION_CONFIG names a file");
         return ExitCode::from(2);
     };
-    let settings = match Settings::checked_for(&path, &NEEDS) {
+    let settings = match Settings::load_for(&path, &NEEDS) {
         Ok(settings) => settings,
         Err(faults) => {
             faults.lines().for_each(|fault| log::error!("{fault}"));
--- a/controller/src/orders.rs
+++ b/controller/src/orders.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use millpost_quorum::{Kind as RoundKind, Value};
+use millpost_quorum::{Operation, Value};
 use tinyjson::JsonValue;
 
 use crate::calls::LONGEST_BODY;
@@ -33,8 +33,8 @@
 
 impl Orders {
     /// The round of this call begins.
-    pub fn begin(&mut self, call: u64, kind: &RoundKind) {
-        if let RoundKind::Offer { version, content, .. } = kind {
+    pub fn begin(&mut self, call: u64, kind: &Operation) {
+        if let Operation::Propose { version, content, .. } = kind {
             self.offered.insert(call, Offered { revision: *version, content: Arc::clone(content) });
         }
     }
@@ -67,7 +67,7 @@
 
     fn ended(offered: u64, content: &str, stands: Option<(u64, &str)>) -> Result<Confirmed, Kind> {
         let mut orders = Orders::default();
-        let kind = RoundKind::Offer { version: offered, content: content.into(), over: None };
+        let kind = Operation::Propose { version: offered, content: content.into(), expected_version: None };
         orders.begin(7, &kind);
         let stands = stands.map(|(version, content)| Value { version, content: content.into() });
         let word = orders.end(7, Ok(stands.as_ref()));
--- a/controller/src/rounds.rs
+++ b/controller/src/rounds.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use millpost_quorum::{
-    Address, Ballots, Change, Key, Kind as RoundKind, Members, Message, Moved, Moving, Out as Said, Outcome,
-    Round,
+    Address, Ballots, Key, Members, MembershipChange, MembershipOutcome, Message, Operation, Outcome, Output,
+    Round, VoterChange,
 };
 
 use crate::contact::Confirm;
@@ -66,23 +66,23 @@
 
 enum Machine {
     Round(Box<Round>),
-    Moving(Box<Moving>),
+    MembershipChange(Box<MembershipChange>),
 }
 
 impl Machine {
-    fn on(&mut self, now: Nanos, answer: Option<(&str, &Message)>) -> Said {
+    fn on(&mut self, now: Nanos, answer: Option<(&str, &Message)>) -> Output {
         match (self, answer) {
             (Machine::Round(round), Some((from, message))) => round.on_reply(now, from, message),
             (Machine::Round(round), None) => round.on_tick(now),
-            (Machine::Moving(moving), Some((from, message))) => moving.on_reply(now, from, message),
-            (Machine::Moving(moving), None) => moving.on_tick(now),
+            (Machine::MembershipChange(moving), Some((from, message))) => moving.on_reply(now, from, message),
+            (Machine::MembershipChange(moving), None) => moving.on_tick(now),
         }
     }
 
     fn members(&self) -> &Members {
         match self {
             Machine::Round(round) => round.members(),
-            Machine::Moving(moving) => moving.members(),
+            Machine::MembershipChange(moving) => moving.members(),
         }
     }
 }
@@ -137,7 +137,7 @@
     }
 
     /// Begins a round.
-    pub fn round(&mut self, now: Nanos, kind: RoundKind, key: Key, to: For) -> Out {
+    pub fn round(&mut self, now: Nanos, kind: Operation, key: Key, to: For) -> Out {
         self.start(now, to, |members, ballots, seed| {
             Machine::Round(Box::new(Round::new(kind, key, members, ballots, seed, now + ROUND)))
         })
@@ -147,21 +147,29 @@
     pub fn round_without(
         &mut self,
         now: Nanos,
-        kind: RoundKind,
+        kind: Operation,
         key: Key,
         to: For,
         without: &Address,
     ) -> Out {
         self.start(now, to, |members, ballots, seed| {
             let round = Round::new(kind, key, members, ballots, seed, now + ROUND);
-            Machine::Round(Box::new(round.without(without.clone())))
+            Machine::Round(Box::new(round.excluding(without.clone())))
         })
     }
 
     /// Begins a change of the voters, or ends one that somebody began.
-    pub fn change(&mut self, now: Nanos, change: Option<Change>) -> Out {
+    pub fn change(&mut self, now: Nanos, change: Option<VoterChange>) -> Out {
         self.start(now, For::Voters, |members, ballots, seed| {
-            Machine::Moving(Box::new(Moving::new(change, members, ballots, seed, ROUND, now + MOVE, now)))
+            Machine::MembershipChange(Box::new(MembershipChange::new(
+                change,
+                members,
+                ballots,
+                seed,
+                ROUND,
+                now + MOVE,
+                now,
+            )))
         })
     }
 
@@ -204,13 +212,13 @@
             self.members = Some(newer.clone());
         }
         let moved = match &running.machine {
-            Machine::Moving(moving) => moving.moved().cloned(),
+            Machine::MembershipChange(moving) => moving.outcome().cloned(),
             Machine::Round(_) => None,
         };
         if let Some(moved) = moved {
             self.rounds.remove(&id);
             match moved {
-                Moved::Done(members) => {
+                MembershipOutcome::Done(members) => {
                     log::info!("voters are now {}", members.voters.join(" "));
                     self.adopt(&members);
                 }
@@ -221,7 +229,7 @@
         {
             let to = running.to;
             let outcome = match outcome {
-                Outcome::Lost(why) => {
+                Outcome::Indeterminate(why) => {
                     if matches!(to, For::Replace(_) | For::Read(_)) {
                         log::info!("an operator's call found no majority: {why:?}");
                     }
--- a/controller/src/runtime.rs
+++ b/controller/src/runtime.rs
@@ -118,7 +118,7 @@
     seeds.dedup();
     // All that start together read the same seeds, and so begin with the same members.
     let uid = format!("{:016x}", xxh3_64(seeds.join(" ").as_bytes()));
-    let first = settings.bootstrap.then(|| Members::first(&uid, seeds.iter().cloned()));
+    let first = settings.bootstrap.then(|| Members::initial(&uid, seeds.iter().cloned()));
     let (said, mut says) = mpsc::unbounded_channel();
     let voter =
         voter_thread::Start { me: me.clone(), folder: voter_thread::folder(&data_dir), seeds, life, first };
@@ -304,7 +304,9 @@
                 .await;
             match answer {
                 Ok((StatusCode::OK, _, body)) => {
-                    if let Some(answer) = messaging::json(&body).and_then(|json| Message::read(&json).ok()) {
+                    if let Some(answer) =
+                        messaging::json(&body).and_then(|json| Message::from_json(&json).ok())
+                    {
                         hand_back(to, answer);
                     }
                 }
--- a/controller/src/voter_thread.rs
+++ b/controller/src/voter_thread.rs
@@ -12,7 +12,7 @@
 use snafu::ResultExt;
 use tokio::sync::{mpsc as outward, oneshot};
 
-use crate::disk::{self, Disk};
+use crate::disk::{self, RecordStore};
 use crate::errors::{Error, ThreadSnafu};
 
 /// Messages that may wait for the disk.
@@ -120,7 +120,7 @@
 }
 
 /// Opens the records, or puts aside what can't be read.
-fn open(start: &Start, now: u64) -> Option<(Disk, Voter)> {
+fn open(start: &Start, now: u64) -> Option<(RecordStore, Voter)> {
     let spoilt = |why: &str| {
         log::error!("the records are put aside, and copied from the others: {why}");
         if let Err(e) = put_aside(&start.folder) {
@@ -169,7 +169,7 @@
         // Records that were put aside made promises: this is no first start any more.
         if let Some(first) = &start.first
             && !aside(&start.folder).exists()
-            && let Err(e) = voter.bootstrap(first.clone()).carry_out(|batch| disk.put(batch))
+            && let Err(e) = voter.bootstrap(first.clone()).commit(|batch| disk.put(batch))
         {
             log::error!("{e}");
             continue;
@@ -194,7 +194,7 @@
                     let _ = reply.send(slot.map(|accepted| accepted.value.clone()));
                 }
                 Ok(Asked::Message { from, message, reply }) => {
-                    match voter.handle(now(), &from, message).carry_out(|batch| disk.put(batch)) {
+                    match voter.handle(now(), &from, message).commit(|batch| disk.put(batch)) {
                         Ok(answer) => {
                             let _ = reply.send(answer);
                         }
@@ -228,7 +228,7 @@
     use super::*;
 
     fn start(folder: PathBuf) -> Start {
-        let first = Some(Members::first("u", ["127.0.0.1:1".into()]));
+        let first = Some(Members::initial("u", ["127.0.0.1:1".into()]));
         Start { me: "127.0.0.1:1".into(), folder, seeds: vec!["127.0.0.1:1".into()], life: 1, first }
     }
 
@@ -251,7 +251,7 @@
             assert_eq!(records, [("of nobody".to_owned(), text.to_owned())]);
         }
         let (_, voter) = open(&start, 0).expect("a new folder");
-        assert_eq!(voter.state(), State::Blank);
+        assert_eq!(voter.state(), State::Empty);
         assert_eq!(fs::read_dir(data.path()).expect("listed").count(), 2);
     }
 
--- a/controller/src/voter_thread/newer.rs
+++ b/controller/src/voter_thread/newer.rs
@@ -7,7 +7,7 @@
 #[test]
 fn records_of_a_newer_format_stay_as_they_are_and_nobody_votes() {
     let data = tempfile::tempdir().expect("a folder");
-    let first = Some(Members::first("u", ["127.0.0.1:1".into()]));
+    let first = Some(Members::initial("u", ["127.0.0.1:1".into()]));
     let (me, seeds) = ("127.0.0.1:1".into(), vec!["127.0.0.1:1".into()]);
     let start = Start { me, folder: folder(data.path()), seeds, life: 1, first };
     let records = [("key/config", "{}"), ("later", "x"), ("voter", r#"{"format":"3","later":[]}"#)];
--- a/controller/src/voters.rs
+++ b/controller/src/voters.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use millpost_quorum::{Address, Change, Members};
+use millpost_quorum::{Address, Members, VoterChange};
 
 use crate::gossip::Seen;
 use crate::{MS, Nanos};
@@ -25,7 +25,7 @@
     /// A change that somebody began is to be ended.
     End,
     /// This one is to be made.
-    Make(Change),
+    Make(VoterChange),
 }
 
 /// What a control machine goes by when it looks after the voters.
@@ -49,7 +49,7 @@
     }
 
     /// Whether enough of the voters hold their state for this change; who comes copies it before it counts.
-    fn bears(&self, now: Nanos, change: &Change, new: &Address) -> bool {
+    fn bears(&self, now: Nanos, change: &VoterChange, new: &Address) -> bool {
         let Ok(after) = change.apply(&self.members.voters) else { return false };
         let holders = |set: &[Address]| set.iter().filter(|voter| self.holds(now, voter)).count();
         let majority = |set: &[Address], holders: usize| holders * 2 > set.len();
@@ -78,7 +78,7 @@
 impl Voters {
     /// What to do now, if anything; not to be asked while a change is under way.
     pub fn look(&mut self, now: Nanos, view: View<'_>) -> Option<Todo> {
-        let waited_for = view.others.iter().any(|(a, seen)| seen.leaving && view.members.names(a));
+        let waited_for = view.others.iter().any(|(a, seen)| seen.leaving && view.members.contains(a));
         let every = if waited_for { EVERY_WAITED_FOR } else { EVERY };
         if now < self.at + every {
             return None;
@@ -89,9 +89,9 @@
         }
         let new = newcomer(now, view)?;
         let change = if view.members.voters.len() < 2 * view.losses as usize + 1 {
-            Change::Add(new.clone())
+            VoterChange::Add(new.clone())
         } else {
-            Change::Replace { out: view.gone(now)?.clone(), new: new.clone() }
+            VoterChange::Replace { old: view.gone(now)?.clone(), new: new.clone() }
         };
         if !view.bears(now, &change, &new) {
             log::debug!("the voters stay as they are: too few of them are there");
@@ -109,7 +109,7 @@
     others: &'a BTreeMap<Address, Seen>,
 ) -> impl Iterator<Item = (&'a Address, &'a Seen)> {
     let there = move |seen: &Seen| !seen.leaving && seen.heard + FRESH > now;
-    others.iter().filter(move |(a, seen)| !members.names(a) && there(seen))
+    others.iter().filter(move |(a, seen)| !members.contains(a) && there(seen))
 }
 
 /// Who is to vote next. Who has no state yet comes before who votes elsewhere, or did.
@@ -147,7 +147,7 @@
         now: u64,
         expected: Option<&str>,
     ) {
-        let members = Members::first("u", voters.chars().map(|c| c.to_string().into()));
+        let members = Members::initial("u", voters.chars().map(|c| c.to_string().into()));
         let seen = |&(a, ms, voting): &(&str, u64, bool)| {
             let (name, leaving) = (a.trim_end_matches('!').into(), a.ends_with('!'));
             (name, Seen { heard: ms * MS, voting, leaving })
@@ -156,13 +156,13 @@
         let mut room = Voters::default();
         let view = |members| View { me: "a", members, others: &others, losses: 1 };
         let todo = room.look(now * MS, view(&members)).map(|todo| match todo {
-            Todo::Make(Change::Replace { out, new }) => format!("{out} {new}"),
-            Todo::Make(Change::Add(new)) => format!("+{new}"),
+            Todo::Make(VoterChange::Replace { old: out, new }) => format!("{out} {new}"),
+            Todo::Make(VoterChange::Add(new)) => format!("+{new}"),
             other => format!("{other:?}"),
         });
         assert_eq!(todo.as_deref(), expected);
         let joint = members.joint(vec!["a".into()]);
-        let waits = others.iter().any(|(a, seen): (&Address, &Seen)| seen.leaving && members.names(a));
+        let waits = others.iter().any(|(a, seen): (&Address, &Seen)| seen.leaving && members.contains(a));
         let every = if waits { 100 } else { 500 };
         assert_eq!(room.look((now + every - 1) * MS, view(&joint)), None);
         assert_eq!(room.look((now + every) * MS, view(&joint)), Some(Todo::End));
--- a/controller/tests/market/mod.rs
+++ b/controller/tests/market/mod.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hyper::Method;
-use millpost_config::{At, Config, change};
+use millpost_config::{Config, JsonCursor, change};
 use millpost_controller::core::Input;
 use millpost_net::messaging;
 use millpost_net::pack::unpack;
@@ -224,9 +224,9 @@
             let unpacked = |packed: &str| messaging::json(unpack(packed, 1 << 20)?.as_bytes());
             let old = stall.config.as_ref();
             let new = match PeerMessage::read(note).expect("a note") {
-                PeerMessage::Config { body, .. } => Config::read(&At::root(&body)).ok(),
+                PeerMessage::Config { body, .. } => Config::read(&JsonCursor::root(&body)).ok(),
                 PeerMessage::Packed { packed, .. } => {
-                    unpacked(&packed).and_then(|body| Config::read(&At::root(&body)).ok())
+                    unpacked(&packed).and_then(|body| Config::read(&JsonCursor::root(&body)).ok())
                 }
                 PeerMessage::Patch { change, .. } => old.and_then(|old| change::apply(old, &change).ok()),
                 PeerMessage::Folded { packed, .. } => {
--- a/controller/tests/town/mod.rs
+++ b/controller/tests/town/mod.rs
@@ -108,8 +108,8 @@
             let mut voter = Voter::open(address(n), [], seeds.clone(), 1, 0).expect("empty");
             let mut disk = BTreeMap::new();
             if n < voters {
-                let first = Members::first("u", seeds.iter().cloned());
-                voter.bootstrap(first).carry_out(|batch| write(&mut disk, batch)).expect("written");
+                let first = Members::initial("u", seeds.iter().cloned());
+                voter.bootstrap(first).commit(|batch| write(&mut disk, batch)).expect("written");
             }
             let core = Core::new(start(n, 1, &seeds));
             let (wake, up, frozen, side, hears, told) = (0, true, 0, 0, false, None);
@@ -129,7 +129,7 @@
 
     /// Whether a machine has anything of moves on its disk.
     pub fn holds_moves(&self, n: usize) -> bool {
-        self.machines[n].voter.slot(Key::Moves).is_some()
+        self.machines[n].voter.slot(Key::Migrations).is_some()
     }
 
     /// Who holds this revision on disk.
@@ -294,7 +294,7 @@
             Event::Vote(from, message, back) => {
                 let Machine { voter, disk, .. } = &mut self.machines[n];
                 let step = voter.handle(self.now, &from, message);
-                let Ok(Some(answer)) = step.carry_out(|batch| write(disk, batch)) else { return };
+                let Ok(Some(answer)) = step.commit(|batch| write(disk, batch)) else { return };
                 match back {
                     Ok((to, Back::Round(id))) => self.hand(n, to, Input::Answer(id, address(n), answer)),
                     Ok((to, Back::Lease)) => self.hand(n, to, Input::Lease(address(n), answer)),
--- a/ctl/src/config.rs
+++ b/ctl/src/config.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use hyper::Method;
 use millpost_config::values::{self, get, get_list, get_str, list, object, string};
-use millpost_config::{Config, Fault};
+use millpost_config::{Config, ConfigError};
 use snafu::ResultExt;
 use tinyjson::JsonValue;
 
@@ -33,7 +33,7 @@
     /// From a file, checked.
     pub fn file(path: &Path) -> Result<Self, Error> {
         let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
-        let config = Config::checked(&text).context(InvalidSnafu { path })?;
+        let config = Config::parse_collecting_errors(&text).context(InvalidSnafu { path })?;
         Ok(Read { text, config })
     }
 
@@ -43,7 +43,7 @@
 
     /// Whether both have one content: the same values, or the same meaning in another order.
     fn same(&self, other: &Self) -> bool {
-        self.value() == other.value() || self.config.same(&other.config)
+        self.value() == other.value() || self.config.same_content(&other.config)
     }
 }
 
@@ -59,7 +59,7 @@
         return Err(refused(said(given.status, &given.body)));
     }
     let text = String::from_utf8(given.body.to_vec()).map_err(|_| refused("it sent no text".to_owned()))?;
-    let config = Config::parse(&text).map_err(|e: Fault| refused(format!("what it sent: {e}")))?;
+    let config = Config::parse(&text).map_err(|e: ConfigError| refused(format!("what it sent: {e}")))?;
     Ok((Read { text, config }, given))
 }
 
@@ -91,7 +91,7 @@
 fn conflict(answer: &JsonValue) -> Option<u64> {
     let is_conflict = get_str(answer, "error") == Some("conflict");
     let JsonValue::Number(revision) = get(get(answer, "why")?, "revision")? else { return None };
-    values::whole(*revision).filter(|_| is_conflict)
+    values::to_uint(*revision).filter(|_| is_conflict)
 }
 
 /// Puts a configuration, finds out what stands then, and waits until all that follow act on it.
--- a/ctl/src/errors.rs
+++ b/ctl/src/errors.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use millpost_config::Fault;
+use millpost_config::ConfigError;
 use millpost_config::values::{list, number, object, string};
 use snafu::Snafu;
 use tinyjson::JsonValue;
@@ -44,13 +44,13 @@
         /// Which file.
         path: PathBuf,
         /// Each key, and what is wrong with it.
-        source: millpost_config::Faults,
+        source: millpost_config::ConfigErrors,
     },
     /// The records on a disk can't be got at, or not made sense of.
     #[snafu(display("{source}"))]
     Disk {
         /// Why.
-        source: millpost_quorum_store::DiskError,
+        source: millpost_quorum_store::StoreError,
     },
     /// A record can't be read.
     #[snafu(display("{}: {source}", folder.display()))]
@@ -134,7 +134,7 @@
             Error::Output { .. } => ("output", 2),
             Error::Runtime { .. } => ("runtime", 2),
             Error::Invalid { .. } => ("invalid", 3),
-            Error::Disk { source } if source.is_spoilt() => ("spoilt", 3),
+            Error::Disk { source } if source.is_corrupted() => ("spoilt", 3),
             Error::Disk { .. } => ("store", 2),
             Error::Record { source: millpost_quorum::OpenError::Newer { .. }, .. } => ("newer", 3),
             Error::Record { .. } => ("spoilt", 3),
@@ -156,16 +156,16 @@
             vec![("error", string(kind)), ("why", string(&self.to_string())), ("exit", number(code.into()))];
         if let Error::Invalid { source, .. } = self {
             parts.push(("faults", list(source.list().iter().map(fault))));
-            parts.push(("more", number(source.more() as u64)));
+            parts.push(("more", number(source.omitted() as u64)));
         }
         JsonValue::Object(parts.into_iter().map(|(key, value)| (key.to_owned(), value)).collect())
     }
 }
 
 /// A fault as JSON.
-pub fn fault(fault: &Fault) -> JsonValue {
+pub fn fault(fault: &ConfigError) -> JsonValue {
     match fault {
-        Fault::Field { path, reason } => object([("key", string(path)), ("reason", string(reason))]),
+        ConfigError::Field { path, reason } => object([("key", string(path)), ("reason", string(reason))]),
         other => object([("key", JsonValue::Null), ("reason", string(&other.to_string()))]),
     }
 }
--- a/ctl/src/moves.rs
+++ b/ctl/src/moves.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use hyper::Method;
 use millpost_config::values::{get, get_bool, get_list, get_str, get_u64, number, object, string, write};
-use millpost_config::{At, Faults, values};
+use millpost_config::{ConfigErrors, JsonCursor, values};
 use millpost_migration::Contract;
 use percent_encoding::{NON_ALPHANUMERIC, utf8_percent_encode};
 use snafu::ResultExt;
@@ -29,9 +29,9 @@
     let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
     let read = || {
         let value = values::parse(&text)?;
-        Contract::read(&At::root(&value))
+        Contract::read(&JsonCursor::root(&value))
     };
-    let contract = read().map_err(Faults::from).context(InvalidSnafu { path })?;
+    let contract = read().map_err(ConfigErrors::from).context(InvalidSnafu { path })?;
     Ok(object([("order", string("plan")), ("contract", contract.to_value())]))
 }
 
--- a/ctl/src/store.rs
+++ b/ctl/src/store.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use millpost_config::values::{list, number, object, string};
-use millpost_config::{Config, Fault, Faults};
+use millpost_config::{Config, ConfigError, ConfigErrors};
 use millpost_net::pack::plain;
 use millpost_quorum::{Accepted, Ballot, Key, MAX_CONTENT, Members, Record, Slot, check_format};
 use snafu::ResultExt;
@@ -28,44 +28,44 @@
     record: Option<Record>,
     /// What it holds, in a few words.
     holds: String,
-    faults: Vec<Fault>,
+    faults: Vec<ConfigError>,
 }
 
 /// All records as they were put, and where. What the store makes of a spoilt file may be a panic: it is told as an error.
 fn look(folder: &Path) -> Result<(PathBuf, Vec<(String, String)>), Error> {
     let hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(|_| {}));
-    let looked = millpost_quorum_store::look(folder);
+    let looked = millpost_quorum_store::read_copy(folder);
     std::panic::set_hook(hook);
     let (folder, records) = looked.context(DiskSnafu)?;
     check_format(&records).with_context(|_| RecordSnafu { folder: folder.clone() })?;
     Ok((folder, records))
 }
 
-fn wrong(path: &str, reason: impl ToString) -> Vec<Fault> {
-    vec![Fault::Field { path: path.to_owned(), reason: reason.to_string() }]
+fn wrong(path: &str, reason: impl ToString) -> Vec<ConfigError> {
+    vec![ConfigError::Field { path: path.to_owned(), reason: reason.to_string() }]
 }
 
 /// The text of a configuration in the register.
-fn text(content: &str) -> Result<String, Fault> {
+fn text(content: &str) -> Result<String, ConfigError> {
     let reason = || "is neither JSON nor packed JSON".to_owned();
-    let text = plain(content, MAX_CONTENT).ok_or_else(|| Fault::Text { reason: reason() })?;
+    let text = plain(content, MAX_CONTENT).ok_or_else(|| ConfigError::Text { reason: reason() })?;
     Ok(text.into_owned())
 }
 
-fn config(content: &str) -> Result<Config, Faults> {
-    Config::checked(&text(content)?)
+fn config(content: &str) -> Result<Config, ConfigErrors> {
+    Config::parse_collecting_errors(&text(content)?)
 }
 
 /// What a slot holds, and what is wrong with that.
-fn held(key: Key, accepted: &Accepted) -> (String, Vec<Fault>) {
+fn held(key: Key, accepted: &Accepted) -> (String, Vec<ConfigError>) {
     let content = &accepted.value.content;
     let (holds, version) = match key {
         Key::Config => match config(content) {
             Err(faults) => {
-                let more = faults.more();
+                let more = faults.omitted();
                 let beyond = (more > 0).then(|| wrong("the whole", format!("has {more} more faults")));
-                let all = faults.into_list().into_iter().chain(beyond.into_iter().flatten());
+                let all = faults.into_vec().into_iter().chain(beyond.into_iter().flatten());
                 return (String::new(), all.collect());
             }
             Ok(config) => {
@@ -73,15 +73,15 @@
                 (format!("a configuration: {routes} routes, {services} services"), config.revision)
             }
         },
-        Key::Steward => (format!("steward {}", content.escape_debug()), accepted.value.version),
-        Key::Moves => match millpost_migration::Record::read(content) {
+        Key::Leader => (format!("steward {}", content.escape_debug()), accepted.value.version),
+        Key::Migrations => match millpost_migration::Record::read(content) {
             Err(e) => return (String::new(), wrong("content", e)),
             Ok(record) => {
                 let (all, open) = (record.moves.len(), record.open().count());
                 (format!("moves: {all}, open: {open}"), accepted.value.version)
             }
         },
-        Key::Members => match Members::read_text(content) {
+        Key::Members => match Members::parse(content) {
             Err(e) => return (String::new(), wrong("content", e)),
             Ok(members) => (told(&members), members.epoch),
         },
@@ -101,9 +101,11 @@
 fn row(key: &str, text: &str) -> Row {
     let (record, holds, faults) = match Record::read(key, text) {
         Err(millpost_quorum::OpenError::Record { source, .. }) => {
-            (None, String::new(), vec![Fault::Text { reason: source.to_string() }])
+            (None, String::new(), vec![ConfigError::Text { reason: source.to_string() }])
+        }
+        Err(_) => {
+            (None, String::new(), vec![ConfigError::Text { reason: "is not one of a voter".to_owned() }])
         }
-        Err(_) => (None, String::new(), vec![Fault::Text { reason: "is not one of a voter".to_owned() }]),
         Ok(record) => {
             let (holds, faults) = match &record {
                 Record::Voter(format, members) => (format!("format {format}, {}", told(members)), vec![]),
@@ -118,7 +120,7 @@
 }
 
 fn ballot(of: &Ballot) -> String {
-    format!("{}/{}/{}", of.counter, of.proposer.escape_debug(), of.life)
+    format!("{}/{}/{}", of.counter, of.proposer.escape_debug(), of.incarnation)
 }
 
 impl Row {
@@ -248,7 +250,8 @@
         return BareSnafu { folder }.fail();
     };
     let path = folder.join(key);
-    let text = text(&accepted.value.content).map_err(Faults::from).context(InvalidSnafu { path: &path })?;
-    let revision = Config::checked(&text).context(InvalidSnafu { path })?.revision;
+    let text =
+        text(&accepted.value.content).map_err(ConfigErrors::from).context(InvalidSnafu { path: &path })?;
+    let revision = Config::parse_collecting_errors(&text).context(InvalidSnafu { path })?.revision;
     Ok(Standing { folder, text, revision, ballot: ballot(&accepted.ballot), copied: accepted.copied })
 }
--- a/ctl/tests/store.rs
+++ b/ctl/tests/store.rs
@@ -7,28 +7,28 @@
 
 use millpost_net::pack::pack;
 use millpost_quorum::{Ballots, Key, Members, Message, Value, Voter, Write};
-use millpost_quorum_store::Disk;
+use millpost_quorum_store::RecordStore;
 use yare::parameterized;
 
 const CONFIG: &str = r#"{"revision":7,"routes":[{"host":"h","path_prefix":"/a/","traffic_kind":"idempotent",
     "deadline_ms":4000,"service":"f"}],"services":[{"name":"f"}]}"#;
 
 /// A voter's disk with a configuration under a revision, and a fence.
-fn disk(folder: &Path, version: u64, content: &str) -> Disk {
-    let disk = Disk::open(folder).expect("opened");
-    let members = Members::first("u", ["10.0.0.1:1".into(), "10.0.0.2:1".into()]);
+fn disk(folder: &Path, version: u64, content: &str) -> RecordStore {
+    let disk = RecordStore::open(folder).expect("opened");
+    let members = Members::initial("u", ["10.0.0.1:1".into(), "10.0.0.2:1".into()]);
     let mut voter = Voter::open("10.0.0.1:1".into(), [], vec![], 1, 0).expect("empty");
-    voter.bootstrap(members.clone()).carry_out(|batch| disk.put(batch)).expect("put");
+    voter.bootstrap(members.clone()).commit(|batch| disk.put(batch)).expect("put");
     let ballots = Ballots::new("10.0.0.2:1", 5);
-    for (key, version, content) in [(Key::Config, version, content), (Key::Steward, 3, "10.0.0.2:1")] {
+    for (key, version, content) in [(Key::Config, version, content), (Key::Leader, 3, "10.0.0.2:1")] {
         let value = Value { version, content: content.into() };
         let write = Message::Write { key, ballot: ballots.next(0), value, members: members.clone() };
-        voter.handle(0, "10.0.0.2:1", write).carry_out(|batch| disk.put(batch)).expect("put");
+        voter.handle(0, "10.0.0.2:1", write).commit(|batch| disk.put(batch)).expect("put");
     }
     disk
 }
 
-fn records(disk: &Disk, records: &[(&str, &str)]) {
+fn records(disk: &RecordStore, records: &[(&str, &str)]) {
     let write = |(key, text): &(&str, &str)| Write { key: (*key).to_owned(), text: (*text).to_owned() };
     disk.put(&records.iter().map(write).collect::<Vec<_>>()).expect("put");
 }
@@ -49,7 +49,7 @@
 }
 
 /// The same files under a folder of their own, which no process has open.
-fn closed(disk: &Disk, folder: &Path, to: &Path) {
+fn closed(disk: &RecordStore, folder: &Path, to: &Path) {
     for (path, bytes) in image(folder) {
         let path = to.join(path.strip_prefix(folder).expect("within"));
         fs::create_dir_all(path.parent().expect("a folder")).expect("made");
@@ -153,7 +153,7 @@
         assert!(code == 2 && out.contains(r#""error":"store""#) && err.contains(said), "{out}{err}");
     }
     let empty = folder.path().join("tally");
-    let _in_use = Disk::open(&empty).expect("made");
+    let _in_use = RecordStore::open(&empty).expect("made");
     let (code, out, _) = run(CHECK, &empty);
     assert!(code == 0 && out.contains("no records"), "{out}");
     assert_eq!(run(EXPORT, &empty).0, 1);
--- a/explore/src/lease.rs
+++ b/explore/src/lease.rs
@@ -11,7 +11,7 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-use millpost_quorum::{Address, Holder, LEASE_FOR, LEASE_MARGIN, Members, Message, Voter};
+use millpost_quorum::{Address, LEASE_DURATION, LEASE_MARGIN, LeaseHolder, Members, Message, Voter};
 
 use crate::part::{Part, print};
 use crate::search::{State, Way};
@@ -23,7 +23,7 @@
 }
 
 const MS: u64 = 1_000_000;
-const QUANTUM: u64 = LEASE_FOR / 3;
+const QUANTUM: u64 = LEASE_DURATION / 3;
 /// Whoever started at zero has waited out whatever there is.
 const FROM: u64 = 20_000 * MS;
 const VOTERS: [&str; 3] = ["a", "b", "c"];
@@ -123,7 +123,7 @@
 /// A candidate, and what it has said last.
 #[derive(Clone, Debug, Hash)]
 struct Seeker {
-    holder: Holder,
+    holder: LeaseHolder,
     asks: u64,
     /// Until when it acts, where it counts wrongly.
     wrong: u64,
@@ -187,10 +187,10 @@
 
 fn number(message: &Message) -> u64 {
     match message {
-        Message::Ask { ask, .. }
-        | Message::Granted { ask, .. }
-        | Message::Denied { ask, .. }
-        | Message::Release { ask, .. } => *ask,
+        Message::LeaseRequest { request: ask, .. }
+        | Message::LeaseGranted { request: ask, .. }
+        | Message::LeaseDenied { request: ask, .. }
+        | Message::LeaseRelease { request: ask, .. } => *ask,
         _ => 0,
     }
 }
@@ -198,11 +198,11 @@
 impl Case {
     /// Nobody has asked yet.
     pub fn start(&self, fault: Option<Fault>) -> Lease {
-        let first = Members::first("u", VOTERS.iter().map(|name| Address::from(*name)));
+        let first = Members::initial("u", VOTERS.iter().map(|name| Address::from(*name)));
         let voter = |name: &&str| {
             let mut seat = seat(name, Arc::default(), 0);
             let disk = &mut seat.disk;
-            let _ = seat.voter.bootstrap(first.clone()).carry_out(|writes| {
+            let _ = seat.voter.bootstrap(first.clone()).commit(|writes| {
                 let writes = writes.iter().map(|write| (write.key.clone(), write.text.clone()));
                 Arc::make_mut(disk).extend(writes);
                 Ok::<_, ()>(())
@@ -210,7 +210,7 @@
             Part::new(seat)
         };
         let seeker = |name: &&str| {
-            let holder = Holder::new(DUTY, name, 1, first.clone(), 1, FROM - QUANTUM);
+            let holder = LeaseHolder::new(DUTY, name, 1, first.clone(), 1, FROM - QUANTUM);
             Part::new(Seeker { holder, asks: 0, wrong: 0 })
         };
         Lease {
@@ -233,7 +233,7 @@
         if self.fault == Some(Fault::FromAnswer) {
             self.now < seeker.wrong
         } else {
-            seeker.holder.may_act(self.now)
+            seeker.holder.is_held(self.now)
         }
     }
 
@@ -261,7 +261,7 @@
     /// A voter hears a candidate.
     fn hears(&mut self, voter: u8, holder: u8, mut message: Message, hear: u8, keep: Option<Keep>) {
         if self.fault == Some(Fault::LateRelease)
-            && let Message::Release { ask, .. } = &mut message
+            && let Message::LeaseRelease { request: ask, .. } = &mut message
         {
             *ask = u64::MAX;
         }
@@ -269,7 +269,7 @@
         let reply = self.voters[usize::from(voter)].change(|seat| {
             let step = seat.voter.handle(now, HOLDERS[usize::from(holder)], message);
             // Grants are in memory only, and the members stay.
-            step.carry_out(|_| Ok::<_, ()>(())).unwrap_or_default()
+            step.commit(|_| Ok::<_, ()>(())).unwrap_or_default()
         });
         match reply {
             Some(message) if keep == Some(Keep::From(voter)) => {
@@ -285,14 +285,14 @@
         let (now, fault) = (self.now, self.fault);
         let sends = self.seekers[usize::from(holder)].change(|seeker| {
             if fault == Some(Fault::OldAnswers)
-                && let Message::Granted { ask, .. } = &mut message
+                && let Message::LeaseGranted { request: ask, .. } = &mut message
             {
                 *ask = seeker.asks;
             }
-            let before = seeker.holder.until();
+            let before = seeker.holder.expires_at();
             let sends = seeker.holder.on_message(now, VOTERS[usize::from(voter)], &message);
-            if seeker.holder.until() > before {
-                seeker.wrong = now + LEASE_FOR - LEASE_MARGIN;
+            if seeker.holder.expires_at() > before {
+                seeker.wrong = now + LEASE_DURATION - LEASE_MARGIN;
             }
             sends
         });
@@ -326,7 +326,7 @@
             Step::Restart(voter) => {
                 self.left.restarts -= 1;
                 let quiet = self.fault != Some(Fault::GrantsAtOnce);
-                let now = if quiet { self.now } else { self.now - LEASE_FOR };
+                let now = if quiet { self.now } else { self.now - LEASE_DURATION };
                 self.voters[usize::from(voter)]
                     .change(|held| *held = seat(VOTERS[usize::from(voter)], held.disk.clone(), now));
             }
@@ -407,9 +407,9 @@
                 let (voter, holder) = (VOTERS[usize::from(word.voter)], HOLDERS[usize::from(word.holder)]);
                 let (from, to) = if word.back { (voter, holder) } else { (holder, voter) };
                 let what = match word.message {
-                    Message::Ask { .. } => "ask",
-                    Message::Granted { .. } => "granted",
-                    Message::Denied { .. } => "denied",
+                    Message::LeaseRequest { .. } => "ask",
+                    Message::LeaseGranted { .. } => "granted",
+                    Message::LeaseDenied { .. } => "denied",
                     _ => "release",
                 };
                 out += &format!("  {from} -> {to}: {what} {}\n", number(&word.message));
--- a/explore/src/register.rs
+++ b/explore/src/register.rs
@@ -12,8 +12,8 @@
 use std::sync::Arc;
 
 use millpost_quorum::{
-    Accepted, Address, Ballot, Ballots, Key, Kind, Members, Message, Moving, Out, Outcome, Round,
-    State as Stage, Value, Voter, Write,
+    Accepted, Address, Ballot, Ballots, Key, Members, MembershipChange, Message, Operation, Outcome, Output,
+    Round, State as Stage, Value, Voter, Write,
 };
 
 pub use cases::{Bounds, Case, FAULTS, Job, cases, large};
@@ -75,7 +75,7 @@
 enum Work {
     Idle,
     Round { round: Box<Round>, floor: u64 },
-    Moving(Box<Moving>),
+    MembershipChange(Box<MembershipChange>),
 }
 
 /// One that reads, writes, or moves.
@@ -99,7 +99,7 @@
             Work::Round { round, floor } => {
                 Work::Round { round: Box::new(round.fork(&ballots)), floor: *floor }
             }
-            Work::Moving(moving) => Work::Moving(Box::new(moving.fork(&ballots))),
+            Work::MembershipChange(moving) => Work::MembershipChange(Box::new(moving.fork(&ballots))),
         };
         Proposer { members: self.members.clone(), ballots, work, ..*self }
     }
@@ -190,7 +190,7 @@
 /// Which phase of whose round it belongs to.
 fn phase(message: &Message) -> Option<(u8, &Ballot)> {
     match message {
-        Message::Look { tag, .. } | Message::Seen { tag, .. } => Some((0, tag)),
+        Message::Query { tag, .. } | Message::QueryReply { tag, .. } => Some((0, tag)),
         Message::Prepare { ballot, .. } | Message::Promised { ballot, .. } => Some((1, ballot)),
         Message::Write { ballot, .. } | Message::Wrote { ballot, .. } => Some((2, ballot)),
         _ => None,
@@ -200,7 +200,7 @@
 impl Case {
     /// The voters have their first members, and the jobs that don't wait have begun.
     pub fn start(&self, fault: Option<Fault>) -> Register {
-        let of = |count: usize| Members::first("u", NAMES[..count].iter().map(|name| Address::from(*name)));
+        let of = |count: usize| Members::initial("u", NAMES[..count].iter().map(|name| Address::from(*name)));
         // One that has voted before has left since.
         let first = if self.had { Members { epoch: 2, ..of(3) } } else { of(3) };
         let seat = |who: u8| {
@@ -210,13 +210,13 @@
             seat.open(who, 0);
             if who < 3 || self.had {
                 let (disk, own) = (&mut seat.disk, if who < 3 { first.clone() } else { of(4) });
-                let _ = seat.voter.bootstrap(own.clone()).carry_out(|writes| store(disk, writes));
+                let _ = seat.voter.bootstrap(own.clone()).commit(|writes| store(disk, writes));
                 // Members that are not the first were written.
                 let (ballot, content) = (Ballots::new("o", 1).next(0), own.to_text().into());
                 let value = Value { version: own.epoch, content };
                 let write = Message::Write { key: Key::Members, ballot, value, members: own.clone() };
                 if own.epoch > 0 {
-                    let _ = seat.voter.handle(0, "o", write).carry_out(|writes| store(disk, writes));
+                    let _ = seat.voter.handle(0, "o", write).commit(|writes| store(disk, writes));
                 }
             }
             Part::new(seat)
@@ -264,9 +264,13 @@
             who.at = who.at.max(now);
             let by = who.members.clone();
             let round = |kind, key| Round::new(kind, key, by.clone(), &who.ballots, 1, u64::MAX);
-            let offer = |version, content: &str, over| Kind::Offer { version, content: content.into(), over };
+            let offer = |version, content: &str, over| Operation::Propose {
+                version,
+                content: content.into(),
+                expected_version: over,
+            };
             let mut round = match job {
-                Job::Read => round(Kind::Read, Key::Config),
+                Job::Read => round(Operation::Read, Key::Config),
                 Job::Offer(version, content) => round(offer(version, content, None), Key::Config),
                 Job::Move(change) if fault == Some(Fault::NoJoint) => {
                     let voters = change.of().apply(&by.voters).unwrap_or_default();
@@ -275,9 +279,9 @@
                 }
                 Job::Move(change) => {
                     let (each, limit, change) = (u64::MAX, u64::MAX, Some(change.of()));
-                    let mut moving = Moving::new(change, by, &who.ballots, 1, each, limit, who.at);
+                    let mut moving = MembershipChange::new(change, by, &who.ballots, 1, each, limit, who.at);
                     let out = moving.on_tick(who.at);
-                    who.work = Work::Moving(Box::new(moving));
+                    who.work = Work::MembershipChange(Box::new(moving));
                     return out;
                 }
             };
@@ -289,9 +293,9 @@
     }
 
     /// What a proposer says is on its way; what it had said before is late.
-    fn emit(&mut self, at: u8, out: Out) {
+    fn emit(&mut self, at: u8, out: Output) {
         let from = FIRST + at;
-        let Out { send, wake, outcome } = out;
+        let Output { send, wake, outcome } = out;
         self.proposers[usize::from(at)].change(|who| who.wake = wake);
         if let Some((_, message)) = send.last() {
             let current = phase(message).map(|(kind, ballot)| (kind, ballot.clone()));
@@ -337,13 +341,13 @@
         });
         let Work::Round { floor, .. } = work else { return };
         let (reads, value) = match outcome {
-            Outcome::Lost(_) => return,
+            Outcome::Indeterminate(_) => return,
             Outcome::Found(value) => (true, value),
-            Outcome::Held(value) => (true, value),
+            Outcome::Conflict(value) => (true, value),
             Outcome::Written(value) => (false, Some(value)),
         };
         if self.fault == Some(Fault::NoJoint) && value.as_ref().is_some_and(of_members) {
-            let members = value.and_then(|value| Members::read_text(&value.content).ok());
+            let members = value.and_then(|value| Members::parse(&value.content).ok());
             self.proposers[usize::from(at)]
                 .change(|who| who.members = members.unwrap_or(who.members.clone()));
             return;
@@ -364,8 +368,8 @@
     /// A move may have come to its end.
     fn moved(&mut self, at: u8) {
         let who = &self.proposers[usize::from(at)];
-        let Work::Moving(moving) = &who.work else { return };
-        let (done, members) = (moving.moved().is_some(), moving.members().clone());
+        let Work::MembershipChange(moving) = &who.work else { return };
+        let (done, members) = (moving.outcome().is_some(), moving.members().clone());
         if done || members != who.members {
             self.proposers[usize::from(at)].change(|who| {
                 who.members = members;
@@ -387,7 +391,7 @@
             }
             match &mut who.work {
                 Work::Round { round, .. } => Some(round.on_reply(who.at, name_of(voter), message)),
-                Work::Moving(moving) => Some(moving.on_reply(who.at, name_of(voter), message)),
+                Work::MembershipChange(moving) => Some(moving.on_reply(who.at, name_of(voter), message)),
                 Work::Idle => None,
             }
         });
@@ -405,7 +409,7 @@
         let reply = seat.change(|seat| {
             let (disk, mut lacks) = (&mut seat.disk, 0);
             let blank = seat.voter.state() != Stage::Voting;
-            let done = seat.voter.handle(now, name_of(from), message).carry_out(|writes| {
+            let done = seat.voter.handle(now, name_of(from), message).commit(|writes| {
                 batches += 1;
                 match () {
                     () if torn && batches == 2 => return Err(()),
@@ -437,12 +441,12 @@
         if to >= FIRST {
             return self.hears(to - FIRST, from, &message);
         }
-        if matches!(message, Message::State { .. }) {
+        if matches!(message, Message::StateReply { .. }) {
             self.heard(to, from, message, fate == Fate::Torn);
             return;
         }
         let torn = fate == Fate::Torn;
-        let asks = matches!(message, Message::Copy { .. });
+        let asks = matches!(message, Message::StateRequest { .. });
         let Some(answer) = self.heard(to, from, message, torn && !asks) else { return };
         // Whoever is turned down only tries again, and no timer will run out any more.
         if self.left.wakes == 0 && matches!(answer, Message::Refused { .. }) {
@@ -482,7 +486,7 @@
             if wipe && fault == Some(Fault::VotesAtOnce) {
                 let disk = &mut seat.disk;
                 let step = seat.voter.bootstrap(first);
-                let _ = step.carry_out(|writes| store(disk, writes));
+                let _ = step.commit(|writes| store(disk, writes));
             }
         });
     }
@@ -501,7 +505,7 @@
                     who.at = who.at.max(now).max(who.wake.unwrap_or(0));
                     match &mut who.work {
                         Work::Round { round, .. } => Some(round.on_tick(who.at)),
-                        Work::Moving(moving) => Some(moving.on_tick(who.at)),
+                        Work::MembershipChange(moving) => Some(moving.on_tick(who.at)),
                         Work::Idle => None,
                     }
                 });
@@ -554,8 +558,8 @@
             };
             for set in 1..1_u8 << count {
                 let is_in = |at: usize| set >> at & 1 == 1;
-                if !(0..count).all(|at| !is_in(at) || by.names(NAMES[at]) && answers(at))
-                    || !by.quorum(|voter| voter_of(voter).is_some_and(|at| is_in(usize::from(at))))
+                if !(0..count).all(|at| !is_in(at) || by.contains(NAMES[at]) && answers(at))
+                    || !by.has_quorum(|voter| voter_of(voter).is_some_and(|at| is_in(usize::from(at))))
                 {
                     continue;
                 }
@@ -586,8 +590,8 @@
         };
         match &sent.message {
             _ if self.left.late == 0 || sent.to >= FIRST => true,
-            Message::Copy { .. } | Message::State { .. } => false,
-            Message::Look { members, .. } => members.epoch == 0,
+            Message::StateRequest { .. } | Message::StateReply { .. } => false,
+            Message::Query { members, .. } => members.epoch == 0,
             Message::Prepare { key, ballot, members } | Message::Write { key, ballot, members, .. } => {
                 members.epoch == 0 && promised(key, ballot)
             }
@@ -605,7 +609,7 @@
             }
             let place = place as u16;
             all.push(Step::Comes(place, Fate::Heard));
-            let answers = sent.to < FIRST && !matches!(sent.message, Message::State { .. });
+            let answers = sent.to < FIRST && !matches!(sent.message, Message::StateReply { .. });
             if answers && !sent.stale && self.left.late > 0 {
                 all.push(Step::Comes(place, Fate::Late));
             }
@@ -625,7 +629,7 @@
         }
         let voting = |at: usize| self.voters[at].voter.state() == Stage::Voting;
         for (at, seat) in self.voters.iter().enumerate() {
-            let told = self.case.timed || seat.voter.state() == Stage::Copying;
+            let told = self.case.timed || seat.voter.state() == Stage::Recovering;
             if told && !seat.asked && seat.voter.next_wake().is_some_and(|wake| wake <= self.now) {
                 all.push(Step::Ask(at as u8));
             }
@@ -646,7 +650,7 @@
 }
 
 fn of_members(value: &Value) -> bool {
-    Members::read_text(&value.content).is_ok()
+    Members::parse(&value.content).is_ok()
 }
 
 impl State for Register {
@@ -745,9 +749,9 @@
                         let content: String = value.content.chars().take(12).collect();
                         format!("write {key:?} {} {content}", ballot(b))
                     }
-                    (Message::Look { key, tag, .. }, _) => format!("look {key:?} {}", ballot(tag)),
-                    (Message::Copy { .. }, _) => "copy".to_owned(),
-                    (Message::State { .. }, _) => "state".to_owned(),
+                    (Message::Query { key, tag, .. }, _) => format!("look {key:?} {}", ballot(tag)),
+                    (Message::StateRequest { .. }, _) => "copy".to_owned(),
+                    (Message::StateReply { .. }, _) => "state".to_owned(),
                     (_, Some((kind, b))) => {
                         format!("{} {}", ["seen", "promised", "wrote"][usize::from(kind)], ballot(b))
                     }
--- a/explore/src/register/cases.rs
+++ b/explore/src/register/cases.rs
@@ -1,6 +1,6 @@
 //! The worlds of the register: who does what in them, and how often something goes wrong.
 
-use millpost_quorum::Change;
+use millpost_quorum::VoterChange;
 
 use super::Fault;
 
@@ -29,12 +29,12 @@
 }
 
 impl Turn {
-    pub(super) fn of(self) -> Change {
+    pub(super) fn of(self) -> VoterChange {
         let out = match self {
             Turn::First => "a",
             Turn::Third => "c",
         };
-        Change::Replace { out: out.into(), new: "z".into() }
+        VoterChange::Replace { old: out.into(), new: "z".into() }
     }
 }
 
--- a/migration/src/contract.rs
+++ b/migration/src/contract.rs
@@ -5,7 +5,7 @@
 
 use compact_str::CompactString;
 use millpost_config::values::{list, number, object, string, write};
-use millpost_config::{At, Fault};
+use millpost_config::{ConfigError, JsonCursor};
 use tinyjson::JsonValue;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -86,72 +86,76 @@
     }
 
     /// Reads one: `order` is `plan`, `start`, `pause` or `back`.
-    pub fn read(at: &At<'_>) -> Result<Self, Fault> {
-        let kind = at.need("order")?;
+    pub fn read(at: &JsonCursor<'_>) -> Result<Self, ConfigError> {
+        let kind = at.required("order")?;
         match kind.str()? {
-            "plan" => Ok(Order::Plan(Contract::read(&at.need("contract")?)?)),
+            "plan" => Ok(Order::Plan(Contract::read(&at.required("contract")?)?)),
             "start" => Ok(Order::Start(named(at)?, numbers(at)?)),
             "pause" => Ok(Order::Pause(named(at)?)),
             "back" => Ok(Order::Back(named(at)?, numbers(at)?)),
-            other => Err(kind.fault(format!("is {other:?}; plan, start, pause or back"))),
+            other => Err(kind.error(format!("is {other:?}; plan, start, pause or back"))),
         }
     }
 }
 
-fn word(at: &At<'_>) -> Result<CompactString, Fault> {
+fn word(at: &JsonCursor<'_>) -> Result<CompactString, ConfigError> {
     match at.str()? {
-        "" => Err(at.fault("is empty")),
-        text if text.len() > MOST_NAME => Err(at.fault(format!("is longer than {MOST_NAME} bytes"))),
+        "" => Err(at.error("is empty")),
+        text if text.len() > MOST_NAME => Err(at.error(format!("is longer than {MOST_NAME} bytes"))),
         text => Ok(text.into()),
     }
 }
 
-fn named(at: &At<'_>) -> Result<CompactString, Fault> {
-    word(&at.need("name")?)
+fn named(at: &JsonCursor<'_>) -> Result<CompactString, ConfigError> {
+    word(&at.required("name")?)
 }
 
-fn numbers(at: &At<'_>) -> Result<Option<(u64, u64)>, Fault> {
-    let Some(numbers) = at.key("revisions") else { return Ok(None) };
-    let (first, last) = (numbers.need("first")?.whole()?, numbers.need("last")?.whole()?);
+fn numbers(at: &JsonCursor<'_>) -> Result<Option<(u64, u64)>, ConfigError> {
+    let Some(numbers) = at.optional("revisions") else { return Ok(None) };
+    let (first, last) = (numbers.required("first")?.uint()?, numbers.required("last")?.uint()?);
     if first == 0 || last < first {
-        return Err(numbers.fault("is no range of revisions"));
+        return Err(numbers.error("is no range of revisions"));
     }
     Ok(Some((first, last)))
 }
 
 /// The items of a list that may be left out.
-fn items<T>(at: &At<'_>, key: &str, read: impl Fn(&At<'_>) -> Result<T, Fault>) -> Result<Vec<T>, Fault> {
-    let Some(at) = at.key(key) else { return Ok(Vec::new()) };
+fn items<T>(
+    at: &JsonCursor<'_>,
+    key: &str,
+    read: impl Fn(&JsonCursor<'_>) -> Result<T, ConfigError>,
+) -> Result<Vec<T>, ConfigError> {
+    let Some(at) = at.optional(key) else { return Ok(Vec::new()) };
     if at.items()?.len() > MOST_ROUTES {
-        return Err(at.fault(format!("are more than {MOST_ROUTES}")));
+        return Err(at.error(format!("are more than {MOST_ROUTES}")));
     }
     at.items()?.map(|at| read(&at)).collect()
 }
 
 impl Contract {
     /// Reads one.
-    pub fn read(at: &At<'_>) -> Result<Self, Fault> {
-        let place = |at: &At<'_>| {
-            let prefix = at.need("path_prefix")?;
+    pub fn read(at: &JsonCursor<'_>) -> Result<Self, ConfigError> {
+        let place = |at: &JsonCursor<'_>| {
+            let prefix = at.required("path_prefix")?;
             let text = prefix.str()?;
             if text.len() > 2 * MOST_NAME {
-                return Err(prefix.fault("is too long"));
+                return Err(prefix.error("is too long"));
             }
-            Ok((word(&at.need("host")?)?, text.into()))
+            Ok((word(&at.required("host")?)?, text.into()))
         };
-        let services = at.need("services")?;
+        let services = at.required("services")?;
         let entries = services.entries()?;
         if entries.len() > MOST_ROUTES {
-            return Err(services.fault(format!("are more than {MOST_ROUTES}")));
+            return Err(services.error(format!("are more than {MOST_ROUTES}")));
         }
-        let service = |(from, to): (&str, At<'_>)| Ok((from.into(), word(&to)?));
+        let service = |(from, to): (&str, JsonCursor<'_>)| Ok((from.into(), word(&to)?));
         Ok(Self {
             name: named(at)?,
             hosts: items(at, "hosts", word)?,
             routes: items(at, "routes", place)?,
             services: entries.into_iter().map(service).collect::<Result<_, _>>()?,
-            loads: at.count_or("loads", 1)?,
-            bounds: at.key("bounds").map_or_else(|| Ok(Bounds::default()), |at| Bounds::read(&at))?,
+            loads: at.saturating_u32_or("loads", 1)?,
+            bounds: at.optional("bounds").map_or_else(|| Ok(Bounds::default()), |at| Bounds::read(&at))?,
         })
     }
 
@@ -179,16 +183,16 @@
 }
 
 impl Bounds {
-    pub(crate) fn read(at: &At<'_>) -> Result<Self, Fault> {
+    pub(crate) fn read(at: &JsonCursor<'_>) -> Result<Self, ConfigError> {
         let other = Self::default();
         at.object()?;
         Ok(Self {
-            warm_ms: at.whole_or("warm_ms", other.warm_ms)?,
-            ack_ms: at.whole_or("ack_ms", other.ack_ms)?,
-            patience_ms: at.whole_or("patience_ms", other.patience_ms)?,
-            most_refused: at.amount_or("most_refused", other.most_refused)?,
-            most_age_ms: at.whole_or("most_age_ms", other.most_age_ms)?,
-            most_memory_mb: at.key("most_memory_mb").map(|at| at.whole()).transpose()?,
+            warm_ms: at.uint_or("warm_ms", other.warm_ms)?,
+            ack_ms: at.uint_or("ack_ms", other.ack_ms)?,
+            patience_ms: at.uint_or("patience_ms", other.patience_ms)?,
+            most_refused: at.non_negative_or("most_refused", other.most_refused)?,
+            most_age_ms: at.uint_or("most_age_ms", other.most_age_ms)?,
+            most_memory_mb: at.optional("most_memory_mb").map(|at| at.uint()).transpose()?,
         })
     }
 
--- a/migration/src/migrator.rs
+++ b/migration/src/migrator.rs
@@ -373,8 +373,8 @@
                 self.firm = true;
                 Some(value)
             }
-            Outcome::Found(value) | Outcome::Held(value) => value,
-            Outcome::Lost(_) => {
+            Outcome::Found(value) | Outcome::Conflict(value) => value,
+            Outcome::Indeterminate(_) => {
                 (self.standing, self.firm, self.read_again) = (None, false, None);
                 // Not at once again: where no majority answers, that says so as fast as it is asked.
                 self.asked = Some(Asked { id: 0, until: now + AGAIN });
--- a/migration/src/observation.rs
+++ b/migration/src/observation.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use compact_str::CompactString;
-use millpost_config::{Config, Fault};
+use millpost_config::{Config, ConfigError};
 
 use crate::migrator::Terms;
 use crate::plant::{Guard, is_out};
@@ -27,7 +27,7 @@
 
 impl Stands {
     /// Reads one.
-    pub fn read(text: &str) -> Result<Self, Fault> {
+    pub fn read(text: &str) -> Result<Self, ConfigError> {
         Ok(Self { config: Config::parse(text)?, text: text.into() })
     }
 }
--- a/migration/src/record.rs
+++ b/migration/src/record.rs
@@ -3,7 +3,7 @@
 
 use compact_str::CompactString;
 use millpost_config::values::{self, list, number, object, string, write};
-use millpost_config::{At, Fault};
+use millpost_config::{ConfigError, JsonCursor};
 use snafu::Snafu;
 use tinyjson::JsonValue;
 
@@ -208,7 +208,7 @@
     #[snafu(display("the record of moves: {source}"), context(false))]
     Spoilt {
         /// Why.
-        source: Fault,
+        source: ConfigError,
     },
 }
 
@@ -246,14 +246,14 @@
     /// Reads what was written.
     pub fn read(text: &str) -> Result<Self, BadRecord> {
         let value = values::parse(text)?;
-        let at = At::root(&value);
-        match at.need("format")?.whole()? {
+        let at = JsonCursor::root(&value);
+        match at.required("format")?.uint()? {
             FORMAT => {}
             format => return Err(BadRecord::Newer { format }),
         }
-        let moves = at.need("moves")?;
+        let moves = at.required("moves")?;
         let moves = moves.items()?.map(|at| Move::read(&at)).collect::<Result<_, _>>()?;
-        Ok(Record { fence: at.need("fence")?.whole()?, moves })
+        Ok(Record { fence: at.required("fence")?.uint()?, moves })
     }
 }
 
@@ -261,12 +261,12 @@
     list(all.iter().map(|(name, weight)| list([string(name), number((*weight).into())])))
 }
 
-fn read_shares(at: &At<'_>) -> Result<Vec<Share>, Fault> {
-    let pair = |at: At<'_>| {
+fn read_shares(at: &JsonCursor<'_>) -> Result<Vec<Share>, ConfigError> {
+    let pair = |at: JsonCursor<'_>| {
         let mut parts = at.items()?;
         match (parts.next(), parts.next(), parts.next()) {
-            (Some(name), Some(weight), None) => Ok((name.str()?.into(), weight.count()?)),
-            _ => Err(at.fault("is no name with a number")),
+            (Some(name), Some(weight), None) => Ok((name.str()?.into(), weight.saturating_u32()?)),
+            _ => Err(at.error("is no name with a number")),
         }
     };
     at.items()?.map(pair).collect()
@@ -283,13 +283,13 @@
         ])
     }
 
-    fn read(at: &At<'_>) -> Result<Self, Fault> {
+    fn read(at: &JsonCursor<'_>) -> Result<Self, ConfigError> {
         Ok(Self {
-            host: at.need("host")?.str()?.into(),
-            path_prefix: at.need("path_prefix")?.str()?.into(),
-            from: read_shares(&at.need("from")?)?,
-            to: read_shares(&at.need("to")?)?,
-            load: at.need("load")?.count()?,
+            host: at.required("host")?.str()?.into(),
+            path_prefix: at.required("path_prefix")?.str()?.into(),
+            from: read_shares(&at.required("from")?)?,
+            to: read_shares(&at.required("to")?)?,
+            load: at.required("load")?.saturating_u32()?,
         })
     }
 }
@@ -310,14 +310,14 @@
         }
     }
 
-    fn read(at: &At<'_>) -> Result<Self, Fault> {
+    fn read(at: &JsonCursor<'_>) -> Result<Self, ConfigError> {
         let put = || {
-            let whole = |key| at.need(key)?.whole();
-            let count = |key| at.need(key)?.count();
+            let whole = |key| at.required(key)?.uint();
+            let count = |key| at.required(key)?.saturating_u32();
             Ok(Put { number: whole("number")?, over: whole("over")?, load: count("load")?, of: count("of")? })
         };
-        let revision = || at.need("revision")?.whole();
-        let step = at.need("step")?;
+        let revision = || at.required("revision")?.uint();
+        let step = at.required("step")?;
         Ok(match step.str()? {
             "planned" => State::Planned { started: false },
             "started" => State::Planned { started: true },
@@ -329,7 +329,7 @@
             "done" => State::Done,
             "turned_back" => State::TurnedBack,
             "overtaken" => State::Overtaken,
-            other => return Err(step.fault(format!("is {other:?}, which is no step"))),
+            other => return Err(step.error(format!("is {other:?}, which is no step"))),
         })
     }
 }
@@ -344,12 +344,12 @@
         ])
     }
 
-    fn read(at: &At<'_>) -> Result<Self, Fault> {
+    fn read(at: &JsonCursor<'_>) -> Result<Self, ConfigError> {
         Ok(Self {
-            day: at.need("day")?.whole()?,
-            fence: at.need("fence")?.whole()?,
-            step: at.need("step")?.str()?.into(),
-            why: at.need("why")?.str()?.to_owned(),
+            day: at.required("day")?.uint()?,
+            fence: at.required("fence")?.uint()?,
+            step: at.required("step")?.str()?.into(),
+            why: at.required("why")?.str()?.to_owned(),
         })
     }
 }
@@ -375,32 +375,33 @@
         ])
     }
 
-    fn read(at: &At<'_>) -> Result<Self, Fault> {
-        let hauls = at.need("hauls")?;
-        let stamps = at.need("stamps")?;
-        let loads = at.need("loads")?;
-        if hauls.items()?.len() > MOST_ROUTES || loads.count()? > MOST_LOADS {
-            return Err(at.fault("is larger than any of ours"));
+    fn read(at: &JsonCursor<'_>) -> Result<Self, ConfigError> {
+        let hauls = at.required("hauls")?;
+        let stamps = at.required("stamps")?;
+        let loads = at.required("loads")?;
+        if hauls.items()?.len() > MOST_ROUTES || loads.saturating_u32()? > MOST_LOADS {
+            return Err(at.error("is larger than any of ours"));
         }
-        let pair = |at: At<'_>| {
-            let parts = at.items()?.map(|at| Ok(at.str()?.into())).collect::<Result<Vec<_>, Fault>>()?;
-            let [from, to] = <[CompactString; 2]>::try_from(parts).map_err(|_| at.fault("are not two"))?;
+        let pair = |at: JsonCursor<'_>| {
+            let parts =
+                at.items()?.map(|at| Ok(at.str()?.into())).collect::<Result<Vec<_>, ConfigError>>()?;
+            let [from, to] = <[CompactString; 2]>::try_from(parts).map_err(|_| at.error("are not two"))?;
             Ok((from, to))
         };
         Ok(Self {
-            name: at.need("name")?.str()?.into(),
-            epoch: at.need("epoch")?.whole()?,
-            mark: at.need("mark")?.count()?,
+            name: at.required("name")?.str()?.into(),
+            epoch: at.required("epoch")?.uint()?,
+            mark: at.required("mark")?.saturating_u32()?,
             hauls: hauls.items()?.map(|at| RouteMove::read(&at)).collect::<Result<_, _>>()?,
-            loads: loads.count()?,
-            services: at.need("services")?.items()?.map(pair).collect::<Result<_, _>>()?,
-            longest_ms: at.need("longest_ms")?.whole()?,
-            bounds: Bounds::read(&at.need("bounds")?)?,
-            needs: read_shares(&at.need("needs")?)?,
-            keeps: read_shares(&at.need("keeps")?)?,
-            numbers: (at.need("next")?.whole()?, at.need("last")?.whole()?),
-            paused: at.need("paused")?.flag()?,
-            state: State::read(&at.need("state")?)?,
+            loads: loads.saturating_u32()?,
+            services: at.required("services")?.items()?.map(pair).collect::<Result<_, _>>()?,
+            longest_ms: at.required("longest_ms")?.uint()?,
+            bounds: Bounds::read(&at.required("bounds")?)?,
+            needs: read_shares(&at.required("needs")?)?,
+            keeps: read_shares(&at.required("keeps")?)?,
+            numbers: (at.required("next")?.uint()?, at.required("last")?.uint()?),
+            paused: at.required("paused")?.boolean()?,
+            state: State::read(&at.required("state")?)?,
             stamps: stamps.items()?.map(|at| Stamp::read(&at)).collect::<Result<_, _>>()?,
         })
     }
--- a/migration/src/shift.rs
+++ b/migration/src/shift.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, HashSet};
 
 use millpost_config::routes::host_key;
-use millpost_config::{Config, Fault, redirect, values};
+use millpost_config::{Config, ConfigError, set_services, values};
 use tinyjson::JsonValue;
 
 use crate::record::{RouteMove, Share};
@@ -60,7 +60,7 @@
 }
 
 /// The configuration that has the first loads on the target, out of the text of another.
-pub fn shifted(base: &str, hauls: &[RouteMove], loads: u32, number: u64) -> Result<String, Fault> {
+pub fn shifted(base: &str, hauls: &[RouteMove], loads: u32, number: u64) -> Result<String, ConfigError> {
     let mut value = values::parse(base)?;
     let meant: HashMap<_, _> = hauls
         .iter()
@@ -76,7 +76,7 @@
                 let place = values::get_str(route, "host").zip(values::get_str(route, "path_prefix"));
                 let shares = place.and_then(|(host, prefix)| meant.get(&key(host, prefix)));
                 if let Some(shares) = shares {
-                    redirect(route, shares);
+                    set_services(route, shares);
                 }
             }
         }
--- a/migration/src/tests/small.rs
+++ b/migration/src/tests/small.rs
@@ -1,7 +1,7 @@
 //! What a check says, what a step's configuration is, and what of a record reads back.
 
 use compact_str::CompactString;
-use millpost_config::{At, values};
+use millpost_config::{JsonCursor, values};
 
 use crate::check::check;
 use crate::observation::{Function, Observation, Stands};
@@ -19,7 +19,7 @@
 
 fn contract(text: &str) -> Contract {
     let value = values::parse(text).expect("JSON");
-    Contract::read(&At::root(&value)).expect("a contract")
+    Contract::read(&JsonCursor::root(&value)).expect("a contract")
 }
 
 fn sight(room: Option<Vec<u64>>) -> (Observation, Terms) {
@@ -172,10 +172,10 @@
 )]
 fn an_order_is_read_or_said_what_is_wrong_with_it(text: &str, fault: Option<&str>) {
     let value = values::parse(text).expect("JSON");
-    let read = Order::read(&At::root(&value));
+    let read = Order::read(&JsonCursor::root(&value));
     assert_eq!(read.as_ref().err().map(ToString::to_string).as_deref(), fault);
     if let Ok(Order::Plan(contract)) = read {
-        assert_eq!(Contract::read(&At::root(&contract.to_value())).expect("reads back"), contract);
+        assert_eq!(Contract::read(&JsonCursor::root(&contract.to_value())).expect("reads back"), contract);
     }
 }
 
--- a/migration/src/tests/town.rs
+++ b/migration/src/tests/town.rs
@@ -6,7 +6,7 @@
 
 use compact_str::CompactString;
 use millpost_config::Config;
-use millpost_quorum::{Outcome, Value, Why};
+use millpost_quorum::{FailureReason, Outcome, Value};
 
 use super::oracle::{Oracle, Seen};
 use crate::plant::{Guard, is_out};
@@ -572,7 +572,9 @@
             },
         };
         let lost = |op: &Op| match op {
-            Op::Read(ask) | Op::Write(ask, ..) => Some(Input::Record(*ask, Outcome::Lost(Why::NoMajority))),
+            Op::Read(ask) | Op::Write(ask, ..) => {
+                Some(Input::Record(*ask, Outcome::Indeterminate(FailureReason::NoMajority)))
+            }
             Op::Put { number, .. } => Some(Input::Put(*number)),
             Op::ReadConfig => None,
         };
@@ -632,7 +634,7 @@
                     self.stands(&value);
                     Outcome::Written(value)
                 } else {
-                    Outcome::Held((current > 0).then(|| self.record.clone()))
+                    Outcome::Conflict((current > 0).then(|| self.record.clone()))
                 };
                 Input::Record(ask, outcome)
             }
--- a/proxy/src/shop.rs
+++ b/proxy/src/shop.rs
@@ -9,7 +9,7 @@
 use compact_str::CompactString;
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode};
-use millpost_config::{At, Config, Settings, Table, change};
+use millpost_config::{Config, JsonCursor, RouteTable, Settings, change};
 use millpost_net::messaging::{self, Bounds, Call, Event, Incarnation, Outbox, Reply, To};
 use millpost_net::metrics;
 use millpost_protocol::frame::Head;
@@ -47,7 +47,7 @@
     /// As it came.
     pub config: Config,
     /// Routes by host and prefix.
-    pub table: Table,
+    pub table: RouteTable,
     /// Idle connections to one instance of a function that this stall may keep.
     pub idle: Rc<HashMap<CompactString, usize>>,
 }
@@ -455,7 +455,7 @@
     }
 
     fn configure(&self, revision: u64, body: &JsonValue) {
-        match Config::read(&At::root(body)) {
+        match Config::read(&JsonCursor::root(body)) {
             Ok(config) => self.put_in_force(config),
             Err(e) => log::error!("configuration {revision}: {e}"),
         }
@@ -480,7 +480,7 @@
         log::info!("configuration {} with {} routes", config.revision, config.routes.len());
         let before = self.force.borrow().clone();
         if let Some(before) = before.filter(|before| before.config.services == config.services) {
-            let force = Force { table: Table::new(&config), idle: before.idle.clone(), config };
+            let force = Force { table: RouteTable::new(&config), idle: before.idle.clone(), config };
             *self.force.borrow_mut() = Some(Rc::new(force));
             return self.up(&PeerMessage::Acts { revision: self.currency.acted(), number: 0 });
         }
@@ -499,7 +499,7 @@
                 memory_mb: s.memory_mb,
             })
             .collect();
-        let force = Force { table: Table::new(&config), idle: Rc::new(idle.collect()), config };
+        let force = Force { table: RouteTable::new(&config), idle: Rc::new(idle.collect()), config };
         *self.force.borrow_mut() = Some(Rc::new(force));
         self.desk.borrow_mut().configure(self.now(), specs.into_iter());
         self.up(&PeerMessage::Acts { revision: self.currency.acted(), number: 0 });
--- a/quorum-store/src/images.rs
+++ b/quorum-store/src/images.rs
@@ -6,7 +6,7 @@
 
 use millpost_quorum::Write;
 
-use super::{Disk, DiskError, look, read};
+use super::{RecordStore, StoreError, read, read_copy};
 
 type Image = BTreeMap<PathBuf, Vec<u8>>;
 
@@ -42,7 +42,7 @@
 /// A store after so many puts, opened and closed as a process that was killed would leave it, and its image at each put.
 fn images(puts: u32) -> Vec<Image> {
     let folder = tempfile::tempdir().expect("a folder");
-    let disk = Disk::open(folder.path()).expect("opened");
+    let disk = RecordStore::open(folder.path()).expect("opened");
     let put = |n| {
         disk.put(&[write(n)]).expect("put");
         image(folder.path())
@@ -135,13 +135,13 @@
 fn a_look_beside_a_running_process_gives_all_that_was_put() {
     let data = tempfile::tempdir().expect("a folder");
     let place = data.path().join("tally");
-    let disk = Disk::open(&place).expect("opened");
+    let disk = RecordStore::open(&place).expect("opened");
     for n in 0..9 {
         disk.put(&[write(n)]).expect("put");
         let before = image(data.path());
         // By its own name, and by that of the folder above.
         for named in [place.as_path(), data.path()] {
-            let (folder, records) = look(named).expect("read");
+            let (folder, records) = read_copy(named).expect("read");
             assert_eq!(folder, place);
             assert_eq!(records.into_iter().collect::<BTreeMap<_, _>>(), state(n + 1));
         }
@@ -163,7 +163,7 @@
             for laid in [cut, spoilt] {
                 let folder = tempfile::tempdir().expect("a folder");
                 lay(&laid, folder.path());
-                match look(folder.path()) {
+                match read_copy(folder.path()) {
                     Ok((_, records)) => {
                         assert!(records.iter().all(|r| ever.contains(r)), "{}", name.display())
                     }
@@ -186,15 +186,15 @@
     let folder = tempfile::tempdir().expect("a folder");
     let laid: Image = files.iter().map(|(name, text)| (name.into(), text.as_bytes().to_vec())).collect();
     lay(&laid, folder.path());
-    let said = look(folder.path());
-    assert!(matches!(said, Err(DiskError::NoStore { .. })), "{said:?}");
+    let said = read_copy(folder.path());
+    assert!(matches!(said, Err(StoreError::NoStore { .. })), "{said:?}");
     assert_eq!(image(folder.path()), laid);
 }
 
 #[test]
 fn what_is_no_folder_is_said() {
     let folder = full(1);
-    assert!(matches!(look(&folder.path().join("db")), Err(DiskError::NoStore { .. })));
-    let said = look(&folder.path().join("other")).expect_err("nothing there").to_string();
+    assert!(matches!(read_copy(&folder.path().join("db")), Err(StoreError::NoStore { .. })));
+    let said = read_copy(&folder.path().join("other")).expect_err("nothing there").to_string();
     assert!(said.contains("other"), "{said}");
 }
--- a/quorum-store/src/lib.rs
+++ b/quorum-store/src/lib.rs
@@ -1,11 +1,11 @@
-//! The register's records on disk. Invariant: what [`Disk::put`] has returned from outlasts a loss of power. `sled`'s own flush did
+//! The register's records on disk. Invariant: what [`RecordStore::put`] has returned from outlasts a loss of power. `sled`'s own flush did
 //! not keep that on the bench, so each file in its folder and the folder itself are synced through handles of our own after it.
 //!
-//! [`look`] reads a folder that may be in use: it opens a copy, and writes nothing there.
+//! [`read_copy`] reads a folder that may be in use: it opens a copy, and writes nothing there.
 
-mod look;
+mod read_copy;
 
-pub use look::look;
+pub use read_copy::read_copy;
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
 
 /// What the disk says.
 #[derive(Debug, Snafu)]
-pub enum DiskError {
+pub enum StoreError {
     /// The store itself.
     #[snafu(display("store in {}: {source}", folder.display()))]
     Store {
@@ -26,7 +26,7 @@
     },
     /// The store could not make sense of a file.
     #[snafu(display("store in {}: corrupted", folder.display()))]
-    Spoilt {
+    Corrupted {
         /// Its folder.
         folder: PathBuf,
     },
@@ -56,36 +56,36 @@
     },
 }
 
-impl DiskError {
+impl StoreError {
     /// Whether the store is there and can't be made sense of.
-    pub fn is_spoilt(&self) -> bool {
+    pub fn is_corrupted(&self) -> bool {
         matches!(
             self,
-            DiskError::Spoilt { .. } | DiskError::Store { source: sled::Error::Corruption { .. }, .. }
+            StoreError::Corrupted { .. } | StoreError::Store { source: sled::Error::Corruption { .. }, .. }
         )
     }
 }
 
 /// The records.
-pub struct Disk {
+pub struct RecordStore {
     folder: PathBuf,
     db: sled::Db,
 }
 
-impl Disk {
+impl RecordStore {
     /// Opens the folder, or makes it.
-    pub fn open(folder: &Path) -> Result<Self, DiskError> {
+    pub fn open(folder: &Path) -> Result<Self, StoreError> {
         let config = sled::Config::new()
             .path(folder)
             .cache_capacity(1 << 20)
             .flush_every_ms(None)
             .mode(sled::Mode::LowSpace);
         let db = config.open().context(StoreSnafu { folder })?;
-        Ok(Disk { folder: folder.to_owned(), db })
+        Ok(RecordStore { folder: folder.to_owned(), db })
     }
 
     /// All records.
-    pub fn records(&self) -> Result<Vec<(String, String)>, DiskError> {
+    pub fn records(&self) -> Result<Vec<(String, String)>, StoreError> {
         let mut all = Vec::new();
         for row in self.db.iter() {
             let (key, text) = row.context(StoreSnafu { folder: &self.folder })?;
@@ -98,7 +98,7 @@
     }
 
     /// Writes a batch; once this returns it outlasts a loss of power.
-    pub fn put(&self, batch: &[Write]) -> Result<(), DiskError> {
+    pub fn put(&self, batch: &[Write]) -> Result<(), StoreError> {
         let mut records = sled::Batch::default();
         for write in batch {
             records.insert(write.key.as_bytes(), write.text.as_bytes());
@@ -110,7 +110,7 @@
 }
 
 /// Syncs every file under a folder, then the folder.
-fn sync(folder: &Path) -> Result<(), DiskError> {
+fn sync(folder: &Path) -> Result<(), StoreError> {
     for entry in std::fs::read_dir(folder).context(FileSnafu { path: folder })? {
         let entry = entry.context(FileSnafu { path: folder })?;
         let path = entry.path();
@@ -122,20 +122,20 @@
         match File::open(&path) {
             Ok(file) => file.sync_all().context(FileSnafu { path: &path })?,
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => {}
-            Err(source) => return Err(DiskError::File { path, source }),
+            Err(source) => return Err(StoreError::File { path, source }),
         }
     }
     File::open(folder).and_then(|f| f.sync_all()).context(FileSnafu { path: folder })
 }
 
 /// Opens a folder and reads all of it. What the store makes of a spoilt file may be a panic: that is an error like any other here.
-pub fn read(folder: &Path) -> Result<(Disk, Vec<(String, String)>), DiskError> {
+pub fn read(folder: &Path) -> Result<(RecordStore, Vec<(String, String)>), StoreError> {
     let all = || {
-        let disk = Disk::open(folder)?;
+        let disk = RecordStore::open(folder)?;
         let records = disk.records()?;
         Ok((disk, records))
     };
-    std::panic::catch_unwind(all).unwrap_or_else(|_| SpoiltSnafu { folder }.fail())
+    std::panic::catch_unwind(all).unwrap_or_else(|_| CorruptedSnafu { folder }.fail())
 }
 
 #[cfg(test)]
@@ -150,7 +150,7 @@
         let folder = tempfile::tempdir().expect("a folder");
         let write = |n: u32| Write { key: format!("k{}", n % 3), text: format!("text {n}") };
         {
-            let disk = Disk::open(folder.path()).expect("opened");
+            let disk = RecordStore::open(folder.path()).expect("opened");
             (0..20).for_each(|n| disk.put(&[write(n), write(n + 1)]).expect("put"));
         }
         // Threads of the store may keep its lock for a moment.
--- a/quorum-store/src/look.rs
+++ b/quorum-store/src/read_copy.rs
@@ -8,7 +8,7 @@
 
 use snafu::ResultExt;
 
-use crate::{DiskError, FileSnafu, NoStoreSnafu, read};
+use crate::{FileSnafu, NoStoreSnafu, StoreError, read};
 
 /// A folder with more bytes or files than this is none of ours; the disk that the pages name holds 128 MB.
 const MOST_BYTES: u64 = 1 << 30;
@@ -22,7 +22,7 @@
 type Listing = BTreeMap<PathBuf, (u64, Option<SystemTime>)>;
 
 /// The folder of the store: the one that is named, or `tally` in it.
-fn place(folder: &Path) -> Result<PathBuf, DiskError> {
+fn place(folder: &Path) -> Result<PathBuf, StoreError> {
     let metadata = fs::metadata(folder).context(FileSnafu { path: folder })?;
     let no_store = |why: &str| NoStoreSnafu { folder, why }.fail();
     if !metadata.is_dir() {
@@ -36,7 +36,7 @@
     }
 }
 
-fn list(folder: &Path) -> Result<Listing, DiskError> {
+fn list(folder: &Path) -> Result<Listing, StoreError> {
     let too_much = |why: String| NoStoreSnafu { folder, why }.fail();
     let (mut all, mut folders, mut bytes) = (Listing::new(), vec![(folder.to_owned(), 1)], 0_u64);
     while let Some((next, deep)) = folders.pop() {
@@ -66,7 +66,7 @@
 }
 
 /// Copies what was listed; a file that has gone meanwhile shows in the next listing.
-fn copy(folder: &Path, listing: &Listing, to: &Path) -> Result<(), DiskError> {
+fn copy(folder: &Path, listing: &Listing, to: &Path) -> Result<(), StoreError> {
     for (name, (size, _)) in listing {
         let (from, to) = (folder.join(name), to.join(name));
         if let Some(parent) = to.parent() {
@@ -84,7 +84,7 @@
 
 /// All records of a folder, from a copy of it, so that it may be in use. Gives the folder that was meant, too: it may be `tally` in
 /// the one that is named.
-pub fn look(folder: &Path) -> Result<(PathBuf, Vec<(String, String)>), DiskError> {
+pub fn read_copy(folder: &Path) -> Result<(PathBuf, Vec<(String, String)>), StoreError> {
     let folder = place(folder)?;
     for _ in 0..TRIES {
         let copied = tempfile::tempdir().context(FileSnafu { path: std::env::temp_dir() })?;
@@ -97,16 +97,16 @@
         drop(disk);
         return Ok((folder, records));
     }
-    Err(DiskError::Busy { folder, tries: TRIES })
+    Err(StoreError::Busy { folder, tries: TRIES })
 }
 
 /// The same fault, with the folder's own name in place of the copy's.
-fn named(fault: DiskError, copy: &Path, real: &Path) -> DiskError {
+fn named(fault: StoreError, copy: &Path, real: &Path) -> StoreError {
     let folder = real.to_owned();
     match fault {
-        DiskError::Store { source, .. } => DiskError::Store { folder, source },
-        DiskError::Spoilt { .. } => DiskError::Spoilt { folder },
-        DiskError::File { path, source } => DiskError::File {
+        StoreError::Store { source, .. } => StoreError::Store { folder, source },
+        StoreError::Corrupted { .. } => StoreError::Corrupted { folder },
+        StoreError::File { path, source } => StoreError::File {
             path: path.strip_prefix(copy).map_or(path.clone(), |name| real.join(name)),
             source,
         },
--- a/quorum/src/ballot.rs
+++ b/quorum/src/ballot.rs
@@ -6,7 +6,7 @@
 use compact_str::CompactString;
 use tinyjson::JsonValue;
 
-use crate::form::{self, BadForm, Form};
+use crate::form::{self, DecodeError, Form};
 
 /// Longest name of a proposer, a duty, a holder or a machine.
 pub(crate) const MAX_NAME: usize = 128;
@@ -21,23 +21,23 @@
     /// The configuration.
     Config,
     /// The steward's fence.
-    Steward,
+    Leader,
     /// The record of moves. Nothing is there, on no disk, until an operator plans the first.
-    Moves,
+    Migrations,
     /// The voters themselves.
     Members,
 }
 
 impl Key {
     /// All keys there are.
-    pub const ALL: [Self; 4] = [Self::Config, Self::Steward, Self::Moves, Self::Members];
+    pub const ALL: [Self; 4] = [Self::Config, Self::Leader, Self::Migrations, Self::Members];
 
     /// The key's name.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Config => "config",
-            Self::Steward => "steward",
-            Self::Moves => "moves",
+            Self::Leader => "steward",
+            Self::Migrations => "moves",
             Self::Members => "members",
         }
     }
@@ -47,13 +47,13 @@
         Self::ALL.into_iter().find(|key| key.as_str() == name)
     }
 
-    pub(crate) fn read(value: &JsonValue) -> Result<Self, BadForm> {
+    pub(crate) fn read(value: &JsonValue) -> Result<Self, DecodeError> {
         form::text(value, "key", 16)
             .and_then(|name| Self::of(name).ok_or_else(|| form::wrong("key", "a known key")))
     }
 }
 
-/// A number for one attempt. Ordered by counter, then proposer, then its life.
+/// A number for one attempt. Ordered by counter, then proposer, then its incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ballot {
     /// Goes up with each attempt.
@@ -61,27 +61,29 @@
     /// Whose it is.
     pub proposer: CompactString,
     /// Differs at each start of the proposer's process.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 impl Ballot {
     pub(crate) fn to_json(&self) -> JsonValue {
-        let parts = [form::count(self.counter), form::word(&self.proposer), form::count(self.life)];
+        let parts = [form::count(self.counter), form::word(&self.proposer), form::count(self.incarnation)];
         JsonValue::Array(parts.into())
     }
 
-    pub(crate) fn read(value: &JsonValue, what: &'static str) -> Result<Self, BadForm> {
+    pub(crate) fn read(value: &JsonValue, what: &'static str) -> Result<Self, DecodeError> {
         let JsonValue::Array(parts) = value else { return Err(form::wrong(what, "a ballot")) };
-        let [counter, proposer, life] = parts.as_slice() else { return Err(form::wrong(what, "a ballot")) };
+        let [counter, proposer, incarnation] = parts.as_slice() else {
+            return Err(form::wrong(what, "a ballot"));
+        };
         let counter = form::number(counter, what)?;
         if counter > MAX_COUNTER {
             return Err(form::wrong(what, "a ballot of ours"));
         }
         let proposer = form::text(proposer, what, MAX_NAME)?.into();
-        Ok(Self { counter, proposer, life: form::number(life, what)? })
+        Ok(Self { counter, proposer, incarnation: form::number(incarnation, what)? })
     }
 
-    pub(crate) fn maybe(value: Option<&JsonValue>, what: &'static str) -> Result<Option<Self>, BadForm> {
+    pub(crate) fn maybe(value: Option<&JsonValue>, what: &'static str) -> Result<Option<Self>, DecodeError> {
         value.map(|value| Self::read(value, what)).transpose()
     }
 }
@@ -90,21 +92,21 @@
 #[derive(Debug, Clone)]
 pub struct Ballots {
     proposer: CompactString,
-    life: u64,
+    incarnation: u64,
     counter: Arc<AtomicU64>,
 }
 
 impl Ballots {
-    /// For this proposer. `life` must differ at each start of its process.
-    pub fn new(proposer: &str, life: u64) -> Self {
-        Self { proposer: proposer.into(), life, counter: Arc::default() }
+    /// For this proposer. `incarnation` must differ at each start of its process.
+    pub fn new(proposer: &str, incarnation: u64) -> Self {
+        Self { proposer: proposer.into(), incarnation, counter: Arc::default() }
     }
 
     /// A ballot that was not given out before, with a counter above `above`.
     pub fn next(&self, above: u64) -> Ballot {
         self.counter.fetch_max(above.min(MAX_COUNTER), Ordering::Relaxed);
         let counter = self.counter.fetch_add(1, Ordering::Relaxed) + 1;
-        Ballot { counter, proposer: self.proposer.clone(), life: self.life }
+        Ballot { counter, proposer: self.proposer.clone(), incarnation: self.incarnation }
     }
 }
 
@@ -121,7 +123,7 @@
 #[cfg(feature = "explore")]
 impl std::hash::Hash for Ballots {
     fn hash<H: std::hash::Hasher>(&self, state: &mut H) {
-        (&self.proposer, self.life, self.counter.load(Ordering::Relaxed)).hash(state);
+        (&self.proposer, self.incarnation, self.counter.load(Ordering::Relaxed)).hash(state);
     }
 }
 
@@ -157,7 +159,7 @@
         ])
     }
 
-    pub(crate) fn read(value: &JsonValue) -> Result<Self, BadForm> {
+    pub(crate) fn read(value: &JsonValue) -> Result<Self, DecodeError> {
         let form = Form::of(value, "accepted")?;
         Ok(Self {
             ballot: Ballot::read(form.get("ballot")?, "ballot")?,
@@ -168,7 +170,7 @@
 }
 
 impl Value {
-    pub(crate) fn read(form: Form) -> Result<Self, BadForm> {
+    pub(crate) fn read(form: Form) -> Result<Self, DecodeError> {
         let content = form.text("content", MAX_CONTENT)?.into();
         Ok(Self { version: form.number("version")?, content })
     }
@@ -193,7 +195,7 @@
         ])
     }
 
-    pub(crate) fn read(value: &JsonValue) -> Result<(Key, Self), BadForm> {
+    pub(crate) fn read(value: &JsonValue) -> Result<(Key, Self), DecodeError> {
         let form = Form::of(value, "slot")?;
         let promised = Ballot::maybe(form.maybe("promised"), "promised")?;
         let accepted = form.maybe("accepted").map(Accepted::read).transpose()?;
--- a/quorum/src/form.rs
+++ b/quorum/src/form.rs
@@ -7,9 +7,9 @@
 use snafu::Snafu;
 use tinyjson::JsonValue;
 
-/// Why something is not in the form it should have.
+/// FailureReason something is not in the form it should have.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-pub enum BadForm {
+pub enum DecodeError {
     /// Not JSON at all.
     #[snafu(display("not JSON: {reason}"))]
     NotJson {
@@ -35,12 +35,12 @@
     },
 }
 
-pub(crate) fn wrong(what: &'static str, wanted: &'static str) -> BadForm {
-    BadForm::Wrong { what, wanted }
+pub(crate) fn wrong(what: &'static str, wanted: &'static str) -> DecodeError {
+    DecodeError::Wrong { what, wanted }
 }
 
 /// Parse a text that may come from anywhere: the parser calls itself for each level, so levels are counted first.
-pub(crate) fn parse(text: &str) -> Result<JsonValue, BadForm> {
+pub(crate) fn parse(text: &str) -> Result<JsonValue, DecodeError> {
     let (mut depth, mut quoted, mut escaped) = (0_u32, false, false);
     for byte in text.bytes() {
         match byte {
@@ -55,7 +55,7 @@
             return TooDeepSnafu.fail();
         }
     }
-    text.parse().map_err(|error: tinyjson::JsonParseError| BadForm::NotJson { reason: error.to_string() })
+    text.parse().map_err(|error: tinyjson::JsonParseError| DecodeError::NotJson { reason: error.to_string() })
 }
 
 pub(crate) fn print(value: &JsonValue) -> String {
@@ -79,7 +79,11 @@
     value.unwrap_or(JsonValue::Null)
 }
 
-pub(crate) fn text<'a>(value: &'a JsonValue, what: &'static str, most: usize) -> Result<&'a str, BadForm> {
+pub(crate) fn text<'a>(
+    value: &'a JsonValue,
+    what: &'static str,
+    most: usize,
+) -> Result<&'a str, DecodeError> {
     match value {
         JsonValue::String(text) if text.len() <= most => Ok(text),
         JsonValue::String(_) => Err(wrong(what, "short enough")),
@@ -87,7 +91,7 @@
     }
 }
 
-pub(crate) fn number(value: &JsonValue, what: &'static str) -> Result<u64, BadForm> {
+pub(crate) fn number(value: &JsonValue, what: &'static str) -> Result<u64, DecodeError> {
     let digits = text(value, what, 20)?;
     let plain = digits.bytes().all(|byte| byte.is_ascii_digit());
     digits.parse().ok().filter(|_| plain).ok_or_else(|| wrong(what, "a number as text"))
@@ -98,37 +102,37 @@
 pub(crate) struct Form<'a>(&'a HashMap<String, JsonValue>);
 
 impl<'a> Form<'a> {
-    pub(crate) fn of(value: &'a JsonValue, what: &'static str) -> Result<Self, BadForm> {
+    pub(crate) fn of(value: &'a JsonValue, what: &'static str) -> Result<Self, DecodeError> {
         match value {
             JsonValue::Object(fields) => Ok(Self(fields)),
             _ => Err(wrong(what, "an object")),
         }
     }
 
-    pub(crate) fn get(self, what: &'static str) -> Result<&'a JsonValue, BadForm> {
-        self.0.get(what).ok_or(BadForm::Missing { what })
+    pub(crate) fn get(self, what: &'static str) -> Result<&'a JsonValue, DecodeError> {
+        self.0.get(what).ok_or(DecodeError::Missing { what })
     }
 
     pub(crate) fn maybe(self, what: &'static str) -> Option<&'a JsonValue> {
         self.0.get(what).filter(|value| !matches!(value, JsonValue::Null))
     }
 
-    pub(crate) fn text(self, what: &'static str, most: usize) -> Result<&'a str, BadForm> {
+    pub(crate) fn text(self, what: &'static str, most: usize) -> Result<&'a str, DecodeError> {
         text(self.get(what)?, what, most)
     }
 
-    pub(crate) fn number(self, what: &'static str) -> Result<u64, BadForm> {
+    pub(crate) fn number(self, what: &'static str) -> Result<u64, DecodeError> {
         number(self.get(what)?, what)
     }
 
-    pub(crate) fn flag(self, what: &'static str) -> Result<bool, BadForm> {
+    pub(crate) fn flag(self, what: &'static str) -> Result<bool, DecodeError> {
         match self.get(what)? {
             JsonValue::Boolean(flag) => Ok(*flag),
             _ => Err(wrong(what, "true or false")),
         }
     }
 
-    pub(crate) fn list(self, what: &'static str, most: usize) -> Result<&'a [JsonValue], BadForm> {
+    pub(crate) fn list(self, what: &'static str, most: usize) -> Result<&'a [JsonValue], DecodeError> {
         match self.get(what)? {
             JsonValue::Array(items) if items.len() <= most => Ok(items),
             _ => Err(wrong(what, "a list that is short enough")),
--- a/quorum/src/lib.rs
+++ b/quorum/src/lib.rs
@@ -5,9 +5,9 @@
 //! randomness as a seed, disk and network are the caller's.
 //!
 //! - [`Voter`]: one machine's part in the majority. What it gets to say comes out only after its writes went to disk.
-//! - [`Round`]: one read or change. [`Moving`]: exchange, add or remove one voter.
+//! - [`Round`]: one read or change. [`MembershipChange`]: exchange, add or remove one voter.
 //! - [`Recovery`]: how a voter with an empty disk gets its state back (driven by the voter itself).
-//! - [`Holder`] and [`Grantor`]: a duty that one process at a time holds.
+//! - [`LeaseHolder`] and [`LeaseGrantor`]: a duty that one process at a time holds.
 
 mod ballot;
 mod chance;
@@ -22,13 +22,13 @@
 mod wire;
 
 pub use ballot::{Accepted, Ballot, Ballots, Key, MAX_CONTENT, Slot, Value};
-pub use form::BadForm;
-pub use lease::{Grantor, Holder, LEASE_FOR, LEASE_MARGIN};
-pub use members::{BadMembers, Change, Members};
-pub use moving::{Moved, Moving};
+pub use form::DecodeError;
+pub use lease::{LEASE_DURATION, LEASE_MARGIN, LeaseGrantor, LeaseHolder};
+pub use members::{Members, VoterChange, VoterChangeError};
+pub use moving::{MembershipChange, MembershipOutcome};
 pub use record::{FORMAT, OpenError, Record, Write, check_format};
-pub use recovery::{PREPARE_WITHIN, Recovery, WAIT_MARGIN};
-pub use round::{Kind, Out, Outcome, Round, Why};
+pub use recovery::{PHASE_TIMEOUT, RECOVERY_MARGIN, Recovery};
+pub use round::{FailureReason, Operation, Outcome, Output, Round};
 pub use voter::{State, Step, Voter};
 pub use wire::Message;
 
--- a/quorum/src/members.rs
+++ b/quorum/src/members.rs
@@ -8,7 +8,7 @@
 
 use crate::Address;
 use crate::ballot::MAX_NAME;
-use crate::form::{self, BadForm, Form};
+use crate::form::{self, DecodeError, Form};
 
 /// Most voters in one set.
 const MAX_VOTERS: usize = 16;
@@ -27,25 +27,25 @@
     pub next: Option<Vec<Address>>,
 }
 
-/// Why a change of the voters is turned down.
+/// FailureReason a change of the voters is turned down.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[cfg_attr(feature = "explore", derive(Hash))]
-pub enum BadMembers {
+pub enum VoterChangeError {
     /// Already a voter.
     #[snafu(display("{address} votes already"))]
-    There {
+    AlreadyVoter {
         /// Whom to add.
         address: Address,
     },
     /// Not a voter.
     #[snafu(display("{address} does not vote"))]
-    Absent {
+    NotVoter {
         /// Whom to remove.
         address: Address,
     },
     /// None left, or too many.
     #[snafu(display("{count} voters are not between 1 and 16"))]
-    Count {
+    VoterCount {
         /// How many there would be.
         count: usize,
     },
@@ -54,7 +54,7 @@
 /// A change by one voter; more at once would leave a new voter with too few others to copy from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "explore", derive(Hash))]
-pub enum Change {
+pub enum VoterChange {
     /// One more.
     Add(Address),
     /// One less.
@@ -62,46 +62,46 @@
     /// One for another.
     Replace {
         /// Who leaves.
-        out: Address,
+        old: Address,
         /// Who comes.
         new: Address,
     },
 }
 
-impl Change {
+impl VoterChange {
     /// The voters after this change.
-    pub fn apply(&self, voters: &[Address]) -> Result<Vec<Address>, BadMembers> {
-        let (out, new) = match self {
+    pub fn apply(&self, voters: &[Address]) -> Result<Vec<Address>, VoterChangeError> {
+        let (old, new) = match self {
             Self::Add(new) => (None, Some(new)),
-            Self::Remove(out) => (Some(out), None),
-            Self::Replace { out, new } => (Some(out), Some(new)),
+            Self::Remove(old) => (Some(old), None),
+            Self::Replace { old, new } => (Some(old), Some(new)),
         };
         let mut after = voters.to_vec();
-        if let Some(out) = out {
-            ensure!(after.contains(out), AbsentSnafu { address: out.clone() });
-            after.retain(|voter| voter != out);
+        if let Some(old) = old {
+            ensure!(after.contains(old), NotVoterSnafu { address: old.clone() });
+            after.retain(|voter| voter != old);
         }
         if let Some(new) = new {
-            ensure!(!voters.contains(new), ThereSnafu { address: new.clone() });
+            ensure!(!voters.contains(new), AlreadyVoterSnafu { address: new.clone() });
             after.push(new.clone());
         }
-        ensure!((1..=MAX_VOTERS).contains(&after.len()), CountSnafu { count: after.len() });
+        ensure!((1..=MAX_VOTERS).contains(&after.len()), VoterCountSnafu { count: after.len() });
         Ok(after)
     }
 
     /// Whether these voters look as if the change had been made.
-    pub fn is_done(&self, voters: &[Address]) -> bool {
+    pub fn is_applied(&self, voters: &[Address]) -> bool {
         match self {
             Self::Add(new) => voters.contains(new),
-            Self::Remove(out) => !voters.contains(out),
-            Self::Replace { out, new } => voters.contains(new) && !voters.contains(out),
+            Self::Remove(old) => !voters.contains(old),
+            Self::Replace { old, new } => voters.contains(new) && !voters.contains(old),
         }
     }
 }
 
 impl Members {
     /// The first members, of a register that this uid names.
-    pub fn first(uid: &str, voters: impl IntoIterator<Item = Address>) -> Self {
+    pub fn initial(uid: &str, voters: impl IntoIterator<Item = Address>) -> Self {
         Self { epoch: 0, uid: uid.into(), voters: voters.into_iter().collect(), next: None }
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Everybody in any set, once.
-    pub fn all(&self) -> Vec<Address> {
+    pub fn all_voters(&self) -> Vec<Address> {
         let mut all: Vec<_> = self.sets().flatten().cloned().collect();
         all.sort();
         all.dedup();
@@ -119,12 +119,12 @@
     }
 
     /// Whether this machine is in any set.
-    pub fn names(&self, address: &str) -> bool {
+    pub fn contains(&self, address: &str) -> bool {
         self.sets().flatten().any(|voter| voter == address)
     }
 
     /// Whether those who are `in_it` are a majority of each set.
-    pub fn quorum(&self, in_it: impl Fn(&Address) -> bool) -> bool {
+    pub fn has_quorum(&self, in_it: impl Fn(&Address) -> bool) -> bool {
         self.sets().all(|set| set.iter().filter(|voter| in_it(voter)).count() * 2 > set.len())
     }
 
@@ -132,7 +132,7 @@
     ///
     /// Of `n` voters, a majority `m` had `m - 1` others among `n - 1`, so `n - m + 1` others meet it. The next voters are
     /// not asked: see the head of `recovery.rs`.
-    pub fn covers(&self, me: &str, in_it: impl Fn(&Address) -> bool) -> bool {
+    pub fn covers_majorities(&self, me: &str, in_it: impl Fn(&Address) -> bool) -> bool {
         let majority = self.voters.len() / 2 + 1;
         self.voters.iter().filter(|voter| *voter != me && in_it(voter)).count() > self.voters.len() - majority
     }
@@ -143,18 +143,18 @@
     }
 
     /// Who is new in the next voters.
-    pub fn coming(&self) -> Vec<Address> {
+    pub fn joining(&self) -> Vec<Address> {
         self.next.iter().flatten().filter(|voter| !self.voters.contains(voter)).cloned().collect()
     }
 
     /// The record after a joint one that is given up: the voters alone, as before.
-    pub fn back(&self) -> Option<Self> {
+    pub fn rolled_back(&self) -> Option<Self> {
         self.next.as_ref()?;
         Some(Self { epoch: self.epoch + 1, next: None, ..self.clone() })
     }
 
     /// The record after a joint one: its next voters alone.
-    pub fn after(&self) -> Option<Self> {
+    pub fn completed(&self) -> Option<Self> {
         let voters = self.next.clone()?;
         Some(Self { epoch: self.epoch + 1, uid: self.uid.clone(), voters, next: None })
     }
@@ -182,7 +182,7 @@
     }
 
     /// From JSON, checked.
-    pub fn read(value: &JsonValue) -> Result<Self, BadForm> {
+    pub fn from_json(value: &JsonValue) -> Result<Self, DecodeError> {
         let form = Form::of(value, "members")?;
         let set = |what| {
             let mut voters = Vec::new();
@@ -201,7 +201,7 @@
     }
 
     /// From the text that the key `members` holds, checked.
-    pub fn read_text(text: &str) -> Result<Self, BadForm> {
-        Self::read(&form::parse(text)?)
+    pub fn parse(text: &str) -> Result<Self, DecodeError> {
+        Self::from_json(&form::parse(text)?)
     }
 }
--- a/quorum/src/moving.rs
+++ b/quorum/src/moving.rs
@@ -16,8 +16,8 @@
 
 use crate::ballot::{Ballots, Key};
 use crate::chance::Chance;
-use crate::members::{BadMembers, Change, Members};
-use crate::round::{Kind, Out, Outcome, Round, Why};
+use crate::members::{Members, VoterChange, VoterChangeError};
+use crate::round::{FailureReason, Operation, Outcome, Output, Round};
 use crate::wire::Message;
 
 /// A joint record stays for so long at least: two renewals of a lease.
@@ -26,15 +26,15 @@
 /// How a move ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "explore", derive(Hash))]
-pub enum Moved {
+pub enum MembershipOutcome {
     /// It is done, and these are the members.
     Done(Members),
     /// The new voter did not come in time, and the members are as they were.
-    Back(Members),
+    RolledBack(Members),
     /// It can't be done over the members that stand.
-    Refused(BadMembers),
+    Refused(VoterChangeError),
     /// Not done in time; whoever comes next goes on from where it is.
-    Lost(Why),
+    Indeterminate(FailureReason),
 }
 
 #[derive(Debug)]
@@ -53,8 +53,8 @@
 /// One move.
 #[derive(Debug)]
 #[cfg_attr(feature = "explore", derive(Clone, Hash))]
-pub struct Moving {
-    change: Option<Change>,
+pub struct MembershipChange {
+    change: Option<VoterChange>,
     members: Members,
     ballots: Ballots,
     chance: Chance,
@@ -64,11 +64,11 @@
     patience: u64,
     at: At,
     round: Round,
-    moved: Option<Moved>,
+    moved: Option<MembershipOutcome>,
 }
 
 #[cfg(feature = "explore")]
-impl Moving {
+impl MembershipChange {
     /// The same move from here on, with these ballots.
     #[must_use]
     pub fn fork(&self, ballots: &Ballots) -> Self {
@@ -76,10 +76,10 @@
     }
 }
 
-impl Moving {
+impl MembershipChange {
     /// Make this change, or only end one that somebody began. Each round gets `each`, all together end at `limit`.
     pub fn new(
-        change: Option<Change>,
+        change: Option<VoterChange>,
         members: Members,
         ballots: &Ballots,
         seed: u64,
@@ -89,7 +89,7 @@
     ) -> Self {
         let first = now.saturating_add(each).min(limit);
         let patience = now.saturating_add(limit.saturating_sub(now) / 2);
-        let round = Round::new(Kind::Read, Key::Members, members.clone(), ballots, seed, first);
+        let round = Round::new(Operation::Read, Key::Members, members.clone(), ballots, seed, first);
         let (ballots, chance) = (ballots.clone(), Chance::new(seed));
         Self {
             change,
@@ -112,12 +112,12 @@
     }
 
     /// How it ended, once it has.
-    pub fn moved(&self) -> Option<&Moved> {
+    pub fn outcome(&self) -> Option<&MembershipOutcome> {
         self.moved.as_ref()
     }
 
-    /// Time passes. The outcome in what is returned is always empty: see [`Moving::moved`].
-    pub fn on_tick(&mut self, now: u64) -> Out {
+    /// Time passes. The outcome in what is returned is always empty: see [`MembershipChange::outcome`].
+    pub fn on_tick(&mut self, now: u64) -> Output {
         if matches!(self.at, At::Waiting) && now >= self.leave_at && self.moved.is_none() {
             self.leave(now);
         }
@@ -126,28 +126,30 @@
     }
 
     /// A message from a voter.
-    pub fn on_reply(&mut self, now: u64, from: &str, message: &Message) -> Out {
+    pub fn on_reply(&mut self, now: u64, from: &str, message: &Message) -> Output {
         let out = self.round.on_reply(now, from, message);
         self.go_on(now, out)
     }
 
-    fn go_on(&mut self, now: u64, mut out: Out) -> Out {
+    fn go_on(&mut self, now: u64, mut out: Output) -> Output {
         while let (Some(outcome), None) = (out.outcome.take(), &self.moved) {
             let moved_on = self.round.members().epoch > self.members.epoch;
             if moved_on {
                 self.members = self.round.members().clone();
             }
             match outcome {
-                Outcome::Lost(why) if now >= self.limit => self.moved = Some(Moved::Lost(why)),
-                Outcome::Lost(_) if now >= self.patience && matches!(self.at, At::Finishing(_)) => {
+                Outcome::Indeterminate(why) if now >= self.limit => {
+                    self.moved = Some(MembershipOutcome::Indeterminate(why))
+                }
+                Outcome::Indeterminate(_) if now >= self.patience && matches!(self.at, At::Finishing(_)) => {
                     self.back(now)
                 }
-                Outcome::Lost(_) => self.read(now),
+                Outcome::Indeterminate(_) => self.read(now),
                 _ if moved_on && !matches!(self.at, At::Reading) => self.read(now),
                 outcome => self.take(now, outcome),
             }
             if self.moved.is_some() {
-                return Out { wake: None, ..out };
+                return Output { wake: None, ..out };
             }
             if matches!(self.at, At::Waiting) {
                 break;
@@ -164,13 +166,13 @@
 
     fn take(&mut self, now: u64, outcome: Outcome) {
         let found = match outcome {
-            Outcome::Found(value) | Outcome::Held(value) => value,
+            Outcome::Found(value) | Outcome::Conflict(value) => value,
             Outcome::Written(value) => Some(value),
-            Outcome::Lost(_) => None,
+            Outcome::Indeterminate(_) => None,
         };
         match &self.at {
             At::Reading | At::Joining(_) | At::Leaving(_) | At::Back(_) => {
-                let found = found.and_then(|value| Members::read_text(&value.content).ok());
+                let found = found.and_then(|value| Members::parse(&value.content).ok());
                 if let Some(members) = found.filter(|members| members.epoch > self.members.epoch) {
                     self.members = members;
                 }
@@ -195,7 +197,7 @@
             _ => false,
         };
         if matches!(&self.at, At::Back(back) if *back == self.members) {
-            self.moved = Some(Moved::Back(self.members.clone()));
+            self.moved = Some(MembershipOutcome::RolledBack(self.members.clone()));
             return;
         }
         if self.members.next.is_some() {
@@ -203,13 +205,13 @@
             return self.finish(now, 0);
         }
         // One's own last record stands: done, whatever the change would say of voters of the same name.
-        let change = self.change.clone().filter(|change| !ours && !change.is_done(&self.members.voters));
+        let change = self.change.clone().filter(|change| !ours && !change.is_applied(&self.members.voters));
         let Some(change) = change else {
-            self.moved = Some(Moved::Done(self.members.clone()));
+            self.moved = Some(MembershipOutcome::Done(self.members.clone()));
             return;
         };
         match change.apply(&self.members.voters) {
-            Err(reason) => self.moved = Some(Moved::Refused(reason)),
+            Err(reason) => self.moved = Some(MembershipOutcome::Refused(reason)),
             Ok(voters) => {
                 let joint = self.members.joint(voters);
                 let offer = self.offer(&joint);
@@ -220,40 +222,40 @@
     }
 
     fn back(&mut self, now: u64) {
-        let Some(back) = self.members.back() else { return self.read(now) };
+        let Some(back) = self.members.rolled_back() else { return self.read(now) };
         let offer = self.offer(&back);
         self.at = At::Back(back);
         self.start(now, offer, Key::Members);
     }
 
-    fn offer(&self, members: &Members) -> Kind {
+    fn offer(&self, members: &Members) -> Operation {
         let content = Arc::from(members.to_text());
-        Kind::Offer { version: members.epoch, content, over: Some(self.members.epoch) }
+        Operation::Propose { version: members.epoch, content, expected_version: Some(self.members.epoch) }
     }
 
     fn read(&mut self, now: u64) {
         self.at = At::Reading;
-        self.start(now, Kind::Read, Key::Members);
+        self.start(now, Operation::Read, Key::Members);
     }
 
     fn finish(&mut self, now: u64, at: usize) {
         self.at = At::Finishing(at);
         let key = Key::ALL[at];
         // Finishing would leave a promise on each disk, and records of a format that older versions can't read.
-        let kind = if key == Key::Moves { Kind::Read } else { Kind::Finish };
+        let kind = if key == Key::Migrations { Operation::Read } else { Operation::Rewrite };
         self.start(now, kind, key);
     }
 
     fn leave(&mut self, now: u64) {
-        let Some(after) = self.members.after() else { return self.read(now) };
+        let Some(after) = self.members.completed() else { return self.read(now) };
         let offer = self.offer(&after);
         self.at = At::Leaving(after);
         self.start(now, offer, Key::Members);
     }
 
-    fn start(&mut self, now: u64, kind: Kind, key: Key) {
+    fn start(&mut self, now: u64, kind: Operation, key: Key) {
         let limit = now.saturating_add(self.each).min(self.limit);
-        let must = if matches!(self.at, At::Finishing(_)) { self.members.coming() } else { Vec::new() };
+        let must = if matches!(self.at, At::Finishing(_)) { self.members.joining() } else { Vec::new() };
         let round = Round::new(kind, key, self.members.clone(), &self.ballots, self.chance.next(), limit);
         self.round = round.with(must);
     }
--- a/quorum/src/record.rs
+++ b/quorum/src/record.rs
@@ -10,7 +10,7 @@
 use tinyjson::JsonValue;
 
 use crate::ballot::{Key, Slot};
-use crate::form::{self, BadForm, Form};
+use crate::form::{self, DecodeError, Form};
 use crate::members::Members;
 
 /// The record of the voter itself.
@@ -37,8 +37,8 @@
     Record {
         /// Which.
         key: String,
-        /// Why.
-        source: BadForm,
+        /// FailureReason.
+        source: DecodeError,
     },
     /// Written by a newer version of the program: nothing is wrong with them, but they can't be read here.
     #[snafu(display(
@@ -62,7 +62,7 @@
 
 /// The format of a disk that holds these keys.
 pub(crate) fn format_of(mut keys: impl Iterator<Item = Key>) -> u64 {
-    if keys.any(|key| key == Key::Moves) { FORMAT } else { FIRST }
+    if keys.any(|key| key == Key::Migrations) { FORMAT } else { FIRST }
 }
 
 pub(crate) fn of_voter(members: &Members, format: u64) -> Write {
@@ -128,7 +128,7 @@
     }
 }
 
-fn format(voter: &JsonValue) -> Result<u64, BadForm> {
+fn format(voter: &JsonValue) -> Result<u64, DecodeError> {
     Form::of(voter, "voter")?.maybe("format").map_or(Ok(FIRST), |format| form::number(format, "format"))
 }
 
@@ -141,7 +141,7 @@
             return Ok((format, None));
         }
         match form.text("state", 16)? {
-            "voting" => Ok((format, Some(Members::read(form.get("members")?)?))),
+            "voting" => Ok((format, Some(Members::from_json(form.get("members")?)?))),
             _ => Err(form::wrong("state", "a known state")),
         }
     };
@@ -151,7 +151,7 @@
     }
 }
 
-fn slot(key: Key, text: &str) -> Result<Slot, BadForm> {
+fn slot(key: Key, text: &str) -> Result<Slot, DecodeError> {
     let (named, slot) = Slot::read(&form::parse(text)?)?;
     if named == key { Ok(slot) } else { Err(form::wrong("key", "the record's own")) }
 }
--- a/quorum/src/recovery.rs
+++ b/quorum/src/recovery.rs
@@ -1,7 +1,7 @@
 //! A voter with an empty disk gets its state back; keeps: whatever it had promised, accepted or adopted before counts on.
 //!
 //! Say the empty voter `v` had a part in a majority `Q` for some phase (prepare, write or look). Every proposer counts
-//! the answers of a phase only within [`PREPARE_WITHIN`] of sending it, and `v` had answered before it was emptied. So
+//! the answers of a phase only within [`PHASE_TIMEOUT`] of sending it, and `v` had answered before it was emptied. So
 //! once `v` has waited that long since its start, each other voter of `Q` has done its part too, or `Q` is never used.
 //! `v` then asks; `n - m + 1` others out of `n - 1` meet the `m - 1` others of `Q`, so `v` hears of the promise, the
 //! value (or one that was derived from it) and the members. That holds for voters that were emptied themselves and are
@@ -32,9 +32,9 @@
 use crate::wire::Message;
 
 /// A phase's answers count only if its majority was complete so soon after it was sent.
-pub const PREPARE_WITHIN: u64 = 500_000_000;
+pub const PHASE_TIMEOUT: u64 = 500_000_000;
 /// Waited on top, for clocks that run unevenly.
-pub const WAIT_MARGIN: u64 = 50_000_000;
+pub const RECOVERY_MARGIN: u64 = 50_000_000;
 /// Between two asks, of a voter.
 const ASK_EVERY: u64 = 150_000_000;
 /// Between two asks, while no members name it.
@@ -45,7 +45,7 @@
 #[cfg_attr(feature = "explore", derive(Clone, Hash))]
 pub struct Recovery {
     me: Address,
-    ask: u64,
+    request: u64,
     seeds: Vec<Address>,
     from: u64,
     asked_at: Option<u64>,
@@ -62,9 +62,9 @@
 
 impl Recovery {
     /// Of the voter `me`, whose process started `now`. `life` differs at each start.
-    pub fn new(me: Address, seeds: Vec<Address>, life: u64, now: u64) -> Self {
-        let from = now.saturating_add(PREPARE_WITHIN + WAIT_MARGIN);
-        Self { me, ask: life, seeds, from, asked_at: None, told: None, heard: BTreeMap::new() }
+    pub fn new(me: Address, seeds: Vec<Address>, incarnation: u64, now: u64) -> Self {
+        let from = now.saturating_add(PHASE_TIMEOUT + RECOVERY_MARGIN);
+        Self { me, request: incarnation, seeds, from, asked_at: None, told: None, heard: BTreeMap::new() }
     }
 
     /// When to call [`Recovery::on_tick`].
@@ -79,7 +79,7 @@
             return Vec::new();
         }
         self.asked_at = Some(now);
-        self.asked().into_iter().map(|to| (to, Message::Copy { ask: self.ask })).collect()
+        self.asked().into_iter().map(|to| (to, Message::StateRequest { request: self.request })).collect()
     }
 
     /// The newest members heard of that are chosen.
@@ -90,7 +90,7 @@
 
     /// Whether those name this machine.
     pub(crate) fn is_member(&self) -> bool {
-        self.members().is_some_and(|members| members.names(&self.me))
+        self.members().is_some_and(|members| members.contains(&self.me))
     }
 
     /// Members that somebody knows to be chosen.
@@ -104,13 +104,13 @@
     pub(crate) fn on_state(
         &mut self,
         from: &str,
-        ask: u64,
+        request: u64,
         members: Members,
         slots: Vec<(Key, Slot)>,
     ) -> Option<Recovered> {
         let asked = self.asked().iter().any(|voter| voter == from);
         let uid = self.told.as_ref().or(self.heard.values().next().map(|(members, _)| members));
-        if ask != self.ask || !asked || uid.is_some_and(|known| known.uid != members.uid) {
+        if request != self.request || !asked || uid.is_some_and(|known| known.uid != members.uid) {
             return None;
         }
         self.heard.insert(from.into(), (members, slots));
@@ -123,13 +123,13 @@
         let written =
             slots.filter(|(key, _)| *key == Key::Members).filter_map(|(_, slot)| slot.accepted.as_ref());
         let newer = written.filter(|accepted| accepted.value.version > chosen.epoch);
-        let newer = newer.filter_map(|accepted| Members::read_text(&accepted.value.content).ok());
+        let newer = newer.filter_map(|accepted| Members::parse(&accepted.value.content).ok());
         std::iter::once(chosen.clone()).chain(newer).collect()
     }
 
     fn asked(&self) -> Vec<Address> {
         let mut all = self.seeds.clone();
-        all.extend(self.records().iter().flat_map(Members::all));
+        all.extend(self.records().iter().flat_map(Members::all_voters));
         all.sort();
         all.dedup();
         all.retain(|address| *address != self.me);
@@ -139,9 +139,10 @@
     fn finish(&self) -> Option<Recovered> {
         let records = self.records();
         let members = records.first()?;
-        let covered =
-            records.iter().all(|record| record.covers(&self.me, |voter| self.heard.contains_key(voter)));
-        if !members.names(&self.me) || !covered {
+        let covered = records
+            .iter()
+            .all(|record| record.covers_majorities(&self.me, |voter| self.heard.contains_key(voter)));
+        if !members.contains(&self.me) || !covered {
             return None;
         }
         let mut slots = BTreeMap::<Key, Slot>::new();
