--- a/quorum/src/round.rs
+++ b/quorum/src/round.rs
@@ -6,7 +6,7 @@
 //! - Write: that value again, or the offer over it; answer once a majority has it on disk.
 //!
 //! Each phase counts answers to its own ballot only, each voter once, and only if the majority was complete within
-//! [`PREPARE_WITHIN`] of its sending. For prepares and for writes and looks alike: [`crate::Recovery`] rests on that,
+//! [`PHASE_TIMEOUT`] of its sending. For prepares and for writes and looks alike: [`crate::Recovery`] rests on that,
 //! since an answer may come from a voter that was emptied after it, and the others must have answered before it copies.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,7 +16,7 @@
 use crate::ballot::{Accepted, Ballot, Ballots, Key, Value};
 use crate::chance::Chance;
 use crate::members::Members;
-use crate::recovery::PREPARE_WITHIN;
+use crate::recovery::PHASE_TIMEOUT;
 use crate::wire::Message;
 
 const MS: u64 = 1_000_000;
@@ -30,19 +30,19 @@
 /// What a round is for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "explore", derive(Hash))]
-pub enum Kind {
+pub enum Operation {
     /// The value that stands.
     Read,
     /// The same, and in any case written to a majority anew.
-    Finish,
+    Rewrite,
     /// A new value, unless one of this version or a higher one stands.
-    Offer {
+    Propose {
         /// Its version.
         version: u64,
         /// Its content.
         content: Arc<str>,
         /// Only over exactly this version; 0: over nothing.
-        over: Option<u64>,
+        expected_version: Option<u64>,
     },
 }
 
@@ -55,24 +55,24 @@
     /// The offer stands.
     Written(Value),
     /// This stands instead, and was finished. After an attempt that was cut off it may be one's own offer.
-    Held(Option<Value>),
+    Conflict(Option<Value>),
     /// Nothing is known: the offer may stand, or still come to stand. Try again.
-    Lost(Why),
+    Indeterminate(FailureReason),
 }
 
-/// Why a round was lost.
+/// FailureReason a round was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "explore", derive(Hash))]
-pub enum Why {
+pub enum FailureReason {
     /// No majority answered in time.
     NoMajority,
     /// Others came first too often.
-    Outbid,
+    Preempted,
 }
 
 /// What to do after an input.
 #[derive(Debug, Default)]
-pub struct Out {
+pub struct Output {
     /// To be sent.
     pub send: Vec<(Address, Message)>,
     /// When to call `on_tick` next, at the latest.
@@ -118,7 +118,7 @@
 #[derive(Debug)]
 #[cfg_attr(feature = "explore", derive(Clone, Hash))]
 pub struct Round {
-    kind: Kind,
+    kind: Operation,
     key: Key,
     members: Members,
     ballots: Ballots,
@@ -151,8 +151,15 @@
 impl Round {
     /// A round under these members, which must be known to be chosen, that is lost at the time `limit`. Call
     /// [`Round::on_tick`] at once.
-    pub fn new(kind: Kind, key: Key, members: Members, ballots: &Ballots, seed: u64, limit: u64) -> Self {
-        let looked = kind != Kind::Read;
+    pub fn new(
+        kind: Operation,
+        key: Key,
+        members: Members,
+        ballots: &Ballots,
+        seed: u64,
+        limit: u64,
+    ) -> Self {
+        let looked = kind != Operation::Read;
         let (ballots, chance) = (ballots.clone(), Chance::new(seed));
         let (tries, settled, above, now) = (0, false, 0, Now::Pause(0));
         let (must, without) = (Vec::new(), None);
@@ -166,7 +173,7 @@
 
     /// Counts this voter towards no majority: what the round answers stands without it.
     #[must_use]
-    pub fn without(self, voter: Address) -> Self {
+    pub fn excluding(self, voter: Address) -> Self {
         Self { without: Some(voter), ..self }
     }
 
@@ -176,15 +183,15 @@
     }
 
     /// Time passes. Too early is no harm.
-    pub fn on_tick(&mut self, now: u64) -> Out {
-        let mut out = Out::default();
+    pub fn on_tick(&mut self, now: u64) -> Output {
+        let mut out = Output::default();
         if now >= self.limit && !matches!(self.now, Now::Done) {
-            self.end(Outcome::Lost(Why::NoMajority), &mut out);
+            self.end(Outcome::Indeterminate(FailureReason::NoMajority), &mut out);
         }
         match &mut self.now {
             Now::Pause(until) if now >= *until => self.attempt(now, &mut out),
             Now::Asking(phase) => {
-                let late = now.saturating_sub(phase.sent) > PREPARE_WITHIN;
+                let late = now.saturating_sub(phase.sent) > PHASE_TIMEOUT;
                 if late || phase.retry.is_some_and(|retry| now >= retry) {
                     self.attempt(now, &mut out);
                 } else if now >= phase.resend {
@@ -202,15 +209,15 @@
     }
 
     /// A message from a voter. `now` is read after it came in.
-    pub fn on_reply(&mut self, now: u64, from: &str, message: &Message) -> Out {
-        let mut out = Out::default();
-        if now < self.limit && self.members.names(from) {
+    pub fn on_reply(&mut self, now: u64, from: &str, message: &Message) -> Output {
+        let mut out = Output::default();
+        if now < self.limit && self.members.contains(from) {
             self.take(now, from, message, &mut out);
         }
         self.finish(out)
     }
 
-    fn take(&mut self, now: u64, from: &str, message: &Message, out: &mut Out) {
+    fn take(&mut self, now: u64, from: &str, message: &Message, out: &mut Output) {
         if let Now::Members(round) = &mut self.now {
             let inner = round.on_reply(now, from, message);
             return self.on_members(now, inner, out);
@@ -218,7 +225,7 @@
         let Now::Asking(phase) = &mut self.now else { return };
         let current = |key: &Key, ballot: &Ballot| *key == self.key && *ballot == phase.ballot;
         match (message, &phase.ask) {
-            (Message::Seen { key, tag: ballot, accepted }, Ask::Look)
+            (Message::QueryReply { key, tag: ballot, accepted }, Ask::Look)
             | (Message::Promised { key, ballot, accepted }, Ask::Prepare)
                 if current(key, ballot) =>
             {
@@ -236,14 +243,14 @@
                 }
                 return;
             }
-            (Message::Newer { key, ballot, members, chosen }, _) if current(key, ballot) => {
+            (Message::NewerMembers { key, ballot, members, chosen }, _) if current(key, ballot) => {
                 return self.on_newer(now, members, *chosen, out);
             }
             _ => return,
         }
-        let late = now.saturating_sub(phase.sent) > PREPARE_WITHIN;
+        let late = now.saturating_sub(phase.sent) > PHASE_TIMEOUT;
         let heard = |voter: &Address| phase.heard.contains_key(voter);
-        if late || !self.members.quorum(counted(&self.without, heard)) || !self.must.iter().all(heard) {
+        if late || !self.members.has_quorum(counted(&self.without, heard)) || !self.must.iter().all(heard) {
             return;
         }
         match phase.ask.clone() {
@@ -253,7 +260,7 @@
         }
     }
 
-    fn on_looked(&mut self, now: u64, out: &mut Out) {
+    fn on_looked(&mut self, now: u64, out: &mut Output) {
         let Now::Asking(phase) = &mut self.now else { return };
         for seen in phase.heard.values() {
             let vote = |accepted: &Option<Accepted>| match (accepted, seen) {
@@ -262,36 +269,38 @@
                 _ => false,
             };
             let voted = |voter: &Address| phase.heard.get(voter).is_some_and(vote);
-            if self.members.quorum(counted(&self.without, voted)) {
+            if self.members.has_quorum(counted(&self.without, voted)) {
                 let value = seen.as_ref().map(|accepted| accepted.value.clone());
                 return self.end(Outcome::Found(value), out);
             }
         }
         self.looked = true;
-        if self.members.all().iter().all(|voter| phase.heard.contains_key(voter)) {
+        if self.members.all_voters().iter().all(|voter| phase.heard.contains_key(voter)) {
             self.attempt(now, out);
         } else {
             phase.retry = phase.retry.or(Some(now + LOOK_WAIT));
         }
     }
 
-    fn on_prepared(&mut self, now: u64, out: &mut Out) {
+    fn on_prepared(&mut self, now: u64, out: &mut Output) {
         let Now::Asking(phase) = &self.now else { return };
         let last = phase.heard.values().flatten().max_by(|one, other| one.ballot.cmp(&other.ballot));
         let stands = last.map(|accepted| accepted.value.clone());
         let current = stands.as_ref().map_or(0, |value| value.version);
         let (value, outcome) = match &self.kind {
-            Kind::Offer { version, content, over } if self.may_write(*version, *over, current) => {
+            Operation::Propose { version, content, expected_version }
+                if self.may_write(*version, *expected_version, current) =>
+            {
                 let value = Value { version: *version, content: content.clone() };
                 (Some(value.clone()), Outcome::Written(value))
             }
-            Kind::Offer { .. } => (stands.clone(), Outcome::Held(stands)),
+            Operation::Propose { .. } => (stands.clone(), Outcome::Conflict(stands)),
             // The first members were never written: do so, since somebody may have others that did not come to stand.
-            Kind::Finish if self.key == Key::Members && stands.is_none() => {
+            Operation::Rewrite if self.key == Key::Members && stands.is_none() => {
                 let value = Value { version: self.members.epoch, content: self.members.to_text().into() };
                 (Some(value.clone()), Outcome::Found(Some(value)))
             }
-            Kind::Read | Kind::Finish => (stands.clone(), Outcome::Found(stands)),
+            Operation::Read | Operation::Rewrite => (stands.clone(), Outcome::Found(stands)),
         };
         match value {
             Some(value) => {
@@ -303,12 +312,14 @@
     }
 
     /// Members follow each other one by one, each decided under the one before.
-    fn may_write(&self, version: u64, over: Option<u64>, current: u64) -> bool {
+    fn may_write(&self, version: u64, expected_version: Option<u64>, current: u64) -> bool {
         let follows = self.key != Key::Members || current == self.members.epoch && version == current + 1;
-        version > current && over.is_none_or(|over| over == current) && follows
+        version > current
+            && expected_version.is_none_or(|expected_version| expected_version == current)
+            && follows
     }
 
-    fn on_newer(&mut self, now: u64, members: &Members, chosen: bool, out: &mut Out) {
+    fn on_newer(&mut self, now: u64, members: &Members, chosen: bool, out: &mut Output) {
         if members.uid != self.members.uid || members.epoch <= self.members.epoch {
             return;
         }
@@ -318,22 +329,22 @@
             let seed = self.chance.next();
             let limit = self.limit;
             let mut round =
-                Self::new(Kind::Finish, Key::Members, self.members.clone(), &self.ballots, seed, limit);
+                Self::new(Operation::Rewrite, Key::Members, self.members.clone(), &self.ballots, seed, limit);
             let inner = round.on_tick(now);
             self.now = Now::Members(Box::new(round));
             self.on_members(now, inner, out);
         }
     }
 
-    fn on_members(&mut self, now: u64, inner: Out, out: &mut Out) {
+    fn on_members(&mut self, now: u64, inner: Output, out: &mut Output) {
         out.send.extend(inner.send);
         let Now::Members(round) = &self.now else { return };
         let counted_by = round.members.clone();
         match inner.outcome {
             None => {}
-            Some(Outcome::Lost(why)) => self.end(Outcome::Lost(why), out),
-            Some(Outcome::Found(value) | Outcome::Held(value)) => {
-                let found = value.and_then(|value| Members::read_text(&value.content).ok());
+            Some(Outcome::Indeterminate(why)) => self.end(Outcome::Indeterminate(why), out),
+            Some(Outcome::Found(value) | Outcome::Conflict(value)) => {
+                let found = value.and_then(|value| Members::parse(&value.content).ok());
                 let newest = found.into_iter().chain([counted_by]).max_by_key(|members| members.epoch);
                 // Whoever still speaks of newer ones after this has some that did not come to stand.
                 self.settled = true;
@@ -346,48 +357,48 @@
         }
     }
 
-    fn adopt(&mut self, now: u64, members: Members, out: &mut Out) {
+    fn adopt(&mut self, now: u64, members: Members, out: &mut Output) {
         self.members = members;
         self.settled = false;
         self.attempt(now, out);
     }
 
-    fn attempt(&mut self, now: u64, out: &mut Out) {
+    fn attempt(&mut self, now: u64, out: &mut Output) {
         self.tries += 1;
         if self.tries > MAX_TRIES {
-            return self.end(Outcome::Lost(Why::Outbid), out);
+            return self.end(Outcome::Indeterminate(FailureReason::Preempted), out);
         }
         let ask = if self.looked { Ask::Prepare } else { Ask::Look };
         let ballot = self.ballots.next(self.above);
         self.ask(now, ask, ballot, out);
     }
 
-    fn ask(&mut self, now: u64, ask: Ask, ballot: Ballot, out: &mut Out) {
+    fn ask(&mut self, now: u64, ask: Ask, ballot: Ballot, out: &mut Output) {
         let (heard, refused) = (BTreeMap::new(), BTreeSet::new());
         self.now =
             Now::Asking(Phase { ask, ballot, sent: now, resend: now + RESEND, retry: None, heard, refused });
         self.send(out);
     }
 
-    fn send(&self, out: &mut Out) {
+    fn send(&self, out: &mut Output) {
         let Now::Asking(phase) = &self.now else { return };
         let (key, ballot, members) = (self.key, phase.ballot.clone(), self.members.clone());
         let message = match &phase.ask {
-            Ask::Look => Message::Look { key, tag: ballot, members },
+            Ask::Look => Message::Query { key, tag: ballot, members },
             Ask::Prepare => Message::Prepare { key, ballot, members },
             Ask::Write(value, _) => Message::Write { key, ballot, value: value.clone(), members },
         };
         let answered = |voter: &Address| phase.heard.contains_key(voter) || phase.refused.contains(voter);
-        let missing = self.members.all().into_iter().filter(|voter| !answered(voter));
+        let missing = self.members.all_voters().into_iter().filter(|voter| !answered(voter));
         out.send.extend(missing.map(|voter| (voter, message.clone())));
     }
 
-    fn end(&mut self, outcome: Outcome, out: &mut Out) {
+    fn end(&mut self, outcome: Outcome, out: &mut Output) {
         self.now = Now::Done;
         out.outcome = Some(outcome);
     }
 
-    fn finish(&self, mut out: Out) -> Out {
+    fn finish(&self, mut out: Output) -> Output {
         out.wake = self.next_wake();
         out
     }
@@ -396,7 +407,7 @@
         let wake = match &self.now {
             Now::Pause(until) => *until,
             Now::Asking(phase) => {
-                let wake = phase.resend.min(phase.sent + PREPARE_WITHIN + 1);
+                let wake = phase.resend.min(phase.sent + PHASE_TIMEOUT + 1);
                 phase.retry.map_or(wake, |retry| wake.min(retry))
             }
             Now::Members(round) => round.next_wake()?,
--- a/quorum/src/voter.rs
+++ b/quorum/src/voter.rs
@@ -1,7 +1,7 @@
 //! One voter; keeps: nothing it says goes out before what it rests on is on disk, and no promise is ever taken back.
 //!
 //! The first half is in the types: [`Voter::handle`] lends the voter to a [`Step`], and the answer comes out of
-//! [`Step::carry_out`] only, after the caller's writes returned without an error. Until then nothing else can be handled
+//! [`Step::commit`] only, after the caller's writes returned without an error. Until then nothing else can be handled
 //! and the voter's memory is as it was.
 //!
 //! Newer members: a voter that hears of chosen newer members adopts them first, in a write of its own. From then on it
@@ -12,7 +12,7 @@
 
 use crate::Address;
 use crate::ballot::{Accepted, Ballot, Key, MAX_CONTENT, Slot, Value};
-use crate::lease::Grantor;
+use crate::lease::LeaseGrantor;
 use crate::members::Members;
 use crate::record::{self, OpenError, Write};
 use crate::recovery::Recovery;
@@ -22,9 +22,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
     /// An empty disk; knows of no members that name it. Says nothing.
-    Blank,
+    Empty,
     /// An empty disk; waits, and copies from the others. Says nothing else.
-    Copying,
+    Recovering,
     /// Has a state and answers.
     Voting,
 }
@@ -40,7 +40,7 @@
     format: u64,
     slots: BTreeMap<Key, Slot>,
     recovery: Recovery,
-    grantor: Grantor,
+    grantor: LeaseGrantor,
 }
 
 /// What came of one message: first to disk, then out.
@@ -59,7 +59,7 @@
     ///
     /// `sync` returns once the whole batch would outlast a power loss. After an error the disk holds the batch or not;
     /// the voter is as before, and its records should be opened anew before it is used again.
-    pub fn carry_out<E>(
+    pub fn commit<E>(
         mut self,
         mut sync: impl FnMut(&[Write]) -> Result<(), E>,
     ) -> Result<Option<Message>, E> {
@@ -88,7 +88,7 @@
     }
 
     /// Whether there is nothing to write.
-    pub fn is_dry(&self) -> bool {
+    pub fn is_read_only(&self) -> bool {
         self.adopt.is_none() && self.slots.is_empty()
     }
 }
@@ -109,12 +109,12 @@
         me: Address,
         records: impl IntoIterator<Item = (String, String)>,
         seeds: Vec<Address>,
-        life: u64,
+        incarnation: u64,
         now: u64,
     ) -> Result<Self, OpenError> {
         let found = record::read(records)?;
         let slots = if found.members.is_some() { found.slots } else { BTreeMap::new() };
-        let recovery = Recovery::new(me.clone(), seeds, life, now);
+        let recovery = Recovery::new(me.clone(), seeds, incarnation, now);
         Ok(Self {
             me,
             empty: !found.any,
@@ -122,7 +122,7 @@
             format: found.format,
             slots,
             recovery,
-            grantor: Grantor::new(now),
+            grantor: LeaseGrantor::new(now),
         })
     }
 
@@ -130,8 +130,8 @@
     ///
     /// Only for a register that is new: an emptied disk that is started so forgets what it had promised.
     pub fn bootstrap(&mut self, first: Members) -> Step<'_> {
-        let readable = Members::read(&first.to_json()).as_ref() == Ok(&first);
-        let wanted = self.empty && first.names(&self.me) && readable;
+        let readable = Members::from_json(&first.to_json()).as_ref() == Ok(&first);
+        let wanted = self.empty && first.contains(&self.me) && readable;
         Step { adopt: wanted.then_some(first), ..self.step(None) }
     }
 
@@ -139,8 +139,8 @@
     pub fn state(&self) -> State {
         match &self.members {
             Some(_) => State::Voting,
-            None if self.recovery.is_member() => State::Copying,
-            None => State::Blank,
+            None if self.recovery.is_member() => State::Recovering,
+            None => State::Empty,
         }
     }
 
@@ -170,18 +170,26 @@
     pub fn handle(&mut self, now: u64, from: &str, message: Message) -> Step<'_> {
         let Some(mine) = &self.members else { return self.handle_blank(from, message).moved(now) };
         match message {
-            Message::Look { key, tag, members } => self.stand(key, tag, members, Self::look),
+            Message::Query { key, tag, members } => self.stand(key, tag, members, Self::look),
             Message::Prepare { key, ballot, members } => self.stand(key, ballot, members, Self::prepare),
             Message::Write { key, value, members, .. } if !fits(key, &value, &members) => self.step(None),
             Message::Write { key, ballot, value, members } => {
                 self.stand(key, ballot, members, |voter, key, ballot| voter.write(key, ballot, value))
             }
-            Message::Copy { ask } => {
+            Message::StateRequest { request } => {
                 let slots = self.slots.iter().map(|(key, slot)| (*key, slot.clone())).collect();
-                let reply = Message::State { ask, members: mine.clone(), slots };
+                let reply = Message::StateReply { request, members: mine.clone(), slots };
                 self.step(Some(reply))
             }
-            Message::Ask { duty, holder, life, ask, held, again, members } => {
+            Message::LeaseRequest {
+                lease,
+                holder,
+                incarnation,
+                request,
+                held_epoch,
+                previous_holder,
+                members,
+            } => {
                 let (adopt, newer) = match self.standing(None, &members) {
                     Standing::Current => (None, None),
                     Standing::Adopt => (Some(members), None),
@@ -192,13 +200,27 @@
                     self.grantor.moved(now, Some(mine.epoch), adopt);
                 }
                 let reply = match newer {
-                    Some(_) => Message::Denied { duty, life, ask, left: 0, newer },
-                    None => self.grantor.on_ask(now, duty, holder, life, ask, held, again),
+                    Some(_) => Message::LeaseDenied {
+                        lease,
+                        incarnation,
+                        request,
+                        remaining: 0,
+                        newer_members: newer,
+                    },
+                    None => self.grantor.on_ask(
+                        now,
+                        lease,
+                        holder,
+                        incarnation,
+                        request,
+                        held_epoch,
+                        previous_holder,
+                    ),
                 };
                 Step { adopt, ..self.step(Some(reply)) }
             }
-            Message::Release { duty, holder, life, ask } => {
-                self.grantor.on_release(&duty, &holder, life, ask);
+            Message::LeaseRelease { lease, holder, incarnation, request } => {
+                self.grantor.on_release(&lease, &holder, incarnation, request);
                 self.step(None)
             }
             _ => self.step(None),
@@ -208,13 +230,15 @@
 
     fn handle_blank(&mut self, from: &str, message: Message) -> Step<'_> {
         let recovered = match message {
-            Message::Look { members, .. }
+            Message::Query { members, .. }
             | Message::Prepare { members, .. }
             | Message::Write { members, .. } => {
                 self.recovery.told(&members);
                 None
             }
-            Message::State { ask, members, slots } => self.recovery.on_state(from, ask, members, slots),
+            Message::StateReply { request, members, slots } => {
+                self.recovery.on_state(from, request, members, slots)
+            }
             _ => None,
         };
         match recovered {
@@ -233,7 +257,7 @@
     fn standing(&self, key: Option<Key>, theirs: &Members) -> Standing {
         let Some(mine) = &self.members else { return Standing::Foreign };
         let same = mine.epoch != theirs.epoch || mine == theirs;
-        if mine.uid != theirs.uid || !same || !theirs.names(&self.me) {
+        if mine.uid != theirs.uid || !same || !theirs.contains(&self.me) {
             return Standing::Foreign;
         }
         if mine.epoch > theirs.epoch {
@@ -242,7 +266,7 @@
         let written = self.slots.get(&Key::Members).and_then(|slot| slot.accepted.as_ref());
         let written =
             written.filter(|accepted| accepted.value.version > theirs.epoch && key != Some(Key::Members));
-        match written.and_then(|accepted| Members::read_text(&accepted.value.content).ok()) {
+        match written.and_then(|accepted| Members::parse(&accepted.value.content).ok()) {
             Some(newer) if key.is_some() => Standing::Newer(newer, false),
             _ if mine.epoch < theirs.epoch => Standing::Adopt,
             _ => Standing::Current,
@@ -260,7 +284,7 @@
             Standing::Current => None,
             Standing::Adopt => Some(members),
             Standing::Newer(members, chosen) => {
-                return self.step(Some(Message::Newer { key, ballot, members, chosen }));
+                return self.step(Some(Message::NewerMembers { key, ballot, members, chosen }));
             }
             Standing::Foreign => return self.step(None),
         };
@@ -271,7 +295,7 @@
 
     fn look(&self, key: Key, tag: Ballot) -> (Option<Slot>, Message) {
         let accepted = self.slots.get(&key).and_then(|slot| slot.accepted.clone());
-        (None, Message::Seen { key, tag, accepted })
+        (None, Message::QueryReply { key, tag, accepted })
     }
 
     fn prepare(&self, key: Key, ballot: Ballot) -> (Option<Slot>, Message) {
@@ -303,7 +327,7 @@
 fn fits(key: Key, value: &Value, members: &Members) -> bool {
     let follows = |next: Members| next.epoch == value.version && next.uid == members.uid;
     value.content.len() <= MAX_CONTENT
-        && (key != Key::Members || Members::read_text(&value.content).is_ok_and(follows))
+        && (key != Key::Members || Members::parse(&value.content).is_ok_and(follows))
 }
 
 impl Step<'_> {
--- a/quorum/tests/records.rs
+++ b/quorum/tests/records.rs
@@ -6,7 +6,7 @@
 use yare::parameterized;
 
 fn disk() -> BTreeMap<String, String> {
-    let first = Members::first("lab", ["a", "b \"ü\""].map(Address::from));
+    let first = Members::initial("lab", ["a", "b \"ü\""].map(Address::from));
     let joint = first.joint(vec!["a".into(), "c".into()]);
     let mut disk = BTreeMap::new();
     let mut keep = |writes: &[Write]| {
@@ -14,7 +14,7 @@
         Ok::<_, ()>(())
     };
     let mut voter = Voter::open("a".into(), [], vec![], 1, 0).unwrap();
-    voter.bootstrap(first.clone()).carry_out(&mut keep).unwrap();
+    voter.bootstrap(first.clone()).commit(&mut keep).unwrap();
     for key in Key::ALL {
         let (ballot, members) = (Ballots::new("p", u64::MAX).next(7), joint.clone());
         let value = match key {
@@ -22,7 +22,7 @@
             _ => Value { version: u64::MAX, content: "{\"x\": [\"é\\\"\"]}".into() },
         };
         let write = Message::Write { key, ballot, value, members };
-        voter.handle(0, "p", write).carry_out(&mut keep).unwrap();
+        voter.handle(0, "p", write).commit(&mut keep).unwrap();
     }
     disk
 }
@@ -87,23 +87,23 @@
 /// Versions before know nothing of moves: until there is a record of them they can read the disk.
 #[test]
 fn the_newer_format_is_written_right_before_the_first_record_of_moves() {
-    let members = Members::first("lab", ["a"].map(Address::from));
+    let members = Members::initial("lab", ["a"].map(Address::from));
     let mut batches = Vec::new();
     let mut keep = |writes: &[Write]| {
         batches.push(writes.to_vec());
         Ok::<_, ()>(())
     };
     let mut voter = Voter::open("a".into(), [], vec![], 1, 0).unwrap();
-    voter.bootstrap(members.clone()).carry_out(&mut keep).unwrap();
-    for (n, key) in [Key::Config, Key::Moves, Key::Moves].into_iter().enumerate() {
+    voter.bootstrap(members.clone()).commit(&mut keep).unwrap();
+    for (n, key) in [Key::Config, Key::Migrations, Key::Migrations].into_iter().enumerate() {
         let ballot = Ballots::new("p", 1).next(n as u64);
         voter
-            .handle(0, "p", Message::Look { key, tag: ballot.clone(), members: members.clone() })
-            .carry_out(&mut keep)
+            .handle(0, "p", Message::Query { key, tag: ballot.clone(), members: members.clone() })
+            .commit(&mut keep)
             .unwrap();
         voter
             .handle(0, "p", Message::Prepare { key, ballot, members: members.clone() })
-            .carry_out(&mut keep)
+            .commit(&mut keep)
             .unwrap();
     }
     let named = |batch: &Vec<Write>| {
@@ -126,48 +126,52 @@
 #[test]
 fn messages_are_read_as_written_and_not_without_a_field() {
     let (key, ballot) = (Key::Config, Ballots::new("p", 3).next(1 << 60));
-    let members = Members::first("lab", ["a".into()]).joint(vec!["b".into()]);
+    let members = Members::initial("lab", ["a".into()]).joint(vec!["b".into()]);
     let value = Value { version: 9, content: "text".into() };
     let stands = Accepted { ballot: ballot.clone(), value: value.clone(), copied: true };
     let (accepted, tag, promised) = (Some(stands), ballot.clone(), ballot.clone());
     let slot = Slot { promised: Some(ballot.clone()), accepted: accepted.clone() };
-    let (duty, holder) = (Address::from("steward"), Address::from("h"));
-    let (life, ask, left) = (u64::MAX, 2, 5);
-    let (b, m, a, d) = (|| ballot.clone(), || members.clone(), || accepted.clone(), || duty.clone());
+    let (lease, holder) = (Address::from("steward"), Address::from("h"));
+    let (incarnation, request, remaining) = (u64::MAX, 2, 5);
+    let (b, m, a, d) = (|| ballot.clone(), || members.clone(), || accepted.clone(), || lease.clone());
     let all = [
-        Message::Look { key, tag: tag.clone(), members: m() },
+        Message::Query { key, tag: tag.clone(), members: m() },
         Message::Prepare { key, ballot: b(), members: m() },
         Message::Write { key, ballot: b(), value, members: m() },
-        Message::Seen { key, tag, accepted: a() },
+        Message::QueryReply { key, tag, accepted: a() },
         Message::Promised { key, ballot: b(), accepted: a() },
         Message::Wrote { key, ballot: b() },
         Message::Refused { key, ballot: b(), promised },
-        Message::Newer { key, ballot: b(), members: m(), chosen: true },
-        Message::Copy { ask },
-        Message::State { ask, members: m(), slots: vec![(key, slot), (Key::Members, Slot::default())] },
-        Message::Ask {
-            duty: d(),
+        Message::NewerMembers { key, ballot: b(), members: m(), chosen: true },
+        Message::StateRequest { request },
+        Message::StateReply {
+            request,
+            members: m(),
+            slots: vec![(key, slot), (Key::Members, Slot::default())],
+        },
+        Message::LeaseRequest {
+            lease: d(),
             holder: holder.clone(),
-            life,
-            ask,
-            held: Some(4),
-            again: true,
+            incarnation,
+            request,
+            held_epoch: Some(4),
+            previous_holder: true,
             members: m(),
         },
-        Message::Granted { duty: d(), life, ask },
-        Message::Denied { duty: d(), life, ask, left, newer: Some(m()) },
-        Message::Release { duty: d(), holder, life, ask },
+        Message::LeaseGranted { lease: d(), incarnation, request },
+        Message::LeaseDenied { lease: d(), incarnation, request, remaining, newer_members: Some(m()) },
+        Message::LeaseRelease { lease: d(), holder, incarnation, request },
     ];
     for message in all {
         let text = message.to_json().stringify().unwrap();
-        assert_eq!(Message::read(&text.parse().unwrap()), Ok(message.clone()));
+        assert_eq!(Message::from_json(&text.parse().unwrap()), Ok(message.clone()));
         let tinyjson::JsonValue::Object(fields) = message.to_json() else { panic!("not an object") };
         for field in
             fields.keys().filter(|field| !["accepted", "again", "held", "newer"].contains(&field.as_str()))
         {
             let mut less = fields.clone();
             less.remove(field);
-            assert!(Message::read(&less.into()).is_err(), "{message:?} without {field}");
+            assert!(Message::from_json(&less.into()).is_err(), "{message:?} without {field}");
         }
     }
 }
--- a/quorum/tests/second_loss.rs
+++ b/quorum/tests/second_loss.rs
@@ -4,7 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use millpost_quorum::{
-    Address, Ballots, Change, Key, Kind, Members, Message, Moved, Moving, Out, Outcome, Round, Value, Voter,
+    Address, Ballots, Key, Members, MembershipChange, MembershipOutcome, Message, Operation, Outcome, Output,
+    Round, Value, Voter, VoterChange,
 };
 
 const MS: u64 = 1_000_000;
@@ -36,24 +37,24 @@
 
 /// Whoever proposes.
 trait Proposer {
-    fn hear(&mut self, now: u64, from: &str, message: &Message) -> Out;
-    fn tick(&mut self, now: u64) -> Out;
+    fn hear(&mut self, now: u64, from: &str, message: &Message) -> Output;
+    fn tick(&mut self, now: u64) -> Output;
 }
 
 impl Proposer for Round {
-    fn hear(&mut self, now: u64, from: &str, message: &Message) -> Out {
+    fn hear(&mut self, now: u64, from: &str, message: &Message) -> Output {
         self.on_reply(now, from, message)
     }
-    fn tick(&mut self, now: u64) -> Out {
+    fn tick(&mut self, now: u64) -> Output {
         self.on_tick(now)
     }
 }
 
-impl Proposer for Moving {
-    fn hear(&mut self, now: u64, from: &str, message: &Message) -> Out {
+impl Proposer for MembershipChange {
+    fn hear(&mut self, now: u64, from: &str, message: &Message) -> Output {
         self.on_reply(now, from, message)
     }
-    fn tick(&mut self, now: u64) -> Out {
+    fn tick(&mut self, now: u64) -> Output {
         self.on_tick(now)
     }
 }
@@ -67,29 +68,29 @@
     /// when it was a voter itself: then it copies nothing.
     fn new(voters: usize, spare: Spare) -> (Self, Members) {
         let of = |first: usize| (1..voters).chain([first]).map(name);
-        let before = Members::first("lab", of(if spare == Spare::WasVoter { voters } else { 0 }));
+        let before = Members::initial("lab", of(if spare == Spare::WasVoter { voters } else { 0 }));
         let mut lab = Lab { now: 0, machines: BTreeMap::new(), steps: 0, strikes: None };
         for n in 0..=voters {
             let mut voter = Voter::open(name(n), [], before.voters.clone(), 1, 0).expect("an empty disk");
             let mut disk = BTreeMap::new();
-            if before.names(&name(n)) {
-                voter.bootstrap(before.clone()).carry_out(|batch| store(&mut disk, batch)).expect("stored");
+            if before.contains(&name(n)) {
+                voter.bootstrap(before.clone()).commit(|batch| store(&mut disk, batch)).expect("stored");
             }
             lab.machines.insert(name(n), Machine { voter, disk });
         }
         let members = match spare {
             Spare::Empty => before,
             Spare::WasVoter => {
-                let change = Change::Replace { out: name(voters), new: name(0) };
+                let change = VoterChange::Replace { old: name(voters), new: name(0) };
                 match lab.end_change(&before, Some(change), 3) {
-                    Some(Moved::Done(members)) => members,
+                    Some(MembershipOutcome::Done(members)) => members,
                     other => panic!("{other:?}"),
                 }
             }
         };
         let late: Vec<_> =
             (voters / 2 + 1..voters).map(|n| (name(n), lab.machines.remove(&name(n)))).collect();
-        let offer = Kind::Offer { version: 1, content: "kept".into(), over: None };
+        let offer = Operation::Propose { version: 1, content: "kept".into(), expected_version: None };
         let mut round = lab.round(offer, &members, 1);
         assert!(matches!(lab.play(&mut round), Some(Outcome::Written(_))));
         lab.machines.extend(late.into_iter().filter_map(|(name, machine)| Some((name, machine?))));
@@ -97,7 +98,7 @@
         (lab, members)
     }
 
-    fn round(&self, kind: Kind, members: &Members, life: u64) -> Round {
+    fn round(&self, kind: Operation, members: &Members, life: u64) -> Round {
         let ballots = Ballots::new("p", life);
         Round::new(kind, Key::Config, members.clone(), &ballots, life, self.now + EACH)
     }
@@ -107,7 +108,7 @@
         let mut mail: VecDeque<(Address, Address, Message)> = VecDeque::new();
         let end = self.now + 2 * ALL;
         let mut wake = self.now;
-        let send = |mail: &mut VecDeque<_>, out: Out| {
+        let send = |mail: &mut VecDeque<_>, out: Output| {
             mail.extend(out.send.into_iter().map(|(to, message)| ("p".into(), to, message)));
             (out.wake, out.outcome)
         };
@@ -155,14 +156,14 @@
         }
         let Some(Machine { voter, disk }) = self.machines.get_mut(to) else { return };
         let step = voter.handle(self.now, from, message);
-        if let Ok(Some(answer)) = step.carry_out(|batch| store(disk, batch)) {
+        if let Ok(Some(answer)) = step.commit(|batch| store(disk, batch)) {
             mail.push_back((to.clone(), from.clone(), answer));
         }
     }
 
     /// What a majority of these members, or of newer ones that they lead to, holds.
     fn read(&mut self, members: &Members) -> Option<Value> {
-        let mut round = self.round(Kind::Read, members, 9);
+        let mut round = self.round(Operation::Read, members, 9);
         match self.play(&mut round) {
             Some(Outcome::Found(value)) => value,
             other => panic!("{other:?}"),
@@ -170,11 +171,17 @@
     }
 
     /// Another machine ends the change that somebody began, if it can.
-    fn end_change(&mut self, members: &Members, change: Option<Change>, life: u64) -> Option<Moved> {
+    fn end_change(
+        &mut self,
+        members: &Members,
+        change: Option<VoterChange>,
+        life: u64,
+    ) -> Option<MembershipOutcome> {
         let ballots = Ballots::new("p", life);
-        let mut moving = Moving::new(change, members.clone(), &ballots, life, EACH, self.now + ALL, self.now);
+        let mut moving =
+            MembershipChange::new(change, members.clone(), &ballots, life, EACH, self.now + ALL, self.now);
         self.play(&mut moving);
-        moving.moved().cloned()
+        moving.outcome().cloned()
     }
 }
 
@@ -214,7 +221,7 @@
     first_is_dead: bool,
     spare: Spare,
 ) {
-    let change = Change::Replace { out: name(0), new: name(voters) };
+    let change = VoterChange::Replace { old: name(0), new: name(voters) };
     let others: Vec<_> = (1..voters).map(name).collect();
     let lab = || {
         let (mut lab, members) = Lab::new(voters, spare);
@@ -224,7 +231,7 @@
         (lab, members)
     };
     let (mut whole, members) = lab();
-    let Some(Moved::Done(after)) = whole.end_change(&members, Some(change.clone()), 2) else {
+    let Some(MembershipOutcome::Done(after)) = whole.end_change(&members, Some(change.clone()), 2) else {
         panic!("without losses it is done")
     };
     assert_eq!(after.voters.iter().collect::<BTreeSet<_>>().len(), voters);
--- a/quorum/tests/sim.rs
+++ b/quorum/tests/sim.rs
@@ -54,8 +54,8 @@
     members: Members,
     ballots: Ballots,
     op: Option<Op>,
-    moving: Option<Moving>,
-    holder: Holder,
+    moving: Option<MembershipChange>,
+    holder: LeaseHolder,
     clock: u64,
     frozen: u64,
     next: u64,
@@ -91,7 +91,7 @@
 impl World {
     fn new(seed: u64, voters: usize, clients: usize) -> Self {
         let mut rng = Rng(seed);
-        let members = Members::first("sim", addresses(0..voters));
+        let members = Members::initial("sim", addresses(0..voters));
         let mut machines = BTreeMap::new();
         for address in addresses(0..voters + 2) {
             let clock = rng.below(1 << 40);
@@ -102,7 +102,7 @@
         }
         let clients = (0..clients).map(|at| {
             let (name, clock) = (format!("p{at}"), rng.below(1 << 40));
-            let holder = Holder::new("steward", &name, seed, members.clone(), rng.next(), clock);
+            let holder = LeaseHolder::new("steward", &name, seed, members.clone(), rng.next(), clock);
             let (members, ballots) = (members.clone(), Ballots::new(&name, seed));
             Client { members, ballots, op: None, moving: None, holder, clock, frozen: 0, next: 0 }
         });
@@ -134,7 +134,7 @@
             let far = if !self.calm && self.rng.one_in(12) { 2_500 * MS } else { 15 * MS };
             let when = self.now + MS / 2 + self.rng.below(far);
             let message = match self.rng.one_in(16) {
-                true => Message::read(&message.to_json()).expect("reads what it wrote"),
+                true => Message::from_json(&message.to_json()).expect("reads what it wrote"),
                 false => message.clone(),
             };
             self.at(when, Event::Deliver(from.into(), to.clone(), Box::new(message)));
@@ -150,7 +150,7 @@
             Voter::open(address.clone(), machine.disk.clone(), seeds, machine.lives, now).unwrap();
         if let Some(first) = first {
             let disk = &mut machine.disk;
-            voter.bootstrap(first).carry_out(|writes| store(disk, writes, usize::MAX)).unwrap();
+            voter.bootstrap(first).commit(|writes| store(disk, writes, usize::MAX)).unwrap();
         }
         machine.voter = Some(voter);
         let life = machine.lives;
@@ -183,7 +183,7 @@
         let Some(adopted) = adopted.max_by_key(|members| members.epoch) else { return false };
         let slots = opened.values().filter_map(|voter| voter.slot(Key::Members)?.accepted.as_ref());
         let newer = slots.filter(|accepted| accepted.value.version > adopted.epoch);
-        let newer = newer.map(|accepted| Members::read_text(&accepted.value.content).unwrap());
+        let newer = newer.map(|accepted| Members::parse(&accepted.value.content).unwrap());
         newer.chain([adopted.clone()]).all(|members| {
             let full = |set: &[Address]| {
                 set.iter().filter(|one| *one != address && opened.contains_key(one)).count()
@@ -234,7 +234,7 @@
         let Some(voter) = &mut machine.voter else { return };
         let blank = voter.state() != State::Voting;
         let (disk, mut left) = (&mut machine.disk, room);
-        let step = voter.handle(self.now + machine.clock, &from, message).carry_out(|writes| {
+        let step = voter.handle(self.now + machine.clock, &from, message).commit(|writes| {
             let done = store(disk, writes, left);
             left = left.saturating_sub(writes.len());
             done
@@ -261,7 +261,7 @@
         }
         wakes.push(client.holder.next_wake());
         if client.op.is_none() && client.moving.is_none() && now >= client.next {
-            let key = [Key::Steward, Key::Config, Key::Moves][self.rng.below(3) as usize];
+            let key = [Key::Leader, Key::Config, Key::Migrations][self.rng.below(3) as usize];
             let newest = self.oracle.newest.get(&key).copied().unwrap_or(0);
             let seed = self.rng.next();
             if at == 0 && self.rng.one_in(8) && client.members.next.is_none() {
@@ -271,20 +271,27 @@
                 let new = spare[self.rng.below(spare.len() as u64) as usize].clone();
                 let out = voters[self.rng.below(voters.len() as u64) as usize].clone();
                 let change = match self.rng.below(6) {
-                    0 if spare.len() > 1 => Change::Add(new),
-                    1 if voters.len() > 3 => Change::Remove(out),
-                    _ => Change::Replace { out, new },
+                    0 if spare.len() > 1 => VoterChange::Add(new),
+                    1 if voters.len() > 3 => VoterChange::Remove(out),
+                    _ => VoterChange::Replace { old: out, new },
                 };
                 let (members, limit) = (client.members.clone(), now + 6_000 * MS);
-                client.moving =
-                    Some(Moving::new(Some(change), members, &client.ballots, seed, 800 * MS, limit, now));
+                client.moving = Some(MembershipChange::new(
+                    Some(change),
+                    members,
+                    &client.ballots,
+                    seed,
+                    800 * MS,
+                    limit,
+                    now,
+                ));
             } else {
                 let version = newest + 1 + u64::from(self.rng.one_in(4));
                 let content = format!("{name} {seed}").into();
                 let kind = match self.rng.below(5) {
-                    0..=1 => Kind::Read,
-                    2 => Kind::Offer { version, content, over: Some(newest) },
-                    _ => Kind::Offer { version, content, over: None },
+                    0..=1 => Operation::Read,
+                    2 => Operation::Propose { version, content, expected_version: Some(newest) },
+                    _ => Operation::Propose { version, content, expected_version: None },
                 };
                 let limit = now + 800 * MS;
                 let round = Round::new(kind, key, client.members.clone(), &client.ballots, seed, limit);
@@ -317,8 +324,8 @@
             sends.extend(out.send);
             wakes.extend(out.wake);
             client.members = moving.members().clone();
-            if let Some(moved) = moving.moved() {
-                self.oracle.moved += u64::from(matches!(moved, Moved::Done(_)));
+            if let Some(moved) = moving.outcome() {
+                self.oracle.moved += u64::from(matches!(moved, MembershipOutcome::Done(_)));
                 client.moving = None;
             }
         }
@@ -340,7 +347,7 @@
             self.at(wake.min(self.now + 20 * MS), Event::Client(at));
         }
         let acting =
-            self.clients.iter().filter(|client| client.holder.may_act(self.now + client.clock)).count();
+            self.clients.iter().filter(|client| client.holder.is_held(self.now + client.clock)).count();
         assert!(acting <= 1, "two holders");
         self.oracle.held += acting as u64;
     }
@@ -396,11 +403,11 @@
 impl Oracle {
     fn check(&mut self, key: Key, floor: u64, outcome: Outcome) {
         let value = match outcome {
-            Outcome::Lost(_) => {
+            Outcome::Indeterminate(_) => {
                 self.lost += 1;
                 return;
             }
-            Outcome::Found(value) | Outcome::Held(value) => value,
+            Outcome::Found(value) | Outcome::Conflict(value) => value,
             Outcome::Written(value) => Some(value),
         };
         self.ended += 1;
--- a/quorum/tests/traces.rs
+++ b/quorum/tests/traces.rs
@@ -13,14 +13,14 @@
 }
 
 fn members(names: &[&str]) -> Members {
-    Members::first("lab", names.iter().map(|name| Address::from(*name)))
+    Members::initial("lab", names.iter().map(|name| Address::from(*name)))
 }
 
-fn offer(content: &str) -> Kind {
-    Kind::Offer { version: 1, content: content.into(), over: None }
+fn offer(content: &str) -> Operation {
+    Operation::Propose { version: 1, content: content.into(), expected_version: None }
 }
 
-fn round(kind: Kind, by: &Members, ballots: &Ballots) -> Round {
+fn round(kind: Operation, by: &Members, ballots: &Ballots) -> Round {
     Round::new(kind, Key::Config, by.clone(), ballots, 1, u64::MAX)
 }
 
@@ -33,7 +33,7 @@
         let mut lab = Self { now: 10_000 * MS, voters: BTreeMap::new() };
         for name in names {
             let (mut voter, mut disk) = (open(name, &BTreeMap::new(), 0), BTreeMap::new());
-            voter.bootstrap(first.clone()).carry_out(|writes| store(&mut disk, writes)).unwrap();
+            voter.bootstrap(first.clone()).commit(|writes| store(&mut disk, writes)).unwrap();
             lab.voters.insert(name, (voter, disk));
         }
         lab
@@ -41,12 +41,12 @@
 
     fn give(&mut self, to: &str, from: &str, message: Message) -> Option<Message> {
         let (voter, disk) = self.voters.get_mut(to).unwrap();
-        voter.handle(self.now, from, message).carry_out(|writes| store(disk, writes)).unwrap()
+        voter.handle(self.now, from, message).commit(|writes| store(disk, writes)).unwrap()
     }
 
     /// Carry what is sent to these voters, and their answers back; what they lead to is not carried on.
-    fn carry(&mut self, round: &mut Round, out: &Out, to: &[&str]) -> Out {
-        let mut last = Out::default();
+    fn carry(&mut self, round: &mut Round, out: &Output, to: &[&str]) -> Output {
+        let mut last = Output::default();
         for name in to {
             let message = sent(out, name);
             if let Some(reply) = self.give(name, "p", message) {
@@ -73,8 +73,8 @@
 
     /// Let the emptied voter wait and ask; carry the answers of these.
     fn recover(&mut self, name: &'static str, from: &[&str]) -> State {
-        assert!(self.voters.get_mut(name).unwrap().0.on_tick(self.now + PREPARE_WITHIN).is_empty());
-        self.now += PREPARE_WITHIN + WAIT_MARGIN;
+        assert!(self.voters.get_mut(name).unwrap().0.on_tick(self.now + PHASE_TIMEOUT).is_empty());
+        self.now += PHASE_TIMEOUT + RECOVERY_MARGIN;
         let asks = self.voters.get_mut(name).unwrap().0.on_tick(self.now);
         let ask = asks[0].1.clone();
         for other in from {
@@ -94,7 +94,7 @@
     Ok(())
 }
 
-fn sent(out: &Out, to: &str) -> Message {
+fn sent(out: &Output, to: &str) -> Message {
     out.send.iter().find(|(name, _)| name == to).expect("sent").1.clone()
 }
 
@@ -112,7 +112,7 @@
 
     lab.wipe("v");
     assert_eq!(lab.recover("v", &["a", "b", "d"]), State::Voting);
-    let mut read = round(Kind::Read, &all, &Ballots::new("r", 1));
+    let mut read = round(Operation::Read, &all, &Ballots::new("r", 1));
     let out = read.on_tick(lab.now);
     let seen = lab.carry(&mut read, &out, &["a", "d", "v"]);
     assert_eq!(seen.outcome, None, "the copy made up a majority");
@@ -129,7 +129,7 @@
     let mut change = round(offer("one"), &all, &Ballots::new("p", 1));
     let out = change.on_tick(lab.now);
     let writes = lab.carry(&mut change, &out, &["a", "b"]);
-    let mut read = round(Kind::Read, &all, &Ballots::new("q", 1));
+    let mut read = round(Operation::Read, &all, &Ballots::new("q", 1));
     lab.carry(&mut change, &writes, &["v"]);
     let looks = read.on_tick(lab.now);
     lab.carry(&mut read, &looks, &["v"]);
@@ -172,20 +172,20 @@
     let out = lab.carry(&mut change, &out, &["a", "v"]);
     assert!(matches!(lab.carry(&mut change, &out, &["a", "v"]).outcome, Some(Outcome::Written(_))));
     lab.wipe("v");
-    lab.now += PREPARE_WITHIN + WAIT_MARGIN;
+    lab.now += PHASE_TIMEOUT + RECOVERY_MARGIN;
     let ask = lab.voters.get_mut("v").unwrap().0.on_tick(lab.now)[0].1.clone();
     let states = ["a", "b"].map(|name| (name, lab.give(name, "v", ask.clone()).unwrap()));
     let (voter, _) = lab.voters.get_mut("v").unwrap();
     let [(_, first), (_, second)] = states;
-    voter.handle(lab.now, "a", first).carry_out(|_| Err(())).expect("one is not enough to write");
+    voter.handle(lab.now, "a", first).commit(|_| Err(())).expect("one is not enough to write");
     let (mut disk, mut batches) = (BTreeMap::new(), 0);
-    let step = voter.handle(lab.now, "b", second).carry_out(|writes| {
+    let step = voter.handle(lab.now, "b", second).commit(|writes| {
         batches += 1;
         if batches == 2 { Err(()) } else { store(&mut disk, writes) }
     });
-    assert_eq!((step, voter.state()), (Err(()), State::Copying));
+    assert_eq!((step, voter.state()), (Err(()), State::Recovering));
     assert!(!disk.is_empty());
-    assert_eq!(open("v", &disk, lab.now).state(), State::Blank);
+    assert_eq!(open("v", &disk, lab.now).state(), State::Empty);
 }
 
 #[test]
@@ -194,15 +194,18 @@
     let mut lab = Lab::new(&first, &["a", "b", "c"]);
     let joint = first.joint(vec!["a".into(), "b".into(), "z".into()]);
     let ballots = Ballots::new("p", 1);
-    let kind =
-        |next: &Members, over| Kind::Offer { version: next.epoch, content: next.to_text().into(), over };
+    let kind = |next: &Members, expected_version| Operation::Propose {
+        version: next.epoch,
+        content: next.to_text().into(),
+        expected_version,
+    };
     let mut change = Round::new(kind(&joint, Some(0)), Key::Members, first.clone(), &ballots, 1, u64::MAX);
     let out = change.on_tick(lab.now);
     let out = lab.carry(&mut change, &out, &["a", "b"]);
     assert_eq!(lab.carry(&mut change, &out, &["a"]).outcome, None);
 
     // Members that are not known to stand are not built upon.
-    let after = joint.after().unwrap();
+    let after = joint.completed().unwrap();
     let mut jump = Round::new(kind(&after, Some(1)), Key::Members, first.clone(), &ballots, 1, u64::MAX);
     let out = jump.on_tick(lab.now);
     let out = lab.carry(&mut jump, &out, &["a", "c"]);
@@ -210,7 +213,7 @@
     assert_eq!(value.version, 1);
 
     // Another key: `a` speaks of the newer ones, so they are finished, and the round goes on under them.
-    let mut read = round(Kind::Read, &first, &Ballots::new("r", 1));
+    let mut read = round(Operation::Read, &first, &Ballots::new("r", 1));
     let looks = read.on_tick(lab.now);
     let prepares = lab.carry(&mut read, &looks, &["a"]);
     assert!(matches!(sent(&prepares, "b"), Message::Prepare { key: Key::Members, .. }));
@@ -228,14 +231,14 @@
         out
     };
     assert_eq!(read.members(), &joint);
-    assert!(matches!(sent(&retries, "z"), Message::Look { key: Key::Config, .. }));
+    assert!(matches!(sent(&retries, "z"), Message::Query { key: Key::Config, .. }));
     lab.carry(&mut read, &retries, &["a", "b"]);
     assert_eq!(lab.voters["b"].0.members(), Some(&joint));
 
     // Who has adopted them turns older writers down.
     let old = Message::Prepare { key: Key::Config, ballot: Ballots::new("o", 1).next(99), members: first };
     let reply = lab.give("b", "o", old);
-    assert!(matches!(reply, Some(Message::Newer { chosen: true, members, .. }) if members == joint));
+    assert!(matches!(reply, Some(Message::NewerMembers { chosen: true, members, .. }) if members == joint));
 }
 
 #[test]
@@ -243,7 +246,7 @@
     let first = members(&["a", "b", "v"]);
     let mut lab = Lab::new(&first, &["a", "b", "v"]);
     let joint = first.joint(vec!["a".into(), "z".into(), "v".into()]);
-    let after = joint.after().unwrap();
+    let after = joint.completed().unwrap();
     let value = Value { version: 2, content: after.to_text().into() };
     let ballot = Ballots::new("p", 1).next(0);
     for name in ["a", "v"] {
@@ -252,13 +255,14 @@
         assert!(matches!(lab.give(name, "p", write), Some(Message::Wrote { .. })));
     }
     lab.wipe("v");
-    assert_eq!(lab.recover("v", &["a", "b"]), State::Copying, "`z` and `v` may have decided alone since");
+    assert_eq!(lab.recover("v", &["a", "b"]), State::Recovering, "`z` and `v` may have decided alone since");
 }
 
 /// Changes the voters; all that are here answer.
-fn change(lab: &mut Lab, before: &Members, change: Change) -> Members {
+fn change(lab: &mut Lab, before: &Members, change: VoterChange) -> Members {
     let (ballots, limit) = (Ballots::new("m", lab.now), lab.now + 6_000 * MS);
-    let mut moving = Moving::new(Some(change), before.clone(), &ballots, 1, 800 * MS, limit, lab.now);
+    let mut moving =
+        MembershipChange::new(Some(change), before.clone(), &ballots, 1, 800 * MS, limit, lab.now);
     let mut out = moving.on_tick(lab.now);
     for _ in 0..200 {
         for (to, message) in std::mem::take(&mut out.send) {
@@ -266,7 +270,7 @@
                 out.send.extend(moving.on_reply(lab.now, &to, &reply).send);
             }
         }
-        if let Some(Moved::Done(members)) = moving.moved() {
+        if let Some(MembershipOutcome::Done(members)) = moving.outcome() {
             return members.clone();
         }
         if out.send.is_empty() {
@@ -274,7 +278,7 @@
             out = moving.on_tick(lab.now);
         }
     }
-    panic!("{:?}", moving.moved());
+    panic!("{:?}", moving.outcome());
 }
 
 /// The new voter has a state of before, so it copies nothing.
@@ -283,16 +287,17 @@
     let first = members(&["a", "b", "c", "z"]);
     for written in [true, false] {
         let mut lab = Lab::new(&first, &["a", "b", "c", "z"]);
-        let three = change(&mut lab, &first, Change::Remove("z".into()));
+        let three = change(&mut lab, &first, VoterChange::Remove("z".into()));
         if written {
             let ballots = Ballots::new("p", 1);
-            let mut write = Round::new(offer("x"), Key::Moves, three.clone(), &ballots, 1, u64::MAX);
+            let mut write = Round::new(offer("x"), Key::Migrations, three.clone(), &ballots, 1, u64::MAX);
             let out = write.on_tick(lab.now);
             let out = lab.carry(&mut write, &out, &["a", "b"]);
             assert!(lab.carry(&mut write, &out, &["a", "b"]).outcome.is_some());
         }
-        let after = change(&mut lab, &three, Change::Replace { out: "a".into(), new: "z".into() });
-        let mut read = Round::new(Kind::Read, Key::Moves, after, &Ballots::new("r", 1), 1, u64::MAX);
+        let after = change(&mut lab, &three, VoterChange::Replace { old: "a".into(), new: "z".into() });
+        let mut read =
+            Round::new(Operation::Read, Key::Migrations, after, &Ballots::new("r", 1), 1, u64::MAX);
         let mut out = read.on_tick(lab.now);
         for _ in 0..20 {
             for (to, message) in std::mem::take(&mut out.send).into_iter().filter(|(to, _)| to != "b") {
@@ -319,17 +324,17 @@
     let first = members(&["a", "b", "c"]);
     let mut lab = Lab::new(&first, &["a", "b", "c"]);
     let joint = first.joint(vec!["a".into(), "b".into(), "z".into()]);
-    let after = joint.after().unwrap();
-    let ask = |holder: &str, ask, held, members: &Members| Message::Ask {
-        duty: "steward".into(),
+    let after = joint.completed().unwrap();
+    let ask = |holder: &str, request, held_epoch, members: &Members| Message::LeaseRequest {
+        lease: "steward".into(),
         holder: holder.into(),
-        life: 1,
-        ask,
-        held,
-        again: false,
+        incarnation: 1,
+        request,
+        held_epoch,
+        previous_holder: false,
         members: members.clone(),
     };
-    let granted = |reply: Option<Message>| matches!(reply, Some(Message::Granted { .. }));
+    let granted = |reply: Option<Message>| matches!(reply, Some(Message::LeaseGranted { .. }));
     assert!(granted(lab.give("c", "h", ask("h", 1, None, &first))));
     assert!(granted(lab.give("a", "h", ask("h", 1, None, &first))));
     // `b` jumps over the joint record: it can't know whom the others granted, unless one held it under that.
@@ -338,7 +343,7 @@
     assert!(granted(lab.give("b", "h", ask("h", 3, Some(1), &after))));
     // One step onto a joint record shares its majorities with what was before.
     assert!(granted(lab.give("c", "h", ask("h", 4, None, &joint))));
-    lab.now += LEASE_FOR;
+    lab.now += LEASE_DURATION;
     assert!(granted(lab.give("b", "k", ask("k", 2, None, &after))));
 }
 
@@ -346,16 +351,16 @@
 fn who_had_the_duty_last_need_not_wait_for_its_own_life_of_before() {
     let all = members(&["a", "b", "c"]);
     let mut lab = Lab::new(&all, &["a", "b", "c"]);
-    let ask = |holder: &str, life, again| Message::Ask {
-        duty: "steward".into(),
+    let ask = |holder: &str, incarnation, previous_holder| Message::LeaseRequest {
+        lease: "steward".into(),
         holder: holder.into(),
-        life,
-        ask: 1,
-        held: None,
-        again,
+        incarnation,
+        request: 1,
+        held_epoch: None,
+        previous_holder,
         members: all.clone(),
     };
-    let granted = |reply: Option<Message>| matches!(reply, Some(Message::Granted { .. }));
+    let granted = |reply: Option<Message>| matches!(reply, Some(Message::LeaseGranted { .. }));
     assert!(granted(lab.give("a", "h", ask("h", 1, false))));
     // Its next life, at a voter that knows of the one before; nobody else, and no life that is over.
     assert!(!granted(lab.give("a", "k", ask("k", 9, true))));
--- a/replay/examples/traces.rs
+++ b/replay/examples/traces.rs
@@ -147,7 +147,7 @@
     let config = |revision| Config::parse(&body(revision)).expect("a configuration");
     let whole = |revision| format!(r#"{{"t":"config","v":{revision},"body":{}}}"#, body(revision));
     let patch = |from, to| {
-        let change = change::between(&config(from), &config(to)).stringify().expect("JSON");
+        let change = change::diff(&config(from), &config(to)).stringify().expect("JSON");
         format!(r#"{{"t":"patch","v":{to},"change":{change}}}"#)
     };
     let inst = |fence, count, all, set: &[&str], gone: &str| {
--- a/simulator/src/auditor.rs
+++ b/simulator/src/auditor.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use compact_str::CompactString;
-use millpost_config::{Config, Table};
+use millpost_config::{Config, RouteTable};
 
 use crate::calm::Calm;
 use crate::site::{Bounds, HOST};
@@ -53,7 +53,7 @@
 struct Version {
     revision: u64,
     digest: u64,
-    table: Rc<Table>,
+    table: Rc<RouteTable>,
     sent: Time,
     acked: Option<Time>,
     /// Control has confirmed it, though its operator may not have heard that.
@@ -116,7 +116,7 @@
 
     /// An operator sends a version for the first time.
     pub fn offered(&mut self, at: Time, config: &Config, valid: bool) {
-        let (revision, digest, table) = (config.revision, config.digest(), Rc::new(Table::new(config)));
+        let (revision, digest, table) = (config.revision, config.digest(), Rc::new(RouteTable::new(config)));
         self.versions.push(Version {
             revision,
             digest,
--- a/simulator/src/processes/controller.rs
+++ b/simulator/src/processes/controller.rs
@@ -96,7 +96,7 @@
         seeds.dedup();
         let uid = format!("{:016x}", xxh3_64(seeds.join(" ").as_bytes()));
         let forgetful = place.plant == Some(Plant::Forgetful);
-        let first = (bootstrap || forgetful).then(|| Members::first(&uid, seeds));
+        let first = (bootstrap || forgetful).then(|| Members::initial(&uid, seeds));
         let keeper = VoterProcess::open(now, &place, disk, first);
         let start = Start {
             me: place.address.clone(),
--- a/simulator/src/processes/parse_cache.rs
+++ b/simulator/src/processes/parse_cache.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use millpost_config::{Config, Table, change};
+use millpost_config::{Config, RouteTable, change};
 use millpost_net::messaging;
 use millpost_net::pack::unpack;
 use tinyjson::JsonValue;
@@ -27,7 +27,7 @@
 pub struct ParseCache {
     texts: Found<u64>,
     changed: Found<(u64, u64)>,
-    tables: RefCell<HashMap<u64, Rc<Table>>>,
+    tables: RefCell<HashMap<u64, Rc<RouteTable>>>,
 }
 
 const LONGEST: usize = 8 << 20;
@@ -75,9 +75,9 @@
     }
 
     /// Its routes, ready to be asked for.
-    pub fn table(&self, of: &Known) -> Rc<Table> {
+    pub fn table(&self, of: &Known) -> Rc<RouteTable> {
         Rc::clone(
-            self.tables.borrow_mut().entry(of.digest).or_insert_with(|| Rc::new(Table::new(&of.config))),
+            self.tables.borrow_mut().entry(of.digest).or_insert_with(|| Rc::new(RouteTable::new(&of.config))),
         )
     }
 }
--- a/simulator/src/processes/proxy.rs
+++ b/simulator/src/processes/proxy.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use compact_str::CompactString;
-use millpost_config::{Table, Traffic};
+use millpost_config::{RouteTable, Traffic};
 use millpost_net::messaging::Incarnation;
 use millpost_protocol::PeerMessage;
 use millpost_scheduler::{
@@ -76,7 +76,7 @@
 
 struct Force {
     known: Rc<Known>,
-    table: Rc<Table>,
+    table: Rc<RouteTable>,
 }
 
 struct Scouting {
--- a/simulator/src/processes/voter.rs
+++ b/simulator/src/processes/voter.rs
@@ -110,7 +110,7 @@
         let mut voter = Self::read(now, place, disk);
         if let Some(first) = first {
             let put = |batch: &[Write]| disk.put(now, batch, true).map(drop);
-            let _ = voter.bootstrap(first).carry_out(put);
+            let _ = voter.bootstrap(first).commit(put);
         }
         VoterProcess { voter, waiting: VecDeque::new(), careless: place.plant == Some(Plant::Unsynced) }
     }
@@ -159,7 +159,7 @@
                 done = disk.put(done, batch, !careless)?;
                 Ok(())
             };
-            match self.voter.handle(now, &from, message).carry_out(put) {
+            match self.voter.handle(now, &from, message).commit(put) {
                 Ok(answer) => answers.push((id, answer, done)),
                 // What could not be written is not: the records are read anew.
                 Err(()) => self.voter = Self::read(now, place, disk),
--- a/simulator/src/world/net.rs
+++ b/simulator/src/world/net.rs
@@ -126,10 +126,10 @@
 fn message_size(message: &Message) -> u64 {
     match message {
         Message::Write { value, .. } => 420 + value.content.len() as u64,
-        Message::Promised { accepted, .. } | Message::Seen { accepted, .. } => {
+        Message::Promised { accepted, .. } | Message::QueryReply { accepted, .. } => {
             260 + accepted.as_ref().map_or(0, |a| a.value.content.len() as u64)
         }
-        Message::State { slots, .. } => {
+        Message::StateReply { slots, .. } => {
             300 + slots
                 .iter()
                 .map(|(_, s)| 200 + s.accepted.as_ref().map_or(0, |a| a.value.content.len() as u64))
