--- a/quorum/src/ballot.rs
+++ b/quorum/src/ballot.rs
@@ -1,4 +1,5 @@
-//! Ballots, and the values that carry them; keeps: ballots are totally ordered and none is used twice.
+//! Ballots and the values that are written under them. Invariant: ballots are totally ordered and none is
+//! used twice.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,33 +7,33 @@
 use compact_str::CompactString;
 use tinyjson::JsonValue;
 
-use crate::form::{self, DecodeError, Form};
+use crate::json::{self, DecodeError, Object};
 
-/// Longest name of a proposer, a duty, a holder or a machine.
+/// Maximum length in bytes of the name of a proposer, a lease, a holder or a machine.
 pub(crate) const MAX_NAME: usize = 128;
-/// Longest content of a value, in bytes. Longer offers are not answered by any voter.
+/// Maximum content of a value, in bytes. No voter answers a write request with more.
 pub const MAX_CONTENT: usize = 4 << 20;
-/// Counters above this come from nobody of ours, and must not use up the numbers.
+/// Larger counters are rejected as invalid, so that a corrupted message cannot exhaust the range of `u64`.
 const MAX_COUNTER: u64 = 1 << 62;
 
-/// What is kept in registers.
+/// The keys of the registers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Key {
     /// The configuration.
     Config,
-    /// The steward's fence.
+    /// The fencing number of the controllers' leader.
     Leader,
-    /// The record of moves. Nothing is there, on no disk, until an operator plans the first.
+    /// The record of migrations. It exists on no disk until an operator plans the first migration.
     Migrations,
-    /// The voters themselves.
+    /// The set of voters.
     Members,
 }
 
 impl Key {
-    /// All keys there are.
+    /// All keys.
     pub const ALL: [Self; 4] = [Self::Config, Self::Leader, Self::Migrations, Self::Members];
 
-    /// The key's name.
+    /// Returns the name of the key in messages and on disk.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Config => "config",
@@ -42,53 +43,57 @@
         }
     }
 
-    /// The key of this name.
+    /// Returns the key with this name.
     pub fn of(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|key| key.as_str() == name)
     }
 
     pub(crate) fn read(value: &JsonValue) -> Result<Self, DecodeError> {
-        form::text(value, "key", 16)
-            .and_then(|name| Self::of(name).ok_or_else(|| form::wrong("key", "a known key")))
+        json::read_string(value, "key", 16)
+            .and_then(|name| Self::of(name).ok_or_else(|| json::wrong("key", "a known key")))
     }
 }
 
-/// A number for one attempt. Ordered by counter, then proposer, then its incarnation.
+/// The number of one attempt to read or write. Ballots are ordered by counter, then proposer, then
+/// incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ballot {
-    /// Goes up with each attempt.
+    /// Increases with each attempt.
     pub counter: u64,
-    /// Whose it is.
+    /// The name of the proposer.
     pub proposer: CompactString,
-    /// Differs at each start of the proposer's process.
+    /// Distinguishes the starts of the proposer's process: it differs at each.
     pub incarnation: u64,
 }
 
 impl Ballot {
     pub(crate) fn to_json(&self) -> JsonValue {
-        let parts = [form::count(self.counter), form::word(&self.proposer), form::count(self.incarnation)];
+        let parts = [json::uint(self.counter), json::string(&self.proposer), json::uint(self.incarnation)];
         JsonValue::Array(parts.into())
     }
 
-    pub(crate) fn read(value: &JsonValue, what: &'static str) -> Result<Self, DecodeError> {
-        let JsonValue::Array(parts) = value else { return Err(form::wrong(what, "a ballot")) };
+    pub(crate) fn read(value: &JsonValue, field: &'static str) -> Result<Self, DecodeError> {
+        let JsonValue::Array(parts) = value else { return Err(json::wrong(field, "a ballot")) };
         let [counter, proposer, incarnation] = parts.as_slice() else {
-            return Err(form::wrong(what, "a ballot"));
+            return Err(json::wrong(field, "a ballot"));
         };
-        let counter = form::number(counter, what)?;
+        let counter = json::read_uint(counter, field)?;
         if counter > MAX_COUNTER {
-            return Err(form::wrong(what, "a ballot of ours"));
+            return Err(json::wrong(field, "a ballot with a valid counter"));
         }
-        let proposer = form::text(proposer, what, MAX_NAME)?.into();
-        Ok(Self { counter, proposer, incarnation: form::number(incarnation, what)? })
+        let proposer = json::read_string(proposer, field, MAX_NAME)?.into();
+        Ok(Self { counter, proposer, incarnation: json::read_uint(incarnation, field)? })
     }
 
-    pub(crate) fn maybe(value: Option<&JsonValue>, what: &'static str) -> Result<Option<Self>, DecodeError> {
-        value.map(|value| Self::read(value, what)).transpose()
+    pub(crate) fn read_optional(
+        value: Option<&JsonValue>,
+        field: &'static str,
+    ) -> Result<Option<Self>, DecodeError> {
+        value.map(|value| Self::read(value, field)).transpose()
     }
 }
 
-/// Where one process takes its ballots from. Clones share one counter.
+/// Generates the ballots of one process. Clones share one counter.
 #[derive(Debug, Clone)]
 pub struct Ballots {
     proposer: CompactString,
@@ -97,12 +102,12 @@
 }
 
 impl Ballots {
-    /// For this proposer. `incarnation` must differ at each start of its process.
+    /// Creates a generator for this proposer. `incarnation` must differ at each start of its process.
     pub fn new(proposer: &str, incarnation: u64) -> Self {
         Self { proposer: proposer.into(), incarnation, counter: Arc::default() }
     }
 
-    /// A ballot that was not given out before, with a counter above `above`.
+    /// Returns a ballot that was not returned before, with a counter above `above`.
     pub fn next(&self, above: u64) -> Ballot {
         self.counter.fetch_max(above.min(MAX_COUNTER), Ordering::Relaxed);
         let counter = self.counter.fetch_add(1, Ordering::Relaxed) + 1;
@@ -112,7 +117,7 @@
 
 #[cfg(feature = "explore")]
 impl Ballots {
-    /// The same numbers from here on, counted apart: what comes of the one is nothing to the other.
+    /// Returns a generator that continues with the same numbers independently of this one.
     #[must_use]
     pub fn fork(&self) -> Self {
         let counter = AtomicU64::new(self.counter.load(Ordering::Relaxed));
@@ -127,81 +132,82 @@
     }
 }
 
-/// What a register holds.
+/// The value of a register.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "explore", derive(Hash))]
 pub struct Value {
-    /// Goes up with each change.
+    /// Increases with each write.
     pub version: u64,
-    /// Whatever the writer put there.
+    /// The content, which voters do not interpret except for [`Key::Members`].
     pub content: Arc<str>,
 }
 
-/// A value as a voter has it.
+/// A value that a voter has accepted or copied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "explore", derive(Hash))]
 pub struct Accepted {
-    /// The ballot it was written at.
+    /// The ballot it was written under.
     pub ballot: Ballot,
     /// The value.
     pub value: Value,
-    /// Taken from other voters by recovery: it informs a prepare, but is no vote and proves nothing as chosen.
+    /// Whether recovery copied it from other voters. A copied value is reported to a prepare, but it does not
+    /// count as a vote and does not prove that the value is chosen.
     pub copied: bool,
 }
 
 impl Accepted {
     pub(crate) fn to_json(&self) -> JsonValue {
-        form::object([
+        json::object([
             ("ballot", self.ballot.to_json()),
-            ("version", form::count(self.value.version)),
-            ("content", form::word(&self.value.content)),
+            ("version", json::uint(self.value.version)),
+            ("content", json::string(&self.value.content)),
             ("copied", JsonValue::Boolean(self.copied)),
         ])
     }
 
     pub(crate) fn read(value: &JsonValue) -> Result<Self, DecodeError> {
-        let form = Form::of(value, "accepted")?;
+        let object = Object::of(value, "accepted")?;
         Ok(Self {
-            ballot: Ballot::read(form.get("ballot")?, "ballot")?,
-            value: Value::read(form)?,
-            copied: form.flag("copied")?,
+            ballot: Ballot::read(object.required("ballot")?, "ballot")?,
+            value: Value::read(object)?,
+            copied: object.boolean("copied")?,
         })
     }
 }
 
 impl Value {
-    pub(crate) fn read(form: Form) -> Result<Self, DecodeError> {
-        let content = form.text("content", MAX_CONTENT)?.into();
-        Ok(Self { version: form.number("version")?, content })
+    pub(crate) fn read(object: Object) -> Result<Self, DecodeError> {
+        let content = object.string("content", MAX_CONTENT)?.into();
+        Ok(Self { version: object.uint("version")?, content })
     }
 }
 
-/// All a voter holds for one key.
+/// The state of a voter for one key.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[cfg_attr(feature = "explore", derive(Hash))]
 pub struct Slot {
-    /// Nothing below this is accepted any more.
+    /// The highest promised ballot; lower ones are rejected.
     pub promised: Option<Ballot>,
-    /// What stands here.
+    /// The value that was accepted last.
     pub accepted: Option<Accepted>,
 }
 
 impl Slot {
     pub(crate) fn to_json(&self, key: Key) -> JsonValue {
-        form::object([
-            ("key", form::word(key.as_str())),
-            ("promised", form::maybe(self.promised.as_ref().map(Ballot::to_json))),
-            ("accepted", form::maybe(self.accepted.as_ref().map(Accepted::to_json))),
+        json::object([
+            ("key", json::string(key.as_str())),
+            ("promised", json::or_null(self.promised.as_ref().map(Ballot::to_json))),
+            ("accepted", json::or_null(self.accepted.as_ref().map(Accepted::to_json))),
         ])
     }
 
     pub(crate) fn read(value: &JsonValue) -> Result<(Key, Self), DecodeError> {
-        let form = Form::of(value, "slot")?;
-        let promised = Ballot::maybe(form.maybe("promised"), "promised")?;
-        let accepted = form.maybe("accepted").map(Accepted::read).transpose()?;
+        let object = Object::of(value, "slot")?;
+        let promised = Ballot::read_optional(object.optional("promised"), "promised")?;
+        let accepted = object.optional("accepted").map(Accepted::read).transpose()?;
         if accepted.as_ref().is_some_and(|accepted| promised.as_ref() < Some(&accepted.ballot)) {
-            return Err(form::wrong("promised", "at least the accepted ballot"));
+            return Err(json::wrong("promised", "at least the accepted ballot"));
         }
-        Ok((Key::read(form.get("key")?)?, Self { promised, accepted }))
+        Ok((Key::read(object.required("key")?)?, Self { promised, accepted }))
     }
 }
--- a/quorum/src/lease.rs
+++ b/quorum/src/lease.rs
@@ -1,31 +1,34 @@
-//! A duty that one process holds at a time; keeps: while one may act, no majority has granted another.
+//! Leases, each of which one process holds at a time. Invariant: while a holder may rely on its lease, no
+//! majority has granted it to another process.
 //!
-//! Voters grant for [`LEASE_DURATION`] from when they answer; the holder counts from before it asked and stops
-//! [`LEASE_MARGIN`] earlier. Grants are in memory only: a voter that has just started grants nobody for as long.
+//! A voter grants a lease for [`LEASE_DURATION`], counted from its reply. The holder counts from before it
+//! sent the request and stops [`LEASE_MARGIN`] earlier. Grants are kept in memory only: a voter that has just
+//! started grants no lease for one [`LEASE_DURATION`].
 //!
-//! While the voters change, majorities of epochs that follow each other share a voter, others may not: under epoch `e`
-//! somebody may hold the duty of whom no majority of `e + 2` has heard. He was granted before the joint record between
-//! them was finished, so a voter that adopts `e + 2` is quiet for one lease; except to who holds the duty under `e + 1`
-//! already, since his majority of the old set granted him after it had turned its back on `e`. A move keeps the joint
-//! record up for long enough that the holder gets there.
+//! During a membership change, majorities of successive epochs share a voter, but those of other epochs may
+//! not: under epoch `e` a process may hold the lease without any majority of `e + 2` knowing of it. It was
+//! granted the lease before the joint record between them was written everywhere. A voter that adopts `e + 2`
+//! therefore grants no lease for one [`LEASE_DURATION`], except to a process that already holds it under `e +
+//! 1`: the majority of the old set granted it after it had stopped accepting requests under `e`. A membership
+//! change keeps the joint record in force long enough for the holder to renew under it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use compact_str::CompactString;
 
 use crate::Address;
-use crate::chance::Chance;
 use crate::members::Members;
+use crate::rng::Rng;
 use crate::wire::Message;
 
 const MS: u64 = 1_000_000;
-/// A grant lasts so long.
+/// How long a grant lasts, in nanoseconds.
 pub const LEASE_DURATION: u64 = 1_500 * MS;
-/// The holder stops so much earlier, for clocks that run unevenly.
+/// How much earlier the holder stops, in nanoseconds, since clocks run at different rates.
 pub const LEASE_MARGIN: u64 = 100 * MS;
-/// Asked again so often while held; also how long an ask waits for its majority.
-const RENEW: u64 = 300 * MS;
-/// Most duties a voter keeps apart.
+/// Interval of renewals while the lease is held, and how long a request waits for its majority.
+const RENEW_INTERVAL: u64 = 300 * MS;
+/// Maximum number of leases of one voter.
 const MAX_LEASES: usize = 8;
 
 #[derive(Debug, Clone)]
@@ -34,38 +37,44 @@
     holder: CompactString,
     incarnation: u64,
     request: u64,
-    until: u64,
+    expires_at: u64,
 }
 
-/// The voter's side.
+/// The voter's side of all leases.
 #[derive(Debug)]
 #[cfg_attr(feature = "explore", derive(Clone, Hash))]
 pub struct LeaseGrantor {
-    /// Grants nobody.
-    quiet: u64,
-    /// Grants only who held under the epoch before or this one.
-    wary: u64,
+    /// No lease is granted before this time, except to a previous holder.
+    no_grants_until: u64,
+    /// Until this time, leases are granted only to processes that hold them under this epoch or the one
+    /// before.
+    holders_only_until: u64,
     epoch: u64,
     grants: BTreeMap<CompactString, Grant>,
 }
 
 impl LeaseGrantor {
-    /// Of a process that started `now`.
+    /// Creates the grantor of a process that starts at `now`.
     pub fn new(now: u64) -> Self {
-        Self { quiet: now.saturating_add(LEASE_DURATION), wary: 0, epoch: 0, grants: BTreeMap::new() }
+        Self {
+            no_grants_until: now.saturating_add(LEASE_DURATION),
+            holders_only_until: 0,
+            epoch: 0,
+            grants: BTreeMap::new(),
+        }
     }
 
-    /// Newer members stand, after those of the epoch `before`.
-    pub(crate) fn moved(&mut self, now: u64, before: Option<u64>, members: &Members) {
+    /// Newer members are in force, after those of the epoch `before`.
+    pub(crate) fn on_members(&mut self, now: u64, before: Option<u64>, members: &Members) {
         self.epoch = members.epoch;
-        // A joint record shares its majorities with the one right before it.
+        // A majority under a joint record includes one under the record right before it.
         if before.is_none_or(|before| before + 1 < members.epoch) || members.next.is_none() {
-            self.wary = now.saturating_add(LEASE_DURATION);
+            self.holders_only_until = now.saturating_add(LEASE_DURATION);
         }
     }
 
     #[expect(clippy::too_many_arguments, reason = "the fields of one message")]
-    pub(crate) fn on_ask(
+    pub(crate) fn on_request(
         &mut self,
         now: u64,
         lease: CompactString,
@@ -75,45 +84,47 @@
         held_epoch: Option<u64>,
         previous_holder: bool,
     ) -> Message {
-        self.grants.retain(|_, grant| grant.until > now);
+        self.grants.retain(|_, grant| grant.expires_at > now);
         let trusted = held_epoch.is_some_and(|epoch| epoch + 1 >= self.epoch);
-        let quiet = if previous_holder { 0 } else { self.quiet };
-        let wait = if trusted { quiet } else { quiet.max(self.wary) }.saturating_sub(now);
+        let no_grants_until = if previous_holder { 0 } else { self.no_grants_until };
+        let wait = if trusted { no_grants_until } else { no_grants_until.max(self.holders_only_until) }
+            .saturating_sub(now);
         let remaining = match self.grants.get(&lease) {
-            // What this voter has granted in its own present life goes on: nobody else can have been granted by it meanwhile.
+            // A grant of this voter since its start continues: it has granted the lease to no other process
+            // meanwhile.
             Some(grant) if grant.holder == holder && grant.incarnation == incarnation => {
                 if trusted {
                     0
                 } else {
-                    self.wary.saturating_sub(now)
+                    self.holders_only_until.saturating_sub(now)
                 }
             }
-            // A later life of the same holder: the one that was granted has ended.
+            // A later incarnation of the same holder: the process that was granted the lease has ended.
             Some(grant) if grant.holder == holder && grant.incarnation <= incarnation => wait,
-            Some(grant) => grant.until - now,
+            Some(grant) => grant.expires_at - now,
             None if self.grants.len() >= MAX_LEASES => LEASE_DURATION,
             None => wait,
         };
         if remaining > 0 {
             return Message::LeaseDenied { lease, incarnation, request, remaining, newer_members: None };
         }
-        let ask_before = self.grants.get(&lease).map_or(0, |grant| grant.request);
+        let previous_request = self.grants.get(&lease).map_or(0, |grant| grant.request);
         let grant = Grant {
             holder,
             incarnation,
-            request: request.max(ask_before),
-            until: now.saturating_add(LEASE_DURATION),
+            request: request.max(previous_request),
+            expires_at: now.saturating_add(LEASE_DURATION),
         };
         self.grants.insert(lease.clone(), grant);
         Message::LeaseGranted { lease, incarnation, request }
     }
 
     pub(crate) fn on_release(&mut self, lease: &str, holder: &str, incarnation: u64, request: u64) {
-        // One that comes late must not free what was granted after it.
-        let theirs = |grant: &Grant| {
+        // A delayed release must not free a grant of a later request.
+        let is_covered = |grant: &Grant| {
             grant.holder == holder && grant.incarnation == incarnation && grant.request <= request
         };
-        if self.grants.get(lease).is_some_and(theirs) {
+        if self.grants.get(lease).is_some_and(is_covered) {
             self.grants.remove(lease);
         }
     }
@@ -123,105 +134,106 @@
 #[cfg_attr(feature = "explore", derive(Clone, Hash))]
 struct PendingRequest {
     request: u64,
-    at: u64,
+    sent_at: u64,
     granted: BTreeSet<Address>,
     denied: BTreeSet<Address>,
     remaining: u64,
 }
 
-/// The candidate's side.
+/// The side of a process that wants or holds a lease.
 #[derive(Debug)]
 #[cfg_attr(feature = "explore", derive(Clone, Hash))]
 pub struct LeaseHolder {
     lease: CompactString,
     name: CompactString,
     incarnation: u64,
-    chance: Chance,
+    rng: Rng,
     members: Members,
     requests: u64,
     pending: Option<PendingRequest>,
-    until: u64,
-    /// The epoch that `until` was counted under.
+    expires_at: u64,
+    /// The epoch under which `expires_at` was granted.
     held_epoch: u64,
     previous_holder: bool,
     wake: u64,
 }
 
 impl LeaseHolder {
-    /// A candidate for this duty. `life` differs at each start of its process.
+    /// Creates a candidate for the lease. `incarnation` differs at each start of its process.
     pub fn new(lease: &str, name: &str, incarnation: u64, members: Members, seed: u64, now: u64) -> Self {
-        let mut chance = Chance::new(seed);
-        let wake = now.saturating_add(chance.between(0, 100 * MS));
+        let mut rng = Rng::new(seed);
+        let wake = now.saturating_add(rng.between(0, 100 * MS));
         let (lease, name) = (lease.into(), name.into());
         Self {
             lease,
             name,
             incarnation,
-            chance,
+            rng,
             members,
             requests: 0,
             pending: None,
-            until: 0,
+            expires_at: 0,
             held_epoch: 0,
             previous_holder: false,
             wake,
         }
     }
 
-    /// Whether the register names this machine as the last that had the duty. Its own life before has ended, so voters that have
-    /// just started need not wait for a lease of before; the caller makes sure that it acts only once it has renewed its name
-    /// in the register over that very version, and calls this off where another name stands there.
+    /// Sets whether the register names this machine as the last holder of the lease. Its earlier process has
+    /// ended, so voters that have just started need not wait for an earlier lease to expire. The caller must
+    /// act as the holder only once it has written its name to the register again over exactly that version,
+    /// and must reset this if the register names another machine.
     pub fn set_previous_holder(&mut self, previous_holder: bool) {
         self.previous_holder = previous_holder;
     }
 
-    /// Whether it asks as the one that had the duty last.
+    /// Whether it requests the lease as its last holder.
     pub fn is_previous_holder(&self) -> bool {
         self.previous_holder
     }
 
-    /// Whether it holds the duty now.
+    /// Whether it holds the lease at this time.
     pub fn is_held(&self, now: u64) -> bool {
-        now < self.until
+        now < self.expires_at
     }
 
-    /// Up to when it holds it.
+    /// Returns the time until which it holds the lease.
     pub fn expires_at(&self) -> u64 {
-        self.until
+        self.expires_at
     }
 
-    /// The members it counts by: look here for newer ones that a voter told of.
+    /// Returns the members whose majorities are counted, which include newer ones that a voter reported.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// Newer members are known to be chosen. A lease that is held goes on.
+    /// Adopts newer members that are known to be chosen. A lease that is held stays valid.
     pub fn adopt(&mut self, members: &Members) {
         if members.uid == self.members.uid && members.epoch > self.members.epoch {
             self.members = members.clone();
-            // Counted by the old ones: what is under way no longer counts.
+            // Replies to the pending request would be counted under the old members.
             self.pending = None;
             self.wake = 0;
         }
     }
 
-    /// When to call [`LeaseHolder::on_tick`] next.
+    /// Returns the time of the next call to [`LeaseHolder::on_tick`].
     pub fn next_wake(&self) -> u64 {
         self.wake
     }
 
-    /// Time passes: ask, renew, or take back an ask that found no majority.
+    /// Advances the time: requests or renews the lease, or withdraws a request that found no majority.
     pub fn on_tick(&mut self, now: u64) -> Vec<(Address, Message)> {
         if now < self.wake {
             return Vec::new();
         }
         match self.pending.take() {
-            Some(pending) if !self.is_held(now) => self.give_way(now, pending.remaining),
+            Some(pending) if !self.is_held(now) => self.withdraw(now, pending.remaining),
             _ => self.send_request(now),
         }
     }
 
-    /// A voter's answer.
+    /// Handles a reply of a voter.
     pub fn on_message(&mut self, now: u64, from: &str, message: &Message) -> Vec<(Address, Message)> {
         if !self.members.contains(from) {
             return Vec::new();
@@ -242,7 +254,8 @@
                 pending.denied.remove(from);
                 pending.granted.insert(from.into());
                 if self.members.has_quorum(|voter| pending.granted.contains(voter)) {
-                    self.until = self.until.max(pending.at.saturating_add(LEASE_DURATION - LEASE_MARGIN));
+                    self.expires_at =
+                        self.expires_at.max(pending.sent_at.saturating_add(LEASE_DURATION - LEASE_MARGIN));
                     self.held_epoch = self.members.epoch;
                 }
                 Vec::new()
@@ -256,16 +269,16 @@
                 pending.denied.insert(from.into());
                 pending.remaining = pending.remaining.max(remaining.min(LEASE_DURATION));
                 let remaining = pending.remaining;
-                let hopeless = !self.members.has_quorum(|voter| !pending.denied.contains(voter));
-                if hopeless && !self.is_held(now) { self.give_way(now, remaining) } else { Vec::new() }
+                let majority_denied = !self.members.has_quorum(|voter| !pending.denied.contains(voter));
+                if majority_denied && !self.is_held(now) { self.withdraw(now, remaining) } else { Vec::new() }
             }
         }
     }
 
-    /// Give the duty back: it may not act any more, and others need not wait.
+    /// Releases the lease: it is no longer held, and other processes need not wait for it to expire.
     pub fn release(&mut self, now: u64) -> Vec<(Address, Message)> {
-        let out = self.give_way(now, LEASE_DURATION);
-        self.until = 0;
+        let out = self.withdraw(now, LEASE_DURATION);
+        self.expires_at = 0;
         out
     }
 
@@ -273,12 +286,12 @@
         self.requests += 1;
         let (granted, denied) = (BTreeSet::new(), BTreeSet::new());
         self.pending =
-            Some(PendingRequest { request: self.requests, at: now, granted, denied, remaining: 0 });
-        self.wake = now.saturating_add(RENEW);
+            Some(PendingRequest { request: self.requests, sent_at: now, granted, denied, remaining: 0 });
+        self.wake = now.saturating_add(RENEW_INTERVAL);
         let held_epoch = self.is_held(now).then_some(self.held_epoch);
         let (lease, holder, members) = (self.lease.clone(), self.name.clone(), self.members.clone());
         let (incarnation, request, previous_holder) = (self.incarnation, self.requests, self.previous_holder);
-        self.to_all(Message::LeaseRequest {
+        self.broadcast(Message::LeaseRequest {
             lease,
             holder,
             incarnation,
@@ -289,13 +302,13 @@
         })
     }
 
-    /// Take the ask back, so that its part of a split vote is free, and ask again after a while.
-    fn give_way(&mut self, now: u64, remaining: u64) -> Vec<(Address, Message)> {
+    /// Withdraws the request, so that its grants of a split vote are free, and schedules another.
+    fn withdraw(&mut self, now: u64, remaining: u64) -> Vec<(Address, Message)> {
         self.pending = None;
-        // Never longer than it takes to see whether the holder is still there.
-        self.wake = now.saturating_add(remaining.min(RENEW) + self.chance.between(5 * MS, 100 * MS));
+        // At most one renewal interval plus a random delay, so that a holder that has ended is noticed soon.
+        self.wake = now.saturating_add(remaining.min(RENEW_INTERVAL) + self.rng.between(5 * MS, 100 * MS));
         let (lease, holder) = (self.lease.clone(), self.name.clone());
-        self.to_all(Message::LeaseRelease {
+        self.broadcast(Message::LeaseRelease {
             lease,
             holder,
             incarnation: self.incarnation,
@@ -303,7 +316,7 @@
         })
     }
 
-    fn to_all(&self, message: Message) -> Vec<(Address, Message)> {
+    fn broadcast(&self, message: Message) -> Vec<(Address, Message)> {
         self.members.all_voters().into_iter().map(|voter| (voter, message.clone())).collect()
     }
 }
--- a/quorum/src/members.rs
+++ b/quorum/src/members.rs
@@ -1,75 +1,78 @@
-//! Who votes; keeps: two sets that follow each other never both decide alone, since the record between them asks both.
+//! The set of voters. Invariant: two successive sets never both decide independently, since the joint record
+//! between them needs a majority of both.
 //!
-//! A change goes over three records: `S`, then `S` with `next` (every round needs majorities of both), then `S'`. The
-//! record of epoch `e + 1` is decided under the quorum of epoch `e`, so the records form one chain.
+//! A change takes three records: `S`, then the joint record `S` with `next` (every round needs majorities of
+//! both), then `S'`. The record of epoch `e + 1` is decided under the quorum of epoch `e`, so the records
+//! form one chain.
 
 use snafu::{Snafu, ensure};
 use tinyjson::JsonValue;
 
 use crate::Address;
 use crate::ballot::MAX_NAME;
-use crate::form::{self, DecodeError, Form};
+use crate::json::{self, DecodeError, Object};
 
-/// Most voters in one set.
+/// Maximum number of voters in one set.
 const MAX_VOTERS: usize = 16;
 
-/// The voters, as the key `members` holds them. The epoch is the value's version; the first members have epoch 0.
+/// The voters, as stored under the key `members`. The epoch is the version of that value; the initial members
+/// have epoch 0.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "explore", derive(Hash))]
 pub struct Members {
-    /// Goes up with each change.
+    /// Increases by one with each change.
     pub epoch: u64,
-    /// Names the whole register: messages of another one are ignored.
+    /// Identifies the register: messages with another identifier are ignored.
     pub uid: Address,
-    /// Who votes.
+    /// The current voters.
     pub voters: Vec<Address>,
-    /// Who votes too, while the voters change.
+    /// The next voters, while a change is in progress; rounds need a majority of these too.
     pub next: Option<Vec<Address>>,
 }
 
-/// FailureReason a change of the voters is turned down.
+/// Why a change of the voters is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[cfg_attr(feature = "explore", derive(Hash))]
 pub enum VoterChangeError {
-    /// Already a voter.
-    #[snafu(display("{address} votes already"))]
+    /// The machine to add is already a voter.
+    #[snafu(display("{address} is already a voter"))]
     AlreadyVoter {
-        /// Whom to add.
+        /// The machine to add.
         address: Address,
     },
-    /// Not a voter.
-    #[snafu(display("{address} does not vote"))]
+    /// The machine to remove is not a voter.
+    #[snafu(display("{address} is not a voter"))]
     NotVoter {
-        /// Whom to remove.
+        /// The machine to remove.
         address: Address,
     },
-    /// None left, or too many.
-    #[snafu(display("{count} voters are not between 1 and 16"))]
+    /// The change would leave no voter, or too many.
+    #[snafu(display("{count} voters after the change; from 1 to 16 are allowed"))]
     VoterCount {
-        /// How many there would be.
+        /// The number of voters after the change.
         count: usize,
     },
 }
 
-/// A change by one voter; more at once would leave a new voter with too few others to copy from.
+/// A change by one voter. A larger change would leave a new voter with too few others to copy its state from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "explore", derive(Hash))]
 pub enum VoterChange {
-    /// One more.
+    /// Adds a voter.
     Add(Address),
-    /// One less.
+    /// Removes a voter.
     Remove(Address),
-    /// One for another.
+    /// Replaces one voter by another.
     Replace {
-        /// Who leaves.
+        /// The voter that leaves.
         old: Address,
-        /// Who comes.
+        /// The voter that joins.
         new: Address,
     },
 }
 
 impl VoterChange {
-    /// The voters after this change.
+    /// Returns the voters after this change.
     pub fn apply(&self, voters: &[Address]) -> Result<Vec<Address>, VoterChangeError> {
         let (old, new) = match self {
             Self::Add(new) => (None, Some(new)),
@@ -89,7 +92,7 @@
         Ok(after)
     }
 
-    /// Whether these voters look as if the change had been made.
+    /// Whether these voters already reflect the change.
     pub fn is_applied(&self, voters: &[Address]) -> bool {
         match self {
             Self::Add(new) => voters.contains(new),
@@ -100,17 +103,17 @@
 }
 
 impl Members {
-    /// The first members, of a register that this uid names.
+    /// Returns the initial members of the register with this identifier.
     pub fn initial(uid: &str, voters: impl IntoIterator<Item = Address>) -> Self {
         Self { epoch: 0, uid: uid.into(), voters: voters.into_iter().collect(), next: None }
     }
 
-    /// The sets that have to agree: one, or two while the voters change.
+    /// Returns the sets of which a majority each is needed: one, or two during a change.
     pub fn sets(&self) -> impl Iterator<Item = &[Address]> {
         std::iter::once(self.voters.as_slice()).chain(self.next.as_deref())
     }
 
-    /// Everybody in any set, once.
+    /// Returns the voters of all sets, sorted and without duplicates.
     pub fn all_voters(&self) -> Vec<Address> {
         let mut all: Vec<_> = self.sets().flatten().cloned().collect();
         all.sort();
@@ -118,90 +121,100 @@
         all
     }
 
-    /// Whether this machine is in any set.
+    /// Whether the machine is a voter in any set.
     pub fn contains(&self, address: &str) -> bool {
         self.sets().flatten().any(|voter| voter == address)
     }
 
-    /// Whether those who are `in_it` are a majority of each set.
-    pub fn has_quorum(&self, in_it: impl Fn(&Address) -> bool) -> bool {
-        self.sets().all(|set| set.iter().filter(|voter| in_it(voter)).count() * 2 > set.len())
+    /// Whether the voters for which `included` is true are a majority of each set.
+    pub fn has_quorum(&self, included: impl Fn(&Address) -> bool) -> bool {
+        self.sets().all(|set| set.iter().filter(|voter| included(voter)).count() * 2 > set.len())
     }
 
-    /// Whether those who are `in_it`, `me` left out, meet every majority of the voters that `me` was part of.
+    /// Whether the voters for which `included` is true, without `me`, intersect the rest of every majority
+    /// that `me` was part of.
     ///
-    /// Of `n` voters, a majority `m` had `m - 1` others among `n - 1`, so `n - m + 1` others meet it. The next voters are
-    /// not asked: see the head of `recovery.rs`.
-    pub fn covers_majorities(&self, me: &str, in_it: impl Fn(&Address) -> bool) -> bool {
+    /// Of `n` voters, a majority of `m` has `m - 1` members among the `n - 1` others, so any `n - m + 1`
+    /// others intersect it. The next voters are not counted: see the module documentation of `recovery`.
+    pub fn covers_majorities(&self, me: &str, included: impl Fn(&Address) -> bool) -> bool {
         let majority = self.voters.len() / 2 + 1;
-        self.voters.iter().filter(|voter| *voter != me && in_it(voter)).count() > self.voters.len() - majority
+        self.voters.iter().filter(|voter| *voter != me && included(voter)).count()
+            > self.voters.len() - majority
     }
 
-    /// The record between this one and `voters`.
+    /// Returns the joint record between this one and `voters`.
     pub fn joint(&self, voters: Vec<Address>) -> Self {
         Self { epoch: self.epoch + 1, next: Some(voters), ..self.clone() }
     }
 
-    /// Who is new in the next voters.
+    /// Returns the next voters that are not current voters.
     pub fn joining(&self) -> Vec<Address> {
         self.next.iter().flatten().filter(|voter| !self.voters.contains(voter)).cloned().collect()
     }
 
-    /// The record after a joint one that is given up: the voters alone, as before.
+    /// Returns the record that follows an abandoned joint record: the current voters alone. `None` if this is
+    /// not a joint record.
     pub fn rolled_back(&self) -> Option<Self> {
         self.next.as_ref()?;
         Some(Self { epoch: self.epoch + 1, next: None, ..self.clone() })
     }
 
-    /// The record after a joint one: its next voters alone.
+    /// Returns the record that completes a joint record: its next voters alone. `None` if this is not a joint
+    /// record.
     pub fn completed(&self) -> Option<Self> {
         let voters = self.next.clone()?;
         Some(Self { epoch: self.epoch + 1, uid: self.uid.clone(), voters, next: None })
     }
 
-    /// As JSON.
+    /// Encodes the members as JSON.
     pub fn to_json(&self) -> JsonValue {
-        let list = |set: &[Address]| JsonValue::Array(set.iter().map(|voter| form::word(voter)).collect());
-        form::object([
-            ("epoch", form::count(self.epoch)),
-            ("uid", form::word(&self.uid)),
+        let list = |set: &[Address]| JsonValue::Array(set.iter().map(|voter| json::string(voter)).collect());
+        json::object([
+            ("epoch", json::uint(self.epoch)),
+            ("uid", json::string(&self.uid)),
             ("voters", list(&self.voters)),
-            ("next", form::maybe(self.next.as_deref().map(list))),
+            ("next", json::or_null(self.next.as_deref().map(list))),
         ])
     }
 
-    /// As the text that the key `members` holds. The same members are the same text, in whatever order a map has them.
+    /// Encodes the members as the text stored under the key `members`. Equal members give equal texts,
+    /// independently of the iteration order of the map.
     pub fn to_text(&self) -> String {
         let JsonValue::Object(fields) = self.to_json() else { return String::new() };
         let mut parts: Vec<String> = fields
             .iter()
-            .map(|(name, value)| format!("{}:{}", form::print(&form::word(name)), form::print(value)))
+            .map(|(name, value)| format!("{}:{}", json::print(&json::string(name)), json::print(value)))
             .collect();
         parts.sort_unstable();
         format!("{{{}}}", parts.join(","))
     }
 
-    /// From JSON, checked.
+    /// Decodes and checks members from JSON.
     pub fn from_json(value: &JsonValue) -> Result<Self, DecodeError> {
-        let form = Form::of(value, "members")?;
-        let set = |what| {
+        let object = Object::of(value, "members")?;
+        let set = |field| {
             let mut voters = Vec::new();
-            for voter in form.list(what, MAX_VOTERS)? {
-                voters.push(Address::from(form::text(voter, what, MAX_NAME)?));
+            for voter in object.list(field, MAX_VOTERS)? {
+                voters.push(Address::from(json::read_string(voter, field, MAX_NAME)?));
+            }
+            let has_duplicate =
+                voters.iter().enumerate().any(|(index, voter)| voters[..index].contains(voter));
+            if voters.is_empty() || has_duplicate {
+                Err(json::wrong(field, "a set of voters"))
+            } else {
+                Ok(voters)
             }
-            let twice = voters.iter().enumerate().any(|(at, voter)| voters[..at].contains(voter));
-            if voters.is_empty() || twice { Err(form::wrong(what, "a set of voters")) } else { Ok(voters) }
         };
-        let epoch = form.number("epoch")?;
+        let epoch = object.uint("epoch")?;
         if epoch > 1 << 62 {
-            return Err(form::wrong("epoch", "an epoch of ours"));
+            return Err(json::wrong("epoch", "a valid epoch"));
         }
-        let next = form.maybe("next").map(|_| set("next")).transpose()?;
-        Ok(Self { epoch, uid: form.text("uid", MAX_NAME)?.into(), voters: set("voters")?, next })
+        let next = object.optional("next").map(|_| set("next")).transpose()?;
+        Ok(Self { epoch, uid: object.string("uid", MAX_NAME)?.into(), voters: set("voters")?, next })
     }
 
-    /// From the text that the key `members` holds, checked.
+    /// Decodes and checks members from the text stored under the key `members`.
     pub fn parse(text: &str) -> Result<Self, DecodeError> {
-        Self::from_json(&form::parse(text)?)
+        Self::from_json(&json::parse(text)?)
     }
 }
--- a/quorum/src/record.rs
+++ b/quorum/src/record.rs
@@ -1,8 +1,10 @@
-//! A voter's records on disk; keeps: what is read back is what was written whole, or an error that names the record.
+//! A voter's records on disk. Invariant: reading returns exactly what was written, or an error that names the
+//! record.
 //!
-//! One record for each key, and the record `voter` (its state, its members and the format of all records), which is written last:
-//! a disk without it holds at most a copy that was not finished, and counts as empty. Records of a newer format are never taken for
-//! spoilt ones: the format is looked at before anything else. `docs/protocol/disk.md` describes the form.
+//! There is one record for each key, and the record `voter` with the voter's state, its members and the
+//! format of all records. The record `voter` is written last: a disk without it holds at most an incomplete
+//! copy, and counts as empty. Records of a newer format are never reported as corrupted, because the format
+//! is checked before anything else. `docs/protocol/disk.md` describes the encoding.
 
 use std::collections::BTreeMap;
 
@@ -10,88 +12,89 @@
 use tinyjson::JsonValue;
 
 use crate::ballot::{Key, Slot};
-use crate::form::{self, DecodeError, Form};
+use crate::json::{self, DecodeError, Object};
 use crate::members::Members;
 
-/// The record of the voter itself.
+/// The key of the record of the voter itself.
 const VOTER: &str = "voter";
-/// The newest format that is read. It is written once there is a record of moves; until then format 1 is, which older versions read.
-/// Records that name none have format 1.
+/// The newest format that can be read. It is written once there is a record of migrations; until then format
+/// 1 is written, which older versions can read. Records without a format have format 1.
 pub const FORMAT: u64 = 2;
-const FIRST: u64 = 1;
+const FIRST_FORMAT: u64 = 1;
 
-/// One record to put on disk.
+/// One record to write to disk.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Write {
-    /// Where.
+    /// The key.
     pub key: String,
-    /// What.
+    /// The encoded content.
     pub text: String,
 }
 
-/// A record could not be read: the disk can't be trusted, and counts as empty.
+/// Why the records on a disk could not be read. The disk cannot be trusted, and counts as empty.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum OpenError {
-    /// Not what was written.
+    /// A record is corrupted.
     #[snafu(display("record {key}: {source}"))]
     Record {
-        /// Which.
+        /// The key of the record.
         key: String,
-        /// FailureReason.
+        /// Why it could not be decoded.
         source: DecodeError,
     },
-    /// Written by a newer version of the program: nothing is wrong with them, but they can't be read here.
+    /// The records were written by a newer version of the program. They are valid, but this version cannot
+    /// read them.
     #[snafu(display(
         "records of format {format}, from a newer version; this one reads up to format {FORMAT}"
     ))]
     Newer {
-        /// Their format.
+        /// The format of the records.
         format: u64,
     },
-    /// Nothing of ours.
-    #[snafu(display("record {key} is not one of a voter"))]
+    /// A record has a key that no voter writes.
+    #[snafu(display("record {key} is not a record of a voter"))]
     Unknown {
-        /// Which.
+        /// The key of the record.
         key: String,
     },
 }
 
 pub(crate) fn of_slot(key: Key, slot: &Slot) -> Write {
-    Write { key: format!("key/{}", key.as_str()), text: form::print(&slot.to_json(key)) }
+    Write { key: format!("key/{}", key.as_str()), text: json::print(&slot.to_json(key)) }
 }
 
-/// The format of a disk that holds these keys.
+/// Returns the format of a disk with records for these keys.
 pub(crate) fn format_of(mut keys: impl Iterator<Item = Key>) -> u64 {
-    if keys.any(|key| key == Key::Migrations) { FORMAT } else { FIRST }
+    if keys.any(|key| key == Key::Migrations) { FORMAT } else { FIRST_FORMAT }
 }
 
 pub(crate) fn of_voter(members: &Members, format: u64) -> Write {
-    let format = form::count(format);
+    let format = json::uint(format);
     let fields =
-        form::object([("state", form::word("voting")), ("members", members.to_json()), ("format", format)]);
-    Write { key: VOTER.into(), text: form::print(&fields) }
+        json::object([("state", json::string("voting")), ("members", members.to_json()), ("format", format)]);
+    Write { key: VOTER.into(), text: json::print(&fields) }
 }
 
-/// What was on disk. No members: the disk is empty, or its copy was not finished.
+/// The content of a disk. Without members the disk is empty or holds an incomplete copy.
 #[derive(Debug, Default)]
-pub(crate) struct Found {
-    pub(crate) any: bool,
+pub(crate) struct Records {
+    pub(crate) any_record: bool,
     pub(crate) members: Option<Members>,
     pub(crate) format: u64,
     pub(crate) slots: BTreeMap<Key, Slot>,
 }
 
-/// One record, read.
+/// One decoded record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Record {
     /// The voter itself: the format of all records, and the members.
     Voter(u64, Members),
-    /// What is held for a key.
+    /// The state for a key.
     Slot(Key, Slot),
 }
 
 impl Record {
-    /// Reads one record.
+    /// Decodes one record.
     pub fn read(key: &str, text: &str) -> Result<Self, OpenError> {
         if key == VOTER {
             return voter(text);
@@ -103,10 +106,10 @@
     }
 }
 
-pub(crate) fn read(records: impl IntoIterator<Item = (String, String)>) -> Result<Found, OpenError> {
+pub(crate) fn read(records: impl IntoIterator<Item = (String, String)>) -> Result<Records, OpenError> {
     let records: Vec<_> = records.into_iter().collect();
     check_format(&records)?;
-    let mut found = Found { any: !records.is_empty(), ..Found::default() };
+    let mut found = Records { any_record: !records.is_empty(), ..Records::default() };
     for (key, text) in records {
         match Record::read(&key, &text)? {
             Record::Voter(format, members) => (found.format, found.members) = (format, Some(members)),
@@ -118,10 +121,10 @@
     Ok(found)
 }
 
-/// Turns down records of a newer format, whatever else they hold.
+/// Rejects records of a newer format, whatever else they contain.
 pub fn check_format(records: &[(String, String)]) -> Result<(), OpenError> {
     let voters = records.iter().filter(|(key, _)| key == VOTER);
-    let formats = voters.filter_map(|(_, text)| format(&form::parse(text).ok()?).ok());
+    let formats = voters.filter_map(|(_, text)| format(&json::parse(text).ok()?).ok());
     match formats.max() {
         Some(format) if format > FORMAT => NewerSnafu { format }.fail(),
         _ => Ok(()),
@@ -129,20 +132,22 @@
 }
 
 fn format(voter: &JsonValue) -> Result<u64, DecodeError> {
-    Form::of(voter, "voter")?.maybe("format").map_or(Ok(FIRST), |format| form::number(format, "format"))
+    Object::of(voter, "voter")?
+        .optional("format")
+        .map_or(Ok(FIRST_FORMAT), |format| json::read_uint(format, "format"))
 }
 
 fn voter(text: &str) -> Result<Record, OpenError> {
     let read = || {
-        let value = form::parse(text)?;
-        let form = Form::of(&value, "voter")?;
+        let value = json::parse(text)?;
+        let object = Object::of(&value, "voter")?;
         let format = format(&value)?;
         if format > FORMAT {
             return Ok((format, None));
         }
-        match form.text("state", 16)? {
-            "voting" => Ok((format, Some(Members::from_json(form.get("members")?)?))),
-            _ => Err(form::wrong("state", "a known state")),
+        match object.string("state", 16)? {
+            "voting" => Ok((format, Some(Members::from_json(object.required("members")?)?))),
+            _ => Err(json::wrong("state", "a known state")),
         }
     };
     match read().context(RecordSnafu { key: VOTER })? {
@@ -152,6 +157,6 @@
 }
 
 fn slot(key: Key, text: &str) -> Result<Slot, DecodeError> {
-    let (named, slot) = Slot::read(&form::parse(text)?)?;
-    if named == key { Ok(slot) } else { Err(form::wrong("key", "the record's own")) }
+    let (own_key, slot) = Slot::read(&json::parse(text)?)?;
+    if own_key == key { Ok(slot) } else { Err(json::wrong("key", "the key of the record")) }
 }
--- a/quorum/src/chance.rs
+++ b/quorum/src/rng.rs
@@ -1,11 +1,11 @@
-//! Pauses by chance, from a seed that is handed in; keeps: the same seed gives the same pauses.
+//! A seeded random number generator for back-off delays: the same seed gives the same delays.
 
-/// A small generator (splitmix64).
+/// A SplitMix64 generator.
 #[derive(Debug, Clone)]
 #[cfg_attr(feature = "explore", derive(Hash))]
-pub(crate) struct Chance(u64);
+pub(crate) struct Rng(u64);
 
-impl Chance {
+impl Rng {
     pub(crate) fn new(seed: u64) -> Self {
         Self(seed)
     }
@@ -18,8 +18,8 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// Between `least` and `most`, both included.
-    pub(crate) fn between(&mut self, least: u64, most: u64) -> u64 {
-        least + self.next() % (most.saturating_sub(least) + 1)
+    /// Returns a number from `min` to `max`, both inclusive.
+    pub(crate) fn between(&mut self, min: u64, max: u64) -> u64 {
+        min + self.next() % (max.saturating_sub(min) + 1)
     }
 }
--- a/quorum/src/round.rs
+++ b/quorum/src/round.rs
@@ -1,90 +1,98 @@
-//! One read or change of a register; keeps: what it answers is chosen, and is the last that was.
+//! The proposer side of one read or write of a register. Invariant: the result is a chosen value, and the
+//! latest one.
 //!
-//! - Look: ask everybody what stands. Where one ballot stands at a majority, its value is chosen; where a majority has
-//!   nothing, nothing is. Else the reader goes on as if it changed the value to itself.
-//! - Prepare a ballot at a majority, take the value with the highest ballot heard (it may be chosen already).
-//! - Write: that value again, or the offer over it; answer once a majority has it on disk.
+//! - Query (reads only): ask all voters for their accepted value. If a majority has accepted the same ballot,
+//!   its value is chosen; if a majority has accepted nothing, the register is empty. Otherwise the reader
+//!   continues with the next phases, and writes back the value that it finds.
+//! - Prepare: get promises for a ballot from a majority, and take the reported value with the highest ballot
+//!   (it may already be chosen).
+//! - Write: write that value again, or the proposed value in its place; report the result once a majority has
+//!   it on disk.
 //!
-//! Each phase counts answers to its own ballot only, each voter once, and only if the majority was complete within
-//! [`PHASE_TIMEOUT`] of its sending. For prepares and for writes and looks alike: [`crate::Recovery`] rests on that,
-//! since an answer may come from a voter that was emptied after it, and the others must have answered before it copies.
+//! Each phase counts only replies to its own ballot, each voter once, and only if the majority is complete
+//! within [`PHASE_TIMEOUT`] of sending. This holds for all three phases because [`crate::Recovery`] depends
+//! on it: a reply may come from a voter that lost its disk afterwards, and the others must have replied
+//! before that voter copies from them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use crate::Address;
 use crate::ballot::{Accepted, Ballot, Ballots, Key, Value};
-use crate::chance::Chance;
 use crate::members::Members;
 use crate::recovery::PHASE_TIMEOUT;
+use crate::rng::Rng;
 use crate::wire::Message;
 
 const MS: u64 = 1_000_000;
-/// Answers that are missing are asked for again.
-const RESEND: u64 = 100 * MS;
-/// A look that disagrees waits so long for the others.
-const LOOK_WAIT: u64 = 10 * MS;
-/// Attempts before a round gives up.
-const MAX_TRIES: u32 = 20;
-
-/// What a round is for.
+/// Interval at which a request is sent again to voters that have not replied.
+const RESEND_INTERVAL: u64 = 100 * MS;
+/// How long a query without an agreeing majority waits for the remaining replies.
+const QUERY_WAIT: u64 = 10 * MS;
+/// Number of ballots after which a round gives up.
+const MAX_ATTEMPTS: u32 = 20;
+
+/// The operation of a round.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "explore", derive(Hash))]
 pub enum Operation {
-    /// The value that stands.
+    /// Read the current value.
     Read,
-    /// The same, and in any case written to a majority anew.
+    /// Read the current value and always write it to a majority again.
     Rewrite,
-    /// A new value, unless one of this version or a higher one stands.
+    /// Write a new value, unless the current value has the same or a higher version.
     Propose {
-        /// Its version.
+        /// The version of the new value.
         version: u64,
-        /// Its content.
+        /// The content of the new value.
         content: Arc<str>,
-        /// Only over exactly this version; 0: over nothing.
+        /// If set, write only if the current value has exactly this version; 0 means that the register is
+        /// empty.
         expected_version: Option<u64>,
     },
 }
 
-/// How a round ended.
+/// The result of a round.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "explore", derive(Hash))]
 pub enum Outcome {
-    /// Of a read: this stands.
+    /// Of a read: the current value.
     Found(Option<Value>),
-    /// The offer stands.
+    /// The proposed value was written.
     Written(Value),
-    /// This stands instead, and was finished. After an attempt that was cut off it may be one's own offer.
+    /// The proposed value was not written because of this current value, which a majority has on disk. After
+    /// an earlier interrupted attempt it may be the value that the caller proposed.
     Conflict(Option<Value>),
-    /// Nothing is known: the offer may stand, or still come to stand. Try again.
+    /// The result is unknown: the proposed value may have been chosen, or may still be chosen later. Try
+    /// again.
     Indeterminate(FailureReason),
 }
 
-/// FailureReason a round was lost.
+/// Why the result of a round is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "explore", derive(Hash))]
 pub enum FailureReason {
-    /// No majority answered in time.
+    /// No majority replied in time.
     NoMajority,
-    /// Others came first too often.
+    /// Higher ballots of other proposers interrupted too many attempts.
     Preempted,
 }
 
-/// What to do after an input.
+/// What the caller has to do after an input.
 #[derive(Debug, Default)]
 pub struct Output {
-    /// To be sent.
+    /// Messages to send.
     pub send: Vec<(Address, Message)>,
-    /// When to call `on_tick` next, at the latest.
+    /// The latest time of the next call to `on_tick`.
     pub wake: Option<u64>,
-    /// Set once, at the end.
+    /// The result; set once, at the end.
     pub outcome: Option<Outcome>,
 }
 
 #[derive(Debug, Clone)]
 #[cfg_attr(feature = "explore", derive(Hash))]
-enum Ask {
-    Look,
+enum PhaseKind {
+    Query,
     Prepare,
     Write(Value, Outcome),
 }
@@ -92,262 +100,285 @@
 #[derive(Debug)]
 #[cfg_attr(feature = "explore", derive(Clone, Hash))]
 struct Phase {
-    ask: Ask,
+    kind: PhaseKind,
     ballot: Ballot,
     sent: u64,
     resend: u64,
-    /// Give up and take a higher ballot at this time.
+    /// When to start again with a higher ballot.
     retry: Option<u64>,
-    /// Who answered, with what stands there.
-    heard: BTreeMap<Address, Option<Accepted>>,
-    /// Who turned it down.
+    /// The voters that replied, with their accepted values.
+    replies: BTreeMap<Address, Option<Accepted>>,
+    /// The voters that refused.
     refused: BTreeSet<Address>,
 }
 
 #[derive(Debug)]
 #[cfg_attr(feature = "explore", derive(Clone, Hash))]
-enum Now {
-    Pause(u64),
-    Asking(Phase),
-    /// The round of the members that has to be finished first.
-    Members(Box<Round>),
+enum Stage {
+    Waiting(u64),
+    InPhase(Phase),
+    /// A round for the key `members` has to end first.
+    MembersRound(Box<Round>),
     Done,
 }
 
-/// One round.
+/// One round of a proposer.
 #[derive(Debug)]
 #[cfg_attr(feature = "explore", derive(Clone, Hash))]
 pub struct Round {
-    kind: Operation,
+    operation: Operation,
     key: Key,
     members: Members,
     ballots: Ballots,
-    chance: Chance,
-    limit: u64,
-    tries: u32,
-    looked: bool,
-    settled: bool,
-    /// Has to be part of each phase, besides a majority.
-    must: Vec<Address>,
-    /// Does not count towards a majority.
-    without: Option<Address>,
+    rng: Rng,
+    deadline: u64,
+    attempts: u32,
+    /// Whether the query phase is over.
+    queried: bool,
+    /// Whether a round for the key `members` found no members newer than `members`.
+    members_confirmed: bool,
+    /// Voters that must take part in each phase, in addition to a majority.
+    required: Vec<Address>,
+    /// A voter that does not count towards a majority.
+    excluded: Option<Address>,
+    /// The highest counter of a promise that a voter reported.
     above: u64,
-    now: Now,
+    stage: Stage,
 }
 
 #[cfg(feature = "explore")]
 impl Round {
-    /// The same round from here on, with these ballots.
+    /// Returns a copy of this round that takes its ballots from `ballots`.
     #[must_use]
     pub fn fork(&self, ballots: &Ballots) -> Self {
-        let now = match &self.now {
-            Now::Members(round) => Now::Members(Box::new(round.fork(ballots))),
-            now => now.clone(),
+        let stage = match &self.stage {
+            Stage::MembersRound(round) => Stage::MembersRound(Box::new(round.fork(ballots))),
+            stage => stage.clone(),
         };
-        Self { now, ballots: ballots.clone(), ..self.clone() }
+        Self { stage, ballots: ballots.clone(), ..self.clone() }
     }
 }
 
 impl Round {
-    /// A round under these members, which must be known to be chosen, that is lost at the time `limit`. Call
-    /// [`Round::on_tick`] at once.
+    /// Creates a round under `members`, which must be known to be chosen. It ends as indeterminate at
+    /// `deadline`. Call [`Round::on_tick`] at once.
     pub fn new(
-        kind: Operation,
+        operation: Operation,
         key: Key,
         members: Members,
         ballots: &Ballots,
         seed: u64,
-        limit: u64,
+        deadline: u64,
     ) -> Self {
-        let looked = kind != Operation::Read;
-        let (ballots, chance) = (ballots.clone(), Chance::new(seed));
-        let (tries, settled, above, now) = (0, false, 0, Now::Pause(0));
-        let (must, without) = (Vec::new(), None);
-        Self { kind, key, members, ballots, chance, limit, tries, looked, settled, must, without, above, now }
+        Self {
+            queried: operation != Operation::Read,
+            operation,
+            key,
+            members,
+            ballots: ballots.clone(),
+            rng: Rng::new(seed),
+            deadline,
+            attempts: 0,
+            members_confirmed: false,
+            required: Vec::new(),
+            excluded: None,
+            above: 0,
+            stage: Stage::Waiting(0),
+        }
     }
 
-    /// Only with these, besides a majority.
-    pub(crate) fn with(self, must: Vec<Address>) -> Self {
-        Self { must, ..self }
+    /// Requires these voters in each phase, in addition to a majority.
+    pub(crate) fn requiring(self, required: Vec<Address>) -> Self {
+        Self { required, ..self }
     }
 
-    /// Counts this voter towards no majority: what the round answers stands without it.
+    /// Does not count this voter towards a majority: the result holds without its disk.
     #[must_use]
     pub fn excluding(self, voter: Address) -> Self {
-        Self { without: Some(voter), ..self }
+        Self { excluded: Some(voter), ..self }
     }
 
-    /// The members it counts by; newer than the first where it was told of newer ones that are chosen.
+    /// The members whose majorities are counted: the initial ones, or newer chosen ones that a voter
+    /// reported.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// Time passes. Too early is no harm.
+    /// Advances the time. Calls before the requested wake time are harmless.
     pub fn on_tick(&mut self, now: u64) -> Output {
         let mut out = Output::default();
-        if now >= self.limit && !matches!(self.now, Now::Done) {
+        if now >= self.deadline && !matches!(self.stage, Stage::Done) {
             self.end(Outcome::Indeterminate(FailureReason::NoMajority), &mut out);
         }
-        match &mut self.now {
-            Now::Pause(until) if now >= *until => self.attempt(now, &mut out),
-            Now::Asking(phase) => {
+        match &mut self.stage {
+            Stage::Waiting(until) if now >= *until => self.attempt(now, &mut out),
+            Stage::InPhase(phase) => {
                 let late = now.saturating_sub(phase.sent) > PHASE_TIMEOUT;
                 if late || phase.retry.is_some_and(|retry| now >= retry) {
                     self.attempt(now, &mut out);
                 } else if now >= phase.resend {
-                    phase.resend = now + RESEND;
+                    phase.resend = now + RESEND_INTERVAL;
                     self.send(&mut out);
                 }
             }
-            Now::Members(round) => {
-                let inner = round.on_tick(now);
-                self.on_members(now, inner, &mut out);
+            Stage::MembersRound(round) => {
+                let output = round.on_tick(now);
+                self.on_members_round(now, output, &mut out);
             }
-            Now::Pause(_) | Now::Done => {}
+            Stage::Waiting(_) | Stage::Done => {}
         }
         self.finish(out)
     }
 
-    /// A message from a voter. `now` is read after it came in.
+    /// Handles a message from a voter. `now` must be read after the message was received.
     pub fn on_reply(&mut self, now: u64, from: &str, message: &Message) -> Output {
         let mut out = Output::default();
-        if now < self.limit && self.members.contains(from) {
-            self.take(now, from, message, &mut out);
+        if now < self.deadline && self.members.contains(from) {
+            self.on_message(now, from, message, &mut out);
         }
         self.finish(out)
     }
 
-    fn take(&mut self, now: u64, from: &str, message: &Message, out: &mut Output) {
-        if let Now::Members(round) = &mut self.now {
-            let inner = round.on_reply(now, from, message);
-            return self.on_members(now, inner, out);
+    fn on_message(&mut self, now: u64, from: &str, message: &Message, out: &mut Output) {
+        if let Stage::MembersRound(round) = &mut self.stage {
+            let output = round.on_reply(now, from, message);
+            return self.on_members_round(now, output, out);
         }
-        let Now::Asking(phase) = &mut self.now else { return };
-        let current = |key: &Key, ballot: &Ballot| *key == self.key && *ballot == phase.ballot;
-        match (message, &phase.ask) {
-            (Message::QueryReply { key, tag: ballot, accepted }, Ask::Look)
-            | (Message::Promised { key, ballot, accepted }, Ask::Prepare)
-                if current(key, ballot) =>
+        let Stage::InPhase(phase) = &mut self.stage else { return };
+        let is_current = |key: &Key, ballot: &Ballot| *key == self.key && *ballot == phase.ballot;
+        match (message, &phase.kind) {
+            (Message::QueryReply { key, tag: ballot, accepted }, PhaseKind::Query)
+            | (Message::Promised { key, ballot, accepted }, PhaseKind::Prepare)
+                if is_current(key, ballot) =>
             {
-                phase.heard.insert(from.into(), accepted.clone());
+                phase.replies.insert(from.into(), accepted.clone());
             }
-            (Message::Wrote { key, ballot }, Ask::Write(..)) if current(key, ballot) => {
-                phase.heard.insert(from.into(), None);
+            (Message::Wrote { key, ballot }, PhaseKind::Write(..)) if is_current(key, ballot) => {
+                phase.replies.insert(from.into(), None);
             }
-            (Message::Refused { key, ballot, promised }, _) if current(key, ballot) => {
+            (Message::Refused { key, ballot, promised }, _) if is_current(key, ballot) => {
                 self.above = self.above.max(promised.counter);
                 phase.refused.insert(from.into());
                 if phase.retry.is_none() {
-                    let most = (5 << self.tries.min(4)).min(80) * MS;
-                    phase.retry = Some(now + self.chance.between(5 * MS, most));
+                    let max_delay = (5 << self.attempts.min(4)).min(80) * MS;
+                    phase.retry = Some(now + self.rng.between(5 * MS, max_delay));
                 }
                 return;
             }
-            (Message::NewerMembers { key, ballot, members, chosen }, _) if current(key, ballot) => {
-                return self.on_newer(now, members, *chosen, out);
+            (Message::NewerMembers { key, ballot, members, chosen }, _) if is_current(key, ballot) => {
+                return self.on_newer_members(now, members, *chosen, out);
             }
             _ => return,
         }
         let late = now.saturating_sub(phase.sent) > PHASE_TIMEOUT;
-        let heard = |voter: &Address| phase.heard.contains_key(voter);
-        if late || !self.members.has_quorum(counted(&self.without, heard)) || !self.must.iter().all(heard) {
+        let replied = |voter: &Address| phase.replies.contains_key(voter);
+        if late
+            || !self.members.has_quorum(counted(&self.excluded, replied))
+            || !self.required.iter().all(replied)
+        {
             return;
         }
-        match phase.ask.clone() {
-            Ask::Look => self.on_looked(now, out),
-            Ask::Prepare => self.on_prepared(now, out),
-            Ask::Write(_, outcome) => self.end(outcome, out),
+        match phase.kind.clone() {
+            PhaseKind::Query => self.on_query_majority(now, out),
+            PhaseKind::Prepare => self.on_prepare_majority(now, out),
+            PhaseKind::Write(_, outcome) => self.end(outcome, out),
         }
     }
 
-    fn on_looked(&mut self, now: u64, out: &mut Output) {
-        let Now::Asking(phase) = &mut self.now else { return };
-        for seen in phase.heard.values() {
+    fn on_query_majority(&mut self, now: u64, out: &mut Output) {
+        let Stage::InPhase(phase) = &mut self.stage else { return };
+        for seen in phase.replies.values() {
             let vote = |accepted: &Option<Accepted>| match (accepted, seen) {
                 (Some(one), Some(other)) => one.ballot == other.ballot && !one.copied,
                 (None, None) => true,
                 _ => false,
             };
-            let voted = |voter: &Address| phase.heard.get(voter).is_some_and(vote);
-            if self.members.has_quorum(counted(&self.without, voted)) {
+            let voted = |voter: &Address| phase.replies.get(voter).is_some_and(vote);
+            if self.members.has_quorum(counted(&self.excluded, voted)) {
                 let value = seen.as_ref().map(|accepted| accepted.value.clone());
                 return self.end(Outcome::Found(value), out);
             }
         }
-        self.looked = true;
-        if self.members.all_voters().iter().all(|voter| phase.heard.contains_key(voter)) {
+        self.queried = true;
+        if self.members.all_voters().iter().all(|voter| phase.replies.contains_key(voter)) {
             self.attempt(now, out);
         } else {
-            phase.retry = phase.retry.or(Some(now + LOOK_WAIT));
+            phase.retry = phase.retry.or(Some(now + QUERY_WAIT));
         }
     }
 
-    fn on_prepared(&mut self, now: u64, out: &mut Output) {
-        let Now::Asking(phase) = &self.now else { return };
-        let last = phase.heard.values().flatten().max_by(|one, other| one.ballot.cmp(&other.ballot));
-        let stands = last.map(|accepted| accepted.value.clone());
-        let current = stands.as_ref().map_or(0, |value| value.version);
-        let (value, outcome) = match &self.kind {
+    fn on_prepare_majority(&mut self, now: u64, out: &mut Output) {
+        let Stage::InPhase(phase) = &self.stage else { return };
+        let highest = phase.replies.values().flatten().max_by(|one, other| one.ballot.cmp(&other.ballot));
+        let found = highest.map(|accepted| accepted.value.clone());
+        let current = found.as_ref().map_or(0, |value| value.version);
+        let (value, outcome) = match &self.operation {
             Operation::Propose { version, content, expected_version }
                 if self.may_write(*version, *expected_version, current) =>
             {
                 let value = Value { version: *version, content: content.clone() };
                 (Some(value.clone()), Outcome::Written(value))
             }
-            Operation::Propose { .. } => (stands.clone(), Outcome::Conflict(stands)),
-            // The first members were never written: do so, since somebody may have others that did not come to stand.
-            Operation::Rewrite if self.key == Key::Members && stands.is_none() => {
+            Operation::Propose { .. } => (found.clone(), Outcome::Conflict(found)),
+            // The initial members were never written. Write them, since a voter may have accepted others that
+            // were not chosen.
+            Operation::Rewrite if self.key == Key::Members && found.is_none() => {
                 let value = Value { version: self.members.epoch, content: self.members.to_text().into() };
                 (Some(value.clone()), Outcome::Found(Some(value)))
             }
-            Operation::Read | Operation::Rewrite => (stands.clone(), Outcome::Found(stands)),
+            Operation::Read | Operation::Rewrite => (found.clone(), Outcome::Found(found)),
         };
         match value {
             Some(value) => {
                 let ballot = phase.ballot.clone();
-                self.ask(now, Ask::Write(value, outcome), ballot, out);
+                self.start_phase(now, PhaseKind::Write(value, outcome), ballot, out);
             }
             None => self.end(outcome, out),
         }
     }
 
-    /// Members follow each other one by one, each decided under the one before.
+    /// Whether the proposed value may replace the current one. Records of members follow each other one by
+    /// one, each decided under the one before.
     fn may_write(&self, version: u64, expected_version: Option<u64>, current: u64) -> bool {
         let follows = self.key != Key::Members || current == self.members.epoch && version == current + 1;
-        version > current
-            && expected_version.is_none_or(|expected_version| expected_version == current)
-            && follows
+        version > current && expected_version.is_none_or(|expected| expected == current) && follows
     }
 
-    fn on_newer(&mut self, now: u64, members: &Members, chosen: bool, out: &mut Output) {
+    fn on_newer_members(&mut self, now: u64, members: &Members, chosen: bool, out: &mut Output) {
         if members.uid != self.members.uid || members.epoch <= self.members.epoch {
             return;
         }
         if chosen {
             self.adopt(now, members.clone(), out);
-        } else if !self.settled && self.key != Key::Members {
-            let seed = self.chance.next();
-            let limit = self.limit;
-            let mut round =
-                Self::new(Operation::Rewrite, Key::Members, self.members.clone(), &self.ballots, seed, limit);
-            let inner = round.on_tick(now);
-            self.now = Now::Members(Box::new(round));
-            self.on_members(now, inner, out);
+        } else if !self.members_confirmed && self.key != Key::Members {
+            let seed = self.rng.next();
+            let deadline = self.deadline;
+            let mut round = Self::new(
+                Operation::Rewrite,
+                Key::Members,
+                self.members.clone(),
+                &self.ballots,
+                seed,
+                deadline,
+            );
+            let output = round.on_tick(now);
+            self.stage = Stage::MembersRound(Box::new(round));
+            self.on_members_round(now, output, out);
         }
     }
 
-    fn on_members(&mut self, now: u64, inner: Output, out: &mut Output) {
-        out.send.extend(inner.send);
-        let Now::Members(round) = &self.now else { return };
-        let counted_by = round.members.clone();
-        match inner.outcome {
+    fn on_members_round(&mut self, now: u64, output: Output, out: &mut Output) {
+        out.send.extend(output.send);
+        let Stage::MembersRound(round) = &self.stage else { return };
+        let round_members = round.members.clone();
+        match output.outcome {
             None => {}
-            Some(Outcome::Indeterminate(why)) => self.end(Outcome::Indeterminate(why), out),
+            Some(Outcome::Indeterminate(reason)) => self.end(Outcome::Indeterminate(reason), out),
             Some(Outcome::Found(value) | Outcome::Conflict(value)) => {
                 let found = value.and_then(|value| Members::parse(&value.content).ok());
-                let newest = found.into_iter().chain([counted_by]).max_by_key(|members| members.epoch);
-                // Whoever still speaks of newer ones after this has some that did not come to stand.
-                self.settled = true;
+                let newest = found.into_iter().chain([round_members]).max_by_key(|members| members.epoch);
+                // Newer members that a voter still reports after this were not chosen.
+                self.members_confirmed = true;
                 match newest.filter(|members| members.epoch > self.members.epoch) {
                     Some(members) => self.adopt(now, members, out),
                     None => self.attempt(now, out),
@@ -359,42 +390,49 @@
 
     fn adopt(&mut self, now: u64, members: Members, out: &mut Output) {
         self.members = members;
-        self.settled = false;
+        self.members_confirmed = false;
         self.attempt(now, out);
     }
 
     fn attempt(&mut self, now: u64, out: &mut Output) {
-        self.tries += 1;
-        if self.tries > MAX_TRIES {
+        self.attempts += 1;
+        if self.attempts > MAX_ATTEMPTS {
             return self.end(Outcome::Indeterminate(FailureReason::Preempted), out);
         }
-        let ask = if self.looked { Ask::Prepare } else { Ask::Look };
+        let kind = if self.queried { PhaseKind::Prepare } else { PhaseKind::Query };
         let ballot = self.ballots.next(self.above);
-        self.ask(now, ask, ballot, out);
+        self.start_phase(now, kind, ballot, out);
     }
 
-    fn ask(&mut self, now: u64, ask: Ask, ballot: Ballot, out: &mut Output) {
-        let (heard, refused) = (BTreeMap::new(), BTreeSet::new());
-        self.now =
-            Now::Asking(Phase { ask, ballot, sent: now, resend: now + RESEND, retry: None, heard, refused });
+    fn start_phase(&mut self, now: u64, kind: PhaseKind, ballot: Ballot, out: &mut Output) {
+        let (replies, refused) = (BTreeMap::new(), BTreeSet::new());
+        self.stage = Stage::InPhase(Phase {
+            kind,
+            ballot,
+            sent: now,
+            resend: now + RESEND_INTERVAL,
+            retry: None,
+            replies,
+            refused,
+        });
         self.send(out);
     }
 
     fn send(&self, out: &mut Output) {
-        let Now::Asking(phase) = &self.now else { return };
+        let Stage::InPhase(phase) = &self.stage else { return };
         let (key, ballot, members) = (self.key, phase.ballot.clone(), self.members.clone());
-        let message = match &phase.ask {
-            Ask::Look => Message::Query { key, tag: ballot, members },
-            Ask::Prepare => Message::Prepare { key, ballot, members },
-            Ask::Write(value, _) => Message::Write { key, ballot, value: value.clone(), members },
+        let message = match &phase.kind {
+            PhaseKind::Query => Message::Query { key, tag: ballot, members },
+            PhaseKind::Prepare => Message::Prepare { key, ballot, members },
+            PhaseKind::Write(value, _) => Message::Write { key, ballot, value: value.clone(), members },
         };
-        let answered = |voter: &Address| phase.heard.contains_key(voter) || phase.refused.contains(voter);
-        let missing = self.members.all_voters().into_iter().filter(|voter| !answered(voter));
+        let replied = |voter: &Address| phase.replies.contains_key(voter) || phase.refused.contains(voter);
+        let missing = self.members.all_voters().into_iter().filter(|voter| !replied(voter));
         out.send.extend(missing.map(|voter| (voter, message.clone())));
     }
 
     fn end(&mut self, outcome: Outcome, out: &mut Output) {
-        self.now = Now::Done;
+        self.stage = Stage::Done;
         out.outcome = Some(outcome);
     }
 
@@ -404,20 +442,20 @@
     }
 
     fn next_wake(&self) -> Option<u64> {
-        let wake = match &self.now {
-            Now::Pause(until) => *until,
-            Now::Asking(phase) => {
+        let wake = match &self.stage {
+            Stage::Waiting(until) => *until,
+            Stage::InPhase(phase) => {
                 let wake = phase.resend.min(phase.sent + PHASE_TIMEOUT + 1);
                 phase.retry.map_or(wake, |retry| wake.min(retry))
             }
-            Now::Members(round) => round.next_wake()?,
-            Now::Done => return None,
+            Stage::MembersRound(round) => round.next_wake()?,
+            Stage::Done => return None,
         };
-        Some(wake.min(self.limit))
+        Some(wake.min(self.deadline))
     }
 }
 
-/// Whether a voter is `in_it` and counts towards a majority.
-fn counted(without: &Option<Address>, in_it: impl Fn(&Address) -> bool) -> impl Fn(&Address) -> bool {
-    move |voter| without.as_ref() != Some(voter) && in_it(voter)
+/// Restricts `included` to voters that count towards a majority.
+fn counted(excluded: &Option<Address>, included: impl Fn(&Address) -> bool) -> impl Fn(&Address) -> bool {
+    move |voter| excluded.as_ref() != Some(voter) && included(voter)
 }
--- a/quorum/src/voter.rs
+++ b/quorum/src/voter.rs
@@ -1,12 +1,14 @@
-//! One voter; keeps: nothing it says goes out before what it rests on is on disk, and no promise is ever taken back.
+//! The acceptor side of the registers. Invariant: no reply is sent before the state it depends on is on disk,
+//! and no promise is ever withdrawn.
 //!
-//! The first half is in the types: [`Voter::handle`] lends the voter to a [`Step`], and the answer comes out of
-//! [`Step::commit`] only, after the caller's writes returned without an error. Until then nothing else can be handled
-//! and the voter's memory is as it was.
+//! The types enforce the first part: [`Voter::handle`] borrows the voter into a [`Step`], and only
+//! [`Step::commit`] returns the reply, after the caller's writes have succeeded. Until then no other message
+//! can be handled and the voter's state in memory is unchanged.
 //!
-//! Newer members: a voter that hears of chosen newer members adopts them first, in a write of its own. From then on it
-//! turns older proposers down. One that has accepted newer members, not knowing them chosen, does so for all other keys
-//! and says that they may be chosen; the proposer then finishes the round of the members before it goes on.
+//! Newer members: a voter that learns of newer chosen members adopts them first, in a separate write. From
+//! then on it rejects proposers with older members. A voter that has accepted newer members without knowing
+//! that they are chosen rejects such proposers for all other keys and reports that the members may be chosen.
+//! The proposer then completes the round for the key `members` before it continues.
 
 use std::collections::BTreeMap;
 
@@ -18,23 +20,23 @@
 use crate::recovery::Recovery;
 use crate::wire::Message;
 
-/// What a voter is up to.
+/// The state of a voter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// An empty disk; knows of no members that name it. Says nothing.
+    /// The disk is empty, and the machine is not one of the members it knows. Sends no replies.
     Empty,
-    /// An empty disk; waits, and copies from the others. Says nothing else.
+    /// The disk is empty; the voter waits and copies the state of the others. Sends no replies.
     Recovering,
-    /// Has a state and answers.
+    /// The voter has its state and replies.
     Voting,
 }
 
-/// One machine's voter.
+/// The voter of one machine.
 #[derive(Debug)]
 #[cfg_attr(feature = "explore", derive(Clone, Hash))]
 pub struct Voter {
     me: Address,
-    empty: bool,
+    disk_empty: bool,
     members: Option<Members>,
     /// The format of the records on disk.
     format: u64,
@@ -43,40 +45,42 @@
     grantor: LeaseGrantor,
 }
 
-/// What came of one message: first to disk, then out.
+/// The pending result of one message: its writes, and the reply to send after them.
 #[derive(Debug)]
-#[must_use = "nothing has happened until the step is carried out"]
+#[must_use = "a step has no effect until it is committed"]
 pub struct Step<'a> {
     voter: &'a mut Voter,
     adopt: Option<Members>,
     slots: Vec<(Key, Slot)>,
-    copied: bool,
+    recovered: bool,
     reply: Option<Message>,
 }
 
 impl Step<'_> {
-    /// Put each batch on disk with `sync`, one after the other, and get what may be said now.
+    /// Writes each batch with `sync`, one after the other, and returns the reply that may be sent now.
     ///
-    /// `sync` returns once the whole batch would outlast a power loss. After an error the disk holds the batch or not;
-    /// the voter is as before, and its records should be opened anew before it is used again.
+    /// `sync` must return only once the whole batch is durable. After an error the batch may or may not be on
+    /// disk; the state in memory is unchanged, and the voter should be opened again from its records before
+    /// further use.
     pub fn commit<E>(
         mut self,
         mut sync: impl FnMut(&[Write]) -> Result<(), E>,
     ) -> Result<Option<Message>, E> {
         let adopt = self.adopt.take();
-        // The first record of moves makes the format newer, which is told before it.
+        // The first record of migrations raises the format, which is written before that record.
         let format =
             record::format_of(self.voter.slots.keys().chain(self.slots.iter().map(|(key, _)| key)).copied());
         let newer = if format > self.voter.format { &self.voter.members } else { &None };
         let own: Vec<_> = adopt.iter().chain(newer).take(1).map(|of| record::of_voter(of, format)).collect();
         let keys: Vec<_> = self.slots.iter().map(|(key, slot)| record::of_slot(*key, slot)).collect();
         let own_is_empty = own.is_empty();
-        // A copy counts only with the voter's own record, which is last; newer members come before what they allow.
-        let batches = if self.copied { [keys, own] } else { [own, keys] };
+        // A recovered state is valid only with the voter's own record, which is therefore written last. Newer
+        // members are written before the records that depend on them.
+        let batches = if self.recovered { [keys, own] } else { [own, keys] };
         for batch in batches.iter().filter(|batch| !batch.is_empty()) {
             sync(batch)?;
         }
-        self.voter.empty = false;
+        self.voter.disk_empty = false;
         if !own_is_empty {
             self.voter.format = format;
         }
@@ -93,18 +97,24 @@
     }
 }
 
-/// Whether a request's members are those that stand here.
-enum Standing {
+/// How the members of a request compare with those of this voter.
+enum MembersCheck {
     Current,
+    /// The request has newer members, which this voter has to adopt.
     Adopt,
+    /// This voter knows newer members, and whether they are chosen.
     Newer(Members, bool),
+    /// The request is for another register, the sender's members do not include this voter, or they differ at
+    /// the same epoch.
     Foreign,
 }
 
 impl Voter {
-    /// Of the machine `me`, from what is on its disk. `life` differs at each start of the process, which is `now`.
+    /// Opens the voter of the machine `me` from its records on disk. `incarnation` differs at each start of
+    /// the process, and `now` is the time of the start.
     ///
-    /// Without a state on disk the voter is blank, and asks the `seeds` (and the members they name) for one.
+    /// Without a state on disk the voter is empty, and requests one from the `seeds` and the members they
+    /// name.
     pub fn open(
         me: Address,
         records: impl IntoIterator<Item = (String, String)>,
@@ -117,7 +127,7 @@
         let recovery = Recovery::new(me.clone(), seeds, incarnation, now);
         Ok(Self {
             me,
-            empty: !found.any,
+            disk_empty: !found.any_record,
             members: found.members,
             format: found.format,
             slots,
@@ -126,16 +136,17 @@
         })
     }
 
-    /// Start the register with these members, if the disk held nothing at all.
+    /// Starts a new register with these members, if the disk holds no records at all.
     ///
-    /// Only for a register that is new: an emptied disk that is started so forgets what it had promised.
+    /// Use this only for a new register: a voter that lost its disk and is started like this forgets its
+    /// promises.
     pub fn bootstrap(&mut self, first: Members) -> Step<'_> {
         let readable = Members::from_json(&first.to_json()).as_ref() == Ok(&first);
-        let wanted = self.empty && first.contains(&self.me) && readable;
-        Step { adopt: wanted.then_some(first), ..self.step(None) }
+        let allowed = self.disk_empty && first.contains(&self.me) && readable;
+        Step { adopt: allowed.then_some(first), ..self.step(None) }
     }
 
-    /// What it is up to.
+    /// Returns the state of the voter.
     pub fn state(&self) -> State {
         match &self.members {
             Some(_) => State::Voting,
@@ -144,41 +155,50 @@
         }
     }
 
-    /// The newest members it knows to be chosen.
+    /// Returns the newest members that are known to be chosen.
     pub fn members(&self) -> Option<&Members> {
         self.members.as_ref().or_else(|| self.recovery.members())
     }
 
-    /// What stands here, chosen or not.
+    /// Returns the state for a key; its accepted value need not be chosen.
     pub fn slot(&self, key: Key) -> Option<&Slot> {
         self.slots.get(&key)
     }
 
-    /// When to call [`Voter::on_tick`] next.
+    /// Returns the time of the next call to [`Voter::on_tick`].
     pub fn next_wake(&self) -> Option<u64> {
         self.members.is_none().then(|| self.recovery.next_wake())
     }
 
-    /// What to ask the others now, while it has no state.
+    /// Returns the requests to other voters at this time, while the voter has no state.
     pub fn on_tick(&mut self, now: u64) -> Vec<(Address, Message)> {
         if self.members.is_some() { Vec::new() } else { self.recovery.on_tick(now) }
     }
 
-    /// One message. `now` is read after it came in.
+    /// Handles one message. `now` must be read after the message was received.
     ///
-    /// A grant that comes with newer members rests on them, so the grantor is told before it is asked.
+    /// The decision on a lease request that brings newer members depends on them, so the grantor is notified
+    /// of the members first.
     pub fn handle(&mut self, now: u64, from: &str, message: Message) -> Step<'_> {
-        let Some(mine) = &self.members else { return self.handle_blank(from, message).moved(now) };
+        let Some(own) = &self.members else {
+            return self.handle_without_state(from, message).notify_grantor(now);
+        };
         match message {
-            Message::Query { key, tag, members } => self.stand(key, tag, members, Self::look),
-            Message::Prepare { key, ballot, members } => self.stand(key, ballot, members, Self::prepare),
-            Message::Write { key, value, members, .. } if !fits(key, &value, &members) => self.step(None),
+            Message::Query { key, tag, members } => self.handle_request(key, tag, members, Self::query),
+            Message::Prepare { key, ballot, members } => {
+                self.handle_request(key, ballot, members, Self::prepare)
+            }
+            Message::Write { key, value, members, .. } if !is_decodable(key, &value, &members) => {
+                self.step(None)
+            }
             Message::Write { key, ballot, value, members } => {
-                self.stand(key, ballot, members, |voter, key, ballot| voter.write(key, ballot, value))
+                self.handle_request(key, ballot, members, |voter, key, ballot| {
+                    voter.write(key, ballot, value)
+                })
             }
             Message::StateRequest { request } => {
                 let slots = self.slots.iter().map(|(key, slot)| (*key, slot.clone())).collect();
-                let reply = Message::StateReply { request, members: mine.clone(), slots };
+                let reply = Message::StateReply { request, members: own.clone(), slots };
                 self.step(Some(reply))
             }
             Message::LeaseRequest {
@@ -190,14 +210,14 @@
                 previous_holder,
                 members,
             } => {
-                let (adopt, newer) = match self.standing(None, &members) {
-                    Standing::Current => (None, None),
-                    Standing::Adopt => (Some(members), None),
-                    Standing::Newer(newer, _) => (None, Some(newer)),
-                    Standing::Foreign => return self.step(None),
+                let (adopt, newer) = match self.check_members(None, &members) {
+                    MembersCheck::Current => (None, None),
+                    MembersCheck::Adopt => (Some(members), None),
+                    MembersCheck::Newer(newer, _) => (None, Some(newer)),
+                    MembersCheck::Foreign => return self.step(None),
                 };
                 if let Some(adopt) = &adopt {
-                    self.grantor.moved(now, Some(mine.epoch), adopt);
+                    self.grantor.on_members(now, Some(own.epoch), adopt);
                 }
                 let reply = match newer {
                     Some(_) => Message::LeaseDenied {
@@ -207,7 +227,7 @@
                         remaining: 0,
                         newer_members: newer,
                     },
-                    None => self.grantor.on_ask(
+                    None => self.grantor.on_request(
                         now,
                         lease,
                         holder,
@@ -225,15 +245,15 @@
             }
             _ => self.step(None),
         }
-        .moved(now)
+        .notify_grantor(now)
     }
 
-    fn handle_blank(&mut self, from: &str, message: Message) -> Step<'_> {
+    fn handle_without_state(&mut self, from: &str, message: Message) -> Step<'_> {
         let recovered = match message {
             Message::Query { members, .. }
             | Message::Prepare { members, .. }
             | Message::Write { members, .. } => {
-                self.recovery.told(&members);
+                self.recovery.on_members(&members);
                 None
             }
             Message::StateReply { request, members, slots } => {
@@ -244,56 +264,56 @@
         match recovered {
             Some(recovered) => {
                 let slots = recovered.slots.into_iter().collect();
-                Step { adopt: Some(recovered.members), slots, copied: true, ..self.step(None) }
+                Step { adopt: Some(recovered.members), slots, recovered: true, ..self.step(None) }
             }
             None => self.step(None),
         }
     }
 
     fn step(&mut self, reply: Option<Message>) -> Step<'_> {
-        Step { voter: self, adopt: None, slots: Vec::new(), copied: false, reply }
+        Step { voter: self, adopt: None, slots: Vec::new(), recovered: false, reply }
     }
 
-    fn standing(&self, key: Option<Key>, theirs: &Members) -> Standing {
-        let Some(mine) = &self.members else { return Standing::Foreign };
-        let same = mine.epoch != theirs.epoch || mine == theirs;
-        if mine.uid != theirs.uid || !same || !theirs.contains(&self.me) {
-            return Standing::Foreign;
+    fn check_members(&self, key: Option<Key>, sender: &Members) -> MembersCheck {
+        let Some(own) = &self.members else { return MembersCheck::Foreign };
+        let consistent = own.epoch != sender.epoch || own == sender;
+        if own.uid != sender.uid || !consistent || !sender.contains(&self.me) {
+            return MembersCheck::Foreign;
         }
-        if mine.epoch > theirs.epoch {
-            return Standing::Newer(mine.clone(), true);
+        if own.epoch > sender.epoch {
+            return MembersCheck::Newer(own.clone(), true);
         }
         let written = self.slots.get(&Key::Members).and_then(|slot| slot.accepted.as_ref());
         let written =
-            written.filter(|accepted| accepted.value.version > theirs.epoch && key != Some(Key::Members));
+            written.filter(|accepted| accepted.value.version > sender.epoch && key != Some(Key::Members));
         match written.and_then(|accepted| Members::parse(&accepted.value.content).ok()) {
-            Some(newer) if key.is_some() => Standing::Newer(newer, false),
-            _ if mine.epoch < theirs.epoch => Standing::Adopt,
-            _ => Standing::Current,
+            Some(newer) if key.is_some() => MembersCheck::Newer(newer, false),
+            _ if own.epoch < sender.epoch => MembersCheck::Adopt,
+            _ => MembersCheck::Current,
         }
     }
 
-    fn stand(
+    fn handle_request(
         &mut self,
         key: Key,
         ballot: Ballot,
         members: Members,
         act: impl FnOnce(&Self, Key, Ballot) -> (Option<Slot>, Message),
     ) -> Step<'_> {
-        let adopt = match self.standing(Some(key), &members) {
-            Standing::Current => None,
-            Standing::Adopt => Some(members),
-            Standing::Newer(members, chosen) => {
+        let adopt = match self.check_members(Some(key), &members) {
+            MembersCheck::Current => None,
+            MembersCheck::Adopt => Some(members),
+            MembersCheck::Newer(members, chosen) => {
                 return self.step(Some(Message::NewerMembers { key, ballot, members, chosen }));
             }
-            Standing::Foreign => return self.step(None),
+            MembersCheck::Foreign => return self.step(None),
         };
         let (slot, reply) = act(self, key, ballot);
         let slots = slot.map(|slot| (key, slot)).into_iter().collect();
         Step { adopt, slots, ..self.step(Some(reply)) }
     }
 
-    fn look(&self, key: Key, tag: Ballot) -> (Option<Slot>, Message) {
+    fn query(&self, key: Key, tag: Ballot) -> (Option<Slot>, Message) {
         let accepted = self.slots.get(&key).and_then(|slot| slot.accepted.clone());
         (None, Message::QueryReply { key, tag, accepted })
     }
@@ -304,8 +324,8 @@
             Some(promised) if promised > ballot => (None, Message::Refused { key, ballot, promised }),
             promised => {
                 let reply = Message::Promised { key, ballot: ballot.clone(), accepted: accepted.clone() };
-                let news = promised.as_ref() != Some(&ballot);
-                (news.then_some(Slot { promised: Some(ballot), accepted }), reply)
+                let changed = promised.as_ref() != Some(&ballot);
+                (changed.then_some(Slot { promised: Some(ballot), accepted }), reply)
             }
         }
     }
@@ -316,26 +336,26 @@
             Some(promised) if promised > ballot => (None, Message::Refused { key, ballot, promised }),
             _ => {
                 let accepted = Some(Accepted { ballot: ballot.clone(), value, copied: false });
-                let wanted = Slot { promised: Some(ballot.clone()), accepted };
-                ((slot != wanted).then_some(wanted), Message::Wrote { key, ballot })
+                let written = Slot { promised: Some(ballot.clone()), accepted };
+                ((slot != written).then_some(written), Message::Wrote { key, ballot })
             }
         }
     }
 }
 
-/// Whether a value could be read back: one that can't must not get to the disk, nor to be chosen.
-fn fits(key: Key, value: &Value, members: &Members) -> bool {
+/// Whether a value can be decoded again. A value that cannot must neither be written to disk nor be chosen.
+fn is_decodable(key: Key, value: &Value, members: &Members) -> bool {
     let follows = |next: Members| next.epoch == value.version && next.uid == members.uid;
     value.content.len() <= MAX_CONTENT
         && (key != Key::Members || Members::parse(&value.content).is_ok_and(follows))
 }
 
 impl Step<'_> {
-    /// Newer members make the grantor wary for a lease.
-    fn moved(self, now: u64) -> Self {
+    /// Notifies the grantor of newer members, which restrict its grants for one lease duration.
+    fn notify_grantor(self, now: u64) -> Self {
         if let Some(members) = &self.adopt {
             let before = self.voter.members.as_ref().map(|members| members.epoch);
-            self.voter.grantor.moved(now, before, members);
+            self.voter.grantor.on_members(now, before, members);
         }
         self
     }
--- a/quorum/src/wire.rs
+++ b/quorum/src/wire.rs
@@ -1,38 +1,41 @@
-//! What voters, proposers and holders say to each other; keeps: whatever comes in is read whole and checked, or not at all.
+//! The messages between voters, proposers and lease holders. Invariant: a received message is decoded and
+//! checked as a whole, or rejected.
 
 use compact_str::CompactString;
 use tinyjson::JsonValue;
 
 use crate::ballot::{Accepted, Ballot, Key, MAX_NAME, Slot, Value};
-use crate::form::{self, DecodeError, Form};
+use crate::json::{self, DecodeError, Object};
 use crate::members::Members;
 
-/// A message. Requests carry the sender's members, which it knows to be chosen; replies carry the request's ballot.
+/// A message. Requests carry the sender's members, which are known to be chosen; replies carry the ballot of
+/// the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "explore", derive(Hash))]
-#[allow(missing_docs, reason = "the fields are what the variants say they carry")]
+#[allow(missing_docs, reason = "the documentation of the variants describes their fields")]
 pub enum Message {
-    /// What stands here? The tag is a ballot that is used for nothing else.
+    /// Requests the accepted value. The tag is a ballot that is used for nothing else.
     Query { key: Key, tag: Ballot, members: Members },
-    /// Accept nothing below this ballot any more, and say what stands here.
+    /// Requests a promise to reject lower ballots, and the accepted value.
     Prepare { key: Key, ballot: Ballot, members: Members },
-    /// Accept this value.
+    /// Requests to accept this value.
     Write { key: Key, ballot: Ballot, value: Value, members: Members },
-    /// To [`Message::Query`]: this stands here.
+    /// Reply to [`Message::Query`]: the accepted value.
     QueryReply { key: Key, tag: Ballot, accepted: Option<Accepted> },
-    /// To [`Message::Prepare`]: done, and this stands here.
+    /// Reply to [`Message::Prepare`]: the promise is given, with the accepted value.
     Promised { key: Key, ballot: Ballot, accepted: Option<Accepted> },
-    /// To [`Message::Write`]: accepted.
+    /// Reply to [`Message::Write`]: the value is accepted.
     Wrote { key: Key, ballot: Ballot },
-    /// A higher ballot was promised.
+    /// Reply to a request: a higher ballot was promised.
     Refused { key: Key, ballot: Ballot, promised: Ballot },
-    /// The sender's members are of the past; or newer ones are written here, which may or may not be chosen.
+    /// Reply to a request: the members of the request are out of date, or the voter has accepted newer ones,
+    /// which may or may not be chosen.
     NewerMembers { key: Key, ballot: Ballot, members: Members, chosen: bool },
-    /// An empty voter asks for all that another has.
+    /// Requests the full state of a voter; sent by an empty voter.
     StateRequest { request: u64 },
-    /// To [`Message::StateRequest`]: all of it.
+    /// Reply to [`Message::StateRequest`]: the full state.
     StateReply { request: u64, members: Members, slots: Vec<(Key, Slot)> },
-    /// Grant this lease, or renew it; the holder says under which epoch it holds it now.
+    /// Requests or renews a lease. A holder states the epoch under which it holds the lease now.
     LeaseRequest {
         lease: CompactString,
         holder: CompactString,
@@ -42,9 +45,10 @@
         previous_holder: bool,
         members: Members,
     },
-    /// To [`Message::LeaseRequest`]: granted.
+    /// Reply to [`Message::LeaseRequest`]: the lease is granted.
     LeaseGranted { lease: CompactString, incarnation: u64, request: u64 },
-    /// To [`Message::LeaseRequest`]: no; another holds it for so long, or nobody may yet, or the asker's members are of the past.
+    /// Reply to [`Message::LeaseRequest`]: the lease is not granted. It may be held by another process or not
+    /// be granted to any for `remaining` nanoseconds, or the members of the request are out of date.
     LeaseDenied {
         lease: CompactString,
         incarnation: u64,
@@ -52,19 +56,20 @@
         remaining: u64,
         newer_members: Option<Members>,
     },
-    /// The holder gives back what it was granted up to this request.
+    /// The holder releases what it was granted up to this request.
     LeaseRelease { lease: CompactString, holder: CompactString, incarnation: u64, request: u64 },
 }
 
 impl Message {
-    /// As JSON.
+    /// Encodes the message as JSON.
     pub fn to_json(&self) -> JsonValue {
         let keyed = |name, key: &Key, ballot: &Ballot, rest: Vec<(&str, JsonValue)>| {
-            let mut fields = vec![("key", form::word(key.as_str())), ("ballot", ballot.to_json())];
+            let mut fields = vec![("key", json::string(key.as_str())), ("ballot", ballot.to_json())];
             fields.extend(rest);
-            named(name, fields)
+            tagged(name, fields)
         };
-        let accepted_of = |accepted: &Option<Accepted>| form::maybe(accepted.as_ref().map(Accepted::to_json));
+        let accepted_of =
+            |accepted: &Option<Accepted>| json::or_null(accepted.as_ref().map(Accepted::to_json));
         match self {
             Self::Query { key, tag, members } => {
                 keyed("look", key, tag, vec![("members", members.to_json())])
@@ -73,8 +78,8 @@
                 keyed("prepare", key, ballot, vec![("members", members.to_json())])
             }
             Self::Write { key, ballot, value, members } => {
-                let version = ("version", form::count(value.version));
-                let content = ("content", form::word(&value.content));
+                let version = ("version", json::uint(value.version));
+                let content = ("content", json::string(&value.content));
                 keyed("write", key, ballot, vec![version, content, ("members", members.to_json())])
             }
             Self::QueryReply { key, tag, accepted } => {
@@ -91,11 +96,11 @@
                 let chosen = ("chosen", JsonValue::Boolean(*chosen));
                 keyed("newer", key, ballot, vec![("members", members.to_json()), chosen])
             }
-            Self::StateRequest { request } => named("copy", vec![("ask", form::count(*request))]),
+            Self::StateRequest { request } => tagged("copy", vec![("ask", json::uint(*request))]),
             Self::StateReply { request, members, slots } => {
                 let slots = slots.iter().map(|(key, slot)| slot.to_json(*key)).collect();
-                let fields = [("ask", form::count(*request)), ("members", members.to_json())];
-                named("state", fields.into_iter().chain([("slots", JsonValue::Array(slots))]).collect())
+                let fields = [("ask", json::uint(*request)), ("members", members.to_json())];
+                tagged("state", fields.into_iter().chain([("slots", JsonValue::Array(slots))]).collect())
             }
             Self::LeaseRequest {
                 lease,
@@ -107,60 +112,63 @@
                 members,
             } => {
                 let mut fields = lease_fields(lease, *incarnation, *request);
-                fields.extend([("holder", form::word(holder)), ("members", members.to_json())]);
-                fields.push(("held", form::maybe(held_epoch.map(form::count))));
-                fields.push(("again", form::maybe(previous_holder.then(|| form::count(1)))));
-                named("ask", fields)
+                fields.extend([("holder", json::string(holder)), ("members", members.to_json())]);
+                fields.push(("held", json::or_null(held_epoch.map(json::uint))));
+                fields.push(("again", json::or_null(previous_holder.then(|| json::uint(1)))));
+                tagged("ask", fields)
             }
             Self::LeaseGranted { lease, incarnation, request } => {
-                named("granted", lease_fields(lease, *incarnation, *request))
+                tagged("granted", lease_fields(lease, *incarnation, *request))
             }
             Self::LeaseDenied { lease, incarnation, request, remaining, newer_members } => {
                 let mut fields = lease_fields(lease, *incarnation, *request);
-                fields.push(("left", form::count(*remaining)));
-                fields.push(("newer", form::maybe(newer_members.as_ref().map(Members::to_json))));
-                named("denied", fields)
+                fields.push(("left", json::uint(*remaining)));
+                fields.push(("newer", json::or_null(newer_members.as_ref().map(Members::to_json))));
+                tagged("denied", fields)
             }
             Self::LeaseRelease { lease, holder, incarnation, request } => {
                 let mut fields = lease_fields(lease, *incarnation, *request);
-                fields.push(("holder", form::word(holder)));
-                named("release", fields)
+                fields.push(("holder", json::string(holder)));
+                tagged("release", fields)
             }
         }
     }
 
-    /// From JSON, checked.
+    /// Decodes and checks a message from JSON.
     pub fn from_json(value: &JsonValue) -> Result<Self, DecodeError> {
-        let form = Form::of(value, "message")?;
-        let key = || Key::read(form.get("key")?);
-        let ballot = || Ballot::read(form.get("ballot")?, "ballot");
-        let members = || Members::from_json(form.get("members")?);
-        let accepted = || form.maybe("accepted").map(Accepted::read).transpose();
-        let name = |what| form.text(what, MAX_NAME).map(CompactString::from);
-        let request = || form.number("ask");
-        let incarnation = || form.number("life");
-        Ok(match form.text("say", 16)? {
+        let object = Object::of(value, "message")?;
+        let key = || Key::read(object.required("key")?);
+        let ballot = || Ballot::read(object.required("ballot")?, "ballot");
+        let members = || Members::from_json(object.required("members")?);
+        let accepted = || object.optional("accepted").map(Accepted::read).transpose();
+        let name = |what| object.string(what, MAX_NAME).map(CompactString::from);
+        let request = || object.uint("ask");
+        let incarnation = || object.uint("life");
+        Ok(match object.string("say", 16)? {
             "look" => Self::Query { key: key()?, tag: ballot()?, members: members()? },
             "prepare" => Self::Prepare { key: key()?, ballot: ballot()?, members: members()? },
-            "write" => {
-                Self::Write { key: key()?, ballot: ballot()?, value: Value::read(form)?, members: members()? }
-            }
+            "write" => Self::Write {
+                key: key()?,
+                ballot: ballot()?,
+                value: Value::read(object)?,
+                members: members()?,
+            },
             "seen" => Self::QueryReply { key: key()?, tag: ballot()?, accepted: accepted()? },
             "promised" => Self::Promised { key: key()?, ballot: ballot()?, accepted: accepted()? },
             "wrote" => Self::Wrote { key: key()?, ballot: ballot()? },
             "refused" => {
-                let promised = Ballot::read(form.get("promised")?, "promised")?;
+                let promised = Ballot::read(object.required("promised")?, "promised")?;
                 Self::Refused { key: key()?, ballot: ballot()?, promised }
             }
             "newer" => Self::NewerMembers {
                 key: key()?,
                 ballot: ballot()?,
                 members: members()?,
-                chosen: form.flag("chosen")?,
+                chosen: object.boolean("chosen")?,
             },
             "copy" => Self::StateRequest { request: request()? },
             "state" => {
-                let slots = form.list("slots", Key::ALL.len())?;
+                let slots = object.list("slots", Key::ALL.len())?;
                 let slots = slots.iter().map(Slot::read).collect::<Result<_, _>>()?;
                 Self::StateReply { request: request()?, members: members()?, slots }
             }
@@ -169,23 +177,23 @@
                 holder: name("holder")?,
                 incarnation: incarnation()?,
                 request: request()?,
-                held_epoch: form
-                    .maybe("held")
-                    .map(|held_epoch| form::number(held_epoch, "held"))
+                held_epoch: object
+                    .optional("held")
+                    .map(|held_epoch| json::read_uint(held_epoch, "held"))
                     .transpose()?,
-                previous_holder: form.maybe("again").is_some(),
+                previous_holder: object.optional("again").is_some(),
                 members: members()?,
             },
             "granted" => {
                 Self::LeaseGranted { lease: name("duty")?, incarnation: incarnation()?, request: request()? }
             }
             "denied" => {
-                let newer_members = form.maybe("newer").map(Members::from_json).transpose()?;
+                let newer_members = object.optional("newer").map(Members::from_json).transpose()?;
                 Self::LeaseDenied {
                     lease: name("duty")?,
                     incarnation: incarnation()?,
                     request: request()?,
-                    remaining: form.number("left")?,
+                    remaining: object.uint("left")?,
                     newer_members,
                 }
             }
@@ -195,16 +203,16 @@
                 incarnation: incarnation()?,
                 request: request()?,
             },
-            _ => return Err(form::wrong("say", "a known message")),
+            _ => return Err(json::wrong("say", "a known message")),
         })
     }
 }
 
-fn named(name: &str, fields: Vec<(&str, JsonValue)>) -> JsonValue {
-    let fields = fields.into_iter().chain([("say", form::word(name))]);
+fn tagged(name: &str, fields: Vec<(&str, JsonValue)>) -> JsonValue {
+    let fields = fields.into_iter().chain([("say", json::string(name))]);
     JsonValue::Object(fields.map(|(name, value)| (name.to_owned(), value)).collect())
 }
 
 fn lease_fields(lease: &str, incarnation: u64, request: u64) -> Vec<(&'static str, JsonValue)> {
-    vec![("duty", form::word(lease)), ("life", form::count(incarnation)), ("ask", form::count(request))]
+    vec![("duty", json::string(lease)), ("life", json::uint(incarnation)), ("ask", json::uint(request))]
 }
