--- a/controller/src/calls.rs
+++ b/controller/src/calls.rs
@@ -2,18 +2,18 @@
 
 use hyper::Method;
 
-use crate::errors::Kind;
+use crate::errors::CallError;
 
 /// The longest body of a call, and so the longest configuration, in bytes.
-pub const LONGEST_BODY: usize = 4 << 20;
+pub const MAX_BODY: usize = 4 << 20;
 
 /// The calls that control takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum Endpoint {
     /// An operator puts a configuration.
-    Replace,
+    PutConfig,
     /// An operator reads the configuration.
-    Read,
+    ReadConfig,
     /// An operator asks how things stand.
     Status,
     /// An operator asks the leader how functions stand.
@@ -23,21 +23,21 @@
     /// An operator asks what is taken out for a while.
     Drains,
     /// An operator takes something out, or lets it back.
-    Drain,
+    DrainOrder,
     /// An operator asks how moves stand.
-    Moves,
+    Migrations,
     /// An operator's order about a move.
-    Order,
+    MigrationOrder,
     /// A porter wants to be fed.
     Follow,
     /// Notes of a porter.
-    Mail,
+    Messages,
     /// A message for the voter here.
     Vote,
-    /// What another control machine knows.
-    News,
+    /// Endpoint another control machine knows.
+    Gossip,
     /// A configuration that is chosen, for another control machine.
-    Chosen,
+    ChosenConfig,
     /// Monitoring asks for figures.
     Metrics,
 }
@@ -45,44 +45,48 @@
 /// One segment of a path.
 struct Node {
     segment: &'static str,
-    methods: &'static [(&'static str, What)],
-    below: &'static [Node],
+    methods: &'static [(&'static str, Endpoint)],
+    children: &'static [Node],
 }
 
-const fn leaf(segment: &'static str, methods: &'static [(&'static str, What)]) -> Node {
-    Node { segment, methods, below: &[] }
+const fn leaf(segment: &'static str, methods: &'static [(&'static str, Endpoint)]) -> Node {
+    Node { segment, methods, children: &[] }
 }
 
-const TREE: &[Node] = &[
-    leaf("Config.Replace", &[("POST", What::Replace)]),
-    leaf("Config.Read", &[("GET", What::Read)]),
-    leaf("follow", &[("POST", What::Follow)]),
-    leaf("mail", &[("POST", What::Mail)]),
-    leaf("metrics", &[("GET", What::Metrics)]),
+const ROUTES: &[Node] = &[
+    leaf("Config.Replace", &[("POST", Endpoint::PutConfig)]),
+    leaf("Config.Read", &[("GET", Endpoint::ReadConfig)]),
+    leaf("follow", &[("POST", Endpoint::Follow)]),
+    leaf("mail", &[("POST", Endpoint::Messages)]),
+    leaf("metrics", &[("GET", Endpoint::Metrics)]),
     Node {
         segment: "core",
-        methods: &[("GET", What::Status)],
-        below: &[
-            leaf("vote", &[("POST", What::Vote)]),
-            leaf("news", &[("POST", What::News)]),
-            leaf("chosen", &[("GET", What::Chosen)]),
-            leaf("functions", &[("GET", What::Functions)]),
-            leaf("duty", &[("GET", What::Duty)]),
-            leaf("drains", &[("GET", What::Drains), ("POST", What::Drain)]),
-            leaf("moves", &[("GET", What::Moves), ("POST", What::Order)]),
+        methods: &[("GET", Endpoint::Status)],
+        children: &[
+            leaf("vote", &[("POST", Endpoint::Vote)]),
+            leaf("news", &[("POST", Endpoint::Gossip)]),
+            leaf("chosen", &[("GET", Endpoint::ChosenConfig)]),
+            leaf("functions", &[("GET", Endpoint::Functions)]),
+            leaf("duty", &[("GET", Endpoint::Duty)]),
+            leaf("drains", &[("GET", Endpoint::Drains), ("POST", Endpoint::DrainOrder)]),
+            leaf("moves", &[("GET", Endpoint::Migrations), ("POST", Endpoint::MigrationOrder)]),
         ],
     },
 ];
 
 /// The call that a method and a path name.
-pub fn what(method: &Method, path: &str) -> Result<What, Kind> {
-    let (mut level, mut found) = (TREE, None);
+pub fn route(method: &Method, path: &str) -> Result<Endpoint, CallError> {
+    let (mut level, mut found) = (ROUTES, None);
     for segment in path.strip_prefix('/').unwrap_or(path).split('/') {
-        let node = level.iter().find(|n| n.segment == segment).ok_or(Kind::Unknown)?;
-        (level, found) = (node.below, Some(node));
+        let node = level.iter().find(|n| n.segment == segment).ok_or(CallError::Unknown)?;
+        (level, found) = (node.children, Some(node));
     }
-    let node = found.filter(|n| !n.methods.is_empty()).ok_or(Kind::Unknown)?;
-    node.methods.iter().find(|(m, _)| *m == method.as_str()).map(|(_, what)| *what).ok_or(Kind::Method)
+    let node = found.filter(|n| !n.methods.is_empty()).ok_or(CallError::Unknown)?;
+    node.methods
+        .iter()
+        .find(|(m, _)| *m == method.as_str())
+        .map(|(_, endpoint)| *endpoint)
+        .ok_or(CallError::Method)
 }
 
 #[cfg(test)]
@@ -90,17 +94,17 @@
     use super::*;
 
     #[yare::parameterized(
-        replace = { "POST", "/Config.Replace", Ok(What::Replace) },
-        wrong_method = { "GET", "/Config.Replace", Err(Kind::Method) },
-        read = { "GET", "/Config.Read", Ok(What::Read) },
-        below = { "POST", "/core/vote", Ok(What::Vote) },
-        figures = { "GET", millpost_net::metrics::PATH, Ok(What::Metrics) },
-        between = { "GET", "/core", Ok(What::Status) },
-        too_deep = { "GET", "/core/vote/x", Err(Kind::Unknown) },
-        trailing = { "GET", "/Config.Read/", Err(Kind::Unknown) },
-        nothing = { "GET", "/", Err(Kind::Unknown) },
+        replace = { "POST", "/Config.Replace", Ok(Endpoint::PutConfig) },
+        wrong_method = { "GET", "/Config.Replace", Err(CallError::Method) },
+        read = { "GET", "/Config.Read", Ok(Endpoint::ReadConfig) },
+        children = { "POST", "/core/vote", Ok(Endpoint::Vote) },
+        figures = { "GET", millpost_net::metrics::PATH, Ok(Endpoint::Metrics) },
+        between = { "GET", "/core", Ok(Endpoint::Status) },
+        too_deep = { "GET", "/core/vote/x", Err(CallError::Unknown) },
+        trailing = { "GET", "/Config.Read/", Err(CallError::Unknown) },
+        nothing = { "GET", "/", Err(CallError::Unknown) },
     )]
-    fn calls_are_found_by_path_and_method(method: &str, path: &str, expected: Result<What, Kind>) {
-        assert_eq!(what(&method.parse().expect("a method"), path), expected);
+    fn calls_are_found_by_path_and_method(method: &str, path: &str, expected: Result<Endpoint, CallError>) {
+        assert_eq!(route(&method.parse().expect("a method"), path), expected);
     }
 }
--- a/controller/src/contact.rs
+++ b/controller/src/contact.rs
@@ -3,8 +3,8 @@
 //! Evidence is an answer to a message of this machine: it shows that the other one hears it and is heard. Each piece counts from the
 //! moment at which the message was sent, so that an answer that was long on its way proves nothing about the present.
 //!
-//! Invariant: while contact holds, this machine has reached a majority within the span, and since it did so for the first time after a
-//! loss it has read the register from a majority. What it knows as chosen is therefore no older than the span.
+//! Invariant: while contact holds, this machine has reached a majority within the timeout, and since it did so for the first time after a
+//! loss it has read the register from a majority. What it knows as chosen is therefore no older than the timeout.
 
 use std::collections::BTreeMap;
 
@@ -15,9 +15,9 @@
 use crate::{MS, Nanos};
 
 /// A read of the register that did not end well is begun again after this.
-const READ_AGAIN: Nanos = 1_000 * MS;
+const READ_RETRY_DELAY: Nanos = 1_000 * MS;
 /// Peers whose answers are kept: more than can vote.
-const MOST: usize = 64;
+const MAX_PEERS: usize = 64;
 
 /// What another control machine answered, and when it was asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -60,13 +60,13 @@
 
 /// A read of the register that is to confirm what is known; its number goes with its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Confirm(pub u64);
+pub struct ContactRead(pub u64);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Lost,
     /// A majority is reached, and this read of the register, begun then, has not ended yet.
-    Confirming(Confirm, Nanos),
+    Confirming(ContactRead, Nanos),
     /// Since then, under the members of this epoch.
     Holds(Nanos, u64),
 }
@@ -75,51 +75,51 @@
 #[derive(Debug)]
 pub struct Contact {
     me: Address,
-    span: Nanos,
+    timeout: Nanos,
     /// When the process started.
-    began: Option<Nanos>,
-    answered: BTreeMap<Address, GossipReply>,
+    started_at: Option<Nanos>,
+    replies: BTreeMap<Address, GossipReply>,
     state: State,
     reads: u64,
 }
 
 impl Contact {
-    /// Of the machine `me`, which loses it after `span` without a majority.
-    pub fn new(me: Address, span: Nanos) -> Self {
-        Contact { me, span, began: None, answered: BTreeMap::new(), state: State::Lost, reads: 0 }
+    /// Of the machine `me`, which loses it after `timeout` without a majority.
+    pub fn new(me: Address, timeout: Nanos) -> Self {
+        Contact { me, timeout, started_at: None, replies: BTreeMap::new(), state: State::Lost, reads: 0 }
     }
 
     /// Another machine has answered.
-    pub fn reached(&mut self, peer: Address, answered: GossipReply) {
-        let known = self.answered.get(&peer);
-        if known.is_some_and(|known| known.sent >= answered.sent) {
+    pub fn on_reply(&mut self, peer: Address, reply: GossipReply) {
+        let known = self.replies.get(&peer);
+        if known.is_some_and(|known| known.sent >= reply.sent) {
             return;
         }
-        if self.answered.len() >= MOST && known.is_none() {
+        if self.replies.len() >= MAX_PEERS && known.is_none() {
             let oldest =
-                self.answered.iter().min_by_key(|(_, known)| known.sent).map(|(peer, _)| peer.clone());
-            oldest.map(|peer| self.answered.remove(&peer));
+                self.replies.iter().min_by_key(|(_, known)| known.sent).map(|(peer, _)| peer.clone());
+            oldest.map(|peer| self.replies.remove(&peer));
         }
-        self.answered.insert(peer, answered);
+        self.replies.insert(peer, reply);
     }
 
     /// When a voter answered last, by the time at which it was asked.
-    pub fn asked(&self, peer: &str) -> Option<Nanos> {
-        self.answered.get(peer).map(|answered| answered.sent)
+    pub fn last_reply_sent(&self, peer: &str) -> Option<Nanos> {
+        self.replies.get(peer).map(|reply| reply.sent)
     }
 
     /// Looks at where it stands. `voting`: this machine has a state to vote with. A read of the register is to be begun where one is
     /// returned.
-    pub fn look(&mut self, now: Nanos, members: Option<&Members>, voting: bool) -> Option<Confirm> {
-        self.began.get_or_insert(now);
+    pub fn update(&mut self, now: Nanos, members: Option<&Members>, voting: bool) -> Option<ContactRead> {
+        self.started_at.get_or_insert(now);
         let Some(members) = members else {
             self.state = State::Lost;
             return None;
         };
-        let fresh = |answered: &GossipReply| answered.sent + self.span > now;
-        let reaches = |voter: &Address| match self.answered.get(voter) {
+        let fresh = |reply: &GossipReply| reply.sent + self.timeout > now;
+        let reaches = |voter: &Address| match self.replies.get(voter) {
             _ if *voter == self.me => voting,
-            Some(answered) => fresh(answered) && answered.voting,
+            Some(reply) => fresh(reply) && reply.voting,
             None => false,
         };
         if !members.quorum(reaches) {
@@ -132,17 +132,17 @@
         match self.state {
             // Under newer members others may have decided than those that were asked.
             State::Holds(_, epoch) if epoch == members.epoch => None,
-            State::Confirming(_, asked) if now < asked + READ_AGAIN => None,
+            State::Confirming(_, asked) if now < asked + READ_RETRY_DELAY => None,
             _ => {
                 self.reads += 1;
-                self.state = State::Confirming(Confirm(self.reads), now);
-                Some(Confirm(self.reads))
+                self.state = State::Confirming(ContactRead(self.reads), now);
+                Some(ContactRead(self.reads))
             }
         }
     }
 
     /// A read of the register has ended, and a majority answered it under the members of this epoch.
-    pub fn confirmed(&mut self, now: Nanos, read: Confirm, epoch: u64) {
+    pub fn confirmed(&mut self, now: Nanos, read: ContactRead, epoch: u64) {
         if matches!(self.state, State::Confirming(under_way, _) if under_way == read) {
             log::info!("a majority of the voters is reached");
             self.state = State::Holds(now, epoch);
@@ -155,23 +155,24 @@
     }
 
     /// The newest revision that the others were lately heard to know as chosen.
-    pub fn newest(&self, now: Nanos) -> u64 {
-        let fresh = self.answered.values().filter(|answered| answered.sent + self.span > now);
-        fresh.map(|answered| answered.revision).max().unwrap_or(0)
+    pub fn newest_revision(&self, now: Nanos) -> u64 {
+        let fresh = self.replies.values().filter(|reply| reply.sent + self.timeout > now);
+        fresh.map(|reply| reply.revision).max().unwrap_or(0)
     }
 
     /// Whether a majority is reached, though the register may not have been read yet.
-    pub fn reaches(&self) -> bool {
+    pub fn has_majority(&self) -> bool {
         self.state != State::Lost
     }
 
     /// Whether it is known that there is none: a round of the register would only wait. Not in the first moments of a process.
     pub fn is_lost(&self, now: Nanos) -> bool {
-        self.state == State::Lost && self.began.is_some_and(|began| now >= began + self.span)
+        self.state == State::Lost
+            && self.started_at.is_some_and(|started_at| now >= started_at + self.timeout)
     }
 
     /// How it stands, for people.
-    pub fn word(&self) -> &'static str {
+    pub fn status(&self) -> &'static str {
         match self.state {
             State::Lost => "lost",
             State::Confirming(..) => "reads",
@@ -180,8 +181,8 @@
     }
 
     /// For how long the process has run.
-    pub fn age(&self, now: Nanos) -> Nanos {
-        self.began.map_or(0, |began| now.saturating_sub(began))
+    pub fn uptime(&self, now: Nanos) -> Nanos {
+        self.started_at.map_or(0, |started_at| now.saturating_sub(started_at))
     }
 
     /// For how long it has held.
@@ -195,22 +196,22 @@
 mod tests {
     use super::*;
 
-    const SPAN: Nanos = 1_500 * MS;
+    const TIMEOUT: Nanos = 1_500 * MS;
 
     fn members(epoch: u64) -> Members {
         Members { epoch, ..Members::first("u", ["a", "b", "c"].map(Address::from)) }
     }
 
-    fn answered(sent_ms: u64, epoch: u64, voting: bool) -> GossipReply {
+    fn reply(sent_ms: u64, epoch: u64, voting: bool) -> GossipReply {
         GossipReply { sent: sent_ms * MS, epoch, voting, revision: 0, members: None }
     }
 
     /// One that holds since 10 ms.
-    fn held() -> Contact {
-        let mut contact = Contact::new("a".into(), SPAN);
-        contact.reached("b".into(), answered(0, 0, true));
-        let read = contact.look(5 * MS, Some(&members(0)), true).expect("a read");
-        assert!(contact.reaches() && !contact.holds());
+    fn contact_that_holds() -> Contact {
+        let mut contact = Contact::new("a".into(), TIMEOUT);
+        contact.on_reply("b".into(), reply(0, 0, true));
+        let read = contact.update(5 * MS, Some(&members(0)), true).expect("a read");
+        assert!(contact.has_majority() && !contact.holds());
         contact.confirmed(10 * MS, read, 0);
         assert!(contact.holds());
         contact
@@ -229,32 +230,32 @@
         voting: bool,
         expected: bool,
     ) {
-        let mut contact = Contact::new("a".into(), SPAN);
+        let mut contact = Contact::new("a".into(), TIMEOUT);
         for (peer, epoch, votes) in peers {
-            contact.reached((*peer).into(), answered(0, *epoch, *votes));
+            contact.on_reply((*peer).into(), reply(0, *epoch, *votes));
         }
-        assert_eq!(contact.look(MS, Some(&members(0)), voting).is_some(), expected);
+        assert_eq!(contact.update(MS, Some(&members(0)), voting).is_some(), expected);
     }
 
     #[test]
     fn an_answer_counts_from_when_its_message_was_sent() {
-        let mut contact = held();
-        assert_eq!(contact.look(SPAN - 1, Some(&members(0)), true), None);
+        let mut contact = contact_that_holds();
+        assert_eq!(contact.update(TIMEOUT - 1, Some(&members(0)), true), None);
         assert!(contact.holds());
         // Another answer comes now, to a message that was sent before.
-        contact.reached("b".into(), answered(0, 0, true));
-        assert_eq!(contact.look(SPAN, Some(&members(0)), true), None);
-        assert!(!contact.reaches() && contact.is_lost(SPAN + 5 * MS));
+        contact.on_reply("b".into(), reply(0, 0, true));
+        assert_eq!(contact.update(TIMEOUT, Some(&members(0)), true), None);
+        assert!(!contact.has_majority() && contact.is_lost(TIMEOUT + 5 * MS));
     }
 
     #[test]
     fn after_a_loss_the_register_is_read_before_it_holds() {
-        let mut contact = held();
-        contact.look(2 * SPAN, Some(&members(0)), true);
-        contact.reached("c".into(), answered(3_000, 0, true));
-        let first = contact.look(3_001 * MS, Some(&members(0)), true).expect("a read");
+        let mut contact = contact_that_holds();
+        contact.update(2 * TIMEOUT, Some(&members(0)), true);
+        contact.on_reply("c".into(), reply(3_000, 0, true));
+        let first = contact.update(3_001 * MS, Some(&members(0)), true).expect("a read");
         assert!(!contact.holds() && !contact.is_lost(3_001 * MS));
-        let second = contact.look(4_001 * MS, Some(&members(0)), true).expect("another");
+        let second = contact.update(4_001 * MS, Some(&members(0)), true).expect("another");
         // The first one may have been answered before.
         contact.confirmed(4_002 * MS, first, 0);
         assert!(!contact.holds());
@@ -265,31 +266,31 @@
     /// A machine that heard of newer members from one whose voters did not know them yet read the register without end.
     #[test]
     fn under_newer_members_the_register_is_read_again_once() {
-        let mut contact = held();
-        contact.reached("c".into(), answered(20, 2, true));
-        assert_eq!(contact.look(21 * MS, Some(&members(0)), true), None);
-        let read = contact.look(22 * MS, Some(&members(2)), true).expect("a read");
-        assert!(!contact.holds() && contact.reaches());
+        let mut contact = contact_that_holds();
+        contact.on_reply("c".into(), reply(20, 2, true));
+        assert_eq!(contact.update(21 * MS, Some(&members(0)), true), None);
+        let read = contact.update(22 * MS, Some(&members(2)), true).expect("a read");
+        assert!(!contact.holds() && contact.has_majority());
         contact.confirmed(25 * MS, read, 2);
-        assert_eq!(contact.look(26 * MS, Some(&members(2)), true), None);
+        assert_eq!(contact.update(26 * MS, Some(&members(2)), true), None);
         assert!(contact.holds());
     }
 
     #[test]
     fn a_process_that_has_just_started_may_try() {
-        let mut contact = Contact::new("a".into(), SPAN);
-        assert_eq!(contact.look(7 * MS, Some(&members(0)), true), None);
-        assert!(!contact.is_lost(8 * MS) && contact.is_lost(7 * MS + SPAN));
+        let mut contact = Contact::new("a".into(), TIMEOUT);
+        assert_eq!(contact.update(7 * MS, Some(&members(0)), true), None);
+        assert!(!contact.is_lost(8 * MS) && contact.is_lost(7 * MS + TIMEOUT));
     }
 
     #[test]
     fn what_is_kept_of_others_is_bounded() {
-        let mut contact = Contact::new("a".into(), SPAN);
-        for n in 0..3 * MOST as u64 {
-            contact.reached(format!("p{n}").into(), answered(n, 0, true));
+        let mut contact = Contact::new("a".into(), TIMEOUT);
+        for n in 0..3 * MAX_PEERS as u64 {
+            contact.on_reply(format!("p{n}").into(), reply(n, 0, true));
         }
-        assert_eq!(contact.answered.len(), MOST);
-        assert!(contact.asked("p0").is_none() && contact.asked("p191").is_some());
+        assert_eq!(contact.replies.len(), MAX_PEERS);
+        assert!(contact.last_reply_sent("p0").is_none() && contact.last_reply_sent("p191").is_some());
     }
 
     #[test]
@@ -298,8 +299,8 @@
             let newer = members(7);
             let body = GossipReply::encode(Some(&newer), known, true, 5);
             let members = told.then_some(newer);
-            let answered = GossipReply { sent: 3, epoch: 7, voting: true, revision: 5, members };
-            assert_eq!(GossipReply::decode(3, body.as_bytes()), Some(answered), "{known:?}");
+            let expected = GossipReply { sent: 3, epoch: 7, voting: true, revision: 5, members };
+            assert_eq!(GossipReply::decode(3, body.as_bytes()), Some(expected), "{known:?}");
         }
         for other in ["", "[]", "{}", r#"{"epoch":-1}"#] {
             assert_eq!(GossipReply::decode(3, other.as_bytes()), None, "{other}");
--- a/controller/src/core.rs
+++ b/controller/src/core.rs
@@ -2,11 +2,11 @@
 //! carried out in their order. Invariant: each call that comes in is answered once.
 
 mod api;
-mod carts;
 mod drains;
-mod figures;
 mod follow;
-mod leave;
+mod metrics;
+mod migrations;
+mod shutdown;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,32 +21,34 @@
 use millpost_quorum::{Address, Key, Kind as RoundKind, Members, Message, Outcome, Value};
 use tinyjson::JsonValue;
 
-use crate::calls::LONGEST_BODY;
+use crate::calls::MAX_BODY;
 use crate::contact::{Contact, GossipReply};
-use crate::core::carts::Carts;
-use crate::core::drains::Outs;
+use crate::core::drains::DrainState;
 use crate::core::follow::Waiting;
-use crate::core::leave::Leave;
-use crate::feed::{BEAT, ConnectionId, Feed};
+use crate::core::migrations::MigrationDriver;
+use crate::core::shutdown::ShutdownProgress;
+use crate::feed::{ConnectionId, Feed, HEARTBEAT_INTERVAL};
 use crate::gossip::{self, Gossip};
-use crate::leader::{Leader, Told};
-use crate::leadership::{Done, Leadership, Next, PlatformCall, PlatformReply, Want};
-use crate::ledger::Ledger;
-use crate::orders::Orders;
-use crate::rounds::{self, For, Rounds};
-use crate::voters::{Todo, View, Voters};
+use crate::leader::{Leader, ProxyMessages};
+use crate::leadership::{
+    LeaderOutput, Leadership, LeadershipStep, PlatformCall, PlatformReply, RegisterRead,
+};
+use crate::pending_puts::PendingPuts;
+use crate::platform_stats::PlatformStats;
+use crate::rounds::{self, RoundPurpose, Rounds};
+use crate::voters::{VoterAction, VoterView, Voters};
 use crate::{MS, Nanos};
 
 /// The longest that the core waits for time to pass.
-const LONGEST_WAIT: Nanos = 100 * MS;
+const MAX_TICK_INTERVAL: Nanos = 100 * MS;
 /// The configuration is looked for this often while none is known.
-const LEARN: Nanos = 1_500 * MS;
+const CONFIG_READ_INTERVAL: Nanos = 1_500 * MS;
 /// One that another wrote here and that nobody has called chosen since is looked for after so long, and so often: who acknowledged it may
 /// be gone.
-const OVERHEARD: Nanos = 600 * MS;
-const LOOKS: u32 = 3;
+const UNCONFIRMED_CONFIG_DELAY: Nanos = 600 * MS;
+const MAX_UNCONFIRMED_READS: u32 = 3;
 /// A process is new for so long.
-const NEW: Nanos = 5_000 * MS;
+const STARTUP_PERIOD: Nanos = 5_000 * MS;
 
 /// What the core starts from.
 pub struct CoreOptions {
@@ -155,11 +157,11 @@
     AskLocalVoter(u64, Address, Message),
     /// The answer of the call of this number.
     Reply(u64, Reply),
-    /// The call of this number is answered by lines for as long as its seat is kept; this is the first.
+    /// The call of this number is answered by lines for as long as its connection is kept; this is the first.
     OpenFeed(u64, ConnectionId, Bytes),
     /// A line.
     FeedLine(ConnectionId, Bytes),
-    /// The seat is no more.
+    /// The connection is no more.
     CloseFeed(ConnectionId),
     /// An empty line for all seats; who has no room for it needs none.
     Heartbeat,
@@ -177,15 +179,15 @@
 pub struct Core {
     me: Address,
     seeds: Vec<Address>,
-    losses: u32,
+    tolerated_losses: u32,
     platform: Option<PlatformLimits>,
     sink: Option<Box<dyn Fn() -> Sink>>,
     voting: bool,
     /// A read of the configuration has ended well in this life, whatever it found.
-    learned: bool,
+    config_read: bool,
     contact: Contact,
     /// Whether followers were told last that contact holds.
-    told_contact: bool,
+    announced_contact: bool,
     rounds: Rounds,
     leadership: Leadership,
     gossip: Gossip,
@@ -193,22 +195,22 @@
     feed: Feed,
     /// Porters that wait until contact holds.
     waiting: Waiting,
-    carts: Carts,
+    migrations: MigrationDriver,
     /// What operators have taken out.
-    outs: Outs,
+    drain_state: DrainState,
     /// What the platform has told this leader.
-    ledger: Ledger,
-    /// Orders of operators whose rounds are under way.
-    orders: Orders,
+    platform_stats: PlatformStats,
+    /// PendingPuts of operators whose rounds are under way.
+    pending_puts: PendingPuts,
     /// A configuration newer than the one that is known to be chosen, which another wrote here; when it is looked for, and how often it was.
-    overheard: Option<(u64, Nanos, u32)>,
-    beat_at: Nanos,
-    learn_at: Nanos,
+    unconfirmed_config: Option<(u64, Nanos, u32)>,
+    heartbeat_at: Nanos,
+    config_read_at: Nanos,
     grace: Nanos,
     /// Once it was told to end.
-    leave: Option<Leave>,
+    shutdown: Option<ShutdownProgress>,
     /// Configurations that operators put here lately, as they were read; the newest last.
-    read: Vec<(Arc<str>, Config)>,
+    parsed_configs: Vec<(Arc<str>, Config)>,
     effects: Vec<Effect>,
 }
 
@@ -219,7 +221,7 @@
             me,
             life,
             seeds,
-            tolerated_losses: losses,
+            tolerated_losses,
             contact_timeout: contact,
             config_apply_time: apply,
             shutdown_grace: grace,
@@ -229,29 +231,29 @@
         let seed = life ^ xxhash_rust::xxh3::xxh3_64(me.as_bytes());
         Core {
             seeds,
-            losses,
+            tolerated_losses,
             platform,
             sink,
             voting: false,
-            learned: false,
+            config_read: false,
             contact: Contact::new(me.clone(), apply / 2),
-            told_contact: false,
+            announced_contact: false,
             rounds: Rounds::new(&me, life, seed),
             leadership: Leadership::new(me.clone(), life, seed),
             gossip: Gossip::new(me.clone()),
             voters: Voters::default(),
             feed: Feed::default(),
             waiting: Waiting::default(),
-            carts: Carts::new(life, contact, platform.map_or(0.0, |bounds| bounds.duty_per_s)),
-            outs: Outs::default(),
-            ledger: Ledger::default(),
-            orders: Orders::default(),
-            overheard: None,
-            beat_at: 0,
-            learn_at: 0,
+            migrations: MigrationDriver::new(life, contact, platform.map_or(0.0, |bounds| bounds.duty_per_s)),
+            drain_state: DrainState::default(),
+            platform_stats: PlatformStats::default(),
+            pending_puts: PendingPuts::default(),
+            unconfirmed_config: None,
+            heartbeat_at: 0,
+            config_read_at: 0,
             grace,
-            leave: None,
-            read: Vec::new(),
+            shutdown: None,
+            parsed_configs: Vec::new(),
             effects: Vec::new(),
             me,
         }
@@ -264,9 +266,9 @@
 
     /// When to call [`Core::tick`] next, at the latest.
     pub fn next_wake(&self, now: Nanos) -> Nanos {
-        let due = self.rounds.next_wake().min(self.leadership.next_wake()).min(now + LONGEST_WAIT);
-        let leave = self.leave.map_or(Nanos::MAX, |leave| leave.due(now));
-        due.min(self.gossip.due()).min(self.waiting.due()).min(leave).max(now + MS)
+        let due = self.rounds.next_wake().min(self.leadership.next_wake()).min(now + MAX_TICK_INTERVAL);
+        let shutdown = self.shutdown.map_or(Nanos::MAX, |shutdown| shutdown.due(now));
+        due.min(self.gossip.next_send()).min(self.waiting.due()).min(shutdown).max(now + MS)
     }
 
     /// Whether this machine is the leader.
@@ -276,7 +278,7 @@
 
     /// Rounds of the register that are under way.
     pub fn rounds_in_progress(&self) -> usize {
-        self.rounds.under_way()
+        self.rounds.in_progress()
     }
 
     /// Something happened.
@@ -289,201 +291,207 @@
                 }
                 self.voting = voting;
                 if let Some(members) = members {
-                    self.adopt(&members);
+                    self.adopt_members(&members);
                 }
             }
-            Input::VoterRequests(out) => self.vote(out, ReplyTarget::Voter),
+            Input::VoterRequests(out) => self.send_to_voters(out, ReplyTarget::Voter),
             Input::RoundReply(id, from, message) => {
                 let out = self.rounds.on_answer(now, id, &from, &message);
-                self.rounds(now, out);
+                self.apply_round_output(now, out);
             }
             Input::LeaseReply(from, message) => {
                 let out = self.leadership.on_lease(now, &from, &message);
                 if let Some(members) = self.leadership.members() {
                     self.rounds.adopt(members);
                 }
-                self.vote(out, ReplyTarget::Lease);
+                self.send_to_voters(out, ReplyTarget::Lease);
             }
             Input::LocalConfig(number, value) => {
-                let next = self.gossip.peeked(number, value);
-                self.bring(now, next);
+                let next = self.gossip.on_local_config(number, value);
+                self.continue_fetch(now, next);
             }
             Input::FetchedConfig(number, text) => {
-                self.gossip.fetched(number);
-                let read = |text: &str| Config::parse(&api::plain(text)?).ok();
+                self.gossip.on_fetched(number);
+                let read = |text: &str| Config::parse(&api::config_text(text)?).ok();
                 if let Some(text) = text
                     && let Some(config) = read(&text)
                 {
-                    self.choose(now, config.revision, Arc::from(text), config);
+                    self.set_config(now, config.revision, Arc::from(text), config);
                 }
             }
-            Input::PlatformReply(fence, asked, heard) => {
+            Input::PlatformReply(fence, decided_at, reply) => {
                 if self.leadership.term().is_some_and(|(of, _)| of == fence) {
-                    self.ledger.heard(now, &heard);
+                    self.platform_stats.record(now, &reply);
                 }
-                let heard = self.with_outs(now, heard);
-                self.leadership.on_heard(now, fence, asked, heard);
+                let reply = self.apply_drains(now, reply);
+                self.leadership.on_platform_reply(now, fence, decided_at, reply);
             }
-            Input::GossipReply(peer, mut answered) => {
-                if let Some(members) = answered.members.take() {
-                    self.adopt(&members);
+            Input::GossipReply(peer, mut reply) => {
+                if let Some(members) = reply.members.take() {
+                    self.adopt_members(&members);
                 }
-                self.contact.reached(peer, answered);
-                self.look_at_contact(now);
+                self.contact.on_reply(peer, reply);
+                self.update_contact(now);
             }
-            Input::FeedClosed(seat) => self.feed.left(seat),
+            Input::FeedClosed(connection) => self.feed.disconnected(connection),
             Input::Seeds(seeds) => self.seeds = seeds,
-            Input::Shutdown => self.leave(now),
+            Input::Shutdown => self.begin_shutdown(now),
         }
     }
 
     /// Time passes.
     pub fn tick(&mut self, now: Nanos) {
         let out = self.rounds.tick(now);
-        self.rounds(now, out);
-        self.look_at_contact(now);
-        self.lease(now);
-        self.take_out(now);
-        self.duties(now);
-        self.moves(now);
+        self.apply_round_output(now, out);
+        self.update_contact(now);
+        self.tick_lease(now);
+        self.tick_drains(now);
+        self.tick_leader(now);
+        self.tick_migrations(now);
         self.hand_over(now);
-        if now >= self.gossip.due() {
-            self.news(now);
+        if now >= self.gossip.next_send() {
+            self.send_gossip(now);
         }
-        if now >= self.beat_at {
-            self.beat_at = now + BEAT;
+        if now >= self.heartbeat_at {
+            self.heartbeat_at = now + HEARTBEAT_INTERVAL;
             self.effects.push(Effect::Heartbeat);
-            let lines = self.feed.late(now);
-            self.lines(lines);
+            let lines = self.feed.overdue_changes(now);
+            self.send_lines(lines);
         }
-        self.learn(now);
-        if let Some((version, due, looks)) = self.overheard.filter(|(_, due, _)| now >= *due) {
-            self.overheard = None;
-            if version > self.gossip.revision() && looks < LOOKS {
-                self.overheard = Some((version, due + LEARN, looks + 1));
-                self.round(now, RoundKind::Read, Key::Config, For::Learn);
+        self.read_unknown_config(now);
+        if let Some((version, due, reads)) = self.unconfirmed_config.filter(|(_, due, _)| now >= *due) {
+            self.unconfirmed_config = None;
+            if version > self.gossip.revision() && reads < MAX_UNCONFIRMED_READS {
+                self.unconfirmed_config = Some((version, due + CONFIG_READ_INTERVAL, reads + 1));
+                self.start_round(now, RoundKind::Read, Key::Config, RoundPurpose::LearnConfig);
             }
         }
     }
 
     /// Another writes a value here. Whether it is chosen, its writer tells, if that lives.
-    fn overhear(&mut self, now: Nanos, message: &Message) {
+    fn note_proposed_config(&mut self, now: Nanos, message: &Message) {
         let Message::Write { key: Key::Config, value, .. } = message else { return };
-        let known = self.overheard.map_or(0, |(version, ..)| version).max(self.gossip.revision());
+        let known = self.unconfirmed_config.map_or(0, |(version, ..)| version).max(self.gossip.revision());
         if value.version > known {
-            self.overheard = Some((value.version, now + OVERHEARD, 0));
+            self.unconfirmed_config = Some((value.version, now + UNCONFIRMED_CONFIG_DELAY, 0));
         }
     }
 
-    fn vote(&mut self, out: Vec<(Address, Message)>, back: ReplyTarget) {
-        self.effects.extend(out.into_iter().map(|(to, message)| Effect::SendToVoter(to, message, back)));
+    fn send_to_voters(&mut self, out: Vec<(Address, Message)>, target: ReplyTarget) {
+        self.effects.extend(out.into_iter().map(|(to, message)| Effect::SendToVoter(to, message, target)));
     }
 
-    fn lines(&mut self, lines: impl IntoIterator<Item = (ConnectionId, Bytes)>) {
-        self.effects.extend(lines.into_iter().map(|(seat, line)| Effect::FeedLine(seat, line)));
+    fn send_lines(&mut self, lines: impl IntoIterator<Item = (ConnectionId, Bytes)>) {
+        self.effects.extend(lines.into_iter().map(|(connection, line)| Effect::FeedLine(connection, line)));
     }
 
-    fn adopt(&mut self, members: &Members) {
+    fn adopt_members(&mut self, members: &Members) {
         self.rounds.adopt(members);
         self.leadership.adopt(members);
     }
 
-    fn round(&mut self, now: Nanos, kind: RoundKind, key: Key, to: For) {
-        let out = self.rounds.round(now, kind, key, to);
-        self.rounds(now, out);
+    fn start_round(&mut self, now: Nanos, kind: RoundKind, key: Key, to: RoundPurpose) {
+        let out = self.rounds.start(now, kind, key, to);
+        self.apply_round_output(now, out);
     }
 
     /// What the rounds want done.
-    fn rounds(&mut self, now: Nanos, out: rounds::Out) {
+    fn apply_round_output(&mut self, now: Nanos, out: rounds::RoundOutput) {
         if let Some(members) = self.rounds.members() {
             self.leadership.adopt(members);
         }
         let vote = |(id, to, message)| Effect::SendToVoter(to, message, ReplyTarget::Round(id));
         self.effects.extend(out.send.into_iter().map(vote));
-        for ended in out.ended {
-            self.ended(now, ended);
+        for finished in out.finished {
+            self.finish_round(now, finished);
         }
     }
 
-    fn ended(&mut self, now: Nanos, rounds::Ended { to, outcome }: rounds::Ended) {
+    fn finish_round(
+        &mut self,
+        now: Nanos,
+        rounds::FinishedRound { purpose, outcome }: rounds::FinishedRound,
+    ) {
         let value = |outcome| match outcome {
             Outcome::Written(value) => Some(value),
             Outcome::Found(value) | Outcome::Held(value) => value,
             Outcome::Lost(_) => None,
         };
-        match to {
-            For::Replace(id) => {
+        match purpose {
+            RoundPurpose::PutConfig(id) => {
                 let outcome = outcome.map(value);
                 if let Ok(Some(value)) = &outcome {
-                    self.install(now, value);
+                    self.install_config(now, value);
                 }
-                let stands = outcome.as_ref().map(Option::as_ref).map_err(Clone::clone);
-                let word = self.orders.end(id, stands);
-                self.answer(id, word.map(|confirmed| api::revision(confirmed.revision)));
+                let chosen = outcome.as_ref().map(Option::as_ref).map_err(Clone::clone);
+                let result = self.pending_puts.finish(id, chosen);
+                self.answer(id, result.map(|confirmed| api::put_reply(confirmed.revision)));
             }
-            For::Read(id) => {
+            RoundPurpose::ReadConfig(id) => {
                 let outcome = outcome.map(value);
                 let reply = match &outcome {
-                    Ok(value) => api::content(value.as_ref()),
+                    Ok(value) => api::config_reply(value.as_ref()),
                     Err(kind) => Err(kind.clone()),
                 };
                 self.answer(id, reply);
                 if let Ok(Some(value)) = &outcome {
-                    self.install(now, value);
+                    self.install_config(now, value);
                 }
             }
-            For::Learn => {
-                self.learned |= outcome.is_ok();
+            RoundPurpose::LearnConfig => {
+                self.config_read |= outcome.is_ok();
                 if let Some(value) = outcome.ok().and_then(value) {
-                    self.install(now, &value);
+                    self.install_config(now, &value);
                 }
             }
-            For::Confirm(read) => {
+            RoundPurpose::ConfirmContact(read) => {
                 if outcome.is_ok() {
                     let epoch = self.rounds.members().map_or(0, |members| members.epoch);
                     self.contact.confirmed(now, read, epoch);
-                    self.look_at_contact(now);
+                    self.update_contact(now);
                 }
             }
-            For::Last => {
+            RoundPurpose::LastLeader => {
                 if let Ok(outcome) = outcome {
-                    self.leadership.on_last(value(outcome).as_ref());
+                    self.leadership.on_last_leader(value(outcome).as_ref());
                 }
             }
-            For::Fence => {
+            RoundPurpose::ReadFence => {
                 let next = self.leadership.on_fence(now, outcome.map(value));
-                self.enter(now, next);
+                self.apply_leadership_step(now, next);
             }
-            For::Leadership(fence) => {
+            RoundPurpose::WriteFence(fence) => {
                 let next = self.leadership.on_fence_written(now, fence, outcome);
-                self.enter(now, next);
+                self.apply_leadership_step(now, next);
+            }
+            RoundPurpose::ChangeVoters => {}
+            RoundPurpose::HandOver(key) => self.on_handed_over(now, key, outcome.is_ok()),
+            RoundPurpose::MigrationRecord(ask) => self.on_migration_record(now, ask, outcome),
+            RoundPurpose::MigrationConfig(number) => {
+                self.on_migration_config(now, number, outcome.ok().and_then(value))
             }
-            For::Voters => {}
-            For::HandOver(key) => self.handed_over(now, key, outcome.is_ok()),
-            For::Moves(ask) => self.recorded(now, ask, outcome),
-            For::Load(number) => self.loaded(now, number, outcome.ok().and_then(value)),
         }
     }
 
-    fn enter(&mut self, now: Nanos, next: Next) {
+    fn apply_leadership_step(&mut self, now: Nanos, next: LeadershipStep) {
         match next {
-            Next::Rest => {}
-            Next::StandBack(out) => self.vote(out, ReplyTarget::Lease),
-            Next::Offer(fence) => {
+            LeadershipStep::Idle => {}
+            LeadershipStep::ReleaseLease(out) => self.send_to_voters(out, ReplyTarget::Lease),
+            LeadershipStep::WriteFence(fence) => {
                 let content = Arc::from(self.me.as_str());
                 let kind = RoundKind::Offer { version: fence, content, over: Some(fence - 1) };
-                self.round(now, kind, Key::Steward, For::Leadership(fence));
+                self.start_round(now, kind, Key::Steward, RoundPurpose::WriteFence(fence));
             }
-            Next::Take(fence) => {
+            LeadershipStep::BecomeLeader(fence) => {
                 let Some(bounds) = self.platform else { return };
                 let terms = Terms::new(fence, bounds.duty_per_s, bounds.max_lag_ms);
                 let sink = self.sink.as_ref().map(|sink| sink());
                 let mut leader = Leader::new(now, terms, bounds.rate_per_s, self.feed.config(), sink);
-                leader.control_is_new = self.contact.age(now) < NEW;
-                self.leadership.seat(leader);
-                self.ledger = Ledger::default();
-                self.know(fence, &self.me.clone());
-                self.news(now);
+                leader.control_restarted = self.contact.uptime(now) < STARTUP_PERIOD;
+                self.leadership.install_leader(leader);
+                self.platform_stats = PlatformStats::default();
+                self.update_leader(fence, &self.me.clone());
+                self.send_gossip(now);
             }
         }
     }
@@ -491,176 +499,187 @@
     /// Whether what is known here may be handed out as what stands: contact holds, the configuration was learnt in this life, and none of
     /// the others knows a newer one.
     fn in_contact(&self, now: Nanos) -> bool {
-        let learned = self.learned || self.gossip.chosen().is_some();
-        self.contact.holds() && learned && self.gossip.revision() >= self.contact.newest(now)
+        let learned = self.config_read || self.gossip.chosen().is_some();
+        self.contact.holds() && learned && self.gossip.revision() >= self.contact.newest_revision(now)
     }
 
     /// Looks for the configuration while none is known.
-    fn learn(&mut self, now: Nanos) {
-        if self.gossip.chosen().is_none() && self.rounds.members().is_some() && now >= self.learn_at {
-            self.learn_at = now + LEARN;
-            self.round(now, RoundKind::Read, Key::Config, For::Learn);
+    fn read_unknown_config(&mut self, now: Nanos) {
+        if self.gossip.chosen().is_none() && self.rounds.members().is_some() && now >= self.config_read_at {
+            self.config_read_at = now + CONFIG_READ_INTERVAL;
+            self.start_round(now, RoundKind::Read, Key::Config, RoundPurpose::LearnConfig);
         }
     }
 
     /// Whether a majority is reached, and who may follow by that.
-    fn look_at_contact(&mut self, now: Nanos) {
-        if let Some(read) = self.contact.look(now, self.rounds.members(), self.voting) {
+    fn update_contact(&mut self, now: Nanos) {
+        if let Some(read) = self.contact.update(now, self.rounds.members(), self.voting) {
             // A small value: the configuration may be long, and each voter would send the whole of it.
-            self.round(now, RoundKind::Read, Key::Steward, For::Confirm(read));
+            self.start_round(now, RoundKind::Read, Key::Steward, RoundPurpose::ConfirmContact(read));
         }
-        self.learn(now);
-        self.tell_contact();
-        self.admit(now);
+        self.read_unknown_config(now);
+        self.announce_contact();
+        self.admit_waiting(now);
     }
 
     /// Followers hear whether a majority is reached, where that has changed: who feeds nothing new is not to be waited for.
-    fn tell_contact(&mut self) {
+    fn announce_contact(&mut self) {
         let holds = self.contact.holds();
-        let certain = holds || !self.contact.reaches();
-        if certain && holds != self.told_contact {
-            self.told_contact = holds;
-            let lines = self.feed.tell(&[PeerMessage::Contact { holds }]);
-            self.lines(lines);
+        let certain = holds || !self.contact.has_majority();
+        if certain && holds != self.announced_contact {
+            self.announced_contact = holds;
+            let lines = self.feed.broadcast(&[PeerMessage::Contact { holds }]);
+            self.send_lines(lines);
         }
     }
 
     /// Who is the leader, if that is news.
-    fn know(&mut self, fence: u64, address: &str) {
-        if self.gossip.know(fence, address) {
-            let lines = self.feed.tell(&[PeerMessage::Steward { address: address.into(), fence }]);
-            self.lines(lines);
+    fn update_leader(&mut self, fence: u64, address: &str) {
+        if self.gossip.update_leader(fence, address) {
+            let lines = self.feed.broadcast(&[PeerMessage::Steward { address: address.into(), fence }]);
+            self.send_lines(lines);
         }
     }
 
     /// The next step towards a newer configuration.
-    fn bring(&mut self, now: Nanos, next: Option<gossip::Next>) {
+    fn continue_fetch(&mut self, now: Nanos, next: Option<gossip::FetchStep>) {
         match next {
-            Some(gossip::Next::Peek(number)) => self.effects.push(Effect::ReadLocalConfig(number)),
-            Some(gossip::Next::Here(value, step)) => {
-                let stepped = self.step(now, &value, step);
-                if !stepped {
-                    self.install(now, &value);
+            Some(gossip::FetchStep::ReadLocal(number)) => self.effects.push(Effect::ReadLocalConfig(number)),
+            Some(gossip::FetchStep::Found(value, change)) => {
+                let applied = self.apply_config_change(now, &value, change);
+                if !applied {
+                    self.install_config(now, &value);
                 }
             }
-            Some(gossip::Next::Fetch(number, from)) => self.effects.push(Effect::FetchConfig(number, from)),
+            Some(gossip::FetchStep::Fetch(number, from)) => {
+                self.effects.push(Effect::FetchConfig(number, from))
+            }
             None => {}
         }
     }
 
     /// A chosen configuration by how it differs from the one that stands here, if that is the one meant: reading a long one whole takes
     /// ten times as long. Whether that was so.
-    fn step(&mut self, now: Nanos, value: &Value, step: Option<gossip::Step>) -> bool {
-        let Some(step) = step.filter(|s| self.gossip.mark() == Some(&s.from)) else { return false };
+    fn apply_config_change(
+        &mut self,
+        now: Nanos,
+        value: &Value,
+        change: Option<gossip::ConfigChange>,
+    ) -> bool {
+        let Some(step) = change.filter(|s| self.gossip.digest() == Some(&s.base)) else { return false };
         let read = || {
-            let text = pack::unpack(&step.packed, LONGEST_BODY)?;
+            let text = pack::unpack(&step.packed, MAX_BODY)?;
             let config = change::apply(self.feed.config()?, &text.parse().ok()?).ok()?;
             (config.revision == value.version).then_some(config)
         };
         let Some(config) = read() else { return false };
-        self.choose(now, value.version, value.content.clone(), config);
+        self.set_config(now, value.version, value.content.clone(), config);
         true
     }
 
     /// A configuration that is chosen.
-    fn install(&mut self, now: Nanos, value: &Value) {
+    fn install_config(&mut self, now: Nanos, value: &Value) {
         if self.gossip.revision() >= value.version && self.gossip.chosen().is_some() {
             return;
         }
         // What an operator put here was read when it came.
-        if let Some(at) = self.read.iter().position(|(content, _)| *content == value.content) {
-            let (content, config) = self.read.swap_remove(at);
-            return self.choose(now, value.version, content, config);
+        if let Some(at) = self.parsed_configs.iter().position(|(content, _)| *content == value.content) {
+            let (content, config) = self.parsed_configs.swap_remove(at);
+            return self.set_config(now, value.version, content, config);
         }
-        match api::plain(&value.content).map(|text| Config::parse(&text)) {
-            Some(Ok(config)) => self.choose(now, value.version, value.content.clone(), config),
+        match api::config_text(&value.content).map(|text| Config::parse(&text)) {
+            Some(Ok(config)) => self.set_config(now, value.version, value.content.clone(), config),
             Some(Err(e)) => log::error!("the configuration that stands can't be read: {e}"),
             None => log::error!("the configuration that stands can't be unpacked"),
         }
     }
 
-    fn choose(&mut self, now: Nanos, revision: u64, content: Arc<str>, config: Config) {
+    fn set_config(&mut self, now: Nanos, revision: u64, content: Arc<str>, config: Config) {
         if self.gossip.revision() >= revision && self.gossip.chosen().is_some() {
             return;
         }
         let packed = (!content.starts_with('{')).then(|| content.to_string());
-        self.read.retain(|(_, read)| read.revision > revision);
+        self.parsed_configs.retain(|(_, read)| read.revision > revision);
         if let Some(leader) = self.leadership.leader_mut() {
             leader.configure(now, &config);
         }
         let lines = self.feed.configure(now, config, packed);
-        self.lines(lines);
+        self.send_lines(lines);
         let change = self.feed.change().and_then(pack::pack);
-        self.gossip.choose(revision, content, change);
-        self.news(now);
-        self.chosen_for_moves(now);
+        self.gossip.set_chosen(revision, content, change);
+        self.send_gossip(now);
+        self.pass_chosen_config(now);
     }
 
     /// Tells the other control machines what is known here.
-    fn news(&mut self, now: Nanos) {
-        let standing = gossip::Standing { voting: self.voting, leaving: self.leave.is_some() };
-        let (to, news) = self.gossip.tell(now, &self.seeds, self.rounds.members(), standing);
-        let mut news = news.to_json();
-        let outs = self.outs.drains().news(now);
-        if let (JsonValue::Object(parts), JsonValue::Object(_)) = (&mut news, &outs) {
-            parts.insert("drains".to_owned(), outs);
+    fn send_gossip(&mut self, now: Nanos) {
+        let state = gossip::LocalState { voting: self.voting, leaving: self.shutdown.is_some() };
+        let (to, message) = self.gossip.prepare(now, &self.seeds, self.rounds.members(), state);
+        let mut message = message.to_json();
+        let drains = self.drain_state.drains().to_gossip(now);
+        if let (JsonValue::Object(parts), JsonValue::Object(_)) = (&mut message, &drains) {
+            parts.insert("drains".to_owned(), drains);
         }
-        let body = Bytes::from(news.stringify().unwrap_or_default());
+        let body = Bytes::from(message.stringify().unwrap_or_default());
         self.effects.extend(to.into_iter().map(|to| Effect::Gossip(to, body.clone())));
     }
 
-    fn lease(&mut self, now: Nanos) {
+    fn tick_lease(&mut self, now: Nanos) {
         // Without a platform there is nothing to start or to poll, and nobody is the leader.
-        let stands = self.voting && self.platform.is_some();
-        let (out, want) = self.leadership.tick(now, self.rounds.members(), stands);
-        self.vote(out, ReplyTarget::Lease);
+        let eligible = self.voting && self.platform.is_some();
+        let (out, want) = self.leadership.tick(now, self.rounds.members(), eligible);
+        self.send_to_voters(out, ReplyTarget::Lease);
         match want {
-            Some(Want::Last) if !self.rounds.at_work_for(For::Last) => {
-                self.round(now, RoundKind::Read, Key::Steward, For::Last);
+            Some(RegisterRead::LastLeader) if !self.rounds.is_running(RoundPurpose::LastLeader) => {
+                self.start_round(now, RoundKind::Read, Key::Steward, RoundPurpose::LastLeader);
+            }
+            Some(RegisterRead::Fence) => {
+                self.start_round(now, RoundKind::Read, Key::Steward, RoundPurpose::ReadFence)
             }
-            Some(Want::Fence) => self.round(now, RoundKind::Read, Key::Steward, For::Fence),
-            Some(Want::Last) | None => {}
+            Some(RegisterRead::LastLeader) | None => {}
         }
     }
 
     /// What the leader does.
-    fn duties(&mut self, now: Nanos) {
+    fn tick_leader(&mut self, now: Nanos) {
         let feed = &self.feed;
-        let Some(Done { named, told, errands }) = self.leadership.duties(now, |name| feed.has(name)) else {
+        let Some(LeaderOutput { view, messages, platform_calls }) =
+            self.leadership.tick_leader(now, |name| feed.is_connected(name))
+        else {
             return;
         };
-        let tell = |told: Told, feed: &mut Feed| -> Vec<_> {
-            told.iter().filter_map(|(name, notes)| feed.tell_one(name, notes)).collect()
+        let send = |messages: ProxyMessages, feed: &mut Feed| -> Vec<_> {
+            messages.iter().filter_map(|(name, notes)| feed.send_to(name, notes)).collect()
         };
-        if let Some((stalls, each)) = named {
+        if let Some((view, instances)) = view {
             // One line for all, and each its own instances behind it.
-            let lines = self.feed.tell(&[stalls]);
-            self.lines(lines);
-            let lines = tell(each, &mut self.feed);
-            self.lines(lines);
+            let lines = self.feed.broadcast(&[view]);
+            self.send_lines(lines);
+            let lines = send(instances, &mut self.feed);
+            self.send_lines(lines);
         }
-        let lines = tell(told, &mut self.feed);
-        self.lines(lines);
-        self.effects.extend(errands.into_iter().map(Effect::PlatformCall));
-        self.look_after_voters(now);
+        let lines = send(messages, &mut self.feed);
+        self.send_lines(lines);
+        self.effects.extend(platform_calls.into_iter().map(Effect::PlatformCall));
+        self.tick_voters(now);
     }
 
-    fn look_after_voters(&mut self, now: Nanos) {
-        if self.rounds.at_work_for(For::Voters) {
+    fn tick_voters(&mut self, now: Nanos) {
+        if self.rounds.is_running(RoundPurpose::ChangeVoters) {
             return;
         }
         let Some(members) = self.rounds.members() else { return };
-        let (me, others, losses) = (self.me.as_str(), self.gossip.others(), self.losses);
-        let todo = self.voters.look(now, View { me, members, others, losses });
-        let out = match todo {
-            Some(Todo::End) => self.rounds.change(now, None),
-            Some(Todo::Make(change)) => self.rounds.change(now, Some(change)),
+        let (me, peers, tolerated_losses) = (self.me.as_str(), self.gossip.peers(), self.tolerated_losses);
+        let action = self.voters.next_action(now, VoterView { me, members, peers, tolerated_losses });
+        let out = match action {
+            Some(VoterAction::FinishChange) => self.rounds.start_change(now, None),
+            Some(VoterAction::StartChange(change)) => self.rounds.start_change(now, Some(change)),
             None => return,
         };
-        self.rounds(now, out);
+        self.apply_round_output(now, out);
     }
 
-    fn known(&self) -> (u64, CompactString) {
-        self.gossip.known().clone()
+    fn known_leader(&self) -> (u64, CompactString) {
+        self.gossip.leader().clone()
     }
 }
--- a/controller/src/core/api.rs
+++ b/controller/src/core/api.rs
@@ -13,124 +13,132 @@
 use millpost_quorum::{Address, Key, Kind as RoundKind, Message, Value};
 use tinyjson::JsonValue;
 
-use super::{Core, Effect, carts};
-use crate::calls::{LONGEST_BODY, What, what};
+use super::{Core, Effect, migrations};
+use crate::calls::{Endpoint, MAX_BODY, route};
 use crate::contact::GossipReply;
-use crate::errors::Kind;
-use crate::gossip::News;
-use crate::rounds::For;
+use crate::errors::CallError;
+use crate::gossip::GossipMessage;
+use crate::rounds::RoundPurpose;
 use crate::{MS, Nanos};
 
 /// Longer configurations are packed once, as they come, and stay so in the register, on its disks and in the feed.
-const PACK_FROM: usize = 4 * 1024;
+const PACK_THRESHOLD: usize = 4 * 1024;
 /// A leader has longer ones read by another.
-const LONG_BODY: usize = 64 * 1024;
+const DELEGATE_THRESHOLD: usize = 64 * 1024;
 /// Another control machine that has answered so lately is there.
-const FRESH: Nanos = 1_000 * MS;
+const REPLY_TTL: Nanos = 1_000 * MS;
 /// Configurations that were read and may be chosen yet.
-const MOST_READ: usize = 4;
+const MAX_PARSED_CONFIGS: usize = 4;
 
 /// Another control machine takes the call.
-fn elsewhere(address: &Address) -> Reply {
+fn redirect_to(address: &Address) -> Reply {
     let to = HeaderValue::try_from(format!("http://{address}/Config.Replace"));
     match to {
         Ok(to) => Reply::empty(StatusCode::TEMPORARY_REDIRECT).with(LOCATION, to),
-        Err(_) => Kind::Busy.answer(),
+        Err(_) => CallError::Busy.to_reply(),
     }
 }
 
 /// The text of a configuration as its operator sent it.
-pub(super) fn plain(content: &str) -> Option<Cow<'_, str>> {
-    pack::plain(content, LONGEST_BODY)
+pub(super) fn config_text(content: &str) -> Option<Cow<'_, str>> {
+    pack::plain(content, MAX_BODY)
 }
 
 /// The answer to an operator's put.
-pub(super) fn revision(revision: u64) -> Reply {
+pub(super) fn put_reply(revision: u64) -> Reply {
     let body = object([("revision", JsonValue::Number(revision as f64))]).stringify().unwrap_or_default();
     Reply::json(StatusCode::OK, body)
 }
 
 /// The answer to an operator who reads.
-pub(super) fn content(value: Option<&Value>) -> Result<Reply, Kind> {
-    let text = value.and_then(|value| plain(&value.content)).ok_or(Kind::Empty)?;
+pub(super) fn config_reply(value: Option<&Value>) -> Result<Reply, CallError> {
+    let text = value.and_then(|value| config_text(&value.content)).ok_or(CallError::Empty)?;
     Ok(Reply::json(StatusCode::OK, text.into_owned()))
 }
 
-pub(super) fn letter(call: &Call) -> Result<MessageBatch, Kind> {
-    let json = call.json().ok_or_else(|| Kind::Invalid("no JSON".to_owned()))?;
-    MessageBatch::read(&json).map_err(|e| Kind::Invalid(e.to_string()))
+pub(super) fn read_batch(call: &Call) -> Result<MessageBatch, CallError> {
+    let json = call.json().ok_or_else(|| CallError::Invalid("no JSON".to_owned()))?;
+    MessageBatch::read(&json).map_err(|e| CallError::Invalid(e.to_string()))
 }
 
-fn vote(call: &Call) -> Result<(Address, Message), Kind> {
+fn read_vote(call: &Call) -> Result<(Address, Message), CallError> {
     let read = || {
         let JsonValue::Object(parts) = call.json()? else { return None };
         let from = millpost_protocol::string(&parts, "from").ok()?;
         Some((from, Message::read(parts.get("m")?).ok()?))
     };
-    read().ok_or_else(|| Kind::Invalid("no message of a register".to_owned()))
+    read().ok_or_else(|| CallError::Invalid("no message of a register".to_owned()))
 }
 
 impl Core {
-    pub(super) fn answer(&mut self, id: u64, answer: Result<Reply, Kind>) {
-        self.effects.push(Effect::Reply(id, answer.unwrap_or_else(|kind| kind.answer())));
+    pub(super) fn answer(&mut self, id: u64, answer: Result<Reply, CallError>) {
+        self.effects.push(Effect::Reply(id, answer.unwrap_or_else(|kind| kind.to_reply())));
     }
 
     /// A call is answered now, or by the round or the voter that it is handed to.
     pub(super) fn call(&mut self, now: Nanos, id: u64, call: &Call) {
-        let answer = match what(&call.method, &call.path) {
+        let answer = match route(&call.method, &call.path) {
             Err(kind) => Err(kind),
             // Who asks from now on goes elsewhere.
-            Ok(What::Replace | What::Read | What::Follow | What::Order | What::Drain)
-                if self.leave.is_some() =>
-            {
-                Err(Kind::Busy)
-            }
+            Ok(
+                Endpoint::PutConfig
+                | Endpoint::ReadConfig
+                | Endpoint::Follow
+                | Endpoint::MigrationOrder
+                | Endpoint::DrainOrder,
+            ) if self.shutdown.is_some() => Err(CallError::Busy),
             // A round would only wait for a majority that is known not to answer.
-            Ok(What::Replace | What::Read | What::Order) if self.contact.is_lost(now) => {
-                Err(Kind::NoMajority)
+            Ok(Endpoint::PutConfig | Endpoint::ReadConfig | Endpoint::MigrationOrder)
+                if self.contact.is_lost(now) =>
+            {
+                Err(CallError::NoMajority)
             }
-            Ok(What::Chosen) if !self.in_contact(now) => Err(Kind::NoMajority),
-            Ok(What::Replace) if call.body.len() > LONG_BODY && self.other_voter(now).is_some() => {
-                Ok(self.other_voter(now).map_or_else(|| Kind::Busy.answer(), elsewhere))
+            Ok(Endpoint::ChosenConfig) if !self.in_contact(now) => Err(CallError::NoMajority),
+            Ok(Endpoint::PutConfig)
+                if call.body.len() > DELEGATE_THRESHOLD && self.other_voter(now).is_some() =>
+            {
+                Ok(self.other_voter(now).map_or_else(|| CallError::Busy.to_reply(), redirect_to))
             }
-            Ok(What::Replace) => match self.config(call) {
+            Ok(Endpoint::PutConfig) => match self.read_put(call) {
                 Ok(kind) => {
-                    self.orders.begin(id, &kind);
-                    return self.round(now, kind, Key::Config, For::Replace(id));
+                    self.pending_puts.begin(id, &kind);
+                    return self.start_round(now, kind, Key::Config, RoundPurpose::PutConfig(id));
                 }
                 Err(kind) => Err(kind),
             },
-            Ok(What::Read) => return self.round(now, RoundKind::Read, Key::Config, For::Read(id)),
-            Ok(What::Vote) => match vote(call) {
+            Ok(Endpoint::ReadConfig) => {
+                return self.start_round(now, RoundKind::Read, Key::Config, RoundPurpose::ReadConfig(id));
+            }
+            Ok(Endpoint::Vote) => match read_vote(call) {
                 Ok((from, message)) => {
-                    self.overhear(now, &message);
+                    self.note_proposed_config(now, &message);
                     return self.effects.push(Effect::AskLocalVoter(id, from, message));
                 }
                 Err(kind) => Err(kind),
             },
-            Ok(What::News) => self.heard(now, call),
-            Ok(What::Chosen) => match self.gossip.chosen() {
+            Ok(Endpoint::Gossip) => self.on_gossip(now, call),
+            Ok(Endpoint::ChosenConfig) => match self.gossip.chosen() {
                 Some(text) => Ok(Reply::json(StatusCode::OK, text.to_string())),
-                None => Err(Kind::Empty),
+                None => Err(CallError::Empty),
             },
-            Ok(What::Status) => Ok(self.status(now)),
-            Ok(What::Metrics) => Ok(self.figures(now).reply()),
-            Ok(What::Functions) => {
+            Ok(Endpoint::Status) => Ok(self.status(now)),
+            Ok(Endpoint::Metrics) => Ok(self.metrics(now).reply()),
+            Ok(Endpoint::Functions) => {
                 crate::functions::reply(self.leadership.leader(), now, call.query.as_deref())
             }
-            Ok(What::Duty) => crate::duty::reply(self.leadership.leader(), &self.ledger, now),
-            Ok(What::Drains) => self.told_outs(now),
-            Ok(What::Drain) => self.order_out(now, call),
-            Ok(What::Moves) => self.told_moves(now, call.query.as_deref()),
-            Ok(What::Order) => match carts::order(call) {
-                Ok(order) => return self.cart(now, Input::Order(id, order)),
+            Ok(Endpoint::Duty) => crate::duty::reply(self.leadership.leader(), &self.platform_stats, now),
+            Ok(Endpoint::Drains) => self.drains_reply(now),
+            Ok(Endpoint::DrainOrder) => self.order_drain(now, call),
+            Ok(Endpoint::Migrations) => self.migrations_reply(now, call.query.as_deref()),
+            Ok(Endpoint::MigrationOrder) => match migrations::order(call) {
+                Ok(order) => return self.drive_migrations(now, Input::Order(id, order)),
                 Err(kind) => Err(kind),
             },
-            Ok(What::Follow) => match self.follow(now, id, call) {
+            Ok(Endpoint::Follow) => match self.follow(now, id, call) {
                 Ok(()) => return,
                 Err(kind) => Err(kind),
             },
-            Ok(What::Mail) => self.mail(now, call),
+            Ok(Endpoint::Messages) => self.on_messages(now, call),
         };
         self.answer(id, answer);
     }
@@ -139,94 +147,94 @@
     fn other_voter(&self, now: Nanos) -> Option<&Address> {
         self.leadership.leader()?;
         let members = self.rounds.members()?;
-        let hears = |a: &Address| self.contact.asked(a).is_some_and(|sent| sent + FRESH > now);
-        let votes = |a: &Address| self.gossip.others().get(a).is_some_and(|s| s.voting);
+        let hears = |a: &Address| self.contact.last_reply_sent(a).is_some_and(|sent| sent + REPLY_TTL > now);
+        let votes = |a: &Address| self.gossip.peers().get(a).is_some_and(|s| s.voting);
         let fresh = |a: &&Address| hears(a) && votes(a);
         let all: Vec<_> = members.voters.iter().filter(|a| **a != self.me).filter(fresh).collect();
-        let turn = (now / FRESH) as usize % all.len().max(1);
+        let turn = (now / REPLY_TTL) as usize % all.len().max(1);
         all.get(turn).copied()
     }
 
     /// The offer of a configuration, which is read and packed.
-    pub(super) fn offer(&mut self, text: &str, over: Option<u64>) -> Result<RoundKind, String> {
+    pub(super) fn prepare_put(&mut self, text: &str, over: Option<u64>) -> Result<RoundKind, String> {
         let config = Config::parse(text).map_err(|e| e.to_string())?;
-        let packed = if text.len() > PACK_FROM { pack(text) } else { None };
+        let packed = if text.len() > PACK_THRESHOLD { pack(text) } else { None };
         // What begins otherwise would be taken for packed.
         let content = packed.map_or_else(|| Arc::from(text.trim_start()), Arc::<str>::from);
         let version = config.revision;
-        if self.read.len() >= MOST_READ {
-            self.read.remove(0);
+        if self.parsed_configs.len() >= MAX_PARSED_CONFIGS {
+            self.parsed_configs.remove(0);
         }
-        self.read.push((Arc::clone(&content), config));
+        self.parsed_configs.push((Arc::clone(&content), config));
         Ok(RoundKind::Offer { version, content, over })
     }
 
-    fn config(&mut self, call: &Call) -> Result<RoundKind, Kind> {
+    fn read_put(&mut self, call: &Call) -> Result<RoundKind, CallError> {
         let text = std::str::from_utf8(&call.body).map_err(|e| e.to_string());
-        let read = text.and_then(|text| self.offer(text, None));
+        let read = text.and_then(|text| self.prepare_put(text, None));
         read.map_err(|why| {
             log::info!("a configuration is refused: {why}");
-            Kind::Invalid(why)
+            CallError::Invalid(why)
         })
     }
 
-    fn heard(&mut self, now: Nanos, call: &Call) -> Result<Reply, Kind> {
-        let json = call.json().ok_or_else(|| Kind::Invalid("no JSON".to_owned()))?;
-        let news = News::read(&json)?;
-        let (fence, leader, known) = (news.fence, news.leader.clone(), news.epoch);
-        let next = self.gossip.heard(now, news)?;
-        self.heard_outs(now, &json);
+    fn on_gossip(&mut self, now: Nanos, call: &Call) -> Result<Reply, CallError> {
+        let json = call.json().ok_or_else(|| CallError::Invalid("no JSON".to_owned()))?;
+        let message = GossipMessage::read(&json)?;
+        let (fence, leader, known) = (message.fence, message.leader.clone(), message.epoch);
+        let next = self.gossip.on_message(now, message)?;
+        self.merge_drains(now, &json);
         if fence > 0 {
-            self.know(fence, &leader);
+            self.update_leader(fence, &leader);
         }
-        self.bring(now, next);
-        if !self.contact.reaches() {
+        self.continue_fetch(now, next);
+        if !self.contact.has_majority() {
             self.gossip.hasten(now);
         }
         let body = GossipReply::encode(self.rounds.members(), known, self.voting, self.gossip.revision());
         Ok(Reply::json(StatusCode::OK, body))
     }
 
-    fn mail(&mut self, now: Nanos, call: &Call) -> Result<Reply, Kind> {
-        let letter = letter(call)?;
+    fn on_messages(&mut self, now: Nanos, call: &Call) -> Result<Reply, CallError> {
+        let batch = read_batch(call)?;
         let (mut missed, mut asks) = (false, false);
-        for note in &letter.notes {
+        for note in &batch.notes {
             match (note, self.leadership.leader_mut()) {
                 (PeerMessage::Acts { revision, .. }, _) => {
-                    let again = self.feed.acts(now, &letter.from, *revision);
-                    self.lines(again);
+                    let again = self.feed.on_applied(now, &batch.from, *revision);
+                    self.send_lines(again);
                 }
                 (PeerMessage::AskRevision, _) => asks = true,
-                (PeerMessage::Rest { name, left }, _) => self.rests(now, name, *left),
-                (note, Some(leader)) => leader.note(now, note),
+                (PeerMessage::Rest { name, left }, _) => self.on_rest(now, name, *left),
+                (note, Some(leader)) => leader.on_message(now, note),
                 (PeerMessage::Alive { .. }, None) => {}
                 (_, None) => missed = true,
             }
         }
         if missed {
-            return Err(Kind::NotLeader);
+            return Err(CallError::NotLeader);
         }
         // Who is not in contact can't say what stands.
-        Ok(if asks && self.in_contact(now) { self.stands() } else { Reply::empty(StatusCode::OK) })
+        Ok(if asks && self.in_contact(now) { self.revision_reply() } else { Reply::empty(StatusCode::OK) })
     }
 
     /// Which configuration stands, for a stall that has started.
-    fn stands(&self) -> Reply {
-        let stands = PeerMessage::Stands { revision: self.gossip.revision() };
+    fn revision_reply(&self) -> Reply {
+        let note = PeerMessage::Stands { revision: self.gossip.revision() };
         let body = object([
             ("from", text(&self.me)),
             ("life", JsonValue::Number(0.0)),
-            ("notes", JsonValue::Array(vec![stands.to_json()])),
+            ("notes", JsonValue::Array(vec![note.to_json()])),
         ]);
         Reply::json(StatusCode::OK, body.stringify().unwrap_or_default())
     }
 
     /// How far this machine is from the leader's lease.
-    fn lease_word(&self, now: Nanos) -> &'static str {
+    fn lease_status(&self, now: Nanos) -> &'static str {
         match () {
             () if self.platform.is_none() => "no_platform",
             () if !self.voting => "no_vote",
-            () => self.leadership.lease_word(now),
+            () => self.leadership.lease_status(now),
         }
     }
 
@@ -239,9 +247,9 @@
         let voters = members.map_or(JsonValue::Null, |m| strings(&m.voters));
         let next = members.and_then(|m| m.next.as_deref()).map_or(JsonValue::Null, strings);
         let ago = |heard: Nanos| number(now.saturating_sub(heard) / MS);
-        let others = self.gossip.others().iter().map(|(a, s)| (a.to_string(), ago(s.heard))).collect();
+        let others = self.gossip.peers().iter().map(|(a, s)| (a.to_string(), ago(s.heard))).collect();
         let leader = self.leadership.leader();
-        let (fence, address) = self.gossip.known();
+        let (fence, address) = self.gossip.leader();
         let body = object([
             ("address", text(&self.me)),
             ("voting", JsonValue::Boolean(self.voting)),
@@ -251,8 +259,8 @@
             ("steward", text(address)),
             ("fence", number(*fence)),
             ("is_steward", JsonValue::Boolean(leader.is_some())),
-            ("lease", text(self.lease_word(now))),
-            ("contact", text(self.contact.word())),
+            ("lease", text(self.lease_status(now))),
+            ("contact", text(self.contact.status())),
             ("contact_ms", self.contact.held_for(now).map_or(JsonValue::Null, |held| number(held / MS))),
             ("revision", number(self.feed.revision())),
             ("followers_act_on", JsonValue::Object(followers)),
--- a/controller/src/core/drains.rs
+++ b/controller/src/core/drains.rs
@@ -11,26 +11,26 @@
 use tinyjson::JsonValue;
 
 use super::Core;
-use crate::drains::{Drains, Order, Seen};
-use crate::errors::Kind;
+use crate::drains::{Drains, Fleet, Order};
+use crate::errors::CallError;
 use crate::leadership::PlatformReply;
 use crate::{MS, Nanos};
 
-/// Instances on workers that are out are looked at this often.
-const LOOK: Nanos = 250 * MS;
+/// Instances on workers that are out are checked_at at this often.
+const EMPTY_CHECK_INTERVAL: Nanos = 250 * MS;
 /// Requests that an instance had when it was taken out of use end within this, whatever their routes say.
-const REQUESTS: Nanos = 30_000 * MS;
+const MAX_REQUEST_TIME: Nanos = 30_000 * MS;
 
 /// What is out, and instances that wait for the end of their requests.
 #[derive(Default)]
-pub(super) struct Outs {
+pub(super) struct DrainState {
     drains: Drains,
     /// Since when instances on workers that are out are told as draining.
-    empties: BTreeMap<CompactString, Nanos>,
-    looked: Nanos,
+    draining_since: BTreeMap<CompactString, Nanos>,
+    checked_at: Nanos,
 }
 
-impl Outs {
+impl DrainState {
     /// What is out.
     pub fn drains(&self) -> &Drains {
         &self.drains
@@ -39,18 +39,19 @@
 
 impl Core {
     /// Time passes: who does not own functions, who is told, and instances that go.
-    pub(super) fn take_out(&mut self, now: Nanos) {
+    pub(super) fn tick_drains(&mut self, now: Nanos) {
         let fence = self.leadership.leader().map(|leader| leader.fence);
-        self.outs.drains.tick(now, fence);
-        let rests = self.leadership.leader().is_some_and(|leader| !leader.rests.is_empty());
-        let Some(leader) = self.leadership.leader_mut().filter(|_| rests || !self.outs.drains.is_empty())
+        self.drain_state.drains.tick(now, fence);
+        let any_drained = self.leadership.leader().is_some_and(|leader| !leader.drained.is_empty());
+        let Some(leader) =
+            self.leadership.leader_mut().filter(|_| any_drained || !self.drain_state.drains.is_empty())
         else {
-            return self.outs.empties.clear();
+            return self.drain_state.draining_since.clear();
         };
-        leader.rests = self.outs.drains.unnamed(now);
-        for (name, note) in self.outs.drains.due(now) {
-            let line = self.feed.tell_one(&name, &[note]);
-            self.lines(line);
+        leader.drained = self.drain_state.drains.excluded_proxies(now);
+        for (name, note) in self.drain_state.drains.due_messages(now) {
+            let line = self.feed.send_to(&name, &[note]);
+            self.send_lines(line);
         }
         self.empty_workers(now);
     }
@@ -58,32 +59,34 @@
     /// Instances on workers that are out are stopped once their requests have ended: others were started in their places when they were
     /// told as draining.
     fn empty_workers(&mut self, now: Nanos) {
-        if now < self.outs.looked + LOOK {
+        if now < self.drain_state.checked_at + EMPTY_CHECK_INTERVAL {
             return;
         }
-        self.outs.looked = now;
+        self.drain_state.checked_at = now;
         let longest = self.feed.config().and_then(|c| c.routes.iter().map(|r| r.deadline_ms).max());
-        let longest = longest.map_or(REQUESTS, |ms| (ms * MS).min(REQUESTS));
+        let longest = longest.map_or(MAX_REQUEST_TIME, |ms| (ms * MS).min(MAX_REQUEST_TIME));
         let Some(leader) = self.leadership.leader_mut() else { return };
-        let drains = &self.outs.drains;
-        let goes = leader.scaler.shown().filter(|i| i.state == State::Draining);
-        let goes: Vec<_> = goes.filter(|i| drains.has_worker(now, &i.worker)).map(|i| i.id.clone()).collect();
-        let before = std::mem::take(&mut self.outs.empties);
-        for id in goes {
+        let drains = &self.drain_state.drains;
+        let draining = leader.scaler.shown().filter(|i| i.state == State::Draining);
+        let draining: Vec<_> =
+            draining.filter(|i| drains.is_worker_drained(now, &i.worker)).map(|i| i.id.clone()).collect();
+        let before = std::mem::take(&mut self.drain_state.draining_since);
+        for id in draining {
             let since = before.get(&id).copied().unwrap_or(now);
             if since + longest <= now {
                 leader.scaler.retire(now, &id);
             }
-            self.outs.empties.insert(id, since);
+            self.drain_state.draining_since.insert(id, since);
         }
     }
 
     /// The platform's word on workers, as the scaler is to take it: one that is out takes no starts, and its instances drain.
-    pub(super) fn with_outs(&self, now: Nanos, heard: PlatformReply) -> PlatformReply {
-        let drains = &self.outs.drains;
-        match heard {
+    pub(super) fn apply_drains(&self, now: Nanos, reply: PlatformReply) -> PlatformReply {
+        let drains = &self.drain_state.drains;
+        match reply {
             PlatformReply::Workers(Some(mut all)) if !drains.is_empty() => {
-                all.iter_mut().for_each(|worker| worker.draining |= drains.has_worker(now, &worker.name));
+                all.iter_mut()
+                    .for_each(|worker| worker.draining |= drains.is_worker_drained(now, &worker.name));
                 PlatformReply::Workers(Some(all))
             }
             other => other,
@@ -91,50 +94,54 @@
     }
 
     /// An operator's order.
-    pub(super) fn order_out(&mut self, now: Nanos, call: &Call) -> Result<Reply, Kind> {
-        let json = call.json().ok_or_else(|| Kind::Invalid("no JSON".to_owned()))?;
+    pub(super) fn order_drain(&mut self, now: Nanos, call: &Call) -> Result<Reply, CallError> {
+        let json = call.json().ok_or_else(|| CallError::Invalid("no JSON".to_owned()))?;
         let order = Order::read(&json)?;
-        self.take_out(now);
-        let leader = self.leadership.leader().ok_or(Kind::NotLeader)?;
-        let up = leader.standing(now).filter(|stall| !matches!(stall.out, Some("silent" | "leaves")));
-        let stalls = up.map(|stall| (stall.name, stall.zone)).collect();
-        let workers = self.ledger.workers().iter().filter(|worker| !worker.draining);
+        self.tick_drains(now);
+        let leader = self.leadership.leader().ok_or(CallError::NotLeader)?;
+        let up =
+            leader.proxy_states(now).filter(|stall| !matches!(stall.exclusion, Some("silent" | "leaves")));
+        let proxies = up.map(|stall| (stall.name, stall.zone)).collect();
+        let workers = self.platform_stats.workers().iter().filter(|worker| !worker.draining);
         let workers = workers.map(|worker| (worker.name.as_str(), worker.zone.as_str())).collect();
-        let says = order.says();
-        self.outs.drains.order(now, order, &Seen { stalls, workers })?;
-        log::info!("{says}");
-        self.take_out(now);
-        self.news(now);
-        self.told_outs(now)
+        let description = order.describe();
+        self.drain_state.drains.order(now, order, &Fleet { proxies, workers })?;
+        log::info!("{description}");
+        self.tick_drains(now);
+        self.send_gossip(now);
+        self.drains_reply(now)
     }
 
     /// What is out, for operators.
-    pub(super) fn told_outs(&self, now: Nanos) -> Result<Reply, Kind> {
-        let leader = self.leadership.leader().ok_or(Kind::NotLeader)?;
+    pub(super) fn drains_reply(&self, now: Nanos) -> Result<Reply, CallError> {
+        let leader = self.leadership.leader().ok_or(CallError::NotLeader)?;
         let mut on: BTreeMap<&str, usize> = BTreeMap::new();
         for instance in leader.scaler.shown() {
             *on.entry(&instance.worker).or_default() += 1;
         }
-        let named = |name: &str| leader.standing(now).any(|stall| stall.name == name && stall.named);
+        let named = |name: &str| leader.proxy_states(now).any(|stall| stall.name == name && stall.in_view);
         let body = object([
             ("fence", JsonValue::Number(leader.fence as f64)),
-            ("drains", self.outs.drains.to_json(now, named, |name| on.get(name).copied().unwrap_or(0))),
+            (
+                "drains",
+                self.drain_state.drains.to_json(now, named, |name| on.get(name).copied().unwrap_or(0)),
+            ),
         ]);
         Ok(Reply::json(StatusCode::OK, body.stringify().unwrap_or_default()))
     }
 
     /// A stall says that it rests.
-    pub(super) fn rests(&mut self, now: Nanos, name: &str, left: f64) {
+    pub(super) fn on_rest(&mut self, now: Nanos, name: &str, left: f64) {
         let Some(leader) = self.leadership.leader() else { return };
-        let zone = leader.standing(now).find(|stall| stall.name == name).map(|stall| stall.zone);
-        self.outs.drains.said(now, name, zone, left);
+        let zone = leader.proxy_states(now).find(|stall| stall.name == name).map(|stall| stall.zone);
+        self.drain_state.drains.on_report(now, name, zone, left);
     }
 
     /// Another control machine's word of what is out.
-    pub(super) fn heard_outs(&mut self, now: Nanos, news: &JsonValue) {
+    pub(super) fn merge_drains(&mut self, now: Nanos, news: &JsonValue) {
         let JsonValue::Object(parts) = news else { return };
         if let Some(news) = parts.get("drains") {
-            self.outs.drains.heard(now, news);
+            self.drain_state.drains.merge(now, news);
         }
     }
 }
--- a/controller/src/core/follow.rs
+++ b/controller/src/core/follow.rs
@@ -1,5 +1,5 @@
 //! Porters that want to be fed. Who comes while contact with a majority does not hold waits a moment for it, and is sent on after that:
-//! another machine may have it. Invariants: each call is answered once; no more than [`MOST`] wait.
+//! another machine may have it. Invariants: each call is answered once; no more than [`MAX_WAITING`] wait.
 
 use std::collections::VecDeque;
 
@@ -7,83 +7,88 @@
 use millpost_protocol::{MessageBatch, PeerMessage};
 
 use super::{Core, Effect, api};
-use crate::errors::Kind;
+use crate::errors::CallError;
 use crate::{MS, Nanos};
 
 /// A porter that comes without contact waits for so long: longer than one round of news, less than it gives an answer.
-const WAIT: Nanos = 500 * MS;
+const CONTACT_WAIT: Nanos = 500 * MS;
 /// Porters that wait at once.
-const MOST: usize = 2_000;
+const MAX_WAITING: usize = 2_000;
 
 /// A porter's call.
-struct Follow {
+struct FollowRequest {
     call: u64,
-    letter: MessageBatch,
+    batch: MessageBatch,
     /// It is fed whole configurations.
     whole: bool,
-    until: Nanos,
+    deadline: Nanos,
 }
 
 /// Those that wait, in the order in which they came.
 #[derive(Default)]
-pub(super) struct Waiting(VecDeque<Follow>);
+pub(super) struct Waiting(VecDeque<FollowRequest>);
 
 impl Waiting {
     /// When the first of them has waited for too long.
     pub(super) fn due(&self) -> Nanos {
-        self.0.front().map_or(Nanos::MAX, |follow| follow.until)
+        self.0.front().map_or(Nanos::MAX, |follow| follow.deadline)
     }
 }
 
 impl Core {
     /// A porter wants to be fed.
-    pub(super) fn follow(&mut self, now: Nanos, call: u64, request: &Call) -> Result<(), Kind> {
-        let letter = api::letter(request)?;
+    pub(super) fn follow(&mut self, now: Nanos, call: u64, request: &Call) -> Result<(), CallError> {
+        let batch = api::read_batch(request)?;
         let whole = request.query.as_deref() != Some("whole=0");
-        let follow = Follow { call, letter, whole, until: now + WAIT };
+        let follow = FollowRequest { call, batch, whole, deadline: now + CONTACT_WAIT };
         if self.in_contact(now) {
-            return self.seat(now, follow);
+            return self.open_feed(now, follow);
         }
-        if self.contact.is_lost(now) || self.waiting.0.len() >= MOST {
-            return Err(Kind::NoMajority);
+        if self.contact.is_lost(now) || self.waiting.0.len() >= MAX_WAITING {
+            return Err(CallError::NoMajority);
         }
         self.waiting.0.push_back(follow);
         Ok(())
     }
 
     /// Seats those that wait, once contact holds; who has waited for too long is sent on.
-    pub(super) fn admit(&mut self, now: Nanos) {
+    pub(super) fn admit_waiting(&mut self, now: Nanos) {
         let holds = self.in_contact(now);
-        let due = |follow: &Follow| holds || follow.until <= now;
+        let due = |follow: &FollowRequest| holds || follow.deadline <= now;
         while self.waiting.0.front().is_some_and(due) {
             let Some(follow) = self.waiting.0.pop_front() else { return };
             let call = follow.call;
-            let seated = if holds { self.seat(now, follow) } else { Err(Kind::NoMajority) };
-            if let Err(kind) = seated {
+            let opened = if holds { self.open_feed(now, follow) } else { Err(CallError::NoMajority) };
+            if let Err(kind) = opened {
                 self.answer(call, Err(kind));
             }
         }
     }
 
-    fn seat(&mut self, now: Nanos, Follow { call, letter, whole, .. }: Follow) -> Result<(), Kind> {
-        let mut acts = 0;
-        for note in &letter.notes {
+    fn open_feed(
+        &mut self,
+        now: Nanos,
+        FollowRequest { call, batch, whole, .. }: FollowRequest,
+    ) -> Result<(), CallError> {
+        let mut applied_revision = 0;
+        for note in &batch.notes {
             if let PeerMessage::Acts { revision, .. } = note {
-                acts = *revision;
+                applied_revision = *revision;
             }
             if let Some(leader) = self.leadership.leader_mut() {
-                leader.note(now, note);
+                leader.on_message(now, note);
             }
         }
-        let (fence, address) = self.known();
+        let (fence, address) = self.known_leader();
         let mut snapshot = vec![PeerMessage::Steward { address, fence }];
         if let Some(leader) = self.leadership.leader_mut() {
-            snapshot.extend(self.outs.drains().snapshot(now, &letter.from));
-            snapshot.extend(leader.snapshot(&letter.from));
+            snapshot.extend(self.drain_state.drains().snapshot(now, &batch.from));
+            snapshot.extend(leader.snapshot(&batch.from));
         }
-        let followed = self.feed.follow(now, letter.from, acts, whole, &snapshot).ok_or(Kind::Busy)?;
-        self.effects.extend(followed.before.map(Effect::CloseFeed));
-        self.effects.push(Effect::OpenFeed(call, followed.seat, followed.line));
+        let followed =
+            self.feed.follow(now, batch.from, applied_revision, whole, &snapshot).ok_or(CallError::Busy)?;
+        self.effects.extend(followed.replaced.map(Effect::CloseFeed));
+        self.effects.push(Effect::OpenFeed(call, followed.connection, followed.line));
         Ok(())
     }
 }
--- a/controller/src/core/carts.rs
+++ b/controller/src/core/migrations.rs
@@ -1,4 +1,4 @@
-//! Moves on a control machine: the carter is told what it has to know, and what it decides is carried into the core. Nothing is decided here.
+//! Moves on a control machine: the migrator is told what it has to know, and what it decides is carried into the core. Nothing is decided here.
 //! Invariants: each order is answered once; while no move is open and no order waits, the record is read when office is taken, once more
 //! when nothing old can come to stand any more, and not at all otherwise.
 
@@ -13,116 +13,128 @@
 use percent_encoding::percent_decode_str;
 
 use super::{Core, api};
-use crate::errors::Kind;
-use crate::rounds::For;
+use crate::errors::CallError;
+use crate::rounds::RoundPurpose;
 use crate::{MS, Nanos};
 
 /// What is seen is told this often while a move is open.
-const SEEN: Nanos = 300 * MS;
+const OBSERVATION_INTERVAL: Nanos = 300 * MS;
 /// A function that its owners want so many instances for holds a part of their slots only, at its busiest: they keep room.
-const USED: f64 = 0.8;
+const MAX_UTILIZATION: f64 = 0.8;
 
 /// The carter, and when it was told last.
-pub(super) struct Carts {
-    carter: Migrator,
+pub(super) struct MigrationDriver {
+    migrator: Migrator,
     /// The time of day, in milliseconds, when the clock was at 0.
-    day: u64,
-    seen_at: Nanos,
+    unix_ms: u64,
+    observed_at: Nanos,
 }
 
-impl Carts {
-    pub fn new(day: u64, contact: Nanos, duty_per_s: f64) -> Self {
+impl MigrationDriver {
+    pub fn new(unix_ms: u64, contact: Nanos, duty_per_s: f64) -> Self {
         let terms = Terms { contact, duty_per_s, warms: true };
-        Carts { carter: Migrator::new(terms), day, seen_at: 0 }
+        MigrationDriver { migrator: Migrator::new(terms), unix_ms, observed_at: 0 }
     }
 
     fn at(&self, now: Nanos) -> Moment {
-        Moment { now, day: self.day + now / MS }
+        Moment { now, day: self.unix_ms + now / MS }
     }
 }
 
 /// An operator's order.
-pub(super) fn order(call: &Call) -> Result<Order, Kind> {
-    let json = call.json().ok_or_else(|| Kind::Invalid("no JSON".to_owned()))?;
-    Order::read(&At::root(&json)).map_err(|e| Kind::Invalid(e.to_string()))
+pub(super) fn order(call: &Call) -> Result<Order, CallError> {
+    let json = call.json().ok_or_else(|| CallError::Invalid("no JSON".to_owned()))?;
+    Order::read(&At::root(&json)).map_err(|e| CallError::Invalid(e.to_string()))
 }
 
-fn refused(turned: OrderFailure) -> Kind {
-    match turned {
-        OrderFailure::NotHolder => Kind::NotLeader,
-        OrderFailure::Busy => Kind::Busy,
-        OrderFailure::Unclear => Kind::Unclear,
-        OrderFailure::Unreadable => Kind::Unreadable,
+fn order_error(failure: OrderFailure) -> CallError {
+    match failure {
+        OrderFailure::NotHolder => CallError::NotLeader,
+        OrderFailure::Busy => CallError::Busy,
+        OrderFailure::Unclear => CallError::Unclear,
+        OrderFailure::Unreadable => CallError::Unreadable,
     }
 }
 
 impl Core {
     /// The lease, time, and what is seen of proxies and functions.
-    pub(super) fn moves(&mut self, now: Nanos) {
+    pub(super) fn tick_migrations(&mut self, now: Nanos) {
         let lease =
             self.leadership.term().map_or(Input::Unleased, |(fence, until)| Input::Lease(fence, until));
-        self.cart(now, lease);
+        self.drive_migrations(now, lease);
         let out = |standing: &Standing| standing.record().moves.iter().any(|of| of.state.out());
-        if self.carts.carter.standing().is_some_and(|standing| !out(standing))
+        if self.migrations.migrator.standing().is_some_and(|standing| !out(standing))
             && let Some(leader) = self.leadership.leader_mut()
         {
-            leader.cool();
+            leader.clear_min_instances();
         }
-        if !self.carts.carter.is_busy() || now < self.carts.seen_at + SEEN {
+        if !self.migrations.migrator.is_busy() || now < self.migrations.observed_at + OBSERVATION_INTERVAL {
             return;
         }
-        self.carts.seen_at = now;
+        self.migrations.observed_at = now;
         let acts = self.feed.followers().map(|(name, acts)| (name.clone(), acts)).collect();
-        self.cart(now, Input::Acts(acts));
+        self.drive_migrations(now, Input::Acts(acts));
         let Some(leader) = self.leadership.leader() else { return };
         let room = leader.scaler.room();
-        let names = self.carts.carter.looks_at();
+        let names = self.migrations.migrator.looks_at();
         let config = self.feed.config();
         let does = names.into_iter().filter_map(|name| {
             let standing = leader.scaler.function(now, &name)?;
             let slots = config.and_then(|c| c.service(&name)).map_or(1, |s| s.concurrency.max(1));
             let wanted = standing.wanted.map_or(0, |(count, _)| count);
-            let busy = f64::from(wanted) * f64::from(slots) * USED;
+            let busy = f64::from(wanted) * f64::from(slots) * MAX_UTILIZATION;
             let of = |n: usize| n.min(u32::MAX as usize) as u32;
             let live = of(standing.ready + standing.booting + standing.starting);
             // Who keeps it warm tells how it does. Without that word for a while the next load waits, and does not go as if all were well.
-            let (delay, refused) = match leader.doing(now, &name) {
+            let (delay, refused) = match leader.function_health(now, &name) {
                 None => (0.0, 0.0),
                 Some(doing) => doing.map(|doing| (doing.delay, doing.refused))?,
             };
             Some((name, Function { ready: of(standing.ready), live, busy, delay, refused }))
         });
         let does = does.collect();
-        // Orders are judged with the word of functions, so that comes last.
+        // PendingPuts are judged with the word of functions, so that comes last.
         if let Some(room) = room {
-            self.cart(now, Input::Room(room));
+            self.drive_migrations(now, Input::Room(room));
         }
-        self.cart(now, Input::Does(does));
+        self.drive_migrations(now, Input::Does(does));
     }
 
-    /// Tells the carter something, and does what it wants.
-    pub(super) fn cart(&mut self, now: Nanos, input: Input) {
-        let at = self.carts.at(now);
-        self.carts.carter.input(at, input);
-        for effect in self.carts.carter.take() {
+    /// Tells the migrator something, and does what it wants.
+    pub(super) fn drive_migrations(&mut self, now: Nanos, input: Input) {
+        let at = self.migrations.at(now);
+        self.migrations.migrator.input(at, input);
+        for effect in self.migrations.migrator.take() {
             match effect {
-                Effect::ReadRecord(ask) => self.round(now, RoundKind::Read, Key::Moves, For::Moves(ask)),
+                Effect::ReadRecord(ask) => {
+                    self.start_round(now, RoundKind::Read, Key::Moves, RoundPurpose::MigrationRecord(ask))
+                }
                 Effect::Write { ask, value: Value { version, content }, over } => {
-                    self.round(now, RoundKind::Offer { version, content, over }, Key::Moves, For::Moves(ask));
+                    self.start_round(
+                        now,
+                        RoundKind::Offer { version, content, over },
+                        Key::Moves,
+                        RoundPurpose::MigrationRecord(ask),
+                    );
                 }
-                Effect::ReadConfig => self.chosen_for_moves(now),
-                Effect::OrderFailure(id, why) => self.answer(id, Err(refused(why))),
+                Effect::ReadConfig => self.pass_chosen_config(now),
+                Effect::OrderFailure(id, why) => self.answer(id, Err(order_error(why))),
                 Effect::Out(out) => match out.is() {
                     Said::Put { name, number, over, text } => {
                         log::info!("move {name}: configuration {number} is put over {over:?}");
-                        match self.offer(text, *over) {
-                            Ok(kind) => self.round(now, kind, Key::Config, For::Load(*number)),
+                        match self.prepare_put(text, *over) {
+                            Ok(kind) => self.start_round(
+                                now,
+                                kind,
+                                Key::Config,
+                                RoundPurpose::MigrationConfig(*number),
+                            ),
                             Err(e) => log::error!("move {name}: configuration {number} can't be put: {e}"),
                         }
                     }
                     Said::Warm { service, count } => {
                         if let Some(leader) = self.leadership.leader_mut() {
-                            leader.warm(now, service, *count);
+                            leader.set_min_instances(now, service, *count);
                         }
                     }
                     Said::Answer(answer) => {
@@ -132,7 +144,7 @@
                                 Ok(Reply::json(StatusCode::OK, body))
                             }
                             millpost_migration::Said::Refused(all) => {
-                                Err(Kind::Refused(all.iter().map(ToString::to_string).collect()))
+                                Err(CallError::Refused(all.iter().map(ToString::to_string).collect()))
                             }
                         };
                         self.answer(answer.order, reply);
@@ -143,44 +155,48 @@
     }
 
     /// The register's word on the record.
-    pub(super) fn recorded(&mut self, now: Nanos, ask: u64, outcome: Result<Outcome, Kind>) {
+    pub(super) fn on_migration_record(&mut self, now: Nanos, ask: u64, outcome: Result<Outcome, CallError>) {
         let outcome = outcome.unwrap_or(Outcome::Lost(Why::NoMajority));
-        self.cart(now, Input::Record(ask, outcome));
+        self.drive_migrations(now, Input::Record(ask, outcome));
     }
 
     /// A move's configuration was put, or something else stands, or nobody knows.
-    pub(super) fn loaded(&mut self, now: Nanos, number: u64, stands: Option<Value>) {
+    pub(super) fn on_migration_config(&mut self, now: Nanos, number: u64, stands: Option<Value>) {
         if let Some(value) = stands {
-            self.install(now, &value);
+            self.install_config(now, &value);
         }
-        self.cart(now, Input::Put(number));
+        self.drive_migrations(now, Input::Put(number));
     }
 
-    /// The configuration that is chosen, as far as is known here, for the carter.
-    pub(super) fn chosen_for_moves(&mut self, now: Nanos) {
-        if !self.carts.carter.is_busy() {
+    /// The configuration that is chosen, as far as is known here, for the migrator.
+    pub(super) fn pass_chosen_config(&mut self, now: Nanos) {
+        if !self.migrations.migrator.is_busy() {
             return;
         }
-        let text = self.gossip.chosen().and_then(|content| api::plain(content));
+        let text = self.gossip.chosen().and_then(|content| api::config_text(content));
         let (Some(text), Some(config)) = (text, self.feed.config()) else { return };
         let stands = Stands { config: config.clone(), text: text.into_owned().into() };
-        self.cart(now, Input::Stands(stands));
+        self.drive_migrations(now, Input::Stands(stands));
     }
 
     /// How moves stand, for operators.
-    pub(super) fn told_moves(&self, now: Nanos, query: Option<&str>) -> Result<Reply, Kind> {
+    pub(super) fn migrations_reply(&self, now: Nanos, query: Option<&str>) -> Result<Reply, CallError> {
         let name = match query.unwrap_or_default().split_once('=') {
             None if query.unwrap_or_default().is_empty() => None,
             Some(("name", name)) => {
                 let name = percent_decode_str(name).decode_utf8();
-                Some(name.map_err(|_| Kind::Invalid("name: is no UTF-8".to_owned()))?.into_owned())
+                Some(name.map_err(|_| CallError::Invalid("name: is no UTF-8".to_owned()))?.into_owned())
             }
-            _ => return Err(Kind::Invalid("the query: name, or nothing".to_owned())),
+            _ => return Err(CallError::Invalid("the query: name, or nothing".to_owned())),
         };
         if self.leadership.leader().is_none() {
-            return Err(Kind::NotLeader);
+            return Err(CallError::NotLeader);
         }
-        let told = self.carts.carter.tell(self.carts.at(now), name.as_deref()).ok_or(Kind::Unclear)?;
+        let told = self
+            .migrations
+            .migrator
+            .tell(self.migrations.at(now), name.as_deref())
+            .ok_or(CallError::Unclear)?;
         Ok(Reply::json(StatusCode::OK, millpost_config::values::write(&told)))
     }
 }
--- a/controller/src/core/leave.rs
+++ b/controller/src/core/shutdown.rs
@@ -4,26 +4,30 @@
 use millpost_quorum::{Key, Kind as RoundKind};
 
 use super::{Core, ReplyTarget};
-use crate::rounds::For;
+use crate::rounds::RoundPurpose;
 use crate::{MS, Nanos, voters};
 
 /// What is under way when the process is told to end gets its answer within this.
-const ANSWERS: Nanos = 300 * MS;
+const REPLY_TIME: Nanos = 300 * MS;
 
 /// How far a process that is to end has come.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Leave {
+pub(super) struct ShutdownProgress {
     /// It does not end before,
     earliest: Nanos,
     /// ... and ends then, whoever lacks what it holds.
     latest: Nanos,
     /// Keys that were seen to stand on a majority of the others, by their order in [`Key::ALL`].
-    handed: usize,
+    keys_handed_over: usize,
 }
 
-impl Leave {
+impl ShutdownProgress {
     fn new(now: Nanos, grace: Nanos) -> Self {
-        Leave { earliest: now + ANSWERS, latest: now + ANSWERS.max(grace / 2), handed: 0 }
+        ShutdownProgress {
+            earliest: now + REPLY_TIME,
+            latest: now + REPLY_TIME.max(grace / 2),
+            keys_handed_over: 0,
+        }
     }
 
     /// When it is to be looked at next.
@@ -34,31 +38,32 @@
 
 impl Core {
     /// The process is to end.
-    pub(super) fn leave(&mut self, now: Nanos) {
-        if self.leave.is_some() {
+    pub(super) fn begin_shutdown(&mut self, now: Nanos) {
+        if self.shutdown.is_some() {
             return;
         }
         log::info!("leaving");
-        self.leave = Some(Leave::new(now, self.grace));
+        self.shutdown = Some(ShutdownProgress::new(now, self.grace));
         let out = self.leadership.leave(now);
-        self.vote(out, ReplyTarget::Lease);
-        self.news(now);
+        self.send_to_voters(out, ReplyTarget::Lease);
+        self.send_gossip(now);
         self.hand_over(now);
     }
 
     /// Whether the process may end.
     pub fn can_exit(&self, now: Nanos) -> bool {
-        let Some(leave) = &self.leave else { return false };
-        now >= leave.latest || now >= leave.earliest && self.is_dispensable(now)
+        let Some(shutdown) = &self.shutdown else { return false };
+        now >= shutdown.latest || now >= shutdown.earliest && self.state_is_safe(now)
     }
 
     /// Whether nothing is lost with this machine.
-    fn is_dispensable(&self, now: Nanos) -> bool {
+    fn state_is_safe(&self, now: Nanos) -> bool {
         let Some(members) = self.rounds.members().filter(|_| self.is_voter()) else { return true };
-        let handed = self.leave.is_some_and(|leave| leave.handed >= Key::ALL.len());
+        let keys_handed_over =
+            self.shutdown.is_some_and(|shutdown| shutdown.keys_handed_over >= Key::ALL.len());
         let changes = members.next.is_some();
-        let spare = voters::spares(now, members, self.gossip.others()).next().is_some();
-        handed && !changes && !spare
+        let spare = voters::spares(now, members, self.gossip.peers()).next().is_some();
+        keys_handed_over && !changes && !spare
     }
 
     fn is_voter(&self) -> bool {
@@ -67,21 +72,24 @@
 
     /// The next key is read from a majority of the others, which writes there what only this machine and too few of them hold.
     pub(super) fn hand_over(&mut self, now: Nanos) {
-        let Some(leave) = self.leave else { return };
-        let Some(key) = Key::ALL.get(leave.handed).copied().filter(|_| self.is_voter()) else { return };
-        if now < leave.latest && !self.rounds.at_work_for(For::HandOver(key)) {
-            let out = self.rounds.round_without(now, RoundKind::Read, key, For::HandOver(key), &self.me);
-            self.rounds(now, out);
+        let Some(shutdown) = self.shutdown else { return };
+        let Some(key) = Key::ALL.get(shutdown.keys_handed_over).copied().filter(|_| self.is_voter()) else {
+            return;
+        };
+        if now < shutdown.latest && !self.rounds.is_running(RoundPurpose::HandOver(key)) {
+            let out =
+                self.rounds.start_without(now, RoundKind::Read, key, RoundPurpose::HandOver(key), &self.me);
+            self.apply_round_output(now, out);
         }
     }
 
     /// That read has ended.
-    pub(super) fn handed_over(&mut self, now: Nanos, key: Key, stands: bool) {
-        if let Some(leave) = &mut self.leave
-            && stands
-            && Key::ALL.get(leave.handed) == Some(&key)
+    pub(super) fn on_handed_over(&mut self, now: Nanos, key: Key, confirmed: bool) {
+        if let Some(shutdown) = &mut self.shutdown
+            && confirmed
+            && Key::ALL.get(shutdown.keys_handed_over) == Some(&key)
         {
-            leave.handed += 1;
+            shutdown.keys_handed_over += 1;
             self.hand_over(now);
         }
     }
--- a/controller/src/drains.rs
+++ b/controller/src/drains.rs
@@ -1,6 +1,6 @@
-//! What operators have taken out for a while: stalls, and workers. Every control machine knows it, so that the next leader does; a
-//! drain ends by itself, and one that was undone is kept until it would have ended, so that no late word brings it back. Invariants: an
-//! order changes all or nothing; at least half of a zone's stalls, and of its workers, stay; no more than [`MOST`] are kept.
+//! Target operators have taken out for a while: stalls, and workers. Every control machine knows it, so that the next leader does; a
+//! drain ends by itself, and one that was undone is keep_until until it would have ended, so that no late word brings it back. Invariants: an
+//! order changes all or nothing; at least half of a zone's stalls, and of its workers, stay; no more than [`MAX_DRAINS`] are keep_until.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,42 +8,42 @@
 use millpost_protocol::{PeerMessage, Version, object, string, text, whole};
 use tinyjson::JsonValue;
 
-use crate::errors::Kind;
+use crate::errors::CallError;
 use crate::{MS, Nanos};
 
 /// Drains at once, those that were undone counted in.
-const MOST: usize = 64;
+const MAX_DRAINS: usize = 64;
 /// The longest drain.
-const LONGEST: Nanos = 24 * 3_600_000 * MS;
+const MAX_DURATION: Nanos = 24 * 3_600_000 * MS;
 /// A stall goes on owning functions for so long: the platform asks every second whether it is ready, and needs two misses.
-const LEAVES: Nanos = 2_500 * MS;
+const OWNERSHIP_DELAY: Nanos = 2_500 * MS;
 /// A new leader has heard what the others know.
-const HEARD_ALL: Nanos = 1_000 * MS;
+const TAKEOVER_DELAY: Nanos = 1_000 * MS;
 /// A stall says with each beat, every 450 ms, that it rests; after so long without that it is told again, and no more often.
-const UNSAID: Nanos = 1_000 * MS;
-const AGAIN: Nanos = 500 * MS;
+const REPORT_TTL: Nanos = 1_000 * MS;
+const RESEND_DELAY: Nanos = 500 * MS;
 /// Two ends that differ by less are the same: no two machines share a clock.
-const ABOUT: Nanos = 1_000 * MS;
+const END_TOLERANCE: Nanos = 1_000 * MS;
 
-/// What is taken out.
+/// Target is taken out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum What {
+pub enum Target {
     /// An edge machine's stall.
     Edge,
     /// A worker of the platform.
     Worker,
 }
 
-impl What {
-    fn word(self) -> &'static str {
+impl Target {
+    fn name(self) -> &'static str {
         match self {
-            What::Edge => "edge",
-            What::Worker => "worker",
+            Target::Edge => "edge",
+            Target::Worker => "worker",
         }
     }
 
     fn read(word: &str) -> Option<Self> {
-        [What::Edge, What::Worker].into_iter().find(|what| what.word() == word)
+        [Target::Edge, Target::Worker].into_iter().find(|what| what.name() == word)
     }
 }
 
@@ -51,48 +51,48 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
     /// Out, for so long.
-    Out(What, CompactString, Nanos),
+    Drain(Target, CompactString, Nanos),
     /// Back.
-    Back(What, CompactString),
+    Undo(Target, CompactString),
 }
 
 impl Order {
     /// In words, for the log.
-    pub fn says(&self) -> String {
+    pub fn describe(&self) -> String {
         match self {
-            Order::Out(what, name, lasts) => {
-                format!("{} {name:?} is to be out for {} s", what.word(), lasts / (1_000 * MS))
+            Order::Drain(what, name, lasts) => {
+                format!("{} {name:?} is to be out for {} s", what.name(), lasts / (1_000 * MS))
             }
-            Order::Back(what, name) => format!("{} {name:?} is to be back", what.word()),
+            Order::Undo(what, name) => format!("{} {name:?} is to be back", what.name()),
         }
     }
 
     /// Reads one.
-    pub fn read(json: &JsonValue) -> Result<Self, Kind> {
-        let JsonValue::Object(parts) = json else { return Err(Kind::Invalid("no object".to_owned())) };
-        let invalid = |e: millpost_protocol::Fault| Kind::Invalid(e.to_string());
+    pub fn read(json: &JsonValue) -> Result<Self, CallError> {
+        let JsonValue::Object(parts) = json else { return Err(CallError::Invalid("no object".to_owned())) };
+        let invalid = |e: millpost_protocol::Fault| CallError::Invalid(e.to_string());
         let word = |key| string(parts, key).map_err(invalid);
-        let what = What::read(&word("what")?);
-        let what = what.ok_or_else(|| Kind::Invalid("what: edge or worker".to_owned()))?;
+        let what = Target::read(&word("what")?);
+        let what = what.ok_or_else(|| CallError::Invalid("what: edge or worker".to_owned()))?;
         let name = word("name")?;
         match word("order")?.as_str() {
-            "undo" => Ok(Order::Back(what, name)),
+            "undo" => Ok(Order::Undo(what, name)),
             "drain" => {
                 let lasts = whole(parts, "for_ms").map_err(invalid)?.saturating_mul(MS);
-                if (1_000 * MS..=LONGEST).contains(&lasts) {
-                    return Ok(Order::Out(what, name, lasts));
+                if (1_000 * MS..=MAX_DURATION).contains(&lasts) {
+                    return Ok(Order::Drain(what, name, lasts));
                 }
-                Err(Kind::Invalid("for_ms: from a second to a day".to_owned()))
+                Err(CallError::Invalid("for_ms: from a second to a day".to_owned()))
             }
-            _ => Err(Kind::Invalid("order: drain or undo".to_owned())),
+            _ => Err(CallError::Invalid("order: drain or undo".to_owned())),
         }
     }
 }
 
-/// What there is, as the leader knows it: names with their zones.
-pub struct Seen<'a> {
+/// Target there is, as the leader knows it: names with their zones.
+pub struct Fleet<'a> {
     /// Stalls that are alive.
-    pub stalls: Vec<(&'a str, &'a str)>,
+    pub proxies: Vec<(&'a str, &'a str)>,
     /// Workers of the last answer that the platform does not empty itself.
     pub workers: Vec<(&'a str, &'a str)>,
 }
@@ -105,42 +105,42 @@
     until: Nanos,
     undone: bool,
     /// The latest end that it ever had: its stall may go by that.
-    kept: Nanos,
+    keep_until: Nanos,
 }
 
 impl Drain {
-    fn is_open(&self, now: Nanos) -> bool {
+    fn is_active(&self, now: Nanos) -> bool {
         !self.undone && self.until > now
     }
 }
 
-/// All that are kept, by what they are about.
-type All = BTreeMap<(What, CompactString), Drain>;
+/// DrainMap that are keep_until, by what they are about.
+type DrainMap = BTreeMap<(Target, CompactString), Drain>;
 
-/// What a stall says, and was told.
+/// Target a stall says, and was told.
 #[derive(Clone, Copy, Debug, Default)]
-struct Talk {
+struct ProxyReport {
     /// When it last said that it rests, and until when.
     said: Option<(Nanos, Nanos)>,
     told: Option<Nanos>,
 }
 
-impl Talk {
+impl ProxyReport {
     /// Until when it rests, as it says.
-    fn rests(&self, now: Nanos) -> Option<Nanos> {
-        self.said.filter(|(at, _)| at + UNSAID > now).map(|(_, until)| until)
+    fn resting_until(&self, now: Nanos) -> Option<Nanos> {
+        self.said.filter(|(at, _)| at + REPORT_TTL > now).map(|(_, until)| until)
     }
 }
 
-/// All of it.
+/// DrainMap of it.
 #[derive(Debug, Default)]
 pub struct Drains {
     /// The newer one counts, whoever tells it.
     version: Version,
-    all: All,
-    talks: BTreeMap<CompactString, Talk>,
+    all: DrainMap,
+    reports: BTreeMap<CompactString, ProxyReport>,
     /// The fence of this machine, and since when it is the leader.
-    term: Option<(u64, Nanos)>,
+    leadership: Option<(u64, Nanos)>,
 }
 
 fn number(n: u64) -> JsonValue {
@@ -150,96 +150,104 @@
 impl Drains {
     /// Time passes; the fence while this machine is the leader.
     pub fn tick(&mut self, now: Nanos, fence: Option<u64>) {
-        if self.term.map(|(of, _)| of) != fence {
-            self.term = fence.map(|fence| (fence, now));
-            self.talks.clear();
+        if self.leadership.map(|(of, _)| of) != fence {
+            self.leadership = fence.map(|fence| (fence, now));
+            self.reports.clear();
         }
-        self.all.retain(|_, drain| drain.kept > now);
+        self.all.retain(|_, drain| drain.keep_until > now);
         let all = &self.all;
-        self.talks.retain(|name, talk| {
-            let lately = talk.rests(now).is_some() || talk.told.is_some_and(|at| at + UNSAID > now);
-            lately || all.contains_key(&(What::Edge, name.clone()))
+        self.reports.retain(|name, report| {
+            let lately =
+                report.resting_until(now).is_some() || report.told.is_some_and(|at| at + REPORT_TTL > now);
+            lately || all.contains_key(&(Target::Edge, name.clone()))
         });
     }
 
     /// Nothing is out, and nothing was.
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty() && self.talks.is_empty()
+        self.all.is_empty() && self.reports.is_empty()
     }
 
-    fn out(&self, what: What, now: Nanos) -> impl Iterator<Item = (&CompactString, &Drain)> {
-        let all = self.all.iter().filter(move |((of, _), d)| *of == what && d.is_open(now));
+    fn active(&self, what: Target, now: Nanos) -> impl Iterator<Item = (&CompactString, &Drain)> {
+        let all = self.all.iter().filter(move |((of, _), d)| *of == what && d.is_active(now));
         all.map(|((_, name), drain)| (name, drain))
     }
 
-    fn is_out(&self, what: What, now: Nanos, name: &str) -> Option<&Drain> {
-        self.out(what, now).find(|(of, _)| *of == name).map(|(_, drain)| drain)
+    fn find_drained(&self, what: Target, now: Nanos, name: &str) -> Option<&Drain> {
+        self.active(what, now).find(|(of, _)| *of == name).map(|(_, drain)| drain)
     }
 
     /// Stalls that are not to own functions.
-    pub fn unnamed(&self, now: Nanos) -> BTreeSet<CompactString> {
-        let settled = |d: &Drain| d.since.is_none_or(|since| since + LEAVES <= now);
-        self.out(What::Edge, now).filter(|(_, d)| settled(d)).map(|(name, _)| name.clone()).collect()
+    pub fn excluded_proxies(&self, now: Nanos) -> BTreeSet<CompactString> {
+        let settled = |d: &Drain| d.since.is_none_or(|since| since + OWNERSHIP_DELAY <= now);
+        self.active(Target::Edge, now).filter(|(_, d)| settled(d)).map(|(name, _)| name.clone()).collect()
     }
 
     /// Whether a worker is out.
-    pub fn has_worker(&self, now: Nanos, name: &str) -> bool {
-        self.is_out(What::Worker, now, name).is_some()
+    pub fn is_worker_drained(&self, now: Nanos, name: &str) -> bool {
+        self.find_drained(Target::Worker, now, name).is_some()
     }
 
-    fn change(&mut self) {
-        let fence = self.term.map_or(0, |(fence, _)| fence);
+    fn bump_version(&mut self) {
+        let fence = self.leadership.map_or(0, |(fence, _)| fence);
         self.version = (fence, if self.version.0 == fence { self.version.1 + 1 } else { 1 });
     }
 
     /// An operator's order, or all reasons against it.
-    pub fn order(&mut self, now: Nanos, order: Order, seen: &Seen<'_>) -> Result<(), Kind> {
-        let Some((_, since)) = self.term else { return Err(Kind::NotLeader) };
-        if now < since + HEARD_ALL {
-            return Err(Kind::Unclear);
+    pub fn order(&mut self, now: Nanos, order: Order, fleet: &Fleet<'_>) -> Result<(), CallError> {
+        let Some((_, since)) = self.leadership else { return Err(CallError::NotLeader) };
+        if now < since + TAKEOVER_DELAY {
+            return Err(CallError::Unclear);
         }
         match order {
-            Order::Back(what, name) => {
-                let refused = Kind::Refused(vec![format!("{} {name:?} is not out", what.word())]);
-                let drain = self.all.get_mut(&(what, name)).filter(|d| d.kept > now).ok_or(refused)?;
+            Order::Undo(what, name) => {
+                let refused = CallError::Refused(vec![format!("{} {name:?} is not out", what.name())]);
+                let drain = self.all.get_mut(&(what, name)).filter(|d| d.keep_until > now).ok_or(refused)?;
                 drain.undone = true;
             }
-            Order::Out(what, name, lasts) => {
-                let zone = self.may(now, what, &name, seen).map_err(Kind::Refused)?;
-                let before = self.is_out(what, now, &name).map(|d| d.since);
+            Order::Drain(what, name, lasts) => {
+                let zone = self.check(now, what, &name, fleet).map_err(CallError::Refused)?;
+                let before = self.find_drained(what, now, &name).map(|d| d.since);
                 let (since, until) = (before.unwrap_or(Some(now)), now + lasts);
-                let kept = self.all.get(&(what, name.clone())).map_or(until, |d| d.kept.max(until));
-                self.all.insert((what, name), Drain { zone, since, until, undone: false, kept });
+                let keep_until =
+                    self.all.get(&(what, name.clone())).map_or(until, |d| d.keep_until.max(until));
+                self.all.insert((what, name), Drain { zone, since, until, undone: false, keep_until });
             }
         }
-        self.change();
-        self.talks.values_mut().for_each(|talk| talk.told = None);
+        self.bump_version();
+        self.reports.values_mut().for_each(|report| report.told = None);
         Ok(())
     }
 
     /// The zone of what may be taken out.
-    fn may(&self, now: Nanos, what: What, name: &str, seen: &Seen<'_>) -> Result<CompactString, Vec<String>> {
+    fn check(
+        &self,
+        now: Nanos,
+        what: Target,
+        name: &str,
+        fleet: &Fleet<'_>,
+    ) -> Result<CompactString, Vec<String>> {
         let all = match what {
-            What::Edge => &seen.stalls,
-            What::Worker => &seen.workers,
+            Target::Edge => &fleet.proxies,
+            Target::Worker => &fleet.workers,
         };
         let mut why = Vec::new();
-        let known = self.is_out(what, now, name);
-        if known.is_none() && self.all.len() >= MOST {
-            why.push(format!("{MOST} are out or were undone, and no more are kept"));
+        let known = self.find_drained(what, now, name);
+        if known.is_none() && self.all.len() >= MAX_DRAINS {
+            why.push(format!("{MAX_DRAINS} are out or were undone, and no more are kept"));
         }
         let found = all.iter().find(|(of, _)| *of == name).map(|(_, zone)| CompactString::from(*zone));
         let Some(zone) = found.or_else(|| known.map(|d| d.zone.clone())) else {
-            why.push(format!("no {} {name:?} is known to be up", what.word()));
+            why.push(format!("no {} {name:?} is known to be up", what.name()));
             return Err(why);
         };
         let up: BTreeSet<&str> = all.iter().filter(|(_, z)| *z == zone).map(|(of, _)| *of).collect();
         let mut out: BTreeSet<&str> =
-            self.out(what, now).map(|(of, _)| of.as_str()).filter(|of| up.contains(of)).collect();
+            self.active(what, now).map(|(of, _)| of.as_str()).filter(|of| up.contains(of)).collect();
         out.extend(up.get(name));
         let stay = up.len() - out.len();
         if stay * 2 < up.len() || stay == 0 {
-            let nouns = if what == What::Edge { "stalls" } else { "workers" };
+            let nouns = if what == Target::Edge { "stalls" } else { "workers" };
             let count = up.len();
             why.push(format!(
                 "{stay} of {count} {nouns} of zone {zone:?} would stay: fewer than half, or none"
@@ -250,55 +258,59 @@
 
     /// A stall says that it rests, for so many milliseconds more. Where nobody knows why, it goes on: all of control was lost, and it
     /// is what is left of the order.
-    pub fn said(&mut self, now: Nanos, name: &str, zone: Option<&str>, left: f64) {
-        let until = now.saturating_add((left.clamp(0.0, 1e9) * MS as f64) as Nanos).min(now + LONGEST);
-        let key = (What::Edge, CompactString::from(name));
-        if !self.all.contains_key(&key) && until > now && self.all.len() < MOST && self.term.is_some() {
+    pub fn on_report(&mut self, now: Nanos, name: &str, zone: Option<&str>, left: f64) {
+        let until = now.saturating_add((left.clamp(0.0, 1e9) * MS as f64) as Nanos).min(now + MAX_DURATION);
+        let key = (Target::Edge, CompactString::from(name));
+        if !self.all.contains_key(&key)
+            && until > now
+            && self.all.len() < MAX_DRAINS
+            && self.leadership.is_some()
+        {
             let zone = zone.unwrap_or_default().into();
-            self.all.insert(key, Drain { zone, since: None, until, undone: false, kept: until });
-            self.change();
+            self.all.insert(key, Drain { zone, since: None, until, undone: false, keep_until: until });
+            self.bump_version();
         }
-        self.talks.entry(name.into()).or_default().said = Some((now, until));
+        self.reports.entry(name.into()).or_default().said = Some((now, until));
     }
 
     /// Stalls that are to be told now, and what.
-    pub fn due(&mut self, now: Nanos) -> Vec<(CompactString, PeerMessage)> {
+    pub fn due_messages(&mut self, now: Nanos) -> Vec<(CompactString, PeerMessage)> {
         let mut due = Vec::new();
         for ((what, name), drain) in &self.all {
-            if *what != What::Edge || self.term.is_none() {
+            if *what != Target::Edge || self.leadership.is_none() {
                 continue;
             }
-            let talk = self.talks.entry(name.clone()).or_default();
-            let knows = match talk.rests(now) {
-                Some(until) => drain.is_open(now) && until.abs_diff(drain.until) < ABOUT,
-                None => !drain.is_open(now),
+            let report = self.reports.entry(name.clone()).or_default();
+            let knows = match report.resting_until(now) {
+                Some(until) => drain.is_active(now) && until.abs_diff(drain.until) < END_TOLERANCE,
+                None => !drain.is_active(now),
             };
-            if !knows && talk.told.is_none_or(|at| at + AGAIN <= now) {
-                talk.told = Some(now);
-                due.push((name.clone(), rest(now, name, drain)));
+            if !knows && report.told.is_none_or(|at| at + RESEND_DELAY <= now) {
+                report.told = Some(now);
+                due.push((name.clone(), rest_message(now, name, drain)));
             }
         }
         due
     }
 
-    /// What a porter is told of its stall as it begins to follow.
+    /// Target a porter is told of its stall as it begins to follow.
     pub fn snapshot(&self, now: Nanos, name: &str) -> Option<PeerMessage> {
-        let drain = self.all.get(&(What::Edge, name.into()))?;
-        Some(rest(now, name, drain))
+        let drain = self.all.get(&(Target::Edge, name.into()))?;
+        Some(rest_message(now, name, drain))
     }
 
     /// For other control machines; nothing where nothing is out.
-    pub fn news(&self, now: Nanos) -> JsonValue {
+    pub fn to_gossip(&self, now: Nanos) -> JsonValue {
         if self.all.is_empty() {
             return JsonValue::Null;
         }
         let each = self.all.iter().map(|((what, name), drain)| {
             object([
-                ("w", text(what.word())),
+                ("w", text(what.name())),
                 ("n", text(name)),
                 ("z", text(&drain.zone)),
                 ("l", number(drain.until.saturating_sub(now) / MS)),
-                ("k", number(drain.kept.saturating_sub(now) / MS)),
+                ("k", number(drain.keep_until.saturating_sub(now) / MS)),
                 ("u", if drain.undone { number(1) } else { JsonValue::Null }),
             ])
         });
@@ -306,28 +318,28 @@
         object([("v", JsonValue::Array(version)), ("all", JsonValue::Array(each.collect()))])
     }
 
-    /// Another control machine tells what it knows. What can't be read changes nothing.
-    pub fn heard(&mut self, now: Nanos, news: &JsonValue) {
+    /// Another control machine tells what it knows. Target can't be read changes nothing.
+    pub fn merge(&mut self, now: Nanos, news: &JsonValue) {
         let Some((version, all)) = self.read(now, news).filter(|(version, _)| *version > self.version) else {
             return;
         };
         (self.version, self.all) = (version, all);
     }
 
-    fn read(&self, now: Nanos, news: &JsonValue) -> Option<(Version, All)> {
+    fn read(&self, now: Nanos, news: &JsonValue) -> Option<(Version, DrainMap)> {
         let JsonValue::Object(parts) = news else { return None };
         let (JsonValue::Array(version), JsonValue::Array(all)) = (parts.get("v")?, parts.get("all")?) else {
             return None;
         };
         let [JsonValue::Number(fence), JsonValue::Number(count)] = version[..] else { return None };
-        let each = all.iter().take(MOST).map(|one| {
+        let each = all.iter().take(MAX_DRAINS).map(|one| {
             let JsonValue::Object(parts) = one else { return None };
-            let key = (What::read(&string(parts, "w").ok()?)?, string(parts, "n").ok()?);
-            let span = |key| Some(whole(parts, key).ok()?.saturating_mul(MS).min(LONGEST));
-            let (until, kept) = (now + span("l")?, now + span("k")?);
+            let key = (Target::read(&string(parts, "w").ok()?)?, string(parts, "n").ok()?);
+            let span = |key| Some(whole(parts, key).ok()?.saturating_mul(MS).min(MAX_DURATION));
+            let (until, keep_until) = (now + span("l")?, now + span("k")?);
             let since = self.all.get(&key).and_then(|known| known.since);
             let (zone, undone) = (string(parts, "z").ok()?, parts.contains_key("u"));
-            Some((key, Drain { zone, since, until, undone, kept }))
+            Some((key, Drain { zone, since, until, undone, keep_until }))
         });
         Some(((fence as u64, count as u64), each.collect::<Option<_>>()?))
     }
@@ -340,17 +352,17 @@
         instances: impl Fn(&str) -> usize,
     ) -> JsonValue {
         let each = self.all.iter().map(|((what, name), drain)| {
-            let says = self.talks.get(name).is_some_and(|talk| talk.rests(now).is_some());
+            let says = self.reports.get(name).is_some_and(|report| report.resting_until(now).is_some());
             let (rests, owns, instances) = match what {
-                What::Edge => (JsonValue::Boolean(says), JsonValue::Boolean(named(name)), JsonValue::Null),
-                What::Worker => (JsonValue::Null, JsonValue::Null, number(instances(name) as u64)),
+                Target::Edge => (JsonValue::Boolean(says), JsonValue::Boolean(named(name)), JsonValue::Null),
+                Target::Worker => (JsonValue::Null, JsonValue::Null, number(instances(name) as u64)),
             };
             object([
-                ("what", text(what.word())),
+                ("what", text(what.name())),
                 ("name", text(name)),
                 ("zone", text(&drain.zone)),
                 ("left_ms", number(drain.until.saturating_sub(now) / MS)),
-                ("undone", if drain.is_open(now) { JsonValue::Null } else { JsonValue::Boolean(true) }),
+                ("undone", if drain.is_active(now) { JsonValue::Null } else { JsonValue::Boolean(true) }),
                 ("rests", rests),
                 ("owns", owns),
                 ("instances", instances),
@@ -360,8 +372,8 @@
     }
 }
 
-fn rest(now: Nanos, name: &str, drain: &Drain) -> PeerMessage {
-    let left = if drain.is_open(now) { drain.until - now } else { 0 };
+fn rest_message(now: Nanos, name: &str, drain: &Drain) -> PeerMessage {
+    let left = if drain.is_active(now) { drain.until - now } else { 0 };
     PeerMessage::Rest { name: name.into(), left: left as f64 / MS as f64 }
 }
 
@@ -372,8 +384,8 @@
     const S: Nanos = 1_000 * MS;
     const UP: [(&str, &str); 5] = [("a", "z"), ("b", "z"), ("c", "z"), ("d", "z"), ("e", "y")];
 
-    fn seen(all: &'static [(&'static str, &'static str)]) -> Seen<'static> {
-        Seen { stalls: all.to_vec(), workers: all.to_vec() }
+    fn fleet(all: &'static [(&'static str, &'static str)]) -> Fleet<'static> {
+        Fleet { proxies: all.to_vec(), workers: all.to_vec() }
     }
 
     fn leader(fence: u64) -> Drains {
@@ -382,113 +394,117 @@
         drains
     }
 
-    fn out(drains: &mut Drains, now: Nanos, name: &str) -> Result<(), Kind> {
-        drains.order(now, Order::Out(What::Edge, name.into(), 10 * S), &seen(&UP))
+    fn out(drains: &mut Drains, now: Nanos, name: &str) -> Result<(), CallError> {
+        drains.order(now, Order::Drain(Target::Edge, name.into(), 10 * S), &fleet(&UP))
     }
 
-    fn reasons(all: &[&str]) -> Result<(), Kind> {
-        Err(Kind::Refused(all.iter().map(|r| (*r).to_owned()).collect()))
+    fn reasons(all: &[&str]) -> Result<(), CallError> {
+        Err(CallError::Refused(all.iter().map(|r| (*r).to_owned()).collect()))
     }
 
     #[test]
     fn half_of_a_zone_stays_and_what_is_not_known_is_refused() {
         let mut drains = leader(4);
-        assert_eq!(out(&mut drains, S / 2, "a"), Err(Kind::Unclear));
+        assert_eq!(out(&mut drains, S / 2, "a"), Err(CallError::Unclear));
         assert_eq!(out(&mut drains, S, "a"), Ok(()));
         assert_eq!(out(&mut drains, S, "b"), Ok(()));
         let few = r#"1 of 4 stalls of zone "z" would stay: fewer than half, or none"#;
         assert_eq!(out(&mut drains, S, "c"), reasons(&[few]));
         // One that is out already is only told anew for how long; and workers are others.
         assert_eq!(out(&mut drains, 2 * S, "b"), Ok(()));
-        assert_eq!(drains.order(S, Order::Out(What::Worker, "c".into(), S), &seen(&UP)), Ok(()));
+        assert_eq!(drains.order(S, Order::Drain(Target::Worker, "c".into(), S), &fleet(&UP)), Ok(()));
         let none = r#"0 of 1 stalls of zone "y" would stay: fewer than half, or none"#;
         assert_eq!(out(&mut drains, S, "e"), reasons(&[none]));
         assert_eq!(out(&mut drains, S, "x"), reasons(&[r#"no edge "x" is known to be up"#]));
         let undo = |drains: &mut Drains, name: &str| {
-            drains.order(3 * S, Order::Back(What::Edge, name.into()), &seen(&UP))
+            drains.order(3 * S, Order::Undo(Target::Edge, name.into()), &fleet(&UP))
         };
         assert_eq!(undo(&mut drains, "c"), reasons(&[r#"edge "c" is not out"#]));
         assert_eq!(undo(&mut drains, "b"), Ok(()));
         assert_eq!(out(&mut drains, 3 * S, "c"), Ok(()));
         drains.tick(4 * S, None);
-        assert_eq!(out(&mut drains, 4 * S, "a"), Err(Kind::NotLeader));
+        assert_eq!(out(&mut drains, 4 * S, "a"), Err(CallError::NotLeader));
     }
 
     #[test]
     fn a_stall_is_told_until_it_says_so_and_owns_on_while_clients_leave() {
         let mut drains = leader(4);
         let told = |drains: &mut Drains, at: Nanos| {
-            drains.due(at).iter().map(|(name, note)| (name.to_string(), note.clone())).collect::<Vec<_>>()
+            drains
+                .due_messages(at)
+                .iter()
+                .map(|(name, note)| (name.to_string(), note.clone()))
+                .collect::<Vec<_>>()
         };
         out(&mut drains, S, "a").expect("it may");
         let note = |left| vec![("a".to_owned(), PeerMessage::Rest { name: "a".into(), left })];
         assert_eq!(told(&mut drains, S), note(10_000.0));
         assert_eq!(told(&mut drains, S + 100 * MS), []);
         assert_eq!(told(&mut drains, S + 500 * MS), note(9_500.0));
-        assert!(drains.unnamed(3 * S).is_empty());
-        drains.said(2 * S, "a", Some("z"), 9_000.0);
+        assert!(drains.excluded_proxies(3 * S).is_empty());
+        drains.on_report(2 * S, "a", Some("z"), 9_000.0);
         assert_eq!(told(&mut drains, 2 * S + 900 * MS), []);
-        assert_eq!(drains.unnamed(S + LEAVES), BTreeSet::from(["a".into()]));
+        assert_eq!(drains.excluded_proxies(S + OWNERSHIP_DELAY), BTreeSet::from(["a".into()]));
         // It was started again, and knows nothing.
         assert_eq!(told(&mut drains, 4 * S), note(7_000.0));
-        drains.said(5 * S, "a", Some("z"), 6_500.0);
+        drains.on_report(5 * S, "a", Some("z"), 6_500.0);
         assert_eq!(told(&mut drains, 5 * S), []);
         // Another time is told as well.
-        drains.order(5 * S, Order::Out(What::Edge, "a".into(), 4 * S), &seen(&UP)).expect("it may");
+        drains.order(5 * S, Order::Drain(Target::Edge, "a".into(), 4 * S), &fleet(&UP)).expect("it may");
         assert_eq!(told(&mut drains, 5 * S), note(4_000.0));
-        drains.order(5 * S, Order::Back(What::Edge, "a".into()), &seen(&UP)).expect("it is out");
-        assert!(drains.unnamed(5 * S).is_empty());
+        drains.order(5 * S, Order::Undo(Target::Edge, "a".into()), &fleet(&UP)).expect("it is out");
+        assert!(drains.excluded_proxies(5 * S).is_empty());
         assert_eq!(told(&mut drains, 5 * S), note(0.0));
         // A late word of it does not bring the drain back.
-        drains.said(6 * S, "a", Some("z"), 5_000.0);
-        assert!(drains.unnamed(9 * S).is_empty());
+        drains.on_report(6 * S, "a", Some("z"), 5_000.0);
+        assert!(drains.excluded_proxies(9 * S).is_empty());
         drains.tick(10 * S, Some(4));
         assert!(!drains.is_empty());
         drains.tick(11 * S, Some(4));
-        assert!(drains.is_empty() && drains.news(11 * S) == JsonValue::Null);
+        assert!(drains.is_empty() && drains.to_gossip(11 * S) == JsonValue::Null);
     }
 
     #[test]
     fn a_new_leader_goes_on_with_what_it_has_heard() {
         let (mut old, mut new) = (leader(4), Drains::default());
         out(&mut old, S, "a").expect("it may");
-        let first = old.news(2 * S);
-        new.heard(2 * S, &first);
-        old.order(3 * S, Order::Back(What::Edge, "a".into()), &seen(&UP)).expect("it is out");
+        let first = old.to_gossip(2 * S);
+        new.merge(2 * S, &first);
+        old.order(3 * S, Order::Undo(Target::Edge, "a".into()), &fleet(&UP)).expect("it is out");
         out(&mut old, 3 * S, "b").expect("it may");
-        new.heard(3 * S, &old.news(3 * S));
+        new.merge(3 * S, &old.to_gossip(3 * S));
         // Older news count no more, and what can't be read changes nothing.
-        new.heard(3 * S, &first);
-        new.heard(3 * S, &r#"{"v":[9,9],"all":[{"w":"edge"}]}"#.parse().expect("JSON"));
+        new.merge(3 * S, &first);
+        new.merge(3 * S, &r#"{"v":[9,9],"all":[{"w":"edge"}]}"#.parse().expect("JSON"));
         new.tick(4 * S, Some(5));
-        assert_eq!(new.unnamed(4 * S), BTreeSet::from(["b".into()]));
-        assert_eq!(new.due(4 * S).len(), 1);
+        assert_eq!(new.excluded_proxies(4 * S), BTreeSet::from(["b".into()]));
+        assert_eq!(new.due_messages(4 * S).len(), 1);
         out(&mut new, 5 * S, "c").expect("it may");
         old.tick(5 * S, None);
-        old.heard(5 * S, &new.news(5 * S));
-        assert_eq!(old.news(5 * S), new.news(5 * S));
+        old.merge(5 * S, &new.to_gossip(5 * S));
+        assert_eq!(old.to_gossip(5 * S), new.to_gossip(5 * S));
         // With all of control gone a stall's own word is what is left.
         let mut last = leader(6);
-        last.said(S, "b", Some("z"), 3_000.0);
-        assert_eq!(last.unnamed(S), BTreeSet::from(["b".into()]));
+        last.on_report(S, "b", Some("z"), 3_000.0);
+        assert_eq!(last.excluded_proxies(S), BTreeSet::from(["b".into()]));
         last.tick(4 * S, Some(6));
-        assert!(last.unnamed(4 * S).is_empty());
+        assert!(last.excluded_proxies(4 * S).is_empty());
     }
 
     #[yare::parameterized(
         out = { r#"{"order":"drain","what":"edge","name":"a","for_ms":2000}"#,
-            Ok(Order::Out(What::Edge, "a".into(), 2 * S)) },
-        back = { r#"{"order":"undo","what":"worker","name":"w"}"#, Ok(Order::Back(What::Worker, "w".into())) },
+            Ok(Order::Drain(Target::Edge, "a".into(), 2 * S)) },
+        back = { r#"{"order":"undo","what":"worker","name":"w"}"#, Ok(Order::Undo(Target::Worker, "w".into())) },
         short = { r#"{"order":"drain","what":"edge","name":"a","for_ms":999}"#,
-            Err(Kind::Invalid("for_ms: from a second to a day".into())) },
+            Err(CallError::Invalid("for_ms: from a second to a day".into())) },
         long = { r#"{"order":"drain","what":"edge","name":"a","for_ms":86400001}"#,
-            Err(Kind::Invalid("for_ms: from a second to a day".into())) },
+            Err(CallError::Invalid("for_ms: from a second to a day".into())) },
         what = { r#"{"order":"drain","what":"core","name":"a"}"#,
-            Err(Kind::Invalid("what: edge or worker".into())) },
-        order = { r#"{"order":"x","what":"edge","name":"a"}"#, Err(Kind::Invalid("order: drain or undo".into())) },
-        nameless = { r#"{"order":"undo","what":"edge"}"#, Err(Kind::Invalid("name: missing".into())) },
+            Err(CallError::Invalid("what: edge or worker".into())) },
+        order = { r#"{"order":"x","what":"edge","name":"a"}"#, Err(CallError::Invalid("order: drain or undo".into())) },
+        nameless = { r#"{"order":"undo","what":"edge"}"#, Err(CallError::Invalid("name: missing".into())) },
     )]
-    fn orders_are_read_or_their_fault_is_named(text: &str, expected: Result<Order, Kind>) {
+    fn orders_are_read_or_their_fault_is_named(text: &str, expected: Result<Order, CallError>) {
         assert_eq!(Order::read(&text.parse().expect("JSON")), expected);
     }
 }
--- a/controller/src/duty.rs
+++ b/controller/src/duty.rs
@@ -8,17 +8,17 @@
 use tinyjson::JsonValue;
 
 use crate::Nanos;
-use crate::errors::Kind;
+use crate::errors::CallError;
 use crate::leader::Leader;
-use crate::ledger::Ledger;
+use crate::platform_stats::PlatformStats;
 
 fn number(n: u64) -> JsonValue {
     JsonValue::Number(n as f64)
 }
 
 /// The answer; who is not the leader has no duty.
-pub fn reply(leader: Option<&Leader>, ledger: &Ledger, now: Nanos) -> Result<Reply, Kind> {
-    let leader = leader.ok_or(Kind::NotLeader)?;
+pub fn reply(leader: Option<&Leader>, stats: &PlatformStats, now: Nanos) -> Result<Reply, CallError> {
+    let leader = leader.ok_or(CallError::NotLeader)?;
     let mut on: BTreeMap<&str, usize> = BTreeMap::new();
     for instance in leader.scaler.shown() {
         *on.entry(&instance.worker).or_default() += 1;
@@ -26,10 +26,10 @@
     let body = object([
         ("fence", number(leader.fence)),
         ("seated_ms", number(leader.age_ms(now))),
-        ("stalls", JsonValue::Array(leader.standing(now).map(|stall| stall.to_json()).collect())),
-        ("workers", ledger.workers_json(now, |name| on.get(name).copied().unwrap_or(0))),
-        ("answers", ledger.answers_json(now)),
-        ("faults", ledger.faults_json(now)),
+        ("stalls", JsonValue::Array(leader.proxy_states(now).map(|stall| stall.to_json()).collect())),
+        ("workers", stats.workers_json(now, |name| on.get(name).copied().unwrap_or(0))),
+        ("answers", stats.answers_json(now)),
+        ("faults", stats.faults_json(now)),
     ]);
     Ok(Reply::json(StatusCode::OK, body.stringify().unwrap_or_default()))
 }
--- a/controller/src/errors.rs
+++ b/controller/src/errors.rs
@@ -40,7 +40,7 @@
 
 /// Why a caller does not get what it asked for.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Kind {
+pub enum CallError {
     /// Nothing is there under this name.
     Unknown,
     /// Another method is meant.
@@ -70,26 +70,28 @@
     },
 }
 
-impl Kind {
+impl CallError {
     /// Status and text.
-    pub fn answer(&self) -> Reply {
+    pub fn to_reply(&self) -> Reply {
         let (status, word) = match self {
-            Kind::Unknown => (404, "unknown"),
-            Kind::Method => (405, "method"),
-            Kind::Invalid(_) => (400, "invalid"),
-            Kind::NoMajority => (503, "no_majority"),
-            Kind::Empty => (503, "empty"),
-            Kind::Busy => (503, "busy"),
-            Kind::NotLeader => (409, "not_steward"),
-            Kind::Refused(_) => (422, "refused"),
-            Kind::Unclear => (503, "unclear"),
-            Kind::Unreadable => (503, "unreadable"),
-            Kind::Conflict { .. } => (409, "conflict"),
+            CallError::Unknown => (404, "unknown"),
+            CallError::Method => (405, "method"),
+            CallError::Invalid(_) => (400, "invalid"),
+            CallError::NoMajority => (503, "no_majority"),
+            CallError::Empty => (503, "empty"),
+            CallError::Busy => (503, "busy"),
+            CallError::NotLeader => (409, "not_steward"),
+            CallError::Refused(_) => (422, "refused"),
+            CallError::Unclear => (503, "unclear"),
+            CallError::Unreadable => (503, "unreadable"),
+            CallError::Conflict { .. } => (409, "conflict"),
         };
         let why = match self {
-            Kind::Invalid(why) => text(why),
-            Kind::Refused(reasons) => tinyjson::JsonValue::Array(reasons.iter().map(|r| text(r)).collect()),
-            Kind::Conflict { revision, stands } => object([
+            CallError::Invalid(why) => text(why),
+            CallError::Refused(reasons) => {
+                tinyjson::JsonValue::Array(reasons.iter().map(|r| text(r)).collect())
+            }
+            CallError::Conflict { revision, stands } => object([
                 ("revision", tinyjson::JsonValue::Number(*revision as f64)),
                 ("stands", text(stands)),
             ]),
--- a/controller/src/functions.rs
+++ b/controller/src/functions.rs
@@ -8,41 +8,41 @@
 use percent_encoding::percent_decode_str;
 use tinyjson::JsonValue;
 
-use crate::errors::Kind;
+use crate::errors::CallError;
 use crate::leader::Leader;
 
 /// Functions in one answer, where the call names no number, and at most.
-const PAGE: usize = 200;
-const PAGE_MOST: usize = 500;
+const DEFAULT_PAGE: usize = 200;
+const MAX_PAGE: usize = 500;
 
 /// What the call asks for.
 #[derive(Debug, Default, PartialEq)]
-struct Asked {
+struct FunctionsQuery {
     name: Option<String>,
     instance: Option<String>,
     after: Option<String>,
-    most: usize,
+    limit: usize,
 }
 
-impl Asked {
-    fn read(query: &str) -> Result<Self, Kind> {
-        let mut asked = Asked { most: PAGE, ..Asked::default() };
-        for part in query.split('&').filter(|part| !part.is_empty()) {
+impl FunctionsQuery {
+    fn parse(input: &str) -> Result<Self, CallError> {
+        let mut query = FunctionsQuery { limit: DEFAULT_PAGE, ..FunctionsQuery::default() };
+        for part in input.split('&').filter(|part| !part.is_empty()) {
             let (key, value) = part.split_once('=').unwrap_or((part, ""));
-            let invalid = |reason: &str| Kind::Invalid(format!("{key}: {reason}"));
+            let invalid = |reason: &str| CallError::Invalid(format!("{key}: {reason}"));
             let text = percent_decode_str(value).decode_utf8().map_err(|_| invalid("is no UTF-8"))?;
             match key {
-                "name" => asked.name = Some(text.into_owned()),
-                "instance" => asked.instance = Some(text.into_owned()),
-                "after" => asked.after = Some(text.into_owned()),
+                "name" => query.name = Some(text.into_owned()),
+                "instance" => query.instance = Some(text.into_owned()),
+                "after" => query.after = Some(text.into_owned()),
                 "most" => {
-                    let most = text.parse().ok().filter(|most| (1..=PAGE_MOST).contains(most));
-                    asked.most = most.ok_or_else(|| invalid(&format!("a number from 1 to {PAGE_MOST}")))?;
+                    let limit = text.parse().ok().filter(|limit| (1..=MAX_PAGE).contains(limit));
+                    query.limit = limit.ok_or_else(|| invalid(&format!("a number from 1 to {MAX_PAGE}")))?;
                 }
                 _ => return Err(invalid("is not known; name, instance, after or most")),
             }
         }
-        Ok(asked)
+        Ok(query)
     }
 }
 
@@ -50,7 +50,7 @@
     JsonValue::Number(n as f64)
 }
 
-fn maybe<T>(value: Option<T>, of: impl Fn(T) -> JsonValue) -> JsonValue {
+fn optional<T>(value: Option<T>, of: impl Fn(T) -> JsonValue) -> JsonValue {
     value.map_or(JsonValue::Null, of)
 }
 
@@ -58,7 +58,7 @@
     object([
         ("worker", text(&of.worker)),
         ("nonce", text(&of.nonce)),
-        ("sent_ms_ago", maybe(of.sent_ms_ago, number)),
+        ("sent_ms_ago", optional(of.sent_ms_ago, number)),
         ("failed", number(of.failed.into())),
     ])
 }
@@ -66,11 +66,11 @@
 fn lot(of: &Lot, function: &str, leader: &Leader) -> JsonValue {
     object([
         ("zone", text(&of.zone)),
-        ("owner", maybe(leader.owner(function, &of.zone), text)),
+        ("owner", optional(leader.owner(function, &of.zone), text)),
         ("wanted", number(of.wanted.into())),
         ("live", number(of.live as u64)),
         ("hold", text(of.hold.word())),
-        ("hold_ms", maybe(of.hold.left_ms(), number)),
+        ("hold_ms", optional(of.hold.left_ms(), number)),
     ])
 }
 
@@ -82,11 +82,11 @@
         ("zone", text(&of.zone)),
         ("state", text(of.state)),
         ("since_ms", number(of.since_ms)),
-        ("stop", maybe(of.stop, text)),
+        ("stop", optional(of.stop, text)),
     ])
 }
 
-/// A function; its instances only where it was asked for by name.
+/// A function; its instances only where it was query for by name.
 fn function(of: &Standing, leader: &Leader, instances: Option<Vec<Seen>>) -> JsonValue {
     // One owner, or one for each lot.
     let owner = if of.lots.is_empty() { leader.owner(&of.name, "") } else { None };
@@ -95,46 +95,46 @@
         of.zones.iter().map(|(zone, share)| JsonValue::Array(vec![text(zone), number((*share).into())]));
     object([
         ("name", text(&of.name)),
-        ("owner", maybe(owner, text)),
+        ("owner", optional(owner, text)),
         ("lots", if lots.is_empty() { JsonValue::Null } else { JsonValue::Array(lots) }),
         ("configured", JsonValue::Boolean(of.configured)),
-        ("memory_mb", maybe(leader.memory_mb(&of.name), |mb| number(mb.into()))),
-        ("wanted", maybe(of.wanted, |(count, _)| number(count.into()))),
-        ("said_ms_ago", maybe(of.wanted, |(_, ago)| number(ago))),
+        ("memory_mb", optional(leader.memory_mb(&of.name), |mb| number(mb.into()))),
+        ("wanted", optional(of.wanted, |(count, _)| number(count.into()))),
+        ("said_ms_ago", optional(of.wanted, |(_, ago)| number(ago))),
         ("zones", JsonValue::Array(zones.collect())),
         ("ready", number(of.ready as u64)),
         ("booting", number(of.booting as u64)),
         ("draining", number(of.draining as u64)),
         ("starting", number(of.starting as u64)),
         ("starts", JsonValue::Array(of.starts.iter().map(start).collect())),
-        ("instances", maybe(instances, |all| JsonValue::Array(all.iter().map(instance).collect()))),
+        ("instances", optional(instances, |all| JsonValue::Array(all.iter().map(instance).collect()))),
         ("refusals", number(of.refusals.into())),
         ("hold", text(of.hold.word())),
-        ("hold_ms", maybe(of.hold.left_ms(), number)),
+        ("hold_ms", optional(of.hold.left_ms(), number)),
     ])
 }
 
 /// The answer; who is not the leader knows nothing of functions.
-pub fn reply(leader: Option<&Leader>, now: Nanos, query: Option<&str>) -> Result<Reply, Kind> {
+pub fn reply(leader: Option<&Leader>, now: Nanos, query: Option<&str>) -> Result<Reply, CallError> {
     let body = body(leader, now, query)?;
     Ok(Reply::json(StatusCode::OK, body.stringify().unwrap_or_default()))
 }
 
-fn body(leader: Option<&Leader>, now: Nanos, query: Option<&str>) -> Result<JsonValue, Kind> {
-    let asked = Asked::read(query.unwrap_or_default())?;
-    let Some(leader) = leader else { return Err(Kind::NotLeader) };
+fn body(leader: Option<&Leader>, now: Nanos, query: Option<&str>) -> Result<JsonValue, CallError> {
+    let query = FunctionsQuery::parse(query.unwrap_or_default())?;
+    let Some(leader) = leader else { return Err(CallError::NotLeader) };
     let scaler = &leader.scaler;
-    let one = match &asked.instance {
+    let one = match &query.instance {
         // No function has this name where nothing is known of the instance.
         Some(id) => Some(scaler.function_of(id).unwrap_or_default()),
-        None => asked.name.as_deref(),
+        None => query.name.as_deref(),
     };
     let (found, next) = match one {
         Some(name) => (scaler.function(now, name).into_iter().collect(), None),
         None => {
-            let mut found = scaler.functions(now, asked.after.as_deref(), asked.most + 1);
-            let more = found.len() > asked.most;
-            found.truncate(asked.most);
+            let mut found = scaler.functions(now, query.after.as_deref(), query.limit + 1);
+            let more = found.len() > query.limit;
+            found.truncate(query.limit);
             let next = found.last().filter(|_| more).map(|last| last.name.clone());
             (found, next)
         }
@@ -144,7 +144,7 @@
     Ok(object([
         ("fence", number(leader.fence)),
         ("functions", JsonValue::Array(each.collect())),
-        ("next", maybe(next.as_deref(), text)),
+        ("next", optional(next.as_deref(), text)),
     ]))
 }
 
@@ -165,8 +165,8 @@
         let config = Config::parse(&config).expect("valid");
         let mut leader = Leader::new(0, Terms::new(3, 78.0, 800), 26.0, Some(&config), None);
         let peer = Peer { name: "edge-1".into(), address: "10.0.0.1:1".into(), zone: "z".into() };
-        leader.note(0, &PeerMessage::Alive { peer, serving: true, split: None, digest: None });
-        assert!(leader.name(250 * MS).is_some());
+        leader.on_message(0, &PeerMessage::Alive { peer, serving: true, split: None, digest: None });
+        assert!(leader.update_view(250 * MS).is_some());
         let want = PeerMessage::Want {
             service: "f g".into(),
             count: 2,
@@ -176,7 +176,7 @@
             does: None,
             slow: Vec::new(),
         };
-        leader.note(200 * MS, &want);
+        leader.on_message(200 * MS, &want);
         let known = millpost_protocol::Instance {
             id: "i-1".into(),
             service: "a".into(),
@@ -185,11 +185,11 @@
             worker: "w-1".into(),
             stage: 1,
         };
-        leader.note(200 * MS, &PeerMessage::Mine { set: vec![known] });
+        leader.on_message(200 * MS, &PeerMessage::Mine { set: vec![known] });
         leader
     }
 
-    fn answer(leader: Option<&Leader>, query: Option<&str>) -> Result<JsonValue, Kind> {
+    fn answer(leader: Option<&Leader>, query: Option<&str>) -> Result<JsonValue, CallError> {
         body(leader, 210 * MS, query)
     }
 
@@ -227,13 +227,13 @@
     }
 
     #[yare::parameterized(
-        not_the_leader = { None, Kind::NotLeader },
-        none = { Some("most=0"), Kind::Invalid("most: a number from 1 to 500".into()) },
-        many = { Some("most=501"), Kind::Invalid("most: a number from 1 to 500".into()) },
-        unknown = { Some("x=1"), Kind::Invalid("x: is not known; name, instance, after or most".into()) },
-        no_text = { Some("name=%ff"), Kind::Invalid("name: is no UTF-8".into()) },
+        not_the_leader = { None, CallError::NotLeader },
+        none = { Some("most=0"), CallError::Invalid("most: a number from 1 to 500".into()) },
+        many = { Some("most=501"), CallError::Invalid("most: a number from 1 to 500".into()) },
+        unknown = { Some("x=1"), CallError::Invalid("x: is not known; name, instance, after or most".into()) },
+        no_text = { Some("name=%ff"), CallError::Invalid("name: is no UTF-8".into()) },
     )]
-    fn what_can_not_be_answered_is_said(query: Option<&str>, kind: Kind) {
+    fn what_can_not_be_answered_is_said(query: Option<&str>, kind: CallError) {
         assert_eq!(answer(None, query).expect_err("turned down"), kind);
     }
 }
--- a/controller/src/leader.rs
+++ b/controller/src/leader.rs
@@ -1,6 +1,6 @@
 //! The leader's duties, without I/O: which stalls are alive, and the scaler. It exists only while the lease is held.
 
-mod floors;
+mod min_instances;
 mod view;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,71 +13,71 @@
 use millpost_protocol::{Instance, MembershipView, Peer, PeerMessage, Version, ViewChange};
 use millpost_scheduler::{OwnerRanking, Owners};
 
-pub use floors::Doing;
-use floors::Floors;
+pub use min_instances::FunctionHealth;
+use min_instances::MinInstances;
 
 const MS: Nanos = 1_000_000;
 /// The first naming of stalls waits until nobody new was heard for so long, and no longer than this in all.
-const NOBODY_NEW: Nanos = 120 * MS;
-const HEARD_ALL: Nanos = 600 * MS;
-/// ... nor than this where control has just started and no stall goes by a naming: then nobody owns anything, and nothing is served.
-const NONE_OWNS: Nanos = 200 * MS;
+const FIRST_VIEW_QUIET: Nanos = 120 * MS;
+const FIRST_VIEW_MAX_WAIT: Nanos = 600 * MS;
+/// ... nor than this where control has just started and no proxy goes by a naming: then nobody owns anything, and nothing is served.
+const FIRST_VIEW_RESTART_WAIT: Nanos = 200 * MS;
 /// Between two namings: what changes together is named together, since each goes to all.
-const NAME_GAP: Nanos = 250 * MS;
+const VIEW_INTERVAL: Nanos = 250 * MS;
 /// A leader that has just taken office names whom it hears of at once, since they have nobody else.
-const NEW_HERE: Nanos = 800 * MS;
-/// Where there are more stalls than this, those that come within a short span are named together also then, and who is alive is looked
+const NEW_LEADER_PERIOD: Nanos = 800 * MS;
+/// Where there are more stalls than this, those that come within a short span are named together also then, and who is alive is checked_at
 /// at no more often than needed.
-const MANY: usize = 128;
-const TOGETHER: Nanos = 100 * MS;
-const LOOK: Nanos = 10 * MS;
-/// A stall that is told of a naming and still goes by an older one after so long is told all of it.
-const AGAIN: Nanos = 1_500 * MS;
+const LARGE_FLEET: usize = 128;
+const LARGE_FLEET_VIEW_INTERVAL: Nanos = 100 * MS;
+const LARGE_FLEET_CHECK_INTERVAL: Nanos = 10 * MS;
+/// A proxy that is told of a naming and still goes by an older one after so long is told all of it.
+const VIEW_RESEND_DELAY: Nanos = 1_500 * MS;
 /// ... but one at a time: where many are behind, it may be for what is sent already.
-const ONE_BY_ONE: Nanos = 50 * MS;
-/// A stall that nothing was heard of for so long is gone.
-const SILENT: Nanos = 1_500 * MS;
+const VIEW_RESEND_SPACING: Nanos = 50 * MS;
+/// A proxy that nothing was heard of for so long is gone.
+const PROXY_TIMEOUT: Nanos = 1_500 * MS;
 /// ... and after so long one that others say does not answer them.
-const DEAF: Nanos = 650 * MS;
+const UNREACHABLE_TIMEOUT: Nanos = 650 * MS;
 /// So many others have to say so, within this time.
-const WITNESSES: usize = 2;
-const WITNESSED: Nanos = 1_000 * MS;
+const UNREACHABLE_WITNESSES: usize = 2;
+const UNREACHABLE_REPORT_TTL: Nanos = 1_000 * MS;
 /// One whose porter is gone has this long to come back.
-const UNFED: Nanos = 250 * MS;
+const AGENT_TIMEOUT: Nanos = 250 * MS;
 /// A function that takes this part of its owner's strength gets an owner in each zone,
-const SPLIT_FROM: f64 = 0.25;
-/// ... until for so long all of them together spend less than this part of one stall's.
-const JOIN_UNDER: f64 = 0.08;
-const JOIN_AFTER: Nanos = 10_000 * MS;
+const SPLIT_THRESHOLD: f64 = 0.25;
+/// ... until for so long all of them together spend less than this part of one proxy's.
+const MERGE_THRESHOLD: f64 = 0.08;
+const MERGE_DELAY: Nanos = 10_000 * MS;
 /// Zones whose workers have no room for so long are too few: one owner starts wherever there is room.
-const STARVED: Nanos = 1_500 * MS;
+const STARVATION_TIMEOUT: Nanos = 1_500 * MS;
 /// After that it is not split again for so long,
-const NOT_AGAIN: Nanos = 30_000 * MS;
-/// ... but it stays split, or is split again after this, where it takes this part of a stall's strength: one owner alone would sink.
-const HEAVY: f64 = 0.5;
-const HEAVY_AGAIN: Nanos = 2_000 * MS;
-/// A stall that was named no more since others called it deaf, and was heard of again, is slow: for so long that does not count.
-const SLOW: Nanos = 30_000 * MS;
+const RESPLIT_DELAY: Nanos = 30_000 * MS;
+/// ... but it may_own split, or is split again after this, where it takes this part of a proxy's strength: one owner alone would sink.
+const HEAVY_LOAD: f64 = 0.5;
+const HEAVY_RESPLIT_DELAY: Nanos = 2_000 * MS;
+/// A proxy that was named no more since others called it deaf, and was heard of again, is slow: for so long that does not count.
+const UNREACHABLE_HOLD_OFF: Nanos = 30_000 * MS;
 /// Functions and zones of instances that owners told of.
-const MOST_INHERITED: usize = 100_000;
+const MAX_INHERITED: usize = 100_000;
 /// Functions that are split at once.
-const MOST_SPLIT: usize = 500;
+const MAX_SPLIT: usize = 500;
 
-struct Stall {
+struct ProxyStatus {
     peer: Peer,
-    heard: Nanos,
+    last_heard: Nanos,
     serving: bool,
-    unfed: Option<Nanos>,
+    agent_lost_at: Option<Nanos>,
     /// Whom it does not answer, and when they said so.
-    deaf: BTreeMap<CompactString, Nanos>,
+    unreachable_from: BTreeMap<CompactString, Nanos>,
     /// It is not named, since others call it deaf.
-    dropped: bool,
+    excluded: bool,
     /// What others say counts from then on.
-    slow: Nanos,
+    ignore_reports_until: Nanos,
     /// The naming that it goes by, and the digest of that.
-    knows: Option<(Version, u64)>,
+    known_view: Option<(Version, u64)>,
     /// Since when it goes by one that is long past, or since it was told all of the newest for that.
-    behind: Option<Nanos>,
+    outdated_since: Option<Nanos>,
 }
 
 /// The duties.
@@ -88,52 +88,52 @@
     pub scaler: Scaler,
     /// When the platform is asked.
     pub pace: Pace,
-    began: Nanos,
-    /// When a stall was heard for the first time.
-    newest: Nanos,
-    count: u64,
-    stalls: BTreeMap<CompactString, Stall>,
-    named_at: Nanos,
+    started_at: Nanos,
+    /// When a proxy was heard for the first time.
+    last_new_proxy: Nanos,
+    view_count: u64,
+    proxies: BTreeMap<CompactString, ProxyStatus>,
+    view_sent_at: Nanos,
     /// Who is named; under version 0 while nobody was.
-    ranks: OwnerRanking,
+    ranking: OwnerRanking,
     /// A naming that all have had the time to hear of; and since when the one that is that next has stood.
     settled: Version,
-    settles: (Nanos, Version),
+    settling: (Nanos, Version),
     /// Stalls that are to be told all of it, and when one was last.
-    behind: BTreeSet<CompactString>,
-    mended: Nanos,
+    outdated: BTreeSet<CompactString>,
+    resent_at: Nanos,
     /// Instances that owners told of, and that those who are next for them hear of with the next naming.
     inherited: BTreeSet<(CompactString, CompactString)>,
-    looked: Nanos,
+    checked_at: Nanos,
     split: BTreeSet<CompactString>,
     /// The naming that those come from, while nothing was named here.
-    split_of: Version,
-    strains: BTreeMap<CompactString, Strain>,
+    split_version: Version,
+    loads: BTreeMap<CompactString, FunctionLoad>,
     /// The average time of a start, by service.
     boots: BTreeMap<CompactString, u32>,
     specs: Vec<ServiceSpec>,
     /// The process of this control machine has started so lately that all of control may have.
-    pub control_is_new: bool,
+    pub control_restarted: bool,
     /// Stalls that operators have taken out: they are not named.
-    pub rests: BTreeSet<CompactString>,
-    floors: Floors,
+    pub drained: BTreeSet<CompactString>,
+    min_instances: MinInstances,
 }
 
 /// What a function takes of its owners' strength.
 #[derive(Default)]
-struct Strain {
+struct FunctionLoad {
     /// By zone, where each has an owner.
-    parts: BTreeMap<CompactString, f64>,
-    /// It has been little since then.
-    little: Option<Nanos>,
-    /// It stays with one owner until then.
-    whole: Nanos,
+    by_zone: BTreeMap<CompactString, f64>,
+    /// It has been low_since since then.
+    low_since: Option<Nanos>,
+    /// It may_own with one owner until then.
+    merged_until: Nanos,
 }
 
 /// Instances that are new or changed, and those that are gone.
 type Changed = (Vec<Instance>, Vec<CompactString>);
 /// Notes for each of those that are to hear something.
-pub type Told = BTreeMap<CompactString, Vec<PeerMessage>>;
+pub type ProxyMessages = BTreeMap<CompactString, Vec<PeerMessage>>;
 
 fn specs(config: &Config) -> Vec<ServiceSpec> {
     let of = |n: u64| n.min(u32::MAX.into()) as u32;
@@ -150,7 +150,7 @@
     specs.iter().map(|s| (s.name.clone(), s.boot_ms)).collect()
 }
 
-fn told(known: &Known) -> Instance {
+fn instance_message(known: &Known) -> Instance {
     Instance {
         id: known.id.clone(),
         service: known.service.clone(),
@@ -166,11 +166,11 @@
 }
 
 /// Tells the log of a naming.
-fn tell(roster: &MembershipView, note: &PeerMessage) {
+fn log_view(roster: &MembershipView, note: &PeerMessage) {
     let names = |of: &mut dyn Iterator<Item = &CompactString>| {
         of.map(CompactString::as_str).collect::<Vec<_>>().join(" ")
     };
-    let many = roster.peers().len() > MANY;
+    let many = roster.peers().len() > LARGE_FLEET;
     match note {
         PeerMessage::ViewChange(shift) if many => {
             let came = names(&mut shift.came.iter().map(|p| &p.name));
@@ -215,26 +215,26 @@
             fence,
             scaler,
             pace,
-            began: now,
-            newest: now,
-            count: 0,
-            stalls: BTreeMap::new(),
-            named_at: 0,
-            ranks: OwnerRanking::default(),
+            started_at: now,
+            last_new_proxy: now,
+            view_count: 0,
+            proxies: BTreeMap::new(),
+            view_sent_at: 0,
+            ranking: OwnerRanking::default(),
             settled: (0, 0),
-            settles: (0, (0, 0)),
-            behind: BTreeSet::new(),
-            mended: 0,
+            settling: (0, (0, 0)),
+            outdated: BTreeSet::new(),
+            resent_at: 0,
             inherited: BTreeSet::new(),
-            looked: 0,
+            checked_at: 0,
             split: BTreeSet::new(),
-            split_of: (0, 0),
-            strains: BTreeMap::new(),
+            split_version: (0, 0),
+            loads: BTreeMap::new(),
             boots: boots(&specs),
             specs,
-            control_is_new: false,
-            rests: BTreeSet::new(),
-            floors: Floors::default(),
+            control_restarted: false,
+            drained: BTreeSet::new(),
+            min_instances: MinInstances::default(),
         }
     }
 
@@ -250,65 +250,66 @@
         let boots = &self.boots;
         // What is gone from it is there until its instances are.
         let shown: BTreeSet<_> = self.scaler.shown().map(|i| i.service.as_str()).collect();
-        self.ranks.retain(|service| boots.contains_key(service) || shown.contains(service));
+        self.ranking.retain(|service| boots.contains_key(service) || shown.contains(service));
     }
 
     /// Somebody was named.
-    fn has_named(&self) -> bool {
-        self.ranks.owners().version() > (0, 0)
+    fn has_view(&self) -> bool {
+        self.ranking.owners().version() > (0, 0)
     }
 
     fn version(&mut self) -> Version {
-        self.count += 1;
-        (self.fence, self.count)
+        self.view_count += 1;
+        (self.fence, self.view_count)
     }
 
-    /// A word of a stall, or of its porter.
-    pub fn note(&mut self, now: Nanos, note: &PeerMessage) {
+    /// A word of a proxy, or of its porter.
+    pub fn on_message(&mut self, now: Nanos, note: &PeerMessage) {
         match note {
-            PeerMessage::Alive { peer, serving, split, digest } if self.stalls.len() < 5_000 => {
+            PeerMessage::Alive { peer, serving, split, digest } if self.proxies.len() < 5_000 => {
                 if let Some((version, all)) = split
-                    && !self.has_named()
-                    && *version > self.split_of
+                    && !self.has_view()
+                    && *version > self.split_version
                 {
-                    self.split_of = *version;
-                    self.split = all.iter().take(MOST_SPLIT).cloned().collect();
+                    self.split_version = *version;
+                    self.split = all.iter().take(MAX_SPLIT).cloned().collect();
                 }
                 let version = split.as_ref().map(|(version, _)| *version);
-                let behind = self.behind(now, &peer.name, version.unwrap_or_default());
-                let slow =
-                    self.stalls.get(&peer.name).map_or(0, |s| if s.dropped { now + SLOW } else { s.slow });
-                let stall = Stall {
+                let outdated_since = self.check_view_version(now, &peer.name, version.unwrap_or_default());
+                let ignore_reports_until = self.proxies.get(&peer.name).map_or(0, |s| {
+                    if s.excluded { now + UNREACHABLE_HOLD_OFF } else { s.ignore_reports_until }
+                });
+                let proxy = ProxyStatus {
                     peer: peer.clone(),
-                    heard: now,
+                    last_heard: now,
                     serving: *serving,
-                    unfed: None,
-                    deaf: BTreeMap::new(),
-                    dropped: false,
-                    slow,
-                    knows: version.zip(*digest),
-                    behind,
+                    agent_lost_at: None,
+                    unreachable_from: BTreeMap::new(),
+                    excluded: false,
+                    ignore_reports_until,
+                    known_view: version.zip(*digest),
+                    outdated_since,
                 };
-                if self.stalls.insert(peer.name.clone(), stall).is_none() {
-                    self.newest = now;
+                if self.proxies.insert(peer.name.clone(), proxy).is_none() {
+                    self.last_new_proxy = now;
                 }
             }
-            PeerMessage::Deaf { peer, from } if self.stalls.contains_key(from) => {
-                if let Some(stall) = self.stalls.get_mut(peer) {
-                    stall.deaf.insert(from.clone(), now);
+            PeerMessage::Deaf { peer, from } if self.proxies.contains_key(from) => {
+                if let Some(proxy) = self.proxies.get_mut(peer) {
+                    proxy.unreachable_from.insert(from.clone(), now);
                 }
             }
             PeerMessage::Want { service, count, zones, lot, strain, does, slow } => {
                 if let Some(does) = does {
-                    self.floors.told(now, service, lot.as_ref(), *does);
+                    self.min_instances.record_status(now, service, lot.as_ref(), *does);
                 }
-                self.strained(now, service, lot.as_ref(), *strain);
+                self.update_load(now, service, lot.as_ref(), *strain);
                 self.scaler.want(now, service, lot.as_ref(), *count, zones);
                 self.scaler.avoid(now, service, lot.as_ref(), slow);
             }
             PeerMessage::Mine { set } => {
-                let known: Vec<_> = set.iter().filter_map(|i| self.known(now, i)).collect();
-                if self.inherited.len() < MOST_INHERITED {
+                let known: Vec<_> = set.iter().filter_map(|i| self.parse_instance(now, i)).collect();
+                if self.inherited.len() < MAX_INHERITED {
                     self.inherited.extend(known.iter().map(|i| (i.service.clone(), i.zone.clone())));
                 }
                 self.scaler.inherit(now, known);
@@ -320,73 +321,75 @@
         }
     }
 
-    /// A stall goes by this naming: since when it goes by one that is long past.
-    fn behind(&mut self, now: Nanos, name: &CompactString, version: Version) -> Option<Nanos> {
-        if now >= self.settles.0 + AGAIN {
-            self.settled = self.settles.1;
-            self.settles = (now, self.ranks.owners().version());
+    /// A proxy goes by this naming: since when it goes by one that is long past.
+    fn check_view_version(&mut self, now: Nanos, name: &CompactString, version: Version) -> Option<Nanos> {
+        if now >= self.settling.0 + VIEW_RESEND_DELAY {
+            self.settled = self.settling.1;
+            self.settling = (now, self.ranking.owners().version());
         }
         if version >= self.settled {
             return None;
         }
-        let since = self.stalls.get(name).and_then(|s| s.behind).unwrap_or(now);
-        if now < since + AGAIN || now < self.mended + ONE_BY_ONE {
+        let since = self.proxies.get(name).and_then(|s| s.outdated_since).unwrap_or(now);
+        if now < since + VIEW_RESEND_DELAY || now < self.resent_at + VIEW_RESEND_SPACING {
             return Some(since);
         }
-        self.mended = now;
-        self.behind.insert(name.clone());
+        self.resent_at = now;
+        self.outdated.insert(name.clone());
         Some(now)
     }
 
     /// An owner says what a function takes of its strength.
-    fn strained(&mut self, now: Nanos, service: &CompactString, lot: Option<&CompactString>, strain: f64) {
+    fn update_load(&mut self, now: Nanos, service: &CompactString, lot: Option<&CompactString>, strain: f64) {
         // One who does not know yet who owns what.
-        if !self.has_named() || self.split.contains(service) != lot.is_some() {
+        if !self.has_view() || self.split.contains(service) != lot.is_some() {
             return;
         }
         let Some(lot) = lot else {
-            let may =
-                |s: &Strain| s.whole <= now || strain >= HEAVY && s.whole <= now + NOT_AGAIN - HEAVY_AGAIN;
-            if strain >= SPLIT_FROM
+            let may = |s: &FunctionLoad| {
+                s.merged_until <= now
+                    || strain >= HEAVY_LOAD && s.merged_until <= now + RESPLIT_DELAY - HEAVY_RESPLIT_DELAY
+            };
+            if strain >= SPLIT_THRESHOLD
                 && self.boots.contains_key(service)
-                && self.split.len() < MOST_SPLIT
-                && self.strains.get(service).is_none_or(may)
+                && self.split.len() < MAX_SPLIT
+                && self.loads.get(service).is_none_or(may)
             {
-                self.strains.insert(service.clone(), Strain::default());
+                self.loads.insert(service.clone(), FunctionLoad::default());
                 self.split.insert(service.clone());
             }
             return;
         };
-        let known = self.strains.entry(service.clone()).or_default();
-        if known.parts.len() < 64 {
-            known.parts.insert(lot.clone(), strain);
+        let known = self.loads.entry(service.clone()).or_default();
+        if known.by_zone.len() < 64 {
+            known.by_zone.insert(lot.clone(), strain);
         }
-        if known.parts.values().sum::<f64>() >= JOIN_UNDER {
-            known.little = None;
+        if known.by_zone.values().sum::<f64>() >= MERGE_THRESHOLD {
+            known.low_since = None;
         } else {
-            known.little.get_or_insert(now);
+            known.low_since.get_or_insert(now);
         }
     }
 
-    /// Functions that go back to one owner: they are little used, gone, or zones have no room for what they want.
-    fn join(&mut self, now: Nanos) {
-        let starved: BTreeSet<_> = self.scaler.starved(now, STARVED).cloned().collect();
-        let (strains, boots) = (&mut self.strains, &self.boots);
+    /// Functions that go back to one owner: they are low_since used, gone, or zones have no room for what they want.
+    fn merge_functions(&mut self, now: Nanos) {
+        let starved: BTreeSet<_> = self.scaler.starved(now, STARVATION_TIMEOUT).cloned().collect();
+        let (loads, boots) = (&mut self.loads, &self.boots);
         self.split.retain(|service| {
-            let known = strains.entry(service.clone()).or_default();
-            let starves = starved.contains(service) && known.parts.values().sum::<f64>() < HEAVY;
-            if starves {
-                known.whole = now + NOT_AGAIN;
+            let known = loads.entry(service.clone()).or_default();
+            let starving = starved.contains(service) && known.by_zone.values().sum::<f64>() < HEAVY_LOAD;
+            if starving {
+                known.merged_until = now + RESPLIT_DELAY;
             }
-            let little = known.little.is_some_and(|since| since + JOIN_AFTER <= now);
-            !starves && !little && boots.contains_key(service)
+            let low_since = known.low_since.is_some_and(|since| since + MERGE_DELAY <= now);
+            !starving && !low_since && boots.contains_key(service)
         });
         let split = &self.split;
-        strains.retain(|service, s| split.contains(service) || s.whole > now);
+        loads.retain(|service, s| split.contains(service) || s.merged_until > now);
     }
 
     /// An instance that an owner tells of; none where it can't be one.
-    fn known(&self, now: Nanos, of: &Instance) -> Option<Known> {
+    fn parse_instance(&self, now: Nanos, of: &Instance) -> Option<Known> {
         Some(Known {
             id: of.id.clone(),
             service: of.service.clone(),
@@ -403,76 +406,83 @@
         })
     }
 
-    /// Which stalls' porters are connected, and whoever is to be named by that: as [`Leader::name`].
-    pub fn look(&mut self, now: Nanos, has: impl Fn(&str) -> bool) -> Option<(PeerMessage, Told)> {
-        if self.stalls.len() > MANY && now < self.looked + LOOK {
+    /// Which stalls' porters are connected, and whoever is to be named by that: as [`Leader::update_view`].
+    pub fn check_proxies(
+        &mut self,
+        now: Nanos,
+        has: impl Fn(&str) -> bool,
+    ) -> Option<(PeerMessage, ProxyMessages)> {
+        if self.proxies.len() > LARGE_FLEET && now < self.checked_at + LARGE_FLEET_CHECK_INTERVAL {
             return None;
         }
-        self.looked = now;
-        for (name, stall) in &mut self.stalls {
+        self.checked_at = now;
+        for (name, proxy) in &mut self.proxies {
             if has(name) {
-                stall.unfed = None;
+                proxy.agent_lost_at = None;
             } else {
-                stall.unfed.get_or_insert(now);
+                proxy.agent_lost_at.get_or_insert(now);
             }
         }
-        self.name(now)
+        self.update_view(now)
     }
 
     /// When the first naming is due, unless somebody new is heard before. One that goes without stalls which still own functions makes
     /// them give up what they hold; where none can own any, waiting only leaves requests unserved.
-    fn first_naming(&self) -> Nanos {
-        let nobody_owns = self.control_is_new && self.split_of == (0, 0);
-        let heard_all = if nobody_owns { NONE_OWNS } else { HEARD_ALL };
-        (self.newest + NOBODY_NEW).min(self.began + heard_all)
+    fn first_view_due(&self) -> Nanos {
+        let nobody_owns = self.control_restarted && self.split_version == (0, 0);
+        let heard_all = if nobody_owns { FIRST_VIEW_RESTART_WAIT } else { FIRST_VIEW_MAX_WAIT };
+        (self.last_new_proxy + FIRST_VIEW_QUIET).min(self.started_at + heard_all)
     }
 
     /// The stalls and the functions that are split, where they have changed, for all; and for each whose functions have changed with
     /// that the instances of those that are now its own.
-    pub fn name(&mut self, now: Nanos) -> Option<(PeerMessage, Told)> {
-        self.stalls.retain(|_, s| s.heard + 10 * SILENT > now);
-        let gap = match now < self.began + NEW_HERE {
-            true if self.stalls.len() > MANY => TOGETHER,
+    pub fn update_view(&mut self, now: Nanos) -> Option<(PeerMessage, ProxyMessages)> {
+        self.proxies.retain(|_, s| s.last_heard + 10 * PROXY_TIMEOUT > now);
+        let gap = match now < self.started_at + NEW_LEADER_PERIOD {
+            true if self.proxies.len() > LARGE_FLEET => LARGE_FLEET_VIEW_INTERVAL,
             true => 0,
-            false => NAME_GAP,
+            false => VIEW_INTERVAL,
         };
-        let first = !self.has_named();
-        if first && now < self.first_naming() || !first && now < self.named_at + gap {
+        let first = !self.has_view();
+        if first && now < self.first_view_due() || !first && now < self.view_sent_at + gap {
             return None;
         }
-        for stall in self.stalls.values_mut() {
-            let deaf = stall.deaf.values().filter(|at| **at + WITNESSED > now).count() >= WITNESSES;
-            stall.dropped |= deaf && now >= stall.slow && stall.heard + DEAF <= now;
+        for proxy in self.proxies.values_mut() {
+            let deaf =
+                proxy.unreachable_from.values().filter(|at| **at + UNREACHABLE_REPORT_TTL > now).count()
+                    >= UNREACHABLE_WITNESSES;
+            proxy.excluded |=
+                deaf && now >= proxy.ignore_reports_until && proxy.last_heard + UNREACHABLE_TIMEOUT <= now;
         }
-        let rests = self.rests.clone();
-        let lives = |s: &&Stall| {
-            let unfed = s.unfed.is_some_and(|since| since + UNFED <= now);
-            !s.dropped && s.heard + SILENT > now && !unfed
+        let drained = self.drained.clone();
+        let is_alive = |s: &&ProxyStatus| {
+            let agent_lost_at = s.agent_lost_at.is_some_and(|since| since + AGENT_TIMEOUT <= now);
+            !s.excluded && s.last_heard + PROXY_TIMEOUT > now && !agent_lost_at
         };
-        let stays = |s: &&Stall| s.serving && !rests.contains(&s.peer.name);
-        let alive = |s: &&Stall| lives(s) && stays(s);
+        let may_own = |s: &&ProxyStatus| s.serving && !drained.contains(&s.peer.name);
+        let eligible = |s: &&ProxyStatus| is_alive(s) && may_own(s);
         if !first {
-            self.join(now);
+            self.merge_functions(now);
         }
-        let before = self.ranks.owners().roster();
-        let stalls = || self.stalls.values().filter(alive).map(|s| &s.peer);
-        let leaving = || self.stalls.values().filter(|s| lives(s) && !stays(s)).map(|s| &s.peer);
+        let before = self.ranking.owners().roster();
+        let members = || self.proxies.values().filter(eligible).map(|s| &s.peer);
+        let leaving = || self.proxies.values().filter(|s| is_alive(s) && !may_own(s)).map(|s| &s.peer);
         // With one zone there is nothing to split by.
-        let one = stalls().next()?;
-        let split = if stalls().any(|p| p.zone != one.zone) { self.split.clone() } else { BTreeSet::new() };
-        let same = *before.split() == split && stalls().eq(before.peers());
+        let one = members().next()?;
+        let split = if members().any(|p| p.zone != one.zone) { self.split.clone() } else { BTreeSet::new() };
+        let same = *before.split() == split && members().eq(before.peers());
         if !first && same && leaving().eq(before.leaving()) {
             return None;
         }
-        let peers = stalls().cloned().collect();
+        let peers = members().cloned().collect();
         let leaving = leaving().cloned().collect();
         // What the leader before has named may stand as it is; else all of it goes to those who know nothing yet, or something else.
-        let known = self.stalls.values().filter(alive).filter_map(|s| s.knows).max();
+        let known = self.proxies.values().filter(eligible).filter_map(|s| s.known_view).max();
         self.scaler.split(now, &split);
-        self.named_at = now;
+        self.view_sent_at = now;
         let roster = MembershipView::new(self.version(), peers, split).with_leaving(leaving);
         let note = match known.filter(|(v, d)| *v < roster.version() && *d == roster.digest()) {
-            _ if !first => PeerMessage::ViewChange(roster.shift(self.ranks.owners().roster())),
+            _ if !first => PeerMessage::ViewChange(roster.shift(self.ranking.owners().roster())),
             Some((from, _)) => PeerMessage::ViewChange(ViewChange {
                 version: roster.version(),
                 from,
@@ -480,75 +490,78 @@
             }),
             None => roster.note(),
         };
-        tell(&roster, &note);
+        log_view(&roster, &note);
         // Of others whoever stands for them was told.
         let inherited = std::mem::take(&mut self.inherited);
-        inherited.iter().for_each(|(service, zone)| self.ranks.keep(service, zone));
-        let (mut stand, turned) = self.ranks.turn(Owners::from(roster));
+        inherited.iter().for_each(|(service, zone)| self.ranking.keep(service, zone));
+        let (mut stand, turned) = self.ranking.turn(Owners::from(roster));
         for (service, zone) in &inherited {
-            stand.extend(self.ranks.two(service, zone).cloned());
+            stand.extend(self.ranking.two(service, zone).cloned());
         }
-        Some((note, self.shared_out(if first { None } else { Some((stand, turned)) })))
+        Some((note, self.instance_messages(if first { None } else { Some((stand, turned)) })))
     }
 
-    /// The instances of each stall that stands for other functions than before, all of them. `turned`: functions of which it is not known
-    /// who stood for them. Without that, of each stall.
-    fn shared_out(&mut self, turn: Option<(BTreeSet<CompactString>, BTreeSet<CompactString>)>) -> Told {
+    /// The instances of each proxy that stands for other functions than before, all of them. `turned`: functions of which it is not known
+    /// who stood for them. Without that, of each proxy.
+    fn instance_messages(
+        &mut self,
+        turn: Option<(BTreeSet<CompactString>, BTreeSet<CompactString>)>,
+    ) -> ProxyMessages {
         let mut all: BTreeMap<CompactString, Vec<Instance>> = BTreeMap::new();
-        let named = self.ranks.owners();
+        let named = self.ranking.owners();
         match turn {
             None => all.extend(named.peers().iter().map(|p| (p.name.clone(), Vec::new()))),
             Some((mut stand, turned)) => {
                 for instance in self.scaler.shown().filter(|i| turned.contains(&i.service)) {
-                    stand.extend(self.ranks.two(&instance.service, &instance.zone).cloned());
+                    stand.extend(self.ranking.two(&instance.service, &instance.zone).cloned());
                 }
-                let named = self.ranks.owners();
+                let named = self.ranking.owners();
                 all.extend(stand.into_iter().filter(|n| named.find(n).is_some()).map(|n| (n, Vec::new())));
             }
         }
         if !all.is_empty() {
             for instance in self.scaler.shown() {
-                for name in self.ranks.two(&instance.service, &instance.zone) {
+                for name in self.ranking.two(&instance.service, &instance.zone) {
                     if let Some(set) = all.get_mut(name) {
-                        set.push(told(instance));
+                        set.push(instance_message(instance));
                     }
                 }
             }
         }
-        let version = (self.fence, self.count);
+        let version = (self.fence, self.view_count);
         let note = |set| vec![PeerMessage::Instances { version, all: true, set, gone: Vec::new() }];
         all.into_iter().map(|(name, set)| (name, note(set))).collect()
     }
 
     /// The naming in force: fence and count.
-    pub fn view(&self) -> Version {
-        self.ranks.owners().version()
+    pub fn view_version(&self) -> Version {
+        self.ranking.owners().version()
     }
 
     /// All of the naming, where there is one.
-    fn stalls_note(&self) -> Option<PeerMessage> {
-        self.has_named().then(|| self.ranks.owners().roster().note())
+    fn view_message(&self) -> Option<PeerMessage> {
+        self.has_view().then(|| self.ranking.owners().roster().note())
     }
 
-    /// The stall that owns a function, or its lot in a zone.
+    /// The proxy that owns a function, or its lot in a zone.
     pub fn owner(&self, function: &str, zone: &str) -> Option<&str> {
-        self.ranks.owners().owner(function, zone, |_| true).map(|peer| peer.name.as_str())
+        self.ranking.owners().owner(function, zone, |_| true).map(|peer| peer.name.as_str())
     }
 
-    /// What the porter of this stall gets first: the stalls, and the instances of the functions that the stall owns or owns next.
+    /// What the porter of this proxy gets first: the stalls, and the instances of the functions that the proxy owns or owns next.
     pub fn snapshot(&mut self, name: &str) -> Vec<PeerMessage> {
-        let mut notes: Vec<_> = self.stalls_note().into_iter().collect();
+        let mut notes: Vec<_> = self.view_message().into_iter().collect();
         let mut set = Vec::new();
         // Who is not named stands for nothing.
-        if self.ranks.owners().find(name).is_some() {
+        if self.ranking.owners().find(name).is_some() {
             for instance in self.scaler.shown() {
-                if self.ranks.two(&instance.service, &instance.zone).any(|n| n == name) {
-                    set.push(told(instance));
+                if self.ranking.two(&instance.service, &instance.zone).any(|n| n == name) {
+                    set.push(instance_message(instance));
                 }
             }
         }
         notes.push(PeerMessage::Instances {
-            version: (self.fence, self.count),
+            version: (self.fence, self.view_count),
             all: true,
             set,
             gone: Vec::new(),
@@ -557,20 +570,20 @@
     }
 
     /// What the scaler decided: notes for the feed, and calls to the platform.
-    pub fn take(&mut self) -> (Told, Vec<Effect>) {
+    pub fn take_effects(&mut self) -> (ProxyMessages, Vec<Effect>) {
         let mut changes: BTreeMap<CompactString, Changed> = BTreeMap::new();
         let mut calls = Vec::new();
         let effects = self.scaler.take();
-        let ranks = &mut self.ranks;
+        let ranking = &mut self.ranking;
         let mut to = |service: &CompactString, zone: &CompactString, change: &dyn Fn(&mut Changed)| {
-            for name in ranks.two(service, zone) {
+            for name in ranking.two(service, zone) {
                 change(changes.entry(name.clone()).or_default());
             }
         };
         for effect in effects {
             match effect {
                 Effect::Known { instance } => {
-                    to(&instance.service, &instance.zone, &|(set, _)| set.push(told(&instance)));
+                    to(&instance.service, &instance.zone, &|(set, _)| set.push(instance_message(&instance)));
                 }
                 Effect::Gone { id, service, zone } => to(&service, &zone, &|(set, gone)| {
                     set.retain(|i| i.id != id);
@@ -579,10 +592,10 @@
                 call => calls.push(call),
             }
         }
-        let behind = std::mem::take(&mut self.behind);
-        let whole = if behind.is_empty() { None } else { self.stalls_note() };
-        let mut told: Told =
-            behind.into_iter().zip(whole.into_iter().cycle()).map(|(n, w)| (n, vec![w])).collect();
+        let outdated = std::mem::take(&mut self.outdated);
+        let whole = if outdated.is_empty() { None } else { self.view_message() };
+        let mut told: ProxyMessages =
+            outdated.into_iter().zip(whole.into_iter().cycle()).map(|(n, w)| (n, vec![w])).collect();
         if changes.is_empty() {
             return (told, calls);
         }
