--- a/controller/src/leadership.rs
+++ b/controller/src/leadership.rs
@@ -10,11 +10,11 @@
 use millpost_quorum::{Address, Holder, Members, Message, Outcome, Value};
 
 use crate::Nanos;
-use crate::errors::Kind;
-use crate::leader::{Leader, Told};
-use crate::pages::{Paged, Pages};
+use crate::errors::CallError;
+use crate::leader::{Leader, ProxyMessages};
+use crate::pages::{ListReader, PageResult};
 
-const DUTY: &str = "steward";
+const LEASE_NAME: &str = "steward";
 
 /// A call to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -77,42 +77,42 @@
 
 /// What the register has to be asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Want {
+pub enum RegisterRead {
     /// Who was the last leader.
-    Last,
+    LastLeader,
     /// Which fence stands; answered by [`Leadership::on_fence`] in any case.
     Fence,
 }
 
 /// What comes of an answer of the register.
 #[derive(Debug, PartialEq)]
-pub enum Next {
+pub enum LeadershipStep {
     /// Nothing.
-    Rest,
+    Idle,
     /// These messages go to the voters: the lease is given back.
-    StandBack(Vec<(Address, Message)>),
+    ReleaseLease(Vec<(Address, Message)>),
     /// This fence is to be written over the one below it; answered by [`Leadership::on_fence_written`] in any case.
-    Offer(u64),
+    WriteFence(u64),
     /// The leader of this fence is to be seated, at once.
-    Take(u64),
+    BecomeLeader(u64),
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Seeking {
-    No,
-    Yes,
+enum FenceAttempt {
+    None,
+    InProgress,
     /// The lease was lost on the way: what comes of it is of the past.
-    Lapsed,
+    Expired,
 }
 
 /// What a leader has done with a moment.
-pub struct Done {
+pub struct LeaderOutput {
     /// Who is named, for all, and what each is told with it; this goes first.
-    pub named: Option<(PeerMessage, Told)>,
+    pub view: Option<(PeerMessage, ProxyMessages)>,
     /// What some are told of instances.
-    pub told: Told,
+    pub messages: ProxyMessages,
     /// What is asked of the platform.
-    pub errands: Vec<PlatformCall>,
+    pub platform_calls: Vec<PlatformCall>,
 }
 
 /// Whether this machine leads, and what it does as the leader.
@@ -122,18 +122,28 @@
     seed: u64,
     holder: Option<Holder>,
     /// Whether the register named this machine as the leader when its process started; none until that is known.
-    last: Option<bool>,
-    seeking: Seeking,
+    was_leader: Option<bool>,
+    fence_attempt: FenceAttempt,
     leader: Option<Leader>,
-    pages: Pages,
+    pages: ListReader,
     leaving: bool,
 }
 
 impl Leadership {
     /// Of this machine; `life` differs at each start.
     pub fn new(me: Address, life: u64, seed: u64) -> Self {
-        let (holder, last, seeking, leader) = (None, None, Seeking::No, None);
-        Leadership { me, life, seed, holder, last, seeking, leader, pages: Pages::default(), leaving: false }
+        let (holder, was_leader, fence_attempt, leader) = (None, None, FenceAttempt::None, None);
+        Leadership {
+            me,
+            life,
+            seed,
+            holder,
+            was_leader,
+            fence_attempt,
+            leader,
+            pages: ListReader::default(),
+            leaving: false,
+        }
     }
 
     /// The fence and the end of the lease, while this machine is the leader.
@@ -153,11 +163,11 @@
     }
 
     /// How far it has come, for people.
-    pub fn lease_word(&self, now: Nanos) -> &'static str {
+    pub fn lease_status(&self, now: Nanos) -> &'static str {
         match () {
             () if self.leader.is_some() => "steward",
             () if self.leaving => "leaves",
-            () if self.last.is_none() => "reads",
+            () if self.was_leader.is_none() => "reads",
             () if self.may_act(now) => "takes",
             () => "asks",
         }
@@ -186,9 +196,9 @@
     }
 
     /// A fence that was asked for under a lease is of no use once that has ended, even if it is held again.
-    fn lapse(&mut self, now: Nanos) {
-        if self.seeking == Seeking::Yes && !self.may_act(now) {
-            self.seeking = Seeking::Lapsed;
+    fn expire_attempt(&mut self, now: Nanos) {
+        if self.fence_attempt == FenceAttempt::InProgress && !self.may_act(now) {
+            self.fence_attempt = FenceAttempt::Expired;
         }
     }
 
@@ -197,9 +207,9 @@
         &mut self,
         now: Nanos,
         members: Option<&Members>,
-        stands: bool,
-    ) -> (Vec<(Address, Message)>, Option<Want>) {
-        self.lapse(now);
+        eligible: bool,
+    ) -> (Vec<(Address, Message)>, Option<RegisterRead>) {
+        self.expire_attempt(now);
         // Also where it stands no more, and asks for nothing.
         if !self.may_act(now)
             && let Some(mut leader) = self.leader.take()
@@ -207,59 +217,67 @@
             leader.scaler.over(now);
             log::info!("steward no more");
         }
-        let Some(members) = members.filter(|_| stands && !self.leaving) else { return (Vec::new(), None) };
-        let Some(last) = self.last else { return (Vec::new(), Some(Want::Last)) };
+        let Some(members) = members.filter(|_| eligible && !self.leaving) else { return (Vec::new(), None) };
+        let Some(last) = self.was_leader else { return (Vec::new(), Some(RegisterRead::LastLeader)) };
         let (me, life, seed) = (&self.me, self.life, self.seed);
         let holder = self.holder.get_or_insert_with(|| {
-            let mut holder = Holder::new(DUTY, me, life, members.clone(), seed, now);
+            let mut holder = Holder::new(LEASE_NAME, me, life, members.clone(), seed, now);
             holder.set_again(last);
             holder
         });
         let out = holder.on_tick(now);
-        let wanted = holder.may_act(now) && self.leader.is_none() && self.seeking == Seeking::No;
-        if wanted {
-            self.seeking = Seeking::Yes;
+        let read_fence =
+            holder.may_act(now) && self.leader.is_none() && self.fence_attempt == FenceAttempt::None;
+        if read_fence {
+            self.fence_attempt = FenceAttempt::InProgress;
         }
-        (out, wanted.then_some(Want::Fence))
+        (out, read_fence.then_some(RegisterRead::Fence))
     }
 
     /// A voter's word on the lease.
     pub fn on_lease(&mut self, now: Nanos, from: &str, message: &Message) -> Vec<(Address, Message)> {
-        self.lapse(now);
+        self.expire_attempt(now);
         self.holder.as_mut().map_or_else(Vec::new, |holder| holder.on_message(now, from, message))
     }
 
     /// Who the register names as the last leader, as the process starts.
-    pub fn on_last(&mut self, value: Option<&Value>) {
-        self.last = Some(value.is_some_and(|v| *v.content == *self.me));
+    pub fn on_last_leader(&mut self, value: Option<&Value>) {
+        self.was_leader = Some(value.is_some_and(|v| *v.content == *self.me));
     }
 
     /// Which fence stands.
-    pub fn on_fence(&mut self, now: Nanos, outcome: Result<Option<Value>, Kind>) -> Next {
-        self.lapse(now);
-        let seeking = std::mem::replace(&mut self.seeking, Seeking::No);
-        let Ok(value) = outcome else { return Next::Rest };
+    pub fn on_fence(&mut self, now: Nanos, outcome: Result<Option<Value>, CallError>) -> LeadershipStep {
+        self.expire_attempt(now);
+        let attempt = std::mem::replace(&mut self.fence_attempt, FenceAttempt::None);
+        let Ok(value) = outcome else { return LeadershipStep::Idle };
         let mine = value.as_ref().is_some_and(|v| *v.content == *self.me);
         if !mine && self.is_again() {
             // Somebody has taken over since: that lease is waited for like any other's.
-            return self.stand_back(now);
+            return self.release_lease(now);
         }
-        if seeking != Seeking::Yes {
-            return Next::Rest;
+        if attempt != FenceAttempt::InProgress {
+            return LeadershipStep::Idle;
         }
-        self.seeking = Seeking::Yes;
-        Next::Offer(value.map_or(0, |v| v.version) + 1)
+        self.fence_attempt = FenceAttempt::InProgress;
+        LeadershipStep::WriteFence(value.map_or(0, |v| v.version) + 1)
     }
 
     /// How writing this fence ended.
-    pub fn on_fence_written(&mut self, now: Nanos, fence: u64, outcome: Result<Outcome, Kind>) -> Next {
-        self.lapse(now);
-        let seeking = std::mem::replace(&mut self.seeking, Seeking::No);
+    pub fn on_fence_written(
+        &mut self,
+        now: Nanos,
+        fence: u64,
+        outcome: Result<Outcome, CallError>,
+    ) -> LeadershipStep {
+        self.expire_attempt(now);
+        let attempt = std::mem::replace(&mut self.fence_attempt, FenceAttempt::None);
         match outcome {
-            Ok(Outcome::Written(_)) if seeking == Seeking::Yes && !self.leaving => Next::Take(fence),
-            Ok(Outcome::Written(_)) | Err(_) => Next::Rest,
-            Ok(_) if self.is_again() => self.stand_back(now),
-            Ok(_) => Next::Rest,
+            Ok(Outcome::Written(_)) if attempt == FenceAttempt::InProgress && !self.leaving => {
+                LeadershipStep::BecomeLeader(fence)
+            }
+            Ok(Outcome::Written(_)) | Err(_) => LeadershipStep::Idle,
+            Ok(_) if self.is_again() => self.release_lease(now),
+            Ok(_) => LeadershipStep::Idle,
         }
     }
 
@@ -268,14 +286,14 @@
     }
 
     /// Gives back a lease that was asked for as the last leader, who it turned out not to be.
-    fn stand_back(&mut self, now: Nanos) -> Next {
-        let Some(holder) = &mut self.holder else { return Next::Rest };
+    fn release_lease(&mut self, now: Nanos) -> LeadershipStep {
+        let Some(holder) = &mut self.holder else { return LeadershipStep::Idle };
         holder.set_again(false);
-        Next::StandBack(holder.release(now))
+        LeadershipStep::ReleaseLease(holder.release(now))
     }
 
-    /// The leader that was asked for with [`Next::Take`].
-    pub fn seat(&mut self, leader: Leader) {
+    /// The leader that was asked for with [`LeadershipStep::BecomeLeader`].
+    pub fn install_leader(&mut self, leader: Leader) {
         if let Some(holder) = &mut self.holder {
             holder.set_again(false);
         }
@@ -294,13 +312,13 @@
     }
 
     /// What the leader does. `has` says whose porter is connected.
-    pub fn duties(&mut self, now: Nanos, has: impl Fn(&str) -> bool) -> Option<Done> {
+    pub fn tick_leader(&mut self, now: Nanos, has: impl Fn(&str) -> bool) -> Option<LeaderOutput> {
         let until = self.holder.as_ref().map_or(0, Holder::until);
         let leader = self.leader.as_mut()?;
-        let named = leader.look(now, has);
+        let view = leader.check_proxies(now, has);
         leader.scaler.tick(now);
-        let (mut told, effects) = leader.take();
-        leader.floors(now, &mut told);
+        let (mut messages, effects) = leader.take_effects();
+        leader.send_min_instances(now, &mut messages);
         let ask = leader.pace.ask(now);
         let start_or_stop = |effect| match effect {
             Effect::Start { service, worker, nonce } => Some(Call::Start { service, worker, nonce }),
@@ -313,39 +331,41 @@
                 self.pages.clear();
                 calls.push(Call::List { token: None });
             }
-            Some(Ask::Page) => calls.extend(self.pages.token().map(|t| Call::List { token: Some(t) })),
+            Some(Ask::Page) => calls.extend(self.pages.next_token().map(|t| Call::List { token: Some(t) })),
             Some(Ask::Workers) => calls.push(Call::Workers),
             None => {}
         }
         let fence = leader.fence;
-        let errands = calls
+        let platform_calls = calls
             .into_iter()
             .map(|call| PlatformCall { fence, decided_at: now, deadline: until, call })
             .collect();
-        Some(Done { named, told, errands })
+        Some(LeaderOutput { view, messages, platform_calls })
     }
 
     /// The platform's answer to a call that was decided on at `asked`.
-    pub fn on_heard(&mut self, now: Nanos, fence: u64, asked: Nanos, heard: PlatformReply) {
+    pub fn on_platform_reply(&mut self, now: Nanos, fence: u64, decided_at: Nanos, reply: PlatformReply) {
         let Some(leader) = self.leader.as_mut().filter(|s| s.fence == fence) else { return };
-        match heard {
+        match reply {
             PlatformReply::Listed(None) => {
                 leader.pace.refused(now);
                 leader.pace.listed();
                 self.pages.clear();
             }
-            PlatformReply::Listed(Some((entries, next))) => match self.pages.page(asked, entries, next) {
-                Paged::More => {}
-                Paged::Whole(asked, entries) => {
-                    leader.pace.listed_whole(now, entries.len());
-                    leader.scaler.listed(now, asked, entries);
-                }
-                Paged::Endless => {
-                    log::error!("the list has no end");
-                    leader.pace.listed();
+            PlatformReply::Listed(Some((entries, next))) => {
+                match self.pages.add_page(decided_at, entries, next) {
+                    PageResult::More => {}
+                    PageResult::Complete(requested_at, entries) => {
+                        leader.pace.listed_whole(now, entries.len());
+                        leader.scaler.listed(now, requested_at, entries);
+                    }
+                    PageResult::TooLong => {
+                        log::error!("the list has no end");
+                        leader.pace.listed();
+                    }
                 }
-            },
-            PlatformReply::Workers(Some(all)) => leader.scaler.workers(now, asked, all),
+            }
+            PlatformReply::Workers(Some(all)) => leader.scaler.workers(now, decided_at, all),
             PlatformReply::Workers(None) => leader.pace.refused(now),
             PlatformReply::Started { nonce, answer } => {
                 if let Err(fault) = &answer {
@@ -373,7 +393,7 @@
     const BOUNDS: f64 = 100.0;
 
     /// Leadership under one voter, which grants what is asked at this time.
-    fn granted(leadership: &mut Leadership, now: Nanos) -> Option<Want> {
+    fn tick_and_grant(leadership: &mut Leadership, now: Nanos) -> Option<RegisterRead> {
         let members = Members::first("u", ["a".into()]);
         let (out, want) = leadership.tick(now, Some(&members), true);
         for (from, message) in out {
@@ -384,50 +404,56 @@
         want
     }
 
-    fn held(last: Option<&str>) -> Leadership {
+    fn with_lease(last: Option<&str>) -> Leadership {
         let mut leadership = Leadership::new("a".into(), 1, 1);
-        assert_eq!(granted(&mut leadership, 0), Some(Want::Last));
-        leadership.on_last(last.map(stands).as_ref());
-        assert_eq!(granted(&mut leadership, 0), None);
-        assert_eq!(granted(&mut leadership, 100 * MS), None);
-        assert_eq!(granted(&mut leadership, 101 * MS), Some(Want::Fence));
+        assert_eq!(tick_and_grant(&mut leadership, 0), Some(RegisterRead::LastLeader));
+        leadership.on_last_leader(last.map(register_value).as_ref());
+        assert_eq!(tick_and_grant(&mut leadership, 0), None);
+        assert_eq!(tick_and_grant(&mut leadership, 100 * MS), None);
+        assert_eq!(tick_and_grant(&mut leadership, 101 * MS), Some(RegisterRead::Fence));
         leadership
     }
 
-    fn stands(who: &str) -> Value {
+    fn register_value(who: &str) -> Value {
         Value { version: 4, content: who.into() }
     }
 
-    fn seated(now: Nanos) -> Leadership {
-        let mut leadership = held(None);
-        assert_eq!(leadership.on_fence(now, Ok(None)), Next::Offer(1));
-        assert_eq!(leadership.on_fence_written(now, 1, Ok(Outcome::Written(stands("a")))), Next::Take(1));
-        leadership.seat(Leader::new(now, Terms::new(1, BOUNDS, 100), BOUNDS, None, None));
+    fn with_leader(now: Nanos) -> Leadership {
+        let mut leadership = with_lease(None);
+        assert_eq!(leadership.on_fence(now, Ok(None)), LeadershipStep::WriteFence(1));
+        assert_eq!(
+            leadership.on_fence_written(now, 1, Ok(Outcome::Written(register_value("a")))),
+            LeadershipStep::BecomeLeader(1)
+        );
+        leadership.install_leader(Leader::new(now, Terms::new(1, BOUNDS, 100), BOUNDS, None, None));
         leadership
     }
 
     #[test]
     fn a_fence_of_a_lease_that_was_lost_on_the_way_is_of_no_use() {
-        let mut leadership = held(None);
-        assert_eq!(leadership.on_fence(102 * MS, Ok(Some(stands("b")))), Next::Offer(5));
+        let mut leadership = with_lease(None);
+        assert_eq!(
+            leadership.on_fence(102 * MS, Ok(Some(register_value("b")))),
+            LeadershipStep::WriteFence(5)
+        );
         // Its lease ends; it is given back, asked for again and granted, before the register answers.
         for at in [1_700, 1_701, 2_200] {
-            assert_eq!(granted(&mut leadership, at * MS), None);
+            assert_eq!(tick_and_grant(&mut leadership, at * MS), None);
         }
         assert!(leadership.may_act(2_201 * MS));
         let written = Ok(Outcome::Written(Value { version: 5, content: "a".into() }));
-        assert_eq!(leadership.on_fence_written(2_201 * MS, 5, written), Next::Rest);
-        assert_eq!(granted(&mut leadership, 2_202 * MS), Some(Want::Fence));
+        assert_eq!(leadership.on_fence_written(2_201 * MS, 5, written), LeadershipStep::Idle);
+        assert_eq!(tick_and_grant(&mut leadership, 2_202 * MS), Some(RegisterRead::Fence));
     }
 
     #[test]
     fn a_fence_that_was_read_under_a_lease_that_was_lost_is_read_again() {
-        let mut leadership = held(None);
+        let mut leadership = with_lease(None);
         for at in [1_700, 1_701, 2_200] {
-            assert_eq!(granted(&mut leadership, at * MS), None);
+            assert_eq!(tick_and_grant(&mut leadership, at * MS), None);
         }
-        assert_eq!(leadership.on_fence(2_201 * MS, Ok(Some(stands("b")))), Next::Rest);
-        assert_eq!(granted(&mut leadership, 2_202 * MS), Some(Want::Fence));
+        assert_eq!(leadership.on_fence(2_201 * MS, Ok(Some(register_value("b")))), LeadershipStep::Idle);
+        assert_eq!(tick_and_grant(&mut leadership, 2_202 * MS), Some(RegisterRead::Fence));
     }
 
     #[yare::parameterized(
@@ -440,15 +466,15 @@
         now: Option<&str>,
         back: bool,
     ) {
-        let mut leadership = held(last);
-        let next = leadership.on_fence(102 * MS, Ok(now.map(stands)));
-        assert_eq!(matches!(next, Next::StandBack(_)), back, "{next:?}");
+        let mut leadership = with_lease(last);
+        let next = leadership.on_fence(102 * MS, Ok(now.map(register_value)));
+        assert_eq!(matches!(next, LeadershipStep::ReleaseLease(_)), back, "{next:?}");
         assert_eq!(leadership.may_act(102 * MS), !back);
     }
 
     #[test]
     fn an_office_ends_with_its_lease_also_where_nothing_more_is_asked_for() {
-        let mut leadership = seated(102 * MS);
+        let mut leadership = with_leader(102 * MS);
         let members = Members::first("u", ["a".into()]);
         assert_eq!(leadership.tick(1_400 * MS, Some(&members), false), (Vec::new(), None));
         assert!(leadership.leader().is_some());
@@ -458,16 +484,18 @@
 
     #[test]
     fn a_list_that_was_kept_back_is_asked_for_again() {
-        let mut leadership = seated(102 * MS);
+        let mut leadership = with_leader(102 * MS);
         let list = |leadership: &mut Leadership, at: Nanos| {
-            let errands = leadership.duties(at * MS, |_| true).map_or_else(Vec::new, |done| done.errands);
-            errands.into_iter().find(|e| matches!(e.call, Call::List { .. }))
+            let calls = leadership
+                .tick_leader(at * MS, |_| true)
+                .map_or_else(Vec::new, |output| output.platform_calls);
+            calls.into_iter().find(|e| matches!(e.call, Call::List { .. }))
         };
-        let errand = (103..1_000).find_map(|at| list(&mut leadership, at)).expect("a list");
-        let (fence, asked, until) = (errand.fence, errand.decided_at, errand.deadline);
+        let call = (103..1_000).find_map(|at| list(&mut leadership, at)).expect("a list");
+        let (fence, asked, until) = (call.fence, call.decided_at, call.deadline);
         // Its turn comes too late, while the lease was renewed.
-        let kept_back = errand.begin(until).expect_err("too late");
-        leadership.on_heard(until, fence, asked, kept_back);
+        let kept_back = call.begin(until).expect_err("too late");
+        leadership.on_platform_reply(until, fence, asked, kept_back);
         assert!((1_600..2_600).any(|at| list(&mut leadership, at).is_some()));
     }
 }
--- a/controller/src/pages.rs
+++ b/controller/src/pages.rs
@@ -6,52 +6,57 @@
 use crate::Nanos;
 
 /// The longest list.
-const LONGEST: usize = 100_000;
+const MAX_ENTRIES: usize = 100_000;
 
 /// What a page makes of the list.
 #[derive(Debug, PartialEq)]
-pub enum Paged {
+pub enum PageResult {
     /// More is to come.
     More,
     /// This is all of it, as it stood when its first page was asked for.
-    Whole(Nanos, Vec<Entry>),
+    Complete(Nanos, Vec<Entry>),
     /// It has no end, and is given up.
-    Endless,
+    TooLong,
 }
 
 /// The list that is being read.
 #[derive(Debug, Default)]
-pub struct Pages {
-    asked: Option<Nanos>,
+pub struct ListReader {
+    requested_at: Option<Nanos>,
     entries: Vec<Entry>,
     next: Option<CompactString>,
 }
 
-impl Pages {
+impl ListReader {
     /// Starts anew.
     pub fn clear(&mut self) {
-        *self = Pages::default();
+        *self = ListReader::default();
     }
 
     /// What the next page is asked for by, once.
-    pub fn token(&mut self) -> Option<CompactString> {
+    pub fn next_token(&mut self) -> Option<CompactString> {
         self.next.take()
     }
 
     /// A page that was asked for at this time.
-    pub fn page(&mut self, asked: Nanos, entries: Vec<Entry>, next: Option<CompactString>) -> Paged {
-        let first = *self.asked.get_or_insert(asked);
+    pub fn add_page(
+        &mut self,
+        requested_at: Nanos,
+        entries: Vec<Entry>,
+        next: Option<CompactString>,
+    ) -> PageResult {
+        let first = *self.requested_at.get_or_insert(requested_at);
         self.entries.extend(entries);
         self.next = next;
         if self.next.is_none() {
             let entries = std::mem::take(&mut self.entries);
             self.clear();
-            Paged::Whole(first, entries)
-        } else if self.entries.len() > LONGEST {
+            PageResult::Complete(first, entries)
+        } else if self.entries.len() > MAX_ENTRIES {
             self.clear();
-            Paged::Endless
+            PageResult::TooLong
         } else {
-            Paged::More
+            PageResult::More
         }
     }
 }
@@ -74,19 +79,20 @@
 
     #[test]
     fn a_list_counts_from_when_its_first_page_was_asked_for() {
-        let mut pages = Pages::default();
-        assert_eq!(pages.page(10, entries(0, 2), Some("t".into())), Paged::More);
-        assert_eq!((pages.token(), pages.token()), (Some("t".into()), None));
-        assert_eq!(pages.page(20, entries(2, 1), None), Paged::Whole(10, entries(0, 3)));
-        assert_eq!(pages.page(30, entries(7, 1), None), Paged::Whole(30, entries(7, 1)));
+        let mut pages = ListReader::default();
+        assert_eq!(pages.add_page(10, entries(0, 2), Some("t".into())), PageResult::More);
+        assert_eq!((pages.next_token(), pages.next_token()), (Some("t".into()), None));
+        assert_eq!(pages.add_page(20, entries(2, 1), None), PageResult::Complete(10, entries(0, 3)));
+        assert_eq!(pages.add_page(30, entries(7, 1), None), PageResult::Complete(30, entries(7, 1)));
     }
 
     #[test]
     fn a_list_without_end_is_given_up() {
-        let mut pages = Pages::default();
-        let last =
-            (0..).map(|n| pages.page(n, entries(0, 20_000), Some("t".into()))).find(|p| *p != Paged::More);
-        assert_eq!(last, Some(Paged::Endless));
-        assert_eq!(pages.page(9, Vec::new(), None), Paged::Whole(9, Vec::new()));
+        let mut pages = ListReader::default();
+        let last = (0..)
+            .map(|n| pages.add_page(n, entries(0, 20_000), Some("t".into())))
+            .find(|p| *p != PageResult::More);
+        assert_eq!(last, Some(PageResult::TooLong));
+        assert_eq!(pages.add_page(9, Vec::new(), None), PageResult::Complete(9, Vec::new()));
     }
 }
--- a/controller/src/platform.rs
+++ b/controller/src/platform.rs
@@ -13,10 +13,10 @@
 
 use crate::leadership::{Call, Page, PlatformReply};
 
-/// The list and the workers answer within this, or the next time.
-const LIST_WITHIN: Duration = Duration::from_millis(1_500);
+/// The list and the workers answer timeout this, or the next time.
+const LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// A start or stop without an answer by then is unclear.
-const DUTY_WITHIN: Duration = Duration::from_millis(2_500);
+const DUTY_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// The platform, as it is called by the holder of a fence.
 pub struct Platform {
@@ -43,11 +43,11 @@
         method: Method,
         path: &str,
         body: String,
-        within: Duration,
+        timeout: Duration,
     ) -> Option<(u16, String)> {
         let body = Bytes::from(body);
         let headers = if method == Method::GET { HeaderMap::new() } else { self.headers.clone() };
-        match self.client.call(method, path, headers, body, within, platform::TEXT_MAX).await {
+        match self.client.call(method, path, headers, body, timeout, platform::TEXT_MAX).await {
             Ok((status, _, body)) => Some((status.as_u16(), String::from_utf8_lossy(&body).into_owned())),
             Err(e) => {
                 self.client.clear();
@@ -76,7 +76,7 @@
     /// One page of the list.
     async fn list(&self, token: Option<&str>) -> Option<Page> {
         let path = token.map_or("/endpoints".to_owned(), |t| format!("/endpoints?page_token={t}"));
-        match self.call(Method::GET, &path, String::new(), LIST_WITHIN).await? {
+        match self.call(Method::GET, &path, String::new(), LIST_TIMEOUT).await? {
             (200, text) => platform::read_endpoints(&text).map_err(|e| log::warn!("the list: {e}")).ok(),
             _ => None,
         }
@@ -84,7 +84,7 @@
 
     /// The workers.
     async fn workers(&self) -> Option<Vec<Worker>> {
-        match self.call(Method::GET, "/workers", String::new(), LIST_WITHIN).await? {
+        match self.call(Method::GET, "/workers", String::new(), LIST_TIMEOUT).await? {
             (200, text) => platform::read_workers(&text).map_err(|e| log::warn!("the workers: {e}")).ok(),
             _ => None,
         }
@@ -98,7 +98,7 @@
         nonce: &str,
     ) -> Result<(CompactString, SocketAddr), StartFault> {
         let body = platform::start_body(service, worker, nonce);
-        match self.call(Method::POST, "/start", body, DUTY_WITHIN).await {
+        match self.call(Method::POST, "/start", body, DUTY_TIMEOUT).await {
             Some((status, text)) => platform::start_answer(status, &text),
             None => Err(StartFault::Unclear),
         }
@@ -106,7 +106,7 @@
 
     /// Stops one.
     async fn stop(&self, id: &str) -> Result<(), StopFault> {
-        match self.call(Method::POST, "/stop", platform::stop_body(id), DUTY_WITHIN).await {
+        match self.call(Method::POST, "/stop", platform::stop_body(id), DUTY_TIMEOUT).await {
             Some((status, _)) => platform::stop_answer(status),
             None => Err(StopFault::Unclear),
         }
--- a/controller/src/ledger.rs
+++ b/controller/src/platform_stats.rs
@@ -1,5 +1,5 @@
-//! What the platform has said to this leader, for people. Invariants: nothing is decided by it; one tally for each kind of answer, and
-//! no more than [`MOST`] faults are kept.
+//! What the platform has said to this leader, for people. Invariants: nothing is decided by it; one count for each kind of answer, and
+//! no more than [`MAX_FAULTS`] faults are kept.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,12 +12,12 @@
 use crate::{MS, Nanos};
 
 /// Faults that are kept, and workers that are told of.
-const MOST: usize = 100;
-const WORKERS: usize = 500;
+const MAX_FAULTS: usize = 100;
+const MAX_WORKERS: usize = 500;
 
 /// An answer to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Word {
+struct ReplyKind {
     call: &'static str,
     answer: &'static str,
     /// The status that it stands for, where that is one.
@@ -26,16 +26,16 @@
 
 /// An answer that was no good: of which start or stop, and when.
 struct Fault {
-    word: Word,
+    kind: ReplyKind,
     of: CompactString,
     at: Nanos,
 }
 
 /// All of it.
 #[derive(Default)]
-pub struct Ledger {
+pub struct PlatformStats {
     workers: Option<(Nanos, Vec<Worker>)>,
-    tallies: BTreeMap<Word, (u64, Nanos)>,
+    counts: BTreeMap<ReplyKind, (u64, Nanos)>,
     faults: VecDeque<Fault>,
 }
 
@@ -43,11 +43,11 @@
     JsonValue::Number(n as f64)
 }
 
-/// The word for an answer, and what it is about.
-fn word(heard: &PlatformReply) -> (Word, &str) {
-    let of = |call, (answer, status)| Word { call, answer, status };
+/// The kind for an answer, and what it is about.
+fn classify(reply: &PlatformReply) -> (ReplyKind, &str) {
+    let of = |call, (answer, status)| ReplyKind { call, answer, status };
     let whole = |there: bool| if there { ("ok", 200) } else { ("none", 0) };
-    match heard {
+    match reply {
         PlatformReply::Listed(page) => (of("list", whole(page.is_some())), ""),
         PlatformReply::Workers(all) => (of("workers", whole(all.is_some())), ""),
         PlatformReply::Started { nonce, answer } => {
@@ -73,7 +73,7 @@
     }
 }
 
-impl Word {
+impl ReplyKind {
     fn to_json(self, more: [(&str, JsonValue); 3]) -> JsonValue {
         let status = if self.status == 0 { JsonValue::Null } else { number(self.status.into()) };
         let [one, two, three] = more;
@@ -88,22 +88,22 @@
     }
 }
 
-impl Ledger {
+impl PlatformStats {
     /// How often the platform has answered a kind of call so: call, answer, count.
     pub fn answers(&self) -> impl Iterator<Item = (&'static str, &'static str, u64)> {
-        self.tallies.iter().map(|(word, (count, _))| (word.call, word.answer, *count))
+        self.counts.iter().map(|(kind, (count, _))| (kind.call, kind.answer, *count))
     }
 
     /// The platform has answered, or has not.
-    pub fn heard(&mut self, now: Nanos, heard: &PlatformReply) {
-        let (word, of) = word(heard);
-        let tally = self.tallies.entry(word).or_default();
-        *tally = (tally.0 + 1, now);
-        if word.answer != "ok" {
-            self.faults.push_back(Fault { word, of: of.into(), at: now });
-            self.faults.drain(..self.faults.len().saturating_sub(MOST));
+    pub fn record(&mut self, now: Nanos, reply: &PlatformReply) {
+        let (kind, of) = classify(reply);
+        let count = self.counts.entry(kind).or_default();
+        *count = (count.0 + 1, now);
+        if kind.answer != "ok" {
+            self.faults.push_back(Fault { kind, of: of.into(), at: now });
+            self.faults.drain(..self.faults.len().saturating_sub(MAX_FAULTS));
         }
-        if let PlatformReply::Workers(Some(all)) = heard {
+        if let PlatformReply::Workers(Some(all)) = reply {
             self.workers = Some((now, all.clone()));
         }
     }
@@ -116,7 +116,7 @@
     /// The workers; `instances` says how many stand on each.
     pub fn workers_json(&self, now: Nanos, instances: impl Fn(&str) -> usize) -> JsonValue {
         let Some((at, all)) = &self.workers else { return JsonValue::Null };
-        let each = all.iter().take(WORKERS).map(|worker| {
+        let each = all.iter().take(MAX_WORKERS).map(|worker| {
             object([
                 ("name", text(&worker.name)),
                 ("zone", text(&worker.zone)),
@@ -136,8 +136,8 @@
     /// Each kind of answer: how often it came, and when last.
     pub fn answers_json(&self, now: Nanos) -> JsonValue {
         let ago = |at: Nanos| number(now.saturating_sub(at) / MS);
-        let each = self.tallies.iter().map(|(word, (count, at))| {
-            word.to_json([("count", number(*count)), ("ms_ago", ago(*at)), ("of", JsonValue::Null)])
+        let each = self.counts.iter().map(|(kind, (count, at))| {
+            kind.to_json([("count", number(*count)), ("ms_ago", ago(*at)), ("of", JsonValue::Null)])
         });
         JsonValue::Array(each.collect())
     }
@@ -147,7 +147,7 @@
         let each = self.faults.iter().rev().map(|fault| {
             let of = if fault.of.is_empty() { JsonValue::Null } else { text(&fault.of) };
             let ago = number(now.saturating_sub(fault.at) / MS);
-            fault.word.to_json([("of", of), ("ms_ago", ago), ("count", JsonValue::Null)])
+            fault.kind.to_json([("of", of), ("ms_ago", ago), ("count", JsonValue::Null)])
         });
         JsonValue::Array(each.collect())
     }
@@ -159,19 +159,19 @@
 
     #[test]
     fn answers_are_counted_and_faults_are_bounded() {
-        let mut ledger = Ledger::default();
+        let mut stats = PlatformStats::default();
         let started = |answer| PlatformReply::Started { nonce: "4.7.f".into(), answer };
-        ledger.heard(0, &started(Ok(("i-1".into(), ([10, 0, 0, 1], 80).into()))));
-        for n in 1..=2 * MOST as u64 {
-            ledger.heard(n * MS, &started(Err(StartFault::NoRoom)));
+        stats.record(0, &started(Ok(("i-1".into(), ([10, 0, 0, 1], 80).into()))));
+        for n in 1..=2 * MAX_FAULTS as u64 {
+            stats.record(n * MS, &started(Err(StartFault::NoRoom)));
         }
-        ledger.heard(201 * MS, &PlatformReply::Listed(None));
-        let answers = ledger.answers_json(202 * MS).stringify().expect("text");
+        stats.record(201 * MS, &PlatformReply::Listed(None));
+        let answers = stats.answers_json(202 * MS).stringify().expect("text");
         for part in [r#""count":200"#, r#""status":409"#, r#""call":"list""#, r#""answer":"ok""#] {
             assert!(answers.contains(part), "{answers}");
         }
-        let JsonValue::Array(faults) = ledger.faults_json(202 * MS) else { panic!("a list") };
-        assert_eq!(faults.len(), MOST);
+        let JsonValue::Array(faults) = stats.faults_json(202 * MS) else { panic!("a list") };
+        assert_eq!(faults.len(), MAX_FAULTS);
         assert_eq!(millpost_config::values::get_str(&faults[1], "of"), Some("4.7.f"));
     }
 }
--- a/controller/src/rounds.rs
+++ b/controller/src/rounds.rs
@@ -1,105 +1,105 @@
 //! Rounds of the register, and what each is for. Invariants: what was begun ends once, at its time at the latest; no more than
-//! [`MOST`] are under way.
+//! [`MAX_ROUNDS`] are under way.
 
 use std::collections::BTreeMap;
 
 use millpost_quorum::{
-    Address, Ballots, Change, Key, Kind as RoundKind, Members, Message, Moved, Moving, Out as Said, Outcome,
-    Round,
+    Address, Ballots, Change, Key, Kind as RoundKind, Members, Message, Moved, Moving, Out as StepOutput,
+    Outcome, Round,
 };
 
-use crate::contact::Confirm;
-use crate::errors::Kind;
+use crate::contact::ContactRead;
+use crate::errors::CallError;
 use crate::{MS, Nanos};
 
 /// A round of the register ends by then, so that who asked can move on within a second.
-const ROUND: Nanos = 800 * MS;
+const ROUND_TIMEOUT: Nanos = 800 * MS;
 /// All rounds of a change of voters.
-const MOVE: Nanos = 6_000 * MS;
+const CHANGE_TIMEOUT: Nanos = 6_000 * MS;
 /// Rounds at once.
-pub const MOST: usize = 200;
+pub const MAX_ROUNDS: usize = 200;
 
 /// What a round is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum For {
+pub enum RoundPurpose {
     /// An operator put this, by the call of this number.
-    Replace(u64),
+    PutConfig(u64),
     /// An operator reads.
-    Read(u64),
+    ReadConfig(u64),
     /// To know the configuration oneself.
-    Learn,
+    LearnConfig,
     /// To know that what is known is what a majority stands behind.
-    Confirm(Confirm),
+    ConfirmContact(ContactRead),
     /// Who was the last leader.
-    Last,
+    LastLeader,
     /// To become the leader: the fence that stands.
-    Fence,
+    ReadFence,
     /// To become the leader: this fence is mine.
-    Leadership(u64),
+    WriteFence(u64),
     /// The voters change.
-    Voters,
+    ChangeVoters,
     /// The record of moves is read or written, for the carter's question of this number.
-    Moves(u64),
+    MigrationRecord(u64),
     /// A move's configuration of this number is put.
-    Load(u64),
+    MigrationConfig(u64),
     /// This machine is about to end: what it holds under this key is to stand without it.
     HandOver(Key),
 }
 
 /// A round that is over. One that changed voters is not told of: see [`Rounds::members`].
 #[derive(Debug)]
-pub struct Ended {
+pub struct FinishedRound {
     /// What it was for.
-    pub to: For,
+    pub purpose: RoundPurpose,
     /// How it ended.
-    pub outcome: Result<Outcome, Kind>,
+    pub outcome: Result<Outcome, CallError>,
 }
 
 /// What to do.
 #[derive(Debug, Default)]
-pub struct Out {
+pub struct RoundOutput {
     /// Messages to voters, each of the round of this number.
     pub send: Vec<(u64, Address, Message)>,
     /// What is over.
-    pub ended: Vec<Ended>,
+    pub finished: Vec<FinishedRound>,
 }
 
-enum Machine {
+enum RoundState {
     Round(Box<Round>),
     Moving(Box<Moving>),
 }
 
-impl Machine {
-    fn on(&mut self, now: Nanos, answer: Option<(&str, &Message)>) -> Said {
+impl RoundState {
+    fn advance(&mut self, now: Nanos, answer: Option<(&str, &Message)>) -> StepOutput {
         match (self, answer) {
-            (Machine::Round(round), Some((from, message))) => round.on_reply(now, from, message),
-            (Machine::Round(round), None) => round.on_tick(now),
-            (Machine::Moving(moving), Some((from, message))) => moving.on_reply(now, from, message),
-            (Machine::Moving(moving), None) => moving.on_tick(now),
+            (RoundState::Round(round), Some((from, message))) => round.on_reply(now, from, message),
+            (RoundState::Round(round), None) => round.on_tick(now),
+            (RoundState::Moving(moving), Some((from, message))) => moving.on_reply(now, from, message),
+            (RoundState::Moving(moving), None) => moving.on_tick(now),
         }
     }
 
     fn members(&self) -> &Members {
         match self {
-            Machine::Round(round) => round.members(),
-            Machine::Moving(moving) => moving.members(),
+            RoundState::Round(round) => round.members(),
+            RoundState::Moving(moving) => moving.members(),
         }
     }
 }
 
-struct Running {
-    machine: Machine,
-    to: For,
+struct RunningRound {
+    state: RoundState,
+    purpose: RoundPurpose,
     wake: Nanos,
 }
 
-/// All rounds of a machine, and the newest members it knows.
+/// All rounds of a state, and the newest members it knows.
 pub struct Rounds {
     ballots: Ballots,
-    /// Chance differs from machine to machine, also where all start in one moment.
+    /// Chance differs from machine to state, also where all start in one moment.
     seed: u64,
     members: Option<Members>,
-    rounds: BTreeMap<u64, Running>,
+    rounds: BTreeMap<u64, RunningRound>,
     next: u64,
 }
 
@@ -122,12 +122,12 @@
     }
 
     /// Whether a round for this is under way.
-    pub fn at_work_for(&self, to: For) -> bool {
-        self.rounds.values().any(|r| r.to == to)
+    pub fn is_running(&self, purpose: RoundPurpose) -> bool {
+        self.rounds.values().any(|r| r.purpose == purpose)
     }
 
     /// How many are under way.
-    pub fn under_way(&self) -> usize {
+    pub fn in_progress(&self) -> usize {
         self.rounds.len()
     }
 
@@ -137,75 +137,91 @@
     }
 
     /// Begins a round.
-    pub fn round(&mut self, now: Nanos, kind: RoundKind, key: Key, to: For) -> Out {
-        self.start(now, to, |members, ballots, seed| {
-            Machine::Round(Box::new(Round::new(kind, key, members, ballots, seed, now + ROUND)))
+    pub fn start(&mut self, now: Nanos, kind: RoundKind, key: Key, purpose: RoundPurpose) -> RoundOutput {
+        self.begin(now, purpose, |members, ballots, seed| {
+            RoundState::Round(Box::new(Round::new(kind, key, members, ballots, seed, now + ROUND_TIMEOUT)))
         })
     }
 
     /// Begins a round whose majorities are made up without this voter.
-    pub fn round_without(
+    pub fn start_without(
         &mut self,
         now: Nanos,
         kind: RoundKind,
         key: Key,
-        to: For,
+        purpose: RoundPurpose,
         without: &Address,
-    ) -> Out {
-        self.start(now, to, |members, ballots, seed| {
-            let round = Round::new(kind, key, members, ballots, seed, now + ROUND);
-            Machine::Round(Box::new(round.without(without.clone())))
+    ) -> RoundOutput {
+        self.begin(now, purpose, |members, ballots, seed| {
+            let round = Round::new(kind, key, members, ballots, seed, now + ROUND_TIMEOUT);
+            RoundState::Round(Box::new(round.without(without.clone())))
         })
     }
 
     /// Begins a change of the voters, or ends one that somebody began.
-    pub fn change(&mut self, now: Nanos, change: Option<Change>) -> Out {
-        self.start(now, For::Voters, |members, ballots, seed| {
-            Machine::Moving(Box::new(Moving::new(change, members, ballots, seed, ROUND, now + MOVE, now)))
+    pub fn start_change(&mut self, now: Nanos, change: Option<Change>) -> RoundOutput {
+        self.begin(now, RoundPurpose::ChangeVoters, |members, ballots, seed| {
+            RoundState::Moving(Box::new(Moving::new(
+                change,
+                members,
+                ballots,
+                seed,
+                ROUND_TIMEOUT,
+                now + CHANGE_TIMEOUT,
+                now,
+            )))
         })
     }
 
-    fn start(&mut self, now: Nanos, to: For, machine: impl FnOnce(Members, &Ballots, u64) -> Machine) -> Out {
-        let refused = |kind| Out { send: Vec::new(), ended: vec![Ended { to, outcome: Err(kind) }] };
-        let Some(members) = self.members.clone() else { return refused(Kind::NoMajority) };
-        if self.rounds.len() >= MOST {
-            return refused(Kind::Busy);
+    fn begin(
+        &mut self,
+        now: Nanos,
+        purpose: RoundPurpose,
+        state: impl FnOnce(Members, &Ballots, u64) -> RoundState,
+    ) -> RoundOutput {
+        let refused = |kind| RoundOutput {
+            send: Vec::new(),
+            finished: vec![FinishedRound { purpose, outcome: Err(kind) }],
+        };
+        let Some(members) = self.members.clone() else { return refused(CallError::NoMajority) };
+        if self.rounds.len() >= MAX_ROUNDS {
+            return refused(CallError::Busy);
         }
         self.next += 1;
-        let machine = machine(members, &self.ballots, self.seed ^ self.next.rotate_left(32));
-        self.rounds.insert(self.next, Running { machine, to, wake: now });
-        let mut out = Out::default();
+        let state = state(members, &self.ballots, self.seed ^ self.next.rotate_left(32));
+        self.rounds.insert(self.next, RunningRound { state, purpose, wake: now });
+        let mut out = RoundOutput::default();
         self.drive(now, self.next, None, &mut out);
         out
     }
 
     /// A voter's answer to the round of this number.
-    pub fn on_answer(&mut self, now: Nanos, id: u64, from: &str, message: &Message) -> Out {
-        let mut out = Out::default();
+    pub fn on_answer(&mut self, now: Nanos, id: u64, from: &str, message: &Message) -> RoundOutput {
+        let mut out = RoundOutput::default();
         self.drive(now, id, Some((from, message)), &mut out);
         out
     }
 
     /// Time passes.
-    pub fn tick(&mut self, now: Nanos) -> Out {
-        let mut out = Out::default();
+    pub fn tick(&mut self, now: Nanos) -> RoundOutput {
+        let mut out = RoundOutput::default();
         let due: Vec<_> = self.rounds.iter().filter(|(_, r)| r.wake <= now).map(|(id, _)| *id).collect();
         due.into_iter().for_each(|id| self.drive(now, id, None, &mut out));
         out
     }
 
-    fn drive(&mut self, now: Nanos, id: u64, answer: Option<(&str, &Message)>, out: &mut Out) {
+    fn drive(&mut self, now: Nanos, id: u64, answer: Option<(&str, &Message)>, out: &mut RoundOutput) {
         let Some(running) = self.rounds.get_mut(&id) else { return };
-        let said = running.machine.on(now, answer);
-        running.wake = said.wake.unwrap_or(now + 20 * MS);
-        out.send.extend(said.send.into_iter().map(|(to, message)| (id, to, message)));
-        let newer = running.machine.members();
+        let step = running.state.advance(now, answer);
+        running.wake = step.wake.unwrap_or(now + 20 * MS);
+        out.send.extend(step.send.into_iter().map(|(to, message)| (id, to, message)));
+        let newer = running.state.members();
         if self.members.as_ref().is_none_or(|mine| mine.epoch < newer.epoch) {
             self.members = Some(newer.clone());
         }
-        let moved = match &running.machine {
-            Machine::Moving(moving) => moving.moved().cloned(),
-            Machine::Round(_) => None,
+        let moved = match &running.state {
+            RoundState::Moving(moving) => moving.moved().cloned(),
+            RoundState::Round(_) => None,
         };
         if let Some(moved) = moved {
             self.rounds.remove(&id);
@@ -216,20 +232,20 @@
                 }
                 other => log::warn!("the voters did not change: {other:?}"),
             }
-        } else if let Some(outcome) = said.outcome
+        } else if let Some(outcome) = step.outcome
             && let Some(running) = self.rounds.remove(&id)
         {
-            let to = running.to;
+            let purpose = running.purpose;
             let outcome = match outcome {
                 Outcome::Lost(why) => {
-                    if matches!(to, For::Replace(_) | For::Read(_)) {
+                    if matches!(purpose, RoundPurpose::PutConfig(_) | RoundPurpose::ReadConfig(_)) {
                         log::info!("an operator's call found no majority: {why:?}");
                     }
-                    Err(Kind::NoMajority)
+                    Err(CallError::NoMajority)
                 }
                 outcome => Ok(outcome),
             };
-            out.ended.push(Ended { to, outcome });
+            out.finished.push(FinishedRound { purpose, outcome });
         }
     }
 }
--- a/controller/src/runtime.rs
+++ b/controller/src/runtime.rs
@@ -26,24 +26,24 @@
 use tokio::time::{Instant, sleep_until};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::calls::LONGEST_BODY;
+use crate::calls::MAX_BODY;
 use crate::contact::GossipReply;
 use crate::core::{Core, CoreOptions, Effect, Input, ReplyTarget, seeds};
-use crate::errors::{Error, Kind, ListenSnafu, NeededSnafu, SignalsSnafu};
+use crate::errors::{CallError, Error, ListenSnafu, NeededSnafu, SignalsSnafu};
 use crate::feed::ConnectionId;
 use crate::leadership::PlatformCall;
 use crate::platform::Platform;
-use crate::voter_thread::{self, Said, VoterThread};
+use crate::voter_thread::{self, VoterEvent, VoterThread};
 use crate::{MS, Nanos};
 
 /// Answers of other control machines.
-const VOTE: Duration = Duration::from_millis(900);
+const PEER_TIMEOUT: Duration = Duration::from_millis(900);
 /// The settings file is looked at this often.
-const RELOAD: Nanos = 1_000 * MS;
+const RELOAD_INTERVAL: Nanos = 1_000 * MS;
 /// Lines that may wait for a porter.
-const WAITING: usize = 256;
+const FEED_QUEUE_LENGTH: usize = 256;
 /// Other machines that connections are kept to.
-const CLIENTS: usize = 64;
+const MAX_CLIENTS: usize = 64;
 
 /// What comes.
 enum Event {
@@ -62,7 +62,7 @@
     /// Whoever waits for an answer.
     calls: BTreeMap<u64, oneshot::Sender<Reply>>,
     last_call: u64,
-    seats: BTreeMap<ConnectionId, mpsc::Sender<Bytes>>,
+    feeds: BTreeMap<ConnectionId, mpsc::Sender<Bytes>>,
     /// The platform, as it is called under the fence.
     platform: Option<(u64, Arc<Platform>)>,
     reload_at: Nanos,
@@ -81,22 +81,22 @@
     let listener = TcpListener::bind(address).await.context(ListenSnafu { address: address.to_string() })?;
     let mut term = signal(SignalKind::terminate()).context(SignalsSnafu)?;
     let mut hang_up = signal(SignalKind::hangup()).context(SignalsSnafu)?;
-    let (events, mut coming) = mpsc::unbounded_channel();
+    let (events, mut receiver) = mpsc::unbounded_channel();
 
-    let asked = events.clone();
+    let calls = events.clone();
     let limits = Limits {
-        body: LONGEST_BODY,
+        body: MAX_BODY,
         idle: Duration::from_secs(60),
         whole: Duration::from_secs(5),
         connections: (settings.limits.max_fds as usize).saturating_sub(400).max(50),
         unheard: Some(Duration::from_millis(2_000)),
     };
     let handler = move |call| {
-        let asked = asked.clone();
+        let calls = calls.clone();
         async move {
             let (reply, replied) = oneshot::channel();
-            let _ = asked.send(Event::Call(call, reply));
-            replied.await.unwrap_or_else(|_| Kind::Busy.answer())
+            let _ = calls.send(Event::Call(call, reply));
+            replied.await.unwrap_or_else(|_| CallError::Busy.to_reply())
         }
     };
     if let Some(port) = metrics {
@@ -119,16 +119,21 @@
     // All that start together read the same seeds, and so begin with the same members.
     let uid = format!("{:016x}", xxh3_64(seeds.join(" ").as_bytes()));
     let first = settings.bootstrap.then(|| Members::first(&uid, seeds.iter().cloned()));
-    let (said, mut says) = mpsc::unbounded_channel();
-    let voter =
-        voter_thread::Start { me: me.clone(), folder: voter_thread::folder(&data_dir), seeds, life, first };
-    let voter = VoterThread::start(voter, said, clock.into_std())?;
-    let told = events.clone();
+    let (voter_events, mut voter_receiver) = mpsc::unbounded_channel();
+    let voter = voter_thread::VoterOptions {
+        me: me.clone(),
+        folder: voter_thread::folder(&data_dir),
+        seeds,
+        life,
+        first,
+    };
+    let voter = VoterThread::start(voter, voter_events, clock.into_std())?;
+    let forward = events.clone();
     tokio::spawn(async move {
-        while let Some(said) = says.recv().await {
-            let _ = told.send(Event::Input(match said {
-                Said::Standing { voting, members } => Input::VoterStatus(voting, members),
-                Said::Ask(out) => Input::VoterRequests(out),
+        while let Some(event) = voter_receiver.recv().await {
+            let _ = forward.send(Event::Input(match event {
+                VoterEvent::Status { voting, members } => Input::VoterStatus(voting, members),
+                VoterEvent::Requests(out) => Input::VoterRequests(out),
             }));
         }
     });
@@ -142,7 +147,7 @@
         clients: BTreeMap::new(),
         calls: BTreeMap::new(),
         last_call: 0,
-        seats: BTreeMap::new(),
+        feeds: BTreeMap::new(),
         platform: None,
         reload_at: 0,
         core: Core::new(start),
@@ -152,7 +157,7 @@
     loop {
         let wake = runtime.core.next_wake(runtime.now());
         tokio::select! {
-            event = coming.recv() => match event {
+            event = receiver.recv() => match event {
                 Some(event) => runtime.event(event),
                 None => return Ok(()),
             },
@@ -161,7 +166,7 @@
             () = sleep_until(runtime.clock + Duration::from_nanos(wake)) => {}
         }
         // All that has come is taken in before anything is decided.
-        while let Ok(event) = coming.try_recv() {
+        while let Ok(event) = receiver.try_recv() {
             runtime.event(event);
         }
         runtime.tick();
@@ -208,57 +213,58 @@
 
     fn tick(&mut self) {
         let now = self.now();
-        let gone: Vec<_> = self.seats.iter().filter(|(_, s)| s.is_closed()).map(|(seat, _)| *seat).collect();
-        gone.into_iter().for_each(|seat| self.left(seat));
+        let closed: Vec<_> =
+            self.feeds.iter().filter(|(_, s)| s.is_closed()).map(|(connection, _)| *connection).collect();
+        closed.into_iter().for_each(|connection| self.close_feed(connection));
         self.core.tick(now);
         self.carry_out();
         if !self.core.is_leader() {
             self.platform = None;
         }
         if now >= self.reload_at {
-            self.reload_at = now + RELOAD;
+            self.reload_at = now + RELOAD_INTERVAL;
             self.reload();
         }
     }
 
-    fn left(&mut self, seat: ConnectionId) {
-        self.seats.remove(&seat);
+    fn close_feed(&mut self, connection: ConnectionId) {
+        self.feeds.remove(&connection);
         let now = self.now();
-        self.core.handle(now, Input::FeedClosed(seat));
+        self.core.handle(now, Input::FeedClosed(connection));
     }
 
     fn carry_out(&mut self) {
         for effect in self.core.take_effects() {
             match effect {
-                Effect::SendToVoter(to, message, back) => self.vote(to, message, back),
-                Effect::AskLocalVoter(call, from, message) => self.ask(call, from, message),
+                Effect::SendToVoter(to, message, target) => self.send_to_voter(to, message, target),
+                Effect::AskLocalVoter(call, from, message) => self.ask_local_voter(call, from, message),
                 Effect::Reply(call, reply) => self.answer(call, reply),
-                Effect::OpenFeed(call, seat, line) => {
-                    let (lines, pieces) = mpsc::channel(WAITING);
+                Effect::OpenFeed(call, connection, line) => {
+                    let (lines, pieces) = mpsc::channel(FEED_QUEUE_LENGTH);
                     let _ = lines.try_send(line);
-                    self.seats.insert(seat, lines);
+                    self.feeds.insert(connection, lines);
                     self.answer(call, Reply::held(pieces));
                 }
-                Effect::FeedLine(seat, line) => {
-                    if self.seats.get(&seat).is_some_and(|lines| lines.try_send(line).is_err()) {
-                        self.left(seat);
+                Effect::FeedLine(connection, line) => {
+                    if self.feeds.get(&connection).is_some_and(|lines| lines.try_send(line).is_err()) {
+                        self.close_feed(connection);
                     }
                 }
-                Effect::CloseFeed(seat) => drop(self.seats.remove(&seat)),
+                Effect::CloseFeed(connection) => drop(self.feeds.remove(&connection)),
                 Effect::Heartbeat => {
-                    self.seats.values().for_each(|lines| drop(lines.try_send(Bytes::from_static(b"\n"))));
+                    self.feeds.values().for_each(|lines| drop(lines.try_send(Bytes::from_static(b"\n"))));
                 }
-                Effect::Gossip(to, body) => self.news(&to, body),
-                Effect::ReadLocalConfig(number) => self.peek(number),
-                Effect::FetchConfig(number, from) => self.fetch(number, &from),
-                Effect::PlatformCall(errand) => self.errand(errand),
+                Effect::Gossip(to, body) => self.send_gossip(&to, body),
+                Effect::ReadLocalConfig(number) => self.read_local_config(number),
+                Effect::FetchConfig(number, from) => self.fetch_config(number, &from),
+                Effect::PlatformCall(call) => self.call_platform(call),
             }
         }
     }
 
     fn answer(&mut self, call: u64, reply: Reply) {
-        if let Some(waits) = self.calls.remove(&call) {
-            let _ = waits.send(reply);
+        if let Some(caller) = self.calls.remove(&call) {
+            let _ = caller.send(reply);
         }
     }
 
@@ -267,7 +273,7 @@
             return Some(Arc::clone(client));
         }
         let address = to.parse().map_err(|e| log::warn!("{to}: {e}")).ok()?;
-        if self.clients.len() > CLIENTS {
+        if self.clients.len() > MAX_CLIENTS {
             self.clients.clear();
         }
         let client = Arc::new(Client::new(address, OPTIONS));
@@ -276,21 +282,21 @@
     }
 
     /// Sends a message to a voter; its answer goes where `back` says.
-    fn vote(&mut self, to: Address, message: Message, back: ReplyTarget) {
+    fn send_to_voter(&mut self, to: Address, message: Message, target: ReplyTarget) {
         let (events, voter) = (self.events.clone(), self.voter.clone());
-        let hand_back = move |from, answer| {
-            let input = match back {
+        let deliver = move |from, answer| {
+            let input = match target {
                 ReplyTarget::Round(id) => Input::RoundReply(id, from, answer),
                 ReplyTarget::Lease => Input::LeaseReply(from, answer),
-                ReplyTarget::Voter => return drop(voter.ask(from, answer)),
+                ReplyTarget::Voter => return drop(voter.send(from, answer)),
             };
             let _ = events.send(Event::Input(input));
         };
         if to == self.me {
-            let reply = self.voter.ask(self.me.clone(), message);
+            let reply = self.voter.send(self.me.clone(), message);
             tokio::spawn(async move {
                 if let Ok(Some(answer)) = reply.await {
-                    hand_back(to, answer);
+                    deliver(to, answer);
                 }
             });
             return;
@@ -300,12 +306,19 @@
             object([("from", text(&self.me)), ("m", message.to_json())]).stringify().unwrap_or_default();
         tokio::spawn(async move {
             let answer = client
-                .call(Method::POST, "/core/vote", json_headers(), Bytes::from(body), VOTE, 2 * LONGEST_BODY)
+                .call(
+                    Method::POST,
+                    "/core/vote",
+                    json_headers(),
+                    Bytes::from(body),
+                    PEER_TIMEOUT,
+                    2 * MAX_BODY,
+                )
                 .await;
             match answer {
                 Ok((StatusCode::OK, _, body)) => {
                     if let Some(answer) = messaging::json(&body).and_then(|json| Message::read(&json).ok()) {
-                        hand_back(to, answer);
+                        deliver(to, answer);
                     }
                 }
                 Ok(_) => {}
@@ -318,28 +331,28 @@
     }
 
     /// Hands another's message to the voter here, whose answer is that of the call.
-    fn ask(&mut self, call: u64, from: Address, message: Message) {
-        let Some(waits) = self.calls.remove(&call) else { return };
-        let answer = self.voter.ask(from, message);
+    fn ask_local_voter(&mut self, call: u64, from: Address, message: Message) {
+        let Some(caller) = self.calls.remove(&call) else { return };
+        let answer = self.voter.send(from, message);
         tokio::spawn(async move {
-            let _ = waits.send(match answer.await {
+            let _ = caller.send(match answer.await {
                 Ok(Some(message)) => {
                     Reply::json(StatusCode::OK, message.to_json().stringify().unwrap_or_default())
                 }
                 Ok(None) => Reply::empty(StatusCode::NO_CONTENT),
-                Err(_) => Kind::Busy.answer(),
+                Err(_) => CallError::Busy.to_reply(),
             });
         });
     }
 
-    fn news(&mut self, to: &Address, body: Bytes) {
+    fn send_gossip(&mut self, to: &Address, body: Bytes) {
         let Some(client) = self.client(to) else { return };
         let (events, to, sent) = (self.events.clone(), to.clone(), self.now());
         tokio::spawn(async move {
-            match client.call(Method::POST, "/core/news", json_headers(), body, VOTE, 1_024).await {
+            match client.call(Method::POST, "/core/news", json_headers(), body, PEER_TIMEOUT, 1_024).await {
                 Ok((StatusCode::OK, _, body)) => {
-                    if let Some(answered) = GossipReply::decode(sent, &body) {
-                        let _ = events.send(Event::Input(Input::GossipReply(to, answered)));
+                    if let Some(reply) = GossipReply::decode(sent, &body) {
+                        let _ = events.send(Event::Input(Input::GossipReply(to, reply)));
                     }
                 }
                 Ok(_) => {}
@@ -348,19 +361,19 @@
         });
     }
 
-    fn peek(&self, number: u64) {
-        let (events, here) = (self.events.clone(), self.voter.peek());
+    fn read_local_config(&self, number: u64) {
+        let (events, here) = (self.events.clone(), self.voter.read_config());
         tokio::spawn(async move {
             let _ = events.send(Event::Input(Input::LocalConfig(number, here.await.ok().flatten())));
         });
     }
 
-    fn fetch(&mut self, number: u64, from: &Address) {
+    fn fetch_config(&mut self, number: u64, from: &Address) {
         let (events, client) = (self.events.clone(), self.client(from));
         tokio::spawn(async move {
             let answer = match client {
                 Some(client) => client
-                    .call(Method::GET, "/core/chosen", HeaderMap::new(), Bytes::new(), VOTE, LONGEST_BODY)
+                    .call(Method::GET, "/core/chosen", HeaderMap::new(), Bytes::new(), PEER_TIMEOUT, MAX_BODY)
                     .await
                     .ok(),
                 None => None,
@@ -373,8 +386,8 @@
         });
     }
 
-    fn errand(&mut self, errand: PlatformCall) {
-        let (fence, asked) = (errand.fence, errand.decided_at);
+    fn call_platform(&mut self, call: PlatformCall) {
+        let (fence, decided_at) = (call.fence, call.decided_at);
         let Some(api) = &self.settings.platform_api else { return };
         let platform = match &self.platform {
             Some((of, platform)) if *of == fence => Arc::clone(platform),
@@ -384,11 +397,11 @@
         let (events, clock) = (self.events.clone(), self.clock);
         tokio::spawn(async move {
             // The clock is read where the call begins: its turn may come late, and the process may have been stopped.
-            let heard = match errand.begin(clock.elapsed().as_nanos() as Nanos) {
-                Ok(call) => platform.carry_out(call).await,
-                Err(kept_back) => kept_back,
+            let reply = match call.begin(clock.elapsed().as_nanos() as Nanos) {
+                Ok(request) => platform.carry_out(request).await,
+                Err(unanswered) => unanswered,
             };
-            let _ = events.send(Event::Input(Input::PlatformReply(fence, asked, heard)));
+            let _ = events.send(Event::Input(Input::PlatformReply(fence, decided_at, reply)));
         });
     }
 }
--- a/controller/src/voter_thread.rs
+++ b/controller/src/voter_thread.rs
@@ -10,37 +10,37 @@
 
 use millpost_quorum::{Address, Key, Members, Message, State, Value, Voter};
 use snafu::ResultExt;
-use tokio::sync::{mpsc as outward, oneshot};
+use tokio::sync::{mpsc as async_mpsc, oneshot};
 
 use crate::disk::{self, Disk};
 use crate::errors::{Error, ThreadSnafu};
 
 /// Messages that may wait for the disk.
-const WAITING: usize = 500;
+const QUEUE_LENGTH: usize = 500;
 /// Pause between two tries to open a disk that does not open.
-const AGAIN: Duration = Duration::from_millis(300);
+const OPEN_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Records that take more bytes than this are not kept aside: the disk must have room for those in use.
-const ASIDE_MOST: u64 = 32 << 20;
+const MAX_ASIDE_BYTES: u64 = 32 << 20;
 
 /// What the voter is asked.
-enum Asked {
+enum VoterRequest {
     /// A message, and where its answer goes: none where it says nothing.
     Message { from: Address, message: Message, reply: oneshot::Sender<Option<Message>> },
     /// The configuration that stands on this disk, chosen or not.
-    Peek(oneshot::Sender<Option<Value>>),
+    ReadConfig(oneshot::Sender<Option<Value>>),
 }
 
 /// What the voter wants the others asked, and what is known of it.
 #[derive(Debug)]
-pub enum Said {
+pub enum VoterEvent {
     /// Its state and the members it knows, when they change.
-    Standing { voting: bool, members: Option<Members> },
+    Status { voting: bool, members: Option<Members> },
     /// For others; their answers come back as messages.
-    Ask(Vec<(Address, Message)>),
+    Requests(Vec<(Address, Message)>),
 }
 
 /// What a voter starts from.
-pub struct Start {
+pub struct VoterOptions {
     pub me: Address,
     pub folder: PathBuf,
     pub seeds: Vec<Address>,
@@ -55,62 +55,67 @@
 /// The way to the voter.
 #[derive(Clone)]
 pub struct VoterThread {
-    asked: mpsc::SyncSender<Asked>,
+    requests: mpsc::SyncSender<VoterRequest>,
 }
 
 impl VoterThread {
     /// Starts the thread.
-    pub fn start(start: Start, said: outward::UnboundedSender<Said>, clock: Instant) -> Result<Self, Error> {
-        let (asked, asks) = mpsc::sync_channel(WAITING);
-        let run = move || run(&start, &asks, &said, clock);
+    pub fn start(
+        start: VoterOptions,
+        events: async_mpsc::UnboundedSender<VoterEvent>,
+        clock: Instant,
+    ) -> Result<Self, Error> {
+        let (requests, receiver) = mpsc::sync_channel(QUEUE_LENGTH);
+        let run = move || run(&start, &receiver, &events, clock);
         thread::Builder::new()
             .name("voter".to_owned())
             .stack_size(512 * 1024)
             .spawn(run)
             .context(ThreadSnafu)?;
-        Ok(VoterThread { asked })
+        Ok(VoterThread { requests })
     }
 
     /// Hands a message over. Where the disk hangs and too much waits it is dropped, and its answer with it.
-    pub fn ask(&self, from: Address, message: Message) -> oneshot::Receiver<Option<Message>> {
+    pub fn send(&self, from: Address, message: Message) -> oneshot::Receiver<Option<Message>> {
         let (reply, replied) = oneshot::channel();
-        let _ = self.asked.try_send(Asked::Message { from, message, reply });
+        let _ = self.requests.try_send(VoterRequest::Message { from, message, reply });
         replied
     }
 
     /// The configuration that stands on this disk, whether it is chosen or not.
-    pub fn peek(&self) -> oneshot::Receiver<Option<Value>> {
+    pub fn read_config(&self) -> oneshot::Receiver<Option<Value>> {
         let (reply, replied) = oneshot::channel();
-        let _ = self.asked.try_send(Asked::Peek(reply));
+        let _ = self.requests.try_send(VoterRequest::ReadConfig(reply));
         replied
     }
 }
 
 /// Where records that can't be read are put: one such folder is kept.
-fn aside(folder: &Path) -> PathBuf {
+fn aside_path(folder: &Path) -> PathBuf {
     folder.with_extension("aside")
 }
 
 /// The bytes of all files under a folder.
-fn bytes(folder: &Path) -> io::Result<u64> {
+fn size_of_files(folder: &Path) -> io::Result<u64> {
     let mut sum = 0;
     for entry in fs::read_dir(folder)? {
         let entry = entry?;
-        sum += if entry.file_type()?.is_dir() { bytes(&entry.path())? } else { entry.metadata()?.len() };
+        sum +=
+            if entry.file_type()?.is_dir() { size_of_files(&entry.path())? } else { entry.metadata()?.len() };
     }
     Ok(sum)
 }
 
 /// Puts the records aside, in the place of older ones. It lasts: what is written from then on never meets what was there before.
-fn put_aside(folder: &Path) -> io::Result<()> {
-    let to = aside(folder);
+fn move_aside(folder: &Path) -> io::Result<()> {
+    let to = aside_path(folder);
     match fs::remove_dir_all(&to) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
         _ => {}
     }
     fs::rename(folder, &to)?;
-    let size = bytes(&to)?;
-    if size > ASIDE_MOST {
+    let size = size_of_files(&to)?;
+    if size > MAX_ASIDE_BYTES {
         log::warn!("{size} bytes of records are too many to be kept aside");
         // The folder itself stays, as a sign that there were records.
         fs::remove_dir_all(&to)?;
@@ -120,10 +125,10 @@
 }
 
 /// Opens the records, or puts aside what can't be read.
-fn open(start: &Start, now: u64) -> Option<(Disk, Voter)> {
-    let spoilt = |why: &str| {
+fn open(start: &VoterOptions, now: u64) -> Option<(Disk, Voter)> {
+    let set_aside = |why: &str| {
         log::error!("the records are put aside, and copied from the others: {why}");
-        if let Err(e) = put_aside(&start.folder) {
+        if let Err(e) = move_aside(&start.folder) {
             log::error!("{}: not put aside: {e}", start.folder.display());
         }
     };
@@ -133,7 +138,7 @@
             // A disk that is full or hangs is not one that is broken.
             let text = e.to_string();
             if start.folder.exists() && text.contains("orrupt") {
-                spoilt(&text);
+                set_aside(&text);
             } else {
                 log::error!("{text}");
             }
@@ -150,50 +155,55 @@
         }
         Err(e) => {
             drop(disk);
-            spoilt(&e.to_string());
+            set_aside(&e.to_string());
             None
         }
     }
 }
 
-fn run(start: &Start, asks: &mpsc::Receiver<Asked>, said: &outward::UnboundedSender<Said>, clock: Instant) {
+fn run(
+    start: &VoterOptions,
+    requests: &mpsc::Receiver<VoterRequest>,
+    events: &async_mpsc::UnboundedSender<VoterEvent>,
+    clock: Instant,
+) {
     let now = || clock.elapsed().as_nanos() as u64;
-    let mut told = None;
+    let mut reported = None;
     loop {
         let Some((disk, mut voter)) = open(start, now()) else {
-            thread::sleep(AGAIN);
+            thread::sleep(OPEN_RETRY_DELAY);
             // What waited is answered by nobody.
-            while asks.try_recv().is_ok() {}
+            while requests.try_recv().is_ok() {}
             continue;
         };
         // Records that were put aside made promises: this is no first start any more.
         if let Some(first) = &start.first
-            && !aside(&start.folder).exists()
+            && !aside_path(&start.folder).exists()
             && let Err(e) = voter.bootstrap(first.clone()).carry_out(|batch| disk.put(batch))
         {
             log::error!("{e}");
             continue;
         }
         loop {
-            let standing = (voter.state() == State::Voting, voter.members().cloned());
-            if told.as_ref() != Some(&standing) {
-                told = Some(standing.clone());
-                let (voting, members) = standing;
-                if said.send(Said::Standing { voting, members }).is_err() {
+            let status = (voter.state() == State::Voting, voter.members().cloned());
+            if reported.as_ref() != Some(&status) {
+                reported = Some(status.clone());
+                let (voting, members) = status;
+                if events.send(VoterEvent::Status { voting, members }).is_err() {
                     return;
                 }
             }
             let due = voter.next_wake().map(|at| Duration::from_nanos(at.saturating_sub(now())));
-            let asked = match due {
-                Some(wait) => asks.recv_timeout(wait),
-                None => asks.recv().map_err(|_| mpsc::RecvTimeoutError::Disconnected),
+            let request = match due {
+                Some(wait) => requests.recv_timeout(wait),
+                None => requests.recv().map_err(|_| mpsc::RecvTimeoutError::Disconnected),
             };
-            match asked {
-                Ok(Asked::Peek(reply)) => {
+            match request {
+                Ok(VoterRequest::ReadConfig(reply)) => {
                     let slot = voter.slot(Key::Config).and_then(|slot| slot.accepted.as_ref());
                     let _ = reply.send(slot.map(|accepted| accepted.value.clone()));
                 }
-                Ok(Asked::Message { from, message, reply }) => {
+                Ok(VoterRequest::Message { from, message, reply }) => {
                     match voter.handle(now(), &from, message).carry_out(|batch| disk.put(batch)) {
                         Ok(answer) => {
                             let _ = reply.send(answer);
@@ -206,7 +216,7 @@
                 }
                 Err(mpsc::RecvTimeoutError::Timeout) => {
                     let out = voter.on_tick(now());
-                    if !out.is_empty() && said.send(Said::Ask(out)).is_err() {
+                    if !out.is_empty() && events.send(VoterEvent::Requests(out)).is_err() {
                         return;
                     }
                 }
@@ -227,12 +237,12 @@
 
     use super::*;
 
-    fn start(folder: PathBuf) -> Start {
+    fn start(folder: PathBuf) -> VoterOptions {
         let first = Some(Members::first("u", ["127.0.0.1:1".into()]));
-        Start { me: "127.0.0.1:1".into(), folder, seeds: vec!["127.0.0.1:1".into()], life: 1, first }
+        VoterOptions { me: "127.0.0.1:1".into(), folder, seeds: vec!["127.0.0.1:1".into()], life: 1, first }
     }
 
-    fn spoil(folder: &Path, text: &str) {
+    fn write_invalid_record(folder: &Path, text: &str) {
         let (disk, _) = disk::read(folder).expect("opened");
         disk.put(&[Write { key: "of nobody".to_owned(), text: text.to_owned() }]).expect("written");
     }
@@ -242,7 +252,7 @@
         let data = tempfile::tempdir().expect("a folder");
         let start = start(folder(data.path()));
         for text in ["older", "newer"] {
-            spoil(&start.folder, text);
+            write_invalid_record(&start.folder, text);
             // The store may keep its lock for a moment.
             while start.folder.exists() {
                 assert!(open(&start, 0).is_none());
@@ -260,10 +270,10 @@
         let data = tempfile::tempdir().expect("a folder");
         let folder = folder(data.path());
         fs::create_dir(&folder).expect("made");
-        fs::File::create(folder.join("db")).and_then(|f| f.set_len(ASIDE_MOST + 1)).expect("made");
-        put_aside(&folder).expect("put aside");
+        fs::File::create(folder.join("db")).and_then(|f| f.set_len(MAX_ASIDE_BYTES + 1)).expect("made");
+        move_aside(&folder).expect("put aside");
         assert!(!folder.exists());
-        assert_eq!(bytes(&aside(&folder)).expect("read"), 0);
+        assert_eq!(size_of_files(&aside_path(&folder)).expect("read"), 0);
     }
 
     #[test]
@@ -271,17 +281,17 @@
         let data = tempfile::tempdir().expect("a folder");
         let start = start(folder(data.path()));
         let members = start.first.clone().expect("the first");
-        spoil(&start.folder, "x");
-        let (said, mut says) = outward::unbounded_channel();
-        let voter = VoterThread::start(start, said, Instant::now()).expect("a thread");
-        let first = says.blocking_recv();
+        write_invalid_record(&start.folder, "x");
+        let (events, mut received) = async_mpsc::unbounded_channel();
+        let voter = VoterThread::start(start, events, Instant::now()).expect("a thread");
+        let first = received.blocking_recv();
         assert!(
-            matches!(first, Some(Said::Standing { voting: false, .. })),
+            matches!(first, Some(VoterEvent::Status { voting: false, .. })),
             "copies before it votes: {first:?}"
         );
         let ballot = millpost_quorum::Ballots::new("127.0.0.1:1", 2).next(0);
         let prepare = Message::Prepare { key: Key::Config, ballot, members };
-        let answer = voter.ask("127.0.0.1:1".into(), prepare).blocking_recv();
+        let answer = voter.send("127.0.0.1:1".into(), prepare).blocking_recv();
         assert!(matches!(answer, Ok(None)), "{answer:?}");
     }
 }
--- a/controller/src/voter_thread/newer.rs
+++ b/controller/src/voter_thread/newer.rs
@@ -9,7 +9,7 @@
     let data = tempfile::tempdir().expect("a folder");
     let first = Some(Members::first("u", ["127.0.0.1:1".into()]));
     let (me, seeds) = ("127.0.0.1:1".into(), vec!["127.0.0.1:1".into()]);
-    let start = Start { me, folder: folder(data.path()), seeds, life: 1, first };
+    let start = VoterOptions { me, folder: folder(data.path()), seeds, life: 1, first };
     let records = [("key/config", "{}"), ("later", "x"), ("voter", r#"{"format":"3","later":[]}"#)];
     let writes = records.map(|(key, text)| Write { key: key.to_owned(), text: text.to_owned() });
     disk::read(&start.folder).and_then(|(disk, _)| disk.put(&writes)).expect("written");
--- a/controller/src/voters.rs
+++ b/controller/src/voters.rs
@@ -1,4 +1,4 @@
-//! Who should vote: as many as losses call for, and a spare in the place of one that is gone or about to end.
+//! Who should vote: as many as tolerated_losses call for, and a spare in the place of one that is gone or about to end.
 //!
 //! Invariant: no change is begun unless those voters that are there, with a state, are a majority of the voters before it and, with the
 //! newcomer, of those after it.
@@ -7,63 +7,63 @@
 
 use millpost_quorum::{Address, Change, Members};
 
-use crate::gossip::Seen;
+use crate::gossip::PeerState;
 use crate::{MS, Nanos};
 
 /// Who was heard of within this is there.
 const FRESH: Nanos = 1_500 * MS;
 /// A voter that nothing was heard of for so long gives way to a spare.
-const SILENT: Nanos = 3_000 * MS;
+const SILENCE_TIMEOUT: Nanos = 3_000 * MS;
 /// Looked at so often.
-const EVERY: Nanos = 500 * MS;
+const CHECK_INTERVAL: Nanos = 500 * MS;
 /// ... and so soon again while one waits to end.
-const EVERY_WAITED_FOR: Nanos = 100 * MS;
+const LEAVING_CHECK_INTERVAL: Nanos = 100 * MS;
 
 /// What is to be done about the voters.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Todo {
+pub enum VoterAction {
     /// A change that somebody began is to be ended.
-    End,
+    FinishChange,
     /// This one is to be made.
-    Make(Change),
+    StartChange(Change),
 }
 
 /// What a control machine goes by when it looks after the voters.
 #[derive(Clone, Copy)]
-pub struct View<'a> {
+pub struct VoterView<'a> {
     /// This machine, which votes.
     pub me: &'a str,
     /// Who votes.
     pub members: &'a Members,
     /// Who was heard of.
-    pub others: &'a BTreeMap<Address, Seen>,
+    pub peers: &'a BTreeMap<Address, PeerState>,
     /// Machines that may be lost at once.
-    pub losses: u32,
+    pub tolerated_losses: u32,
 }
 
-impl View<'_> {
+impl VoterView<'_> {
     /// Whether a voter is there, and has a state.
-    fn holds(&self, now: Nanos, voter: &Address) -> bool {
-        let fresh = |seen: &Seen| seen.voting && seen.heard + FRESH > now;
-        voter == self.me || self.others.get(voter).is_some_and(fresh)
+    fn has_state(&self, now: Nanos, voter: &Address) -> bool {
+        let fresh = |seen: &PeerState| seen.voting && seen.heard + FRESH > now;
+        voter == self.me || self.peers.get(voter).is_some_and(fresh)
     }
 
     /// Whether enough of the voters hold their state for this change; who comes copies it before it counts.
-    fn bears(&self, now: Nanos, change: &Change, new: &Address) -> bool {
+    fn has_majorities(&self, now: Nanos, change: &Change, new: &Address) -> bool {
         let Ok(after) = change.apply(&self.members.voters) else { return false };
-        let holders = |set: &[Address]| set.iter().filter(|voter| self.holds(now, voter)).count();
+        let holders = |set: &[Address]| set.iter().filter(|voter| self.has_state(now, voter)).count();
         let majority = |set: &[Address], holders: usize| holders * 2 > set.len();
-        let others: Vec<_> = after.iter().filter(|voter| *voter != new).cloned().collect();
-        majority(&self.members.voters, holders(&self.members.voters))
-            && majority(&after, holders(&others) + 1)
+        let peers: Vec<_> = after.iter().filter(|voter| *voter != new).cloned().collect();
+        majority(&self.members.voters, holders(&self.members.voters)) && majority(&after, holders(&peers) + 1)
     }
 
     /// A voter that is about to end, else one that is silent.
-    fn gone(&self, now: Nanos) -> Option<&Address> {
+    fn voter_to_replace(&self, now: Nanos) -> Option<&Address> {
         let voters = || self.members.voters.iter().filter(|voter| **voter != *self.me);
-        let leaves = |voter: &&Address| self.others.get(*voter).is_some_and(|seen| seen.leaving);
+        let leaves = |voter: &&Address| self.peers.get(*voter).is_some_and(|seen| seen.leaving);
         let silent = |voter: &&Address| {
-            now > 2 * SILENT && self.others.get(*voter).is_none_or(|seen| seen.heard + SILENT < now)
+            now > 2 * SILENCE_TIMEOUT
+                && self.peers.get(*voter).is_none_or(|seen| seen.heard + SILENCE_TIMEOUT < now)
         };
         voters().find(leaves).or_else(|| voters().find(silent))
     }
@@ -72,33 +72,33 @@
 /// When they were looked at last.
 #[derive(Debug, Default)]
 pub struct Voters {
-    at: Nanos,
+    checked_at: Nanos,
 }
 
 impl Voters {
     /// What to do now, if anything; not to be asked while a change is under way.
-    pub fn look(&mut self, now: Nanos, view: View<'_>) -> Option<Todo> {
-        let waited_for = view.others.iter().any(|(a, seen)| seen.leaving && view.members.names(a));
-        let every = if waited_for { EVERY_WAITED_FOR } else { EVERY };
-        if now < self.at + every {
+    pub fn next_action(&mut self, now: Nanos, view: VoterView<'_>) -> Option<VoterAction> {
+        let any_leaving = view.peers.iter().any(|(a, seen)| seen.leaving && view.members.names(a));
+        let interval = if any_leaving { LEAVING_CHECK_INTERVAL } else { CHECK_INTERVAL };
+        if now < self.checked_at + interval {
             return None;
         }
-        self.at = now;
+        self.checked_at = now;
         if view.members.next.is_some() {
-            return Some(Todo::End);
+            return Some(VoterAction::FinishChange);
         }
         let new = newcomer(now, view)?;
-        let change = if view.members.voters.len() < 2 * view.losses as usize + 1 {
+        let change = if view.members.voters.len() < 2 * view.tolerated_losses as usize + 1 {
             Change::Add(new.clone())
         } else {
-            Change::Replace { out: view.gone(now)?.clone(), new: new.clone() }
+            Change::Replace { out: view.voter_to_replace(now)?.clone(), new: new.clone() }
         };
-        if !view.bears(now, &change, &new) {
+        if !view.has_majorities(now, &change, &new) {
             log::debug!("the voters stay as they are: too few of them are there");
             return None;
         }
         log::info!("{new} is to vote: {change:?}");
-        Some(Todo::Make(change))
+        Some(VoterAction::StartChange(change))
     }
 }
 
@@ -106,15 +106,15 @@
 pub fn spares<'a>(
     now: Nanos,
     members: &'a Members,
-    others: &'a BTreeMap<Address, Seen>,
-) -> impl Iterator<Item = (&'a Address, &'a Seen)> {
-    let there = move |seen: &Seen| !seen.leaving && seen.heard + FRESH > now;
-    others.iter().filter(move |(a, seen)| !members.names(a) && there(seen))
+    peers: &'a BTreeMap<Address, PeerState>,
+) -> impl Iterator<Item = (&'a Address, &'a PeerState)> {
+    let there = move |seen: &PeerState| !seen.leaving && seen.heard + FRESH > now;
+    peers.iter().filter(move |(a, seen)| !members.names(a) && there(seen))
 }
 
 /// Who is to vote next. Who has no state yet comes before who votes elsewhere, or did.
-fn newcomer(now: Nanos, view: View<'_>) -> Option<Address> {
-    let spares = || spares(now, view.members, view.others);
+fn newcomer(now: Nanos, view: VoterView<'_>) -> Option<Address> {
+    let spares = || spares(now, view.members, view.peers);
     let empty = spares().find(|(_, seen)| !seen.voting);
     empty.or_else(|| spares().next()).map(|(a, _)| a.clone())
 }
@@ -150,21 +150,24 @@
         let members = Members::first("u", voters.chars().map(|c| c.to_string().into()));
         let seen = |&(a, ms, voting): &(&str, u64, bool)| {
             let (name, leaving) = (a.trim_end_matches('!').into(), a.ends_with('!'));
-            (name, Seen { heard: ms * MS, voting, leaving })
+            (name, PeerState { heard: ms * MS, voting, leaving })
         };
-        let others = heard.iter().map(seen).collect();
-        let mut room = Voters::default();
-        let view = |members| View { me: "a", members, others: &others, losses: 1 };
-        let todo = room.look(now * MS, view(&members)).map(|todo| match todo {
-            Todo::Make(Change::Replace { out, new }) => format!("{out} {new}"),
-            Todo::Make(Change::Add(new)) => format!("+{new}"),
+        let peers = heard.iter().map(seen).collect();
+        let mut voters_state = Voters::default();
+        let view = |members| VoterView { me: "a", members, peers: &peers, tolerated_losses: 1 };
+        let action = voters_state.next_action(now * MS, view(&members)).map(|action| match action {
+            VoterAction::StartChange(Change::Replace { out, new }) => format!("{out} {new}"),
+            VoterAction::StartChange(Change::Add(new)) => format!("+{new}"),
             other => format!("{other:?}"),
         });
-        assert_eq!(todo.as_deref(), expected);
+        assert_eq!(action.as_deref(), expected);
         let joint = members.joint(vec!["a".into()]);
-        let waits = others.iter().any(|(a, seen): (&Address, &Seen)| seen.leaving && members.names(a));
-        let every = if waits { 100 } else { 500 };
-        assert_eq!(room.look((now + every - 1) * MS, view(&joint)), None);
-        assert_eq!(room.look((now + every) * MS, view(&joint)), Some(Todo::End));
+        let waits = peers.iter().any(|(a, seen): (&Address, &PeerState)| seen.leaving && members.names(a));
+        let interval = if waits { 100 } else { 500 };
+        assert_eq!(voters_state.next_action((now + interval - 1) * MS, view(&joint)), None);
+        assert_eq!(
+            voters_state.next_action((now + interval) * MS, view(&joint)),
+            Some(VoterAction::FinishChange)
+        );
     }
 }
--- a/controller/tests/town/mod.rs
+++ b/controller/tests/cluster/mod.rs
@@ -41,7 +41,7 @@
 }
 
 #[derive(Default)]
-pub struct Town {
+pub struct Cluster {
     pub now: u64,
     /// With any but 0, messages take up to 20 ms, and one in 32 is lost.
     pub luck: u64,
@@ -99,11 +99,11 @@
     }
 }
 
-impl Town {
+impl Cluster {
     /// So many voters, and machines beside them that start with nothing.
     pub fn new(voters: usize, spares: usize) -> Self {
         let seeds: Vec<_> = (0..voters).map(address).collect();
-        let mut town = Town { seeds: seeds.clone(), ..Town::default() };
+        let mut cluster = Cluster { seeds: seeds.clone(), ..Cluster::default() };
         for n in 0..voters + spares {
             let mut voter = Voter::open(address(n), [], seeds.clone(), 1, 0).expect("empty");
             let mut disk = BTreeMap::new();
@@ -113,9 +113,9 @@
             }
             let core = Core::new(start(n, 1, &seeds));
             let (wake, up, frozen, side, hears, told) = (0, true, 0, 0, false, None);
-            town.machines.push(Machine { core, voter, disk, wake, up, frozen, side, hears, told });
+            cluster.machines.push(Machine { core, voter, disk, wake, up, frozen, side, hears, told });
         }
-        town
+        cluster
     }
 
     pub fn core(&self, n: usize) -> &Core {
--- a/controller/tests/control.rs
+++ b/controller/tests/control.rs
@@ -1,20 +1,20 @@
 //! Control machines against each other in memory: what operators are told, who is the leader, and what is bounded.
 
-mod town;
+mod cluster;
 
+use cluster::{Cluster, MS, address, config};
 use hyper::Method;
 use millpost_controller::core::Input;
 use millpost_controller::leadership::Call;
 use millpost_controller::rounds;
 use tinyjson::JsonValue;
-use town::{MS, Town, address, config};
 
 /// Three voters with a leader, and machines beside them.
-fn settled(spares: usize) -> (Town, usize) {
-    let mut town = Town::new(3, spares);
-    assert!(town.until(4_000 * MS, |town| town.leader().is_some()), "no steward");
-    let leader = town.leader().expect("a steward");
-    (town, leader)
+fn settled(spares: usize) -> (Cluster, usize) {
+    let mut cluster = Cluster::new(3, spares);
+    assert!(cluster.until(4_000 * MS, |cluster| cluster.leader().is_some()), "no steward");
+    let leader = cluster.leader().expect("a steward");
+    (cluster, leader)
 }
 
 #[yare::parameterized(
@@ -24,33 +24,33 @@
     after_it_stands = { 20 },
 )]
 fn of_two_contents_under_one_revision_one_wins_everywhere(later_ms: u64) {
-    let (mut town, _) = settled(1);
-    let first = town.put(0, &config(1, "one"));
-    town.run(town.now + later_ms * MS);
-    let second = town.put(1, &config(1, "two"));
-    town.run(town.now + 1_500 * MS);
-    assert_eq!(town.chosen().len(), 1);
-    let chosen = town.chosen();
+    let (mut cluster, _) = settled(1);
+    let first = cluster.put(0, &config(1, "one"));
+    cluster.run(cluster.now + later_ms * MS);
+    let second = cluster.put(1, &config(1, "two"));
+    cluster.run(cluster.now + 1_500 * MS);
+    assert_eq!(cluster.chosen().len(), 1);
+    let chosen = cluster.chosen();
     let stands = |text: &str| chosen.contains(text);
     for (id, text) in [(first, config(1, "one")), (second, config(1, "two"))] {
-        confirmed_if(&town, id, stands(&text));
+        confirmed_if(&cluster, id, stands(&text));
     }
     for n in 0..4 {
-        let id = town.read(n);
-        town.run(town.now + 900 * MS);
-        let read = town.answer_to(id);
+        let id = cluster.read(n);
+        cluster.run(cluster.now + 900 * MS);
+        let read = cluster.answer_to(id);
         assert_eq!(read.map(|(status, text)| (status, stands(text))), Some((200, true)));
         for text in [config(1, "one"), config(1, "two")] {
-            let id = town.put(n, &text);
-            town.run(town.now + 900 * MS);
-            confirmed_if(&town, id, stands(&text));
+            let id = cluster.put(n, &text);
+            cluster.run(cluster.now + 900 * MS);
+            confirmed_if(&cluster, id, stands(&text));
         }
     }
 }
 
 /// An order is confirmed, or refused for good with the revision that stands.
-fn confirmed_if(town: &Town, id: u64, confirmed: bool) {
-    let (status, body) = town.answer_to(id).expect("an answer");
+fn confirmed_if(cluster: &Cluster, id: u64, confirmed: bool) {
+    let (status, body) = cluster.answer_to(id).expect("an answer");
     if confirmed {
         assert_eq!((status, body), (200, r#"{"revision":1}"#));
     } else {
@@ -67,23 +67,23 @@
 fn of_eight_contents_under_one_revision_one_is_ever_confirmed() {
     let contents: Vec<_> = (0..8).map(|n| config(1, &format!("s{n}"))).collect();
     for luck in 1..=20 {
-        let mut town = Town::new(3, 2);
-        town.luck = luck;
-        town.run(4_000 * MS);
+        let mut cluster = Cluster::new(3, 2);
+        cluster.luck = luck;
+        cluster.run(4_000 * MS);
         let mut confirmed = std::collections::BTreeSet::new();
         for round in 0..4 {
             if round == 3 {
-                (0..5).for_each(|n| town.restart(n));
-                town.run(town.now + 3_000 * MS);
+                (0..5).for_each(|n| cluster.restart(n));
+                cluster.run(cluster.now + 3_000 * MS);
             }
-            let put = |town: &mut Town, text: &String| {
-                let n = town.draw(5) as usize;
-                town.put(n, text)
+            let put = |cluster: &mut Cluster, text: &String| {
+                let n = cluster.draw(5) as usize;
+                cluster.put(n, text)
             };
-            let ids: Vec<_> = contents.iter().map(|text| put(&mut town, text)).collect();
-            town.run(town.now + 900 * MS);
+            let ids: Vec<_> = contents.iter().map(|text| put(&mut cluster, text)).collect();
+            cluster.run(cluster.now + 900 * MS);
             for (id, text) in ids.iter().zip(&contents) {
-                match town.answer_to(*id).expect("an answer") {
+                match cluster.answer_to(*id).expect("an answer") {
                     (200, _) => drop(confirmed.insert(text.clone())),
                     (409, _) => assert!(!confirmed.contains(text), "{luck}: refused after it was confirmed"),
                     (status, body) => assert_eq!(status, 503, "{body}"),
@@ -91,19 +91,19 @@
             }
         }
         assert_eq!(confirmed.len(), 1, "{luck}");
-        assert_eq!(town.chosen(), confirmed, "{luck}");
+        assert_eq!(cluster.chosen(), confirmed, "{luck}");
     }
 }
 
 #[test]
 fn an_order_below_the_revision_that_stands_is_confirmed_and_changes_nothing() {
-    let (mut town, _) = settled(0);
+    let (mut cluster, _) = settled(0);
     for text in [config(1, "one"), config(3, "three"), config(1, "one"), config(1, "two"), config(2, "two")] {
-        let id = town.put(0, &text);
-        town.run(town.now + 900 * MS);
-        assert_eq!(town.answer_to(id).map(|a| a.0), Some(200), "{text}");
+        let id = cluster.put(0, &text);
+        cluster.run(cluster.now + 900 * MS);
+        assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(200), "{text}");
     }
-    assert_eq!(town.chosen().into_iter().collect::<Vec<_>>(), [config(3, "three")]);
+    assert_eq!(cluster.chosen().into_iter().collect::<Vec<_>>(), [config(3, "three")]);
 }
 
 /// The other two are out of reach for 20 s: what is known here is handed out as what stands no more, and that is said at once. A change
@@ -113,48 +113,48 @@
     hears_but_is_not_heard = { true },
 )]
 fn who_is_cut_off_confirms_and_feeds_nothing(one_way: bool) {
-    let (mut town, leader) = settled(0);
+    let (mut cluster, leader) = settled(0);
     let old = config(1, "old");
-    town.put(leader, &old);
-    town.run(town.now + 1_000 * MS);
-    town.cut(leader, 1);
-    town.hears_across(leader, one_way);
-    town.run(town.now + 2_500 * MS);
-    let before = town.now;
+    cluster.put(leader, &old);
+    cluster.run(cluster.now + 1_000 * MS);
+    cluster.cut(leader, 1);
+    cluster.hears_across(leader, one_way);
+    cluster.run(cluster.now + 2_500 * MS);
+    let before = cluster.now;
     let other = (leader + 1) % 3;
-    let put = town.put(other, &config(2, "new"));
-    town.run(town.now + 900 * MS);
-    assert_eq!(town.answer_to(put).map(|a| a.0), Some(200));
-    town.run(before + 17_000 * MS);
+    let put = cluster.put(other, &config(2, "new"));
+    cluster.run(cluster.now + 900 * MS);
+    assert_eq!(cluster.answer_to(put).map(|a| a.0), Some(200));
+    cluster.run(before + 17_000 * MS);
     let letter = r#"{"from":"edge-1","life":1,"notes":[]}"#;
-    let asked = town.now;
+    let asked = cluster.now;
     let ids = [
-        town.put(leader, &config(3, "third")),
-        town.put(leader, &old),
-        town.read(leader),
-        town.call(leader, Method::GET, "/core/chosen", ""),
-        town.call(leader, Method::POST, "/follow", letter),
+        cluster.put(leader, &config(3, "third")),
+        cluster.put(leader, &old),
+        cluster.read(leader),
+        cluster.call(leader, Method::GET, "/core/chosen", ""),
+        cluster.call(leader, Method::POST, "/follow", letter),
     ];
-    town.run(asked + MS);
+    cluster.run(asked + MS);
     for id in ids {
-        let (at, status, body) = &town.answers[&id];
+        let (at, status, body) = &cluster.answers[&id];
         assert!(
             status.as_u16() == 503 && body.contains("no_majority") && at - asked <= MS,
             "{status} {body}"
         );
     }
-    assert!(!town.core(leader).is_leader());
-    town.cut(leader, 0);
-    town.hears_across(leader, false);
-    let healed = town.now;
-    while town.status(leader, "contact") != JsonValue::String("holds".to_owned()) {
-        town.run(town.now + MS);
-        assert!(town.now <= healed + 420 * MS, "one round of news, and a read");
+    assert!(!cluster.core(leader).is_leader());
+    cluster.cut(leader, 0);
+    cluster.hears_across(leader, false);
+    let healed = cluster.now;
+    while cluster.status(leader, "contact") != JsonValue::String("holds".to_owned()) {
+        cluster.run(cluster.now + MS);
+        assert!(cluster.now <= healed + 420 * MS, "one round of news, and a read");
     }
-    let follow = town.call(leader, Method::POST, "/follow", letter);
-    town.run(town.now + 100 * MS);
-    let (_, seat) = town.seats[&follow];
-    let lines = town.lines.iter().filter(|(n, of, _)| (*n, *of) == (leader, seat));
+    let follow = cluster.call(leader, Method::POST, "/follow", letter);
+    cluster.run(cluster.now + 100 * MS);
+    let (_, seat) = cluster.seats[&follow];
+    let lines = cluster.lines.iter().filter(|(n, of, _)| (*n, *of) == (leader, seat));
     let first = lines.map(|(_, _, line)| String::from_utf8_lossy(line).into_owned()).next().expect("a line");
     let packed = |text: &str| millpost_net::pack::pack(text).expect("packed");
     let configuration = millpost_config::Config::parse(&config(2, "new")).expect("one").to_json();
@@ -164,166 +164,166 @@
 /// A spare asks the seeds who votes half a second after its start; until then it held up whoever wanted to follow it.
 #[test]
 fn a_spare_hears_who_votes_with_the_first_answer_to_its_news() {
-    let (mut town, _) = settled(1);
-    town.restart(3);
+    let (mut cluster, _) = settled(1);
+    cluster.restart(3);
     let letter = r#"{"from":"edge-1","life":1,"notes":[]}"#;
-    let follow = town.call(3, Method::POST, "/follow", letter);
-    town.run(town.now + 30 * MS);
-    assert!(town.seats.contains_key(&follow));
+    let follow = cluster.call(3, Method::POST, "/follow", letter);
+    cluster.run(cluster.now + 30 * MS);
+    assert!(cluster.seats.contains_key(&follow));
 }
 
 /// A stall that has started hears which configuration stands from a machine in contact only.
 #[test]
 fn which_configuration_stands_is_told_in_contact_only() {
-    let (mut town, leader) = settled(0);
-    town.put(leader, &config(7, "one"));
-    town.run(town.now + 1_000 * MS);
+    let (mut cluster, leader) = settled(0);
+    cluster.put(leader, &config(7, "one"));
+    cluster.run(cluster.now + 1_000 * MS);
     let other = (leader + 1) % 3;
-    let asked = |town: &mut Town| {
+    let asked = |cluster: &mut Cluster| {
         let letter = r#"{"from":"edge-1","life":1,"notes":[{"t":"acts","v":0,"n":0},{"t":"askrev"}]}"#;
-        let id = town.call(other, Method::POST, "/mail", letter);
-        town.run(town.now + MS);
-        town.answer_to(id).map(|(status, body)| (status, body.to_owned())).expect("an answer")
+        let id = cluster.call(other, Method::POST, "/mail", letter);
+        cluster.run(cluster.now + MS);
+        cluster.answer_to(id).map(|(status, body)| (status, body.to_owned())).expect("an answer")
     };
-    let (status, body) = asked(&mut town);
+    let (status, body) = asked(&mut cluster);
     assert!(status == 200 && body.contains(r#""t":"stands""#) && body.contains(r#""v":7"#), "{body}");
-    town.cut(other, 1);
-    town.run(town.now + 2_000 * MS);
-    assert_eq!(asked(&mut town), (200, String::new()));
+    cluster.cut(other, 1);
+    cluster.run(cluster.now + 2_000 * MS);
+    assert_eq!(asked(&mut cluster), (200, String::new()));
 }
 
 /// A porter that comes while a machine starts waits for its contact, and for its contact only.
 #[test]
 fn who_follows_a_machine_that_starts_is_seated_once_it_is_in_contact() {
-    let mut town = Town::new(3, 0);
-    town.cut(0, 1);
+    let mut cluster = Cluster::new(3, 0);
+    cluster.cut(0, 1);
     let letter = r#"{"from":"edge-1","life":1,"notes":[]}"#;
-    town.run(MS);
-    let first = town.call(0, Method::POST, "/follow", letter);
-    town.run(300 * MS);
-    assert!(!town.seats.contains_key(&first) && town.answer_to(first).is_none());
-    town.run(502 * MS);
-    assert_eq!(town.answer_to(first).map(|a| a.0), Some(503));
-    let second = town.call(0, Method::POST, "/follow", letter);
-    town.cut(0, 0);
-    town.run(700 * MS);
-    assert!(!town.seats.contains_key(&second));
-    town.run(830 * MS);
-    assert!(town.seats.contains_key(&second));
+    cluster.run(MS);
+    let first = cluster.call(0, Method::POST, "/follow", letter);
+    cluster.run(300 * MS);
+    assert!(!cluster.seats.contains_key(&first) && cluster.answer_to(first).is_none());
+    cluster.run(502 * MS);
+    assert_eq!(cluster.answer_to(first).map(|a| a.0), Some(503));
+    let second = cluster.call(0, Method::POST, "/follow", letter);
+    cluster.cut(0, 0);
+    cluster.run(700 * MS);
+    assert!(!cluster.seats.contains_key(&second));
+    cluster.run(830 * MS);
+    assert!(cluster.seats.contains_key(&second));
 }
 
 /// Who follows it already hears at once that it feeds nothing new, and that it does again.
 #[test]
 fn followers_are_told_when_contact_is_lost_and_when_it_is_back() {
-    let (mut town, leader) = settled(0);
-    town.run(town.now + 1_000 * MS);
-    let porter = town.call(leader, Method::POST, "/follow", r#"{"from":"edge-1","life":1,"notes":[]}"#);
-    town.run(town.now + 10 * MS);
-    let (_, seat) = town.seats[&porter];
-    let told = |town: &Town, what: &str| {
+    let (mut cluster, leader) = settled(0);
+    cluster.run(cluster.now + 1_000 * MS);
+    let porter = cluster.call(leader, Method::POST, "/follow", r#"{"from":"edge-1","life":1,"notes":[]}"#);
+    cluster.run(cluster.now + 10 * MS);
+    let (_, seat) = cluster.seats[&porter];
+    let told = |cluster: &Cluster, what: &str| {
         let of = |line: &&(usize, u64, bytes::Bytes)| (line.0, line.1) == (leader, seat);
-        town.lines.iter().filter(of).filter(|line| String::from_utf8_lossy(&line.2).contains(what)).count()
+        cluster.lines.iter().filter(of).filter(|line| String::from_utf8_lossy(&line.2).contains(what)).count()
     };
-    town.cut(leader, 1);
-    town.run(town.now + 2_000 * MS);
-    assert_eq!((told(&town, r#""t":"contact""#), told(&town, r#""o":1"#)), (1, 0));
-    town.cut(leader, 0);
-    town.run(town.now + 1_000 * MS);
-    assert_eq!((told(&town, r#""t":"contact""#), told(&town, r#""o":1"#)), (2, 1));
+    cluster.cut(leader, 1);
+    cluster.run(cluster.now + 2_000 * MS);
+    assert_eq!((told(&cluster, r#""t":"contact""#), told(&cluster, r#""o":1"#)), (1, 0));
+    cluster.cut(leader, 0);
+    cluster.run(cluster.now + 1_000 * MS);
+    assert_eq!((told(&cluster, r#""t":"contact""#), told(&cluster, r#""o":1"#)), (2, 1));
 }
 
 #[test]
 fn a_put_is_acknowledged_once_a_majority_has_it_on_disk() {
-    let (mut town, _) = settled(1);
-    let id = town.put(3, &config(1, "one"));
-    while town.answer_to(id).is_none() {
-        town.run(town.now + MS / 4);
-        assert!(town.answer_to(id).is_none() || town.holders(1) >= 2);
+    let (mut cluster, _) = settled(1);
+    let id = cluster.put(3, &config(1, "one"));
+    while cluster.answer_to(id).is_none() {
+        cluster.run(cluster.now + MS / 4);
+        assert!(cluster.answer_to(id).is_none() || cluster.holders(1) >= 2);
     }
-    assert_eq!(town.answer_to(id).map(|a| a.0), Some(200));
+    assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(200));
 }
 
 #[test]
 fn in_the_minority_operators_are_sent_on_within_a_second() {
-    let (mut town, _) = settled(0);
-    town.cut(0, 1);
-    let before = town.now;
-    let ids = [town.put(0, &config(1, "one")), town.read(0)];
-    assert!(town.until(1_000 * MS, |town| ids.iter().all(|id| town.answer_to(*id).is_some())));
+    let (mut cluster, _) = settled(0);
+    cluster.cut(0, 1);
+    let before = cluster.now;
+    let ids = [cluster.put(0, &config(1, "one")), cluster.read(0)];
+    assert!(cluster.until(1_000 * MS, |cluster| ids.iter().all(|id| cluster.answer_to(*id).is_some())));
     for id in ids {
-        let (at, status, body) = &town.answers[&id];
+        let (at, status, body) = &cluster.answers[&id];
         assert_eq!(status.as_u16(), 503);
         assert!(body.contains("no_majority") && at - before < 1_000 * MS, "{body}");
     }
     // Others are not kept from it, and what they put comes over once the cut is gone.
-    let id = town.put(1, &config(2, "two"));
-    town.run(town.now + 900 * MS);
-    assert_eq!(town.answer_to(id).map(|a| a.0), Some(200));
-    town.cut(0, 0);
-    town.run(town.now + 1_000 * MS);
-    assert_eq!(town.chosen().len(), 1);
+    let id = cluster.put(1, &config(2, "two"));
+    cluster.run(cluster.now + 900 * MS);
+    assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(200));
+    cluster.cut(0, 0);
+    cluster.run(cluster.now + 1_000 * MS);
+    assert_eq!(cluster.chosen().len(), 1);
 }
 
 #[test]
 fn rounds_are_bounded_and_each_call_is_answered_once() {
-    let (mut town, _) = settled(0);
-    town.cut(0, 1);
-    let ids: Vec<_> = (0..2 * rounds::MOST).map(|_| town.read(0)).collect();
-    town.run(town.now + MS);
-    assert!(town.core(0).rounds_in_progress() <= rounds::MOST);
-    town.run(town.now + 900 * MS);
-    let busy = ids.iter().filter(|id| town.answers[id].2.contains("busy")).count();
-    assert!((rounds::MOST..2 * rounds::MOST).contains(&busy), "{busy}");
-    assert!(town.core(0).rounds_in_progress() <= 2);
+    let (mut cluster, _) = settled(0);
+    cluster.cut(0, 1);
+    let ids: Vec<_> = (0..2 * rounds::MAX_ROUNDS).map(|_| cluster.read(0)).collect();
+    cluster.run(cluster.now + MS);
+    assert!(cluster.core(0).rounds_in_progress() <= rounds::MAX_ROUNDS);
+    cluster.run(cluster.now + 900 * MS);
+    let busy = ids.iter().filter(|id| cluster.answers[id].2.contains("busy")).count();
+    assert!((rounds::MAX_ROUNDS..2 * rounds::MAX_ROUNDS).contains(&busy), "{busy}");
+    assert!(cluster.core(0).rounds_in_progress() <= 2);
 }
 
 #[test]
 fn a_holder_that_was_frozen_calls_nothing_after_its_lease() {
-    let (mut town, leader) = settled(0);
-    assert!(town.until(1_000 * MS, |town| town.in_hand(leader)));
-    let thaws = town.now + 2_500 * MS;
-    town.freeze(leader, thaws);
-    town.run(thaws + 2_000 * MS);
-    assert_eq!(town.kept_back.iter().map(|(at, n)| (*at, *n)).collect::<Vec<_>>(), [(thaws, leader)]);
-    assert!(town.went.iter().all(|(at, _, errand)| *at < errand.deadline));
-    assert!(town.went.iter().all(|(at, n, _)| *n != leader || *at < thaws));
-    assert!(town.leader().is_some_and(|n| n != leader));
+    let (mut cluster, leader) = settled(0);
+    assert!(cluster.until(1_000 * MS, |cluster| cluster.in_hand(leader)));
+    let thaws = cluster.now + 2_500 * MS;
+    cluster.freeze(leader, thaws);
+    cluster.run(thaws + 2_000 * MS);
+    assert_eq!(cluster.kept_back.iter().map(|(at, n)| (*at, *n)).collect::<Vec<_>>(), [(thaws, leader)]);
+    assert!(cluster.went.iter().all(|(at, _, errand)| *at < errand.deadline));
+    assert!(cluster.went.iter().all(|(at, n, _)| *n != leader || *at < thaws));
+    assert!(cluster.leader().is_some_and(|n| n != leader));
 }
 
 #[test]
 fn a_leader_whose_voter_says_nothing_is_none_after_its_lease() {
-    let (mut town, leader) = settled(0);
-    town.input(leader, Input::VoterStatus(false, None));
+    let (mut cluster, leader) = settled(0);
+    cluster.input(leader, Input::VoterStatus(false, None));
     let note = r#"{"from":"e","life":1,"notes":[{"t":"want","s":"f","c":1}]}"#;
-    town.run(town.now + 1_600 * MS);
-    let id = town.call(leader, Method::POST, "/mail", note);
-    town.run(town.now);
-    assert_eq!(town.answer_to(id).map(|a| a.0), Some(409));
-    assert!(!town.core(leader).is_leader());
+    cluster.run(cluster.now + 1_600 * MS);
+    let id = cluster.call(leader, Method::POST, "/mail", note);
+    cluster.run(cluster.now);
+    assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(409));
+    assert!(!cluster.core(leader).is_leader());
 }
 
 #[test]
 fn a_voter_that_is_silent_gives_way_to_a_spare() {
-    let (mut town, leader) = settled(1);
-    let id = town.put(0, &config(1, "one"));
-    town.run(8_000 * MS);
-    assert_eq!(town.answer_to(id).map(|a| a.0), Some(200));
+    let (mut cluster, leader) = settled(1);
+    let id = cluster.put(0, &config(1, "one"));
+    cluster.run(8_000 * MS);
+    assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(200));
     let gone = (0..3).find(|n| *n != leader).expect("another");
-    town.down(gone);
-    town.run(town.now + 2_900 * MS);
-    let votes = |town: &mut Town, n| {
-        let JsonValue::Array(all) = town.status(leader, "voters") else { panic!("no voters") };
+    cluster.down(gone);
+    cluster.run(cluster.now + 2_900 * MS);
+    let votes = |cluster: &mut Cluster, n| {
+        let JsonValue::Array(all) = cluster.status(leader, "voters") else { panic!("no voters") };
         all.iter().any(|a| *a == JsonValue::String(address(n).to_string()))
     };
-    assert!(votes(&mut town, gone) && !votes(&mut town, 3));
-    town.run(town.now + 4_000 * MS);
-    assert!(!votes(&mut town, gone) && votes(&mut town, 3));
+    assert!(votes(&mut cluster, gone) && !votes(&mut cluster, 3));
+    cluster.run(cluster.now + 4_000 * MS);
+    assert!(!votes(&mut cluster, gone) && votes(&mut cluster, 3));
     // The spare counts: without another of the first three all is still there.
     let next = (0..3).find(|n| *n != leader && *n != gone).expect("a third");
-    town.down(next);
-    let id = town.read(leader);
-    town.run(town.now + 900 * MS);
-    assert_eq!(town.answer_to(id), Some((200, config(1, "one").as_str())));
+    cluster.down(next);
+    let id = cluster.read(leader);
+    cluster.run(cluster.now + 900 * MS);
+    assert_eq!(cluster.answer_to(id), Some((200, config(1, "one").as_str())));
 }
 
 /// A second loss may come at any moment: a voter that is told to end goes on voting until a spare votes in its place, also where it is the
@@ -333,66 +333,66 @@
     the_leader = { 0 },
 )]
 fn a_voter_that_leaves_waits_until_a_spare_votes_in_its_place(beyond: usize) {
-    let (mut town, leader) = settled(1);
+    let (mut cluster, leader) = settled(1);
     let leaves = (leader + beyond) % 3;
-    town.put(leader, &config(1, "one"));
-    town.run(8_000 * MS);
-    town.input(leaves, Input::Shutdown);
-    let left = town.now;
-    assert!(town.until(3_000 * MS, |town| town.core(leaves).can_exit(town.now)));
+    cluster.put(leader, &config(1, "one"));
+    cluster.run(8_000 * MS);
+    cluster.input(leaves, Input::Shutdown);
+    let left = cluster.now;
+    assert!(cluster.until(3_000 * MS, |cluster| cluster.core(leaves).can_exit(cluster.now)));
     assert!(
-        town.now < left + 2_900 * MS,
+        cluster.now < left + 2_900 * MS,
         "it waited for a spare, not for its time: {}",
-        (town.now - left) / MS
+        (cluster.now - left) / MS
     );
-    town.down(leaves);
+    cluster.down(leaves);
     let others: Vec<_> = (0..3).filter(|n| *n != leaves).collect();
     // Each has heard of it by then, or hears of it with the next news.
-    town.run(town.now + 400 * MS);
-    let voters = town.status(others[0], "voters");
+    cluster.run(cluster.now + 400 * MS);
+    let voters = cluster.status(others[0], "voters");
     let JsonValue::Array(voters) = voters else { panic!("no voters") };
     let names = |n| voters.contains(&JsonValue::String(address(n).to_string()));
     assert!(names(3) && !names(leaves));
-    town.down(others[0]);
-    town.run(town.now + 2_500 * MS);
-    let id = town.read(others[1]);
-    town.run(town.now + 900 * MS);
-    assert_eq!(town.answer_to(id), Some((200, config(1, "one").as_str())));
+    cluster.down(others[0]);
+    cluster.run(cluster.now + 2_500 * MS);
+    let id = cluster.read(others[1]);
+    cluster.run(cluster.now + 900 * MS);
+    assert_eq!(cluster.answer_to(id), Some((200, config(1, "one").as_str())));
 }
 
 /// Two voters hold what was acknowledged, and one of them is told to end. There is no spare: the third has it on its disk before that.
 #[test]
 fn what_a_voter_that_leaves_holds_stands_without_it() {
-    let (mut town, leader) = settled(0);
+    let (mut cluster, leader) = settled(0);
     let (leaves, lacks) = ((leader + 1) % 3, (leader + 2) % 3);
-    town.cut(lacks, 1);
-    town.put(leader, &config(1, "one"));
-    town.run(town.now + 1_000 * MS);
-    town.cut(lacks, 0);
-    town.run(town.now + 3_000 * MS);
-    assert_eq!(town.holders(1), 2);
-    town.input(leaves, Input::Shutdown);
-    let left = town.now;
-    town.run(left + 299 * MS);
-    assert!(!town.core(leaves).can_exit(town.now));
-    town.run(left + 300 * MS);
-    assert!(town.core(leaves).can_exit(town.now));
-    assert_eq!(town.holders(1), 3);
+    cluster.cut(lacks, 1);
+    cluster.put(leader, &config(1, "one"));
+    cluster.run(cluster.now + 1_000 * MS);
+    cluster.cut(lacks, 0);
+    cluster.run(cluster.now + 3_000 * MS);
+    assert_eq!(cluster.holders(1), 2);
+    cluster.input(leaves, Input::Shutdown);
+    let left = cluster.now;
+    cluster.run(left + 299 * MS);
+    assert!(!cluster.core(leaves).can_exit(cluster.now));
+    cluster.run(left + 300 * MS);
+    assert!(cluster.core(leaves).can_exit(cluster.now));
+    assert_eq!(cluster.holders(1), 3);
 }
 
 /// The third does not answer: what is held is not handed over, and the process ends all the same, at half of its grace.
 #[test]
 fn a_voter_whose_successors_are_silent_ends_at_half_of_its_grace() {
-    let (mut town, leader) = settled(0);
-    town.down((leader + 2) % 3);
-    town.run(town.now + 1_000 * MS);
+    let (mut cluster, leader) = settled(0);
+    cluster.down((leader + 2) % 3);
+    cluster.run(cluster.now + 1_000 * MS);
     let leaves = (leader + 1) % 3;
-    town.input(leaves, Input::Shutdown);
-    let left = town.now;
-    town.run(left + 2_999 * MS);
-    assert!(!town.core(leaves).can_exit(town.now));
-    town.run(left + 3_000 * MS);
-    assert!(town.core(leaves).can_exit(town.now));
+    cluster.input(leaves, Input::Shutdown);
+    let left = cluster.now;
+    cluster.run(left + 2_999 * MS);
+    assert!(!cluster.core(leaves).can_exit(cluster.now));
+    cluster.run(left + 3_000 * MS);
+    assert!(cluster.core(leaves).can_exit(cluster.now));
 }
 
 /// Memory, disk and the time to catch up hang on what stands, not on how many changes there were: one voter is down throughout, a spare
@@ -401,33 +401,34 @@
 fn after_a_thousand_changes_who_was_away_is_back_as_soon_as_after_ten() {
     let mut found = Vec::new();
     for changes in [10, 100, 1_000] {
-        let (mut town, leader) = settled(1);
+        let (mut cluster, leader) = settled(1);
         let away = (0..3).find(|n| *n != leader).expect("another");
         let stays = (0..3).find(|n| *n != leader && *n != away).expect("a third");
-        town.down(away);
+        cluster.down(away);
         for revision in 1..=changes {
-            let id = town.put(if revision % 2 == 0 { leader } else { stays }, &config(1_000 + revision, "s"));
-            assert!(town.until(900 * MS, |town| town.answer_to(id).is_some()));
-            assert_eq!(town.answer_to(id).map(|a| a.0), Some(200), "{revision}");
+            let id =
+                cluster.put(if revision % 2 == 0 { leader } else { stays }, &config(1_000 + revision, "s"));
+            assert!(cluster.until(900 * MS, |cluster| cluster.answer_to(id).is_some()));
+            assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(200), "{revision}");
             if revision % 7 == 0 {
-                town.restart(3);
+                cluster.restart(3);
             }
         }
-        town.up(away);
-        town.restart(away);
-        let back = town.now;
+        cluster.up(away);
+        cluster.restart(away);
+        let back = cluster.now;
         // It hands out nothing before it has read what stands from a majority.
-        let early = town.call(away, Method::GET, "/core/chosen", "");
-        town.run(back + MS);
-        assert_eq!(town.answer_to(early).map(|a| a.0), Some(503));
+        let early = cluster.call(away, Method::GET, "/core/chosen", "");
+        cluster.run(back + MS);
+        assert_eq!(cluster.answer_to(early).map(|a| a.0), Some(503));
         let newest = JsonValue::Number((1_000 + changes) as f64);
-        while town.status(away, "revision") != newest
-            || town.status(away, "contact") != JsonValue::String("holds".to_owned())
+        while cluster.status(away, "revision") != newest
+            || cluster.status(away, "contact") != JsonValue::String("holds".to_owned())
         {
-            town.run(town.now + MS);
-            assert!(town.now < back + 5_000 * MS, "{changes} changes");
+            cluster.run(cluster.now + MS);
+            assert!(cluster.now < back + 5_000 * MS, "{changes} changes");
         }
-        found.push((town.now - back, town.disk_bytes(away), town.disk_bytes(stays)));
+        found.push((cluster.now - back, cluster.disk_bytes(away), cluster.disk_bytes(stays)));
     }
     let (most, least) = (found.iter().max().expect("some"), found.iter().min().expect("some"));
     assert!(most.0 <= least.0 + 100 * MS, "{found:?}");
@@ -437,71 +438,71 @@
 
 #[test]
 fn news_of_a_newer_configuration_is_fetched_once_by_each_that_lacks_it() {
-    let (mut town, _) = settled(3);
-    town.run(town.now + 1_000 * MS);
-    town.put(0, &config(1, "one"));
-    town.run(town.now + 1_000 * MS);
-    assert_eq!(town.chosen().len(), 1);
-    town.fetches.sort_unstable();
-    assert_eq!(town.fetches, [3, 4, 5]);
+    let (mut cluster, _) = settled(3);
+    cluster.run(cluster.now + 1_000 * MS);
+    cluster.put(0, &config(1, "one"));
+    cluster.run(cluster.now + 1_000 * MS);
+    assert_eq!(cluster.chosen().len(), 1);
+    cluster.fetches.sort_unstable();
+    assert_eq!(cluster.fetches, [3, 4, 5]);
 }
 
 #[test]
 fn who_leaves_answers_what_is_under_way_and_takes_nothing_new() {
-    let (mut town, leader) = settled(0);
-    let put = town.put(leader, &config(1, "one"));
-    town.run(town.now + MS);
-    town.input(leader, Input::Shutdown);
-    let left = town.now;
-    let new = town.read(leader);
-    town.run(left + 299 * MS);
-    assert_eq!(town.answer_to(put).map(|a| a.0), Some(200));
-    assert!(town.answer_to(new).is_some_and(|(status, body)| status == 503 && body.contains("busy")));
-    assert!(!town.core(leader).is_leader() && !town.core(leader).can_exit(left + 299 * MS));
-    assert!(town.core(leader).can_exit(left + 300 * MS));
-    assert!(town.until(700 * MS, |town| town.leader().is_some()), "the lease was given back");
+    let (mut cluster, leader) = settled(0);
+    let put = cluster.put(leader, &config(1, "one"));
+    cluster.run(cluster.now + MS);
+    cluster.input(leader, Input::Shutdown);
+    let left = cluster.now;
+    let new = cluster.read(leader);
+    cluster.run(left + 299 * MS);
+    assert_eq!(cluster.answer_to(put).map(|a| a.0), Some(200));
+    assert!(cluster.answer_to(new).is_some_and(|(status, body)| status == 503 && body.contains("busy")));
+    assert!(!cluster.core(leader).is_leader() && !cluster.core(leader).can_exit(left + 299 * MS));
+    assert!(cluster.core(leader).can_exit(left + 300 * MS));
+    assert!(cluster.until(700 * MS, |cluster| cluster.leader().is_some()), "the lease was given back");
 }
 
 #[test]
 fn whatever_freezes_and_is_cut_off_one_acts_at_a_time_and_nothing_acknowledged_is_lost() {
     let mut changes = 0;
     for luck in 1..=40 {
-        let mut town = Town::new(3, 2);
-        town.luck = luck;
+        let mut cluster = Cluster::new(3, 2);
+        cluster.luck = luck;
         let mut puts = Vec::new();
         for revision in 1..=15 {
-            let n = town.draw(5) as usize;
-            match town.draw(4) {
+            let n = cluster.draw(5) as usize;
+            match cluster.draw(4) {
                 0 => {
-                    let thaws = town.now + town.draw(5_000) * MS;
-                    town.freeze(n, thaws);
+                    let thaws = cluster.now + cluster.draw(5_000) * MS;
+                    cluster.freeze(n, thaws);
                 }
-                1 => town.cut(n, 1),
-                _ => (0..5).for_each(|n| town.cut(n, 0)),
+                1 => cluster.cut(n, 1),
+                _ => (0..5).for_each(|n| cluster.cut(n, 0)),
             }
             for text in ["one", "two"] {
-                let n = town.draw(5) as usize;
-                puts.push((revision, town.put(n, &config(revision, text))));
-                let pause = town.draw(40) * MS;
-                town.run(town.now + pause);
+                let n = cluster.draw(5) as usize;
+                puts.push((revision, cluster.put(n, &config(revision, text))));
+                let pause = cluster.draw(40) * MS;
+                cluster.run(cluster.now + pause);
             }
-            let pause = town.draw(1_500) * MS;
-            town.run(town.now + pause);
+            let pause = cluster.draw(1_500) * MS;
+            cluster.run(cluster.now + pause);
         }
-        (0..5).for_each(|n| town.cut(n, 0));
-        town.run(town.now + 6_000 * MS);
-        assert!(town.until(6_000 * MS, |town| town.leader().is_some()), "{luck}: no steward");
+        (0..5).for_each(|n| cluster.cut(n, 0));
+        cluster.run(cluster.now + 6_000 * MS);
+        assert!(cluster.until(6_000 * MS, |cluster| cluster.leader().is_some()), "{luck}: no steward");
         let acknowledged =
-            puts.iter().filter(|(_, id)| town.answer_to(*id).is_some_and(|(status, _)| status == 200));
+            puts.iter().filter(|(_, id)| cluster.answer_to(*id).is_some_and(|(status, _)| status == 200));
         let newest = acknowledged.map(|(revision, _)| *revision).max();
-        let id = town.read(0);
-        town.run(town.now + 900 * MS);
-        let read = town.answer_to(id).and_then(|(_, text)| millpost_config::Config::parse(text).ok());
+        let id = cluster.read(0);
+        cluster.run(cluster.now + 900 * MS);
+        let read = cluster.answer_to(id).and_then(|(_, text)| millpost_config::Config::parse(text).ok());
         assert!(read.map(|config| config.revision) >= newest, "{luck}: {newest:?} was acknowledged");
-        assert_eq!(town.chosen().len(), 1, "{luck}");
-        assert!(town.went.iter().all(|(at, _, errand)| *at < errand.deadline), "{luck}");
-        assert!(town.went.is_sorted_by_key(|(_, _, errand)| errand.fence), "{luck}: two act at once");
-        changes += town.went.last().map_or(0, |(_, _, errand)| errand.fence);
+        assert_eq!(cluster.chosen().len(), 1, "{luck}");
+        assert!(cluster.went.iter().all(|(at, _, errand)| *at < errand.deadline), "{luck}");
+        assert!(cluster.went.is_sorted_by_key(|(_, _, errand)| errand.fence), "{luck}: two act at once");
+        changes += cluster.went.last().map_or(0, |(_, _, errand)| errand.fence);
     }
     assert!(changes > 40, "{changes}");
 }
@@ -525,29 +526,29 @@
             routes.join(",")
         )
     };
-    let (mut town, leader) = settled(1);
+    let (mut cluster, leader) = settled(1);
     for revision in 1..=4 {
-        let id = town.put(leader, &long(revision));
-        town.run(town.now);
-        assert_eq!(town.answer_to(id).map(|a| a.0), Some(307));
-        let id = town.put((leader + 1) % 3, &long(revision));
-        town.run(town.now + 300 * MS);
-        assert_eq!(town.answer_to(id).map(|a| a.0), Some(200));
+        let id = cluster.put(leader, &long(revision));
+        cluster.run(cluster.now);
+        assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(307));
+        let id = cluster.put((leader + 1) % 3, &long(revision));
+        cluster.run(cluster.now + 300 * MS);
+        assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(200));
     }
-    town.run(town.now + 600 * MS);
-    assert_eq!(town.chosen().len(), 1);
+    cluster.run(cluster.now + 600 * MS);
+    assert_eq!(cluster.chosen().len(), 1);
     for n in 0..4 {
-        let id = town.call(n, Method::GET, "/core", "");
-        town.run(town.now);
-        let (status, body) = town.answer_to(id).expect("an answer");
+        let id = cluster.call(n, Method::GET, "/core", "");
+        cluster.run(cluster.now);
+        let (status, body) = cluster.answer_to(id).expect("an answer");
         assert_eq!((status, body.contains("\"revision\":4")), (200, true), "{body}");
     }
     // Alone, it reads them itself: nobody else could.
-    town.cut(leader, 1);
-    town.run(town.now + 1_100 * MS);
-    let id = town.put(leader, &long(9));
-    town.run(town.now + 900 * MS);
-    assert_eq!(town.answer_to(id).map(|a| a.0), Some(503));
+    cluster.cut(leader, 1);
+    cluster.run(cluster.now + 1_100 * MS);
+    let id = cluster.put(leader, &long(9));
+    cluster.run(cluster.now + 900 * MS);
+    assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(503));
 }
 
 /// A porter that follows all machines, acts on what the first of them feeds 50 ms later, and says what owners want.
@@ -558,39 +559,39 @@
     warms: bool,
 }
 
-fn porter(town: &mut Town, Porter { acts, warms }: &mut Porter) {
+fn porter(cluster: &mut Cluster, Porter { acts, warms }: &mut Porter) {
     let letter = |notes: &str| format!(r#"{{"from":"edge-1","life":1,"notes":[{notes}]}}"#);
-    let revision = |town: &mut Town| match town.status(0, "revision") {
+    let revision = |cluster: &mut Cluster| match cluster.status(0, "revision") {
         JsonValue::Number(revision) => revision as u64,
         other => panic!("{other:?}"),
     };
-    let newest = revision(town);
+    let newest = revision(cluster);
     for n in 0..3 {
         let said = letter(&format!(r#"{{"t":"acts","v":{acts},"n":1}}"#));
         if *acts == 0 {
-            town.call(n, Method::POST, "/follow", &said);
+            cluster.call(n, Method::POST, "/follow", &said);
         }
-        town.call(n, Method::POST, "/mail", &said);
+        cluster.call(n, Method::POST, "/mail", &said);
         let want = r#"{"t":"want","s":"s","c":2,"z":["z"],"n":0}"#;
-        town.call(n, Method::POST, "/mail", &letter(want));
+        cluster.call(n, Method::POST, "/mail", &letter(want));
         if *warms {
             let want = r#"{"t":"want","s":"t","c":2,"n":0,"d":[0,0,0,0]}"#;
-            town.call(n, Method::POST, "/mail", &letter(want));
+            cluster.call(n, Method::POST, "/mail", &letter(want));
         }
     }
     *acts = newest.max(1);
-    town.run(town.now + 250 * MS);
+    cluster.run(cluster.now + 250 * MS);
 }
 
-fn order(town: &mut Town, owners: &mut Porter, text: &str) -> (u16, String) {
+fn order(cluster: &mut Cluster, owners: &mut Porter, text: &str) -> (u16, String) {
     for _ in 0..40 {
-        let n = town.leader().expect("a steward");
-        let id = town.call(n, Method::POST, "/core/moves", text);
+        let n = cluster.leader().expect("a steward");
+        let id = cluster.call(n, Method::POST, "/core/moves", text);
         for _ in 0..40 {
-            if let Some((status, body)) = town.answer_to(id).filter(|(status, _)| *status != 503) {
+            if let Some((status, body)) = cluster.answer_to(id).filter(|(status, _)| *status != 503) {
                 return (status, body.to_owned());
             }
-            porter(town, owners);
+            porter(cluster, owners);
         }
     }
     panic!("no clear answer to {text}");
@@ -605,204 +606,208 @@
 /// A tenant is planned, started and done, over a target that gets warm meanwhile; its leader is cut off in the middle, and the next one ends it.
 #[test]
 fn a_move_is_checked_and_carried_on_by_the_next_leader() {
-    let (mut town, leader) = settled(0);
-    town.workers = 700;
+    let (mut cluster, leader) = settled(0);
+    cluster.workers = 700;
     let mut owners = Porter::default();
-    town.put(0, TENANT);
-    (0..20).for_each(|_| porter(&mut town, &mut owners));
-    let disk = |town: &Town| (0..3).filter(|n| town.holds_moves(*n)).count();
-    assert_eq!(disk(&town), 0, "no trace of moves before the first");
+    cluster.put(0, TENANT);
+    (0..20).for_each(|_| porter(&mut cluster, &mut owners));
+    let disk = |cluster: &Cluster| (0..3).filter(|n| cluster.holds_moves(*n)).count();
+    assert_eq!(disk(&cluster), 0, "no trace of moves before the first");
 
     let plan =
         r#"{"order":"plan","contract":{"name":"m","hosts":["l.example"],"services":{"s":"t"},"loads":2}}"#;
-    let (status, body) = order(&mut town, &mut owners, plan);
+    let (status, body) = order(&mut cluster, &mut owners, plan);
     // Two instances are wanted at the source, so two at the target: no worker has room for a second.
     assert!(status == 422 && body.contains("workers have no room for 1 of 2 instances"), "{status} {body}");
-    town.workers = 8_000;
+    cluster.workers = 8_000;
     // Until the leader has heard of it.
-    (0..40).for_each(|_| porter(&mut town, &mut owners));
-    assert_eq!(order(&mut town, &mut owners, plan), (200, r#"{"step":"planned"}"#.to_owned()));
-    assert!(disk(&town) >= 2);
+    (0..40).for_each(|_| porter(&mut cluster, &mut owners));
+    assert_eq!(order(&mut cluster, &mut owners, plan), (200, r#"{"step":"planned"}"#.to_owned()));
+    assert!(disk(&cluster) >= 2);
     let start = |range: &str| format!(r#"{{"order":"start","name":"m","revisions":{range}}}"#);
-    let (status, body) = order(&mut town, &mut owners, &start(r#"{"first":2,"last":4}"#));
+    let (status, body) = order(&mut cluster, &mut owners, &start(r#"{"first":2,"last":4}"#));
     assert!(status == 422 && body.contains("4 revisions above 1 are needed"), "{status} {body}");
-    let (status, _) = order(&mut town, &mut owners, &start(r#"{"first":10,"last":14}"#));
+    let (status, _) = order(&mut cluster, &mut owners, &start(r#"{"first":10,"last":14}"#));
     assert_eq!(status, 200);
 
     owners.warms = true;
-    let step = |town: &mut Town| {
-        let Some(n) = town.leader() else { return String::new() };
-        let id = town.call(n, Method::GET, "/core/moves?name=m", "");
-        town.run(town.now);
-        town.answer_to(id).map(|(_, body)| body.to_owned()).unwrap_or_default()
+    let step = |cluster: &mut Cluster| {
+        let Some(n) = cluster.leader() else { return String::new() };
+        let id = cluster.call(n, Method::GET, "/core/moves?name=m", "");
+        cluster.run(cluster.now);
+        cluster.answer_to(id).map(|(_, body)| body.to_owned()).unwrap_or_default()
     };
     let mut cut = false;
     for _ in 0..200 {
-        porter(&mut town, &mut owners);
-        let told = step(&mut town);
+        porter(&mut cluster, &mut owners);
+        let told = step(&mut cluster);
         if told.contains(r#""step":"switching""#) && !cut {
             cut = true;
-            town.cut(leader, 1);
+            cluster.cut(leader, 1);
         }
-        if cut && town.leader().is_some_and(|n| n != leader) {
-            town.cut(leader, 0);
+        if cut && cluster.leader().is_some_and(|n| n != leader) {
+            cluster.cut(leader, 0);
         }
         if told.contains(r#""step":"done""#) {
             break;
         }
     }
-    let told = step(&mut town);
+    let told = step(&mut cluster);
     assert!(cut && told.contains(r#""step":"done""#), "{told}");
-    assert!(town.leader().is_some_and(|n| n != leader));
-    let id = town.read(0);
-    town.run(town.now + 900 * MS);
-    let (_, text) = town.answer_to(id).expect("an answer");
+    assert!(cluster.leader().is_some_and(|n| n != leader));
+    let id = cluster.read(0);
+    cluster.run(cluster.now + 900 * MS);
+    let (_, text) = cluster.answer_to(id).expect("an answer");
     let config = millpost_config::Config::parse(text).expect("valid");
     assert!(config.routes.iter().all(|route| route.shares == [("t".into(), 1)]), "{text}");
     assert!((11..=13).contains(&config.revision), "{}", config.revision);
 }
 
 /// What the leader says of its duty.
-fn duty(town: &mut Town, leader: usize) -> String {
-    let id = town.call(leader, Method::GET, "/core/duty", "");
-    town.run(town.now);
-    let (status, text) = town.answer_to(id).expect("an answer");
+fn duty(cluster: &mut Cluster, leader: usize) -> String {
+    let id = cluster.call(leader, Method::GET, "/core/duty", "");
+    cluster.run(cluster.now);
+    let (status, text) = cluster.answer_to(id).expect("an answer");
     assert_eq!(status, 200);
     text.to_owned()
 }
 
 #[test]
 fn the_leader_tells_its_operators_of_stalls_workers_and_the_platforms_answers() {
-    let (mut town, leader) = settled(0);
+    let (mut cluster, leader) = settled(0);
     let alive =
         r#"{"from":"e","life":1,"notes":[{"t":"alive","p":{"n":"e","a":"10.0.1.1:1","z":"z"},"o":1}]}"#;
-    town.call(leader, Method::POST, "/mail", alive);
-    town.put(0, &config(1, "f"));
-    town.workers = 512;
-    town.run(town.now + 1_200 * MS);
-    town.call(leader, Method::POST, "/mail", alive);
+    cluster.call(leader, Method::POST, "/mail", alive);
+    cluster.put(0, &config(1, "f"));
+    cluster.workers = 512;
+    cluster.run(cluster.now + 1_200 * MS);
+    cluster.call(leader, Method::POST, "/mail", alive);
     let want = r#"{"from":"e","life":1,"notes":[{"t":"want","s":"f","c":1}]}"#;
-    town.call(leader, Method::POST, "/mail", want);
-    town.run(town.now + 400 * MS);
-    let told = duty(&mut town, leader);
+    cluster.call(leader, Method::POST, "/mail", want);
+    cluster.run(cluster.now + 400 * MS);
+    let told = duty(&mut cluster, leader);
     for part in
         [r#""name":"w-1""#, r#""call":"start""#, r#""answer":"ok""#, r#""zone":"z""#, r#""out":"unfed""#]
     {
         assert!(told.contains(part), "{part} in {told}");
     }
     // The platform takes nothing more, and is silent on starts.
-    town.workers = 0;
+    cluster.workers = 0;
     let want = r#"{"from":"e","life":1,"notes":[{"t":"want","s":"f","c":9}]}"#;
-    town.call(leader, Method::POST, "/mail", want);
-    town.run(town.now + 300 * MS);
-    assert!(duty(&mut town, leader).contains(r#""answer":"unclear""#));
+    cluster.call(leader, Method::POST, "/mail", want);
+    cluster.run(cluster.now + 300 * MS);
+    assert!(duty(&mut cluster, leader).contains(r#""answer":"unclear""#));
     let other = (0..3).find(|n| *n != leader).expect("another");
-    let id = town.call(other, Method::GET, "/core/duty", "");
-    town.run(town.now);
-    assert_eq!(town.answer_to(id).map(|a| a.0), Some(409));
-    let words = [leader, other].map(|n| town.status(n, "lease"));
+    let id = cluster.call(other, Method::GET, "/core/duty", "");
+    cluster.run(cluster.now);
+    assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(409));
+    let words = [leader, other].map(|n| cluster.status(n, "lease"));
     assert_eq!(words, ["steward", "asks"].map(|word| JsonValue::String(word.to_owned())));
 }
 
-fn alive(town: &mut Town, leader: usize, rest: &str) {
+fn alive(cluster: &mut Cluster, leader: usize, rest: &str) {
     for name in ["e-1", "e-2"] {
         let peer = format!(r#"{{"t":"alive","p":{{"n":"{name}","a":"10.0.1.1:1","z":"z"}},"o":1}}"#);
         let more = if name == "e-1" { rest } else { "" };
         let letter = format!(r#"{{"from":"{name}","life":1,"notes":[{peer}{more}]}}"#);
-        town.call(leader, Method::POST, "/mail", &letter);
+        cluster.call(leader, Method::POST, "/mail", &letter);
     }
 }
 
 /// Both stalls are heard of for so long, and the first one rests.
-fn beats(town: &mut Town, ms: u64) {
+fn beats(cluster: &mut Cluster, ms: u64) {
     for _ in 0..ms / 400 {
-        if let Some(leader) = town.leader() {
-            alive(town, leader, r#",{"t":"rest","n":"e-1","l":60000}"#);
+        if let Some(leader) = cluster.leader() {
+            alive(cluster, leader, r#",{"t":"rest","n":"e-1","l":60000}"#);
         }
-        town.run(town.now + 400 * MS);
+        cluster.run(cluster.now + 400 * MS);
     }
 }
 
-fn drains(town: &mut Town, body: &str) -> (u16, String) {
-    let leader = town.leader().expect("a steward");
+fn drains(cluster: &mut Cluster, body: &str) -> (u16, String) {
+    let leader = cluster.leader().expect("a steward");
     let method = if body.is_empty() { Method::GET } else { Method::POST };
-    let id = town.call(leader, method, "/core/drains", body);
-    town.run(town.now);
-    town.answer_to(id).map(|(status, text)| (status, text.to_owned())).expect("an answer")
+    let id = cluster.call(leader, method, "/core/drains", body);
+    cluster.run(cluster.now);
+    cluster.answer_to(id).map(|(status, text)| (status, text.to_owned())).expect("an answer")
 }
 
 #[test]
 fn what_is_out_stays_out_under_the_next_leader_and_until_its_time() {
-    let (mut town, leader) = settled(0);
-    town.workers = 512;
+    let (mut cluster, leader) = settled(0);
+    cluster.workers = 512;
     let edge = r#"{"order":"drain","what":"edge","name":"e-1","for_ms":20000}"#;
-    alive(&mut town, leader, "");
-    assert_eq!(drains(&mut town, edge).0, 503, "what was out before may not be known yet");
-    town.run(town.now + 1_000 * MS);
-    alive(&mut town, leader, "");
-    assert_eq!(drains(&mut town, edge).0, 200);
-    assert_eq!(drains(&mut town, &edge.replace("e-1", "e-2")).0, 422);
+    alive(&mut cluster, leader, "");
+    assert_eq!(drains(&mut cluster, edge).0, 503, "what was out before may not be known yet");
+    cluster.run(cluster.now + 1_000 * MS);
+    alive(&mut cluster, leader, "");
+    assert_eq!(drains(&mut cluster, edge).0, 200);
+    assert_eq!(drains(&mut cluster, &edge.replace("e-1", "e-2")).0, 422);
     let worker = r#"{"order":"drain","what":"worker","name":"w-1","for_ms":20000}"#;
-    assert_eq!(drains(&mut town, worker).0, 200);
+    assert_eq!(drains(&mut cluster, worker).0, 200);
     let other = (0..3).find(|n| *n != leader).expect("another");
-    let id = town.call(other, Method::POST, "/core/drains", edge);
-    town.run(town.now);
-    assert_eq!(town.answer_to(id).map(|a| a.0), Some(409));
-    town.cut(leader, 1);
-    town.run(town.now + 3_000 * MS);
-    assert!(town.leader().is_some_and(|n| n != leader));
-    beats(&mut town, 2_000);
-    let (status, told) = drains(&mut town, "");
+    let id = cluster.call(other, Method::POST, "/core/drains", edge);
+    cluster.run(cluster.now);
+    assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(409));
+    cluster.cut(leader, 1);
+    cluster.run(cluster.now + 3_000 * MS);
+    assert!(cluster.leader().is_some_and(|n| n != leader));
+    beats(&mut cluster, 2_000);
+    let (status, told) = drains(&mut cluster, "");
     assert_eq!(status, 200);
     assert!(told.contains(r#""name":"e-1""#) && told.contains(r#""name":"w-1""#), "{told}");
     assert!(told.contains(r#""rests":true"#), "{told}");
-    let leader = town.leader().expect("a steward");
-    assert!(duty(&mut town, leader).contains(r#""out":"drained""#));
-    assert_eq!(drains(&mut town, r#"{"order":"undo","what":"edge","name":"e-1"}"#).0, 200);
+    let leader = cluster.leader().expect("a steward");
+    assert!(duty(&mut cluster, leader).contains(r#""out":"drained""#));
+    assert_eq!(drains(&mut cluster, r#"{"order":"undo","what":"edge","name":"e-1"}"#).0, 200);
     assert_eq!(
-        drains(&mut town, r#"{"order":"undo","what":"edge","name":"e-1"}"#).0,
+        drains(&mut cluster, r#"{"order":"undo","what":"edge","name":"e-1"}"#).0,
         200,
         "again is the same"
     );
-    town.run(town.now + 20_000 * MS);
-    assert!(drains(&mut town, "").1.contains(r#""drains":[]"#));
+    cluster.run(cluster.now + 20_000 * MS);
+    assert!(drains(&mut cluster, "").1.contains(r#""drains":[]"#));
 }
 
 #[test]
 fn a_worker_that_is_out_takes_no_starts_and_is_emptied() {
-    let (mut town, leader) = settled(0);
-    town.workers = 512;
-    town.put(0, &config(1, "f"));
-    let want = |town: &mut Town| {
+    let (mut cluster, leader) = settled(0);
+    cluster.workers = 512;
+    cluster.put(0, &config(1, "f"));
+    let want = |cluster: &mut Cluster| {
         let want = r#"{"from":"e","life":1,"notes":[{"t":"want","s":"f","c":2}]}"#;
-        town.call(leader, Method::POST, "/mail", want);
-        town.run(town.now + 1_000 * MS);
+        cluster.call(leader, Method::POST, "/mail", want);
+        cluster.run(cluster.now + 1_000 * MS);
     };
-    (0..4).for_each(|_| want(&mut town));
-    let on = |town: &Town, name: &str| {
-        town.started.iter().filter(|(_, entry)| entry.worker.as_deref() == Some(name)).count()
+    (0..4).for_each(|_| want(&mut cluster));
+    let on = |cluster: &Cluster, name: &str| {
+        cluster.started.iter().filter(|(_, entry)| entry.worker.as_deref() == Some(name)).count()
     };
-    assert_eq!((on(&town, "w-1"), on(&town, "w-2")), (1, 1));
+    assert_eq!((on(&cluster, "w-1"), on(&cluster, "w-2")), (1, 1));
     let order = r#"{"order":"drain","what":"worker","name":"w-1","for_ms":60000}"#;
-    assert_eq!(drains(&mut town, order).0, 200);
-    (0..4).for_each(|_| want(&mut town));
-    assert_eq!((on(&town, "w-1"), on(&town, "w-2")), (1, 2), "another has come in its place");
-    assert!(!town.went.iter().any(|(_, _, errand)| matches!(errand.call, Call::Stop { .. })));
+    assert_eq!(drains(&mut cluster, order).0, 200);
+    (0..4).for_each(|_| want(&mut cluster));
+    assert_eq!((on(&cluster, "w-1"), on(&cluster, "w-2")), (1, 2), "another has come in its place");
+    assert!(!cluster.went.iter().any(|(_, _, errand)| matches!(errand.call, Call::Stop { .. })));
     // Its requests have had their time.
-    (0..30).for_each(|_| want(&mut town));
-    let stops: Vec<_> = town.went.iter().filter(|(_, _, e)| matches!(e.call, Call::Stop { .. })).collect();
+    (0..30).for_each(|_| want(&mut cluster));
+    let stops: Vec<_> = cluster.went.iter().filter(|(_, _, e)| matches!(e.call, Call::Stop { .. })).collect();
     assert!(!stops.is_empty());
-    assert_eq!((on(&town, "w-1"), on(&town, "w-2")), (0, 2), "it was stopped, and nothing was started there");
+    assert_eq!(
+        (on(&cluster, "w-1"), on(&cluster, "w-2")),
+        (0, 2),
+        "it was stopped, and nothing was started there"
+    );
 }
 
 /// News are answered with members only where they are newer than what their sender goes by: every 400 ms they would be most of the bytes.
 #[test]
 fn at_rest_no_answer_to_news_brings_members() {
-    let (mut town, _) = settled(2);
-    town.run(town.now + 2_000 * MS);
-    let before: std::collections::BTreeSet<_> = town.answers.keys().copied().collect();
-    town.run(town.now + 4_000 * MS);
-    let bodies: Vec<_> = town.answers.iter().filter(|(id, _)| !before.contains(id)).collect();
+    let (mut cluster, _) = settled(2);
+    cluster.run(cluster.now + 2_000 * MS);
+    let before: std::collections::BTreeSet<_> = cluster.answers.keys().copied().collect();
+    cluster.run(cluster.now + 4_000 * MS);
+    let bodies: Vec<_> = cluster.answers.iter().filter(|(id, _)| !before.contains(id)).collect();
     let news = bodies.iter().filter(|(_, (_, _, body))| body.contains("epoch")).count();
     assert!((4 * 5 * 9..4 * 5 * 12).contains(&news), "{news}");
     assert!(bodies.iter().all(|(_, (_, _, body))| !body.contains("members")), "{bodies:?}");
--- a/controller/tests/leader.rs
+++ b/controller/tests/leader.rs
@@ -49,7 +49,7 @@
 
 fn leader(fence: u64, now: u64, zones: &[&str], split: Option<(Version, &[&str])>) -> Leader {
     let mut leader = Leader::new(now, Terms::new(fence, 100.0, 100), 100.0, Some(&config()), None);
-    (0..6).for_each(|n| leader.note(now, &alive(n, zones, split)));
+    (0..6).for_each(|n| leader.on_message(now, &alive(n, zones, split)));
     leader
 }
 
@@ -66,7 +66,7 @@
 /// Names the stalls: what goes to all, and how many are told of instances.
 fn name(leader: &mut Leader, now: u64) -> Option<(PeerMessage, usize)> {
     let before = whole(leader);
-    let (note, told) = leader.name(now)?;
+    let (note, told) = leader.update_view(now)?;
     let after = whole(leader);
     match &note {
         PeerMessage::Stalls { .. } => assert_eq!((&after.note(), told.len()), (&note, after.peers().len())),
@@ -80,7 +80,7 @@
 
 /// The functions that are split from now on, where stalls were named.
 fn named(leader: &mut Leader, now: u64, zones: &[&str]) -> Option<BTreeSet<String>> {
-    (0..6).for_each(|n| leader.note(now, &alive(n, zones, None)));
+    (0..6).for_each(|n| leader.on_message(now, &alive(n, zones, None)));
     name(leader, now)?;
     Some(whole(leader).split().iter().map(ToString::to_string).collect())
 }
@@ -94,16 +94,16 @@
     let zones = ["a", "b", "c"];
     let mut leader = leader(1, 0, &zones, None);
     assert_eq!(named(&mut leader, 700 * MS, &zones), set(&[]));
-    leader.note(800 * MS, &want(None, 0.2));
+    leader.on_message(800 * MS, &want(None, 0.2));
     assert_eq!(named(&mut leader, 800 * MS, &zones), None);
-    leader.note(900 * MS, &want(None, 0.3));
+    leader.on_message(900 * MS, &want(None, 0.3));
     assert_eq!(named(&mut leader, 949 * MS, &zones), None, "what changes together is named together");
     assert_eq!(named(&mut leader, 950 * MS, &zones), set(&["f"]));
     // One who has not heard of that yet says nothing that counts.
-    leader.note(951 * MS, &want(None, 0.0));
+    leader.on_message(951 * MS, &want(None, 0.0));
     for (at, strain) in [(1_000, 0.1), (5_000, 0.02), (9_000, 0.05), (12_000, 0.02), (21_000, 0.02)] {
         for zone in zones {
-            leader.note(at * MS, &want(Some(zone), strain));
+            leader.on_message(at * MS, &want(Some(zone), strain));
         }
         assert_eq!(named(&mut leader, at * MS, &zones), None, "at {at}");
     }
@@ -113,7 +113,7 @@
 /// What is said of floors, by stall.
 fn floors(leader: &mut Leader, now: u64) -> BTreeMap<String, Vec<(String, u32)>> {
     let mut told = BTreeMap::new();
-    leader.floors(now, &mut told);
+    leader.send_min_instances(now, &mut told);
     let of = |note: &PeerMessage| match note {
         PeerMessage::Floor { service, count, fence: 7, .. } => (service.to_string(), *count),
         other => panic!("{other:?}"),
@@ -127,8 +127,8 @@
     let mut leader = leader(7, 0, &zones, Some(((6, 4), &["f"])));
     assert_eq!(named(&mut leader, 700 * MS, &zones), set(&["f"]));
     assert!(floors(&mut leader, 710 * MS).is_empty());
-    leader.warm(710 * MS, "f", 3);
-    leader.warm(710 * MS, "g", 2);
+    leader.set_min_instances(710 * MS, "f", 3);
+    leader.set_min_instances(710 * MS, "g", 2);
     let first = floors(&mut leader, 710 * MS);
     let of = |all: &BTreeMap<String, Vec<(String, u32)>>, service: &str| -> Vec<u32> {
         let mut counts: Vec<_> =
@@ -140,20 +140,20 @@
     assert!(floors(&mut leader, 1_600 * MS).is_empty());
     assert_eq!(floors(&mut leader, 1_710 * MS), first);
     // Two of six are gone: whoever stands for it now hears at once.
-    (0..4).for_each(|n| leader.note(2_300 * MS, &alive(n, &zones, None)));
+    (0..4).for_each(|n| leader.on_message(2_300 * MS, &alive(n, &zones, None)));
     assert!(name(&mut leader, 2_300 * MS).is_some());
     let next = floors(&mut leader, 2_310 * MS);
     assert_eq!(of(&next, "g").iter().filter(|n| **n == 2).count(), 2);
     let live = |name: &String| !name.ends_with('4') && !name.ends_with('5');
     assert!(next.iter().all(|(name, all)| live(name) || all.iter().all(|(_, n)| *n == 0)), "{next:?}");
     // Only one of them is wanted still; then none.
-    leader.warm(5_000 * MS, "g", 2);
+    leader.set_min_instances(5_000 * MS, "g", 2);
     assert_eq!(of(&floors(&mut leader, 6_800 * MS), "f"), [0, 0, 0, 0]);
-    leader.cool();
+    leader.clear_min_instances();
     assert_eq!(of(&floors(&mut leader, 6_810 * MS), "g"), [0, 0]);
     assert!(floors(&mut leader, 20_000 * MS).is_empty());
     // A lot without any would not be told of, and nobody would know how it does.
-    leader.warm(20_000 * MS, "f", 1);
+    leader.set_min_instances(20_000 * MS, "f", 1);
     assert_eq!(of(&floors(&mut leader, 20_000 * MS), "f"), [1, 1, 1, 1]);
 }
 
@@ -161,7 +161,7 @@
 fn a_new_leader_goes_on_with_what_was_split_last() {
     let zones = ["a", "b"];
     let mut leader = leader(7, 0, &zones, Some(((6, 4), &["f"])));
-    leader.note(1, &alive(2, &zones, Some(((6, 3), &["f", "g"]))));
+    leader.on_message(1, &alive(2, &zones, Some(((6, 3), &["f", "g"]))));
     assert_eq!(named(&mut leader, 700 * MS, &zones), set(&["f"]));
 }
 
@@ -181,18 +181,18 @@
     let mut leader = leader(1, 0, &zones, None);
     assert_eq!(named(&mut leader, 700 * MS, &zones), set(&[]));
     let beat = |leader: &mut Leader, at: u64| {
-        (0..6).filter(|n| *n != 3).for_each(|n| leader.note(at, &alive(n, &zones, None)));
+        (0..6).filter(|n| *n != 3).for_each(|n| leader.on_message(at, &alive(n, &zones, None)));
         name(leader, at).map(|_| whole(leader).peers().len())
     };
     let deaf = |from: &str| PeerMessage::Deaf { peer: "edge-3".into(), from: from.into() };
-    leader.note(1_200 * MS, &deaf("edge-1"));
-    leader.note(1_250 * MS, &deaf("edge-1"));
-    leader.note(1_250 * MS, &deaf("nobody"));
+    leader.on_message(1_200 * MS, &deaf("edge-1"));
+    leader.on_message(1_250 * MS, &deaf("edge-1"));
+    leader.on_message(1_250 * MS, &deaf("nobody"));
     assert_eq!(beat(&mut leader, 1_400 * MS), None, "one witness");
-    leader.note(1_400 * MS, &deaf("edge-2"));
+    leader.on_message(1_400 * MS, &deaf("edge-2"));
     assert_eq!(beat(&mut leader, 1_401 * MS), Some(5));
     // It is heard again, and what was said before counts no more.
-    leader.note(1_700 * MS, &alive(3, &zones, None));
+    leader.on_message(1_700 * MS, &alive(3, &zones, None));
     assert_eq!(beat(&mut leader, 1_701 * MS), Some(6));
     assert_eq!(beat(&mut leader, 2_400 * MS), None);
 }
@@ -207,17 +207,17 @@
     while at < 12_000 * MS {
         // Its words come 700 ms apart, and two others miss its answers all the while.
         (0..6).filter(|n| *n != 3 || at % (700 * MS) == 0).for_each(|n| {
-            leader.note(at, &alive(n, &zones, None));
+            leader.on_message(at, &alive(n, &zones, None));
         });
         for from in ["edge-1", "edge-2"] {
-            leader.note(at, &PeerMessage::Deaf { peer: "edge-3".into(), from: from.into() });
+            leader.on_message(at, &PeerMessage::Deaf { peer: "edge-3".into(), from: from.into() });
         }
         gone += usize::from(name(&mut leader, at).is_some() && whole(&mut leader).peers().len() == 5);
         at += 50 * MS;
     }
     assert_eq!(gone, 1);
     // One that is silent is gone all the same.
-    (0..6).filter(|n| *n != 3).for_each(|n| leader.note(14_000 * MS, &alive(n, &zones, None)));
+    (0..6).filter(|n| *n != 3).for_each(|n| leader.on_message(14_000 * MS, &alive(n, &zones, None)));
     assert!(name(&mut leader, 14_000 * MS).is_some());
     assert_eq!(whole(&mut leader).peers().len(), 5);
 }
@@ -238,7 +238,7 @@
             else {
                 panic!("alive")
             };
-            second.note(
+            second.on_message(
                 1,
                 &PeerMessage::Alive { peer, serving, digest: split.as_ref().map(|_| digest), split },
             );
@@ -262,13 +262,13 @@
 )]
 fn the_first_naming_waits_less_where_nobody_can_own_anything(is_new: bool, known: Option<Version>, at: u64) {
     let mut leader = Leader::new(0, Terms::new(2, 100.0, 100), 100.0, Some(&config()), None);
-    leader.control_is_new = is_new;
+    leader.control_restarted = is_new;
     let named = (0..=700).find(|ms| {
         if ms % 50 == 0 {
             let split = known.map(|version| (version, &[][..]));
-            leader.note(ms * MS, &alive((ms / 50) as usize, &["z"], split));
+            leader.on_message(ms * MS, &alive((ms / 50) as usize, &["z"], split));
         }
-        leader.name(ms * MS).is_some()
+        leader.update_view(ms * MS).is_some()
     });
     assert_eq!(named, Some(at));
 }
@@ -277,14 +277,14 @@
 fn many_that_come_within_a_short_span_are_named_together_and_few_at_once() {
     for (many, expected) in [(40, 40), (200, 3)] {
         let mut leader = Leader::new(0, Terms::new(1, 100.0, 100), 100.0, Some(&config()), None);
-        (0..many).for_each(|n| leader.note(0, &alive(n, &["a"], None)));
-        let first = (0..1_000).find(|at| leader.look(at * MS, |_| true).is_some());
+        (0..many).for_each(|n| leader.on_message(0, &alive(n, &["a"], None)));
+        let first = (0..1_000).find(|at| leader.check_proxies(at * MS, |_| true).is_some());
         assert_eq!(first, Some(120), "the first naming waits no longer than for few");
         let mut namings = 0;
         for at in 0..50 {
             let now = (400 + 5 * at) * MS;
-            leader.note(now, &alive(many + (at as usize).min(39), &["a"], None));
-            let named = leader.look(now + MS, |_| true);
+            leader.on_message(now, &alive(many + (at as usize).min(39), &["a"], None));
+            let named = leader.check_proxies(now + MS, |_| true);
             namings += u32::from(named.is_some_and(|(note, _)| matches!(note, PeerMessage::ViewChange(_))));
         }
         assert_eq!(namings, expected);
@@ -304,7 +304,7 @@
         let before = whole(&mut leader).version();
         let knows = Some((before, &[][..]));
         let PeerMessage::Alive { peer, split, digest, .. } = alive(9, &zones, knows) else { panic!("alive") };
-        leader.note(now, &PeerMessage::Alive { peer, serving: step % 2 == 0, split, digest });
+        leader.on_message(now, &PeerMessage::Alive { peer, serving: step % 2 == 0, split, digest });
         assert!(name(&mut leader, now).is_some(), "a naming at every step");
         let newest = whole(&mut leader).version();
         for n in 0..6 {
@@ -315,9 +315,9 @@
                 5 => newest,
                 _ => before,
             };
-            leader.note(now + MS, &alive(n, &zones, Some((version, &[]))));
+            leader.on_message(now + MS, &alive(n, &zones, Some((version, &[]))));
         }
-        let (notes, _) = leader.take();
+        let (notes, _) = leader.take_effects();
         let all = whole(&mut leader).note();
         assert!(notes.values().all(|notes| *notes == [all.clone()]));
         told.extend(notes.into_keys().map(|name| (step, name)));
@@ -358,27 +358,27 @@
             let PeerMessage::Alive { peer, split, digest, .. } = alive(n, &zones, None) else {
                 panic!("alive")
             };
-            leader.note(now, &PeerMessage::Alive { peer, serving: there(n), split, digest });
+            leader.on_message(now, &PeerMessage::Alive { peer, serving: there(n), split, digest });
         });
         match round {
             // An owner tells a new leader; with that the one that is next for it hears of them, too.
             _ if round == mine => {
                 let owners = Owners::from(whole(&mut leader));
-                leader.note(now, &PeerMessage::Mine { set: all.clone() });
+                leader.on_message(now, &PeerMessage::Mine { set: all.clone() });
                 let its = |p: &Peer| (p.name.to_string(), its(&all, &owners, p));
                 held.extend(owners.peers().iter().map(its));
             }
-            20 | 40 => leader.note(now, &want(None, 0.3)),
+            20 | 40 => leader.on_message(now, &want(None, 0.3)),
             // Instances of what the configuration names no more are there for a while.
             45 => {
                 let mut fewer = config();
                 fewer.services.retain(|s| s.name == "f");
                 leader.configure(now, &fewer);
             }
-            30 => zones.iter().for_each(|z| leader.note(now, &want(Some(z), 0.0))),
+            30 => zones.iter().for_each(|z| leader.on_message(now, &want(Some(z), 0.0))),
             _ => {}
         }
-        let Some((_, told)) = leader.name(now) else { continue };
+        let Some((_, told)) = leader.update_view(now) else { continue };
         let named = whole(&mut leader);
         (told_all, told_few) = (told_all + named.peers().len(), told_few + told.len());
         for (name, notes) in told {
--- a/controller/tests/market/mod.rs
+++ b/controller/tests/market/mod.rs
@@ -12,7 +12,7 @@
 use millpost_scheduler::{Ask, Coordinator, No, Out, Outcome, Peer, SECOND, Spec, Terms};
 use tinyjson::JsonValue;
 
-use crate::town::{MS, Town};
+use crate::cluster::{Cluster, MS};
 
 const STEP: u64 = 5 * MS;
 /// From when an instance may be up to when it is.
@@ -36,7 +36,7 @@
 }
 
 pub struct Market {
-    pub town: Town,
+    pub cluster: Cluster,
     stalls: Vec<Stall>,
     seats: BTreeMap<(usize, u64), usize>,
     follows: BTreeMap<u64, usize>,
@@ -64,7 +64,7 @@
     /// Three control machines and three stalls, with a configuration in force.
     pub fn new(config: &str, serves: Serves) -> Self {
         let mut market = Market {
-            town: Town::new(3, 0),
+            cluster: Cluster::new(3, 0),
             stalls: Vec::new(),
             seats: BTreeMap::new(),
             follows: BTreeMap::new(),
@@ -81,9 +81,9 @@
             retired: Vec::new(),
             floors: 0,
         };
-        market.town.workers = 16_000;
-        assert!(market.town.until(4_000 * MS, |town| town.leader().is_some()), "no steward");
-        market.town.run(4_000 * MS);
+        market.cluster.workers = 16_000;
+        assert!(market.cluster.until(4_000 * MS, |cluster| cluster.leader().is_some()), "no steward");
+        market.cluster.run(4_000 * MS);
         for n in 0..3 {
             let peer = Peer {
                 name: format!("edge-{n}").into(),
@@ -96,27 +96,27 @@
             market.stalls.push(Stall { peer, desk, config: None, up: true, says: Vec::new() });
             for machine in 0..3 {
                 let body = letter(&format!("edge-{n}"), &[PeerMessage::Acts { revision: 0, number: 0 }]);
-                let id = market.town.call(machine, Method::POST, "/follow", &body);
+                let id = market.cluster.call(machine, Method::POST, "/follow", &body);
                 market.follows.insert(id, n as usize);
             }
         }
-        market.town.put(0, config);
+        market.cluster.put(0, config);
         market.run(6_000);
         market
     }
 
     pub fn run(&mut self, ms: u64) {
-        let end = self.town.now + ms * MS;
-        while self.town.now < end {
+        let end = self.cluster.now + ms * MS;
+        while self.cluster.now < end {
             self.step();
         }
     }
 
     /// Steps until that is so.
     pub fn until(&mut self, ms: u64, done: impl Fn(&mut Self) -> bool) -> bool {
-        let end = self.town.now + ms * MS;
+        let end = self.cluster.now + ms * MS;
         while !done(self) {
-            if self.town.now >= end {
+            if self.cluster.now >= end {
                 return false;
             }
             self.run(50);
@@ -128,7 +128,7 @@
     pub fn kill(&mut self, n: usize) {
         self.stalls[n].up = false;
         for ((machine, seat), _) in self.seats.iter().filter(|(_, of)| **of == n) {
-            self.town.input(*machine, Input::FeedClosed(*seat));
+            self.cluster.input(*machine, Input::FeedClosed(*seat));
         }
     }
 
@@ -157,26 +157,26 @@
     /// An operator's order, until it is answered clearly.
     pub fn order(&mut self, order: &str) -> (u16, String) {
         for _ in 0..40 {
-            let Some(n) = self.town.leader() else {
+            let Some(n) = self.cluster.leader() else {
                 self.run(250);
                 continue;
             };
-            let id = self.town.call(n, Method::POST, "/core/moves", order);
-            self.until(5_000, |market| market.town.answer_to(id).is_some());
-            if let Some((status, body)) = self.town.answer_to(id).filter(|(status, _)| *status != 503) {
+            let id = self.cluster.call(n, Method::POST, "/core/moves", order);
+            self.until(5_000, |market| market.cluster.answer_to(id).is_some());
+            if let Some((status, body)) = self.cluster.answer_to(id).filter(|(status, _)| *status != 503) {
                 return (status, body.to_owned());
             }
         }
-        let last = self.town.answers.last_key_value();
-        panic!("no clear answer to {order}: {:?}, {:?}, {last:?}", self.town.leader(), self.told);
+        let last = self.cluster.answers.last_key_value();
+        panic!("no clear answer to {order}: {:?}, {:?}, {last:?}", self.cluster.leader(), self.told);
     }
 
     /// What the leader tells of a move.
     pub fn tells(&mut self, name: &str) -> String {
-        let Some(n) = self.town.leader() else { return String::new() };
-        let id = self.town.call(n, Method::GET, &format!("/core/moves?name={name}"), "");
-        self.town.run(self.town.now);
-        self.town.answer_to(id).map(|(_, body)| body.to_owned()).unwrap_or_default()
+        let Some(n) = self.cluster.leader() else { return String::new() };
+        let id = self.cluster.call(n, Method::GET, &format!("/core/moves?name={name}"), "");
+        self.cluster.run(self.cluster.now);
+        self.cluster.answer_to(id).map(|(_, body)| body.to_owned()).unwrap_or_default()
     }
 
     pub fn is(&mut self, name: &str, step: &str) -> bool {
@@ -189,11 +189,11 @@
     }
 
     fn step(&mut self) {
-        let now = self.town.now + STEP;
-        self.town.run(now);
-        let seated: Vec<_> = self.town.seats.iter().map(|(id, seat)| (*id, *seat)).collect();
+        let now = self.cluster.now + STEP;
+        self.cluster.run(now);
+        let seated: Vec<_> = self.cluster.seats.iter().map(|(id, seat)| (*id, *seat)).collect();
         self.seats.extend(seated.into_iter().filter_map(|(id, seat)| Some((seat, *self.follows.get(&id)?))));
-        for (machine, seat, line) in std::mem::take(&mut self.town.lines) {
+        for (machine, seat, line) in std::mem::take(&mut self.cluster.lines) {
             if let Some(n) = self.seats.get(&(machine, seat)).copied().filter(|n| self.stalls[*n].up) {
                 self.line(now, n, &line);
             }
@@ -359,7 +359,7 @@
         if !says.is_empty() {
             let body = letter(&stall.peer.name.clone(), &says);
             for machine in 0..3 {
-                self.town.call(machine, Method::POST, "/mail", &body);
+                self.cluster.call(machine, Method::POST, "/mail", &body);
             }
         }
     }
--- a/controller/tests/moves.rs
+++ b/controller/tests/moves.rs
@@ -1,12 +1,12 @@
 //! Moves with real owners: control machines and stalls' desks in memory.
 
-mod market;
 #[allow(dead_code)] // What other tests need of it.
-mod town;
+mod cluster;
+mod market;
 
+use cluster::MS;
 use market::{Market, Serves};
 use millpost_scheduler::Outcome;
-use town::MS;
 
 /// Eight routes, `a` to `h`, all on `s`.
 fn tenant() -> String {
@@ -59,13 +59,13 @@
     market.kill(owner);
     market.run(8_000);
     assert!(market.owner("t") != owner && market.ready("t") == warm);
-    let leader = market.town.leader().expect("a steward");
-    market.town.cut(leader, 1);
+    let leader = market.cluster.leader().expect("a steward");
+    market.cluster.cut(leader, 1);
     market.run(9_000);
-    assert!(market.town.leader().is_some_and(|n| n != leader));
-    market.town.cut(leader, 0);
+    assert!(market.cluster.leader().is_some_and(|n| n != leader));
+    market.cluster.cut(leader, 0);
     assert_eq!(market.ready("t"), warm);
-    let kept = market.town.started.iter().filter(|(_, entry)| entry.service == "t").count();
+    let kept = market.cluster.started.iter().filter(|(_, entry)| entry.service == "t").count();
     assert_eq!((kept, &market.retired[retired..]), (warm, &[] as &[String]));
 
     assert_eq!(market.order(r#"{"order":"start","name":"m"}"#).0, 200);
@@ -104,9 +104,9 @@
 fn a_target_that_gets_slow_slows_the_move() {
     let took = |serves| {
         let mut market = moving(serves, 80);
-        let began = market.town.now;
+        let began = market.cluster.now;
         assert!(market.until(60_000, |market| moved(market) == 8), "{}", market.tells("m"));
-        let took = (market.town.now - began) / MS;
+        let took = (market.cluster.now - began) / MS;
         assert!(market.until(20_000, |market| market.is("m", "done")), "{}", market.tells("m"));
         took
     };
@@ -131,10 +131,10 @@
 fn under_load_a_move_whose_leader_is_cut_off_is_done_and_loses_and_doubles_no_request() {
     let mut market = moving(calm, 80);
     assert!(market.until(20_000, |market| moved(market) >= 3), "{}", market.tells("m"));
-    let leader = market.town.leader().expect("a steward");
-    market.town.cut(leader, 1);
+    let leader = market.cluster.leader().expect("a steward");
+    market.cluster.cut(leader, 1);
     assert!(market.until(60_000, |market| market.is("m", "done")), "{}", market.tells("m"));
-    assert!(market.town.leader().is_some_and(|n| n != leader));
+    assert!(market.cluster.leader().is_some_and(|n| n != leader));
     assert_eq!(moved(&market), 8);
     market.rate = 0;
     market.run(2_000);
