--- a/quorum/tests/records.rs
+++ b/quorum/tests/records.rs
@@ -1,20 +1,21 @@
-//! Whatever comes from a disk or the network is read whole or turned down, never a panic.
+//! Decoding of records and messages: invalid input gives an error and never a panic.
 
 use std::collections::BTreeMap;
 
 use millpost_quorum::*;
 use yare::parameterized;
 
-fn disk() -> BTreeMap<String, String> {
+/// Returns the records of a voter that has accepted a value for every key, under a joint record.
+fn sample_disk() -> BTreeMap<String, String> {
     let first = Members::initial("lab", ["a", "b \"ü\""].map(Address::from));
     let joint = first.joint(vec!["a".into(), "c".into()]);
     let mut disk = BTreeMap::new();
-    let mut keep = |writes: &[Write]| {
+    let mut store = |writes: &[Write]| {
         disk.extend(writes.iter().map(|write| (write.key.clone(), write.text.clone())));
         Ok::<_, ()>(())
     };
     let mut voter = Voter::open("a".into(), [], vec![], 1, 0).unwrap();
-    voter.bootstrap(first.clone()).commit(&mut keep).unwrap();
+    voter.bootstrap(first.clone()).commit(&mut store).unwrap();
     for key in Key::ALL {
         let (ballot, members) = (Ballots::new("p", u64::MAX).next(7), joint.clone());
         let value = match key {
@@ -22,22 +23,22 @@
             _ => Value { version: u64::MAX, content: "{\"x\": [\"é\\\"\"]}".into() },
         };
         let write = Message::Write { key, ballot, value, members };
-        voter.handle(0, "p", write).commit(&mut keep).unwrap();
+        voter.handle(0, "p", write).commit(&mut store).unwrap();
     }
     disk
 }
 
 #[test]
-fn a_cut_record_is_an_error_that_names_it() {
-    let whole = disk();
-    assert_eq!(whole.len(), 5);
-    let voter = Voter::open("a".into(), whole.clone(), vec![], 1, 0).unwrap();
+fn truncated_record_gives_an_error_that_names_it() {
+    let records = sample_disk();
+    assert_eq!(records.len(), 5);
+    let voter = Voter::open("a".into(), records.clone(), vec![], 1, 0).unwrap();
     assert_eq!((voter.state(), voter.members().unwrap().epoch), (State::Voting, 1));
     assert_eq!(voter.slot(Key::Config).unwrap().accepted.as_ref().unwrap().value.version, u64::MAX);
-    for (key, text) in &whole {
+    for (key, text) in &records {
         for cut in 0..text.len() {
-            let cut = String::from_utf8_lossy(&text.as_bytes()[..cut]).into_owned();
-            let records = whole.clone().into_iter().chain([(key.clone(), cut)]);
+            let truncated = String::from_utf8_lossy(&text.as_bytes()[..cut]).into_owned();
+            let records = records.clone().into_iter().chain([(key.clone(), truncated)]);
             let error = Voter::open("a".into(), records, vec![], 1, 0).unwrap_err();
             assert!(error.to_string().contains(key.as_str()), "{error}");
         }
@@ -45,36 +46,36 @@
 }
 
 #[parameterized(
-    nothing = { "voter", "" },
-    deep = { "voter", &"[".repeat(1 << 20) },
-    other = { "key/config", r#"{"key":"steward","promised":null,"accepted":null}"# },
+    empty_text = { "voter", "" },
+    nested_too_deep = { "voter", &"[".repeat(1 << 20) },
+    other_key = { "key/config", r#"{"key":"steward","promised":null,"accepted":null}"# },
     no_voters = { "voter", r#"{"state":"voting","members":{"epoch":"1","uid":"u","voters":[]}}"# },
-    twice = { "voter", r#"{"state":"voting","members":{"epoch":"1","uid":"u","voters":["a","a"]}}"# },
-    number = { "voter", r#"{"state":"voting","members":{"epoch":1,"uid":"u","voters":["a"]}}"# },
-    sign = { "voter", r#"{"state":"voting","members":{"epoch":"+1","uid":"u","voters":["a"]}}"# },
-    format = { "voter", r#"{"state":"voting","format":1,"members":{"epoch":"1","uid":"u","voters":["a"],"next":null}}"# },
-    unpromised = { "key/config", r#"{"key":"config","promised":null,"accepted":
+    duplicate_voter = { "voter", r#"{"state":"voting","members":{"epoch":"1","uid":"u","voters":["a","a"]}}"# },
+    epoch_as_number = { "voter", r#"{"state":"voting","members":{"epoch":1,"uid":"u","voters":["a"]}}"# },
+    epoch_with_sign = { "voter", r#"{"state":"voting","members":{"epoch":"+1","uid":"u","voters":["a"]}}"# },
+    format_as_number = { "voter", r#"{"state":"voting","format":1,"members":{"epoch":"1","uid":"u","voters":["a"],"next":null}}"# },
+    accepted_without_promise = { "key/config", r#"{"key":"config","promised":null,"accepted":
         {"ballot":["1","p","1"],"version":"1","content":"","copied":false}}"# },
-    unknown = { "key/other", "{}" },
+    unknown_key = { "key/other", "{}" },
 )]
-fn a_bad_record_is_an_error(key: &str, text: &str) {
+fn invalid_record_is_rejected(key: &str, text: &str) {
     let records = [(key.to_owned(), text.to_owned())];
     assert!(Voter::open("a".into(), records, vec![], 1, 0).unwrap_err().to_string().contains(key));
 }
 
 #[parameterized(
-    none_is_the_first = { "", None },
+    missing_means_first = { "", None },
     first = { r#","format":"1""#, None },
-    this_one = { r#","format":"2""#, None },
+    current = { r#","format":"2""#, None },
     newer = { r#","format":"3""#, Some(3) },
     newest = { r#","format":"18446744073709551615""#, Some(u64::MAX) },
 )]
-fn only_a_newer_format_is_turned_down_whatever_else_it_holds(format: &str, newer: Option<u64>) {
+fn newer_format_is_rejected_whatever_the_other_records_hold(format: &str, newer: Option<u64>) {
     let voter = r#"{"state":"voting","members":{"epoch":"1","uid":"u","voters":["a"],"next":null}"#;
     let mut records = vec![("voter".to_owned(), format!("{voter}{format}}}"))];
     if newer.is_some() {
-        let unheard = [("key/config", "?"), ("of/later", "{}"), ("aaa", "")];
-        records.extend(unheard.map(|(key, text)| (key.to_owned(), text.to_owned())));
+        let unknown = [("key/config", "?"), ("of/later", "{}"), ("aaa", "")];
+        records.extend(unknown.map(|(key, text)| (key.to_owned(), text.to_owned())));
         records.rotate_left(1);
     }
     match (Voter::open("a".into(), records, vec![], 1, 0), newer) {
@@ -84,34 +85,35 @@
     }
 }
 
-/// Versions before know nothing of moves: until there is a record of them they can read the disk.
+/// Earlier versions do not know the key `moves`. They must be able to read the disk until there is a record
+/// for it.
 #[test]
-fn the_newer_format_is_written_right_before_the_first_record_of_moves() {
+fn newer_format_is_written_right_before_the_first_record_of_migrations() {
     let members = Members::initial("lab", ["a"].map(Address::from));
     let mut batches = Vec::new();
-    let mut keep = |writes: &[Write]| {
+    let mut store = |writes: &[Write]| {
         batches.push(writes.to_vec());
         Ok::<_, ()>(())
     };
     let mut voter = Voter::open("a".into(), [], vec![], 1, 0).unwrap();
-    voter.bootstrap(members.clone()).commit(&mut keep).unwrap();
+    voter.bootstrap(members.clone()).commit(&mut store).unwrap();
     for (n, key) in [Key::Config, Key::Migrations, Key::Migrations].into_iter().enumerate() {
         let ballot = Ballots::new("p", 1).next(n as u64);
         voter
             .handle(0, "p", Message::Query { key, tag: ballot.clone(), members: members.clone() })
-            .commit(&mut keep)
+            .commit(&mut store)
             .unwrap();
         voter
             .handle(0, "p", Message::Prepare { key, ballot, members: members.clone() })
-            .commit(&mut keep)
+            .commit(&mut store)
             .unwrap();
     }
-    let named = |batch: &Vec<Write>| {
+    let key_and_format = |batch: &Vec<Write>| {
         let [write] = &batch[..] else { panic!("{batch:?}") };
         let format = ["1", "2"].into_iter().find(|f| write.text.contains(&format!(r#""format":"{f}""#)));
         (write.key.clone(), format)
     };
-    let named: Vec<_> = batches.iter().map(named).collect();
+    let formats: Vec<_> = batches.iter().map(key_and_format).collect();
     let expected = [
         ("voter", Some("1")),
         ("key/config", None),
@@ -119,21 +121,21 @@
         ("key/moves", None),
         ("key/moves", None),
     ];
-    assert_eq!(named, expected.map(|(key, format)| (key.to_owned(), format)));
-    assert!(disk()["voter"].contains(&format!(r#""format":"{FORMAT}""#)));
+    assert_eq!(formats, expected.map(|(key, format)| (key.to_owned(), format)));
+    assert!(sample_disk()["voter"].contains(&format!(r#""format":"{FORMAT}""#)));
 }
 
 #[test]
-fn messages_are_read_as_written_and_not_without_a_field() {
+fn messages_round_trip_and_are_rejected_without_a_required_field() {
     let (key, ballot) = (Key::Config, Ballots::new("p", 3).next(1 << 60));
     let members = Members::initial("lab", ["a".into()]).joint(vec!["b".into()]);
     let value = Value { version: 9, content: "text".into() };
-    let stands = Accepted { ballot: ballot.clone(), value: value.clone(), copied: true };
-    let (accepted, tag, promised) = (Some(stands), ballot.clone(), ballot.clone());
+    let slot_value = Accepted { ballot: ballot.clone(), value: value.clone(), copied: true };
+    let (accepted, tag, promised) = (Some(slot_value), ballot.clone(), ballot.clone());
     let slot = Slot { promised: Some(ballot.clone()), accepted: accepted.clone() };
     let (lease, holder) = (Address::from("steward"), Address::from("h"));
     let (incarnation, request, remaining) = (u64::MAX, 2, 5);
-    let (b, m, a, d) = (|| ballot.clone(), || members.clone(), || accepted.clone(), || lease.clone());
+    let (b, m, a, l) = (|| ballot.clone(), || members.clone(), || accepted.clone(), || lease.clone());
     let all = [
         Message::Query { key, tag: tag.clone(), members: m() },
         Message::Prepare { key, ballot: b(), members: m() },
@@ -150,7 +152,7 @@
             slots: vec![(key, slot), (Key::Members, Slot::default())],
         },
         Message::LeaseRequest {
-            lease: d(),
+            lease: l(),
             holder: holder.clone(),
             incarnation,
             request,
@@ -158,9 +160,9 @@
             previous_holder: true,
             members: m(),
         },
-        Message::LeaseGranted { lease: d(), incarnation, request },
-        Message::LeaseDenied { lease: d(), incarnation, request, remaining, newer_members: Some(m()) },
-        Message::LeaseRelease { lease: d(), holder, incarnation, request },
+        Message::LeaseGranted { lease: l(), incarnation, request },
+        Message::LeaseDenied { lease: l(), incarnation, request, remaining, newer_members: Some(m()) },
+        Message::LeaseRelease { lease: l(), holder, incarnation, request },
     ];
     for message in all {
         let text = message.to_json().stringify().unwrap();
@@ -169,9 +171,9 @@
         for field in
             fields.keys().filter(|field| !["accepted", "again", "held", "newer"].contains(&field.as_str()))
         {
-            let mut less = fields.clone();
-            less.remove(field);
-            assert!(Message::from_json(&less.into()).is_err(), "{message:?} without {field}");
+            let mut incomplete = fields.clone();
+            incomplete.remove(field);
+            assert!(Message::from_json(&incomplete.into()).is_err(), "{message:?} without {field}");
         }
     }
 }
--- a/quorum/tests/second_loss.rs
+++ b/quorum/tests/second_loss.rs
@@ -1,5 +1,6 @@
-//! A voter is replaced, and as many others as the tolerance allows lose their disks at any step of that: what was acknowledged on a bare
-//! majority, the leaving voter among it, is still read afterwards.
+//! Replaces a voter while as many other machines as the tolerance allows are lost at each step of the change.
+//! A value that was acknowledged by the smallest possible majority, including the voter that leaves, must
+//! still be read afterwards.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -9,52 +10,53 @@
 };
 
 const MS: u64 = 1_000_000;
-const EACH: u64 = 800 * MS;
-const ALL: u64 = 6_000 * MS;
-/// More messages than any change takes.
-const MOST_STEPS: usize = 2_000;
+const ROUND_TIMEOUT: u64 = 800 * MS;
+const CHANGE_TIMEOUT: u64 = 6_000 * MS;
+/// More messages than any change needs.
+const MAX_STEPS: usize = 2_000;
 
 struct Machine {
     voter: Voter,
     disk: BTreeMap<String, String>,
 }
 
-/// Machines whose messages arrive in their order, and how many have.
-struct Lab {
+/// A cluster whose messages are delivered in order.
+struct Cluster {
     now: u64,
     machines: BTreeMap<Address, Machine>,
+    /// The number of messages delivered to machines.
     steps: usize,
-    /// At this step these are gone for good.
-    strikes: Option<(usize, Vec<Address>)>,
+    /// The machines that are lost for ever, and the step at which they are lost.
+    losses: Option<(usize, Vec<Address>)>,
 }
 
-/// What the machine has that comes for another.
+/// What the disk of the joining machine holds.
 #[derive(Clone, Copy, PartialEq)]
 enum Spare {
     Empty,
-    WasVoter,
+    FormerVoter,
 }
 
-/// Whoever proposes.
+/// The common interface of a round and a membership change.
 trait Proposer {
-    fn hear(&mut self, now: u64, from: &str, message: &Message) -> Output;
-    fn tick(&mut self, now: u64) -> Output;
+    fn on_reply(&mut self, now: u64, from: &str, message: &Message) -> Output;
+    fn on_tick(&mut self, now: u64) -> Output;
 }
 
 impl Proposer for Round {
-    fn hear(&mut self, now: u64, from: &str, message: &Message) -> Output {
+    fn on_reply(&mut self, now: u64, from: &str, message: &Message) -> Output {
         self.on_reply(now, from, message)
     }
-    fn tick(&mut self, now: u64) -> Output {
+    fn on_tick(&mut self, now: u64) -> Output {
         self.on_tick(now)
     }
 }
 
 impl Proposer for MembershipChange {
-    fn hear(&mut self, now: u64, from: &str, message: &Message) -> Output {
+    fn on_reply(&mut self, now: u64, from: &str, message: &Message) -> Output {
         self.on_reply(now, from, message)
     }
-    fn tick(&mut self, now: u64) -> Output {
+    fn on_tick(&mut self, now: u64) -> Output {
         self.on_tick(now)
     }
 }
@@ -63,125 +65,133 @@
     format!("v{n}").into()
 }
 
-impl Lab {
-    /// So many voters and a spare; a value stands on a bare majority, the first voter among it. The spare has nothing, or what it had
-    /// when it was a voter itself: then it copies nothing.
+impl Cluster {
+    /// Creates a cluster of `voters` voters and a spare, with a value on the smallest possible majority,
+    /// which includes the first voter. The spare has an empty disk, or the disk of a former voter; in that
+    /// case it copies nothing.
     fn new(voters: usize, spare: Spare) -> (Self, Members) {
-        let of = |first: usize| (1..voters).chain([first]).map(name);
-        let before = Members::initial("lab", of(if spare == Spare::WasVoter { voters } else { 0 }));
-        let mut lab = Lab { now: 0, machines: BTreeMap::new(), steps: 0, strikes: None };
+        let names = |first: usize| (1..voters).chain([first]).map(name);
+        let before = Members::initial("lab", names(if spare == Spare::FormerVoter { voters } else { 0 }));
+        let mut cluster = Cluster { now: 0, machines: BTreeMap::new(), steps: 0, losses: None };
         for n in 0..=voters {
             let mut voter = Voter::open(name(n), [], before.voters.clone(), 1, 0).expect("an empty disk");
             let mut disk = BTreeMap::new();
             if before.contains(&name(n)) {
                 voter.bootstrap(before.clone()).commit(|batch| store(&mut disk, batch)).expect("stored");
             }
-            lab.machines.insert(name(n), Machine { voter, disk });
+            cluster.machines.insert(name(n), Machine { voter, disk });
         }
         let members = match spare {
             Spare::Empty => before,
-            Spare::WasVoter => {
+            Spare::FormerVoter => {
                 let change = VoterChange::Replace { old: name(voters), new: name(0) };
-                match lab.end_change(&before, Some(change), 3) {
+                match cluster.change_members(&before, Some(change), 3) {
                     Some(MembershipOutcome::Done(members)) => members,
                     other => panic!("{other:?}"),
                 }
             }
         };
-        let late: Vec<_> =
-            (voters / 2 + 1..voters).map(|n| (name(n), lab.machines.remove(&name(n)))).collect();
-        let offer = Operation::Propose { version: 1, content: "kept".into(), expected_version: None };
-        let mut round = lab.round(offer, &members, 1);
-        assert!(matches!(lab.play(&mut round), Some(Outcome::Written(_))));
-        lab.machines.extend(late.into_iter().filter_map(|(name, machine)| Some((name, machine?))));
-        lab.steps = 0;
-        (lab, members)
+        let absent: Vec<_> =
+            (voters / 2 + 1..voters).map(|n| (name(n), cluster.machines.remove(&name(n)))).collect();
+        let operation = Operation::Propose { version: 1, content: "kept".into(), expected_version: None };
+        let mut round = cluster.round(operation, &members, 1);
+        assert!(matches!(cluster.run(&mut round), Some(Outcome::Written(_))));
+        cluster.machines.extend(absent.into_iter().filter_map(|(name, machine)| Some((name, machine?))));
+        cluster.steps = 0;
+        (cluster, members)
     }
 
-    fn round(&self, kind: Operation, members: &Members, life: u64) -> Round {
-        let ballots = Ballots::new("p", life);
-        Round::new(kind, Key::Config, members.clone(), &ballots, life, self.now + EACH)
+    fn round(&self, operation: Operation, members: &Members, incarnation: u64) -> Round {
+        let ballots = Ballots::new("p", incarnation);
+        Round::new(operation, Key::Config, members.clone(), &ballots, incarnation, self.now + ROUND_TIMEOUT)
     }
 
-    /// Plays a proposer to its end: messages first, then time.
-    fn play(&mut self, proposer: &mut impl Proposer) -> Option<Outcome> {
-        let mut mail: VecDeque<(Address, Address, Message)> = VecDeque::new();
-        let end = self.now + 2 * ALL;
+    /// Runs a proposer to its end: delivers all pending messages, then advances the time.
+    fn run(&mut self, proposer: &mut impl Proposer) -> Option<Outcome> {
+        let mut queue: VecDeque<(Address, Address, Message)> = VecDeque::new();
+        let end = self.now + 2 * CHANGE_TIMEOUT;
         let mut wake = self.now;
-        let send = |mail: &mut VecDeque<_>, out: Output| {
-            mail.extend(out.send.into_iter().map(|(to, message)| ("p".into(), to, message)));
+        let send = |queue: &mut VecDeque<_>, out: Output| {
+            queue.extend(out.send.into_iter().map(|(to, message)| ("p".into(), to, message)));
             (out.wake, out.outcome)
         };
         while self.now < end {
-            let said = match mail.pop_front() {
+            let result = match queue.pop_front() {
                 Some((from, to, message)) if to == "p" => {
-                    let out = proposer.hear(self.now, &from, &message);
-                    send(&mut mail, out)
+                    let out = proposer.on_reply(self.now, &from, &message);
+                    send(&mut queue, out)
                 }
                 Some((from, to, message)) => {
-                    self.deliver(&mut mail, &from, &to, message);
+                    self.deliver(&mut queue, &from, &to, message);
                     continue;
                 }
                 None => {
-                    let due = self.machines.values().filter_map(|m| m.voter.next_wake()).min();
-                    self.now = self.now.max(wake.min(due.unwrap_or(u64::MAX))).max(self.now + MS / 10);
+                    let voter_wake = self.machines.values().filter_map(|m| m.voter.next_wake()).min();
+                    self.now = self.now.max(wake.min(voter_wake.unwrap_or(u64::MAX))).max(self.now + MS / 10);
                     for (name, machine) in &mut self.machines {
-                        let asks = machine.voter.on_tick(self.now);
-                        mail.extend(asks.into_iter().map(|(to, message)| (name.clone(), to, message)));
+                        let requests = machine.voter.on_tick(self.now);
+                        queue.extend(requests.into_iter().map(|(to, message)| (name.clone(), to, message)));
                     }
-                    let out = proposer.tick(self.now);
-                    send(&mut mail, out)
+                    let out = proposer.on_tick(self.now);
+                    send(&mut queue, out)
                 }
             };
-            match said {
+            match result {
                 (_, Some(outcome)) => return Some(outcome),
                 (Some(next), None) => wake = next,
-                // A change of members says by itself that it is over.
+                // A membership change reports its own outcome.
                 (None, None) => return None,
             }
         }
-        panic!("no end");
+        panic!("the proposer did not end");
     }
 
     fn deliver(
         &mut self,
-        mail: &mut VecDeque<(Address, Address, Message)>,
+        queue: &mut VecDeque<(Address, Address, Message)>,
         from: &Address,
         to: &Address,
         message: Message,
     ) {
         self.steps += 1;
-        if let Some((_, gone)) = self.strikes.take_if(|(at, _)| *at == self.steps) {
-            gone.iter().for_each(|name| drop(self.machines.remove(name)));
+        if let Some((_, lost)) = self.losses.take_if(|(at, _)| *at == self.steps) {
+            lost.iter().for_each(|name| drop(self.machines.remove(name)));
         }
         let Some(Machine { voter, disk }) = self.machines.get_mut(to) else { return };
         let step = voter.handle(self.now, from, message);
-        if let Ok(Some(answer)) = step.commit(|batch| store(disk, batch)) {
-            mail.push_back((to.clone(), from.clone(), answer));
+        if let Ok(Some(reply)) = step.commit(|batch| store(disk, batch)) {
+            queue.push_back((to.clone(), from.clone(), reply));
         }
     }
 
-    /// What a majority of these members, or of newer ones that they lead to, holds.
+    /// Reads the value from a majority of these members, or of newer ones that they report.
     fn read(&mut self, members: &Members) -> Option<Value> {
         let mut round = self.round(Operation::Read, members, 9);
-        match self.play(&mut round) {
+        match self.run(&mut round) {
             Some(Outcome::Found(value)) => value,
             other => panic!("{other:?}"),
         }
     }
 
-    /// Another machine ends the change that somebody began, if it can.
-    fn end_change(
+    /// Makes the change, or completes one that is in progress, from a proposer with this incarnation.
+    fn change_members(
         &mut self,
         members: &Members,
         change: Option<VoterChange>,
-        life: u64,
+        incarnation: u64,
     ) -> Option<MembershipOutcome> {
-        let ballots = Ballots::new("p", life);
-        let mut moving =
-            MembershipChange::new(change, members.clone(), &ballots, life, EACH, self.now + ALL, self.now);
-        self.play(&mut moving);
-        moving.outcome().cloned()
+        let ballots = Ballots::new("p", incarnation);
+        let mut change = MembershipChange::new(
+            change,
+            members.clone(),
+            &ballots,
+            incarnation,
+            ROUND_TIMEOUT,
+            self.now + CHANGE_TIMEOUT,
+            self.now,
+        );
+        self.run(&mut change);
+        change.outcome().cloned()
     }
 }
 
@@ -190,71 +200,73 @@
     Ok(())
 }
 
-/// Every way to lose `count` of these.
-fn losses(of: &[Address], count: usize) -> Vec<Vec<Address>> {
+/// Returns all subsets of `count` machines.
+fn subsets(of: &[Address], count: usize) -> Vec<Vec<Address>> {
     let Some((first, rest)) = of.split_first() else {
         return if count == 0 { vec![Vec::new()] } else { Vec::new() };
     };
     if count == 0 {
         return vec![Vec::new()];
     }
-    let with = losses(rest, count - 1).into_iter().map(|mut all| {
+    let with = subsets(rest, count - 1).into_iter().map(|mut all| {
         all.push(first.clone());
         all
     });
-    with.chain(losses(rest, count)).collect()
+    with.chain(subsets(rest, count)).collect()
 }
 
-/// `first_is_dead`: the voter that leaves has lost its disk, and counts as one of the losses.
+/// With `first_is_lost` the voter that leaves is already lost, and counts as one of the losses.
 #[yare::parameterized(
-    three_one_leaves_and_one_is_lost = { 3, 1, false, Spare::Empty },
-    three_one_leaves_for_one_that_voted_before = { 3, 1, false, Spare::WasVoter },
-    three_one_is_dead = { 3, 1, true, Spare::Empty },
-    three_one_is_dead_and_one_that_voted_before_comes = { 3, 1, true, Spare::WasVoter },
-    five_one_leaves_and_two_are_lost = { 5, 2, false, Spare::Empty },
-    five_one_leaves_for_one_that_voted_before = { 5, 2, false, Spare::WasVoter },
-    five_one_is_dead_and_another_is_lost = { 5, 2, true, Spare::WasVoter },
+    three_voters_one_lost = { 3, 1, false, Spare::Empty },
+    three_voters_one_lost_former_voter_joins = { 3, 1, false, Spare::FormerVoter },
+    three_voters_leaving_voter_lost = { 3, 1, true, Spare::Empty },
+    three_voters_leaving_voter_lost_former_voter_joins = { 3, 1, true, Spare::FormerVoter },
+    five_voters_two_lost = { 5, 2, false, Spare::Empty },
+    five_voters_two_lost_former_voter_joins = { 5, 2, false, Spare::FormerVoter },
+    five_voters_leaving_voter_and_another_lost = { 5, 2, true, Spare::FormerVoter },
 )]
-fn what_was_acknowledged_outlasts_losses_at_each_step_of_a_replacement(
+fn acknowledged_value_survives_losses_at_each_step_of_a_replacement(
     voters: usize,
     tolerance: usize,
-    first_is_dead: bool,
+    first_is_lost: bool,
     spare: Spare,
 ) {
     let change = VoterChange::Replace { old: name(0), new: name(voters) };
     let others: Vec<_> = (1..voters).map(name).collect();
-    let lab = || {
-        let (mut lab, members) = Lab::new(voters, spare);
-        if first_is_dead {
-            lab.machines.remove(&name(0));
+    let cluster = || {
+        let (mut cluster, members) = Cluster::new(voters, spare);
+        if first_is_lost {
+            cluster.machines.remove(&name(0));
         }
-        (lab, members)
+        (cluster, members)
     };
-    let (mut whole, members) = lab();
-    let Some(MembershipOutcome::Done(after)) = whole.end_change(&members, Some(change.clone()), 2) else {
-        panic!("without losses it is done")
+    let (mut baseline, members) = cluster();
+    let Some(MembershipOutcome::Done(after)) = baseline.change_members(&members, Some(change.clone()), 2)
+    else {
+        panic!("the change must succeed without losses")
     };
     assert_eq!(after.voters.iter().collect::<BTreeSet<_>>().len(), voters);
-    let steps = whole.steps;
-    assert!((20..MOST_STEPS).contains(&steps), "{steps}");
-    let count = tolerance - usize::from(first_is_dead);
-    for gone in losses(&others, count) {
-        for at in 1..=steps {
-            let (mut lab, members) = lab();
-            lab.strikes = Some((at, gone.clone()));
-            let moved = lab.end_change(&members, Some(change.clone()), 2);
-            let value = lab.read(&members);
+    let steps = baseline.steps;
+    assert!((20..MAX_STEPS).contains(&steps), "{steps}");
+    let count = tolerance - usize::from(first_is_lost);
+    for lost in subsets(&others, count) {
+        for step in 1..=steps {
+            let (mut cluster, members) = cluster();
+            cluster.losses = Some((step, lost.clone()));
+            let outcome = cluster.change_members(&members, Some(change.clone()), 2);
+            let value = cluster.read(&members);
             let content = value.as_ref().map(|value| &*value.content);
-            assert_eq!(content, Some("kept"), "{gone:?} lost at step {at}: {moved:?}");
+            assert_eq!(content, Some("kept"), "{lost:?} lost at step {step}: {outcome:?}");
         }
     }
-    // Once it is done the tolerance counts anew: the one that left goes for good, and others may be lost.
-    for gone in losses(&after.voters, tolerance) {
-        let (mut lab, members) = lab();
-        lab.end_change(&members, Some(change.clone()), 2);
-        lab.machines.remove(&name(0));
-        gone.iter().for_each(|name| drop(lab.machines.remove(name)));
-        let value = lab.read(&after);
-        assert_eq!(value.map(|value| value.content.to_string()).as_deref(), Some("kept"), "{gone:?}");
+    // After the change the full tolerance applies again: the voter that left is lost for ever, and others may
+    // be lost.
+    for lost in subsets(&after.voters, tolerance) {
+        let (mut cluster, members) = cluster();
+        cluster.change_members(&members, Some(change.clone()), 2);
+        cluster.machines.remove(&name(0));
+        lost.iter().for_each(|name| drop(cluster.machines.remove(name)));
+        let value = cluster.read(&after);
+        assert_eq!(value.map(|value| value.content.to_string()).as_deref(), Some("kept"), "{lost:?}");
     }
 }
--- a/quorum/tests/sim.rs
+++ b/quorum/tests/sim.rs
@@ -1,5 +1,6 @@
-//! Voters, proposers, moves and leases played by seed on a bad network with bad disks. What must hold: an answered
-//! version is never gone, a version has one content for ever, and a duty has one holder at a time.
+//! A seeded simulation of voters, proposers, membership changes and leases on an unreliable network with
+//! unreliable disks. It checks that a reported version is never lost, that a version always has the same
+//! content, and that a lease has one holder at a time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -38,23 +39,24 @@
 struct Machine {
     disk: BTreeMap<String, String>,
     voter: Option<Voter>,
-    lives: u64,
-    lost: bool,
+    starts: u64,
+    /// Whether the disk was lost and the state is not recovered yet.
+    disk_lost: bool,
     clock: u64,
     frozen: u64,
 }
 
-struct Op {
+struct PendingRound {
     key: Key,
-    floor: u64,
+    min_version: u64,
     round: Round,
 }
 
 struct Client {
     members: Members,
     ballots: Ballots,
-    op: Option<Op>,
-    moving: Option<MembershipChange>,
+    op: Option<PendingRound>,
+    change: Option<MembershipChange>,
     holder: LeaseHolder,
     clock: u64,
     frozen: u64,
@@ -62,17 +64,17 @@
 }
 
 #[derive(Default)]
-struct Oracle {
+struct Checker {
     contents: BTreeMap<(Key, u64), String>,
     newest: BTreeMap<Key, u64>,
     ended: u64,
-    lost: u64,
-    moved: u64,
+    indeterminate: u64,
+    changed: u64,
     held: u64,
     copied: u64,
 }
 
-struct World {
+struct Simulation {
     rng: Rng,
     now: u64,
     seq: u64,
@@ -80,15 +82,15 @@
     events: BTreeMap<u64, Event>,
     machines: BTreeMap<Address, Machine>,
     clients: Vec<Client>,
-    oracle: Oracle,
-    calm: bool,
+    checker: Checker,
+    reliable: bool,
 }
 
 fn addresses(range: std::ops::Range<usize>) -> Vec<Address> {
     range.map(|at| format!("v{at}").into()).collect()
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, voters: usize, clients: usize) -> Self {
         let mut rng = Rng(seed);
         let members = Members::initial("sim", addresses(0..voters));
@@ -97,80 +99,81 @@
             let clock = rng.below(1 << 40);
             machines.insert(
                 address,
-                Machine { disk: BTreeMap::new(), voter: None, lives: 0, lost: false, clock, frozen: 0 },
+                Machine { disk: BTreeMap::new(), voter: None, starts: 0, disk_lost: false, clock, frozen: 0 },
             );
         }
         let clients = (0..clients).map(|at| {
             let (name, clock) = (format!("p{at}"), rng.below(1 << 40));
             let holder = LeaseHolder::new("steward", &name, seed, members.clone(), rng.next(), clock);
             let (members, ballots) = (members.clone(), Ballots::new(&name, seed));
-            Client { members, ballots, op: None, moving: None, holder, clock, frozen: 0, next: 0 }
+            Client { members, ballots, op: None, change: None, holder, clock, frozen: 0, next: 0 }
         });
         let clients: Vec<_> = clients.collect();
-        let (queue, events, oracle) = (BinaryHeap::new(), BTreeMap::new(), Oracle::default());
-        let mut world = Self { rng, now: 0, seq: 0, queue, events, machines, clients, oracle, calm: false };
+        let (queue, events, checker) = (BinaryHeap::new(), BTreeMap::new(), Checker::default());
+        let mut simulation =
+            Self { rng, now: 0, seq: 0, queue, events, machines, clients, checker, reliable: false };
         for address in addresses(0..voters + 2) {
-            world.start(&address, Some(members.clone()));
+            simulation.start(&address, Some(members.clone()));
         }
-        (0..world.clients.len()).for_each(|at| world.at(0, Event::Client(at)));
-        world.at(50 * MS, Event::Fault);
-        world
+        (0..simulation.clients.len()).for_each(|at| simulation.schedule(0, Event::Client(at)));
+        simulation.schedule(50 * MS, Event::Fault);
+        simulation
     }
 
-    fn at(&mut self, when: u64, event: Event) {
+    fn schedule(&mut self, when: u64, event: Event) {
         self.seq += 1;
         self.queue.push(Reverse((when.max(self.now), self.seq)));
         self.events.insert(self.seq, event);
     }
 
     fn send(&mut self, from: &str, to: Address, message: Message) {
-        let (lost, twice) = if self.calm { (0, 0) } else { (8, 8) };
+        let (lost, duplicated) = if self.reliable { (0, 0) } else { (8, 8) };
         let copies = match self.rng.below(100) {
-            dice if dice < lost => 0,
-            dice if dice < lost + twice => 2,
+            roll if roll < lost => 0,
+            roll if roll < lost + duplicated => 2,
             _ => 1,
         };
         for _ in 0..copies {
-            let far = if !self.calm && self.rng.one_in(12) { 2_500 * MS } else { 15 * MS };
-            let when = self.now + MS / 2 + self.rng.below(far);
+            let max_delay = if !self.reliable && self.rng.one_in(12) { 2_500 * MS } else { 15 * MS };
+            let when = self.now + MS / 2 + self.rng.below(max_delay);
             let message = match self.rng.one_in(16) {
-                true => Message::from_json(&message.to_json()).expect("reads what it wrote"),
+                true => Message::from_json(&message.to_json()).expect("an encoded message decodes"),
                 false => message.clone(),
             };
-            self.at(when, Event::Deliver(from.into(), to.clone(), Box::new(message)));
+            self.schedule(when, Event::Deliver(from.into(), to.clone(), Box::new(message)));
         }
     }
 
     fn start(&mut self, address: &Address, first: Option<Members>) {
         let machine = self.machines.get_mut(address).unwrap();
-        machine.lives += 1;
+        machine.starts += 1;
         machine.clock += 1_000 * MS;
         let (now, seeds) = (self.now + machine.clock, addresses(0..3));
         let mut voter =
-            Voter::open(address.clone(), machine.disk.clone(), seeds, machine.lives, now).unwrap();
+            Voter::open(address.clone(), machine.disk.clone(), seeds, machine.starts, now).unwrap();
         if let Some(first) = first {
             let disk = &mut machine.disk;
             voter.bootstrap(first).commit(|writes| store(disk, writes, usize::MAX)).unwrap();
         }
         machine.voter = Some(voter);
-        let life = machine.lives;
-        self.at(self.now, Event::Voter(address.clone(), life));
+        let incarnation = machine.starts;
+        self.schedule(self.now, Event::Voter(address.clone(), incarnation));
     }
 
     fn stop(&mut self, address: &Address, wipe: bool) {
         let machine = self.machines.get_mut(address).unwrap();
         machine.voter = None;
         if wipe {
-            machine.lost |= machine.disk.remove("voter").is_some();
+            machine.disk_lost |= machine.disk.remove("voter").is_some();
             machine.disk.clear();
         }
         let most = if self.rng.one_in(3) { 1_500 } else { 100 };
         let back = self.now + self.rng.below(most) * MS;
-        self.at(back, Event::Start(address.clone()));
+        self.schedule(back, Event::Start(address.clone()));
     }
 
-    /// Whether all sets could do with this machine's disk emptied, as the tolerance says.
-    fn may_wipe(&self, address: &Address) -> bool {
+    /// Whether the disk of this machine may be lost: whether every set keeps a majority within the tolerance.
+    fn may_lose_disk(&self, address: &Address) -> bool {
         let state = |text: &String| text.contains("voting");
         let opened = self.machines.iter().filter(|(_, machine)| machine.disk.get("voter").is_some_and(state));
         let opened: BTreeMap<_, _> = opened
@@ -185,13 +188,13 @@
         let newer = slots.filter(|accepted| accepted.value.version > adopted.epoch);
         let newer = newer.map(|accepted| Members::parse(&accepted.value.content).unwrap());
         newer.chain([adopted.clone()]).all(|members| {
-            let full = |set: &[Address]| {
+            let voting = |set: &[Address]| {
                 set.iter().filter(|one| *one != address && opened.contains_key(one)).count()
             };
             {
-                let kept = |name: &&Address| *name != address && !self.machines[*name].lost;
-                let next = members.next.iter().all(|set| set.iter().filter(kept).count() * 2 > set.len());
-                next && full(&members.voters) * 2 > members.voters.len()
+                let has_disk = |name: &&Address| *name != address && !self.machines[*name].disk_lost;
+                let next = members.next.iter().all(|set| set.iter().filter(has_disk).count() * 2 > set.len());
+                next && voting(&members.voters) * 2 > members.voters.len()
             }
         })
     }
@@ -202,7 +205,7 @@
         let up = self.machines[&one].voter.is_some();
         match self.rng.below(12) {
             0..=2 if up => self.stop(&one, false),
-            3..=6 if up && self.may_wipe(&one) => self.stop(&one, true),
+            3..=6 if up && self.may_lose_disk(&one) => self.stop(&one, true),
             7 => {
                 let until = self.now + self.rng.below(2_000) * MS;
                 self.machines.get_mut(&one).unwrap().frozen = until;
@@ -224,24 +227,24 @@
             _ => {}
         }
         let next = self.now + self.rng.below(400) * MS;
-        self.at(next, Event::Fault);
+        self.schedule(next, Event::Fault);
     }
 
-    fn voter_hears(&mut self, from: Address, to: Address, message: Message) {
-        let crash = !self.calm && self.rng.one_in(300);
-        let room = if crash { self.rng.below(3) as usize } else { usize::MAX };
+    fn deliver_to_voter(&mut self, from: Address, to: Address, message: Message) {
+        let crash = !self.reliable && self.rng.one_in(300);
+        let capacity = if crash { self.rng.below(3) as usize } else { usize::MAX };
         let machine = self.machines.get_mut(&to).unwrap();
         let Some(voter) = &mut machine.voter else { return };
         let blank = voter.state() != State::Voting;
-        let (disk, mut left) = (&mut machine.disk, room);
+        let (disk, mut left) = (&mut machine.disk, capacity);
         let step = voter.handle(self.now + machine.clock, &from, message).commit(|writes| {
             let done = store(disk, writes, left);
             left = left.saturating_sub(writes.len());
             done
         });
         let copied = blank && step.is_ok() && voter.state() == State::Voting;
-        machine.lost &= !copied;
-        self.oracle.copied += u64::from(copied);
+        machine.disk_lost &= !copied;
+        self.checker.copied += u64::from(copied);
         match step {
             Ok(Some(reply)) => self.send(&to, from, reply),
             Ok(None) => {}
@@ -260,9 +263,9 @@
             None => sends.extend(client.holder.on_tick(now)),
         }
         wakes.push(client.holder.next_wake());
-        if client.op.is_none() && client.moving.is_none() && now >= client.next {
+        if client.op.is_none() && client.change.is_none() && now >= client.next {
             let key = [Key::Leader, Key::Config, Key::Migrations][self.rng.below(3) as usize];
-            let newest = self.oracle.newest.get(&key).copied().unwrap_or(0);
+            let newest = self.checker.newest.get(&key).copied().unwrap_or(0);
             let seed = self.rng.next();
             if at == 0 && self.rng.one_in(8) && client.members.next.is_none() {
                 let voters = &client.members.voters;
@@ -276,7 +279,7 @@
                     _ => VoterChange::Replace { old: out, new },
                 };
                 let (members, limit) = (client.members.clone(), now + 6_000 * MS);
-                client.moving = Some(MembershipChange::new(
+                client.change = Some(MembershipChange::new(
                     Some(change),
                     members,
                     &client.ballots,
@@ -295,7 +298,7 @@
                 };
                 let limit = now + 800 * MS;
                 let round = Round::new(kind, key, client.members.clone(), &client.ballots, seed, limit);
-                client.op = Some(Op { key, floor: newest, round });
+                client.op = Some(PendingRound { key, min_version: newest, round });
             }
         }
         if let Some(op) = &mut client.op {
@@ -309,30 +312,30 @@
                 client.members = op.round.members().clone();
             }
             if let Some(outcome) = out.outcome {
-                let (key, floor) = (op.key, op.floor);
+                let (key, min_version) = (op.key, op.min_version);
                 client.op = None;
                 client.next = now + self.rng.below(150) * MS;
-                self.oracle.check(key, floor, outcome);
+                self.checker.check(key, min_version, outcome);
             }
         }
         let client = &mut self.clients[at];
-        if let Some(moving) = &mut client.moving {
+        if let Some(change) = &mut client.change {
             let out = match &reply {
-                Some((from, message)) => moving.on_reply(now, from, message),
-                None => moving.on_tick(now),
+                Some((from, message)) => change.on_reply(now, from, message),
+                None => change.on_tick(now),
             };
             sends.extend(out.send);
             wakes.extend(out.wake);
-            client.members = moving.members().clone();
-            if let Some(moved) = moving.outcome() {
-                self.oracle.moved += u64::from(matches!(moved, MembershipOutcome::Done(_)));
-                client.moving = None;
+            client.members = change.members().clone();
+            if let Some(changed) = change.outcome() {
+                self.checker.changed += u64::from(matches!(changed, MembershipOutcome::Done(_)));
+                client.change = None;
             }
         }
         client.holder.adopt(&client.members.clone());
         if client.members.epoch < client.holder.members().epoch
             && client.op.is_none()
-            && client.moving.is_none()
+            && client.change.is_none()
         {
             client.members = client.holder.members().clone();
         }
@@ -340,23 +343,23 @@
             sends.extend(client.holder.release(now));
         }
         let wake =
-            wakes.into_iter().chain((client.op.is_none() && client.moving.is_none()).then_some(client.next));
+            wakes.into_iter().chain((client.op.is_none() && client.change.is_none()).then_some(client.next));
         let wake = wake.min().unwrap_or(0).max(now + MS / 4) - client.clock;
         sends.into_iter().for_each(|(to, message)| self.send(&name, to, message));
         if reply.is_none() {
-            self.at(wake.min(self.now + 20 * MS), Event::Client(at));
+            self.schedule(wake.min(self.now + 20 * MS), Event::Client(at));
         }
         let acting =
             self.clients.iter().filter(|client| client.holder.is_held(self.now + client.clock)).count();
-        assert!(acting <= 1, "two holders");
-        self.oracle.held += acting as u64;
+        assert!(acting <= 1, "two holders of the lease");
+        self.checker.held += acting as u64;
     }
 
     fn run(&mut self, until: u64) {
         while let Some(Reverse((when, seq))) = self.queue.pop() {
             let event = self.events.remove(&seq).unwrap();
             if when > until {
-                return self.at(when, event);
+                return self.schedule(when, event);
             }
             self.now = when;
             let client_of = |name: &Address| name.strip_prefix('p').and_then(|at| at.parse::<usize>().ok());
@@ -369,42 +372,42 @@
                 _ => 0,
             };
             match event {
-                event if frozen > when => self.at(frozen, event),
+                event if frozen > when => self.schedule(frozen, event),
                 Event::Deliver(from, to, message) => match client_of(&to) {
                     Some(at) => self.client(at, Some((from, *message))),
-                    None => self.voter_hears(from, to, *message),
+                    None => self.deliver_to_voter(from, to, *message),
                 },
-                Event::Voter(name, life) => {
+                Event::Voter(name, incarnation) => {
                     let machine = self.machines.get_mut(&name).unwrap();
-                    let Some(voter) = machine.voter.as_mut().filter(|_| machine.lives == life) else {
+                    let Some(voter) = machine.voter.as_mut().filter(|_| machine.starts == incarnation) else {
                         continue;
                     };
                     let sends = voter.on_tick(when + machine.clock);
                     sends.into_iter().for_each(|(to, message)| self.send(&name, to, message));
-                    self.at(when + 50 * MS, Event::Voter(name, life));
+                    self.schedule(when + 50 * MS, Event::Voter(name, incarnation));
                 }
                 Event::Start(name) => self.start(&name, None),
                 Event::Client(at) => self.client(at, None),
-                Event::Fault if self.calm => {}
+                Event::Fault if self.reliable => {}
                 Event::Fault => self.fault(),
             }
         }
     }
 }
 
-/// A disk that may lose power after so many records.
-fn store(disk: &mut BTreeMap<String, String>, writes: &[Write], room: usize) -> Result<(), ()> {
-    for write in writes.iter().take(room) {
+/// Writes to a disk that loses power after `capacity` records.
+fn store(disk: &mut BTreeMap<String, String>, writes: &[Write], capacity: usize) -> Result<(), ()> {
+    for write in writes.iter().take(capacity) {
         disk.insert(write.key.clone(), write.text.clone());
     }
-    if writes.len() > room { Err(()) } else { Ok(()) }
+    if writes.len() > capacity { Err(()) } else { Ok(()) }
 }
 
-impl Oracle {
-    fn check(&mut self, key: Key, floor: u64, outcome: Outcome) {
+impl Checker {
+    fn check(&mut self, key: Key, min_version: u64, outcome: Outcome) {
         let value = match outcome {
             Outcome::Indeterminate(_) => {
-                self.lost += 1;
+                self.indeterminate += 1;
                 return;
             }
             Outcome::Found(value) | Outcome::Conflict(value) => value,
@@ -412,10 +415,13 @@
         };
         self.ended += 1;
         let version = value.as_ref().map_or(0, |value| value.version);
-        assert!(version >= floor, "{key:?}: version {version}, though {floor} was answered before");
+        assert!(
+            version >= min_version,
+            "{key:?}: version {version}, although {min_version} was reported before"
+        );
         let Some(value) = value else { return };
         let content = self.contents.entry((key, version)).or_insert_with(|| value.content.to_string());
-        assert_eq!(**content, *value.content, "{key:?}: two contents of version {version}");
+        assert_eq!(**content, *value.content, "{key:?}: two contents for version {version}");
         let newest = self.newest.entry(key).or_default();
         *newest = version.max(*newest);
     }
@@ -431,26 +437,32 @@
     four = { 2, 4, 3 },
     five = { 3, 5, 3 },
 )]
-fn nothing_answered_is_lost(part: u64, voters: usize, clients: usize) {
+fn reported_versions_are_never_lost(part: u64, voters: usize, clients: usize) {
     let mut sums = BTreeMap::<&str, u64>::new();
     for seed in 0..seeds() {
         let seed = part << 32 | seed;
         let run = std::panic::catch_unwind(|| {
-            let mut world = World::new(seed, voters, clients);
-            world.run(8_000 * MS);
-            world.calm = true;
-            let before = world.oracle.ended;
-            world.run(16_000 * MS);
+            let mut simulation = Simulation::new(seed, voters, clients);
+            simulation.run(8_000 * MS);
+            simulation.reliable = true;
+            let before = simulation.checker.ended;
+            simulation.run(16_000 * MS);
             assert!(
-                world.oracle.ended > before + 20,
-                "stands still: {} answers",
-                world.oracle.ended - before
+                simulation.checker.ended > before + 20,
+                "no progress: {} results",
+                simulation.checker.ended - before
             );
-            world.oracle
+            simulation.checker
         });
-        let oracle = run.unwrap_or_else(|_| panic!("seed {seed}"));
-        let Oracle { ended, lost, moved, held, copied, .. } = oracle;
-        let counts = [("ended", ended), ("lost", lost), ("moved", moved), ("held", held), ("copied", copied)];
+        let checker = run.unwrap_or_else(|_| panic!("seed {seed}"));
+        let Checker { ended, indeterminate, changed, held, copied, .. } = checker;
+        let counts = [
+            ("ended", ended),
+            ("indeterminate", indeterminate),
+            ("changed", changed),
+            ("held", held),
+            ("copied", copied),
+        ];
         for (what, count) in counts {
             *sums.entry(what).or_default() += count;
         }
