--- a/quorum-store/src/lib.rs
+++ b/quorum-store/src/lib.rs
@@ -1,7 +1,8 @@
-//! The register's records on disk. Invariant: what [`RecordStore::put`] has returned from outlasts a loss of power. `sled`'s own flush did
-//! not keep that on the bench, so each file in its folder and the folder itself are synced through handles of our own after it.
+//! Storage of quorum records on disk. Invariant: what [`RecordStore::put`] has written when it returns
+//! survives a power loss. The flush of `sled` alone did not ensure that in bench tests, so each file in
+//! the folder and the folder itself are synced through separate file handles after it.
 //!
-//! [`read_copy`] reads a folder that may be in use: it opens a copy, and writes nothing there.
+//! [`read_copy`] reads a folder that may be in use: it opens a copy, and writes nothing to the folder.
 
 mod read_copy;
 
@@ -13,51 +14,51 @@
 use millpost_quorum::Write;
 use snafu::{ResultExt, Snafu};
 
-/// What the disk says.
+/// Why a store could not be opened, read or written.
 #[derive(Debug, Snafu)]
 pub enum StoreError {
-    /// The store itself.
+    /// The storage engine failed.
     #[snafu(display("store in {}: {source}", folder.display()))]
     Store {
-        /// Its folder.
+        /// The folder of the store.
         folder: PathBuf,
-        /// Why.
+        /// The error of the storage engine.
         source: sled::Error,
     },
-    /// The store could not make sense of a file.
+    /// A file of the store is corrupted.
     #[snafu(display("store in {}: corrupted", folder.display()))]
     Corrupted {
-        /// Its folder.
+        /// The folder of the store.
         folder: PathBuf,
     },
-    /// There is no store in the folder, and none is made.
-    #[snafu(display("{}: no store: {why}", folder.display()))]
+    /// There is no store in the folder, and none is created.
+    #[snafu(display("{}: no store: {reason}", folder.display()))]
     NoStore {
         /// The folder.
         folder: PathBuf,
-        /// What is not as in a store.
-        why: String,
+        /// How the folder differs from that of a store.
+        reason: String,
     },
-    /// Somebody wrote there all the while it was copied.
-    #[snafu(display("{}: was written at each of {tries} tries to copy it", folder.display()))]
+    /// Another process wrote to the folder during every attempt to copy it.
+    #[snafu(display("{}: was written during each of {attempts} attempts to copy it", folder.display()))]
     Busy {
         /// The folder.
         folder: PathBuf,
-        /// How often it was copied.
-        tries: u32,
+        /// The number of attempts to copy it.
+        attempts: u32,
     },
-    /// A file in its folder.
+    /// A file in the folder of the store could not be read, written or synced.
     #[snafu(display("{}: {source}", path.display()))]
     File {
-        /// Which.
+        /// The file.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
 }
 
 impl StoreError {
-    /// Whether the store is there and can't be made sense of.
+    /// Whether the store exists but is corrupted.
     pub fn is_corrupted(&self) -> bool {
         matches!(
             self,
@@ -66,14 +67,14 @@
     }
 }
 
-/// The records.
+/// A store of records in a folder.
 pub struct RecordStore {
     folder: PathBuf,
     db: sled::Db,
 }
 
 impl RecordStore {
-    /// Opens the folder, or makes it.
+    /// Opens the store in the folder, and creates it if there is none.
     pub fn open(folder: &Path) -> Result<Self, StoreError> {
         let config = sled::Config::new()
             .path(folder)
@@ -84,7 +85,7 @@
         Ok(RecordStore { folder: folder.to_owned(), db })
     }
 
-    /// All records.
+    /// Returns all records.
     pub fn records(&self) -> Result<Vec<(String, String)>, StoreError> {
         let mut all = Vec::new();
         for row in self.db.iter() {
@@ -97,7 +98,7 @@
         Ok(all)
     }
 
-    /// Writes a batch; once this returns it outlasts a loss of power.
+    /// Writes a batch. Once this returns without an error, the batch survives a power loss.
     pub fn put(&self, batch: &[Write]) -> Result<(), StoreError> {
         let mut records = sled::Batch::default();
         for write in batch {
@@ -109,7 +110,7 @@
     }
 }
 
-/// Syncs every file under a folder, then the folder.
+/// Syncs every file below a folder, then the folder.
 fn sync(folder: &Path) -> Result<(), StoreError> {
     for entry in std::fs::read_dir(folder).context(FileSnafu { path: folder })? {
         let entry = entry.context(FileSnafu { path: folder })?;
@@ -118,7 +119,7 @@
             sync(&path)?;
             continue;
         }
-        // A file of the store's own may go away between the listing and here.
+        // The storage engine may delete a file after it was listed.
         match File::open(&path) {
             Ok(file) => file.sync_all().context(FileSnafu { path: &path })?,
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => {}
@@ -128,7 +129,8 @@
     File::open(folder).and_then(|f| f.sync_all()).context(FileSnafu { path: folder })
 }
 
-/// Opens a folder and reads all of it. What the store makes of a spoilt file may be a panic: that is an error like any other here.
+/// Opens the store in a folder and reads all records. `sled` may panic on a corrupted file; such a panic is
+/// returned as an error.
 pub fn read(folder: &Path) -> Result<(RecordStore, Vec<(String, String)>), StoreError> {
     let all = || {
         let disk = RecordStore::open(folder)?;
@@ -139,21 +141,21 @@
 }
 
 #[cfg(test)]
-mod images;
+mod damage_tests;
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
     #[test]
-    fn what_was_put_is_there_when_it_is_opened_again() {
+    fn records_are_read_back_after_reopening() {
         let folder = tempfile::tempdir().expect("a folder");
         let write = |n: u32| Write { key: format!("k{}", n % 3), text: format!("text {n}") };
         {
             let disk = RecordStore::open(folder.path()).expect("opened");
             (0..20).for_each(|n| disk.put(&[write(n), write(n + 1)]).expect("put"));
         }
-        // Threads of the store may keep its lock for a moment.
+        // Background threads of `sled` may hold its file lock for a moment after the store is dropped.
         let all = loop {
             match read(folder.path()) {
                 Ok((_, records)) => break records,
--- a/quorum-store/src/read_copy.rs
+++ b/quorum-store/src/read_copy.rs
@@ -1,4 +1,5 @@
-//! A look at a folder from outside. Keeps: nothing is written there, and what is read is one state of it, not two halves.
+//! Reads the store in a folder that another process may have open. Invariant: nothing is written to the
+//! folder, and the records are those of a single state of it.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -10,62 +11,62 @@
 
 use crate::{FileSnafu, NoStoreSnafu, StoreError, read};
 
-/// A folder with more bytes or files than this is none of ours; the disk that the pages name holds 128 MB.
-const MOST_BYTES: u64 = 1 << 30;
-const MOST_FILES: usize = 10_000;
-/// Folders within folders; a store has one level.
-const MOST_DEEP: usize = 4;
-/// How often a folder that is written meanwhile is copied.
-const TRIES: u32 = 5;
+/// A folder with more bytes or files is not that of a store. The disk in the specification holds 128 MB.
+const MAX_BYTES: u64 = 1 << 30;
+const MAX_FILES: usize = 10_000;
+/// Maximum nesting of folders; a store has one level.
+const MAX_DEPTH: usize = 4;
+/// Number of attempts to copy a folder that is being written.
+const MAX_ATTEMPTS: u32 = 5;
 
-/// The files in a folder, with their sizes and the times of their last change.
+/// The files in a folder, with their sizes and modification times.
 type Listing = BTreeMap<PathBuf, (u64, Option<SystemTime>)>;
 
-/// The folder of the store: the one that is named, or `tally` in it.
-fn place(folder: &Path) -> Result<PathBuf, StoreError> {
+/// Returns the folder of the store: the given one, or `tally` in it.
+fn store_folder(folder: &Path) -> Result<PathBuf, StoreError> {
     let metadata = fs::metadata(folder).context(FileSnafu { path: folder })?;
-    let no_store = |why: &str| NoStoreSnafu { folder, why }.fail();
+    let no_store = |reason: &str| NoStoreSnafu { folder, reason }.fail();
     if !metadata.is_dir() {
         return no_store("it is a file");
     }
-    let within = folder.join("tally");
-    let known = |folder: &PathBuf| folder.join("db").is_file();
-    match [folder.to_owned(), within].into_iter().find(known) {
-        Some(place) => Ok(place),
+    let subfolder = folder.join("tally");
+    let is_store = |folder: &PathBuf| folder.join("db").is_file();
+    match [folder.to_owned(), subfolder].into_iter().find(is_store) {
+        Some(found) => Ok(found),
         None => no_store("there is no file `db` in it, nor in `tally` under it"),
     }
 }
 
 fn list(folder: &Path) -> Result<Listing, StoreError> {
-    let too_much = |why: String| NoStoreSnafu { folder, why }.fail();
+    let too_much = |reason: String| NoStoreSnafu { folder, reason }.fail();
     let (mut all, mut folders, mut bytes) = (Listing::new(), vec![(folder.to_owned(), 1)], 0_u64);
-    while let Some((next, deep)) = folders.pop() {
+    while let Some((next, depth)) = folders.pop() {
         for entry in fs::read_dir(&next).context(FileSnafu { path: &next })? {
             let path = entry.context(FileSnafu { path: &next })?.path();
-            // Neither followed nor copied: links and what is no file.
+            // Links and special files are neither followed nor copied.
             let metadata = match fs::symlink_metadata(&path) {
                 Err(e) if e.kind() == io::ErrorKind::NotFound => continue,
                 metadata => metadata.context(FileSnafu { path: &path })?,
             };
             if metadata.is_dir() {
-                folders.push((path, deep + 1));
+                folders.push((path, depth + 1));
             } else if metadata.is_file() {
                 bytes = bytes.saturating_add(metadata.len());
                 let name = path.strip_prefix(folder).unwrap_or(&path).to_owned();
                 all.insert(name, (metadata.len(), metadata.modified().ok()));
             }
-            if deep > MOST_DEEP {
-                return too_much(format!("folders within folders, more than {MOST_DEEP}"));
+            if depth > MAX_DEPTH {
+                return too_much(format!("folders nested more than {MAX_DEPTH} levels deep"));
             }
-            if all.len() + folders.len() > MOST_FILES || bytes > MOST_BYTES {
-                return too_much(format!("over {MOST_FILES} files or {MOST_BYTES} bytes"));
+            if all.len() + folders.len() > MAX_FILES || bytes > MAX_BYTES {
+                return too_much(format!("over {MAX_FILES} files or {MAX_BYTES} bytes"));
             }
         }
     }
     Ok(all)
 }
 
-/// Copies what was listed; a file that has gone meanwhile shows in the next listing.
+/// Copies the listed files. A file that was deleted in the meantime is detected by the next listing.
 fn copy(folder: &Path, listing: &Listing, to: &Path) -> Result<(), StoreError> {
     for (name, (size, _)) in listing {
         let (from, to) = (folder.join(name), to.join(name));
@@ -82,28 +83,28 @@
     Ok(())
 }
 
-/// All records of a folder, from a copy of it, so that it may be in use. Gives the folder that was meant, too: it may be `tally` in
-/// the one that is named.
+/// Returns the folder of the store and all its records, read from a copy so that the store may be in use. The
+/// folder of the store is the given one or `tally` in it.
 pub fn read_copy(folder: &Path) -> Result<(PathBuf, Vec<(String, String)>), StoreError> {
-    let folder = place(folder)?;
-    for _ in 0..TRIES {
+    let folder = store_folder(folder)?;
+    for _ in 0..MAX_ATTEMPTS {
         let copied = tempfile::tempdir().context(FileSnafu { path: std::env::temp_dir() })?;
         let before = list(&folder)?;
         copy(&folder, &before, copied.path())?;
         if list(&folder)? != before {
             continue;
         }
-        let (disk, records) = read(copied.path()).map_err(|e| named(e, copied.path(), &folder))?;
+        let (disk, records) = read(copied.path()).map_err(|e| with_real_path(e, copied.path(), &folder))?;
         drop(disk);
         return Ok((folder, records));
     }
-    Err(StoreError::Busy { folder, tries: TRIES })
+    Err(StoreError::Busy { folder, attempts: MAX_ATTEMPTS })
 }
 
-/// The same fault, with the folder's own name in place of the copy's.
-fn named(fault: StoreError, copy: &Path, real: &Path) -> StoreError {
+/// Replaces the path of the copy in an error by that of the folder.
+fn with_real_path(error: StoreError, copy: &Path, real: &Path) -> StoreError {
     let folder = real.to_owned();
-    match fault {
+    match error {
         StoreError::Store { source, .. } => StoreError::Store { folder, source },
         StoreError::Corrupted { .. } => StoreError::Corrupted { folder },
         StoreError::File { path, source } => StoreError::File {
