--- a/config/src/digest.rs
+++ b/config/src/digest.rs
@@ -40,7 +40,7 @@
 pub(crate) fn digest(config: &Config) -> u64 {
     let routes = config.routes.iter().map(route);
     let services = config.services.iter().map(service);
-    routes.chain(services).fold(rest(config.revision, &config.limits), u64::wrapping_add)
+    routes.chain(services).fold(revision_and_limits(config.revision, &config.limits), u64::wrapping_add)
 }
 
 // Each function destructures its part, so that the compiler reports a new field that is missing here.
@@ -71,7 +71,7 @@
     fnv.number(u64::from(*concurrency)).mixed()
 }
 
-fn rest(revision: u64, limits: &Limits) -> u64 {
+fn revision_and_limits(revision: u64, limits: &Limits) -> u64 {
     let Limits { max_header_bytes, max_body_bytes, header_timeout_ms, idle_timeout_ms } = *limits;
     let fnv = Fnv::of(3).number(revision).number(max_header_bytes).number(max_body_bytes);
     fnv.number(header_timeout_ms).number(idle_timeout_ms).mixed()
--- a/quorum/src/round.rs
+++ b/quorum/src/round.rs
@@ -213,8 +213,8 @@
         match &mut self.stage {
             Stage::Waiting(until) if now >= *until => self.attempt(now, &mut out),
             Stage::InPhase(phase) => {
-                let late = now.saturating_sub(phase.sent) > PHASE_TIMEOUT;
-                if late || phase.retry.is_some_and(|retry| now >= retry) {
+                let timed_out = now.saturating_sub(phase.sent) > PHASE_TIMEOUT;
+                if timed_out || phase.retry.is_some_and(|retry| now >= retry) {
                     self.attempt(now, &mut out);
                 } else if now >= phase.resend {
                     phase.resend = now + RESEND_INTERVAL;
@@ -270,9 +270,9 @@
             }
             _ => return,
         }
-        let late = now.saturating_sub(phase.sent) > PHASE_TIMEOUT;
+        let timed_out = now.saturating_sub(phase.sent) > PHASE_TIMEOUT;
         let replied = |voter: &Address| phase.replies.contains_key(voter);
-        if late
+        if timed_out
             || !self.members.has_quorum(counted(&self.excluded, replied))
             || !self.required.iter().all(replied)
         {
