--- a/src/api.rs
+++ b/src/api.rs
@@ -1,161 +1,161 @@
-//! The interface of the decision module: what goes in, what comes out. No decisions are made here.
+//! The interface of the decision library: settings, events and actions. No decisions are made here.
 //!
-//! Times are whole nanoseconds of one clock of the caller's that never goes back; its origin is free.
+//! All times are in nanoseconds of one monotonic clock of the caller's, with any origin.
 
 use std::sync::Arc;
 
 /// A point in time or a span, in nanoseconds.
 pub type Nanos = u64;
-/// A message, as the caller numbers it. No id is used twice in the life of a `Control`.
+/// A message, numbered by the caller. An id is never reused during the lifetime of a `Control`.
 pub type MsgId = u64;
-/// An endpoint, as the caller numbers it. A replacement machine gets a new id.
+/// An endpoint, numbered by the caller. A replacement machine gets a new id.
 pub type EndpointId = u64;
-/// A destination: the partner system that a message is for.
+/// A destination: the partner system that a message is addressed to.
 pub type DestId = u64;
 
-/// What a repeated delivery of a message would do.
+/// The effect of a repeated delivery of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Effect {
     /// Repeats are harmless.
     Safe,
-    /// The destination drops repeats for `window` after the earliest attempt that may have run.
+    /// The destination ignores repeats for `window` after the earliest attempt that may have run.
     Keyed {
-        /// How long the key is remembered, from the sending of that attempt.
+        /// How long the key is remembered, counted from the send time of that attempt.
         window: Nanos,
-        /// Only endpoints of the same zone share the memory (otherwise all of the destination do).
+        /// Only endpoints of the same zone share the memory; otherwise all of the destination do.
         zone_only: bool,
     },
-    /// A second effect is never acceptable.
+    /// A repeat is never acceptable.
     Unsafe,
 }
 
-/// A class of message.
+/// A class of messages.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Class {
-    /// Full worth is earned within this time of first being handed in.
+    /// Latency target: delivery within this time of submission earns the full worth.
     pub aim: Nanos,
-    /// After this time the message is given up.
+    /// The message is abandoned after this time.
     pub deadline: Nanos,
     /// Worth of one message.
     pub worth: f64,
-    /// Share of the worth that is left at the deadline.
+    /// Share of the worth that remains at the deadline.
     pub late_worth: f64,
-    /// What a repeat would do.
+    /// The effect of a repeat.
     pub effect: Effect,
-    /// Messages with the same key go one at a time, in the order taken.
+    /// Messages with the same key are sent one at a time, in the order of their acceptance.
     pub in_order: bool,
-    /// Nothing new is of it: it is here for the messages that still are.
+    /// New messages no longer use this class; it is kept for messages that still do.
     pub retired: bool,
 }
 
 /// A tenant that shares the service.
 #[derive(Clone, Copy, Debug, serde::Serialize, serde::Deserialize)]
 pub struct Tenant {
-    /// Messages a second, over all dispatchers, that count in full; 0 where there is no bound.
+    /// Messages a second, over all dispatchers, that count in full; 0 for no limit.
     pub quota_per_s: f64,
 }
 
-/// What is known of a kind of destination.
+/// A kind of destination.
 #[derive(Clone, Copy, Debug, serde::Serialize, serde::Deserialize)]
 pub struct Kind {
-    /// Messages that one call may carry.
+    /// Most messages in one call.
     pub bundle: usize,
-    /// The endpoints are routes apart, each with its own limit, waits and outages.
+    /// The endpoints are independent routes, each with its own limit, waits and outages.
     pub apart: bool,
 }
 
-/// How worth falls once the aim has passed.
+/// How the worth of a message decreases after its latency target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum LateDecay {
-    /// Evenly, down to `late_worth` at the deadline.
+    /// Linearly, to `late_worth` at the deadline.
     Even,
-    /// By half with each further aim, not under `late_worth`.
+    /// Halved with each further latency target that passes, but not below `late_worth`.
     Halves,
 }
 
-/// What the weight of a listed endpoint means.
+/// Meaning of the weight of a listed endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Weights {
-    /// Nothing.
+    /// None.
     Unknown,
-    /// Calls a second that the destination (or route) takes from all dispatchers together.
+    /// Calls a second that the destination (or route) accepts from all dispatchers together.
     Nominal,
-    /// The same, up to half too high or too low.
+    /// As `Nominal`, but up to 50 % too high or too low.
     Rough,
 }
 
-/// What a dispatcher may do.
+/// Optional actions that a dispatcher supports.
 #[derive(Clone, Copy, Debug, serde::Serialize, serde::Deserialize)]
 pub struct Permissions {
     /// Probe an endpoint.
     pub probes: bool,
-    /// Send notes to other dispatchers.
+    /// Send messages to other dispatchers.
     pub notes: bool,
-    /// Call off an attempt.
+    /// Cancel an attempt.
     pub cancel: bool,
-    /// Tell the client how long to stay away with a refusal.
+    /// Include a wait for the client in a refusal.
     pub retry_after: bool,
 }
 
-/// Figures of the rules.
+/// Parameters of the rules.
 #[derive(Clone, Copy, Debug, serde::Serialize, serde::Deserialize)]
 pub struct Rules {
     /// A final answer still counts this long after the deadline.
     pub answer_grace: Nanos,
-    /// Sends to a draining or gone endpoint must cease within this time.
+    /// No sends to a draining or removed endpoint later than this after the change.
     pub drain_grace: Nanos,
-    /// Share of its capacity that a destination has right after an outage, at least.
+    /// Least share of its capacity that a destination has right after an outage.
     pub cold_from: f64,
-    /// It has all of it after this time.
+    /// Time after an outage until the destination has its full capacity.
     pub cold: Nanos,
-    /// Sent more than this multiple of its present capacity...
+    /// A cold destination fails again if it is sent more than this multiple of its present capacity...
     pub fall_multiple: f64,
-    /// ...for this long, a cold destination falls over.
+    /// ...for this long.
     pub fall: Nanos,
-    /// A key rests this long after an attempt that may still be running.
+    /// After an attempt that may still be running, its key is not used again for this long.
     pub key_rest: Nanos,
 }
 
-/// All that a dispatcher is told at start.
+/// Settings of a dispatcher.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct Settings {
-    /// Own number among the dispatchers, from 0.
+    /// Index of this dispatcher, from 0.
     pub me: usize,
-    /// How many dispatchers there are.
+    /// Number of dispatchers.
     pub dispatchers: usize,
-    /// The classes; messages name them by position.
+    /// The classes; messages refer to them by index.
     pub classes: Vec<Class>,
-    /// The tenants, if any; messages name them by position.
+    /// The tenants, if any; messages refer to them by index.
     pub tenants: Vec<Tenant>,
-    /// Worth of a message beyond its tenant's quota, as a share of its class's.
+    /// Worth of a message beyond its tenant's quota, relative to that of its class.
     pub over_share_worth: f64,
-    /// The kinds of destination; endpoints name them by position.
+    /// The kinds of destination; endpoints refer to them by index.
     pub kinds: Vec<Kind>,
-    /// How worth falls after the aim.
+    /// How the worth decreases after the latency target.
     pub late: LateDecay,
-    /// Calls that may be out at once.
+    /// Most calls in flight.
     pub slots: usize,
-    /// Messages that may be held, those with an attempt out included.
+    /// Most messages without a final answer, including those with an attempt in flight.
     pub hold: usize,
-    /// Most attempts for one message.
+    /// Most attempts per message.
     pub try_limit: u32,
     /// Shortest time between two batches of events.
     pub tick: Nanos,
-    /// Time that a connection may take to be established.
+    /// Time-out for establishing a connection.
     pub connect_timeout: Nanos,
     /// Idle connections are closed after this time.
     pub keepalive: Nanos,
-    /// Calls that one connection carries at once.
+    /// Most concurrent calls on one connection.
     pub streams: usize,
-    /// Longest wait that a refused client heeds.
+    /// Longest wait that a refused client honors.
     pub max_retry_after: Nanos,
-    /// Permissions.
+    /// Optional actions that are supported.
     pub allow: Permissions,
-    /// Figures of the rules.
+    /// Parameters of the rules.
     pub rules: Rules,
-    /// Meaning of the weights in the list.
+    /// Meaning of the weights in the endpoint list.
     pub weights: Weights,
-    /// Changes of the list come only after `Action::Subscribe`.
+    /// The list is updated only after `Action::Subscribe`.
     pub subscribe: bool,
 }
 
@@ -164,50 +164,50 @@
 pub enum Outcome {
     /// Delivered.
     Served,
-    /// The destination answered with an error; it may have run.
+    /// The destination answered with an error; the attempt may have run.
     Error,
-    /// Turned away unseen, with the time to wait if one was told; never ran.
+    /// Refused unprocessed, with the requested wait if there was one; never ran.
     Full(Option<Nanos>),
-    /// No answer in time; it may have run, or still do so.
+    /// No answer in time; the attempt may have run or may still be running.
     TimedOut,
-    /// No connection; never ran.
+    /// No connection was established; never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// Called off; it may have run.
+    /// Cancelled; the attempt may have run.
     Cancelled,
-    /// It was not sent; never ran, but counts as an attempt.
+    /// Not sent; never ran, but counts as an attempt.
     NotSent,
-    /// It was not sent, since the message has had all its attempts; never ran, and none is left.
+    /// Not sent, since the message had used up its attempts; never ran, and none is left.
     Exhausted,
 }
 
 impl Outcome {
-    /// The outcome proves that the attempt had no effect.
+    /// Whether the outcome proves that the attempt had no effect.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Full(_) | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Exhausted)
     }
-    /// The attempt may still be running at the destination.
+    /// Whether the attempt may still be running at the destination.
     pub fn may_still_run(self) -> bool {
         matches!(self, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
     }
 }
 
-/// A load report that came with an answer.
+/// A load report from an answer.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Report {
     /// Share of the destination's allowance that is left.
     pub share_left: f64,
-    /// Its limit, in calls a second; 0 where there is none.
+    /// Its limit, in calls a second; 0 for none.
     pub limit: f64,
 }
 
-/// What a dispatcher may send to a destination, of what all may send together.
+/// A dispatcher's share of the rate at which all dispatchers together may send to a destination.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct RateShare {
     /// Calls a second, until `until`.
     pub rate: f64,
-    /// When some of it, which is borrowed, is another's again.
+    /// When the borrowed part of the share expires.
     pub until: Nanos,
     /// Calls a second from then on.
     pub after: f64,
@@ -218,7 +218,7 @@
     pub fn rate_at(&self, now: Nanos) -> f64 {
         if now < self.until { self.rate } else { self.after }
     }
-    /// Calls that may go at once: what a tenth of a second brings, and one at least.
+    /// Most calls in a burst: those of a tenth of a second, and at least one.
     pub fn burst(&self) -> f64 {
         (self.rate / 10.0).max(1.0)
     }
@@ -227,15 +227,15 @@
 /// State of a listed endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum State {
-    /// Listed; says nothing of its health.
+    /// Listed; implies nothing about its health.
     Ready,
-    /// Nothing new may go there.
+    /// Must not be sent new attempts.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// An entry of the list of endpoints.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, serde::Serialize, serde::Deserialize)]
 pub struct Entry {
     /// The endpoint.
@@ -244,7 +244,7 @@
     pub zone: usize,
     /// Its kind.
     pub kind: usize,
-    /// The destination that it belongs to.
+    /// Its destination.
     pub dest: DestId,
     /// Its state.
     pub state: State,
@@ -252,50 +252,50 @@
     pub weight: f64,
 }
 
-/// Something that happened.
+/// An event that the caller reports.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A new message was taken.
+    /// A new message was accepted.
     Message {
         /// Its id.
         id: MsgId,
         /// Its class.
         class: usize,
-        /// Its tenant, where there are any.
+        /// Its tenant, if there are tenants.
         tenant: Option<usize>,
-        /// What it is about, for classes that keep an order.
+        /// Its ordering key, for classes that keep an order.
         key: Option<u64>,
         /// Its destination.
         dest: DestId,
-        /// Time until it is given up.
+        /// Time until its deadline.
         time_left: Nanos,
     },
-    /// A message that this dispatcher had taken before it was restarted, as its journal tells.
+    /// A message accepted before a restart of this dispatcher, as recorded in the journal.
     Restored {
         /// Its id.
         id: MsgId,
         /// Its class.
         class: usize,
-        /// What it is about, for classes that keep an order.
+        /// Its ordering key, for classes that keep an order.
         key: Option<u64>,
         /// Its destination.
         dest: DestId,
-        /// When it is given up; may have passed.
+        /// Its deadline; may have passed.
         deadline: Nanos,
         /// Attempts so far.
         attempts: u32,
-        /// When the first of them went; meaningless without any.
+        /// Send time of the first attempt; meaningless without any.
         first_sent: Nanos,
-        /// When the earliest attempt went that may have run, and the zone that it went to. An attempt that
-        /// was out when the process ended is one.
+        /// Send time and zone of the earliest attempt that may have run. An attempt that was in flight when
+        /// the process ended may have run.
         may_have_run: Option<(Nanos, usize)>,
     },
-    /// The process is not the first on its journal: attempts that went before it started may still run, also
-    /// of messages that nobody remembers.
+    /// The process has taken over an existing journal: attempts sent before it started may still be running,
+    /// also of messages that are no longer in the journal.
     Resumed,
-    /// The process ends at this time: what is not answered by then is taken up after the restart.
+    /// The process exits at this time; messages without an answer by then are restored after the restart.
     Stopping {
-        /// When.
+        /// The time.
         at: Nanos,
     },
     /// A streamed answer began: the attempt now belongs to the client.
@@ -307,31 +307,31 @@
         /// Time since it was sent.
         took: Nanos,
     },
-    /// An attempt ended. Exactly one comes for each send.
+    /// An attempt ended. Exactly one such event follows each send.
     Outcome {
         /// The message.
         id: MsgId,
         /// The attempt, from 0.
         attempt: u32,
-        /// The endpoint that it went to.
+        /// Its endpoint.
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
         took: Nanos,
-        /// The message has had its final answer.
+        /// The message has its final answer.
         closed: bool,
         /// Load report, if one came.
         report: Option<Report>,
     },
-    /// An endpoint asked for a wait in an answer that turned no message away.
+    /// An endpoint requested a wait in an answer that refused no message.
     WaitRequested {
         /// The endpoint.
         endpoint: EndpointId,
         /// How long, from now.
         wait: Nanos,
     },
-    /// The client has withdrawn the message; nothing more is owed for it.
+    /// The client has withdrawn the message; no answer is needed.
     Withdrawn {
         /// The message.
         id: MsgId,
@@ -347,82 +347,84 @@
         /// Load report, if one came.
         report: Option<Report>,
     },
-    /// The list of endpoints, or changes of it.
+    /// The list of endpoints, or changes to it.
     Listed {
-        /// This is the whole list: what is missing from it is gone.
+        /// The list is complete: endpoints missing from it are gone.
         whole: bool,
         /// The entries.
         entries: Vec<Entry>,
     },
-    /// An endpoint that was out by hand is put back, and listed as ready by now; it was restarted meanwhile.
+    /// An endpoint that an operator had taken out of service is listed as ready again; it was restarted
+    /// meanwhile.
     EndpointReturned {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// New settings take the place of those before. The classes that messages are of stand where they stood.
+    /// New settings replace the current ones. Classes of existing messages keep their index.
     Settings {
-        /// All of them.
+        /// The new settings.
         settings: Arc<Settings>,
     },
-    /// Asking for the list failed, or the subscription broke.
+    /// Requesting the list failed, or the subscription broke.
     ListFailed,
-    /// What this dispatcher may send to a destination from now on, whatever it knows itself; `None` lifts that.
+    /// Limits what this dispatcher may send to a destination, in place of its own estimate; `None` removes
+    /// the limit.
     RateShare {
         /// The destination.
         dest: DestId,
-        /// How much.
+        /// The share.
         part: Option<RateShare>,
     },
-    /// Other dispatchers can't reach an endpoint, and this one has not seen otherwise.
+    /// Other dispatchers cannot reach an endpoint, and this one has not seen otherwise.
     PeersUnreachable {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Until when that counts; a time that has passed lifts it.
+        /// Until when the report applies; a time in the past withdraws it.
         until: Nanos,
-        /// It is avoided while there is another. Otherwise it takes one call at a time.
+        /// Whether to prefer other endpoints. Otherwise the endpoint takes one call at a time.
         avoid: bool,
     },
-    /// A destination that was out for other dispatchers is back, as they say: it is cold.
+    /// Other dispatchers report that a destination has recovered from an outage: it is cold.
     PeersSawRecovery {
         /// The destination.
         dest: DestId,
     },
-    /// A note from another dispatcher.
+    /// A message from another dispatcher.
     PeerMessage {
-        /// Its number.
+        /// Index of the sender.
         from: usize,
-        /// What it says.
+        /// The contents.
         bytes: Vec<u8>,
     },
-    /// A wake-up that was asked for is due.
+    /// A requested wake-up is due.
     Wake,
 }
 
-/// Something to be done.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt. Sends of one batch to one endpoint travel as one call where its kind bundles.
+    /// Send an attempt. Sends of one batch to the same endpoint share a call if its kind allows bundles.
     Send {
         /// The message.
         id: MsgId,
-        /// Where to.
+        /// Its endpoint.
         endpoint: EndpointId,
         /// Time-out of the attempt.
         timeout: Nanos,
     },
-    /// Final answer: trying again is harmless.
+    /// Final answer: refused; resubmitting is harmless.
     Refuse {
         /// The message.
         id: MsgId,
-        /// How long the client should stay away; 0 for no hint.
+        /// How long the client should wait; 0 for no hint.
         wait: Nanos,
     },
-    /// Final answer: given up, nothing promised.
+    /// Final answer: abandoned; it may or may not have been delivered.
     Fail {
         /// The message.
         id: MsgId,
     },
-    /// Call off an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The message.
         id: MsgId,
@@ -434,16 +436,16 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Send a note to all other dispatchers.
+    /// Send a message to all other dispatchers.
     Broadcast {
-        /// What to say.
+        /// The contents.
         bytes: Vec<u8>,
     },
-    /// Ask for changes of the list.
+    /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// Ask for an `Event::Wake` in the first batch at or after this time. Earlier requests still stand.
+    /// Request an `Event::Wake` in the first batch at or after this time. Earlier requests remain in effect.
     Wake {
-        /// When.
+        /// The time.
         at: Nanos,
     },
 }
--- a/src/codec.rs
+++ b/src/codec.rs
@@ -1,8 +1,9 @@
-//! Numbers and times as bytes, for what outlives the process. Little-endian; a time is its distance from the writing.
+//! Binary encoding of numbers and times for state that outlives the process. Little-endian; times are stored
+//! relative to the time of writing.
 
 use crate::api::Nanos;
 
-/// Bytes so far, and the time that times are written from.
+/// The bytes written so far, and the time that times are relative to.
 pub(crate) struct Writer(pub Vec<u8>, pub Nanos);
 
 impl Writer {
@@ -12,24 +13,24 @@
     pub fn float(&mut self, x: f64) {
         self.0.extend_from_slice(&(x as f32).to_le_bytes());
     }
-    /// A time, as its distance from now.
     pub fn time(&mut self, at: Nanos) {
         self.number((at as i64).wrapping_sub(self.1 as i64) as u64);
     }
-    pub fn maybe(&mut self, at: Option<Nanos>) {
+    pub fn optional_time(&mut self, at: Option<Nanos>) {
         self.0.push(at.is_some().into());
         self.time(at.unwrap_or(0));
     }
 }
 
-/// What is still to be read, and the time that times are read from. `None` where it ends too early, or is no number.
+/// The bytes left to read, and the time that times are relative to. Reads return `None` at the end of the
+/// bytes, and for floats that are negative or not finite.
 pub(crate) struct Reader<'a>(pub &'a [u8], pub Nanos);
 
 impl Reader<'_> {
     pub fn take<const N: usize>(&mut self) -> Option<[u8; N]> {
-        let (part, rest) = self.0.split_first_chunk::<N>()?;
+        let (head, rest) = self.0.split_first_chunk::<N>()?;
         self.0 = rest;
-        Some(*part)
+        Some(*head)
     }
     pub fn number(&mut self) -> Option<u64> {
         self.take().map(u64::from_le_bytes)
@@ -40,8 +41,8 @@
     pub fn time(&mut self) -> Option<Nanos> {
         self.number().map(|at| self.1.saturating_add_signed(at as i64))
     }
-    pub fn maybe(&mut self) -> Option<Option<Nanos>> {
-        let [there] = self.take()?;
-        self.time().map(|at| (there > 0).then_some(at))
+    pub fn optional_time(&mut self) -> Option<Option<Nanos>> {
+        let [present] = self.take()?;
+        self.time().map(|at| (present > 0).then_some(at))
     }
 }
--- a/src/control/inspect.rs
+++ b/src/control/inspect.rs
@@ -1,4 +1,4 @@
-//! What those who explore or check the module may see of it. Nothing is decided here.
+//! Views of the decision state for exploration and checks, and its serialization. No decisions are made here.
 
 use std::fmt;
 
@@ -7,88 +7,96 @@
 use super::*;
 
 impl Control {
-    pub(crate) fn dice(&mut self) -> &mut RandomSource {
+    pub(crate) fn rng(&mut self) -> &mut RandomSource {
         &mut self.rng
     }
 
-    /// Calls that the module takes to be out, each of which holds a slot.
+    /// Number of calls in flight; each takes a slot.
     pub fn calls_in_flight(&self) -> usize {
         self.calls.len()
     }
 
-    /// Nothing goes to this endpoint now if there is another choice: it takes nothing new, it failed of late, a wait
-    /// was told, or its destination is in trouble.
+    /// Whether other endpoints are preferred to this one now: it is not ready, has failed recently, asked for
+    /// a wait, or its destination may be down.
     pub fn avoids(&self, now: Nanos, endpoint: EndpointId) -> bool {
         let Some(e) = self.endpoints.get(&endpoint) else { return true };
-        let shunned = e.fails > 0 && now < doubled_time(e.fail_at, self.t1, e.fails.min(6));
-        let closed = self.lanes.get(&e.lane);
-        let closed = closed.is_some_and(|l| l.wait_until > now || l.in_trouble(now, &self.set.rules));
-        !e.ready || shunned || closed
+        let failed_recently = e.failures > 0 && now < doubled_time(e.failure_at, self.t1, e.failures.min(6));
+        let closed = self.targets.get(&e.target);
+        let closed = closed.is_some_and(|t| t.wait_until > now || t.is_suspect(now, &self.settings.rules));
+        !e.ready || failed_recently || closed
     }
 
-    /// What a destination takes a second from all dispatchers, as far as it or the list tells, and the messages that
-    /// wait for a call to it.
+    /// The calls a second that a destination accepts from all dispatchers, 0 if unknown, and the number of
+    /// messages that wait for it.
     pub fn demand(&self, dest: DestId) -> (f64, usize) {
-        let limit = self.lanes.get(&(dest, None)).map_or(0.0, |lane| lane.capacity(&self.set));
-        (limit, self.agenda.ready_for(dest).count())
+        let limit = self.targets.get(&(dest, None)).map_or(0.0, |target| target.capacity(&self.settings));
+        (limit, self.schedule.ready_for(dest).count())
     }
 
-    /// Destinations that have a message without a final answer.
+    /// Destinations with messages that have no final answer.
     pub fn destinations(&self) -> impl Iterator<Item = DestId> + '_ {
-        self.agenda.destinations()
+        self.schedule.destinations()
     }
 
-    /// Calls that the module takes to be out by endpoint, those that it has forgotten left out.
+    /// Calls in flight to an endpoint; 0 if the endpoint is unknown.
     pub fn calls_to(&self, endpoint: EndpointId) -> usize {
         self.endpoints.get(&endpoint).map_or(0, |e| e.calls)
     }
 }
 
-/// All that its decisions hang on but for the settings, to the last bit of each number: two modules of the same
-/// settings that are written alike decide alike.
-macro_rules! told {
-    ($control:expr, $tell:expr) => {{
+/// Passes a tuple of all state that decisions depend on, apart from the settings, to `$use`. Controls with
+/// the same settings and the same serialized tuple make the same decisions.
+macro_rules! snapshot_fields {
+    ($control:expr, $use:expr) => {{
         let c = $control;
-        let messages = (&c.msgs, &c.agenda, &c.keys, &c.rests, &c.calls, c.next_call);
-        let destinations = ((&c.lanes, &c.busy, &c.unlisted), (&c.endpoints, &c.leaving, &c.by_dest));
-        let times = (c.subscribe_at, c.subscribe_fails, c.wake_at, c.stops_at, c.unsure_until);
-        $tell(&(&c.rng, messages, destinations, times, &c.news, c.grave))
+        let messages = (&c.messages, &c.schedule, &c.keys, &c.key_rests, &c.calls, c.next_call);
+        let destinations = ((&c.targets, &c.busy, &c.unlisted), (&c.endpoints, &c.leaving, &c.by_dest));
+        let times = (c.subscribe_at, c.subscribe_failures, c.wake_at, c.stops_at, c.earlier_attempts_until);
+        $use(&(&c.rng, messages, destinations, times, &c.pending, c.urgent))
     }};
 }
 
 type Messages =
-    (BTreeMap<MsgId, Msg>, Agenda, BTreeMap<u64, KeyLine>, Timers<u64>, BTreeMap<u64, usize>, u64);
+    (BTreeMap<MsgId, Message>, Schedule, BTreeMap<u64, KeyQueue>, Timers<u64>, BTreeMap<u64, usize>, u64);
 type Endpoints = (BTreeMap<EndpointId, Endpoint>, BTreeSet<EndpointId>, BTreeSet<(DestId, EndpointId)>);
-type Lanes = (BTreeMap<LaneId, Lane>, BTreeSet<LaneId>, BTreeSet<LaneId>);
+type Targets = (BTreeMap<TargetId, Target>, BTreeSet<TargetId>, BTreeSet<TargetId>);
 type Times = (Nanos, u32, Nanos, Nanos, Nanos);
 
-/// A module as it was written, without its settings.
+/// A deserialized [`Control`], without its settings.
 #[derive(Deserialize)]
-pub struct ControlSnapshot(RandomSource, Messages, (Lanes, Endpoints), Times, BTreeMap<LaneId, News>, bool);
+pub struct ControlSnapshot(
+    RandomSource,
+    Messages,
+    (Targets, Endpoints),
+    Times,
+    BTreeMap<TargetId, Pending>,
+    bool,
+);
 
 impl Control {
-    /// Goes on where the module that was written stopped. The process that goes on does not end. What dispatchers share is
-    /// not passed on: a process that shares something is told anew before its first round.
-    pub fn from_snapshot(settings: Arc<Settings>, frozen: ControlSnapshot) -> Self {
-        let ControlSnapshot(rng, messages, (lanes, endpoints), times, news, grave) = frozen;
-        let (msgs, mut agenda, keys, rests, calls, next_call) = messages;
-        let ((mut lanes, busy, unlisted), (mut endpoints, leaving, by_dest)) = (lanes, endpoints);
-        for ((dest, _), lane) in lanes.iter_mut().filter(|(_, lane)| lane.part.is_some()) {
-            lane.part = None;
-            agenda.unpark(*dest);
+    /// Continues from a snapshot taken in another process. That process's end time does not apply here, and
+    /// neither do shared rates and peer reports: a process that shares receives them anew before its first
+    /// decision.
+    pub fn from_snapshot(settings: Arc<Settings>, snapshot: ControlSnapshot) -> Self {
+        let ControlSnapshot(rng, messages, (targets, endpoints), times, pending, urgent) = snapshot;
+        let (messages, mut schedule, keys, key_rests, calls, next_call) = messages;
+        let ((mut targets, busy, unlisted), (mut endpoints, leaving, by_dest)) = (targets, endpoints);
+        for ((dest, _), target) in targets.iter_mut().filter(|(_, target)| target.rate_share.is_some()) {
+            target.rate_share = None;
+            schedule.unpark(*dest);
         }
-        endpoints.values_mut().for_each(|endpoint| endpoint.hearsay = (0, false));
-        let (subscribe_at, subscribe_fails, wake_at, _, unsure_until) = times;
-        let (t1, set, stops_at) = (t1(&settings), settings, NEVER);
+        endpoints.values_mut().for_each(|endpoint| endpoint.peer_report = (0, false));
+        let (subscribe_at, subscribe_failures, wake_at, _, earlier_attempts_until) = times;
+        let (t1, settings, stops_at) = (t1(&settings), settings, NEVER);
         Control {
-            set,
+            settings,
             rng,
             t1,
-            msgs,
-            agenda,
+            messages,
+            schedule,
             keys,
-            rests,
-            lanes,
+            key_rests,
+            targets,
             busy,
             unlisted,
             endpoints,
@@ -97,78 +105,79 @@
             calls,
             next_call,
             subscribe_at,
-            subscribe_fails,
+            subscribe_failures,
             wake_at,
-            news,
-            grave,
+            pending,
+            urgent,
             stops_at,
-            unsure_until,
+            earlier_attempts_until,
         }
     }
 }
 
 impl fmt::Debug for Control {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        told!(self, |all: &dyn fmt::Debug| all.fmt(f))
+        snapshot_fields!(self, |all: &dyn fmt::Debug| all.fmt(f))
     }
 }
 
 impl Serialize for Control {
     fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        told!(self, |all| Serialize::serialize(all, to))
+        snapshot_fields!(self, |all| Serialize::serialize(all, to))
     }
 }
 
 impl Control {
-    /// Blanks what nothing reads before it is set anew, where no load report is ever heard: two modules that differ in
-    /// this alone decide alike from here on. For telling states apart.
+    /// Resets fields that are not read before they are next written, provided that no load reports arrive.
+    /// Controls that differ only in these fields make the same decisions from here on. Lets exploration merge
+    /// equal states.
     ///
-    /// - The pace and the own rate of calls are read only once a limit was reported.
-    /// - A cold budget is read while a destination is in trouble or cold; where it is neither and no failure is under
-    ///   way, the next failure or return sets it.
-    /// - Times of calls out are read while there are any, the time of a failure while it counts.
-    /// - An averaged delay that has drained to nothing stays there until a sample comes.
-    /// - Whether a message that may be repeated freely has run is not asked.
+    /// - The pace and the send rate are read only once a limit was reported.
+    /// - The cold budget is read while a destination is suspect or cold; otherwise, without a failure in
+    ///   progress, the next failure or recovery sets it.
+    /// - Times of calls in flight are read while there are any, the time of a failure while it counts.
+    /// - An averaged delay that has decayed to zero stays there until the next sample.
+    /// - Whether a safe message may have run is not read.
     pub fn reset_unread(&mut self, now: Nanos) {
-        for lane in self.lanes.values_mut().filter(|lane| lane.limit <= 0.0 && lane.pace <= 0.0) {
-            (lane.sending, lane.paced, lane.eased_at) = (0.0, Bucket::default(), 0);
-            if lane.calls == 0 {
-                (lane.sent_at, lane.quiet_since) = (0, 0);
+        for target in self.targets.values_mut().filter(|target| target.limit <= 0.0 && target.pace <= 0.0) {
+            (target.send_rate, target.pace_bucket, target.pace_reduced_at) = (0.0, Bucket::default(), 0);
+            if target.calls == 0 {
+                (target.last_sent_at, target.quiet_since) = (0, 0);
             }
-            let cold = lane.cold(now, &self.set.rules);
+            let cold = target.is_cold(now, &self.settings.rules);
             if !cold {
-                lane.back_at = None;
+                target.recovered_at = None;
             }
-            if lane.bad_since.is_none() && !cold {
-                (lane.out_from, lane.cold_budget) = (0, Bucket::default());
+            if target.failing_since.is_none() && !cold {
+                (target.outage_since, target.cold_budget) = (0, Bucket::default());
             }
-            if lane.delay_now(now) == 0.0 {
-                (lane.delay, lane.delay_at) = (0.0, 0);
+            if target.decayed_delay(now) == 0.0 {
+                (target.avg_delay, target.avg_delay_at) = (0.0, 0);
             }
-            lane.wait_until = if lane.wait_until > now { lane.wait_until } else { 0 };
+            target.wait_until = if target.wait_until > now { target.wait_until } else { 0 };
         }
-        for e in self.endpoints.values_mut().filter(|e| e.fails == 0) {
-            e.fail_at = 0;
+        for e in self.endpoints.values_mut().filter(|e| e.failures == 0) {
+            e.failure_at = 0;
         }
-        for m in self.msgs.values_mut() {
-            if self.set.classes[m.class].effect == Effect::Safe {
-                m.maybe = None;
+        for m in self.messages.values_mut() {
+            if self.settings.classes[m.class].effect == Effect::Safe {
+                m.may_have_run = None;
             }
         }
     }
 
-    /// Numbers the calls that are out anew, from 0 on in their order. They are told apart and compared, and nothing
-    /// else is done with a call's number: what is decided afterwards is the same.
+    /// Renumbers the calls in flight from 0 on, in their order. Call numbers are only compared, so later
+    /// decisions are the same.
     pub fn renumber(&mut self) {
-        let out: Vec<u64> = self.calls.keys().copied().collect();
-        let turns: BTreeSet<u64> = self.lanes.values().map(|lane| lane.turn).collect();
-        // The turns of lanes may be of calls that are over: both are numbered together, to keep their order.
-        let all: BTreeSet<u64> = turns.into_iter().chain(out).collect();
+        let in_flight: Vec<u64> = self.calls.keys().copied().collect();
+        let last_calls: BTreeSet<u64> = self.targets.values().map(|target| target.last_call).collect();
+        // Targets may refer to calls that have ended: both are renumbered together to keep their order.
+        let all: BTreeSet<u64> = last_calls.into_iter().chain(in_flight).collect();
         let new: BTreeMap<u64, u64> = all.into_iter().zip(0..).collect();
-        for message in self.msgs.values_mut() {
+        for message in self.messages.values_mut() {
             message.out.iter_mut().for_each(|out| out.call = new[&out.call]);
         }
-        self.lanes.values_mut().for_each(|lane| lane.turn = new[&lane.turn]);
+        self.targets.values_mut().for_each(|target| target.last_call = new[&target.last_call]);
         self.calls = std::mem::take(&mut self.calls).into_iter().map(|(call, n)| (new[&call], n)).collect();
         self.next_call = new.len() as u64;
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! millpost decides for a dispatcher of outbound messages: which message goes to which partner endpoint now,
-//! which waits, which is tried again, and which is answered without having been delivered.
+//! millpost makes the decisions of a dispatcher of outbound messages: which message to send to which partner
+//! endpoint now, which to hold, which to retry, and which to answer without delivery.
 //!
-//! The library does no I/O and reads no clock. A dispatcher keeps one [`Control`], tells it what happened with
-//! [`Control::on_event`], and after each batch of events carries out what [`Control::decide`] asks for. The same
-//! settings, seed and events give the same actions.
+//! The library does no I/O and reads no clock. A dispatcher keeps one [`Control`], reports events to it with
+//! [`Control::on_event`], and after each batch of events carries out the actions that [`Control::decide`]
+//! returns. The same settings, seed and events give the same actions.
 //!
 //! ```
 //! use millpost::Control;
@@ -48,7 +48,7 @@
 //!     subscribe: false,
 //! };
 //!
-//! // The dispatcher learns its endpoints and takes a message for destination 3.
+//! // The dispatcher lists its endpoint and accepts a message for destination 3.
 //! let mut control = Control::new(settings, 42);
 //! let entry = Entry { endpoint: 7, zone: 0, kind: 0, dest: 3, state: State::Ready, weight: 0.0 };
 //! control.on_event(0, Event::Listed { whole: true, entries: vec![entry] });
@@ -56,27 +56,27 @@
 //!     Event::Message { id: 1, class: 0, tenant: None, key: None, dest: 3, time_left: 20_000 * MS };
 //! control.on_event(0, message);
 //!
-//! // It asks what to do, and sends.
+//! // It asks for actions: the message is to be sent.
 //! let mut actions = Vec::new();
 //! control.decide(0, &mut actions);
 //! assert!(matches!(actions[0], Action::Send { id: 1, endpoint: 7, .. }));
 //!
-//! // The call breaks. It may have run, and its class must never take effect twice: the answer is a failure.
+//! // The connection breaks. The call may have run, and the class must not take effect twice: the message fails.
 //! let (endpoint, outcome) = (7, Outcome::Reset);
-//! let over =
+//! let ended =
 //!     Event::Outcome { id: 1, attempt: 0, endpoint, outcome, took: 80 * MS, closed: false, report: None };
-//! control.on_event(80 * MS, over);
+//! control.on_event(80 * MS, ended);
 //! actions.clear();
 //! control.decide(80 * MS, &mut actions);
 //! assert_eq!(actions[0], Action::Fail { id: 1 });
 //! ```
 
-mod agenda;
 pub mod api;
 mod codec;
 mod control;
 mod measure;
 mod random;
+mod schedule;
 
 pub use control::{Control, ControlSnapshot, LearnedState, doubled_time, retry_probability};
 pub use random::RandomSource;
--- a/src/measure.rs
+++ b/src/measure.rs
@@ -1,11 +1,10 @@
-//! Measures that decisions are made with: token buckets, and an order of messages by a number and a time. Arithmetic
-//! alone; nothing is decided here.
+//! Arithmetic for decisions: token buckets, and an ordering of messages. No decisions are made here.
 
 use crate::api::Nanos;
 
 const SECOND: f64 = 1e9;
 
-/// A token bucket: the pace and the cold budget are each one.
+/// A token bucket.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize, serde::Deserialize)]
 pub(crate) struct Bucket {
     pub tokens: f64,
@@ -13,7 +12,7 @@
 }
 
 impl Bucket {
-    /// Refills at `rate` a second, up to `most`, and says when a whole token is there.
+    /// Refills at `rate` tokens a second up to `most`; returns when a whole token is available.
     pub fn ready_at(&mut self, now: Nanos, rate: f64, most: f64) -> Nanos {
         let gained = now.saturating_sub(self.at) as f64 / SECOND * rate;
         (self.tokens, self.at) = ((self.tokens + gained).min(most), now.max(self.at));
@@ -22,7 +21,7 @@
     }
 }
 
-/// The place of a message among those that wait, the best being the least.
+/// Sort key of a waiting message: a number, then a time; the smallest is sent first.
 #[derive(Clone, Copy)]
 pub(crate) struct Rank(pub (f64, Nanos));
 
@@ -51,21 +50,21 @@
     use super::*;
 
     #[test]
-    fn a_bucket_fills_at_its_rate_up_to_its_size_and_says_when_a_token_is_there() {
+    fn a_bucket_refills_up_to_its_size_and_returns_when_a_token_is_available() {
         let mut bucket = Bucket { tokens: 0.0, at: 1_000_000_000 };
         assert_eq!(bucket.ready_at(1_000_000_000, 0.5, 2.0), 3_000_000_001);
         assert_eq!(bucket.ready_at(3_500_000_000, 0.5, 2.0), 3_500_000_000);
         bucket.tokens -= 1.0;
         assert!((bucket.tokens - 0.25).abs() < 1e-9);
         assert_eq!(bucket.ready_at(60_000_000_000, 0.5, 2.0), 60_000_000_000);
-        assert!((bucket.tokens - 2.0).abs() < 1e-9, "no more than its size");
-        // A clock that goes back takes nothing away and gives nothing.
+        assert!((bucket.tokens - 2.0).abs() < 1e-9, "not above its size");
+        // A clock that goes back neither removes nor adds tokens.
         bucket.ready_at(0, 0.5, 2.0);
         assert!((bucket.tokens - 2.0).abs() < 1e-9 && bucket.at == 60_000_000_000);
     }
 
     #[test]
-    fn ranks_go_by_the_number_and_then_by_the_time() {
+    fn ranks_are_ordered_by_number_then_by_time() {
         let mut ranks = [Rank((1.0, 0)), Rank((-2.0, 9)), Rank((-2.0, 3))];
         ranks.sort();
         assert_eq!(ranks.map(|rank| rank.0.1), [3, 9, 0]);
--- a/src/random.rs
+++ b/src/random.rs
@@ -1,20 +1,19 @@
-//! Where the module's random numbers come from. In service a seeded generator; for exploring what may happen, the
-//! caller says for each draw whether the least or the greatest number comes.
+//! Random numbers for decisions: a seeded generator in service; for state exploration, a script that makes
+//! each draw the smallest or the largest number.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 use crate::Control;
 
-/// The source of a module's random numbers.
+/// A source of random numbers.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub enum RandomSource {
-    /// A generator with a seed.
+    /// A seeded generator.
     Seeded(Pcg64Mcg),
-    /// The least number for each bit that is not set, the greatest for each that is, the lowest bit first; `drawn`
-    /// counts the draws.
+    /// A script: draw n gives the largest number if bit n of `bits` is set, else the smallest.
     Scripted {
-        /// What is to come.
+        /// The script; bit 0 is for the first draw.
         bits: u32,
         /// Draws so far.
         drawn: u32,
@@ -22,12 +21,12 @@
 }
 
 impl RandomSource {
-    /// A generator with this seed.
+    /// Creates a generator with this seed.
     pub fn seeded(seed: u64) -> Self {
         RandomSource::Seeded(Pcg64Mcg::seed_from_u64(seed))
     }
 
-    /// A number from 0 on and under 1.
+    /// Draws a number in `0.0..1.0`.
     pub fn next_f64(&mut self) -> f64 {
         f64::from(self.next_u32()) / 4_294_967_296.0
     }
@@ -53,9 +52,9 @@
 }
 
 impl Control {
-    /// Other dice from now on; the ones before are given back.
-    pub fn set_random_source(&mut self, dice: RandomSource) -> RandomSource {
-        std::mem::replace(self.dice(), dice)
+    /// Replaces the source of random numbers and returns the previous one.
+    pub fn set_random_source(&mut self, source: RandomSource) -> RandomSource {
+        std::mem::replace(self.rng(), source)
     }
 }
 
@@ -64,11 +63,11 @@
     use super::*;
 
     #[test]
-    fn told_dice_give_the_two_ends_as_told_and_count() {
-        let mut dice = RandomSource::Scripted { bits: 0b101, drawn: 0 };
-        let drawn = std::iter::repeat_with(|| dice.next_u32()).take(4).collect::<Vec<_>>();
+    fn a_scripted_source_draws_the_extremes_and_counts_draws() {
+        let mut source = RandomSource::Scripted { bits: 0b101, drawn: 0 };
+        let drawn = std::iter::repeat_with(|| source.next_u32()).take(4).collect::<Vec<_>>();
         assert_eq!(drawn, [u32::MAX, 0, u32::MAX, 0]);
-        assert!(matches!(dice, RandomSource::Scripted { drawn: 4, .. }));
+        assert!(matches!(source, RandomSource::Scripted { drawn: 4, .. }));
         assert_eq!(RandomSource::Scripted { bits: u32::MAX, drawn: 40 }.next_u32(), 0);
     }
 }
--- a/src/agenda.rs
+++ b/src/schedule.rs
@@ -1,15 +1,16 @@
-//! What falls due when: messages that wait for their next try or for an outcome, and destinations that are closed for
-//! a while. Bookkeeping for `control`, so that a round looks at what is due and not at all that is known; nothing is
-//! decided here.
+//! Due times: messages that wait for their next attempt or for an outcome, and destinations that are closed
+//! for a while. Bookkeeping for `control`, so that a round considers only what is due; no decisions are made
+//! here.
 //!
-//! Kept invariant: a message is in `held` from its taking to its final answer; with no attempt out it is either in
-//! `later` or in `ready`; `open` names just the destinations that have a ready message and are not parked.
+//! Invariants: a message is in `held` from acceptance to its final answer; without an attempt in flight it is
+//! either in `later` or in `ready`; `open` contains exactly the destinations that have a ready message and
+//! are not parked.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::api::{DestId, MsgId, Nanos};
 
-/// Keys with a time each.
+/// A set of keys with a time for each.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(bound(deserialize = "K: Ord + serde::Deserialize<'de>"))]
 pub(crate) struct Timers<K> {
@@ -24,7 +25,7 @@
 }
 
 impl<K: Ord + Copy> Timers<K> {
-    /// Sets a key's time, in place of the one that it had.
+    /// Sets a key's time, replacing an earlier one.
     pub fn set(&mut self, key: K, at: Nanos) {
         if let Some(old) = self.at.insert(key, at) {
             if old == at {
@@ -34,7 +35,7 @@
         }
         self.order.insert((at, key));
     }
-    /// Whether the key had a time.
+    /// Removes a key; returns whether it had a time.
     pub fn clear(&mut self, key: K) -> bool {
         let old = self.at.remove(&key);
         old.is_some_and(|at| self.order.remove(&(at, key)))
@@ -42,11 +43,11 @@
     pub fn contains(&self, key: K) -> bool {
         self.at.contains_key(&key)
     }
-    /// The next time.
+    /// The earliest time.
     pub fn first(&self) -> Option<Nanos> {
         self.order.first().map(|(at, _)| *at)
     }
-    /// Takes out a key whose time has come.
+    /// Removes and returns the earliest key that is due.
     pub fn pop(&mut self, now: Nanos) -> Option<K> {
         let (at, key) = *self.order.first().filter(|(at, _)| *at <= now)?;
         self.order.remove(&(at, key));
@@ -55,21 +56,21 @@
     }
 }
 
-/// The agenda of one dispatcher.
+/// The due times of one dispatcher.
 #[derive(Clone, Default, Debug, serde::Serialize, serde::Deserialize)]
-pub(crate) struct Agenda {
+pub(crate) struct Schedule {
     held: BTreeSet<(DestId, MsgId)>,
     ready: BTreeSet<(DestId, MsgId)>,
     later: Timers<(MsgId, DestId)>,
-    /// When it is to be looked whether a message is past hope.
+    /// When to check whether a message has expired.
     alarms: Timers<MsgId>,
     parked: Timers<DestId>,
     open: BTreeSet<DestId>,
 }
 
-impl Agenda {
-    /// A message waits for its next try, and is looked at again at `alarm`.
-    pub fn waits(&mut self, now: Nanos, id: MsgId, dest: DestId, due: Nanos, alarm: Nanos) {
+impl Schedule {
+    /// A message waits for its next attempt at `due`, and is checked for expiry at `alarm`.
+    pub fn on_waiting(&mut self, now: Nanos, id: MsgId, dest: DestId, due: Nanos, alarm: Nanos) {
         self.held.insert((dest, id));
         self.alarms.set(id, alarm);
         if due > now {
@@ -80,14 +81,14 @@
             self.make_ready(id, dest);
         }
     }
-    /// An attempt of it is out.
-    pub fn is_out(&mut self, id: MsgId, dest: DestId, alarm: Nanos) {
+    /// An attempt of the message is in flight.
+    pub fn on_sent(&mut self, id: MsgId, dest: DestId, alarm: Nanos) {
         self.alarms.set(id, alarm);
         self.later.clear((id, dest));
         self.unready(id, dest);
     }
-    /// It has its final answer.
-    pub fn is_over(&mut self, id: MsgId, dest: DestId) {
+    /// The message has its final answer.
+    pub fn on_finished(&mut self, id: MsgId, dest: DestId) {
         self.held.remove(&(dest, id));
         self.alarms.clear(id);
         self.later.clear((id, dest));
@@ -106,19 +107,19 @@
         }
     }
 
-    /// Nothing can go to this destination before `until`, unless something is heard of it.
+    /// Closes a destination until `until`, or until it is unparked.
     pub fn park(&mut self, dest: DestId, until: Nanos) {
         self.parked.set(dest, until);
         self.open.remove(&dest);
     }
-    /// Something was heard of it.
+    /// Opens a destination after a change that may permit sends.
     pub fn unpark(&mut self, dest: DestId) {
         if self.parked.clear(dest) && self.ready_for(dest).next().is_some() {
             self.open.insert(dest);
         }
     }
 
-    /// What has fallen due by now is ready, and destinations whose time is over are looked at again.
+    /// Makes messages that are due ready, and reopens destinations whose time has passed.
     pub fn advance(&mut self, now: Nanos) {
         while let Some((id, dest)) = self.later.pop(now) {
             self.make_ready(id, dest);
@@ -129,35 +130,34 @@
             }
         }
     }
-    /// Messages whose alarm is due, in the order of their numbers.
-    pub fn alarmed(&mut self, now: Nanos) -> Vec<MsgId> {
+    /// Removes the alarms that are due; returns their messages in the order of their ids.
+    pub fn take_due_alarms(&mut self, now: Nanos) -> Vec<MsgId> {
         let mut due: Vec<MsgId> = std::iter::from_fn(|| self.alarms.pop(now)).collect();
         due.sort_unstable();
         due
     }
 
-    /// Destinations that have a message ready and may be open.
+    /// Destinations that have a ready message and are not parked.
     pub fn open(&self) -> impl Iterator<Item = DestId> + '_ {
         self.open.iter().copied()
     }
-    /// Ready messages of a destination.
     pub fn ready_for(&self, dest: DestId) -> impl Iterator<Item = MsgId> + '_ {
         self.ready.range((dest, MsgId::MIN)..=(dest, MsgId::MAX)).map(|(_, id)| *id)
     }
-    /// All messages of a destination without a final answer.
+    /// The messages of a destination that have no final answer.
     pub fn held_for(&self, dest: DestId) -> impl Iterator<Item = MsgId> + '_ {
         self.held.range((dest, MsgId::MIN)..=(dest, MsgId::MAX)).map(|(_, id)| *id)
     }
-    /// Destinations that have a message without a final answer.
+    /// Destinations with messages that have no final answer.
     pub fn destinations(&self) -> impl Iterator<Item = DestId> + '_ {
         let from = |from: DestId| self.held.range((from, MsgId::MIN)..).next().map(|(dest, _)| *dest);
         std::iter::successors(from(DestId::MIN), move |dest| from(dest.checked_add(1)?))
     }
-    /// How many messages have no final answer.
+    /// Number of messages without a final answer.
     pub fn held(&self) -> usize {
         self.held.len()
     }
-    /// The next time that something falls due.
+    /// The next time at which something is due; `Nanos::MAX` if nothing is.
     pub fn next(&self) -> Nanos {
         let all = [self.later.first(), self.alarms.first(), self.parked.first()];
         all.into_iter().flatten().min().unwrap_or(Nanos::MAX)
@@ -179,25 +179,25 @@
 
     #[test]
     fn a_destination_is_open_while_it_has_a_ready_message_and_is_not_parked() {
-        let mut agenda = Agenda::default();
-        let open = |agenda: &Agenda| agenda.open().collect::<Vec<_>>();
-        agenda.waits(0, 1, 7, 0, 100);
-        agenda.waits(0, 2, 8, 50, 100);
-        assert_eq!((open(&agenda), agenda.next()), (vec![7], 50));
-        agenda.park(7, 60);
-        assert_eq!(open(&agenda), []);
-        agenda.advance(50);
-        assert_eq!((open(&agenda), agenda.next()), (vec![8], 60));
-        agenda.is_out(2, 8, 100);
-        assert_eq!(open(&agenda), []);
-        agenda.unpark(7);
-        assert_eq!(open(&agenda), [7]);
-        agenda.park(7, 60);
-        agenda.advance(60);
-        assert_eq!(open(&agenda), [7]);
-        agenda.is_over(1, 7);
-        assert_eq!((open(&agenda), agenda.held()), (vec![], 1));
-        assert_eq!(agenda.alarmed(100), [2]);
-        assert_eq!(agenda.next(), Nanos::MAX);
+        let mut schedule = Schedule::default();
+        let open = |schedule: &Schedule| schedule.open().collect::<Vec<_>>();
+        schedule.on_waiting(0, 1, 7, 0, 100);
+        schedule.on_waiting(0, 2, 8, 50, 100);
+        assert_eq!((open(&schedule), schedule.next()), (vec![7], 50));
+        schedule.park(7, 60);
+        assert_eq!(open(&schedule), []);
+        schedule.advance(50);
+        assert_eq!((open(&schedule), schedule.next()), (vec![8], 60));
+        schedule.on_sent(2, 8, 100);
+        assert_eq!(open(&schedule), []);
+        schedule.unpark(7);
+        assert_eq!(open(&schedule), [7]);
+        schedule.park(7, 60);
+        schedule.advance(60);
+        assert_eq!(open(&schedule), [7]);
+        schedule.on_finished(1, 7);
+        assert_eq!((open(&schedule), schedule.held()), (vec![], 1));
+        assert_eq!(schedule.take_due_alarms(100), [2]);
+        assert_eq!(schedule.next(), Nanos::MAX);
     }
 }
