--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -1,4 +1,5 @@
-//! Plays millpost on a simulator's line protocol: standard input to standard output, one `Control` per instance.
+//! Runs millpost behind a simulator's line protocol on standard input and output, with one `Control` per
+//! instance.
 
 mod wire;
 
@@ -10,8 +11,8 @@
     std::panic::set_hook(Box::new(|_| {}));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("millpost-simhost: {why}");
+        Err(error) => {
+            eprintln!("millpost-simhost: {error}");
             ExitCode::FAILURE
         }
     }
@@ -23,7 +24,7 @@
     let mut host = wire::Host::default();
     let mut reply = String::new();
     let mut line = Vec::new();
-    let mut number = 0usize;
+    let mut line_number = 0usize;
     loop {
         line.clear();
         let read = input.read_until(b'\n', &mut line).map_err(|e| format!("standard input: {e}"))?;
@@ -31,21 +32,22 @@
             return if host.between_batches() {
                 Ok(())
             } else {
-                Err(format!("line {}: field `message`: input ends inside a batch", number + 1))
+                Err(format!("line {}: field `message`: input ended inside a batch", line_number + 1))
             };
         }
-        number += 1;
+        line_number += 1;
         while matches!(line.last(), Some(b'\n' | b'\r')) {
             line.pop();
         }
-        let at = |why: String| format!("line {number}: {why}");
-        let text = std::str::from_utf8(&line).map_err(|_| at("field `message`: not UTF-8".into()))?;
-        if host.line(text).map_err(at)? {
+        let located = |error: String| format!("line {line_number}: {error}");
+        let text = std::str::from_utf8(&line).map_err(|_| located("field `message`: not UTF-8".into()))?;
+        if host.parse_line(text).map_err(located)? {
             reply.clear();
             if let Err(panic) = catch_unwind(AssertUnwindSafe(|| host.reply(&mut reply))) {
-                let said = panic.downcast_ref::<String>().map(String::as_str);
-                let said = said.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
-                reply = format!("ON_BEHALF {}\nBROKEN {}\nREADY\n", host.acting(), said.replace('\n', " "));
+                let message = panic.downcast_ref::<String>().map(String::as_str);
+                let message = message.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
+                reply =
+                    format!("ON_BEHALF {}\nBROKEN {}\nREADY\n", host.active(), message.replace('\n', " "));
             }
             output.write_all(reply.as_bytes()).map_err(|e| format!("standard output: {e}"))?;
             output.flush().map_err(|e| format!("standard output: {e}"))?;
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -1,4 +1,4 @@
-//! The codec: lines of a batch in, lines of a reply out.
+//! Codec of the line protocol: parses the lines of a batch and writes the reply.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -11,12 +11,12 @@
 
 use millpost_settings as settings;
 
-/// The label of every timer: the module knows one kind of wake-up only.
+/// Timer label; the library has a single kind of wake-up.
 const LABEL: &str = "0";
 
-/// A line of a list as it came; endpoints get their number once an instance hears of them.
+/// A parsed list line. Endpoint numbers are assigned per instance, when the list is delivered to it.
 #[derive(Clone)]
-struct Line {
+struct ListLine {
     endpoint: String,
     entry: Entry,
 }
@@ -43,49 +43,52 @@
         self.numbers.insert(name.to_owned(), n);
         n
     }
-    fn known(&self, name: &str) -> Result<u64, String> {
-        self.numbers.get(name).copied().ok_or_else(|| format!("field `endpoint`: `{name}` was never listed"))
+    fn endpoint_number(&self, name: &str) -> Result<u64, String> {
+        self.numbers
+            .get(name)
+            .copied()
+            .ok_or_else(|| format!("field `endpoint`: `{name}` has not been listed"))
     }
 }
 
-/// All instances of this process and the batch being read.
+/// The instances of this process, and the batch that is being read.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
-    lists: BTreeMap<usize, Vec<Line>>,
+    lists: BTreeMap<usize, Vec<ListLine>>,
     clock: Option<Nanos>,
     last_clock: Nanos,
     who: Option<u64>,
-    acting: u64,
-    filling: Option<(usize, usize)>,
+    active: u64,
+    open_list: Option<(usize, usize)>,
     batch: Vec<(u64, Event)>,
     touched: Vec<u64>,
 }
 
-/// The parts of a line, taken one after the other.
-struct Parts<'a> {
-    parts: std::str::Split<'a, char>,
+/// The fields of a line, read in order.
+struct Fields<'a> {
+    fields: std::str::Split<'a, char>,
 }
 
-impl<'a> Parts<'a> {
-    fn text(&mut self, field: &str) -> Result<&'a str, String> {
-        match self.parts.next() {
+impl<'a> Fields<'a> {
+    fn string(&mut self, field: &str) -> Result<&'a str, String> {
+        match self.fields.next() {
             Some("") => Err(format!("field `{field}`: empty")),
-            Some(part) => Ok(part),
+            Some(text) => Ok(text),
             None => Err(format!("field `{field}`: missing")),
         }
     }
-    fn maybe<T: FromStr>(&mut self, field: &str) -> Result<Option<T>, String> {
-        let part = self.text(field)?;
-        if part == "-" {
+    fn optional<T: FromStr>(&mut self, field: &str) -> Result<Option<T>, String> {
+        let text = self.string(field)?;
+        if text == "-" {
             return Ok(None);
         }
-        part.parse().map(Some).map_err(|_| format!("field `{field}`: `{part}` is not a fitting number"))
+        text.parse().map(Some).map_err(|_| format!("field `{field}`: `{text}` is not a valid number"))
     }
     fn number<T: FromStr>(&mut self, field: &str) -> Result<T, String> {
-        self.maybe(field)?.ok_or_else(|| format!("field `{field}`: absent"))
+        self.optional(field)?.ok_or_else(|| format!("field `{field}`: a value is required"))
     }
-    fn below(&mut self, field: &str, bound: usize) -> Result<usize, String> {
+    fn index(&mut self, field: &str, bound: usize) -> Result<usize, String> {
         let n: usize = self.number(field)?;
         if n < bound { Ok(n) } else { Err(format!("field `{field}`: {n} is out of range")) }
     }
@@ -94,10 +97,10 @@
         if n >> bits == 0 { Ok(n) } else { Err(format!("field `{field}`: {n} is out of range")) }
     }
     fn flag(&mut self, field: &str) -> Result<bool, String> {
-        Ok(self.below(field, 2)? == 1)
+        Ok(self.index(field, 2)? == 1)
     }
     fn outcome(&mut self) -> Result<Outcome, String> {
-        Ok(match self.text("outcome")? {
+        Ok(match self.string("outcome")? {
             "completed" => Outcome::Served,
             "errored" => Outcome::Error,
             "saturated" => Outcome::Full(None),
@@ -110,72 +113,72 @@
         })
     }
     fn report(&mut self) -> Result<Option<Report>, String> {
-        let part = self.text("metrics")?;
+        let text = self.string("metrics")?;
         let mut report = Report { share_left: 0.0, limit: 0.0 };
-        let mut seen = false;
-        for pair in part.split(',').filter(|_| part != "-") {
-            let bad = || format!("field `metrics`: `{pair}` is no name:value pair");
-            let (name, value) = pair.split_once(':').ok_or_else(bad)?;
-            let value: f64 = value.parse().map_err(|_| bad())?;
+        let mut found = false;
+        for pair in text.split(',').filter(|_| text != "-") {
+            let error = || format!("field `metrics`: `{pair}` is not a name:value pair");
+            let (name, value) = pair.split_once(':').ok_or_else(error)?;
+            let value: f64 = value.parse().map_err(|_| error())?;
             if !value.is_finite() {
-                return Err(bad());
+                return Err(error());
             }
             match name {
                 "x0" => report.share_left = value,
                 "x1" => report.limit = value,
                 _ => continue,
             }
-            seen = true;
+            found = true;
         }
-        Ok(seen.then_some(report))
+        Ok(found.then_some(report))
     }
     fn end(mut self) -> Result<(), String> {
-        match self.parts.next() {
+        match self.fields.next() {
             None => Ok(()),
-            Some(part) => Err(format!("field `{part}`: surplus")),
+            Some(text) => Err(format!("field `{text}`: unexpected field")),
         }
     }
 }
 
 impl Host {
-    /// No batch has been begun without being ended.
+    /// Whether no batch is open.
     pub fn between_batches(&self) -> bool {
         self.clock.is_none()
     }
 
-    /// The instance that acted last.
-    pub fn acting(&self) -> u64 {
-        self.acting
+    /// The instance that handled the last event or decision, for panic reports.
+    pub fn active(&self) -> u64 {
+        self.active
     }
 
-    /// Takes one line; true if it ends a batch.
-    pub fn line(&mut self, text: &str) -> Result<bool, String> {
+    /// Parses one line. Returns whether it ends a batch.
+    pub fn parse_line(&mut self, text: &str) -> Result<bool, String> {
         let (name, rest) = text.split_once(' ').unwrap_or((text, ""));
-        let mut parts = Parts { parts: rest.split(' ') };
+        let mut fields = Fields { fields: rest.split(' ') };
         if !text.contains(' ') {
-            parts.parts.next();
+            fields.fields.next();
         }
-        if let Some((list, left)) = self.filling {
+        if let Some((list, left)) = self.open_list {
             if name != "M" {
-                return Err(format!("field `membersList`: {left} entries short, `{name}` found"));
+                return Err(format!("field `membersList`: expected {left} more entries, found `{name}`"));
             }
-            let line = entry(parts)?;
+            let line = parse_entry(fields)?;
             self.lists.entry(list).or_default().push(line);
-            self.filling = (left > 1).then_some((list, left - 1));
+            self.open_list = (left > 1).then_some((list, left - 1));
             return Ok(false);
         }
         if name == "TICK" {
             if self.clock.is_some() {
                 return Err("field `message`: TICK inside a batch".into());
             }
-            let clock = parts.number("timeNs")?;
+            let clock = fields.number("timeNs")?;
             if clock < self.last_clock {
                 return Err(format!("field `timeNs`: {clock} is before {}", self.last_clock));
             }
             self.last_clock = clock;
             self.clock = Some(clock);
             self.who = None;
-            parts.end()?;
+            fields.end()?;
             return Ok(false);
         }
         if self.clock.is_none() {
@@ -183,33 +186,33 @@
         }
         match name {
             "EOF_BATCH" => {
-                parts.end()?;
+                fields.end()?;
                 return Ok(true);
             }
             "INSTANCE" => {
-                self.who = Some(parts.number("who")?);
-                parts.end()?;
+                self.who = Some(fields.number("who")?);
+                fields.end()?;
             }
             "LIST" => {
-                let list = parts.below("buffer", 16)?;
-                let count: usize = parts.number("membersList")?;
-                parts.end()?;
+                let list = fields.index("buffer", 16)?;
+                let count: usize = fields.number("membersList")?;
+                fields.end()?;
                 self.lists.insert(list, Vec::new());
-                self.filling = (count > 0).then_some((list, count));
+                self.open_list = (count > 0).then_some((list, count));
             }
             _ => {
-                let who = self.who.ok_or_else(|| format!("field `who`: `{name}` for no instance"))?;
-                self.event(who, name, rest, parts)?;
+                let who = self.who.ok_or_else(|| format!("field `who`: `{name}` before INSTANCE"))?;
+                self.parse_event(who, name, rest, fields)?;
             }
         }
         Ok(false)
     }
 
-    fn event(&mut self, who: u64, name: &str, rest: &str, mut parts: Parts) -> Result<(), String> {
-        let unknown = || format!("field `who`: instance {who} was not started");
+    fn parse_event(&mut self, who: u64, name: &str, rest: &str, mut fields: Fields) -> Result<(), String> {
+        let unknown_instance = || format!("field `who`: instance {who} was not started");
         let event = match name {
             "NEW_INSTANCE" => {
-                let entropy: u64 = parts.number("entropy")?;
+                let entropy: u64 = fields.number("entropy")?;
                 let conf = rest.split_once(' ').ok_or("field `conf`: missing")?.1;
                 let (settings, shape) = settings::read(conf)?;
                 let instance = Instance {
@@ -224,145 +227,146 @@
                 };
                 self.batch.retain(|(other, _)| *other != who);
                 self.instances.insert(who, instance);
-                self.touch(who);
+                self.mark_touched(who);
                 return Ok(());
             }
             "DOWN" => {
-                parts.end()?;
-                self.instances.remove(&who).ok_or_else(unknown)?;
+                fields.end()?;
+                self.instances.remove(&who).ok_or_else(unknown_instance)?;
                 self.batch.retain(|(other, _)| *other != who);
                 self.touched.retain(|other| *other != who);
                 return Ok(());
             }
             _ => {
-                let instance = self.instances.get_mut(&who).ok_or_else(unknown)?;
-                decode(instance, &self.lists, name, parts)?
+                let instance = self.instances.get_mut(&who).ok_or_else(unknown_instance)?;
+                parse_instance_event(instance, &self.lists, name, fields)?
             }
         };
         self.batch.push((who, event));
-        self.touch(who);
+        self.mark_touched(who);
         Ok(())
     }
 
-    fn touch(&mut self, who: u64) {
+    fn mark_touched(&mut self, who: u64) {
         if !self.touched.contains(&who) {
             self.touched.push(who);
         }
     }
 
-    /// Hands the batch to the instances and writes what they do.
+    /// Delivers the batch to the instances and writes their actions to `out`.
     pub fn reply(&mut self, out: &mut String) {
         let now = self.clock.take().unwrap_or(self.last_clock);
         for (who, event) in std::mem::take(&mut self.batch) {
-            self.acting = who;
+            self.active = who;
             if let Some(instance) = self.instances.get_mut(&who) {
                 instance.control.on_event(now, event);
             }
         }
         let mut actions = Vec::new();
         for who in std::mem::take(&mut self.touched) {
-            self.acting = who;
+            self.active = who;
             let Some(instance) = self.instances.get_mut(&who) else { continue };
             instance.control.decide(now, &mut actions);
             if !actions.is_empty() {
                 let _ = writeln!(out, "ON_BEHALF {who}");
             }
             for action in actions.drain(..) {
-                encode(&instance.names, action, out);
+                write_action(&instance.names, action, out);
             }
         }
         out.push_str("READY\n");
     }
 }
 
-fn entry(mut parts: Parts) -> Result<Line, String> {
-    let endpoint = parts.text("endpoint")?.to_owned();
-    let zone = parts.number("site")?;
-    let kind = parts.number("sku")?;
-    let dest = parts.number("cell")?;
-    let state = match parts.text("availability")? {
+fn parse_entry(mut fields: Fields) -> Result<ListLine, String> {
+    let endpoint = fields.string("endpoint")?.to_owned();
+    let zone = fields.number("site")?;
+    let kind = fields.number("sku")?;
+    let dest = fields.number("cell")?;
+    let state = match fields.string("availability")? {
         "on" => State::Ready,
         "fading" => State::Draining,
         "off" => State::Gone,
         other => return Err(format!("field `availability`: `{other}` is unknown")),
     };
-    let weight: f64 = parts.maybe("capacityHint")?.unwrap_or(0.0);
+    let weight: f64 = fields.optional("capacityHint")?.unwrap_or(0.0);
     if !weight.is_finite() {
-        return Err("field `capacityHint`: not a finite number".into());
+        return Err("field `capacityHint`: must be finite".into());
     }
-    parts.maybe::<u64>("startTimeNs")?;
-    parts.end()?;
-    Ok(Line { endpoint, entry: Entry { endpoint: 0, zone, kind, dest, state, weight } })
+    fields.optional::<u64>("startTimeNs")?;
+    fields.end()?;
+    Ok(ListLine { endpoint, entry: Entry { endpoint: 0, zone, kind, dest, state, weight } })
 }
 
-fn decode(
+fn parse_instance_event(
     instance: &mut Instance,
-    lists: &BTreeMap<usize, Vec<Line>>,
+    lists: &BTreeMap<usize, Vec<ListLine>>,
     name: &str,
-    mut parts: Parts,
+    mut fields: Fields,
 ) -> Result<Event, String> {
     let event = match name {
         "WORK_ITEM" => {
-            let id = parts.id("id", 52)?;
-            let class = parts.below("tierClass", instance.classes)?;
-            let customer = match parts.maybe::<usize>("customer")? {
+            let id = fields.id("id", 52)?;
+            let class = fields.index("tierClass", instance.classes)?;
+            let customer = match fields.optional::<usize>("customer")? {
                 Some(n) if n >= instance.tenants.max(1) => {
                     return Err(format!("field `customer`: {n} is out of range"));
                 }
                 n => n.filter(|_| instance.tenants > 0),
             };
-            let key = parts.maybe::<u64>("subject")?;
+            let key = fields.optional::<u64>("subject")?;
             if key.is_some_and(|k| k >> 53 != 0) {
                 return Err("field `subject`: out of range".into());
             }
-            let time_left = parts.number("graceNs")?;
-            parts.maybe::<u64>("weightHintNs")?;
-            let dest = parts.number("farEnd")?;
-            parts.number::<u32>("attrs")?;
+            let time_left = fields.number("graceNs")?;
+            fields.optional::<u64>("weightHintNs")?;
+            let dest = fields.number("farEnd")?;
+            fields.number::<u32>("attrs")?;
             Event::Message { id, class, tenant: customer, key, dest, time_left }
         }
         "OUTCOME" => {
-            let id = parts.id("id", 52)?;
-            let attempt = parts.number("sendNo")?;
-            let endpoint = instance.known(parts.text("endpoint")?)?;
-            let outcome = parts.outcome()?;
-            let took = parts.number("tookNs")?;
-            let closed = parts.flag("settled")?;
-            let detail = parts.maybe::<u64>("detail")?.filter(|&ms| ms > 0);
+            let id = fields.id("id", 52)?;
+            let attempt = fields.number("sendNo")?;
+            let endpoint = instance.endpoint_number(fields.string("endpoint")?)?;
+            let outcome = fields.outcome()?;
+            let took = fields.number("tookNs")?;
+            let closed = fields.flag("settled")?;
+            let detail = fields.optional::<u64>("detail")?.filter(|&ms| ms > 0);
             let wait = |ms: u64| ms.saturating_mul(1_000_000);
             let outcome =
                 if let Outcome::Full(_) = outcome { Outcome::Full(detail.map(wait)) } else { outcome };
-            Event::Outcome { id, attempt, endpoint, outcome, took, closed, report: parts.report()? }
+            Event::Outcome { id, attempt, endpoint, outcome, took, closed, report: fields.report()? }
         }
         "FLOWING" => {
-            let id = parts.id("id", 52)?;
-            let attempt = parts.number("sendNo")?;
-            instance.known(parts.text("endpoint")?)?;
-            Event::Started { id, attempt, took: parts.number("tookNs")? }
+            let id = fields.id("id", 52)?;
+            let attempt = fields.number("sendNo")?;
+            instance.endpoint_number(fields.string("endpoint")?)?;
+            Event::Started { id, attempt, took: fields.number("tookNs")? }
         }
-        "TIMED_OUT_CLIENT" => Event::Withdrawn { id: parts.id("id", 52)? },
+        "TIMED_OUT_CLIENT" => Event::Withdrawn { id: fields.id("id", 52)? },
         "PROBE_DONE" => {
-            let endpoint = instance.known(parts.text("endpoint")?)?;
-            let outcome = parts.outcome()?;
-            let took = parts.number("tookNs")?;
-            Event::ProbeEnded { endpoint, outcome, took, report: parts.report()? }
+            let endpoint = instance.endpoint_number(fields.string("endpoint")?)?;
+            let outcome = fields.outcome()?;
+            let took = fields.number("tookNs")?;
+            Event::ProbeEnded { endpoint, outcome, took, report: fields.report()? }
         }
         "UPDATE" => {
-            let kind = parts.text("kind")?;
+            let kind = fields.string("kind")?;
             let whole = match kind {
                 "incr" => false,
                 "total" | "warm_copy" => true,
                 "lost" => {
-                    parts.maybe::<u64>("epoch")?;
-                    parts.maybe::<usize>("buffer")?;
-                    parts.end()?;
+                    fields.optional::<u64>("epoch")?;
+                    fields.optional::<usize>("buffer")?;
+                    fields.end()?;
                     return Ok(Event::ListFailed);
                 }
                 other => return Err(format!("field `kind`: `{other}` is unknown")),
             };
-            parts.maybe::<u64>("epoch")?;
-            let number = parts.below("buffer", 16)?;
-            let list = lists.get(&number).ok_or_else(|| format!("field `buffer`: no list {number}"))?;
+            fields.optional::<u64>("epoch")?;
+            let number = fields.index("buffer", 16)?;
+            let list =
+                lists.get(&number).ok_or_else(|| format!("field `buffer`: no list {number} was sent"))?;
             let mut entries = Vec::with_capacity(list.len());
             for line in list {
                 let mut entry = line.entry;
@@ -381,22 +385,22 @@
             Event::Listed { whole, entries }
         }
         "PEER" => {
-            let from = parts.number("author")?;
-            let text = parts.text("contents")?;
+            let from = fields.number("author")?;
+            let text = fields.string("contents")?;
             let bytes = if text == "-" { Ok(Vec::new()) } else { STANDARD.decode(text) };
-            Event::PeerMessage { from, bytes: bytes.map_err(|_| "field `contents`: not base64")? }
+            Event::PeerMessage { from, bytes: bytes.map_err(|_| "field `contents`: invalid base64")? }
         }
         "TIMEOUT_FIRED" => {
-            parts.number::<u64>("label")?;
+            fields.number::<u64>("label")?;
             Event::Wake
         }
         other => return Err(format!("field `message`: `{other}` is unknown")),
     };
-    parts.end()?;
+    fields.end()?;
     Ok(event)
 }
 
-fn encode(names: &[String], action: Action, out: &mut String) {
+fn write_action(names: &[String], action: Action, out: &mut String) {
     let name = |endpoint: u64| names[endpoint as usize].as_str();
     let _ = match action {
         Action::Send { id, endpoint, timeout } => writeln!(out, "RELAY {id} {timeout} {}", name(endpoint)),
