--- a/core/src/call.rs
+++ b/core/src/call.rs
@@ -1,7 +1,8 @@
-//! The life of a call: connected, noted, written, ended; and of the attempts in it.
+//! The lifecycle of a call and of its attempts: connect, record, write, end.
 //!
-//! A call has one connection at a time and is written once. Each attempt in it has exactly one outcome, whether the
-//! call was written or not, and the module hears it. What is too much for one call follows in others, one at a time.
+//! A call has one connection at a time and is written once. Each of its attempts has exactly one outcome,
+//! which is reported to `Control`, whether the call was written or not. Messages that do not fit into one
+//! call follow in others, one call at a time.
 
 use std::collections::VecDeque;
 
@@ -9,15 +10,15 @@
 use millpost_store::ledger::Final;
 use serde::{Deserialize, Serialize};
 
-use crate::durability::Act;
+use crate::durability::DeferredAction;
 use crate::{CallId, CallMessage, Change, Core, Deferred, Effect, Fault, Moment};
 
-/// How the call of one message ended.
+/// How a call ended for one message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MessageEnd {
-    /// How.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// The message is over: delivered, or the endpoint says so.
+    /// The message is complete: it was delivered, or the endpoint says that it is.
     pub over: bool,
 }
 
@@ -27,25 +28,25 @@
     }
 }
 
-/// How a call ended for the messages in it.
+/// How a call ended for its messages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageEnds {
-    /// All fared alike.
+    /// The same for all.
     All(MessageEnd),
-    /// One end for each, in their order.
+    /// One for each message, in order.
     Each(Vec<MessageEnd>),
 }
 
 impl MessageEnds {
-    /// The end of the message at this place in the call.
-    pub fn of(&self, place: usize) -> MessageEnd {
+    /// The end of the message at this index in the call.
+    pub fn of(&self, index: usize) -> MessageEnd {
         match self {
             MessageEnds::All(end) => *end,
-            // An answer gives each an end; one that it did not would have proven nothing.
-            MessageEnds::Each(ends) => ends.get(place).copied().unwrap_or(Outcome::Reset.into()),
+            // An answer has an end for each message; a missing one would prove nothing.
+            MessageEnds::Each(ends) => ends.get(index).copied().unwrap_or(Outcome::Reset.into()),
         }
     }
-    /// Whether it ended so for all.
+    /// Whether the call ended with this outcome for all messages alike.
     pub fn is(&self, outcome: Outcome) -> bool {
         matches!(self, MessageEnds::All(end) if end.outcome == outcome)
     }
@@ -54,77 +55,77 @@
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallEnd {
-    /// For the messages in it.
+    /// For its messages.
     pub ends: MessageEnds,
-    /// A wait that an answer told though it turned away no message.
+    /// A wait requested by an answer that refused no message.
     pub wait: Option<Nanos>,
-    /// A load report, if one came.
+    /// A load report, if there was one.
     pub report: Option<Report>,
 }
 
 impl CallEnd {
-    /// An end without an answer.
+    /// The end of a call without an answer.
     pub fn without_answer(outcome: Outcome) -> Self {
         CallEnd { ends: MessageEnds::All(outcome.into()), wait: None, report: None }
     }
 }
 
-/// The attempt of a message in a call.
+/// The attempt of one message in a call.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(crate) struct Member {
+pub(crate) struct CallAttempt {
     id: MsgId,
     attempt: u32,
 }
 
-/// A call that the module has asked for and that has no outcome yet.
+/// A call that `Control` requested and that has no outcome yet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Call {
-    /// The messages in it: one, or several where the kind of endpoint takes that.
-    members: Vec<Member>,
-    /// What it has no room for goes in calls that follow it, one at a time: they share its slot.
-    rest: VecDeque<Vec<Member>>,
+    /// Its attempts: several only where the kind of endpoint allows bundles.
+    attempts: Vec<CallAttempt>,
+    /// Attempts that did not fit: sent in follow-up calls, one at a time, which share the slot.
+    follow_ups: VecDeque<Vec<CallAttempt>>,
     endpoint: EndpointId,
     zone: usize,
     sent: Nanos,
     until: Nanos,
     /// Its attempts are in the journal.
-    pub(crate) begun: bool,
+    pub(crate) recorded: bool,
 }
 
-/// The body of a call holds no more than so many bytes, as any other.
+/// Largest body of a call, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// How much room a message may take in the body of a call with others: bytes, and never too few.
+/// Upper bound of the bytes that a message takes in a bundled body.
 pub fn bundled_size(carried: &CallMessage) -> usize {
-    // A key that is no text can't stand among others.
+    // A key that is not UTF-8 cannot be bundled.
     if carried.key.as_ref().is_some_and(|key| std::str::from_utf8(key).is_err()) {
         return MAX_BODY_BYTES;
     }
-    // An escaped character takes six bytes at most, and Base64 four for each three.
+    // An escaped character takes at most six bytes; Base64 takes four for every three.
     let text = 6 * (carried.reference.len() + carried.key.as_ref().map_or(0, |key| key.len()));
     let encoded = carried.body.len().div_ceil(3).saturating_mul(4);
     encoded.saturating_add(text).saturating_add(r#"{"id":"","key":"","body":""},"#.len())
 }
 
 impl Call {
-    /// Has a connection found for it.
+    /// The effect that connects this call.
     pub(crate) fn connect(&self, call: CallId, fresh: bool) -> Effect {
         Effect::Connect { call, endpoint: self.endpoint, sure: true, fresh, until: self.until }
     }
 }
 
 impl Core {
-    /// Begins what the module sends to one endpoint in one round.
-    pub(crate) fn begin(&mut self, at: Moment, endpoint: EndpointId, messages: &[(MsgId, Nanos)]) {
-        let (mut parts, mut left) = (VecDeque::<Vec<Member>>::new(), 0);
+    /// Starts the sends of one round to one endpoint.
+    pub(crate) fn start_calls(&mut self, at: Moment, endpoint: EndpointId, messages: &[(MsgId, Nanos)]) {
+        let (mut parts, mut left) = (VecDeque::<Vec<CallAttempt>>::new(), 0);
         for (id, _) in messages {
             let Some(held) = self.held.get_mut(id) else { continue };
-            let member = Member { id: *id, attempt: held.attempts };
+            let member = CallAttempt { id: *id, attempt: held.attempts };
             held.attempts += 1;
             let room = if messages.len() > 1 { bundled_size(&held.call_message()) } else { 0 };
             match parts.back_mut().filter(|_| room <= left) {
                 Some(part) => part.push(member),
-                // Two bytes are the brackets'.
+                // Two bytes are for the brackets.
                 None => {
                     left = MAX_BODY_BYTES - 2;
                     parts.push_back(vec![member]);
@@ -132,177 +133,190 @@
             }
             left = left.saturating_sub(room);
         }
-        // One call has one deadline: that of the message which may wait longest.
+        // A call has one time-out: the longest of its messages.
         let timeout = messages.iter().map(|(_, timeout)| *timeout).max().unwrap_or(0);
-        self.start(at, endpoint, at.now.saturating_add(timeout), parts);
+        self.start_next(at, endpoint, at.now.saturating_add(timeout), parts);
     }
 
-    /// Starts the first of these calls; the rest follows once it has ended.
-    fn start(&mut self, at: Moment, endpoint: EndpointId, until: Nanos, mut parts: VecDeque<Vec<Member>>) {
-        let Some(members) = parts.pop_front() else { return };
+    /// Starts the first of these calls; the others follow when it has ended.
+    fn start_next(
+        &mut self,
+        at: Moment,
+        endpoint: EndpointId,
+        until: Nanos,
+        mut parts: VecDeque<Vec<CallAttempt>>,
+    ) {
+        let Some(attempts) = parts.pop_front() else { return };
         let call = self.next_call;
         self.next_call += 1;
         let zone = self.endpoints.get(&endpoint).map(|entry| entry.zone);
-        let sure = members.iter().any(|m| self.held.get(&m.id).is_some_and(|held| held.once));
-        let out = Call {
-            members,
-            rest: parts,
+        let sure = attempts.iter().any(|m| self.held.get(&m.id).is_some_and(|held| held.unrepeatable));
+        let state = Call {
+            attempts,
+            follow_ups: parts,
             endpoint,
             zone: zone.unwrap_or(0),
             sent: at.now,
             until,
-            begun: false,
+            recorded: false,
         };
-        self.calls.insert(call, out);
-        // An endpoint that is gone has no address any more.
+        self.calls.insert(call, state);
+        // An endpoint that is gone has no address.
         if until <= at.now || zone.is_none() {
-            return self.settle(at, call, Outcome::NotSent);
+            return self.end_unwritten(at, call, Outcome::NotSent);
         }
         self.effects.push_back(Effect::Connect { call, endpoint, sure, fresh: false, until });
     }
 
-    /// The connection for a call is there.
+    /// A call's connection is established.
     pub fn connected(&mut self, at: Moment, call: CallId) {
-        let Some(out) = self.calls.get(&call) else { return };
-        if out.begun {
-            // Noted when an earlier connection was there, which was of no use.
+        let Some(state) = self.calls.get(&call) else { return };
+        if state.recorded {
+            // Recorded when an earlier connection was established, which then failed.
             return self.write(at, call);
         }
-        if !self.sift(at, call) {
+        if !self.drop_unsendable(at, call) {
             return self.release(at, call);
         }
         if self.has(Fault::WriteBeforeNoting) {
             self.write(at, call);
         }
-        let Some(out) = self.calls.get_mut(&call) else { return };
-        out.begun = true;
-        // On disk before the first byte: an attempt that the journal does not know of could go twice.
-        for Member { id, .. } in &out.members {
-            let change = Change::Begin { id: *id, at: at.wall, zone: out.zone as u32 };
+        let Some(state) = self.calls.get_mut(&call) else { return };
+        state.recorded = true;
+        // Recorded on disk before the first byte is sent: an attempt missing from the journal could be sent
+        // twice.
+        for CallAttempt { id, .. } in &state.attempts {
+            let change = Change::Begin { id: *id, at: at.wall, zone: state.zone as u32 };
             self.effects.push_back(Effect::Append(change, None));
         }
         if !self.has(Fault::WriteBeforeNoting) {
-            self.effects.push_back(Effect::AfterWrites(Deferred(Act::Write { call })));
+            self.effects.push_back(Effect::AfterWrites(Deferred(DeferredAction::Write { call })));
         }
     }
 
-    /// No connection came up for a call: nothing of it was sent.
+    /// No connection was established for a call: nothing of it was sent.
     pub fn unreachable(&mut self, at: Moment, call: CallId) {
-        self.settle(at, call, Outcome::ConnectFailed);
+        self.end_unwritten(at, call, Outcome::ConnectFailed);
     }
 
-    /// The connection of a call was gone before its last byte was written. A kept one had been given up, and a new
-    /// one is opened; a new one of no use is a failure, or an endpoint that closes each at once would be connected
-    /// to without end.
+    /// A call's connection closed before the last byte was written. If the connection was a kept one, a fresh
+    /// one is opened. A fresh one that fails is a failure: otherwise an endpoint that closes every connection
+    /// would be reconnected to forever.
     pub fn connection_lost(&mut self, at: Moment, call: CallId, fresh: bool) {
-        let Some(out) = self.calls.get(&call) else { return };
+        let Some(state) = self.calls.get(&call) else { return };
         if fresh {
-            return self.settle(at, call, Outcome::ConnectFailed);
+            return self.end_unwritten(at, call, Outcome::ConnectFailed);
         }
-        let (endpoint, until) = (out.endpoint, out.until);
+        let (endpoint, until) = (state.endpoint, state.until);
         self.effects.push_back(Effect::Connect { call, endpoint, sure: true, fresh: true, until });
     }
 
-    /// The attempt of a message could not be noted: it leaves its call.
-    pub(crate) fn unnoted(&mut self, at: Moment, id: MsgId) {
-        let holds = |(_, out): &(&CallId, &mut Call)| out.members.iter().any(|member| member.id == id);
-        let Some((call, out)) = self.calls.iter_mut().find(holds) else { return };
-        let Some(place) = out.members.iter().position(|member| member.id == id) else { return };
-        let (member, sender) = (out.members.remove(place), (out.endpoint, out.sent));
-        let (call, empty) = (*call, out.members.is_empty());
-        self.message_over(at, sender, member, false, Outcome::NotSent.into(), None);
-        // Not held until what was to follow its notes finds it empty: that may take a sync.
+    /// Removes an attempt from its call because it could not be recorded.
+    pub(crate) fn attempt_not_recorded(&mut self, at: Moment, id: MsgId) {
+        let contains =
+            |(_, state): &(&CallId, &mut Call)| state.attempts.iter().any(|member| member.id == id);
+        let Some((call, state)) = self.calls.iter_mut().find(contains) else { return };
+        let Some(index) = state.attempts.iter().position(|member| member.id == id) else { return };
+        let (member, sent_to) = (state.attempts.remove(index), (state.endpoint, state.sent));
+        let (call, empty) = (*call, state.attempts.is_empty());
+        self.end_attempt(at, sent_to, member, false, Outcome::NotSent.into(), None);
+        // Released now, not when the deferred write finds the call empty: that may take a sync.
         if empty {
             self.release(at, call);
         }
     }
 
-    /// Connecting takes time, and so does a sync: by now the endpoint may drain, a wait may have been told, or
-    /// the time of a message, or of its key, may have run out. Such a message leaves the call; whether any is left.
-    fn sift(&mut self, at: Moment, call: CallId) -> bool {
+    /// Removes the messages of a call that may no longer be sent; returns whether any are left. Connecting
+    /// and syncing take time: meanwhile the endpoint may be draining, a wait may have been requested, or the
+    /// message or its key may have expired.
+    fn drop_unsendable(&mut self, at: Moment, call: CallId) -> bool {
         if self.has(Fault::NoSecondLook) {
             return self.calls.contains_key(&call);
         }
-        let Some(out) = self.calls.get_mut(&call) else { return false };
-        let (sender, begun) = ((out.endpoint, out.sent), out.begun);
-        let open =
-            out.until > at.now && self.endpoints.get(&out.endpoint).is_some_and(|e| e.state == State::Ready);
+        let Some(state) = self.calls.get_mut(&call) else { return false };
+        let (sent_to, recorded) = ((state.endpoint, state.sent), state.recorded);
+        let open = state.until > at.now
+            && self.endpoints.get(&state.endpoint).is_some_and(|e| e.state == State::Ready);
         let (held, control) = (&self.held, &self.control);
-        let sound = |m: &Member| open && held.contains_key(&m.id) && control.may_still_send(at.now, m.id);
-        let (stays, leaves) = std::mem::take(&mut out.members).into_iter().partition::<Vec<_>, _>(sound);
-        out.members = stays;
-        let left = !out.members.is_empty();
-        for member in leaves {
-            self.message_over(at, sender, member, begun, Outcome::NotSent.into(), None);
+        let sendable =
+            |m: &CallAttempt| open && held.contains_key(&m.id) && control.may_still_send(at.now, m.id);
+        let (kept, dropped) =
+            std::mem::take(&mut state.attempts).into_iter().partition::<Vec<_>, _>(sendable);
+        state.attempts = kept;
+        let left = !state.attempts.is_empty();
+        for member in dropped {
+            self.end_attempt(at, sent_to, member, recorded, Outcome::NotSent.into(), None);
         }
         left
     }
 
-    /// A call of which nothing is written.
+    /// Ends a call that was not written and releases its connection.
     fn release(&mut self, at: Moment, call: CallId) {
         self.effects.push_back(Effect::Release { call });
-        self.settle(at, call, Outcome::NotSent);
+        self.end_unwritten(at, call, Outcome::NotSent);
     }
 
-    /// Writes a call whose attempts are noted.
+    /// Writes a call whose attempts are recorded.
     pub(crate) fn write(&mut self, at: Moment, call: CallId) {
         if !self.calls.contains_key(&call) {
             return;
         }
-        if !self.sift(at, call) {
+        if !self.drop_unsendable(at, call) {
             return self.release(at, call);
         }
-        let Some(out) = self.calls.get(&call) else { return };
-        let held = || out.members.iter().filter_map(|m| self.held.get(&m.id));
+        let Some(state) = self.calls.get(&call) else { return };
+        let held = || state.attempts.iter().filter_map(|m| self.held.get(&m.id));
         let (sure, messages) =
-            (held().any(|held| held.once), held().map(|held| held.call_message()).collect());
-        let (endpoint, until) = (out.endpoint, out.until);
+            (held().any(|held| held.unrepeatable), held().map(|held| held.call_message()).collect());
+        let (endpoint, until) = (state.endpoint, state.until);
         self.effects.push_back(Effect::Write { call, endpoint, sure, until, messages });
     }
 
-    /// A call is over, and its connection closed or at rest.
+    /// A call has ended, and its connection is closed or idle.
     pub fn ended(&mut self, at: Moment, call: CallId, ended: CallEnd) {
         let CallEnd { ends, wait, report } = ended;
-        let Some(Call { members, rest, endpoint, sent, until, begun, .. }) = self.calls.remove(&call) else {
+        let Some(Call { attempts, follow_ups, endpoint, sent, until, recorded, .. }) =
+            self.calls.remove(&call)
+        else {
             return;
         };
         if let Some(wait) = wait {
             self.control.on_event(at.now, Event::WaitRequested { endpoint, wait });
         }
-        if self.watched {
+        if self.reports_call_ends {
             let outcome = ends.of(0).outcome;
             let full = if let Outcome::Full(wait) = outcome { wait } else { None };
             self.effects.push_back(Effect::CallEnded { endpoint, outcome, wait: wait.max(full) });
         }
-        for (place, member) in members.into_iter().enumerate() {
-            // One report came, whatever the number of messages.
-            let report = report.filter(|_| place == 0);
-            self.message_over(at, (endpoint, sent), member, begun, ends.of(place), report);
+        for (index, member) in attempts.into_iter().enumerate() {
+            // There is one report, whatever the number of messages.
+            let report = report.filter(|_| index == 0);
+            self.end_attempt(at, (endpoint, sent), member, recorded, ends.of(index), report);
         }
-        // A wait or a failure outlasts a crash from here on, and not only from the next round.
+        // Stored now rather than in the next round, so that a wait or a failure is not lost in a crash.
         if !self.has(Fault::LearnLate) {
-            self.learn_grave(at);
+            self.save_urgent(at);
         }
-        self.start(at, endpoint, until, rest);
+        self.start_next(at, endpoint, until, follow_ups);
     }
 
-    /// The outcome of a call of which nothing was written.
-    fn settle(&mut self, at: Moment, call: CallId, outcome: Outcome) {
+    /// Ends a call that was not written.
+    fn end_unwritten(&mut self, at: Moment, call: CallId, outcome: Outcome) {
         self.ended(at, call, CallEnd::without_answer(outcome));
         if self.has(Fault::LoseWake) {
             self.wakes = [at.now].into();
         } else {
-            self.soon = true;
+            self.round_due = true;
         }
     }
 
-    /// The attempt of one message is over.
-    fn message_over(
+    /// Ends the attempt of one message.
+    fn end_attempt(
         &mut self,
         at: Moment,
         (endpoint, sent): (EndpointId, Nanos),
-        Member { id, attempt }: Member,
-        begun: bool,
+        CallAttempt { id, attempt }: CallAttempt,
+        recorded: bool,
         MessageEnd { mut outcome, over }: MessageEnd,
         report: Option<Report>,
     ) {
@@ -314,9 +328,9 @@
         }
         let answered = self.held.get(&id).is_none_or(|held| held.answer.is_some());
         if over {
-            // An endpoint may also say that a message is over of which it has had nothing.
-            self.over(at, id, (outcome == Outcome::Served).then_some(Final::Delivered));
-        } else if begun && self.held.contains_key(&id) {
+            // An endpoint may also report a message as complete that it did not receive.
+            self.close(at, id, (outcome == Outcome::Served).then_some(Final::Delivered));
+        } else if recorded && self.held.contains_key(&id) {
             let never_ran = outcome.never_ran() || self.has(Fault::NoteNeverRan);
             let change = Change::Outcome { id, never_ran };
             self.effects.push_back(Effect::Append(change, None));
@@ -326,10 +340,11 @@
         self.control.on_event(at.now, event);
     }
 
-    /// Calls off the call of an attempt. One that carries others too is not called off for one of them.
-    pub(crate) fn call_off(&mut self, id: MsgId, attempt: u32) {
-        let alone = |out: &Call| matches!(out.members[..], [m] if (m.id, m.attempt) == (id, attempt));
-        if let Some((call, _)) = self.calls.iter().find(|(_, out)| alone(out)) {
+    /// Cancels the call of an attempt, unless the call carries other messages too.
+    pub(crate) fn cancel(&mut self, id: MsgId, attempt: u32) {
+        let only_attempt =
+            |state: &Call| matches!(state.attempts[..], [m] if (m.id, m.attempt) == (id, attempt));
+        if let Some((call, _)) = self.calls.iter().find(|(_, state)| only_attempt(state)) {
             self.effects.push_back(Effect::CancelCall { call: *call });
         }
     }
--- a/core/src/counts.rs
+++ b/core/src/counts.rs
@@ -1,15 +1,15 @@
-//! How many messages of each class came to which end, counted where the end becomes fact. Nothing hangs on these counts.
+//! Outcome counts of messages by class. Statistics only: no behavior depends on them.
 
 use std::collections::BTreeMap;
 
-/// Ends of the messages of one class.
+/// Counts of the messages of one class by their final outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounts {
     /// Delivered.
     pub delivered: u64,
-    /// Refused at the door, or handed back: trying again is harmless.
+    /// Refused on submission or later; resubmitting is harmless.
     pub refused: u64,
-    /// Given up, nothing promised.
+    /// Failed; may or may not have been delivered.
     pub failed: u64,
 }
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// The counts of all classes, by their positions.
+/// The counts of all classes, by class index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts(BTreeMap<usize, ClassCounts>);
 
@@ -30,7 +30,7 @@
         self.0.entry(class).or_default()
     }
 
-    /// What was counted of a class.
+    /// The counts of a class.
     pub fn count(&self, class: usize) -> ClassCounts {
         self.0.get(&class).copied().unwrap_or_default()
     }
--- a/core/src/durability.rs
+++ b/core/src/durability.rs
@@ -1,6 +1,6 @@
-//! What waits for a write to last. The order *durable, then outward* is kept by the types here: what follows a write
-//! is handed out as a [`Deferred`] that nobody can look into, only a [`DurabilityQueue`] makes a [`Durable`] of it, and only once
-//! the journal says that the write lasts; and [`crate::Core::run_deferred`] takes nothing but a `Durable`.
+//! Actions that wait until a write is durable. The types enforce the order: an action that depends on a write
+//! is handed out as an opaque [`Deferred`]; only a [`DurabilityQueue`] turns it into a [`Durable`], once the
+//! journal reports the write as durable; and [`crate::Core::run_deferred`] accepts nothing but a `Durable`.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,114 +11,119 @@
 
 use crate::{CallId, ReplyId};
 
-/// A change of what must last. Times are the wall clock's.
+/// A change to the persistent state. Times are wall-clock times.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A message is taken on.
+    /// A message is accepted.
     Take {
-        /// Its number.
+        /// Its id.
         id: MsgId,
         /// The message.
         taken: Taken,
     },
-    /// An attempt is about to begin.
+    /// An attempt is about to start.
     Begin {
         /// The message.
         id: MsgId,
-        /// When.
+        /// The start time.
         at: Nanos,
-        /// The zone that it goes to.
+        /// The zone of its endpoint.
         zone: u32,
     },
-    /// The attempt that was out is over, without delivery.
+    /// The attempt in flight has ended without delivery.
     Outcome {
         /// The message.
         id: MsgId,
-        /// It had no effect.
+        /// The attempt had no effect.
         never_ran: bool,
     },
-    /// The final answer is decided, and its notice owed.
+    /// The final answer has been decided; the platform is still to be notified.
     Answer {
         /// The message.
         id: MsgId,
-        /// What it says.
+        /// The answer.
         answer: Answer,
     },
-    /// Nothing more is owed.
+    /// The message is complete.
     End {
         /// The message.
         id: MsgId,
-        /// How it ended, under which reference, and until when that is kept.
+        /// The reference of the message, its outcome, and until when to keep both; `None` voids the
+        /// reference.
         end: Option<(String, Final, Nanos)>,
     },
 }
 
-/// What may be done only once what was written before it lasts.
+/// An action that must not run before all earlier writes are durable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub(crate) enum Act {
-    /// Tell a client that its message is taken on, and the module of it.
+pub(crate) enum DeferredAction {
+    /// Tell a client that its message is accepted, then pass the message to `Control`.
     Accept { id: MsgId, class: usize, dest: DestId, order: Option<u64>, reply: ReplyId },
-    /// Tell a client that its message had been taken on before.
+    /// Tell a client that its message had been accepted before.
     Confirm { dest: DestId, reply: ReplyId },
-    /// Write a call whose attempts are noted.
+    /// Write a call whose attempts are recorded.
     Write { call: CallId },
-    /// Tell the platform of an end.
-    Tell { id: MsgId, answer: Answer },
+    /// Notify the platform of a final answer.
+    Notify { id: MsgId, answer: Answer },
 }
 
-/// What stands behind a write: given to a [`DurabilityQueue`] with the number of the write, or back to
-/// [`crate::Core::write_failed`] where the write failed.
+/// An action that depends on a write. It goes to a [`DurabilityQueue`] with the sequence number of the write,
+/// or back to [`crate::Core::write_failed`] if the write failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-#[must_use = "what stands behind a write is owed"]
-pub struct Deferred(pub(crate) Act);
+#[must_use = "a deferred action must run or be reported as failed"]
+pub struct Deferred(pub(crate) DeferredAction);
 
-/// What stood behind a write that lasts.
+/// A deferred action whose write is durable.
 #[derive(Debug)]
-#[must_use = "what stood behind a write is owed"]
-pub struct Durable(pub(crate) Act);
+#[must_use = "a deferred action must run"]
+pub struct Durable(pub(crate) DeferredAction);
 
-/// What waits for a write to last, in the order of the writes.
+/// Deferred actions in the order of their writes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DurabilityQueue {
     waiting: VecDeque<(Seq, Deferred)>,
 }
 
 impl DurabilityQueue {
-    /// Keeps what stands behind the write of this number.
-    pub fn push(&mut self, seq: Seq, behind: Deferred) {
-        self.waiting.push_back((seq, behind));
+    /// Adds an action that depends on the write with this sequence number.
+    pub fn push(&mut self, seq: Seq, deferred: Deferred) {
+        self.waiting.push_back((seq, deferred));
     }
 
-    /// The next that may be done, in the order of the writes. `lasts` is the journal's word on a write.
+    /// Removes the next action whose write is durable, in the order of the writes. `lasts` tells whether a
+    /// write is durable.
     pub fn pop_durable(&mut self, lasts: impl Fn(Seq) -> bool) -> Option<Durable> {
-        let (_, Deferred(act)) = self.waiting.pop_front_if(|(seq, _)| lasts(*seq))?;
-        Some(Durable(act))
+        let (_, Deferred(action)) = self.waiting.pop_front_if(|(seq, _)| lasts(*seq))?;
+        Some(Durable(action))
     }
 
-    /// Takes out what clients wait for and does not last yet: the disk refuses, and they are told to come again.
+    /// Removes the replies to clients whose writes are not durable yet. Used when the disk fails: the clients
+    /// are then told to retry.
     pub fn take_client_replies(&mut self, lasts: impl Fn(Seq) -> bool) -> Vec<Deferred> {
         let mut taken = Vec::new();
-        for (seq, Deferred(act)) in std::mem::take(&mut self.waiting) {
-            match act {
-                Act::Accept { .. } | Act::Confirm { .. } if !lasts(seq) => taken.push(Deferred(act)),
-                act => self.waiting.push_back((seq, Deferred(act))),
+        for (seq, Deferred(action)) in std::mem::take(&mut self.waiting) {
+            match action {
+                DeferredAction::Accept { .. } | DeferredAction::Confirm { .. } if !lasts(seq) => {
+                    taken.push(Deferred(action))
+                }
+                action => self.waiting.push_back((seq, Deferred(action))),
             }
         }
         taken
     }
 
-    /// Calls get other numbers, by [`crate::Core::renumber`], and writes are counted from `base` on.
+    /// Applies new call numbers from [`crate::Core::renumber`], and counts writes from `base` on.
     pub fn renumber(&mut self, new: &BTreeMap<CallId, CallId>, base: Seq) {
-        for (seq, Deferred(act)) in &mut self.waiting {
+        for (seq, Deferred(action)) in &mut self.waiting {
             *seq = seq.saturating_sub(base);
-            if let Act::Write { call } = act {
-                // One that is over by now stays one that nobody knows.
+            if let DeferredAction::Write { call } = action {
+                // A call that has ended keeps an unknown number.
                 *call = new.get(call).copied().unwrap_or(CallId::MAX);
             }
         }
     }
 
-    /// Nothing waits.
+    /// Whether no action is waiting.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
--- a/core/src/faults.rs
+++ b/core/src/faults.rs
@@ -1,56 +1,58 @@
-//! Faults that the exploration plants, to show that it would find them. Without the feature `faults` none can be.
+//! Faults that state exploration injects to check that it would detect them. Available only with the feature
+//! `faults`.
 
-/// A mistake that the core could make.
+/// A fault that can be injected into the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
 pub enum Fault {
-    /// A client hears 202 before its message lasts.
+    /// A client is answered 202 before its message is durable.
     TellBeforeTaking,
-    /// A call is written before its attempts are noted.
+    /// A call is written before its attempts are recorded.
     WriteBeforeNoting,
-    /// After a restart an attempt that was out counts as one that never ran.
+    /// After a restart an attempt that was in flight counts as never run.
     ForgetOut,
-    /// A reset counts as a proof that the call never ran.
+    /// A connection reset counts as proof that the call never ran.
     ResetNeverRan,
-    /// The journal is told of each attempt that it never ran.
+    /// The journal records every attempt as never run.
     NoteNeverRan,
-    /// What was decided is written without a second look.
+    /// Decided sends are written without being checked again.
     NoSecondLook,
-    /// The platform is told of an end that is not written yet.
+    /// The platform is notified of an answer before it is written.
     NoticeBeforeWriting,
-    /// A message is over once its notice was sent, not once it was taken.
+    /// A message is complete once its notice is sent, not once it is acknowledged.
     EndBeforeNoticed,
-    /// An answer that could not be written is not written again.
+    /// An answer whose write failed is not written again.
     ForgetUnwritten,
-    /// A message that is handed in again is taken on again.
+    /// A resubmitted message is accepted a second time.
     TakeTwice,
-    /// An attempt of which nothing was sent has no outcome.
+    /// An attempt that was not sent has no outcome.
     LostOutcome,
-    /// Waits are forgotten at a restart.
+    /// Requested waits are lost in a restart.
     ForgetWaits,
-    /// Changes of the list are not heard.
+    /// Changes to the endpoint list are ignored.
     DrainUntold,
-    /// What may have run is refused.
+    /// A message that may have run is refused instead of failed.
     RefuseWhatRan,
-    /// The end of a delivered message is not written.
+    /// The completion of a delivered message is not written.
     EndUnwritten,
-    /// What is settled takes the place of a wake-up that was asked for. (A real fault once.)
+    /// A call that ends unwritten replaces the requested wake-ups. (Occurred in an earlier version.)
     LoseWake,
-    /// A wait that was told is kept with the next round only. (A real fault once.)
+    /// A requested wait is stored only in the next round. (Occurred in an earlier version.)
     LearnLate,
-    /// Of two wake-ups that were asked for only the earlier one is kept. (A real fault once.)
+    /// Of two requested wake-ups only the earlier is kept. (Occurred in an earlier version.)
     OneWake,
-    /// The module is not told what a message is about.
+    /// Ordering keys are not passed to `Control`.
     ForgetOrder,
-    /// A start does not let keys rest of which an attempt may still run. (A real fault once.)
+    /// After a start, keys do not rest although attempts may still be running. (Occurred in an earlier
+    /// version.)
     ForgetRests,
-    /// A process that takes the work over writes calls again that the one before has written.
+    /// A process that takes over writes calls again that the previous process has written.
     WriteTheirs,
-    /// The calls of a process that is gone count as ones that never ran.
+    /// Calls of a process that has exited count as never run.
     LostNeverRan,
 }
 
 impl Fault {
-    /// All of them.
+    /// All faults.
     pub const ALL: [Fault; 22] = [
         Fault::TellBeforeTaking,
         Fault::WriteBeforeNoting,
@@ -78,7 +80,7 @@
 }
 
 impl crate::Core {
-    /// Plants a fault, or none.
+    /// Injects a fault, or removes it.
     #[cfg(feature = "faults")]
     pub fn plant(&mut self, fault: Option<Fault>) {
         self.planted = fault;
@@ -91,7 +93,7 @@
 
     #[cfg(not(feature = "faults"))]
     #[inline(always)]
-    #[expect(clippy::unused_self, reason = "it is used where faults can be planted")]
+    #[expect(clippy::unused_self, reason = "used with the feature `faults`")]
     pub(crate) fn has(&self, _: Fault) -> bool {
         false
     }
--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -1,92 +1,92 @@
-//! The life of a message: handed in, taken on, answered, told of, over.
+//! The lifecycle of a message: submitted, accepted, answered, notified, complete.
 //!
-//! A message is held from before its client hears that it is taken on until nothing more is owed for it. Its final
-//! answer is written before anybody is told of it, and given once.
+//! A message is held from before its client is told of its acceptance until it is complete. Its final answer
+//! is written before anyone is told of it, and is given once.
 
 use bytes::Bytes;
 use millpost::api::{DestId, Effect as Repeats, Event, MsgId, Nanos};
 use millpost_store::ledger::{Answer, Final, Found, History, Taken};
 use serde::{Deserialize, Serialize};
 
-use crate::durability::Act;
-use crate::{CallMessage, Change, Core, Deferred, Effect, Fault, KEEP_ANSWER, Moment, ReplyId};
+use crate::durability::DeferredAction;
+use crate::{ANSWER_RETENTION, CallMessage, Change, Core, Deferred, Effect, Fault, Moment, ReplyId};
 
-/// What a client hands in.
+/// A message as submitted by a client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submission {
-    /// Its id at its client.
+    /// The client's id of the message.
     pub reference: String,
-    /// Position of its class.
+    /// Index of its class.
     pub class: usize,
     /// Its destination.
     pub dest: DestId,
-    /// Time until it is given up.
+    /// Time until its deadline.
     pub time_left: Nanos,
     /// Its idempotency key.
     pub key: Option<Bytes>,
-    /// What it is about: in a class that keeps an order, messages about the same go one at a time.
+    /// Its ordering key: in a class that keeps an order, messages with the same key are sent one at a time.
     pub order: Option<u64>,
-    /// What is to be delivered.
+    /// The payload.
     pub body: Bytes,
 }
 
-/// What a client is told.
+/// The reply to a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubmitReply {
-    /// Taken on.
+    /// Accepted.
     Accepted,
-    /// Refused: handing it in again is harmless.
+    /// Refused: resubmitting is harmless.
     Refused {
-        /// How long to stay away, nanoseconds; 0 for no hint.
+        /// How long to wait, in nanoseconds; 0 for no hint.
         wait: Nanos,
     },
-    /// Its destination does not exist.
+    /// The destination does not exist.
     UnknownDestination,
-    /// It was here before, and was given up then: nothing is promised.
+    /// Submitted before and failed: it may or may not have been delivered.
     Failed,
 }
 
-/// A message that is owed its end.
+/// A message that is not complete.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Held {
+pub(crate) struct HeldMessage {
     pub reference: String,
     pub class: usize,
     pub key: Option<Bytes>,
-    /// Not written with the rest: the store has it.
+    /// Not serialized: the store has it.
     #[serde(skip)]
     pub body: Bytes,
     pub attempts: u32,
-    /// When its time is up, by the wall clock.
+    /// Its deadline, in wall-clock time.
     pub deadline: Nanos,
-    /// An attempt that may have run is its last.
-    pub once: bool,
-    /// The final answer, once it has been given: its notice is owed.
+    /// It must not be repeated: an attempt that may have run is its last.
+    pub unrepeatable: bool,
+    /// The final answer, once decided; its notice has not been acknowledged.
     pub answer: Option<Answer>,
-    /// Its class, destination and order key, while its client is being told that it is taken on.
-    pub told_of: Option<(usize, DestId, Option<u64>)>,
+    /// Its class, destination and ordering key while the reply that accepts it is being sent.
+    pub pending_accept: Option<(usize, DestId, Option<u64>)>,
 }
 
-impl Held {
+impl HeldMessage {
     pub fn call_message(&self) -> CallMessage {
         CallMessage { reference: self.reference.clone(), key: self.key.clone(), body: self.body.clone() }
     }
 }
 
 impl Core {
-    /// The message of this reference is held: handed in once more it has no end yet that one could look up.
+    /// Whether a message with this reference is held. Then it is not complete, and has no stored outcome.
     pub fn holds(&self, reference: &str) -> bool {
         self.by_reference.contains_key(reference)
     }
 
-    /// A client hands a message in. `ended` is how a message of this reference ended before, where that is still
-    /// kept; it is not looked at while the message is held.
-    pub fn submit(&mut self, at: Moment, handed: Submission, ended: Option<Final>, reply: ReplyId) {
-        // Handed in once more, since a connection closed under it: it is taken on already.
-        if self.holds(&handed.reference) && !self.has(Fault::TakeTwice) {
-            let behind = Deferred(Act::Confirm { dest: handed.dest, reply });
-            return self.effects.push_back(Effect::AfterWrites(behind));
+    /// Submits a message. `ended` is the stored outcome of an earlier message with this reference, if there
+    /// is one; it is ignored while the message is held.
+    pub fn submit(&mut self, at: Moment, submission: Submission, ended: Option<Final>, reply: ReplyId) {
+        // Resubmitted, since the client's connection broke: it is already accepted.
+        if self.holds(&submission.reference) && !self.has(Fault::TakeTwice) {
+            let deferred = Deferred(DeferredAction::Confirm { dest: submission.dest, reply });
+            return self.effects.push_back(Effect::AfterWrites(deferred));
         }
-        // It comes again after its end: it gets the same answer, and nothing is sent again.
+        // Resubmitted after its completion: it gets the same answer, and nothing is sent again.
         if let Some(end) = ended {
             let verdict = match end {
                 Final::Delivered => SubmitReply::Accepted,
@@ -97,49 +97,49 @@
             };
             return self.reply(reply, verdict);
         }
-        if !self.control.knows_destination(handed.dest) {
-            self.counts.of(handed.class).failed += 1;
+        if !self.control.knows_destination(submission.dest) {
+            self.counts.of(submission.class).failed += 1;
             return self.reply(reply, SubmitReply::UnknownDestination);
         }
-        // No more are held than the settings allow; notices that are owed take room too.
+        // Limits the open messages and, since pending notices take memory too, all that are held.
         if self.closed || self.open >= self.settings.hold || self.held.len() >= 4 * self.settings.hold {
-            self.counts.of(handed.class).refused += 1;
-            return self.refuse(at, handed.dest, reply);
+            self.counts.of(submission.class).refused += 1;
+            return self.refuse(at, submission.dest, reply);
         }
-        let Submission { reference, class, dest, time_left, key, order, body } = handed;
+        let Submission { reference, class, dest, time_left, key, order, body } = submission;
         let deadline = at.to_wall(at.now.saturating_add(time_left));
         let id = self.next_message;
         self.next_message += 1;
         self.by_reference.insert(reference.clone(), id);
         self.open += 1;
-        let held = Held {
+        let held = HeldMessage {
             reference: reference.clone(),
             class,
             key: key.clone(),
             body: body.clone(),
             attempts: 0,
             deadline,
-            once: self.once(class),
+            unrepeatable: self.is_unrepeatable(class),
             answer: None,
-            told_of: None,
+            pending_accept: None,
         };
         self.held.insert(id, held);
         if self.has(Fault::TellBeforeTaking) {
-            self.accept(id, class, dest, order, reply);
+            self.confirm_accepted(id, class, dest, order, reply);
         }
         let taken = Taken { reference, class: class as u32, dest, deadline, key, order, body };
-        let behind = Deferred(Act::Accept { id, class, dest, order, reply });
-        self.effects.push_back(Effect::Append(Change::Take { id, taken }, Some(behind)));
+        let deferred = Deferred(DeferredAction::Accept { id, class, dest, order, reply });
+        self.effects.push_back(Effect::Append(Change::Take { id, taken }, Some(deferred)));
     }
 
-    /// Refused for want of room, with a time to come back.
+    /// Refuses a submission for lack of room, with a time to retry.
     fn refuse(&mut self, at: Moment, dest: DestId, reply: ReplyId) {
         let wait = self.control.retry_after_hint(at.now, dest);
         self.reply(reply, SubmitReply::Refused { wait });
     }
 
-    /// The message lasts: its client hears so, then the module.
-    pub(crate) fn accept(
+    /// The message is durable: replies to its client; `Control` gets the message once the reply is sent.
+    pub(crate) fn confirm_accepted(
         &mut self,
         id: MsgId,
         class: usize,
@@ -148,17 +148,17 @@
         reply: ReplyId,
     ) {
         let Some(held) = self.held.get_mut(&id) else { return };
-        held.told_of = Some((class, dest, order));
+        held.pending_accept = Some((class, dest, order));
         self.effects.push_back(Effect::Reply { reply, verdict: SubmitReply::Accepted, taken: Some(id) });
     }
 
-    /// Whether the client was still there to hear that its message was taken on. One that left before voids its id:
-    /// it may be on its way elsewhere.
+    /// Reports whether the client received the reply that accepted its message. If not, the message is
+    /// dropped and its reference voided: the client may be submitting it elsewhere.
     pub fn replied(&mut self, at: Moment, id: MsgId, heard: bool) {
         let Some(held) = self.held.get_mut(&id) else { return };
-        let Some((class, dest, order)) = held.told_of.take() else { return };
+        let Some((class, dest, order)) = held.pending_accept.take() else { return };
         if !heard {
-            return self.over(at, id, None);
+            return self.close(at, id, None);
         }
         let time_left = at.to_monotonic(held.deadline).saturating_sub(at.now);
         let key = order.filter(|_| !self.has(Fault::ForgetOrder));
@@ -166,27 +166,27 @@
         self.control.on_event(at.now, event);
     }
 
-    /// Takes up a message of the journal again. Whether it may still be sent is for the module to say.
+    /// Restores a message from the journal. `Control` decides whether it may still be sent.
     pub fn restore(&mut self, at: Moment, found: Found) {
         let Found { id, taken, body_lost, history, .. } = found;
         let Taken { reference, class, dest, deadline, key, order, body } = taken;
         self.next_message = self.next_message.max(id + 1);
         self.by_reference.insert(reference.clone(), id);
-        // A class that the settings don't know any more can't be judged: the message is given up.
+        // A message of a class that is no longer in the settings fails.
         let unknown = (class as usize >= self.settings.classes.len()).then_some(Answer::Failed);
-        // Nor can one be sent whose body is lost.
-        let lost = body_lost.then(|| lost_body(&history));
+        // A message whose body is lost cannot be sent.
+        let lost = body_lost.then(|| answer_without_body(&history));
         let answer = history.answer.or(unknown).or(lost);
-        let held = Held {
+        let held = HeldMessage {
             reference: reference.clone(),
             class: class as usize,
             key,
             body,
             attempts: history.attempts,
             deadline,
-            once: self.once(class as usize),
+            unrepeatable: self.is_unrepeatable(class as usize),
             answer: history.answer,
-            told_of: None,
+            pending_accept: None,
         };
         self.held.insert(id, held);
         if let Some(answer) = history.answer {
@@ -208,17 +208,17 @@
                 deadline: at.to_monotonic(deadline),
                 attempts: history.attempts,
                 first_sent: at.to_monotonic(history.first_sent),
-                // An attempt that was out when the process ended may have run.
+                // An attempt that was in flight when the process ended may have run.
                 may_have_run: history.may_have_run.or(out).map(since),
             },
         );
     }
 
-    fn once(&self, class: usize) -> bool {
+    fn is_unrepeatable(&self, class: usize) -> bool {
         self.settings.classes.get(class).is_some_and(|class| class.effect == Repeats::Unsafe)
     }
 
-    /// The final answer of a message.
+    /// Sets the final answer of a message.
     pub(crate) fn answer(&mut self, id: MsgId, mut answer: Answer) {
         if self.has(Fault::RefuseWhatRan) {
             answer = Answer::Refused { wait_ms: 0 };
@@ -230,49 +230,50 @@
             Answer::Failed => count.failed += 1,
             Answer::Refused { .. } => count.refused += 1,
         }
-        // No attempt follows; one that is out has its own hold on it.
+        // No further attempt needs the body; one in flight has its own copy.
         held.body = Bytes::new();
         self.open -= 1;
         if self.has(Fault::NoticeBeforeWriting) {
-            self.tell(id, answer);
+            self.send_notice(id, answer);
         }
         self.write_answer(id, answer);
     }
 
-    /// On disk first: a message whose notice may be out is not sent again after a restart.
+    /// Written before the notice is sent: a message whose notice may have been sent must not be sent after a
+    /// restart.
     fn write_answer(&mut self, id: MsgId, answer: Answer) {
-        let behind = Deferred(Act::Tell { id, answer });
-        self.effects.push_back(Effect::Append(Change::Answer { id, answer }, Some(behind)));
+        let deferred = Deferred(DeferredAction::Notify { id, answer });
+        self.effects.push_back(Effect::Append(Change::Answer { id, answer }, Some(deferred)));
     }
 
-    /// Final answers that could not be written are written now, if they can.
+    /// Retries the writes of final answers that failed.
     pub fn retry_unwritten(&mut self) {
         if self.has(Fault::ForgetUnwritten) {
-            return self.unwritten.clear();
+            return self.unwritten_answers.clear();
         }
-        for (id, answer) in std::mem::take(&mut self.unwritten) {
+        for (id, answer) in std::mem::take(&mut self.unwritten_answers) {
             if self.held.contains_key(&id) {
                 self.write_answer(id, answer);
             }
         }
     }
 
-    /// The platform has taken the notice of a message.
+    /// The platform has acknowledged the notice of a message.
     pub fn notice_accepted(&mut self, at: Moment, id: MsgId) {
         let answer = self.held.get(&id).and_then(|held| held.answer);
-        self.over(at, id, answer.map(Final::Answered));
+        self.close(at, id, answer.map(Final::Answered));
     }
 
-    /// Nothing more is owed for a message.
-    pub(crate) fn over(&mut self, at: Moment, id: MsgId, end: Option<Final>) {
+    /// Completes a message.
+    pub(crate) fn close(&mut self, at: Moment, id: MsgId, end: Option<Final>) {
         let Some(held) = self.held.remove(&id) else { return };
         self.by_reference.remove(&held.reference);
-        // Counted by its answer already, where it has one.
+        // A message with an answer has been counted already.
         if end == Some(Final::Delivered) && held.answer.is_none() {
             self.counts.of(held.class).delivered += 1;
         }
         self.open -= usize::from(held.answer.is_none());
-        let until = held.deadline.max(at.wall).saturating_add(KEEP_ANSWER);
+        let until = held.deadline.max(at.wall).saturating_add(ANSWER_RETENTION);
         if self.has(Fault::EndUnwritten) && end == Some(Final::Delivered) {
             return;
         }
@@ -280,35 +281,36 @@
         self.effects.push_back(Effect::Append(Change::End { id, end }, None));
     }
 
-    /// This change could not be written, and what stood behind it is not to be done.
-    pub fn write_failed(&mut self, at: Moment, change: &Change, behind: Option<Deferred>) {
-        match (change, behind) {
-            // An attempt that is not noted is not sent.
-            (Change::Begin { id, .. }, _) => self.unnoted(at, *id),
-            (_, Some(behind)) => self.abandon(at, behind),
-            // The next change of the same message, or its end, says the same again; after a restart an attempt
-            // without an outcome may have run.
+    /// Reports that a change could not be written; its deferred action does not run.
+    pub fn write_failed(&mut self, at: Moment, change: &Change, deferred: Option<Deferred>) {
+        match (change, deferred) {
+            // An attempt that is not recorded is not sent.
+            (Change::Begin { id, .. }, _) => self.attempt_not_recorded(at, *id),
+            (_, Some(deferred)) => self.abandon(at, deferred),
+            // The next change of the same message, or its completion, covers this one; after a restart an
+            // attempt without an outcome counts as one that may have run.
             (_, None) => {}
         }
     }
 
-    /// What this waits for will not last: clients are told to come again, an answer is written once more.
-    pub fn abandon(&mut self, at: Moment, Deferred(act): Deferred) {
-        match act {
-            Act::Accept { id, class, dest, reply, .. } => {
+    /// Handles a deferred action whose write will not become durable: clients are told to retry, an answer is
+    /// written again.
+    pub fn abandon(&mut self, at: Moment, Deferred(action): Deferred) {
+        match action {
+            DeferredAction::Accept { id, class, dest, reply, .. } => {
                 self.counts.of(class).refused += 1;
                 self.refuse(at, dest, reply);
-                self.over(at, id, None);
+                self.close(at, id, None);
             }
-            Act::Confirm { dest, reply } => self.refuse(at, dest, reply),
-            Act::Tell { id, answer } => self.unwritten.push_back((id, answer)),
-            Act::Write { call } => self.connection_lost(at, call, true),
+            DeferredAction::Confirm { dest, reply } => self.refuse(at, dest, reply),
+            DeferredAction::Notify { id, answer } => self.unwritten_answers.push_back((id, answer)),
+            DeferredAction::Write { call } => self.connection_lost(at, call, true),
         }
     }
 }
 
-/// The final answer of a message whose body can't be read any more: a refusal where it never ran.
-fn lost_body(history: &History) -> Answer {
+/// The final answer of a message whose body is unreadable: a refusal if it never ran.
+fn answer_without_body(history: &History) -> Answer {
     let may_have_run = history.may_have_run.is_some() || history.out.is_some();
     if may_have_run { Answer::Failed } else { Answer::Refused { wait_ms: 0 } }
 }
