--- a/core/src/durability.rs
+++ b/core/src/durability.rs
@@ -90,20 +90,20 @@
         self.waiting.push_back((seq, deferred));
     }
 
-    /// Removes the next action whose write is durable, in the order of the writes. `lasts` tells whether a
+    /// Removes the next action whose write is durable, in the order of the writes. `is_durable` tells whether a
     /// write is durable.
-    pub fn pop_durable(&mut self, lasts: impl Fn(Seq) -> bool) -> Option<Durable> {
-        let (_, Deferred(action)) = self.waiting.pop_front_if(|(seq, _)| lasts(*seq))?;
+    pub fn pop_durable(&mut self, is_durable: impl Fn(Seq) -> bool) -> Option<Durable> {
+        let (_, Deferred(action)) = self.waiting.pop_front_if(|(seq, _)| is_durable(*seq))?;
         Some(Durable(action))
     }
 
     /// Removes the replies to clients whose writes are not durable yet. Used when the disk fails: the clients
     /// are then told to retry.
-    pub fn take_client_replies(&mut self, lasts: impl Fn(Seq) -> bool) -> Vec<Deferred> {
+    pub fn take_client_replies(&mut self, is_durable: impl Fn(Seq) -> bool) -> Vec<Deferred> {
         let mut taken = Vec::new();
         for (seq, Deferred(action)) in std::mem::take(&mut self.waiting) {
             match action {
-                DeferredAction::Accept { .. } | DeferredAction::Confirm { .. } if !lasts(seq) => {
+                DeferredAction::Accept { .. } | DeferredAction::Confirm { .. } if !is_durable(seq) => {
                     taken.push(Deferred(action))
                 }
                 action => self.waiting.push_back((seq, Deferred(action))),
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -135,7 +135,7 @@
     },
     /// Send a message to all other dispatchers.
     Broadcast {
-        /// The reply.
+        /// The contents.
         bytes: Vec<u8>,
     },
     /// Notify the platform of the outcome of a message, until [`Core::notice_accepted`].
@@ -285,7 +285,8 @@
         self.control.on_event(at.now, Event::Settings { settings: self.settings.clone() });
     }
 
-    /// Reports a restart: attempts sent by the earlier process may still be running.
+    /// Reports a restart: attempts sent by the earlier process may still be running. No effect with a new
+    /// journal.
     pub fn resume(&mut self, at: Moment) {
         if self.next_message > 1 && !self.has(Fault::ForgetRests) {
             self.control.on_event(at.now, Event::Resumed);
--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -101,7 +101,7 @@
             self.counts.of(submission.class).failed += 1;
             return self.reply(reply, SubmitReply::UnknownDestination);
         }
-        // Limits the open messages and, since pending notices take memory too, all that are held.
+        // Open messages are limited and, since pending notices take memory too, so are all held ones.
         if self.closed || self.open >= self.settings.hold || self.held.len() >= 4 * self.settings.hold {
             self.counts.of(submission.class).refused += 1;
             return self.refuse(at, submission.dest, reply);
@@ -154,10 +154,10 @@
 
     /// Reports whether the client received the reply that accepted its message. If not, the message is
     /// dropped and its reference voided: the client may be submitting it elsewhere.
-    pub fn replied(&mut self, at: Moment, id: MsgId, heard: bool) {
+    pub fn replied(&mut self, at: Moment, id: MsgId, received: bool) {
         let Some(held) = self.held.get_mut(&id) else { return };
         let Some((class, dest, order)) = held.pending_accept.take() else { return };
-        if !heard {
+        if !received {
             return self.close(at, id, None);
         }
         let time_left = at.to_monotonic(held.deadline).saturating_sub(at.now);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -75,7 +75,7 @@
     assert!(fast > 2 * slow && slow > 0, "fast {fast}, slow {slow}");
 }
 
-/// Number of ten messages that are sent at once after `lost` unanswered calls and an answered one.
+/// How many of ten messages are sent at once after `lost` unanswered calls and an answered one.
 fn at_once_after(lost: u64) -> usize {
     let mut b = Harness::new(many_dispatchers(2), vec![entry(1, 7, 0)]);
     for id in 0..=lost {
@@ -140,7 +140,7 @@
     assert!(sends < 10, "{sends} of 50 sent under a limit of 500 shared by 100 dispatchers");
 }
 
-/// Number of five messages that are sent at once after two refusals with this report.
+/// How many of five messages are sent at once after two refusals with this report.
 fn at_once_after_refusals(share_left: f64) -> usize {
     let mut b = Harness::new(many_dispatchers(2), vec![entry(1, 7, 0)]);
     b.accept(1, 0, 7);
