--- a/agent/src/agent.rs
+++ b/agent/src/agent.rs
@@ -1,7 +1,9 @@
-//! The porter's round: what goes down to the stall, what goes up to the steward, who is behind. Whom to follow is in `follow`, what
-//! is kept in `newest`. No I/O and no clock: inputs with their times come in, effects go out.
+//! The agent's state machine: what is sent to the proxy and to the leader, and when the proxy is behind. No
+//! I/O and no clock: it takes inputs with their times and returns effects. `feeds` chooses the controllers to
+//! follow, `latest` keeps the newest state.
 //!
-//! Invariant: what the stall is told is at least as new as what it was told before, whoever told it.
+//! Invariant: what is sent to the proxy is at least as new as what was sent before, whichever controller it
+//! came from.
 
 use std::net::SocketAddr;
 
@@ -16,235 +18,240 @@
 use crate::latest::{Applied, LatestState};
 use crate::{MS, Nanos, SECOND};
 
-/// How often those who are followed are looked after, and the settings file for new seeds.
-const LOOK: Nanos = 100 * MS;
-const LOOK_AT_FILE: Nanos = SECOND;
-/// A stall that is behind is told the whole configuration no more often.
-const AGAIN: Nanos = SECOND;
-/// After so long without its word a stall counts as gone, and is not spoken for.
-const ALIVE: Nanos = 1_500 * MS;
-/// After the stall's mail had no room, everything is told again no sooner and no more often.
-const MEND: Nanos = SECOND;
-/// Notes in a line of a feed; what holds more is no line.
-const MOST_NOTES: usize = 10_000;
-/// Notes that can't be read, told in the log for each line or letter.
-const FAULTS: usize = 5;
-/// The stall outlives its porter by nothing: both hear SIGTERM. The porter stays while the stall leaves.
-const BEFORE_GRACE: Nanos = 500 * MS;
+/// How often feeds are opened and closed as needed.
+const MAINTAIN_EVERY: Nanos = 100 * MS;
+/// How often the settings file is read for new seeds.
+const READ_SETTINGS_EVERY: Nanos = SECOND;
+/// A proxy that is behind is sent the full configuration no more often than this.
+const FULL_CONFIG_EVERY: Nanos = SECOND;
+/// A proxy that has sent nothing for this long counts as gone, and is not announced to controllers.
+const PROXY_ALIVE_FOR: Nanos = 1_500 * MS;
+/// After the queue to the proxy was full, the snapshot is sent again after this long, and no more often.
+const RESEND_AFTER: Nanos = SECOND;
+/// The most messages in a line of a feed; a line with more is invalid.
+const MAX_MESSAGES: usize = 10_000;
+/// The most unreadable messages that are logged for each line or batch.
+const MAX_LOGGED_FAULTS: usize = 5;
+/// The agent exits this long before the grace period ends. Proxy and agent get SIGTERM at the same time, and
+/// the agent has to stay while the proxy shuts down.
+const EXIT_BEFORE_GRACE: Nanos = 500 * MS;
 
-/// What a life begins with.
+/// Parameters of an [`Agent`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentConfig {
     /// The machine's name.
     pub name: CompactString,
-    /// Which of the process's lives this is.
+    /// The incarnation: a number that differs in each run of the process.
     pub life: u64,
-    /// Where control is found at first.
+    /// Addresses of controllers, from the settings.
     pub seeds: Vec<SocketAddr>,
-    /// The time from SIGTERM to the last moment.
+    /// The time from SIGTERM until the process is killed.
     pub grace: Nanos,
 }
 
-/// What comes in.
+/// An input of the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// A life begins.
+    /// The process has started.
     New(AgentConfig),
-    /// A line of a feed, without its end.
+    /// A line of a feed, without the line feed.
     FeedLine {
         /// The feed's number.
         feed: u64,
-        /// All of it.
+        /// The line's bytes.
         line: Bytes,
     },
-    /// A feed has ended, or did not begin.
+    /// A feed has ended, or could not be opened.
     FeedEnded {
         /// Its number.
         feed: u64,
     },
-    /// A control machine's answer to notes: a letter.
+    /// A controller's answer to messages: a message batch.
     ControlAnswered(Bytes),
-    /// A letter of the stall; [`Effect::AnswerProxy`] follows.
+    /// A message batch from the proxy; [`Effect::AnswerProxy`] follows.
     ProxyMessages(Bytes),
-    /// The stall takes mail, for the first time or again.
+    /// The proxy accepts messages, for the first time or again.
     ProxyUp,
-    /// A note to the stall had no room in its mail, and is lost.
+    /// The queue to the proxy was full, and a message was dropped.
     ProxyQueueFull,
-    /// Notes to a control machine came back.
+    /// Messages to a controller could not be delivered.
     MessagesLost {
-        /// The feed that they went beside.
+        /// The feed of that controller.
         feed: u64,
-        /// How many.
+        /// How many messages.
         messages: u64,
     },
-    /// The seeds that the settings file has.
+    /// The seeds from the settings file.
     Seeds(Vec<SocketAddr>),
     /// SIGTERM.
     Shutdown,
-    /// Time has passed: no later than [`Agent::due`], unless something else comes.
+    /// Time has passed. Due at [`Agent::due`] at the latest, unless another input comes.
     Tick,
 }
 
-/// What is to be done.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// A feed is to be opened.
+    /// Open a feed.
     Open {
-        /// Its number: its lines and its end come under it.
+        /// Its number, which its lines and its end refer to.
         feed: u64,
-        /// Where.
+        /// The controller's address.
         address: SocketAddr,
         /// The path of the request.
         path: &'static str,
-        /// The notes of the letter that is its body.
+        /// The messages of the batch that is the request's body.
         messages: Vec<PeerMessage>,
     },
-    /// A feed is to be closed, and its mail; nothing more is awaited of it.
+    /// Close a feed and the queue of messages to its controller.
     Close {
         /// Its number.
         feed: u64,
     },
-    /// A note to a control machine that is followed.
+    /// Send a message to a followed controller.
     SendToControl {
-        /// The feed beside which it goes.
+        /// The feed of that controller.
         feed: u64,
-        /// Where it goes.
+        /// The controller's address.
         to: SocketAddr,
-        /// What it says.
+        /// The message.
         message: PeerMessage,
     },
-    /// A note to the stall.
+    /// Send a message to the proxy.
     SendToProxy(PeerMessage),
-    /// The answer to the stall's letter.
+    /// Answer the proxy's message batch.
     AnswerProxy {
-        /// It could be read.
+        /// Whether the batch could be parsed.
         read: bool,
     },
-    /// The settings file is to be read; its seeds come as [`Input::Seeds`].
+    /// Read the settings file, and pass its seeds in as [`Input::Seeds`].
     ReadSettings,
-    /// A line of the log.
+    /// Write a line to the log.
     Log(Level, String),
-    /// The process ends.
+    /// End the process.
     Exit,
 }
 
-/// The machine.
+/// The agent's state. The crate's documentation describes its use.
 #[derive(Debug)]
 pub struct Agent {
-    follow: FeedSet,
-    newest: LatestState,
-    /// The stall's last word of itself.
-    alive: Option<(Nanos, PeerMessage)>,
-    /// Until when control has it rest.
+    feeds: FeedSet,
+    latest: LatestState,
+    /// The proxy's last announcement of itself, and when it came.
+    proxy_alive: Option<(Nanos, PeerMessage)>,
+    /// The name in the last request that the proxy stay out of service, and when that ends.
     rest: Option<(CompactString, Nanos)>,
-    /// The revision that it acts on.
-    acts: u64,
-    /// When it was last told the whole configuration for being behind.
-    told: Nanos,
+    /// The configuration revision that the proxy reports to act on.
+    proxy_revision: u64,
+    /// When the proxy was last sent the full configuration because it was behind.
+    full_config_sent_at: Nanos,
     due: Nanos,
-    /// When the stall is told everything for what was lost.
-    mend: Option<Nanos>,
-    looked_at_file: Nanos,
+    /// When the proxy is sent a snapshot to make up for dropped messages.
+    resend_at: Option<Nanos>,
+    settings_read_at: Nanos,
     grace: Nanos,
-    end: Option<Nanos>,
+    exit_at: Option<Nanos>,
     effects: Vec<Effect>,
 }
 
 impl Agent {
-    /// A life begins: control is followed.
-    pub fn new(terms: AgentConfig, now: Nanos) -> Self {
-        let mut round = Agent {
-            follow: FeedSet::new(terms.seeds, terms.life),
-            newest: LatestState::default(),
-            alive: None,
+    /// Creates the state machine, which opens the first feeds.
+    pub fn new(config: AgentConfig, now: Nanos) -> Self {
+        let mut agent = Agent {
+            feeds: FeedSet::new(config.seeds, config.life),
+            latest: LatestState::default(),
+            proxy_alive: None,
             rest: None,
-            acts: 0,
-            told: now,
+            proxy_revision: 0,
+            full_config_sent_at: now,
             due: now,
-            mend: None,
-            looked_at_file: now,
-            grace: terms.grace,
-            end: None,
+            resend_at: None,
+            settings_read_at: now,
+            grace: config.grace,
+            exit_at: None,
             effects: Vec::new(),
         };
-        round.look(now);
-        round
+        agent.maintain(now);
+        agent
     }
 
-    /// What is to be done, in this order.
+    /// The effects since the last call, in order.
     pub fn take(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// When the machine is to be told that time has passed.
+    /// When [`Input::Tick`] is due.
     pub fn due(&self) -> Nanos {
         self.due
     }
 
-    /// Who is followed.
+    /// The feeds to controllers.
     pub fn feeds(&self) -> &FeedSet {
-        &self.follow
+        &self.feeds
     }
 
-    /// What is held.
+    /// The newest configuration, membership and instances.
     pub fn latest(&self) -> &LatestState {
-        &self.newest
+        &self.latest
     }
 
-    /// It was told to end.
+    /// Whether [`Input::Shutdown`] has come.
     pub fn is_shutting_down(&self) -> bool {
-        self.end.is_some()
+        self.exit_at.is_some()
     }
 
-    /// The revision that the stall acts on, as far as it said.
+    /// The configuration revision that the proxy reports to act on; 0 before its first report.
     pub fn proxy_revision(&self) -> u64 {
-        self.acts
+        self.proxy_revision
     }
 }
 
 impl Agent {
-    /// Takes an input in.
+    /// Handles an input.
     pub fn handle(&mut self, now: Nanos, input: Input) {
         match input {
-            Input::New(terms) => *self = Agent::new(terms, now),
-            Input::FeedLine { feed, line } => self.line(now, feed, &line),
+            Input::New(config) => *self = Agent::new(config, now),
+            Input::FeedLine { feed, line } => self.feed_line(now, feed, &line),
             Input::FeedEnded { feed } => {
-                self.follow.feed_ended(now, feed);
-                self.steps(now);
+                self.feeds.feed_ended(now, feed);
+                self.run_feed_actions(now);
             }
-            Input::ControlAnswered(body) => self.answered(&body),
-            Input::ProxyMessages(body) => self.letter(now, &body),
-            // A stall that is there again has forgotten all.
-            Input::ProxyUp => self.tell_all(now),
+            Input::ControlAnswered(body) => self.control_answered(&body),
+            Input::ProxyMessages(body) => self.proxy_messages(now, &body),
+            // A proxy that has restarted has no state.
+            Input::ProxyUp => self.send_snapshot(now),
             Input::ProxyQueueFull => {
-                if self.mend.is_none() {
-                    self.log(Level::Warn, "the stall takes nothing more".to_owned());
-                    self.mend = Some(now.saturating_add(MEND));
+                if self.resend_at.is_none() {
+                    self.log(Level::Warn, "queue to the proxy is full; message dropped".to_owned());
+                    self.resend_at = Some(now.saturating_add(RESEND_AFTER));
                 }
             }
-            Input::MessagesLost { feed, messages: notes } => {
-                if let Some(peer) = self.follow.address(feed) {
-                    self.log(Level::Debug, format!("{notes} notes to {peer} came back"));
+            Input::MessagesLost { feed, messages } => {
+                if let Some(peer) = self.feeds.address(feed) {
+                    self.log(
+                        Level::Debug,
+                        format!("{messages} messages to controller {peer} could not be delivered"),
+                    );
                 }
             }
             Input::Seeds(seeds) => {
-                if self.follow.set_seeds(seeds) {
-                    self.log(Level::Info, format!("seeds are now {:?}", self.follow.seeds()));
+                if self.feeds.set_seeds(seeds) {
+                    self.log(Level::Info, format!("seeds are now {:?}", self.feeds.seeds()));
                 }
             }
             Input::Shutdown => {
-                if self.end.is_none() {
-                    self.log(Level::Info, "leaving".to_owned());
-                    self.end = Some(now.saturating_add(self.grace.saturating_sub(BEFORE_GRACE)));
+                if self.exit_at.is_none() {
+                    self.log(Level::Info, "shutting down".to_owned());
+                    self.exit_at = Some(now.saturating_add(self.grace.saturating_sub(EXIT_BEFORE_GRACE)));
                 }
             }
             Input::Tick => {}
         }
-        // Whatever came: where much comes, nobody may get round to a tick.
+        // After any input: under load, inputs may come so often that the caller never sends a tick.
         if now >= self.due {
-            self.look(now);
+            self.maintain(now);
         }
-        if self.end.is_some_and(|end| now >= end) {
+        if self.exit_at.is_some_and(|at| now >= at) {
             self.effects.push(Effect::Exit);
         }
     }
@@ -253,29 +260,30 @@
         self.effects.push(Effect::Log(level, text));
     }
 
-    fn look(&mut self, now: Nanos) {
-        self.due = now.saturating_add(LOOK);
-        self.follow.maintain(now);
-        self.steps(now);
-        if self.mend.is_some_and(|mend| now >= mend) {
-            self.tell_all(now);
+    fn maintain(&mut self, now: Nanos) {
+        self.due = now.saturating_add(MAINTAIN_EVERY);
+        self.feeds.maintain(now);
+        self.run_feed_actions(now);
+        if self.resend_at.is_some_and(|at| now >= at) {
+            self.send_snapshot(now);
         }
-        if now.saturating_sub(self.looked_at_file) >= LOOK_AT_FILE {
-            self.looked_at_file = now;
+        if now.saturating_sub(self.settings_read_at) >= READ_SETTINGS_EVERY {
+            self.settings_read_at = now;
             self.effects.push(Effect::ReadSettings);
         }
     }
 
-    /// Carries out whom to follow.
-    fn steps(&mut self, now: Nanos) {
-        for step in self.follow.take() {
-            let effect = match step {
-                FeedAction::Open { feed, address, whole } => {
-                    let path = if whole { "/follow" } else { "/follow?whole=0" };
-                    let acts = PeerMessage::Acts { revision: self.newest.revision(), number: 0 };
-                    let alive = self.alive.iter().filter(|(at, _)| now.saturating_sub(*at) <= ALIVE);
-                    let notes = alive.map(|(_, note)| note.clone()).chain([acts]).collect();
-                    Effect::Open { feed, address, path, messages: notes }
+    /// Turns the actions of the feed set into effects.
+    fn run_feed_actions(&mut self, now: Nanos) {
+        for action in self.feeds.take() {
+            let effect = match action {
+                FeedAction::Open { feed, address, full_config } => {
+                    let path = if full_config { "/follow" } else { "/follow?whole=0" };
+                    let acts = PeerMessage::Acts { revision: self.latest.revision(), number: 0 };
+                    let alive =
+                        self.proxy_alive.iter().filter(|(at, _)| now.saturating_sub(*at) <= PROXY_ALIVE_FOR);
+                    let messages = alive.map(|(_, message)| message.clone()).chain([acts]).collect();
+                    Effect::Open { feed, address, path, messages }
                 }
                 FeedAction::Close { feed } => Effect::Close { feed },
             };
@@ -283,158 +291,168 @@
         }
     }
 
-    fn line(&mut self, now: Nanos, feed: u64, line: &[u8]) {
-        let Some(from) = self.follow.line_received(feed) else { return };
+    fn feed_line(&mut self, now: Nanos, feed: u64, line: &[u8]) {
+        let Some(from) = self.feeds.line_received(feed) else { return };
         let Some(JsonValue::Object(parts)) = messaging::json(line) else {
-            self.log(Level::Warn, format!("{from} sends what is no line of a feed"));
-            self.follow.feed_invalid(now, feed);
-            return self.steps(now);
+            self.log(Level::Warn, format!("invalid line in the feed of controller {from}"));
+            self.feeds.feed_invalid(now, feed);
+            return self.run_feed_actions(now);
         };
-        let Some(JsonValue::Array(notes)) = parts.get("notes") else { return };
-        if notes.len() > MOST_NOTES {
-            self.log(Level::Warn, format!("{from} sends {} notes in a line", notes.len()));
-            self.follow.feed_invalid(now, feed);
-            return self.steps(now);
+        let Some(JsonValue::Array(messages)) = parts.get("notes") else { return };
+        if messages.len() > MAX_MESSAGES {
+            self.log(
+                Level::Warn,
+                format!(
+                    "line in the feed of controller {from} has {} messages, more than {MAX_MESSAGES}",
+                    messages.len()
+                ),
+            );
+            self.feeds.feed_invalid(now, feed);
+            return self.run_feed_actions(now);
         }
         let mut faults = Vec::new();
-        for note in notes {
-            match PeerMessage::read(note) {
-                Ok(note) => self.note(now, from, note, line.len()),
+        for message in messages {
+            match PeerMessage::read(message) {
+                Ok(message) => self.control_message(now, from, message, line.len()),
                 Err(e) => faults.push(e),
             }
         }
-        self.faults(&from.to_string(), &faults);
-        if self.follow.address(feed).is_some() {
+        self.log_faults(&from.to_string(), &faults);
+        if self.feeds.address(feed).is_some() {
             let number = whole(&parts, "n").unwrap_or(0);
-            let note = PeerMessage::Acts { revision: self.acts, number };
-            self.effects.push(Effect::SendToControl { feed, to: from, message: note });
+            let message = PeerMessage::Acts { revision: self.proxy_revision, number };
+            self.effects.push(Effect::SendToControl { feed, to: from, message });
         }
     }
 
-    /// Notes that could not be read; of many the first few.
-    fn faults(&mut self, from: &str, faults: &[Fault]) {
-        for fault in faults.iter().take(FAULTS) {
-            self.log(Level::Warn, format!("a note of {from}: {fault}"));
+    /// Logs the first few messages that could not be parsed, and the number of the others.
+    fn log_faults(&mut self, from: &str, faults: &[Fault]) {
+        for fault in faults.iter().take(MAX_LOGGED_FAULTS) {
+            self.log(Level::Warn, format!("invalid message from {from}: {fault}"));
         }
-        if faults.len() > FAULTS {
+        if faults.len() > MAX_LOGGED_FAULTS {
             self.log(
                 Level::Warn,
-                format!("{} more notes of {from} could not be read", faults.len() - FAULTS),
+                format!("{} more invalid messages from {from}", faults.len() - MAX_LOGGED_FAULTS),
             );
         }
     }
 
-    /// Something that control tells.
-    fn note(&mut self, now: Nanos, from: SocketAddr, note: PeerMessage, weight: usize) {
-        if let PeerMessage::Steward { address, fence } = &note {
+    /// Handles a controller's message, from a line of `weight` bytes.
+    fn control_message(&mut self, now: Nanos, from: SocketAddr, message: PeerMessage, weight: usize) {
+        if let PeerMessage::Steward { address, fence } = &message {
             if let Ok(address) = address.parse() {
-                self.follow.set_leader(now, *fence, address);
-                self.steps(now);
+                self.feeds.set_leader(now, *fence, address);
+                self.run_feed_actions(now);
             }
             return;
         }
-        if let PeerMessage::Contact { holds } = &note {
-            self.follow.set_contact(now, from, *holds);
-            return self.steps(now);
+        if let PeerMessage::Contact { holds } = &message {
+            self.feeds.set_contact(now, from, *holds);
+            return self.run_feed_actions(now);
         }
-        if let PeerMessage::Rest { name, left } = &note {
-            let lasts = (left.clamp(0.0, 1e9) * 1e6) as Nanos;
-            self.rest = (lasts > 0).then(|| (name.clone(), now.saturating_add(lasts)));
-            return self.effects.push(Effect::SendToProxy(note));
+        if let PeerMessage::Rest { name, left } = &message {
+            let lasts_ns = (left.clamp(0.0, 1e9) * 1e6) as Nanos;
+            self.rest = (lasts_ns > 0).then(|| (name.clone(), now.saturating_add(lasts_ns)));
+            return self.effects.push(Effect::SendToProxy(message));
         }
-        match self.newest.apply(note, weight) {
+        match self.latest.apply(message, weight) {
             Applied::Stale => {}
-            Applied::New(note) => self.effects.push(Effect::SendToProxy(note)),
-            Applied::Partial(note, left_out) => {
-                self.effects.push(Effect::SendToProxy(note));
-                self.log(Level::Warn, format!("no room for {left_out} instances"));
+            Applied::New(message) => self.effects.push(Effect::SendToProxy(message)),
+            Applied::Partial(message, left_out) => {
+                self.effects.push(Effect::SendToProxy(message));
+                self.log(Level::Warn, format!("too many instances: {left_out} were left out"));
             }
             Applied::Unreadable(why) => self.log(Level::Error, why),
-            // What lies between was missed: it comes whole.
-            Applied::VersionGap(goes_from, held) => {
+            // Changes in between were missed, so a snapshot is needed.
+            Applied::VersionGap(base, held) => {
                 self.log(
                     Level::Info,
-                    format!("a naming of {from} goes from {goes_from:?}, and {held:?} is known"),
+                    format!(
+                        "membership change from {from} is based on version {base:?}, but {held:?} is held"
+                    ),
                 );
-                self.follow.snapshot_needed(now, from);
-                self.steps(now);
+                self.feeds.snapshot_needed(now, from);
+                self.run_feed_actions(now);
             }
             Applied::BaseMissing(what, why) => {
-                self.log(Level::Info, format!("{what} of {from}: {why}"));
-                self.follow.base_missing(now, from);
-                self.steps(now);
+                self.log(Level::Info, format!("{what} from {from}: {why}"));
+                self.feeds.base_missing(now, from);
+                self.run_feed_actions(now);
             }
         }
     }
 
-    fn tell_all(&mut self, now: Nanos) {
-        self.mend = None;
-        // First, so that it is never ready.
+    /// Sends the proxy everything that it needs after a start.
+    fn send_snapshot(&mut self, now: Nanos) {
+        self.resend_at = None;
+        // First, so that the proxy does not become ready in between.
         self.rest = self.rest.take().filter(|(_, until)| *until > now);
         if let Some((name, until)) = &self.rest {
-            let left = (until - now) as f64 / 1e6;
-            self.effects.push(Effect::SendToProxy(PeerMessage::Rest { name: name.clone(), left }));
+            let left_ms = (until - now) as f64 / 1e6;
+            self.effects.push(Effect::SendToProxy(PeerMessage::Rest { name: name.clone(), left: left_ms }));
         }
-        self.effects.extend(self.newest.snapshot().into_iter().map(Effect::SendToProxy));
+        self.effects.extend(self.latest.snapshot().into_iter().map(Effect::SendToProxy));
     }
 
-    /// What control says in answer to the stall's question goes to the stall.
-    fn answered(&mut self, body: &[u8]) {
-        let Some(letter) = messaging::json(body).and_then(|json| MessageBatch::read(&json).ok()) else {
+    /// Passes a controller's answer to [`PeerMessage::AskRevision`] on to the proxy.
+    fn control_answered(&mut self, body: &[u8]) {
+        let Some(batch) = messaging::json(body).and_then(|json| MessageBatch::read(&json).ok()) else {
             return;
         };
-        let stands = letter.notes.into_iter().filter(|note| matches!(note, PeerMessage::Stands { .. }));
-        self.effects.extend(stands.map(Effect::SendToProxy));
+        let answers = batch.notes.into_iter().filter(|message| matches!(message, PeerMessage::Stands { .. }));
+        self.effects.extend(answers.map(Effect::SendToProxy));
     }
 
-    /// The stall's words.
-    fn letter(&mut self, now: Nanos, body: &[u8]) {
-        let Some(letter) = messaging::json(body).and_then(|json| MessageBatch::read(&json).ok()) else {
+    /// Handles a message batch from the proxy.
+    fn proxy_messages(&mut self, now: Nanos, body: &[u8]) {
+        let Some(batch) = messaging::json(body).and_then(|json| MessageBatch::read(&json).ok()) else {
             return self.effects.push(Effect::AnswerProxy { read: false });
         };
-        self.faults(&letter.from, &letter.faults);
-        for note in letter.notes {
-            match note {
+        self.log_faults(&batch.from, &batch.faults);
+        for message in batch.notes {
+            match message {
                 PeerMessage::Alive { .. } => {
-                    self.alive = Some((now, note.clone()));
-                    self.up(note, false);
+                    self.proxy_alive = Some((now, message.clone()));
+                    self.send_to_control(message, false);
                 }
-                PeerMessage::Acts { revision, .. } => self.acts_on(now, revision),
-                // A stall that started, or was told less than all.
+                PeerMessage::Acts { revision, .. } => self.proxy_acts_on(now, revision),
+                // A proxy that has started, or has missed a change.
                 PeerMessage::Behind { version } => {
-                    if version < self.newest.versions().0 {
-                        self.tell_all(now);
+                    if version < self.latest.versions().0 {
+                        self.send_snapshot(now);
                     }
                 }
-                // Any machine that is in contact with a majority can say.
-                PeerMessage::AskRevision => self.up(note, true),
-                note => self.up(note, false),
+                // Any controller that is in contact with a majority can answer.
+                PeerMessage::AskRevision => self.send_to_control(message, true),
+                message => self.send_to_control(message, false),
             }
         }
         self.effects.push(Effect::AnswerProxy { read: true });
     }
 
-    fn acts_on(&mut self, now: Nanos, revision: u64) {
-        let newest = self.newest.revision();
-        // One that starts, or that could not follow a change, gets all of it.
-        if revision < newest && revision < self.acts.max(1) || revision < self.acts {
-            self.tell_all(now);
-        } else if revision < newest && now.saturating_sub(self.told) > AGAIN {
-            self.told = now;
-            self.effects.extend(self.newest.full_config().map(Effect::SendToProxy));
+    /// Handles the proxy's report of the configuration revision that it acts on.
+    fn proxy_acts_on(&mut self, now: Nanos, revision: u64) {
+        let newest = self.latest.revision();
+        // A proxy that has started, or could not apply a change, gets the snapshot.
+        if revision < newest && revision < self.proxy_revision.max(1) || revision < self.proxy_revision {
+            self.send_snapshot(now);
+        } else if revision < newest && now.saturating_sub(self.full_config_sent_at) > FULL_CONFIG_EVERY {
+            self.full_config_sent_at = now;
+            self.effects.extend(self.latest.full_config().map(Effect::SendToProxy));
         }
-        if revision != self.acts {
-            self.acts = revision;
-            self.up(PeerMessage::Acts { revision, number: 0 }, true);
+        if revision != self.proxy_revision {
+            self.proxy_revision = revision;
+            self.send_to_control(PeerMessage::Acts { revision, number: 0 }, true);
         }
     }
 
-    /// To the steward, or to all that are followed.
-    fn up(&mut self, note: PeerMessage, all: bool) {
-        let steward = self.follow.leader().map(|(_, steward)| steward);
-        for (feed, to, _) in self.follow.feeds() {
-            if all || steward == Some(to) {
-                self.effects.push(Effect::SendToControl { feed, to, message: note.clone() });
+    /// Sends a message to the leader if it is followed, or with `all` to all followed controllers.
+    fn send_to_control(&mut self, message: PeerMessage, all: bool) {
+        let leader = self.feeds.leader().map(|(_, address)| address);
+        for (feed, to, _) in self.feeds.feeds() {
+            if all || leader == Some(to) {
+                self.effects.push(Effect::SendToControl { feed, to, message: message.clone() });
             }
         }
     }
--- a/agent/src/errors.rs
+++ b/agent/src/errors.rs
@@ -1,23 +1,23 @@
-//! Why the program can't go on, as one closed list.
+//! Errors that end the program.
 
 use snafu::Snafu;
 
-/// Why the program can't go on.
+/// An error that ends the program.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// An address can't be listened on.
+    /// The address for the proxy's messages can't be listened on.
     #[snafu(display("can't listen on {address}: {source}"))]
     Listen {
         /// The address.
         address: String,
-        /// Why.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// Signals can't be waited for.
-    #[snafu(display("signals: {source}"))]
+    /// The signal handlers can't be installed.
+    #[snafu(display("can't install signal handlers: {source}"))]
     Signals {
-        /// Why.
+        /// The system's error.
         source: std::io::Error,
     },
 }
--- a/agent/src/feeds.rs
+++ b/agent/src/feeds.rs
@@ -1,51 +1,55 @@
-//! Whom to follow: two control machines that are in contact with a majority of the voters, the steward among them, and one that feeds
-//! whole configurations.
+//! Chooses the controllers that the agent opens feeds to: two that are in contact with a majority of the
+//! voters, the leader among them. One of the feeds carries full configurations, the others only changes.
 //!
-//! Invariant: no address is followed twice, and each feed has a number of its own, so that what is left over of one that was closed
-//! is told from what another brings.
+//! Invariant: there is at most one feed for an address, and each feed has a number of its own, so that late
+//! lines of a closed feed are not taken for lines of its successor.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use crate::{MS, Nanos, SECOND};
 
-/// Control machines in contact that are followed at once.
-const FOLLOWED: usize = 2;
-/// ... and all that are: who has lost contact is fed by nobody, but may have it again in a moment.
-const FOLLOWED_IN_ALL: usize = 4;
-/// Another is followed beside one that has said for so long that it has no contact.
-const WITHOUT_CONTACT: Nanos = 400 * MS;
-/// Control machines that are kept in mind beside the seeds.
-const OTHERS: usize = 32;
-/// The pause after a failure; it doubles with each.
-const FIRST_PAUSE: Nanos = 100 * MS;
-const LONGEST_PAUSE: Nanos = SECOND;
-/// ... but not for so long after the process has started, while nobody was heard: control may be starting as well, and all wait for it.
-const EAGER: Nanos = 3 * SECOND;
-/// A feed that held for longer was a good one.
-const LONG: Nanos = 5 * SECOND;
-/// A feed of changes alone is given this long before what it lacks counts as missed: another brings the whole.
-const SETTLED: Nanos = 500 * MS;
-/// For its snapshot a feed is opened anew no more often than this.
-const SNAPSHOT: Nanos = 500 * MS;
-/// After so long without anybody who brings the whole, one that sends changes only is asked for it.
-const BARE: Nanos = SECOND;
-/// Addresses whose failures are kept in mind.
-const FAILED: usize = 64;
-
-/// What is to be done.
+/// How many feeds to controllers in contact are kept open.
+const FEEDS_IN_CONTACT: usize = 2;
+/// The most open feeds. A controller that has lost contact has nothing new to send, but its feed stays open
+/// because it may regain contact at any moment.
+const MAX_FEEDS: usize = 4;
+/// A controller that has reported for this long that it has lost contact no longer counts as in contact, and
+/// another feed is opened.
+const CONTACT_LOST_AFTER: Nanos = 400 * MS;
+/// The most known controllers beside the seeds.
+const MAX_OTHERS: usize = 32;
+/// The first pause after a failed feed; it doubles with each failure, up to [`RETRY_MAX`].
+const RETRY_MIN: Nanos = 100 * MS;
+const RETRY_MAX: Nanos = SECOND;
+/// For this long after the process has started the pause does not grow, until the first line is received: the
+/// controllers may be starting as well, and everything waits for them.
+const STARTUP: Nanos = 3 * SECOND;
+/// The end of a feed that lasted longer than this resets the pause.
+const STABLE_AFTER: Nanos = 5 * SECOND;
+/// For this long after a feed of changes was opened, a missing base is ignored: the other feed may be about
+/// to send the full configuration.
+const PATCH_GRACE: Nanos = 500 * MS;
+/// The shortest time between two feeds being reopened for a snapshot.
+const REOPEN_EVERY: Nanos = 500 * MS;
+/// After this long without a feed of full configurations, a feed of changes is reopened as one.
+const FULL_CONFIG_WITHIN: Nanos = SECOND;
+/// The most addresses whose failures are remembered.
+const MAX_FAILED: usize = 64;
+
+/// A feed to open or close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FeedAction {
-    /// A feed is to be opened.
+    /// Open a feed.
     Open {
         /// Its number.
         feed: u64,
-        /// Where.
+        /// The controller's address.
         address: SocketAddr,
-        /// Whole configurations are to come from there.
-        whole: bool,
+        /// Whether to request full configurations instead of changes only.
+        full_config: bool,
     },
-    /// A feed is to be closed.
+    /// Close a feed.
     Close {
         /// Its number.
         feed: u64,
@@ -56,249 +60,264 @@
 struct Feed {
     number: u64,
     since: Nanos,
-    heard: bool,
-    /// Whole configurations come from there.
-    whole: bool,
-    /// Since when it has no contact with a majority, by its own word.
-    lost: Option<Nanos>,
+    /// Whether a line has been received.
+    received: bool,
+    /// Whether it carries full configurations.
+    full_config: bool,
+    /// Since when the controller reports that it has no contact with a majority.
+    contact_lost: Option<Nanos>,
 }
 
 impl Feed {
-    /// What stands is heard from there.
-    fn is_current(&self, now: Nanos) -> bool {
-        self.lost.is_none_or(|since| now.saturating_sub(since) < WITHOUT_CONTACT)
+    /// Whether the controller counts as in contact with a majority.
+    fn is_in_contact(&self, now: Nanos) -> bool {
+        self.contact_lost.is_none_or(|since| now.saturating_sub(since) < CONTACT_LOST_AFTER)
     }
 }
 
-/// Who is followed, and who might be.
+/// The open feeds, and the known controllers.
 #[derive(Clone, Debug)]
 pub struct FeedSet {
     seeds: Vec<SocketAddr>,
-    /// Control machines that were heard of, beside the seeds.
+    /// Controllers that messages have named, beside the seeds.
     others: Vec<SocketAddr>,
-    steward: Option<(u64, SocketAddr)>,
-    followed: BTreeMap<SocketAddr, Feed>,
-    /// Addresses that failed: until when they are passed over, and the pause.
+    /// Fence and address.
+    leader: Option<(u64, SocketAddr)>,
+    feeds: BTreeMap<SocketAddr, Feed>,
+    /// Failed addresses: the time of the next try, and the pause.
     failed: BTreeMap<SocketAddr, (Nanos, Nanos)>,
-    /// Whose turn it is; begins at another place in each life.
-    turn: usize,
-    begin: usize,
-    /// Since when nobody is heard who brings the whole.
-    bare: Option<Nanos>,
-    /// A feed whose snapshot is wanted, and when one was last opened anew for that.
-    behind: Option<SocketAddr>,
-    renewed: Option<Nanos>,
-    last: u64,
-    /// When the process started to look, until a feed was heard.
-    eager: Option<Nanos>,
-    begun: bool,
-    steps: Vec<FeedAction>,
+    /// Position in the round robin over the known controllers.
+    next_candidate: usize,
+    /// Where the round robin begins, different in each run of the process.
+    candidate_offset: usize,
+    /// Since when no feed has sent full configurations.
+    without_full_config: Option<Nanos>,
+    /// A feed that is to be reopened for its snapshot.
+    reopen_wanted: Option<SocketAddr>,
+    /// When a feed was last reopened for its snapshot.
+    reopened_at: Option<Nanos>,
+    last_number: u64,
+    /// The end of the startup time; `None` once a line has been received.
+    startup_until: Option<Nanos>,
+    started: bool,
+    actions: Vec<FeedAction>,
 }
 
 impl FeedSet {
-    /// Nobody is followed yet.
+    /// Creates a set without feeds. `life` is the number of this run of the process.
     pub fn new(seeds: Vec<SocketAddr>, life: u64) -> Self {
         FeedSet {
             seeds,
             others: Vec::new(),
-            steward: None,
-            followed: BTreeMap::new(),
+            leader: None,
+            feeds: BTreeMap::new(),
             failed: BTreeMap::new(),
-            turn: 0,
-            begin: life as usize,
-            bare: None,
-            behind: None,
-            renewed: None,
-            last: 0,
-            eager: None,
-            begun: false,
-            steps: Vec::new(),
+            next_candidate: 0,
+            candidate_offset: life as usize,
+            without_full_config: None,
+            reopen_wanted: None,
+            reopened_at: None,
+            last_number: 0,
+            startup_until: None,
+            started: false,
+            actions: Vec::new(),
         }
     }
 
-    /// What is to be done, in this order.
+    /// The actions since the last call, in order.
     pub fn take(&mut self) -> Vec<FeedAction> {
-        std::mem::take(&mut self.steps)
+        std::mem::take(&mut self.actions)
     }
 
-    /// Other seeds. Whether they are others.
+    /// Replaces the seeds. Returns whether they have changed.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) -> bool {
-        let others = seeds != self.seeds;
+        let changed = seeds != self.seeds;
         self.seeds = seeds;
-        others
+        changed
     }
 
-    /// The seeds.
+    /// The controllers' addresses from the settings.
     pub fn seeds(&self) -> &[SocketAddr] {
         &self.seeds
     }
 
-    /// The newest steward that was heard of: its fence and address.
+    /// The newest known leader: its fence and address.
     pub fn leader(&self) -> Option<(u64, SocketAddr)> {
-        self.steward
+        self.leader
     }
 
-    /// The feeds: number, address, whether whole configurations come from there.
+    /// The open feeds: number, address, whether they carry full configurations.
     pub fn feeds(&self) -> impl Iterator<Item = (u64, SocketAddr, bool)> {
-        self.followed.iter().map(|(address, feed)| (feed.number, *address, feed.whole))
+        self.feeds.iter().map(|(address, feed)| (feed.number, *address, feed.full_config))
     }
 
-    /// Feeds of machines that have lost contact, by their own word.
+    /// The number of feeds of controllers that report to have lost contact.
     pub fn feeds_without_contact(&self) -> usize {
-        self.followed.values().filter(|f| f.lost.is_some()).count()
+        self.feeds.values().filter(|f| f.contact_lost.is_some()).count()
     }
 
-    /// How many addresses are kept in mind, for whatever reason.
+    /// The number of all addresses in memory.
     pub fn tracked_addresses(&self) -> usize {
-        self.seeds.len() + self.others.len() + self.failed.len() + self.followed.len()
+        self.seeds.len() + self.others.len() + self.failed.len() + self.feeds.len()
     }
 
-    /// Where a feed comes from; none where it was closed.
+    /// The controller's address of a feed; `None` if the feed is closed.
     pub fn address(&self, feed: u64) -> Option<SocketAddr> {
-        self.followed.iter().find(|(_, f)| f.number == feed).map(|(address, _)| *address)
+        self.feeds.iter().find(|(_, f)| f.number == feed).map(|(address, _)| *address)
     }
 
-    /// Follows as many as it should, the steward among them.
+    /// Opens and closes feeds so that enough are in contact, the leader's among them.
     pub fn maintain(&mut self, now: Nanos) {
-        if !std::mem::replace(&mut self.begun, true) {
-            self.eager = Some(now + EAGER);
+        if !std::mem::replace(&mut self.started, true) {
+            self.startup_until = Some(now + STARTUP);
         }
-        // While it is not known how the next try goes, the last one counts.
-        let tried = |address: &SocketAddr| self.followed.get(address).is_some_and(|f| !f.heard);
+        // A failure is remembered while the next try is under way.
+        let tried = |address: &SocketAddr| self.feeds.get(address).is_some_and(|f| !f.received);
         self.failed.retain(|address, (until, pause)| *until + *pause * 4 > now || tried(address));
-        if let Some((_, steward)) = self.steward
-            && !self.followed.contains_key(&steward)
-            && self.may(steward, now)
+        if let Some((_, leader)) = self.leader
+            && !self.feeds.contains_key(&leader)
+            && self.may_retry(leader, now)
         {
-            // One that is not the steward gives way: the first without contact, else the first.
-            while self.followed.len() >= FOLLOWED {
-                let others = self.followed.iter().filter(|(a, _)| **a != steward);
-                let Some(other) = others.min_by_key(|(_, f)| f.lost.is_none()).map(|(a, _)| *a) else {
+            // Make room for the leader: close the first other feed without contact, else the first other
+            // feed.
+            while self.feeds.len() >= FEEDS_IN_CONTACT {
+                let others = self.feeds.iter().filter(|(a, _)| **a != leader);
+                let Some(other) = others.min_by_key(|(_, f)| f.contact_lost.is_none()).map(|(a, _)| *a)
+                else {
                     break;
                 };
                 self.close(other);
             }
-            self.open(steward, now);
+            self.open(leader, now);
         }
-        self.give_up_spare(now);
-        self.dress(now);
-        self.catch_up(now);
+        self.close_surplus(now);
+        self.ensure_full_config(now);
+        self.reopen_if_due(now);
         let known: Vec<_> = self.seeds.iter().chain(&self.others).copied().collect();
         for _ in 0..known.len() {
-            if self.current(now) >= FOLLOWED || self.followed.len() >= FOLLOWED_IN_ALL {
+            if self.in_contact(now) >= FEEDS_IN_CONTACT || self.feeds.len() >= MAX_FEEDS {
                 break;
             }
-            self.turn = self.turn.wrapping_add(1);
-            let address = known[self.turn.wrapping_add(self.begin) % known.len()];
-            if !self.followed.contains_key(&address) && self.may(address, now) {
+            self.next_candidate = self.next_candidate.wrapping_add(1);
+            let address = known[self.next_candidate.wrapping_add(self.candidate_offset) % known.len()];
+            if !self.feeds.contains_key(&address) && self.may_retry(address, now) {
                 self.open(address, now);
             }
         }
     }
 
-    fn current(&self, now: Nanos) -> usize {
-        self.followed.values().filter(|f| f.is_current(now)).count()
+    /// The number of feeds in contact.
+    fn in_contact(&self, now: Nanos) -> usize {
+        self.feeds.values().filter(|f| f.is_in_contact(now)).count()
     }
 
-    /// More than are needed have contact again: the one that was followed last goes, unless it is the steward or alone brings the whole.
-    fn give_up_spare(&mut self, now: Nanos) {
-        while self.current(now) > FOLLOWED {
-            let steward = self.steward.map(|(_, steward)| steward);
-            let wholes = self.followed.values().filter(|f| f.whole && f.lost.is_none()).count();
-            let may = |(a, f): &(&SocketAddr, &Feed)| {
-                Some(**a) != steward && f.is_current(now) && (!f.whole || wholes > 1)
+    /// Closes the newest feeds while more than needed are in contact, except the leader's and the only one
+    /// with full configurations.
+    fn close_surplus(&mut self, now: Nanos) {
+        while self.in_contact(now) > FEEDS_IN_CONTACT {
+            let leader = self.leader.map(|(_, leader)| leader);
+            let full_feeds =
+                self.feeds.values().filter(|f| f.full_config && f.contact_lost.is_none()).count();
+            let may_close = |(a, f): &(&SocketAddr, &Feed)| {
+                Some(**a) != leader && f.is_in_contact(now) && (!f.full_config || full_feeds > 1)
             };
-            let Some(last) = self.followed.iter().filter(may).max_by_key(|(_, f)| f.number).map(|(a, _)| *a)
+            let Some(newest) =
+                self.feeds.iter().filter(may_close).max_by_key(|(_, f)| f.number).map(|(a, _)| *a)
             else {
                 return;
             };
-            self.close(last);
+            self.close(newest);
         }
     }
 
-    /// A control machine that is followed says whether it has contact with a majority.
+    /// A followed controller reports whether it has contact with a majority.
     pub fn set_contact(&mut self, now: Nanos, address: SocketAddr, holds: bool) {
-        if let Some(feed) = self.followed.get_mut(&address) {
-            feed.lost = if holds { None } else { feed.lost.or(Some(now)) };
+        if let Some(feed) = self.feeds.get_mut(&address) {
+            feed.contact_lost = if holds { None } else { feed.contact_lost.or(Some(now)) };
         }
         self.maintain(now);
     }
 
-    /// Where only changes come for too long, what they change may have been missed.
-    fn dress(&mut self, now: Nanos) {
-        if self.followed.values().any(|f| f.whole && f.heard && f.lost.is_none()) {
-            self.bare = None;
+    /// Reopens a feed of changes as one of full configurations if there has been none for too long: the base
+    /// of the changes may have been missed.
+    fn ensure_full_config(&mut self, now: Nanos) {
+        if self.feeds.values().any(|f| f.full_config && f.received && f.contact_lost.is_none()) {
+            self.without_full_config = None;
             return;
         }
-        if now.saturating_sub(*self.bare.get_or_insert(now)) < BARE {
+        if now.saturating_sub(*self.without_full_config.get_or_insert(now)) < FULL_CONFIG_WITHIN {
             return;
         }
-        let light =
-            self.followed.iter().find(|(_, f)| f.heard && !f.whole && f.lost.is_none()).map(|(a, _)| *a);
-        if let Some(light) = light {
-            self.bare = None;
-            self.close(light);
-            self.open_for(light, true, now);
+        let changes_only = self
+            .feeds
+            .iter()
+            .find(|(_, f)| f.received && !f.full_config && f.contact_lost.is_none())
+            .map(|(a, _)| *a);
+        if let Some(address) = changes_only {
+            self.without_full_config = None;
+            self.close(address);
+            self.open_feed(address, true, now);
         }
     }
 
-    fn may(&self, address: SocketAddr, now: Nanos) -> bool {
+    fn may_retry(&self, address: SocketAddr, now: Nanos) -> bool {
         self.failed.get(&address).is_none_or(|(until, _)| *until <= now)
     }
 
     fn open(&mut self, address: SocketAddr, now: Nanos) {
-        // A whole configuration is long: one of those that are followed sends it, the others send changes only.
-        let whole = !self.followed.values().any(|f| f.whole && f.lost.is_none());
-        self.open_for(address, whole, now);
+        // A full configuration is large, so only one feed carries it.
+        let full_config = !self.feeds.values().any(|f| f.full_config && f.contact_lost.is_none());
+        self.open_feed(address, full_config, now);
     }
 
-    fn open_for(&mut self, address: SocketAddr, whole: bool, now: Nanos) {
-        self.last += 1;
-        let number = self.last;
-        self.followed.insert(address, Feed { number, since: now, heard: false, whole, lost: None });
-        self.steps.push(FeedAction::Open { feed: number, address, whole });
+    fn open_feed(&mut self, address: SocketAddr, full_config: bool, now: Nanos) {
+        self.last_number += 1;
+        let number = self.last_number;
+        self.feeds
+            .insert(address, Feed { number, since: now, received: false, full_config, contact_lost: None });
+        self.actions.push(FeedAction::Open { feed: number, address, full_config });
     }
 
     fn close(&mut self, address: SocketAddr) {
-        if let Some(feed) = self.followed.remove(&address) {
-            self.steps.push(FeedAction::Close { feed: feed.number });
+        if let Some(feed) = self.feeds.remove(&address) {
+            self.actions.push(FeedAction::Close { feed: feed.number });
         }
     }
 
-    /// Something came from a feed. Where it comes from; none where it was closed.
+    /// A line was received. Returns the controller's address, or `None` if the feed is closed.
     pub fn line_received(&mut self, feed: u64) -> Option<SocketAddr> {
-        let (address, feed) = self.followed.iter_mut().find(|(_, f)| f.number == feed)?;
-        feed.heard = true;
-        self.eager = None;
+        let (address, feed) = self.feeds.iter_mut().find(|(_, f)| f.number == feed)?;
+        feed.received = true;
+        self.startup_until = None;
         Some(*address)
     }
 
-    /// A feed has ended, or did not begin.
+    /// A feed has ended, or could not be opened.
     pub fn feed_ended(&mut self, now: Nanos, feed: u64) {
         if self.fail(now, feed) {
             self.maintain(now);
         }
     }
 
-    /// A feed brings what is none.
+    /// A feed has sent an invalid line: closes it.
     pub fn feed_invalid(&mut self, now: Nanos, feed: u64) {
         if self.fail(now, feed) {
-            self.steps.push(FeedAction::Close { feed });
+            self.actions.push(FeedAction::Close { feed });
         }
     }
 
-    /// Passes an address over for a while. Whether the feed was there.
+    /// Removes a feed and pauses its address. Returns whether the feed was open.
     fn fail(&mut self, now: Nanos, feed: u64) -> bool {
         let Some(address) = self.address(feed) else { return false };
-        let Some(feed) = self.followed.remove(&address) else { return false };
-        let eager = self.eager.is_some_and(|until| now < until);
-        let long = feed.heard && now.saturating_sub(feed.since) > LONG;
+        let Some(feed) = self.feeds.remove(&address) else { return false };
+        let starting = self.startup_until.is_some_and(|until| now < until);
+        let was_stable = feed.received && now.saturating_sub(feed.since) > STABLE_AFTER;
         let pause = match self.failed.get(&address) {
-            Some((_, pause)) if !long && !eager => (*pause * 2).min(LONGEST_PAUSE),
-            _ => FIRST_PAUSE,
+            Some((_, pause)) if !was_stable && !starting => (*pause * 2).min(RETRY_MAX),
+            _ => RETRY_MIN,
         };
         self.failed.insert(address, (now.saturating_add(pause), pause));
-        if self.failed.len() > FAILED
+        if self.failed.len() > MAX_FAILED
             && let Some(first) = self.failed.iter().min_by_key(|(_, (until, _))| *until).map(|(a, _)| *a)
         {
             self.failed.remove(&first);
@@ -306,49 +325,51 @@
         true
     }
 
-    /// What a feed told does not meet what is held. One that sends whole configurations begins anew, with the whole; one that sends changes
-    /// only is asked for the whole instead.
+    /// The base of a configuration change is missing. A feed of full configurations is reopened, which begins
+    /// with the full configuration; a feed of changes is reopened as one of full configurations, in place of
+    /// the others.
     pub fn base_missing(&mut self, now: Nanos, address: SocketAddr) {
-        let Some(feed) = self.followed.get(&address) else { return };
-        if feed.whole {
+        let Some(feed) = self.feeds.get(&address) else { return };
+        if feed.full_config {
             return self.snapshot_needed(now, address);
         }
-        if now.saturating_sub(feed.since) <= SETTLED {
+        if now.saturating_sub(feed.since) <= PATCH_GRACE {
             return;
         }
-        let others: Vec<_> = self.followed.iter().filter(|(_, f)| f.whole).map(|(a, _)| *a).collect();
+        let others: Vec<_> = self.feeds.iter().filter(|(_, f)| f.full_config).map(|(a, _)| *a).collect();
         others.into_iter().for_each(|a| self.close(a));
         self.close(address);
         self.open(address, now);
     }
 
-    /// What a feed tells of stalls does not meet what is held: its snapshot is wanted.
+    /// The base of a change to the proxies' membership is missing: the feed is to be reopened, which begins
+    /// with a snapshot.
     pub fn snapshot_needed(&mut self, now: Nanos, address: SocketAddr) {
-        self.behind = Some(address);
-        self.catch_up(now);
+        self.reopen_wanted = Some(address);
+        self.reopen_if_due(now);
     }
 
-    fn catch_up(&mut self, now: Nanos) {
-        if self.renewed.is_some_and(|at| now.saturating_sub(at) < SNAPSHOT) {
+    fn reopen_if_due(&mut self, now: Nanos) {
+        if self.reopened_at.is_some_and(|at| now.saturating_sub(at) < REOPEN_EVERY) {
             return;
         }
-        // One that is not followed any more begins with its snapshot when it is again.
-        let Some(address) = self.behind.take() else { return };
-        let Some(whole) = self.followed.get(&address).map(|f| f.whole) else { return };
-        self.renewed = Some(now);
+        // A feed that is closed meanwhile begins with its snapshot once it is opened again.
+        let Some(address) = self.reopen_wanted.take() else { return };
+        let Some(full_config) = self.feeds.get(&address).map(|f| f.full_config) else { return };
+        self.reopened_at = Some(now);
         self.close(address);
-        self.open_for(address, whole, now);
+        self.open_feed(address, full_config, now);
     }
 
-    /// Somebody tells of a steward; the higher fence counts.
+    /// A message has named the leader. The one with the highest fence is kept.
     pub fn set_leader(&mut self, now: Nanos, fence: u64, address: SocketAddr) {
-        if fence <= self.steward.map_or(0, |(fence, _)| fence) {
+        if fence <= self.leader.map_or(0, |(fence, _)| fence) {
             return;
         }
-        self.steward = Some((fence, address));
+        self.leader = Some((fence, address));
         if !self.seeds.contains(&address) && !self.others.contains(&address) {
             self.others.push(address);
-            if self.others.len() > OTHERS {
+            if self.others.len() > MAX_OTHERS {
                 self.others.remove(0);
             }
         }
--- a/agent/src/latest.rs
+++ b/agent/src/latest.rs
@@ -1,6 +1,7 @@
-//! The newest of each kind, so that a stall that starts anew has it at once.
+//! Keeps the newest configuration, membership and instances, so that a proxy that restarts gets them at once.
 //!
-//! Invariant: what is kept, and told on, is at least as new as what was before, whoever tells it.
+//! Invariant: what is kept and passed on is at least as new as what was kept before, whichever controller it
+//! came from.
 
 use std::collections::BTreeMap;
 
@@ -10,69 +11,70 @@
 use millpost_protocol::{Instance, MembershipView, PeerMessage, Version};
 use tinyjson::JsonValue;
 
-/// Lines of the feed, and a configuration out of its pack.
+/// The largest line of a feed, and the largest unpacked configuration, in bytes.
 pub const MAX_CONFIG_BYTES: usize = 8 << 20;
-/// A configuration and the changes to it, before it has to come whole again.
-const MOST: usize = 32 << 20;
-/// Instances, as text; the stall takes no longer letter than [`MAX_CONFIG_BYTES`].
-const MOST_OF_INSTANCES: usize = 6 << 20;
+/// The most bytes of a configuration plus the changes to it. Beyond that the full configuration is requested
+/// again.
+const MAX_CONFIG_WITH_CHANGES: usize = 32 << 20;
+/// The most bytes of all instances as text. The proxy accepts no batch above [`MAX_CONFIG_BYTES`].
+const MAX_INSTANCES_BYTES: usize = 6 << 20;
 
-fn weight_of(i: &Instance) -> usize {
+fn approx_bytes(i: &Instance) -> usize {
     64 + [&i.id, &i.service, &i.address, &i.zone, &i.worker].iter().map(|text| text.len()).sum::<usize>()
 }
 
-/// What becomes of something that control tells.
+/// The result of applying a controller's message.
 #[derive(Debug)]
 pub enum Applied {
-    /// It is no newer than what is held, or is of another kind.
+    /// It is not newer than what is held, or its kind is not kept.
     Stale,
-    /// It is new, and goes on to the stall.
+    /// It is new and is to be passed on to the proxy.
     New(PeerMessage),
-    /// Likewise, without so many instances: there is no room for them.
+    /// As [`Applied::New`], but this many instances were left out because there is no room for them.
     Partial(PeerMessage, usize),
-    /// It can't be read, for this reason.
+    /// It could not be parsed, for this reason.
     Unreadable(String),
-    /// This does not meet what is held, for this reason.
+    /// This change does not fit the configuration that is held, for this reason.
     BaseMissing(String, String),
-    /// A shift goes from another naming of stalls than the one that is held: the two versions.
+    /// A change to the membership has another base version than the version that is held: the two versions.
     VersionGap(Version, Version),
 }
 
-/// What is held.
+/// The newest state that controllers have sent.
 #[derive(Clone, Debug, Default)]
 pub struct LatestState {
     config: Option<Config>,
-    /// Bytes that the whole one came in, and all changes since.
-    weight: usize,
-    /// The whole of it, as it came or once it was wanted.
-    packed: Option<PeerMessage>,
-    /// The stalls; under version 0 while none were named.
-    stalls: MembershipView,
-    version: Version,
+    /// The size of the last full configuration plus all changes since.
+    config_bytes: usize,
+    /// The full configuration, packed, once it has been received so or requested.
+    packed_config: Option<PeerMessage>,
+    /// The proxies; version 0 while none have been received.
+    membership: MembershipView,
+    instances_version: Version,
     instances: BTreeMap<CompactString, Instance>,
-    /// Bytes that they take as text, about.
-    instances_weight: usize,
+    /// The approximate size of the instances as text.
+    instances_bytes: usize,
 }
 
 impl LatestState {
-    /// The revision of the configuration; 0 without one.
+    /// The revision of the configuration; 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.config.as_ref().map_or(0, |c| c.revision)
     }
 
-    /// The versions of the stalls and of the instances.
+    /// The versions of the membership and of the instances.
     pub fn versions(&self) -> (Version, Version) {
-        (self.stalls.version(), self.version)
+        (self.membership.version(), self.instances_version)
     }
 
-    /// How many instances there are.
+    /// The number of instances.
     pub fn instances(&self) -> usize {
         self.instances.len()
     }
 
-    /// Takes in what control tells, in a line of this many bytes.
-    pub fn apply(&mut self, note: PeerMessage, weight: usize) -> Applied {
-        match note {
+    /// Applies a controller's message, which came in a line of this many bytes.
+    pub fn apply(&mut self, message: PeerMessage, bytes: usize) -> Applied {
+        match message {
             PeerMessage::Config { revision, .. }
             | PeerMessage::Packed { revision, .. }
             | PeerMessage::Patch { revision, .. }
@@ -82,142 +84,153 @@
                 Applied::Stale
             }
             PeerMessage::Config { revision, body } => match Config::read(&At::root(&body)) {
-                Ok(config) => self.install(config, PeerMessage::Config { revision, body }, weight),
+                Ok(config) => self.install(config, PeerMessage::Config { revision, body }, bytes),
                 Err(e) => Applied::Unreadable(format!("configuration {revision}: {e}")),
             },
             PeerMessage::Packed { revision, packed } => {
                 match unpack(&packed, MAX_CONFIG_BYTES).map(|text| (text.len(), Config::parse(&text))) {
-                    Some((long, Ok(config))) => {
-                        self.install(config, PeerMessage::Packed { revision, packed }, long)
+                    Some((bytes, Ok(config))) => {
+                        self.install(config, PeerMessage::Packed { revision, packed }, bytes)
                     }
                     Some((_, Err(e))) => Applied::Unreadable(format!("configuration {revision}: {e}")),
-                    None => Applied::Unreadable(format!("configuration {revision} can't be unpacked")),
+                    None => Applied::Unreadable(format!("configuration {revision} could not be unpacked")),
                 }
             }
-            PeerMessage::Patch { revision, ref change } => self.change(revision, change, weight, &note),
+            PeerMessage::Patch { revision, ref change } => {
+                self.apply_change(revision, change, bytes, &message)
+            }
             PeerMessage::Folded { revision, ref packed } => {
                 let text = unpack(packed, MAX_CONFIG_BYTES);
                 match text.map(|text| (text.len(), text.parse::<JsonValue>())) {
-                    Some((long, Ok(change))) => self.change(revision, &change, long, &note),
-                    _ => Applied::Unreadable(format!("change to {revision} can't be unpacked")),
+                    Some((bytes, Ok(change))) => self.apply_change(revision, &change, bytes, &message),
+                    _ => Applied::Unreadable(format!(
+                        "change to configuration {revision} could not be unpacked"
+                    )),
                 }
             }
             PeerMessage::Stalls { version, peers, leaving, split } => {
-                if self.stalls.version() >= version {
+                if self.membership.version() >= version {
                     return Applied::Stale;
                 }
-                self.stalls = MembershipView::new(version, peers, split).with_leaving(leaving);
-                Applied::New(self.stalls.note())
+                self.membership = MembershipView::new(version, peers, split).with_leaving(leaving);
+                Applied::New(self.membership.note())
             }
-            PeerMessage::ViewChange(shift) if self.stalls.version() >= shift.version => Applied::Stale,
-            PeerMessage::ViewChange(shift) => match self.stalls.shifted(&shift) {
-                Some(stalls) => {
-                    self.stalls = stalls;
-                    Applied::New(PeerMessage::ViewChange(shift))
+            PeerMessage::ViewChange(change) if self.membership.version() >= change.version => Applied::Stale,
+            PeerMessage::ViewChange(change) => match self.membership.shifted(&change) {
+                Some(membership) => {
+                    self.membership = membership;
+                    Applied::New(PeerMessage::ViewChange(change))
                 }
-                None => Applied::VersionGap(shift.from, self.stalls.version()),
+                None => Applied::VersionGap(change.from, self.membership.version()),
             },
             PeerMessage::Instances { version, all, set, gone } => {
-                if version < self.version || !all && version == self.version {
+                if version < self.instances_version || !all && version == self.instances_version {
                     return Applied::Stale;
                 }
-                self.version = version;
-                self.list(all, set, gone)
+                self.instances_version = version;
+                self.update_instances(all, set, gone)
             }
-            // Said again and again while it holds: nothing is kept.
-            note @ PeerMessage::Floor { .. } => Applied::New(note),
+            // Repeated by the controllers while it is in force, so it is not kept.
+            message @ PeerMessage::Floor { .. } => Applied::New(message),
             _ => Applied::Stale,
         }
     }
 
-    /// A change to the configuration, as `note` brings it.
-    fn change(
+    /// Applies a change to the configuration, which `message` has brought.
+    fn apply_change(
         &mut self,
         revision: u64,
         difference: &JsonValue,
-        weight: usize,
-        note: &PeerMessage,
+        bytes: usize,
+        message: &PeerMessage,
     ) -> Applied {
-        let missed = |why| Applied::BaseMissing(format!("change to {revision}"), why);
+        let base_missing = |why| Applied::BaseMissing(format!("change to configuration {revision}"), why);
         let Some(config) = &self.config else {
-            return missed("nothing to change yet".to_owned());
+            return base_missing("there is no configuration yet".to_owned());
         };
-        let weight = self.weight.saturating_add(weight);
-        if weight > MOST {
-            return missed("too much has been added since the whole one".to_owned());
+        let bytes = self.config_bytes.saturating_add(bytes);
+        if bytes > MAX_CONFIG_WITH_CHANGES {
+            return base_missing("the changes since the last full configuration are too large".to_owned());
         }
         match change::apply(config, difference) {
-            Ok(new) => self.install(new, note.clone(), weight),
-            Err(e) => missed(e.to_string()),
+            Ok(new) => self.install(new, message.clone(), bytes),
+            Err(e) => base_missing(e.to_string()),
         }
     }
 
-    /// Instances that are new, changed or gone. Those for which there is no room are not told on.
-    fn list(&mut self, all: bool, mut set: Vec<Instance>, gone: Vec<CompactString>) -> Applied {
+    /// Applies instances that are new, changed or gone. Those for which there is no room are not passed on.
+    fn update_instances(&mut self, all: bool, mut set: Vec<Instance>, gone: Vec<CompactString>) -> Applied {
         if all {
             self.instances.clear();
-            self.instances_weight = 0;
+            self.instances_bytes = 0;
         }
         for id in &gone {
-            let weight = self.instances.remove(id).map_or(0, |i| weight_of(&i));
-            self.instances_weight -= weight;
+            let bytes = self.instances.remove(id).map_or(0, |i| approx_bytes(&i));
+            self.instances_bytes -= bytes;
         }
-        let came = set.len();
+        let received = set.len();
         set.retain(|instance| {
-            let before = self.instances.get(&instance.id).map_or(0, weight_of);
-            let weight = self.instances_weight - before + weight_of(instance);
-            if weight > MOST_OF_INSTANCES {
+            let before = self.instances.get(&instance.id).map_or(0, approx_bytes);
+            let bytes = self.instances_bytes - before + approx_bytes(instance);
+            if bytes > MAX_INSTANCES_BYTES {
                 return false;
             }
-            self.instances_weight = weight;
+            self.instances_bytes = bytes;
             self.instances.insert(instance.id.clone(), instance.clone());
             true
         });
-        let left_out = came - set.len();
-        let note = PeerMessage::Instances { version: self.version, all, set, gone };
-        if left_out > 0 { Applied::Partial(note, left_out) } else { Applied::New(note) }
+        let left_out = received - set.len();
+        let message = PeerMessage::Instances { version: self.instances_version, all, set, gone };
+        if left_out > 0 { Applied::Partial(message, left_out) } else { Applied::New(message) }
     }
 
-    fn install(&mut self, config: Config, note: PeerMessage, weight: usize) -> Applied {
+    /// Keeps a configuration that `message` has brought, if its revision is the message's.
+    fn install(&mut self, config: Config, message: PeerMessage, bytes: usize) -> Applied {
         let (PeerMessage::Config { revision, .. }
         | PeerMessage::Packed { revision, .. }
         | PeerMessage::Patch { revision, .. }
-        | PeerMessage::Folded { revision, .. }) = note
+        | PeerMessage::Folded { revision, .. }) = message
         else {
             return Applied::Stale;
         };
         if config.revision != revision {
             return Applied::Unreadable(format!(
-                "configuration {revision}: it says that it is {}",
+                "configuration {revision} has revision {} in its body",
                 config.revision
             ));
         }
-        self.packed = matches!(note, PeerMessage::Packed { .. }).then(|| note.clone());
-        (self.config, self.weight) = (Some(config), weight);
-        Applied::New(note)
+        self.packed_config = matches!(message, PeerMessage::Packed { .. }).then(|| message.clone());
+        (self.config, self.config_bytes) = (Some(config), bytes);
+        Applied::New(message)
     }
 
-    /// The whole configuration, for a stall that starts or could not follow a change. Packed: as a tree of values it takes some ten
-    /// times the memory of its text, in the note that waits and at the stall that reads it.
+    /// The full configuration, for a proxy that starts or could not apply a change. It is packed because a
+    /// tree of values takes about ten times the memory of its text, in the queued message and in the proxy
+    /// that parses it.
     pub fn full_config(&mut self) -> Option<PeerMessage> {
-        if self.packed.is_none() {
+        if self.packed_config.is_none() {
             let config = self.config.as_ref()?;
             let packed = pack(&config.to_json())?;
-            self.packed = Some(PeerMessage::Packed { revision: config.revision, packed });
+            self.packed_config = Some(PeerMessage::Packed { revision: config.revision, packed });
         }
-        self.packed.clone()
+        self.packed_config.clone()
     }
 
-    /// Everything, for a stall that starts.
+    /// All that is kept, for a proxy that starts.
     pub fn snapshot(&mut self) -> Vec<PeerMessage> {
-        let mut notes = Vec::from_iter(self.full_config());
-        if self.version > (0, 0) {
+        let mut messages = Vec::from_iter(self.full_config());
+        if self.instances_version > (0, 0) {
             let set = self.instances.values().cloned().collect();
-            notes.push(PeerMessage::Instances { version: self.version, all: true, set, gone: Vec::new() });
+            messages.push(PeerMessage::Instances {
+                version: self.instances_version,
+                all: true,
+                set,
+                gone: Vec::new(),
+            });
         }
-        if self.stalls.version() > (0, 0) {
-            notes.push(self.stalls.note());
+        if self.membership.version() > (0, 0) {
+            messages.push(self.membership.note());
         }
-        notes
+        messages
     }
 }
--- a/agent/src/lib.rs
+++ b/agent/src/lib.rs
@@ -1,5 +1,6 @@
-//! What a porter decides, as a state machine without I/O and clock: [`Agent`] takes inputs with their times and returns what is to be
-//! opened, closed, sent and answered. The program `agent` carries it out.
+//! The decisions of an agent, as a state machine without I/O or clock: [`Agent`] takes inputs with their
+//! times and returns what is to be opened, closed, sent and answered. The program `agent` carries these
+//! effects out.
 
 pub mod agent;
 pub mod feeds;
@@ -9,7 +10,7 @@
 pub use agent::{Agent, AgentConfig, Effect, Input};
 pub use recording::Recorded;
 
-/// Nanoseconds of the process's life.
+/// A point in time or a span, in nanoseconds. Points in time are counted from the start of the process.
 pub type Nanos = u64;
 /// A millisecond.
 pub const MS: Nanos = 1_000_000;
--- a/agent/src/main.rs
+++ b/agent/src/main.rs
@@ -1,8 +1,8 @@
-//! `agent`: the agent beside a stall. It holds connections to two control machines, the steward among them, feeds its stall over
-//! loopback with what comes, and carries the stall's words up.
+//! `agent`: the agent beside a proxy. It keeps connections to two controllers, the leader among them, passes
+//! what they send on to its proxy over loopback, and passes the proxy's messages to the controllers.
 
 mod errors;
-mod figures;
+mod metrics;
 mod run;
 
 use std::path::PathBuf;
@@ -12,22 +12,22 @@
 use millpost_net::lines::{Bound, Lines};
 use millpost_protocol::frame;
 
-/// The agent beside a stall.
+/// The agent beside a proxy.
 #[derive(argh::FromArgs)]
 struct Options {
-    /// the settings file; else the path in DEWJUNCTION_CONFIG
+    /// the settings file; by default the path in DEWJUNCTION_CONFIG
     #[argh(option)]
     config: Option<PathBuf>,
-    /// read and check the settings file, say what is wrong with it, and end
+    /// check the settings file, print what is wrong with it, and exit
     #[argh(switch)]
     check_config: bool,
-    /// tell figures of the process at this port of the machine, under /metrics
+    /// serve metrics of the process on this port, under /metrics
     #[argh(option)]
     metrics: Option<u16>,
-    /// write what the porter decides on as lines at the end of this file, for `replay`
+    /// append the inputs of the agent's decisions to this file, for `replay`
     #[argh(option)]
     record: Option<PathBuf>,
-    /// megabytes of the file at most; what comes beyond is counted and left out
+    /// the largest size of that file in megabytes; lines beyond it are counted and dropped
     #[argh(option, default = "64")]
     record_mb: u64,
 }
@@ -37,7 +37,7 @@
     millpost_net::logs::start();
     let path = options.config.or_else(|| std::env::var_os("DEWJUNCTION_CONFIG").map(PathBuf::from));
     let Some(path) = path else {
-        log::error!("no settings: neither --config nor DEWJUNCTION_CONFIG names a file");
+        log::error!("no settings file: set --config or DEWJUNCTION_CONFIG");
         return ExitCode::from(2);
     };
     let settings = match Settings::checked(&path) {
@@ -54,22 +54,22 @@
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => {
-            log::error!("no runtime: {e}");
+            log::error!("can't start the async runtime: {e}");
             return ExitCode::FAILURE;
         }
     };
     let bound = Bound { bytes: options.record_mb.saturating_mul(1 << 20), told: frame::left_out };
-    // A process that starts again begins another life in the same file.
+    // A restarted process appends to the same file, as another incarnation.
     let lines = match options.record.as_deref().map(|path| Lines::append(path, bound)).transpose() {
         Ok(lines) => lines,
         Err(e) => {
-            log::error!("nothing can be recorded: {e}");
+            log::error!("can't open the recording: {e}");
             return ExitCode::FAILURE;
         }
     };
-    let ended = runtime.block_on(run::run(settings, path, options.metrics, lines.as_ref().map(Lines::sink)));
+    let result = runtime.block_on(run::run(settings, path, options.metrics, lines.as_ref().map(Lines::sink)));
     runtime.shutdown_background();
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             log::error!("{e}");
--- a/agent/src/recording.rs
+++ b/agent/src/recording.rs
@@ -1,7 +1,8 @@
-//! A round's inputs as lines of JSON, to be played again: each input with its time. Written by [`Recorded`], read by [`Entry::read`].
+//! Records an agent's inputs as lines of JSON for replay: each input with its time. [`Recorded`] writes them,
+//! [`Entry::read`] parses them.
 //!
-//! Times are nanoseconds of the process's life, whole numbers below 2^53. Lines of feeds and letters stand in it as they came, as text
-//! (`l`) or, where they are none, as hex digits (`x`).
+//! Times are nanoseconds since the process started, whole numbers below 2^53. Lines of feeds and message
+//! batches are recorded unchanged, as text (`l`) or, if they are not UTF-8, as hex digits (`x`).
 
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -16,73 +17,74 @@
 
 use crate::{Agent, AgentConfig, Effect, Input, Nanos};
 
-/// What the first line of a round says that it is of.
+/// The value of the key `of` in the first line of an agent's recording.
 pub const ROUND: &str = "round";
 
-/// A round whose inputs are told as lines, where somebody wants them. Without a sink it costs nothing.
+/// An agent whose inputs are written to a sink, if there is one. Without a sink it costs nothing.
 #[derive(Debug)]
 pub struct Recorded {
-    round: Agent,
-    tape: Option<Recorder>,
+    agent: Agent,
+    recorder: Option<Recorder>,
 }
 
 impl std::ops::Deref for Recorded {
     type Target = Agent;
-    // What changes a round goes by the methods below.
+    // Read access only: each method that changes the agent is wrapped below.
     fn deref(&self) -> &Agent {
-        &self.round
+        &self.agent
     }
 }
 
 impl Recorded {
     /// As [`Agent::new`].
-    pub fn new(terms: AgentConfig, now: Nanos, sink: Option<Sink>) -> Self {
-        let mut taped = Recorded { round: Agent::new(terms.clone(), now), tape: sink.map(Recorder::new) };
-        taped.tell(now, &Input::New(terms));
-        taped
+    pub fn new(config: AgentConfig, now: Nanos, sink: Option<Sink>) -> Self {
+        let mut recorded =
+            Recorded { agent: Agent::new(config.clone(), now), recorder: sink.map(Recorder::new) };
+        recorded.record(now, &Input::New(config));
+        recorded
     }
 
-    fn tell(&mut self, now: Nanos, input: &Input) {
-        if let Some(tape) = &mut self.tape {
-            let mut line = tape.begin(input_name(input), now);
+    fn record(&mut self, now: Nanos, input: &Input) {
+        if let Some(recorder) = &mut self.recorder {
+            let mut line = recorder.begin(input_name(input), now);
             write(&mut line, input);
-            tape.put(line);
+            recorder.put(line);
         }
     }
 
     /// As [`Agent::handle`].
     pub fn handle(&mut self, now: Nanos, input: Input) {
-        self.tell(now, &input);
-        self.round.handle(now, input);
+        self.record(now, &input);
+        self.agent.handle(now, input);
     }
 
-    /// As [`Agent::take`], which is no input.
+    /// As [`Agent::take`]. Not an input: the effects only go into the recording's digest.
     pub fn take(&mut self) -> Vec<Effect> {
-        let effects = self.round.take();
-        if let Some(tape) = &mut self.tape {
-            // What is said to the log is no decision.
-            let decided = effects.iter().filter(|effect| !matches!(effect, Effect::Log(..)));
-            decided.for_each(|effect| tape.digest().fold(|parts| effect.fold(parts)));
+        let effects = self.agent.take();
+        if let Some(recorder) = &mut self.recorder {
+            // Log lines are not decisions, so their wording may change between versions.
+            let decisions = effects.iter().filter(|effect| !matches!(effect, Effect::Log(..)));
+            decisions.for_each(|effect| recorder.digest().fold(|parts| effect.fold(parts)));
         }
         effects
     }
 }
 
 impl Effect {
-    /// Puts it into a digest, whole.
+    /// Adds all of the effect to a digest.
     pub fn fold(&self, into: &mut Fold<'_>) {
         match self {
-            Effect::Open { feed, address, path, messages: notes } => {
+            Effect::Open { feed, address, path, messages } => {
                 into.text("open").whole(*feed).text(&address.to_compact_string()).text(path);
-                notes.iter().for_each(|note| note.fold(into));
+                messages.iter().for_each(|message| message.fold(into));
             }
             Effect::Close { feed } => {
                 into.text("close").whole(*feed);
             }
-            Effect::SendToControl { feed, to, message: note } => {
-                note.fold(into.text("post").whole(*feed).text(&to.to_compact_string()));
+            Effect::SendToControl { feed, to, message } => {
+                message.fold(into.text("post").whole(*feed).text(&to.to_compact_string()));
             }
-            Effect::SendToProxy(note) => note.fold(into.text("tell")),
+            Effect::SendToProxy(message) => message.fold(into.text("tell")),
             Effect::AnswerProxy { read } => {
                 into.text("answer").whole((*read).into());
             }
@@ -102,15 +104,15 @@
 /// A line of a recording.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Its number in the life; lines made by hand may have none.
+    /// Its number in this run of the process; lines written by hand may have none.
     pub number: Option<u64>,
-    /// When it came, in the process's life.
+    /// When the input came, in nanoseconds since the process started.
     pub at: Nanos,
-    /// What came.
+    /// The input.
     pub input: Input,
 }
 
-/// The word for an input in a line.
+/// An input's name in a recording.
 pub fn input_name(input: &Input) -> &'static str {
     match input {
         Input::New(_) => "new",
@@ -129,20 +131,20 @@
 
 fn write(line: &mut Line, input: &Input) {
     match input {
-        Input::New(terms) => {
-            line.text("of", ROUND).text("me", &terms.name).whole("life", terms.life);
-            seeds(line, &terms.seeds).time("grace", terms.grace);
+        Input::New(config) => {
+            line.text("of", ROUND).text("me", &config.name).whole("life", config.life);
+            seeds(line, &config.seeds).time("grace", config.grace);
         }
-        Input::FeedLine { feed, line: of } => {
+        Input::FeedLine { feed, line: bytes } => {
             line.whole("feed", *feed);
-            body(line, of);
+            body(line, bytes);
         }
         Input::FeedEnded { feed } => {
             line.whole("feed", *feed);
         }
-        Input::ControlAnswered(of) | Input::ProxyMessages(of) => body(line, of),
-        Input::MessagesLost { feed, messages: notes } => {
-            line.whole("feed", *feed).whole("c", *notes);
+        Input::ControlAnswered(bytes) | Input::ProxyMessages(bytes) => body(line, bytes),
+        Input::MessagesLost { feed, messages } => {
+            line.whole("feed", *feed).whole("c", *messages);
         }
         Input::Seeds(all) => {
             seeds(line, all);
@@ -156,12 +158,12 @@
     line.names("seeds", &seeds)
 }
 
-fn body(line: &mut Line, of: &Bytes) {
-    match std::str::from_utf8(of) {
+fn body(line: &mut Line, bytes: &Bytes) {
+    match std::str::from_utf8(bytes) {
         Ok(text) => line.text("l", text),
         Err(_) => {
-            let mut hex = String::with_capacity(of.len() * 2);
-            of.iter().for_each(|byte| {
+            let mut hex = String::with_capacity(bytes.len() * 2);
+            bytes.iter().for_each(|byte| {
                 let _ = write!(hex, "{byte:02x}");
             });
             line.text("x", &hex)
@@ -169,53 +171,53 @@
     };
 }
 
-type Parts = HashMap<String, JsonValue>;
+type Object = HashMap<String, JsonValue>;
 
 fn fault(key: &str, reason: &'static str) -> Fault {
     Fault { key: key.to_owned(), reason }
 }
 
-fn read_seeds(from: &Parts) -> Result<Vec<SocketAddr>, Fault> {
-    let read = |seed: &CompactString| seed.parse().map_err(|_| fault("seeds", "no address with a port"));
+fn read_seeds(from: &Object) -> Result<Vec<SocketAddr>, Fault> {
+    let read = |seed: &CompactString| seed.parse().map_err(|_| fault("seeds", "not an address with a port"));
     line::names(from, "seeds")?.iter().map(read).collect()
 }
 
-fn read_body(from: &Parts) -> Result<Bytes, Fault> {
+fn read_body(from: &Object) -> Result<Bytes, Fault> {
     match (from.get("l"), from.get("x")) {
         (Some(JsonValue::String(text)), None) => Ok(Bytes::from(text.clone())),
-        (Some(_), _) => Err(fault("l", "no text, or one of two")),
+        (Some(_), _) => Err(fault("l", "not text, or both l and x are present")),
         (None, Some(JsonValue::String(hex))) => {
             let digits: Option<Vec<u32>> = hex.chars().map(|c| c.to_digit(16)).collect();
             match digits {
                 Some(digits) if digits.len() % 2 == 0 => {
                     Ok(digits.chunks(2).map(|pair| (pair[0] * 16 + pair[1]) as u8).collect())
                 }
-                _ => Err(fault("x", "no hex digits")),
+                _ => Err(fault("x", "not an even number of hex digits")),
             }
         }
-        (None, Some(_)) => Err(fault("x", "no hex digits")),
+        (None, Some(_)) => Err(fault("x", "not an even number of hex digits")),
         (None, None) => Err(fault("l", "missing")),
     }
 }
 
 impl Entry {
-    /// As a line, without its end.
+    /// Formats the entry as a line, without the line feed.
     pub fn write(&self) -> String {
         let mut line = line::begin(input_name(&self.input), self.number, self.at);
         write(&mut line, &self.input);
         line.end()
     }
 
-    /// Reads a line.
+    /// Parses a line.
     pub fn read(text: &str) -> Result<Entry, Fault> {
         Entry::from_json(&line::read(text)?)
     }
 
-    /// Reads a line that was read as JSON.
-    pub fn from_json(from: &Parts) -> Result<Entry, Fault> {
+    /// Converts a line that was parsed as a JSON object.
+    pub fn from_json(from: &Object) -> Result<Entry, Fault> {
         let feed = || line::large(from, "feed");
         let input = match string(from, "in")?.as_str() {
-            "new" if string(from, "of")? != ROUND => return Err(fault("of", "no round")),
+            "new" if string(from, "of")? != ROUND => return Err(fault("of", "not a recording of an agent")),
             "new" => Input::New(AgentConfig {
                 name: string(from, "me")?,
                 life: line::large(from, "life")?,
@@ -232,7 +234,7 @@
             "seeds" => Input::Seeds(read_seeds(from)?),
             "leave" => Input::Shutdown,
             "tick" => Input::Tick,
-            _ => return Err(fault("in", "no input of a round")),
+            _ => return Err(fault("in", "not an input of an agent")),
         };
         let number = from.contains_key("n").then(|| whole(from, "n")).transpose()?;
         Ok(Entry { number, at: whole(from, "at")?, input })
@@ -249,23 +251,23 @@
 
     fn all() -> Vec<Input> {
         let seeds = vec![SocketAddr::from(([10, 0, 0, 1], 8428))];
-        let terms =
+        let config =
             AgentConfig { name: "edge-1".into(), life: u64::MAX, seeds: seeds.clone(), grace: 6 * SECOND };
-        let spoilt = Bytes::from_static(b"{\"n\":\xff\x00}");
+        let invalid = Bytes::from_static(b"{\"n\":\xff\x00}");
         let long = format!(
             r#"{{"n":4,"notes":[{{"t":"steward","a":"10.0.0.2:1","f":2}}],"x":"{}"}}"#,
             "é\\\"\t".repeat(900)
         );
         vec![
-            Input::New(terms),
+            Input::New(config),
             Input::FeedLine { feed: 1, line: Bytes::from(long) },
-            Input::FeedLine { feed: 1, line: spoilt.clone() },
+            Input::FeedLine { feed: 1, line: invalid.clone() },
             Input::FeedEnded { feed: 1 },
             Input::ControlAnswered(Bytes::from_static(b"{}")),
             Input::ProxyMessages(Bytes::from_static(
                 br#"{"from":"edge-1","life":1,"notes":[{"t":"acts","v":3,"n":0}]}"#,
             )),
-            Input::ProxyMessages(spoilt),
+            Input::ProxyMessages(invalid),
             Input::ProxyUp,
             Input::ProxyQueueFull,
             Input::MessagesLost { feed: 2, messages: 3 },
@@ -276,17 +278,17 @@
     }
 
     #[test]
-    fn every_input_reads_back_and_without_a_part_it_is_an_error_or_another() {
+    fn inputs_round_trip_and_a_missing_key_changes_or_invalidates_them() {
         for (number, input) in all().into_iter().enumerate() {
             let entry = Entry { number: Some(number as u64), at: number as u64 * MS, input };
             let text = entry.write();
             assert_eq!(Entry::read(&text), Ok(entry.clone()), "{text}");
-            let parts = line::read(&text).expect("an object");
-            for key in parts.keys() {
-                let mut fewer = parts.clone();
+            let object = line::read(&text).expect("an object");
+            for key in object.keys() {
+                let mut fewer = object.clone();
                 fewer.remove(key);
                 assert_ne!(Entry::from_json(&fewer), Ok(entry.clone()), "{key} of {text}");
-                let mut odd = parts.clone();
+                let mut odd = object.clone();
                 odd.insert(key.clone(), JsonValue::Object(HashMap::new()));
                 assert!(Entry::from_json(&odd).is_err(), "{key} of {text}");
             }
@@ -297,27 +299,27 @@
     }
 
     #[test]
-    fn what_a_taped_round_tells_plays_as_it_went() {
+    fn a_recording_holds_all_inputs_and_replays_to_the_same_effects() {
         let lines = Rc::new(RefCell::new(Vec::new()));
-        let told = Rc::clone(&lines);
-        let sink: Sink = Box::new(move |line| told.borrow_mut().push(line.to_owned()));
+        let written = Rc::clone(&lines);
+        let sink: Sink = Box::new(move |line| written.borrow_mut().push(line.to_owned()));
         let inputs = all();
-        let Input::New(terms) = inputs[0].clone() else { panic!("a life begins") };
-        let mut taped = Recorded::new(terms.clone(), 0, Some(sink));
-        let mut effects = taped.take();
+        let Input::New(config) = inputs[0].clone() else { panic!("the first input starts the process") };
+        let mut recorded = Recorded::new(config.clone(), 0, Some(sink));
+        let mut effects = recorded.take();
         for (n, input) in inputs.iter().cloned().enumerate().skip(1) {
-            taped.handle(n as u64 * 40 * MS, input);
-            effects.extend(taped.take());
+            recorded.handle(n as u64 * 40 * MS, input);
+            effects.extend(recorded.take());
         }
         let read: Vec<_> = lines.borrow().iter().map(|line| Entry::read(line).expect("a line")).collect();
         assert_eq!(read.iter().map(|e| e.input.clone()).collect::<Vec<_>>(), inputs);
-        let mut again = Agent::new(AgentConfig { seeds: Vec::new(), ..terms }, 0);
-        again.take();
-        let mut same = Vec::new();
+        let mut replayed = Agent::new(AgentConfig { seeds: Vec::new(), ..config }, 0);
+        replayed.take();
+        let mut replayed_effects = Vec::new();
         for entry in read {
-            again.handle(entry.at, entry.input);
-            same.extend(again.take());
+            replayed.handle(entry.at, entry.input);
+            replayed_effects.extend(replayed.take());
         }
-        assert_eq!(same, effects);
+        assert_eq!(replayed_effects, effects);
     }
 }
--- a/agent/src/run.rs
+++ b/agent/src/run.rs
@@ -1,4 +1,5 @@
-//! Carries out what the machine decides: held connections to control, mail to it and to the stall, the settings file. Decides nothing.
+//! Carries out the state machine's effects: the feeds from controllers, the messages to controllers and to
+//! the proxy, the settings file. Makes no decisions of its own.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -28,58 +29,62 @@
 
 use crate::errors::{Error, ListenSnafu, SignalsSnafu};
 
-/// What the stall's mail calls it.
-const STALL: &str = "stall";
-/// What the machine has to say is logged under this name.
-const OF: &str = "porter::round";
+/// The proxy's peer name in the events of its outbox.
+const PROXY: &str = "stall";
+/// The log target of the state machine's log lines.
+const LOG_TARGET: &str = "porter::round";
 
-/// What is told of instances counts in its order: one request at a time, also where a second one would be quicker.
+/// The bounds of an outbox. One request at a time, although a second one would be faster: changes to
+/// instances have to arrive in order.
 fn bounds(within: Duration) -> Bounds {
     Bounds { notes: 4_000, bytes: 16 << 20, at_once: 1, within }
 }
 
-/// What comes in.
-enum Came {
+/// An event for the main loop.
+enum Incoming {
     /// A line of a feed.
     Line(u64, Bytes),
-    /// A feed has ended, or did not begin.
+    /// A feed has ended, or could not be opened.
     Ended(u64),
-    /// A call of the stall.
+    /// An HTTP request from the proxy or for the metrics.
     Call(Call, oneshot::Sender<Reply>),
-    Mail(Event),
+    /// An event of an outbox.
+    Outbox(Event),
 }
 
-impl From<Event> for Came {
+impl From<Event> for Incoming {
     fn from(event: Event) -> Self {
-        Came::Mail(event)
+        Incoming::Outbox(event)
     }
 }
 
-/// A feed that is open, and the mail beside it.
-struct Open {
+/// An open feed, and the outbox to its controller.
+struct OpenFeed {
     task: JoinHandle<()>,
-    post: Outbox,
+    outbox: Outbox,
 }
 
-impl Drop for Open {
+impl Drop for OpenFeed {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-struct Porter {
+struct Driver {
+    /// The settings file.
     path: PathBuf,
     name: JsonValue,
-    life: Incarnation,
-    began: Instant,
-    came: mpsc::Sender<Came>,
-    round: Recorded,
-    open: BTreeMap<u64, Open>,
-    stall: Outbox,
-    over: bool,
+    incarnation: Incarnation,
+    started_at: Instant,
+    incoming: mpsc::Sender<Incoming>,
+    agent: Recorded,
+    feeds: BTreeMap<u64, OpenFeed>,
+    proxy: Outbox,
+    exiting: bool,
 }
 
-/// Follows control and serves the stall until SIGTERM. What the machine decides on is told to the sink.
+/// Follows the controllers and serves the proxy until the agent shuts down. The state machine's inputs are
+/// recorded to the sink.
 pub async fn run(
     settings: Settings,
     path: PathBuf,
@@ -92,10 +97,10 @@
     let listener = TcpListener::bind(here).await.context(ListenSnafu { address: here.to_string() })?;
     let mut term = signal(SignalKind::terminate()).context(SignalsSnafu)?;
     let mut hang_up = signal(SignalKind::hangup()).context(SignalsSnafu)?;
-    let (came, mut coming) = mpsc::channel(1_000);
-    serve(listener, came.clone());
+    let (incoming, mut received) = mpsc::channel(1_000);
+    serve(listener, incoming.clone());
     if let Some(port) = metrics {
-        metrics::serve_at(SocketAddr::new(settings.ip, port), handler(came.clone())).await;
+        metrics::serve_at(SocketAddr::new(settings.ip, port), handler(incoming.clone())).await;
     }
 
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
@@ -103,41 +108,41 @@
     if let Some(sink) = &mut sink {
         sink(&Head::new(&settings.node_name, "porter", life, life).line());
     }
-    let (name, number) = (text(&settings.node_name), Incarnation::new(life));
-    let to = to(STALL, SocketAddr::new(loopback, ports + 1), &name, &number);
-    let stall = Outbox::new(to, bounds(Duration::from_millis(800)), came.clone());
+    let (name, incarnation) = (text(&settings.node_name), Incarnation::new(life));
+    let destination = destination(PROXY, SocketAddr::new(loopback, ports + 1), &name, &incarnation);
+    let proxy = Outbox::new(destination, bounds(Duration::from_millis(800)), incoming.clone());
     let grace = Duration::from_secs_f64(settings.bounds.grace_s);
-    let terms =
+    let config =
         AgentConfig { name: settings.node_name, life, seeds: settings.seed_nodes, grace: nanos(grace) };
-    let mut porter = Porter {
+    let mut driver = Driver {
         path,
         name,
-        life: number,
-        began: Instant::now(),
-        came,
-        round: Recorded::new(terms, 0, sink),
-        open: BTreeMap::new(),
-        stall,
-        over: false,
+        incarnation,
+        started_at: Instant::now(),
+        incoming,
+        agent: Recorded::new(config, 0, sink),
+        feeds: BTreeMap::new(),
+        proxy,
+        exiting: false,
     };
-    porter.carry_out(None);
-    while !porter.over {
-        let due = porter.began + Duration::from_nanos(porter.round.due());
+    driver.run_effects(None);
+    while !driver.exiting {
+        let due = driver.started_at + Duration::from_nanos(driver.agent.due());
         tokio::select! {
-            came = coming.recv() => match came {
-                Some(came) => porter.came(came),
+            incoming = received.recv() => match incoming {
+                Some(incoming) => driver.handle_incoming(incoming),
                 None => break,
             },
-            _ = hang_up.recv() => porter.read_settings(),
-            _ = term.recv() => porter.give(Input::Shutdown, None),
-            () = sleep_until(due) => porter.give(Input::Tick, None),
+            _ = hang_up.recv() => driver.read_settings(),
+            _ = term.recv() => driver.handle(Input::Shutdown, None),
+            () = sleep_until(due) => driver.handle(Input::Tick, None),
         }
     }
     Ok(())
 }
 
-/// Takes the stall's letters.
-fn serve(listener: TcpListener, came: mpsc::Sender<Came>) {
+/// Serves the endpoint for the proxy's message batches.
+fn serve(listener: TcpListener, incoming: mpsc::Sender<Incoming>) {
     let limits = Limits {
         body: 4 << 20,
         idle: Duration::from_secs(60),
@@ -145,22 +150,22 @@
         connections: 16,
         unheard: None,
     };
-    tokio::spawn(messaging::serve(listener, limits, handler(came), std::future::pending()));
+    tokio::spawn(messaging::serve(listener, limits, handler(incoming), std::future::pending()));
 }
 
-/// Puts calls to the loop, which answers them.
+/// Passes requests to the main loop, which answers them.
 fn handler(
-    came: mpsc::Sender<Came>,
+    incoming: mpsc::Sender<Incoming>,
 ) -> impl Fn(Call) -> Pin<Box<dyn Future<Output = Reply> + Send>> + Clone + Send + Sync + 'static {
     move |call| {
-        let came = came.clone();
+        let incoming = incoming.clone();
         Box::pin(async move {
             let (reply, replied) = oneshot::channel();
-            let gone = || Reply::empty(StatusCode::SERVICE_UNAVAILABLE);
-            if came.send(Came::Call(call, reply)).await.is_err() {
-                return gone();
+            let unavailable = || Reply::empty(StatusCode::SERVICE_UNAVAILABLE);
+            if incoming.send(Incoming::Call(call, reply)).await.is_err() {
+                return unavailable();
             }
-            replied.await.unwrap_or_else(|_| gone())
+            replied.await.unwrap_or_else(|_| unavailable())
         })
     }
 }
@@ -169,68 +174,70 @@
     u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)
 }
 
-fn to(peer: &str, address: SocketAddr, name: &JsonValue, life: &Incarnation) -> To {
+fn destination(peer: &str, address: SocketAddr, name: &JsonValue, incarnation: &Incarnation) -> To {
     To {
         peer: Arc::from(peer),
         address,
         path: "/mail".to_owned(),
         headers: HeaderMap::new(),
         from: name.clone(),
-        incarnation: life.clone(),
+        incarnation: incarnation.clone(),
     }
 }
 
-impl Porter {
-    fn came(&mut self, came: Came) {
-        match came {
-            Came::Line(feed, line) => self.give(Input::FeedLine { feed, line }, None),
-            Came::Ended(feed) => {
-                self.open.remove(&feed);
-                self.give(Input::FeedEnded { feed }, None);
+impl Driver {
+    fn handle_incoming(&mut self, incoming: Incoming) {
+        match incoming {
+            Incoming::Line(feed, line) => self.handle(Input::FeedLine { feed, line }, None),
+            Incoming::Ended(feed) => {
+                self.feeds.remove(&feed);
+                self.handle(Input::FeedEnded { feed }, None);
             }
-            Came::Call(call, reply) if call.method == Method::GET && call.path == metrics::PATH => {
-                let _ = reply.send(crate::figures::of(&self.round, self.began.elapsed()).reply());
+            Incoming::Call(call, reply) if call.method == Method::GET && call.path == metrics::PATH => {
+                let _ = reply.send(crate::metrics::collect(&self.agent, self.started_at.elapsed()).reply());
             }
-            Came::Call(call, reply) if call.method != Method::POST || call.path != "/mail" => {
+            Incoming::Call(call, reply) if call.method != Method::POST || call.path != "/mail" => {
                 let _ = reply.send(Reply::empty(StatusCode::NOT_FOUND));
             }
-            Came::Call(call, reply) => self.give(Input::ProxyMessages(call.body), Some(reply)),
-            Came::Mail(Event::Up { peer }) if &*peer == STALL => self.give(Input::ProxyUp, None),
-            Came::Mail(Event::Lost { peer, notes }) => {
-                // What the stall did not take it is told once it is up.
+            Incoming::Call(call, reply) => self.handle(Input::ProxyMessages(call.body), Some(reply)),
+            Incoming::Outbox(Event::Up { peer }) if &*peer == PROXY => self.handle(Input::ProxyUp, None),
+            Incoming::Outbox(Event::Lost { peer, notes }) => {
+                // Messages that the proxy did not get are sent again once it is up.
                 if let Ok(feed) = peer.parse() {
-                    self.give(Input::MessagesLost { feed, messages: notes.len() as u64 }, None);
+                    self.handle(Input::MessagesLost { feed, messages: notes.len() as u64 }, None);
                 }
             }
-            Came::Mail(Event::Answered { peer, body }) if &*peer != STALL => {
-                self.give(Input::ControlAnswered(body), None);
+            Incoming::Outbox(Event::Answered { peer, body }) if &*peer != PROXY => {
+                self.handle(Input::ControlAnswered(body), None);
             }
-            Came::Mail(_) => {}
+            Incoming::Outbox(_) => {}
         }
     }
 
-    fn give(&mut self, input: Input, reply: Option<oneshot::Sender<Reply>>) {
-        self.round.handle(nanos(self.began.elapsed()), input);
-        self.carry_out(reply);
+    /// Passes an input to the state machine and carries out the effects. `reply` is for
+    /// [`Effect::AnswerProxy`].
+    fn handle(&mut self, input: Input, reply: Option<oneshot::Sender<Reply>>) {
+        self.agent.handle(nanos(self.started_at.elapsed()), input);
+        self.run_effects(reply);
     }
 
-    /// Does what the machine has decided, in its order.
-    fn carry_out(&mut self, mut reply: Option<oneshot::Sender<Reply>>) {
+    /// Carries out the state machine's effects in order.
+    fn run_effects(&mut self, mut reply: Option<oneshot::Sender<Reply>>) {
         let (mut read_settings, mut full) = (false, false);
-        for effect in self.round.take() {
+        for effect in self.agent.take() {
             match effect {
-                Effect::Open { feed, address, path, messages: notes } => {
-                    let open = self.feed(feed, address, path, &notes);
-                    self.open.insert(feed, open);
+                Effect::Open { feed, address, path, messages } => {
+                    let opened = self.open_feed(feed, address, path, &messages);
+                    self.feeds.insert(feed, opened);
                 }
-                Effect::Close { feed } => drop(self.open.remove(&feed)),
-                Effect::SendToControl { feed, message: note, .. } => {
-                    if let Some(open) = self.open.get(&feed) {
-                        let _ = open.post.push(note.to_json());
+                Effect::Close { feed } => drop(self.feeds.remove(&feed)),
+                Effect::SendToControl { feed, message, .. } => {
+                    if let Some(open) = self.feeds.get(&feed) {
+                        let _ = open.outbox.push(message.to_json());
                     }
                 }
-                Effect::SendToProxy(note) => {
-                    full |= self.stall.push(note.to_json()).is_err();
+                Effect::SendToProxy(message) => {
+                    full |= self.proxy.push(message.to_json()).is_err();
                 }
                 Effect::AnswerProxy { read } => {
                     if let Some(reply) = reply.take() {
@@ -239,34 +246,40 @@
                     }
                 }
                 Effect::ReadSettings => read_settings = true,
-                Effect::Log(level, text) => log::log!(target: OF, level, "{text}"),
-                Effect::Exit => self.over = true,
+                Effect::Log(level, text) => log::log!(target: LOG_TARGET, level, "{text}"),
+                Effect::Exit => self.exiting = true,
             }
         }
         if full {
-            self.give(Input::ProxyQueueFull, None);
+            self.handle(Input::ProxyQueueFull, None);
         }
         if read_settings {
             self.read_settings();
         }
     }
 
-    /// The settings file may change without a word.
+    /// Reads the settings file for new seeds. It may change without a signal.
     fn read_settings(&mut self) {
         match Settings::load(&self.path) {
-            Ok(settings) => self.give(Input::Seeds(settings.seed_nodes), None),
-            Err(e) => log::warn!(target: OF, "settings stay as they are: {e}"),
+            Ok(settings) => self.handle(Input::Seeds(settings.seed_nodes), None),
+            Err(e) => log::warn!(target: LOG_TARGET, "can't reload settings, keeping the current ones: {e}"),
         }
     }
 
-    fn feed(&self, feed: u64, address: SocketAddr, path: &'static str, notes: &[PeerMessage]) -> Open {
+    fn open_feed(
+        &self,
+        feed: u64,
+        address: SocketAddr,
+        path: &'static str,
+        messages: &[PeerMessage],
+    ) -> OpenFeed {
         let body = object([
             ("from", self.name.clone()),
-            ("life", JsonValue::Number(self.life.get() as f64)),
-            ("notes", JsonValue::Array(notes.iter().map(PeerMessage::to_json).collect())),
+            ("life", JsonValue::Number(self.incarnation.get() as f64)),
+            ("notes", JsonValue::Array(messages.iter().map(PeerMessage::to_json).collect())),
         ]);
         let body = Bytes::from(body.stringify().unwrap_or_default());
-        let came = self.came.clone();
+        let incoming = self.incoming.clone();
         let task = tokio::spawn(async move {
             let silence = Duration::from_millis(1_200);
             let terms =
@@ -274,18 +287,19 @@
             match Held::open(address, path, body, terms).await {
                 Ok(mut held) => {
                     while let Some(line) = held.next_line().await {
-                        if came.send(Came::Line(feed, line)).await.is_err() {
+                        if incoming.send(Incoming::Line(feed, line)).await.is_err() {
                             return;
                         }
                     }
-                    log::debug!(target: OF, "the feed of {address} has ended: {:?}", held.ended());
+                    let reason = held.ended();
+                    log::debug!(target: LOG_TARGET, "feed from controller {address} ended: {reason:?}");
                 }
-                Err(e) => log::debug!(target: OF, "no feed of {address}: {e}"),
+                Err(e) => log::debug!(target: LOG_TARGET, "can't open a feed from controller {address}: {e}"),
             }
-            let _ = came.send(Came::Ended(feed)).await;
+            let _ = incoming.send(Incoming::Ended(feed)).await;
         });
-        let to = to(&feed.to_string(), address, &self.name, &self.life);
-        let post = Outbox::new(to, bounds(Duration::from_millis(900)), self.came.clone());
-        Open { task, post }
+        let destination = destination(&feed.to_string(), address, &self.name, &self.incarnation);
+        let outbox = Outbox::new(destination, bounds(Duration::from_millis(900)), self.incoming.clone());
+        OpenFeed { task, outbox }
     }
 }
--- a/agent/tests/round.rs
+++ b/agent/tests/round.rs
@@ -1,4 +1,5 @@
-//! Tables of inputs against the machine: what it opens, closes, tells, posts and answers.
+//! The agent's state machine: the feeds that it opens and closes, and what it sends to the proxy and to
+//! controllers.
 
 use std::net::SocketAddr;
 
@@ -29,7 +30,7 @@
     Config::parse(&text).expect("a configuration")
 }
 
-fn whole(revision: u64) -> PeerMessage {
+fn full(revision: u64) -> PeerMessage {
     PeerMessage::Config { revision, body: config(revision, revision).to_value() }
 }
 
@@ -43,12 +44,12 @@
     PeerMessage::Patch { revision, change }
 }
 
-fn stalls(version: (u64, u64)) -> PeerMessage {
+fn membership(version: (u64, u64)) -> PeerMessage {
     let peers = vec![Peer { name: "edge-1".into(), address: "10.0.1.1:7760".into(), zone: "a".into() }];
     PeerMessage::Stalls { version, peers, leaving: vec![], split: vec![] }
 }
 
-fn shift(from: (u64, u64), version: (u64, u64), came: &[&str], left: &[&str]) -> PeerMessage {
+fn membership_change(from: (u64, u64), version: (u64, u64), came: &[&str], left: &[&str]) -> PeerMessage {
     let peer = |name: &&str| Peer { name: (*name).into(), address: "10.0.1.9:1".into(), zone: "a".into() };
     let left = left.iter().map(|name| (*name).into()).collect();
     PeerMessage::ViewChange(ViewChange {
@@ -76,7 +77,7 @@
     PeerMessage::Instances { version, all, set, gone: gone.iter().map(|id| (*id).into()).collect() }
 }
 
-fn steward(fence: u64, n: u8) -> PeerMessage {
+fn leader(fence: u64, n: u8) -> PeerMessage {
     PeerMessage::Steward { address: at(n).to_string().into(), fence }
 }
 
@@ -89,148 +90,161 @@
     PeerMessage::Acts { revision, number: 0 }
 }
 
-/// A machine, and what it wants carried out.
-struct Play {
-    round: Agent,
+/// An agent, and the effects that it has asked for.
+struct Harness {
+    agent: Agent,
     now: Nanos,
-    /// Feeds that are open: number, address, path.
+    /// Open feeds: number, address, path.
     open: Vec<(u64, SocketAddr, &'static str)>,
-    /// The letter of the last one that was opened.
+    /// The messages in the request of the last feed that was opened.
     opening: Vec<PeerMessage>,
-    /// All that the stall was told.
-    told: Vec<PeerMessage>,
-    /// What goes up: where, and what.
-    posts: Vec<(SocketAddr, PeerMessage)>,
+    /// Messages to the proxy.
+    to_proxy: Vec<PeerMessage>,
+    /// Messages to controllers, with their addresses.
+    to_control: Vec<(SocketAddr, PeerMessage)>,
+    /// Whether each batch from the proxy could be parsed.
     answers: Vec<bool>,
     log: Vec<(Level, String)>,
-    reads: usize,
-    over: bool,
-    /// Of those that are followed.
+    settings_reads: usize,
+    exited: bool,
+    /// How many of the followed controllers have lost contact.
     without_contact: usize,
 }
 
-impl Play {
+impl Harness {
     fn new(seeds: &[u8]) -> Self {
         let seeds = seeds.iter().map(|n| at(*n)).collect();
-        let terms = AgentConfig { name: "edge-1".into(), life: 0, seeds, grace: 6 * SECOND };
-        let mut play = Play {
-            round: Agent::new(terms, 0),
+        let config = AgentConfig { name: "edge-1".into(), life: 0, seeds, grace: 6 * SECOND };
+        let mut harness = Harness {
+            agent: Agent::new(config, 0),
             now: 0,
             open: Vec::new(),
             opening: Vec::new(),
-            told: Vec::new(),
-            posts: Vec::new(),
+            to_proxy: Vec::new(),
+            to_control: Vec::new(),
             answers: Vec::new(),
             log: Vec::new(),
-            reads: 0,
-            over: false,
+            settings_reads: 0,
+            exited: false,
             without_contact: 0,
         };
-        play.carry_out();
-        play
+        harness.run_effects();
+        harness
     }
 
-    fn carry_out(&mut self) {
-        for effect in self.round.take() {
+    fn run_effects(&mut self) {
+        for effect in self.agent.take() {
             match effect {
-                Effect::Open { feed, address, path, messages: notes } => {
-                    self.opening = notes;
+                Effect::Open { feed, address, path, messages } => {
+                    self.opening = messages;
                     assert!(self.open.iter().all(|(n, a, _)| *n != feed && *a != address), "{address}");
                     self.open.push((feed, address, path));
                     assert!(self.open.len() <= 2 + self.without_contact);
                 }
                 Effect::Close { feed } => self.open.retain(|(n, ..)| *n != feed),
-                Effect::SendToControl { feed, to, message: note } => {
+                Effect::SendToControl { feed, to, message } => {
                     assert!(self.open.iter().any(|(n, a, _)| *n == feed && *a == to));
-                    self.posts.push((to, note));
+                    self.to_control.push((to, message));
                 }
-                Effect::SendToProxy(note) => self.told.push(note),
+                Effect::SendToProxy(message) => self.to_proxy.push(message),
                 Effect::AnswerProxy { read } => self.answers.push(read),
-                Effect::ReadSettings => self.reads += 1,
+                Effect::ReadSettings => self.settings_reads += 1,
                 Effect::Log(level, text) => self.log.push((level, text)),
-                Effect::Exit => self.over = true,
+                Effect::Exit => self.exited = true,
             }
         }
     }
 
-    fn give(&mut self, input: Input) {
-        self.round.handle(self.now, input);
-        self.carry_out();
+    fn handle(&mut self, input: Input) {
+        self.agent.handle(self.now, input);
+        self.run_effects();
     }
 
-    /// Time passes, with a tick each 100 ms.
-    fn pass(&mut self, span: Nanos) {
+    /// Advances the time, with a tick every 100 ms.
+    fn advance(&mut self, span: Nanos) {
         for _ in 0..span / (100 * MS) {
             self.now += 100 * MS;
-            self.give(Input::Tick);
+            self.handle(Input::Tick);
         }
     }
 
     fn feed(&self, n: u8) -> u64 {
-        self.open.iter().find(|(_, a, _)| *a == at(n)).expect("it is followed").0
+        self.open.iter().find(|(_, a, _)| *a == at(n)).expect("a followed controller").0
     }
 
-    /// A line from a feed that is open.
-    fn line(&mut self, n: u8, notes: &[PeerMessage]) {
+    /// A line from the open feed of a controller.
+    fn line(&mut self, n: u8, messages: &[PeerMessage]) {
         let feed = self.feed(n);
-        self.give(Input::FeedLine { feed, line: line(notes) });
+        self.handle(Input::FeedLine { feed, line: line(messages) });
     }
 
     fn ended(&mut self, n: u8) {
         let feed = self.feed(n);
         self.open.retain(|(of, ..)| *of != feed);
-        self.give(Input::FeedEnded { feed });
+        self.handle(Input::FeedEnded { feed });
     }
 
-    fn letter(&mut self, notes: &[PeerMessage]) {
-        let notes = JsonValue::Array(notes.iter().map(PeerMessage::to_json).collect());
+    /// A message batch from the proxy.
+    fn proxy_sends(&mut self, messages: &[PeerMessage]) {
+        let messages = JsonValue::Array(messages.iter().map(PeerMessage::to_json).collect());
         let parts = [
             ("from", JsonValue::from("edge-1".to_owned())),
             ("life", JsonValue::from(1.0)),
-            ("notes", notes),
+            ("notes", messages),
         ];
-        self.give(Input::ProxyMessages(object(parts).stringify().expect("JSON").into()));
+        self.handle(Input::ProxyMessages(object(parts).stringify().expect("JSON").into()));
     }
 
-    /// Those who are followed; who brings whole configurations.
+    /// The followed controllers, and those of them whose feeds carry full configurations.
     fn followed(&self) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
         let mut all: Vec<_> = self.open.iter().map(|(_, a, _)| *a).collect();
         all.sort();
-        let whole = self.open.iter().filter(|(.., path)| *path == "/follow");
-        (all, whole.map(|(_, a, _)| *a).collect())
+        let full = self.open.iter().filter(|(.., path)| *path == "/follow");
+        (all, full.map(|(_, a, _)| *a).collect())
     }
 }
 
-fn line(notes: &[PeerMessage]) -> Bytes {
-    let notes = JsonValue::Array(notes.iter().map(PeerMessage::to_json).collect());
-    object([("n", JsonValue::from(7.0)), ("notes", notes)]).stringify().expect("JSON").into()
+fn line(messages: &[PeerMessage]) -> Bytes {
+    let messages = JsonValue::Array(messages.iter().map(PeerMessage::to_json).collect());
+    object([("n", JsonValue::from(7.0)), ("notes", messages)]).stringify().expect("JSON").into()
 }
 
 #[yare::parameterized(
-    older_config = { vec![whole(5), whole(4)], vec![whole(5)] },
-    same_config = { vec![packed(5), whole(5)], vec![packed(5)] },
+    older_config = { vec![full(5), full(4)], vec![full(5)] },
+    same_config = { vec![packed(5), full(5)], vec![packed(5)] },
     older_pack = { vec![packed(5), packed(2), packed(6)], vec![packed(5), packed(6)] },
     patches = { vec![packed(2), patch(2, 3), patch(2, 3), patch(3, 5), patch(1, 4)],
         vec![packed(2), patch(2, 3), patch(3, 5)] },
-    gap = { vec![packed(2), patch(3, 4), packed(4), patch(4, 5)], vec![packed(2), packed(4), patch(4, 5)] },
-    nothing_to_change = { vec![patch(0, 1), whole(1)], vec![whole(1)] },
-    spoilt_config = { vec![PeerMessage::Config { revision: 3, body: JsonValue::Null }, whole(2)], vec![whole(2)] },
-    spoilt_pack = { vec![PeerMessage::Packed { revision: 3, packed: "?".to_owned() }, packed(2)], vec![packed(2)] },
-    newest_stalls = { vec![stalls((2, 1)), stalls((1, 9)), stalls((2, 1)), stalls((2, 2))],
-        vec![stalls((2, 1)), stalls((2, 2))] },
-    shifts = {
+    missing_base = { vec![packed(2), patch(3, 4), packed(4), patch(4, 5)],
+        vec![packed(2), packed(4), patch(4, 5)] },
+    patch_without_config = { vec![patch(0, 1), full(1)], vec![full(1)] },
+    invalid_config = {
+        vec![PeerMessage::Config { revision: 3, body: JsonValue::Null }, full(2)],
+        vec![full(2)]
+    },
+    invalid_pack = {
+        vec![PeerMessage::Packed { revision: 3, packed: "?".to_owned() }, packed(2)],
+        vec![packed(2)]
+    },
+    older_membership = { vec![membership((2, 1)), membership((1, 9)), membership((2, 1)), membership((2, 2))],
+        vec![membership((2, 1)), membership((2, 2))] },
+    membership_changes = {
         vec![
-            shift((1, 9), (2, 1), &[], &["edge-1"]),
-            stalls((2, 1)),
-            shift((2, 1), (2, 4), &["edge-2"], &[]),
-            shift((2, 1), (2, 4), &["edge-2"], &[]),
-            shift((2, 1), (1, 9), &["edge-4"], &[]),
-            shift((2, 4), (2, 3), &["edge-5"], &[]),
-            shift((2, 4), (3, 1), &[], &[]),
+            membership_change((1, 9), (2, 1), &[], &["edge-1"]),
+            membership((2, 1)),
+            membership_change((2, 1), (2, 4), &["edge-2"], &[]),
+            membership_change((2, 1), (2, 4), &["edge-2"], &[]),
+            membership_change((2, 1), (1, 9), &["edge-4"], &[]),
+            membership_change((2, 4), (2, 3), &["edge-5"], &[]),
+            membership_change((2, 4), (3, 1), &[], &[]),
         ],
-        vec![stalls((2, 1)), shift((2, 1), (2, 4), &["edge-2"], &[]), shift((2, 4), (3, 1), &[], &[])]
+        vec![
+            membership((2, 1)),
+            membership_change((2, 1), (2, 4), &["edge-2"], &[]),
+            membership_change((2, 4), (3, 1), &[], &[]),
+        ]
     },
-    newest_instances = {
+    older_instances = {
         vec![
             instances((1, 4), true, &["a"], &[]),
             instances((1, 3), true, &["old"], &[]),
@@ -244,270 +258,284 @@
             instances((1, 5), false, &["c"], &["a"]),
         ]
     },
-    says_another = {
-        vec![whole(5), PeerMessage::Config { revision: 9, body: config(3, 1).to_value() }, PeerMessage::Patch {
+    other_revision_in_body = {
+        vec![full(5), PeerMessage::Config { revision: 9, body: config(3, 1).to_value() }, PeerMessage::Patch {
             revision: 9,
             change: change::between(&config(5, 5), &config(4, 4)),
         }],
-        vec![whole(5)]
+        vec![full(5)]
     },
-    not_for_a_porter = { vec![PeerMessage::Drop { id: 1 }, alive(), acts(3)], vec![] },
+    other_messages = { vec![PeerMessage::Drop { id: 1 }, alive(), acts(3)], vec![] },
 )]
-fn the_stall_is_never_told_what_is_older(come: Vec<PeerMessage>, told: Vec<PeerMessage>) {
-    // Of both who are followed, in turns, or in one line: whoever tells it.
+fn the_proxy_is_never_sent_older_state(received: Vec<PeerMessage>, passed_on: Vec<PeerMessage>) {
+    // From both feeds in turns, or in one line of one feed.
     for both in [true, false] {
-        let mut play = Play::new(&[1, 2]);
+        let mut harness = Harness::new(&[1, 2]);
         if both {
-            for (n, note) in come.iter().enumerate() {
-                play.line(1 + (n % 2) as u8, std::slice::from_ref(note));
+            for (n, message) in received.iter().enumerate() {
+                harness.line(1 + (n % 2) as u8, std::slice::from_ref(message));
             }
         } else {
-            play.line(1, &come);
+            harness.line(1, &received);
         }
-        assert_eq!(play.told, told, "{both}");
+        assert_eq!(harness.to_proxy, passed_on, "{both}");
     }
 }
 
 #[test]
-fn one_of_two_brings_whole_configurations_and_all_are_answered() {
-    let mut play = Play::new(&[1, 2, 3]);
-    let (all, whole) = play.followed();
-    assert_eq!((all.len(), whole.len()), (2, 1));
-    let feeds: Vec<_> = play.open.iter().map(|(feed, ..)| *feed).collect();
+fn one_feed_carries_full_configurations_and_every_line_is_acknowledged() {
+    let mut harness = Harness::new(&[1, 2, 3]);
+    let (all, full) = harness.followed();
+    assert_eq!((all.len(), full.len()), (2, 1));
+    let feeds: Vec<_> = harness.open.iter().map(|(feed, ..)| *feed).collect();
     for feed in feeds {
-        play.give(Input::FeedLine { feed, line: line(&[]) });
+        harness.handle(Input::FeedLine { feed, line: line(&[]) });
     }
-    assert_eq!(play.posts.len(), 2);
-    assert!(play.posts.iter().all(|(_, note)| *note == PeerMessage::Acts { revision: 0, number: 7 }));
+    assert_eq!(harness.to_control.len(), 2);
+    assert!(
+        harness
+            .to_control
+            .iter()
+            .all(|(_, message)| *message == PeerMessage::Acts { revision: 0, number: 7 })
+    );
 }
 
 #[test]
-fn a_change_that_was_missed_leads_to_a_whole_one() {
-    let mut play = Play::new(&[1, 2]);
-    let whole_from = play.followed().1[0];
-    let (heavy, light) = if whole_from == at(1) { (1, 2) } else { (2, 1) };
-    play.line(heavy, &[packed(2)]);
-    // So early the other may be about to bring it.
-    play.line(light, &[patch(3, 4)]);
-    assert_eq!(play.followed(), (vec![at(1), at(2)], vec![at(heavy)]));
-    play.pass(600 * MS);
-    // Who sends whole ones begins anew, and with that: it may have no other reason to send it before the next change.
-    let before = play.feed(heavy);
-    play.line(heavy, &[patch(3, 4)]);
-    assert_eq!(play.followed(), (vec![at(1), at(2)], vec![at(heavy)]));
-    assert_ne!(play.feed(heavy), before);
-    assert_eq!(play.opening, [acts(2)]);
-    let before = play.feed(light);
-    play.line(light, &[patch(3, 4)]);
-    assert_eq!(play.followed(), (vec![at(light)], vec![at(light)]));
-    assert_ne!(play.feed(light), before);
-    play.line(light, &[packed(4)]);
-    play.pass(100 * MS);
-    assert_eq!(play.followed(), (vec![at(1), at(2)], vec![at(light)]));
-    assert_eq!(play.told, [packed(2), packed(4)]);
+fn a_missed_change_leads_to_a_full_configuration() {
+    let mut harness = Harness::new(&[1, 2]);
+    let full_from = harness.followed().1[0];
+    let (full, light) = if full_from == at(1) { (1, 2) } else { (2, 1) };
+    harness.line(full, &[packed(2)]);
+    // Shortly after the start the other feed may be about to send the base.
+    harness.line(light, &[patch(3, 4)]);
+    assert_eq!(harness.followed(), (vec![at(1), at(2)], vec![at(full)]));
+    harness.advance(600 * MS);
+    // The feed of full configurations is reopened and begins with one; it might not send one before the next
+    // change otherwise.
+    let before = harness.feed(full);
+    harness.line(full, &[patch(3, 4)]);
+    assert_eq!(harness.followed(), (vec![at(1), at(2)], vec![at(full)]));
+    assert_ne!(harness.feed(full), before);
+    assert_eq!(harness.opening, [acts(2)]);
+    let before = harness.feed(light);
+    harness.line(light, &[patch(3, 4)]);
+    assert_eq!(harness.followed(), (vec![at(light)], vec![at(light)]));
+    assert_ne!(harness.feed(light), before);
+    harness.line(light, &[packed(4)]);
+    harness.advance(100 * MS);
+    assert_eq!(harness.followed(), (vec![at(1), at(2)], vec![at(light)]));
+    assert_eq!(harness.to_proxy, [packed(2), packed(4)]);
 }
 
 #[test]
-fn another_steward_is_followed_and_hears_what_goes_up() {
-    let mut play = Play::new(&[1, 2]);
-    play.line(1, &[steward(1, 2)]);
-    play.letter(&[alive(), PeerMessage::Retire { instance: "i".into() }]);
-    let up: Vec<_> =
-        play.posts.iter().filter(|(_, note)| !matches!(note, PeerMessage::Acts { .. })).collect();
-    assert_eq!(up.len(), 2);
-    assert!(up.iter().all(|(to, _)| *to == at(2)));
-    // One that is no seed, by a higher fence; a lower one is passed over.
-    play.line(2, &[steward(3, 9), steward(2, 1)]);
-    let (all, whole) = play.followed();
-    assert!(all.contains(&at(9)) && all.len() == 2 && whole.len() == 1);
-    play.posts.clear();
-    play.letter(&[PeerMessage::Lost { instance: "i".into() }]);
-    assert_eq!(play.posts, [(at(9), PeerMessage::Lost { instance: "i".into() })]);
-    // While nobody is known there, nothing goes up; it is followed again after a pause.
-    play.ended(9);
-    play.posts.clear();
-    play.letter(&[PeerMessage::Lost { instance: "i".into() }]);
-    assert_eq!((play.posts.len(), play.answers.last()), (0, Some(&true)));
-    play.pass(100 * MS);
-    assert!(play.followed().0.contains(&at(9)));
-    // Mail that came back is told, of feeds that are open.
-    let feed = play.feed(9);
-    play.give(Input::MessagesLost { feed, messages: 3 });
-    play.give(Input::MessagesLost { feed: 1_000, messages: 3 });
-    let lost = play.log.iter().filter(|(level, _)| *level == Level::Debug).count();
-    assert_eq!(lost, 1, "{:?}", play.log);
-}
-
-/// The steward and another are cut off together: a third is followed, which hears of the next steward; both are let go for it.
+fn a_new_leader_is_followed_and_gets_the_proxys_messages() {
+    let mut harness = Harness::new(&[1, 2]);
+    harness.line(1, &[leader(1, 2)]);
+    harness.proxy_sends(&[alive(), PeerMessage::Retire { instance: "i".into() }]);
+    let forwarded: Vec<_> = harness
+        .to_control
+        .iter()
+        .filter(|(_, message)| !matches!(message, PeerMessage::Acts { .. }))
+        .collect();
+    assert_eq!(forwarded.len(), 2);
+    assert!(forwarded.iter().all(|(to, _)| *to == at(2)));
+    // A leader that is not a seed, with a higher fence; a lower fence is ignored.
+    harness.line(2, &[leader(3, 9), leader(2, 1)]);
+    let (all, full) = harness.followed();
+    assert!(all.contains(&at(9)) && all.len() == 2 && full.len() == 1);
+    harness.to_control.clear();
+    harness.proxy_sends(&[PeerMessage::Lost { instance: "i".into() }]);
+    assert_eq!(harness.to_control, [(at(9), PeerMessage::Lost { instance: "i".into() })]);
+    // While its feed is down, nothing is sent to it; it is followed again after a pause.
+    harness.ended(9);
+    harness.to_control.clear();
+    harness.proxy_sends(&[PeerMessage::Lost { instance: "i".into() }]);
+    assert_eq!((harness.to_control.len(), harness.answers.last()), (0, Some(&true)));
+    harness.advance(100 * MS);
+    assert!(harness.followed().0.contains(&at(9)));
+    // Undelivered messages are logged for open feeds.
+    let feed = harness.feed(9);
+    harness.handle(Input::MessagesLost { feed, messages: 3 });
+    harness.handle(Input::MessagesLost { feed: 1_000, messages: 3 });
+    let lost = harness.log.iter().filter(|(level, _)| *level == Level::Debug).count();
+    assert_eq!(lost, 1, "{:?}", harness.log);
+}
+
+/// The leader and another controller are cut off together, and both feeds stay open. Without a third feed the
+/// agent would not learn of the next leader.
 #[test]
-fn who_has_lost_contact_is_not_all_that_is_followed() {
-    let mut play = Play::new(&[1, 2, 3]);
-    let before = play.followed();
+fn a_third_controller_is_followed_when_two_have_lost_contact() {
+    let mut harness = Harness::new(&[1, 2, 3]);
+    let before = harness.followed();
     let (two, third): (Vec<u8>, Vec<u8>) = (1..=3).partition(|n| before.0.contains(&at(*n)));
-    let (leader, third) = (two[0], third[0]);
-    play.line(two[1], &[steward(1, leader), packed(2)]);
-    play.without_contact = 2;
-    two.iter().for_each(|n| play.line(*n, &[PeerMessage::Contact { holds: false }]));
-    play.pass(300 * MS);
-    assert_eq!(play.followed(), before, "it may have contact again in a moment");
-    play.pass(200 * MS);
-    let (all, whole) = play.followed();
-    assert!(all.len() == 3 && all.contains(&at(third)) && whole.contains(&at(third)), "{all:?} {whole:?}");
-    play.line(third, &[packed(3)]);
-    assert_eq!(play.told.last(), Some(&packed(3)));
-    // Contact is there again: two are enough, the steward among them.
-    two.iter().for_each(|n| play.line(*n, &[PeerMessage::Contact { holds: true }]));
-    let (all, whole) = play.followed();
-    assert!(all.len() == 2 && all.contains(&at(leader)) && !whole.is_empty(), "{all:?} {whole:?}");
+    let (leader_at, third) = (two[0], third[0]);
+    harness.line(two[1], &[leader(1, leader_at), packed(2)]);
+    harness.without_contact = 2;
+    two.iter().for_each(|n| harness.line(*n, &[PeerMessage::Contact { holds: false }]));
+    harness.advance(300 * MS);
+    assert_eq!(harness.followed(), before, "it may regain contact at any moment");
+    harness.advance(200 * MS);
+    let (all, full) = harness.followed();
+    assert!(all.len() == 3 && all.contains(&at(third)) && full.contains(&at(third)), "{all:?} {full:?}");
+    harness.line(third, &[packed(3)]);
+    assert_eq!(harness.to_proxy.last(), Some(&packed(3)));
+    // After contact is regained two feeds are enough, the leader's among them.
+    two.iter().for_each(|n| harness.line(*n, &[PeerMessage::Contact { holds: true }]));
+    let (all, full) = harness.followed();
+    assert!(all.len() == 2 && all.contains(&at(leader_at)) && !full.is_empty(), "{all:?} {full:?}");
 }
 
 #[test]
-fn a_stall_that_starts_anew_gets_everything() {
-    let mut play = Play::new(&[1, 2]);
-    play.give(Input::ProxyUp);
-    assert_eq!(play.told, []);
-    let heavy = if play.followed().1 == [at(1)] { 1 } else { 2 };
-    play.line(heavy, &[packed(2), stalls((1, 1)), instances((1, 2), true, &["a", "b"], &[])]);
-    play.line(heavy, &[instances((1, 3), false, &["c"], &["a"])]);
-    let all = [packed(2), instances((1, 3), true, &["b", "c"], &[]), stalls((1, 1))];
-    // Its mail comes through again; it says that it acts on nothing; on less than before.
+fn a_restarted_proxy_gets_a_snapshot() {
+    let mut harness = Harness::new(&[1, 2]);
+    harness.handle(Input::ProxyUp);
+    assert_eq!(harness.to_proxy, []);
+    let full = if harness.followed().1 == [at(1)] { 1 } else { 2 };
+    harness.line(full, &[packed(2), membership((1, 1)), instances((1, 2), true, &["a", "b"], &[])]);
+    harness.line(full, &[instances((1, 3), false, &["c"], &["a"])]);
+    let all = [packed(2), instances((1, 3), true, &["b", "c"], &[]), membership((1, 1))];
+    // It accepts messages again; it reports to act on no revision, on the newest, on an older one than
+    // before.
     for revision in [None, Some(0), Some(2), Some(1)] {
-        play.told.clear();
+        harness.to_proxy.clear();
         match revision {
-            None => play.give(Input::ProxyUp),
-            Some(revision) => play.letter(&[acts(revision)]),
+            None => harness.handle(Input::ProxyUp),
+            Some(revision) => harness.proxy_sends(&[acts(revision)]),
         }
         let expected = if revision == Some(2) { &[][..] } else { &all };
-        assert_eq!(play.told, expected, "{revision:?}");
+        assert_eq!(harness.to_proxy, expected, "{revision:?}");
     }
-    // After changes the whole is what they came to.
-    play.line(heavy, &[patch(2, 3)]);
-    play.told.clear();
-    play.give(Input::ProxyUp);
-    assert_eq!(play.told[0], packed(3));
+    // After changes the full configuration includes them.
+    harness.line(full, &[patch(2, 3)]);
+    harness.to_proxy.clear();
+    harness.handle(Input::ProxyUp);
+    assert_eq!(harness.to_proxy[0], packed(3));
 }
 
 #[test]
-fn a_stall_that_is_behind_gets_the_whole_once_a_second() {
-    let mut play = Play::new(&[1]);
-    play.line(1, &[packed(2)]);
-    play.letter(&[acts(2)]);
-    play.line(1, &[patch(2, 3)]);
-    play.told.clear();
+fn a_proxy_that_is_behind_gets_the_full_configuration_once_a_second() {
+    let mut harness = Harness::new(&[1]);
+    harness.line(1, &[packed(2)]);
+    harness.proxy_sends(&[acts(2)]);
+    harness.line(1, &[patch(2, 3)]);
+    harness.to_proxy.clear();
     for _ in 0..25 {
-        play.pass(100 * MS);
-        play.letter(&[acts(2)]);
+        harness.advance(100 * MS);
+        harness.proxy_sends(&[acts(2)]);
     }
-    assert_eq!(play.told, [packed(3), packed(3)]);
-    play.letter(&[acts(3)]);
-    assert_eq!(play.posts.last(), Some(&(at(1), acts(3))));
+    assert_eq!(harness.to_proxy, [packed(3), packed(3)]);
+    harness.proxy_sends(&[acts(3)]);
+    assert_eq!(harness.to_control.last(), Some(&(at(1), acts(3))));
 }
 
 #[test]
-fn pauses_grow_with_failures_and_a_long_feed_ends_them() {
-    let mut play = Play::new(&[1]);
-    // Past the first moments of the process.
-    play.pass(4 * SECOND);
+fn pauses_double_with_failures_and_a_stable_feed_resets_them() {
+    let mut harness = Harness::new(&[1]);
+    // After the startup time.
+    harness.advance(4 * SECOND);
     let mut pauses = Vec::new();
     for _ in 0..6 {
-        play.ended(1);
+        harness.ended(1);
         let mut pause = 0;
-        while play.open.is_empty() {
-            play.pass(100 * MS);
+        while harness.open.is_empty() {
+            harness.advance(100 * MS);
             pause += 100;
         }
         pauses.push(pause);
     }
     assert_eq!(pauses, [100, 200, 400, 800, 1_000, 1_000]);
-    play.line(1, &[]);
-    play.pass(6 * SECOND);
-    play.ended(1);
-    play.pass(100 * MS);
-    assert_eq!(play.followed().0, [at(1)]);
+    harness.line(1, &[]);
+    harness.advance(6 * SECOND);
+    harness.ended(1);
+    harness.advance(100 * MS);
+    assert_eq!(harness.followed().0, [at(1)]);
 }
 
-/// After a loss of all power control and agents start in one moment: an agent whose first tries had failed came to the new leader 400 ms
-/// after the others, and its proxy was named that much later.
+/// After a power failure, controllers and agents start at the same time. An agent whose pauses had grown
+/// reached the new leader 400 ms after the others, and its proxy joined the membership that much later.
 #[test]
-fn an_agent_that_starts_tries_on_without_longer_pauses_until_somebody_is_heard() {
-    let mut play = Play::new(&[1]);
-    let pause = |play: &mut Play| {
-        play.ended(1);
-        let before = play.now;
-        while play.open.is_empty() {
-            play.pass(100 * MS);
+fn a_starting_agent_retries_without_longer_pauses_until_the_first_line() {
+    let mut harness = Harness::new(&[1]);
+    let pause = |harness: &mut Harness| {
+        harness.ended(1);
+        let before = harness.now;
+        while harness.open.is_empty() {
+            harness.advance(100 * MS);
         }
-        (play.now - before) / MS
+        (harness.now - before) / MS
     };
-    assert_eq!([(); 8].map(|()| pause(&mut play)), [100; 8]);
-    play.line(1, &[]);
-    assert_eq!([(); 3].map(|()| pause(&mut play)), [200, 400, 800]);
+    assert_eq!([(); 8].map(|()| pause(&mut harness)), [100; 8]);
+    harness.line(1, &[]);
+    assert_eq!([(); 3].map(|()| pause(&mut harness)), [200, 400, 800]);
 }
 
 #[test]
-fn seeds_change_and_the_end_comes_in_time() {
-    let mut play = Play::new(&[1]);
-    play.pass(2 * SECOND);
-    assert_eq!(play.reads, 2);
-    play.give(Input::Seeds(vec![at(1)]));
-    assert_eq!(play.log, []);
-    play.give(Input::Seeds(vec![at(2), at(3)]));
-    play.pass(100 * MS);
-    assert!(play.log[0].1.starts_with("seeds are now") && play.followed().0.len() == 2);
-    play.give(Input::Shutdown);
-    play.pass(5_400 * MS);
-    play.give(Input::Shutdown);
-    assert!(!play.over);
-    play.pass(100 * MS);
-    assert!(play.over);
+fn seeds_are_reloaded_and_the_agent_exits_before_the_grace_period_ends() {
+    let mut harness = Harness::new(&[1]);
+    harness.advance(2 * SECOND);
+    assert_eq!(harness.settings_reads, 2);
+    harness.handle(Input::Seeds(vec![at(1)]));
+    assert_eq!(harness.log, []);
+    harness.handle(Input::Seeds(vec![at(2), at(3)]));
+    harness.advance(100 * MS);
+    assert!(harness.log[0].1.starts_with("seeds are now") && harness.followed().0.len() == 2);
+    harness.handle(Input::Shutdown);
+    harness.advance(5_400 * MS);
+    harness.handle(Input::Shutdown);
+    assert!(!harness.exited);
+    harness.advance(100 * MS);
+    assert!(harness.exited);
 }
 
 #[test]
-fn what_is_left_of_a_closed_feed_is_not_taken_for_the_one_after_it() {
-    let mut play = Play::new(&[1, 2]);
-    let light = if play.followed().1 == [at(1)] { 2 } else { 1 };
-    let before = play.feed(light);
-    play.pass(600 * MS);
-    play.line(light, &[patch(3, 4)]);
-    let after = play.feed(light);
+fn late_lines_of_a_closed_feed_are_ignored() {
+    let mut harness = Harness::new(&[1, 2]);
+    let light = if harness.followed().1 == [at(1)] { 2 } else { 1 };
+    let before = harness.feed(light);
+    harness.advance(600 * MS);
+    harness.line(light, &[patch(3, 4)]);
+    let after = harness.feed(light);
     assert_ne!(before, after);
-    play.give(Input::FeedEnded { feed: before });
-    assert_eq!(play.feed(light), after);
-    play.line(light, &[packed(4)]);
-    // It would tell of a steward, and be answered.
-    play.posts.clear();
-    play.give(Input::FeedLine { feed: before, line: line(&[steward(5, 9), packed(5)]) });
-    assert_eq!((play.told.len(), play.posts.len(), play.round.feeds().leader()), (1, 0, None));
-    // The old one counts for nothing, so nobody is opened twice.
-    play.pass(SECOND);
-    assert_eq!((play.feed(light), play.open.len()), (after, 2));
+    harness.handle(Input::FeedEnded { feed: before });
+    assert_eq!(harness.feed(light), after);
+    harness.line(light, &[packed(4)]);
+    // Otherwise its leader would be taken, and the line acknowledged.
+    harness.to_control.clear();
+    harness.handle(Input::FeedLine { feed: before, line: line(&[leader(5, 9), packed(5)]) });
+    assert_eq!(
+        (harness.to_proxy.len(), harness.to_control.len(), harness.agent.feeds().leader()),
+        (1, 0, None)
+    );
+    // Its end is ignored as well, so no feed is opened twice.
+    harness.advance(SECOND);
+    assert_eq!((harness.feed(light), harness.open.len()), (after, 2));
 }
 
 #[test]
-fn where_much_comes_control_is_looked_after_all_the_same() {
-    let mut play = Play::new(&[1]);
-    play.ended(1);
+fn feeds_are_maintained_under_load_without_ticks() {
+    let mut harness = Harness::new(&[1]);
+    harness.ended(1);
     for _ in 0..40 {
-        play.now += 30 * MS;
-        play.letter(&[alive()]);
+        harness.now += 30 * MS;
+        harness.proxy_sends(&[alive()]);
     }
-    assert_eq!((play.followed().0, play.reads), (vec![at(1)], 1));
+    assert_eq!((harness.followed().0, harness.settings_reads), (vec![at(1)], 1));
 }
 
 #[test]
-fn a_pause_is_not_forgotten_while_the_next_try_hangs() {
-    let mut play = Play::new(&[1]);
-    play.pass(4 * SECOND);
+fn a_pause_keeps_growing_when_the_next_try_hangs() {
+    let mut harness = Harness::new(&[1]);
+    harness.advance(4 * SECOND);
     let mut pauses = Vec::new();
     for _ in 0..6 {
-        // It accepts and says nothing.
-        play.pass(700 * MS);
-        play.ended(1);
-        let before = play.now;
-        while play.open.is_empty() {
-            play.pass(100 * MS);
+        // The controller accepts the connection and sends nothing.
+        harness.advance(700 * MS);
+        harness.ended(1);
+        let before = harness.now;
+        while harness.open.is_empty() {
+            harness.advance(100 * MS);
         }
-        pauses.push((play.now - before) / MS);
+        pauses.push((harness.now - before) / MS);
     }
     assert_eq!(pauses, [100, 200, 400, 800, 1_000, 1_000]);
 }
@@ -518,218 +546,239 @@
     cut = { b"{\"n\":1,\"notes\":[{\"t\":\"config\"" },
     no_text = { b"{\"n\":\"\xc3\"}" },
 )]
-fn a_feed_of_garbage_is_dropped_and_waits_longer_each_time(garbage: &'static [u8]) {
-    let mut play = Play::new(&[1]);
+fn a_feed_of_garbage_is_closed_with_growing_pauses(garbage: &'static [u8]) {
+    let mut harness = Harness::new(&[1]);
     let mut opened = 0;
     for _ in 0..100 {
-        play.pass(100 * MS);
-        if let Some((feed, ..)) = play.open.first().copied() {
+        harness.advance(100 * MS);
+        if let Some((feed, ..)) = harness.open.first().copied() {
             opened += 1;
             for _ in 0..3 {
-                play.give(Input::FeedLine { feed, line: Bytes::from_static(garbage) });
+                harness.handle(Input::FeedLine { feed, line: Bytes::from_static(garbage) });
             }
-            assert_eq!(play.open, []);
+            assert_eq!(harness.open, []);
         }
     }
-    // Ten seconds, with pauses of up to one.
+    // Ten seconds, with pauses of up to one second.
     assert!((8..=16).contains(&opened), "{opened}");
-    assert_eq!(play.log.len(), opened);
-    assert_eq!((play.told.len(), play.posts.len()), (0, 0));
+    assert_eq!(harness.log.len(), opened);
+    assert_eq!((harness.to_proxy.len(), harness.to_control.len()), (0, 0));
 }
 
 #[test]
-fn where_only_changes_can_come_the_whole_is_asked_for() {
-    let mut play = Play::new(&[1, 2, 3]);
-    let heavy = play.open.iter().find(|(.., path)| *path == "/follow").expect("one").1;
-    let light = play.open.iter().find(|(_, a, _)| *a != heavy).expect("another").1;
-    let n = (1..=3).find(|n| at(*n) == light).expect("it is a seed");
-    // Of all control machines only this one is reached, and it was asked for changes only.
+fn a_lone_feed_of_changes_is_reopened_for_full_configurations() {
+    let mut harness = Harness::new(&[1, 2, 3]);
+    let full = harness.open.iter().find(|(.., path)| *path == "/follow").expect("one").1;
+    let light = harness.open.iter().find(|(_, a, _)| *a != full).expect("another").1;
+    let n = (1..=3).find(|n| at(*n) == light).expect("a seed");
+    // Only this controller is reachable, and its feed carries only changes.
     for _ in 0..30 {
-        let notes = if play.open.iter().any(|(_, a, path)| *a == light && *path == "/follow") {
+        let messages = if harness.open.iter().any(|(_, a, path)| *a == light && *path == "/follow") {
             vec![packed(2)]
         } else {
             vec![]
         };
-        play.line(n, &notes);
-        play.pass(100 * MS);
+        harness.line(n, &messages);
+        harness.advance(100 * MS);
         let others: Vec<_> =
-            play.open.iter().map(|(f, a, _)| (*f, *a)).filter(|(_, a)| *a != light).collect();
+            harness.open.iter().map(|(f, a, _)| (*f, *a)).filter(|(_, a)| *a != light).collect();
         for (feed, _) in others {
-            play.open.retain(|(of, ..)| *of != feed);
-            play.give(Input::FeedEnded { feed });
+            harness.open.retain(|(of, ..)| *of != feed);
+            harness.handle(Input::FeedEnded { feed });
         }
     }
-    assert_eq!(play.told, [packed(2)]);
-    assert!(play.followed().0.contains(&light));
+    assert_eq!(harness.to_proxy, [packed(2)]);
+    assert!(harness.followed().0.contains(&light));
 }
 
 #[test]
-fn a_stall_that_is_silent_is_not_spoken_for() {
-    let mut play = Play::new(&[1]);
-    for (silent, notes) in [(SECOND, vec![alive(), acts(0)]), (2 * SECOND, vec![acts(0)])] {
-        play.letter(&[alive()]);
-        play.pass(silent);
-        play.ended(1);
-        play.pass(200 * MS);
-        assert_eq!((play.open.len(), &play.opening), (1, &notes));
+fn a_silent_proxy_is_not_announced() {
+    let mut harness = Harness::new(&[1]);
+    for (silent, messages) in [(SECOND, vec![alive(), acts(0)]), (2 * SECOND, vec![acts(0)])] {
+        harness.proxy_sends(&[alive()]);
+        harness.advance(silent);
+        harness.ended(1);
+        harness.advance(200 * MS);
+        assert_eq!((harness.open.len(), &harness.opening), (1, &messages));
     }
 }
 
 #[test]
-fn what_the_mail_to_the_stall_could_not_take_is_told_again() {
-    let mut play = Play::new(&[1]);
-    play.line(1, &[packed(2), instances((1, 1), true, &["a"], &[])]);
-    play.told.clear();
+fn a_full_queue_to_the_proxy_leads_to_a_snapshot() {
+    let mut harness = Harness::new(&[1]);
+    harness.line(1, &[packed(2), instances((1, 1), true, &["a"], &[])]);
+    harness.to_proxy.clear();
     for _ in 0..3 {
-        play.give(Input::ProxyQueueFull);
+        harness.handle(Input::ProxyQueueFull);
     }
-    play.pass(900 * MS);
-    assert_eq!((play.told.len(), play.log.len()), (0, 1));
-    play.pass(100 * MS);
-    assert_eq!(play.told, [packed(2), instances((1, 1), true, &["a"], &[])]);
-    play.pass(3 * SECOND);
-    assert_eq!(play.told.len(), 2);
+    harness.advance(900 * MS);
+    assert_eq!((harness.to_proxy.len(), harness.log.len()), (0, 1));
+    harness.advance(100 * MS);
+    assert_eq!(harness.to_proxy, [packed(2), instances((1, 1), true, &["a"], &[])]);
+    harness.advance(3 * SECOND);
+    assert_eq!(harness.to_proxy.len(), 2);
 }
 
 #[test]
-fn notes_that_cannot_be_read_are_told_and_the_others_stand() {
-    let mut play = Play::new(&[1]);
+fn invalid_messages_are_logged_and_the_others_handled() {
+    let mut harness = Harness::new(&[1]);
     let letter = br#"{"from":"edge-1","life":1,"notes":[{"t":"acts","v":-1},{"t":"acts","v":3,"n":0}]}"#;
-    play.give(Input::ProxyMessages(Bytes::from_static(letter)));
-    assert_eq!((play.answers.as_slice(), play.round.proxy_revision()), (&[true][..], 3));
-    assert_eq!(play.log, [(Level::Warn, "a note of edge-1: v: no whole number".to_owned())]);
-    play.give(Input::ProxyMessages(Bytes::from_static(b"[]")));
-    assert_eq!(play.answers, [true, false]);
+    harness.handle(Input::ProxyMessages(Bytes::from_static(letter)));
+    assert_eq!((harness.answers.as_slice(), harness.agent.proxy_revision()), (&[true][..], 3));
+    assert_eq!(harness.log, [(Level::Warn, "invalid message from edge-1: v: no whole number".to_owned())]);
+    harness.handle(Input::ProxyMessages(Bytes::from_static(b"[]")));
+    assert_eq!(harness.answers, [true, false]);
 }
 
 #[test]
-fn whatever_control_sends_memory_is_bounded() {
-    let mut play = Play::new(&[1, 2]);
-    // Instances without end, long ones.
+fn memory_is_bounded_whatever_controllers_send() {
+    let mut harness = Harness::new(&[1, 2]);
+    // Many instances with long ids.
     let long = "x".repeat(1_000);
     for n in 0..100_u64 {
         let ids: Vec<_> = (0..100).map(|i| format!("{long}{n}.{i}")).collect();
         let ids: Vec<_> = ids.iter().map(String::as_str).collect();
-        play.line(1, &[instances((1, n), false, &ids, &[])]);
-        let told = play.told.drain(..).all(|note| match note {
+        harness.line(1, &[instances((1, n), false, &ids, &[])]);
+        let left_out = harness.to_proxy.drain(..).all(|message| match message {
             PeerMessage::Instances { set, .. } => set.len() < 100,
             _ => true,
         });
-        assert!(told == (n > 58) || (55..=58).contains(&n), "{n}");
+        assert!(left_out == (n > 58) || (55..=58).contains(&n), "{n}");
     }
-    assert!(play.round.latest().instances() < 6_000);
-    // Once there is room again, it is used.
-    play.line(1, &[instances((2, 0), true, &["a"], &[])]);
-    assert_eq!(play.round.latest().instances(), 1);
-    // Notes without end.
-    play.log.clear();
-    let spoilt = format!(r#"{{"n":1,"notes":[{}1]}}"#, "1,".repeat(9_000));
-    let feed = play.feed(1);
-    play.give(Input::FeedLine { feed, line: spoilt.into() });
-    assert!(play.log.len() < 10 && play.open.len() == 2);
-    let spoilt = format!(r#"{{"n":1,"notes":[{}1]}}"#, "1,".repeat(50_000));
-    play.give(Input::FeedLine { feed, line: spoilt.into() });
-    assert!(play.log.len() < 10 && play.open.len() == 1);
-    // Stewards without end.
+    assert!(harness.agent.latest().instances() < 6_000);
+    // Room that becomes free is used again.
+    harness.line(1, &[instances((2, 0), true, &["a"], &[])]);
+    assert_eq!(harness.agent.latest().instances(), 1);
+    // Many invalid messages in one line.
+    harness.log.clear();
+    let invalid = format!(r#"{{"n":1,"notes":[{}1]}}"#, "1,".repeat(9_000));
+    let feed = harness.feed(1);
+    harness.handle(Input::FeedLine { feed, line: invalid.into() });
+    assert!(harness.log.len() < 10 && harness.open.len() == 2);
+    let invalid = format!(r#"{{"n":1,"notes":[{}1]}}"#, "1,".repeat(50_000));
+    harness.handle(Input::FeedLine { feed, line: invalid.into() });
+    assert!(harness.log.len() < 10 && harness.open.len() == 1);
+    // Many leaders.
     for n in 0..300_u64 {
         let to = SocketAddr::from(([10, 9, (n / 250) as u8, (n % 250) as u8], 1));
         let fence = n + 1;
-        let feed = play.open.first().expect("one").0;
-        play.give(Input::FeedLine {
+        let feed = harness.open.first().expect("one").0;
+        harness.handle(Input::FeedLine {
             feed,
             line: line(&[PeerMessage::Steward { address: to.to_string().into(), fence }]),
         });
-        let last = play.open.iter().find(|(_, a, _)| *a == to).expect("it is followed").0;
-        play.open.retain(|(of, ..)| *of != last);
-        play.give(Input::FeedEnded { feed: last });
+        let last = harness.open.iter().find(|(_, a, _)| *a == to).expect("a followed controller").0;
+        harness.open.retain(|(of, ..)| *of != last);
+        harness.handle(Input::FeedEnded { feed: last });
     }
-    assert!(play.round.feeds().tracked_addresses() <= 2 + 32 + 64 + 2);
+    assert!(harness.agent.feeds().tracked_addresses() <= 2 + 32 + 64 + 2);
 }
 
-/// A porter or a stall that was started alone, a new steward whose naming goes from one that is not known here.
+/// An agent or a proxy that was restarted alone, or a new leader, can bring a membership change whose base
+/// version is not held.
 #[test]
-fn a_naming_that_goes_from_another_leads_to_a_snapshot_and_a_stall_that_lacks_one_gets_all() {
-    let mut play = Play::new(&[1, 2]);
-    play.line(2, &[]);
-    play.line(1, &[steward(1, 1), stalls((1, 1))]);
-    let before = (play.feed(1), play.followed());
-    play.line(1, &[shift((1, 1), (1, 2), &["edge-2"], &[]), shift((1, 3), (1, 4), &["edge-4"], &[])]);
-    assert_ne!(play.feed(1), before.0);
-    assert_eq!(play.followed(), before.1, "the same two, and the same brings whole configurations");
-    // What comes before the snapshot opens no further one, and nothing that does not meet goes on.
-    let again = play.feed(1);
-    play.line(1, &[shift((1, 4), (1, 5), &[], &["edge-4"])]);
-    assert_eq!(play.feed(1), again);
-    assert_eq!(play.told, [stalls((1, 1)), shift((1, 1), (1, 2), &["edge-2"], &[])]);
-    play.pass(600 * MS);
-    assert_ne!(play.feed(1), again);
-    let again = play.feed(1);
-    play.line(1, &[stalls((1, 5)), shift((1, 5), (1, 6), &["edge-2", "edge-3"], &["edge-1"])]);
-    play.pass(SECOND);
-    assert_eq!(play.feed(1), again);
-    // The stall is told what it came to, however far it is behind; one that is not is told nothing.
-    play.told.clear();
-    play.letter(&[PeerMessage::Behind { version: (1, 6) }]);
-    assert_eq!(play.told, []);
-    play.letter(&[PeerMessage::Behind { version: (1, 5) }]);
-    let [PeerMessage::Stalls { version: (1, 6), peers, .. }] = play.told.as_slice() else {
-        panic!("{:?}", play.told)
+fn an_unknown_base_version_leads_to_a_snapshot() {
+    let mut harness = Harness::new(&[1, 2]);
+    harness.line(2, &[]);
+    harness.line(1, &[leader(1, 1), membership((1, 1))]);
+    let before = (harness.feed(1), harness.followed());
+    harness.line(
+        1,
+        &[
+            membership_change((1, 1), (1, 2), &["edge-2"], &[]),
+            membership_change((1, 3), (1, 4), &["edge-4"], &[]),
+        ],
+    );
+    assert_ne!(harness.feed(1), before.0);
+    assert_eq!(
+        harness.followed(),
+        before.1,
+        "the same two controllers, and the same one with full configurations"
+    );
+    // Changes before the snapshot reopen no other feed, and changes without their base are not passed on.
+    let again = harness.feed(1);
+    harness.line(1, &[membership_change((1, 4), (1, 5), &[], &["edge-4"])]);
+    assert_eq!(harness.feed(1), again);
+    assert_eq!(harness.to_proxy, [membership((1, 1)), membership_change((1, 1), (1, 2), &["edge-2"], &[])]);
+    harness.advance(600 * MS);
+    assert_ne!(harness.feed(1), again);
+    let again = harness.feed(1);
+    harness.line(
+        1,
+        &[membership((1, 5)), membership_change((1, 5), (1, 6), &["edge-2", "edge-3"], &["edge-1"])],
+    );
+    harness.advance(SECOND);
+    assert_eq!(harness.feed(1), again);
+    // A proxy that is behind gets the resulting membership, however old its version is; one that is not gets
+    // nothing.
+    harness.to_proxy.clear();
+    harness.proxy_sends(&[PeerMessage::Behind { version: (1, 6) }]);
+    assert_eq!(harness.to_proxy, []);
+    harness.proxy_sends(&[PeerMessage::Behind { version: (1, 5) }]);
+    let [PeerMessage::Stalls { version: (1, 6), peers, .. }] = harness.to_proxy.as_slice() else {
+        panic!("{:?}", harness.to_proxy)
     };
     assert_eq!(peers.iter().map(|p| p.name.as_str()).collect::<Vec<_>>(), ["edge-2", "edge-3"]);
-    assert!(play.posts.iter().all(|(_, note)| !matches!(note, PeerMessage::Behind { .. })));
+    assert!(harness.to_control.iter().all(|(_, message)| !matches!(message, PeerMessage::Behind { .. })));
 }
 
 #[test]
-fn a_stall_that_starts_is_told_first_that_it_rests_until_that_is_over() {
-    let mut play = Play::new(&[1]);
+fn a_restarted_proxy_is_first_told_to_stay_out_of_service() {
+    let mut harness = Harness::new(&[1]);
     let rest = |left: f64| PeerMessage::Rest { name: "edge-1".into(), left };
-    play.line(1, &[rest(1_000.0), whole(1)]);
-    assert_eq!(std::mem::take(&mut play.told), [rest(1_000.0), whole(1)]);
-    // The stall's own word goes up.
-    play.letter(&[rest(900.0)]);
-    play.now += 400 * MS;
-    play.give(Input::ProxyUp);
-    assert_eq!(std::mem::take(&mut play.told), [rest(600.0), packed(1)]);
-    play.now += 600 * MS;
-    play.give(Input::ProxyUp);
-    assert_eq!(std::mem::take(&mut play.told), [packed(1)]);
-    play.line(1, &[rest(1_000.0), rest(0.0)]);
-    play.told.clear();
-    play.give(Input::ProxyUp);
-    assert_eq!(play.told, [packed(1)]);
-}
-
-/// A stall that has started asks which configuration stands; whoever is followed may say, and what is said goes down. Anything else in
-/// an answer does not.
+    harness.line(1, &[rest(1_000.0), full(1)]);
+    assert_eq!(std::mem::take(&mut harness.to_proxy), [rest(1_000.0), full(1)]);
+    // The proxy's own report is passed on.
+    harness.proxy_sends(&[rest(900.0)]);
+    harness.now += 400 * MS;
+    harness.handle(Input::ProxyUp);
+    assert_eq!(std::mem::take(&mut harness.to_proxy), [rest(600.0), packed(1)]);
+    harness.now += 600 * MS;
+    harness.handle(Input::ProxyUp);
+    assert_eq!(std::mem::take(&mut harness.to_proxy), [packed(1)]);
+    harness.line(1, &[rest(1_000.0), rest(0.0)]);
+    harness.to_proxy.clear();
+    harness.handle(Input::ProxyUp);
+    assert_eq!(harness.to_proxy, [packed(1)]);
+}
+
+/// A starting proxy asks for the current configuration revision. Any followed controller may answer, and that
+/// answer is passed on, but nothing else in it.
 #[test]
-fn a_stall_that_starts_hears_from_control_which_configuration_stands() {
-    let mut play = Play::new(&[1, 2]);
-    play.line(1, &[steward(1, 1), whole(1)]);
-    play.line(2, &[]);
-    play.posts.clear();
-    play.letter(&[PeerMessage::AskRevision]);
-    assert_eq!(play.posts.iter().filter(|(_, note)| *note == PeerMessage::AskRevision).count(), 2);
-    play.told.clear();
-    let answer = |notes: &[PeerMessage]| {
-        let notes: Vec<_> = notes.iter().map(|note| note.to_json().stringify().expect("text")).collect();
-        let text = format!(r#"{{"from":"10.0.0.1:1","life":0,"notes":[{}]}}"#, notes.join(","));
+fn a_starting_proxy_learns_the_current_revision_from_any_controller() {
+    let mut harness = Harness::new(&[1, 2]);
+    harness.line(1, &[leader(1, 1), full(1)]);
+    harness.line(2, &[]);
+    harness.to_control.clear();
+    harness.proxy_sends(&[PeerMessage::AskRevision]);
+    assert_eq!(
+        harness.to_control.iter().filter(|(_, message)| *message == PeerMessage::AskRevision).count(),
+        2
+    );
+    harness.to_proxy.clear();
+    let answer = |messages: &[PeerMessage]| {
+        let messages: Vec<_> =
+            messages.iter().map(|message| message.to_json().stringify().expect("text")).collect();
+        let text = format!(r#"{{"from":"10.0.0.1:1","life":0,"notes":[{}]}}"#, messages.join(","));
         Input::ControlAnswered(Bytes::from(text))
     };
-    play.give(answer(&[PeerMessage::Stands { revision: 3 }, steward(9, 9)]));
-    assert_eq!(play.told, [PeerMessage::Stands { revision: 3 }]);
-    play.give(Input::ControlAnswered(Bytes::from_static(b"{")));
-    assert_eq!(play.told.len(), 1);
+    harness.handle(answer(&[PeerMessage::Stands { revision: 3 }, leader(9, 9)]));
+    assert_eq!(harness.to_proxy, [PeerMessage::Stands { revision: 3 }]);
+    harness.handle(Input::ControlAnswered(Bytes::from_static(b"{")));
+    assert_eq!(harness.to_proxy.len(), 1);
 }
 
-/// After changes the whole of it went as a tree of values, ten times the memory of its text, to each stall that was behind.
+/// After changes the full configuration was sent to each proxy that was behind as a tree of values, which
+/// takes ten times the memory of its text.
 #[test]
-fn the_whole_goes_packed_also_after_changes_to_it() {
-    let mut play = Play::new(&[1]);
-    play.line(1, &[whole(1)]);
+fn the_full_configuration_is_sent_packed_after_changes() {
+    let mut harness = Harness::new(&[1]);
+    harness.line(1, &[full(1)]);
     let (old, new) = (config(1, 1), config(2, 2));
-    play.line(1, &[PeerMessage::Patch { revision: 2, change: millpost_config::change::between(&old, &new) }]);
-    play.told.clear();
-    play.give(Input::ProxyUp);
+    harness
+        .line(1, &[PeerMessage::Patch { revision: 2, change: millpost_config::change::between(&old, &new) }]);
+    harness.to_proxy.clear();
+    harness.handle(Input::ProxyUp);
     let packed = millpost_net::pack::pack(&new.to_json()).expect("packed");
-    assert_eq!(play.told, [PeerMessage::Packed { revision: 2, packed }]);
+    assert_eq!(harness.to_proxy, [PeerMessage::Packed { revision: 2, packed }]);
 }
