--- a/latency/src/lib.rs
+++ b/latency/src/lib.rs
@@ -1,11 +1,13 @@
-//! How long the work of each function takes on each worker, from what answers took: log(time) = function + worker + rest.
+//! Estimates how long each function takes on each worker from the latencies of answers, with the additive
+//! model log(latency) = function level + worker effect + residual.
 //!
-//! The worker's part is drawn to nothing by how little is known of it, what was seen fades, and one answer moves an estimate by no more
-//! than a bound. Said is what is expected at a place, how sure that is, and which workers are slow, for all or for one function.
-//! No I/O, no clock, no randomness.
+//! A worker's effect is shrunk towards zero the less is known of it, old observations decay, and a single
+//! observation moves an estimate by a bounded amount. The model gives the expected latency of a function on a
+//! worker, its uncertainty, and which workers are slow, for all functions or for one. No I/O, no clock, no
+//! randomness.
 //!
-//! [`LatencyModel::observe`] takes answers as they come; [`LatencyModel::update`] works out what they say, and is to be called now and then. All that is
-//! asked is answered by what was last worked out.
+//! [`LatencyModel::observe`] takes latencies as they are measured. [`LatencyModel::update`] fits the model
+//! and is to be called regularly; all queries are answered from the last fit.
 
 mod cell;
 mod fit;
