--- a/agent/src/agent.rs
+++ b/agent/src/agent.rs
@@ -340,7 +340,7 @@
 
     /// Handles a controller's message, from a line of `weight` bytes.
     fn control_message(&mut self, now: Nanos, from: SocketAddr, message: PeerMessage, weight: usize) {
-        if let PeerMessage::Steward { address, fence } = &message {
+        if let PeerMessage::Leader { address, fence } = &message {
             if let Ok(address) = address.parse() {
                 self.feeds.set_leader(now, *fence, address);
                 self.run_feed_actions(now);
--- a/agent/tests/round.rs
+++ b/agent/tests/round.rs
@@ -40,7 +40,7 @@
 }
 
 fn patch(from: u64, revision: u64) -> PeerMessage {
-    let change = change::between(&config(from, from), &config(revision, revision));
+    let change = change::diff(&config(from, from), &config(revision, revision));
     PeerMessage::Patch { revision, change }
 }
 
@@ -78,7 +78,7 @@
 }
 
 fn leader(fence: u64, n: u8) -> PeerMessage {
-    PeerMessage::Steward { address: at(n).to_string().into(), fence }
+    PeerMessage::Leader { address: at(n).to_string().into(), fence }
 }
 
 fn alive() -> PeerMessage {
@@ -261,7 +261,7 @@
     other_revision_in_body = {
         vec![full(5), PeerMessage::Config { revision: 9, body: config(3, 1).to_value() }, PeerMessage::Patch {
             revision: 9,
-            change: change::between(&config(5, 5), &config(4, 4)),
+            change: change::diff(&config(5, 5), &config(4, 4)),
         }],
         vec![full(5)]
     },
@@ -665,7 +665,7 @@
         let feed = harness.open.first().expect("one").0;
         harness.handle(Input::FeedLine {
             feed,
-            line: line(&[PeerMessage::Steward { address: to.to_string().into(), fence }]),
+            line: line(&[PeerMessage::Leader { address: to.to_string().into(), fence }]),
         });
         let last = harness.open.iter().find(|(_, a, _)| *a == to).expect("a followed controller").0;
         harness.open.retain(|(of, ..)| *of != last);
@@ -775,8 +775,7 @@
     let mut harness = Harness::new(&[1]);
     harness.line(1, &[full(1)]);
     let (old, new) = (config(1, 1), config(2, 2));
-    harness
-        .line(1, &[PeerMessage::Patch { revision: 2, change: millpost_config::change::between(&old, &new) }]);
+    harness.line(1, &[PeerMessage::Patch { revision: 2, change: millpost_config::change::diff(&old, &new) }]);
     harness.to_proxy.clear();
     harness.handle(Input::ProxyUp);
     let packed = millpost_net::pack::pack(&new.to_json()).expect("packed");
--- a/controller/tests/market/mod.rs
+++ b/controller/tests/market/mod.rs
@@ -4,15 +4,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hyper::Method;
-use millpost_config::{At, Config, change};
+use millpost_config::{Config, JsonCursor, change};
 use millpost_controller::core::Input;
 use millpost_net::messaging;
 use millpost_net::pack::unpack;
 use millpost_protocol::{PeerMessage, object, text};
-use millpost_scheduler::{Ask, Coordinator, No, Out, Outcome, Peer, SECOND, Spec, Terms};
+use millpost_scheduler::{
+    Action, Coordinator, DenialReason, FunctionSpec, Outcome, Peer, PermitRequest, SECOND, SchedulerLimits,
+};
 use tinyjson::JsonValue;
 
-use crate::town::{MS, Town};
+use crate::cluster::{Cluster, MS};
 
 const STEP: u64 = 5 * MS;
 /// From when an instance may be up to when it is.
@@ -36,7 +38,7 @@
 }
 
 pub struct Market {
-    pub town: Town,
+    pub cluster: Cluster,
     stalls: Vec<Stall>,
     seats: BTreeMap<(usize, u64), usize>,
     follows: BTreeMap<u64, usize>,
@@ -64,7 +66,7 @@
     /// Three control machines and three stalls, with a configuration in force.
     pub fn new(config: &str, serves: Serves) -> Self {
         let mut market = Market {
-            town: Town::new(3, 0),
+            cluster: Cluster::new(3, 0),
             stalls: Vec::new(),
             seats: BTreeMap::new(),
             follows: BTreeMap::new(),
@@ -81,42 +83,47 @@
             retired: Vec::new(),
             floors: 0,
         };
-        market.town.workers = 16_000;
-        assert!(market.town.until(4_000 * MS, |town| town.leader().is_some()), "no steward");
-        market.town.run(4_000 * MS);
+        market.cluster.workers = 16_000;
+        assert!(market.cluster.until(4_000 * MS, |cluster| cluster.leader().is_some()), "no steward");
+        market.cluster.run(4_000 * MS);
         for n in 0..3 {
             let peer = Peer {
                 name: format!("edge-{n}").into(),
                 address: format!("edge-{n}").into(),
                 zone: "z".into(),
             };
-            let terms =
-                Terms { ratio: 0.2, window: 10 * SECOND, slack: 50.0, asks_per_s: 1e6, speeds: false };
+            let terms = SchedulerLimits {
+                retry_ratio: 0.2,
+                retry_window: 10 * SECOND,
+                retry_slack: 50.0,
+                requests_per_s: 1e6,
+                rank_by_latency: false,
+            };
             let desk = Coordinator::new(peer.clone(), terms, n, 1_000_000 * n);
             market.stalls.push(Stall { peer, desk, config: None, up: true, says: Vec::new() });
             for machine in 0..3 {
                 let body = letter(&format!("edge-{n}"), &[PeerMessage::Acts { revision: 0, number: 0 }]);
-                let id = market.town.call(machine, Method::POST, "/follow", &body);
+                let id = market.cluster.call(machine, Method::POST, "/follow", &body);
                 market.follows.insert(id, n as usize);
             }
         }
-        market.town.put(0, config);
+        market.cluster.put(0, config);
         market.run(6_000);
         market
     }
 
     pub fn run(&mut self, ms: u64) {
-        let end = self.town.now + ms * MS;
-        while self.town.now < end {
+        let end = self.cluster.now + ms * MS;
+        while self.cluster.now < end {
             self.step();
         }
     }
 
     /// Steps until that is so.
     pub fn until(&mut self, ms: u64, done: impl Fn(&mut Self) -> bool) -> bool {
-        let end = self.town.now + ms * MS;
+        let end = self.cluster.now + ms * MS;
         while !done(self) {
-            if self.town.now >= end {
+            if self.cluster.now >= end {
                 return false;
             }
             self.run(50);
@@ -128,7 +135,7 @@
     pub fn kill(&mut self, n: usize) {
         self.stalls[n].up = false;
         for ((machine, seat), _) in self.seats.iter().filter(|(_, of)| **of == n) {
-            self.town.input(*machine, Input::Left(*seat));
+            self.cluster.input(*machine, Input::FeedClosed(*seat));
         }
     }
 
@@ -141,7 +148,7 @@
 
     /// Instances of a function that its owner knows to work.
     pub fn ready(&self, service: &str) -> usize {
-        let of = self.stalls[self.owner(service)].desk.broker();
+        let of = self.stalls[self.owner(service)].desk.scheduler();
         let ready = |i: &&millpost_scheduler::Instance| {
             i.service == service && i.stage == millpost_scheduler::Stage::Ready
         };
@@ -157,26 +164,26 @@
     /// An operator's order, until it is answered clearly.
     pub fn order(&mut self, order: &str) -> (u16, String) {
         for _ in 0..40 {
-            let Some(n) = self.town.leader() else {
+            let Some(n) = self.cluster.leader() else {
                 self.run(250);
                 continue;
             };
-            let id = self.town.call(n, Method::POST, "/core/moves", order);
-            self.until(5_000, |market| market.town.answer_to(id).is_some());
-            if let Some((status, body)) = self.town.answer_to(id).filter(|(status, _)| *status != 503) {
+            let id = self.cluster.call(n, Method::POST, "/core/moves", order);
+            self.until(5_000, |market| market.cluster.answer_to(id).is_some());
+            if let Some((status, body)) = self.cluster.answer_to(id).filter(|(status, _)| *status != 503) {
                 return (status, body.to_owned());
             }
         }
-        let last = self.town.answers.last_key_value();
-        panic!("no clear answer to {order}: {:?}, {:?}, {last:?}", self.town.leader(), self.told);
+        let last = self.cluster.answers.last_key_value();
+        panic!("no clear answer to {order}: {:?}, {:?}, {last:?}", self.cluster.leader(), self.told);
     }
 
     /// What the leader tells of a move.
     pub fn tells(&mut self, name: &str) -> String {
-        let Some(n) = self.town.leader() else { return String::new() };
-        let id = self.town.call(n, Method::GET, &format!("/core/moves?name={name}"), "");
-        self.town.run(self.town.now);
-        self.town.answer_to(id).map(|(_, body)| body.to_owned()).unwrap_or_default()
+        let Some(n) = self.cluster.leader() else { return String::new() };
+        let id = self.cluster.call(n, Method::GET, &format!("/core/moves?name={name}"), "");
+        self.cluster.run(self.cluster.now);
+        self.cluster.answer_to(id).map(|(_, body)| body.to_owned()).unwrap_or_default()
     }
 
     pub fn is(&mut self, name: &str, step: &str) -> bool {
@@ -189,11 +196,11 @@
     }
 
     fn step(&mut self) {
-        let now = self.town.now + STEP;
-        self.town.run(now);
-        let seated: Vec<_> = self.town.seats.iter().map(|(id, seat)| (*id, *seat)).collect();
+        let now = self.cluster.now + STEP;
+        self.cluster.run(now);
+        let seated: Vec<_> = self.cluster.seats.iter().map(|(id, seat)| (*id, *seat)).collect();
         self.seats.extend(seated.into_iter().filter_map(|(id, seat)| Some((seat, *self.follows.get(&id)?))));
-        for (machine, seat, line) in std::mem::take(&mut self.town.lines) {
+        for (machine, seat, line) in std::mem::take(&mut self.cluster.lines) {
             if let Some(n) = self.seats.get(&(machine, seat)).copied().filter(|n| self.stalls[*n].up) {
                 self.line(now, n, &line);
             }
@@ -224,18 +231,18 @@
             let unpacked = |packed: &str| messaging::json(unpack(packed, 1 << 20)?.as_bytes());
             let old = stall.config.as_ref();
             let new = match PeerMessage::read(note).expect("a note") {
-                PeerMessage::Config { body, .. } => Config::read(&At::root(&body)).ok(),
+                PeerMessage::Config { body, .. } => Config::read(&JsonCursor::root(&body)).ok(),
                 PeerMessage::Packed { packed, .. } => {
-                    unpacked(&packed).and_then(|body| Config::read(&At::root(&body)).ok())
+                    unpacked(&packed).and_then(|body| Config::read(&JsonCursor::root(&body)).ok())
                 }
                 PeerMessage::Patch { change, .. } => old.and_then(|old| change::apply(old, &change).ok()),
                 PeerMessage::Folded { packed, .. } => {
                     old.zip(unpacked(&packed)).and_then(|(old, change)| change::apply(old, &change).ok())
                 }
-                PeerMessage::Steward { .. } => None,
+                PeerMessage::Leader { .. } => None,
                 note => {
                     self.floors += usize::from(matches!(note, PeerMessage::Floor { .. }));
-                    stall.desk.told(now, note);
+                    stall.desk.receive_from_controller(now, note);
                     None
                 }
             };
@@ -243,10 +250,10 @@
                 continue;
             };
             stall.says.push(PeerMessage::Acts { revision: new.revision, number: 0 });
-            let specs = new.services.iter().map(|s| Spec {
+            let specs = new.services.iter().map(|s| FunctionSpec {
                 name: s.name.clone(),
                 concurrency: s.concurrency,
-                boot: s.boot_ms * MS,
+                startup_time: s.boot_ms * MS,
                 memory_mb: s.memory_mb,
             });
             if old.is_none_or(|old| old.services != new.services) {
@@ -260,19 +267,19 @@
         match event {
             Event::Over { stall, ask, service, outcome, took } => {
                 *self.busy.entry(service.clone()).or_default() -= 1;
-                *self.told.entry(format!("{service} {}", outcome.word())).or_default() += 1;
+                *self.told.entry(format!("{service} {}", outcome.as_str())).or_default() += 1;
                 if self.stalls[stall].up {
                     self.stalls[stall].desk.finish(now, ask, outcome, took);
                 }
             }
             Event::Up { stall, instance } if self.stalls[stall].up => {
-                if self.stalls[stall].desk.boots(&instance) {
-                    self.stalls[stall].desk.up(now, &instance);
+                if self.stalls[stall].desk.is_booting(&instance) {
+                    self.stalls[stall].desk.instance_up(now, &instance);
                 }
             }
             Event::Mail { from, to, note } if self.stalls[to].up => {
                 let name = self.stalls[from].peer.name.clone();
-                self.stalls[to].desk.mail(now, &name, 1, vec![note]);
+                self.stalls[to].desk.receive(now, &name, 1, vec![note]);
             }
             Event::Up { .. } | Event::Mail { .. } => {}
         }
@@ -286,18 +293,18 @@
         let route = &config.routes[self.count as usize / 3 % config.routes.len()];
         let service = route.pick(self.count).expect("a service").clone();
         let (deadline, target) = (now + route.deadline_ms * MS, route.target_latency_ms * MS);
-        let ask = Ask {
+        let ask = PermitRequest {
             id: 0,
             service: service.clone(),
             deadline,
-            aim: now + target,
+            soft_deadline: now + target,
             target,
-            sent: 0,
+            attempts_sent: 0,
             returned: false,
             avoid: vec![],
             zone: "z".into(),
         };
-        if let Some(id) = stall.desk.ask(now, ask, true) {
+        if let Some(id) = stall.desk.request_permit(now, ask, true) {
             self.asks += 1;
             self.open.insert((n, id), service.into());
         }
@@ -307,25 +314,25 @@
         if !self.stalls[n].up {
             return;
         }
-        for out in self.stalls[n].desk.take() {
+        for out in self.stalls[n].desk.take_actions() {
             match out {
-                Out::Send { to, note } => {
+                Action::Send { to, note } => {
                     let to = self.stalls.iter().position(|s| s.peer.address == to).expect("a stall");
                     self.later(now + STEP, Event::Mail { from: n, to, note });
                 }
-                Out::Granted { ask, .. } => {
+                Action::Granted { ask, .. } => {
                     let service = self.open.remove(&(n, ask)).expect("an ask, granted once");
                     let busy = self.busy.entry(service.clone()).or_default();
                     *busy += 1;
                     let (outcome, took) = (self.serves)(&service, *busy);
                     self.later(now + took, Event::Over { stall: n, ask, service, outcome, took });
                 }
-                Out::Refused { ask, no } => {
+                Action::Refused { ask, reason: no } => {
                     let service = self.open.remove(&(n, ask)).expect("an ask");
-                    let why = if matches!(no, No::Full(_)) { "full" } else { no.word() };
+                    let why = if matches!(no, DenialReason::Full(_)) { "full" } else { no.as_str() };
                     *self.told.entry(format!("{service} no: {why}")).or_default() += 1;
                 }
-                Out::Up(note) => {
+                Action::NotifyController(note) => {
                     match &note {
                         PeerMessage::Retire { instance } => self.retired.push(instance.to_string()),
                         PeerMessage::Want { service, does: Some(_), .. } => {
@@ -335,7 +342,7 @@
                     }
                     self.stalls[n].says.push(note);
                 }
-                Out::Scout { instance, from } => {
+                Action::ProbeReadiness { instance, from } => {
                     let instance = instance.id.to_string();
                     self.later(from.max(now) + BOOT, Event::Up { stall: n, instance });
                 }
@@ -350,7 +357,7 @@
             return;
         }
         if now.is_multiple_of(450 * MS) {
-            let (split, digest) = (stall.desk.split(), stall.desk.digest());
+            let (split, digest) = (stall.desk.view_split(), stall.desk.view_digest());
             stall.says.push(PeerMessage::Alive { peer: stall.peer.clone(), serving: true, split, digest });
             let revision = stall.config.as_ref().map_or(0, |c| c.revision);
             stall.says.push(PeerMessage::Acts { revision, number: 0 });
@@ -359,7 +366,7 @@
         if !says.is_empty() {
             let body = letter(&stall.peer.name.clone(), &says);
             for machine in 0..3 {
-                self.town.call(machine, Method::POST, "/mail", &body);
+                self.cluster.call(machine, Method::POST, "/mail", &body);
             }
         }
     }
--- a/latency/tests/days.rs
+++ b/latency/tests/days.rs
@@ -1,12 +1,12 @@
 //! Simulated answers with fixed seeds: how soon a slow worker is detected, and how often a worker is called
 //! slow by mistake.
 
-use millpost::Dice;
+use millpost::RandomSource;
 use millpost_latency::{LatencyModel, Nanos, SECOND};
 
 /// Answers of functions on workers, with random latencies and fixed differences among instances.
 struct Simulation {
-    dice: Dice,
+    random: RandomSource,
     model: LatencyModel,
     now: Nanos,
     /// Each instance's factor on the latency, by function and worker.
@@ -15,18 +15,18 @@
 
 impl Simulation {
     fn new(seed: u64, functions: usize, workers: usize) -> Self {
-        let mut dice = Dice::seeded(seed);
+        let mut random = RandomSource::seeded(seed);
         let instances =
-            (0..functions).map(|_| (0..workers).map(|_| 0.8 + 0.4 * dice.share()).collect()).collect();
-        Simulation { dice, model: LatencyModel::new(), now: SECOND, instances }
+            (0..functions).map(|_| (0..workers).map(|_| 0.8 + 0.4 * random.next_f64()).collect()).collect();
+        Simulation { random, model: LatencyModel::new(), now: SECOND, instances }
     }
 
     /// Adds an answer of this function from this worker, which is slower by `factor`.
     fn answer(&mut self, f: usize, w: usize, factor: f64) {
-        let (one, two) = (1.0 - self.dice.share(), self.dice.share());
+        let (one, two) = (1.0 - self.random.next_f64(), self.random.next_f64());
         let normal = (-2.0 * one.ln()).sqrt() * (std::f64::consts::TAU * two).cos();
         let mut took = 45e6 * (normal * 0.5 - 0.125).exp() * self.instances[f][w] * factor;
-        if self.dice.share() < 0.3 {
+        if self.random.next_f64() < 0.3 {
             took += 50e6;
         }
         self.model.observe(self.now, &format!("f{f}"), &format!("w{w}"), took as Nanos);
@@ -36,8 +36,8 @@
     fn run(&mut self, answers: usize, gap: Nanos, factor: impl Fn(usize, usize) -> f64) {
         for _ in 0..answers {
             self.now += gap;
-            let f = (self.dice.share() * self.instances.len() as f64) as usize;
-            let w = (self.dice.share() * self.instances[0].len() as f64) as usize;
+            let f = (self.random.next_f64() * self.instances.len() as f64) as usize;
+            let w = (self.random.next_f64() * self.instances[0].len() as f64) as usize;
             self.answer(f, w, factor(f, w));
             self.model.update(self.now);
         }
--- a/quorum/src/lease.rs
+++ b/quorum/src/lease.rs
@@ -1,286 +1,322 @@
-//! A duty that one process holds at a time; keeps: while one may act, no majority has granted another.
+//! Leases, each of which one process holds at a time. Invariant: while a holder may rely on its lease, no
+//! majority has granted it to another process.
 //!
-//! Voters grant for [`LEASE_FOR`] from when they answer; the holder counts from before it asked and stops
-//! [`LEASE_MARGIN`] earlier. Grants are in memory only: a voter that has just started grants nobody for as long.
+//! A voter grants a lease for [`LEASE_DURATION`], counted from its reply. The holder counts from before it
+//! sent the request and stops [`LEASE_MARGIN`] earlier. Grants are kept in memory only: a voter that has just
+//! started grants no lease for one [`LEASE_DURATION`].
 //!
-//! While the voters change, majorities of epochs that follow each other share a voter, others may not: under epoch `e`
-//! somebody may hold the duty of whom no majority of `e + 2` has heard. He was granted before the joint record between
-//! them was finished, so a voter that adopts `e + 2` is quiet for one lease; except to who holds the duty under `e + 1`
-//! already, since his majority of the old set granted him after it had turned its back on `e`. A move keeps the joint
-//! record up for long enough that the holder gets there.
+//! During a membership change, majorities of successive epochs share a voter, but those of other epochs may
+//! not: under epoch `e` a process may hold the lease without any majority of `e + 2` knowing of it. It was
+//! granted the lease before the joint record between them was written everywhere. A voter that adopts `e + 2`
+//! therefore grants no lease for one [`LEASE_DURATION`], except to a process that already holds it under `e +
+//! 1`: the majority of the old set granted it after it had stopped accepting requests under `e`. A membership
+//! change keeps the joint record in force long enough for the holder to renew under it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use compact_str::CompactString;
 
 use crate::Address;
-use crate::chance::Chance;
 use crate::members::Members;
+use crate::rng::Rng;
 use crate::wire::Message;
 
 const MS: u64 = 1_000_000;
-/// A grant lasts so long.
-pub const LEASE_FOR: u64 = 1_500 * MS;
-/// The holder stops so much earlier, for clocks that run unevenly.
+/// How long a grant lasts, in nanoseconds.
+pub const LEASE_DURATION: u64 = 1_500 * MS;
+/// How much earlier the holder stops, in nanoseconds, since clocks run at different rates.
 pub const LEASE_MARGIN: u64 = 100 * MS;
-/// Asked again so often while held; also how long an ask waits for its majority.
-const RENEW: u64 = 300 * MS;
-/// Most duties a voter keeps apart.
-const MAX_DUTIES: usize = 8;
+/// Interval of renewals while the lease is held, and how long a request waits for its majority.
+const RENEW_INTERVAL: u64 = 300 * MS;
+/// Maximum number of leases of one voter.
+const MAX_LEASES: usize = 8;
 
 #[derive(Debug, Clone)]
 #[cfg_attr(feature = "explore", derive(Hash))]
 struct Grant {
     holder: CompactString,
-    life: u64,
-    ask: u64,
-    until: u64,
+    incarnation: u64,
+    request: u64,
+    expires_at: u64,
 }
 
-/// The voter's side.
+/// The voter's side of all leases.
 #[derive(Debug)]
 #[cfg_attr(feature = "explore", derive(Clone, Hash))]
-pub struct Grantor {
-    /// Grants nobody.
-    quiet: u64,
-    /// Grants only who held under the epoch before or this one.
-    wary: u64,
+pub struct LeaseGrantor {
+    /// No lease is granted before this time, except to a previous holder.
+    no_grants_until: u64,
+    /// Until this time, leases are granted only to processes that hold them under this epoch or the one
+    /// before.
+    holders_only_until: u64,
     epoch: u64,
     grants: BTreeMap<CompactString, Grant>,
 }
 
-impl Grantor {
-    /// Of a process that started `now`.
+impl LeaseGrantor {
+    /// Creates the grantor of a process that starts at `now`.
     pub fn new(now: u64) -> Self {
-        Self { quiet: now.saturating_add(LEASE_FOR), wary: 0, epoch: 0, grants: BTreeMap::new() }
+        Self {
+            no_grants_until: now.saturating_add(LEASE_DURATION),
+            holders_only_until: 0,
+            epoch: 0,
+            grants: BTreeMap::new(),
+        }
     }
 
-    /// Newer members stand, after those of the epoch `before`.
-    pub(crate) fn moved(&mut self, now: u64, before: Option<u64>, members: &Members) {
+    /// Newer members are in force, after those of the epoch `before`.
+    pub(crate) fn on_members(&mut self, now: u64, before: Option<u64>, members: &Members) {
         self.epoch = members.epoch;
-        // A joint record shares its majorities with the one right before it.
+        // A majority under a joint record includes one under the record right before it.
         if before.is_none_or(|before| before + 1 < members.epoch) || members.next.is_none() {
-            self.wary = now.saturating_add(LEASE_FOR);
+            self.holders_only_until = now.saturating_add(LEASE_DURATION);
         }
     }
 
     #[expect(clippy::too_many_arguments, reason = "the fields of one message")]
-    pub(crate) fn on_ask(
+    pub(crate) fn on_request(
         &mut self,
         now: u64,
-        duty: CompactString,
+        lease: CompactString,
         holder: CompactString,
-        life: u64,
-        ask: u64,
-        held: Option<u64>,
-        again: bool,
+        incarnation: u64,
+        request: u64,
+        held_epoch: Option<u64>,
+        previous_holder: bool,
     ) -> Message {
-        self.grants.retain(|_, grant| grant.until > now);
-        let trusted = held.is_some_and(|epoch| epoch + 1 >= self.epoch);
-        let quiet = if again { 0 } else { self.quiet };
-        let wait = if trusted { quiet } else { quiet.max(self.wary) }.saturating_sub(now);
-        let left = match self.grants.get(&duty) {
-            // What this voter has granted in its own present life goes on: nobody else can have been granted by it meanwhile.
-            Some(grant) if grant.holder == holder && grant.life == life => {
+        self.grants.retain(|_, grant| grant.expires_at > now);
+        let trusted = held_epoch.is_some_and(|epoch| epoch + 1 >= self.epoch);
+        let no_grants_until = if previous_holder { 0 } else { self.no_grants_until };
+        let wait = if trusted { no_grants_until } else { no_grants_until.max(self.holders_only_until) }
+            .saturating_sub(now);
+        let remaining = match self.grants.get(&lease) {
+            // A grant of this voter since its start continues: it has granted the lease to no other process
+            // meanwhile.
+            Some(grant) if grant.holder == holder && grant.incarnation == incarnation => {
                 if trusted {
                     0
                 } else {
-                    self.wary.saturating_sub(now)
+                    self.holders_only_until.saturating_sub(now)
                 }
             }
-            // A later life of the same holder: the one that was granted has ended.
-            Some(grant) if grant.holder == holder && grant.life <= life => wait,
-            Some(grant) => grant.until - now,
-            None if self.grants.len() >= MAX_DUTIES => LEASE_FOR,
+            // A later incarnation of the same holder: the process that was granted the lease has ended.
+            Some(grant) if grant.holder == holder && grant.incarnation <= incarnation => wait,
+            Some(grant) => grant.expires_at - now,
+            None if self.grants.len() >= MAX_LEASES => LEASE_DURATION,
             None => wait,
         };
-        if left > 0 {
-            return Message::Denied { duty, life, ask, left, newer: None };
+        if remaining > 0 {
+            return Message::LeaseDenied { lease, incarnation, request, remaining, newer_members: None };
         }
-        let ask_before = self.grants.get(&duty).map_or(0, |grant| grant.ask);
-        let grant = Grant { holder, life, ask: ask.max(ask_before), until: now.saturating_add(LEASE_FOR) };
-        self.grants.insert(duty.clone(), grant);
-        Message::Granted { duty, life, ask }
+        let previous_request = self.grants.get(&lease).map_or(0, |grant| grant.request);
+        let grant = Grant {
+            holder,
+            incarnation,
+            request: request.max(previous_request),
+            expires_at: now.saturating_add(LEASE_DURATION),
+        };
+        self.grants.insert(lease.clone(), grant);
+        Message::LeaseGranted { lease, incarnation, request }
     }
 
-    pub(crate) fn on_release(&mut self, duty: &str, holder: &str, life: u64, ask: u64) {
-        // One that comes late must not free what was granted after it.
-        let theirs = |grant: &Grant| grant.holder == holder && grant.life == life && grant.ask <= ask;
-        if self.grants.get(duty).is_some_and(theirs) {
-            self.grants.remove(duty);
+    pub(crate) fn on_release(&mut self, lease: &str, holder: &str, incarnation: u64, request: u64) {
+        // A delayed release must not free a grant of a later request.
+        let is_covered = |grant: &Grant| {
+            grant.holder == holder && grant.incarnation == incarnation && grant.request <= request
+        };
+        if self.grants.get(lease).is_some_and(is_covered) {
+            self.grants.remove(lease);
         }
     }
 }
 
 #[derive(Debug)]
 #[cfg_attr(feature = "explore", derive(Clone, Hash))]
-struct Asked {
-    ask: u64,
-    at: u64,
+struct PendingRequest {
+    request: u64,
+    sent_at: u64,
     granted: BTreeSet<Address>,
     denied: BTreeSet<Address>,
-    left: u64,
+    remaining: u64,
 }
 
-/// The candidate's side.
+/// The side of a process that wants or holds a lease.
 #[derive(Debug)]
 #[cfg_attr(feature = "explore", derive(Clone, Hash))]
-pub struct Holder {
-    duty: CompactString,
+pub struct LeaseHolder {
+    lease: CompactString,
     name: CompactString,
-    life: u64,
-    chance: Chance,
+    incarnation: u64,
+    rng: Rng,
     members: Members,
-    asks: u64,
-    asked: Option<Asked>,
-    until: u64,
-    /// The epoch that `until` was counted under.
-    held: u64,
-    again: bool,
+    requests: u64,
+    pending: Option<PendingRequest>,
+    expires_at: u64,
+    /// The epoch under which `expires_at` was granted.
+    held_epoch: u64,
+    previous_holder: bool,
     wake: u64,
 }
 
-impl Holder {
-    /// A candidate for this duty. `life` differs at each start of its process.
-    pub fn new(duty: &str, name: &str, life: u64, members: Members, seed: u64, now: u64) -> Self {
-        let mut chance = Chance::new(seed);
-        let wake = now.saturating_add(chance.between(0, 100 * MS));
-        let (duty, name) = (duty.into(), name.into());
+impl LeaseHolder {
+    /// Creates a candidate for the lease. `incarnation` differs at each start of its process.
+    pub fn new(lease: &str, name: &str, incarnation: u64, members: Members, seed: u64, now: u64) -> Self {
+        let mut rng = Rng::new(seed);
+        let wake = now.saturating_add(rng.between(0, 100 * MS));
+        let (lease, name) = (lease.into(), name.into());
         Self {
-            duty,
+            lease,
             name,
-            life,
-            chance,
+            incarnation,
+            rng,
             members,
-            asks: 0,
-            asked: None,
-            until: 0,
-            held: 0,
-            again: false,
+            requests: 0,
+            pending: None,
+            expires_at: 0,
+            held_epoch: 0,
+            previous_holder: false,
             wake,
         }
     }
 
-    /// Whether the register names this machine as the last that had the duty. Its own life before has ended, so voters that have
-    /// just started need not wait for a lease of before; the caller makes sure that it acts only once it has renewed its name
-    /// in the register over that very version, and calls this off where another name stands there.
-    pub fn set_again(&mut self, again: bool) {
-        self.again = again;
+    /// Sets whether the register names this machine as the last holder of the lease. Its earlier process has
+    /// ended, so voters that have just started need not wait for an earlier lease to expire. The caller must
+    /// act as the holder only once it has written its name to the register again over exactly that version,
+    /// and must reset this if the register names another machine.
+    pub fn set_previous_holder(&mut self, previous_holder: bool) {
+        self.previous_holder = previous_holder;
     }
 
-    /// Whether it asks as the one that had the duty last.
-    pub fn is_again(&self) -> bool {
-        self.again
+    /// Whether it requests the lease as its last holder.
+    pub fn is_previous_holder(&self) -> bool {
+        self.previous_holder
     }
 
-    /// Whether it holds the duty now.
-    pub fn may_act(&self, now: u64) -> bool {
-        now < self.until
+    /// Whether it holds the lease at this time.
+    pub fn is_held(&self, now: u64) -> bool {
+        now < self.expires_at
     }
 
-    /// Up to when it holds it.
-    pub fn until(&self) -> u64 {
-        self.until
+    /// Returns the time until which it holds the lease.
+    pub fn expires_at(&self) -> u64 {
+        self.expires_at
     }
 
-    /// The members it counts by: look here for newer ones that a voter told of.
+    /// Returns the members whose majorities are counted, which include newer ones that a voter reported.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// Newer members are known to be chosen. A lease that is held goes on.
+    /// Adopts newer members that are known to be chosen. A lease that is held stays valid.
     pub fn adopt(&mut self, members: &Members) {
         if members.uid == self.members.uid && members.epoch > self.members.epoch {
             self.members = members.clone();
-            // Counted by the old ones: what is under way no longer counts.
-            self.asked = None;
+            // Replies to the pending request would be counted under the old members.
+            self.pending = None;
             self.wake = 0;
         }
     }
 
-    /// When to call [`Holder::on_tick`] next.
+    /// Returns the time of the next call to [`LeaseHolder::on_tick`].
     pub fn next_wake(&self) -> u64 {
         self.wake
     }
 
-    /// Time passes: ask, renew, or take back an ask that found no majority.
+    /// Advances the time: requests or renews the lease, or withdraws a request that found no majority.
     pub fn on_tick(&mut self, now: u64) -> Vec<(Address, Message)> {
         if now < self.wake {
             return Vec::new();
         }
-        match self.asked.take() {
-            Some(asked) if !self.may_act(now) => self.give_way(now, asked.left),
-            _ => self.ask(now),
+        match self.pending.take() {
+            Some(pending) if !self.is_held(now) => self.withdraw(now, pending.remaining),
+            _ => self.send_request(now),
         }
     }
 
-    /// A voter's answer.
+    /// Handles a reply of a voter.
     pub fn on_message(&mut self, now: u64, from: &str, message: &Message) -> Vec<(Address, Message)> {
-        if !self.members.names(from) {
+        if !self.members.contains(from) {
             return Vec::new();
         }
-        let (duty, life, ask, denied) = match message {
-            Message::Granted { duty, life, ask } => (duty, life, ask, None),
-            Message::Denied { duty, life, ask, left, newer } => (duty, life, ask, Some((*left, newer))),
+        let (lease, incarnation, request, denied) = match message {
+            Message::LeaseGranted { lease, incarnation, request } => (lease, incarnation, request, None),
+            Message::LeaseDenied { lease, incarnation, request, remaining, newer_members } => {
+                (lease, incarnation, request, Some((*remaining, newer_members)))
+            }
             _ => return Vec::new(),
         };
-        let Some(asked) = &mut self.asked else { return Vec::new() };
-        if *duty != self.duty || *life != self.life || *ask != asked.ask {
+        let Some(pending) = &mut self.pending else { return Vec::new() };
+        if *lease != self.lease || *incarnation != self.incarnation || *request != pending.request {
             return Vec::new();
         }
         match denied {
             None => {
-                asked.denied.remove(from);
-                asked.granted.insert(from.into());
-                if self.members.quorum(|voter| asked.granted.contains(voter)) {
-                    self.until = self.until.max(asked.at.saturating_add(LEASE_FOR - LEASE_MARGIN));
-                    self.held = self.members.epoch;
+                pending.denied.remove(from);
+                pending.granted.insert(from.into());
+                if self.members.has_quorum(|voter| pending.granted.contains(voter)) {
+                    self.expires_at =
+                        self.expires_at.max(pending.sent_at.saturating_add(LEASE_DURATION - LEASE_MARGIN));
+                    self.held_epoch = self.members.epoch;
                 }
                 Vec::new()
             }
-            Some((_, Some(newer))) => {
-                let newer = newer.clone();
-                self.adopt(&newer);
+            Some((_, Some(newer_members))) => {
+                let newer_members = newer_members.clone();
+                self.adopt(&newer_members);
                 self.on_tick(now)
             }
-            Some((left, None)) => {
-                asked.denied.insert(from.into());
-                asked.left = asked.left.max(left.min(LEASE_FOR));
-                let left = asked.left;
-                let hopeless = !self.members.quorum(|voter| !asked.denied.contains(voter));
-                if hopeless && !self.may_act(now) { self.give_way(now, left) } else { Vec::new() }
+            Some((remaining, None)) => {
+                pending.denied.insert(from.into());
+                pending.remaining = pending.remaining.max(remaining.min(LEASE_DURATION));
+                let remaining = pending.remaining;
+                let majority_denied = !self.members.has_quorum(|voter| !pending.denied.contains(voter));
+                if majority_denied && !self.is_held(now) { self.withdraw(now, remaining) } else { Vec::new() }
             }
         }
     }
 
-    /// Give the duty back: it may not act any more, and others need not wait.
+    /// Releases the lease: it is no longer held, and other processes need not wait for it to expire.
     pub fn release(&mut self, now: u64) -> Vec<(Address, Message)> {
-        let out = self.give_way(now, LEASE_FOR);
-        self.until = 0;
+        let out = self.withdraw(now, LEASE_DURATION);
+        self.expires_at = 0;
         out
     }
 
-    fn ask(&mut self, now: u64) -> Vec<(Address, Message)> {
-        self.asks += 1;
+    fn send_request(&mut self, now: u64) -> Vec<(Address, Message)> {
+        self.requests += 1;
         let (granted, denied) = (BTreeSet::new(), BTreeSet::new());
-        self.asked = Some(Asked { ask: self.asks, at: now, granted, denied, left: 0 });
-        self.wake = now.saturating_add(RENEW);
-        let held = self.may_act(now).then_some(self.held);
-        let (duty, holder, members) = (self.duty.clone(), self.name.clone(), self.members.clone());
-        let (life, ask, again) = (self.life, self.asks, self.again);
-        self.to_all(Message::Ask { duty, holder, life, ask, held, again, members })
+        self.pending =
+            Some(PendingRequest { request: self.requests, sent_at: now, granted, denied, remaining: 0 });
+        self.wake = now.saturating_add(RENEW_INTERVAL);
+        let held_epoch = self.is_held(now).then_some(self.held_epoch);
+        let (lease, holder, members) = (self.lease.clone(), self.name.clone(), self.members.clone());
+        let (incarnation, request, previous_holder) = (self.incarnation, self.requests, self.previous_holder);
+        self.broadcast(Message::LeaseRequest {
+            lease,
+            holder,
+            incarnation,
+            request,
+            held_epoch,
+            previous_holder,
+            members,
+        })
     }
 
-    /// Take the ask back, so that its part of a split vote is free, and ask again after a while.
-    fn give_way(&mut self, now: u64, left: u64) -> Vec<(Address, Message)> {
-        self.asked = None;
-        // Never longer than it takes to see whether the holder is still there.
-        self.wake = now.saturating_add(left.min(RENEW) + self.chance.between(5 * MS, 100 * MS));
-        let (duty, holder) = (self.duty.clone(), self.name.clone());
-        self.to_all(Message::Release { duty, holder, life: self.life, ask: self.asks })
+    /// Withdraws the request, so that its grants of a split vote are free, and schedules another.
+    fn withdraw(&mut self, now: u64, remaining: u64) -> Vec<(Address, Message)> {
+        self.pending = None;
+        // At most one renewal interval plus a random delay, so that a holder that has ended is noticed soon.
+        self.wake = now.saturating_add(remaining.min(RENEW_INTERVAL) + self.rng.between(5 * MS, 100 * MS));
+        let (lease, holder) = (self.lease.clone(), self.name.clone());
+        self.broadcast(Message::LeaseRelease {
+            lease,
+            holder,
+            incarnation: self.incarnation,
+            request: self.requests,
+        })
     }
 
-    fn to_all(&self, message: Message) -> Vec<(Address, Message)> {
-        self.members.all().into_iter().map(|voter| (voter, message.clone())).collect()
+    fn broadcast(&self, message: Message) -> Vec<(Address, Message)> {
+        self.members.all_voters().into_iter().map(|voter| (voter, message.clone())).collect()
     }
 }
--- a/replay/tests/traces.rs
+++ b/replay/tests/traces.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use millpost::Dice;
+use millpost::RandomSource;
 use millpost_agent::Effect;
 use millpost_protocol::PeerMessage;
 use millpost_replay::Error;
@@ -14,7 +14,7 @@
 use millpost_replay::play::{Event, Pass, Step, play};
 use millpost_replay::table::{Rounds, Table};
 use millpost_scheduler::recording::{Entry as DeskEntry, Input};
-use millpost_scheduler::{Coordinator, Instance, MS, Out, SECOND, Terms};
+use millpost_scheduler::{Action, Coordinator, Instance, MS, SECOND, SchedulerLimits};
 
 fn path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/traces").join(name)
@@ -134,7 +134,7 @@
 }
 
 /// What comes of a play where something goes wrong in the machine, seen by one who watches from outside.
-fn planted(name: &str, mut plant: impl FnMut(&Step<'_>) -> (Input, Vec<Out>, u64)) -> Vec<(Rule, usize)> {
+fn planted(name: &str, mut plant: impl FnMut(&Step<'_>) -> (Input, Vec<Action>, u64)) -> Vec<(Rule, usize)> {
     let text = text(name);
     let checks = checked(text.as_bytes(), Which::default(), |check, step| {
         let (input, outs, at) = plant(&step);
@@ -149,7 +149,7 @@
     let mut done = false;
     let twice = planted("calm.jsonl", |step| {
         let mut outs = step.outs.to_vec();
-        let granted = outs.iter().find(|out| matches!(out, Out::Granted { .. })).cloned();
+        let granted = outs.iter().find(|out| matches!(out, Action::Granted { .. })).cloned();
         outs.extend(granted.filter(|_| !std::mem::replace(&mut done, true)));
         (step.input.clone(), outs, step.at)
     });
@@ -157,7 +157,7 @@
     let stranger = planted("calm.jsonl", |step| {
         let mut outs = step.outs.to_vec();
         for out in &mut outs {
-            if let Out::Granted { instance, .. } = out {
+            if let Action::Granted { instance, .. } = out {
                 *instance = "i-none".into();
             }
         }
@@ -176,10 +176,10 @@
             outs = outs
                 .into_iter()
                 .flat_map(|out| match out {
-                    Out::Send { to, note: PeerMessage::Done { id, outcome, took } } => {
+                    Action::Send { to, note: PeerMessage::Done { id, outcome, took } } => {
                         let note =
                             PeerMessage::Back { who: "edge-1".into(), id, instance: None, outcome, took };
-                        vec![Out::Send { to, note }; times]
+                        vec![Action::Send { to, note }; times]
                     }
                     other => vec![other],
                 })
@@ -204,11 +204,15 @@
     let checks = checked(text.as_bytes(), which, |check, step| {
         let mut outs = step.outs.to_vec();
         if let (Input::Finish { id, .. }, true) = (step.input, outs.len() == 1)
-            && let Out::Send { to, note: PeerMessage::Done { .. } } = outs.remove(0)
+            && let Action::Send { to, note: PeerMessage::Done { .. } } = outs.remove(0)
         {
             let (instance, service) = ("i".into(), "s".into());
             let notes = vec![PeerMessage::Held { id: *id, service, instance, left: 9.0 }];
-            check.see(&Step { input: &Input::Returned { address: to, notes }, outs: &[], ..step });
+            check.see(&Step {
+                input: &Input::Undelivered { address: to, messages: notes },
+                outs: &[],
+                ..step
+            });
             count += 1;
             return check.see(&Step { outs: &outs, ..step });
         }
@@ -224,7 +228,7 @@
     let checks = checked(text.as_bytes(), which, |check, step| {
         let mut outs = step.outs.to_vec();
         for out in &mut outs {
-            if let Out::Send { note: PeerMessage::Grant { instance, .. }, .. } = out {
+            if let Action::Send { note: PeerMessage::Grant { instance, .. }, .. } = out {
                 *instance = "i-none".into();
             }
         }
@@ -244,9 +248,9 @@
 fn a_permit_for_what_was_let_go_or_is_full_is_seen() {
     let let_go = planted("calm.jsonl", |step| {
         let mut outs = step.outs.to_vec();
-        if let Some(Out::Granted { instance, .. }) = step.outs.first() {
+        if let Some(Action::Granted { instance, .. }) = step.outs.first() {
             let note = PeerMessage::Retire { instance: instance.clone() };
-            outs.insert(0, Out::Up(note));
+            outs.insert(0, Action::NotifyController(note));
         }
         (step.input.clone(), outs, step.at)
     });
@@ -266,7 +270,7 @@
     let mut last = 0;
     let early = planted("failures.jsonl", |step| {
         // As if the retry had come with the input before it.
-        let retry = matches!(step.input, Input::Ask { first: false, .. });
+        let retry = matches!(step.input, Input::RequestPermit { first: false, .. });
         let at = if retry { last } else { step.at };
         last = if let Input::Finish { .. } = step.input { step.at } else { last };
         (step.input.clone(), step.outs.to_vec(), at)
@@ -275,7 +279,7 @@
     let spent = planted("failures.jsonl", |step| {
         let mut input = step.input.clone();
         if let Input::New { terms, .. } = &mut input {
-            *terms = Terms { ratio: 0.0, slack: 1.0, ..terms.clone() };
+            *terms = SchedulerLimits { retry_ratio: 0.0, retry_slack: 1.0, ..terms.clone() };
         }
         (input, step.outs.to_vec(), step.at)
     });
@@ -327,8 +331,8 @@
     let odd =
         ["9007199254740992", "-1", "0", "1e308", "0.5", "\"\"", "null", "[]", "{}", "true", "4294967295"];
     let lines: Vec<&str> = text.lines().collect();
-    let mut dice = Dice::seeded(seed);
-    let mut draw = |most: usize| ((dice.share() * most as f64) as usize).min(most - 1);
+    let mut dice = RandomSource::seeded(seed);
+    let mut draw = |most: usize| ((dice.next_f64() * most as f64) as usize).min(most - 1);
     let mut errors = 0;
     for _ in 0..400 {
         let at = if draw(3) == 0 { draw(5) } else { draw(lines.len()) };
@@ -442,8 +446,8 @@
                     Vec::new()
                 }
                 (Some(desk), input) => {
-                    input.give(entry.at, desk);
-                    Vec::from(desk.take())
+                    input.apply(entry.at, desk);
+                    Vec::from(desk.take_actions())
                 }
                 (None, _) => panic!("a life begins"),
             }
@@ -483,7 +487,7 @@
     let mut scouts: Vec<Instance> = Vec::new();
     checked(text("calm.jsonl").as_bytes(), Which::default(), |_, step| {
         scouts.extend(step.outs.iter().filter_map(|out| match out {
-            Out::Scout { instance, .. } => Some(instance.clone()),
+            Action::ProbeReadiness { instance, .. } => Some(instance.clone()),
             _ => None,
         }));
     })
--- a/simulator/src/world/net.rs
+++ b/simulator/src/world/net.rs
@@ -108,7 +108,7 @@
         PeerMessage::Contact { .. } => 26,
         PeerMessage::Stands { .. } => 24,
         PeerMessage::Rest { name, .. } => 36 + name.len(),
-        PeerMessage::Steward { address, .. } => 34 + address.len(),
+        PeerMessage::Leader { address, .. } => 34 + address.len(),
         PeerMessage::Retire { instance } | PeerMessage::Lost { instance } | PeerMessage::Up { instance } => {
             24 + instance.len()
         }
@@ -126,10 +126,10 @@
 fn message_size(message: &Message) -> u64 {
     match message {
         Message::Write { value, .. } => 420 + value.content.len() as u64,
-        Message::Promised { accepted, .. } | Message::Seen { accepted, .. } => {
+        Message::Promised { accepted, .. } | Message::QueryReply { accepted, .. } => {
             260 + accepted.as_ref().map_or(0, |a| a.value.content.len() as u64)
         }
-        Message::State { slots, .. } => {
+        Message::StateReply { slots, .. } => {
             300 + slots
                 .iter()
                 .map(|(_, s)| 200 + s.accepted.as_ref().map_or(0, |a| a.value.content.len() as u64))
@@ -281,7 +281,8 @@
             return there;
         }
         // As many a second as would take all of its processors.
-        let each = SECOND as f64 / millpost_scheduler::asks_per_s(f64::INFINITY, self.site.processors);
+        let each =
+            SECOND as f64 / millpost_scheduler::max_requests_per_s(f64::INFINITY, self.site.processors);
         let machine = &mut self.machines[at];
         machine.busy = machine.busy.max(there) + (asks as f64 * each) as Time;
         machine.busy
