--- a/agent/src/agent.rs
+++ b/agent/src/agent.rs
@@ -24,7 +24,8 @@
 const READ_SETTINGS_EVERY: Nanos = SECOND;
 /// A proxy that is behind is sent the full configuration no more often than this.
 const FULL_CONFIG_EVERY: Nanos = SECOND;
-/// A proxy that has sent nothing for this long counts as gone, and is not announced to controllers.
+/// A proxy that has not announced itself for this long counts as gone, and the agent announces it to no
+/// controller.
 const PROXY_ALIVE_FOR: Nanos = 1_500 * MS;
 /// After the queue to the proxy was full, the snapshot is sent again after this long, and no more often.
 const RESEND_AFTER: Nanos = SECOND;
@@ -54,7 +55,7 @@
 pub enum Input {
     /// The process has started.
     New(AgentConfig),
-    /// A line of a feed, without the line feed.
+    /// A line of a feed, without the newline.
     FeedLine {
         /// The feed's number.
         feed: u64,
@@ -338,8 +339,8 @@
         }
     }
 
-    /// Handles a controller's message, from a line of `weight` bytes.
-    fn control_message(&mut self, now: Nanos, from: SocketAddr, message: PeerMessage, weight: usize) {
+    /// Handles a controller's message, from a line of `line_bytes` bytes.
+    fn control_message(&mut self, now: Nanos, from: SocketAddr, message: PeerMessage, line_bytes: usize) {
         if let PeerMessage::Leader { address, fence } = &message {
             if let Ok(address) = address.parse() {
                 self.feeds.set_leader(now, *fence, address);
@@ -356,7 +357,7 @@
             self.rest = (lasts_ns > 0).then(|| (name.clone(), now.saturating_add(lasts_ns)));
             return self.effects.push(Effect::SendToProxy(message));
         }
-        match self.latest.apply(message, weight) {
+        match self.latest.apply(message, line_bytes) {
             Applied::Stale => {}
             Applied::New(message) => self.effects.push(Effect::SendToProxy(message)),
             Applied::Partial(message, left_out) => {
--- a/agent/src/feeds.rs
+++ b/agent/src/feeds.rs
@@ -104,8 +104,8 @@
 }
 
 impl FeedSet {
-    /// Creates a set without feeds. `life` is the number of this run of the process.
-    pub fn new(seeds: Vec<SocketAddr>, life: u64) -> Self {
+    /// Creates a set without feeds. `incarnation` differs in each run of the process.
+    pub fn new(seeds: Vec<SocketAddr>, incarnation: u64) -> Self {
         FeedSet {
             seeds,
             others: Vec::new(),
@@ -113,7 +113,7 @@
             feeds: BTreeMap::new(),
             failed: BTreeMap::new(),
             next_candidate: 0,
-            candidate_offset: life as usize,
+            candidate_offset: incarnation as usize,
             without_full_config: None,
             reopen_wanted: None,
             reopened_at: None,
--- a/agent/src/recording.rs
+++ b/agent/src/recording.rs
@@ -201,7 +201,7 @@
 }
 
 impl Entry {
-    /// Formats the entry as a line, without the line feed.
+    /// Formats the entry as a line, without the newline.
     pub fn write(&self) -> String {
         let mut line = line::begin(input_name(&self.input), self.number, self.at);
         write(&mut line, &self.input);
--- a/agent/src/run.rs
+++ b/agent/src/run.rs
@@ -70,6 +70,7 @@
     }
 }
 
+/// Runs the state machine and carries out its effects.
 struct Driver {
     /// The settings file.
     path: PathBuf,
@@ -93,10 +94,10 @@
 ) -> Result<(), Error> {
     let loopback = if settings.ip.is_loopback() { settings.ip } else { IpAddr::V4(Ipv4Addr::LOCALHOST) };
     let ports = settings.internal_ports.0;
-    let here = SocketAddr::new(loopback, ports + 2);
-    let listener = TcpListener::bind(here).await.context(ListenSnafu { address: here.to_string() })?;
-    let mut term = signal(SignalKind::terminate()).context(SignalsSnafu)?;
-    let mut hang_up = signal(SignalKind::hangup()).context(SignalsSnafu)?;
+    let address = SocketAddr::new(loopback, ports + 2);
+    let listener = TcpListener::bind(address).await.context(ListenSnafu { address: address.to_string() })?;
+    let mut sigterm = signal(SignalKind::terminate()).context(SignalsSnafu)?;
+    let mut sighup = signal(SignalKind::hangup()).context(SignalsSnafu)?;
     let (incoming, mut received) = mpsc::channel(1_000);
     serve(listener, incoming.clone());
     if let Some(port) = metrics {
@@ -104,16 +105,20 @@
     }
 
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    let life = unix.as_millis() as u64;
+    let started_ms = unix.as_millis() as u64;
     if let Some(sink) = &mut sink {
-        sink(&Head::new(&settings.node_name, "porter", life, life).line());
+        sink(&Head::new(&settings.node_name, "porter", started_ms, started_ms).line());
     }
-    let (name, incarnation) = (text(&settings.node_name), Incarnation::new(life));
+    let (name, incarnation) = (text(&settings.node_name), Incarnation::new(started_ms));
     let destination = destination(PROXY, SocketAddr::new(loopback, ports + 1), &name, &incarnation);
     let proxy = Outbox::new(destination, bounds(Duration::from_millis(800)), incoming.clone());
     let grace = Duration::from_secs_f64(settings.bounds.grace_s);
-    let config =
-        AgentConfig { name: settings.node_name, life, seeds: settings.seed_nodes, grace: nanos(grace) };
+    let config = AgentConfig {
+        name: settings.node_name,
+        life: started_ms,
+        seeds: settings.seed_nodes,
+        grace: nanos(grace),
+    };
     let mut driver = Driver {
         path,
         name,
@@ -133,8 +138,8 @@
                 Some(incoming) => driver.handle_incoming(incoming),
                 None => break,
             },
-            _ = hang_up.recv() => driver.read_settings(),
-            _ = term.recv() => driver.handle(Input::Shutdown, None),
+            _ = sighup.recv() => driver.read_settings(),
+            _ = sigterm.recv() => driver.handle(Input::Shutdown, None),
             () = sleep_until(due) => driver.handle(Input::Tick, None),
         }
     }
--- a/agent/tests/round.rs
+++ b/agent/tests/round.rs
@@ -622,8 +622,8 @@
 #[test]
 fn invalid_messages_are_logged_and_the_others_handled() {
     let mut harness = Harness::new(&[1]);
-    let letter = br#"{"from":"edge-1","life":1,"notes":[{"t":"acts","v":-1},{"t":"acts","v":3,"n":0}]}"#;
-    harness.handle(Input::ProxyMessages(Bytes::from_static(letter)));
+    let batch = br#"{"from":"edge-1","life":1,"notes":[{"t":"acts","v":-1},{"t":"acts","v":3,"n":0}]}"#;
+    harness.handle(Input::ProxyMessages(Bytes::from_static(batch)));
     assert_eq!((harness.answers.as_slice(), harness.agent.proxy_revision()), (&[true][..], 3));
     assert_eq!(harness.log, [(Level::Warn, "invalid message from edge-1: v: no whole number".to_owned())]);
     harness.handle(Input::ProxyMessages(Bytes::from_static(b"[]")));
--- a/autoscaler/src/recording.rs
+++ b/autoscaler/src/recording.rs
@@ -535,7 +535,7 @@
 }
 
 impl Entry {
-    /// Formats the entry as a line, without the line feed.
+    /// Formats the entry as a line, without the newline.
     pub fn write(&self) -> String {
         let mut line = line::begin(self.input.name(), self.number, self.at);
         match &self.input {
@@ -628,7 +628,7 @@
         }
     }
 
-    /// Calls the method of the scaler that this input stands for.
+    /// Calls the method of the scaler that this input represents.
     pub fn apply(self, now: Nanos, scaler: &mut Scaler) {
         match self {
             Input::New(config) => *scaler = Scaler::new(config, now),
--- a/autoscaler/src/scaler.rs
+++ b/autoscaler/src/scaler.rs
@@ -17,8 +17,8 @@
 
 /// The most workers that an owner may report as slow.
 const MAX_SLOW: usize = 1_000;
-/// The most owners of one service: one for each zone.
-const MAX_OWNERS: usize = 64;
+/// Once a service has more targets than this, further ones are ignored.
+const MAX_TARGETS: usize = 64;
 /// How often expired targets, services without an owner and calls without an answer are looked for.
 const SWEEP_EVERY: Nanos = 250 * MS;
 
@@ -219,8 +219,7 @@
         }
     }
 
-    /// Services with an owner in each zone of which one needs instances and its zone has had no room for at
-    /// least `span`.
+    /// Split services with an owner that needs instances but whose zone has had no room for at least `span`.
     pub fn starved(&self, now: Nanos, span: Nanos) -> impl Iterator<Item = &CompactString> {
         let starves = move |target: &Target| target.starved_since.is_some_and(|since| since + span <= now);
         self.services
@@ -243,8 +242,8 @@
         let Some(service) = self.services.get_mut(service).filter(|service| service.configured) else {
             return;
         };
-        // The sender does not know yet whether the service is split.
-        if service.split != owner_zone.is_some() || service.targets.len() > MAX_OWNERS {
+        // A sender that disagrees does not know yet whether the service is split.
+        if service.split != owner_zone.is_some() || service.targets.len() > MAX_TARGETS {
             return;
         }
         let mut shares: Vec<(CompactString, u32)> = Vec::new();
--- a/autoscaler/src/scaler/tracking.rs
+++ b/autoscaler/src/scaler/tracking.rs
@@ -35,7 +35,8 @@
             let listed_by = now + self.config.lag() + boots * u64::from(instance.boot_ms) * MS;
             let drains = instance.state == State::Draining;
             let tracked = self.insert(now, Instance { since: now, ..instance }, listed_by);
-            // Either the previous leader drained it or the platform; the list tells if it was the platform.
+            // Either the previous leader drained it or the platform; the next list shows if it was the
+            // platform.
             if drains {
                 tracked.drain_cause = Some(DrainCause::Scaler);
                 let id = tracked.instance.id.clone();
