--- a/agent/src/agent.rs
+++ b/agent/src/agent.rs
@@ -272,7 +272,7 @@
             let effect = match step {
                 FeedAction::Open { feed, address, whole } => {
                     let path = if whole { "/follow" } else { "/follow?whole=0" };
-                    let acts = PeerMessage::Acts { revision: self.newest.revision(), number: 0 };
+                    let acts = PeerMessage::ConfigApplied { revision: self.newest.revision(), number: 0 };
                     let alive = self.alive.iter().filter(|(at, _)| now.saturating_sub(*at) <= ALIVE);
                     let notes = alive.map(|(_, note)| note.clone()).chain([acts]).collect();
                     Effect::Open { feed, address, path, messages: notes }
@@ -306,7 +306,7 @@
         self.faults(&from.to_string(), &faults);
         if self.follow.address(feed).is_some() {
             let number = whole(&parts, "n").unwrap_or(0);
-            let note = PeerMessage::Acts { revision: self.acts, number };
+            let note = PeerMessage::ConfigApplied { revision: self.acts, number };
             self.effects.push(Effect::SendToControl { feed, to: from, message: note });
         }
     }
@@ -337,7 +337,7 @@
             self.follow.set_contact(now, from, *holds);
             return self.steps(now);
         }
-        if let PeerMessage::Rest { name, left } = &note {
+        if let PeerMessage::Drain { name, left } = &note {
             let lasts = (left.clamp(0.0, 1e9) * 1e6) as Nanos;
             self.rest = (lasts > 0).then(|| (name.clone(), now.saturating_add(lasts)));
             return self.effects.push(Effect::SendToProxy(note));
@@ -373,7 +373,7 @@
         self.rest = self.rest.take().filter(|(_, until)| *until > now);
         if let Some((name, until)) = &self.rest {
             let left = (until - now) as f64 / 1e6;
-            self.effects.push(Effect::SendToProxy(PeerMessage::Rest { name: name.clone(), left }));
+            self.effects.push(Effect::SendToProxy(PeerMessage::Drain { name: name.clone(), left }));
         }
         self.effects.extend(self.newest.snapshot().into_iter().map(Effect::SendToProxy));
     }
@@ -383,7 +383,8 @@
         let Some(letter) = messaging::json(body).and_then(|json| MessageBatch::read(&json).ok()) else {
             return;
         };
-        let stands = letter.notes.into_iter().filter(|note| matches!(note, PeerMessage::Stands { .. }));
+        let stands =
+            letter.notes.into_iter().filter(|note| matches!(note, PeerMessage::CommittedRevision { .. }));
         self.effects.extend(stands.map(Effect::SendToProxy));
     }
 
@@ -395,19 +396,19 @@
         self.faults(&letter.from, &letter.faults);
         for note in letter.notes {
             match note {
-                PeerMessage::Alive { .. } => {
+                PeerMessage::Heartbeat { .. } => {
                     self.alive = Some((now, note.clone()));
                     self.up(note, false);
                 }
-                PeerMessage::Acts { revision, .. } => self.acts_on(now, revision),
+                PeerMessage::ConfigApplied { revision, .. } => self.acts_on(now, revision),
                 // A stall that started, or was told less than all.
-                PeerMessage::Behind { version } => {
+                PeerMessage::ViewOutdated { version } => {
                     if version < self.newest.versions().0 {
                         self.tell_all(now);
                     }
                 }
                 // Any machine that is in contact with a majority can say.
-                PeerMessage::AskRevision => self.up(note, true),
+                PeerMessage::QueryRevision => self.up(note, true),
                 note => self.up(note, false),
             }
         }
@@ -425,7 +426,7 @@
         }
         if revision != self.acts {
             self.acts = revision;
-            self.up(PeerMessage::Acts { revision, number: 0 }, true);
+            self.up(PeerMessage::ConfigApplied { revision, number: 0 }, true);
         }
     }
 
--- a/agent/src/latest.rs
+++ b/agent/src/latest.rs
@@ -74,9 +74,9 @@
     pub fn apply(&mut self, note: PeerMessage, weight: usize) -> Applied {
         match note {
             PeerMessage::Config { revision, .. }
-            | PeerMessage::Packed { revision, .. }
+            | PeerMessage::PackedConfig { revision, .. }
             | PeerMessage::Patch { revision, .. }
-            | PeerMessage::Folded { revision, .. }
+            | PeerMessage::PackedPatch { revision, .. }
                 if self.config.is_some() && self.revision() >= revision =>
             {
                 Applied::Stale
@@ -85,32 +85,32 @@
                 Ok(config) => self.install(config, PeerMessage::Config { revision, body }, weight),
                 Err(e) => Applied::Unreadable(format!("configuration {revision}: {e}")),
             },
-            PeerMessage::Packed { revision, packed } => {
+            PeerMessage::PackedConfig { revision, packed } => {
                 match unpack(&packed, MAX_CONFIG_BYTES).map(|text| (text.len(), Config::parse(&text))) {
                     Some((long, Ok(config))) => {
-                        self.install(config, PeerMessage::Packed { revision, packed }, long)
+                        self.install(config, PeerMessage::PackedConfig { revision, packed }, long)
                     }
                     Some((_, Err(e))) => Applied::Unreadable(format!("configuration {revision}: {e}")),
                     None => Applied::Unreadable(format!("configuration {revision} can't be unpacked")),
                 }
             }
             PeerMessage::Patch { revision, ref change } => self.change(revision, change, weight, &note),
-            PeerMessage::Folded { revision, ref packed } => {
+            PeerMessage::PackedPatch { revision, ref packed } => {
                 let text = unpack(packed, MAX_CONFIG_BYTES);
                 match text.map(|text| (text.len(), text.parse::<JsonValue>())) {
                     Some((long, Ok(change))) => self.change(revision, &change, long, &note),
                     _ => Applied::Unreadable(format!("change to {revision} can't be unpacked")),
                 }
             }
-            PeerMessage::Stalls { version, peers, leaving, split } => {
+            PeerMessage::FullView { version, peers, leaving, split } => {
                 if self.stalls.version() >= version {
                     return Applied::Stale;
                 }
                 self.stalls = MembershipView::new(version, peers, split).with_leaving(leaving);
-                Applied::New(self.stalls.note())
+                Applied::New(self.stalls.to_message())
             }
             PeerMessage::ViewChange(shift) if self.stalls.version() >= shift.version => Applied::Stale,
-            PeerMessage::ViewChange(shift) => match self.stalls.shifted(&shift) {
+            PeerMessage::ViewChange(shift) => match self.stalls.apply(&shift) {
                 Some(stalls) => {
                     self.stalls = stalls;
                     Applied::New(PeerMessage::ViewChange(shift))
@@ -125,7 +125,7 @@
                 self.list(all, set, gone)
             }
             // Said again and again while it holds: nothing is kept.
-            note @ PeerMessage::Floor { .. } => Applied::New(note),
+            note @ PeerMessage::MinInstances { .. } => Applied::New(note),
             _ => Applied::Stale,
         }
     }
@@ -180,9 +180,9 @@
 
     fn install(&mut self, config: Config, note: PeerMessage, weight: usize) -> Applied {
         let (PeerMessage::Config { revision, .. }
-        | PeerMessage::Packed { revision, .. }
+        | PeerMessage::PackedConfig { revision, .. }
         | PeerMessage::Patch { revision, .. }
-        | PeerMessage::Folded { revision, .. }) = note
+        | PeerMessage::PackedPatch { revision, .. }) = note
         else {
             return Applied::Stale;
         };
@@ -192,7 +192,7 @@
                 config.revision
             ));
         }
-        self.packed = matches!(note, PeerMessage::Packed { .. }).then(|| note.clone());
+        self.packed = matches!(note, PeerMessage::PackedConfig { .. }).then(|| note.clone());
         (self.config, self.weight) = (Some(config), weight);
         Applied::New(note)
     }
@@ -203,7 +203,7 @@
         if self.packed.is_none() {
             let config = self.config.as_ref()?;
             let packed = pack(&config.to_json())?;
-            self.packed = Some(PeerMessage::Packed { revision: config.revision, packed });
+            self.packed = Some(PeerMessage::PackedConfig { revision: config.revision, packed });
         }
         self.packed.clone()
     }
@@ -216,7 +216,7 @@
             notes.push(PeerMessage::Instances { version: self.version, all: true, set, gone: Vec::new() });
         }
         if self.stalls.version() > (0, 0) {
-            notes.push(self.stalls.note());
+            notes.push(self.stalls.to_message());
         }
         notes
     }
--- a/agent/src/main.rs
+++ b/agent/src/main.rs
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 
 use millpost_config::Settings;
-use millpost_net::lines::{Bound, Lines};
+use millpost_net::lines::{Lines, OutputLimit};
 use millpost_protocol::frame;
 
 /// The agent beside a stall.
@@ -58,7 +58,8 @@
             return ExitCode::FAILURE;
         }
     };
-    let bound = Bound { bytes: options.record_mb.saturating_mul(1 << 20), told: frame::left_out };
+    let bound =
+        OutputLimit { bytes: options.record_mb.saturating_mul(1 << 20), omitted_line: frame::omitted_line };
     // A process that starts again begins another life in the same file.
     let lines = match options.record.as_deref().map(|path| Lines::append(path, bound)).transpose() {
         Ok(lines) => lines,
--- a/agent/src/run.rs
+++ b/agent/src/run.rs
@@ -13,7 +13,9 @@
 use millpost_agent::latest::MAX_CONFIG_BYTES;
 use millpost_agent::{AgentConfig, Effect, Input, Nanos, Recorded};
 use millpost_config::Settings;
-use millpost_net::messaging::{self, Bounds, Call, Event, Held, Incarnation, Limits, Outbox, Reply, To};
+use millpost_net::messaging::{
+    self, Call, Event, Incarnation, Limits, LineStream, Outbox, OutboxLimits, OutboxTarget, Reply,
+};
 use millpost_net::metrics;
 use millpost_protocol::frame::Head;
 use millpost_protocol::line::Sink;
@@ -34,8 +36,8 @@
 const OF: &str = "porter::round";
 
 /// What is told of instances counts in its order: one request at a time, also where a second one would be quicker.
-fn bounds(within: Duration) -> Bounds {
-    Bounds { notes: 4_000, bytes: 16 << 20, at_once: 1, within }
+fn bounds(within: Duration) -> OutboxLimits {
+    OutboxLimits { notes: 4_000, bytes: 16 << 20, at_once: 1, within }
 }
 
 /// What comes in.
@@ -143,7 +145,7 @@
         idle: Duration::from_secs(60),
         whole: Duration::from_secs(5),
         connections: 16,
-        unheard: None,
+        unacknowledged: None,
     };
     tokio::spawn(messaging::serve(listener, limits, handler(came), std::future::pending()));
 }
@@ -169,8 +171,8 @@
     u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)
 }
 
-fn to(peer: &str, address: SocketAddr, name: &JsonValue, life: &Incarnation) -> To {
-    To {
+fn to(peer: &str, address: SocketAddr, name: &JsonValue, life: &Incarnation) -> OutboxTarget {
+    OutboxTarget {
         peer: Arc::from(peer),
         address,
         path: "/mail".to_owned(),
@@ -269,9 +271,12 @@
         let came = self.came.clone();
         let task = tokio::spawn(async move {
             let silence = Duration::from_millis(1_200);
-            let terms =
-                messaging::Terms { within: Duration::from_millis(700), longest: MAX_CONFIG_BYTES, silence };
-            match Held::open(address, path, body, terms).await {
+            let terms = messaging::StreamOptions {
+                within: Duration::from_millis(700),
+                longest: MAX_CONFIG_BYTES,
+                silence,
+            };
+            match LineStream::open(address, path, body, terms).await {
                 Ok(mut held) => {
                     while let Some(line) = held.next_line().await {
                         if came.send(Came::Line(feed, line)).await.is_err() {
--- a/agent/tests/round.rs
+++ b/agent/tests/round.rs
@@ -35,7 +35,7 @@
 
 fn packed(revision: u64) -> PeerMessage {
     let packed = pack(&config(revision, revision).to_json()).expect("packed");
-    PeerMessage::Packed { revision, packed }
+    PeerMessage::PackedConfig { revision, packed }
 }
 
 fn patch(from: u64, revision: u64) -> PeerMessage {
@@ -45,7 +45,7 @@
 
 fn stalls(version: (u64, u64)) -> PeerMessage {
     let peers = vec![Peer { name: "edge-1".into(), address: "10.0.1.1:7760".into(), zone: "a".into() }];
-    PeerMessage::Stalls { version, peers, leaving: vec![], split: vec![] }
+    PeerMessage::FullView { version, peers, leaving: vec![], split: vec![] }
 }
 
 fn shift(from: (u64, u64), version: (u64, u64), came: &[&str], left: &[&str]) -> PeerMessage {
@@ -82,11 +82,11 @@
 
 fn alive() -> PeerMessage {
     let peer = Peer { name: "edge-1".into(), address: "10.0.1.1:7760".into(), zone: "a".into() };
-    PeerMessage::Alive { peer, serving: true, split: None, digest: None }
+    PeerMessage::Heartbeat { peer, serving: true, split: None, digest: None }
 }
 
 fn acts(revision: u64) -> PeerMessage {
-    PeerMessage::Acts { revision, number: 0 }
+    PeerMessage::ConfigApplied { revision, number: 0 }
 }
 
 /// A machine, and what it wants carried out.
@@ -215,7 +215,7 @@
     gap = { vec![packed(2), patch(3, 4), packed(4), patch(4, 5)], vec![packed(2), packed(4), patch(4, 5)] },
     nothing_to_change = { vec![patch(0, 1), whole(1)], vec![whole(1)] },
     spoilt_config = { vec![PeerMessage::Config { revision: 3, body: JsonValue::Null }, whole(2)], vec![whole(2)] },
-    spoilt_pack = { vec![PeerMessage::Packed { revision: 3, packed: "?".to_owned() }, packed(2)], vec![packed(2)] },
+    spoilt_pack = { vec![PeerMessage::PackedConfig { revision: 3, packed: "?".to_owned() }, packed(2)], vec![packed(2)] },
     newest_stalls = { vec![stalls((2, 1)), stalls((1, 9)), stalls((2, 1)), stalls((2, 2))],
         vec![stalls((2, 1)), stalls((2, 2))] },
     shifts = {
@@ -251,7 +251,7 @@
         }],
         vec![whole(5)]
     },
-    not_for_a_porter = { vec![PeerMessage::Drop { id: 1 }, alive(), acts(3)], vec![] },
+    not_for_a_porter = { vec![PeerMessage::CancelRequest { id: 1 }, alive(), acts(3)], vec![] },
 )]
 fn the_stall_is_never_told_what_is_older(come: Vec<PeerMessage>, told: Vec<PeerMessage>) {
     // Of both who are followed, in turns, or in one line: whoever tells it.
@@ -278,7 +278,9 @@
         play.give(Input::FeedLine { feed, line: line(&[]) });
     }
     assert_eq!(play.posts.len(), 2);
-    assert!(play.posts.iter().all(|(_, note)| *note == PeerMessage::Acts { revision: 0, number: 7 }));
+    assert!(
+        play.posts.iter().all(|(_, note)| *note == PeerMessage::ConfigApplied { revision: 0, number: 7 })
+    );
 }
 
 #[test]
@@ -311,9 +313,9 @@
 fn another_steward_is_followed_and_hears_what_goes_up() {
     let mut play = Play::new(&[1, 2]);
     play.line(1, &[steward(1, 2)]);
-    play.letter(&[alive(), PeerMessage::Retire { instance: "i".into() }]);
+    play.letter(&[alive(), PeerMessage::RetireInstance { instance: "i".into() }]);
     let up: Vec<_> =
-        play.posts.iter().filter(|(_, note)| !matches!(note, PeerMessage::Acts { .. })).collect();
+        play.posts.iter().filter(|(_, note)| !matches!(note, PeerMessage::ConfigApplied { .. })).collect();
     assert_eq!(up.len(), 2);
     assert!(up.iter().all(|(to, _)| *to == at(2)));
     // One that is no seed, by a higher fence; a lower one is passed over.
@@ -321,12 +323,12 @@
     let (all, whole) = play.followed();
     assert!(all.contains(&at(9)) && all.len() == 2 && whole.len() == 1);
     play.posts.clear();
-    play.letter(&[PeerMessage::Lost { instance: "i".into() }]);
-    assert_eq!(play.posts, [(at(9), PeerMessage::Lost { instance: "i".into() })]);
+    play.letter(&[PeerMessage::InstanceDown { instance: "i".into() }]);
+    assert_eq!(play.posts, [(at(9), PeerMessage::InstanceDown { instance: "i".into() })]);
     // While nobody is known there, nothing goes up; it is followed again after a pause.
     play.ended(9);
     play.posts.clear();
-    play.letter(&[PeerMessage::Lost { instance: "i".into() }]);
+    play.letter(&[PeerMessage::InstanceDown { instance: "i".into() }]);
     assert_eq!((play.posts.len(), play.answers.last()), (0, Some(&true)));
     play.pass(100 * MS);
     assert!(play.followed().0.contains(&at(9)));
@@ -669,20 +671,20 @@
     assert_eq!(play.feed(1), again);
     // The stall is told what it came to, however far it is behind; one that is not is told nothing.
     play.told.clear();
-    play.letter(&[PeerMessage::Behind { version: (1, 6) }]);
+    play.letter(&[PeerMessage::ViewOutdated { version: (1, 6) }]);
     assert_eq!(play.told, []);
-    play.letter(&[PeerMessage::Behind { version: (1, 5) }]);
-    let [PeerMessage::Stalls { version: (1, 6), peers, .. }] = play.told.as_slice() else {
+    play.letter(&[PeerMessage::ViewOutdated { version: (1, 5) }]);
+    let [PeerMessage::FullView { version: (1, 6), peers, .. }] = play.told.as_slice() else {
         panic!("{:?}", play.told)
     };
     assert_eq!(peers.iter().map(|p| p.name.as_str()).collect::<Vec<_>>(), ["edge-2", "edge-3"]);
-    assert!(play.posts.iter().all(|(_, note)| !matches!(note, PeerMessage::Behind { .. })));
+    assert!(play.posts.iter().all(|(_, note)| !matches!(note, PeerMessage::ViewOutdated { .. })));
 }
 
 #[test]
 fn a_stall_that_starts_is_told_first_that_it_rests_until_that_is_over() {
     let mut play = Play::new(&[1]);
-    let rest = |left: f64| PeerMessage::Rest { name: "edge-1".into(), left };
+    let rest = |left: f64| PeerMessage::Drain { name: "edge-1".into(), left };
     play.line(1, &[rest(1_000.0), whole(1)]);
     assert_eq!(std::mem::take(&mut play.told), [rest(1_000.0), whole(1)]);
     // The stall's own word goes up.
@@ -707,16 +709,16 @@
     play.line(1, &[steward(1, 1), whole(1)]);
     play.line(2, &[]);
     play.posts.clear();
-    play.letter(&[PeerMessage::AskRevision]);
-    assert_eq!(play.posts.iter().filter(|(_, note)| *note == PeerMessage::AskRevision).count(), 2);
+    play.letter(&[PeerMessage::QueryRevision]);
+    assert_eq!(play.posts.iter().filter(|(_, note)| *note == PeerMessage::QueryRevision).count(), 2);
     play.told.clear();
     let answer = |notes: &[PeerMessage]| {
         let notes: Vec<_> = notes.iter().map(|note| note.to_json().stringify().expect("text")).collect();
         let text = format!(r#"{{"from":"10.0.0.1:1","life":0,"notes":[{}]}}"#, notes.join(","));
         Input::ControlAnswered(Bytes::from(text))
     };
-    play.give(answer(&[PeerMessage::Stands { revision: 3 }, steward(9, 9)]));
-    assert_eq!(play.told, [PeerMessage::Stands { revision: 3 }]);
+    play.give(answer(&[PeerMessage::CommittedRevision { revision: 3 }, steward(9, 9)]));
+    assert_eq!(play.told, [PeerMessage::CommittedRevision { revision: 3 }]);
     play.give(Input::ControlAnswered(Bytes::from_static(b"{")));
     assert_eq!(play.told.len(), 1);
 }
@@ -731,5 +733,5 @@
     play.told.clear();
     play.give(Input::ProxyUp);
     let packed = millpost_net::pack::pack(&new.to_json()).expect("packed");
-    assert_eq!(play.told, [PeerMessage::Packed { revision: 2, packed }]);
+    assert_eq!(play.told, [PeerMessage::PackedConfig { revision: 2, packed }]);
 }
--- a/controller/src/core/api.rs
+++ b/controller/src/core/api.rs
@@ -200,14 +200,14 @@
         let (mut missed, mut asks) = (false, false);
         for note in &batch.notes {
             match (note, self.leadership.leader_mut()) {
-                (PeerMessage::Acts { revision, .. }, _) => {
+                (PeerMessage::ConfigApplied { revision, .. }, _) => {
                     let again = self.feed.on_applied(now, &batch.from, *revision);
                     self.send_lines(again);
                 }
-                (PeerMessage::AskRevision, _) => asks = true,
-                (PeerMessage::Rest { name, left }, _) => self.on_rest(now, name, *left),
+                (PeerMessage::QueryRevision, _) => asks = true,
+                (PeerMessage::Drain { name, left }, _) => self.on_rest(now, name, *left),
                 (note, Some(leader)) => leader.on_message(now, note),
-                (PeerMessage::Alive { .. }, None) => {}
+                (PeerMessage::Heartbeat { .. }, None) => {}
                 (_, None) => missed = true,
             }
         }
@@ -220,7 +220,7 @@
 
     /// Which configuration stands, for a stall that has started.
     fn revision_reply(&self) -> Reply {
-        let note = PeerMessage::Stands { revision: self.gossip.revision() };
+        let note = PeerMessage::CommittedRevision { revision: self.gossip.revision() };
         let body = object([
             ("from", text(&self.me)),
             ("life", JsonValue::Number(0.0)),
--- a/controller/src/core/follow.rs
+++ b/controller/src/core/follow.rs
@@ -72,7 +72,7 @@
     ) -> Result<(), CallError> {
         let mut applied_revision = 0;
         for note in &batch.notes {
-            if let PeerMessage::Acts { revision, .. } = note {
+            if let PeerMessage::ConfigApplied { revision, .. } = note {
                 applied_revision = *revision;
             }
             if let Some(leader) = self.leadership.leader_mut() {
--- a/controller/src/core/metrics.rs
+++ b/controller/src/core/metrics.rs
@@ -18,10 +18,15 @@
         metrics.put("control_config_revision", self.feed.revision());
         metrics.put("control_leader_fence", self.gossip.leader().0);
         for (name, acts) in self.feed.followers() {
-            metrics.put_of("control_follower_config_revision", "proxy", name, acts);
+            metrics.put_labelled("control_follower_config_revision", "proxy", name, acts);
         }
         for (call, answer, count) in self.platform_stats.answers() {
-            metrics.put_of("control_platform_answers_total", "answer", &format!("{call} {answer}"), count);
+            metrics.put_labelled(
+                "control_platform_answers_total",
+                "answer",
+                &format!("{call} {answer}"),
+                count,
+            );
         }
         let leader = self.leadership.leader();
         metrics.put("control_is_leader", u8::from(leader.is_some()));
--- a/controller/src/drains.rs
+++ b/controller/src/drains.rs
@@ -374,7 +374,7 @@
 
 fn rest_message(now: Nanos, name: &str, drain: &Drain) -> PeerMessage {
     let left = if drain.is_active(now) { drain.until - now } else { 0 };
-    PeerMessage::Rest { name: name.into(), left: left as f64 / MS as f64 }
+    PeerMessage::Drain { name: name.into(), left: left as f64 / MS as f64 }
 }
 
 #[cfg(test)]
@@ -437,7 +437,7 @@
                 .collect::<Vec<_>>()
         };
         out(&mut drains, S, "a").expect("it may");
-        let note = |left| vec![("a".to_owned(), PeerMessage::Rest { name: "a".into(), left })];
+        let note = |left| vec![("a".to_owned(), PeerMessage::Drain { name: "a".into(), left })];
         assert_eq!(told(&mut drains, S), note(10_000.0));
         assert_eq!(told(&mut drains, S + 100 * MS), []);
         assert_eq!(told(&mut drains, S + 500 * MS), note(9_500.0));
--- a/controller/src/feed.rs
+++ b/controller/src/feed.rs
@@ -104,7 +104,8 @@
             && let Some(config) = &self.config
         {
             let packed = pack(&config.to_json())?;
-            self.packed_config = Some(PeerMessage::Packed { revision: config.revision, packed }.to_json());
+            self.packed_config =
+                Some(PeerMessage::PackedConfig { revision: config.revision, packed }.to_json());
         }
         self.packed_config.clone()
     }
@@ -182,13 +183,14 @@
             self.change = Some(text.clone());
             long = text.len() > LARGE_CHANGE;
             let note = match if long { pack(&text) } else { None } {
-                Some(packed) => PeerMessage::Folded { revision, packed },
+                Some(packed) => PeerMessage::PackedPatch { revision, packed },
                 None => PeerMessage::Patch { revision, change },
             };
             patch = Some(line(number, vec![note.to_json()]));
         }
         self.large_change = old.filter(|_| long).zip(patch.clone());
-        let note = packed.map(|packed| PeerMessage::Packed { revision: config.revision, packed }.to_json());
+        let note =
+            packed.map(|packed| PeerMessage::PackedConfig { revision: config.revision, packed }.to_json());
         (self.config, self.packed_config) = (Some(config), note);
         let has_previous =
             |f: &Follower| !f.whole || Some(f.sent.0) == old || Some(f.applied_revision) == old;
@@ -363,8 +365,8 @@
             let Some(JsonValue::Array(notes)) = parts.get("notes") else { panic!("notes") };
             PeerMessage::read(&notes[0]).expect("a note")
         };
-        let PeerMessage::Folded { packed, .. } = folded() else { panic!("packed") };
-        assert_eq!(folded(), PeerMessage::Folded { revision: 2, packed });
+        let PeerMessage::PackedPatch { packed, .. } = folded() else { panic!("packed") };
+        assert_eq!(folded(), PeerMessage::PackedPatch { revision: 2, packed });
     }
 
     #[test]
--- a/controller/src/functions.rs
+++ b/controller/src/functions.rs
@@ -165,9 +165,9 @@
         let config = Config::parse(&config).expect("valid");
         let mut leader = Leader::new(0, ScalerConfig::new(3, 78.0, 800), 26.0, Some(&config), None);
         let peer = Peer { name: "edge-1".into(), address: "10.0.0.1:1".into(), zone: "z".into() };
-        leader.on_message(0, &PeerMessage::Alive { peer, serving: true, split: None, digest: None });
+        leader.on_message(0, &PeerMessage::Heartbeat { peer, serving: true, split: None, digest: None });
         assert!(leader.update_view(250 * MS).is_some());
-        let want = PeerMessage::Want {
+        let want = PeerMessage::DesiredInstances {
             service: "f g".into(),
             count: 2,
             zones: vec!["z".into()],
@@ -185,7 +185,7 @@
             worker: "w-1".into(),
             stage: 1,
         };
-        leader.on_message(200 * MS, &PeerMessage::Mine { set: vec![known] });
+        leader.on_message(200 * MS, &PeerMessage::OwnedInstances { set: vec![known] });
         leader
     }
 
--- a/controller/src/leader.rs
+++ b/controller/src/leader.rs
@@ -267,7 +267,7 @@
     /// A word of a proxy, or of its porter.
     pub fn on_message(&mut self, now: Nanos, note: &PeerMessage) {
         match note {
-            PeerMessage::Alive { peer, serving, split, digest } if self.proxies.len() < 5_000 => {
+            PeerMessage::Heartbeat { peer, serving, split, digest } if self.proxies.len() < 5_000 => {
                 if let Some((version, all)) = split
                     && !self.has_view()
                     && *version > self.split_version
@@ -295,12 +295,12 @@
                     self.last_new_proxy = now;
                 }
             }
-            PeerMessage::Deaf { peer, from } if self.proxies.contains_key(from) => {
+            PeerMessage::PeerUnreachable { peer, from } if self.proxies.contains_key(from) => {
                 if let Some(proxy) = self.proxies.get_mut(peer) {
                     proxy.unreachable_from.insert(from.clone(), now);
                 }
             }
-            PeerMessage::Want { service, count, zones, lot, strain, does, slow } => {
+            PeerMessage::DesiredInstances { service, count, zones, lot, strain, does, slow } => {
                 if let Some(does) = does {
                     self.min_instances.record_status(now, service, lot.as_ref(), *does);
                 }
@@ -308,16 +308,16 @@
                 self.scaler.set_target(now, service, lot.as_ref(), *count, zones);
                 self.scaler.set_slow_workers(now, service, lot.as_ref(), slow);
             }
-            PeerMessage::Mine { set } => {
+            PeerMessage::OwnedInstances { set } => {
                 let known: Vec<_> = set.iter().filter_map(|i| self.parse_instance(now, i)).collect();
                 if self.inherited.len() < MAX_INHERITED {
                     self.inherited.extend(known.iter().map(|i| (i.service.clone(), i.zone.clone())));
                 }
                 self.scaler.inherit(now, known);
             }
-            PeerMessage::Retire { instance } => self.scaler.retire(now, instance),
-            PeerMessage::Lost { instance } => self.scaler.mark_unreachable(now, instance),
-            PeerMessage::Up { instance } => self.scaler.mark_up(now, instance),
+            PeerMessage::RetireInstance { instance } => self.scaler.retire(now, instance),
+            PeerMessage::InstanceDown { instance } => self.scaler.mark_unreachable(now, instance),
+            PeerMessage::InstanceUp { instance } => self.scaler.mark_up(now, instance),
             _ => {}
         }
     }
@@ -483,13 +483,13 @@
         self.view_sent_at = now;
         let roster = MembershipView::new(self.version(), peers, split).with_leaving(leaving);
         let note = match known.filter(|(v, d)| *v < roster.version() && *d == roster.digest()) {
-            _ if !first => PeerMessage::ViewChange(roster.shift(self.ranking.owners().view())),
+            _ if !first => PeerMessage::ViewChange(roster.change_from(self.ranking.owners().view())),
             Some((from, _)) => PeerMessage::ViewChange(ViewChange {
                 version: roster.version(),
                 from,
                 ..ViewChange::default()
             }),
-            None => roster.note(),
+            None => roster.to_message(),
         };
         log_view(&roster, &note);
         // Of others whoever stands for them was told.
@@ -541,7 +541,7 @@
 
     /// All of the naming, where there is one.
     fn view_message(&self) -> Option<PeerMessage> {
-        self.has_view().then(|| self.ranking.owners().view().note())
+        self.has_view().then(|| self.ranking.owners().view().to_message())
     }
 
     /// The proxy that owns a function, or its lot in a zone.
--- a/controller/src/leader/min_instances.rs
+++ b/controller/src/leader/min_instances.rs
@@ -90,7 +90,7 @@
         minimum.recipients = stand.into_keys().collect();
         let left = (VALIDITY / MS) as f64;
         for (name, count) in all {
-            let note = PeerMessage::Floor { service: service.clone(), count, fence, left };
+            let note = PeerMessage::MinInstances { service: service.clone(), count, fence, left };
             into.entry(name).or_default().push(note);
         }
     }
--- a/controller/src/runtime.rs
+++ b/controller/src/runtime.rs
@@ -89,7 +89,7 @@
         idle: Duration::from_secs(60),
         whole: Duration::from_secs(5),
         connections: (settings.limits.max_fds as usize).saturating_sub(400).max(50),
-        unheard: Some(Duration::from_millis(2_000)),
+        unacknowledged: Some(Duration::from_millis(2_000)),
     };
     let handler = move |call| {
         let calls = calls.clone();
@@ -243,7 +243,7 @@
                     let (lines, pieces) = mpsc::channel(FEED_QUEUE_LENGTH);
                     let _ = lines.try_send(line);
                     self.feeds.insert(connection, lines);
-                    self.answer(call, Reply::held(pieces));
+                    self.answer(call, Reply::streamed(pieces));
                 }
                 Effect::FeedLine(connection, line) => {
                     if self.feeds.get(&connection).is_some_and(|lines| lines.try_send(line).is_err()) {
--- a/controller/tests/leader.rs
+++ b/controller/tests/leader.rs
@@ -32,11 +32,11 @@
     let split = split.map(|(v, all)| (v, all.iter().map(|s| (*s).into()).collect()));
     let peer =
         Peer { name: format!("edge-{n}").into(), address: format!("10.0.0.{n}:1").into(), zone: zone.into() };
-    PeerMessage::Alive { peer, serving: true, split, digest: None }
+    PeerMessage::Heartbeat { peer, serving: true, split, digest: None }
 }
 
 fn want(lot: Option<&str>, strain: f64) -> PeerMessage {
-    PeerMessage::Want {
+    PeerMessage::DesiredInstances {
         service: "f".into(),
         count: 1,
         zones: vec![],
@@ -56,7 +56,7 @@
 /// All of the naming that stands; the one before the first where there is none.
 fn whole(leader: &mut Leader) -> MembershipView {
     match leader.snapshot("edge-0").swap_remove(0) {
-        PeerMessage::Stalls { version, peers, leaving, split } => {
+        PeerMessage::FullView { version, peers, leaving, split } => {
             MembershipView::new(version, peers, split).with_leaving(leaving)
         }
         _ => MembershipView::default(),
@@ -69,9 +69,11 @@
     let (note, told) = leader.update_view(now)?;
     let after = whole(leader);
     match &note {
-        PeerMessage::Stalls { .. } => assert_eq!((&after.note(), told.len()), (&note, after.peers().len())),
+        PeerMessage::FullView { .. } => {
+            assert_eq!((&after.to_message(), told.len()), (&note, after.peers().len()))
+        }
         PeerMessage::ViewChange(shift) if before.version() > (0, 0) => {
-            assert_eq!(before.shifted(shift).as_ref(), Some(&after));
+            assert_eq!(before.apply(shift).as_ref(), Some(&after));
         }
         note => assert!(matches!(note, PeerMessage::ViewChange(_))),
     }
@@ -115,7 +117,7 @@
     let mut told = BTreeMap::new();
     leader.send_min_instances(now, &mut told);
     let of = |note: &PeerMessage| match note {
-        PeerMessage::Floor { service, count, fence: 7, .. } => (service.to_string(), *count),
+        PeerMessage::MinInstances { service, count, fence: 7, .. } => (service.to_string(), *count),
         other => panic!("{other:?}"),
     };
     told.iter().map(|(name, notes)| (name.to_string(), notes.iter().map(of).collect())).collect()
@@ -184,7 +186,7 @@
         (0..6).filter(|n| *n != 3).for_each(|n| leader.on_message(at, &alive(n, &zones, None)));
         name(leader, at).map(|_| whole(leader).peers().len())
     };
-    let deaf = |from: &str| PeerMessage::Deaf { peer: "edge-3".into(), from: from.into() };
+    let deaf = |from: &str| PeerMessage::PeerUnreachable { peer: "edge-3".into(), from: from.into() };
     leader.on_message(1_200 * MS, &deaf("edge-1"));
     leader.on_message(1_250 * MS, &deaf("edge-1"));
     leader.on_message(1_250 * MS, &deaf("nobody"));
@@ -210,7 +212,7 @@
             leader.on_message(at, &alive(n, &zones, None));
         });
         for from in ["edge-1", "edge-2"] {
-            leader.on_message(at, &PeerMessage::Deaf { peer: "edge-3".into(), from: from.into() });
+            leader.on_message(at, &PeerMessage::PeerUnreachable { peer: "edge-3".into(), from: from.into() });
         }
         gone += usize::from(name(&mut leader, at).is_some() && whole(&mut leader).peers().len() == 5);
         at += 50 * MS;
@@ -234,13 +236,14 @@
             // One is behind, and one knows of nothing.
             let of = [None, Some((5, 90)), Some(before.version())][n.min(2)];
             let digest = if n == 1 { 1 } else { digest };
-            let PeerMessage::Alive { peer, serving, split, .. } = alive(n, &zones, of.map(|v| (v, split)))
+            let PeerMessage::Heartbeat { peer, serving, split, .. } =
+                alive(n, &zones, of.map(|v| (v, split)))
             else {
                 panic!("alive")
             };
             second.on_message(
                 1,
-                &PeerMessage::Alive { peer, serving, digest: split.as_ref().map(|_| digest), split },
+                &PeerMessage::Heartbeat { peer, serving, digest: split.as_ref().map(|_| digest), split },
             );
         }
         let (note, told) = name(&mut second, 700 * MS).expect("a naming");
@@ -249,9 +252,9 @@
     };
     let same = ViewChange { version: (7, 1), from: before.version(), ..ViewChange::default() };
     assert_eq!(told(&[], before.digest(), 9), PeerMessage::ViewChange(same));
-    assert!(matches!(told(&[], before.digest(), 4), PeerMessage::Stalls { .. }));
-    assert!(matches!(told(&["f"], before.digest(), 9), PeerMessage::Stalls { .. }));
-    assert!(matches!(told(&[], before.digest() + 1, 9), PeerMessage::Stalls { .. }));
+    assert!(matches!(told(&[], before.digest(), 4), PeerMessage::FullView { .. }));
+    assert!(matches!(told(&["f"], before.digest(), 9), PeerMessage::FullView { .. }));
+    assert!(matches!(told(&[], before.digest() + 1, 9), PeerMessage::FullView { .. }));
 }
 
 /// After a loss of all power stalls come one by one for half a second, and nothing is served before they are named.
@@ -303,8 +306,10 @@
         let now = (1_000 + 450 * step) * MS;
         let before = whole(&mut leader).version();
         let knows = Some((before, &[][..]));
-        let PeerMessage::Alive { peer, split, digest, .. } = alive(9, &zones, knows) else { panic!("alive") };
-        leader.on_message(now, &PeerMessage::Alive { peer, serving: step % 2 == 0, split, digest });
+        let PeerMessage::Heartbeat { peer, split, digest, .. } = alive(9, &zones, knows) else {
+            panic!("alive")
+        };
+        leader.on_message(now, &PeerMessage::Heartbeat { peer, serving: step % 2 == 0, split, digest });
         assert!(name(&mut leader, now).is_some(), "a naming at every step");
         let newest = whole(&mut leader).version();
         for n in 0..6 {
@@ -318,7 +323,7 @@
             leader.on_message(now + MS, &alive(n, &zones, Some((version, &[]))));
         }
         let (notes, _) = leader.take_effects();
-        let all = whole(&mut leader).note();
+        let all = whole(&mut leader).to_message();
         assert!(notes.values().all(|notes| *notes == [all.clone()]));
         told.extend(notes.into_keys().map(|name| (step, name)));
     }
@@ -355,16 +360,16 @@
         let now = (700 + 300 * round) * MS;
         let there = |n: usize| n < 2 || (round * 7 + n as u64 * 5) % 11 > 3;
         (0..6).for_each(|n| {
-            let PeerMessage::Alive { peer, split, digest, .. } = alive(n, &zones, None) else {
+            let PeerMessage::Heartbeat { peer, split, digest, .. } = alive(n, &zones, None) else {
                 panic!("alive")
             };
-            leader.on_message(now, &PeerMessage::Alive { peer, serving: there(n), split, digest });
+            leader.on_message(now, &PeerMessage::Heartbeat { peer, serving: there(n), split, digest });
         });
         match round {
             // An owner tells a new leader; with that the one that is next for it hears of them, too.
             _ if round == mine => {
                 let owners = Owners::from(whole(&mut leader));
-                leader.on_message(now, &PeerMessage::Mine { set: all.clone() });
+                leader.on_message(now, &PeerMessage::OwnedInstances { set: all.clone() });
                 let its = |p: &Peer| (p.name.to_string(), its(&all, &owners, p));
                 held.extend(owners.peers().iter().map(its));
             }
--- a/controller/tests/market/mod.rs
+++ b/controller/tests/market/mod.rs
@@ -102,7 +102,8 @@
             let desk = Coordinator::new(peer.clone(), terms, n, 1_000_000 * n);
             market.stalls.push(Stall { peer, desk, config: None, up: true, says: Vec::new() });
             for machine in 0..3 {
-                let body = letter(&format!("edge-{n}"), &[PeerMessage::Acts { revision: 0, number: 0 }]);
+                let body =
+                    letter(&format!("edge-{n}"), &[PeerMessage::ConfigApplied { revision: 0, number: 0 }]);
                 let id = market.cluster.call(machine, Method::POST, "/follow", &body);
                 market.follows.insert(id, n as usize);
             }
@@ -232,16 +233,16 @@
             let old = stall.config.as_ref();
             let new = match PeerMessage::read(note).expect("a note") {
                 PeerMessage::Config { body, .. } => Config::read(&JsonCursor::root(&body)).ok(),
-                PeerMessage::Packed { packed, .. } => {
+                PeerMessage::PackedConfig { packed, .. } => {
                     unpacked(&packed).and_then(|body| Config::read(&JsonCursor::root(&body)).ok())
                 }
                 PeerMessage::Patch { change, .. } => old.and_then(|old| change::apply(old, &change).ok()),
-                PeerMessage::Folded { packed, .. } => {
+                PeerMessage::PackedPatch { packed, .. } => {
                     old.zip(unpacked(&packed)).and_then(|(old, change)| change::apply(old, &change).ok())
                 }
                 PeerMessage::Leader { .. } => None,
                 note => {
-                    self.floors += usize::from(matches!(note, PeerMessage::Floor { .. }));
+                    self.floors += usize::from(matches!(note, PeerMessage::MinInstances { .. }));
                     stall.desk.receive_from_controller(now, note);
                     None
                 }
@@ -249,7 +250,7 @@
             let Some(new) = new.filter(|new| old.is_none_or(|old| old.revision < new.revision)) else {
                 continue;
             };
-            stall.says.push(PeerMessage::Acts { revision: new.revision, number: 0 });
+            stall.says.push(PeerMessage::ConfigApplied { revision: new.revision, number: 0 });
             let specs = new.services.iter().map(|s| FunctionSpec {
                 name: s.name.clone(),
                 concurrency: s.concurrency,
@@ -334,8 +335,8 @@
                 }
                 Action::NotifyController(note) => {
                     match &note {
-                        PeerMessage::Retire { instance } => self.retired.push(instance.to_string()),
-                        PeerMessage::Want { service, does: Some(_), .. } => {
+                        PeerMessage::RetireInstance { instance } => self.retired.push(instance.to_string()),
+                        PeerMessage::DesiredInstances { service, does: Some(_), .. } => {
                             self.does.insert(service.to_string());
                         }
                         _ => {}
@@ -358,9 +359,14 @@
         }
         if now.is_multiple_of(450 * MS) {
             let (split, digest) = (stall.desk.view_split(), stall.desk.view_digest());
-            stall.says.push(PeerMessage::Alive { peer: stall.peer.clone(), serving: true, split, digest });
+            stall.says.push(PeerMessage::Heartbeat {
+                peer: stall.peer.clone(),
+                serving: true,
+                split,
+                digest,
+            });
             let revision = stall.config.as_ref().map_or(0, |c| c.revision);
-            stall.says.push(PeerMessage::Acts { revision, number: 0 });
+            stall.says.push(PeerMessage::ConfigApplied { revision, number: 0 });
         }
         let says = std::mem::take(&mut stall.says);
         if !says.is_empty() {
--- a/dispatcher/src/calls.rs
+++ b/dispatcher/src/calls.rs
@@ -12,7 +12,7 @@
 use millpost_core::{CallEnd, CallId, CallMessage, MessageEnd, MessageEnds};
 use millpost_net::link::{Error, Link};
 use millpost_net::meter::{Part, metered};
-use millpost_net::written::Sent;
+use millpost_net::write_progress::MessageCounter;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
@@ -80,7 +80,7 @@
     most: usize,
     reuse_within: Duration,
     connect_within: Duration,
-    sent: Sent,
+    sent: MessageCounter,
     told: mpsc::Sender<I>,
 }
 
@@ -100,7 +100,7 @@
             most,
             reuse_within,
             connect_within,
-            sent: Sent::default(),
+            sent: MessageCounter::default(),
             told,
         }
     }
@@ -119,7 +119,7 @@
     }
 
     /// Messages that were written whole to endpoints.
-    pub fn sent(&self) -> &Sent {
+    pub fn sent(&self) -> &MessageCounter {
         &self.sent
     }
 
@@ -434,7 +434,7 @@
     let wait = told.filter(|_| matches!(ends, MessageEnds::Each(_)));
     let report = head.headers.get("Srv-Load").and_then(|v| v.to_str().ok()).and_then(report);
     let ended = CallEnd { ends, wait, report };
-    if whole && timeout(BODY_WITHIN, link.rested()).await.unwrap_or(false) {
+    if whole && timeout(BODY_WITHIN, link.reusable()).await.unwrap_or(false) {
         return Over { ended, link: Some(link) };
     }
     link.close().await;
@@ -588,7 +588,7 @@
                 let request = || request(address, "r", None, Bytes::new(), HEAD_WITHIN).expect("a request");
                 let mut link = Link::open(address).await.expect("a connection");
                 link.send(request(), true, None).await.expect("the first answer");
-                assert!(link.rested().await);
+                assert!(link.reusable().await);
                 let (call_off, called_off) = oneshot::channel();
                 calls.send(call, link, request(), until, true, called_off, Vec::new());
                 call_offs.push(call_off);
@@ -613,7 +613,7 @@
             let mut calls = Calls::new(8, hour, hour, told);
             for endpoint in [1, 2] {
                 let mut link = Link::open(address).await.expect("a connection");
-                assert!(link.rested().await);
+                assert!(link.reusable().await);
                 calls.keep(endpoint, address, link);
             }
             let (link, age) = calls.idle(1, address, true).expect("it is usable");
--- a/dispatcher/src/discovery.rs
+++ b/dispatcher/src/discovery.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
-use millpost_net::link::{Agent, Error};
+use millpost_net::link::{DiscoveryClient, Error};
 use serde::Deserialize;
 use serde::de::IgnoredAny;
 use tokio::sync::{Notify, mpsc};
@@ -104,7 +104,7 @@
 /// versions need not be the same. When to ask first, and again after a failure, is for [`Retry`] to say.
 /// Where `again` is notified the whole list is asked for at once.
 pub async fn watch<I: From<List>>(
-    mut agent: Agent,
+    mut agent: DiscoveryClient,
     mut index: Option<u64>,
     mut retry: Retry,
     again: Arc<Notify>,
--- a/dispatcher/src/driver.rs
+++ b/dispatcher/src/driver.rs
@@ -826,7 +826,7 @@
                 self.core.calls_lost(at, &written);
                 // They may have heard, and then hand nothing in again.
                 unheard.into_values().for_each(|id| self.core.replied(at, id, true));
-                self.room.set_most(self.descriptors.clients);
+                self.room.set_limit(self.descriptors.clients);
             }
         }
     }
--- a/dispatcher/src/intake.rs
+++ b/dispatcher/src/intake.rs
@@ -106,7 +106,7 @@
         match accepted {
             Ok((stream, _)) => {
                 let (seat, leave) = tokio::select! {
-                    entered = room.enter() => entered,
+                    entered = room.acquire() => entered,
                     // One that was accepted is served here: nobody else can.
                     _ = phase.wait_for(|p| *p >= Phase::Closing) => break,
                 };
@@ -127,7 +127,7 @@
         }
     }
     drop(listener);
-    room.empty().await;
+    room.wait_until_empty().await;
 }
 
 async fn connection<I: From<Asked> + Send + 'static>(
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -227,11 +227,16 @@
     let (phase, phases) = watch::channel(Phase::Serving);
     let retry = retry::Retry::new(settings.dispatchers, config.seed);
     let again = Again::default();
-    let watched =
-        discovery::watch(link::Agent::new(addresses.clone()), index, retry, again.list.clone(), told.clone());
+    let watched = discovery::watch(
+        link::DiscoveryClient::new(addresses.clone()),
+        index,
+        retry,
+        again.list.clone(),
+        told.clone(),
+    );
     let mut tasks = vec![
         tokio::spawn(watched).abort_handle(),
-        tokio::spawn(notices::send(link::Agent::new(addresses), due, told.clone())).abort_handle(),
+        tokio::spawn(notices::send(link::DiscoveryClient::new(addresses), due, told.clone())).abort_handle(),
     ];
     tasks.extend(listening);
     if config.console.is_some() {
--- a/dispatcher/src/notices.rs
+++ b/dispatcher/src/notices.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
-use millpost_net::link::{Agent, Error};
+use millpost_net::link::{DiscoveryClient, Error};
 use millpost_store::ledger::Answer;
 use serde::Serialize;
 use tokio::sync::mpsc;
@@ -50,13 +50,17 @@
 
 /// Sends what comes, in batches, each again until it is answered 204. Then the driver hears of it.
 /// A batch that was on its way when the address changed goes to the new one: told twice does no harm.
-pub async fn send<I: From<Taken>>(mut agent: Agent, mut due: mpsc::Receiver<Notice>, told: mpsc::Sender<I>) {
+pub async fn send<I: From<Taken>>(
+    mut agent: DiscoveryClient,
+    mut due: mpsc::Receiver<Notice>,
+    told: mpsc::Sender<I>,
+) {
     let mut batch = Vec::new();
     loop {
         if batch.is_empty() {
             tokio::select! {
                 count = due.recv_many(&mut batch, LINES) => if count == 0 { return },
-                () = agent.moved() => continue,
+                () = agent.address_changed() => continue,
             }
         }
         let Ok(body) = body(&batch) else { return };
--- a/explore/src/owners.rs
+++ b/explore/src/owners.rs
@@ -215,7 +215,7 @@
             (_, false) => (vec![old, other, new], vec![]),
         };
         let peers = |of: Vec<usize>| of.into_iter().map(peer).collect();
-        PeerMessage::Stalls {
+        PeerMessage::FullView {
             version: (1, version),
             peers: peers(stay),
             leaving: peers(leave),
@@ -255,8 +255,8 @@
     fn send(&mut self, from: u8, to: &str, note: PeerMessage) {
         let Some(to) = self.names.iter().position(|n| peer(*n).address == to) else { return };
         let note = match (self.fault, note) {
-            (Some(Fault::OverIsEmpty), PeerMessage::Over { service, version, .. }) => {
-                PeerMessage::Over { service, version, permits: vec![] }
+            (Some(Fault::OverIsEmpty), PeerMessage::HandOverPermits { service, version, .. }) => {
+                PeerMessage::HandOverPermits { service, version, permits: vec![] }
             }
             (_, note) => note,
         };
--- a/net/src/connection_limiter.rs
+++ b/net/src/connection_limiter.rs
@@ -68,7 +68,7 @@
     }
 
     /// There is room for so many from now on.
-    pub fn set_most(&self, most: usize) {
+    pub fn set_limit(&self, most: usize) {
         self.most.store(most, Ordering::Relaxed);
         self.freed.notify_waiters();
     }
@@ -84,7 +84,7 @@
 
     /// A place for a new connection, and the word that it must leave. With no room, one that is of least use
     /// leaves; it waits only while all are owed an answer.
-    pub async fn enter(self: &Arc<Self>) -> (ConnectionSlot, oneshot::Receiver<()>) {
+    pub async fn acquire(self: &Arc<Self>) -> (ConnectionSlot, oneshot::Receiver<()>) {
         loop {
             let freed = self.freed.notified();
             {
@@ -110,7 +110,7 @@
     }
 
     /// Waits until every connection has ended.
-    pub async fn empty(&self) {
+    pub async fn wait_until_empty(&self) {
         loop {
             let freed = self.freed.notified();
             if self.places().taken.is_empty() {
--- a/net/src/lib.rs
+++ b/net/src/lib.rs
@@ -9,4 +9,4 @@
 pub mod metrics;
 pub mod pack;
 pub mod serving;
-pub mod written;
+pub mod write_progress;
--- a/net/src/lines.rs
+++ b/net/src/lines.rs
@@ -19,11 +19,11 @@
 
 /// What is written in all.
 #[derive(Clone, Copy, Debug)]
-pub struct Bound {
+pub struct OutputLimit {
     /// Bytes, at most; lines about what is left out come on top.
     pub bytes: u64,
     /// The line that says that so many more are left out, without its end: for this bound, or because nobody reads in time.
-    pub told: fn(bool, u64) -> String,
+    pub omitted_line: fn(bool, u64) -> String,
 }
 
 #[derive(Default)]
@@ -70,33 +70,33 @@
 
 impl Lines {
     /// Lines for the standard output.
-    pub fn start(bound: Bound) -> std::io::Result<Self> {
+    pub fn start(bound: OutputLimit) -> std::io::Result<Self> {
         Self::to(std::io::stdout(), bound)
     }
 
     /// Lines for the end of a file, which may hold as much as the bound allows in all.
-    pub fn append(path: &Path, bound: Bound) -> std::io::Result<Self> {
+    pub fn append(path: &Path, bound: OutputLimit) -> std::io::Result<Self> {
         let mut file = File::options().create(true).append(true).open(path)?;
         let length = file.metadata().map_or(0, |of| of.len());
         if length >= bound.bytes {
             log::warn!("{}: nothing is recorded, the bound is reached", path.display());
-            return Self::to(std::io::sink(), Bound { bytes: 0, ..bound });
+            return Self::to(std::io::sink(), OutputLimit { bytes: 0, ..bound });
         }
         if length > 0 {
             // The last line may have been cut off, when whoever wrote it was killed.
             file.write_all(b"\n")?;
         }
-        Self::to(file, Bound { bytes: bound.bytes.saturating_sub(length), ..bound })
+        Self::to(file, OutputLimit { bytes: bound.bytes.saturating_sub(length), ..bound })
     }
 
     /// Lines for something else.
-    pub fn to(mut out: impl Write + Send + 'static, bound: Bound) -> std::io::Result<Self> {
+    pub fn to(mut out: impl Write + Send + 'static, bound: OutputLimit) -> std::io::Result<Self> {
         let shared = Arc::new(Shared::default());
         shared.lock().room = bound.bytes;
         let (done, written) = channel();
         let of = Arc::clone(&shared);
         thread::Builder::new().name("lines".to_owned()).spawn(move || {
-            if let Err(e) = write(&of, &mut out, bound.told) {
+            if let Err(e) = write(&of, &mut out, bound.omitted_line) {
                 log::error!("no further lines: {e}");
                 *of.lock() = Waiting { over: true, ..Waiting::default() };
             }
@@ -190,8 +190,11 @@
         }
     }
 
-    fn bound(bytes: u64) -> Bound {
-        Bound { bytes, told: |bound, lines| format!("{} {lines}", if bound { "Bound" } else { "Unread" }) }
+    fn bound(bytes: u64) -> OutputLimit {
+        OutputLimit {
+            bytes,
+            omitted_line: |bound, lines| format!("{} {lines}", if bound { "Bound" } else { "Unread" }),
+        }
     }
 
     struct Stuck(Receiver<()>);
--- a/net/src/link.rs
+++ b/net/src/link.rs
@@ -21,7 +21,7 @@
 use tokio::time::timeout;
 
 use crate::meter::{Part, metered};
-use crate::written::{Peek, Sent, Watched, Written};
+use crate::write_progress::{MessageCounter, MonitoredStream, Peek, WriteProgress};
 
 /// Why there is no answer.
 #[derive(Debug, thiserror::Error)]
@@ -58,14 +58,14 @@
     /// How long it may take to come up.
     pub connect: Option<Duration>,
     /// How long what was sent may go unacknowledged before the connection counts as broken.
-    pub unheard: Option<Duration>,
+    pub unacknowledged: Option<Duration>,
 }
 
 /// A kept connection.
 pub struct Link {
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
-    written: Written,
+    written: WriteProgress,
 }
 
 /// An answer in whole.
@@ -91,8 +91,8 @@
             None => connecting.await?,
         };
         stream.set_nodelay(true)?;
-        if options.unheard.is_some() {
-            SockRef::from(&stream).set_tcp_user_timeout(options.unheard)?;
+        if options.unacknowledged.is_some() {
+            SockRef::from(&stream).set_tcp_user_timeout(options.unacknowledged)?;
         }
         Self::over(stream).await
     }
@@ -100,8 +100,8 @@
     async fn over(
         stream: impl AsyncRead + AsyncWrite + Peek + Send + Unpin + 'static,
     ) -> Result<Self, Error> {
-        let written = Written::default();
-        let stream = Watched::new(stream, written.clone());
+        let written = WriteProgress::default();
+        let stream = MonitoredStream::new(stream, written.clone());
         let mut http = http1::Builder::new();
         http.max_buf_size(LONGEST_HEAD);
         let (sender, connection) = http.handshake(TokioIo::new(stream)).await.map_err(Error::Broken)?;
@@ -127,7 +127,7 @@
         &mut self,
         request: Request<Full<Bytes>>,
         proof: bool,
-        counted: Option<(Sent, u64)>,
+        counted: Option<(MessageCounter, u64)>,
     ) -> Result<Response<Incoming>, Error> {
         self.written.expect(request.body().size_hint().exact().unwrap_or(u64::MAX) as usize, proof, counted);
         self.sender.try_send_request(request).await.map_err(|mut e| match e.take_message() {
@@ -149,14 +149,14 @@
     }
 
     /// What tells of the latest request and its answer, while the link is in use.
-    pub fn written(&self) -> Written {
+    pub fn written(&self) -> WriteProgress {
         self.written.clone()
     }
 
     /// Waits until the connection can carry another request. It never can where more came than the answer: what was
     /// read of that is known here, and what still waits in the socket when the next request begins makes it
     /// [`Error::NotSent`].
-    pub async fn rested(&mut self) -> bool {
+    pub async fn reusable(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
@@ -241,7 +241,7 @@
         }
         let (head, body) = link.send(request, false, None).await?.into_parts();
         let body = Limited::new(body, longest).collect().await.map_err(Error::Body)?;
-        if link.rested().await {
+        if link.reusable().await {
             self.idle().push(link);
         }
         Ok((head.status, head.headers, body.to_bytes()))
@@ -250,7 +250,7 @@
 
 /// A connection to discovery that is opened when it is needed and kept while it works. Its address may
 /// change at any moment: what is under way then ends at once, and the next request goes to the new one.
-pub struct Agent {
+pub struct DiscoveryClient {
     address: watch::Receiver<SocketAddr>,
     client: Client,
 }
@@ -258,18 +258,18 @@
 const CONNECT: Duration = Duration::from_secs(1);
 
 fn client(address: SocketAddr) -> Client {
-    Client::new(address, Options { connect: Some(CONNECT), unheard: None })
+    Client::new(address, Options { connect: Some(CONNECT), unacknowledged: None })
 }
 
-impl Agent {
+impl DiscoveryClient {
     /// Connects to the address of the moment, once it is asked something.
     pub fn new(mut address: watch::Receiver<SocketAddr>) -> Self {
         let client = client(*address.borrow_and_update());
-        Agent { address, client }
+        DiscoveryClient { address, client }
     }
 
     /// Waits until the address has changed, and closes the connection to the old one.
-    pub async fn moved(&mut self) {
+    pub async fn address_changed(&mut self) {
         if self.address.changed().await.is_err() {
             // Nobody is left who could change it.
             std::future::pending::<()>().await;
@@ -288,7 +288,7 @@
         longest: usize,
     ) -> Result<(StatusCode, Bytes), Error> {
         if self.address.has_changed().unwrap_or(false) {
-            self.moved().await;
+            self.address_changed().await;
             return Err(Error::Moved);
         }
         let answer = tokio::select! {
@@ -305,12 +305,12 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::written::Waiting;
+    use crate::write_progress::Readable;
     use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 
     impl Peek for DuplexStream {
-        fn waiting(&self) -> Waiting {
-            Waiting::Nothing
+        fn waiting(&self) -> Readable {
+            Readable::Nothing
         }
     }
 
@@ -375,7 +375,7 @@
         wait(async {
             let mut link = Link::open(address).await.expect("a connection");
             assert_eq!(link.send(request(), true, None).await.expect("an answer").status(), StatusCode::OK);
-            assert!(link.rested().await && link.usable());
+            assert!(link.reusable().await && link.usable());
             // No await here, so that the runtime sees nothing of it.
             copy.0.send(()).expect("it waits");
             copied.1.recv().expect("it is sent");
@@ -404,7 +404,7 @@
                 };
                 let (answer, ()) = tokio::join!(link.send(request(), false, None), server);
                 answer.expect("an answer").into_body().collect().await.expect("its body");
-                let rested = link.rested().await;
+                let rested = link.reusable().await;
                 (rested, link.send(request(), false, None).await.expect_err("no answer"))
             });
             assert!(!rested && matches!(error, Error::NotSent), "{rested} {error} {answer:?}");
--- a/net/src/messaging.rs
+++ b/net/src/messaging.rs
@@ -1,7 +1,7 @@
 //! Messages between our own processes: JSON over HTTP/1.1, with no header that nobody reads.
 //!
 //! Three ways: a [`Outbox`] sends notes that need no answer, many in one request; a [`Client`] or
-//! [`call`] asks and gets an answer; a [`Held`] stream yields lines for as long as both sides live. [`serve`] is the
+//! [`call`] asks and gets an answer; a [`LineStream`] stream yields lines for as long as both sides live. [`serve`] is the
 //! other side of all three.
 
 mod incarnation;
@@ -21,13 +21,13 @@
 use crate::link::{Answer, Client, Error, Options};
 
 pub use incarnation::Incarnation;
-pub use line_stream::{Ended, Error as HeldError, Held, Terms};
-pub use outbox::{Bounds, Event, Outbox, Refused, To};
+pub use line_stream::{Error as LineStreamError, LineStream, StreamEnd, StreamOptions};
+pub use outbox::{Event, Outbox, OutboxLimits, OutboxTarget, PushError};
 pub use serve::{Call, Content, Limits, Reply, serve};
 
 /// What connections between our processes are like.
 pub const OPTIONS: Options =
-    Options { connect: Some(Duration::from_millis(300)), unheard: Some(Duration::from_millis(1_500)) };
+    Options { connect: Some(Duration::from_millis(300)), unacknowledged: Some(Duration::from_millis(1_500)) };
 
 /// The deepest value that is read. Guards the stack: reading and dropping one goes as deep as it does.
 const DEEPEST: usize = 64;
--- a/net/src/messaging/line_stream.rs
+++ b/net/src/messaging/line_stream.rs
@@ -34,7 +34,7 @@
 
 /// What holds for a stream.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct StreamOptions {
     /// How long it may take until the stream begins.
     pub within: Duration,
     /// The longest line, without its end.
@@ -45,7 +45,7 @@
 
 /// How a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ended {
+pub enum StreamEnd {
     /// The other side ended it.
     Closed,
     /// The connection broke.
@@ -57,23 +57,28 @@
 }
 
 /// A stream of lines. Dropping it closes its connection.
-pub struct Held {
+pub struct LineStream {
     body: Incoming,
-    terms: Terms,
+    terms: StreamOptions,
     /// What came and has not been yielded; up to `seen` it holds no end of a line.
     rest: BytesMut,
     seen: usize,
     heard: Instant,
-    ended: Option<Ended>,
+    ended: Option<StreamEnd>,
     _link: Link,
 }
 
-impl Held {
+impl LineStream {
     /// Asks for a stream with a POST.
     ///
     /// # Errors
     /// Where it does not begin in time, or is refused.
-    pub async fn open(address: SocketAddr, path: &str, body: Bytes, terms: Terms) -> Result<Self, Error> {
+    pub async fn open(
+        address: SocketAddr,
+        path: &str,
+        body: Bytes,
+        terms: StreamOptions,
+    ) -> Result<Self, Error> {
         let mut headers = HeaderMap::new();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         if let Ok(host) = HeaderValue::from_str(&address.to_string()) {
@@ -90,7 +95,7 @@
             return StatusSnafu { status: answer.status() }.fail();
         }
         let (rest, heard) = (BytesMut::new(), Instant::now());
-        Ok(Held { body: answer.into_body(), terms, rest, seen: 0, heard, ended: None, _link: link })
+        Ok(LineStream { body: answer.into_body(), terms, rest, seen: 0, heard, ended: None, _link: link })
     }
 
     /// The next line that is not empty, without its end; none once the stream has ended. Nothing is lost where the
@@ -99,7 +104,7 @@
         while self.ended.is_none() {
             let end = self.rest[self.seen..].iter().position(|byte| *byte == b'\n').map(|at| self.seen + at);
             if end.unwrap_or(self.rest.len()) > self.terms.longest {
-                self.ended = Some(Ended::TooLong);
+                self.ended = Some(StreamEnd::TooLong);
             } else if let Some(end) = end {
                 let line = self.rest.split_to(end);
                 self.rest.advance(1);
@@ -116,13 +121,14 @@
     }
 
     /// How it ended, once it has.
-    pub fn ended(&self) -> Option<Ended> {
+    pub fn ended(&self) -> Option<StreamEnd> {
         self.ended
     }
 
-    async fn more(&mut self) -> Result<(), Ended> {
+    async fn more(&mut self) -> Result<(), StreamEnd> {
         let frame = timeout_at(self.heard + self.terms.silence, self.body.frame()).await;
-        let frame = frame.map_err(|_| Ended::Silent)?.ok_or(Ended::Closed)?.map_err(|_| Ended::Broken)?;
+        let frame =
+            frame.map_err(|_| StreamEnd::Silent)?.ok_or(StreamEnd::Closed)?.map_err(|_| StreamEnd::Broken)?;
         self.heard = Instant::now();
         if let Some(data) = frame.data_ref() {
             self.rest.extend_from_slice(data);
--- a/net/src/messaging/outbox.rs
+++ b/net/src/messaging/outbox.rs
@@ -23,7 +23,7 @@
 
 /// Where notes go, and from whom.
 #[derive(Clone, Debug)]
-pub struct To {
+pub struct OutboxTarget {
     /// What the owner calls the peer; told with each event.
     pub peer: Arc<str>,
     /// Where it listens.
@@ -40,7 +40,7 @@
 
 /// How much goes out at once.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct OutboxLimits {
     /// Notes that may wait to be sent.
     pub notes: usize,
     /// Bytes that they may have together; no request's body is much longer.
@@ -83,13 +83,13 @@
 
 /// A note that is not sent, given back.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Refused {
+pub enum PushError {
     /// So much waits already.
     #[error("too much waits")]
     Full(JsonValue),
     /// It holds what JSON can't: a number without end, say.
     #[error("not to be written as JSON")]
-    Unfit(JsonValue),
+    NotSerializable(JsonValue),
 }
 
 /// Notes that go together, and their text.
@@ -102,7 +102,7 @@
 struct Shared {
     waiting: Mutex<Batch>,
     due: Notify,
-    bounds: Bounds,
+    bounds: OutboxLimits,
 }
 
 impl Shared {
@@ -119,7 +119,11 @@
 
 impl Outbox {
     /// Connects once there is a note. Must be called within a runtime.
-    pub fn new<I: From<Event> + Send + 'static>(to: To, bounds: Bounds, told: mpsc::Sender<I>) -> Self {
+    pub fn new<I: From<Event> + Send + 'static>(
+        to: OutboxTarget,
+        bounds: OutboxLimits,
+        told: mpsc::Sender<I>,
+    ) -> Self {
         let shared = Arc::new(Shared { waiting: Mutex::default(), due: Notify::new(), bounds });
         let task = tokio::spawn(run(Carrier::new(to, bounds.within), shared.clone(), told));
         Outbox { shared, task }
@@ -129,12 +133,12 @@
     ///
     /// # Errors
     /// Where too much waits already, or the note can't be written.
-    pub fn push(&self, note: JsonValue) -> Result<(), Refused> {
-        let Ok(text) = note.stringify() else { return Err(Refused::Unfit(note)) };
+    pub fn push(&self, note: JsonValue) -> Result<(), PushError> {
+        let Ok(text) = note.stringify() else { return Err(PushError::NotSerializable(note)) };
         let bounds = self.shared.bounds;
         let mut waiting = self.shared.waiting();
         if waiting.notes.len() >= bounds.notes || waiting.text.len() + text.len() >= bounds.bytes {
-            return Err(Refused::Full(note));
+            return Err(PushError::Full(note));
         }
         if !waiting.notes.is_empty() {
             waiting.text.push(',');
@@ -160,7 +164,7 @@
 
 /// What requests have in common.
 struct Carrier {
-    to: To,
+    to: OutboxTarget,
     within: Duration,
     client: Client,
     /// Name of the sender, as text.
@@ -168,7 +172,7 @@
 }
 
 impl Carrier {
-    fn new(mut to: To, within: Duration) -> Self {
+    fn new(mut to: OutboxTarget, within: Duration) -> Self {
         let from = to.from.stringify().unwrap_or_else(|_| "null".to_owned());
         to.headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         Carrier { client: Client::new(to.address, OPTIONS), to, within, from }
--- a/net/src/messaging/serve.rs
+++ b/net/src/messaging/serve.rs
@@ -41,7 +41,7 @@
     pub connections: usize,
     /// How long what was sent may go unacknowledged, or wait for a peer that does not read, before the connection
     /// counts as broken.
-    pub unheard: Option<Duration>,
+    pub unacknowledged: Option<Duration>,
 }
 
 /// A request that came in whole.
@@ -74,7 +74,7 @@
     /// All of it.
     Whole(Bytes),
     /// What comes, until the channel ends or the server closes.
-    Held(mpsc::Receiver<Bytes>),
+    Streamed(mpsc::Receiver<Bytes>),
 }
 
 /// An answer.
@@ -102,8 +102,8 @@
 
     /// A body that is sent piece by piece, each at once, until the channel ends. Its sender learns from the channel that
     /// the peer has gone.
-    pub fn held(pieces: mpsc::Receiver<Bytes>) -> Self {
-        Reply { content: Content::Held(pieces), ..Reply::empty(StatusCode::OK) }
+    pub fn streamed(pieces: mpsc::Receiver<Bytes>) -> Self {
+        Reply { content: Content::Streamed(pieces), ..Reply::empty(StatusCode::OK) }
     }
 
     /// With a header, instead of one of that name.
@@ -116,7 +116,7 @@
 /// A body on its way.
 enum Sending {
     Whole(Option<Bytes>),
-    Held(mpsc::Receiver<Bytes>, Pin<Box<dyn Future<Output = ()> + Send>>),
+    Streamed(mpsc::Receiver<Bytes>, Pin<Box<dyn Future<Output = ()> + Send>>),
 }
 
 impl Body for Sending {
@@ -129,7 +129,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
         let piece = match &mut *self {
             Sending::Whole(body) => body.take().filter(|body| !body.is_empty()),
-            Sending::Held(pieces, closing) => match pieces.poll_recv(cx) {
+            Sending::Streamed(pieces, closing) => match pieces.poll_recv(cx) {
                 Poll::Ready(piece) => piece,
                 Poll::Pending => {
                     ready!(closing.as_mut().poll(cx));
@@ -143,14 +143,14 @@
     fn is_end_stream(&self) -> bool {
         match self {
             Sending::Whole(body) => body.as_ref().is_none_or(Bytes::is_empty),
-            Sending::Held(..) => false,
+            Sending::Streamed(..) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
             Sending::Whole(body) => SizeHint::with_exact(body.as_ref().map_or(0, Bytes::len) as u64),
-            Sending::Held(..) => SizeHint::default(),
+            Sending::Streamed(..) => SizeHint::default(),
         }
     }
 }
@@ -210,7 +210,7 @@
     F: Future<Output = Reply> + Send + 'static,
 {
     let _ = stream.set_nodelay(true);
-    let _ = SockRef::from(&stream).set_tcp_user_timeout(limits.unheard);
+    let _ = SockRef::from(&stream).set_tcp_user_timeout(limits.unacknowledged);
     let until = closed(closing.clone());
     let service = service_fn(move |request| {
         let (handler, closing) = (handler.clone(), closing.clone());
@@ -227,7 +227,7 @@
             }
             let mut response = Response::new(match reply.content {
                 Content::Whole(body) => Sending::Whole(Some(body)),
-                Content::Held(pieces) => Sending::Held(pieces, Box::pin(closed(closing))),
+                Content::Streamed(pieces) => Sending::Streamed(pieces, Box::pin(closed(closing))),
             });
             (*response.status_mut(), *response.headers_mut()) = (reply.status, reply.headers);
             Ok::<_, Infallible>(response)
--- a/net/src/messaging/tests.rs
+++ b/net/src/messaging/tests.rs
@@ -10,8 +10,8 @@
 use super::*;
 
 const LONG: Duration = Duration::from_secs(20);
-const LIMITS: Limits = Limits { body: 1_000, idle: LONG, whole: LONG, connections: 8, unheard: None };
-const TERMS: Terms = Terms { within: LONG, longest: 4, silence: LONG };
+const LIMITS: Limits = Limits { body: 1_000, idle: LONG, whole: LONG, connections: 8, unacknowledged: None };
+const TERMS: StreamOptions = StreamOptions { within: LONG, longest: 4, silence: LONG };
 
 fn wait<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -45,7 +45,7 @@
 fn post(address: SocketAddr) -> (Outbox, mpsc::Receiver<Event>) {
     let (told, events) = mpsc::channel(8);
     let (from, incarnation) = (JsonValue::from("edge".to_owned()), Incarnation::new(7));
-    let to = To {
+    let to = OutboxTarget {
         peer: Arc::from("core"),
         address,
         path: "/notes".to_owned(),
@@ -53,7 +53,7 @@
         from,
         incarnation,
     };
-    (Outbox::new(to, Bounds { notes: 3, bytes: 1_000, at_once: 2, within: LONG }, told), events)
+    (Outbox::new(to, OutboxLimits { notes: 3, bytes: 1_000, at_once: 2, within: LONG }, told), events)
 }
 
 fn number(n: u8) -> JsonValue {
@@ -76,7 +76,7 @@
         for n in 3..=5 {
             post.push(number(n)).expect("room");
         }
-        assert_eq!(post.push(number(6)), Err(Refused::Full(number(6))));
+        assert_eq!(post.push(number(6)), Err(PushError::Full(number(6))));
         held.remove(0).send(Reply::empty(StatusCode::NO_CONTENT)).expect("awaited");
         let (call, reply) = server.calls.recv().await.expect("a call");
         assert_eq!(call.json().expect("JSON")["notes"], JsonValue::from([3, 4, 5].map(number).to_vec()));
@@ -97,7 +97,7 @@
         post.push(number(0)).expect("room");
         assert!(matches!(events.recv().await, Some(Event::Down { .. })));
         assert!(matches!(events.recv().await, Some(Event::Lost { notes, .. }) if notes == [number(0)]));
-        assert!(matches!(post.push(JsonValue::from(f64::NAN)), Err(Refused::Unfit(_))));
+        assert!(matches!(post.push(JsonValue::from(f64::NAN)), Err(PushError::NotSerializable(_))));
     });
 }
 
@@ -106,13 +106,13 @@
     wait(async {
         let mut server = served(LIMITS).await;
         for (pieces, lines, ended) in [
-            (["a\nb", "c\n\n", "4444\n"], vec!["a", "bc", "4444"], Ended::Closed),
-            (["a\n", "55", "555\n"], vec!["a"], Ended::TooLong),
+            (["a\nb", "c\n\n", "4444\n"], vec!["a", "bc", "4444"], StreamEnd::Closed),
+            (["a\n", "55", "555\n"], vec!["a"], StreamEnd::TooLong),
         ] {
-            let opening = tokio::spawn(Held::open(server.address, "/feed", Bytes::from("{}"), TERMS));
+            let opening = tokio::spawn(LineStream::open(server.address, "/feed", Bytes::from("{}"), TERMS));
             let (_, reply) = server.calls.recv().await.expect("a call");
             let (sender, receiver) = mpsc::channel(8);
-            reply.send(Reply::held(receiver)).expect("awaited");
+            reply.send(Reply::streamed(receiver)).expect("awaited");
             let mut held = opening.await.expect("it ends").expect("a stream");
             for piece in pieces {
                 sender.send(Bytes::from(piece)).await.expect("taken");
@@ -123,13 +123,13 @@
             }
             assert_eq!((held.next_line().await, held.ended()), (None, Some(ended)));
         }
-        let opening = tokio::spawn(Held::open(server.address, "/feed", Bytes::from("{}"), TERMS));
+        let opening = tokio::spawn(LineStream::open(server.address, "/feed", Bytes::from("{}"), TERMS));
         let (_, reply) = server.calls.recv().await.expect("a call");
         let (_sender, receiver) = mpsc::channel(8);
-        reply.send(Reply::held(receiver)).expect("awaited");
+        reply.send(Reply::streamed(receiver)).expect("awaited");
         let mut held = opening.await.expect("it ends").expect("a stream");
         server.close.send(()).expect("it serves");
-        assert_eq!((held.next_line().await, held.ended()), (None, Some(Ended::Closed)));
+        assert_eq!((held.next_line().await, held.ended()), (None, Some(StreamEnd::Closed)));
         drop(held);
         server.task.await.expect("it ends");
     });
--- a/net/src/metrics.rs
+++ b/net/src/metrics.rs
@@ -30,7 +30,7 @@
     }
 
     /// One of several under the same name.
-    pub fn put_of(&mut self, name: &str, label: &str, of: &str, value: impl Display) {
+    pub fn put_labelled(&mut self, name: &str, label: &str, of: &str, value: impl Display) {
         if self.0.len() < LONGEST {
             let of: String = of.chars().filter(|c| !c.is_control() && !matches!(c, '"' | '\\')).collect();
             let _ = writeln!(self.0, "{name}{{{label}=\"{of}\"}} {value}");
@@ -57,7 +57,7 @@
         idle: Duration::from_secs(20),
         whole: Duration::from_secs(1),
         connections: 4,
-        unheard: None,
+        unacknowledged: None,
     };
     match TcpListener::bind(address).await {
         Ok(listener) => {
@@ -75,7 +75,7 @@
     fn a_label_ends_no_line_and_the_text_is_bounded() {
         let mut figures = Metrics::default();
         figures.put("a", 1);
-        figures.put_of("b", "of", "x\"}\n1 \\y", 2.5);
+        figures.put_labelled("b", "of", "x\"}\n1 \\y", 2.5);
         assert_eq!(figures.0, "a 1\nb{of=\"x}1 y\"} 2.5\n");
         (0..100_000).for_each(|n| figures.put("c", n));
         assert!(figures.0.len() < LONGEST + 100 && figures.0.ends_with('\n'));
--- a/net/src/written.rs
+++ b/net/src/write_progress.rs
@@ -27,7 +27,7 @@
 
 /// What waits to be read from a stream.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Waiting {
+pub enum Readable {
     /// Nothing.
     Nothing,
     /// Bytes.
@@ -39,16 +39,16 @@
 /// A stream that can tell what waits to be read from it.
 pub trait Peek {
     /// What waits at this moment.
-    fn waiting(&self) -> Waiting;
+    fn waiting(&self) -> Readable;
 }
 
 impl Peek for TcpStream {
     /// Asks the socket itself: what the runtime knows of it may be older.
-    fn waiting(&self) -> Waiting {
+    fn waiting(&self) -> Readable {
         match SockRef::from(self).peek(&mut [MaybeUninit::uninit()]) {
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => Waiting::Nothing,
-            Ok(1..) => Waiting::Something,
-            _ => Waiting::End,
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => Readable::Nothing,
+            Ok(1..) => Readable::Something,
+            _ => Readable::End,
         }
     }
 }
@@ -74,7 +74,7 @@
     stale: bool,
     answer: FirstLine,
     /// Where to count its messages once it has been written whole.
-    counted: Option<(Sent, u64)>,
+    counted: Option<(MessageCounter, u64)>,
 }
 
 /// The first line of the answer, those of 1xx answers ahead passed over.
@@ -160,13 +160,13 @@
 
 /// Shared between a connection and its user.
 #[derive(Clone, Default)]
-pub struct Written(Arc<Shared>);
+pub struct WriteProgress(Arc<Shared>);
 
 /// Messages that were written whole, over all connections.
 #[derive(Clone, Debug, Default)]
-pub struct Sent(Arc<AtomicU64>);
+pub struct MessageCounter(Arc<AtomicU64>);
 
-impl Sent {
+impl MessageCounter {
     /// So many so far.
     pub fn count(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
@@ -176,13 +176,13 @@
     }
 }
 
-impl Written {
+impl WriteProgress {
     fn progress(&self) -> MutexGuard<'_, Progress> {
         self.0.progress.lock().unwrap_or_else(PoisonError::into_inner)
     }
     /// A request with a body of this length comes next; its last byte is held back where it is to be proven that it
     /// never ran.
-    pub fn expect(&self, body: usize, proof: bool, counted: Option<(Sent, u64)>) {
+    pub fn expect(&self, body: usize, proof: bool, counted: Option<(MessageCounter, u64)>) {
         let request = Request { body_left: body, proof, ..Request::default() };
         *self.progress() = Progress { request, counted, ..Progress::default() };
     }
@@ -211,21 +211,21 @@
 }
 
 /// A stream on which is watched what passes.
-pub struct Watched<S> {
+pub struct MonitoredStream<S> {
     stream: S,
-    written: Written,
+    written: WriteProgress,
     /// Runs while a last byte is held back.
     hold: Option<Pin<Box<Sleep>>>,
 }
 
-impl<S> Watched<S> {
+impl<S> MonitoredStream<S> {
     /// Watches `stream`; `written` tells of it.
-    pub fn new(stream: S, written: Written) -> Self {
-        Watched { stream, written, hold: None }
+    pub fn new(stream: S, written: WriteProgress) -> Self {
+        MonitoredStream { stream, written, hold: None }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Watched<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for MonitoredStream<S> {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
@@ -238,14 +238,14 @@
 }
 
 /// Vectored writes are left out: hyper then hands over one buffer.
-impl<S: AsyncWrite + Peek + Unpin> AsyncWrite for Watched<S> {
+impl<S: AsyncWrite + Peek + Unpin> AsyncWrite for MonitoredStream<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         let (begun, request) = {
             let progress = self.written.progress();
             (progress.begun, progress.request)
         };
         // Guards the request: what has come before it would be taken for its answer.
-        if !begun && self.stream.waiting() != Waiting::Nothing {
+        if !begun && self.stream.waiting() != Readable::Nothing {
             self.written.progress().stale = true;
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
@@ -256,7 +256,7 @@
                     let hold = self.hold.get_or_insert_with(|| Box::pin(sleep(HOLD)));
                     ready!(hold.as_mut().poll(cx));
                     self.hold = None;
-                    if self.stream.waiting() == Waiting::End {
+                    if self.stream.waiting() == Readable::End {
                         return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
                     }
                 }
@@ -293,7 +293,7 @@
     fn the_last_byte_counts_however_the_request_is_cut() {
         let request = b"POST /hook HTTP/1.1\r\nreq-id: a\r\r\n\r\nbo\r\n\r\ndy";
         for cut in 0..request.len() {
-            let written = Written::default();
+            let written = WriteProgress::default();
             written.expect(8, true, None);
             written.progress().request.wrote(&request[..cut]);
             assert!(!written.all(), "cut at {cut}");
--- a/protocol/src/fold.rs
+++ b/protocol/src/fold.rs
@@ -8,7 +8,18 @@
     /// Puts it in, whole.
     pub fn fold(&self, into: &mut Fold<'_>) {
         match self {
-            PeerMessage::Ask { id, service, left, aim, target, sent, first, returned, avoid, zone } => {
+            PeerMessage::RequestPermit {
+                id,
+                service,
+                left,
+                aim,
+                target,
+                sent,
+                first,
+                returned,
+                avoid,
+                zone,
+            } => {
                 into.text("ask").whole(*id).text(service).number(*left).number(*aim).number(*target);
                 into.whole((*sent).into()).whole((*first).into()).whole((*returned).into());
                 into.whole(avoid.len() as u64);
@@ -17,29 +28,29 @@
                 });
                 into.text(zone);
             }
-            PeerMessage::Drop { id } => {
+            PeerMessage::CancelRequest { id } => {
                 into.text("drop").whole(*id);
             }
-            PeerMessage::Waits { id } => {
+            PeerMessage::Queued { id } => {
                 into.text("waits").whole(*id);
             }
             PeerMessage::Grant { id, instance, address, zone } => {
                 into.text("grant").whole(*id).text(instance).text(address);
                 into.text(zone.as_deref().unwrap_or_default());
             }
-            PeerMessage::No { id, why, wait } => {
+            PeerMessage::Denied { id, why, wait } => {
                 into.text("no").whole(*id).text(why).number(*wait);
             }
-            PeerMessage::Done { id, outcome, took } => {
+            PeerMessage::ReleasePermit { id, outcome, took } => {
                 into.text("done").whole(*id).text(outcome).number(*took);
             }
-            PeerMessage::Retire { instance } => {
+            PeerMessage::RetireInstance { instance } => {
                 into.text("retire").text(instance);
             }
-            PeerMessage::Lost { instance } => {
+            PeerMessage::InstanceDown { instance } => {
                 into.text("lost").text(instance);
             }
-            PeerMessage::Up { instance } => {
+            PeerMessage::InstanceUp { instance } => {
                 into.text("up").text(instance);
             }
             other => {
@@ -58,7 +69,7 @@
 
     #[test]
     fn notes_that_differ_in_one_part_differ_in_the_digest() {
-        let ask = |id, avoid: &[&str], zone: &str| PeerMessage::Ask {
+        let ask = |id, avoid: &[&str], zone: &str| PeerMessage::RequestPermit {
             id,
             service: "s".into(),
             left: 1.0,
@@ -70,7 +81,7 @@
             avoid: avoid.iter().map(|i| (*i).into()).collect(),
             zone: zone.into(),
         };
-        let want = |count, strain| PeerMessage::Want {
+        let want = |count, strain| PeerMessage::DesiredInstances {
             service: "s".into(),
             count,
             zones: vec!["a".into()],
@@ -92,16 +103,16 @@
             want(1, 0.0),
             want(2, 0.0),
             want(1, 0.1),
-            PeerMessage::Floor { service: "s".into(), count: 1, fence: 1, left: 1.0 },
+            PeerMessage::MinInstances { service: "s".into(), count: 1, fence: 1, left: 1.0 },
             grant(None),
             grant(Some("z")),
-            PeerMessage::Drop { id: 1 },
-            PeerMessage::Waits { id: 1 },
-            PeerMessage::No { id: 1, why: "full".into(), wait: 0.0 },
-            PeerMessage::Done { id: 1, outcome: "ok".into(), took: 1.0 },
-            PeerMessage::Retire { instance: "i".into() },
-            PeerMessage::Lost { instance: "i".into() },
-            PeerMessage::Up { instance: "i".into() },
+            PeerMessage::CancelRequest { id: 1 },
+            PeerMessage::Queued { id: 1 },
+            PeerMessage::Denied { id: 1, why: "full".into(), wait: 0.0 },
+            PeerMessage::ReleasePermit { id: 1, outcome: "ok".into(), took: 1.0 },
+            PeerMessage::RetireInstance { instance: "i".into() },
+            PeerMessage::InstanceDown { instance: "i".into() },
+            PeerMessage::InstanceUp { instance: "i".into() },
         ];
         let sums = all.iter().map(|note| {
             let mut digest = Digest::default();
--- a/protocol/src/frame.rs
+++ b/protocol/src/frame.rs
@@ -14,9 +14,9 @@
 /// The format that is written. 1 is that of recordings without a head: no checksums, no requests, no digests.
 pub const FORMAT: u64 = 2;
 /// What a head begins with.
-pub const HEAD: &str = r#"{"in":"record","#;
+pub const HEADER_PREFIX: &str = r#"{"in":"record","#;
 /// What a line that tells of others that are left out begins with.
-pub const LEFT_OUT: &str = r#"{"in":"left_out","#;
+pub const OMITTED_PREFIX: &str = r#"{"in":"left_out","#;
 /// The checksum's key, and its length with all that stands round it.
 const SUM: &str = r##","#":""##;
 const SUMMED: usize = SUM.len() + 8 + 2;
@@ -69,40 +69,41 @@
 
 /// Why lines are left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Left {
+pub enum OmissionReason {
     /// The recording has reached its bound: nothing more is recorded in this life.
     Bound,
     /// Nobody read them in time.
     Unread,
 }
 
-impl Left {
+impl OmissionReason {
     /// The word for it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Left::Bound => "bound",
-            Left::Unread => "unread",
+            OmissionReason::Bound => "bound",
+            OmissionReason::Unread => "unread",
         }
     }
 
     /// The line that says so: so many more since the last one of its kind.
     pub fn line(self, lines: u64) -> String {
         let mut line = Line::new();
-        line.text("in", "left_out").whole("lines", lines).text("why", self.word());
+        line.text("in", "left_out").whole("lines", lines).text("why", self.as_str());
         sealed(line.end())
     }
 
     /// Reads that line.
     pub fn of(from: &HashMap<String, JsonValue>) -> Result<(Self, u64), Fault> {
         let word = string(from, "why")?;
-        let left = [Left::Bound, Left::Unread].into_iter().find(|left| left.word() == word);
+        let left =
+            [OmissionReason::Bound, OmissionReason::Unread].into_iter().find(|left| left.as_str() == word);
         Ok((left.ok_or_else(|| fault("why", "no word that is known"))?, whole(from, "lines")?))
     }
 }
 
 /// The line that says that so many more are left out: for the bound, or because nobody reads them.
-pub fn left_out(bound: bool, lines: u64) -> String {
-    if bound { Left::Bound } else { Left::Unread }.line(lines)
+pub fn omitted_line(bound: bool, lines: u64) -> String {
+    if bound { OmissionReason::Bound } else { OmissionReason::Unread }.line(lines)
 }
 
 /// Eight hex digits.
@@ -125,26 +126,26 @@
 
 /// What a line's checksum says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sum {
+pub enum Checksum {
     /// It has none.
     Missing,
     /// The line is as it was written.
-    Right,
+    Valid,
     /// It is not.
-    Wrong,
+    Invalid,
 }
 
 /// Looks at the checksum of a whole line.
-pub fn sum(line: &str) -> Sum {
+pub fn checksum(line: &str) -> Checksum {
     let Some((rest, tail)) = line.len().checked_sub(SUMMED).and_then(|at| line.split_at_checked(at)) else {
-        return Sum::Missing;
+        return Checksum::Missing;
     };
     let Some(digits) = tail.strip_prefix(SUM).and_then(|t| t.strip_suffix("\"}")) else {
-        return Sum::Missing;
+        return Checksum::Missing;
     };
     let mut right = String::with_capacity(8);
     hex(&mut right, crc32fast::hash(rest.as_bytes()));
-    if right == digits { Sum::Right } else { Sum::Wrong }
+    if right == digits { Checksum::Valid } else { Checksum::Invalid }
 }
 
 /// What a machine has decided so far, as the count of its outputs and one number for all of them in their order.
@@ -177,7 +178,7 @@
 }
 
 /// Reads what a line tells of the digest; nothing where nothing was decided before it.
-pub fn decided(from: &HashMap<String, JsonValue>) -> Result<Option<(u64, u32)>, Fault> {
+pub fn read_digest(from: &HashMap<String, JsonValue>) -> Result<Option<(u64, u32)>, Fault> {
     if !from.contains_key("k") {
         return Ok(None);
     }
@@ -225,14 +226,17 @@
     fn a_head_and_what_is_left_out_read_back() {
         let head = Head::new("edge-1", "stall", u64::MAX, 1_796_172_615_944);
         let line = head.line();
-        assert!(line.starts_with(HEAD));
-        assert_eq!((sum(&line), Head::of(&read(&line).expect("JSON"))), (Sum::Right, Ok(head.clone())));
+        assert!(line.starts_with(HEADER_PREFIX));
+        assert_eq!(
+            (checksum(&line), Head::of(&read(&line).expect("JSON"))),
+            (Checksum::Valid, Ok(head.clone()))
+        );
         let newer = Head { format: FORMAT + 1, ..head }.line();
         assert!(Head::of(&read(&newer).expect("JSON")).is_err());
-        for left in [Left::Bound, Left::Unread] {
+        for left in [OmissionReason::Bound, OmissionReason::Unread] {
             let line = left.line(7);
-            assert!(line.starts_with(LEFT_OUT));
-            assert_eq!(Left::of(&read(&line).expect("JSON")), Ok((left, 7)));
+            assert!(line.starts_with(OMITTED_PREFIX));
+            assert_eq!(OmissionReason::of(&read(&line).expect("JSON")), Ok((left, 7)));
         }
     }
 
@@ -249,12 +253,12 @@
                 }
                 let text = String::from_utf8(bytes).expect("ASCII");
                 // What has no checksum any more is no line of this format.
-                let seen = sum(&text) != Sum::Right || read(&text).is_err();
+                let seen = checksum(&text) != Checksum::Valid || read(&text).is_err();
                 assert!(seen || read(&text) == Ok(whole.clone()), "{text}");
             }
         }
-        assert_eq!(sum(r#"{"in":"tick","n":5,"at":3}"#), Sum::Missing);
-        assert_eq!((sum(""), sum("é".repeat(9).as_str())), (Sum::Missing, Sum::Missing));
+        assert_eq!(checksum(r#"{"in":"tick","n":5,"at":3}"#), Checksum::Missing);
+        assert_eq!((checksum(""), checksum("é".repeat(9).as_str())), (Checksum::Missing, Checksum::Missing));
     }
 
     #[test]
@@ -279,6 +283,6 @@
         });
         let mut line = Line::new();
         digest.write(&mut line);
-        assert_eq!(decided(&read(&line.end()).expect("JSON")), Ok(Some(digest.state())));
+        assert_eq!(read_digest(&read(&line.end()).expect("JSON")), Ok(Some(digest.state())));
     }
 }
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub use function_status::FunctionStatus;
 pub use json::{Fault, list, number, object, string, text, whole};
-pub use membership::{MembershipView, ViewChange, seed};
+pub use membership::{MembershipView, ViewChange, peer_hash};
 pub use peer_message::{Instance, Peer, PeerMessage, Permit, Version};
 
 mod message_batch;
--- a/protocol/src/line.rs
+++ b/protocol/src/line.rs
@@ -161,7 +161,18 @@
 fn note(out: &mut String, value: &PeerMessage) {
     part(out, |line| {
         match value {
-            PeerMessage::Ask { id, service, left, aim, target, sent, first, returned, avoid, zone } => {
+            PeerMessage::RequestPermit {
+                id,
+                service,
+                left,
+                aim,
+                target,
+                sent,
+                first,
+                returned,
+                avoid,
+                zone,
+            } => {
                 line.text("t", "ask").whole("id", *id).text("s", service);
                 line.number("l", *left).number("m", *aim).number("g", *target);
                 if *sent > 0 {
@@ -176,19 +187,19 @@
                 }
                 line
             }
-            PeerMessage::No { id, why, wait } => {
+            PeerMessage::Denied { id, why, wait } => {
                 line.text("t", "no").whole("id", *id).text("y", why).number("w", *wait)
             }
-            PeerMessage::Done { id, outcome, took } => {
+            PeerMessage::ReleasePermit { id, outcome, took } => {
                 line.text("t", "done").whole("id", *id).text("o", outcome).number("k", *took)
             }
-            PeerMessage::Held { id, service, instance, left } => line
+            PeerMessage::HeldPermit { id, service, instance, left } => line
                 .text("t", "held")
                 .whole("id", *id)
                 .text("s", service)
                 .text("i", instance)
                 .number("l", *left),
-            PeerMessage::Over { service, version, permits } => {
+            PeerMessage::HandOverPermits { service, version, permits } => {
                 let each = |out: &mut String, permit: &Permit| {
                     part(out, |line| {
                         line.text("i", &permit.instance).whole("id", permit.id);
@@ -200,7 +211,7 @@
                     let _ = write!(out, "{n}");
                 })
             }
-            PeerMessage::Back { who, id, instance, outcome, took } => {
+            PeerMessage::ForwardRelease { who, id, instance, outcome, took } => {
                 line.text("t", "back").whole("id", *id);
                 if let Some(instance) = instance {
                     line.text("i", instance);
@@ -308,10 +319,10 @@
 }
 
 /// What every line of a recording begins with.
-pub const MARK: &str = r#"{"in":"#;
+pub const LINE_PREFIX: &str = r#"{"in":"#;
 
 /// What is wrong with a line that was cut off.
-pub const CUT: &str = "ends before its end";
+pub const TRUNCATED: &str = "ends before its end";
 
 /// Reads an object, whatever it holds.
 pub fn read(text: &str) -> Result<HashMap<String, JsonValue>, Fault> {
@@ -332,7 +343,7 @@
     match text.parse() {
         Ok(JsonValue::Object(parts)) => Ok(parts),
         Ok(_) => Err(fault("(line)", "no object")),
-        Err(_) if quoted || depth > 0 => Err(fault("(line)", CUT)),
+        Err(_) if quoted || depth > 0 => Err(fault("(line)", TRUNCATED)),
         Err(_) => Err(fault("(line)", "no JSON")),
     }
 }
@@ -365,12 +376,12 @@
 }
 
 /// The note under a key.
-pub fn note_of(from: &HashMap<String, JsonValue>, key: &str) -> Result<PeerMessage, Fault> {
+pub fn message_field(from: &HashMap<String, JsonValue>, key: &str) -> Result<PeerMessage, Fault> {
     PeerMessage::read(get(from, key)?).map_err(|e| within(key, e))
 }
 
 /// The notes under a key.
-pub fn notes_of(from: &HashMap<String, JsonValue>, key: &str) -> Result<Vec<PeerMessage>, Fault> {
+pub fn messages_field(from: &HashMap<String, JsonValue>, key: &str) -> Result<Vec<PeerMessage>, Fault> {
     let all = crate::json::list(from, key)?.iter().enumerate();
     all.map(|(n, value)| PeerMessage::read(value).map_err(|e| within(&format!("{key}[{n}]"), e))).collect()
 }
@@ -399,7 +410,7 @@
 
     #[test]
     fn a_line_reads_back_to_the_bit() {
-        let ask = PeerMessage::Ask {
+        let ask = PeerMessage::RequestPermit {
             id: EXACT,
             service: "a \"b\" \\ c\u{1}é".into(),
             left: 1.0 / 3.0,
@@ -414,17 +425,17 @@
         let peers = vec![crate::Peer { name: "n".into(), address: "a".into(), zone: "z".into() }];
         let notes = vec![
             ask,
-            PeerMessage::No { id: 1, why: "full".into(), wait: 0.1 + 0.2 },
-            PeerMessage::Done { id: 1, outcome: "ok".into(), took: 12.3456789 },
-            PeerMessage::Held { id: 2, service: "s".into(), instance: "i".into(), left: -7.0 / 9.0 },
+            PeerMessage::Denied { id: 1, why: "full".into(), wait: 0.1 + 0.2 },
+            PeerMessage::ReleasePermit { id: 1, outcome: "ok".into(), took: 12.3456789 },
+            PeerMessage::HeldPermit { id: 2, service: "s".into(), instance: "i".into(), left: -7.0 / 9.0 },
             PeerMessage::Grant { id: 3, instance: "i".into(), address: "a:1".into(), zone: Some("b".into()) },
-            PeerMessage::Stalls { version: (1, 2), peers, leaving: vec![], split: vec![] },
-            PeerMessage::Over {
+            PeerMessage::FullView { version: (1, 2), peers, leaving: vec![], split: vec![] },
+            PeerMessage::HandOverPermits {
                 service: "s".into(),
                 version: (3, 4),
                 permits: vec![Permit { who: "w".into(), id: 5, instance: "i".into(), left: 1.0 / 7.0 }],
             },
-            PeerMessage::Back {
+            PeerMessage::ForwardRelease {
                 who: "w".into(),
                 id: 6,
                 instance: Some("i".into()),
@@ -435,7 +446,7 @@
         let mut line = begin("mail", Some(7), 12);
         line.whole("life", u64::MAX).mark("no", false).mark("yes", true).notes("notes", &notes);
         let parts = read(&line.end()).expect("an object");
-        assert_eq!(notes_of(&parts, "notes"), Ok(notes));
+        assert_eq!(messages_field(&parts, "notes"), Ok(notes));
         assert_eq!(large(&parts, "life"), Ok(u64::MAX));
         assert_eq!((flag(&parts, "no"), flag(&parts, "yes")), (Ok(false), Ok(true)));
     }
@@ -443,7 +454,7 @@
     #[test]
     fn what_is_cut_short_or_too_deep_is_an_error() {
         let mut line = begin("told", None, 5);
-        line.note("note", &PeerMessage::Drop { id: 4 }).names("x", &["a".into()]);
+        line.note("note", &PeerMessage::CancelRequest { id: 4 }).names("x", &["a".into()]);
         let text = line.end();
         for end in 0..text.len() {
             assert!(read(&text[..end]).is_err(), "{}", &text[..end]);
@@ -451,6 +462,6 @@
         assert_eq!(read(&"[".repeat(1_000_000)), Err(fault("(line)", "nested too deeply")));
         let spoilt = text.replace("\"id\"", "\"di\"");
         let parts = read(&spoilt).expect("an object");
-        assert_eq!(note_of(&parts, "note"), Err(fault("note.id", "missing")));
+        assert_eq!(message_field(&parts, "note"), Err(fault("note.id", "missing")));
     }
 }
--- a/protocol/src/membership.rs
+++ b/protocol/src/membership.rs
@@ -129,20 +129,20 @@
     }
 
     /// All of it, for who has nothing.
-    pub fn note(&self) -> PeerMessage {
+    pub fn to_message(&self) -> PeerMessage {
         let split = self.split.iter().cloned().collect();
         let (peers, leaving) = (self.peers.clone(), self.leaving.clone());
-        PeerMessage::Stalls { version: self.version, peers, leaving, split }
+        PeerMessage::FullView { version: self.version, peers, leaving, split }
     }
 
     /// Stalls that are new here or have moved since, and those of before that are gone.
-    pub fn since<'a>(&'a self, before: &'a MembershipView) -> (Vec<&'a Peer>, Vec<&'a Peer>) {
+    pub fn diff_peers<'a>(&'a self, before: &'a MembershipView) -> (Vec<&'a Peer>, Vec<&'a Peer>) {
         differ(&self.peers, &before.peers)
     }
 
     /// How this differs from the naming before.
-    pub fn shift(&self, before: &MembershipView) -> ViewChange {
-        let (came, left) = self.since(before);
+    pub fn change_from(&self, before: &MembershipView) -> ViewChange {
+        let (came, left) = self.diff_peers(before);
         let (leaving, _) = differ(&self.leaving, &before.leaving);
         let ended = before.leaving.iter().filter(|p| self.find_living(&p.name).is_none());
         ViewChange {
@@ -158,7 +158,7 @@
     }
 
     /// The naming that a shift leads to; none where it goes from another than this one, or leads to too many.
-    pub fn shifted(&self, shift: &ViewChange) -> Option<MembershipView> {
+    pub fn apply(&self, shift: &ViewChange) -> Option<MembershipView> {
         let too_many = self.peers.len() + shift.came.len() > MOST
             || self.leaving.len() + shift.leaving.len() > MOST
             || self.split.len() + shift.split.len() > MOST;
@@ -214,7 +214,7 @@
 }
 
 /// The hash by which a stall stands for functions.
-pub fn seed(name: &str) -> u64 {
+pub fn peer_hash(name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), 7)
 }
 
@@ -276,11 +276,11 @@
         for count in 1..500 {
             draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
             let after = roster(count, draw >> 33);
-            let shift = after.shift(&before);
+            let shift = after.change_from(&before);
             let read = PeerMessage::read(&PeerMessage::ViewChange(shift.clone()).to_json());
             assert_eq!(read, Ok(PeerMessage::ViewChange(shift.clone())));
-            assert_eq!(before.shifted(&shift).as_ref(), Some(&after));
-            assert_eq!(after.shifted(&shift), None, "it goes from another");
+            assert_eq!(before.apply(&shift).as_ref(), Some(&after));
+            assert_eq!(after.apply(&shift), None, "it goes from another");
             let same = (&after.peers, &after.split, &after.leaving)
                 == (&before.peers, &before.split, &before.leaving);
             assert_eq!(after.digest() == before.digest(), same);
@@ -304,9 +304,9 @@
         assert_eq!(twice.find("edge-3"), None);
         let came: Vec<_> = (0..MOST as u64).map(|n| peer(n, 0)).collect();
         let shift = ViewChange { version: (1, 2), from: (1, 1), came, ..ViewChange::default() };
-        assert_eq!(twice.shifted(&shift), None);
+        assert_eq!(twice.apply(&shift), None);
         let split = (0..=MOST).map(|n| format!("f{n}").into()).collect();
         let shift = ViewChange { version: (1, 2), from: (1, 1), split, ..ViewChange::default() };
-        assert_eq!(twice.shifted(&shift), None);
+        assert_eq!(twice.apply(&shift), None);
     }
 }
--- a/protocol/src/peer_message.rs
+++ b/protocol/src/peer_message.rs
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerMessage {
     /// To the owner of a function: a permit is wanted.
-    Ask {
+    RequestPermit {
         /// The asker's number for it.
         id: u64,
         /// The function.
@@ -80,12 +80,12 @@
         zone: CompactString,
     },
     /// To the owner: it is wanted no longer.
-    Drop {
+    CancelRequest {
         /// The asker's number.
         id: u64,
     },
     /// To an asker: it waits for a slot.
-    Waits {
+    Queued {
         /// The asker's number.
         id: u64,
     },
@@ -101,7 +101,7 @@
         zone: Option<CompactString>,
     },
     /// To an asker: it may not.
-    No {
+    Denied {
         /// The asker's number.
         id: u64,
         /// `full`, `skip`, `spent`, `unknown` or `moved`.
@@ -110,7 +110,7 @@
         wait: f64,
     },
     /// To the owner: a permit comes back.
-    Done {
+    ReleasePermit {
         /// The asker's number.
         id: u64,
         /// How the try ended.
@@ -119,7 +119,7 @@
         took: f64,
     },
     /// To a new owner: this permit is out.
-    Held {
+    HeldPermit {
         /// The asker's number.
         id: u64,
         /// The function.
@@ -130,7 +130,7 @@
         left: f64,
     },
     /// To a new owner, from the one before: these permits of what is now yours are out, and no others of mine.
-    Over {
+    HandOverPermits {
         /// The function.
         service: CompactString,
         /// The naming of stalls by which it is yours.
@@ -139,7 +139,7 @@
         permits: Vec<Permit>,
     },
     /// To a new owner, from the one before: a permit has come back here.
-    Back {
+    ForwardRelease {
         /// Who had it.
         who: CompactString,
         /// Its number for it.
@@ -159,7 +159,7 @@
         body: JsonValue,
     },
     /// Down: the configuration, packed (see `millpost_net::pack`).
-    Packed {
+    PackedConfig {
         /// Its revision.
         revision: u64,
         /// All of it, packed.
@@ -173,14 +173,14 @@
         change: JsonValue,
     },
     /// Down: the same, packed.
-    Folded {
+    PackedPatch {
         /// The revision that it leads to.
         revision: u64,
         /// The difference, packed.
         packed: String,
     },
     /// Down: the stalls that are alive, all of them.
-    Stalls {
+    FullView {
         /// The newest counts.
         version: Version,
         /// All of them.
@@ -205,7 +205,7 @@
     },
     /// Down, to the owner of a function and to the next in order: a floor under what it wants. While it holds, the owner says how the
     /// function does.
-    Floor {
+    MinInstances {
         /// The function.
         service: CompactString,
         /// Live instances at least, all of this owner's; 0: no floor any more.
@@ -223,14 +223,14 @@
         fence: u64,
     },
     /// Down: this stall rests, and takes no new clients; up: it does.
-    Rest {
+    Drain {
         /// The machine's name.
         name: CompactString,
         /// For so many milliseconds; 0: it goes on as ever.
         left: f64,
     },
     /// Up: a function wants so many instances.
-    Want {
+    DesiredInstances {
         /// The function.
         service: CompactString,
         /// In all.
@@ -247,7 +247,7 @@
         slow: Vec<CompactString>,
     },
     /// Up, to a steward that has just taken office: the instances of the functions that this stall owns, all that it knows.
-    Mine {
+    OwnedInstances {
         /// The instances.
         set: Vec<Instance>,
     },
@@ -264,36 +264,36 @@
         known: u64,
     },
     /// Up: an instance may be stopped.
-    Retire {
+    RetireInstance {
         /// The instance's life.
         instance: CompactString,
     },
     /// Up: an instance refuses connections.
-    Lost {
+    InstanceDown {
         /// The instance's life.
         instance: CompactString,
     },
     /// Up, and between stalls: an instance accepts connections.
-    Up {
+    InstanceUp {
         /// The instance's life.
         instance: CompactString,
     },
     /// Up: a stall does not answer another.
-    Deaf {
+    PeerUnreachable {
         /// Who does not answer.
         peer: CompactString,
         /// Whom.
         from: CompactString,
     },
     /// Up: this stall acts on a configuration.
-    Acts {
+    ConfigApplied {
         /// Its revision.
         revision: u64,
         /// Numbers of the feed up to this one have been taken in.
         number: u64,
     },
     /// Up: this stall is alive and takes mail there.
-    Alive {
+    Heartbeat {
         /// The stall.
         peer: Peer,
         /// It serves.
@@ -304,14 +304,14 @@
         digest: Option<u64>,
     },
     /// Up: a stall has started, and wants to know which configuration stands.
-    AskRevision,
+    QueryRevision,
     /// Down, in answer to that: a majority stood behind this one after the question was asked, and perhaps behind a newer one.
-    Stands {
+    CommittedRevision {
         /// Its revision; 0: none.
         revision: u64,
     },
     /// Up, no further than the porter: a shift came that goes from another naming than is known here.
-    Behind {
+    ViewOutdated {
         /// The naming that is.
         version: Version,
     },
@@ -438,23 +438,32 @@
     pub fn to_json(&self) -> JsonValue {
         let n = |id: &u64| count(*id);
         match self {
-            PeerMessage::Ask { id, service, left, aim, target, sent, first, returned, avoid, zone } => {
-                object([
-                    ("t", text("ask")),
-                    ("id", n(id)),
-                    ("s", text(service)),
-                    ("l", ms(*left)),
-                    ("m", ms(*aim)),
-                    ("g", ms(*target)),
-                    ("n", if *sent > 0 { count((*sent).into()) } else { JsonValue::Null }),
-                    ("f", mark(*first)),
-                    ("r", mark(*returned)),
-                    ("x", names(avoid)),
-                    ("z", text(zone)),
-                ])
-            }
-            PeerMessage::Drop { id } => object([("t", text("drop")), ("id", n(id))]),
-            PeerMessage::Waits { id } => object([("t", text("waits")), ("id", n(id))]),
+            PeerMessage::RequestPermit {
+                id,
+                service,
+                left,
+                aim,
+                target,
+                sent,
+                first,
+                returned,
+                avoid,
+                zone,
+            } => object([
+                ("t", text("ask")),
+                ("id", n(id)),
+                ("s", text(service)),
+                ("l", ms(*left)),
+                ("m", ms(*aim)),
+                ("g", ms(*target)),
+                ("n", if *sent > 0 { count((*sent).into()) } else { JsonValue::Null }),
+                ("f", mark(*first)),
+                ("r", mark(*returned)),
+                ("x", names(avoid)),
+                ("z", text(zone)),
+            ]),
+            PeerMessage::CancelRequest { id } => object([("t", text("drop")), ("id", n(id))]),
+            PeerMessage::Queued { id } => object([("t", text("waits")), ("id", n(id))]),
             PeerMessage::Grant { id, instance, address, zone } => object([
                 ("t", text("grant")),
                 ("id", n(id)),
@@ -462,26 +471,26 @@
                 ("a", text(address)),
                 ("z", zone.as_ref().map_or(JsonValue::Null, |zone| text(zone))),
             ]),
-            PeerMessage::No { id, why, wait } => {
+            PeerMessage::Denied { id, why, wait } => {
                 object([("t", text("no")), ("id", n(id)), ("y", text(why)), ("w", ms(*wait))])
             }
-            PeerMessage::Done { id, outcome, took } => {
+            PeerMessage::ReleasePermit { id, outcome, took } => {
                 object([("t", text("done")), ("id", n(id)), ("o", text(outcome)), ("k", ms(*took))])
             }
-            PeerMessage::Held { id, service, instance, left } => object([
+            PeerMessage::HeldPermit { id, service, instance, left } => object([
                 ("t", text("held")),
                 ("id", n(id)),
                 ("s", text(service)),
                 ("i", text(instance)),
                 ("l", ms(*left)),
             ]),
-            PeerMessage::Over { service, version: v, permits } => object([
+            PeerMessage::HandOverPermits { service, version: v, permits } => object([
                 ("t", text("over")),
                 ("s", text(service)),
                 ("v", version(*v)),
                 ("all", JsonValue::Array(permits.iter().map(Permit::to_json).collect())),
             ]),
-            PeerMessage::Back { who, id, instance, outcome, took } => object([
+            PeerMessage::ForwardRelease { who, id, instance, outcome, took } => object([
                 ("t", text("back")),
                 ("w", text(who)),
                 ("id", n(id)),
@@ -492,16 +501,16 @@
             PeerMessage::Config { revision, body } => {
                 object([("t", text("config")), ("v", n(revision)), ("body", body.clone())])
             }
-            PeerMessage::Packed { revision, packed } => {
+            PeerMessage::PackedConfig { revision, packed } => {
                 object([("t", text("packed")), ("v", n(revision)), ("z", text(packed))])
             }
             PeerMessage::Patch { revision, change } => {
                 object([("t", text("patch")), ("v", n(revision)), ("change", change.clone())])
             }
-            PeerMessage::Folded { revision, packed } => {
+            PeerMessage::PackedPatch { revision, packed } => {
                 object([("t", text("folded")), ("v", n(revision)), ("z", text(packed))])
             }
-            PeerMessage::Stalls { version: v, peers, leaving, split } => object([
+            PeerMessage::FullView { version: v, peers, leaving, split } => object([
                 ("t", text("stalls")),
                 ("v", version(*v)),
                 ("all", JsonValue::Array(peers.iter().map(Peer::to_json).collect())),
@@ -519,17 +528,17 @@
             PeerMessage::Leader { address, fence } => {
                 object([("t", text("steward")), ("a", text(address)), ("f", n(fence))])
             }
-            PeerMessage::Rest { name, left } => {
+            PeerMessage::Drain { name, left } => {
                 object([("t", text("rest")), ("n", text(name)), ("l", ms(*left))])
             }
-            PeerMessage::Floor { service, count: c, fence, left } => object([
+            PeerMessage::MinInstances { service, count: c, fence, left } => object([
                 ("t", text("floor")),
                 ("s", text(service)),
                 ("c", count((*c).into())),
                 ("f", n(fence)),
                 ("l", ms(*left)),
             ]),
-            PeerMessage::Want { service, count: c, zones, lot, strain, does, slow } => object([
+            PeerMessage::DesiredInstances { service, count: c, zones, lot, strain, does, slow } => object([
                 ("t", text("want")),
                 ("s", text(service)),
                 ("c", count((*c).into())),
@@ -539,25 +548,29 @@
                 ("d", does.map_or(JsonValue::Null, FunctionStatus::to_json)),
                 ("slow", names(slow)),
             ]),
-            PeerMessage::Mine { set } => object([
+            PeerMessage::OwnedInstances { set } => object([
                 ("t", text("mine")),
                 ("set", JsonValue::Array(set.iter().map(Instance::to_json).collect())),
             ]),
             PeerMessage::Contact { holds } => object([("t", text("contact")), ("o", mark(*holds))]),
             PeerMessage::StaleIncarnation { known } => object([("t", text("staleinc")), ("known", n(known))]),
-            PeerMessage::Retire { instance } => object([("t", text("retire")), ("i", text(instance))]),
-            PeerMessage::Lost { instance } => object([("t", text("lost")), ("i", text(instance))]),
-            PeerMessage::Up { instance } => object([("t", text("up")), ("i", text(instance))]),
-            PeerMessage::Deaf { peer, from } => {
+            PeerMessage::RetireInstance { instance } => {
+                object([("t", text("retire")), ("i", text(instance))])
+            }
+            PeerMessage::InstanceDown { instance } => object([("t", text("lost")), ("i", text(instance))]),
+            PeerMessage::InstanceUp { instance } => object([("t", text("up")), ("i", text(instance))]),
+            PeerMessage::PeerUnreachable { peer, from } => {
                 object([("t", text("deaf")), ("p", text(peer)), ("f", text(from))])
             }
-            PeerMessage::Acts { revision, number } => {
+            PeerMessage::ConfigApplied { revision, number } => {
                 object([("t", text("acts")), ("v", n(revision)), ("n", n(number))])
             }
-            PeerMessage::AskRevision => object([("t", text("askrev"))]),
-            PeerMessage::Stands { revision } => object([("t", text("stands")), ("v", n(revision))]),
-            PeerMessage::Behind { version: v } => object([("t", text("behind")), ("v", version(*v))]),
-            PeerMessage::Alive { peer, serving, split, digest } => object([
+            PeerMessage::QueryRevision => object([("t", text("askrev"))]),
+            PeerMessage::CommittedRevision { revision } => {
+                object([("t", text("stands")), ("v", n(revision))])
+            }
+            PeerMessage::ViewOutdated { version: v } => object([("t", text("behind")), ("v", version(*v))]),
+            PeerMessage::Heartbeat { peer, serving, split, digest } => object([
                 ("t", text("alive")),
                 ("p", peer.to_json()),
                 ("o", mark(*serving)),
@@ -574,7 +587,7 @@
         let small = |key: &str| whole(from, key).map(|n| n.min(u32::MAX.into()) as u32);
         let part = |key: &str| from.get(key).cloned().ok_or(Fault { key: key.to_owned(), reason: "missing" });
         Ok(match string(from, "t")?.as_str() {
-            "ask" => PeerMessage::Ask {
+            "ask" => PeerMessage::RequestPermit {
                 id: whole(from, "id")?,
                 service: string(from, "s")?,
                 left: number(from, "l")?,
@@ -586,34 +599,36 @@
                 avoid: read_names(from, "x")?.into_iter().take(16).collect(),
                 zone: string(from, "z")?,
             },
-            "drop" => PeerMessage::Drop { id: whole(from, "id")? },
-            "waits" => PeerMessage::Waits { id: whole(from, "id")? },
+            "drop" => PeerMessage::CancelRequest { id: whole(from, "id")? },
+            "waits" => PeerMessage::Queued { id: whole(from, "id")? },
             "grant" => PeerMessage::Grant {
                 id: whole(from, "id")?,
                 instance: string(from, "i")?,
                 address: string(from, "a")?,
                 zone: if from.contains_key("z") { Some(string(from, "z")?) } else { None },
             },
-            "no" => {
-                PeerMessage::No { id: whole(from, "id")?, why: string(from, "y")?, wait: number(from, "w")? }
-            }
-            "done" => PeerMessage::Done {
+            "no" => PeerMessage::Denied {
+                id: whole(from, "id")?,
+                why: string(from, "y")?,
+                wait: number(from, "w")?,
+            },
+            "done" => PeerMessage::ReleasePermit {
                 id: whole(from, "id")?,
                 outcome: string(from, "o")?,
                 took: number(from, "k")?,
             },
-            "held" => PeerMessage::Held {
+            "held" => PeerMessage::HeldPermit {
                 id: whole(from, "id")?,
                 service: string(from, "s")?,
                 instance: string(from, "i")?,
                 left: number(from, "l")?,
             },
-            "over" => PeerMessage::Over {
+            "over" => PeerMessage::HandOverPermits {
                 service: string(from, "s")?,
                 version: read_version(from, "v")?,
                 permits: list(from, "all")?.iter().map(Permit::read).collect::<Result<_, _>>()?,
             },
-            "back" => PeerMessage::Back {
+            "back" => PeerMessage::ForwardRelease {
                 who: string(from, "w")?,
                 id: whole(from, "id")?,
                 instance: if from.contains_key("i") { Some(string(from, "i")?) } else { None },
@@ -622,15 +637,17 @@
             },
             "config" => PeerMessage::Config { revision: whole(from, "v")?, body: part("body")? },
             "packed" => match part("z")? {
-                JsonValue::String(packed) => PeerMessage::Packed { revision: whole(from, "v")?, packed },
+                JsonValue::String(packed) => {
+                    PeerMessage::PackedConfig { revision: whole(from, "v")?, packed }
+                }
                 _ => return Err(Fault { key: "z".to_owned(), reason: "no text" }),
             },
             "folded" => match part("z")? {
-                JsonValue::String(packed) => PeerMessage::Folded { revision: whole(from, "v")?, packed },
+                JsonValue::String(packed) => PeerMessage::PackedPatch { revision: whole(from, "v")?, packed },
                 _ => return Err(Fault { key: "z".to_owned(), reason: "no text" }),
             },
             "patch" => PeerMessage::Patch { revision: whole(from, "v")?, change: part("change")? },
-            "stalls" => PeerMessage::Stalls {
+            "stalls" => PeerMessage::FullView {
                 version: read_version(from, "v")?,
                 peers: list(from, "all")?.iter().map(Peer::read).collect::<Result<_, _>>()?,
                 leaving: list(from, "leaving")?.iter().map(Peer::read).collect::<Result<_, _>>()?,
@@ -644,8 +661,8 @@
                 gone: read_names(from, "gone")?,
             },
             "steward" => PeerMessage::Leader { address: string(from, "a")?, fence: whole(from, "f")? },
-            "rest" => PeerMessage::Rest { name: string(from, "n")?, left: number(from, "l")? },
-            "want" => PeerMessage::Want {
+            "rest" => PeerMessage::Drain { name: string(from, "n")?, left: number(from, "l")? },
+            "want" => PeerMessage::DesiredInstances {
                 service: string(from, "s")?,
                 count: small("c")?,
                 zones: read_names(from, "z")?,
@@ -654,23 +671,23 @@
                 does: if from.contains_key("d") { Some(FunctionStatus::read(from, "d")?) } else { None },
                 slow: read_names(from, "slow")?,
             },
-            "floor" => PeerMessage::Floor {
+            "floor" => PeerMessage::MinInstances {
                 service: string(from, "s")?,
                 count: small("c")?,
                 fence: whole(from, "f")?,
                 left: number(from, "l")?,
             },
-            "mine" => PeerMessage::Mine {
+            "mine" => PeerMessage::OwnedInstances {
                 set: list(from, "set")?.iter().map(Instance::read).collect::<Result<_, _>>()?,
             },
             "contact" => PeerMessage::Contact { holds: flag(from, "o") },
             "staleinc" => PeerMessage::StaleIncarnation { known: whole(from, "known")? },
-            "retire" => PeerMessage::Retire { instance: string(from, "i")? },
-            "lost" => PeerMessage::Lost { instance: string(from, "i")? },
-            "up" => PeerMessage::Up { instance: string(from, "i")? },
-            "deaf" => PeerMessage::Deaf { peer: string(from, "p")?, from: string(from, "f")? },
-            "acts" => PeerMessage::Acts { revision: whole(from, "v")?, number: whole(from, "n")? },
-            "alive" => PeerMessage::Alive {
+            "retire" => PeerMessage::RetireInstance { instance: string(from, "i")? },
+            "lost" => PeerMessage::InstanceDown { instance: string(from, "i")? },
+            "up" => PeerMessage::InstanceUp { instance: string(from, "i")? },
+            "deaf" => PeerMessage::PeerUnreachable { peer: string(from, "p")?, from: string(from, "f")? },
+            "acts" => PeerMessage::ConfigApplied { revision: whole(from, "v")?, number: whole(from, "n")? },
+            "alive" => PeerMessage::Heartbeat {
                 peer: Peer::read(&part("p")?)?,
                 serving: flag(from, "o"),
                 split: if from.contains_key("v") {
@@ -680,9 +697,9 @@
                 },
                 digest: if from.contains_key("d") { Some(read_digest(from, "d")?) } else { None },
             },
-            "askrev" => PeerMessage::AskRevision,
-            "stands" => PeerMessage::Stands { revision: whole(from, "v")? },
-            "behind" => PeerMessage::Behind { version: read_version(from, "v")? },
+            "askrev" => PeerMessage::QueryRevision,
+            "stands" => PeerMessage::CommittedRevision { revision: whole(from, "v")? },
+            "behind" => PeerMessage::ViewOutdated { version: read_version(from, "v")? },
             _ => return Err(Fault { key: "t".to_owned(), reason: "no note that is known here" }),
         })
     }
--- a/protocol/src/peer_message/tests.rs
+++ b/protocol/src/peer_message/tests.rs
@@ -12,7 +12,7 @@
         worker: "w".into(),
         stage: 1,
     };
-    let ask = |sent, avoid| PeerMessage::Ask {
+    let ask = |sent, avoid| PeerMessage::RequestPermit {
         id: 7,
         service: "f".into(),
         left: 1_500.25,
@@ -27,8 +27,8 @@
     vec![
         ask(0, vec![]),
         ask(2, vec!["i-2".into()]),
-        PeerMessage::Drop { id: 1 },
-        PeerMessage::Waits { id: 1 },
+        PeerMessage::CancelRequest { id: 1 },
+        PeerMessage::Queued { id: 1 },
         PeerMessage::Grant { id: 1, instance: "i-1".into(), address: "10.0.0.9:80".into(), zone: None },
         PeerMessage::Grant {
             id: 1,
@@ -36,16 +36,22 @@
             address: "10.0.0.9:80".into(),
             zone: Some("b".into()),
         },
-        PeerMessage::No { id: 1, why: "full".into(), wait: 12.5 },
-        PeerMessage::Done { id: 1, outcome: "ok".into(), took: 45.0 },
-        PeerMessage::Held { id: 1, service: "f".into(), instance: "i-1".into(), left: 9.0 },
-        PeerMessage::Over {
+        PeerMessage::Denied { id: 1, why: "full".into(), wait: 12.5 },
+        PeerMessage::ReleasePermit { id: 1, outcome: "ok".into(), took: 45.0 },
+        PeerMessage::HeldPermit { id: 1, service: "f".into(), instance: "i-1".into(), left: 9.0 },
+        PeerMessage::HandOverPermits {
             service: "f".into(),
             version: (1, 2),
             permits: vec![Permit { who: "edge-2".into(), id: 9, instance: "i-1".into(), left: -2.5 }],
         },
-        PeerMessage::Back { who: "edge-2".into(), id: 9, instance: None, outcome: "ok".into(), took: 4.5 },
-        PeerMessage::Back {
+        PeerMessage::ForwardRelease {
+            who: "edge-2".into(),
+            id: 9,
+            instance: None,
+            outcome: "ok".into(),
+            took: 4.5,
+        },
+        PeerMessage::ForwardRelease {
             who: "edge-2".into(),
             id: 9,
             instance: Some("i-1".into()),
@@ -54,9 +60,9 @@
         },
         PeerMessage::Config { revision: 3, body: text("x") },
         PeerMessage::Patch { revision: 4, change: text("y") },
-        PeerMessage::Packed { revision: 4, packed: "eJ".to_owned() },
-        PeerMessage::Folded { revision: 4, packed: "eJ".to_owned() },
-        PeerMessage::Stalls {
+        PeerMessage::PackedConfig { revision: 4, packed: "eJ".to_owned() },
+        PeerMessage::PackedPatch { revision: 4, packed: "eJ".to_owned() },
+        PeerMessage::FullView {
             version: (1, 2),
             peers: vec![peer.clone()],
             leaving: vec![Peer { name: "edge-3".into(), ..peer.clone() }],
@@ -68,9 +74,9 @@
             set: vec![instance.clone()],
             gone: vec!["i-0".into()],
         },
-        PeerMessage::Mine { set: vec![instance] },
+        PeerMessage::OwnedInstances { set: vec![instance] },
         PeerMessage::Leader { address: "10.0.0.2:80".into(), fence: 3 },
-        PeerMessage::Want {
+        PeerMessage::DesiredInstances {
             service: "f".into(),
             count: 2,
             zones: vec!["a".into()],
@@ -79,18 +85,18 @@
             does: Some(FunctionStatus { delay: 12.25, lowest: 4.5, asked: 7, refused: 2 }),
             slow: vec!["w-1".into()],
         },
-        PeerMessage::Rest { name: "edge-1".into(), left: 250.5 },
-        PeerMessage::Floor { service: "f".into(), count: 2, fence: 3, left: 10_000.0 },
+        PeerMessage::Drain { name: "edge-1".into(), left: 250.5 },
+        PeerMessage::MinInstances { service: "f".into(), count: 2, fence: 3, left: 10_000.0 },
         PeerMessage::Contact { holds: true },
         PeerMessage::Contact { holds: false },
         PeerMessage::StaleIncarnation { known: 1_700_000_000_000 },
-        PeerMessage::Retire { instance: "i-1".into() },
-        PeerMessage::Lost { instance: "i-1".into() },
-        PeerMessage::Up { instance: "i-1".into() },
-        PeerMessage::Deaf { peer: "edge-2".into(), from: "edge-1".into() },
-        PeerMessage::Acts { revision: 3, number: 9 },
-        PeerMessage::Alive { peer: peer.clone(), serving: true, split: None, digest: None },
-        PeerMessage::Alive {
+        PeerMessage::RetireInstance { instance: "i-1".into() },
+        PeerMessage::InstanceDown { instance: "i-1".into() },
+        PeerMessage::InstanceUp { instance: "i-1".into() },
+        PeerMessage::PeerUnreachable { peer: "edge-2".into(), from: "edge-1".into() },
+        PeerMessage::ConfigApplied { revision: 3, number: 9 },
+        PeerMessage::Heartbeat { peer: peer.clone(), serving: true, split: None, digest: None },
+        PeerMessage::Heartbeat {
             peer: peer.clone(),
             serving: true,
             split: Some(((1, 2), vec!["f".into()])),
@@ -106,9 +112,9 @@
             split: vec!["f".into()],
             joined: vec!["g".into()],
         }),
-        PeerMessage::AskRevision,
-        PeerMessage::Stands { revision: 3 },
-        PeerMessage::Behind { version: (1, 2) },
+        PeerMessage::QueryRevision,
+        PeerMessage::CommittedRevision { revision: 3 },
+        PeerMessage::ViewOutdated { version: (1, 2) },
     ]
 }
 
--- a/proxy/src/figures.rs
+++ b/proxy/src/figures.rs
@@ -113,10 +113,10 @@
         figures.put("proxy_view_members", desk.owners().len());
         figures.put("proxy_requests_total", self.read.get());
         for (status, count) in &*self.answers.borrow() {
-            figures.put_of("proxy_answers_total", "status", &status.to_string(), count);
+            figures.put_labelled("proxy_answers_total", "status", &status.to_string(), count);
         }
         for (outcome, count) in &*self.tries.borrow() {
-            figures.put_of("proxy_tries_total", "outcome", outcome, count);
+            figures.put_labelled("proxy_tries_total", "outcome", outcome, count);
         }
         figures.put("proxy_requests_waiting", waiting);
         figures.put("proxy_requests_sent", desk.open_request_count() - waiting);
--- a/proxy/src/front.rs
+++ b/proxy/src/front.rs
@@ -64,7 +64,7 @@
         match accepted {
             Ok((stream, _)) => {
                 let (seat, leave) = tokio::select! {
-                    entered = room.enter() => entered,
+                    entered = room.acquire() => entered,
                     _ = phases.wait_for(|p| *p >= ShutdownPhase::Closing) => break,
                 };
                 let (shop, phases) = (Rc::clone(&shop), phases.clone());
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 use millpost_config::Settings;
-use millpost_net::lines::{Bound, Lines};
+use millpost_net::lines::{Lines, OutputLimit};
 use millpost_protocol::frame;
 use millpost_scheduler::Sink;
 
@@ -73,7 +73,8 @@
             return ExitCode::FAILURE;
         }
     };
-    let bound = Bound { bytes: options.record_mb.saturating_mul(1 << 20), told: frame::left_out };
+    let bound =
+        OutputLimit { bytes: options.record_mb.saturating_mul(1 << 20), omitted_line: frame::omitted_line };
     let lines = match options.record.then(|| Lines::start(bound)).transpose() {
         Ok(lines) => lines,
         Err(e) => {
--- a/proxy/src/opening.rs
+++ b/proxy/src/opening.rs
@@ -40,7 +40,7 @@
         idle: Duration::from_secs(60),
         whole: Duration::from_secs(5),
         connections: 400,
-        unheard: None,
+        unacknowledged: None,
     };
     // What the porter brings goes before what waits from others: who owns what may have changed.
     for (listener, inputs) in [(inner, shop.inputs()), (local, shop.urgent())] {
--- a/proxy/src/pool.rs
+++ b/proxy/src/pool.rs
@@ -122,7 +122,7 @@
 
     /// A new connection, kept for the first request: the instance has come up. Whether it has.
     pub async fn scout(&self, instance: &CompactString, address: SocketAddr, keep: bool) -> bool {
-        let options = Options { connect: Some(CONNECT), unheard: None };
+        let options = Options { connect: Some(CONNECT), unacknowledged: None };
         match Link::open_with(address, options).await {
             Ok(link) => {
                 if keep {
@@ -149,7 +149,7 @@
                 None => {
                     fresh = true;
                     let within = CONNECT.min(deadline.saturating_duration_since(Instant::now()));
-                    let options = Options { connect: Some(within), unheard: None };
+                    let options = Options { connect: Some(within), unacknowledged: None };
                     match Link::open_with(address, options).await {
                         Ok(link) => (link, Duration::ZERO),
                         Err(e) => {
@@ -192,7 +192,7 @@
             let within = idle_for(&head.headers);
             // An endpoint may answer before it has read a long body, and read on later: its client does not wait for that, and what
             // is written of the next request could not be told from what is left of this one.
-            if sized && link.all_written() && matches!(timeout(REST, link.rested()).await, Ok(true)) {
+            if sized && link.all_written() && matches!(timeout(REST, link.reusable()).await, Ok(true)) {
                 self.keep(instance, link, within, most);
             }
             let sent = true;
--- a/proxy/src/shop.rs
+++ b/proxy/src/shop.rs
@@ -10,7 +10,7 @@
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode};
 use millpost_config::{Config, JsonCursor, RouteTable, Settings, change};
-use millpost_net::messaging::{self, Bounds, Call, Event, Incarnation, Outbox, Reply, To};
+use millpost_net::messaging::{self, Call, Event, Incarnation, Outbox, OutboxLimits, OutboxTarget, Reply};
 use millpost_net::metrics;
 use millpost_protocol::frame::Head;
 use millpost_protocol::{MessageBatch, PeerMessage, object, text};
@@ -36,8 +36,8 @@
 /// ... and this soon where its porter did not hear it.
 const HURRY: Duration = Duration::from_millis(100);
 /// Mail to another stall is answered within this, or the stall is passed over.
-const BOUNDS: Bounds =
-    Bounds { notes: 8_000, bytes: 4 << 20, at_once: 2, within: Duration::from_millis(700) };
+const BOUNDS: OutboxLimits =
+    OutboxLimits { notes: 8_000, bytes: 4 << 20, at_once: 2, within: Duration::from_millis(700) };
 /// Pause between two looks at an instance that starts.
 const SCOUT: Duration = Duration::from_millis(12);
 /// An instance that has not come up by then is left to control.
@@ -131,8 +131,8 @@
     }
 }
 
-fn to(address: SocketAddr, settings: &Settings, incarnation: Incarnation) -> To {
-    To {
+fn to(address: SocketAddr, settings: &Settings, incarnation: Incarnation) -> OutboxTarget {
+    OutboxTarget {
         peer: address.to_string().into(),
         address,
         path: "/mail".to_owned(),
@@ -178,7 +178,7 @@
         let (inputs, others) = mpsc::channel(4_000);
         let (urgent, first) = mpsc::channel(100);
         let porter = SocketAddr::new(loopback(settings.ip), settings.internal_ports.0 + 2);
-        let porter = To { peer: PORTER.into(), ..to(porter, &settings, Incarnation::new(life)) };
+        let porter = OutboxTarget { peer: PORTER.into(), ..to(porter, &settings, Incarnation::new(life)) };
         let porter = Outbox::new(porter, BOUNDS, inputs.clone());
         Ok(Rc::new(Shop {
             pool: Pool::default(),
@@ -285,13 +285,13 @@
                 let serving = *phases.borrow() < ShutdownPhase::Closing;
                 let split = self.desk.borrow().view_split();
                 let digest = self.desk.borrow().view_digest();
-                self.up(&PeerMessage::Alive { peer, serving, split, digest });
+                self.up(&PeerMessage::Heartbeat { peer, serving, split, digest });
                 if let Some(left) = self.rest.left(self.now()) {
-                    self.up(&PeerMessage::Rest { name: self.settings.node_name.clone(), left });
+                    self.up(&PeerMessage::Drain { name: self.settings.node_name.clone(), left });
                 }
-                self.up(&PeerMessage::Acts { revision: self.currency.acted(), number: 0 });
+                self.up(&PeerMessage::ConfigApplied { revision: self.currency.acted(), number: 0 });
                 if self.currency.asks() {
-                    self.up(&PeerMessage::AskRevision);
+                    self.up(&PeerMessage::QueryRevision);
                 }
             }
             if sweep.elapsed() >= Duration::from_secs(1) {
@@ -358,28 +358,28 @@
             matches!(
                 n,
                 PeerMessage::Config { .. }
-                    | PeerMessage::Packed { .. }
+                    | PeerMessage::PackedConfig { .. }
                     | PeerMessage::Patch { .. }
-                    | PeerMessage::Folded { .. }
-                    | PeerMessage::Stalls { .. }
+                    | PeerMessage::PackedPatch { .. }
+                    | PeerMessage::FullView { .. }
                     | PeerMessage::ViewChange(_)
                     | PeerMessage::Instances { .. }
-                    | PeerMessage::Floor { .. }
+                    | PeerMessage::MinInstances { .. }
                     | PeerMessage::Leader { .. }
-                    | PeerMessage::Rest { .. }
-                    | PeerMessage::Stands { .. }
+                    | PeerMessage::Drain { .. }
+                    | PeerMessage::CommittedRevision { .. }
             )
         });
         for note in down {
             match note {
                 // One life never goes back; what was told before is not unpacked again.
                 PeerMessage::Config { revision, .. }
-                | PeerMessage::Packed { revision, .. }
+                | PeerMessage::PackedConfig { revision, .. }
                 | PeerMessage::Patch { revision, .. }
-                | PeerMessage::Folded { revision, .. }
+                | PeerMessage::PackedPatch { revision, .. }
                     if self.has(revision) => {}
                 PeerMessage::Config { revision, body } => self.configure(revision, &body),
-                PeerMessage::Packed { revision, packed } => {
+                PeerMessage::PackedConfig { revision, packed } => {
                     match messaging::json(
                         millpost_net::pack::unpack(&packed, 16 << 20).unwrap_or_default().as_bytes(),
                     ) {
@@ -388,15 +388,15 @@
                     }
                 }
                 PeerMessage::Patch { revision, change } => self.patch(revision, &change),
-                PeerMessage::Folded { revision, packed } => {
+                PeerMessage::PackedPatch { revision, packed } => {
                     let text = millpost_net::pack::unpack(&packed, 16 << 20).unwrap_or_default();
                     match messaging::json(text.as_bytes()) {
                         Some(change) => self.patch(revision, &change),
                         None => log::error!("change to {revision} can't be unpacked"),
                     }
                 }
-                PeerMessage::Rest { name, left } => self.rest(&name, left),
-                PeerMessage::Stands { revision } => self.currency.stands(revision),
+                PeerMessage::Drain { name, left } => self.rest(&name, left),
+                PeerMessage::CommittedRevision { revision } => self.currency.stands(revision),
                 note => self.desk.borrow_mut().receive_from_controller(now, note),
             }
         }
@@ -483,7 +483,7 @@
         if let Some(before) = before.filter(|before| before.config.services == config.services) {
             let force = Force { table: RouteTable::new(&config), idle: before.idle.clone(), config };
             *self.force.borrow_mut() = Some(Rc::new(force));
-            return self.up(&PeerMessage::Acts { revision: self.currency.acted(), number: 0 });
+            return self.up(&PeerMessage::ConfigApplied { revision: self.currency.acted(), number: 0 });
         }
         let stalls = self.desk.borrow().owners().len().max(1);
         let idle = config.services.iter().map(|s| {
@@ -503,7 +503,7 @@
         let force = Force { table: RouteTable::new(&config), idle: Rc::new(idle.collect()), config };
         *self.force.borrow_mut() = Some(Rc::new(force));
         self.desk.borrow_mut().configure(self.now(), specs.into_iter());
-        self.up(&PeerMessage::Acts { revision: self.currency.acted(), number: 0 });
+        self.up(&PeerMessage::ConfigApplied { revision: self.currency.acted(), number: 0 });
         // The caller carries out.
     }
 
--- a/replay/src/check.rs
+++ b/replay/src/check.rs
@@ -172,7 +172,7 @@
                     }
                 }
                 Action::NotifyController(
-                    PeerMessage::Retire { instance } | PeerMessage::Lost { instance },
+                    PeerMessage::RetireInstance { instance } | PeerMessage::InstanceDown { instance },
                 ) => {
                     if let Some(seen) = self.known.get_mut(instance) {
                         seen.let_go = true;
@@ -210,7 +210,7 @@
             // Whom it stands with now shows where it is sent anew; else that is this stall itself.
             Input::Undelivered { address, messages: notes } => {
                 for note in notes {
-                    if let PeerMessage::Ask { id, .. } | PeerMessage::Held { id, .. } = note
+                    if let PeerMessage::RequestPermit { id, .. } | PeerMessage::HeldPermit { id, .. } = note
                         && let Some(own) = self.own.get_mut(id)
                         && own.sent_to.as_ref() == Some(address)
                     {
@@ -229,7 +229,7 @@
 
     fn told(&mut self, step: &Step<'_>, note: &PeerMessage) {
         match note {
-            PeerMessage::Stalls { peers, .. } => {
+            PeerMessage::FullView { peers, .. } => {
                 self.others.retain(|(who, _), _| *who == self.me || peers.iter().any(|p| p.name == *who));
                 self.judged_anew();
             }
@@ -278,7 +278,7 @@
         let request = (ask.service.clone(), ask.deadline, ask.soft_deadline);
         if first {
             // One that goes elsewhere counts there.
-            let elsewhere = |out: &Action| matches!(out, Action::Send { note: PeerMessage::Ask { id, .. }, .. } if Some(*id) == step.given);
+            let elsewhere = |out: &Action| matches!(out, Action::Send { note: PeerMessage::RequestPermit { id, .. }, .. } if Some(*id) == step.given);
             if !step.outs.iter().any(elsewhere) {
                 self.tally(&ask.service).requests.push_back(step.at);
             }
@@ -318,7 +318,7 @@
             self.others.retain(|(who, _), _| who != from);
         }
         for note in notes {
-            if let PeerMessage::Ask { id, service, left, sent, first, .. } = note {
+            if let PeerMessage::RequestPermit { id, service, left, sent, first, .. } = note {
                 let until =
                     step.at.saturating_add_signed((left.clamp(-1e7, 1e7) * MS as f64) as i64) + OVERDUE;
                 let key = (from.clone(), *id);
@@ -345,10 +345,10 @@
         }
         // Permits of an owner of before are taken in whatever they come to.
         let taken_in = match step.input {
-            Input::ControllerMessage(PeerMessage::Stalls { .. } | PeerMessage::ViewChange(_)) => true,
-            Input::PeerMessages { messages: notes, .. } => {
-                notes.iter().any(|note| matches!(note, PeerMessage::Held { .. } | PeerMessage::Over { .. }))
-            }
+            Input::ControllerMessage(PeerMessage::FullView { .. } | PeerMessage::ViewChange(_)) => true,
+            Input::PeerMessages { messages: notes, .. } => notes.iter().any(|note| {
+                matches!(note, PeerMessage::HeldPermit { .. } | PeerMessage::HandOverPermits { .. })
+            }),
             _ => false,
         };
         let most = self.concurrency.get(service).map_or(1, |c| *c as usize);
@@ -398,7 +398,7 @@
 
     fn sent(&mut self, step: &Step<'_>, to: &CompactString, note: &PeerMessage) {
         match note {
-            PeerMessage::Ask { id, .. } | PeerMessage::Held { id, .. } => {
+            PeerMessage::RequestPermit { id, .. } | PeerMessage::HeldPermit { id, .. } => {
                 if let Some(own) = self.own.get_mut(id) {
                     own.sent_to = Some(to.clone());
                 }
@@ -445,10 +445,12 @@
             {
                 for note in notes {
                     match note {
-                        PeerMessage::Drop { id } => {
+                        PeerMessage::CancelRequest { id } => {
                             self.others.remove(&(from.clone(), *id));
                         }
-                        PeerMessage::Done { id, outcome, .. } => self.returned(step, from, *id, outcome),
+                        PeerMessage::ReleasePermit { id, outcome, .. } => {
+                            self.returned(step, from, *id, outcome)
+                        }
                         _ => {}
                     }
                 }
@@ -492,11 +494,11 @@
             step.outs.iter().filter(|out| matches!(out, Action::Send { note, .. } if is(note))).count()
         };
         let back = count(
-            &|note| matches!(note, PeerMessage::Done { id: of, .. } | PeerMessage::Drop { id: of } if *of == id),
+            &|note| matches!(note, PeerMessage::ReleasePermit { id: of, .. } | PeerMessage::CancelRequest { id: of } if *of == id),
         );
         // An owner's own, of a function that it has handed over since.
         let passed = count(
-            &|note| matches!(note, PeerMessage::Back { who, id: of, .. } if *who == self.me && *of == id),
+            &|note| matches!(note, PeerMessage::ForwardRelease { who, id: of, .. } if *who == self.me && *of == id),
         );
         let own = self.own.remove(&id);
         let granted = own.as_ref().is_some_and(|own| own.granted);
--- a/replay/src/clocks.rs
+++ b/replay/src/clocks.rs
@@ -202,14 +202,14 @@
             DeskInput::PeerMessages { from, incarnation: life, messages: notes } => {
                 for note in notes {
                     match note {
-                        PeerMessage::Ask { id, .. } => {
+                        PeerMessage::RequestPermit { id, .. } => {
                             if let Some(ask) = self.ask(from, *id) {
                                 first(&mut ask.came, node, at);
                             }
                         }
                         PeerMessage::Grant { id, .. }
-                        | PeerMessage::No { id, .. }
-                        | PeerMessage::Waits { id } => {
+                        | PeerMessage::Denied { id, .. }
+                        | PeerMessage::Queued { id } => {
                             if let Some(ask) = self.ask(&me, *id)
                                 && !ask.answered.iter().any(|(who, of, _)| who == from && of == life)
                                 && ask.answered.len() < 64
@@ -223,7 +223,7 @@
             }
             DeskInput::InstanceUp(id) => self.says(node, at, Word::Up(me, "up", id.clone())),
             DeskInput::ConnectionRefused(id) => self.says(node, at, Word::Up(me, "lost", id.clone())),
-            DeskInput::ControllerMessage(PeerMessage::Stalls { version, .. }) => {
+            DeskInput::ControllerMessage(PeerMessage::FullView { version, .. }) => {
                 self.hears(node, at, Word::Told(me, "stalls", *version));
             }
             DeskInput::ControllerMessage(PeerMessage::Instances { version, .. }) => {
@@ -241,7 +241,7 @@
                 let Some(JsonValue::Array(notes)) = parts.get("notes") else { return };
                 for note in notes {
                     match PeerMessage::read(note) {
-                        Ok(PeerMessage::Stalls { version, .. }) => {
+                        Ok(PeerMessage::FullView { version, .. }) => {
                             self.says(node, at, Word::Told(me.clone(), "stalls", version));
                         }
                         Ok(PeerMessage::Instances { version, set, .. }) => {
@@ -262,8 +262,8 @@
                 let lives = of.map_or(0, |of| sources[of].lives.len());
                 for note in letter.notes {
                     let (kind, instance) = match note {
-                        PeerMessage::Up { instance } => ("up", instance),
-                        PeerMessage::Lost { instance } => ("lost", instance),
+                        PeerMessage::InstanceUp { instance } => ("up", instance),
+                        PeerMessage::InstanceDown { instance } => ("lost", instance),
                         _ => continue,
                     };
                     self.says(node, at, Word::Raised(kind, instance.clone()));
--- a/replay/src/cut.rs
+++ b/replay/src/cut.rs
@@ -73,7 +73,7 @@
             Input::Cancel { id } | Input::Finish { id, .. } => {
                 self.own.remove(id);
             }
-            Input::ControllerMessage(PeerMessage::Stalls { peers, .. }) => {
+            Input::ControllerMessage(PeerMessage::FullView { peers, .. }) => {
                 self.stalls = vec![line];
                 self.others.retain(|(who, _), _| peers.iter().any(|p| p.name == *who));
             }
@@ -95,7 +95,7 @@
                     });
                 }
             }
-            Input::ControllerMessage(PeerMessage::Floor { service, .. }) => {
+            Input::ControllerMessage(PeerMessage::MinInstances { service, .. }) => {
                 self.floors.insert(service.clone(), line);
             }
             Input::PeerMessages { from, incarnation: life, messages: notes } => {
@@ -111,21 +111,21 @@
         }
         for note in notes {
             match note {
-                PeerMessage::Ask { id, left, .. } | PeerMessage::Held { id, left, .. } => {
+                PeerMessage::RequestPermit { id, left, .. } | PeerMessage::HeldPermit { id, left, .. } => {
                     let left = left.clamp(0.0, 1e7) * MS as f64;
                     self.others.insert((from.clone(), *id), now.saturating_add(left as Nanos) + OVERDUE);
                 }
-                PeerMessage::Over { permits, .. } => {
+                PeerMessage::HandOverPermits { permits, .. } => {
                     for permit in permits {
                         let left = permit.left.clamp(0.0, 1e7) * MS as f64;
                         let until = now.saturating_add(left as Nanos) + OVERDUE;
                         self.others.insert((permit.who.clone(), permit.id), until);
                     }
                 }
-                PeerMessage::Drop { id } | PeerMessage::Done { id, .. } => {
+                PeerMessage::CancelRequest { id } | PeerMessage::ReleasePermit { id, .. } => {
                     self.others.remove(&(from.clone(), *id));
                 }
-                PeerMessage::Back { who, id, .. } => {
+                PeerMessage::ForwardRelease { who, id, .. } => {
                     self.others.remove(&(who.clone(), *id));
                 }
                 _ => {}
@@ -135,53 +135,52 @@
 
     /// What is kept of an input from before.
     fn keep(&self, line: usize, entry: &DeskEntry) -> Option<Input> {
-        let kept = match entry.input.clone() {
-            input @ Input::New { .. } => input,
-            input @ Input::Configure(_) if self.configured == Some(line) => input,
-            input @ Input::ControllerMessage(PeerMessage::Stalls { .. } | PeerMessage::ViewChange(_))
-                if self.stalls.contains(&line) =>
-            {
-                input
-            }
-            input @ Input::ControllerMessage(PeerMessage::Floor { .. })
-                if self.floors.values().any(|n| *n == line) =>
-            {
-                input
-            }
-            input @ Input::RequestPermit { id: Some(id), .. } if self.own.contains(&id) => input,
-            input @ (Input::InstanceUp(_) | Input::ConnectionRefused(_)) => {
-                let (Input::InstanceUp(id) | Input::ConnectionRefused(id)) = &input else { return None };
-                return self.alive.contains(id).then_some(input);
-            }
-            Input::ControllerMessage(PeerMessage::Instances { version, all, mut set, mut gone }) => {
-                set.retain(|i| self.alive.contains(&i.id));
-                gone.retain(|id| self.alive.contains(id));
-                if set.is_empty() && gone.is_empty() && !all {
-                    return None;
+        let kept =
+            match entry.input.clone() {
+                input @ Input::New { .. } => input,
+                input @ Input::Configure(_) if self.configured == Some(line) => input,
+                input @ Input::ControllerMessage(
+                    PeerMessage::FullView { .. } | PeerMessage::ViewChange(_),
+                ) if self.stalls.contains(&line) => input,
+                input @ Input::ControllerMessage(PeerMessage::MinInstances { .. })
+                    if self.floors.values().any(|n| *n == line) =>
+                {
+                    input
                 }
-                Input::ControllerMessage(PeerMessage::Instances { version, all, set, gone })
-            }
-            Input::PeerMessages { from, incarnation: life, messages: mut notes } => {
-                if self.lives.get(&from) != Some(&life) {
-                    return None;
+                input @ Input::RequestPermit { id: Some(id), .. } if self.own.contains(&id) => input,
+                input @ (Input::InstanceUp(_) | Input::ConnectionRefused(_)) => {
+                    let (Input::InstanceUp(id) | Input::ConnectionRefused(id)) = &input else { return None };
+                    return self.alive.contains(id).then_some(input);
                 }
-                notes.retain(|note| match note {
-                    PeerMessage::Ask { id, .. } | PeerMessage::Held { id, .. } => {
-                        self.others.contains_key(&(from.clone(), *id))
+                Input::ControllerMessage(PeerMessage::Instances { version, all, mut set, mut gone }) => {
+                    set.retain(|i| self.alive.contains(&i.id));
+                    gone.retain(|id| self.alive.contains(id));
+                    if set.is_empty() && gone.is_empty() && !all {
+                        return None;
                     }
-                    PeerMessage::Over { permits, .. } => {
-                        permits.iter().any(|p| self.others.contains_key(&(p.who.clone(), p.id)))
+                    Input::ControllerMessage(PeerMessage::Instances { version, all, set, gone })
+                }
+                Input::PeerMessages { from, incarnation: life, messages: mut notes } => {
+                    if self.lives.get(&from) != Some(&life) {
+                        return None;
+                    }
+                    notes.retain(|note| match note {
+                        PeerMessage::RequestPermit { id, .. } | PeerMessage::HeldPermit { id, .. } => {
+                            self.others.contains_key(&(from.clone(), *id))
+                        }
+                        PeerMessage::HandOverPermits { permits, .. } => {
+                            permits.iter().any(|p| self.others.contains_key(&(p.who.clone(), p.id)))
+                        }
+                        PeerMessage::Grant { id, .. } => self.own.contains(id),
+                        _ => false,
+                    });
+                    if notes.is_empty() {
+                        return None;
                     }
-                    PeerMessage::Grant { id, .. } => self.own.contains(id),
-                    _ => false,
-                });
-                if notes.is_empty() {
-                    return None;
+                    Input::PeerMessages { from, incarnation: life, messages: notes }
                 }
-                Input::PeerMessages { from, incarnation: life, messages: notes }
-            }
-            _ => return None,
-        };
+                _ => return None,
+            };
         Some(kept)
     }
 }
--- a/replay/src/diff.rs
+++ b/replay/src/diff.rs
@@ -77,7 +77,7 @@
     let line = out.split_once(r#","line":"#)?.1.split(',').next()?.parse::<usize>().ok()?;
     let file = std::fs::File::open(path).map(std::io::BufReader::new).ok()?;
     let text = file.lines().nth(line.checked_sub(1)?)?.ok()?;
-    (text.contains(millpost_protocol::line::MARK) && !text.starts_with(outs::MARK)).then_some(text)
+    (text.contains(millpost_protocol::line::LINE_PREFIX) && !text.starts_with(outs::MARK)).then_some(text)
 }
 
 /// The first difference, or how many outputs both have.
--- a/replay/src/explain.rs
+++ b/replay/src/explain.rs
@@ -193,7 +193,7 @@
     }
     for out in step.outs {
         match out {
-            Action::Send { to, note: PeerMessage::Ask { id, .. } } if mine(*id) => {
+            Action::Send { to, note: PeerMessage::RequestPermit { id, .. } } if mine(*id) => {
                 let owner = step.desk.owners().peers().iter().find(|p| p.address == *to);
                 let owner = owner.map_or(to.as_str(), |p| p.name.as_str());
                 let again = if matches!(step.input, Input::RequestPermit { .. }) { "" } else { " (again)" };
@@ -222,7 +222,7 @@
     if let Input::PeerMessages { from, messages: notes, .. } = step.input {
         for note in notes {
             match note {
-                PeerMessage::Waits { id } if mine(*id) => {
+                PeerMessage::Queued { id } if mine(*id) => {
                     put(
                         step.at,
                         "waits",
@@ -331,7 +331,7 @@
     if let Input::PeerMessages { from, messages: notes, .. } = step.input {
         for note in notes {
             match note {
-                PeerMessage::Ask { id, left, .. } if of_it(from, *id) => {
+                PeerMessage::RequestPermit { id, left, .. } if of_it(from, *id) => {
                     put(
                         step.at,
                         "came",
@@ -339,15 +339,15 @@
                         vec![("ask", (*id).into())],
                     );
                 }
-                PeerMessage::Held { id, instance, .. } if of_it(from, *id) => {
+                PeerMessage::HeldPermit { id, instance, .. } if of_it(from, *id) => {
                     let say = format!("hears that permit {id} is out at {instance}, of an owner before");
                     put(step.at, "held", say, vec![("instance", instance.into())]);
                 }
-                PeerMessage::Done { id, outcome, took } if of_it(from, *id) => {
+                PeerMessage::ReleasePermit { id, outcome, took } if of_it(from, *id) => {
                     let say = format!("has the slot of ask {id} back: {outcome} after {took:.1} ms");
                     put(step.at, "back", say, vec![("outcome", outcome.into())]);
                 }
-                PeerMessage::Drop { id } if of_it(from, *id) => {
+                PeerMessage::CancelRequest { id } if of_it(from, *id) => {
                     put(step.at, "dropped", format!("hears that ask {id} is wanted no longer"), Parts::new());
                 }
                 _ => {}
--- a/replay/src/feeds.rs
+++ b/replay/src/feeds.rs
@@ -142,12 +142,12 @@
     fn told(&mut self, pass: &Pass<'_>, note: &PeerMessage) {
         let (was, is) = match note {
             PeerMessage::Config { revision, .. }
-            | PeerMessage::Packed { revision, .. }
+            | PeerMessage::PackedConfig { revision, .. }
             | PeerMessage::Patch { revision, .. }
-            | PeerMessage::Folded { revision, .. } => {
+            | PeerMessage::PackedPatch { revision, .. } => {
                 ((std::mem::replace(&mut self.revision, *revision), 0), (*revision, 0))
             }
-            PeerMessage::Stalls { version, .. } | PeerMessage::ViewChange(ViewChange { version, .. }) => {
+            PeerMessage::FullView { version, .. } | PeerMessage::ViewChange(ViewChange { version, .. }) => {
                 (std::mem::replace(&mut self.stalls, *version), *version)
             }
             PeerMessage::Instances { version, .. } => {
--- a/replay/src/instance.rs
+++ b/replay/src/instance.rs
@@ -194,10 +194,10 @@
             Action::ProbeReadiness { instance, .. } if instance.id == id => {
                 put("scouts", "is to find out when it accepts connections".into(), Parts::new());
             }
-            Action::NotifyController(PeerMessage::Retire { instance }) if instance == id => {
+            Action::NotifyController(PeerMessage::RetireInstance { instance }) if instance == id => {
                 put("says", "says that it may be stopped".into(), Parts::new());
             }
-            Action::NotifyController(PeerMessage::Lost { instance }) if instance == id => {
+            Action::NotifyController(PeerMessage::InstanceDown { instance }) if instance == id => {
                 put("says", "says that it is dead".into(), Parts::new());
             }
             _ => {}
--- a/replay/src/lines.rs
+++ b/replay/src/lines.rs
@@ -10,7 +10,7 @@
 
 use millpost_agent::recording as round;
 use millpost_autoscaler::recording as scaler;
-use millpost_protocol::frame::{self, HEAD, Head, LEFT_OUT, Left, Sum};
+use millpost_protocol::frame::{self, Checksum, HEADER_PREFIX, Head, OMITTED_PREFIX, OmissionReason};
 use millpost_protocol::{Fault, line, string};
 use millpost_scheduler::recording as desk;
 
@@ -235,19 +235,19 @@
 /// What was written, as it is read.
 enum Wrote {
     Head(Head),
-    LeftOut(Left, u64),
+    LeftOut(OmissionReason, u64),
     Entry(Entry, Option<(u64, u32)>),
 }
 
 /// Reads what was written; the first line of a life says of what it is.
 fn wrote_of(wrote: &str, kind: &mut Kind, summed: bool) -> Result<Wrote, Fault> {
     let parts = line::read(wrote)?;
-    let head = wrote.starts_with(HEAD);
-    match frame::sum(wrote) {
-        Sum::Wrong => {
+    let head = wrote.starts_with(HEADER_PREFIX);
+    match frame::checksum(wrote) {
+        Checksum::Invalid => {
             return Err(Fault { key: "#".to_owned(), reason: "the line is not as it was written" });
         }
-        Sum::Missing if summed || head => {
+        Checksum::Missing if summed || head => {
             return Err(Fault { key: "#".to_owned(), reason: "missing" });
         }
         _ => {}
@@ -255,8 +255,8 @@
     if head {
         return Head::of(&parts).map(Wrote::Head);
     }
-    if wrote.starts_with(LEFT_OUT) {
-        return Left::of(&parts).map(|(left, lines)| Wrote::LeftOut(left, lines));
+    if wrote.starts_with(OMITTED_PREFIX) {
+        return OmissionReason::of(&parts).map(|(left, lines)| Wrote::LeftOut(left, lines));
     }
     if string(&parts, "in")? == "new" {
         *kind = match string(&parts, "of")?.as_str() {
@@ -271,7 +271,7 @@
         Kind::Scaler => scaler::Entry::from_json(&parts).map(Entry::Scaler),
         Kind::Round => round::Entry::from_json(&parts).map(Entry::Round),
     };
-    Ok(Wrote::Entry(entry?, frame::decided(&parts)?))
+    Ok(Wrote::Entry(entry?, frame::read_digest(&parts)?))
 }
 
 impl<'a> Lines<'a> {
@@ -405,13 +405,13 @@
     fn line(&mut self, bytes: &[u8]) -> Result<Option<Read>, Error> {
         let text = String::from_utf8_lossy(bytes);
         let (collected, named, wrote) = parts(text.trim_end());
-        if !wrote.starts_with(line::MARK) {
+        if !wrote.starts_with(line::LINE_PREFIX) {
             self.passed_over += usize::from(!wrote.is_empty());
             return Ok(None);
         }
         // Without a collector its head says whose the lines are from there on.
         let of = if named.is_empty() { self.here.clone() } else { Some(named.to_owned()) };
-        let begins = wrote.starts_with(HEAD);
+        let begins = wrote.starts_with(HEADER_PREFIX);
         if !begins && of.as_deref().is_none_or(|of| !self.which.means(of)) {
             self.passed_over += 1;
             return Ok(None);
@@ -450,7 +450,7 @@
                 Ok(None)
             }
             Wrote::LeftOut(left, lines) => {
-                self.left_out[usize::from(left == Left::Unread)] += lines;
+                self.left_out[usize::from(left == OmissionReason::Unread)] += lines;
                 Ok(None)
             }
             Wrote::Entry(entry, decided) => {
@@ -509,10 +509,12 @@
     /// A line that can't be read. It may be the last of a life, cut off by its end.
     fn fault(&mut self, bytes: &[u8], at: Option<usize>, fault: &Fault) -> Result<Option<Read>, Error> {
         let error = self.error(&fault.key, fault.reason);
-        let cut = fault.reason == line::CUT || !bytes.ends_with(b"\n") && std::str::from_utf8(bytes).is_err();
+        let cut =
+            fault.reason == line::TRUNCATED || !bytes.ends_with(b"\n") && std::str::from_utf8(bytes).is_err();
         // The head of the next life may stand behind it, where nobody has ended the line.
-        let head = bytes.windows(HEAD.len()).skip(1).position(|window| window == HEAD.as_bytes());
-        if let Some(next) = head.filter(|_| !bytes.starts_with(HEAD.as_bytes())) {
+        let head =
+            bytes.windows(HEADER_PREFIX.len()).skip(1).position(|window| window == HEADER_PREFIX.as_bytes());
+        if let Some(next) = head.filter(|_| !bytes.starts_with(HEADER_PREFIX.as_bytes())) {
             self.behind = Some(bytes[next + 1..].to_vec());
         } else if !cut {
             return Err(error);
@@ -597,7 +599,7 @@
             // A line counts as soon as its last byte is there.
             let ends = text.match_indices("}\n").map(|(at, _)| at + 1).chain([text.len()]);
             let whole = ends.filter(|at| *at <= end).count();
-            let heads = text[..].match_indices(HEAD).map(|(at, _)| at).collect::<Vec<_>>();
+            let heads = text[..].match_indices(HEADER_PREFIX).map(|(at, _)| at).collect::<Vec<_>>();
             let heads =
                 heads.iter().filter(|at| text[**at..].find('\n').is_some_and(|n| **at + n <= end)).count();
             assert_eq!(read[..], all[..whole - heads], "{end}");
@@ -651,7 +653,11 @@
     #[test]
     fn what_is_left_out_is_counted() {
         let mut all = recorded()[..4].to_vec();
-        all.extend([frame::left_out(true, 1), frame::left_out(true, 8), frame::left_out(false, 3)]);
+        all.extend([
+            frame::omitted_line(true, 1),
+            frame::omitted_line(true, 8),
+            frame::omitted_line(false, 3),
+        ]);
         let text = all.join("\n");
         let mut lines = Lines::new(text.as_bytes(), Which::default());
         while lines.read().expect("good lines").is_some() {}
--- a/replay/src/numbers.rs
+++ b/replay/src/numbers.rs
@@ -48,7 +48,7 @@
             // Of all that comes by mail only the answers to own asks bear own numbers.
             DeskInput::PeerMessages { messages: notes, .. } => {
                 for note in notes {
-                    if let PeerMessage::Grant { id, .. } | PeerMessage::No { id, .. } = note {
+                    if let PeerMessage::Grant { id, .. } | PeerMessage::Denied { id, .. } = note {
                         *id = self.here(*id);
                     }
                 }
--- a/replay/src/outs.rs
+++ b/replay/src/outs.rs
@@ -38,10 +38,10 @@
 fn said(note: &PeerMessage, numbers: &Numbers) -> PeerMessage {
     let mut note = note.clone();
     // Grants and refusals bear the other's numbers.
-    if let PeerMessage::Ask { id, .. }
-    | PeerMessage::Drop { id }
-    | PeerMessage::Done { id, .. }
-    | PeerMessage::Held { id, .. } = &mut note
+    if let PeerMessage::RequestPermit { id, .. }
+    | PeerMessage::CancelRequest { id }
+    | PeerMessage::ReleasePermit { id, .. }
+    | PeerMessage::HeldPermit { id, .. } = &mut note
     {
         *id = numbers.recorded(*id);
     }
--- a/replay/src/table.rs
+++ b/replay/src/table.rs
@@ -123,7 +123,7 @@
             }
             Input::PeerMessages { from, messages: notes, .. } => {
                 for note in notes {
-                    if let PeerMessage::Ask { id, service, .. } = note {
+                    if let PeerMessage::RequestPermit { id, service, .. } = note {
                         let key = (Some(from.clone()), *id);
                         if self.counts(service) && !self.open.contains_key(&key) {
                             self.row.mail += 1;
@@ -143,10 +143,10 @@
                 Action::Send { to, note: PeerMessage::Grant { id, .. } } => {
                     self.grant(name_of(to), *id, step.at)
                 }
-                Action::Send { to, note: PeerMessage::No { id, why, .. } } => {
+                Action::Send { to, note: PeerMessage::Denied { id, why, .. } } => {
                     self.refuse(name_of(to), *id, why)
                 }
-                Action::NotifyController(PeerMessage::Want { service, count, .. }) => {
+                Action::NotifyController(PeerMessage::DesiredInstances { service, count, .. }) => {
                     self.wants.insert(service.clone(), *count);
                 }
                 _ => {}
@@ -158,7 +158,7 @@
             }
             Input::PeerMessages { from, messages: notes, .. } => {
                 for note in notes {
-                    if let PeerMessage::Drop { id } | PeerMessage::Done { id, .. } = note {
+                    if let PeerMessage::CancelRequest { id } | PeerMessage::ReleasePermit { id, .. } = note {
                         self.open.remove(&(Some(from.clone()), *id));
                     }
                 }
--- a/replay/src/version.rs
+++ b/replay/src/version.rs
@@ -31,12 +31,14 @@
     let JsonValue::Object(parts) = messaging::json(line)? else { return None };
     let JsonValue::Array(notes) = parts.get("notes")? else { return None };
     notes.iter().find_map(|note| match PeerMessage::read(note).ok()? {
-        PeerMessage::Config { revision: r, .. } | PeerMessage::Packed { revision: r, .. }
+        PeerMessage::Config { revision: r, .. } | PeerMessage::PackedConfig { revision: r, .. }
             if r == revision =>
         {
             Some("whole")
         }
-        PeerMessage::Patch { revision: r, .. } | PeerMessage::Folded { revision: r, .. } if r == revision => {
+        PeerMessage::Patch { revision: r, .. } | PeerMessage::PackedPatch { revision: r, .. }
+            if r == revision =>
+        {
             Some("as a change")
         }
         _ => None,
--- a/replay/tests/day/mod.rs
+++ b/replay/tests/day/mod.rs
@@ -356,7 +356,7 @@
                     address: address(n),
                     zone: zone(n),
                 });
-                let note = PeerMessage::Stalls {
+                let note = PeerMessage::FullView {
                     version: (1, self.version),
                     peers: peers.collect(),
                     leaving: vec![],
@@ -583,24 +583,24 @@
 
     fn control(&mut self, note: &PeerMessage) {
         match note {
-            PeerMessage::Want { service, count, .. } => {
+            PeerMessage::DesiredInstances { service, count, .. } => {
                 self.wants.insert(service.clone(), *count);
                 self.scale(service);
             }
-            PeerMessage::Up { instance } => {
+            PeerMessage::InstanceUp { instance } => {
                 if let Some(place) = self.places.get_mut(instance).filter(|p| p.told.stage == 0) {
                     place.told.stage = 1;
                     self.tell_instance(instance, false);
                 }
             }
-            PeerMessage::Retire { instance } => {
+            PeerMessage::RetireInstance { instance } => {
                 if let Some(place) = self.places.get_mut(instance) {
                     place.told.stage = 2;
                     self.tell_instance(instance, false);
                     self.later(15 * MS, Happens::Gone(instance.clone()));
                 }
             }
-            PeerMessage::Lost { instance } if self.places.remove(instance).is_some() => {
+            PeerMessage::InstanceDown { instance } if self.places.remove(instance).is_some() => {
                 self.tell_instance(instance, true)
             }
             _ => {}
--- a/replay/tests/traces.rs
+++ b/replay/tests/traces.rs
@@ -111,7 +111,7 @@
                 .cloned();
             let mut outs = pass.outs.to_vec();
             if pass.input == &millpost_agent::Input::Shutdown {
-                let (address, note) = (([10, 0, 0, 9], 1).into(), PeerMessage::Drop { id: 1 });
+                let (address, note) = (([10, 0, 0, 9], 1).into(), PeerMessage::CancelRequest { id: 1 });
                 outs.extend(first.clone());
                 outs.push(Effect::SendToControl { feed: 900, to: address, message: note });
                 for feed in 901..904 {
@@ -176,9 +176,14 @@
             outs = outs
                 .into_iter()
                 .flat_map(|out| match out {
-                    Action::Send { to, note: PeerMessage::Done { id, outcome, took } } => {
-                        let note =
-                            PeerMessage::Back { who: "edge-1".into(), id, instance: None, outcome, took };
+                    Action::Send { to, note: PeerMessage::ReleasePermit { id, outcome, took } } => {
+                        let note = PeerMessage::ForwardRelease {
+                            who: "edge-1".into(),
+                            id,
+                            instance: None,
+                            outcome,
+                            took,
+                        };
                         vec![Action::Send { to, note }; times]
                     }
                     other => vec![other],
@@ -204,10 +209,10 @@
     let checks = checked(text.as_bytes(), which, |check, step| {
         let mut outs = step.outs.to_vec();
         if let (Input::Finish { id, .. }, true) = (step.input, outs.len() == 1)
-            && let Action::Send { to, note: PeerMessage::Done { .. } } = outs.remove(0)
+            && let Action::Send { to, note: PeerMessage::ReleasePermit { .. } } = outs.remove(0)
         {
             let (instance, service) = ("i".into(), "s".into());
-            let notes = vec![PeerMessage::Held { id: *id, service, instance, left: 9.0 }];
+            let notes = vec![PeerMessage::HeldPermit { id: *id, service, instance, left: 9.0 }];
             check.see(&Step {
                 input: &Input::Undelivered { address: to, messages: notes },
                 outs: &[],
@@ -249,7 +254,7 @@
     let let_go = planted("calm.jsonl", |step| {
         let mut outs = step.outs.to_vec();
         if let Some(Action::Granted { instance, .. }) = step.outs.first() {
-            let note = PeerMessage::Retire { instance: instance.clone() };
+            let note = PeerMessage::RetireInstance { instance: instance.clone() };
             outs.insert(0, Action::NotifyController(note));
         }
         (step.input.clone(), outs, step.at)
--- a/scheduler/src/coordinator.rs
+++ b/scheduler/src/coordinator.rs
@@ -344,7 +344,7 @@
             return self.carry_out(now);
         }
         let ms = |until: Nanos| (until as f64 - now as f64) / MS as f64;
-        let note = PeerMessage::Ask {
+        let note = PeerMessage::RequestPermit {
             id,
             left: ms(ask.deadline),
             aim: ms(ask.soft_deadline),
@@ -389,9 +389,9 @@
             return self.carry_out(now);
         }
         let note = if open.granted.is_some() {
-            PeerMessage::Done { id, outcome: outcome.as_str().into(), took: took as f64 / MS as f64 }
+            PeerMessage::ReleasePermit { id, outcome: outcome.as_str().into(), took: took as f64 / MS as f64 }
         } else {
-            PeerMessage::Drop { id }
+            PeerMessage::CancelRequest { id }
         };
         self.send(&owner, note);
     }
@@ -412,7 +412,7 @@
     /// An instance was seen to accept connections.
     pub fn instance_up(&mut self, now: Nanos, id: &str) {
         self.broker.instance_up(now, id);
-        self.outs.push_back(Action::NotifyController(PeerMessage::Up { instance: id.into() }));
+        self.outs.push_back(Action::NotifyController(PeerMessage::InstanceUp { instance: id.into() }));
         self.carry_out(now);
     }
 
@@ -424,7 +424,7 @@
     /// A connection to an instance was refused outright.
     pub fn connection_refused(&mut self, now: Nanos, id: &str) {
         self.broker.mark_lost(now, id, false);
-        self.outs.push_back(Action::NotifyController(PeerMessage::Lost { instance: id.into() }));
+        self.outs.push_back(Action::NotifyController(PeerMessage::InstanceDown { instance: id.into() }));
         self.carry_out(now);
     }
 
@@ -464,7 +464,18 @@
         let at = |left: f64| now.saturating_add_signed((left.clamp(-1e7, 1e7) * MS as f64) as i64);
         let span = |ms: f64| (ms.clamp(0.0, 1e7) * MS as f64) as Nanos;
         match note {
-            PeerMessage::Ask { id, service, left, aim, target, sent, first, returned, avoid, zone } => {
+            PeerMessage::RequestPermit {
+                id,
+                service,
+                left,
+                aim,
+                target,
+                sent,
+                first,
+                returned,
+                avoid,
+                zone,
+            } => {
                 let (deadline, aim, target) = (at(left), at(aim), span(target));
                 let ask = PermitRequest {
                     id,
@@ -480,16 +491,16 @@
                 self.stand_back(now, &ask);
                 self.broker.request_permit(now, from.into(), ask, first);
             }
-            PeerMessage::Drop { id } => {
+            PeerMessage::CancelRequest { id } => {
                 let passed = self.pass_on(from, id, Outcome::Unused.as_str(), 0.0);
                 if !passed {
                     self.broker.cancel(now, from, id);
                 }
             }
-            PeerMessage::Over { service, version, permits } => {
+            PeerMessage::HandOverPermits { service, version, permits } => {
                 self.over(now, from, service, version, permits)
             }
-            PeerMessage::Back { who, id, instance, outcome, took } => {
+            PeerMessage::ForwardRelease { who, id, instance, outcome, took } => {
                 // It may have gone on from here by now.
                 if self.pass_on(&who, id, &outcome, took) {
                     return;
@@ -502,14 +513,14 @@
                     self.broker.came_back(now, &who, id, outcome);
                 }
             }
-            PeerMessage::Done { id, outcome, took } => {
+            PeerMessage::ReleasePermit { id, outcome, took } => {
                 let passed = self.pass_on(from, id, &outcome, took);
                 if !passed {
                     let outcome = Outcome::parse(&outcome).unwrap_or(Outcome::Abandoned);
                     self.broker.release(now, from, id, outcome, span(took));
                 }
             }
-            PeerMessage::Held { id, instance, left, .. } => {
+            PeerMessage::HeldPermit { id, instance, left, .. } => {
                 self.broker.counts.held += 1;
                 self.broker.hold_permit(now, from.into(), id, &instance, at(left));
             }
@@ -517,14 +528,14 @@
                 let zone = zone.unwrap_or_else(|| self.me.zone.clone());
                 self.granted(now, from, id, Granted { instance, address, zone });
             }
-            PeerMessage::Waits { id } => {
+            PeerMessage::Queued { id } => {
                 if let Some(open) = self.open.get_mut(&id).filter(|o| o.owner.as_deref() == Some(from)) {
                     (open.said, open.again) = (now + WAITS - ASK_AGAIN, 0);
                     // It was answered: whoever gave it has nothing to say until then.
                     open.since = now + WAITS;
                 }
             }
-            PeerMessage::No { id, why, wait } => {
+            PeerMessage::Denied { id, why, wait } => {
                 let mine = self
                     .open
                     .get(&id)
@@ -549,14 +560,14 @@
     pub fn receive_from_controller(&mut self, now: Nanos, note: PeerMessage) {
         self.passed_over.remove(&self.me.name);
         match note {
-            PeerMessage::Stalls { version, peers, leaving, split } if version > self.owners.version() => {
+            PeerMessage::FullView { version, peers, leaving, split } if version > self.owners.version() => {
                 self.named(now, MembershipView::new(version, peers, split).with_leaving(leaving).into());
             }
             PeerMessage::ViewChange(shift) if shift.version > self.owners.version() => {
                 match self.owners.apply_change(&shift) {
                     Some(owners) => self.named(now, owners),
                     // What lies between was missed: it comes whole.
-                    None => self.outs.push_back(Action::NotifyController(PeerMessage::Behind {
+                    None => self.outs.push_back(Action::NotifyController(PeerMessage::ViewOutdated {
                         version: self.owners.version(),
                     })),
                 }
@@ -593,7 +604,7 @@
                 }
                 self.carry_out(now);
             }
-            PeerMessage::Floor { service, count, fence, left } => {
+            PeerMessage::MinInstances { service, count, fence, left } => {
                 let until = now + (left.clamp(0.0, 1e7) * MS as f64) as Nanos;
                 self.broker.set_floor(now, &service, count, fence, until);
                 self.carry_out(now);
@@ -613,8 +624,8 @@
             // it hears again, and says if it has no use for it.
             let again = match &note {
                 PeerMessage::Grant { id, .. } => self.broker.has_request(&name, *id),
-                PeerMessage::Over { version, .. } => *version == self.owners.version(),
-                PeerMessage::Back { .. } => true,
+                PeerMessage::HandOverPermits { version, .. } => *version == self.owners.version(),
+                PeerMessage::ForwardRelease { .. } => true,
                 _ => false,
             };
             if again {
@@ -673,14 +684,14 @@
                 let wait = if let DenialReason::Full(wait) = no { wait } else { 0 };
                 self.send(
                     &to,
-                    PeerMessage::No { id: ask, why: no.as_str().into(), wait: wait as f64 / MS as f64 },
+                    PeerMessage::Denied { id: ask, why: no.as_str().into(), wait: wait as f64 / MS as f64 },
                 );
             }
             Effect::Queued { to, .. } if to == self.me.name => {}
-            Effect::Queued { to, ask } => self.send(&to, PeerMessage::Waits { id: ask }),
+            Effect::Queued { to, ask } => self.send(&to, PeerMessage::Queued { id: ask }),
             Effect::SetInstanceTarget { service, count, zones, strain, does, slow } => {
                 let lot = (self.owners.partition_count(&service) > 1).then(|| self.me.zone.clone());
-                self.outs.push_back(Action::NotifyController(PeerMessage::Want {
+                self.outs.push_back(Action::NotifyController(PeerMessage::DesiredInstances {
                     service,
                     count,
                     zones,
@@ -691,10 +702,10 @@
                 }))
             }
             Effect::Retire(instance) => {
-                self.outs.push_back(Action::NotifyController(PeerMessage::Retire { instance }))
+                self.outs.push_back(Action::NotifyController(PeerMessage::RetireInstance { instance }))
             }
             Effect::ReportLost(instance) => {
-                self.outs.push_back(Action::NotifyController(PeerMessage::Lost { instance }))
+                self.outs.push_back(Action::NotifyController(PeerMessage::InstanceDown { instance }))
             }
             Effect::ProbeReadiness { instance, from } => {
                 self.outs.push_back(Action::ProbeReadiness { instance, from })
@@ -718,8 +729,10 @@
         }
         for peer in deaf {
             self.passed_over.insert(peer.clone(), now + PASSED_OVER);
-            self.outs
-                .push_back(Action::NotifyController(PeerMessage::Deaf { peer, from: self.me.name.clone() }));
+            self.outs.push_back(Action::NotifyController(PeerMessage::PeerUnreachable {
+                peer,
+                from: self.me.name.clone(),
+            }));
         }
         self.replace(now);
         self.carry_out(now);
--- a/scheduler/src/coordinator/passing.rs
+++ b/scheduler/src/coordinator/passing.rs
@@ -33,7 +33,7 @@
         }
         let version = self.owners.version();
         for (to, permits) in told.into_values() {
-            let note = PeerMessage::Over { service: service.clone(), version, permits };
+            let note = PeerMessage::HandOverPermits { service: service.clone(), version, permits };
             self.outs.push_back(Action::Send { to, note });
         }
     }
@@ -106,7 +106,7 @@
             }
         }
         let version = self.owners.version();
-        self.send(owner, PeerMessage::Over { service: service.clone(), version, permits });
+        self.send(owner, PeerMessage::HandOverPermits { service: service.clone(), version, permits });
     }
 
     /// A permit of this stall's own that an owner had given out goes back to another one.
@@ -162,7 +162,10 @@
 
     /// Nobody waits for what was granted.
     fn unused(&mut self, from: &str, id: u64) {
-        self.send(from, PeerMessage::Done { id, outcome: Outcome::Unused.as_str().into(), took: 0.0 });
+        self.send(
+            from,
+            PeerMessage::ReleasePermit { id, outcome: Outcome::Unused.as_str().into(), took: 0.0 },
+        );
     }
 
     /// Whether this stall owned the function in that zone by the naming before, and another one does now.
@@ -188,7 +191,7 @@
     pub(super) fn pass_on(&mut self, from: &str, id: u64, outcome: &str, took: f64) -> bool {
         let Some(handed) = self.handed.remove(&(from.into(), id)) else { return false };
         let (instance, outcome) = (Some(handed.instance), outcome.into());
-        let note = PeerMessage::Back { who: from.into(), id, instance, outcome, took };
+        let note = PeerMessage::ForwardRelease { who: from.into(), id, instance, outcome, took };
         self.send(&handed.to, note);
         true
     }
--- a/scheduler/src/coordinator/turns.rs
+++ b/scheduler/src/coordinator/turns.rs
@@ -61,9 +61,9 @@
         let split: Vec<_> = self.split.iter().map(|n| service(*n)).collect();
         let next = MembershipView::new(self.version(), peers, split);
         let before = std::mem::replace(&mut self.named, next);
-        let mut shift = self.named.shift(&before);
+        let mut shift = self.named.change_from(&before);
         match self.below(8) {
-            0 => self.named.note(),
+            0 => self.named.to_message(),
             1 => {
                 shift.from.1 += 1_000_000;
                 PeerMessage::ViewChange(shift)
@@ -120,7 +120,8 @@
         let PermitRequest { service, zone, .. } = self.ask(now);
         let (left, aim, target, first, returned) = (900.0, 300.0, 300.0, true, true);
         let (avoid, sent) = (vec![], 0);
-        let note = PeerMessage::Ask { id, service, left, aim, target, sent, first, returned, avoid, zone };
+        let note =
+            PeerMessage::RequestPermit { id, service, left, aim, target, sent, first, returned, avoid, zone };
         Input::PeerMessages { from, incarnation: 1, messages: vec![note] }
     }
 }
@@ -176,13 +177,13 @@
         for out in &outs {
             match out {
                 Action::Granted { ask, .. } => granted.push(*ask),
-                Action::NotifyController(PeerMessage::Behind { version }) => {
+                Action::NotifyController(PeerMessage::ViewOutdated { version }) => {
                     behind += 1;
                     assert_eq!(*version, quick.owners.version());
-                    let whole = Input::ControllerMessage(world.named.note());
+                    let whole = Input::ControllerMessage(world.named.to_message());
                     assert_eq!(given(&mut quick, now, whole.clone()), given(&mut plain, now, whole));
                 }
-                Action::Send { note: PeerMessage::Over { .. }, .. } => parted += 1,
+                Action::Send { note: PeerMessage::HandOverPermits { .. }, .. } => parted += 1,
                 _ => {}
             }
         }
--- a/scheduler/src/coordinator/view.rs
+++ b/scheduler/src/coordinator/view.rs
@@ -103,7 +103,7 @@
         };
         let set: Vec<_> = self.broker.owned_instances().map(note).collect();
         if !set.is_empty() {
-            self.outs.push_back(Action::NotifyController(PeerMessage::Mine { set }));
+            self.outs.push_back(Action::NotifyController(PeerMessage::OwnedInstances { set }));
         }
     }
 
@@ -154,7 +154,8 @@
         deadline: Nanos,
     ) {
         let left = (deadline as f64 - now as f64) / MS as f64;
-        self.outs.push_back(Action::Send { to, note: PeerMessage::Held { id, service, instance, left } });
+        self.outs
+            .push_back(Action::Send { to, note: PeerMessage::HeldPermit { id, service, instance, left } });
     }
 
     /// A stall lives anew, and knows nothing of what it had given out: it hears what is out here.
--- a/scheduler/src/owner_ranking.rs
+++ b/scheduler/src/owner_ranking.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use compact_str::CompactString;
-use millpost_protocol::seed;
+use millpost_protocol::peer_hash;
 
 use crate::owners::{Owners, hash};
 
@@ -26,7 +26,9 @@
 }
 
 fn work_out(owners: &Owners, service: &str, zone: &str) -> Two {
-    owners.owner_and_deputy(service, zone).map(|p| p.map(|p| (hash(service, seed(&p.name)), p.name.clone())))
+    owners
+        .owner_and_deputy(service, zone)
+        .map(|p| p.map(|p| (hash(service, peer_hash(&p.name)), p.name.clone())))
 }
 
 impl OwnerRanking {
@@ -63,13 +65,13 @@
     pub fn update(&mut self, owners: Owners) -> (BTreeSet<CompactString>, BTreeSet<CompactString>) {
         let before = std::mem::replace(&mut self.owners, owners);
         let owners = &self.owners;
-        let (came, left) = owners.view().since(before.view());
+        let (came, left) = owners.view().diff_peers(before.view());
         let left: BTreeSet<_> = left.into_iter().map(|p| &p.name).collect();
         let mut stand: BTreeSet<_> = came.iter().map(|p| p.name.clone()).collect();
         let came: Vec<_> = came
             .into_iter()
             .filter(|p| before.find(&p.name).is_none())
-            .map(|p| (seed(&p.name), &p.name))
+            .map(|p| (peer_hash(&p.name), &p.name))
             .collect();
         let split: BTreeSet<_> = owners.split().union(before.split()).collect();
         let turned: BTreeSet<_> = split
--- a/scheduler/src/owners.rs
+++ b/scheduler/src/owners.rs
@@ -9,7 +9,7 @@
 
 use compact_str::CompactString;
 pub use millpost_protocol::Peer;
-use millpost_protocol::{MembershipView, Version, ViewChange, seed};
+use millpost_protocol::{MembershipView, Version, ViewChange, peer_hash};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// The stalls that are alive, in the version that control named last.
@@ -23,7 +23,7 @@
 
 impl From<MembershipView> for Owners {
     fn from(roster: MembershipView) -> Self {
-        let seeds = roster.peers().iter().map(|p| seed(&p.name)).collect();
+        let seeds = roster.peers().iter().map(|p| peer_hash(&p.name)).collect();
         let zones = roster.peers().iter().map(|p| &p.zone).collect::<BTreeSet<_>>();
         Owners { seeds, zones: zones.into_iter().cloned().collect(), roster }
     }
@@ -41,7 +41,7 @@
 
     /// The naming that a shift leads to; none where it goes from another than this.
     pub fn apply_change(&self, shift: &ViewChange) -> Option<Self> {
-        self.roster.shifted(shift).map(Owners::from)
+        self.roster.apply(shift).map(Owners::from)
     }
 
     /// The naming.
@@ -127,7 +127,7 @@
         if lot.is_some_and(|lot| me.zone != lot) {
             return Err(0);
         }
-        let here = (hash(service, seed(&me.name)), &me.name);
+        let here = (hash(service, peer_hash(&me.name)), &me.name);
         let mut others = self.seeds.iter().zip(self.peers()).filter(|(_, p)| lot.is_none_or(|z| p.zone == z));
         others
             .find(|(seed, p)| (hash(service, **seed), &p.name) > here)
@@ -153,12 +153,18 @@
         if self.find(me).is_some() != before.find(me).is_some() {
             return OwnershipChange { all: true, ..OwnershipChange::default() };
         }
-        let (came, left) = self.roster.since(&before.roster);
+        let (came, left) = self.roster.diff_peers(&before.roster);
         let came = came.into_iter().filter(|p| before.find(&p.name).is_none());
-        let mut left: Vec<_> = left.into_iter().map(|p| seed(&p.name)).collect();
+        let mut left: Vec<_> = left.into_iter().map(|p| peer_hash(&p.name)).collect();
         left.sort_unstable();
         let split = self.split().union(before.split()).cloned().collect();
-        OwnershipChange { all: false, me: seed(me), came: came.map(|p| seed(&p.name)).collect(), left, split }
+        OwnershipChange {
+            all: false,
+            me: peer_hash(me),
+            came: came.map(|p| peer_hash(&p.name)).collect(),
+            left,
+            split,
+        }
     }
 }
 
@@ -266,7 +272,7 @@
                     Err(0) => assert!(n == 9 || ["s1", "s2"].contains(&service.as_str())),
                     Err(rival) => {
                         assert_ne!(owner.name, me);
-                        assert!(hash(&service, rival) > hash(&service, seed(&me)));
+                        assert!(hash(&service, rival) > hash(&service, peer_hash(&me)));
                     }
                 }
             }
--- a/scheduler/src/recording.rs
+++ b/scheduler/src/recording.rs
@@ -410,12 +410,13 @@
             "mail" => Input::PeerMessages {
                 from: string(from, "from")?,
                 incarnation: line::large(from, "life")?,
-                messages: line::notes_of(from, "notes")?,
+                messages: line::messages_field(from, "notes")?,
+            },
+            "told" => Input::ControllerMessage(line::message_field(from, "note")?),
+            "returned" => Input::Undelivered {
+                address: string(from, "to")?,
+                messages: line::messages_field(from, "notes")?,
             },
-            "told" => Input::ControllerMessage(line::note_of(from, "note")?),
-            "returned" => {
-                Input::Undelivered { address: string(from, "to")?, messages: line::notes_of(from, "notes")? }
-            }
             "mute" => Input::ControllerUnreachable,
             "tick" => Input::Tick,
             name => Input::TraceEvent(TraceEvent::read(name, from)?),
@@ -532,7 +533,7 @@
             Input::PeerMessages {
                 from: "edge-2".into(),
                 incarnation: 3,
-                messages: vec![PeerMessage::Drop { id: 4 }],
+                messages: vec![PeerMessage::CancelRequest { id: 4 }],
             },
             Input::ControllerMessage(PeerMessage::Instances {
                 version: (1, 2),
@@ -540,7 +541,10 @@
                 set: vec![],
                 gone: vec![],
             }),
-            Input::Undelivered { address: "10.0.0.2:1".into(), messages: vec![PeerMessage::Drop { id: 5 }] },
+            Input::Undelivered {
+                address: "10.0.0.2:1".into(),
+                messages: vec![PeerMessage::CancelRequest { id: 5 }],
+            },
             Input::ControllerUnreachable,
             Input::Tick,
             Input::TraceEvent(TraceEvent::Received {
