--- a/scheduler/tests/handover.rs
+++ b/scheduler/tests/handover.rs
@@ -13,7 +13,7 @@
 fn mail_of_a_lower_life_counts_for_nothing_and_is_answered_with_the_life_that_is_known() {
     let mut town = Town::new(&[1, 2]);
     let to_me = |life, note| move |desk: &mut Coordinator| desk.receive(T, "edge-2", life, vec![note]);
-    let ask = || PeerMessage::Ask {
+    let ask = || PeerMessage::RequestPermit {
         id: 7,
         service: "f".into(),
         left: 4_000.0,
@@ -25,7 +25,7 @@
         avoid: vec![],
         zone: "a".into(),
     };
-    town.with(T, "edge-1", to_me(9, PeerMessage::Drop { id: 1 }));
+    town.with(T, "edge-1", to_me(9, PeerMessage::CancelRequest { id: 1 }));
     town.mail.clear();
     town.with(T, "edge-1", to_me(8, ask()));
     assert_eq!(town.mail, [("edge-1".into(), "edge-2".into(), PeerMessage::StaleIncarnation { known: 9 })]);
@@ -123,9 +123,11 @@
         let desk = town.desks.get_mut(&asker).expect("a desk");
         desk.tick(at);
         let outs = desk.take_actions();
-        let deaf = |o: &Action| matches!(o, Action::NotifyController(PeerMessage::Deaf { peer, .. }) if *peer == old);
+        let deaf = |o: &Action| matches!(o, Action::NotifyController(PeerMessage::PeerUnreachable { peer, .. }) if *peer == old);
         let asks = outs.iter().filter_map(|o| match o {
-            Action::Send { to, note: PeerMessage::Ask { .. } } => Some(to.trim_end_matches(":1").to_owned()),
+            Action::Send { to, note: PeerMessage::RequestPermit { .. } } => {
+                Some(to.trim_end_matches(":1").to_owned())
+            }
             _ => None,
         });
         (outs.iter().any(deaf), asks.collect::<Vec<_>>())
@@ -153,16 +155,18 @@
     let friend = ALL.iter().map(|n| format!("edge-{n}")).find(|n| *n != old && *n != asker).expect("a third");
     town.ask(T, &asker);
     let asked = town.mail.iter().find_map(|(from, to, note)| match note {
-        PeerMessage::Ask { id, .. } if *from == asker && to.starts_with(&old) => Some(*id),
+        PeerMessage::RequestPermit { id, .. } if *from == asker && to.starts_with(&old) => Some(*id),
         _ => None,
     });
-    let waits = PeerMessage::Waits { id: asked.expect("an ask") };
+    let waits = PeerMessage::Queued { id: asked.expect("an ask") };
     let desk = town.desks.get_mut(&asker).expect("a desk");
     desk.receive(T + 5 * MS, &old, 1, vec![waits]);
     let mut deaf = |at: Nanos| {
         desk.receive(at, &friend, 1, vec![]);
         desk.tick(at);
-        desk.take_actions().iter().any(|o| matches!(o, Action::NotifyController(PeerMessage::Deaf { .. })))
+        desk.take_actions()
+            .iter()
+            .any(|o| matches!(o, Action::NotifyController(PeerMessage::PeerUnreachable { .. })))
     };
     assert!(!deaf(T + 400 * MS) && !deaf(T + 1_500 * MS));
     // Asked again, it says nothing.
--- a/scheduler/tests/shutdown.rs
+++ b/scheduler/tests/shutdown.rs
@@ -9,7 +9,12 @@
 /// The view after these have left: they own nothing any more, and live.
 fn view_without(version: u64, stay: &[usize], leaving: &[usize]) -> PeerMessage {
     let peers = |of: &[usize]| of.iter().map(|n| peer(*n)).collect();
-    PeerMessage::Stalls { version: (1, version), peers: peers(stay), leaving: peers(leaving), split: vec![] }
+    PeerMessage::FullView {
+        version: (1, version),
+        peers: peers(stay),
+        leaving: peers(leaving),
+        split: vec![],
+    }
 }
 
 fn name(n: usize) -> String {
@@ -154,7 +159,7 @@
 /// The view with these owners of lots, and those that leave.
 fn split_view(version: (u64, u64), stay: &[usize], leaving: &[usize]) -> PeerMessage {
     let peers = |of: &[usize]| of.iter().map(|n| peer(*n)).collect();
-    PeerMessage::Stalls { version, peers: peers(stay), leaving: peers(leaving), split: vec!["f".into()] }
+    PeerMessage::FullView { version, peers: peers(stay), leaving: peers(leaving), split: vec!["f".into()] }
 }
 
 /// The only instance, in this zone.
@@ -275,7 +280,7 @@
         town.post(T, &[]);
     }
     assert_eq!(town.granted.len(), 16);
-    let view = |version, who: &[usize]| PeerMessage::Stalls {
+    let view = |version, who: &[usize]| PeerMessage::FullView {
         version,
         peers: who.iter().map(|n| peer(*n)).collect(),
         leaving: vec![],
--- a/scheduler/tests/town/mod.rs
+++ b/scheduler/tests/town/mod.rs
@@ -29,7 +29,7 @@
 pub fn stalls(version: u64, who: &[usize], split: bool) -> PeerMessage {
     let split = if split { vec!["f".into()] } else { vec![] };
     let peers = who.iter().map(|n| peer(*n)).collect();
-    PeerMessage::Stalls { version: (1, version), peers, leaving: vec![], split }
+    PeerMessage::FullView { version: (1, version), peers, leaving: vec![], split }
 }
 
 pub fn owner(who: &[usize], split: bool, zone: &str) -> String {
--- a/scheduler/tests/waiting.rs
+++ b/scheduler/tests/waiting.rs
@@ -44,7 +44,7 @@
             desk.configure(0, [spec("s"), spec("t")].into_iter());
             desk.receive_from_controller(
                 0,
-                PeerMessage::Stalls {
+                PeerMessage::FullView {
                     version: (1, 1),
                     peers: vec![peer(0), peer(1)],
                     leaving: vec![],
--- a/simulator/src/processes/proxy.rs
+++ b/simulator/src/processes/proxy.rs
@@ -271,12 +271,12 @@
             };
             let split = self.desk.view_split();
             let digest = self.desk.view_digest();
-            self.up(PeerMessage::Alive { peer, serving: !self.closes(now), split, digest });
+            self.up(PeerMessage::Heartbeat { peer, serving: !self.closes(now), split, digest });
             if now < self.rests {
                 let left = (self.rests - now) as f64 / MS as f64;
-                self.up(PeerMessage::Rest { name: self.place.name.clone(), left });
+                self.up(PeerMessage::Drain { name: self.place.name.clone(), left });
             }
-            self.up(PeerMessage::Acts { revision: self.acts(), number: 0 });
+            self.up(PeerMessage::ConfigApplied { revision: self.acts(), number: 0 });
         }
         let scouts: Vec<_> = self
             .scouting
@@ -352,13 +352,13 @@
         for mut note in notes {
             if matches!(self.place.plant, Some(Plant::Forsaken | Plant::Mute)) {
                 match &mut note {
-                    PeerMessage::Stalls { leaving, .. } => leaving.clear(),
+                    PeerMessage::FullView { leaving, .. } => leaving.clear(),
                     PeerMessage::ViewChange(shift) => shift.leaving.clear(),
                     _ => {}
                 }
             }
             match note {
-                PeerMessage::Packed { revision, packed } if revision > self.acts() => {
+                PeerMessage::PackedConfig { revision, packed } if revision > self.acts() => {
                     if let Some(known) = self.place.memo.read(&packed) {
                         self.put_in_force(now, known);
                     }
@@ -375,23 +375,23 @@
                         self.put_in_force(now, known);
                     }
                 }
-                PeerMessage::Folded { revision, packed } if revision > self.acts() => {
+                PeerMessage::PackedPatch { revision, packed } if revision > self.acts() => {
                     let old = self.force.as_ref().map(|f| Rc::clone(&f.known));
                     let known = old.and_then(|old| self.place.memo.folded(&old, &packed));
                     if let Some(known) = known {
                         self.put_in_force(now, known);
                     }
                 }
-                PeerMessage::Packed { .. }
+                PeerMessage::PackedConfig { .. }
                 | PeerMessage::Config { .. }
                 | PeerMessage::Patch { .. }
-                | PeerMessage::Folded { .. } => {}
-                PeerMessage::Stalls { .. }
+                | PeerMessage::PackedPatch { .. } => {}
+                PeerMessage::FullView { .. }
                 | PeerMessage::ViewChange(_)
                 | PeerMessage::Instances { .. }
-                | PeerMessage::Floor { .. }
+                | PeerMessage::MinInstances { .. }
                 | PeerMessage::Leader { .. } => self.desk.receive_from_controller(now, note),
-                PeerMessage::Rest { left, .. } => self.rests = now + (left * MS as f64) as Time,
+                PeerMessage::Drain { left, .. } => self.rests = now + (left * MS as f64) as Time,
                 note => between.push(note),
             }
         }
@@ -444,7 +444,7 @@
         self.patience.retain(|name| table.routes().iter().any(|r| r.name == *name));
         self.margins.retain(|name| known.config.services.iter().any(|s| s.name == *name));
         self.force = Some(Force { known, table });
-        self.up(PeerMessage::Acts { revision: self.acts(), number: 0 });
+        self.up(PeerMessage::ConfigApplied { revision: self.acts(), number: 0 });
     }
 
     /// A request is answered without any try.
--- a/simulator/src/world/net.rs
+++ b/simulator/src/world/net.rs
@@ -62,26 +62,26 @@
 
 fn note_size(note: &PeerMessage) -> u64 {
     let text = match note {
-        PeerMessage::Packed { packed, .. } | PeerMessage::Folded { packed, .. } => {
+        PeerMessage::PackedConfig { packed, .. } | PeerMessage::PackedPatch { packed, .. } => {
             return packed.len() as u64 + 40;
         }
         PeerMessage::Config { .. } | PeerMessage::Patch { .. } => {
             note.to_json().stringify().map_or(0, |s| s.len())
         }
-        PeerMessage::Ask { service, avoid, zone, .. } => {
+        PeerMessage::RequestPermit { service, avoid, zone, .. } => {
             77 + service.len() + zone.len() + avoid.iter().map(|a| a.len() + 8).sum::<usize>()
         }
         PeerMessage::Grant { instance, address, .. } => 43 + instance.len() + address.len(),
-        PeerMessage::Done { outcome, .. } => 45 + outcome.len(),
-        PeerMessage::Held { service, instance, .. } => 58 + service.len() + instance.len(),
-        PeerMessage::Over { service, permits, .. } => 42 + service.len() + permits.len() * 70,
-        PeerMessage::Back { who, instance, outcome, .. } => {
+        PeerMessage::ReleasePermit { outcome, .. } => 45 + outcome.len(),
+        PeerMessage::HeldPermit { service, instance, .. } => 58 + service.len() + instance.len(),
+        PeerMessage::HandOverPermits { service, permits, .. } => 42 + service.len() + permits.len() * 70,
+        PeerMessage::ForwardRelease { who, instance, outcome, .. } => {
             52 + who.len() + outcome.len() + instance.as_ref().map_or(0, |i| i.len() + 6)
         }
-        PeerMessage::No { .. } => 52,
-        PeerMessage::Drop { .. } | PeerMessage::Waits { .. } => 32,
-        PeerMessage::Floor { service, .. } => 46 + service.len(),
-        PeerMessage::Want { service, zones, does, slow, .. } => {
+        PeerMessage::Denied { .. } => 52,
+        PeerMessage::CancelRequest { .. } | PeerMessage::Queued { .. } => 32,
+        PeerMessage::MinInstances { service, .. } => 46 + service.len(),
+        PeerMessage::DesiredInstances { service, zones, does, slow, .. } => {
             let does = if does.is_some() { 24 } else { 0 };
             let slow = slow.iter().map(|w| w.len() + 3).reduce(|a, b| a + b).map_or(0, |sum| sum + 10);
             34 + service.len() + zones.iter().map(|z| z.len() + 3).sum::<usize>() + does + slow
@@ -92,8 +92,8 @@
             };
             48 + set.iter().map(of).sum::<usize>() + gone.iter().map(|id| id.len() + 3).sum::<usize>()
         }
-        PeerMessage::Mine { set } => 24 + set.len() * 90,
-        PeerMessage::Stalls { peers, leaving, .. } => {
+        PeerMessage::OwnedInstances { set } => 24 + set.len() * 90,
+        PeerMessage::FullView { peers, leaving, .. } => {
             let of = peers.iter().chain(leaving);
             34 + of.map(|p| 25 + p.name.len() + p.address.len() + p.zone.len()).sum::<usize>()
         }
@@ -103,18 +103,18 @@
             let names = [&shift.left, &shift.ended, &shift.split, &shift.joined].into_iter().flatten();
             44 + peers.chain(names.map(|name| name.len() + 3)).sum::<usize>()
         }
-        PeerMessage::Behind { .. } | PeerMessage::StaleIncarnation { .. } => 28,
-        PeerMessage::AskRevision => 14,
+        PeerMessage::ViewOutdated { .. } | PeerMessage::StaleIncarnation { .. } => 28,
+        PeerMessage::QueryRevision => 14,
         PeerMessage::Contact { .. } => 26,
-        PeerMessage::Stands { .. } => 24,
-        PeerMessage::Rest { name, .. } => 36 + name.len(),
+        PeerMessage::CommittedRevision { .. } => 24,
+        PeerMessage::Drain { name, .. } => 36 + name.len(),
         PeerMessage::Leader { address, .. } => 34 + address.len(),
-        PeerMessage::Retire { instance } | PeerMessage::Lost { instance } | PeerMessage::Up { instance } => {
-            24 + instance.len()
-        }
-        PeerMessage::Acts { .. } => 28,
-        PeerMessage::Deaf { peer, from } => 26 + peer.len() + from.len(),
-        PeerMessage::Alive { peer, .. } => 60 + peer.name.len() + peer.address.len() + peer.zone.len(),
+        PeerMessage::RetireInstance { instance }
+        | PeerMessage::InstanceDown { instance }
+        | PeerMessage::InstanceUp { instance } => 24 + instance.len(),
+        PeerMessage::ConfigApplied { .. } => 28,
+        PeerMessage::PeerUnreachable { peer, from } => 26 + peer.len() + from.len(),
+        PeerMessage::Heartbeat { peer, .. } => 60 + peer.name.len() + peer.address.len() + peer.zone.len(),
     };
     text as u64
 }
@@ -168,7 +168,7 @@
         if names.is_empty() { String::new() } else { format!(", {what} {}", names.join(" ")) }
     };
     notes.iter().filter_map(|note| PeerMessage::read(note).ok()).find_map(|note| match note {
-        PeerMessage::Stalls { version, peers, leaving, split } => {
+        PeerMessage::FullView { version, peers, leaving, split } => {
             let leaving = list("leaving", &leaving.into_iter().map(|p| p.name).collect::<Vec<_>>());
             let (count, split) = (peers.len(), list("split", &split));
             Some(format!("names {count} stalls{leaving}{split}, version {version:?}"))
@@ -256,7 +256,7 @@
             && let Said::Mail { from, notes, .. } = &said
         {
             for note in notes {
-                if let PeerMessage::Deaf { peer, .. } = note {
+                if let PeerMessage::PeerUnreachable { peer, .. } = note {
                     self.note(|| format!("{from} tells {to} that {peer} does not answer"));
                 }
             }
@@ -276,7 +276,7 @@
         let (Who::Process(at, Role::ProxyProcess), Said::Mail { notes, .. }) = (to, said) else {
             return there;
         };
-        let asks = notes.iter().filter(|n| matches!(n, PeerMessage::Ask { .. })).count();
+        let asks = notes.iter().filter(|n| matches!(n, PeerMessage::RequestPermit { .. })).count();
         if !self.site.strained || asks == 0 {
             return there;
         }
@@ -511,7 +511,7 @@
 
     #[test]
     fn guessed_sizes_are_near_what_is_written() {
-        let ask = PeerMessage::Ask {
+        let ask = PeerMessage::RequestPermit {
             id: 1 << 33,
             service: "b17".into(),
             left: 1_432.25,
@@ -529,8 +529,8 @@
             address: "10.64.0.7:8080".into(),
             zone: None,
         };
-        let done = PeerMessage::Done { id: 1 << 33, outcome: "ok".into(), took: 45.25 };
-        for note in [ask, grant, done, PeerMessage::Retire { instance: "i-4".into() }] {
+        let done = PeerMessage::ReleasePermit { id: 1 << 33, outcome: "ok".into(), took: 45.25 };
+        for note in [ask, grant, done, PeerMessage::RetireInstance { instance: "i-4".into() }] {
             let (guess, truth) = (note_size(&note) as f64 + 1.0, exact(std::slice::from_ref(&note)) as f64);
             assert!((guess / truth - 1.0).abs() < 0.25, "{note:?}: {guess} {truth}");
         }
