--- a/agent/src/agent.rs
+++ b/agent/src/agent.rs
@@ -384,7 +384,7 @@
             return;
         };
         let stands =
-            letter.notes.into_iter().filter(|note| matches!(note, PeerMessage::CommittedRevision { .. }));
+            letter.messages.into_iter().filter(|note| matches!(note, PeerMessage::CommittedRevision { .. }));
         self.effects.extend(stands.map(Effect::SendToProxy));
     }
 
@@ -394,7 +394,7 @@
             return self.effects.push(Effect::AnswerProxy { read: false });
         };
         self.faults(&letter.from, &letter.faults);
-        for note in letter.notes {
+        for note in letter.messages {
             match note {
                 PeerMessage::Heartbeat { .. } => {
                     self.alive = Some((now, note.clone()));
--- a/agent/src/run.rs
+++ b/agent/src/run.rs
@@ -37,7 +37,7 @@
 
 /// What is told of instances counts in its order: one request at a time, also where a second one would be quicker.
 fn bounds(within: Duration) -> OutboxLimits {
-    OutboxLimits { notes: 4_000, bytes: 16 << 20, at_once: 1, within }
+    OutboxLimits { max_messages: 4_000, max_bytes: 16 << 20, max_in_flight: 1, timeout: within }
 }
 
 /// What comes in.
@@ -141,11 +141,11 @@
 /// Takes the stall's letters.
 fn serve(listener: TcpListener, came: mpsc::Sender<Came>) {
     let limits = Limits {
-        body: 4 << 20,
-        idle: Duration::from_secs(60),
-        whole: Duration::from_secs(5),
-        connections: 16,
-        unacknowledged: None,
+        max_body_bytes: 4 << 20,
+        idle_timeout: Duration::from_secs(60),
+        body_timeout: Duration::from_secs(5),
+        max_connections: 16,
+        ack_timeout: None,
     };
     tokio::spawn(messaging::serve(listener, limits, handler(came), std::future::pending()));
 }
@@ -198,7 +198,7 @@
             }
             Came::Call(call, reply) => self.give(Input::ProxyMessages(call.body), Some(reply)),
             Came::Mail(Event::Up { peer }) if &*peer == STALL => self.give(Input::ProxyUp, None),
-            Came::Mail(Event::Lost { peer, notes }) => {
+            Came::Mail(Event::Undelivered { peer, messages: notes }) => {
                 // What the stall did not take it is told once it is up.
                 if let Ok(feed) = peer.parse() {
                     self.give(Input::MessagesLost { feed, messages: notes.len() as u64 }, None);
@@ -272,9 +272,9 @@
         let task = tokio::spawn(async move {
             let silence = Duration::from_millis(1_200);
             let terms = messaging::StreamOptions {
-                within: Duration::from_millis(700),
-                longest: MAX_CONFIG_BYTES,
-                silence,
+                open_timeout: Duration::from_millis(700),
+                max_line_bytes: MAX_CONFIG_BYTES,
+                idle_timeout: silence,
             };
             match LineStream::open(address, path, body, terms).await {
                 Ok(mut held) => {
--- a/controller/src/core/api.rs
+++ b/controller/src/core/api.rs
@@ -198,7 +198,7 @@
     fn on_messages(&mut self, now: Nanos, call: &Call) -> Result<Reply, CallError> {
         let batch = read_batch(call)?;
         let (mut missed, mut asks) = (false, false);
-        for note in &batch.notes {
+        for note in &batch.messages {
             match (note, self.leadership.leader_mut()) {
                 (PeerMessage::ConfigApplied { revision, .. }, _) => {
                     let again = self.feed.on_applied(now, &batch.from, *revision);
--- a/controller/src/core/follow.rs
+++ b/controller/src/core/follow.rs
@@ -71,7 +71,7 @@
         FollowRequest { call, batch, whole, .. }: FollowRequest,
     ) -> Result<(), CallError> {
         let mut applied_revision = 0;
-        for note in &batch.notes {
+        for note in &batch.messages {
             if let PeerMessage::ConfigApplied { revision, .. } = note {
                 applied_revision = *revision;
             }
--- a/controller/src/platform.rs
+++ b/controller/src/platform.rs
@@ -34,7 +34,7 @@
         }
         headers.insert("x-fence-number", HeaderValue::from(fence));
         let connect = Some(Duration::from_millis(500));
-        let options = Options { connect, unacknowledged: Some(Duration::from_millis(2_000)) };
+        let options = Options { connect_timeout: connect, ack_timeout: Some(Duration::from_millis(2_000)) };
         Arc::new(Platform { client: Client::new(address, options), headers })
     }
 
--- a/controller/src/runtime.rs
+++ b/controller/src/runtime.rs
@@ -85,11 +85,11 @@
 
     let calls = events.clone();
     let limits = Limits {
-        body: MAX_BODY,
-        idle: Duration::from_secs(60),
-        whole: Duration::from_secs(5),
-        connections: (settings.limits.max_fds as usize).saturating_sub(400).max(50),
-        unacknowledged: Some(Duration::from_millis(2_000)),
+        max_body_bytes: MAX_BODY,
+        idle_timeout: Duration::from_secs(60),
+        body_timeout: Duration::from_secs(5),
+        max_connections: (settings.limits.max_fds as usize).saturating_sub(400).max(50),
+        ack_timeout: Some(Duration::from_millis(2_000)),
     };
     let handler = move |call| {
         let calls = calls.clone();
--- a/ctl/src/ask.rs
+++ b/ctl/src/ask.rs
@@ -51,7 +51,7 @@
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     }
     // No pings that end a connection early: this may come from far away.
-    let client = Client::new(to, Options { connect: Some(within), unacknowledged: None });
+    let client = Client::new(to, Options { connect_timeout: Some(within), ack_timeout: None });
     client.call(method, path, headers, body, within, LONGEST).await
 }
 
--- a/ctl/tests/command.rs
+++ b/ctl/tests/command.rs
@@ -54,8 +54,14 @@
         };
         let listener = self.runtime.block_on(TcpListener::bind("127.0.0.1:0")).expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (idle, whole) = (Duration::from_secs(60), Duration::from_secs(5));
-        let limits = Limits { body: 1 << 20, idle, whole, connections: 50, unacknowledged: None };
+        let (idle_timeout, body_timeout) = (Duration::from_secs(60), Duration::from_secs(5));
+        let limits = Limits {
+            max_body_bytes: 1 << 20,
+            idle_timeout,
+            body_timeout,
+            max_connections: 50,
+            ack_timeout: None,
+        };
         self.runtime.spawn(messaging::serve(listener, limits, handler, std::future::pending()));
         address
     }
--- a/net/src/link.rs
+++ b/net/src/link.rs
@@ -56,9 +56,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Options {
     /// How long it may take to come up.
-    pub connect: Option<Duration>,
-    /// How long what was sent may go unacknowledged before the connection counts as broken.
-    pub unacknowledged: Option<Duration>,
+    pub connect_timeout: Option<Duration>,
+    /// How long what was sent may go ack_timeout before the connection counts as broken.
+    pub ack_timeout: Option<Duration>,
 }
 
 /// A kept connection.
@@ -86,13 +86,13 @@
     /// Where no connection comes up in time.
     pub async fn open_with(address: SocketAddr, options: Options) -> Result<Self, Error> {
         let connecting = TcpStream::connect(address);
-        let stream = match options.connect {
+        let stream = match options.connect_timeout {
             Some(within) => timeout(within, connecting).await.map_err(|_| Error::TimedOut)??,
             None => connecting.await?,
         };
         stream.set_nodelay(true)?;
-        if options.unacknowledged.is_some() {
-            SockRef::from(&stream).set_tcp_user_timeout(options.unacknowledged)?;
+        if options.ack_timeout.is_some() {
+            SockRef::from(&stream).set_tcp_user_timeout(options.ack_timeout)?;
         }
         Self::over(stream).await
     }
@@ -258,7 +258,7 @@
 const CONNECT: Duration = Duration::from_secs(1);
 
 fn client(address: SocketAddr) -> Client {
-    Client::new(address, Options { connect: Some(CONNECT), unacknowledged: None })
+    Client::new(address, Options { connect_timeout: Some(CONNECT), ack_timeout: None })
 }
 
 impl DiscoveryClient {
--- a/net/src/messaging.rs
+++ b/net/src/messaging.rs
@@ -26,8 +26,10 @@
 pub use serve::{Call, Content, Limits, Reply, serve};
 
 /// What connections between our processes are like.
-pub const OPTIONS: Options =
-    Options { connect: Some(Duration::from_millis(300)), unacknowledged: Some(Duration::from_millis(1_500)) };
+pub const OPTIONS: Options = Options {
+    connect_timeout: Some(Duration::from_millis(300)),
+    ack_timeout: Some(Duration::from_millis(1_500)),
+};
 
 /// The deepest value that is read. Guards the stack: reading and dropping one goes as deep as it does.
 const DEEPEST: usize = 64;
--- a/net/src/messaging/line_stream.rs
+++ b/net/src/messaging/line_stream.rs
@@ -36,11 +36,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct StreamOptions {
     /// How long it may take until the stream begins.
-    pub within: Duration,
+    pub open_timeout: Duration,
     /// The longest line, without its end.
-    pub longest: usize,
+    pub max_line_bytes: usize,
     /// How long nothing may come. An empty line, which is passed over, is something.
-    pub silence: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// How a stream ended.
@@ -59,7 +59,7 @@
 /// A stream of lines. Dropping it closes its connection.
 pub struct LineStream {
     body: Incoming,
-    terms: StreamOptions,
+    options: StreamOptions,
     /// What came and has not been yielded; up to `seen` it holds no end of a line.
     rest: BytesMut,
     seen: usize,
@@ -77,7 +77,7 @@
         address: SocketAddr,
         path: &str,
         body: Bytes,
-        terms: StreamOptions,
+        options: StreamOptions,
     ) -> Result<Self, Error> {
         let mut headers = HeaderMap::new();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -90,12 +90,13 @@
             let answer = link.send(request, false, None).await?;
             Ok::<_, link::Error>((link, answer))
         };
-        let (link, answer) = timeout(terms.within, opening).await.map_err(|_| link::Error::TimedOut)??;
+        let (link, answer) =
+            timeout(options.open_timeout, opening).await.map_err(|_| link::Error::TimedOut)??;
         if !answer.status().is_success() {
             return StatusSnafu { status: answer.status() }.fail();
         }
         let (rest, heard) = (BytesMut::new(), Instant::now());
-        Ok(LineStream { body: answer.into_body(), terms, rest, seen: 0, heard, ended: None, _link: link })
+        Ok(LineStream { body: answer.into_body(), options, rest, seen: 0, heard, ended: None, _link: link })
     }
 
     /// The next line that is not empty, without its end; none once the stream has ended. Nothing is lost where the
@@ -103,7 +104,7 @@
     pub async fn next_line(&mut self) -> Option<Bytes> {
         while self.ended.is_none() {
             let end = self.rest[self.seen..].iter().position(|byte| *byte == b'\n').map(|at| self.seen + at);
-            if end.unwrap_or(self.rest.len()) > self.terms.longest {
+            if end.unwrap_or(self.rest.len()) > self.options.max_line_bytes {
                 self.ended = Some(StreamEnd::TooLong);
             } else if let Some(end) = end {
                 let line = self.rest.split_to(end);
@@ -126,7 +127,7 @@
     }
 
     async fn more(&mut self) -> Result<(), StreamEnd> {
-        let frame = timeout_at(self.heard + self.terms.silence, self.body.frame()).await;
+        let frame = timeout_at(self.heard + self.options.idle_timeout, self.body.frame()).await;
         let frame =
             frame.map_err(|_| StreamEnd::Silent)?.ok_or(StreamEnd::Closed)?.map_err(|_| StreamEnd::Broken)?;
         self.heard = Instant::now();
--- a/net/src/messaging/outbox.rs
+++ b/net/src/messaging/outbox.rs
@@ -18,10 +18,10 @@
 /// The pause before the next connection after a failure; it doubles with each.
 const FIRST_PAUSE: Duration = Duration::from_millis(20);
 const LONGEST_PAUSE: Duration = Duration::from_millis(500);
-/// The answer says that the notes came, and perhaps something in return.
+/// The answer says that the messages came, and perhaps something in return.
 const LONGEST_ANSWER: usize = 1 << 20;
 
-/// Where notes go, and from whom.
+/// Where messages go, and from whom.
 #[derive(Clone, Debug)]
 pub struct OutboxTarget {
     /// What the owner calls the peer; told with each event.
@@ -42,20 +42,20 @@
 #[derive(Clone, Copy, Debug)]
 pub struct OutboxLimits {
     /// Notes that may wait to be sent.
-    pub notes: usize,
+    pub max_messages: usize,
     /// Bytes that they may have together; no request's body is much longer.
-    pub bytes: usize,
-    /// Requests under way at once, each on a connection of its own. With more than one, a later note may be there before
+    pub max_bytes: usize,
+    /// Requests under way at once, each on a connection of its own. With more than one, a later message may be there before
     /// an earlier one of another request.
-    pub at_once: usize,
+    pub max_in_flight: usize,
     /// How long a request and its answer may take.
-    pub within: Duration,
+    pub timeout: Duration,
 }
 
 /// What the owner is told.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The peer took notes, for the first time or again.
+    /// The peer took messages, for the first time or again.
     Up {
         /// Which.
         peer: Arc<str>,
@@ -65,7 +65,7 @@
         /// Which.
         peer: Arc<str>,
     },
-    /// The peer took notes, and its answer says something.
+    /// The peer took messages, and its answer says something.
     Answered {
         /// Which.
         peer: Arc<str>,
@@ -73,15 +73,15 @@
         body: Bytes,
     },
     /// Nobody said that these were taken. They may have been, if the request got so far.
-    Lost {
+    Undelivered {
         /// Whose they were.
         peer: Arc<str>,
         /// As they were pushed, in that order.
-        notes: Vec<JsonValue>,
+        messages: Vec<JsonValue>,
     },
 }
 
-/// A note that is not sent, given back.
+/// A message that is not sent, given back.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum PushError {
     /// So much waits already.
@@ -95,7 +95,7 @@
 /// Notes that go together, and their text.
 #[derive(Default)]
 struct Batch {
-    notes: Vec<JsonValue>,
+    messages: Vec<JsonValue>,
     text: String,
 }
 
@@ -111,48 +111,50 @@
     }
 }
 
-/// Sends notes to one peer until it is dropped; what waits then is not sent.
+/// Sends messages to one peer until it is dropped; what waits then is not sent.
 pub struct Outbox {
     shared: Arc<Shared>,
     task: JoinHandle<()>,
 }
 
 impl Outbox {
-    /// Connects once there is a note. Must be called within a runtime.
+    /// Connects once there is a message. Must be called within a runtime.
     pub fn new<I: From<Event> + Send + 'static>(
         to: OutboxTarget,
         bounds: OutboxLimits,
         told: mpsc::Sender<I>,
     ) -> Self {
         let shared = Arc::new(Shared { waiting: Mutex::default(), due: Notify::new(), bounds });
-        let task = tokio::spawn(run(Carrier::new(to, bounds.within), shared.clone(), told));
+        let task = tokio::spawn(run(Carrier::new(to, bounds.timeout), shared.clone(), told));
         Outbox { shared, task }
     }
 
-    /// Has the note sent with the next request.
+    /// Has the message sent with the next request.
     ///
     /// # Errors
-    /// Where too much waits already, or the note can't be written.
-    pub fn push(&self, note: JsonValue) -> Result<(), PushError> {
-        let Ok(text) = note.stringify() else { return Err(PushError::NotSerializable(note)) };
+    /// Where too much waits already, or the message can't be written.
+    pub fn push(&self, message: JsonValue) -> Result<(), PushError> {
+        let Ok(text) = message.stringify() else { return Err(PushError::NotSerializable(message)) };
         let bounds = self.shared.bounds;
         let mut waiting = self.shared.waiting();
-        if waiting.notes.len() >= bounds.notes || waiting.text.len() + text.len() >= bounds.bytes {
-            return Err(PushError::Full(note));
+        if waiting.messages.len() >= bounds.max_messages
+            || waiting.text.len() + text.len() >= bounds.max_bytes
+        {
+            return Err(PushError::Full(message));
         }
-        if !waiting.notes.is_empty() {
+        if !waiting.messages.is_empty() {
             waiting.text.push(',');
         }
         waiting.text.push_str(&text);
-        waiting.notes.push(note);
+        waiting.messages.push(message);
         drop(waiting);
         self.shared.due.notify_one();
         Ok(())
     }
 
-    /// How many notes wait to be sent.
+    /// How many messages wait to be sent.
     pub fn waiting(&self) -> usize {
-        self.shared.waiting().notes.len()
+        self.shared.waiting().messages.len()
     }
 }
 
@@ -178,7 +180,7 @@
         Carrier { client: Client::new(to.address, OPTIONS), to, within, from }
     }
 
-    /// What the peer answered, if it took the notes.
+    /// What the peer answered, if it took the messages.
     async fn send(&self, text: &str) -> Option<Bytes> {
         let life = self.to.incarnation.get();
         let body = Bytes::from(format!(r#"{{"from":{},"life":{life},"notes":[{text}]}}"#, self.from));
@@ -208,7 +210,7 @@
     let (mut pause, mut not_before) = (FIRST_PAUSE, Instant::now());
     loop {
         // While it is down, one at a time finds out whether it still is.
-        let most = if up == Some(false) { 1 } else { shared.bounds.at_once.max(1) };
+        let most = if up == Some(false) { 1 } else { shared.bounds.max_in_flight.max(1) };
         tokio::select! {
             biased;
             Some(landed) = flights.join_next() => match landed {
@@ -221,31 +223,31 @@
                         tell(Event::Answered { peer: peer.clone(), body }).await;
                     }
                 }
-                Ok((notes, None)) => {
+                Ok((messages, None)) => {
                     not_before = Instant::now() + pause;
                     pause = (pause * 2).min(LONGEST_PAUSE);
                     if up.replace(false) != Some(false) {
                         tell(Event::Down { peer: peer.clone() }).await;
                     }
-                    tell(Event::Lost { peer: peer.clone(), notes }).await;
+                    tell(Event::Undelivered { peer: peer.clone(), messages: messages }).await;
                 }
                 Err(e) => log::error!("post to {peer}: {e}"),
             },
             () = ready(&shared, not_before), if flights.len() < most => {
-                let Batch { notes, text } = std::mem::take(&mut *shared.waiting());
+                let Batch { messages, text } = std::mem::take(&mut *shared.waiting());
                 let carrier = carrier.clone();
-                flights.spawn(async move { (notes, carrier.send(&text).await) });
+                flights.spawn(async move { (messages, carrier.send(&text).await) });
             }
         }
     }
 }
 
-/// Waits until there is a note to send, and the pause is over.
+/// Waits until there is a message to send, and the pause is over.
 async fn ready(shared: &Shared, not_before: Instant) {
     sleep_until(not_before).await;
     loop {
         let due = shared.due.notified();
-        if !shared.waiting().notes.is_empty() {
+        if !shared.waiting().messages.is_empty() {
             return;
         }
         due.await;
--- a/net/src/messaging/serve.rs
+++ b/net/src/messaging/serve.rs
@@ -32,16 +32,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// The longest body.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// How long a connection may take for the next head, idle time and all.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// How long the body may take after the head.
-    pub whole: Duration,
+    pub body_timeout: Duration,
     /// Connections at once; beyond it new ones are closed.
-    pub connections: usize,
+    pub max_connections: usize,
     /// How long what was sent may go unacknowledged, or wait for a peer that does not read, before the connection
     /// counts as broken.
-    pub unacknowledged: Option<Duration>,
+    pub ack_timeout: Option<Duration>,
 }
 
 /// A request that came in whole.
@@ -178,7 +178,7 @@
             accepted = listener.accept() => accepted,
         };
         match accepted {
-            Ok((stream, peer)) if connections.len() < limits.connections => {
+            Ok((stream, peer)) if connections.len() < limits.max_connections => {
                 connections.spawn(connection(stream, peer, limits, handler.clone(), closing.clone()));
             }
             Ok((_, peer)) => log::debug!("no room for {peer}"),
@@ -210,7 +210,7 @@
     F: Future<Output = Reply> + Send + 'static,
 {
     let _ = stream.set_nodelay(true);
-    let _ = SockRef::from(&stream).set_tcp_user_timeout(limits.unacknowledged);
+    let _ = SockRef::from(&stream).set_tcp_user_timeout(limits.ack_timeout);
     let until = closed(closing.clone());
     let service = service_fn(move |request| {
         let (handler, closing) = (handler.clone(), closing.clone());
@@ -234,7 +234,7 @@
         })
     });
     let mut http = http1::Builder::new();
-    http.timer(TokioTimer::new()).header_read_timeout(limits.idle).max_buf_size(LONGEST_HEAD);
+    http.timer(TokioTimer::new()).header_read_timeout(limits.idle_timeout).max_buf_size(LONGEST_HEAD);
     http.auto_date_header(false);
     serve_one(&http, stream, service, until).await;
 }
@@ -243,10 +243,10 @@
 async fn take(request: Request<Incoming>, peer: SocketAddr, limits: Limits) -> Result<Call, StatusCode> {
     let (head, body) = request.into_parts();
     // Told before any of it is read.
-    if body.size_hint().lower() > limits.body as u64 {
+    if body.size_hint().lower() > limits.max_body_bytes as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
-    let body = timeout(limits.whole, Limited::new(body, limits.body).collect()).await;
+    let body = timeout(limits.body_timeout, Limited::new(body, limits.max_body_bytes).collect()).await;
     let body = body.map_err(|_| StatusCode::REQUEST_TIMEOUT)?.map_err(|e| {
         if e.is::<LengthLimitError>() { StatusCode::PAYLOAD_TOO_LARGE } else { StatusCode::BAD_REQUEST }
     })?;
--- a/net/src/messaging/tests.rs
+++ b/net/src/messaging/tests.rs
@@ -10,8 +10,14 @@
 use super::*;
 
 const LONG: Duration = Duration::from_secs(20);
-const LIMITS: Limits = Limits { body: 1_000, idle: LONG, whole: LONG, connections: 8, unacknowledged: None };
-const TERMS: StreamOptions = StreamOptions { within: LONG, longest: 4, silence: LONG };
+const LIMITS: Limits = Limits {
+    max_body_bytes: 1_000,
+    idle_timeout: LONG,
+    body_timeout: LONG,
+    max_connections: 8,
+    ack_timeout: None,
+};
+const TERMS: StreamOptions = StreamOptions { open_timeout: LONG, max_line_bytes: 4, idle_timeout: LONG };
 
 fn wait<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -53,7 +59,14 @@
         from,
         incarnation,
     };
-    (Outbox::new(to, OutboxLimits { notes: 3, bytes: 1_000, at_once: 2, within: LONG }, told), events)
+    (
+        Outbox::new(
+            to,
+            OutboxLimits { max_messages: 3, max_bytes: 1_000, max_in_flight: 2, timeout: LONG },
+            told,
+        ),
+        events,
+    )
 }
 
 fn number(n: u8) -> JsonValue {
@@ -84,7 +97,10 @@
         reply.send(Reply::empty(StatusCode::SERVICE_UNAVAILABLE)).expect("awaited");
         assert_eq!(events.recv().await, Some(Event::Down { peer: Arc::from("core") }));
         let notes = [3, 4, 5].map(number).to_vec();
-        assert_eq!(events.recv().await, Some(Event::Lost { peer: Arc::from("core"), notes }));
+        assert_eq!(
+            events.recv().await,
+            Some(Event::Undelivered { peer: Arc::from("core"), messages: notes })
+        );
     });
 }
 
@@ -96,7 +112,9 @@
         drop(listener);
         post.push(number(0)).expect("room");
         assert!(matches!(events.recv().await, Some(Event::Down { .. })));
-        assert!(matches!(events.recv().await, Some(Event::Lost { notes, .. }) if notes == [number(0)]));
+        assert!(
+            matches!(events.recv().await, Some(Event::Undelivered { messages, .. }) if messages == [number(0)])
+        );
         assert!(matches!(post.push(JsonValue::from(f64::NAN)), Err(PushError::NotSerializable(_))));
     });
 }
@@ -138,7 +156,7 @@
 #[test]
 fn what_is_too_much_is_refused() {
     wait(async {
-        let mut server = served(Limits { connections: 1, ..LIMITS }).await;
+        let mut server = served(Limits { max_connections: 1, ..LIMITS }).await;
         let client = Client::new(server.address, OPTIONS);
         let ask = |size| {
             let body = Bytes::from(vec![b'x'; size]);
--- a/net/src/metrics.rs
+++ b/net/src/metrics.rs
@@ -53,11 +53,11 @@
     F: Future<Output = Reply> + Send + 'static,
 {
     let limits = Limits {
-        body: 0,
-        idle: Duration::from_secs(20),
-        whole: Duration::from_secs(1),
-        connections: 4,
-        unacknowledged: None,
+        max_body_bytes: 0,
+        idle_timeout: Duration::from_secs(20),
+        body_timeout: Duration::from_secs(1),
+        max_connections: 4,
+        ack_timeout: None,
     };
     match TcpListener::bind(address).await {
         Ok(listener) => {
--- a/protocol/src/fold.rs
+++ b/protocol/src/fold.rs
@@ -55,7 +55,7 @@
             }
             other => {
                 let mut line = Line::new();
-                line.note("note", other);
+                line.message("note", other);
                 into.text(&line.end());
             }
         }
--- a/protocol/src/line.rs
+++ b/protocol/src/line.rs
@@ -110,13 +110,13 @@
     }
 
     /// A note.
-    pub fn note(&mut self, key: &str, value: &PeerMessage) -> &mut Self {
+    pub fn message(&mut self, key: &str, value: &PeerMessage) -> &mut Self {
         note(self.key(key), value);
         self
     }
 
     /// Notes.
-    pub fn notes(&mut self, key: &str, all: &[PeerMessage]) -> &mut Self {
+    pub fn messages(&mut self, key: &str, all: &[PeerMessage]) -> &mut Self {
         self.list(key, all, note)
     }
 
@@ -444,7 +444,7 @@
             },
         ];
         let mut line = begin("mail", Some(7), 12);
-        line.whole("life", u64::MAX).mark("no", false).mark("yes", true).notes("notes", &notes);
+        line.whole("life", u64::MAX).mark("no", false).mark("yes", true).messages("notes", &notes);
         let parts = read(&line.end()).expect("an object");
         assert_eq!(messages_field(&parts, "notes"), Ok(notes));
         assert_eq!(large(&parts, "life"), Ok(u64::MAX));
@@ -454,7 +454,7 @@
     #[test]
     fn what_is_cut_short_or_too_deep_is_an_error() {
         let mut line = begin("told", None, 5);
-        line.note("note", &PeerMessage::CancelRequest { id: 4 }).names("x", &["a".into()]);
+        line.message("note", &PeerMessage::CancelRequest { id: 4 }).names("x", &["a".into()]);
         let text = line.end();
         for end in 0..text.len() {
             assert!(read(&text[..end]).is_err(), "{}", &text[..end]);
--- a/protocol/src/message_batch.rs
+++ b/protocol/src/message_batch.rs
@@ -1,4 +1,4 @@
-//! What one process posts to another: from whom, in which of its lives, and the notes.
+//! What one process posts to another: from whom, in which of its lives, and the messages.
 
 use compact_str::CompactString;
 use tinyjson::JsonValue;
@@ -12,26 +12,31 @@
     /// The machine that sent it.
     pub from: CompactString,
     /// Which of the sender's lives: later ones are higher.
-    pub life: u64,
-    /// Its notes that could be read.
-    pub notes: Vec<PeerMessage>,
+    pub incarnation: u64,
+    /// Its messages that could be read.
+    pub messages: Vec<PeerMessage>,
     /// What was wrong with the others.
     pub faults: Vec<Fault>,
 }
 
 impl MessageBatch {
-    /// Reads one. A note that can't be read is told in `faults`; the others stand.
+    /// Reads one. A message that can't be read is told in `faults`; the others stand.
     pub fn read(value: &JsonValue) -> Result<MessageBatch, Fault> {
         let JsonValue::Object(parts) = value else {
             return Err(Fault { key: "letter".to_owned(), reason: "no object" });
         };
-        let (mut notes, mut faults) = (Vec::new(), Vec::new());
-        for note in list(parts, "notes")? {
-            match PeerMessage::read(note) {
-                Ok(note) => notes.push(note),
+        let (mut messages, mut faults) = (Vec::new(), Vec::new());
+        for message in list(parts, "notes")? {
+            match PeerMessage::read(message) {
+                Ok(message) => messages.push(message),
                 Err(fault) => faults.push(fault),
             }
         }
-        Ok(MessageBatch { from: string(parts, "from")?, life: whole(parts, "life")?, notes, faults })
+        Ok(MessageBatch {
+            from: string(parts, "from")?,
+            incarnation: whole(parts, "life")?,
+            messages,
+            faults,
+        })
     }
 }
--- a/proxy/src/opening.rs
+++ b/proxy/src/opening.rs
@@ -36,11 +36,11 @@
     log::info!("serving clients on {}", front.local_addr().map(|a| a.to_string()).unwrap_or_default());
 
     let limits = Limits {
-        body: 8 << 20,
-        idle: Duration::from_secs(60),
-        whole: Duration::from_secs(5),
-        connections: 400,
-        unacknowledged: None,
+        max_body_bytes: 8 << 20,
+        idle_timeout: Duration::from_secs(60),
+        body_timeout: Duration::from_secs(5),
+        max_connections: 400,
+        ack_timeout: None,
     };
     // What the porter brings goes before what waits from others: who owns what may have changed.
     for (listener, inputs) in [(inner, shop.inputs()), (local, shop.urgent())] {
@@ -57,7 +57,7 @@
         };
         tokio::spawn(messaging::serve(listener, limits, handler, std::future::pending()));
     }
-    let (inputs, limits) = (shop.inputs(), Limits { body: 0, connections: 20, ..limits });
+    let (inputs, limits) = (shop.inputs(), Limits { max_body_bytes: 0, max_connections: 20, ..limits });
     let handler = move |call| {
         let inputs = inputs.clone();
         async move {
--- a/proxy/src/pool.rs
+++ b/proxy/src/pool.rs
@@ -122,7 +122,7 @@
 
     /// A new connection, kept for the first request: the instance has come up. Whether it has.
     pub async fn scout(&self, instance: &CompactString, address: SocketAddr, keep: bool) -> bool {
-        let options = Options { connect: Some(CONNECT), unacknowledged: None };
+        let options = Options { connect_timeout: Some(CONNECT), ack_timeout: None };
         match Link::open_with(address, options).await {
             Ok(link) => {
                 if keep {
@@ -149,7 +149,7 @@
                 None => {
                     fresh = true;
                     let within = CONNECT.min(deadline.saturating_duration_since(Instant::now()));
-                    let options = Options { connect: Some(within), unacknowledged: None };
+                    let options = Options { connect_timeout: Some(within), ack_timeout: None };
                     match Link::open_with(address, options).await {
                         Ok(link) => (link, Duration::ZERO),
                         Err(e) => {
--- a/proxy/src/shop.rs
+++ b/proxy/src/shop.rs
@@ -36,8 +36,12 @@
 /// ... and this soon where its porter did not hear it.
 const HURRY: Duration = Duration::from_millis(100);
 /// Mail to another stall is answered within this, or the stall is passed over.
-const BOUNDS: OutboxLimits =
-    OutboxLimits { notes: 8_000, bytes: 4 << 20, at_once: 2, within: Duration::from_millis(700) };
+const BOUNDS: OutboxLimits = OutboxLimits {
+    max_messages: 8_000,
+    max_bytes: 4 << 20,
+    max_in_flight: 2,
+    timeout: Duration::from_millis(700),
+};
 /// Pause between two looks at an instance that starts.
 const SCOUT: Duration = Duration::from_millis(12);
 /// An instance that has not come up by then is left to control.
@@ -313,11 +317,11 @@
             Input::Call(call, reply) => {
                 let _ = reply.send(self.call(&call, phase));
             }
-            Input::Mail(Event::Lost { peer, .. }) if &*peer == PORTER => {
+            Input::Mail(Event::Undelivered { peer, .. }) if &*peer == PORTER => {
                 self.hurry.set(Some(Instant::now() + HURRY));
                 self.desk.borrow_mut().controller_unreachable(self.now())
             }
-            Input::Mail(Event::Lost { peer, notes }) => {
+            Input::Mail(Event::Undelivered { peer, messages: notes }) => {
                 let notes = notes.iter().filter_map(|n| PeerMessage::read(n).ok()).collect();
                 self.desk.borrow_mut().undelivered(self.now(), &peer, notes);
             }
@@ -325,7 +329,7 @@
                 if let Some(letter) =
                     messaging::json(&body).as_ref().and_then(|json| MessageBatch::read(json).ok())
                 {
-                    self.mail(&letter.from, letter.life, letter.notes);
+                    self.mail(&letter.from, letter.incarnation, letter.messages);
                 }
             }
             Input::Mail(_) => {}
@@ -354,7 +358,7 @@
             log::warn!("a note from {}: {fault}", letter.from);
         }
         let now = self.now();
-        let (down, between): (Vec<_>, Vec<_>) = letter.notes.into_iter().partition(|n| {
+        let (down, between): (Vec<_>, Vec<_>) = letter.messages.into_iter().partition(|n| {
             matches!(
                 n,
                 PeerMessage::Config { .. }
@@ -405,7 +409,7 @@
         }
         // What is to be said in return goes with the answer, and needs no mail of its own.
         let address = self.desk.borrow().address_of(&letter.from).cloned();
-        self.mail(&letter.from, letter.life, between);
+        self.mail(&letter.from, letter.incarnation, between);
         *self.replying.borrow_mut() = address.map(|address| (address, Vec::new()));
         self.carry_out();
         match self.replying.borrow_mut().take() {
--- a/replay/src/clocks.rs
+++ b/replay/src/clocks.rs
@@ -260,7 +260,7 @@
                 // Word of a life that is not the only one comes from that alone.
                 let of = sources.iter().position(|s| s.machine() == me && s.of.ends_with("/stall"));
                 let lives = of.map_or(0, |of| sources[of].lives.len());
-                for note in letter.notes {
+                for note in letter.messages {
                     let (kind, instance) = match note {
                         PeerMessage::InstanceUp { instance } => ("up", instance),
                         PeerMessage::InstanceDown { instance } => ("lost", instance),
--- a/replay/src/outs.rs
+++ b/replay/src/outs.rs
@@ -54,7 +54,7 @@
     match out {
         Action::Send { to, note } => {
             let mut line = begin("send");
-            line.text("to", to).note("note", &said(note, numbers));
+            line.text("to", to).message("note", &said(note, numbers));
             line.end()
         }
         Action::Granted { ask, instance, address } => {
@@ -72,7 +72,7 @@
         }
         Action::NotifyController(note) => {
             let mut line = begin("up");
-            line.note("note", note);
+            line.message("note", note);
             line.end()
         }
         Action::ProbeReadiness { instance, from } => {
@@ -125,7 +125,7 @@
         RoundEffect::Open { feed, address, path, messages: notes } => {
             let mut line = begin("open");
             line.whole("feed", *feed).text("a", &address.to_string()).text("path", path);
-            line.notes("notes", notes);
+            line.messages("notes", notes);
             line
         }
         RoundEffect::Close { feed } => {
@@ -135,12 +135,12 @@
         }
         RoundEffect::SendToControl { feed, to, message: note } => {
             let mut line = begin("post");
-            line.whole("feed", *feed).text("a", &to.to_string()).note("note", note);
+            line.whole("feed", *feed).text("a", &to.to_string()).message("note", note);
             line
         }
         RoundEffect::SendToProxy(note) => {
             let mut line = begin("tell");
-            line.note("note", note);
+            line.message("note", note);
             line
         }
         RoundEffect::AnswerProxy { read } => {
--- a/scheduler/src/recording.rs
+++ b/scheduler/src/recording.rs
@@ -144,7 +144,7 @@
     /// As [`Coordinator::receive`].
     pub fn receive(&mut self, now: Nanos, from: &str, life: u64, notes: Vec<PeerMessage>) {
         self.tell("mail", now, |line| {
-            line.text("from", from).whole("life", life).notes("notes", &notes);
+            line.text("from", from).whole("life", life).messages("notes", &notes);
         });
         self.desk.receive(now, from, life, notes);
     }
@@ -152,7 +152,7 @@
     /// As [`Coordinator::receive_from_controller`].
     pub fn receive_from_controller(&mut self, now: Nanos, note: PeerMessage) {
         self.tell("told", now, |line| {
-            line.note("note", &note);
+            line.message("note", &note);
         });
         self.desk.receive_from_controller(now, note);
     }
@@ -160,7 +160,7 @@
     /// As [`Coordinator::undelivered`].
     pub fn undelivered(&mut self, now: Nanos, address: &str, notes: Vec<PeerMessage>) {
         self.tell("returned", now, |line| {
-            line.text("to", address).notes("notes", &notes);
+            line.text("to", address).messages("notes", &notes);
         });
         self.desk.undelivered(now, address, notes);
     }
@@ -372,13 +372,13 @@
                 line.text("i", id);
             }
             Input::PeerMessages { from, incarnation, messages } => {
-                line.text("from", from).whole("life", *incarnation).notes("notes", messages);
+                line.text("from", from).whole("life", *incarnation).messages("notes", messages);
             }
             Input::ControllerMessage(note) => {
-                line.note("note", note);
+                line.message("note", note);
             }
             Input::Undelivered { address, messages: notes } => {
-                line.text("to", address).notes("notes", notes);
+                line.text("to", address).messages("notes", notes);
             }
             Input::ControllerUnreachable | Input::Tick => {}
             Input::TraceEvent(trail) => trail.write(&mut line),
