--- a/agent/src/agent.rs
+++ b/agent/src/agent.rs
@@ -280,7 +280,7 @@
             let effect = match action {
                 FeedAction::Open { feed, address, full_config } => {
                     let path = if full_config { "/follow" } else { "/follow?whole=0" };
-                    let acts = PeerMessage::Acts { revision: self.latest.revision(), number: 0 };
+                    let acts = PeerMessage::ConfigApplied { revision: self.latest.revision(), number: 0 };
                     let alive =
                         self.proxy_alive.iter().filter(|(at, _)| now.saturating_sub(*at) <= PROXY_ALIVE_FOR);
                     let messages = alive.map(|(_, message)| message.clone()).chain([acts]).collect();
@@ -321,7 +321,7 @@
         self.log_faults(&from.to_string(), &faults);
         if self.feeds.address(feed).is_some() {
             let number = whole(&parts, "n").unwrap_or(0);
-            let message = PeerMessage::Acts { revision: self.proxy_revision, number };
+            let message = PeerMessage::ConfigApplied { revision: self.proxy_revision, number };
             self.effects.push(Effect::SendToControl { feed, to: from, message });
         }
     }
@@ -352,7 +352,7 @@
             self.feeds.set_contact(now, from, *holds);
             return self.run_feed_actions(now);
         }
-        if let PeerMessage::Rest { name, left } = &message {
+        if let PeerMessage::Drain { name, left } = &message {
             let lasts_ns = (left.clamp(0.0, 1e9) * 1e6) as Nanos;
             self.rest = (lasts_ns > 0).then(|| (name.clone(), now.saturating_add(lasts_ns)));
             return self.effects.push(Effect::SendToProxy(message));
@@ -391,7 +391,7 @@
         self.rest = self.rest.take().filter(|(_, until)| *until > now);
         if let Some((name, until)) = &self.rest {
             let left_ms = (until - now) as f64 / 1e6;
-            self.effects.push(Effect::SendToProxy(PeerMessage::Rest { name: name.clone(), left: left_ms }));
+            self.effects.push(Effect::SendToProxy(PeerMessage::Drain { name: name.clone(), left: left_ms }));
         }
         self.effects.extend(self.latest.snapshot().into_iter().map(Effect::SendToProxy));
     }
@@ -401,7 +401,7 @@
         let Some(batch) = messaging::json(body).and_then(|json| MessageBatch::read(&json).ok()) else {
             return;
         };
-        let answers = batch.notes.into_iter().filter(|message| matches!(message, PeerMessage::Stands { .. }));
+        let answers = batch.messages.into_iter().filter(|message| matches!(message, PeerMessage::CommittedRevision { .. }));
         self.effects.extend(answers.map(Effect::SendToProxy));
     }
 
@@ -411,21 +411,21 @@
             return self.effects.push(Effect::AnswerProxy { read: false });
         };
         self.log_faults(&batch.from, &batch.faults);
-        for message in batch.notes {
+        for message in batch.messages {
             match message {
-                PeerMessage::Alive { .. } => {
+                PeerMessage::Heartbeat { .. } => {
                     self.proxy_alive = Some((now, message.clone()));
                     self.send_to_control(message, false);
                 }
-                PeerMessage::Acts { revision, .. } => self.proxy_acts_on(now, revision),
+                PeerMessage::ConfigApplied { revision, .. } => self.proxy_acts_on(now, revision),
                 // A proxy that has started, or has missed a change.
-                PeerMessage::Behind { version } => {
+                PeerMessage::ViewOutdated { version } => {
                     if version < self.latest.versions().0 {
                         self.send_snapshot(now);
                     }
                 }
                 // Any controller that is in contact with a majority can answer.
-                PeerMessage::AskRevision => self.send_to_control(message, true),
+                PeerMessage::QueryRevision => self.send_to_control(message, true),
                 message => self.send_to_control(message, false),
             }
         }
@@ -444,7 +444,7 @@
         }
         if revision != self.proxy_revision {
             self.proxy_revision = revision;
-            self.send_to_control(PeerMessage::Acts { revision, number: 0 }, true);
+            self.send_to_control(PeerMessage::ConfigApplied { revision, number: 0 }, true);
         }
     }
 
--- a/agent/src/latest.rs
+++ b/agent/src/latest.rs
@@ -76,9 +76,9 @@
     pub fn apply(&mut self, message: PeerMessage, bytes: usize) -> Applied {
         match message {
             PeerMessage::Config { revision, .. }
-            | PeerMessage::Packed { revision, .. }
+            | PeerMessage::PackedConfig { revision, .. }
             | PeerMessage::Patch { revision, .. }
-            | PeerMessage::Folded { revision, .. }
+            | PeerMessage::PackedPatch { revision, .. }
                 if self.config.is_some() && self.revision() >= revision =>
             {
                 Applied::Stale
@@ -87,10 +87,10 @@
                 Ok(config) => self.install(config, PeerMessage::Config { revision, body }, bytes),
                 Err(e) => Applied::Unreadable(format!("configuration {revision}: {e}")),
             },
-            PeerMessage::Packed { revision, packed } => {
+            PeerMessage::PackedConfig { revision, packed } => {
                 match unpack(&packed, MAX_CONFIG_BYTES).map(|text| (text.len(), Config::parse(&text))) {
                     Some((bytes, Ok(config))) => {
-                        self.install(config, PeerMessage::Packed { revision, packed }, bytes)
+                        self.install(config, PeerMessage::PackedConfig { revision, packed }, bytes)
                     }
                     Some((_, Err(e))) => Applied::Unreadable(format!("configuration {revision}: {e}")),
                     None => Applied::Unreadable(format!("configuration {revision} could not be unpacked")),
@@ -99,7 +99,7 @@
             PeerMessage::Patch { revision, ref change } => {
                 self.apply_change(revision, change, bytes, &message)
             }
-            PeerMessage::Folded { revision, ref packed } => {
+            PeerMessage::PackedPatch { revision, ref packed } => {
                 let text = unpack(packed, MAX_CONFIG_BYTES);
                 match text.map(|text| (text.len(), text.parse::<JsonValue>())) {
                     Some((bytes, Ok(change))) => self.apply_change(revision, &change, bytes, &message),
@@ -108,15 +108,15 @@
                     )),
                 }
             }
-            PeerMessage::Stalls { version, peers, leaving, split } => {
+            PeerMessage::FullView { version, peers, leaving, split } => {
                 if self.membership.version() >= version {
                     return Applied::Stale;
                 }
                 self.membership = MembershipView::new(version, peers, split).with_leaving(leaving);
-                Applied::New(self.membership.note())
+                Applied::New(self.membership.to_message())
             }
             PeerMessage::ViewChange(change) if self.membership.version() >= change.version => Applied::Stale,
-            PeerMessage::ViewChange(change) => match self.membership.shifted(&change) {
+            PeerMessage::ViewChange(change) => match self.membership.apply(&change) {
                 Some(membership) => {
                     self.membership = membership;
                     Applied::New(PeerMessage::ViewChange(change))
@@ -131,7 +131,7 @@
                 self.update_instances(all, set, gone)
             }
             // Repeated by the controllers while it is in force, so it is not kept.
-            message @ PeerMessage::Floor { .. } => Applied::New(message),
+            message @ PeerMessage::MinInstances { .. } => Applied::New(message),
             _ => Applied::Stale,
         }
     }
@@ -187,9 +187,9 @@
     /// Keeps a configuration that `message` has brought, if its revision is the message's.
     fn install(&mut self, config: Config, message: PeerMessage, bytes: usize) -> Applied {
         let (PeerMessage::Config { revision, .. }
-        | PeerMessage::Packed { revision, .. }
+        | PeerMessage::PackedConfig { revision, .. }
         | PeerMessage::Patch { revision, .. }
-        | PeerMessage::Folded { revision, .. }) = message
+        | PeerMessage::PackedPatch { revision, .. }) = message
         else {
             return Applied::Stale;
         };
@@ -199,7 +199,7 @@
                 config.revision
             ));
         }
-        self.packed_config = matches!(message, PeerMessage::Packed { .. }).then(|| message.clone());
+        self.packed_config = matches!(message, PeerMessage::PackedConfig { .. }).then(|| message.clone());
         (self.config, self.config_bytes) = (Some(config), bytes);
         Applied::New(message)
     }
@@ -211,7 +211,7 @@
         if self.packed_config.is_none() {
             let config = self.config.as_ref()?;
             let packed = pack(&config.to_json())?;
-            self.packed_config = Some(PeerMessage::Packed { revision: config.revision, packed });
+            self.packed_config = Some(PeerMessage::PackedConfig { revision: config.revision, packed });
         }
         self.packed_config.clone()
     }
@@ -229,7 +229,7 @@
             });
         }
         if self.membership.version() > (0, 0) {
-            messages.push(self.membership.note());
+            messages.push(self.membership.to_message());
         }
         messages
     }
--- a/agent/src/run.rs
+++ b/agent/src/run.rs
@@ -14,7 +14,9 @@
 use millpost_agent::latest::MAX_CONFIG_BYTES;
 use millpost_agent::{AgentConfig, Effect, Input, Nanos, Recorded};
 use millpost_config::Settings;
-use millpost_net::messaging::{self, Bounds, Call, Event, Held, Incarnation, Limits, Outbox, Reply, To};
+use millpost_net::messaging::{
+    self, Call, Event, Incarnation, Limits, LineStream, Outbox, OutboxLimits, OutboxTarget, Reply,
+};
 use millpost_net::metrics;
 use millpost_protocol::frame::Head;
 use millpost_protocol::line::Sink;
@@ -36,8 +38,8 @@
 
 /// The bounds of an outbox. One request at a time, although a second one would be faster: changes to
 /// instances have to arrive in order.
-fn bounds(within: Duration) -> Bounds {
-    Bounds { notes: 4_000, bytes: 16 << 20, at_once: 1, within }
+fn bounds(within: Duration) -> OutboxLimits {
+    OutboxLimits { max_messages: 4_000, max_bytes: 16 << 20, max_in_flight: 1, timeout: within }
 }
 
 /// An event for the main loop.
@@ -149,11 +151,11 @@
 /// Serves the endpoint for the proxy's message batches.
 fn serve(listener: TcpListener, incoming: mpsc::Sender<Incoming>) {
     let limits = Limits {
-        body: 4 << 20,
-        idle: Duration::from_secs(60),
-        whole: Duration::from_secs(5),
-        connections: 16,
-        unheard: None,
+        max_body_bytes: 4 << 20,
+        idle_timeout: Duration::from_secs(60),
+        body_timeout: Duration::from_secs(5),
+        max_connections: 16,
+        ack_timeout: None,
     };
     tokio::spawn(messaging::serve(listener, limits, handler(incoming), std::future::pending()));
 }
@@ -179,8 +181,8 @@
     u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)
 }
 
-fn destination(peer: &str, address: SocketAddr, name: &JsonValue, incarnation: &Incarnation) -> To {
-    To {
+fn destination(peer: &str, address: SocketAddr, name: &JsonValue, incarnation: &Incarnation) -> OutboxTarget {
+    OutboxTarget {
         peer: Arc::from(peer),
         address,
         path: "/mail".to_owned(),
@@ -206,7 +208,7 @@
             }
             Incoming::Call(call, reply) => self.handle(Input::ProxyMessages(call.body), Some(reply)),
             Incoming::Outbox(Event::Up { peer }) if &*peer == PROXY => self.handle(Input::ProxyUp, None),
-            Incoming::Outbox(Event::Lost { peer, notes }) => {
+            Incoming::Outbox(Event::Undelivered { peer, messages: notes }) => {
                 // Messages that the proxy did not get are sent again once it is up.
                 if let Ok(feed) = peer.parse() {
                     self.handle(Input::MessagesLost { feed, messages: notes.len() as u64 }, None);
@@ -287,9 +289,12 @@
         let incoming = self.incoming.clone();
         let task = tokio::spawn(async move {
             let silence = Duration::from_millis(1_200);
-            let terms =
-                messaging::Terms { within: Duration::from_millis(700), longest: MAX_CONFIG_BYTES, silence };
-            match Held::open(address, path, body, terms).await {
+            let terms = messaging::StreamOptions {
+                open_timeout: Duration::from_millis(700),
+                max_line_bytes: MAX_CONFIG_BYTES,
+                idle_timeout: silence,
+            };
+            match LineStream::open(address, path, body, terms).await {
                 Ok(mut held) => {
                     while let Some(line) = held.next_line().await {
                         if incoming.send(Incoming::Line(feed, line)).await.is_err() {
--- a/agent/tests/round.rs
+++ b/agent/tests/round.rs
@@ -36,7 +36,7 @@
 
 fn packed(revision: u64) -> PeerMessage {
     let packed = pack(&config(revision, revision).to_json()).expect("packed");
-    PeerMessage::Packed { revision, packed }
+    PeerMessage::PackedConfig { revision, packed }
 }
 
 fn patch(from: u64, revision: u64) -> PeerMessage {
@@ -46,7 +46,7 @@
 
 fn membership(version: (u64, u64)) -> PeerMessage {
     let peers = vec![Peer { name: "edge-1".into(), address: "10.0.1.1:7760".into(), zone: "a".into() }];
-    PeerMessage::Stalls { version, peers, leaving: vec![], split: vec![] }
+    PeerMessage::FullView { version, peers, leaving: vec![], split: vec![] }
 }
 
 fn membership_change(from: (u64, u64), version: (u64, u64), came: &[&str], left: &[&str]) -> PeerMessage {
@@ -83,11 +83,11 @@
 
 fn alive() -> PeerMessage {
     let peer = Peer { name: "edge-1".into(), address: "10.0.1.1:7760".into(), zone: "a".into() };
-    PeerMessage::Alive { peer, serving: true, split: None, digest: None }
+    PeerMessage::Heartbeat { peer, serving: true, split: None, digest: None }
 }
 
 fn acts(revision: u64) -> PeerMessage {
-    PeerMessage::Acts { revision, number: 0 }
+    PeerMessage::ConfigApplied { revision, number: 0 }
 }
 
 /// An agent, and the effects that it has asked for.
@@ -223,7 +223,7 @@
         vec![full(2)]
     },
     invalid_pack = {
-        vec![PeerMessage::Packed { revision: 3, packed: "?".to_owned() }, packed(2)],
+        vec![PeerMessage::PackedConfig { revision: 3, packed: "?".to_owned() }, packed(2)],
         vec![packed(2)]
     },
     older_membership = { vec![membership((2, 1)), membership((1, 9)), membership((2, 1)), membership((2, 2))],
@@ -265,7 +265,7 @@
         }],
         vec![full(5)]
     },
-    other_messages = { vec![PeerMessage::Drop { id: 1 }, alive(), acts(3)], vec![] },
+    other_messages = { vec![PeerMessage::CancelRequest { id: 1 }, alive(), acts(3)], vec![] },
 )]
 fn the_proxy_is_never_sent_older_state(received: Vec<PeerMessage>, passed_on: Vec<PeerMessage>) {
     // From both feeds in turns, or in one line of one feed.
@@ -296,7 +296,7 @@
         harness
             .to_control
             .iter()
-            .all(|(_, message)| *message == PeerMessage::Acts { revision: 0, number: 7 })
+            .all(|(_, message)| *message == PeerMessage::ConfigApplied { revision: 0, number: 7 })
     );
 }
 
@@ -331,11 +331,11 @@
 fn a_new_leader_is_followed_and_gets_the_proxys_messages() {
     let mut harness = Harness::new(&[1, 2]);
     harness.line(1, &[leader(1, 2)]);
-    harness.proxy_sends(&[alive(), PeerMessage::Retire { instance: "i".into() }]);
+    harness.proxy_sends(&[alive(), PeerMessage::RetireInstance { instance: "i".into() }]);
     let forwarded: Vec<_> = harness
         .to_control
         .iter()
-        .filter(|(_, message)| !matches!(message, PeerMessage::Acts { .. }))
+        .filter(|(_, message)| !matches!(message, PeerMessage::ConfigApplied { .. }))
         .collect();
     assert_eq!(forwarded.len(), 2);
     assert!(forwarded.iter().all(|(to, _)| *to == at(2)));
@@ -344,12 +344,12 @@
     let (all, full) = harness.followed();
     assert!(all.contains(&at(9)) && all.len() == 2 && full.len() == 1);
     harness.to_control.clear();
-    harness.proxy_sends(&[PeerMessage::Lost { instance: "i".into() }]);
-    assert_eq!(harness.to_control, [(at(9), PeerMessage::Lost { instance: "i".into() })]);
+    harness.proxy_sends(&[PeerMessage::InstanceDown { instance: "i".into() }]);
+    assert_eq!(harness.to_control, [(at(9), PeerMessage::InstanceDown { instance: "i".into() })]);
     // While its feed is down, nothing is sent to it; it is followed again after a pause.
     harness.ended(9);
     harness.to_control.clear();
-    harness.proxy_sends(&[PeerMessage::Lost { instance: "i".into() }]);
+    harness.proxy_sends(&[PeerMessage::InstanceDown { instance: "i".into() }]);
     assert_eq!((harness.to_control.len(), harness.answers.last()), (0, Some(&true)));
     harness.advance(100 * MS);
     assert!(harness.followed().0.contains(&at(9)));
@@ -712,20 +712,20 @@
     // A proxy that is behind gets the resulting membership, however old its version is; one that is not gets
     // nothing.
     harness.to_proxy.clear();
-    harness.proxy_sends(&[PeerMessage::Behind { version: (1, 6) }]);
+    harness.proxy_sends(&[PeerMessage::ViewOutdated { version: (1, 6) }]);
     assert_eq!(harness.to_proxy, []);
-    harness.proxy_sends(&[PeerMessage::Behind { version: (1, 5) }]);
-    let [PeerMessage::Stalls { version: (1, 6), peers, .. }] = harness.to_proxy.as_slice() else {
+    harness.proxy_sends(&[PeerMessage::ViewOutdated { version: (1, 5) }]);
+    let [PeerMessage::FullView { version: (1, 6), peers, .. }] = harness.to_proxy.as_slice() else {
         panic!("{:?}", harness.to_proxy)
     };
     assert_eq!(peers.iter().map(|p| p.name.as_str()).collect::<Vec<_>>(), ["edge-2", "edge-3"]);
-    assert!(harness.to_control.iter().all(|(_, message)| !matches!(message, PeerMessage::Behind { .. })));
+    assert!(harness.to_control.iter().all(|(_, message)| !matches!(message, PeerMessage::ViewOutdated { .. })));
 }
 
 #[test]
 fn a_restarted_proxy_is_first_told_to_stay_out_of_service() {
     let mut harness = Harness::new(&[1]);
-    let rest = |left: f64| PeerMessage::Rest { name: "edge-1".into(), left };
+    let rest = |left: f64| PeerMessage::Drain { name: "edge-1".into(), left };
     harness.line(1, &[rest(1_000.0), full(1)]);
     assert_eq!(std::mem::take(&mut harness.to_proxy), [rest(1_000.0), full(1)]);
     // The proxy's own report is passed on.
@@ -750,9 +750,9 @@
     harness.line(1, &[leader(1, 1), full(1)]);
     harness.line(2, &[]);
     harness.to_control.clear();
-    harness.proxy_sends(&[PeerMessage::AskRevision]);
+    harness.proxy_sends(&[PeerMessage::QueryRevision]);
     assert_eq!(
-        harness.to_control.iter().filter(|(_, message)| *message == PeerMessage::AskRevision).count(),
+        harness.to_control.iter().filter(|(_, message)| *message == PeerMessage::QueryRevision).count(),
         2
     );
     harness.to_proxy.clear();
@@ -762,8 +762,8 @@
         let text = format!(r#"{{"from":"10.0.0.1:1","life":0,"notes":[{}]}}"#, messages.join(","));
         Input::ControlAnswered(Bytes::from(text))
     };
-    harness.handle(answer(&[PeerMessage::Stands { revision: 3 }, leader(9, 9)]));
-    assert_eq!(harness.to_proxy, [PeerMessage::Stands { revision: 3 }]);
+    harness.handle(answer(&[PeerMessage::CommittedRevision { revision: 3 }, leader(9, 9)]));
+    assert_eq!(harness.to_proxy, [PeerMessage::CommittedRevision { revision: 3 }]);
     harness.handle(Input::ControlAnswered(Bytes::from_static(b"{")));
     assert_eq!(harness.to_proxy.len(), 1);
 }
@@ -779,5 +779,5 @@
     harness.to_proxy.clear();
     harness.handle(Input::ProxyUp);
     let packed = millpost_net::pack::pack(&new.to_json()).expect("packed");
-    assert_eq!(harness.to_proxy, [PeerMessage::Packed { revision: 2, packed }]);
+    assert_eq!(harness.to_proxy, [PeerMessage::PackedConfig { revision: 2, packed }]);
 }
--- a/controller/src/core/follow.rs
+++ b/controller/src/core/follow.rs
@@ -71,8 +71,8 @@
         FollowRequest { call, batch, whole, .. }: FollowRequest,
     ) -> Result<(), CallError> {
         let mut applied_revision = 0;
-        for note in &batch.notes {
-            if let PeerMessage::Acts { revision, .. } = note {
+        for note in &batch.messages {
+            if let PeerMessage::ConfigApplied { revision, .. } = note {
                 applied_revision = *revision;
             }
             if let Some(leader) = self.leadership.leader_mut() {
--- a/controller/src/runtime.rs
+++ b/controller/src/runtime.rs
@@ -85,11 +85,11 @@
 
     let calls = events.clone();
     let limits = Limits {
-        body: MAX_BODY,
-        idle: Duration::from_secs(60),
-        whole: Duration::from_secs(5),
-        connections: (settings.limits.max_fds as usize).saturating_sub(400).max(50),
-        unheard: Some(Duration::from_millis(2_000)),
+        max_body_bytes: MAX_BODY,
+        idle_timeout: Duration::from_secs(60),
+        body_timeout: Duration::from_secs(5),
+        max_connections: (settings.limits.max_fds as usize).saturating_sub(400).max(50),
+        ack_timeout: Some(Duration::from_millis(2_000)),
     };
     let handler = move |call| {
         let calls = calls.clone();
@@ -243,7 +243,7 @@
                     let (lines, pieces) = mpsc::channel(FEED_QUEUE_LENGTH);
                     let _ = lines.try_send(line);
                     self.feeds.insert(connection, lines);
-                    self.answer(call, Reply::held(pieces));
+                    self.answer(call, Reply::streamed(pieces));
                 }
                 Effect::FeedLine(connection, line) => {
                     if self.feeds.get(&connection).is_some_and(|lines| lines.try_send(line).is_err()) {
--- a/net/src/messaging/tests.rs
+++ b/net/src/messaging/tests.rs
@@ -10,8 +10,14 @@
 use super::*;
 
 const LONG: Duration = Duration::from_secs(20);
-const LIMITS: Limits = Limits { body: 1_000, idle: LONG, whole: LONG, connections: 8, unheard: None };
-const TERMS: Terms = Terms { within: LONG, longest: 4, silence: LONG };
+const LIMITS: Limits = Limits {
+    max_body_bytes: 1_000,
+    idle_timeout: LONG,
+    body_timeout: LONG,
+    max_connections: 8,
+    ack_timeout: None,
+};
+const TERMS: StreamOptions = StreamOptions { open_timeout: LONG, max_line_bytes: 4, idle_timeout: LONG };
 
 fn wait<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -45,7 +51,7 @@
 fn post(address: SocketAddr) -> (Outbox, mpsc::Receiver<Event>) {
     let (told, events) = mpsc::channel(8);
     let (from, incarnation) = (JsonValue::from("edge".to_owned()), Incarnation::new(7));
-    let to = To {
+    let to = OutboxTarget {
         peer: Arc::from("core"),
         address,
         path: "/notes".to_owned(),
@@ -53,7 +59,14 @@
         from,
         incarnation,
     };
-    (Outbox::new(to, Bounds { notes: 3, bytes: 1_000, at_once: 2, within: LONG }, told), events)
+    (
+        Outbox::new(
+            to,
+            OutboxLimits { max_messages: 3, max_bytes: 1_000, max_in_flight: 2, timeout: LONG },
+            told,
+        ),
+        events,
+    )
 }
 
 fn number(n: u8) -> JsonValue {
@@ -76,7 +89,7 @@
         for n in 3..=5 {
             post.push(number(n)).expect("room");
         }
-        assert_eq!(post.push(number(6)), Err(Refused::Full(number(6))));
+        assert_eq!(post.push(number(6)), Err(PushError::Full(number(6))));
         held.remove(0).send(Reply::empty(StatusCode::NO_CONTENT)).expect("awaited");
         let (call, reply) = server.calls.recv().await.expect("a call");
         assert_eq!(call.json().expect("JSON")["notes"], JsonValue::from([3, 4, 5].map(number).to_vec()));
@@ -84,7 +97,10 @@
         reply.send(Reply::empty(StatusCode::SERVICE_UNAVAILABLE)).expect("awaited");
         assert_eq!(events.recv().await, Some(Event::Down { peer: Arc::from("core") }));
         let notes = [3, 4, 5].map(number).to_vec();
-        assert_eq!(events.recv().await, Some(Event::Lost { peer: Arc::from("core"), notes }));
+        assert_eq!(
+            events.recv().await,
+            Some(Event::Undelivered { peer: Arc::from("core"), messages: notes })
+        );
     });
 }
 
@@ -96,8 +112,10 @@
         drop(listener);
         post.push(number(0)).expect("room");
         assert!(matches!(events.recv().await, Some(Event::Down { .. })));
-        assert!(matches!(events.recv().await, Some(Event::Lost { notes, .. }) if notes == [number(0)]));
-        assert!(matches!(post.push(JsonValue::from(f64::NAN)), Err(Refused::Unfit(_))));
+        assert!(
+            matches!(events.recv().await, Some(Event::Undelivered { messages, .. }) if messages == [number(0)])
+        );
+        assert!(matches!(post.push(JsonValue::from(f64::NAN)), Err(PushError::NotSerializable(_))));
     });
 }
 
@@ -106,13 +124,13 @@
     wait(async {
         let mut server = served(LIMITS).await;
         for (pieces, lines, ended) in [
-            (["a\nb", "c\n\n", "4444\n"], vec!["a", "bc", "4444"], Ended::Closed),
-            (["a\n", "55", "555\n"], vec!["a"], Ended::TooLong),
+            (["a\nb", "c\n\n", "4444\n"], vec!["a", "bc", "4444"], StreamEnd::Closed),
+            (["a\n", "55", "555\n"], vec!["a"], StreamEnd::TooLong),
         ] {
-            let opening = tokio::spawn(Held::open(server.address, "/feed", Bytes::from("{}"), TERMS));
+            let opening = tokio::spawn(LineStream::open(server.address, "/feed", Bytes::from("{}"), TERMS));
             let (_, reply) = server.calls.recv().await.expect("a call");
             let (sender, receiver) = mpsc::channel(8);
-            reply.send(Reply::held(receiver)).expect("awaited");
+            reply.send(Reply::streamed(receiver)).expect("awaited");
             let mut held = opening.await.expect("it ends").expect("a stream");
             for piece in pieces {
                 sender.send(Bytes::from(piece)).await.expect("taken");
@@ -123,13 +141,13 @@
             }
             assert_eq!((held.next_line().await, held.ended()), (None, Some(ended)));
         }
-        let opening = tokio::spawn(Held::open(server.address, "/feed", Bytes::from("{}"), TERMS));
+        let opening = tokio::spawn(LineStream::open(server.address, "/feed", Bytes::from("{}"), TERMS));
         let (_, reply) = server.calls.recv().await.expect("a call");
         let (_sender, receiver) = mpsc::channel(8);
-        reply.send(Reply::held(receiver)).expect("awaited");
+        reply.send(Reply::streamed(receiver)).expect("awaited");
         let mut held = opening.await.expect("it ends").expect("a stream");
         server.close.send(()).expect("it serves");
-        assert_eq!((held.next_line().await, held.ended()), (None, Some(Ended::Closed)));
+        assert_eq!((held.next_line().await, held.ended()), (None, Some(StreamEnd::Closed)));
         drop(held);
         server.task.await.expect("it ends");
     });
@@ -138,7 +156,7 @@
 #[test]
 fn what_is_too_much_is_refused() {
     wait(async {
-        let mut server = served(Limits { connections: 1, ..LIMITS }).await;
+        let mut server = served(Limits { max_connections: 1, ..LIMITS }).await;
         let client = Client::new(server.address, OPTIONS);
         let ask = |size| {
             let body = Bytes::from(vec![b'x'; size]);
--- a/scheduler/src/recording.rs
+++ b/scheduler/src/recording.rs
@@ -144,7 +144,7 @@
     /// As [`Coordinator::receive`].
     pub fn receive(&mut self, now: Nanos, from: &str, life: u64, notes: Vec<PeerMessage>) {
         self.tell("mail", now, |line| {
-            line.text("from", from).whole("life", life).notes("notes", &notes);
+            line.text("from", from).whole("life", life).messages("notes", &notes);
         });
         self.desk.receive(now, from, life, notes);
     }
@@ -152,7 +152,7 @@
     /// As [`Coordinator::receive_from_controller`].
     pub fn receive_from_controller(&mut self, now: Nanos, note: PeerMessage) {
         self.tell("told", now, |line| {
-            line.note("note", &note);
+            line.message("note", &note);
         });
         self.desk.receive_from_controller(now, note);
     }
@@ -160,7 +160,7 @@
     /// As [`Coordinator::undelivered`].
     pub fn undelivered(&mut self, now: Nanos, address: &str, notes: Vec<PeerMessage>) {
         self.tell("returned", now, |line| {
-            line.text("to", address).notes("notes", &notes);
+            line.text("to", address).messages("notes", &notes);
         });
         self.desk.undelivered(now, address, notes);
     }
@@ -372,13 +372,13 @@
                 line.text("i", id);
             }
             Input::PeerMessages { from, incarnation, messages } => {
-                line.text("from", from).whole("life", *incarnation).notes("notes", messages);
+                line.text("from", from).whole("life", *incarnation).messages("notes", messages);
             }
             Input::ControllerMessage(note) => {
-                line.note("note", note);
+                line.message("note", note);
             }
             Input::Undelivered { address, messages: notes } => {
-                line.text("to", address).notes("notes", notes);
+                line.text("to", address).messages("notes", notes);
             }
             Input::ControllerUnreachable | Input::Tick => {}
             Input::TraceEvent(trail) => trail.write(&mut line),
@@ -410,12 +410,13 @@
             "mail" => Input::PeerMessages {
                 from: string(from, "from")?,
                 incarnation: line::large(from, "life")?,
-                messages: line::notes_of(from, "notes")?,
+                messages: line::messages_field(from, "notes")?,
+            },
+            "told" => Input::ControllerMessage(line::message_field(from, "note")?),
+            "returned" => Input::Undelivered {
+                address: string(from, "to")?,
+                messages: line::messages_field(from, "notes")?,
             },
-            "told" => Input::ControllerMessage(line::note_of(from, "note")?),
-            "returned" => {
-                Input::Undelivered { address: string(from, "to")?, messages: line::notes_of(from, "notes")? }
-            }
             "mute" => Input::ControllerUnreachable,
             "tick" => Input::Tick,
             name => Input::TraceEvent(TraceEvent::read(name, from)?),
@@ -532,7 +533,7 @@
             Input::PeerMessages {
                 from: "edge-2".into(),
                 incarnation: 3,
-                messages: vec![PeerMessage::Drop { id: 4 }],
+                messages: vec![PeerMessage::CancelRequest { id: 4 }],
             },
             Input::ControllerMessage(PeerMessage::Instances {
                 version: (1, 2),
@@ -540,7 +541,10 @@
                 set: vec![],
                 gone: vec![],
             }),
-            Input::Undelivered { address: "10.0.0.2:1".into(), messages: vec![PeerMessage::Drop { id: 5 }] },
+            Input::Undelivered {
+                address: "10.0.0.2:1".into(),
+                messages: vec![PeerMessage::CancelRequest { id: 5 }],
+            },
             Input::ControllerUnreachable,
             Input::Tick,
             Input::TraceEvent(TraceEvent::Received {
