--- a/scheduler/src/attempt_timeouts.rs
+++ b/scheduler/src/attempt_timeouts.rs
@@ -13,39 +13,39 @@
 /// Weight of a new answer in the average.
 const WEIGHT: f64 = 0.1;
 /// Answers that must have been seen.
-const ENOUGH: u32 = 8;
+const MIN_ANSWERS: u32 = 8;
 /// The margin, in times of the average,
-const USUAL: f64 = 8.0;
+const MEAN_FACTOR: f64 = 8.0;
 /// ... in times of the longest that was seen lately,
-const LONGEST: f64 = 2.0;
+const MAX_FACTOR: f64 = 2.0;
 /// ... and at least.
-const LEAST: f64 = (100 * MS) as f64;
+const MIN_TIMEOUT: f64 = (100 * MS) as f64;
 /// What is left of the longest with each answer.
-const FADES: f64 = 0.98;
+const MAX_DECAY: f64 = 0.98;
 /// Tries that may be given up for each that is answered,
-const PART: f64 = 0.05;
+const TIMEOUTS_PER_ANSWER: f64 = 0.05;
 /// ... and at once.
-const AT_ONCE: f64 = 3.0;
+const MAX_CREDIT: f64 = 3.0;
 
 /// What one function's answers take, in nanoseconds.
 #[derive(Debug, Default)]
-struct Seen {
+struct LatencyStats {
     answers: u32,
-    usual: f64,
-    longest: f64,
+    mean: f64,
+    recent_max: f64,
     /// Tries that may be given up.
-    spare: f64,
+    timeout_credit: f64,
 }
 
 /// What the answers of each function take, as one stall sees them.
 #[derive(Debug, Default)]
-pub struct AttemptTimeouts(HashMap<CompactString, Seen>);
+pub struct AttemptTimeouts(HashMap<CompactString, LatencyStats>);
 
 impl AttemptTimeouts {
     /// How long a try of this function may go unanswered before it is given up; none where too little is known, or too many were.
     pub fn timeout(&self, service: &str) -> Option<Nanos> {
-        let seen = self.0.get(service).filter(|s| s.answers >= ENOUGH && s.spare >= 1.0)?;
-        Some((seen.usual * USUAL).max(seen.longest * LONGEST).max(LEAST) as Nanos)
+        let seen = self.0.get(service).filter(|s| s.answers >= MIN_ANSWERS && s.timeout_credit >= 1.0)?;
+        Some((seen.mean * MEAN_FACTOR).max(seen.recent_max * MAX_FACTOR).max(MIN_TIMEOUT) as Nanos)
     }
 
     /// One was answered after so long.
@@ -56,17 +56,17 @@
             None => self.0.entry(service.clone()).or_default(),
         };
         let weight = if seen.answers == 0 { 1.0 } else { WEIGHT };
-        seen.usual += weight * (took - seen.usual);
-        seen.longest = (seen.longest * FADES).max(took);
-        seen.spare = (seen.spare + PART).min(AT_ONCE);
+        seen.mean += weight * (took - seen.mean);
+        seen.recent_max = (seen.recent_max * MAX_DECAY).max(took);
+        seen.timeout_credit = (seen.timeout_credit + TIMEOUTS_PER_ANSWER).min(MAX_CREDIT);
         seen.answers = seen.answers.saturating_add(1);
     }
 
     /// One was given up after so long: the next is given more time.
     pub fn timed_out(&mut self, service: &str, took: Nanos) {
         if let Some(seen) = self.0.get_mut(service) {
-            seen.longest = seen.longest.max(took as f64);
-            seen.spare = (seen.spare - 1.0).max(0.0);
+            seen.recent_max = seen.recent_max.max(took as f64);
+            seen.timeout_credit = (seen.timeout_credit - 1.0).max(0.0);
         }
     }
 
--- a/scheduler/src/budget.rs
+++ b/scheduler/src/budget.rs
@@ -12,20 +12,20 @@
     window: Nanos,
     ratio: f64,
     slack: f64,
-    lots: usize,
+    partitions: usize,
 }
 
 /// Part of the allowance that is used: other machines may have counted a little otherwise, runs that were repeats make calls.
-const USED: f64 = 0.5;
+const USABLE_SHARE: f64 = 0.5;
 
 impl Budget {
     pub fn new(window: Nanos, ratio: f64, slack: f64) -> Self {
-        Budget { slices: VecDeque::new(), window: window.max(10), ratio, slack, lots: 1 }
+        Budget { slices: VecDeque::new(), window: window.max(10), ratio, slack, partitions: 1 }
     }
 
     /// The function is kept in so many lots, each with a part of the slack.
-    pub fn share(&mut self, lots: usize) {
-        self.lots = lots.max(1);
+    pub fn set_partitions(&mut self, lots: usize) {
+        self.partitions = lots.max(1);
     }
 
     fn slice(&mut self, now: Nanos) -> &mut (Nanos, u64, u64) {
@@ -42,7 +42,7 @@
     }
 
     /// A request's first try.
-    pub fn request(&mut self, now: Nanos) {
+    pub fn record_request(&mut self, now: Nanos) {
         self.slice(now).1 += 1;
     }
 
@@ -50,11 +50,15 @@
     pub fn counts(&self, now: Nanos) -> (u64, u64, f64) {
         let within = self.slices.iter().filter(|s| s.0 + self.window + self.window / 10 >= now);
         let (requests, repeats) = within.fold((0, 0), |(a, b), s| (a + s.1, b + s.2));
-        (requests, repeats, (requests as f64 * self.ratio + self.slack / self.lots as f64) * USED)
+        (
+            requests,
+            repeats,
+            (requests as f64 * self.ratio + self.slack / self.partitions as f64) * USABLE_SHARE,
+        )
     }
 
     /// Whether a further try may go; it is counted then.
-    pub fn repeat(&mut self, now: Nanos) -> bool {
+    pub fn try_retry(&mut self, now: Nanos) -> bool {
         self.slice(now);
         let (_, repeats, most) = self.counts(now);
         let may = (repeats as f64) + 1.0 <= most;
@@ -77,9 +81,9 @@
         for step in 0..4_000u64 {
             let now = step * SECOND / 50;
             if step % 3 == 0 {
-                budget.request(now);
+                budget.record_request(now);
             }
-            if budget.repeat(now) {
+            if budget.try_retry(now) {
                 sent.push_back(now);
             }
             while sent.front().is_some_and(|t| t + 10 * SECOND <= now) {
--- a/scheduler/src/coordinator.rs
+++ b/scheduler/src/coordinator.rs
@@ -3,10 +3,10 @@
 //!
 //! Invariant: an open ask stands with one owner at a time, or with nobody until the next one is known.
 
-mod passing;
+mod permit_transfer;
+mod view_change;
 #[cfg(test)]
-mod turns;
-mod view;
+mod view_change_tests;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -14,7 +14,7 @@
 use millpost_protocol::frame::Fold;
 use millpost_protocol::{MembershipView, PeerMessage, Version};
 
-use crate::coordinator::passing::Granted;
+use crate::coordinator::permit_transfer::Granted;
 use crate::effect::{DenialReason, Effect, SchedulerLimits};
 use crate::function::{Scheduler, Transfer};
 use crate::instance::{Instance, Stage};
@@ -23,20 +23,20 @@
 use crate::{FunctionSpec, MS, Nanos, Outcome, PermitRequest, SECOND};
 
 /// An ask that nothing was heard of is sent again after this time,
-const ASK_AGAIN: Nanos = 300 * MS;
+const RESEND_AFTER: Nanos = 300 * MS;
 /// ... and one of which it is known that it waits, after this.
-const WAITS: Nanos = 1_500 * MS;
+const QUEUED_RESEND_AFTER: Nanos = 1_500 * MS;
 /// A stall that has not answered an ask for so long, and was not heard of otherwise, is taken for dead: an owner answers each ask at
 /// once, were it with the word that it waits.
-const DEAF: Nanos = 400 * MS;
+const UNRESPONSIVE_AFTER: Nanos = 400 * MS;
 /// A stall whose mail came back is passed over for so long.
-const PASSED_OVER: Nanos = SECOND;
+const SKIP_TIME: Nanos = SECOND;
 /// A new leader has heard within this time which stalls live: each says so every 450 ms.
-const MISSING: Nanos = 800 * MS;
+const UNCONFIRMED_TIMEOUT: Nanos = 800 * MS;
 /// A new steward has heard within this time which instances there are.
-const RENEWS: Nanos = 2 * SECOND;
+const RENEWAL_TIME: Nanos = 2 * SECOND;
 /// Asks that may be open.
-const MOST_ASKS: usize = 20_000;
+const MAX_OPEN_REQUESTS: usize = 20_000;
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
@@ -112,23 +112,23 @@
 }
 
 #[derive(Debug)]
-struct Open {
-    ask: PermitRequest,
+struct PendingRequest {
+    request: PermitRequest,
     first: bool,
     /// With whom it stands; none while nobody is known.
     owner: Option<CompactString>,
-    said: Nanos,
+    last_sent: Nanos,
     /// When it was put to that one first; where that one has said that it waits, when it is asked again.
-    since: Nanos,
+    waiting_since: Nanos,
     /// How often it was sent again.
-    again: u32,
+    resends: u32,
     /// The instance, and its zone.
     granted: Option<(CompactString, CompactString)>,
 }
 
 /// A permit that went to another owner.
 #[derive(Debug)]
-struct Handed {
+struct HandedOver {
     /// To whom.
     to: CompactString,
     instance: CompactString,
@@ -140,36 +140,36 @@
 #[derive(Debug)]
 pub struct Coordinator {
     me: Peer,
-    broker: Scheduler,
+    scheduler: Scheduler,
     owners: Owners,
     /// Those of the naming before.
-    owners_before: Owners,
+    previous_owners: Owners,
     /// Of those that are named now.
-    digest: u64,
-    seen: (u64, u64),
+    current_digest: u64,
+    instances_version: (u64, u64),
     /// Until then a new steward's snapshots may lack what it has still to hear from here.
-    renews: Nanos,
+    renewing_until: Nanos,
     /// Addresses of stalls that sent mail, and their lives.
-    lives: BTreeMap<CompactString, u64>,
-    passed_over: BTreeMap<CompactString, Nanos>,
+    incarnations: BTreeMap<CompactString, u64>,
+    skipped_until: BTreeMap<CompactString, Nanos>,
     /// When other stalls were heard of last.
-    heard: BTreeMap<CompactString, Nanos>,
+    last_heard: BTreeMap<CompactString, Nanos>,
     /// Zones that were ever heard of: instances stand also where no stall is any more.
     zones: BTreeSet<CompactString>,
     /// Stalls that a new leader has not named, as it may not have heard of them yet; they are gone from then on.
-    missing: BTreeMap<CompactString, Nanos>,
+    unconfirmed: BTreeMap<CompactString, Nanos>,
     /// Stalls that were named before, and where: they may ask still, as they may not know.
-    away: BTreeMap<CompactString, CompactString>,
-    open: BTreeMap<u64, Open>,
+    departed: BTreeMap<CompactString, CompactString>,
+    open: BTreeMap<u64, PendingRequest>,
     /// Permits that went to another owner: who has them may not know.
-    handed: BTreeMap<(CompactString, u64), Handed>,
+    handed_over: BTreeMap<(CompactString, u64), HandedOver>,
     /// Owners of before that have told of all they had out, by function, and by which naming.
-    told_over: BTreeMap<CompactString, BTreeMap<CompactString, Version>>,
-    next: u64,
-    outs: VecDeque<Action>,
+    transfers_received: BTreeMap<CompactString, BTreeMap<CompactString, Version>>,
+    last_id: u64,
+    actions: VecDeque<Action>,
     /// All is worked out anew whatever has changed, for a comparison.
     #[cfg(test)]
-    plainly: bool,
+    full_recompute: bool,
 }
 
 fn stage(n: u8) -> Stage {
@@ -186,41 +186,41 @@
         let owners = Owners::default();
         Coordinator {
             me,
-            owners_before: Owners::default(),
-            broker: Scheduler::new(terms, seed),
+            previous_owners: Owners::default(),
+            scheduler: Scheduler::new(terms, seed),
             owners,
-            digest: 0,
-            seen: (0, 0),
-            renews: 0,
-            lives: BTreeMap::new(),
-            passed_over: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            current_digest: 0,
+            instances_version: (0, 0),
+            renewing_until: 0,
+            incarnations: BTreeMap::new(),
+            skipped_until: BTreeMap::new(),
+            last_heard: BTreeMap::new(),
             zones: BTreeSet::new(),
-            missing: BTreeMap::new(),
-            away: BTreeMap::new(),
+            unconfirmed: BTreeMap::new(),
+            departed: BTreeMap::new(),
             open: BTreeMap::new(),
-            handed: BTreeMap::new(),
-            told_over: BTreeMap::new(),
-            next: first,
-            outs: VecDeque::new(),
+            handed_over: BTreeMap::new(),
+            transfers_received: BTreeMap::new(),
+            last_id: first,
+            actions: VecDeque::new(),
             #[cfg(test)]
-            plainly: false,
+            full_recompute: false,
         }
     }
 
     /// What is to be done since.
     pub fn take_actions(&mut self) -> VecDeque<Action> {
-        std::mem::take(&mut self.outs)
+        std::mem::take(&mut self.actions)
     }
 
     /// From now on it is told why something is decided about the functions that are owned here.
     pub fn explain(&mut self) {
-        self.broker.explain();
+        self.scheduler.explain();
     }
 
     /// Why it was decided so, since.
     pub fn reasons(&mut self) -> Vec<Reason> {
-        self.broker.reasons()
+        self.scheduler.reasons()
     }
 
     /// The stalls that are known to be alive.
@@ -230,7 +230,7 @@
 
     /// The functions that are owned here.
     pub fn scheduler(&self) -> &Scheduler {
-        &self.broker
+        &self.scheduler
     }
 
     /// Control has named the stalls.
@@ -245,7 +245,7 @@
 
     /// The digest of that naming.
     pub fn view_digest(&self) -> Option<u64> {
-        self.has_view().then_some(self.digest)
+        self.has_view().then_some(self.current_digest)
     }
 
     /// Asks that are open or granted.
@@ -256,22 +256,23 @@
     /// Each of them, in the order in which they were made.
     pub fn open_requests(&self) -> impl Iterator<Item = OpenRequest<'_>> {
         self.open.values().map(|open| OpenRequest {
-            service: &open.ask.service,
+            service: &open.request.service,
             owner: open.owner.as_deref(),
             instance: open.granted.as_ref().map(|(instance, _)| instance.as_str()),
-            deadline: open.ask.deadline,
+            deadline: open.request.deadline,
         })
     }
 
     /// The functions of the configuration in force.
     pub fn configure(&mut self, now: Nanos, specs: impl Iterator<Item = FunctionSpec>) {
-        self.broker.configure(now, specs);
-        self.own(now, &self.owners.clone(), &OwnershipChange::all());
+        self.scheduler.configure(now, specs);
+        self.update_ownership(now, &self.owners.clone(), &OwnershipChange::all());
     }
 
     /// Who owns what, after a change; `before`: who did.
-    fn own(&mut self, now: Nanos, before: &Owners, turn: &OwnershipChange) {
-        let (owners, me, told_over, missing) = (&self.owners, &self.me, &self.told_over, &self.missing);
+    fn update_ownership(&mut self, now: Nanos, before: &Owners, turn: &OwnershipChange) {
+        let (owners, me, told_over, missing) =
+            (&self.owners, &self.me, &self.transfers_received, &self.unconfirmed);
         let transfer = |service: &str, zones: &BTreeSet<CompactString>| {
             let told = told_over.get(service);
             let has_told = |name: &str| {
@@ -298,11 +299,11 @@
             }
             transfer
         };
-        let parted = self.broker.update_ownership(now, me, owners, turn, transfer);
+        let parted = self.scheduler.update_ownership(now, me, owners, turn, transfer);
         for parted in parted {
             self.hand_over(now, parted);
         }
-        self.carry_out(now);
+        self.process_effects(now);
     }
 
     /// With whom a function's asks stand. Until control has named the stalls nobody owns anything: each would give out the same slots.
@@ -310,38 +311,48 @@
         if !self.has_view() {
             return None;
         }
-        let heard = |p: &Peer| self.passed_over.get(&p.name).is_none_or(|until| *until <= now);
+        let heard = |p: &Peer| self.skipped_until.get(&p.name).is_none_or(|until| *until <= now);
         self.owners.owner(service, &self.me.zone, heard).or(Some(&self.me))
     }
 
     /// A request needs a permit. The number under which it is granted or refused, perhaps at once.
     pub fn request_permit(&mut self, now: Nanos, mut ask: PermitRequest, first: bool) -> Option<u64> {
-        if self.open.len() >= MOST_ASKS {
+        if self.open.len() >= MAX_OPEN_REQUESTS {
             return None;
         }
-        self.next += 1;
-        let id = self.next;
+        self.last_id += 1;
+        let id = self.last_id;
         ask.id = id;
-        self.open
-            .insert(id, Open { ask, first, owner: None, said: now, since: now, again: 0, granted: None });
-        self.place(now, id);
+        self.open.insert(
+            id,
+            PendingRequest {
+                request: ask,
+                first,
+                owner: None,
+                last_sent: now,
+                waiting_since: now,
+                resends: 0,
+                granted: None,
+            },
+        );
+        self.route_request(now, id);
         Some(id)
     }
 
     /// Puts an open ask to whom it belongs now.
-    fn place(&mut self, now: Nanos, id: u64) {
+    fn route_request(&mut self, now: Nanos, id: u64) {
         let Some(open) = self.open.get(&id) else { return };
-        let Some(owner) = self.owner_of(now, &open.ask.service).cloned() else { return };
+        let Some(owner) = self.owner_of(now, &open.request.service).cloned() else { return };
         let Some(open) = self.open.get_mut(&id) else { return };
         if open.owner.as_ref() != Some(&owner.name) {
-            (open.owner, open.since, open.again) = (Some(owner.name.clone()), now, 0);
+            (open.owner, open.waiting_since, open.resends) = (Some(owner.name.clone()), now, 0);
         }
-        open.said = now;
-        let (ask, first) = (open.ask.clone(), open.first);
+        open.last_sent = now;
+        let (ask, first) = (open.request.clone(), open.first);
         if owner.name == self.me.name {
-            self.stand_back(now, &ask);
-            self.broker.request_permit(now, self.me.name.clone(), ask, first);
-            return self.carry_out(now);
+            self.defer_to_owner(now, &ask);
+            self.scheduler.request_permit(now, self.me.name.clone(), ask, first);
+            return self.process_effects(now);
         }
         let ms = |until: Nanos| (until as f64 - now as f64) / MS as f64;
         let note = PeerMessage::Ask {
@@ -356,15 +367,15 @@
             avoid: ask.avoid,
             zone: ask.zone,
         };
-        self.outs.push_back(Action::Send { to: owner.address, note });
+        self.actions.push_back(Action::Send { to: owner.address, note });
     }
 
     /// An owner that is heard of lives, and gives its slots itself: who is asked in its place waits until it is not heard of any more.
-    fn stand_back(&mut self, now: Nanos, ask: &PermitRequest) {
+    fn defer_to_owner(&mut self, now: Nanos, ask: &PermitRequest) {
         let owner = self.owners.owner(&ask.service, &ask.zone, |_| true);
-        let heard = owner.filter(|p| p.name != self.me.name).and_then(|p| self.heard.get(&p.name));
-        if let Some(at) = heard.filter(|at| **at + DEAF > now) {
-            self.broker.defer_to_owner(&ask.service, at + DEAF);
+        let heard = owner.filter(|p| p.name != self.me.name).and_then(|p| self.last_heard.get(&p.name));
+        if let Some(at) = heard.filter(|at| **at + UNRESPONSIVE_AFTER > now) {
+            self.scheduler.defer_to_owner(&ask.service, at + UNRESPONSIVE_AFTER);
         }
     }
 
@@ -380,13 +391,13 @@
         if owner == self.me.name {
             let me = self.me.name.clone();
             if open.granted.is_some() {
-                if !self.pass_on(&me, id, outcome.as_str(), took as f64 / MS as f64) {
-                    self.broker.release(now, &me, id, outcome, took);
+                if !self.forward_release(&me, id, outcome.as_str(), took as f64 / MS as f64) {
+                    self.scheduler.release(now, &me, id, outcome, took);
                 }
             } else {
-                self.broker.cancel(now, &me, id);
+                self.scheduler.cancel(now, &me, id);
             }
-            return self.carry_out(now);
+            return self.process_effects(now);
         }
         let note = if open.granted.is_some() {
             PeerMessage::Done { id, outcome: outcome.as_str().into(), took: took as f64 / MS as f64 }
@@ -399,68 +410,68 @@
     /// Where a stall is that lives, or was named once.
     pub fn address_of(&self, name: &str) -> Option<&CompactString> {
         let living = self.owners.find_living(name).map(|peer| &peer.address);
-        living.or_else(|| self.away.get(name))
+        living.or_else(|| self.departed.get(name))
     }
 
     fn send(&mut self, name: &str, note: PeerMessage) {
         match self.address_of(name).cloned() {
-            Some(to) => self.outs.push_back(Action::Send { to, note }),
-            None => self.broker.counts.unaddressed += 1,
+            Some(to) => self.actions.push_back(Action::Send { to, note }),
+            None => self.scheduler.counts.unaddressed += 1,
         }
     }
 
     /// An instance was seen to accept connections.
     pub fn instance_up(&mut self, now: Nanos, id: &str) {
-        self.broker.instance_up(now, id);
-        self.outs.push_back(Action::NotifyController(PeerMessage::Up { instance: id.into() }));
-        self.carry_out(now);
+        self.scheduler.instance_up(now, id);
+        self.actions.push_back(Action::NotifyController(PeerMessage::Up { instance: id.into() }));
+        self.process_effects(now);
     }
 
     /// An instance is known, and was not seen to accept connections yet.
     pub fn is_booting(&self, id: &str) -> bool {
-        self.broker.is_booting(id)
+        self.scheduler.is_booting(id)
     }
 
     /// A connection to an instance was refused outright.
     pub fn connection_refused(&mut self, now: Nanos, id: &str) {
-        self.broker.mark_lost(now, id, false);
-        self.outs.push_back(Action::NotifyController(PeerMessage::Lost { instance: id.into() }));
-        self.carry_out(now);
+        self.scheduler.mark_lost(now, id, false);
+        self.actions.push_back(Action::NotifyController(PeerMessage::Lost { instance: id.into() }));
+        self.process_effects(now);
     }
 
     /// Mail from a stall, in this life of it.
     pub fn receive(&mut self, now: Nanos, from: &str, life: u64, notes: Vec<PeerMessage>) {
-        match self.lives.get(from) {
+        match self.incarnations.get(from) {
             Some(known) if *known == life => {}
             // Late mail of a life that has ended, or the clock of its machine has stepped back: only one that lives can say.
-            Some(known) if *known > life => return self.refute(from, *known),
-            _ if self.lives.len() > 10_000 => return,
+            Some(known) if *known > life => return self.reject_stale_incarnation(from, *known),
+            _ if self.incarnations.len() > 10_000 => return,
             known => {
                 let anew = known.is_some();
-                self.lives.insert(from.into(), life);
+                self.incarnations.insert(from.into(), life);
                 // Of one that is heard for the first time, what another owner told of before is out still.
                 if anew {
-                    self.broker.proxy_left(now, from);
-                    self.tell_anew(now, from);
+                    self.scheduler.proxy_left(now, from);
+                    self.resend_held(now, from);
                 }
             }
         }
-        self.passed_over.remove(from);
-        self.heard.insert(from.into(), now);
+        self.skipped_until.remove(from);
+        self.last_heard.insert(from.into(), now);
         for note in notes {
-            self.note(now, from, note);
+            self.handle_message(now, from, note);
         }
-        self.carry_out(now);
+        self.process_effects(now);
     }
 
     /// A stall is told by which later incarnation it is known here.
-    fn refute(&mut self, name: &str, known: u64) {
+    fn reject_stale_incarnation(&mut self, name: &str, known: u64) {
         if let Some(to) = self.owners.find_living(name).map(|p| p.address.clone()) {
-            self.outs.push_back(Action::Send { to, note: PeerMessage::StaleIncarnation { known } });
+            self.actions.push_back(Action::Send { to, note: PeerMessage::StaleIncarnation { known } });
         }
     }
 
-    fn note(&mut self, now: Nanos, from: &str, note: PeerMessage) {
+    fn handle_message(&mut self, now: Nanos, from: &str, note: PeerMessage) {
         let at = |left: f64| now.saturating_add_signed((left.clamp(-1e7, 1e7) * MS as f64) as i64);
         let span = |ms: f64| (ms.clamp(0.0, 1e7) * MS as f64) as Nanos;
         match note {
@@ -477,51 +488,51 @@
                     avoid,
                     zone,
                 };
-                self.stand_back(now, &ask);
-                self.broker.request_permit(now, from.into(), ask, first);
+                self.defer_to_owner(now, &ask);
+                self.scheduler.request_permit(now, from.into(), ask, first);
             }
             PeerMessage::Drop { id } => {
-                let passed = self.pass_on(from, id, Outcome::Unused.as_str(), 0.0);
+                let passed = self.forward_release(from, id, Outcome::Unused.as_str(), 0.0);
                 if !passed {
-                    self.broker.cancel(now, from, id);
+                    self.scheduler.cancel(now, from, id);
                 }
             }
             PeerMessage::Over { service, version, permits } => {
-                self.over(now, from, service, version, permits)
+                self.receive_transfer(now, from, service, version, permits)
             }
             PeerMessage::Back { who, id, instance, outcome, took } => {
                 // It may have gone on from here by now.
-                if self.pass_on(&who, id, &outcome, took) {
+                if self.forward_release(&who, id, &outcome, took) {
                     return;
                 }
                 let outcome = Outcome::parse(&outcome).unwrap_or(Outcome::Abandoned);
-                let stands = |at: &CompactString| self.broker.is_out_at(&who, id, at);
+                let stands = |at: &CompactString| self.scheduler.is_granted_at(&who, id, at);
                 if instance.as_ref().is_none_or(stands) {
-                    self.broker.release(now, &who, id, outcome, span(took));
-                } else if !self.broker.is_out(&who, id) {
-                    self.broker.came_back(now, &who, id, outcome);
+                    self.scheduler.release(now, &who, id, outcome, span(took));
+                } else if !self.scheduler.is_granted(&who, id) {
+                    self.scheduler.permit_returned(now, &who, id, outcome);
                 }
             }
             PeerMessage::Done { id, outcome, took } => {
-                let passed = self.pass_on(from, id, &outcome, took);
+                let passed = self.forward_release(from, id, &outcome, took);
                 if !passed {
                     let outcome = Outcome::parse(&outcome).unwrap_or(Outcome::Abandoned);
-                    self.broker.release(now, from, id, outcome, span(took));
+                    self.scheduler.release(now, from, id, outcome, span(took));
                 }
             }
             PeerMessage::Held { id, instance, left, .. } => {
-                self.broker.counts.held += 1;
-                self.broker.hold_permit(now, from.into(), id, &instance, at(left));
+                self.scheduler.counts.held += 1;
+                self.scheduler.hold_permit(now, from.into(), id, &instance, at(left));
             }
             PeerMessage::Grant { id, instance, address, zone } => {
                 let zone = zone.unwrap_or_else(|| self.me.zone.clone());
-                self.granted(now, from, id, Granted { instance, address, zone });
+                self.receive_grant(now, from, id, Granted { instance, address, zone });
             }
             PeerMessage::Waits { id } => {
                 if let Some(open) = self.open.get_mut(&id).filter(|o| o.owner.as_deref() == Some(from)) {
-                    (open.said, open.again) = (now + WAITS - ASK_AGAIN, 0);
+                    (open.last_sent, open.resends) = (now + QUEUED_RESEND_AFTER - RESEND_AFTER, 0);
                     // It was answered: whoever gave it has nothing to say until then.
-                    open.since = now + WAITS;
+                    open.waiting_since = now + QUEUED_RESEND_AFTER;
                 }
             }
             PeerMessage::No { id, why, wait } => {
@@ -538,7 +549,7 @@
                         "moved" => DenialReason::Moved,
                         _ => DenialReason::Full(span(wait)),
                     };
-                    self.outs.push_back(Action::Refused { ask: id, reason: no });
+                    self.actions.push_back(Action::Refused { ask: id, reason: no });
                 }
             }
             _ => {}
@@ -547,27 +558,27 @@
 
     /// What control tells.
     pub fn receive_from_controller(&mut self, now: Nanos, note: PeerMessage) {
-        self.passed_over.remove(&self.me.name);
+        self.skipped_until.remove(&self.me.name);
         match note {
             PeerMessage::Stalls { version, peers, leaving, split } if version > self.owners.version() => {
-                self.named(now, MembershipView::new(version, peers, split).with_leaving(leaving).into());
+                self.apply_view(now, MembershipView::new(version, peers, split).with_leaving(leaving).into());
             }
             PeerMessage::ViewChange(shift) if shift.version > self.owners.version() => {
                 match self.owners.apply_change(&shift) {
-                    Some(owners) => self.named(now, owners),
+                    Some(owners) => self.apply_view(now, owners),
                     // What lies between was missed: it comes whole.
-                    None => self.outs.push_back(Action::NotifyController(PeerMessage::Behind {
+                    None => self.actions.push_back(Action::NotifyController(PeerMessage::Behind {
                         version: self.owners.version(),
                     })),
                 }
             }
             PeerMessage::Instances { version, all, set, gone }
-                if version > self.seen || all && version == self.seen =>
+                if version > self.instances_version || all && version == self.instances_version =>
             {
-                if version.0 > self.seen.0 && self.seen.0 > 0 {
-                    self.renews = now + RENEWS;
+                if version.0 > self.instances_version.0 && self.instances_version.0 > 0 {
+                    self.renewing_until = now + RENEWAL_TIME;
                 }
-                self.seen = version;
+                self.instances_version = version;
                 let set = set.into_iter().map(|i| Instance {
                     id: i.id,
                     service: i.service,
@@ -577,26 +588,26 @@
                     stage: stage(i.stage),
                 });
                 let set: Vec<Instance> = set.collect();
-                self.hear_of_zones(set.iter().map(|i| &i.zone));
+                self.record_zones(set.iter().map(|i| &i.zone));
                 let (owners, me) = (&self.owners, &self.me.name);
                 let mine = |i: &Instance| owners.owns(me, &i.service, &i.zone).is_ok();
-                if all && now < self.renews {
-                    self.broker.merge_instances(now, set, mine);
+                if all && now < self.renewing_until {
+                    self.scheduler.merge_instances(now, set, mine);
                 } else if all {
-                    self.broker.replace_instances(now, set, mine);
+                    self.scheduler.replace_instances(now, set, mine);
                 } else {
                     for i in set {
                         let mine = mine(&i);
-                        self.broker.update_instance(now, i, mine);
+                        self.scheduler.update_instance(now, i, mine);
                     }
-                    gone.iter().for_each(|id| self.broker.remove_instance(now, id));
+                    gone.iter().for_each(|id| self.scheduler.remove_instance(now, id));
                 }
-                self.carry_out(now);
+                self.process_effects(now);
             }
             PeerMessage::Floor { service, count, fence, left } => {
                 let until = now + (left.clamp(0.0, 1e7) * MS as f64) as Nanos;
-                self.broker.set_floor(now, &service, count, fence, until);
-                self.carry_out(now);
+                self.scheduler.set_min_instances(now, &service, count, fence, until);
+                self.process_effects(now);
             }
             _ => {}
         }
@@ -607,59 +618,59 @@
         let roster = self.owners.view();
         let mut living = roster.peers().iter().chain(roster.leaving());
         let Some(name) = living.find(|p| p.address == address).map(|p| p.name.clone()) else { return };
-        self.passed_over.insert(name.clone(), now + PASSED_OVER);
+        self.skipped_until.insert(name.clone(), now + SKIP_TIME);
         for note in notes {
             // It may have come all the same, late: a slot that was granted is not given to another on that account. Who did not hear of
             // it hears again, and says if it has no use for it.
             let again = match &note {
-                PeerMessage::Grant { id, .. } => self.broker.has_request(&name, *id),
+                PeerMessage::Grant { id, .. } => self.scheduler.has_request(&name, *id),
                 PeerMessage::Over { version, .. } => *version == self.owners.version(),
                 PeerMessage::Back { .. } => true,
                 _ => false,
             };
             if again {
-                self.outs.push_back(Action::Send { to: address.into(), note });
+                self.actions.push_back(Action::Send { to: address.into(), note });
             }
         }
-        self.carry_out(now);
-        self.replace(now);
-        self.carry_out(now);
+        self.process_effects(now);
+        self.reroute_requests(now);
+        self.process_effects(now);
     }
 
     /// Control can't be told anything: for a while others own what this stall owned, so that it can be started and stopped.
     pub fn controller_unreachable(&mut self, now: Nanos) {
-        self.passed_over.insert(self.me.name.clone(), now + PASSED_OVER);
-        self.replace(now);
-        self.carry_out(now);
+        self.skipped_until.insert(self.me.name.clone(), now + SKIP_TIME);
+        self.reroute_requests(now);
+        self.process_effects(now);
     }
 
-    fn carry_out(&mut self, now: Nanos) {
+    fn process_effects(&mut self, now: Nanos) {
         // Refusals and grants of this stall's own may lead to further ones.
         loop {
-            let effects = self.broker.take_effects();
+            let effects = self.scheduler.take_effects();
             if effects.is_empty() {
                 return;
             }
             for effect in effects {
-                self.effect(now, effect);
+                self.apply_effect(now, effect);
             }
         }
     }
 
-    fn effect(&mut self, now: Nanos, effect: Effect) {
+    fn apply_effect(&mut self, now: Nanos, effect: Effect) {
         match effect {
             Effect::Grant { to, ask, instance } if to == self.me.name => match self.open.get_mut(&ask) {
                 Some(open) if open.granted.is_none() => {
                     open.granted = Some((instance.id.clone(), instance.zone.clone()));
                     let (instance, address) = (instance.id, instance.address);
-                    self.outs.push_back(Action::Granted { ask, instance, address });
+                    self.actions.push_back(Action::Granted { ask, instance, address });
                 }
                 Some(_) => {}
-                None => self.broker.release(now, &to, ask, Outcome::Unused, 0),
+                None => self.scheduler.release(now, &to, ask, Outcome::Unused, 0),
             },
             Effect::Refuse { to, ask, reason: no } if to == self.me.name => {
                 if self.open.remove(&ask).is_some() {
-                    self.outs.push_back(Action::Refused { ask, reason: no });
+                    self.actions.push_back(Action::Refused { ask, reason: no });
                 }
             }
             Effect::Grant { to, ask, instance } => {
@@ -680,7 +691,7 @@
             Effect::Queued { to, ask } => self.send(&to, PeerMessage::Waits { id: ask }),
             Effect::SetInstanceTarget { service, count, zones, strain, does, slow } => {
                 let lot = (self.owners.partition_count(&service) > 1).then(|| self.me.zone.clone());
-                self.outs.push_back(Action::NotifyController(PeerMessage::Want {
+                self.actions.push_back(Action::NotifyController(PeerMessage::Want {
                     service,
                     count,
                     zones,
@@ -691,54 +702,56 @@
                 }))
             }
             Effect::Retire(instance) => {
-                self.outs.push_back(Action::NotifyController(PeerMessage::Retire { instance }))
+                self.actions.push_back(Action::NotifyController(PeerMessage::Retire { instance }))
             }
             Effect::ReportLost(instance) => {
-                self.outs.push_back(Action::NotifyController(PeerMessage::Lost { instance }))
+                self.actions.push_back(Action::NotifyController(PeerMessage::Lost { instance }))
             }
             Effect::ProbeReadiness { instance, from } => {
-                self.outs.push_back(Action::ProbeReadiness { instance, from })
+                self.actions.push_back(Action::ProbeReadiness { instance, from })
             }
         }
     }
 
     /// Owners that answer nothing are passed over, and control hears of it. Where nobody at all is heard, it may well be this stall that
     /// nobody hears.
-    fn pass_over_the_deaf(&mut self, now: Nanos) {
-        let lately = |name: &str| self.heard.get(name).is_some_and(|at| at + DEAF > now);
+    fn skip_unresponsive(&mut self, now: Nanos) {
+        let lately = |name: &str| self.last_heard.get(name).is_some_and(|at| at + UNRESPONSIVE_AFTER > now);
         let mut deaf = BTreeSet::new();
-        for open in self.open.values().filter(|o| o.granted.is_none() && o.since + DEAF <= now) {
+        for open in
+            self.open.values().filter(|o| o.granted.is_none() && o.waiting_since + UNRESPONSIVE_AFTER <= now)
+        {
             let of = open.owner.as_ref().filter(|name| **name != self.me.name && !lately(name));
             deaf.extend(
-                of.filter(|name| self.passed_over.get(*name).is_none_or(|until| *until <= now)).cloned(),
+                of.filter(|name| self.skipped_until.get(*name).is_none_or(|until| *until <= now)).cloned(),
             );
         }
-        if deaf.is_empty() || !self.heard.keys().any(|name| lately(name)) {
+        if deaf.is_empty() || !self.last_heard.keys().any(|name| lately(name)) {
             return;
         }
         for peer in deaf {
-            self.passed_over.insert(peer.clone(), now + PASSED_OVER);
-            self.outs
+            self.skipped_until.insert(peer.clone(), now + SKIP_TIME);
+            self.actions
                 .push_back(Action::NotifyController(PeerMessage::Deaf { peer, from: self.me.name.clone() }));
         }
-        self.replace(now);
-        self.carry_out(now);
+        self.reroute_requests(now);
+        self.process_effects(now);
     }
 
     /// Time passes.
     pub fn tick(&mut self, now: Nanos) {
-        self.broker.tick(now);
-        self.end_missing(now);
-        self.carry_out(now);
-        self.pass_over_the_deaf(now);
-        let due = |o: &Open| o.said + (ASK_AGAIN << o.again.min(3)) <= now;
+        self.scheduler.tick(now);
+        self.expire_unconfirmed(now);
+        self.process_effects(now);
+        self.skip_unresponsive(now);
+        let due = |o: &PendingRequest| o.last_sent + (RESEND_AFTER << o.resends.min(3)) <= now;
         let silent = self.open.iter().filter(|(_, o)| o.granted.is_none() && due(o));
         for id in silent.map(|(id, _)| *id).collect::<Vec<_>>() {
             // An owner that is slow is not helped by more of the same.
             if let Some(open) = self.open.get_mut(&id) {
-                open.again += 1;
+                open.resends += 1;
             }
-            self.place(now, id);
+            self.route_request(now, id);
         }
     }
 }
--- a/scheduler/src/coordinator/view.rs
+++ b/scheduler/src/coordinator/view_change.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::coordinator::{Action, Coordinator, MISSING};
+use crate::coordinator::{Action, Coordinator, UNCONFIRMED_TIMEOUT};
 use crate::instance::Instance;
 #[cfg(test)]
 use crate::owners::OwnershipChange;
@@ -12,10 +12,10 @@
 use millpost_protocol::PeerMessage;
 
 /// Stalls that are kept in mind though they are named no more.
-const MOST_AWAY: usize = 10_000;
+const MAX_DEPARTED: usize = 10_000;
 
 /// Zones that are remembered.
-const MOST_ZONES: usize = 1_000;
+const MAX_ZONES: usize = 1_000;
 
 /// Another leader has named these than those before.
 fn owners_are_newer(owners: &Owners, before: &Owners) -> bool {
@@ -24,75 +24,75 @@
 
 impl Coordinator {
     /// Control has named the stalls anew.
-    pub(super) fn named(&mut self, now: Nanos, owners: Owners) {
+    pub(super) fn apply_view(&mut self, now: Nanos, owners: Owners) {
         let turn = owners.change_since(&self.owners, &self.me.name);
         #[cfg(test)]
-        let turn = if self.plainly { OwnershipChange::all() } else { turn };
-        self.broker.counts.views_applied += 1;
-        self.digest = owners.view().digest();
+        let turn = if self.full_recompute { OwnershipChange::all() } else { turn };
+        self.scheduler.counts.views_applied += 1;
+        self.current_digest = owners.view().digest();
         let before = std::mem::replace(&mut self.owners, owners);
         // Who leaves lives, and so do its requests: what it has out stays out until it comes back. A stall knows of itself that it lives,
         // whatever it is told.
         let roster = self.owners.view().clone();
-        self.hear_of_zones(roster.peers().iter().chain(roster.leaving()).map(|peer| &peer.zone));
+        self.record_zones(roster.peers().iter().chain(roster.leaving()).map(|peer| &peer.zone));
         let newer = owners_are_newer(&self.owners, &before);
         for peer in roster.gone_since(before.view()) {
-            if self.away.len() < MOST_AWAY {
-                self.away.insert(peer.name.clone(), peer.address.clone());
+            if self.departed.len() < MAX_DEPARTED {
+                self.departed.insert(peer.name.clone(), peer.address.clone());
             }
             // Whom a leader that has just taken office does not name, it may not have heard of yet.
-            if newer && peer.name != self.me.name && self.missing.len() < MOST_AWAY {
-                self.missing.insert(peer.name.clone(), now + MISSING);
+            if newer && peer.name != self.me.name && self.unconfirmed.len() < MAX_DEPARTED {
+                self.unconfirmed.insert(peer.name.clone(), now + UNCONFIRMED_TIMEOUT);
             } else if peer.name != self.me.name {
-                self.broker.proxy_left(now, &peer.name);
+                self.scheduler.proxy_left(now, &peer.name);
             }
         }
         let owners = &self.owners;
-        self.missing.retain(|name, _| owners.find_living(name).is_none());
-        self.passed_over.retain(|_, until| *until > now);
-        self.heard.retain(|name, _| owners.find(name).is_some());
+        self.unconfirmed.retain(|name, _| owners.find_living(name).is_none());
+        self.skipped_until.retain(|_, until| *until > now);
+        self.last_heard.retain(|name, _| owners.find(name).is_some());
         if newer {
-            self.broker.resend_targets();
+            self.scheduler.resend_targets();
         }
-        self.own(now, &before, &turn);
+        self.update_ownership(now, &before, &turn);
         let version = self.owners.version();
-        self.owners_before = before;
-        self.told_over.retain(|_, all| {
+        self.previous_owners = before;
+        self.transfers_received.retain(|_, all| {
             all.retain(|_, of| *of > version);
             !all.is_empty()
         });
-        if newer && self.owners_before.version() > (0, 0) {
-            self.mine();
+        if newer && self.previous_owners.version() > (0, 0) {
+            self.report_owned_instances();
         }
-        self.replace(now);
+        self.reroute_requests(now);
     }
 
     /// Zones are remembered; there are few.
-    pub(super) fn hear_of_zones<'a>(&mut self, zones: impl Iterator<Item = &'a CompactString>) {
+    pub(super) fn record_zones<'a>(&mut self, zones: impl Iterator<Item = &'a CompactString>) {
         for zone in zones {
-            if !self.zones.contains(zone) && self.zones.len() < MOST_ZONES {
+            if !self.zones.contains(zone) && self.zones.len() < MAX_ZONES {
                 self.zones.insert(zone.clone());
             }
         }
     }
 
     /// Who was not named in time by a new leader is gone.
-    pub(super) fn end_missing(&mut self, now: Nanos) {
-        if self.missing.values().all(|until| *until > now) {
+    pub(super) fn expire_unconfirmed(&mut self, now: Nanos) {
+        if self.unconfirmed.values().all(|until| *until > now) {
             return;
         }
         let (gone, missing) =
-            std::mem::take(&mut self.missing).into_iter().partition(|(_, until)| *until <= now);
-        self.missing = missing;
+            std::mem::take(&mut self.unconfirmed).into_iter().partition(|(_, until)| *until <= now);
+        self.unconfirmed = missing;
         let gone: BTreeMap<CompactString, Nanos> = gone;
-        gone.keys().for_each(|name| self.broker.proxy_left(now, name));
-        self.carry_out(now);
+        gone.keys().for_each(|name| self.scheduler.proxy_left(now, name));
+        self.process_effects(now);
         // What they had given out is told of by those who have it.
-        self.replace(now);
+        self.reroute_requests(now);
     }
 
     /// A new steward hears which instances there are, also those that start and stand in no list yet.
-    pub(super) fn mine(&mut self) {
+    pub(super) fn report_owned_instances(&mut self) {
         let note = |i: &Instance| millpost_protocol::Instance {
             id: i.id.clone(),
             service: i.service.clone(),
@@ -101,50 +101,52 @@
             worker: i.worker.clone(),
             stage: i.stage as u8,
         };
-        let set: Vec<_> = self.broker.owned_instances().map(note).collect();
+        let set: Vec<_> = self.scheduler.owned_instances().map(note).collect();
         if !set.is_empty() {
-            self.outs.push_back(Action::NotifyController(PeerMessage::Mine { set }));
+            self.actions.push_back(Action::NotifyController(PeerMessage::Mine { set }));
         }
     }
 
     /// Owners have changed: asks go to the new ones, and so does word of the permits that owners had given out who are gone. One who
     /// lives tells of them itself.
-    pub(super) fn replace(&mut self, now: Nanos) {
+    pub(super) fn reroute_requests(&mut self, now: Nanos) {
         for id in self.open.keys().copied().collect::<Vec<_>>() {
             let Some(open) = self.open.get(&id) else { continue };
-            let Some(owner) = self.owner_of(now, &open.ask.service).cloned() else { continue };
+            let Some(owner) = self.owner_of(now, &open.request.service).cloned() else { continue };
             if open.granted.is_none() && open.owner.as_deref() == Some(owner.name.as_str()) {
                 continue;
             }
             let Some((instance, zone)) = open.granted.clone() else {
                 if open.owner.as_deref() == Some(self.me.name.as_str()) {
-                    self.broker.forget(now, &self.me.name, id);
+                    self.scheduler.forget(now, &self.me.name, id);
                 }
-                self.place(now, id);
+                self.route_request(now, id);
                 continue;
             };
             let alive = |name: &str| {
-                (self.owners.find_living(name).is_some() || self.missing.contains_key(name))
-                    && self.passed_over.get(name).is_none_or(|until| *until <= now)
+                (self.owners.find_living(name).is_some() || self.unconfirmed.contains_key(name))
+                    && self.skipped_until.get(name).is_none_or(|until| *until <= now)
             };
             if open.owner.as_deref().is_some_and(alive) {
                 continue;
             }
-            let heard = |p: &Peer| self.passed_over.get(&p.name).is_none_or(|until| *until <= now);
-            let Some(owner) = self.owners.owner(&open.ask.service, &zone, heard).cloned() else { continue };
-            let (service, deadline) = (open.ask.service.clone(), open.ask.deadline);
+            let heard = |p: &Peer| self.skipped_until.get(&p.name).is_none_or(|until| *until <= now);
+            let Some(owner) = self.owners.owner(&open.request.service, &zone, heard).cloned() else {
+                continue;
+            };
+            let (service, deadline) = (open.request.service.clone(), open.request.deadline);
             if let Some(open) = self.open.get_mut(&id) {
                 open.owner = Some(owner.name.clone());
             }
             if owner.name == self.me.name {
-                self.broker.hold_permit(now, self.me.name.clone(), id, &instance, deadline);
+                self.scheduler.hold_permit(now, self.me.name.clone(), id, &instance, deadline);
             } else {
-                self.held(now, owner.address, id, service, instance, deadline);
+                self.send_held(now, owner.address, id, service, instance, deadline);
             }
         }
     }
 
-    pub(super) fn held(
+    pub(super) fn send_held(
         &mut self,
         now: Nanos,
         to: CompactString,
@@ -154,21 +156,21 @@
         deadline: Nanos,
     ) {
         let left = (deadline as f64 - now as f64) / MS as f64;
-        self.outs.push_back(Action::Send { to, note: PeerMessage::Held { id, service, instance, left } });
+        self.actions.push_back(Action::Send { to, note: PeerMessage::Held { id, service, instance, left } });
     }
 
     /// A stall lives anew, and knows nothing of what it had given out: it hears what is out here.
-    pub(super) fn tell_anew(&mut self, now: Nanos, name: &str) {
+    pub(super) fn resend_held(&mut self, now: Nanos, name: &str) {
         let Some(to) = self.owners.find(name).map(|p| p.address.clone()) else { return };
         let of = self.open.iter().filter(|(_, o)| o.owner.as_deref() == Some(name));
         let out: Vec<_> = of
             .filter_map(|(id, o)| {
                 let (instance, _) = o.granted.clone()?;
-                Some((*id, o.ask.service.clone(), instance, o.ask.deadline))
+                Some((*id, o.request.service.clone(), instance, o.request.deadline))
             })
             .collect();
         for (id, service, instance, deadline) in out {
-            self.held(now, to.clone(), id, service, instance, deadline);
+            self.send_held(now, to.clone(), id, service, instance, deadline);
         }
     }
 }
--- a/scheduler/src/coordinator/turns.rs
+++ b/scheduler/src/coordinator/view_change_tests.rs
@@ -141,7 +141,7 @@
     };
     let mut quick = Coordinator::new(peer(0, 0), terms.clone(), seed, 0);
     let mut plain = Coordinator::new(peer(0, 0), terms, seed, 0);
-    plain.plainly = true;
+    plain.full_recompute = true;
     let (stalls, split, instances) = (BTreeMap::new(), BTreeSet::new(), BTreeSet::new());
     let (dice, named) = (Dice::seeded(seed), MembershipView::default());
     let mut world = World { dice, count: 0, stalls, split, named, instances };
@@ -187,9 +187,13 @@
             }
         }
         assert_eq!(quick.owners.view(), plain.owners.view());
-        assert_eq!(quick.broker.standing(), plain.broker.standing(), "seed {seed}, {input:?}");
+        assert_eq!(
+            quick.scheduler.ownership_state(),
+            plain.scheduler.ownership_state(),
+            "seed {seed}, {input:?}"
+        );
         let home = quick.owners.find("edge-0").is_none_or(|p| p.zone == "a");
-        for (name, owned, split) in quick.broker.standing() {
+        for (name, owned, split) in quick.scheduler.ownership_state() {
             let mine = quick.owners.owner(&name, "a", |_| true).is_some_and(|p| p.name == "edge-0");
             assert!(!home || owned == mine, "{name}");
             assert_eq!(split, quick.owners.partition_count(&name) > 1, "{name}");
--- a/scheduler/src/function.rs
+++ b/scheduler/src/function.rs
@@ -1,16 +1,16 @@
 //! The functions that are owned here: their queues, their instances, and the permits that are out.
 //!
-//! What happens when owners change is in `succession`.
+//! What happens when owners change is in `ownership`.
 //!
 //! Invariants: an instance has no more permits out than it may hold requests at once; a permit is out once; a queue is bounded.
 
-mod dropped;
-mod floor;
-mod hardware;
-mod known;
-mod needs;
-mod returned;
-mod succession;
+mod instances;
+mod min_instances;
+mod ownership;
+mod removed_functions;
+mod returned_permits;
+mod targets;
+mod worker_speed;
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -24,48 +24,48 @@
 use crate::effect::{DenialReason, Effect, SchedulerLimits};
 use crate::instance::{Instance, Stage};
 use crate::reason::{Reason, Reasons, RequestDecision};
-use crate::service::{Function, Service, Waiting};
+use crate::service::{ConfiguredFunction, FunctionState, Waiting};
 use crate::{FunctionSpec, MS, Nanos, Outcome, PermitRequest, SECOND, first_retry_delay};
 
-use dropped::Dropped;
-pub(crate) use floor::Floor;
-use returned::Returned;
-pub(crate) use succession::SETTLES;
-pub use succession::{Released, Transfer};
+pub(crate) use min_instances::MinInstances;
+pub(crate) use ownership::SETTLING_TIME;
+pub use ownership::{Released, Transfer};
+use removed_functions::RemovedFunctions;
+use returned_permits::ReturnedPermits;
 
 /// Requests of one function that may wait; more are turned away.
-const LONGEST_QUEUE: usize = 1_000;
+const MAX_QUEUE_LEN: usize = 1_000;
 /// What is wanted is said again after this time, should it have been lost;
-const SAY_AGAIN: Nanos = 2_000 * MS;
+const REPORT_INTERVAL: Nanos = 2_000 * MS;
 /// ... so is that an instance may be stopped or is dead, for as long as control names it.
-const RETIRE_AGAIN: Nanos = 700 * MS;
+const RETIRE_REPORT_INTERVAL: Nanos = 700 * MS;
 /// Where nothing is known of the demand yet, an instance of each function that holds several requests at once stands by for so
 /// long: such a function is meant to be busy.
-const STAND_BY: Nanos = 20 * SECOND;
+const STANDBY_TIME: Nanos = 20 * SECOND;
 /// A permit outlives the deadline of its request by no more than this.
-const OVERDUE: Nanos = 500 * MS;
+const PERMIT_GRACE: Nanos = 500 * MS;
 /// Where an instance that somebody else gives out too says that it is full, nothing goes there from here for so long.
-const LEFT_TO_OTHERS: Nanos = 2_000 * MS;
+const YIELD_TIME: Nanos = 2_000 * MS;
 /// An ask for a function of which no instance is known yet waits for so long, since word of them may be on its way.
-const UNHEARD: Nanos = 250 * MS;
+const INSTANCE_DISCOVERY_WAIT: Nanos = 250 * MS;
 /// What a function takes of its owner's strength is said again where it has changed by so much.
-const STRAIN_STEP: f64 = 0.1;
+const LOAD_REPORT_STEP: f64 = 0.1;
 /// How often time is to pass while something waits or is out,
-const BUSY: Nanos = 25 * MS;
+const BUSY_TICK: Nanos = 25 * MS;
 /// ... and while there are instances.
-const CALM: Nanos = 50 * MS;
+const IDLE_TICK: Nanos = 50 * MS;
 
 /// Who asked, and its number for the request.
 type Key = (CompactString, u64);
 
 #[derive(Debug)]
 struct Permit {
-    service: usize,
+    function: usize,
     instance: CompactString,
-    until: Nanos,
-    since: Nanos,
+    expires_at: Nanos,
+    granted_at: Nanos,
     /// Its request was given up, and may be running still.
-    lingers: bool,
+    abandoned: bool,
 }
 
 /// The functions that are owned here. What it decides comes out of [`Scheduler::take_effects`].
@@ -74,32 +74,32 @@
 /// Nothing that is decided hangs on the order of a `HashMap`.
 #[derive(Debug)]
 pub struct Scheduler {
-    terms: SchedulerLimits,
-    services: Vec<Service>,
+    limits: SchedulerLimits,
+    functions: Vec<FunctionState>,
     /// Of each in the row, where it is not owned here, the seed of a stall that stands before this one; 0 where none is known.
-    rivals: Vec<u64>,
+    rival_seeds: Vec<u64>,
     /// Places in that row that are free.
-    vacant: Vec<usize>,
+    free_indices: Vec<usize>,
     /// Where each function stands there.
-    names: HashMap<CompactString, usize>,
+    index_by_name: HashMap<CompactString, usize>,
     /// The function of each instance.
-    homes: HashMap<CompactString, usize>,
+    index_by_instance: HashMap<CompactString, usize>,
     permits: HashMap<Key, Permit>,
     /// Permits that were told of before their instance was: by instance, until when each counts.
-    early: HashMap<CompactString, Vec<(Key, Nanos, Nanos)>>,
+    early_permits: HashMap<CompactString, Vec<(Key, Nanos, Nanos)>>,
     /// Permits that came back before they were told of.
-    returned: Returned,
+    returned_permits: ReturnedPermits,
     /// No permit is overdue before.
-    overdue: Nanos,
+    next_expiry: Nanos,
     /// Where each ask stands in its function's queue.
-    queued: HashMap<Key, (usize, (Nanos, u64))>,
-    dropped: Dropped,
+    queue_positions: HashMap<Key, (usize, (Nanos, u64))>,
+    removed_functions: RemovedFunctions,
     /// What is looked at with each tick, in the order of the names.
-    awake: Vec<usize>,
+    active: Vec<usize>,
     /// How fast workers are, by what answers took.
-    speeds: Option<LatencyModel>,
-    count: u64,
-    dice: Dice,
+    latency_model: Option<LatencyModel>,
+    sequence: u64,
+    rng: Dice,
     effects: Vec<Effect>,
     reasons: Reasons,
     pub(crate) counts: Counts,
@@ -110,22 +110,22 @@
     pub fn new(terms: SchedulerLimits, seed: u64) -> Self {
         let speeds = terms.rank_by_latency.then(LatencyModel::new);
         Scheduler {
-            terms,
-            services: Vec::new(),
-            rivals: Vec::new(),
-            vacant: Vec::new(),
-            names: HashMap::new(),
-            homes: HashMap::new(),
+            limits: terms,
+            functions: Vec::new(),
+            rival_seeds: Vec::new(),
+            free_indices: Vec::new(),
+            index_by_name: HashMap::new(),
+            index_by_instance: HashMap::new(),
             permits: HashMap::new(),
-            early: HashMap::new(),
-            returned: Returned::default(),
-            overdue: Nanos::MAX,
-            queued: HashMap::new(),
-            dropped: Dropped::default(),
-            awake: Vec::new(),
-            speeds,
-            count: 0,
-            dice: Dice::seeded(seed),
+            early_permits: HashMap::new(),
+            returned_permits: ReturnedPermits::default(),
+            next_expiry: Nanos::MAX,
+            queue_positions: HashMap::new(),
+            removed_functions: RemovedFunctions::default(),
+            active: Vec::new(),
+            latency_model: speeds,
+            sequence: 0,
+            rng: Dice::seeded(seed),
             effects: Vec::new(),
             reasons: Reasons::default(),
             counts: Counts::default(),
@@ -144,7 +144,7 @@
 
     /// From now on it is told why something is decided.
     pub fn explain(&mut self) {
-        self.reasons.begin();
+        self.reasons.enable();
     }
 
     /// Why it was decided so, since.
@@ -153,141 +153,142 @@
     }
 
     /// The place of a function in the row, made where there is none.
-    fn enter(&mut self, name: &CompactString) -> usize {
-        if let Some(at) = self.names.get(name) {
+    fn index_or_insert(&mut self, name: &CompactString) -> usize {
+        if let Some(at) = self.index_by_name.get(name) {
             return *at;
         }
-        let service = Service::new(name.clone());
-        let at = match self.vacant.pop() {
+        let service = FunctionState::new(name.clone());
+        let at = match self.free_indices.pop() {
             Some(at) => {
-                (self.services[at], self.rivals[at]) = (service, 0);
+                (self.functions[at], self.rival_seeds[at]) = (service, 0);
                 at
             }
             None => {
-                self.services.push(service);
-                self.rivals.push(0);
-                self.services.len() - 1
+                self.functions.push(service);
+                self.rival_seeds.push(0);
+                self.functions.len() - 1
             }
         };
-        self.names.insert(name.clone(), at);
+        self.index_by_name.insert(name.clone(), at);
         at
     }
 
     /// Frees the place of a function of which nothing is known any more.
-    fn vacate(&mut self, at: usize) {
-        let service = &mut self.services[at];
+    fn free_if_empty(&mut self, at: usize) {
+        let service = &mut self.functions[at];
         if !service.is_empty() {
             return;
         }
-        self.names.remove(&service.name);
-        *service = Service::default();
-        self.rivals[at] = 0;
-        self.awake.retain(|n| *n != at);
-        self.vacant.push(at);
+        self.index_by_name.remove(&service.name);
+        *service = FunctionState::default();
+        self.rival_seeds[at] = 0;
+        self.active.retain(|n| *n != at);
+        self.free_indices.push(at);
     }
 
     /// It is looked at with the next tick.
-    fn rouse(&mut self, at: usize) {
-        if !std::mem::replace(&mut self.services[at].awake, true) {
-            let name = &self.services[at].name;
-            let place = self.awake.partition_point(|n| self.services[*n].name < *name);
-            self.awake.insert(place, at);
+    fn activate(&mut self, at: usize) {
+        if !std::mem::replace(&mut self.functions[at].active, true) {
+            let name = &self.functions[at].name;
+            let place = self.active.partition_point(|n| self.functions[*n].name < *name);
+            self.active.insert(place, at);
         }
     }
 
     /// Those of the row that hold, in the order of their names.
-    fn sorted(&self, which: impl Fn(&Service) -> bool) -> Vec<usize> {
-        self.in_order((0..self.services.len()).filter(|at| which(&self.services[*at])).collect())
+    fn indices_where(&self, which: impl Fn(&FunctionState) -> bool) -> Vec<usize> {
+        self.sort_by_name((0..self.functions.len()).filter(|at| which(&self.functions[*at])).collect())
     }
 
-    fn in_order(&self, mut all: Vec<usize>) -> Vec<usize> {
-        all.sort_unstable_by(|a, b| self.services[*a].name.cmp(&self.services[*b].name));
+    fn sort_by_name(&self, mut all: Vec<usize>) -> Vec<usize> {
+        all.sort_unstable_by(|a, b| self.functions[*a].name.cmp(&self.functions[*b].name));
         all
     }
 
     /// The functions of the configuration in force.
     pub fn configure(&mut self, now: Nanos, specs: impl Iterator<Item = FunctionSpec>) {
-        let mut gone: BTreeSet<usize> = self.sorted(|s| s.function.is_some()).into_iter().collect();
+        let mut gone: BTreeSet<usize> = self.indices_where(|s| s.function.is_some()).into_iter().collect();
         let begins = gone.is_empty();
         for spec in specs {
-            let at = self.enter(&spec.name);
+            let at = self.index_or_insert(&spec.name);
             gone.remove(&at);
-            self.dropped.is_back(&spec.name);
-            if let Some(function) = &mut self.services[at].function {
+            self.removed_functions.restore(&spec.name);
+            if let Some(function) = &mut self.functions[at].function {
                 function.spec = spec;
                 continue;
             }
-            let budget = Budget::new(self.terms.retry_window, self.terms.retry_ratio, self.terms.retry_slack);
+            let budget =
+                Budget::new(self.limits.retry_window, self.limits.retry_ratio, self.limits.retry_slack);
             let mut demand = Demand::new(now);
             if begins && spec.concurrency > 1 {
-                demand.stand_by(now + STAND_BY);
+                demand.keep_standby(now + STANDBY_TIME);
             }
-            self.services[at].function = Some(Function::new(spec, budget, demand));
-            self.rouse(at);
+            self.functions[at].function = Some(ConfiguredFunction::new(spec, budget, demand));
+            self.activate(at);
         }
-        for at in self.sorted(|s| s.function.is_some()).into_iter().filter(|at| gone.contains(at)) {
-            self.drop_function(now, at);
+        for at in self.indices_where(|s| s.function.is_some()).into_iter().filter(|at| gone.contains(at)) {
+            self.remove_function(now, at);
         }
     }
 
     /// Instances that others have started for a function that is owned here stay until its demand is known.
-    fn found(&mut self, now: Nanos, at: usize) {
-        let service = &mut self.services[at];
-        let live = service.live() as u32;
+    fn inherit_instances(&mut self, now: Nanos, at: usize) {
+        let service = &mut self.functions[at];
+        let live = service.live_instances() as u32;
         if let Some(function) = &mut service.function {
-            function.demand.found(now, live);
+            function.demand.inherited(now, live);
         }
     }
 
-    fn scout(&mut self, now: Nanos, at: usize, id: &str) {
-        let service = &self.services[at];
-        let Some(place) = service.place(id).filter(|p| p.of.stage == Stage::Booting) else { return };
+    fn probe_if_booting(&mut self, now: Nanos, at: usize, id: &str) {
+        let service = &self.functions[at];
+        let Some(place) = service.instance(id).filter(|p| p.info.stage == Stage::Booting) else { return };
         let Some(function) = &service.function else { return };
-        if service.owned && place.mine {
-            let from = (place.since + function.spec.startup_time * 2 / 5).max(now);
-            self.effects.push(Effect::ProbeReadiness { instance: place.of.clone(), from });
+        if service.owned && place.owned {
+            let from = (place.first_seen + function.spec.startup_time * 2 / 5).max(now);
+            self.effects.push(Effect::ProbeReadiness { instance: place.info.clone(), from });
         }
     }
 
     /// Another steward has taken office, who has heard of nothing: all that is wanted is said again.
     pub fn resend_targets(&mut self) {
-        for at in 0..self.services.len() {
-            if let Some(function) = &mut self.services[at].function {
-                function.said = None;
+        for at in 0..self.functions.len() {
+            if let Some(function) = &mut self.functions[at].function {
+                function.last_reported = None;
             }
-            self.rouse(at);
+            self.activate(at);
         }
     }
 
     /// It is known, and was not seen to accept connections yet.
     pub fn is_booting(&self, id: &str) -> bool {
-        self.homes.get(id).is_some_and(|at| self.services[*at].boots(id))
+        self.index_by_instance.get(id).is_some_and(|at| self.functions[*at].is_booting(id))
     }
 
     /// The instances of the functions that are owned here, but for those that were let go or are dead.
     pub fn owned_instances(&self) -> impl Iterator<Item = &Instance> {
-        let owned = self.services.iter().filter(|s| s.owned);
-        owned.flat_map(|s| s.places()).filter(|p| p.mine && p.live()).map(|p| &p.of)
+        let owned = self.functions.iter().filter(|s| s.owned);
+        owned.flat_map(|s| s.instances()).filter(|p| p.owned && p.is_live()).map(|p| &p.info)
     }
 
     /// The instances that are known, in no order.
     pub fn instances(&self) -> impl Iterator<Item = &Instance> {
-        self.services.iter().flat_map(|s| s.places()).map(|p| &p.of)
+        self.functions.iter().flat_map(|s| s.instances()).map(|p| &p.info)
     }
 
     /// It is known.
     pub fn knows(&self, id: &str) -> bool {
-        self.homes.contains_key(id)
+        self.index_by_instance.contains_key(id)
     }
 
     /// How many requests wait for each function, in no order.
     pub fn queues(&self) -> impl Iterator<Item = (&str, usize)> {
-        self.services.iter().filter_map(|s| Some((s.name.as_str(), s.function.as_ref()?.queue.len())))
+        self.functions.iter().filter_map(|s| Some((s.name.as_str(), s.function.as_ref()?.queue.len())))
     }
 
     /// The budget of each function that is owned here, in no order: requests and repeats in the window, and how many repeats may be.
     pub fn budgets(&self, now: Nanos) -> impl Iterator<Item = (&str, (u64, u64, f64))> {
-        let owned = self.services.iter().filter(|s| s.owned);
+        let owned = self.functions.iter().filter(|s| s.owned);
         owned.filter_map(move |s| Some((s.name.as_str(), s.function.as_ref()?.budget.counts(now))))
     }
 
@@ -295,112 +296,110 @@
     pub fn permits(&self) -> impl Iterator<Item = (&str, u64, &str, &str)> {
         let of = self.permits.iter();
         of.map(|((who, ask), p)| {
-            (who.as_str(), *ask, self.services[p.service].name.as_str(), p.instance.as_str())
+            (who.as_str(), *ask, self.functions[p.function].name.as_str(), p.instance.as_str())
         })
     }
 
     /// Somebody waits for a permit here, or has one.
     pub fn has_request(&self, who: &str, ask: u64) -> bool {
         let key = (who.into(), ask);
-        self.permits.contains_key(&key) || self.queued.contains_key(&key)
+        self.permits.contains_key(&key) || self.queue_positions.contains_key(&key)
     }
 
     /// Somebody has a permit here.
-    pub(crate) fn is_out(&self, who: &str, ask: u64) -> bool {
+    pub(crate) fn is_granted(&self, who: &str, ask: u64) -> bool {
         self.permits.contains_key(&(who.into(), ask))
     }
 
     /// Somebody has a permit for this instance.
-    pub fn is_out_at(&self, who: &str, ask: u64, instance: &str) -> bool {
+    pub fn is_granted_at(&self, who: &str, ask: u64, instance: &str) -> bool {
         self.permits.get(&(who.into(), ask)).is_some_and(|permit| permit.instance == instance)
     }
 
     /// The zone of an instance, where it is known.
     pub fn zone_of(&self, instance: &str) -> Option<&CompactString> {
-        let at = *self.homes.get(instance)?;
-        self.services[at].place(instance).map(|place| &place.of.zone)
+        let at = *self.index_by_instance.get(instance)?;
+        self.functions[at].instance(instance).map(|place| &place.info.zone)
     }
 
-    fn refuse(&mut self, to: CompactString, ask: u64, no: DenialReason) {
+    fn push_refusal(&mut self, to: CompactString, ask: u64, no: DenialReason) {
         self.effects.push(Effect::Refuse { to, ask, reason: no });
     }
 
-    fn turn_down(
-        &mut self,
-        to: CompactString,
-        ask: u64,
-        no: DenialReason,
-        why: impl FnOnce() -> RequestDecision,
-    ) {
-        self.reasons.ask(&to, ask, why);
-        self.refuse(to, ask, no);
+    fn deny(&mut self, to: CompactString, ask: u64, no: DenialReason, why: impl FnOnce() -> RequestDecision) {
+        self.reasons.push_request(&to, ask, why);
+        self.push_refusal(to, ask, no);
     }
 
     /// A permit is asked for. The same ask again is no other one.
     pub fn request_permit(&mut self, now: Nanos, from: CompactString, ask: PermitRequest, first: bool) {
         let key = (from, ask.id);
-        if self.permits.contains_key(&key) || self.queued.contains_key(&key) {
-            self.reasons.ask(&key.0, key.1, || RequestDecision::Duplicate);
+        if self.permits.contains_key(&key) || self.queue_positions.contains_key(&key) {
+            self.reasons.push_request(&key.0, key.1, || RequestDecision::Duplicate);
         }
         if let Some(permit) = self.permits.get(&key) {
-            if let Some(place) = self.services[permit.service].place(&permit.instance) {
-                let instance = place.of.clone();
+            if let Some(place) = self.functions[permit.function].instance(&permit.instance) {
+                let instance = place.info.clone();
                 self.effects.push(Effect::Grant { to: key.0, ask: ask.id, instance });
             }
             return;
         }
-        if self.queued.contains_key(&key) {
+        if self.queue_positions.contains_key(&key) {
             return self.effects.push(Effect::Queued { to: key.0, ask: ask.id });
         }
-        let at = self.names.get(&ask.service).copied();
-        let Some((at, service)) = at.map(|at| (at, &mut self.services[at])) else {
-            return self.unknown(now, key, &ask.service);
+        let at = self.index_by_name.get(&ask.service).copied();
+        let Some((at, service)) = at.map(|at| (at, &mut self.functions[at])) else {
+            return self.deny_unknown(now, key, &ask.service);
         };
         let Some(function) = &mut service.function else {
-            return self.unknown(now, key, &ask.service);
+            return self.deny_unknown(now, key, &ask.service);
         };
         function.target = ask.target;
-        if let Some(floor) = &mut function.floor {
-            floor.asked(now);
+        if let Some(floor) = &mut function.min_instances {
+            floor.record_request(now);
         }
         if first {
-            function.came(now, &ask.zone);
+            function.record_arrival(now, &ask.zone);
         }
-        let chosen = service.choose(now, &key.0, &ask).cloned();
+        let chosen = service.select_instance(now, &key.0, &ask).cloned();
         if ask.attempts_sent > 0 {
             // The design: a further try goes with the probability of the instance that it would go to.
             let t1 = first_retry_delay(ask.target);
             let chance = match &chosen {
-                Some(id) => service.place(id).map_or(1.0, |p| p.chance(t1)),
+                Some(id) => service.instance(id).map_or(1.0, |p| p.retry_probability(t1)),
                 None => service.mean_chance(t1),
             };
-            let drawn = self.dice.share();
+            let drawn = self.rng.share();
             if drawn >= chance {
                 let why = || RequestDecision::RetrySuppressed { chance, drawn, instance: chosen };
-                return self.turn_down(key.0, ask.id, DenialReason::Skip, why);
+                return self.deny(key.0, ask.id, DenialReason::Skip, why);
             }
             if let Some(f) = &mut service.function
-                && !f.budget.repeat(now)
+                && !f.budget.try_retry(now)
             {
                 let (requests, repeats, most) = f.budget.counts(now);
                 let why = || RequestDecision::BudgetSpent { requests, repeats, most };
-                return self.turn_down(key.0, ask.id, DenialReason::Spent, why);
+                return self.deny(key.0, ask.id, DenialReason::Spent, why);
             }
         }
         if let Some(id) = chosen {
             self.grant(now, at, key, &ask, &id, false);
-            return self.want(now, at);
+            return self.report_target(now, at);
         }
         // Nothing is known of it here, and its owner by another's word may be this stall: word of its instances is on its way.
-        let unheard = service.live() == 0 && (!service.owned || now < service.settling);
-        let wait = if unheard { UNHEARD.min(service.wait(now)) } else { service.wait(now) };
-        let stock = service.stock();
+        let unheard = service.live_instances() == 0 && (!service.owned || now < service.settling_until);
+        let wait = if unheard {
+            INSTANCE_DISCOVERY_WAIT.min(service.expected_wait(now))
+        } else {
+            service.expected_wait(now)
+        };
+        let stock = service.totals();
         let Some(function) = &mut service.function else { return };
-        let end = now + wait + function.demand.usual() as Nanos;
+        let end = now + wait + function.demand.expected_hold_time() as Nanos;
         let hopeless = now + wait >= ask.deadline;
         let late = !ask.returned && ask.attempts_sent == 0 && end > ask.soft_deadline && !unheard;
         let queued = function.queue.len();
-        if queued >= LONGEST_QUEUE || hopeless || late {
+        if queued >= MAX_QUEUE_LEN || hopeless || late {
             let why = || match () {
                 () if hopeless => {
                     RequestDecision::DeadlineUnreachable { wait, left: ask.deadline.saturating_sub(now) }
@@ -412,29 +411,32 @@
                 },
                 () => RequestDecision::QueueFull { queued },
             };
-            self.turn_down(key.0, ask.id, DenialReason::Full(wait), why);
-            self.services[at].refuses(now);
+            self.deny(key.0, ask.id, DenialReason::Full(wait), why);
+            self.functions[at].record_refusal(now);
         } else {
-            self.count += 1;
-            let place = (ask.deadline, self.count);
+            self.sequence += 1;
+            let place = (ask.deadline, self.sequence);
             let why = || {
                 let ahead = function.queue.range(..place).count();
                 RequestDecision::Queued {
                     ahead,
                     wait,
-                    open: stock.open,
-                    coming: stock.coming,
+                    open: stock.available,
+                    coming: stock.starting,
                     awaiting_instances: unheard,
                 }
             };
-            self.reasons.ask(&key.0, key.1, why);
+            self.reasons.push_request(&key.0, key.1, why);
             self.effects.push(Effect::Queued { to: key.0.clone(), ask: ask.id });
-            let unheard = unheard.then_some(now + UNHEARD);
-            function.queue.insert(place, Waiting { from: key.0.clone(), ask, unheard });
-            self.queued.insert(key, (at, place));
-            self.rouse(at);
+            let unheard = unheard.then_some(now + INSTANCE_DISCOVERY_WAIT);
+            function.queue.insert(
+                place,
+                Waiting { from: key.0.clone(), request: ask, awaiting_instances_until: unheard },
+            );
+            self.queue_positions.insert(key, (at, place));
+            self.activate(at);
         }
-        self.want(now, at);
+        self.report_target(now, at);
     }
 
     fn grant(
@@ -446,28 +448,37 @@
         id: &CompactString,
         waited: bool,
     ) {
-        let service = &mut self.services[at];
+        let service = &mut self.functions[at];
         let most = service.function.as_ref().map_or(1, |f| f.spec.concurrency);
-        let Some(place) = service.give(id, key.clone()) else { return };
-        self.count += 1;
-        (place.turn, place.used) = (self.count, now);
-        let (out, failed_there) = (place.out.len(), ask.avoid.contains(id));
+        let Some(place) = service.add_permit(id, key.clone()) else { return };
+        self.sequence += 1;
+        (place.last_grant, place.last_used) = (self.sequence, now);
+        let (out, failed_there) = (place.permits.len(), ask.avoid.contains(id));
         let why = || RequestDecision::Granted { instance: id.clone(), out, most, failed_there, waited };
-        self.reasons.ask(&key.0, key.1, why);
-        self.effects.push(Effect::Grant { to: key.0.clone(), ask: ask.id, instance: place.of.clone() });
-        service.hold(now);
-        let until = ask.deadline.saturating_add(OVERDUE);
-        self.permit(key, Permit { service: at, instance: id.clone(), until, since: now, lingers: false });
-    }
-
-    fn permit(&mut self, key: Key, permit: Permit) {
-        self.overdue = self.overdue.min(permit.until);
+        self.reasons.push_request(&key.0, key.1, why);
+        self.effects.push(Effect::Grant { to: key.0.clone(), ask: ask.id, instance: place.info.clone() });
+        service.record_permits(now);
+        let until = ask.deadline.saturating_add(PERMIT_GRACE);
+        self.record_permit(
+            key,
+            Permit {
+                function: at,
+                instance: id.clone(),
+                expires_at: until,
+                granted_at: now,
+                abandoned: false,
+            },
+        );
+    }
+
+    fn record_permit(&mut self, key: Key, permit: Permit) {
+        self.next_expiry = self.next_expiry.min(permit.expires_at);
         self.permits.insert(key, permit);
     }
 
-    fn unqueue(&mut self, key: &Key) {
-        if let Some((at, place)) = self.queued.remove(key)
-            && let Some(function) = &mut self.services[at].function
+    fn dequeue(&mut self, key: &Key) {
+        if let Some((at, place)) = self.queue_positions.remove(key)
+            && let Some(function) = &mut self.functions[at].function
         {
             function.queue.remove(&place);
         }
@@ -475,99 +486,101 @@
 
     /// The asker no longer waits.
     pub fn cancel(&mut self, now: Nanos, from: &str, ask: u64) {
-        self.unqueue(&(from.into(), ask));
+        self.dequeue(&(from.into(), ask));
         self.release(now, from, ask, Outcome::Unused, 0);
     }
 
     /// The ask goes to another owner, with its permit if it has one: here it is over, and nobody gets its slot on that account.
     pub fn forget(&mut self, now: Nanos, from: &str, ask: u64) {
         let key = (from.into(), ask);
-        self.unqueue(&key);
+        self.dequeue(&key);
         let Some(permit) = self.permits.remove(&key) else { return };
-        let service = &mut self.services[permit.service];
-        service.take_back(&permit.instance, from, ask);
-        service.hold(now);
+        let service = &mut self.functions[permit.function];
+        service.remove_permit(&permit.instance, from, ask);
+        service.record_permits(now);
     }
 
     /// A permit comes back.
     pub fn release(&mut self, now: Nanos, from: &str, ask: u64, outcome: Outcome, took: Nanos) {
         let key = (from.into(), ask);
         let Some(permit) = self.permits.get_mut(&key) else {
-            return self.came_back(now, from, ask, outcome);
+            return self.permit_returned(now, from, ask, outcome);
         };
-        let (at, service) = (permit.service, &mut self.services[permit.service]);
-        if outcome.may_still_run() && !permit.lingers {
+        let (at, service) = (permit.function, &mut self.functions[permit.function]);
+        if outcome.may_still_run() && !permit.abandoned {
             if outcome == Outcome::TimedOut {
                 let target = service.function.as_ref().map_or(200 * MS, |f| f.target);
-                service
-                    .change_one(&permit.instance, |p| p.over(now, outcome, took, first_retry_delay(target)));
+                service.update_instance(&permit.instance, |p| {
+                    p.attempt_ended(now, outcome, took, first_retry_delay(target))
+                });
             }
             // Not every endpoint drops what nobody waits for any more: its slot is given again when it is done by its usual time.
-            let usual = service.function.as_ref().map_or(0.0, |f| f.demand.usual()) as Nanos;
-            (permit.until, permit.lingers) = (now + usual, true);
-            self.overdue = self.overdue.min(permit.until);
+            let usual = service.function.as_ref().map_or(0.0, |f| f.demand.expected_hold_time()) as Nanos;
+            (permit.expires_at, permit.abandoned) = (now + usual, true);
+            self.next_expiry = self.next_expiry.min(permit.expires_at);
             return;
         }
         let Some(permit) = self.permits.remove(&key) else { return };
-        if !service.expects.is_empty() {
+        if !service.awaited_owners.is_empty() {
             // An owner of before may tell of it once more.
-            self.returned.put(now, key);
+            self.returned_permits.insert(now, key);
         }
         let target = service.function.as_ref().map_or(200 * MS, |f| f.target);
-        let (mut lost, settles) = (false, now < service.settling + SETTLES);
-        let unsure = service.place(&permit.instance).is_some_and(|p| service.unsure(now, p));
+        let (mut lost, settles) = (false, now < service.settling_until + SETTLING_TIME);
+        let unsure = service.instance(&permit.instance).is_some_and(|p| service.is_uncertain(now, p));
         if unsure && matches!(outcome, Outcome::Answered | Outcome::Full) {
-            service.tried(now, outcome == Outcome::Full);
-        }
-        if let Some(place) = service.take_back(&permit.instance, from, ask) {
-            place.over(now, outcome, took, first_retry_delay(target));
-            place.used = now;
-            place.proven =
-                unsure && (outcome == Outcome::Answered || place.proven && outcome != Outcome::Full);
-            if outcome == Outcome::Full && (unsure || settles && place.found) {
-                place.yielded = now + LEFT_TO_OTHERS;
+            service.probe_ended(now, outcome == Outcome::Full);
+        }
+        if let Some(place) = service.remove_permit(&permit.instance, from, ask) {
+            place.attempt_ended(now, outcome, took, first_retry_delay(target));
+            place.last_used = now;
+            place.verified =
+                unsure && (outcome == Outcome::Answered || place.verified && outcome != Outcome::Full);
+            if outcome == Outcome::Full && (unsure || settles && place.inherited) {
+                place.yielded_until = now + YIELD_TIME;
             }
-            lost = outcome == Outcome::Unreachable && place.of.stage == Stage::Ready && place.failing();
+            lost = outcome == Outcome::Unreachable && place.info.stage == Stage::Ready && place.is_failing();
         }
         if outcome == Outcome::Full {
-            service.refuses(now);
-            let out = service.place(&permit.instance).map_or(0, |place| place.out.len());
+            service.record_refusal(now);
+            let out = service.instance(&permit.instance).map_or(0, |place| place.permits.len());
             self.counts.refused_as_full += 1;
             self.counts.last_full = Some((permit.instance.clone(), out));
         }
         if let Some(function) = &mut service.function
             && matches!(outcome, Outcome::Answered | Outcome::Failed)
         {
-            function.demand.held_for(now.saturating_sub(permit.since));
+            function.demand.record_hold_time(now.saturating_sub(permit.granted_at));
         }
-        service.hold(now);
+        service.record_permits(now);
         if outcome == Outcome::Answered {
-            self.timed(now, at, &permit.instance, took);
+            self.record_latency(now, at, &permit.instance, took);
         }
         if lost {
             self.mark_lost(now, &permit.instance, true);
         }
-        self.serve(now, at);
-        self.retire(now, at);
+        self.serve_queue(now, at);
+        self.retire_surplus(now, at);
     }
 
     /// An instance was seen to be dead; `failing`: by tries that failed one after the other.
     pub fn mark_lost(&mut self, now: Nanos, id: &str, failing: bool) {
-        let Some(at) = self.homes.get(id).copied() else { return };
-        if self.services[at].place(id).is_none_or(|p| p.retired) {
+        let Some(at) = self.index_by_instance.get(id).copied() else { return };
+        if self.functions[at].instance(id).is_none_or(|p| p.retired) {
             return;
         }
-        self.services[at].change_one(id, |place| (place.retired, place.lost, place.told) = (true, true, now));
-        self.reasons.put(|| Reason::DeadInstance { instance: id.into(), failing });
+        self.functions[at]
+            .update_instance(id, |place| (place.retired, place.lost, place.reported_at) = (true, true, now));
+        self.reasons.push(|| Reason::DeadInstance { instance: id.into(), failing });
         self.effects.push(Effect::ReportLost(id.into()));
-        self.want(now, at);
+        self.report_target(now, at);
     }
 
     /// A stall is gone: what it had out is free, what it waited for is nobody's.
     pub fn proxy_left(&mut self, now: Nanos, from: &str) {
-        self.services.iter_mut().for_each(|service| service.expect_no_more(now, from, true));
+        self.functions.iter_mut().for_each(|service| service.stop_awaiting(now, from, true));
         let mut permits: Vec<_> = self.permits.keys().filter(|k| k.0 == from).map(|k| k.1).collect();
-        let mut queued: Vec<_> = self.queued.keys().filter(|k| k.0 == from).map(|k| k.1).collect();
+        let mut queued: Vec<_> = self.queue_positions.keys().filter(|k| k.0 == from).map(|k| k.1).collect();
         permits.sort_unstable();
         queued.sort_unstable();
         self.counts.freed += permits.len() as u64;
@@ -577,101 +590,106 @@
     }
 
     /// Gives free slots to those that wait.
-    fn serve(&mut self, now: Nanos, at: usize) {
+    fn serve_queue(&mut self, now: Nanos, at: usize) {
         loop {
-            let service = &mut self.services[at];
+            let service = &mut self.functions[at];
             let first = service.function.as_ref().and_then(|f| f.queue.first_key_value());
             let Some((_, waiting)) = first else { return };
-            let late = waiting.ask.deadline <= now;
-            let chosen = if late { None } else { service.choose(now, &waiting.from, &waiting.ask).cloned() };
+            let late = waiting.request.deadline <= now;
+            let chosen = if late {
+                None
+            } else {
+                service.select_instance(now, &waiting.from, &waiting.request).cloned()
+            };
             if !late && chosen.is_none() {
                 return;
             }
             let first = service.function.as_mut().and_then(|f| f.queue.pop_first());
-            let Some((_, Waiting { from, ask, .. })) = first else { return };
+            let Some((_, Waiting { from, request: ask, .. })) = first else { return };
             let key = (from, ask.id);
-            self.queued.remove(&key);
+            self.queue_positions.remove(&key);
             match chosen {
                 Some(id) => self.grant(now, at, key, &ask, &id, true),
                 None => {
-                    self.services[at].refuses(now);
-                    self.turn_down(key.0, ask.id, DenialReason::Full(0), || RequestDecision::DeadlinePassed);
+                    self.functions[at].record_refusal(now);
+                    self.deny(key.0, ask.id, DenialReason::Full(0), || RequestDecision::DeadlinePassed);
                 }
             }
         }
     }
 
     /// What has waited for word of instances, and was told of none, is judged as it would have been.
-    fn judge(&mut self, now: Nanos, at: usize) {
-        let service = &self.services[at];
+    fn reassess_waiting(&mut self, now: Nanos, at: usize) {
+        let service = &self.functions[at];
         let Some(function) = &service.function else { return };
-        let (wait, usual) = (service.wait(now), function.demand.usual() as Nanos);
-        let over = |w: &Waiting| w.unheard.is_some_and(|until| until <= now);
+        let (wait, usual) = (service.expected_wait(now), function.demand.expected_hold_time() as Nanos);
+        let over = |w: &Waiting| w.awaiting_instances_until.is_some_and(|until| until <= now);
         let due: Vec<_> = function.queue.iter().filter(|(_, w)| over(w)).map(|(place, _)| *place).collect();
         for place in due {
-            let Some(function) = &mut self.services[at].function else { return };
+            let Some(function) = &mut self.functions[at].function else { return };
             let Some(waiting) = function.queue.get_mut(&place) else { continue };
-            waiting.unheard = None;
-            let ask = &waiting.ask;
+            waiting.awaiting_instances_until = None;
+            let ask = &waiting.request;
             let hopeless = now + wait >= ask.deadline;
             if hopeless || !ask.returned && ask.attempts_sent == 0 && now + wait + usual > ask.soft_deadline {
                 let (from, id) = (waiting.from.clone(), ask.id);
                 let (left, aim) = (ask.deadline.saturating_sub(now), ask.soft_deadline.saturating_sub(now));
                 function.queue.remove(&place);
-                self.queued.remove(&(from.clone(), id));
+                self.queue_positions.remove(&(from.clone(), id));
                 let late = RequestDecision::WouldMissTarget { wait, takes: usual, left: aim };
                 let why =
                     || if hopeless { RequestDecision::DeadlineUnreachable { wait, left } } else { late };
-                self.turn_down(from, id, DenialReason::Full(wait), why);
-                self.services[at].refuses(now);
+                self.deny(from, id, DenialReason::Full(wait), why);
+                self.functions[at].record_refusal(now);
             }
         }
     }
 
     /// Permits whose request must be over by now.
-    fn end_overdue(&mut self, now: Nanos) {
-        if now < self.overdue {
+    fn expire_permits(&mut self, now: Nanos) {
+        if now < self.next_expiry {
             return;
         }
         let mut overdue: Vec<_> =
-            self.permits.iter().filter(|(_, p)| p.until <= now).map(|(k, _)| k.clone()).collect();
+            self.permits.iter().filter(|(_, p)| p.expires_at <= now).map(|(k, _)| k.clone()).collect();
         overdue.sort_unstable();
         for (from, ask) in overdue {
             if let Some(permit) = self.permits.get_mut(&(from.clone(), ask)) {
-                permit.lingers = true;
+                permit.abandoned = true;
             }
             self.release(now, &from, ask, Outcome::Abandoned, 0);
         }
-        self.overdue = self.permits.values().map(|p| p.until).min().unwrap_or(Nanos::MAX);
+        self.next_expiry = self.permits.values().map(|p| p.expires_at).min().unwrap_or(Nanos::MAX);
     }
 
     /// Time passes: deadlines, what is needed, what is not.
     pub fn tick(&mut self, now: Nanos) {
-        self.end_overdue(now);
-        self.returned.sweep(now);
-        self.weigh(now);
+        self.expire_permits(now);
+        self.returned_permits.sweep(now);
+        self.update_latency_ranks(now);
         // One that is roused meanwhile is looked at the next time.
-        for at in self.awake.clone() {
-            let looked_at = self.services[at].is_due();
-            self.serve(now, at);
-            self.judge(now, at);
+        for at in self.active.clone() {
+            let looked_at = self.functions[at].needs_update();
+            self.serve_queue(now, at);
+            self.reassess_waiting(now, at);
             if looked_at {
-                self.want(now, at);
-                self.retire(now, at);
-                self.tell_again(now, at);
+                self.report_target(now, at);
+                self.retire_surplus(now, at);
+                self.resend_reports(now, at);
             }
         }
-        let services = &mut self.services;
-        self.awake.retain(|at| {
-            services[*at].awake = services[*at].stays_awake();
-            services[*at].awake
+        let services = &mut self.functions;
+        self.active.retain(|at| {
+            services[*at].active = services[*at].stays_active();
+            services[*at].active
         });
     }
 
     /// When time is to pass next, at the latest; none where nothing hangs on it.
     pub fn next_wake(&self, now: Nanos) -> Option<Nanos> {
-        let awake = self.awake.iter().map(|at| if self.services[*at].is_busy() { BUSY } else { CALM });
+        let awake =
+            self.active.iter().map(|at| if self.functions[*at].is_busy() { BUSY_TICK } else { IDLE_TICK });
         let due = awake.min().map(|pause| now + pause);
-        due.into_iter().chain((self.overdue < Nanos::MAX).then_some(self.overdue)).min()
+        due.into_iter().chain((self.next_expiry < Nanos::MAX).then_some(self.next_expiry)).min()
     }
 }
--- a/scheduler/src/function/dropped.rs
+++ b/scheduler/src/function/removed_functions.rs
@@ -12,43 +12,43 @@
 use crate::{Nanos, SECOND};
 
 /// Those who have not heard of it ask for it for so long.
-const REMEMBERED: Nanos = 10 * SECOND;
+const REMEMBER_TIME: Nanos = 10 * SECOND;
 const MOST: usize = 10_000;
 
 /// Functions that are gone, and until when that is remembered.
 #[derive(Debug, Default)]
-pub(super) struct Dropped(BTreeMap<CompactString, Nanos>);
+pub(super) struct RemovedFunctions(BTreeMap<CompactString, Nanos>);
 
-impl Dropped {
+impl RemovedFunctions {
     /// The configuration names it again.
-    pub fn is_back(&mut self, name: &str) {
+    pub fn restore(&mut self, name: &str) {
         self.0.remove(name);
     }
 
-    fn put(&mut self, now: Nanos, name: CompactString) {
+    fn insert(&mut self, now: Nanos, name: CompactString) {
         self.0.retain(|_, until| *until > now);
         if self.0.len() < MOST {
-            self.0.insert(name, now + REMEMBERED);
+            self.0.insert(name, now + REMEMBER_TIME);
         }
     }
 }
 
 impl Scheduler {
     /// The configuration names a function no more.
-    pub(super) fn drop_function(&mut self, now: Nanos, at: usize) {
-        let Some(function) = self.services[at].function.take() else { return };
-        self.dropped.put(now, self.services[at].name.clone());
+    pub(super) fn remove_function(&mut self, now: Nanos, at: usize) {
+        let Some(function) = self.functions[at].function.take() else { return };
+        self.removed_functions.insert(now, self.functions[at].name.clone());
         for waiting in function.queue.into_values() {
-            self.queued.remove(&(waiting.from.clone(), waiting.ask.id));
-            self.refuse(waiting.from, waiting.ask.id, DenialReason::Moved);
+            self.queue_positions.remove(&(waiting.from.clone(), waiting.request.id));
+            self.push_refusal(waiting.from, waiting.request.id, DenialReason::Moved);
         }
-        self.vacate(at);
+        self.free_if_empty(at);
     }
 
     /// A function is asked for that is none here.
-    pub(super) fn unknown(&mut self, now: Nanos, (from, ask): Key, name: &str) {
-        let moved = self.dropped.0.get(name).is_some_and(|until| now < *until);
+    pub(super) fn deny_unknown(&mut self, now: Nanos, (from, ask): Key, name: &str) {
+        let moved = self.removed_functions.0.get(name).is_some_and(|until| now < *until);
         let no = if moved { DenialReason::Moved } else { DenialReason::Unknown };
-        self.turn_down(from, ask, no, || RequestDecision::UnknownFunction);
+        self.deny(from, ask, no, || RequestDecision::UnknownFunction);
     }
 }
--- /dev/null
+++ b/scheduler/src/function/targets.rs
@@ -0,0 +1,93 @@
+//! What a function needs, as control is told: how many instances, and which of them are let go.
+
+use super::{LOAD_REPORT_STEP, REPORT_INTERVAL, RETIRE_REPORT_INTERVAL, Scheduler};
+use crate::Nanos;
+use crate::demand::idle_retention;
+use crate::effect::Effect;
+use crate::reason::Reason;
+
+impl Scheduler {
+    /// Says how many instances the function needs, where that has changed or was said long ago.
+    pub(super) fn report_target(&mut self, now: Nanos, at: usize) {
+        let service = &mut self.functions[at];
+        if !service.owned {
+            return;
+        }
+        let (wait, live, held) =
+            (service.expected_wait(now), service.live_instances(), service.totals().permits);
+        let floor = service.min_instances(now);
+        let Some(function) = &mut service.function else { return };
+        // A queue that moves within a part of its aim needs nothing new.
+        let patience = (function.target / 4).min(function.spec.startup_time / 2);
+        let queued = if live == 0 || wait > patience { function.queue.len() } else { 0 };
+        let need = function.demand.needed(now, &function.spec, queued).max(floor);
+        let strain = function.demand.rate(now) / self.limits.requests_per_s.max(1.0);
+        let idle =
+            function.demand.last_arrival.is_none_or(|at| at + 3 * idle_retention(&function.spec) < now);
+        let say = match function.last_reported {
+            None => need > 0 || live > 0,
+            Some((at, count)) => {
+                count != need
+                    || (strain - function.reported_load).abs() > LOAD_REPORT_STEP
+                    || function.min_instances.as_ref().is_some_and(|floor| floor.report_due(now, at))
+                    || (now >= at + REPORT_INTERVAL && !(idle && need == 0 && live == 0))
+            }
+        };
+        if say {
+            (function.last_reported, function.reported_load) = (Some((now, need)), strain);
+            let waits = function.queue.len();
+            let (service, zones) = (service.name.clone(), function.zones_by_demand());
+            self.reasons.push(|| {
+                let service = service.clone();
+                Reason::InstanceTarget { service, need, live, held, queued: waits, wait }
+            });
+            let does = self.functions[at].status(now);
+            let slow =
+                self.latency_model.as_ref().map(|speeds| speeds.slow_ones(&service)).unwrap_or_default();
+            self.effects.push(Effect::SetInstanceTarget { service, count: need, zones, strain, does, slow });
+            if need > 0 {
+                self.activate(at);
+            }
+        }
+    }
+
+    /// Lets instances go that are not needed: nothing more goes to one, and it is stopped once nothing is out.
+    pub(super) fn retire_surplus(&mut self, now: Nanos, at: usize) {
+        let service = &mut self.functions[at];
+        let said = service.function.as_ref().filter(|_| service.owned).and_then(|f| f.last_reported);
+        let Some((_, need)) = said else { return };
+        let live = service.live_instances();
+        if let Some(old) = service.surplus_instance(now, need as usize) {
+            service.update_instance(&old, |place| place.draining = true);
+            self.reasons.push(|| Reason::SurplusInstance { instance: old, need, live });
+        }
+        if service.totals().draining == 0 {
+            return;
+        }
+        let effects = &mut self.effects;
+        service.update_all(|places| {
+            for place in places.iter_mut().filter(|p| p.draining && !p.retired && p.permits.is_empty()) {
+                (place.retired, place.reported_at) = (true, now);
+                effects.push(Effect::Retire(place.info.id.clone()));
+            }
+        });
+    }
+
+    /// What control has not heard, or has not acted on.
+    pub(super) fn resend_reports(&mut self, now: Nanos, at: usize) {
+        let service = &mut self.functions[at];
+        if service.totals().retired == 0 {
+            return;
+        }
+        let effects = &mut self.effects;
+        service.update_all(|places| {
+            for place in
+                places.iter_mut().filter(|p| p.retired && p.reported_at + RETIRE_REPORT_INTERVAL <= now)
+            {
+                place.reported_at = now;
+                let id = place.info.id.clone();
+                effects.push(if place.lost { Effect::ReportLost(id) } else { Effect::Retire(id) });
+            }
+        });
+    }
+}
--- a/scheduler/src/function/hardware.rs
+++ b/scheduler/src/function/worker_speed.rs
@@ -6,26 +6,29 @@
 use millpost_latency::{LatencyModel, RelativeLatency};
 
 use crate::Nanos;
-use crate::service::Service;
+use crate::service::FunctionState;
 
 use super::Scheduler;
 
 impl Scheduler {
     /// What was answered, so far, is worked out now and then; instances are put in the order that follows from it.
-    pub(super) fn weigh(&mut self, now: Nanos) {
-        let Some(speeds) = &mut self.speeds else { return };
+    pub(super) fn update_latency_ranks(&mut self, now: Nanos) {
+        let Some(speeds) = &mut self.latency_model else { return };
         if !speeds.settle(now) {
             return;
         }
         let speeds = &*speeds;
-        self.services.iter_mut().filter(|s| !s.places().is_empty()).for_each(|s| s.rank(speeds));
+        self.functions
+            .iter_mut()
+            .filter(|s| !s.instances().is_empty())
+            .for_each(|s| s.update_latency_ranks(speeds));
     }
 
     /// An instance answered as it should, so long after it was called.
-    pub(super) fn timed(&mut self, now: Nanos, at: usize, id: &str, took: Nanos) {
-        let service = &self.services[at];
-        if let (Some(place), Some(speeds)) = (service.place(id), &mut self.speeds) {
-            speeds.saw(now, &service.name, &place.of.worker, took);
+    pub(super) fn record_latency(&mut self, now: Nanos, at: usize, id: &str, took: Nanos) {
+        let service = &self.functions[at];
+        if let (Some(place), Some(speeds)) = (service.instance(id), &mut self.latency_model) {
+            speeds.saw(now, &service.name, &place.info.worker, took);
         }
     }
 }
@@ -37,21 +40,21 @@
 /// ... if it is surely so, in standard deviations.
 const SURE: f64 = 2.5;
 
-impl Service {
+impl FunctionState {
     /// Puts instances behind others of which it is sure that they end sooner.
-    fn rank(&mut self, speeds: &LatencyModel) {
+    fn update_latency_ranks(&mut self, speeds: &LatencyModel) {
         let name = self.name.clone();
-        let lags: Vec<_> = self.places().iter().map(|p| speeds.lag(&name, &p.of.worker)).collect();
-        let open = self.places().iter().zip(&lags).filter(|(p, _)| p.open());
+        let lags: Vec<_> = self.instances().iter().map(|p| speeds.lag(&name, &p.info.worker)).collect();
+        let open = self.instances().iter().zip(&lags).filter(|(p, _)| p.is_available());
         let best = open.filter_map(|(_, lag)| *lag).min_by(|a, b| a.log.total_cmp(&b.log));
         let step = |lag: Option<RelativeLatency>, slow: bool, already: bool| {
             let Some((lag, best)) = lag.zip(best) else { return 0 };
             let steps = ((lag.log - best.log) / STEP.ln()).clamp(0.0, 8.0) as u8;
             if slow || already || lag.surely_behind(&best, BEYOND, SURE) { steps } else { 0 }
         };
-        self.reorder(|at, place| {
-            place.slow = speeds.slow_for(&name, &place.of.worker);
-            place.behind = step(lags[at], place.slow, place.behind > 0);
+        self.update_ranks(|at, place| {
+            place.on_slow_worker = speeds.slow_for(&name, &place.info.worker);
+            place.latency_rank = step(lags[at], place.on_slow_worker, place.latency_rank > 0);
         });
     }
 }
--- a/scheduler/src/instance/narrow.rs
+++ b/scheduler/src/instance/slot_limit.rs
@@ -18,32 +18,32 @@
 
 /// The slots that are left of an instance.
 #[derive(Debug, Default)]
-pub(super) struct Narrow {
+pub(super) struct SlotLimit {
     slots: usize,
-    until: Nanos,
+    pause_until: Nanos,
     pause: Nanos,
 }
 
-impl Narrow {
+impl SlotLimit {
     /// It has turned a request away as full while so many others of this owner's were there.
-    pub fn refused(&mut self, now: Nanos, others: usize) {
-        if now < self.until {
+    pub fn rejected(&mut self, now: Nanos, others: usize) {
+        if now < self.pause_until {
             // Sent before the first refusal was heard of.
             self.slots = self.slots.min(others);
             return;
         }
         let first = if others > 0 { PAUSE } else { PAUSE_ALONE };
-        let again = self.pause > 0 && now < self.until + FORGOTTEN;
+        let again = self.pause > 0 && now < self.pause_until + FORGOTTEN;
         self.pause = if again { (self.pause * 2).clamp(first, LONGEST_PAUSE) } else { first };
-        (self.slots, self.until) = (others, now + self.pause);
+        (self.slots, self.pause_until) = (others, now + self.pause);
     }
 
     /// How many of all its slots may be used: one more with each pause that has passed.
-    pub fn left_of(&self, now: Nanos, all: usize) -> usize {
+    pub fn usable(&self, now: Nanos, all: usize) -> usize {
         if self.pause == 0 {
             return all;
         }
-        let passed = if now < self.until { 0 } else { 1 + (now - self.until) / self.pause };
+        let passed = if now < self.pause_until { 0 } else { 1 + (now - self.pause_until) / self.pause };
         all.min(self.slots.saturating_add(passed as usize))
     }
 }
@@ -54,15 +54,15 @@
 
     /// Refusals while a request that nobody counts holds one slot, and how long it takes until all are used again after it.
     fn with_one_uncounted(all: usize, lasts: Nanos) -> (usize, Nanos) {
-        let (mut narrow, mut refusals, mut now) = (Narrow::default(), 0, 0);
+        let (mut narrow, mut refusals, mut now) = (SlotLimit::default(), 0, 0);
         loop {
-            let used = narrow.left_of(now, all);
+            let used = narrow.usable(now, all);
             if now >= lasts && used == all {
                 return (refusals, now - lasts);
             }
             // All that is left is used, and the rest waits.
             if now < lasts && used == all {
-                narrow.refused(now, all - 1);
+                narrow.rejected(now, all - 1);
                 refusals += 1;
             }
             now += 10 * MS;
@@ -81,13 +81,13 @@
 
     #[test]
     fn several_that_were_sent_at_once_leave_what_the_instance_holds() {
-        let mut narrow = Narrow::default();
-        assert_eq!(narrow.left_of(0, 8), 8);
-        [7, 6, 5].into_iter().for_each(|others| narrow.refused(MS, others));
-        assert_eq!(narrow.left_of(2 * MS, 8), 5);
+        let mut narrow = SlotLimit::default();
+        assert_eq!(narrow.usable(0, 8), 8);
+        [7, 6, 5].into_iter().for_each(|others| narrow.rejected(MS, others));
+        assert_eq!(narrow.usable(2 * MS, 8), 5);
         // One at a time: they may all be there still.
-        assert_eq!(narrow.left_of(MS + PAUSE, 8), 6);
-        assert_eq!(narrow.left_of(MS + 2 * PAUSE, 8), 7);
-        assert_eq!(narrow.left_of(MS + 10 * PAUSE, 8), 8);
+        assert_eq!(narrow.usable(MS + PAUSE, 8), 6);
+        assert_eq!(narrow.usable(MS + 2 * PAUSE, 8), 7);
+        assert_eq!(narrow.usable(MS + 10 * PAUSE, 8), 8);
     }
 }
--- a/scheduler/src/lib.rs
+++ b/scheduler/src/lib.rs
@@ -45,14 +45,14 @@
 pub const SECOND: Nanos = 1_000 * MS;
 
 /// What an ask, its grant and its end take of the owner's link in one direction, in bytes,
-const ASK_BYTES: f64 = 800.0;
+const REQUEST_BYTES: f64 = 800.0;
 /// ... and of its processor, in seconds.
-const ASK_SECONDS: f64 = 0.000_25;
+const REQUEST_CPU_SECONDS: f64 = 0.000_25;
 
 /// First asks a second that would take all of an owner's link or processors, if it did nothing else.
 pub fn max_requests_per_s(link_mbps: f64, processors: f64) -> f64 {
-    let by_link = link_mbps * 1e6 / 8.0 / ASK_BYTES;
-    by_link.min(processors / ASK_SECONDS).max(1.0)
+    let by_link = link_mbps * 1e6 / 8.0 / REQUEST_BYTES;
+    by_link.min(processors / REQUEST_CPU_SECONDS).max(1.0)
 }
 
 /// What the configuration says of a function.
--- a/scheduler/src/owner_ranking.rs
+++ b/scheduler/src/owner_ranking.rs
@@ -11,21 +11,21 @@
 use crate::owners::{Owners, hash};
 
 /// The first two, with what each of them is ranked by.
-type Two = [Option<(u64, CompactString)>; 2];
+type RankedPair = [Option<(u64, CompactString)>; 2];
 
 /// The stalls, and the first two of functions that were asked for.
 #[derive(Debug, Default)]
 pub struct OwnerRanking {
     owners: Owners,
     /// By function, and by zone where it is split.
-    kept: BTreeMap<(CompactString, CompactString), Two>,
+    pairs: BTreeMap<(CompactString, CompactString), RankedPair>,
 }
 
-fn names(two: &Two) -> impl Iterator<Item = &CompactString> {
+fn names(two: &RankedPair) -> impl Iterator<Item = &CompactString> {
     two.iter().flatten().map(|(_, name)| name)
 }
 
-fn work_out(owners: &Owners, service: &str, zone: &str) -> Two {
+fn rank(owners: &Owners, service: &str, zone: &str) -> RankedPair {
     owners.owner_and_deputy(service, zone).map(|p| p.map(|p| (hash(service, seed(&p.name)), p.name.clone())))
 }
 
@@ -45,7 +45,7 @@
             if self.owners.partition_count(service) > 1 { zone.clone() } else { CompactString::default() };
         let key = (service.clone(), zone);
         let owners = &self.owners;
-        names(self.kept.entry(key).or_insert_with_key(|(service, zone)| work_out(owners, service, zone)))
+        names(self.pairs.entry(key).or_insert_with_key(|(service, zone)| rank(owners, service, zone)))
     }
 
     /// A function is asked for.
@@ -55,7 +55,7 @@
 
     /// Of functions that are gone nothing is kept.
     pub fn retain(&mut self, is: impl Fn(&str) -> bool) {
-        self.kept.retain(|(service, _), _| is(service));
+        self.pairs.retain(|(service, _), _| is(service));
     }
 
     /// A new naming. Those who stand for other functions than before, or for none any more, among the functions that were asked for; and
@@ -77,13 +77,13 @@
             .filter(|s| (owners.partition_count(s) > 1) != (before.partition_count(s) > 1))
             .map(|s| (*s).clone())
             .collect();
-        self.kept.retain(|(service, zone), two| {
+        self.pairs.retain(|(service, zone), two| {
             if turned.contains(service) {
                 stand.extend(names(two).cloned());
                 return false;
             }
             let now = if split.contains(service) || names(two).any(|name| left.contains(name)) {
-                work_out(owners, service, zone)
+                rank(owners, service, zone)
             } else {
                 let mut now = two.clone();
                 for (seed, name) in &came {
@@ -146,9 +146,9 @@
                     ranks.owner_and_deputy(service, zone).cloned().collect()
                 };
             let before: Vec<_> = asked.iter().map(|(s, z)| two(&mut ranks, s, z)).collect();
-            let kept = ranks.kept.len();
+            let kept = ranks.pairs.len();
             let (stand, turned) = ranks.update(owners.clone());
-            assert!(ranks.kept.len() == kept || !turned.is_empty());
+            assert!(ranks.pairs.len() == kept || !turned.is_empty());
             for ((service, zone), before) in asked.iter().zip(before) {
                 let first_two = owners.owner_and_deputy(service, zone).map(|p| p.map(|p| &p.name));
                 assert_eq!(
--- a/scheduler/src/owners.rs
+++ b/scheduler/src/owners.rs
@@ -65,7 +65,7 @@
     }
 
     /// The zone whose lot has the instances of a zone.
-    fn lot<'a>(&'a self, service: &str, zone: &'a str) -> &'a str {
+    fn partition_zone<'a>(&'a self, service: &str, zone: &'a str) -> &'a str {
         if self.zones.contains(zone) {
             return zone;
         }
@@ -110,20 +110,20 @@
     /// The owner of a function in a zone among the stalls that `may` be asked. Of one that is not split it is the same in all zones.
     pub fn owner(&self, service: &str, zone: &str, may: impl Fn(&Peer) -> bool) -> Option<&Peer> {
         if self.split().contains(service) {
-            let lot = self.lot(service, zone);
-            let near = self.best(service, |p| p.zone == lot && may(p));
+            let lot = self.partition_zone(service, zone);
+            let near = self.highest_ranked(service, |p| p.zone == lot && may(p));
             if near.is_some() {
                 return near;
             }
         }
-        self.best(service, may)
+        self.highest_ranked(service, may)
     }
 
     /// Whether a stall owns a function in a zone; where not, the seed of one that stands before it there, or 0 where it does not stand
     /// there at all. Who owns it is not looked for: for most the first few others tell.
     pub fn owns(&self, me: &str, service: &str, zone: &str) -> Result<(), u64> {
         let me = self.find(me).ok_or(0_u64)?;
-        let lot = self.split().contains(service).then(|| self.lot(service, zone));
+        let lot = self.split().contains(service).then(|| self.partition_zone(service, zone));
         if lot.is_some_and(|lot| me.zone != lot) {
             return Err(0);
         }
@@ -143,7 +143,7 @@
         }
     }
 
-    fn best(&self, service: &str, may: impl Fn(&Peer) -> bool) -> Option<&Peer> {
+    fn highest_ranked(&self, service: &str, may: impl Fn(&Peer) -> bool) -> Option<&Peer> {
         let of = self.seeds.iter().zip(self.peers()).filter(|(_, p)| may(p));
         of.max_by_key(|(seed, p)| (hash(service, **seed), &p.name)).map(|(_, p)| p)
     }
@@ -158,7 +158,13 @@
         let mut left: Vec<_> = left.into_iter().map(|p| seed(&p.name)).collect();
         left.sort_unstable();
         let split = self.split().union(before.split()).cloned().collect();
-        OwnershipChange { all: false, me: seed(me), came: came.map(|p| seed(&p.name)).collect(), left, split }
+        OwnershipChange {
+            all: false,
+            me: seed(me),
+            joined: came.map(|p| seed(&p.name)).collect(),
+            left,
+            split,
+        }
     }
 }
 
@@ -167,7 +173,7 @@
 pub struct OwnershipChange {
     all: bool,
     me: u64,
-    came: Vec<u64>,
+    joined: Vec<u64>,
     /// In their order.
     left: Vec<u64>,
     /// Functions that are split, or were.
@@ -181,7 +187,7 @@
     }
 
     /// That it is.
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn is_full(&self) -> bool {
         self.all
     }
 
@@ -191,14 +197,14 @@
     }
 
     /// Whether the stall with this seed has gone.
-    pub(crate) fn frees(&self, rival: u64) -> bool {
+    pub(crate) fn has_left(&self, rival: u64) -> bool {
         self.left.binary_search(&rival).is_ok()
     }
 
     /// Whether a stall that came stands before this one for a function.
-    pub(crate) fn passes_on(&self, service: &str) -> bool {
+    pub(crate) fn may_lose(&self, service: &str) -> bool {
         let here = hash(service, self.me);
-        self.came.iter().any(|seed| hash(service, *seed) >= here)
+        self.joined.iter().any(|seed| hash(service, *seed) >= here)
     }
 }
 
--- a/scheduler/src/reason.rs
+++ b/scheduler/src/reason.rs
@@ -131,7 +131,7 @@
 pub(crate) struct Reasons(Option<Vec<Reason>>);
 
 impl Reasons {
-    pub fn begin(&mut self) {
+    pub fn enable(&mut self) {
         self.0 = Some(Vec::new());
     }
 
@@ -139,13 +139,13 @@
         self.0.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
-    pub fn put(&mut self, reason: impl FnOnce() -> Reason) {
+    pub fn push(&mut self, reason: impl FnOnce() -> Reason) {
         if let Some(all) = &mut self.0 {
             all.push(reason());
         }
     }
 
-    pub fn ask(&mut self, who: &CompactString, ask: u64, why: impl FnOnce() -> RequestDecision) {
-        self.put(|| Reason::Request { who: who.clone(), ask, why: why() });
+    pub fn push_request(&mut self, who: &CompactString, ask: u64, why: impl FnOnce() -> RequestDecision) {
+        self.push(|| Reason::Request { who: who.clone(), ask, why: why() });
     }
 }
--- a/scheduler/src/recording.rs
+++ b/scheduler/src/recording.rs
@@ -20,8 +20,8 @@
 /// A desk whose inputs are told as lines, where somebody wants them. Without a sink it costs nothing.
 #[derive(Debug)]
 pub struct RecordedCoordinator {
-    desk: Coordinator,
-    tape: Option<Recorder>,
+    coordinator: Coordinator,
+    recorder: Option<Recorder>,
     /// Requests so far.
     requests: u64,
 }
@@ -30,7 +30,7 @@
     type Target = Coordinator;
     // What changes a desk goes by the methods below.
     fn deref(&self) -> &Coordinator {
-        &self.desk
+        &self.coordinator
     }
 }
 
@@ -43,11 +43,15 @@
             write_new(&mut line, &me, &terms, seed, first);
             tape.put(line);
         }
-        RecordedCoordinator { desk: Coordinator::new(me, terms, seed, first), tape, requests: 0 }
+        RecordedCoordinator {
+            coordinator: Coordinator::new(me, terms, seed, first),
+            recorder: tape,
+            requests: 0,
+        }
     }
 
-    fn tell(&mut self, name: &str, now: Nanos, fill: impl FnOnce(&mut Line)) {
-        if let Some(tape) = &mut self.tape {
+    fn record(&mut self, name: &str, now: Nanos, fill: impl FnOnce(&mut Line)) {
+        if let Some(tape) = &mut self.recorder {
             let mut line = tape.begin(name, now);
             fill(&mut line);
             tape.put(line);
@@ -56,8 +60,8 @@
 
     /// As [`Coordinator::take_actions`], which is no input.
     pub fn take_actions(&mut self) -> VecDeque<Action> {
-        let outs = self.desk.take_actions();
-        if let Some(tape) = &mut self.tape {
+        let outs = self.coordinator.take_actions();
+        if let Some(tape) = &mut self.recorder {
             outs.iter().for_each(|out| tape.digest().fold(|parts| out.fold(parts)));
         }
         outs
@@ -65,29 +69,29 @@
 
     /// As [`Coordinator::configure`].
     pub fn configure(&mut self, now: Nanos, specs: impl Iterator<Item = FunctionSpec>) {
-        if self.tape.is_none() {
-            return self.desk.configure(now, specs);
+        if self.recorder.is_none() {
+            return self.coordinator.configure(now, specs);
         }
         let specs: Vec<FunctionSpec> = specs.collect();
-        self.tell("configure", now, |line| write_specs(line, &specs));
-        self.desk.configure(now, specs.into_iter());
+        self.record("configure", now, |line| write_specs(line, &specs));
+        self.coordinator.configure(now, specs.into_iter());
     }
 
     /// Somebody wants the lines.
     pub fn is_recording(&self) -> bool {
-        self.tape.is_some()
+        self.recorder.is_some()
     }
 
     /// A number for the next request's trail; none where nothing is taped.
     pub fn next_request_number(&mut self) -> Option<u64> {
-        self.tape.as_ref()?;
+        self.recorder.as_ref()?;
         self.requests += 1;
         Some(self.requests)
     }
 
     /// A step of a request's, which is no input of the desk.
     pub fn trace(&mut self, now: Nanos, trail: &TraceEvent) {
-        self.tell(trail.name(), now, |line| trail.write(line));
+        self.record(trail.name(), now, |line| trail.write(line));
     }
 
     /// As [`Coordinator::request_permit`]; `of`: the request's number, where there is one.
@@ -98,10 +102,10 @@
         first: bool,
         of: Option<u64>,
     ) -> Option<u64> {
-        let Some(tape) = &mut self.tape else { return self.desk.request_permit(now, ask, first) };
+        let Some(tape) = &mut self.recorder else { return self.coordinator.request_permit(now, ask, first) };
         let mut line = tape.begin("ask", now);
         write_ask(&mut line, &ask, first, of);
-        let id = self.desk.request_permit(now, ask, first);
+        let id = self.coordinator.request_permit(now, ask, first);
         if let Some(id) = id {
             line.whole("id", id);
         }
@@ -111,70 +115,70 @@
 
     /// As [`Coordinator::cancel`].
     pub fn cancel(&mut self, now: Nanos, id: u64) {
-        self.tell("give_up", now, |line| {
+        self.record("give_up", now, |line| {
             line.whole("id", id);
         });
-        self.desk.cancel(now, id);
+        self.coordinator.cancel(now, id);
     }
 
     /// As [`Coordinator::finish`].
     pub fn finish(&mut self, now: Nanos, id: u64, outcome: Outcome, took: Nanos) {
-        self.tell("finish", now, |line| {
+        self.record("finish", now, |line| {
             line.whole("id", id).text("o", outcome.as_str()).time("took", took);
         });
-        self.desk.finish(now, id, outcome, took);
+        self.coordinator.finish(now, id, outcome, took);
     }
 
     /// As [`Coordinator::instance_up`].
     pub fn instance_up(&mut self, now: Nanos, id: &str) {
-        self.tell("up", now, |line| {
+        self.record("up", now, |line| {
             line.text("i", id);
         });
-        self.desk.instance_up(now, id);
+        self.coordinator.instance_up(now, id);
     }
 
     /// As [`Coordinator::connection_refused`].
     pub fn connection_refused(&mut self, now: Nanos, id: &str) {
-        self.tell("refused", now, |line| {
+        self.record("refused", now, |line| {
             line.text("i", id);
         });
-        self.desk.connection_refused(now, id);
+        self.coordinator.connection_refused(now, id);
     }
 
     /// As [`Coordinator::receive`].
     pub fn receive(&mut self, now: Nanos, from: &str, life: u64, notes: Vec<PeerMessage>) {
-        self.tell("mail", now, |line| {
+        self.record("mail", now, |line| {
             line.text("from", from).whole("life", life).notes("notes", &notes);
         });
-        self.desk.receive(now, from, life, notes);
+        self.coordinator.receive(now, from, life, notes);
     }
 
     /// As [`Coordinator::receive_from_controller`].
     pub fn receive_from_controller(&mut self, now: Nanos, note: PeerMessage) {
-        self.tell("told", now, |line| {
+        self.record("told", now, |line| {
             line.note("note", &note);
         });
-        self.desk.receive_from_controller(now, note);
+        self.coordinator.receive_from_controller(now, note);
     }
 
     /// As [`Coordinator::undelivered`].
     pub fn undelivered(&mut self, now: Nanos, address: &str, notes: Vec<PeerMessage>) {
-        self.tell("returned", now, |line| {
+        self.record("returned", now, |line| {
             line.text("to", address).notes("notes", &notes);
         });
-        self.desk.undelivered(now, address, notes);
+        self.coordinator.undelivered(now, address, notes);
     }
 
     /// As [`Coordinator::controller_unreachable`].
     pub fn controller_unreachable(&mut self, now: Nanos) {
-        self.tell("mute", now, |_| {});
-        self.desk.controller_unreachable(now);
+        self.record("mute", now, |_| {});
+        self.coordinator.controller_unreachable(now);
     }
 
     /// As [`Coordinator::tick`].
     pub fn tick(&mut self, now: Nanos) {
-        self.tell("tick", now, |_| {});
-        self.desk.tick(now);
+        self.record("tick", now, |_| {});
+        self.coordinator.tick(now);
     }
 }
 
--- a/scheduler/src/request_flow.rs
+++ b/scheduler/src/request_flow.rs
@@ -12,13 +12,13 @@
 use crate::{MS, Nanos, PermitRequest, SECOND};
 
 /// One that gives less of its time than others on its route has been here before, or was made by a running request.
-const RETURNED: f64 = 0.97;
+const RETURNING_FRACTION: f64 = 0.97;
 /// When to come back where nothing is known of how long it takes.
-const SOON: Nanos = 200 * MS;
+const DEFAULT_RETRY_AFTER: Nanos = 200 * MS;
 /// A machine that starts knows nothing for about so long; a client has few tries to spend meanwhile.
-const INFORMED: Nanos = SECOND;
+const STARTUP_RETRY_AFTER: Nanos = SECOND;
 /// Where its route leads now may not be known yet, here or to the owner there: it is looked for again after this.
-const LOOK: Nanos = 50 * MS;
+const RESOLVE_INTERVAL: Nanos = 50 * MS;
 
 /// What is known of a request when it was read.
 #[derive(Clone, Debug, PartialEq)]
@@ -60,9 +60,9 @@
     /// The status, and when to come back.
     pub fn answer(self) -> (u16, Option<Nanos>) {
         match self {
-            Refusal::NotReady => (503, Some(INFORMED)),
+            Refusal::NotReady => (503, Some(STARTUP_RETRY_AFTER)),
             Refusal::Full(wait) => (503, Some(wait.max(10 * MS))),
-            Refusal::NotSent => (503, Some(SOON)),
+            Refusal::NotSent => (503, Some(DEFAULT_RETRY_AFTER)),
             Refusal::NoAnswer => (502, None),
             Refusal::TimedOut => (504, None),
         }
@@ -87,12 +87,12 @@
 #[derive(Debug)]
 pub struct RequestFlow<A> {
     wish: RequestInfo,
-    tries: RetrySchedule,
+    schedule: RetrySchedule,
     first: bool,
     /// It goes elsewhere than it was read for.
-    moved: bool,
+    route_moved: bool,
     may_have_run: bool,
-    failed: Option<A>,
+    failed_answer: Option<A>,
     avoid: Vec<CompactString>,
 }
 
@@ -101,7 +101,15 @@
     pub fn new(wish: RequestInfo) -> Self {
         let tries = RetrySchedule::new(wish.target, wish.repeatable, wish.max_attempts, wish.deadline);
         let (first, moved, may_have_run) = (true, false, false);
-        RequestFlow { wish, tries, first, moved, may_have_run, failed: None, avoid: Vec::new() }
+        RequestFlow {
+            wish,
+            schedule: tries,
+            first,
+            route_moved: moved,
+            may_have_run,
+            failed_answer: None,
+            avoid: Vec::new(),
+        }
     }
 
     /// Its first step. `informed`: control has named the stalls.
@@ -122,7 +130,7 @@
             deadline: wish.deadline,
             soft_deadline: wish.received_at + wish.target,
             target: wish.target,
-            attempts_sent: self.tries.sent,
+            attempts_sent: self.schedule.sent,
             returned: wish.returned,
             avoid: self.avoid.clone(),
             zone: wish.zone.clone(),
@@ -132,37 +140,41 @@
 
     /// Too many asks are open.
     pub fn too_many_open(&mut self) -> FlowStep<A> {
-        FlowStep::Respond(Err(if self.may_have_run { Refusal::NoAnswer } else { Refusal::Full(SOON) }))
+        FlowStep::Respond(Err(if self.may_have_run {
+            Refusal::NoAnswer
+        } else {
+            Refusal::Full(DEFAULT_RETRY_AFTER)
+        }))
     }
 
     /// The process ends: nothing more is sent anywhere, and its client is told at once.
     pub fn shutdown(&mut self) -> FlowStep<A> {
-        self.over(false)
+        self.finish(false)
     }
 
     /// Its time ended before word came.
     pub fn deadline_passed(&mut self) -> FlowStep<A> {
-        self.over(true)
+        self.finish(true)
     }
 
     /// The ask was turned down.
     pub fn denied(&mut self, now: Nanos, no: DenialReason) -> FlowStep<A> {
         match no {
             DenialReason::Skip => {
-                let next = self.tries.skipped(now);
-                self.follow(now, next)
+                let next = self.schedule.skipped(now);
+                self.next_step(now, next)
             }
             DenialReason::Full(wait) if !self.may_have_run => FlowStep::Respond(Err(Refusal::Full(wait))),
             DenialReason::Moved if !self.may_have_run => FlowStep::ResolveRoute,
-            DenialReason::Unknown if self.moved && !self.may_have_run => self.look_again(now),
+            DenialReason::Unknown if self.route_moved && !self.may_have_run => self.resolve_again(now),
             DenialReason::Unknown if !self.may_have_run => FlowStep::Respond(Err(Refusal::NotReady)),
-            _ => self.over(false),
+            _ => self.finish(false),
         }
     }
 
     /// Until when this try, which goes out now, is waited for, if its endpoint may take so long; none where nothing could follow.
     pub fn attempt_deadline(&self, now: Nanos, within: Option<Nanos>) -> Option<Nanos> {
-        let until = now + within.filter(|_| self.tries.may_run_again())?;
+        let until = now + within.filter(|_| self.schedule.may_run_again())?;
         // Whoever goes elsewhere needs as long there.
         (until + (until - now) / 2 < self.wish.deadline).then_some(until)
     }
@@ -172,23 +184,27 @@
         match to {
             None => FlowStep::Respond(Err(Refusal::NotReady)),
             // Its owner has heard of the change, and this stall has not.
-            Some(to) if to == self.wish.service => self.look_again(now),
+            Some(to) if to == self.wish.service => self.resolve_again(now),
             Some(to) => {
                 (self.wish.service, self.wish.returned) = (to, true);
-                (self.first, self.moved) = (true, true);
+                (self.first, self.route_moved) = (true, true);
                 self.avoid.clear();
                 self.request_permit()
             }
         }
     }
 
-    fn look_again(&mut self, now: Nanos) -> FlowStep<A> {
-        if now + LOOK < self.wish.deadline { FlowStep::Wait(now + LOOK) } else { self.over(true) }
+    fn resolve_again(&mut self, now: Nanos) -> FlowStep<A> {
+        if now + RESOLVE_INTERVAL < self.wish.deadline {
+            FlowStep::Wait(now + RESOLVE_INTERVAL)
+        } else {
+            self.finish(true)
+        }
     }
 
     /// A permit came, and it goes out now.
     pub fn granted(&mut self, now: Nanos) {
-        self.tries.sending(now);
+        self.schedule.sending(now);
     }
 
     /// The exchange with this instance is over. `sent`: something may have reached it.
@@ -201,19 +217,19 @@
         answer: Option<A>,
     ) -> FlowStep<A> {
         if !sent {
-            self.tries.unsent();
+            self.schedule.unsent();
         }
         match answer {
             Some(answer) if outcome == Outcome::Answered => return FlowStep::Respond(Ok(answer)),
-            answer if outcome == Outcome::Failed => self.failed = answer,
+            answer if outcome == Outcome::Failed => self.failed_answer = answer,
             _ => {}
         }
         self.may_have_run |= !outcome.proves_not_run();
         if !self.avoid.contains(&instance) {
             self.avoid.push(instance);
         }
-        let next = self.tries.ended(now, outcome);
-        self.follow(now, next)
+        let next = self.schedule.ended(now, outcome);
+        self.next_step(now, next)
     }
 
     /// The wish that it is of.
@@ -221,16 +237,16 @@
         &self.wish
     }
 
-    fn follow(&mut self, now: Nanos, next: RetryDecision) -> FlowStep<A> {
+    fn next_step(&mut self, now: Nanos, next: RetryDecision) -> FlowStep<A> {
         match next {
             RetryDecision::RetryAt(at) => FlowStep::Wait(at),
-            RetryDecision::GiveUp => self.over(now >= self.wish.deadline),
+            RetryDecision::GiveUp => self.finish(now >= self.wish.deadline),
         }
     }
 
     /// Nothing more can be done.
-    fn over(&mut self, late: bool) -> FlowStep<A> {
-        FlowStep::Respond(match (self.failed.take(), self.may_have_run) {
+    fn finish(&mut self, late: bool) -> FlowStep<A> {
+        FlowStep::Respond(match (self.failed_answer.take(), self.may_have_run) {
             (Some(answer), _) => Ok(answer),
             (None, true) if late => Err(Refusal::TimedOut),
             (None, true) => Err(Refusal::NoAnswer),
@@ -248,7 +264,7 @@
     pub fn is_returning(&mut self, route: &CompactString, given: f64) -> bool {
         let longest = self.0.entry(route.clone()).or_insert(given);
         *longest = longest.max(given);
-        given < *longest * RETURNED
+        given < *longest * RETURNING_FRACTION
     }
 
     /// Forgets the routes that are no more.
--- a/scheduler/src/retry_schedule.rs
+++ b/scheduler/src/retry_schedule.rs
@@ -78,12 +78,12 @@
 /// The tries of one request.
 #[derive(Clone, Debug)]
 pub struct RetrySchedule {
-    t1: Nanos,
+    first_delay: Nanos,
     /// It may run more than once.
     repeatable: bool,
-    most: u32,
+    max_attempts: u32,
     deadline: Nanos,
-    first: Option<Nanos>,
+    first_sent_at: Option<Nanos>,
     step: u32,
     /// Endpoints that something of it was sent to.
     pub sent: u32,
@@ -93,11 +93,11 @@
     /// For a request that may be sent to `most` endpoints until `deadline`.
     pub fn new(target: Nanos, repeatable: bool, most: u32, deadline: Nanos) -> Self {
         RetrySchedule {
-            t1: first_retry_delay(target),
+            first_delay: first_retry_delay(target),
             repeatable,
-            most: most.max(1),
+            max_attempts: most.max(1),
             deadline,
-            first: None,
+            first_sent_at: None,
             step: 1,
             sent: 0,
         }
@@ -105,7 +105,7 @@
 
     /// Something of it goes out.
     pub fn sending(&mut self, now: Nanos) {
-        self.first.get_or_insert(now);
+        self.first_sent_at.get_or_insert(now);
         self.sent += 1;
     }
 
@@ -116,16 +116,16 @@
 
     /// After a try that may have run another may follow, where there is time.
     pub fn may_run_again(&self) -> bool {
-        self.repeatable && self.sent < self.most
+        self.repeatable && self.sent < self.max_attempts
     }
 
     /// The first doubled time that is not before `now`, if it leaves any time.
     fn next(&mut self, now: Nanos) -> RetryDecision {
-        let first = *self.first.get_or_insert(now);
-        while doubled_time(first, self.t1, self.step) < now && self.step < 40 {
+        let first = *self.first_sent_at.get_or_insert(now);
+        while doubled_time(first, self.first_delay, self.step) < now && self.step < 40 {
             self.step += 1;
         }
-        let due = doubled_time(first, self.t1, self.step);
+        let due = doubled_time(first, self.first_delay, self.step);
         if due >= self.deadline { RetryDecision::GiveUp } else { RetryDecision::RetryAt(due) }
     }
 
@@ -137,7 +137,7 @@
             o if o.proves_not_run() => true,
             _ => self.repeatable,
         };
-        if !may || self.sent >= self.most && outcome != Outcome::Unreachable {
+        if !may || self.sent >= self.max_attempts && outcome != Outcome::Unreachable {
             return RetryDecision::GiveUp;
         }
         self.next(now)
--- a/scheduler/src/shutdown.rs
+++ b/scheduler/src/shutdown.rs
@@ -23,7 +23,7 @@
 }
 
 /// The platform asks every second whether a proxy is ready, and needs two misses.
-const LEAVING: Nanos = 2_300 * MS;
+const LEAVING_TIME: Nanos = 2_300 * MS;
 /// So long before the last moment nothing more is sent: a try takes less, and who is refused has time elsewhere.
 const REFUSING_BEFORE: Nanos = 1_600 * MS;
 /// Answers to what still runs are given so long before the last moment.
@@ -35,7 +35,7 @@
     /// After being told to end, the next phases and how long after that word each begins.
     pub fn schedule(grace: Nanos) -> [(ShutdownPhase, Nanos); 5] {
         let before = |span: Nanos| grace.saturating_sub(span);
-        let closing = LEAVING.min(grace / 2);
+        let closing = LEAVING_TIME.min(grace / 2);
         // A short grace time leaves less for each; none begins before the one that it follows.
         let refusing = before(REFUSING_BEFORE).max(closing);
         let ending = before(ENDING_BEFORE).max(refusing);
--- a/scheduler/src/trace.rs
+++ b/scheduler/src/trace.rs
@@ -14,7 +14,7 @@
 use crate::{Nanos, Outcome};
 
 /// A client's id of a try is cut to so many bytes.
-const LONGEST_ID: usize = 64;
+const MAX_ID_BYTES: usize = 64;
 
 /// One step of a request, under the number that the life gave it; or a word of the stall's own.
 #[derive(Clone, Debug, PartialEq)]
@@ -85,7 +85,7 @@
 
 /// A client's id of a try, as lines hold it.
 pub fn attempt_id(id: &[u8]) -> CompactString {
-    String::from_utf8_lossy(&id[..id.len().min(LONGEST_ID)]).into()
+    String::from_utf8_lossy(&id[..id.len().min(MAX_ID_BYTES)]).into()
 }
 
 /// The words for these in lines.
--- a/scheduler/tests/floor.rs
+++ b/scheduler/tests/floor.rs
@@ -65,14 +65,14 @@
 #[test]
 fn an_owner_lets_nothing_go_that_a_floor_keeps_until_the_floor_is_over() {
     let mut broker = broker("me");
-    broker.set_floor(0, "f", 2, 7, 20 * SECOND);
+    broker.set_min_instances(0, "f", 2, 7, 20 * SECOND);
     let (wanted, said, retired) = pass(&mut broker, 0, 10 * SECOND);
     assert_eq!((wanted, retired), (Some(2), 1), "one more than the floor");
     assert!((18..=24).contains(&said), "twice a second: {said}");
     // A steward of before says nothing that counts any more; the same one and the next do.
-    broker.set_floor(10 * SECOND, "f", 0, 6, 0);
+    broker.set_min_instances(10 * SECOND, "f", 0, 6, 0);
     assert_eq!(pass(&mut broker, 10 * SECOND, 12 * SECOND).2, 0);
-    broker.set_floor(12 * SECOND, "f", 1, 8, 14 * SECOND);
+    broker.set_min_instances(12 * SECOND, "f", 1, 8, 14 * SECOND);
     assert_eq!(pass(&mut broker, 12 * SECOND, 13 * SECOND), (Some(1), 2, 1));
     // Its time is over, without another word.
     let (wanted, _, retired) = pass(&mut broker, 13 * SECOND, 16 * SECOND);
@@ -83,7 +83,7 @@
 #[test]
 fn who_comes_to_own_it_goes_by_the_floor_and_who_does_not_own_it_says_nothing() {
     let mut broker = broker("you");
-    broker.set_floor(0, "f", 3, 7, 9 * SECOND);
+    broker.set_min_instances(0, "f", 3, 7, 9 * SECOND);
     assert_eq!(pass(&mut broker, 0, SECOND), (None, 0, 0));
     own(&mut broker, SECOND, "me");
     assert_eq!(pass(&mut broker, SECOND, 8 * SECOND).0, Some(3));
@@ -120,7 +120,7 @@
     };
     serve(&mut broker, SECOND, 0..3, Outcome::Answered, 40 * MS);
     assert_eq!(told(&mut broker, 2 * SECOND), None, "nobody has asked for it");
-    broker.set_floor(2 * SECOND, "f", 1, 7, 60 * SECOND);
+    broker.set_min_instances(2 * SECOND, "f", 1, 7, 60 * SECOND);
     let does = FunctionStatus { delay: 40.0, lowest: 40.0, asked: 0, refused: 0 };
     assert_eq!(told(&mut broker, 2_100 * MS), Some(does));
     // All three take 240 ms once: a fifth of that, and the rest of before.
@@ -131,6 +131,6 @@
     serve(&mut broker, 2_800 * MS, 20..21, Outcome::Full, MS);
     assert_eq!(told(&mut broker, 3_300 * MS).map(|d| (d.asked, d.refused)), Some((4, 1)));
     assert_eq!(told(&mut broker, 6_000 * MS).map(|d| (d.asked, d.refused)), Some((0, 0)));
-    broker.set_floor(6_100 * MS, "f", 0, 7, 0);
+    broker.set_min_instances(6_100 * MS, "f", 0, 7, 0);
     assert_eq!(told(&mut broker, 8_500 * MS), None);
 }
