--- a/scheduler/src/attempt_timeouts.rs
+++ b/scheduler/src/attempt_timeouts.rs
@@ -1,8 +1,8 @@
-//! How long a stall waits for an answer before a request that may run more than once goes elsewhere: a wide margin over what
-//! answers of its function take. Arithmetic alone.
+//! Attempt timeouts: how long a proxy waits for an answer before it sends a repeatable request elsewhere,
+//! a wide margin over the usual response time of the function. Pure arithmetic.
 //!
-//! Invariant: of a function's tries no more are given up so than a twentieth of those that were answered, and a few: where all of
-//! it is slow, nothing is won by running it again.
+//! Invariant: per function, the number of timed-out attempts is limited to a twentieth of the answered
+//! ones plus a small constant, since retrying does not help if the whole function is slow.
 
 use std::collections::HashMap;
 
@@ -10,45 +10,45 @@
 
 use crate::{MS, Nanos};
 
-/// Weight of a new answer in the average.
+/// Weight of a new sample in the average.
 const WEIGHT: f64 = 0.1;
-/// Answers that must have been seen.
+/// Minimum number of answers before a timeout applies.
 const MIN_ANSWERS: u32 = 8;
-/// The margin, in times of the average,
+/// Timeout as a multiple of the average response time.
 const MEAN_FACTOR: f64 = 8.0;
-/// ... in times of the longest that was seen lately,
+/// Timeout as a multiple of the longest recent response time.
 const MAX_FACTOR: f64 = 2.0;
-/// ... and at least.
+/// Minimum timeout.
 const MIN_TIMEOUT: f64 = (100 * MS) as f64;
-/// What is left of the longest with each answer.
+/// Decay of the longest response time per answer.
 const MAX_DECAY: f64 = 0.98;
-/// Tries that may be given up for each that is answered,
+/// Timeouts allowed per answered attempt.
 const TIMEOUTS_PER_ANSWER: f64 = 0.05;
-/// ... and at once.
+/// Maximum number of timeouts saved up.
 const MAX_CREDIT: f64 = 3.0;
 
-/// What one function's answers take, in nanoseconds.
+/// Response times of one function, in nanoseconds.
 #[derive(Debug, Default)]
 struct LatencyStats {
     answers: u32,
     mean: f64,
     recent_max: f64,
-    /// Tries that may be given up.
+    /// Number of attempts that may time out.
     timeout_credit: f64,
 }
 
-/// What the answers of each function take, as one stall sees them.
+/// Response times of each function, as seen by one proxy.
 #[derive(Debug, Default)]
 pub struct AttemptTimeouts(HashMap<CompactString, LatencyStats>);
 
 impl AttemptTimeouts {
-    /// How long a try of this function may go unanswered before it is given up; none where too little is known, or too many were.
+    /// Timeout for an attempt at this function; `None` if there are too few samples or too many timeouts.
     pub fn timeout(&self, service: &str) -> Option<Nanos> {
         let seen = self.0.get(service).filter(|s| s.answers >= MIN_ANSWERS && s.timeout_credit >= 1.0)?;
         Some((seen.mean * MEAN_FACTOR).max(seen.recent_max * MAX_FACTOR).max(MIN_TIMEOUT) as Nanos)
     }
 
-    /// One was answered after so long.
+    /// Records an answer.
     pub fn answered(&mut self, service: &CompactString, took: Nanos) {
         let took = took as f64;
         let seen = match self.0.get_mut(service) {
@@ -62,7 +62,7 @@
         seen.answers = seen.answers.saturating_add(1);
     }
 
-    /// One was given up after so long: the next is given more time.
+    /// Records a timeout; the next attempt gets more time.
     pub fn timed_out(&mut self, service: &str, took: Nanos) {
         if let Some(seen) = self.0.get_mut(service) {
             seen.recent_max = seen.recent_max.max(took as f64);
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Forgets the functions that are no more.
+    /// Drops functions that no longer exist.
     pub fn retain(&mut self, is_there: impl Fn(&CompactString) -> bool) {
         self.0.retain(|service, _| is_there(service));
     }
@@ -108,7 +108,7 @@
         assert_eq!(margins.timeout("f"), Some(800 * MS));
     }
 
-    /// Where a function's endpoints have all turned slow, its tries are waited for.
+    /// If all endpoints of a function become slow, attempts are waited for rather than timed out.
     #[test]
     fn where_most_are_slow_few_are_given_up() {
         let (mut margins, mut given_up, mut answered) = (seen(50 * MS, 100), 0, 0);
--- a/scheduler/src/budget.rs
+++ b/scheduler/src/budget.rs
@@ -1,11 +1,11 @@
-//! The budget of further tries: within any window no more repeats than a part of the requests and some slack. One counter for each
-//! function, kept by its owner, so that it holds over all machines.
+//! Retry budget: within any window, retries are limited to a fraction of the requests plus a constant.
+//! Each function has one counter, kept by its owner, so that the limit holds across all machines.
 
 use std::collections::VecDeque;
 
 use crate::Nanos;
 
-/// Counts by slices of a tenth of the window, so that the sum is never under the truth.
+/// Counts per tenth of the window; the sum covers at least the whole window, so it is never too low.
 #[derive(Debug)]
 pub(crate) struct Budget {
     slices: VecDeque<(Nanos, u64, u64)>,
@@ -15,7 +15,8 @@
     partitions: usize,
 }
 
-/// Part of the allowance that is used: other machines may have counted a little otherwise, runs that were repeats make calls.
+/// Usable fraction of the budget. The rest is a margin for differences to the counts of other machines and
+/// for calls made by retried requests.
 const USABLE_SHARE: f64 = 0.5;
 
 impl Budget {
@@ -23,7 +24,7 @@
         Budget { slices: VecDeque::new(), window: window.max(10), ratio, slack, partitions: 1 }
     }
 
-    /// The function is kept in so many lots, each with a part of the slack.
+    /// Splits the constant part of the budget among the partitions of the function.
     pub fn set_partitions(&mut self, lots: usize) {
         self.partitions = lots.max(1);
     }
@@ -41,12 +42,12 @@
         &mut self.slices[last]
     }
 
-    /// A request's first try.
+    /// Counts the first attempt of a request.
     pub fn record_request(&mut self, now: Nanos) {
         self.slice(now).1 += 1;
     }
 
-    /// Requests and repeats within the window, and how many repeats may be.
+    /// Requests and retries within the window, and the number of retries allowed.
     pub fn counts(&self, now: Nanos) -> (u64, u64, f64) {
         let within = self.slices.iter().filter(|s| s.0 + self.window + self.window / 10 >= now);
         let (requests, repeats) = within.fold((0, 0), |(a, b), s| (a + s.1, b + s.2));
@@ -57,7 +58,7 @@
         )
     }
 
-    /// Whether a further try may go; it is counted then.
+    /// Counts a retry and returns true if the budget allows one.
     pub fn try_retry(&mut self, now: Nanos) -> bool {
         self.slice(now);
         let (_, repeats, most) = self.counts(now);
--- a/scheduler/src/coordinator.rs
+++ b/scheduler/src/coordinator.rs
@@ -1,7 +1,9 @@
-//! One stall among the others: who owns what, which asks of its own are open where, and the functions that it owns itself. It takes
-//! notes, asks and time, and returns what to send, grant or say; no I/O, no clock.
+//! Coordination of one proxy with its peers: which proxy owns which function, the open permit requests of
+//! this proxy, and the scheduler for the functions it owns. Takes messages, requests and time, and returns
+//! actions; performs no I/O and reads no clock.
 //!
-//! Invariant: an open ask stands with one owner at a time, or with nobody until the next one is known.
+//! Invariant: an open request is assigned to at most one owner at a time, and to none until an owner is
+//! known.
 
 mod permit_transfer;
 mod view_change;
@@ -22,61 +24,61 @@
 use crate::reason::Reason;
 use crate::{FunctionSpec, MS, Nanos, Outcome, PermitRequest, SECOND};
 
-/// An ask that nothing was heard of is sent again after this time,
+/// A permit request without any response is sent again after this time.
 const RESEND_AFTER: Nanos = 300 * MS;
-/// ... and one of which it is known that it waits, after this.
+/// A permit request reported as queued is sent again after this time.
 const QUEUED_RESEND_AFTER: Nanos = 1_500 * MS;
-/// A stall that has not answered an ask for so long, and was not heard of otherwise, is taken for dead: an owner answers each ask at
-/// once, were it with the word that it waits.
+/// A proxy that has not answered a permit request for this time, and from which nothing else arrived, is
+/// taken to be dead: owners answer every request at once, if only to say that it is queued.
 const UNRESPONSIVE_AFTER: Nanos = 400 * MS;
-/// A stall whose mail came back is passed over for so long.
+/// A proxy to which a message could not be delivered is skipped for this time.
 const SKIP_TIME: Nanos = SECOND;
-/// A new leader has heard within this time which stalls live: each says so every 450 ms.
+/// Time for a new leader to learn which proxies are alive; each reports every 450 ms.
 const UNCONFIRMED_TIMEOUT: Nanos = 800 * MS;
-/// A new steward has heard within this time which instances there are.
+/// Time for a new leader to learn which instances exist.
 const RENEWAL_TIME: Nanos = 2 * SECOND;
-/// Asks that may be open.
+/// Maximum number of open permit requests.
 const MAX_OPEN_REQUESTS: usize = 20_000;
 
-/// What is to be done.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Mail for another stall.
+    /// Send a message to another proxy.
     Send {
-        /// Its address.
+        /// Address of the proxy.
         to: CompactString,
-        /// What it says.
+        /// The message.
         note: PeerMessage,
     },
-    /// An ask of this stall's own is granted.
+    /// A permit request of this proxy was granted.
     Granted {
-        /// Its number.
+        /// Request id.
         ask: u64,
-        /// Where it goes.
+        /// Granted instance.
         instance: CompactString,
-        /// The address of that.
+        /// Address of the instance.
         address: CompactString,
     },
-    /// An ask of this stall's own is turned down.
+    /// A permit request of this proxy was denied.
     Refused {
-        /// Its number.
+        /// Request id.
         ask: u64,
-        /// Why.
+        /// Reason of the denial.
         reason: DenialReason,
     },
-    /// Word for control.
+    /// Send a message to the controller.
     NotifyController(PeerMessage),
     /// Find out when this instance accepts connections.
     ProbeReadiness {
-        /// The instance.
+        /// Instance to probe.
         instance: Instance,
-        /// Not before.
+        /// Earliest time to start.
         from: Nanos,
     },
 }
 
 impl Action {
-    /// Puts it into a digest, whole.
+    /// Adds all fields to a digest.
     pub fn fold(&self, into: &mut Fold<'_>) {
         match self {
             Action::Send { to, note } => note.fold(into.text("send").text(to)),
@@ -98,16 +100,16 @@
     }
 }
 
-/// An ask of this proxy's own, for operators.
+/// An open permit request of this proxy, as shown to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenRequest<'a> {
-    /// The function.
+    /// Name of the function.
     pub service: &'a str,
-    /// With which proxy it stands, if with any.
+    /// Proxy that handles the request, if one is known.
     pub owner: Option<&'a str>,
-    /// The instance that was granted, if one was.
+    /// Granted instance, if any.
     pub instance: Option<&'a str>,
-    /// Until when its client waits.
+    /// Time after which the client no longer waits.
     pub deadline: Nanos,
 }
 
@@ -115,59 +117,64 @@
 struct PendingRequest {
     request: PermitRequest,
     first: bool,
-    /// With whom it stands; none while nobody is known.
+    /// Proxy that handles the request; `None` while no owner is known.
     owner: Option<CompactString>,
     last_sent: Nanos,
-    /// When it was put to that one first; where that one has said that it waits, when it is asked again.
+    /// When the current owner was first asked; after it reported the request as queued, when it is due to
+    /// be asked again.
     waiting_since: Nanos,
-    /// How often it was sent again.
+    /// Number of times the request was sent again.
     resends: u32,
-    /// The instance, and its zone.
+    /// Granted instance and its zone.
     granted: Option<(CompactString, CompactString)>,
 }
 
-/// A permit that went to another owner.
+/// A permit transferred to another owner.
 #[derive(Debug)]
 struct HandedOver {
-    /// To whom.
+    /// New owner.
     to: CompactString,
     instance: CompactString,
-    /// Nothing comes of it any more after that.
+    /// Time after which the entry is obsolete.
     until: Nanos,
 }
 
-/// A stall's dealings with the others.
+/// Coordination state of one proxy.
 #[derive(Debug)]
 pub struct Coordinator {
     me: Peer,
     scheduler: Scheduler,
     owners: Owners,
-    /// Those of the naming before.
+    /// Owners of the previous membership view.
     previous_owners: Owners,
-    /// Of those that are named now.
+    /// Digest of the current membership view.
     current_digest: u64,
     instances_version: (u64, u64),
-    /// Until then a new steward's snapshots may lack what it has still to hear from here.
+    /// Until this time, snapshots of a new leader may lack instances that it has yet to learn of from this
+    /// proxy.
     renewing_until: Nanos,
-    /// Addresses of stalls that sent mail, and their lives.
+    /// Incarnations of proxies that sent messages, by name.
     incarnations: BTreeMap<CompactString, u64>,
     skipped_until: BTreeMap<CompactString, Nanos>,
-    /// When other stalls were heard of last.
+    /// Time of the last message from each proxy.
     last_heard: BTreeMap<CompactString, Nanos>,
-    /// Zones that were ever heard of: instances stand also where no stall is any more.
+    /// All zones seen so far: instances may exist in zones without a proxy.
     zones: BTreeSet<CompactString>,
-    /// Stalls that a new leader has not named, as it may not have heard of them yet; they are gone from then on.
+    /// Proxies missing from the view of a new leader, which may not have heard of them yet, and when they
+    /// are taken to be gone.
     unconfirmed: BTreeMap<CompactString, Nanos>,
-    /// Stalls that were named before, and where: they may ask still, as they may not know.
+    /// Addresses of proxies from earlier views: they may not know yet that they were removed, and may
+    /// still send requests.
     departed: BTreeMap<CompactString, CompactString>,
     open: BTreeMap<u64, PendingRequest>,
-    /// Permits that went to another owner: who has them may not know.
+    /// Permits transferred to another owner; their holders may not know yet.
     handed_over: BTreeMap<(CompactString, u64), HandedOver>,
-    /// Owners of before that have told of all they had out, by function, and by which naming.
+    /// Previous owners that have transferred all their permits, by function, with the version of the view
+    /// under which they did.
     transfers_received: BTreeMap<CompactString, BTreeMap<CompactString, Version>>,
     last_id: u64,
     actions: VecDeque<Action>,
-    /// All is worked out anew whatever has changed, for a comparison.
+    /// Recompute everything on each change, as a reference in tests.
     #[cfg(test)]
     full_recompute: bool,
 }
@@ -181,7 +188,7 @@
 }
 
 impl Coordinator {
-    /// `first`: the number of the first ask; higher than those of any life before.
+    /// `first`: base of the request ids; must be higher than any id of an earlier incarnation.
     pub fn new(me: Peer, terms: SchedulerLimits, seed: u64, first: u64) -> Self {
         let owners = Owners::default();
         Coordinator {
@@ -208,52 +215,52 @@
         }
     }
 
-    /// What is to be done since.
+    /// Returns and clears the pending actions.
     pub fn take_actions(&mut self) -> VecDeque<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// From now on it is told why something is decided about the functions that are owned here.
+    /// Starts recording the reasons for decisions about the functions owned here.
     pub fn explain(&mut self) {
         self.scheduler.explain();
     }
 
-    /// Why it was decided so, since.
+    /// Returns and clears the recorded reasons.
     pub fn reasons(&mut self) -> Vec<Reason> {
         self.scheduler.reasons()
     }
 
-    /// The stalls that are known to be alive.
+    /// The proxies known to be alive.
     pub fn owners(&self) -> &Owners {
         &self.owners
     }
 
-    /// The functions that are owned here.
+    /// The scheduler for the functions owned here.
     pub fn scheduler(&self) -> &Scheduler {
         &self.scheduler
     }
 
-    /// Control has named the stalls.
+    /// Whether a membership view has arrived from the controller.
     pub fn has_view(&self) -> bool {
         self.owners.version() > (0, 0)
     }
 
-    /// The naming of stalls that is known here, and the functions that were split in it.
+    /// Version of the membership view and the functions split in it.
     pub fn view_split(&self) -> Option<((u64, u64), Vec<CompactString>)> {
         self.has_view().then(|| (self.owners.version(), self.owners.split().iter().cloned().collect()))
     }
 
-    /// The digest of that naming.
+    /// Digest of the membership view.
     pub fn view_digest(&self) -> Option<u64> {
         self.has_view().then_some(self.current_digest)
     }
 
-    /// Asks that are open or granted.
+    /// Number of open permit requests, including granted ones.
     pub fn open_request_count(&self) -> usize {
         self.open.len()
     }
 
-    /// Each of them, in the order in which they were made.
+    /// The open permit requests, in the order in which they were made.
     pub fn open_requests(&self) -> impl Iterator<Item = OpenRequest<'_>> {
         self.open.values().map(|open| OpenRequest {
             service: &open.request.service,
@@ -263,13 +270,13 @@
         })
     }
 
-    /// The functions of the configuration in force.
+    /// Applies the functions of the current configuration.
     pub fn configure(&mut self, now: Nanos, specs: impl Iterator<Item = FunctionSpec>) {
         self.scheduler.configure(now, specs);
         self.update_ownership(now, &self.owners.clone(), &OwnershipChange::all());
     }
 
-    /// Who owns what, after a change; `before`: who did.
+    /// Recomputes ownership after a change; `before` are the previous owners.
     fn update_ownership(&mut self, now: Nanos, before: &Owners, turn: &OwnershipChange) {
         let (owners, me, told_over, missing) =
             (&self.owners, &self.me, &self.transfers_received, &self.unconfirmed);
@@ -278,12 +285,12 @@
             let has_told = |name: &str| {
                 told.and_then(|t| t.get(name)).is_some_and(|version| *version >= owners.version())
             };
-            // One that leaves tells of what it has out as one that stays does.
+            // A proxy that is shutting down transfers its permits like any other.
             let tells = |name: &str| {
                 (owners.find_living(name).is_some() || missing.contains_key(name)) && !has_told(name)
             };
             let mut transfer = Transfer::default();
-            // Of a function with one owner before and after, it is the same in all zones.
+            // A function that is not split has the same owner in all zones.
             let is_split = before.partition_count(service) > 1 || owners.partition_count(service) > 1;
             let all = zones.iter().chain(&self.zones);
             for zone in all.take(if is_split { usize::MAX } else { 1 }) {
@@ -306,7 +313,8 @@
         self.process_effects(now);
     }
 
-    /// With whom a function's asks stand. Until control has named the stalls nobody owns anything: each would give out the same slots.
+    /// The proxy that handles requests for a function. Until the first membership view arrives there is
+    /// none, since several proxies would grant the same slots.
     fn owner_of(&self, now: Nanos, service: &str) -> Option<&Peer> {
         if !self.has_view() {
             return None;
@@ -315,7 +323,8 @@
         self.owners.owner(service, &self.me.zone, heard).or(Some(&self.me))
     }
 
-    /// A request needs a permit. The number under which it is granted or refused, perhaps at once.
+    /// Requests a permit. Returns the id under which it is granted or denied, possibly at once; `None` if
+    /// too many requests are open.
     pub fn request_permit(&mut self, now: Nanos, mut ask: PermitRequest, first: bool) -> Option<u64> {
         if self.open.len() >= MAX_OPEN_REQUESTS {
             return None;
@@ -339,7 +348,7 @@
         Some(id)
     }
 
-    /// Puts an open ask to whom it belongs now.
+    /// Sends an open request to its current owner.
     fn route_request(&mut self, now: Nanos, id: u64) {
         let Some(open) = self.open.get(&id) else { return };
         let Some(owner) = self.owner_of(now, &open.request.service).cloned() else { return };
@@ -370,7 +379,8 @@
         self.actions.push_back(Action::Send { to: owner.address, note });
     }
 
-    /// An owner that is heard of lives, and gives its slots itself: who is asked in its place waits until it is not heard of any more.
+    /// While the owner is known to be alive it grants its slots itself; a proxy asked in its place waits
+    /// until nothing has been heard from the owner for a while.
     fn defer_to_owner(&mut self, now: Nanos, ask: &PermitRequest) {
         let owner = self.owners.owner(&ask.service, &ask.zone, |_| true);
         let heard = owner.filter(|p| p.name != self.me.name).and_then(|p| self.last_heard.get(&p.name));
@@ -379,12 +389,12 @@
         }
     }
 
-    /// A request no longer waits for its permit.
+    /// Cancels a request whose client no longer waits.
     pub fn cancel(&mut self, now: Nanos, id: u64) {
         self.finish(now, id, Outcome::Unused, 0);
     }
 
-    /// A granted try is over.
+    /// Ends a granted attempt.
     pub fn finish(&mut self, now: Nanos, id: u64, outcome: Outcome, took: Nanos) {
         let Some(open) = self.open.remove(&id) else { return };
         let Some(owner) = open.owner else { return };
@@ -407,7 +417,7 @@
         self.send(&owner, note);
     }
 
-    /// Where a stall is that lives, or was named once.
+    /// Address of a proxy that is alive or was listed in an earlier view.
     pub fn address_of(&self, name: &str) -> Option<&CompactString> {
         let living = self.owners.find_living(name).map(|peer| &peer.address);
         living.or_else(|| self.departed.get(name))
@@ -420,36 +430,37 @@
         }
     }
 
-    /// An instance was seen to accept connections.
+    /// Records that an instance accepts connections.
     pub fn instance_up(&mut self, now: Nanos, id: &str) {
         self.scheduler.instance_up(now, id);
         self.actions.push_back(Action::NotifyController(PeerMessage::Up { instance: id.into() }));
         self.process_effects(now);
     }
 
-    /// An instance is known, and was not seen to accept connections yet.
+    /// Whether an instance is known and has not yet been seen accepting connections.
     pub fn is_booting(&self, id: &str) -> bool {
         self.scheduler.is_booting(id)
     }
 
-    /// A connection to an instance was refused outright.
+    /// Records that an instance refused a connection.
     pub fn connection_refused(&mut self, now: Nanos, id: &str) {
         self.scheduler.mark_lost(now, id, false);
         self.actions.push_back(Action::NotifyController(PeerMessage::Lost { instance: id.into() }));
         self.process_effects(now);
     }
 
-    /// Mail from a stall, in this life of it.
+    /// Handles messages from an incarnation of another proxy.
     pub fn receive(&mut self, now: Nanos, from: &str, life: u64, notes: Vec<PeerMessage>) {
         match self.incarnations.get(from) {
             Some(known) if *known == life => {}
-            // Late mail of a life that has ended, or the clock of its machine has stepped back: only one that lives can say.
+            // Either a late message of an earlier incarnation, or the sender's clock was set back. Only a
+            // sender that is alive can tell.
             Some(known) if *known > life => return self.reject_stale_incarnation(from, *known),
             _ if self.incarnations.len() > 10_000 => return,
             known => {
                 let anew = known.is_some();
                 self.incarnations.insert(from.into(), life);
-                // Of one that is heard for the first time, what another owner told of before is out still.
+                // On first contact, permits reported by a previous owner remain outstanding.
                 if anew {
                     self.scheduler.proxy_left(now, from);
                     self.resend_held(now, from);
@@ -464,7 +475,7 @@
         self.process_effects(now);
     }
 
-    /// A stall is told by which later incarnation it is known here.
+    /// Tells a proxy which later incarnation of it is known here.
     fn reject_stale_incarnation(&mut self, name: &str, known: u64) {
         if let Some(to) = self.owners.find_living(name).map(|p| p.address.clone()) {
             self.actions.push_back(Action::Send { to, note: PeerMessage::StaleIncarnation { known } });
@@ -501,7 +512,7 @@
                 self.receive_transfer(now, from, service, version, permits)
             }
             PeerMessage::Back { who, id, instance, outcome, took } => {
-                // It may have gone on from here by now.
+                // The permit may have been transferred to another owner meanwhile.
                 if self.forward_release(&who, id, &outcome, took) {
                     return;
                 }
@@ -531,7 +542,7 @@
             PeerMessage::Waits { id } => {
                 if let Some(open) = self.open.get_mut(&id).filter(|o| o.owner.as_deref() == Some(from)) {
                     (open.last_sent, open.resends) = (now + QUEUED_RESEND_AFTER - RESEND_AFTER, 0);
-                    // It was answered: whoever gave it has nothing to say until then.
+                    // The request was answered, so the owner owes no response until this time.
                     open.waiting_since = now + QUEUED_RESEND_AFTER;
                 }
             }
@@ -556,7 +567,7 @@
         }
     }
 
-    /// What control tells.
+    /// Handles a message from the controller.
     pub fn receive_from_controller(&mut self, now: Nanos, note: PeerMessage) {
         self.skipped_until.remove(&self.me.name);
         match note {
@@ -566,7 +577,7 @@
             PeerMessage::ViewChange(shift) if shift.version > self.owners.version() => {
                 match self.owners.apply_change(&shift) {
                     Some(owners) => self.apply_view(now, owners),
-                    // What lies between was missed: it comes whole.
+                    // A change in between was missed: request the full view.
                     None => self.actions.push_back(Action::NotifyController(PeerMessage::Behind {
                         version: self.owners.version(),
                     })),
@@ -613,15 +624,16 @@
         }
     }
 
-    /// Mail to a stall came back: it is passed over for a while, and what it was asked goes to the next.
+    /// Handles messages that could not be delivered: the proxy is skipped for a while and its requests go
+    /// to the next one.
     pub fn undelivered(&mut self, now: Nanos, address: &str, notes: Vec<PeerMessage>) {
         let roster = self.owners.view();
         let mut living = roster.peers().iter().chain(roster.leaving());
         let Some(name) = living.find(|p| p.address == address).map(|p| p.name.clone()) else { return };
         self.skipped_until.insert(name.clone(), now + SKIP_TIME);
         for note in notes {
-            // It may have come all the same, late: a slot that was granted is not given to another on that account. Who did not hear of
-            // it hears again, and says if it has no use for it.
+            // The message may still have been delivered late, so a granted slot is not reused. Messages
+            // about permits are sent again; a receiver without use for a permit releases it.
             let again = match &note {
                 PeerMessage::Grant { id, .. } => self.scheduler.has_request(&name, *id),
                 PeerMessage::Over { version, .. } => *version == self.owners.version(),
@@ -637,7 +649,8 @@
         self.process_effects(now);
     }
 
-    /// Control can't be told anything: for a while others own what this stall owned, so that it can be started and stopped.
+    /// Handles the loss of contact to the controller: for a while other proxies handle the functions owned
+    /// here, so that instances can be started and stopped.
     pub fn controller_unreachable(&mut self, now: Nanos) {
         self.skipped_until.insert(self.me.name.clone(), now + SKIP_TIME);
         self.reroute_requests(now);
@@ -645,7 +658,7 @@
     }
 
     fn process_effects(&mut self, now: Nanos) {
-        // Refusals and grants of this stall's own may lead to further ones.
+        // Denials and grants for this proxy may cause further effects.
         loop {
             let effects = self.scheduler.take_effects();
             if effects.is_empty() {
@@ -713,8 +726,8 @@
         }
     }
 
-    /// Owners that answer nothing are passed over, and control hears of it. Where nobody at all is heard, it may well be this stall that
-    /// nobody hears.
+    /// Skips owners that do not respond and reports them to the controller. If no proxy at all responds,
+    /// the fault is probably on this side and nothing is done.
     fn skip_unresponsive(&mut self, now: Nanos) {
         let lately = |name: &str| self.last_heard.get(name).is_some_and(|at| at + UNRESPONSIVE_AFTER > now);
         let mut deaf = BTreeSet::new();
@@ -738,7 +751,7 @@
         self.process_effects(now);
     }
 
-    /// Time passes.
+    /// Processes time: expiry, unresponsive owners and resends.
     pub fn tick(&mut self, now: Nanos) {
         self.scheduler.tick(now);
         self.expire_unconfirmed(now);
@@ -747,7 +760,8 @@
         let due = |o: &PendingRequest| o.last_sent + (RESEND_AFTER << o.resends.min(3)) <= now;
         let silent = self.open.iter().filter(|(_, o)| o.granted.is_none() && due(o));
         for id in silent.map(|(id, _)| *id).collect::<Vec<_>>() {
-            // An owner that is slow is not helped by more of the same.
+            // Resend with increasing intervals, since more of the same requests would not help a slow
+            // owner.
             if let Some(open) = self.open.get_mut(&id) {
                 open.resends += 1;
             }
--- a/scheduler/src/coordinator/permit_transfer.rs
+++ b/scheduler/src/coordinator/permit_transfer.rs
@@ -1,4 +1,5 @@
-//! Permits that pass from one owner of a function to the next, and what comes back to the one before.
+//! Transfer of outstanding permits between successive owners of a function, and forwarding of late
+//! releases.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +12,7 @@
 use crate::{MS, Nanos, Outcome};
 
 impl Coordinator {
-    /// The new owners of a function hear which permits are out.
+    /// Sends the outstanding permits of a released function to its new owners.
     pub(super) fn hand_over(&mut self, now: Nanos, Released { function: service, permits: out }: Released) {
         let mut told: BTreeMap<CompactString, (CompactString, Vec<Permit>)> = BTreeMap::new();
         for zone in self.owners.partition_zones(&service, &self.me.zone) {
@@ -44,9 +45,10 @@
         }
     }
 
-    /// An owner of before tells of the permits that it has out. Owners may have changed once more while its word was on its way: what
-    /// belongs to another by a naming that is newer than the word goes on to that one, and what comes back of it later does too. Under
-    /// the naming of the word, or an older one, nothing goes on: it would go to and fro.
+    /// Handles the transfer of outstanding permits from a previous owner. Ownership may have changed again
+    /// while the message was in transit: permits that belong to another owner under a newer view are
+    /// forwarded to it, and so are their later releases. Under the view of the message, or an older one,
+    /// nothing is forwarded, as it would be sent back and forth.
     pub(super) fn receive_transfer(
         &mut self,
         now: Nanos,
@@ -72,19 +74,20 @@
         self.scheduler.transfer_complete(now, &service, from);
     }
 
-    /// A permit of an owner of before counts here from now on.
+    /// Takes over a permit granted by a previous owner.
     fn take_over_permit(&mut self, now: Nanos, from: &str, permit: Permit) {
         let until = until(now, permit.left);
         let own = permit.who == self.me.name;
         self.scheduler.take_over_permit(now, permit.who, permit.id, &permit.instance, until);
-        // One of this stall's own is given back here from now on: by way of who had it, its slot would stay taken for that long.
+        // This proxy's own permits are released here directly: by way of the previous owner, the slot
+        // would stay taken longer.
         if own && self.scheduler.has_request(&self.me.name, permit.id) {
             let me = self.me.name.clone();
             self.redirect_release(from, permit.id, &permit.instance, me);
         }
     }
 
-    /// Permits that came to a stall which owns their function no more go on to who does.
+    /// Forwards permits of a function that is no longer owned here to its current owner.
     fn forward_transfer(
         &mut self,
         now: Nanos,
@@ -109,7 +112,7 @@
         self.send(owner, PeerMessage::Over { service: service.clone(), version, permits });
     }
 
-    /// A permit of this stall's own that an owner had given out goes back to another one.
+    /// Redirects the release of a permit held by this proxy to another owner.
     fn redirect_release(&mut self, from: &str, id: u64, instance: &str, owner: CompactString) {
         let told = |open: &&mut PendingRequest| {
             open.owner.as_deref() == Some(from) && open.granted.as_ref().is_some_and(|(at, _)| at == instance)
@@ -119,11 +122,11 @@
         }
     }
 
-    /// Who owns an instance of this function, where that is another stall and can be told here.
+    /// Owner of an instance, if that is another proxy and can be determined here.
     fn other_owner(&self, service: &str, instance: &str) -> Option<CompactString> {
         let zone = match self.scheduler.zone_of(instance) {
             Some(zone) => zone,
-            // Of a function with one owner the zone says nothing.
+            // With a single owner, the zone does not matter.
             None if self.owners.partition_count(service) <= 1 => &self.me.zone,
             None => return None,
         };
@@ -131,20 +134,21 @@
         (owner.name != self.me.name).then(|| owner.name.clone())
     }
 
-    /// An ask of this stall's own is granted by `from`. Each ask uses one grant, and the owner that it stands with knows which.
+    /// Handles a grant from `from`. Each request uses one grant, and its assigned owner is told which.
     pub(super) fn receive_grant(&mut self, now: Nanos, from: &str, id: u64, granted: Granted) {
         let Some(open) = self.open.get(&id) else { return self.release_unused(from, id) };
         let stands_with = open.owner.as_deref() == Some(from);
         match &open.granted {
             None if stands_with => self.take_grant(id, granted),
-            // It was on its way while the ask went to the owner of now, which grants no second one once it hears of it.
+            // The grant was in transit while the request moved to the new owner, which grants no second
+            // permit once it is notified.
             None if self.owned_previously(from, &open.request.service, &granted.zone) => {
                 self.take_grant(id, granted);
                 self.notify_held(now, id);
             }
-            // Told twice.
+            // Duplicate of the same grant.
             Some((instance, _)) if *instance == granted.instance => {}
-            // This owner did not know of the first one yet.
+            // This owner did not yet know of the first grant.
             Some(_) if stands_with => self.notify_held(now, id),
             _ => self.release_unused(from, id),
         }
@@ -160,18 +164,18 @@
         });
     }
 
-    /// Nobody waits for what was granted.
+    /// Returns a grant for which there is no open request.
     fn release_unused(&mut self, from: &str, id: u64) {
         self.send(from, PeerMessage::Done { id, outcome: Outcome::Unused.as_str().into(), took: 0.0 });
     }
 
-    /// Whether this stall owned the function in that zone by the naming before, and another one does now.
+    /// Whether that proxy owned the function in the zone under the previous view and does not own it now.
     fn owned_previously(&self, from: &str, service: &str, zone: &str) -> bool {
         let owns = |owners: &Owners| owners.owner(service, zone, |_| true).is_some_and(|p| p.name == from);
         owns(&self.previous_owners) && !owns(&self.owners)
     }
 
-    /// The owner with whom an ask stands hears where it was granted.
+    /// Notifies the assigned owner of the instance on which a request was granted.
     fn notify_held(&mut self, now: Nanos, id: u64) {
         let Some(open) = self.open.get(&id) else { return };
         let (Some(owner), Some((instance, _))) = (open.owner.clone(), open.granted.clone()) else { return };
@@ -184,7 +188,7 @@
         }
     }
 
-    /// A permit that came back here is another owner's by now.
+    /// Forwards the release of a permit that was transferred to another owner. Returns whether it was.
     pub(super) fn forward_release(&mut self, from: &str, id: u64, outcome: &str, took: f64) -> bool {
         let Some(handed) = self.handed_over.remove(&(from.into(), id)) else { return false };
         let (instance, outcome) = (Some(handed.instance), outcome.into());
@@ -194,14 +198,13 @@
     }
 }
 
-/// An instance that is granted.
 pub(super) struct Granted {
     pub instance: CompactString,
     pub address: CompactString,
     pub zone: CompactString,
 }
 
-/// The moment that is so many milliseconds away.
+/// Converts a remaining time in milliseconds to a point in time.
 fn until(now: Nanos, left: f64) -> Nanos {
     now.saturating_add_signed((left.clamp(-1e7, 1e7) * MS as f64) as i64)
 }
--- a/scheduler/src/coordinator/view_change.rs
+++ b/scheduler/src/coordinator/view_change.rs
@@ -1,4 +1,5 @@
-//! Control names the stalls anew: who is gone, who leaves, and to whom open asks and permits belong from then on.
+//! New membership views: handling of departed and leaving proxies, and reassignment of open requests and
+//! permits.
 
 use std::collections::BTreeMap;
 
@@ -11,19 +12,19 @@
 use compact_str::CompactString;
 use millpost_protocol::PeerMessage;
 
-/// Stalls that are kept in mind though they are named no more.
+/// Maximum number of departed proxies remembered.
 const MAX_DEPARTED: usize = 10_000;
 
-/// Zones that are remembered.
+/// Maximum number of zones remembered.
 const MAX_ZONES: usize = 1_000;
 
-/// Another leader has named these than those before.
+/// Whether the views come from different leaders, the first from the newer one.
 fn owners_are_newer(owners: &Owners, before: &Owners) -> bool {
     owners.version().0 > before.version().0
 }
 
 impl Coordinator {
-    /// Control has named the stalls anew.
+    /// Applies a new membership view.
     pub(super) fn apply_view(&mut self, now: Nanos, owners: Owners) {
         let turn = owners.change_since(&self.owners, &self.me.name);
         #[cfg(test)]
@@ -31,8 +32,9 @@
         self.scheduler.counts.views_applied += 1;
         self.current_digest = owners.view().digest();
         let before = std::mem::replace(&mut self.owners, owners);
-        // Who leaves lives, and so do its requests: what it has out stays out until it comes back. A stall knows of itself that it lives,
-        // whatever it is told.
+        // A proxy that is shutting down is still alive, as are its requests, so its permits stay
+        // outstanding until they are released. A proxy knows that it is alive itself, whatever the view
+        // says.
         let roster = self.owners.view().clone();
         self.record_zones(roster.peers().iter().chain(roster.leaving()).map(|peer| &peer.zone));
         let newer = owners_are_newer(&self.owners, &before);
@@ -40,7 +42,7 @@
             if self.departed.len() < MAX_DEPARTED {
                 self.departed.insert(peer.name.clone(), peer.address.clone());
             }
-            // Whom a leader that has just taken office does not name, it may not have heard of yet.
+            // A leader that has just taken office may not have heard of this proxy yet.
             if newer && peer.name != self.me.name && self.unconfirmed.len() < MAX_DEPARTED {
                 self.unconfirmed.insert(peer.name.clone(), now + UNCONFIRMED_TIMEOUT);
             } else if peer.name != self.me.name {
@@ -67,7 +69,7 @@
         self.reroute_requests(now);
     }
 
-    /// Zones are remembered; there are few.
+    /// Remembers zones, of which there are few.
     pub(super) fn record_zones<'a>(&mut self, zones: impl Iterator<Item = &'a CompactString>) {
         for zone in zones {
             if !self.zones.contains(zone) && self.zones.len() < MAX_ZONES {
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Who was not named in time by a new leader is gone.
+    /// Treats proxies as gone that a new leader has not listed in time.
     pub(super) fn expire_unconfirmed(&mut self, now: Nanos) {
         if self.unconfirmed.values().all(|until| *until > now) {
             return;
@@ -87,11 +89,11 @@
         let gone: BTreeMap<CompactString, Nanos> = gone;
         gone.keys().for_each(|name| self.scheduler.proxy_left(now, name));
         self.process_effects(now);
-        // What they had given out is told of by those who have it.
+        // The permits they granted are reported by the holders.
         self.reroute_requests(now);
     }
 
-    /// A new steward hears which instances there are, also those that start and stand in no list yet.
+    /// Reports the owned instances to a new leader, including those that are starting and not yet listed.
     pub(super) fn report_owned_instances(&mut self) {
         let note = |i: &Instance| millpost_protocol::Instance {
             id: i.id.clone(),
@@ -107,8 +109,8 @@
         }
     }
 
-    /// Owners have changed: asks go to the new ones, and so does word of the permits that owners had given out who are gone. One who
-    /// lives tells of them itself.
+    /// Sends open requests to their new owners, and reports permits of this proxy whose owner is gone to
+    /// the new owner. An owner that is alive transfers them itself.
     pub(super) fn reroute_requests(&mut self, now: Nanos) {
         for id in self.open.keys().copied().collect::<Vec<_>>() {
             let Some(open) = self.open.get(&id) else { continue };
@@ -159,7 +161,7 @@
         self.actions.push_back(Action::Send { to, note: PeerMessage::Held { id, service, instance, left } });
     }
 
-    /// A stall lives anew, and knows nothing of what it had given out: it hears what is out here.
+    /// Reports the permits held here to a proxy that has restarted and lost its record of them.
     pub(super) fn resend_held(&mut self, now: Nanos, name: &str) {
         let Some(to) = self.owners.find(name).map(|p| p.address.clone()) else { return };
         let of = self.open.iter().filter(|(_, o)| o.owner.as_deref() == Some(name));
--- a/scheduler/src/coordinator/view_change_tests.rs
+++ b/scheduler/src/coordinator/view_change_tests.rs
@@ -1,4 +1,5 @@
-//! Stalls come and go at random: a desk that works out what has changed does and says what one does that works out everything.
+//! Random membership changes: a coordinator that processes only what has changed must act like one that
+//! recomputes everything.
 
 use millpost::Dice;
 use millpost_protocol::{Instance as Told, MembershipView};
@@ -17,7 +18,7 @@
     format!("f{n}").into()
 }
 
-/// Draws, and what control would tell.
+/// Random source and the state of the simulated controller.
 struct World {
     dice: Dice,
     count: u64,
@@ -37,7 +38,7 @@
         (1 + self.count / 400, self.count)
     }
 
-    /// A naming, as a whole or as a shift, sometimes one that goes from nothing that is known.
+    /// A new membership view, in full or as a change, sometimes a change relative to an unknown version.
     fn naming(&mut self) -> PeerMessage {
         for _ in 0..=self.below(3) {
             let n = self.below(14);
@@ -113,7 +114,7 @@
         }
     }
 
-    /// An ask of another stall's.
+    /// A permit request from another proxy.
     fn mail(&mut self, now: Nanos) -> Input {
         self.count += 1;
         let (id, from) = (self.count, peer(1 + self.below(13), 0).name);
@@ -130,7 +131,8 @@
     desk.take_actions().into()
 }
 
-/// A row of inputs; how often a shift did not meet what was known, and how often a function was handed over.
+/// Runs a random input sequence. Returns how often a view change did not apply and how often a function
+/// was handed over.
 fn play(seed: u64) -> (usize, usize) {
     let terms = SchedulerLimits {
         retry_ratio: 0.2,
--- a/scheduler/src/counts.rs
+++ b/scheduler/src/counts.rs
@@ -1,24 +1,24 @@
-//! What a proxy has done with permits since it started, counted for operators. Nothing is decided by it.
+//! Counters of permit operations for operators. They do not affect decisions.
 
 use compact_str::CompactString;
 
 /// Counts since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Namings that were taken in.
+    /// Membership views applied.
     pub views_applied: u64,
-    /// Permits whose slots were freed because the proxy that had them was taken to be gone.
+    /// Permits freed because the proxy that held them was taken to be gone.
     pub freed: u64,
-    /// Permits that were told to a new owner.
+    /// Permits transferred to a new owner.
     pub handed_over: u64,
-    /// Permits that an owner of before told of.
+    /// Permits taken over from a previous owner.
     pub taken_over: u64,
-    /// Permits that their holders told of, since their owner was gone.
+    /// Permits reported by their holders because their owner was gone.
     pub held: u64,
-    /// Notes to a proxy whose address is not known: it hears nothing of them.
+    /// Messages dropped because the address of the proxy was unknown.
     pub unaddressed: u64,
-    /// Instances that turned a request away as full although a slot was free by what was known here.
+    /// Rejections as full by instances that had a free slot as far as known here.
     pub refused_as_full: u64,
-    /// The last of these, and how many permits were counted there.
+    /// Instance of the last such rejection, and the permits counted there.
     pub last_full: Option<(CompactString, usize)>,
 }
--- a/scheduler/src/demand.rs
+++ b/scheduler/src/demand.rs
@@ -1,36 +1,35 @@
-//! How many slots a function needs: by what is held, by what comes, and by what waits. Arithmetic alone.
+//! Instance demand of a function, from held slots, arrival rate and queue length. Pure arithmetic.
 
 use std::collections::VecDeque;
 
 use crate::{FunctionSpec, MS, Nanos, SECOND};
 
-/// The averages forget over this time.
+/// Time constant of the averages.
 const SPAN: f64 = 1.5 * SECOND as f64;
-/// What an owner has to bear is averaged over less.
+/// Shorter time constant, for the load on the owner.
 const BURST_SPAN: f64 = 0.4 * SECOND as f64;
 /// Weight of a new hold time.
 const WEIGHT: f64 = 0.1;
 
-/// Demand of one function.
 #[derive(Debug)]
 pub(crate) struct Demand {
     updated_at: Nanos,
-    /// First tries a second, averaged.
+    /// Average first attempts per second.
     rate: f64,
-    /// The same over a shorter time.
+    /// The same, averaged over `BURST_SPAN`.
     burst_rate: f64,
-    /// Slots held, averaged over time.
+    /// Time average of held slots.
     mean_held: f64,
     held: usize,
-    /// How long a request holds its slot, in nanoseconds.
+    /// Average time for which a request holds its slot, in nanoseconds.
     pub mean_hold_time: f64,
-    /// The last first try.
+    /// Time of the last first attempt.
     pub last_arrival: Option<Nanos>,
-    /// What was there when this owner came.
+    /// Time at which this owner took over, and instances that existed then.
     inherited: Option<(Nanos, u32)>,
-    /// Until when one stands by that nobody has asked for.
+    /// Until this time one instance is kept although nothing was requested.
     standby_until: Option<Nanos>,
-    /// What was needed lately, so that what is needed again soon stays: time and instances, falling.
+    /// Recent instance needs, in decreasing order, so that instances needed again soon are kept.
     recent_needs: VecDeque<(Nanos, u32)>,
 }
 
@@ -50,13 +49,13 @@
         }
     }
 
-    /// Its owner has changed: what was counted elsewhere, or of another part, says nothing.
+    /// Resets the counts after a change of owners: those of other owners or partitions do not apply.
     pub fn reset(&mut self, now: Nanos) {
         (self.updated_at, self.rate, self.burst_rate, self.mean_held) = (now, 0.0, 0.0, 0.0);
         self.recent_needs.clear();
     }
 
-    /// First tries a second, averaged; a rush shows at once.
+    /// First attempts per second, averaged; a burst shows at once.
     pub fn rate(&mut self, now: Nanos) -> f64 {
         self.advance(now);
         self.rate.max(self.burst_rate)
@@ -73,7 +72,7 @@
         self.updated_at = now;
     }
 
-    /// A request has come for the first time.
+    /// Records the first attempt of a request.
     pub fn record_arrival(&mut self, now: Nanos) {
         self.advance(now);
         self.rate += SECOND as f64 / SPAN;
@@ -81,13 +80,13 @@
         self.last_arrival = Some(now);
     }
 
-    /// So many slots are held from now on.
+    /// Sets the number of held slots.
     pub fn set_held(&mut self, now: Nanos, held: usize) {
         self.advance(now);
         self.held = held;
     }
 
-    /// A request has held its slot for so long.
+    /// Records how long a request held its slot.
     pub fn record_hold_time(&mut self, took: Nanos) {
         let took = took as f64;
         self.mean_hold_time = if self.mean_hold_time == 0.0 {
@@ -97,27 +96,28 @@
         };
     }
 
-    /// How long a slot is held, guessed where nothing was seen.
+    /// Expected hold time of a slot in nanoseconds; a default before the first sample.
     pub fn expected_hold_time(&self) -> f64 {
         if self.mean_hold_time > 0.0 { self.mean_hold_time } else { (60 * MS) as f64 }
     }
 
-    /// So many instances were there when this owner came to the function: they are needed until its own counts tell otherwise.
+    /// Records the instances that existed when this owner took over. They count as needed until its own
+    /// demand is known.
     pub fn inherited(&mut self, now: Nanos, instances: u32) {
         self.inherited = Some((now, instances));
     }
 
-    /// One instance stands by until then, or until the first request.
+    /// Keeps one instance until `until` or the first request.
     pub fn keep_standby(&mut self, until: Nanos) {
         self.standby_until = Some(until);
     }
 
-    /// Instances that are needed now, for `queued` requests that wait longer than they should.
+    /// Number of instances needed now, with `queued` requests that wait longer than they should.
     pub fn needed(&mut self, now: Nanos, spec: &FunctionSpec, queued: usize) -> u32 {
         self.advance(now);
         let concurrency = f64::from(spec.concurrency.max(1));
         let load = self.mean_held.max(self.rate * self.expected_hold_time() / SECOND as f64);
-        // Requests come by chance: room for as many more as come together now and then.
+        // Arrivals are random: add room for as many more as coincide occasionally.
         let room = if spec.concurrency > 1 { load.sqrt() } else { 0.6 * load.sqrt() };
         let by_load = if load < 0.2 { 0.0 } else { (load + room) / concurrency };
         let by_queue = if queued > 0 { (self.held + queued) as f64 / concurrency } else { 0.0 };
@@ -136,7 +136,7 @@
     }
 }
 
-/// An instance that nobody needs stays for so long: the more a start takes, the longer.
+/// How long an unused instance is kept; longer if instances start slowly.
 pub(crate) fn idle_retention(spec: &FunctionSpec) -> Nanos {
     (spec.startup_time * 5 / 2).clamp(500 * MS, 10 * SECOND)
 }
@@ -169,7 +169,7 @@
             demand.set_held(n * 10 * MS, 6);
             demand.record_hold_time(60 * MS);
         }
-        // Six held on the mean: 6 + sqrt(6) = 8.4 slots.
+        // With a mean of six held slots: 6 + sqrt(6) = 8.4 slots.
         assert_eq!(demand.needed(6_000 * MS, &spec, 0), 3);
         assert_eq!(demand.needed(6_000 * MS, &spec, 15), 6);
     }
--- a/scheduler/src/effect.rs
+++ b/scheduler/src/effect.rs
@@ -1,4 +1,4 @@
-//! What an owner of functions may decide, and the bounds that it is given.
+//! Effects of scheduling decisions, and the limits set for the scheduler.
 
 use compact_str::CompactString;
 use millpost_protocol::FunctionStatus;
@@ -6,38 +6,40 @@
 use crate::Nanos;
 use crate::instance::Instance;
 
-/// The bounds of further tries.
+/// Limits of the scheduler.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SchedulerLimits {
-    /// Repeats for each request, at most, within a window.
+    /// Maximum retries per request within the window.
     pub retry_ratio: f64,
-    /// The window.
+    /// Length of the retry window.
     pub retry_window: Nanos,
-    /// Repeats beyond that, within a window.
+    /// Retries allowed in addition, per window.
     pub retry_slack: f64,
-    /// First asks a second that are all that this stall can take as an owner, by its link and its processor.
+    /// Rate of first permit requests, per second, that takes up the whole capacity of this proxy as an
+    /// owner.
     pub requests_per_s: f64,
-    /// How fast workers are is learnt from what answers take, and instances on slow ones come last.
+    /// Whether worker speed is estimated from response times and instances on slow workers are ranked
+    /// last.
     pub rank_by_latency: bool,
 }
 
-/// Why there is no permit.
+/// Reason for denying a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DenialReason {
-    /// No slot comes free in time; one may after this.
+    /// No slot becomes free in time; one may be free after this duration.
     Full(Nanos),
-    /// Thinned out: ask again at the next doubled time.
+    /// Retry suppressed: request again at the next retry time.
     Skip,
-    /// The budget of further tries is spent.
+    /// The retry budget is used up.
     Spent,
     /// The function is not known here.
     Unknown,
-    /// The function was known here and is gone: the request is to be asked for where its route leads now.
+    /// The function was removed from the configuration: resolve the route again.
     Moved,
 }
 
 impl DenialReason {
-    /// The word for it between processes, and to people.
+    /// Name used in messages between processes and in output for people.
     pub fn as_str(self) -> &'static str {
         match self {
             DenialReason::Full(_) => "full",
@@ -49,58 +51,58 @@
     }
 }
 
-/// What is to be done.
+/// Effect of a scheduling decision.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// The request may go to this instance.
+    /// Grants a permit for this instance.
     Grant {
-        /// Who asked.
+        /// Requesting proxy.
         to: CompactString,
-        /// Its number for the request.
+        /// Request id.
         ask: u64,
-        /// Where it goes.
+        /// Granted instance.
         instance: Instance,
     },
-    /// It may not.
+    /// Denies a permit.
     Refuse {
-        /// Who asked.
+        /// Requesting proxy.
         to: CompactString,
-        /// Its number for the request.
+        /// Request id.
         ask: u64,
-        /// Why.
+        /// Reason of the denial.
         reason: DenialReason,
     },
-    /// It waits in the queue.
+    /// The request is queued.
     Queued {
-        /// Who asked.
+        /// Requesting proxy.
         to: CompactString,
-        /// Its number for the request.
+        /// Request id.
         ask: u64,
     },
-    /// The function wants so many instances in all.
+    /// Reports the instance target of a function.
     SetInstanceTarget {
-        /// The function.
+        /// Name of the function.
         service: CompactString,
-        /// Live instances.
+        /// Target number of live instances.
         count: u32,
-        /// Where its requests come in, most first.
+        /// Zones in which requests arrive, the busiest first.
         zones: Vec<CompactString>,
-        /// The part of this stall's strength that it takes.
+        /// Fraction of this proxy's capacity that the function uses.
         strain: f64,
-        /// How it does, while a floor asks for that.
+        /// Status of the function, while a minimum instance count is set.
         does: Option<FunctionStatus>,
-        /// Workers that are surely slow for it.
+        /// Workers that are significantly slow for the function.
         slow: Vec<CompactString>,
     },
-    /// Nothing more goes to the instance: it may be stopped.
+    /// The instance receives no more requests and may be stopped.
     Retire(CompactString),
-    /// The instance refuses connections: it is gone.
+    /// The instance is dead.
     ReportLost(CompactString),
-    /// Find out when this instance accepts connections, from then on.
+    /// Find out when this instance accepts connections.
     ProbeReadiness {
-        /// The instance.
+        /// Instance to probe.
         instance: Instance,
-        /// Not before.
+        /// Earliest time to start.
         from: Nanos,
     },
 }
--- a/scheduler/src/function.rs
+++ b/scheduler/src/function.rs
@@ -1,8 +1,9 @@
-//! The functions that are owned here: their queues, their instances, and the permits that are out.
+//! The functions owned by this proxy: their queues, instances and outstanding permits.
 //!
-//! What happens when owners change is in `ownership`.
+//! Changes of ownership are handled in `ownership`.
 //!
-//! Invariants: an instance has no more permits out than it may hold requests at once; a permit is out once; a queue is bounded.
+//! Invariants: an instance never has more permits outstanding than its concurrency limit; a permit is
+//! outstanding at most once; queues are bounded.
 
 mod instances;
 mod min_instances;
@@ -33,29 +34,31 @@
 use removed_functions::RemovedFunctions;
 use returned_permits::ReturnedPermits;
 
-/// Requests of one function that may wait; more are turned away.
+/// Maximum queue length per function; further requests are denied.
 const MAX_QUEUE_LEN: usize = 1_000;
-/// What is wanted is said again after this time, should it have been lost;
+/// Interval at which the instance target is reported again, in case an earlier report was lost.
 const REPORT_INTERVAL: Nanos = 2_000 * MS;
-/// ... so is that an instance may be stopped or is dead, for as long as control names it.
+/// Interval at which retired and lost instances are reported again while the controller still lists them.
 const RETIRE_REPORT_INTERVAL: Nanos = 700 * MS;
-/// Where nothing is known of the demand yet, an instance of each function that holds several requests at once stands by for so
-/// long: such a function is meant to be busy.
+/// After the first configuration, while demand is still unknown, one instance of each function with a
+/// concurrency above 1 is kept for this time: such functions are expected to be busy.
 const STANDBY_TIME: Nanos = 20 * SECOND;
-/// A permit outlives the deadline of its request by no more than this.
+/// A permit expires this long after the deadline of its request.
 const PERMIT_GRACE: Nanos = 500 * MS;
-/// Where an instance that somebody else gives out too says that it is full, nothing goes there from here for so long.
+/// After an instance that another proxy may also be granting rejects a request as full, this proxy grants
+/// nothing on it for this time.
 const YIELD_TIME: Nanos = 2_000 * MS;
-/// An ask for a function of which no instance is known yet waits for so long, since word of them may be on its way.
+/// How long a request for a function without known instances waits for information about instances that
+/// may be on its way.
 const INSTANCE_DISCOVERY_WAIT: Nanos = 250 * MS;
-/// What a function takes of its owner's strength is said again where it has changed by so much.
+/// Change in the reported load fraction that triggers a new report.
 const LOAD_REPORT_STEP: f64 = 0.1;
-/// How often time is to pass while something waits or is out,
+/// Tick interval while requests are queued or permits are outstanding.
 const BUSY_TICK: Nanos = 25 * MS;
-/// ... and while there are instances.
+/// Tick interval while instances exist but are idle.
 const IDLE_TICK: Nanos = 50 * MS;
 
-/// Who asked, and its number for the request.
+/// Requesting proxy and its request id.
 type Key = (CompactString, u64);
 
 #[derive(Debug)]
@@ -64,39 +67,42 @@
     instance: CompactString,
     expires_at: Nanos,
     granted_at: Nanos,
-    /// Its request was given up, and may be running still.
+    /// The client abandoned the request, which may still be running.
     abandoned: bool,
 }
 
-/// The functions that are owned here. What it decides comes out of [`Scheduler::take_effects`].
+/// The functions owned by this proxy. Decisions are returned by [`Scheduler::take_effects`].
 ///
-/// Each function has a place in a row for as long as anything is known of it; a permit is out as long as its instance is known.
-/// Nothing that is decided hangs on the order of a `HashMap`.
+/// Each function has an index into `functions` for as long as anything is known of it. A permit is
+/// outstanding only while its instance is known. No decision depends on the iteration order of a
+/// `HashMap`.
 #[derive(Debug)]
 pub struct Scheduler {
     limits: SchedulerLimits,
     functions: Vec<FunctionState>,
-    /// Of each in the row, where it is not owned here, the seed of a stall that stands before this one; 0 where none is known.
+    /// For each function not owned here, the seed of a proxy that ranks above this one; 0 if none is
+    /// known.
     rival_seeds: Vec<u64>,
-    /// Places in that row that are free.
+    /// Unused indices of `functions`.
     free_indices: Vec<usize>,
-    /// Where each function stands there.
+    /// Index of each function by name.
     index_by_name: HashMap<CompactString, usize>,
-    /// The function of each instance.
+    /// Index of the function of each instance.
     index_by_instance: HashMap<CompactString, usize>,
     permits: HashMap<Key, Permit>,
-    /// Permits that were told of before their instance was: by instance, until when each counts.
+    /// Permits reported before their instance was known: by instance, with their deadline and the time of
+    /// the report.
     early_permits: HashMap<CompactString, Vec<(Key, Nanos, Nanos)>>,
-    /// Permits that came back before they were told of.
+    /// Permits released before they were reported to this proxy.
     returned_permits: ReturnedPermits,
-    /// No permit is overdue before.
+    /// No permit expires before this time.
     next_expiry: Nanos,
-    /// Where each ask stands in its function's queue.
+    /// Function index and queue position of each queued request.
     queue_positions: HashMap<Key, (usize, (Nanos, u64))>,
     removed_functions: RemovedFunctions,
-    /// What is looked at with each tick, in the order of the names.
+    /// Functions processed on each tick, ordered by name.
     active: Vec<usize>,
-    /// How fast workers are, by what answers took.
+    /// Estimates of worker speed from response times.
     latency_model: Option<LatencyModel>,
     sequence: u64,
     rng: Dice,
@@ -106,7 +112,7 @@
 }
 
 impl Scheduler {
-    /// Nothing is known yet.
+    /// Creates a scheduler without any functions or instances.
     pub fn new(terms: SchedulerLimits, seed: u64) -> Self {
         let speeds = terms.rank_by_latency.then(LatencyModel::new);
         Scheduler {
@@ -132,27 +138,27 @@
         }
     }
 
-    /// What was done with permits since the start.
+    /// Counts of permit operations since the start.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// What was decided since.
+    /// Returns and clears the pending effects.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// From now on it is told why something is decided.
+    /// Starts recording the reasons for decisions.
     pub fn explain(&mut self) {
         self.reasons.enable();
     }
 
-    /// Why it was decided so, since.
+    /// Returns and clears the recorded reasons.
     pub fn reasons(&mut self) -> Vec<Reason> {
         self.reasons.take()
     }
 
-    /// The place of a function in the row, made where there is none.
+    /// Returns the index of a function, adding it if it is unknown.
     fn index_or_insert(&mut self, name: &CompactString) -> usize {
         if let Some(at) = self.index_by_name.get(name) {
             return *at;
@@ -173,7 +179,7 @@
         at
     }
 
-    /// Frees the place of a function of which nothing is known any more.
+    /// Frees the index of a function of which nothing is known any more.
     fn free_if_empty(&mut self, at: usize) {
         let service = &mut self.functions[at];
         if !service.is_empty() {
@@ -186,7 +192,7 @@
         self.free_indices.push(at);
     }
 
-    /// It is looked at with the next tick.
+    /// Marks a function for processing on the next tick.
     fn activate(&mut self, at: usize) {
         if !std::mem::replace(&mut self.functions[at].active, true) {
             let name = &self.functions[at].name;
@@ -195,7 +201,7 @@
         }
     }
 
-    /// Those of the row that hold, in the order of their names.
+    /// Indices of the functions that match, ordered by name.
     fn indices_where(&self, which: impl Fn(&FunctionState) -> bool) -> Vec<usize> {
         self.sort_by_name((0..self.functions.len()).filter(|at| which(&self.functions[*at])).collect())
     }
@@ -205,7 +211,7 @@
         all
     }
 
-    /// The functions of the configuration in force.
+    /// Applies the functions of the current configuration.
     pub fn configure(&mut self, now: Nanos, specs: impl Iterator<Item = FunctionSpec>) {
         let mut gone: BTreeSet<usize> = self.indices_where(|s| s.function.is_some()).into_iter().collect();
         let begins = gone.is_empty();
@@ -231,7 +237,7 @@
         }
     }
 
-    /// Instances that others have started for a function that is owned here stay until its demand is known.
+    /// Keeps instances that another owner started until this owner has measured the demand.
     fn inherit_instances(&mut self, now: Nanos, at: usize) {
         let service = &mut self.functions[at];
         let live = service.live_instances() as u32;
@@ -250,7 +256,7 @@
         }
     }
 
-    /// Another steward has taken office, who has heard of nothing: all that is wanted is said again.
+    /// Reports all instance targets again, since a new leader has received none of them.
     pub fn resend_targets(&mut self) {
         for at in 0..self.functions.len() {
             if let Some(function) = &mut self.functions[at].function {
@@ -260,39 +266,40 @@
         }
     }
 
-    /// It is known, and was not seen to accept connections yet.
+    /// Whether the instance is known and has not yet been seen accepting connections.
     pub fn is_booting(&self, id: &str) -> bool {
         self.index_by_instance.get(id).is_some_and(|at| self.functions[*at].is_booting(id))
     }
 
-    /// The instances of the functions that are owned here, but for those that were let go or are dead.
+    /// Live instances of the functions owned here, without those that are draining, retired or lost.
     pub fn owned_instances(&self) -> impl Iterator<Item = &Instance> {
         let owned = self.functions.iter().filter(|s| s.owned);
         owned.flat_map(|s| s.instances()).filter(|p| p.owned && p.is_live()).map(|p| &p.info)
     }
 
-    /// The instances that are known, in no order.
+    /// All known instances, in no particular order.
     pub fn instances(&self) -> impl Iterator<Item = &Instance> {
         self.functions.iter().flat_map(|s| s.instances()).map(|p| &p.info)
     }
 
-    /// It is known.
+    /// Whether the instance is known.
     pub fn knows(&self, id: &str) -> bool {
         self.index_by_instance.contains_key(id)
     }
 
-    /// How many requests wait for each function, in no order.
+    /// Queue length per function, in no particular order.
     pub fn queues(&self) -> impl Iterator<Item = (&str, usize)> {
         self.functions.iter().filter_map(|s| Some((s.name.as_str(), s.function.as_ref()?.queue.len())))
     }
 
-    /// The budget of each function that is owned here, in no order: requests and repeats in the window, and how many repeats may be.
+    /// Retry budget of each function owned here, in no particular order: requests in the window, retries
+    /// in the window, and allowed retries.
     pub fn budgets(&self, now: Nanos) -> impl Iterator<Item = (&str, (u64, u64, f64))> {
         let owned = self.functions.iter().filter(|s| s.owned);
         owned.filter_map(move |s| Some((s.name.as_str(), s.function.as_ref()?.budget.counts(now))))
     }
 
-    /// The permits that are out, in no order: who has each, the asker's number, the function, the instance.
+    /// Outstanding permits, in no particular order: holder, request id, function, instance.
     pub fn permits(&self) -> impl Iterator<Item = (&str, u64, &str, &str)> {
         let of = self.permits.iter();
         of.map(|((who, ask), p)| {
@@ -300,23 +307,23 @@
         })
     }
 
-    /// Somebody waits for a permit here, or has one.
+    /// Whether the request is queued or has a permit.
     pub fn has_request(&self, who: &str, ask: u64) -> bool {
         let key = (who.into(), ask);
         self.permits.contains_key(&key) || self.queue_positions.contains_key(&key)
     }
 
-    /// Somebody has a permit here.
+    /// Whether the request has a permit.
     pub(crate) fn is_granted(&self, who: &str, ask: u64) -> bool {
         self.permits.contains_key(&(who.into(), ask))
     }
 
-    /// Somebody has a permit for this instance.
+    /// Whether the request has a permit for this instance.
     pub fn is_granted_at(&self, who: &str, ask: u64, instance: &str) -> bool {
         self.permits.get(&(who.into(), ask)).is_some_and(|permit| permit.instance == instance)
     }
 
-    /// The zone of an instance, where it is known.
+    /// Zone of an instance, if it is known.
     pub fn zone_of(&self, instance: &str) -> Option<&CompactString> {
         let at = *self.index_by_instance.get(instance)?;
         self.functions[at].instance(instance).map(|place| &place.info.zone)
@@ -331,7 +338,7 @@
         self.push_refusal(to, ask, no);
     }
 
-    /// A permit is asked for. The same ask again is no other one.
+    /// Requests a permit. Repeating a request that is queued or granted sends the same response again.
     pub fn request_permit(&mut self, now: Nanos, from: CompactString, ask: PermitRequest, first: bool) {
         let key = (from, ask.id);
         if self.permits.contains_key(&key) || self.queue_positions.contains_key(&key) {
@@ -363,7 +370,7 @@
         }
         let chosen = service.select_instance(now, &key.0, &ask).cloned();
         if ask.attempts_sent > 0 {
-            // The design: a further try goes with the probability of the instance that it would go to.
+            // By design, a retry is sent with the probability of the instance that it would go to.
             let t1 = first_retry_delay(ask.target);
             let chance = match &chosen {
                 Some(id) => service.instance(id).map_or(1.0, |p| p.retry_probability(t1)),
@@ -386,7 +393,8 @@
             self.grant(now, at, key, &ask, &id, false);
             return self.report_target(now, at);
         }
-        // Nothing is known of it here, and its owner by another's word may be this stall: word of its instances is on its way.
+        // No instance is known here, and other proxies may already see this one as the owner: instance
+        // information may still be on its way.
         let unheard = service.live_instances() == 0 && (!service.owned || now < service.settling_until);
         let wait = if unheard {
             INSTANCE_DISCOVERY_WAIT.min(service.expected_wait(now))
@@ -484,13 +492,14 @@
         }
     }
 
-    /// The asker no longer waits.
+    /// Removes a request whose client no longer waits.
     pub fn cancel(&mut self, now: Nanos, from: &str, ask: u64) {
         self.dequeue(&(from.into(), ask));
         self.release(now, from, ask, Outcome::Unused, 0);
     }
 
-    /// The ask goes to another owner, with its permit if it has one: here it is over, and nobody gets its slot on that account.
+    /// Removes a request that moves to another owner, together with its permit. The freed slot is not
+    /// granted to a queued request here.
     pub fn forget(&mut self, now: Nanos, from: &str, ask: u64) {
         let key = (from.into(), ask);
         self.dequeue(&key);
@@ -500,7 +509,7 @@
         service.record_permits(now);
     }
 
-    /// A permit comes back.
+    /// Releases a permit after an attempt.
     pub fn release(&mut self, now: Nanos, from: &str, ask: u64, outcome: Outcome, took: Nanos) {
         let key = (from.into(), ask);
         let Some(permit) = self.permits.get_mut(&key) else {
@@ -514,7 +523,8 @@
                     p.attempt_ended(now, outcome, took, first_retry_delay(target))
                 });
             }
-            // Not every endpoint drops what nobody waits for any more: its slot is given again when it is done by its usual time.
+            // Not every endpoint stops a request after its client has left. The slot is reused only after
+            // the usual hold time.
             let usual = service.function.as_ref().map_or(0.0, |f| f.demand.expected_hold_time()) as Nanos;
             (permit.expires_at, permit.abandoned) = (now + usual, true);
             self.next_expiry = self.next_expiry.min(permit.expires_at);
@@ -522,7 +532,7 @@
         }
         let Some(permit) = self.permits.remove(&key) else { return };
         if !service.awaited_owners.is_empty() {
-            // An owner of before may tell of it once more.
+            // A previous owner may still report this permit.
             self.returned_permits.insert(now, key);
         }
         let target = service.function.as_ref().map_or(200 * MS, |f| f.target);
@@ -563,7 +573,8 @@
         self.retire_surplus(now, at);
     }
 
-    /// An instance was seen to be dead; `failing`: by tries that failed one after the other.
+    /// Marks an instance as dead. `failing`: detected by consecutive failed attempts rather than by a
+    /// refused connection.
     pub fn mark_lost(&mut self, now: Nanos, id: &str, failing: bool) {
         let Some(at) = self.index_by_instance.get(id).copied() else { return };
         if self.functions[at].instance(id).is_none_or(|p| p.retired) {
@@ -576,7 +587,7 @@
         self.report_target(now, at);
     }
 
-    /// A stall is gone: what it had out is free, what it waited for is nobody's.
+    /// Releases all permits and queued requests of a proxy that is gone.
     pub fn proxy_left(&mut self, now: Nanos, from: &str) {
         self.functions.iter_mut().for_each(|service| service.stop_awaiting(now, from, true));
         let mut permits: Vec<_> = self.permits.keys().filter(|k| k.0 == from).map(|k| k.1).collect();
@@ -589,7 +600,7 @@
         }
     }
 
-    /// Gives free slots to those that wait.
+    /// Grants free slots to queued requests.
     fn serve_queue(&mut self, now: Nanos, at: usize) {
         loop {
             let service = &mut self.functions[at];
@@ -618,7 +629,8 @@
         }
     }
 
-    /// What has waited for word of instances, and was told of none, is judged as it would have been.
+    /// Applies the admission checks to requests that waited for instance information which did not arrive
+    /// in time.
     fn reassess_waiting(&mut self, now: Nanos, at: usize) {
         let service = &self.functions[at];
         let Some(function) = &service.function else { return };
@@ -645,7 +657,7 @@
         }
     }
 
-    /// Permits whose request must be over by now.
+    /// Expires permits whose request must have ended by now.
     fn expire_permits(&mut self, now: Nanos) {
         if now < self.next_expiry {
             return;
@@ -662,12 +674,12 @@
         self.next_expiry = self.permits.values().map(|p| p.expires_at).min().unwrap_or(Nanos::MAX);
     }
 
-    /// Time passes: deadlines, what is needed, what is not.
+    /// Processes time: deadlines, instance targets and retirement.
     pub fn tick(&mut self, now: Nanos) {
         self.expire_permits(now);
         self.returned_permits.sweep(now);
         self.update_latency_ranks(now);
-        // One that is roused meanwhile is looked at the next time.
+        // Functions activated meanwhile are processed on the next tick.
         for at in self.active.clone() {
             let looked_at = self.functions[at].needs_update();
             self.serve_queue(now, at);
@@ -685,7 +697,7 @@
         });
     }
 
-    /// When time is to pass next, at the latest; none where nothing hangs on it.
+    /// Latest time of the next tick; `None` if nothing depends on time.
     pub fn next_wake(&self, now: Nanos) -> Option<Nanos> {
         let awake =
             self.active.iter().map(|at| if self.functions[*at].is_busy() { BUSY_TICK } else { IDLE_TICK });
--- a/scheduler/src/function/instances.rs
+++ b/scheduler/src/function/instances.rs
@@ -1,4 +1,4 @@
-//! What control tells of instances: new, changed, gone, and all that there are.
+//! Instance updates from the controller: new, changed and removed instances, and full lists.
 
 use std::collections::BTreeSet;
 
@@ -10,12 +10,12 @@
 use crate::service::FunctionState;
 
 impl Scheduler {
-    /// Control tells of an instance: new, or changed. `mine`: it belongs to what is owned here.
+    /// Adds or updates an instance. `mine`: this proxy owns it.
     pub fn update_instance(&mut self, now: Nanos, of: Instance, mine: bool) {
         let id = of.id.clone();
         if let Some(at) = self.index_by_instance.get(&id).copied() {
             self.functions[at].update_instance(&id, |place| {
-                // What this owner has seen work does not boot any more.
+                // An instance that this owner has seen working never goes back to booting.
                 let stage = of.stage.max(place.info.stage);
                 (place.info, place.owned) = (Instance { stage, ..of }, mine);
             });
@@ -26,7 +26,6 @@
         self.add_instance(now, at, InstanceState::new(of, mine, now));
     }
 
-    /// An instance that is new here.
     fn add_instance(&mut self, now: Nanos, at: usize, place: InstanceState) {
         let (id, mine, adopted) = (place.info.id.clone(), place.owned, place.info.stage == Stage::Ready);
         self.functions[at].add(place);
@@ -43,7 +42,7 @@
         self.serve_queue(now, at);
     }
 
-    /// An instance accepts connections.
+    /// Marks an instance as accepting connections.
     pub fn instance_up(&mut self, now: Nanos, id: &str) {
         let Some(at) =
             self.index_by_instance.get(id).copied().filter(|at| self.functions[*at].is_booting(id))
@@ -55,7 +54,7 @@
         self.serve_queue(now, at);
     }
 
-    /// Control says that an instance is no more.
+    /// Removes an instance that the controller reports as gone.
     pub fn remove_instance(&mut self, now: Nanos, id: &str) {
         let Some(at) = self.index_by_instance.remove(id) else { return };
         let out = self.functions[at].remove(id).map(|place| place.permits);
@@ -67,7 +66,7 @@
         self.free_if_empty(at);
     }
 
-    /// The instances that there are, whole: others are no more.
+    /// Replaces the known instances by a full list; instances not on it are removed.
     pub fn replace_instances(&mut self, now: Nanos, all: Vec<Instance>, mine: impl Fn(&Instance) -> bool) {
         let stay: BTreeSet<_> = all.iter().map(|i| &i.id).collect();
         let mut gone: Vec<_> =
@@ -81,8 +80,9 @@
         }
     }
 
-    /// One of a whole list. What a new owner learns so while it settles was there before it: the owner of before may have seen it up
-    /// though it still starts by control's word.
+    /// Adds one instance of a full list. An instance that a new owner learns of while ownership settles
+    /// existed before: the previous owner may have seen it ready although the controller still lists it as
+    /// booting.
     fn list_instance(&mut self, now: Nanos, instance: Instance, mine: impl Fn(&Instance) -> bool) {
         let (id, mine) = (instance.id.clone(), mine(&instance));
         let new = !self.knows(&id);
@@ -99,8 +99,9 @@
         self.add_instance(now, at, place);
     }
 
-    /// A new steward names the instances that it knows. Those of functions that are owned here stay beside them, since it hears of them
-    /// from here; it says so once one is no more.
+    /// Applies the list of a new leader. Instances of functions owned here are kept even if they are
+    /// missing from it, since the leader learns of them from this proxy and reports them once they are
+    /// gone.
     pub fn merge_instances(&mut self, now: Nanos, known: Vec<Instance>, mine: impl Fn(&Instance) -> bool) {
         let stay: BTreeSet<_> =
             known.iter().map(|i| i.id.clone()).chain(self.owned_instances().map(|i| i.id.clone())).collect();
--- a/scheduler/src/function/min_instances.rs
+++ b/scheduler/src/function/min_instances.rs
@@ -1,6 +1,7 @@
-//! Floors: what control keeps under a function's demand while a tenant moves, and how the function does meanwhile.
+//! Minimum instance counts that the controller sets during a migration, and the function status reported
+//! meanwhile.
 //!
-//! Invariant: a floor holds until its time is over, whoever owns the function; only its owner goes by it.
+//! Invariant: a minimum is kept until it expires, whoever owns the function; only the owner applies it.
 
 use millpost_protocol::FunctionStatus;
 
@@ -8,20 +9,20 @@
 use crate::service::FunctionState;
 use crate::{MS, Nanos};
 
-/// While a floor holds, what is wanted is said this often, with how the function does.
+/// Report interval of target and status while a minimum is set.
 const STATUS_INTERVAL: Nanos = 500 * MS;
-/// What was refused counts for one to two of these.
+/// Length of a counting span; the status covers the current span and the one before.
 const SPAN: Nanos = 1_000 * MS;
 
-/// A floor under a function.
+/// Minimum instance count of a function.
 #[derive(Debug)]
 pub(crate) struct MinInstances {
     fence: u64,
     count: u32,
     until: Nanos,
-    /// The lowest mean delay that was told, in milliseconds.
+    /// Lowest mean delay reported, in milliseconds.
     lowest_delay: Option<f64>,
-    /// Asks, and refusals, in this span and the one before.
+    /// Requests and refusals, in the current span and the one before.
     counts: [(u32, u32); 2],
     span_start: Nanos,
 }
@@ -34,19 +35,19 @@
         }
     }
 
-    /// The function was asked for.
+    /// Counts a permit request.
     pub fn record_request(&mut self, now: Nanos) {
         self.rotate(now);
         self.counts[0].0 = self.counts[0].0.saturating_add(1);
     }
 
-    /// An ask was refused, or an instance has refused one.
+    /// Counts a request denied here or rejected by an instance.
     pub fn record_refusal(&mut self, now: Nanos) {
         self.rotate(now);
         self.counts[0].1 = self.counts[0].1.saturating_add(1);
     }
 
-    /// What is wanted is to be said again, where that was said last then.
+    /// Whether a report is due again, the last one having been sent at `said`.
     pub fn report_due(&self, now: Nanos, said: Nanos) -> bool {
         now >= said + STATUS_INTERVAL
     }
@@ -57,14 +58,14 @@
             self.lowest_delay = Some(self.lowest_delay.map_or(delay, |lowest| lowest.min(delay)));
         }
         let sum = |of: fn(&(u32, u32)) -> u32| self.counts.iter().map(of).fold(0, u32::saturating_add);
-        // Without any that works now there is nothing above the lowest.
+        // Without a working instance, report the lowest delay, so that no increase shows.
         let lowest = self.lowest_delay.unwrap_or(0.0);
         FunctionStatus { delay: delay.unwrap_or(lowest), lowest, asked: sum(|s| s.0), refused: sum(|s| s.1) }
     }
 }
 
 impl FunctionState {
-    /// So many instances at least, by the floor that holds; one that is over is gone.
+    /// Returns the current minimum, dropping one that has expired.
     pub fn min_instances(&mut self, now: Nanos) -> u32 {
         let Some(function) = &mut self.function else { return 0 };
         if function.min_instances.as_ref().is_some_and(|floor| now >= floor.until) {
@@ -73,14 +74,15 @@
         function.min_instances.as_ref().map_or(0, |floor| floor.count)
     }
 
-    /// What it was asked for is refused.
+    /// Counts a refusal if a minimum is set.
     pub fn record_refusal(&mut self, now: Nanos) {
         if let Some(floor) = self.function.as_mut().and_then(|f| f.min_instances.as_mut()) {
             floor.record_refusal(now);
         }
     }
 
-    /// How the function does, where that is asked for: the mean over the instances that have served here.
+    /// Status of the function if a minimum is set: the mean delay of the owned instances that have
+    /// answered requests here.
     pub fn status(&mut self, now: Nanos) -> Option<FunctionStatus> {
         self.function.as_ref()?.min_instances.as_ref()?;
         let served =
@@ -92,8 +94,8 @@
 }
 
 impl Scheduler {
-    /// Control keeps a floor under a function until then, or none any more. A stall that does not own it holds the floor for the case
-    /// that it will.
+    /// Sets the minimum instance count until `until`; a count of 0 removes it. A proxy that does not own
+    /// the function stores it in case it becomes the owner.
     pub fn set_min_instances(&mut self, now: Nanos, name: &str, count: u32, fence: u64, until: Nanos) {
         let Some(at) = self.index_by_name.get(name).copied() else { return };
         let Some(function) = &mut self.functions[at].function else { return };
@@ -104,7 +106,7 @@
             floor if count == 0 => *floor = None,
             Some(floor) => (floor.fence, floor.count, floor.until) = (fence, count, until),
             floor => {
-                // It is told at once.
+                // Report the status at once.
                 function.last_reported = None;
                 let spans = [(0, 0); 2];
                 *floor = Some(MinInstances {
--- a/scheduler/src/function/ownership.rs
+++ b/scheduler/src/function/ownership.rs
@@ -1,7 +1,8 @@
-//! Owners change: what a new one takes over, and what the one before parts with.
+//! Ownership changes: what a new owner takes over and what the previous owner releases.
 //!
-//! Invariant: of an instance that a new owner found it gives nothing, or where nobody can tell it more a part, until it has heard what is
-//! out; what it hears before it knows the instance is kept.
+//! Invariant: until a new owner has learnt which permits are outstanding, it grants nothing on an
+//! inherited instance, or only part of its slots if nobody can report them. Permits reported before their
+//! instance is known are kept.
 
 use std::collections::BTreeSet;
 
@@ -12,51 +13,52 @@
 use crate::service::FunctionState;
 use crate::{MS, Nanos, SECOND};
 
-/// A change of owners has come round after so long: permits of the one before are told of meanwhile.
+/// Time after a change of owners for the proxies to learn of it and report outstanding permits.
 pub(crate) const SETTLING_TIME: Nanos = 300 * MS;
-/// ... and the one of before, if it lives, has told of them after so long: it may be the busiest stall of all.
+/// Time for a live previous owner to transfer its permits; it may be the busiest proxy of all.
 const TRANSFER_TIMEOUT: Nanos = 1_500 * MS;
-/// Permits of instances that are not known yet are remembered for so long, and only so many.
+/// How long permits of unknown instances are remembered; at most `MAX_EARLY_PERMITS` are.
 pub(super) const EARLY_PERMIT_TTL: Nanos = 2 * SECOND;
 pub(super) const MAX_EARLY_PERMITS: usize = 10_000;
 
-/// What a change of owners moves at this stall, of one function.
+/// Effects of an ownership change on one function at this proxy.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Transfer {
-    /// Who owned what is owned here now, and lives and has not told yet of what it has out.
+    /// Live previous owners that have not yet transferred their outstanding permits.
     pub from: BTreeSet<CompactString>,
-    /// Something that was owned here is another's now.
+    /// Whether this proxy has lost ownership of some instances.
     pub loses: bool,
 }
 
-/// What an owner parts with.
+/// What an owner releases.
 #[derive(Debug, PartialEq)]
 pub struct Released {
-    /// The function.
+    /// Name of the function.
     pub function: CompactString,
-    /// Permits that are out.
+    /// Outstanding permits.
     pub permits: Vec<OutstandingPermit>,
 }
 
-/// A permit that is out.
+/// An outstanding permit.
 #[derive(Debug, PartialEq)]
 pub struct OutstandingPermit {
-    /// Who has it.
+    /// Proxy that holds it.
     pub who: CompactString,
-    /// Its number for the request.
+    /// Request id at that proxy.
     pub ask: u64,
-    /// The zone of the instance.
+    /// Zone of the instance.
     pub zone: CompactString,
-    /// The instance's life.
+    /// Instance id.
     pub instance: CompactString,
-    /// When its slot is free at the latest.
+    /// Latest time at which its slot becomes free.
     pub until: Nanos,
 }
 
 impl Scheduler {
-    /// Which functions are owned here, by this stall among these, from now on; looked at are those that the turn concerns. `before`:
-    /// what moves, of a function whose instances are known in these zones. Of another's nothing is wanted, stopped or scouted. What is not owned here
-    /// any more comes back: its permits are for its new owners.
+    /// Recomputes which of the functions affected by `turn` this proxy owns. `before` returns what moves
+    /// for a function whose instances are in the given zones. For functions owned elsewhere, nothing is
+    /// reported, retired or probed. Returns the released functions with their outstanding permits, for the
+    /// new owners.
     pub fn update_ownership(
         &mut self,
         now: Nanos,
@@ -97,7 +99,7 @@
             let zones = service.instances().iter().map(|place| place.info.zone.clone()).collect();
             let transfer = before(&name, &zones);
             if stays {
-                // An owner of one lot takes over another's, or gives it back: the rest is its own as before.
+                // The owner of one partition takes over or gives back another; the rest is unchanged.
                 if transfer.loses {
                     let settling = service.settling_until;
                     let out = self.release_partition(now, at, mine);
@@ -123,7 +125,7 @@
             for id in self.functions[at].instances().iter().map(|p| p.info.id.clone()).collect::<Vec<_>>() {
                 self.probe_if_booting(now, at, &id);
             }
-            // They are judged from now on, by this owner's demand.
+            // From now on they are judged by this owner's demand.
             self.functions[at].update_all(|places| {
                 for place in places {
                     (place.last_used, place.inherited, place.verified, place.yielded_until) =
@@ -145,7 +147,7 @@
         parted
     }
 
-    /// Instances of another lot are owned here from now on, beside those that were.
+    /// Takes over instances of another partition in addition to those already owned.
     fn gain_partition(
         &mut self,
         now: Nanos,
@@ -154,7 +156,8 @@
         gained: &BTreeSet<CompactString>,
     ) {
         let service = &mut self.functions[at];
-        // What was found before has been told of by now; only what comes is to be told of.
+        // Permits of previously inherited instances have been reported by now; only those of new instances
+        // are awaited.
         let settled = now >= service.settling_until && service.awaited_owners.is_empty();
         service.awaited_owners.extend(from);
         let waits = if service.awaited_owners.is_empty() { SETTLING_TIME } else { TRANSFER_TIMEOUT };
@@ -178,8 +181,9 @@
         self.inherit_instances(now, at);
     }
 
-    /// The functions that a turn concerns, in the order of their names. One that was owned is lost to a stall that came and stands before
-    /// this one; one that was not is won only where who stood before this one has gone.
+    /// Functions affected by a change, ordered by name. An owned function can be lost only to a new proxy
+    /// that ranks above this one; a function not owned can be gained only if the proxy that ranked above
+    /// this one has left.
     fn affected_functions(&self, turn: &OwnershipChange) -> Vec<usize> {
         if turn.is_full() {
             return self.indices_where(|_| true);
@@ -195,7 +199,8 @@
         found
     }
 
-    /// What is out of a function's instances that are not owned here any more is taken off, and who waits from there waits elsewhere.
+    /// Removes the permits of instances no longer owned here and the queued requests that belong to their
+    /// owners.
     fn release_partition(
         &mut self,
         now: Nanos,
@@ -237,14 +242,14 @@
         out
     }
 
-    /// The functions, whether each is owned here, and whether it is split.
+    /// Configured functions, with whether each is owned here and whether it is split.
     #[cfg(test)]
     pub(crate) fn ownership_state(&self) -> Vec<(CompactString, bool, bool)> {
         let all = self.indices_where(|s| s.function.is_some()).into_iter().map(|at| &self.functions[at]);
         all.map(|s| (s.name.clone(), s.owned, s.split)).collect()
     }
 
-    /// This stall stands in for nobody before then.
+    /// Grants nothing in place of the owner before `until`.
     pub fn defer_to_owner(&mut self, name: &str, until: Nanos) {
         let Some(at) = self.index_by_name.get(name).copied() else { return };
         let service = &mut self.functions[at];
@@ -253,7 +258,7 @@
         }
     }
 
-    /// An owner of before has told of all that it has out of a function that is owned here.
+    /// Records that a previous owner has transferred all outstanding permits of a function owned here.
     pub fn transfer_complete(&mut self, now: Nanos, name: &str, from: &str) {
         let Some(at) = self.index_by_name.get(name).copied() else { return };
         let service = &mut self.functions[at];
@@ -263,17 +268,17 @@
         }
     }
 
-    /// A permit that an owner of before had given out.
+    /// Takes over a permit that a previous owner granted.
     pub fn take_over_permit(&mut self, now: Nanos, who: CompactString, ask: u64, id: &str, until: Nanos) {
-        // One that was granted here meanwhile stays, until its asker says that it uses the other.
+        // A permit granted here meanwhile is kept until its holder reports using the other one.
         if !self.permits.contains_key(&(who.clone(), ask)) {
             self.counts.taken_over += 1;
             self.hold_permit(now, who, ask, id, until.saturating_sub(PERMIT_GRACE));
         }
     }
 
-    /// A permit that somebody has out under an owner of before. Its ask waits here no more, and one that was granted to it here is not
-    /// used.
+    /// Records a permit that its holder reports as granted by a previous owner. The request is removed
+    /// from the queue here, and a permit granted to it here is dropped as unused.
     pub fn hold_permit(&mut self, now: Nanos, from: CompactString, ask: u64, id: &str, until: Nanos) {
         let key = (from, ask);
         if self.is_granted_at(&key.0, ask, id) || self.permits.len() > 100_000 || self.has_returned(now, &key)
@@ -282,7 +287,7 @@
         }
         self.forget(now, &key.0, ask);
         let Some(at) = self.index_by_instance.get(id).copied() else {
-            // Who has it out may have heard of this owner before the owner has heard of the instance.
+            // The holder may know of this owner before the owner knows the instance.
             self.early_permits
                 .retain(|_, all| all.iter().any(|(_, _, heard)| now < heard + EARLY_PERMIT_TTL));
             if self.early_permits.values().map(Vec::len).sum::<usize>() < MAX_EARLY_PERMITS {
--- a/scheduler/src/function/removed_functions.rs
+++ b/scheduler/src/function/removed_functions.rs
@@ -1,6 +1,7 @@
-//! Functions that the configuration names no more: what waited for them goes back to who asked, to be asked for where its route leads now.
+//! Functions removed from the configuration: queued requests are returned to their proxies, which resolve
+//! the route again.
 //!
-//! Invariant: what is answered so was given no permit here, and is queued no more.
+//! Invariant: a request denied this way has no permit here and is no longer queued.
 
 use std::collections::BTreeMap;
 
@@ -11,16 +12,16 @@
 use crate::reason::RequestDecision;
 use crate::{Nanos, SECOND};
 
-/// Those who have not heard of it ask for it for so long.
+/// How long proxies with an older configuration may still request a removed function.
 const REMEMBER_TIME: Nanos = 10 * SECOND;
 const MOST: usize = 10_000;
 
-/// Functions that are gone, and until when that is remembered.
+/// Removed functions and when each is forgotten.
 #[derive(Debug, Default)]
 pub(super) struct RemovedFunctions(BTreeMap<CompactString, Nanos>);
 
 impl RemovedFunctions {
-    /// The configuration names it again.
+    /// Forgets the removal of a function that the configuration names again.
     pub fn restore(&mut self, name: &str) {
         self.0.remove(name);
     }
@@ -34,7 +35,7 @@
 }
 
 impl Scheduler {
-    /// The configuration names a function no more.
+    /// Removes a function that the configuration no longer names.
     pub(super) fn remove_function(&mut self, now: Nanos, at: usize) {
         let Some(function) = self.functions[at].function.take() else { return };
         self.removed_functions.insert(now, self.functions[at].name.clone());
@@ -45,7 +46,7 @@
         self.free_if_empty(at);
     }
 
-    /// A function is asked for that is none here.
+    /// Denies a request for a function that is not configured here.
     pub(super) fn deny_unknown(&mut self, now: Nanos, (from, ask): Key, name: &str) {
         let moved = self.removed_functions.0.get(name).is_some_and(|until| now < *until);
         let no = if moved { DenialReason::Moved } else { DenialReason::Unknown };
--- a/scheduler/src/function/returned_permits.rs
+++ b/scheduler/src/function/returned_permits.rs
@@ -1,7 +1,8 @@
-//! Permits that came back before this owner had heard that they were out: mail of an owner of before may come in any order.
+//! Permits released before this owner learnt that they were outstanding: messages of a previous owner may
+//! arrive in any order.
 //!
-//! Invariant: what has come back is not counted as out by late word of it, for as long as such word may be on its way; what is remembered
-//! is bounded.
+//! Invariant: a released permit is not counted as outstanding by a report that arrives within
+//! `EARLY_PERMIT_TTL`. The number of remembered permits is bounded.
 
 use std::collections::HashMap;
 
@@ -9,7 +10,7 @@
 use super::{Key, Scheduler};
 use crate::{Nanos, Outcome};
 
-/// Those that are remembered, and since when.
+/// Remembered permits and when each was released.
 #[derive(Debug, Default)]
 pub(super) struct ReturnedPermits(HashMap<Key, Nanos>);
 
@@ -27,21 +28,22 @@
         self.0.get(key).is_some_and(|since| now < *since + EARLY_PERMIT_TTL)
     }
 
-    /// Forgets what is too old.
+    /// Drops expired entries.
     pub(super) fn sweep(&mut self, now: Nanos) {
         self.0.retain(|_, since| now < *since + EARLY_PERMIT_TTL);
     }
 }
 
 impl Scheduler {
-    /// A permit came back that is not known to be out here. One that was not used says nothing: its ask may use another.
+    /// Remembers the release of a permit that is not known here. An unused permit is not remembered, since
+    /// its request may use another one.
     pub(crate) fn permit_returned(&mut self, now: Nanos, who: &str, ask: u64, outcome: Outcome) {
         if outcome != Outcome::Unused {
             self.returned_permits.insert(now, (who.into(), ask));
         }
     }
 
-    /// Word of a permit comes late: it has come back already.
+    /// Whether a late report concerns a permit that has already been released.
     pub(super) fn has_returned(&self, now: Nanos, key: &Key) -> bool {
         self.returned_permits.contains(now, key)
     }
--- a/scheduler/src/function/targets.rs
+++ b/scheduler/src/function/targets.rs
@@ -1,4 +1,4 @@
-//! What a function needs, as control is told: how many instances, and which of them are let go.
+//! Instance targets reported to the controller, and retirement of surplus instances.
 
 use super::{LOAD_REPORT_STEP, REPORT_INTERVAL, RETIRE_REPORT_INTERVAL, Scheduler};
 use crate::Nanos;
@@ -7,7 +7,7 @@
 use crate::reason::Reason;
 
 impl Scheduler {
-    /// Says how many instances the function needs, where that has changed or was said long ago.
+    /// Reports the instance target if it has changed or the last report is old.
     pub(super) fn report_target(&mut self, now: Nanos, at: usize) {
         let service = &mut self.functions[at];
         if !service.owned {
@@ -17,7 +17,7 @@
             (service.expected_wait(now), service.live_instances(), service.totals().permits);
         let floor = service.min_instances(now);
         let Some(function) = &mut service.function else { return };
-        // A queue that moves within a part of its aim needs nothing new.
+        // A queue expected to drain within a fraction of the latency target needs no further instance.
         let patience = (function.target / 4).min(function.spec.startup_time / 2);
         let queued = if live == 0 || wait > patience { function.queue.len() } else { 0 };
         let need = function.demand.needed(now, &function.spec, queued).max(floor);
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Lets instances go that are not needed: nothing more goes to one, and it is stopped once nothing is out.
+    /// Drains surplus instances: no new requests are sent to one, and it is retired once it has no
+    /// outstanding permits.
     pub(super) fn retire_surplus(&mut self, now: Nanos, at: usize) {
         let service = &mut self.functions[at];
         let said = service.function.as_ref().filter(|_| service.owned).and_then(|f| f.last_reported);
@@ -73,7 +74,7 @@
         });
     }
 
-    /// What control has not heard, or has not acted on.
+    /// Repeats reports that the controller has not received or not acted on.
     pub(super) fn resend_reports(&mut self, now: Nanos, at: usize) {
         let service = &mut self.functions[at];
         if service.totals().retired == 0 {
--- a/scheduler/src/function/worker_speed.rs
+++ b/scheduler/src/function/worker_speed.rs
@@ -1,7 +1,8 @@
-//! Workers differ: what answers tell of their speed, and what is made of it here. On an ordinary day, nothing.
+//! Worker speed estimated from response times, and its use in scheduling. With workers of similar speed
+//! this has no effect.
 //!
-//! An instance comes behind the others of its function only where it is clearly and surely slower; an owner names workers to control
-//! only where they are surely slow.
+//! An instance is ranked behind others of its function only if it is significantly slower, and a worker is
+//! reported to the controller only if it is significantly slow.
 
 use millpost_latency::{LatencyModel, RelativeLatency};
 
@@ -11,7 +12,7 @@
 use super::Scheduler;
 
 impl Scheduler {
-    /// What was answered, so far, is worked out now and then; instances are put in the order that follows from it.
+    /// Periodically updates the model with the latest answers and ranks the instances by it.
     pub(super) fn update_latency_ranks(&mut self, now: Nanos) {
         let Some(speeds) = &mut self.latency_model else { return };
         if !speeds.settle(now) {
@@ -24,7 +25,7 @@
             .for_each(|s| s.update_latency_ranks(speeds));
     }
 
-    /// An instance answered as it should, so long after it was called.
+    /// Records the response time of a successful answer.
     pub(super) fn record_latency(&mut self, now: Nanos, at: usize, id: &str, took: Nanos) {
         let service = &self.functions[at];
         if let (Some(place), Some(speeds)) = (service.instance(id), &mut self.latency_model) {
@@ -33,15 +34,15 @@
     }
 }
 
-/// Where a worker is slow, instances come behind others in steps of this factor.
+/// Slowdown factor per rank step.
 const STEP: f64 = 1.3;
-/// So much longer than on the best is more than instances differ by nature,
+/// Slowdown relative to the best instance that exceeds the normal variation between instances.
 const BEYOND: f64 = 1.5;
-/// ... if it is surely so, in standard deviations.
+/// Required confidence, in standard deviations.
 const SURE: f64 = 2.5;
 
 impl FunctionState {
-    /// Puts instances behind others of which it is sure that they end sooner.
+    /// Ranks instances behind others that are significantly faster.
     fn update_latency_ranks(&mut self, speeds: &LatencyModel) {
         let name = self.name.clone();
         let lags: Vec<_> = self.instances().iter().map(|p| speeds.lag(&name, &p.info.worker)).collect();
--- a/scheduler/src/instance.rs
+++ b/scheduler/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance of a function as its owner sees it: what is out there, how long it takes, whether it is well.
+//! Owner's view of one instance: outstanding permits, latency and health.
 
 mod slot_limit;
 
@@ -10,82 +10,82 @@
 use crate::{MS, Nanos, Outcome, SECOND};
 use slot_limit::SlotLimit;
 
-/// Weight of a new sample in the averages (the paper's w_q).
+/// Weight of a new sample in the averages (w_q in the paper).
 const WEIGHT: f64 = 0.2;
-/// The baseline is the lowest average of this span and the one before.
+/// The baseline is the lowest average of the current and the previous span of this length.
 const BASELINE_SPAN: Nanos = 5 * SECOND;
 
-/// Askers of an instance that are remembered.
+/// Number of recent callers remembered per instance.
 const MAX_RECENT_CALLERS: usize = 32;
 
-/// How far an instance's life has come.
+/// Lifecycle stage of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// It refuses connections still.
+    /// Not yet accepting connections.
     Booting,
-    /// It works.
+    /// Accepting requests.
     Ready,
-    /// It is leaving: nothing more goes there.
+    /// Shutting down; receives no new requests.
     Draining,
 }
 
-/// An instance as control tells of it.
+/// An instance as listed by the controller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Instance {
-    /// The name of its life.
+    /// Instance id, unique per start.
     pub id: CompactString,
-    /// Its function.
+    /// Name of its function.
     pub service: CompactString,
     /// Address and port.
     pub address: CompactString,
-    /// Where it stands.
+    /// Zone of the instance.
     pub zone: CompactString,
-    /// The worker it stands on.
+    /// Worker on which it runs.
     pub worker: CompactString,
-    /// How far its life has come.
+    /// Lifecycle stage.
     pub stage: Stage,
 }
 
-/// What the owner keeps of an instance.
+/// Scheduling state of an instance.
 #[derive(Debug)]
 pub(crate) struct InstanceState {
     pub info: Instance,
-    /// It belongs to what is owned here; else this stall stands in for its owner.
+    /// This proxy owns the instance; otherwise it only acts in place of the owner.
     pub owned: bool,
-    /// It worked before this owner came: others may have permits for it out.
+    /// The instance was running before this proxy became its owner: permits of others may be outstanding.
     pub inherited: bool,
-    /// It has served a request that this stall gave it in its owner's place.
+    /// The instance has answered a request granted here while `inherited` or not owned.
     pub verified: bool,
-    /// Until then it is left to somebody else who has it full.
+    /// No grants until this time, because another proxy has filled the instance.
     pub yielded_until: Nanos,
-    /// Permits that are out: who has them, and the asker's number.
+    /// Outstanding permits: holder and request id.
     pub permits: Vec<(CompactString, u64)>,
-    /// When it was first heard of.
+    /// When it was first listed.
     pub first_seen: Nanos,
-    /// When a slot was last given.
+    /// Sequence number of the last grant.
     pub last_grant: u64,
-    /// Who was here lately, the last one last.
+    /// Recent callers, the latest one last.
     recent_callers: VecDeque<CompactString>,
-    /// The last time a request was there.
+    /// Time of the last request.
     pub last_used: Nanos,
-    /// It gets nothing more, and is stopped once nothing is out.
+    /// Receives no new requests and is retired once no permits are outstanding.
     pub draining: bool,
-    /// It was told to be stopped.
+    /// Reported as retired.
     pub retired: bool,
-    /// It was seen to be dead, rather than not needed.
+    /// Found dead, rather than surplus.
     pub lost: bool,
-    /// When control was told so last: it may not have heard.
+    /// Time of the last report to the controller, which may have been lost.
     pub reported_at: Nanos,
-    /// Others of its function surely end sooner: by how much, in steps.
+    /// How much slower it is than others of its function, in rank steps; 0 if not significantly.
     pub latency_rank: u8,
-    /// Its worker is slow.
+    /// Its worker is slow for this function.
     pub on_slow_worker: bool,
-    /// What is left of its slots after it was full by its own count.
+    /// Limit on its slots after it rejected a request as full.
     slot_limit: SlotLimit,
-    /// Nothing goes there before; grows with failures in a row.
+    /// No grants before this time; grows with consecutive failures.
     pub backoff_until: Nanos,
     consecutive_failures: u32,
-    /// Averaged latency in nanoseconds, starting at 0 (the design's q_avg over μ).
+    /// Average latency in nanoseconds, starting at 0 (q_avg over μ in the design).
     mean_latency: f64,
     baselines: [Option<f64>; 2],
     baseline_start: Nanos,
@@ -120,12 +120,12 @@
         }
     }
 
-    /// This asker was here lately, and may have a connection still.
+    /// Whether this caller used the instance recently and may still have a connection to it.
     pub fn recently_used_by(&self, asker: &str) -> bool {
         self.recent_callers.iter().any(|a| a == asker)
     }
 
-    /// This asker comes.
+    /// Records the caller of a new request.
     pub fn record_caller(&mut self, asker: &CompactString) {
         if self.recent_callers.back() != Some(asker) {
             self.recent_callers.retain(|a| a != asker);
@@ -136,22 +136,23 @@
         }
     }
 
-    /// How many of all its slots may be used.
+    /// Number of usable slots out of `all`.
     pub fn usable_slots(&self, now: Nanos, all: usize) -> usize {
         self.slot_limit.usable(now, all)
     }
 
-    /// Requests may go there.
+    /// Whether it can receive requests.
     pub fn is_available(&self) -> bool {
         self.info.stage == Stage::Ready && !self.draining && !self.retired
     }
 
-    /// It counts among those that the function has, or is about to have.
+    /// Whether it counts as running or starting.
     pub fn is_live(&self) -> bool {
         self.info.stage != Stage::Draining && !self.draining && !self.retired
     }
 
-    /// The probability with which a retry goes there: 1 at the baseline, falling linearly to 0 at T1 above it.
+    /// Probability of sending a retry to it: 1 at the latency baseline, falling linearly to 0 at T1 above
+    /// it.
     pub fn retry_probability(&self, t1: Nanos) -> f64 {
         let floor = self.baselines.iter().flatten().copied().fold(f64::INFINITY, f64::min);
         if floor.is_infinite() {
@@ -160,7 +161,7 @@
         retry_probability((self.mean_latency - floor).max(0.0), t1)
     }
 
-    /// Its averaged delay in nanoseconds; none before it has served.
+    /// Average latency in nanoseconds; `None` before the first answer.
     pub fn mean_latency(&self) -> Option<f64> {
         (self.mean_latency > 0.0).then_some(self.mean_latency)
     }
@@ -180,12 +181,13 @@
         *floor = floor.min(self.mean_latency);
     }
 
-    /// Connections to it fail one after the other.
+    /// Whether connections to it have failed repeatedly.
     pub fn is_failing(&self) -> bool {
         self.consecutive_failures >= 2
     }
 
-    /// A try is over. A refusal as full counts as a full time-out, T1; what was given up by its client says nothing.
+    /// Records the outcome of an attempt. A rejection as full counts as a full timeout T1; an attempt
+    /// abandoned by its client is ignored.
     pub fn attempt_ended(&mut self, now: Nanos, outcome: Outcome, took: Nanos, t1: Nanos) {
         match outcome {
             Outcome::Answered | Outcome::Failed => {
@@ -195,7 +197,7 @@
             Outcome::Full => {
                 let full = self.mean_latency + t1 as f64;
                 self.record_latency(now, full);
-                // Somebody holds a slot that is not known here: a moment of rest, and that slot is left alone.
+                // A slot is taken that is not known here: pause briefly and leave that slot unused.
                 self.backoff_until = now + 15 * MS;
                 self.slot_limit.rejected(now, self.permits.len());
             }
--- a/scheduler/src/instance/slot_limit.rs
+++ b/scheduler/src/instance/slot_limit.rs
@@ -1,22 +1,23 @@
-//! How many of an instance's slots are used after it has said that it is full.
+//! Limit on the used slots of an instance that has reported being full.
 //!
-//! An instance that is full by its own count while a slot is free by its owner's runs something that the owner does not count: a request
-//! that was given up and goes on, or one that another owner gave. One such request makes it turn away each further one that is sent into
-//! the slot that only seems free; so that slot is left alone for a while, and tried again after longer and longer pauses.
+//! An instance that is full by its own count, while its owner counts a free slot, runs a request that the
+//! owner does not know of: one that was abandoned and goes on, or one granted by another owner. While it
+//! lasts, every further request sent into the seemingly free slot is rejected. That slot is therefore left
+//! unused for a while and probed again at increasing intervals.
 //!
-//! Invariant: what is left is never more than the instance was seen to hold, until a pause has passed.
+//! Invariant: until a pause has passed, the limit does not exceed what the instance was seen to hold.
 
 use crate::{MS, Nanos, SECOND};
 
-/// The first pause, where the instance holds others of this owner's; it doubles with each refusal that follows.
+/// First pause if the instance holds other requests of this owner; doubles with each further rejection.
 const PAUSE: Nanos = 500 * MS;
-/// ... and where it holds none: nothing could go there at all.
+/// First pause if it holds none, since otherwise it could not be used at all.
 const PAUSE_ALONE: Nanos = 50 * MS;
 const LONGEST_PAUSE: Nanos = 2 * SECOND;
-/// A refusal so long after the last pause begins anew.
+/// A rejection this long after the last pause starts again with the first pause.
 const FORGOTTEN: Nanos = 2 * SECOND;
 
-/// The slots that are left of an instance.
+/// Slot limit of one instance.
 #[derive(Debug, Default)]
 pub(super) struct SlotLimit {
     slots: usize,
@@ -25,10 +26,10 @@
 }
 
 impl SlotLimit {
-    /// It has turned a request away as full while so many others of this owner's were there.
+    /// Records a rejection while `others` other requests of this owner were running.
     pub fn rejected(&mut self, now: Nanos, others: usize) {
         if now < self.pause_until {
-            // Sent before the first refusal was heard of.
+            // Sent before the first rejection arrived.
             self.slots = self.slots.min(others);
             return;
         }
@@ -38,7 +39,7 @@
         (self.slots, self.pause_until) = (others, now + self.pause);
     }
 
-    /// How many of all its slots may be used: one more with each pause that has passed.
+    /// Usable slots out of `all`: one more for each pause that has passed.
     pub fn usable(&self, now: Nanos, all: usize) -> usize {
         if self.pause == 0 {
             return all;
@@ -52,7 +53,8 @@
 mod tests {
     use super::*;
 
-    /// Refusals while a request that nobody counts holds one slot, and how long it takes until all are used again after it.
+    /// Counts the rejections while an unknown request holds one slot for `lasts`, and the time from its
+    /// end until all slots are used again.
     fn with_one_uncounted(all: usize, lasts: Nanos) -> (usize, Nanos) {
         let (mut narrow, mut refusals, mut now) = (SlotLimit::default(), 0, 0);
         loop {
@@ -60,7 +62,7 @@
             if now >= lasts && used == all {
                 return (refusals, now - lasts);
             }
-            // All that is left is used, and the rest waits.
+            // All usable slots are taken, and more requests are queued.
             if now < lasts && used == all {
                 narrow.rejected(now, all - 1);
                 refusals += 1;
@@ -85,7 +87,7 @@
         assert_eq!(narrow.usable(0, 8), 8);
         [7, 6, 5].into_iter().for_each(|others| narrow.rejected(MS, others));
         assert_eq!(narrow.usable(2 * MS, 8), 5);
-        // One at a time: they may all be there still.
+        // Slots are added one at a time, since the unknown requests may all still be running.
         assert_eq!(narrow.usable(MS + PAUSE, 8), 6);
         assert_eq!(narrow.usable(MS + 2 * PAUSE, 8), 7);
         assert_eq!(narrow.usable(MS + 10 * PAUSE, 8), 8);
--- a/scheduler/src/lib.rs
+++ b/scheduler/src/lib.rs
@@ -1,7 +1,9 @@
-//! Who owns a function decides here which request goes to which of its instances, and when: its slots, its queue, the averages of
-//! its instances, the budget of further tries and how many instances it needs. No I/O, no clock, no randomness but a seed.
+//! Request scheduling at the proxy that owns a function: which request goes to which instance and when,
+//! based on concurrency slots, a queue, latency averages and a retry budget, and how many instances the
+//! function needs. Performs no I/O and reads no clock; randomness comes from a seed only.
 //!
-//! A request is a permit: [`Scheduler::request_permit`] queues it, [`Effect::Grant`] names an instance, [`Scheduler::release`] gives the slot back.
+//! A request needs a permit: [`Scheduler::request_permit`] queues it, [`Effect::Grant`] assigns an
+//! instance and [`Scheduler::release`] frees the slot.
 
 mod attempt_timeouts;
 mod budget;
@@ -39,54 +41,56 @@
 pub use millpost::api::Nanos;
 pub use millpost_protocol::line::Sink;
 
-/// A millisecond in [`Nanos`].
+/// Nanoseconds per millisecond.
 pub const MS: Nanos = 1_000_000;
-/// A second in [`Nanos`].
+/// Nanoseconds per second.
 pub const SECOND: Nanos = 1_000 * MS;
 
-/// What an ask, its grant and its end take of the owner's link in one direction, in bytes,
+/// Bytes that one permit request, its grant and its release take on the owner's link, per direction.
 const REQUEST_BYTES: f64 = 800.0;
-/// ... and of its processor, in seconds.
+/// Processor seconds that one permit request, its grant and its release take at the owner.
 const REQUEST_CPU_SECONDS: f64 = 0.000_25;
 
-/// First asks a second that would take all of an owner's link or processors, if it did nothing else.
+/// Maximum rate of first permit requests, per second, that an owner's link or processors could handle if
+/// it did nothing else.
 pub fn max_requests_per_s(link_mbps: f64, processors: f64) -> f64 {
     let by_link = link_mbps * 1e6 / 8.0 / REQUEST_BYTES;
     by_link.min(processors / REQUEST_CPU_SECONDS).max(1.0)
 }
 
-/// What the configuration says of a function.
+/// Configuration of one function.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FunctionSpec {
-    /// The service's name.
+    /// Name of the function.
     pub name: compact_str::CompactString,
-    /// Requests that one instance may hold at once, at least 1.
+    /// Maximum number of concurrent requests per instance, at least 1.
     pub concurrency: u32,
-    /// The average time of a start.
+    /// Average startup time of an instance.
     pub startup_time: Nanos,
-    /// What one instance takes, in MB.
+    /// Memory per instance, in MB.
     pub memory_mb: u64,
 }
 
 /// A request for a permit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PermitRequest {
-    /// The asker's own number for it, never used twice in one of its lives.
+    /// Id chosen by the requesting proxy; unique within one incarnation of that proxy.
     pub id: u64,
-    /// The function.
+    /// Name of the function.
     pub service: compact_str::CompactString,
-    /// Until when its client waits.
+    /// Time after which the client no longer waits for an answer.
     pub deadline: Nanos,
-    /// Until when an answer earns all it is worth, by the client's first try.
+    /// Time until which an answer has its full value, counted from the client's first attempt.
     pub soft_deadline: Nanos,
-    /// The whole time inside which an answer earns its full worth.
+    /// Duration within which an answer has its full value.
     pub target: Nanos,
-    /// Tries of it that were sent already.
+    /// Number of attempts already sent for this request.
     pub attempts_sent: u32,
-    /// It has been here before, or was made by a request that is running: turning it away costs more than its own worth.
+    /// The client has retried this request, or a running request made it. Denying it costs more than the
+    /// request itself is worth.
     pub returned: bool,
-    /// Instances that have failed it.
+    /// Instances on which this request has failed.
     pub avoid: Vec<compact_str::CompactString>,
-    /// The zone in which it came in.
+    /// Zone in which the request arrived.
     pub zone: compact_str::CompactString,
 }
--- a/scheduler/src/owner_ranking.rs
+++ b/scheduler/src/owner_ranking.rs
@@ -1,7 +1,8 @@
-//! Who owns each function that is asked for, and who is asked next, kept as stalls come and go.
+//! Cache of the owner and deputy of each requested function, updated as proxies join and leave.
 //!
-//! Invariant: what is kept is what [`Owners::owner_and_deputy`] says. A stall that came costs one hash for each function; one that is gone
-//! costs all of them for the functions that it stood for, and nothing for others.
+//! Invariant: the cache holds what [`Owners::owner_and_deputy`] returns. A joining proxy costs one hash
+//! per cached function; a leaving one costs a full ranking of the functions it was owner or deputy of, and
+//! nothing for others.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,14 +11,14 @@
 
 use crate::owners::{Owners, hash};
 
-/// The first two, with what each of them is ranked by.
+/// Owner and deputy with their rank.
 type RankedPair = [Option<(u64, CompactString)>; 2];
 
-/// The stalls, and the first two of functions that were asked for.
+/// The owners and the cached pairs of requested functions.
 #[derive(Debug, Default)]
 pub struct OwnerRanking {
     owners: Owners,
-    /// By function, and by zone where it is split.
+    /// By function, and by zone if it is split.
     pairs: BTreeMap<(CompactString, CompactString), RankedPair>,
 }
 
@@ -30,12 +31,12 @@
 }
 
 impl OwnerRanking {
-    /// The stalls.
+    /// The current owners.
     pub fn owners(&self) -> &Owners {
         &self.owners
     }
 
-    /// The owner of a function in a zone, and the stall that is asked where the owner can't be.
+    /// Owner of a function in a zone, and the proxy that is asked when the owner cannot be reached.
     pub fn owner_and_deputy(
         &mut self,
         service: &CompactString,
@@ -48,18 +49,18 @@
         names(self.pairs.entry(key).or_insert_with_key(|(service, zone)| rank(owners, service, zone)))
     }
 
-    /// A function is asked for.
+    /// Adds a function to the cache.
     pub fn track(&mut self, service: &CompactString, zone: &CompactString) {
         let _ = self.owner_and_deputy(service, zone);
     }
 
-    /// Of functions that are gone nothing is kept.
+    /// Drops functions that no longer exist.
     pub fn retain(&mut self, is: impl Fn(&str) -> bool) {
         self.pairs.retain(|(service, _), _| is(service));
     }
 
-    /// A new naming. Those who stand for other functions than before, or for none any more, among the functions that were asked for; and
-    /// the functions that are split now and were not, or the other way round: of those nothing is kept.
+    /// Applies a new view. Returns the proxies that are owner or deputy of other requested functions than
+    /// before, and the functions that were split or joined, which are dropped from the cache.
     pub fn update(&mut self, owners: Owners) -> (BTreeSet<CompactString>, BTreeSet<CompactString>) {
         let before = std::mem::replace(&mut self.owners, owners);
         let owners = &self.owners;
--- a/scheduler/src/owners.rs
+++ b/scheduler/src/owners.rs
@@ -1,9 +1,9 @@
-//! Who owns which function: rendezvous hashing over the stalls that are alive. Everybody who knows the same stalls names the same
-//! owner; with one stall gone only its functions move.
+//! Function ownership by rendezvous hashing over the proxies that are alive. All proxies with the same
+//! view agree on the owner, and when a proxy leaves only its functions move.
 //!
-//! A function that is too much for one stall is *split*: each zone with a stall is a *lot* of its own. Its owner is one of that
-//! zone's stalls; what comes in there is asked of it, and the instances that stand there are its own. Where a zone has no stall, its
-//! instances belong to another zone's lot.
+//! A function with more load than one proxy can schedule is *split*: each zone with a proxy becomes a
+//! *partition* with an owner from that zone, which handles the requests that arrive there and owns the
+//! instances located there. Instances in a zone without a proxy belong to the partition of another zone.
 
 use std::collections::BTreeSet;
 
@@ -12,11 +12,11 @@
 use millpost_protocol::{MembershipView, Version, ViewChange, seed};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The stalls that are alive, in the version that control named last.
+/// The proxies of the latest membership view from the controller.
 #[derive(Clone, Debug, Default)]
 pub struct Owners {
     roster: MembershipView,
-    /// Of each stall, in their order.
+    /// Hash seeds of the proxies, in the order of `peers`.
     seeds: Vec<u64>,
     zones: BTreeSet<CompactString>,
 }
@@ -34,37 +34,38 @@
 }
 
 impl Owners {
-    /// These stalls, named under this version, and the functions that have an owner in each zone.
+    /// Creates the ownership of a view with these proxies, in which the functions in `split` have an owner
+    /// in each zone.
     pub fn new(version: Version, peers: Vec<Peer>, split: impl IntoIterator<Item = CompactString>) -> Self {
         MembershipView::new(version, peers, split).into()
     }
 
-    /// The naming that a shift leads to; none where it goes from another than this.
+    /// Applies a change to the view; `None` if it is relative to another version.
     pub fn apply_change(&self, shift: &ViewChange) -> Option<Self> {
         self.roster.shifted(shift).map(Owners::from)
     }
 
-    /// The naming.
+    /// The membership view.
     pub fn view(&self) -> &MembershipView {
         &self.roster
     }
 
-    /// Fence of the steward that named them, and its count.
+    /// Fencing number of the leader that issued the view, and its sequence number.
     pub fn version(&self) -> Version {
         self.roster.version()
     }
 
-    /// The functions that have an owner in each zone.
+    /// Functions with an owner in each zone.
     pub fn split(&self) -> &BTreeSet<CompactString> {
         self.roster.split()
     }
 
-    /// In how many lots a function is kept.
+    /// Number of partitions of a function.
     pub fn partition_count(&self, service: &str) -> usize {
         if self.split().contains(service) { self.zones.len().max(1) } else { 1 }
     }
 
-    /// The zone whose lot has the instances of a zone.
+    /// Zone of the partition that instances in `zone` belong to.
     fn partition_zone<'a>(&'a self, service: &str, zone: &'a str) -> &'a str {
         if self.zones.contains(zone) {
             return zone;
@@ -75,39 +76,40 @@
         nearest.map_or(zone, CompactString::as_str)
     }
 
-    /// The stalls, in the order of their names.
+    /// The proxies, ordered by name.
     pub fn peers(&self) -> &[Peer] {
         self.roster.peers()
     }
 
-    /// The stall of this name, if it is alive.
+    /// Finds a proxy that can own functions.
     pub fn find(&self, name: &str) -> Option<&Peer> {
         self.roster.find(name)
     }
 
-    /// The stall of this name, if it lives: it may leave, and own nothing any more.
+    /// Finds a proxy that is alive, including one that is shutting down and owns nothing any more.
     pub fn find_living(&self, name: &str) -> Option<&Peer> {
         self.roster.find_living(name)
     }
 
-    /// How many.
+    /// Number of proxies.
     pub fn len(&self) -> usize {
         self.peers().len()
     }
 
-    /// Nobody is known.
+    /// Whether there are no proxies.
     pub fn is_empty(&self) -> bool {
         self.peers().is_empty()
     }
 
-    /// The owner of a function in a zone, and the stall that is asked where the owner can't be.
+    /// Owner of a function in a zone, and the proxy that is asked when the owner cannot be reached.
     pub fn owner_and_deputy(&self, service: &str, zone: &str) -> [Option<&Peer>; 2] {
         let first = self.owner(service, zone, |_| true);
         let second = first.and_then(|first| self.owner(service, zone, |p| p.name != first.name));
         [first, second]
     }
 
-    /// The owner of a function in a zone among the stalls that `may` be asked. Of one that is not split it is the same in all zones.
+    /// Owner of a function in a zone among the proxies for which `may` returns true. A function that is
+    /// not split has the same owner in all zones.
     pub fn owner(&self, service: &str, zone: &str, may: impl Fn(&Peer) -> bool) -> Option<&Peer> {
         if self.split().contains(service) {
             let lot = self.partition_zone(service, zone);
@@ -119,8 +121,9 @@
         self.highest_ranked(service, may)
     }
 
-    /// Whether a stall owns a function in a zone; where not, the seed of one that stands before it there, or 0 where it does not stand
-    /// there at all. Who owns it is not looked for: for most the first few others tell.
+    /// Checks whether a proxy owns a function in a zone. The error is the seed of a proxy that ranks above
+    /// it there, or 0 if the proxy is no candidate there. Stops at the first such proxy rather than
+    /// finding the owner.
     pub fn owns(&self, me: &str, service: &str, zone: &str) -> Result<(), u64> {
         let me = self.find(me).ok_or(0_u64)?;
         let lot = self.split().contains(service).then(|| self.partition_zone(service, zone));
@@ -134,7 +137,7 @@
             .map_or(Ok(()), |(seed, _)| Err(*seed))
     }
 
-    /// The zones of a function's lots; one that stands for all where it has one owner.
+    /// Zones of the partitions of a function; only `home` if it has a single owner.
     pub fn partition_zones<'a>(&'a self, service: &str, home: &'a str) -> Vec<&'a str> {
         if self.split().contains(service) {
             self.zones.iter().map(CompactString::as_str).collect()
@@ -148,7 +151,7 @@
         of.max_by_key(|(seed, p)| (hash(service, **seed), &p.name)).map(|(_, p)| p)
     }
 
-    /// What this stall has to work out anew since the naming before.
+    /// What has to be recomputed at proxy `me` relative to the previous view.
     pub fn change_since(&self, before: &Owners, me: &str) -> OwnershipChange {
         if self.find(me).is_some() != before.find(me).is_some() {
             return OwnershipChange { all: true, ..OwnershipChange::default() };
@@ -168,40 +171,40 @@
     }
 }
 
-/// What has to be worked out anew at a stall, where some have come or gone.
+/// What has to be recomputed at a proxy after others have joined or left.
 #[derive(Debug, Default)]
 pub struct OwnershipChange {
     all: bool,
     me: u64,
     joined: Vec<u64>,
-    /// In their order.
+    /// Sorted.
     left: Vec<u64>,
-    /// Functions that are split, or were.
+    /// Functions that are or were split.
     split: BTreeSet<CompactString>,
 }
 
 impl OwnershipChange {
-    /// Everything.
+    /// Recompute everything.
     pub fn all() -> Self {
         OwnershipChange { all: true, ..OwnershipChange::default() }
     }
 
-    /// That it is.
+    /// Whether everything is to be recomputed.
     pub(crate) fn is_full(&self) -> bool {
         self.all
     }
 
-    /// The functions that are split, or were.
+    /// Functions that are or were split.
     pub(crate) fn split(&self) -> impl Iterator<Item = &CompactString> {
         self.split.iter()
     }
 
-    /// Whether the stall with this seed has gone.
+    /// Whether the proxy with this seed has left.
     pub(crate) fn has_left(&self, rival: u64) -> bool {
         self.left.binary_search(&rival).is_ok()
     }
 
-    /// Whether a stall that came stands before this one for a function.
+    /// Whether a proxy that joined ranks above this one for a function.
     pub(crate) fn may_lose(&self, service: &str) -> bool {
         let here = hash(service, self.me);
         self.joined.iter().any(|seed| hash(service, *seed) >= here)
@@ -244,7 +247,7 @@
             let [first, second] = named.owner_and_deputy("hot", zone).map(|p| p.expect("one").clone());
             assert!(first.zone == zone && second.zone == zone && first.name != second.name);
             owners.insert(first.name.clone());
-            // Where none of the zone can be asked, somebody else is.
+            // If no proxy of the zone can be reached, one from another zone is asked.
             let away = named.owner("hot", zone, |p| p.zone != zone).expect("one");
             assert_ne!(away.zone, zone);
         }
--- a/scheduler/src/reason.rs
+++ b/scheduler/src/reason.rs
@@ -1,132 +1,132 @@
-//! Why an owner decided as it did, told beside what it decided: for people, and only while somebody asks for it. Nothing that is decided
-//! hangs on it.
+//! Reasons for scheduling decisions, for operators. Recorded only on request; decisions do not depend on
+//! them.
 
 use compact_str::CompactString;
 
 use crate::Nanos;
 
-/// Why something was decided.
+/// Reason for a decision.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reason {
-    /// An ask.
+    /// A permit request was decided.
     Request {
-        /// Who asked.
+        /// Requesting proxy.
         who: CompactString,
-        /// Its number for it.
+        /// Request id.
         ask: u64,
-        /// What became of it.
+        /// The decision.
         why: RequestDecision,
     },
-    /// How many instances are wanted.
+    /// An instance target was set.
     InstanceTarget {
-        /// The function.
+        /// Name of the function.
         service: CompactString,
-        /// So many.
+        /// Instances needed.
         need: u32,
-        /// So many there are, those that start among them.
+        /// Running and starting instances.
         live: usize,
-        /// Permits that are out, and requests that wait.
+        /// Outstanding permits, and queued requests.
         held: usize,
         #[allow(missing_docs)]
         queued: usize,
-        /// How long one that comes now would wait.
+        /// Expected wait of a new request.
         wait: Nanos,
     },
-    /// An instance is not needed.
+    /// An instance is surplus.
     SurplusInstance {
-        /// It.
+        /// Id of the instance.
         instance: CompactString,
-        /// So many are needed, and so many there are.
+        /// Instances needed, and running or starting.
         need: u32,
         #[allow(missing_docs)]
         live: usize,
     },
     /// An instance was found dead.
     DeadInstance {
-        /// It.
+        /// Id of the instance.
         instance: CompactString,
-        /// Tries failed one after the other; else its stall said that it refuses connections.
+        /// Found by consecutive failed attempts; otherwise a proxy reported a refused connection.
         failing: bool,
     },
 }
 
-/// What became of an ask, and why.
+/// Decision on a permit request, with its reason.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestDecision {
-    /// It got a slot.
+    /// The request got a slot.
     Granted {
-        /// Where.
+        /// Granted instance.
         instance: CompactString,
-        /// Permits that are out there, this one among them, and how many may be.
+        /// Permits outstanding there, including this one, and the maximum.
         out: usize,
         #[allow(missing_docs)]
         most: u32,
-        /// It has failed there before, and no other has a slot.
+        /// The request has failed there before and no other instance has a free slot.
         failed_there: bool,
-        /// It waited.
+        /// The request was queued before.
         waited: bool,
     },
-    /// It has its permit, or its place in the queue, already.
+    /// The request is already granted or queued.
     Duplicate,
-    /// It waits: no slot is free.
+    /// The request is queued, as no slot is free.
     Queued {
-        /// Requests before it.
+        /// Number of requests ahead in the queue.
         ahead: usize,
-        /// How long it is expected to wait.
+        /// Expected wait.
         wait: Nanos,
-        /// Instances that work, and that are about to.
+        /// Instances that are available, and that are starting.
         open: usize,
         #[allow(missing_docs)]
         coming: usize,
-        /// No instance is known, and word of one may be on its way.
+        /// No instance is known, but information about one may be on its way.
         awaiting_instances: bool,
     },
-    /// A further try that was thinned out.
+    /// A retry was suppressed.
     RetrySuppressed {
-        /// The probability with which it goes, and what was drawn: it goes where that is less.
+        /// Retry probability and the number drawn; the retry is allowed if the number is lower.
         chance: f64,
         #[allow(missing_docs)]
         drawn: f64,
-        /// The instance that it would have gone to; none where the mean of all counted.
+        /// Instance it would have used; `None` if the mean over all instances was used.
         instance: Option<CompactString>,
     },
-    /// The budget of further tries is spent.
+    /// The retry budget is used up.
     BudgetSpent {
-        /// Requests and repeats in the window, and how many repeats may be.
+        /// Requests and retries in the window, and the number of retries allowed.
         requests: u64,
         #[allow(missing_docs)]
         repeats: u64,
         #[allow(missing_docs)]
         most: f64,
     },
-    /// No slot would come free before its deadline.
+    /// No slot would become free before the deadline.
     DeadlineUnreachable {
-        /// How long it would wait, and how long it has.
+        /// Expected wait, and time left until the deadline.
         wait: Nanos,
         #[allow(missing_docs)]
         left: Nanos,
     },
-    /// Its answer would come after its aim: one that is fresh is turned away for that.
+    /// The answer would come after the latency target, for which a new request is denied.
     WouldMissTarget {
-        /// How long it would wait, and take then.
+        /// Expected wait, and expected time to answer after it.
         wait: Nanos,
         #[allow(missing_docs)]
         takes: Nanos,
-        /// How long its aim is away.
+        /// Time left until the latency target.
         left: Nanos,
     },
-    /// Too many wait.
+    /// The queue is full.
     QueueFull {
-        /// So many.
+        /// Length of the queue.
         queued: usize,
     },
-    /// Its deadline has come while it waited.
+    /// The deadline passed while the request was queued.
     DeadlinePassed,
     /// The function is not known here.
     UnknownFunction,
 }
 
-/// Reasons in the order of what they are for; nothing where nobody asks.
+/// Recorded reasons, in the order of the decisions; `None` while not recording.
 #[derive(Debug, Default)]
 pub(crate) struct Reasons(Option<Vec<Reason>>);
 
--- a/scheduler/src/recording.rs
+++ b/scheduler/src/recording.rs
@@ -1,7 +1,8 @@
-//! A desk's inputs as lines of JSON, to be played again: each call of [`Coordinator`] that may change it, with its time. Written by
-//! [`RecordedCoordinator`], read by [`Entry::read`].
+//! Recording of the inputs of a coordinator as JSON lines for replay: each call of [`Coordinator`] that
+//! may change it, with its time. Written by [`RecordedCoordinator`], read by [`Entry::read`].
 //!
-//! Times are nanoseconds of the process's life, whole numbers below 2^53. Of what comes from elsewhere nothing is rounded.
+//! Times are nanoseconds since the start of the process, integers below 2^53. External values are not
+//! rounded.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -14,21 +15,21 @@
     Action, Coordinator, FunctionSpec, Nanos, Outcome, Peer, PermitRequest, SchedulerLimits, TraceEvent,
 };
 
-/// What the first line of a desk says that it is of.
+/// Kind of recording named in the first line of a coordinator's recording.
 pub const COORDINATOR_LOG: &str = "desk";
 
-/// A desk whose inputs are told as lines, where somebody wants them. Without a sink it costs nothing.
+/// A coordinator whose inputs are written to a sink, if there is one. Without a sink there is no overhead.
 #[derive(Debug)]
 pub struct RecordedCoordinator {
     coordinator: Coordinator,
     recorder: Option<Recorder>,
-    /// Requests so far.
+    /// Number of requests traced so far.
     requests: u64,
 }
 
 impl std::ops::Deref for RecordedCoordinator {
     type Target = Coordinator;
-    // What changes a desk goes by the methods below.
+    // Gives access to the methods that do not change the coordinator; the others are wrapped below.
     fn deref(&self) -> &Coordinator {
         &self.coordinator
     }
@@ -58,7 +59,7 @@
         }
     }
 
-    /// As [`Coordinator::take_actions`], which is no input.
+    /// As [`Coordinator::take_actions`], which is not an input.
     pub fn take_actions(&mut self) -> VecDeque<Action> {
         let outs = self.coordinator.take_actions();
         if let Some(tape) = &mut self.recorder {
@@ -77,24 +78,24 @@
         self.coordinator.configure(now, specs.into_iter());
     }
 
-    /// Somebody wants the lines.
+    /// Whether the inputs are being recorded.
     pub fn is_recording(&self) -> bool {
         self.recorder.is_some()
     }
 
-    /// A number for the next request's trail; none where nothing is taped.
+    /// Returns the trace number of the next request; `None` if nothing is recorded.
     pub fn next_request_number(&mut self) -> Option<u64> {
         self.recorder.as_ref()?;
         self.requests += 1;
         Some(self.requests)
     }
 
-    /// A step of a request's, which is no input of the desk.
+    /// Records a trace event, which is not an input of the coordinator.
     pub fn trace(&mut self, now: Nanos, trail: &TraceEvent) {
         self.record(trail.name(), now, |line| trail.write(line));
     }
 
-    /// As [`Coordinator::request_permit`]; `of`: the request's number, where there is one.
+    /// As [`Coordinator::request_permit`]; `of` is the trace number of the request, if any.
     pub fn request_permit(
         &mut self,
         now: Nanos,
@@ -182,45 +183,45 @@
     }
 }
 
-/// One input of a desk.
+/// One input of a coordinator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// A life begins.
+    /// Start of an incarnation.
     New {
-        /// The stall itself.
+        /// The proxy itself.
         me: Peer,
-        /// The bounds of further tries.
+        /// Limits of its scheduler.
         terms: SchedulerLimits,
-        /// What its chance is drawn from.
+        /// Seed of its random choices.
         seed: u64,
-        /// The number before the first ask's.
+        /// Number before the first request id.
         first: u64,
     },
     /// [`Coordinator::configure`].
     Configure(Vec<FunctionSpec>),
     /// [`Coordinator::request_permit`].
     RequestPermit {
-        /// What is asked.
+        /// The permit request.
         ask: PermitRequest,
-        /// The request's first one.
+        /// Whether it is the first one for its client request.
         first: bool,
-        /// The number that it was given; none where too many were open.
+        /// Id that it was given; `None` if too many were open.
         id: Option<u64>,
-        /// The request that it is for, by its number in the life's trails.
+        /// Trace number of the client request.
         of: Option<u64>,
     },
     /// [`Coordinator::cancel`].
     Cancel {
-        /// The ask's number.
+        /// Request id.
         id: u64,
     },
     /// [`Coordinator::finish`].
     Finish {
-        /// The ask's number.
+        /// Request id.
         id: u64,
-        /// How the try ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// How long it took.
+        /// Duration of the attempt.
         took: Nanos,
     },
     /// [`Coordinator::instance_up`].
@@ -229,38 +230,38 @@
     ConnectionRefused(CompactString),
     /// [`Coordinator::receive`].
     PeerMessages {
-        /// Who sent it.
+        /// Sending proxy.
         from: CompactString,
-        /// In which life.
+        /// Incarnation of the sender.
         incarnation: u64,
-        /// What it says.
+        /// Its messages.
         messages: Vec<PeerMessage>,
     },
     /// [`Coordinator::receive_from_controller`].
     ControllerMessage(PeerMessage),
     /// [`Coordinator::undelivered`].
     Undelivered {
-        /// The address that it went to.
+        /// Address they were sent to.
         address: CompactString,
-        /// What it said.
+        /// The undelivered messages.
         messages: Vec<PeerMessage>,
     },
     /// [`Coordinator::controller_unreachable`].
     ControllerUnreachable,
     /// [`Coordinator::tick`].
     Tick,
-    /// A step of a request's, of which the desk hears nothing.
+    /// A trace event, which is not passed to the coordinator.
     TraceEvent(TraceEvent),
 }
 
-/// A line of a recording.
+/// One line of a recording.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Its number in the life; lines made by hand may have none.
+    /// Sequence number within the incarnation; lines written by hand may have none.
     pub number: Option<u64>,
-    /// When it came, in the process's life.
+    /// Time of the input, since the start of the process.
     pub at: Nanos,
-    /// What came.
+    /// The input.
     pub input: Input,
 }
 
@@ -324,7 +325,7 @@
             retry_ratio: millpost_protocol::number(from, "ratio")?,
             retry_window: whole(from, "window")?,
             retry_slack: millpost_protocol::number(from, "slack")?,
-            // Recordings from before it was a bound have none.
+            // Older recordings, from before this limit existed, lack the key.
             requests_per_s: if from.contains_key("asks") {
                 millpost_protocol::number(from, "asks")?
             } else {
@@ -354,7 +355,7 @@
 }
 
 impl Entry {
-    /// As a line, without its end.
+    /// Formats the entry as a line, without a line break.
     pub fn write(&self) -> String {
         let mut line = line::begin(self.input.name(), self.number, self.at);
         match &self.input {
@@ -390,12 +391,12 @@
         line.end()
     }
 
-    /// Reads a line.
+    /// Parses a line.
     pub fn read(text: &str) -> Result<Entry, Fault> {
         Entry::from_json(&line::read(text)?)
     }
 
-    /// Reads a line that was read as JSON.
+    /// Reads an entry from a parsed JSON object.
     pub fn from_json(from: &HashMap<String, JsonValue>) -> Result<Entry, Fault> {
         let id = |key| line::large(from, key);
         let input = match string(from, "in")?.as_str() {
@@ -430,7 +431,7 @@
 }
 
 impl Input {
-    /// The word for it in a line.
+    /// Name of the input in a line.
     pub fn name(&self) -> &'static str {
         match self {
             Input::New { .. } => "new",
@@ -449,7 +450,7 @@
         }
     }
 
-    /// Gives it to a desk. The number that an ask was given.
+    /// Applies the input to a coordinator. Returns the id given to a permit request.
     pub fn apply(self, now: Nanos, desk: &mut Coordinator) -> Option<u64> {
         match self {
             Input::New { me, terms, seed, first } => *desk = Coordinator::new(me, terms, seed, first),
--- a/scheduler/src/request_flow.rs
+++ b/scheduler/src/request_flow.rs
@@ -1,7 +1,8 @@
-//! The tries of one request, from when it was read to what its client is told: when a permit is asked for, what an outcome means, and
-//! when nothing more can be done. Who drives it asks, sends, waits and tells.
+//! Flow of one client request from its arrival to the response: when to request permits, what attempt
+//! outcomes mean, and when to give up. The caller requests permits, sends attempts, waits and responds.
 //!
-//! Invariant: it tells once; a status that promises that the request has not run stands only where no try may have reached an endpoint.
+//! Invariant: the client gets exactly one response. A status that promises that the request has not run is
+//! used only if no attempt can have reached an endpoint.
 
 use std::collections::HashMap;
 
@@ -11,53 +12,56 @@
 use crate::retry_schedule::{Outcome, RetryDecision, RetrySchedule};
 use crate::{MS, Nanos, PermitRequest, SECOND};
 
-/// One that gives less of its time than others on its route has been here before, or was made by a running request.
+/// A request whose remaining time is below this fraction of the longest seen on its route is taken to be a
+/// client's retry or made by a running request.
 const RETURNING_FRACTION: f64 = 0.97;
-/// When to come back where nothing is known of how long it takes.
+/// Suggested retry delay when no better estimate exists.
 const DEFAULT_RETRY_AFTER: Nanos = 200 * MS;
-/// A machine that starts knows nothing for about so long; a client has few tries to spend meanwhile.
+/// Suggested retry delay on a proxy that has not yet received its state, about the time that takes at
+/// startup; a client has few retries to use meanwhile.
 const STARTUP_RETRY_AFTER: Nanos = SECOND;
-/// Where its route leads now may not be known yet, here or to the owner there: it is looked for again after this.
+/// Interval for resolving a route again, while the new configuration may not have reached this proxy or
+/// the owner.
 const RESOLVE_INTERVAL: Nanos = 50 * MS;
 
-/// What is known of a request when it was read.
+/// What is known of a request on arrival.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestInfo {
-    /// The function that it is for.
+    /// Name of the function.
     pub service: CompactString,
-    /// The zone in which it came in.
+    /// Zone in which the request arrived.
     pub zone: CompactString,
-    /// The time in which its answer earns its full worth.
+    /// Duration within which an answer has its full value.
     pub target: Nanos,
-    /// It may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Endpoints that it may be sent to.
+    /// Maximum number of endpoints the request may be sent to.
     pub max_attempts: u32,
-    /// When it came.
+    /// Time of arrival.
     pub received_at: Nanos,
-    /// Until when its client waits.
+    /// Time after which the client no longer waits.
     pub deadline: Nanos,
-    /// It has been here before, or was made by a running request.
+    /// The client has retried this request, or a running request made it.
     pub returned: bool,
 }
 
-/// Why a client gets no endpoint's answer.
+/// Why the client gets no endpoint's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// Nothing is known here yet of configuration, stalls or the function.
+    /// The configuration, the proxies or the function are not known here yet.
     NotReady,
-    /// No slot in time; one may be free after this.
+    /// No slot becomes free in time; one may be free after this duration.
     Full(Nanos),
-    /// Its time ended before it was sent anywhere.
+    /// The time ran out before the request was sent anywhere.
     NotSent,
-    /// It was sent, and there is no answer that counts.
+    /// The request was sent, but there is no valid answer.
     NoAnswer,
-    /// It was sent, and its time has ended.
+    /// The request was sent and its time ran out.
     TimedOut,
 }
 
 impl Refusal {
-    /// The status, and when to come back.
+    /// HTTP status and suggested retry delay.
     pub fn answer(self) -> (u16, Option<Nanos>) {
         match self {
             Refusal::NotReady => (503, Some(STARTUP_RETRY_AFTER)),
@@ -69,27 +73,29 @@
     }
 }
 
-/// What is next.
+/// The next step for the caller.
 #[derive(Debug, PartialEq)]
 pub enum FlowStep<A> {
-    /// A permit is to be asked for, for the first time or again. [`RequestFlow::too_many_open`], [`RequestFlow::denied`], [`RequestFlow::deadline_passed`], or
-    /// [`RequestFlow::granted`] and [`RequestFlow::attempt_ended`] follow.
+    /// Request a permit; the flag is true the first time. Continue with [`RequestFlow::too_many_open`],
+    /// [`RequestFlow::denied`], [`RequestFlow::deadline_passed`], or [`RequestFlow::granted`] and
+    /// [`RequestFlow::attempt_ended`].
     RequestPermit(PermitRequest, bool),
-    /// Nothing before this time; then [`RequestFlow::request_permit`].
+    /// Wait until this time, then call [`RequestFlow::request_permit`].
     Wait(Nanos),
-    /// What it was for is gone: where its route leads now is looked for. [`RequestFlow::route_resolved`] follows at once.
+    /// The function no longer exists: resolve the route again and call [`RequestFlow::route_resolved`] at
+    /// once.
     ResolveRoute,
-    /// The client is told this, and it is over.
+    /// Send this response to the client; the flow ends.
     Respond(Result<A, Refusal>),
 }
 
-/// One request; `A` is an endpoint's answer.
+/// Flow of one request; `A` is an endpoint's answer.
 #[derive(Debug)]
 pub struct RequestFlow<A> {
     wish: RequestInfo,
     schedule: RetrySchedule,
     first: bool,
-    /// It goes elsewhere than it was read for.
+    /// The route now leads to another function than on arrival.
     route_moved: bool,
     may_have_run: bool,
     failed_answer: Option<A>,
@@ -97,7 +103,7 @@
 }
 
 impl<A> RequestFlow<A> {
-    /// Of a request that was read.
+    /// Creates the flow of a request that has arrived.
     pub fn new(wish: RequestInfo) -> Self {
         let tries = RetrySchedule::new(wish.target, wish.repeatable, wish.max_attempts, wish.deadline);
         let (first, moved, may_have_run) = (true, false, false);
@@ -112,16 +118,17 @@
         }
     }
 
-    /// Its first step. `informed`: control has named the stalls.
+    /// First step. `informed`: a membership view has arrived from the controller.
     pub fn begin(&mut self, informed: bool) -> FlowStep<A> {
-        // One that has been here before has few tries left: it waits until there is somebody to ask.
+        // A client that retries has few attempts left, so its request waits until there is an owner to
+        // ask.
         if !self.wish.returned && !informed {
             return FlowStep::Respond(Err(Refusal::NotReady));
         }
         self.request_permit()
     }
 
-    /// A permit is asked for.
+    /// Requests a permit.
     pub fn request_permit(&mut self) -> FlowStep<A> {
         let wish = &self.wish;
         let ask = PermitRequest {
@@ -138,7 +145,7 @@
         FlowStep::RequestPermit(ask, std::mem::take(&mut self.first))
     }
 
-    /// Too many asks are open.
+    /// Handles the limit on open permit requests.
     pub fn too_many_open(&mut self) -> FlowStep<A> {
         FlowStep::Respond(Err(if self.may_have_run {
             Refusal::NoAnswer
@@ -147,17 +154,17 @@
         }))
     }
 
-    /// The process ends: nothing more is sent anywhere, and its client is told at once.
+    /// Handles the shutdown of the process: nothing more is sent, and the client gets a response at once.
     pub fn shutdown(&mut self) -> FlowStep<A> {
         self.finish(false)
     }
 
-    /// Its time ended before word came.
+    /// Handles the end of the request's time.
     pub fn deadline_passed(&mut self) -> FlowStep<A> {
         self.finish(true)
     }
 
-    /// The ask was turned down.
+    /// Handles the denial of a permit.
     pub fn denied(&mut self, now: Nanos, no: DenialReason) -> FlowStep<A> {
         match no {
             DenialReason::Skip => {
@@ -172,18 +179,20 @@
         }
     }
 
-    /// Until when this try, which goes out now, is waited for, if its endpoint may take so long; none where nothing could follow.
+    /// Time until which an attempt that starts now is waited for, if its timeout is `within`; `None` if no
+    /// other attempt could follow.
     pub fn attempt_deadline(&self, now: Nanos, within: Option<Nanos>) -> Option<Nanos> {
         let until = now + within.filter(|_| self.schedule.may_run_again())?;
-        // Whoever goes elsewhere needs as long there.
+        // Another attempt needs as much time again.
         (until + (until - now) / 2 < self.wish.deadline).then_some(until)
     }
 
-    /// Its route leads there now. It keeps the time that it came and its deadline, and counts as one that was here before: it has waited.
+    /// Continues with the function that the route leads to now. Arrival time and deadline are kept, and
+    /// the request counts as returning, since it has already waited.
     pub fn route_resolved(&mut self, now: Nanos, to: Option<CompactString>) -> FlowStep<A> {
         match to {
             None => FlowStep::Respond(Err(Refusal::NotReady)),
-            // Its owner has heard of the change, and this stall has not.
+            // The owner has already received the change of configuration and this proxy has not.
             Some(to) if to == self.wish.service => self.resolve_again(now),
             Some(to) => {
                 (self.wish.service, self.wish.returned) = (to, true);
@@ -202,12 +211,12 @@
         }
     }
 
-    /// A permit came, and it goes out now.
+    /// Records that a permit was granted and the attempt starts.
     pub fn granted(&mut self, now: Nanos) {
         self.schedule.sending(now);
     }
 
-    /// The exchange with this instance is over. `sent`: something may have reached it.
+    /// Handles the end of an attempt. `sent`: something may have reached the instance.
     pub fn attempt_ended(
         &mut self,
         now: Nanos,
@@ -232,7 +241,7 @@
         self.next_step(now, next)
     }
 
-    /// The wish that it is of.
+    /// What is known of the request.
     pub fn info(&self) -> &RequestInfo {
         &self.wish
     }
@@ -244,7 +253,7 @@
         }
     }
 
-    /// Nothing more can be done.
+    /// Ends the flow when nothing more can be done.
     fn finish(&mut self, late: bool) -> FlowStep<A> {
         FlowStep::Respond(match (self.failed_answer.take(), self.may_have_run) {
             (Some(answer), _) => Ok(answer),
@@ -255,19 +264,19 @@
     }
 }
 
-/// The longest time that clients were seen to give, by route, in milliseconds.
+/// Longest client timeout seen per route, in milliseconds.
 #[derive(Debug, Default)]
 pub struct ClientTimeouts(HashMap<CompactString, f64>);
 
 impl ClientTimeouts {
-    /// Whether a request that gives so much has been here before, or was made by a running request.
+    /// Whether a request with this remaining time is a client's retry or was made by a running request.
     pub fn is_returning(&mut self, route: &CompactString, given: f64) -> bool {
         let longest = self.0.entry(route.clone()).or_insert(given);
         *longest = longest.max(given);
         given < *longest * RETURNING_FRACTION
     }
 
-    /// Forgets the routes that are no more.
+    /// Drops routes that no longer exist.
     pub fn retain(&mut self, is_there: impl Fn(&CompactString) -> bool) {
         self.0.retain(|route, _| is_there(route));
     }
@@ -298,7 +307,7 @@
         passage.attempt_ended(30 * MS, "i".into(), outcome, !matches!(outcome, Outcome::Unreachable), answer)
     }
 
-    /// What a client is told after a try with this outcome, and a no to whatever is asked after it.
+    /// Response to the client after an attempt with this outcome, if the next permit request is denied.
     #[yare::parameterized(
         unreachable = { true, Outcome::Unreachable, None, DenialReason::Full(MS), Err(Refusal::Full(MS)) },
         full = { false, Outcome::Full, None, DenialReason::Unknown, Err(Refusal::NotReady) },
@@ -343,7 +352,7 @@
         assert_eq!(step, FlowStep::Respond(Err(Refusal::TimedOut)));
     }
 
-    /// What waits when the process ends has not run, or may have, and its client is told which.
+    /// On shutdown, clients of waiting requests learn whether their request may have run.
     #[test]
     fn when_the_process_ends_each_is_told_what_became_of_it() {
         let mut waits = passage(true);
--- a/scheduler/src/retry_schedule.rs
+++ b/scheduler/src/retry_schedule.rs
@@ -1,44 +1,46 @@
-//! The tries of one request, at the proxy that took it from its client: the doubling schedule from T1, and what an outcome allows.
+//! Attempts of one request at the proxy that received it: exponential retry times starting from T1, and
+//! which outcomes allow a retry.
 //!
-//! A request that may run only once goes again only after an outcome that proves that it has not run.
+//! A request that is not repeatable is retried only after an outcome that proves that it has not run.
 
 use millpost::doubled_time;
 
 use crate::{MS, Nanos};
 
-/// How a try ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// An answer that counts, whole.
+    /// A complete, valid answer.
     Answered,
-    /// The endpoint's own failure, whole; the request has run.
+    /// A complete error answer from the endpoint; the request has run.
     Failed,
-    /// Turned away by the endpoint; it has not run.
+    /// Rejected by the endpoint; the request has not run.
     Full,
-    /// Another endpoint has the address; it has not run.
+    /// Another endpoint now has the address; the request has not run.
     AddressReused,
-    /// No connection, or it broke before the last byte was written: it has not run.
+    /// The connection failed before the last byte was written; the request has not run.
     Unreachable,
-    /// The connection broke, or what came is no answer: it may have run.
+    /// The connection broke or the answer was invalid; the request may have run.
     NoAnswer,
-    /// Nothing came within a wide margin over what it usually takes, and there is time to go elsewhere: it may be running still.
+    /// No answer within a wide margin over the usual response time while there is time for another
+    /// attempt; the request may still be running.
     TimedOut,
-    /// The client gave up, or the deadline came.
+    /// The client left or the deadline passed.
     Abandoned,
     /// The permit was not used.
     Unused,
 }
 
 impl Outcome {
-    /// It proves that the request has not run.
+    /// Whether the outcome proves that the request has not run.
     pub fn proves_not_run(self) -> bool {
         matches!(self, Outcome::Full | Outcome::AddressReused | Outcome::Unreachable | Outcome::Unused)
     }
-    /// Its request may be running still, where the endpoint does not drop what nobody waits for.
+    /// Whether the request may still be running, at an endpoint that does not stop abandoned requests.
     pub fn may_still_run(self) -> bool {
         matches!(self, Outcome::TimedOut | Outcome::Abandoned)
     }
-    /// The word for it between processes.
+    /// Name used in messages between processes.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Answered => "ok",
@@ -52,7 +54,7 @@
             Outcome::Unused => "unused",
         }
     }
-    /// Reads that word.
+    /// Parses the name returned by [`Outcome::as_str`].
     pub fn parse(word: &str) -> Option<Self> {
         use Outcome::*;
         [Answered, Failed, Full, AddressReused, Unreachable, NoAnswer, TimedOut, Abandoned, Unused]
@@ -61,36 +63,36 @@
     }
 }
 
-/// What comes after an outcome.
+/// What follows an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Ask for another permit then.
+    /// Request another permit at this time.
     RetryAt(Nanos),
-    /// The client is answered at once.
+    /// Answer the client now.
     GiveUp,
 }
 
-/// T1 for a route: a quarter of the time in which an answer earns its full worth.
+/// T1 of a route: a quarter of its latency target, clamped to 20 to 500 ms.
 pub fn first_retry_delay(target: Nanos) -> Nanos {
     (target / 4).clamp(20 * MS, 500 * MS)
 }
 
-/// The tries of one request.
+/// Retry schedule of one request.
 #[derive(Clone, Debug)]
 pub struct RetrySchedule {
     first_delay: Nanos,
-    /// It may run more than once.
+    /// Whether the request may run more than once.
     repeatable: bool,
     max_attempts: u32,
     deadline: Nanos,
     first_sent_at: Option<Nanos>,
     step: u32,
-    /// Endpoints that something of it was sent to.
+    /// Number of endpoints to which at least part of the request was sent.
     pub sent: u32,
 }
 
 impl RetrySchedule {
-    /// For a request that may be sent to `most` endpoints until `deadline`.
+    /// Creates the schedule of a request that may be sent to `most` endpoints until `deadline`.
     pub fn new(target: Nanos, repeatable: bool, most: u32, deadline: Nanos) -> Self {
         RetrySchedule {
             first_delay: first_retry_delay(target),
@@ -103,23 +105,23 @@
         }
     }
 
-    /// Something of it goes out.
+    /// Records the start of an attempt.
     pub fn sending(&mut self, now: Nanos) {
         self.first_sent_at.get_or_insert(now);
         self.sent += 1;
     }
 
-    /// What was counted as sent never left.
+    /// Takes back an attempt that was counted but never sent.
     pub fn unsent(&mut self) {
         self.sent = self.sent.saturating_sub(1);
     }
 
-    /// After a try that may have run another may follow, where there is time.
+    /// Whether another attempt is allowed after one that may have run, time permitting.
     pub fn may_run_again(&self) -> bool {
         self.repeatable && self.sent < self.max_attempts
     }
 
-    /// The first doubled time that is not before `now`, if it leaves any time.
+    /// The first retry time not before `now`, if it is before the deadline.
     fn next(&mut self, now: Nanos) -> RetryDecision {
         let first = *self.first_sent_at.get_or_insert(now);
         while doubled_time(first, self.first_delay, self.step) < now && self.step < 40 {
@@ -129,7 +131,8 @@
         if due >= self.deadline { RetryDecision::GiveUp } else { RetryDecision::RetryAt(due) }
     }
 
-    /// A try has ended so. A try that never left its machine is no retry: the next one goes at once.
+    /// Decides what follows an attempt. An attempt that was never sent does not count as one: the next
+    /// follows at once.
     pub fn ended(&mut self, now: Nanos, outcome: Outcome) -> RetryDecision {
         let may = match outcome {
             Outcome::Answered | Outcome::Abandoned => false,
@@ -143,7 +146,7 @@
         self.next(now)
     }
 
-    /// The retry was thinned out: it waits for the next doubled time.
+    /// Waits for the next retry time after the retry was suppressed.
     pub fn skipped(&mut self, now: Nanos) -> RetryDecision {
         self.step += 1;
         self.next(now)
@@ -168,7 +171,7 @@
         assert_eq!(t.ended(12 * MS, Outcome::NoAnswer), RetryDecision::RetryAt(10 * MS + T1));
         assert_eq!(t.skipped(60 * MS), RetryDecision::RetryAt(10 * MS + 3 * T1));
         assert_eq!(t.skipped(160 * MS), RetryDecision::RetryAt(10 * MS + 7 * T1));
-        // Later than its time: the next doubled one after the outcome.
+        // After its first retry time has passed, the next one after the outcome applies.
         let mut late = tries(true);
         assert_eq!(late.ended(300 * MS, Outcome::NoAnswer), RetryDecision::RetryAt(10 * MS + 7 * T1));
     }
--- a/scheduler/src/service.rs
+++ b/scheduler/src/service.rs
@@ -1,7 +1,7 @@
-//! One function as its owner keeps it: its instances in a row, what waits, and sums over the instances that are kept up to date
-//! rather than counted for each request.
+//! Scheduling state of one function at its owner: instances, queue, and totals over the instances that are
+//! maintained incrementally.
 //!
-//! Invariant: `stock` says what `places` holds, and the instances stand in the order of their ids.
+//! Invariant: `totals` matches `instances`, and the instances are sorted by id.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,34 +13,36 @@
 use crate::instance::{InstanceState, Stage};
 use crate::{FunctionSpec, MS, Nanos, PermitRequest, SECOND};
 
-/// An owner of before that lives, and has not said what it has out by the time that it was given, is counted with for so long.
+/// How much longer a live previous owner that missed its transfer timeout is assumed to have permits
+/// outstanding.
 const UNCERTAIN_TIME: Nanos = 4_500 * MS;
 
-/// A request in the queue.
+/// A queued request.
 #[derive(Debug)]
 pub(crate) struct Waiting {
     pub from: CompactString,
     pub request: PermitRequest,
-    /// It waits for word of any instance, until then; after that it is judged as others are.
+    /// Until this time the request waits for information about instances; then the usual admission checks
+    /// apply.
     pub awaiting_instances_until: Option<Nanos>,
 }
 
-/// What is kept of a function that the configuration names.
+/// State of a function that the configuration names.
 #[derive(Debug)]
 pub(crate) struct ConfiguredFunction {
     pub spec: FunctionSpec,
-    /// By deadline: what was made by a running request comes before the younger ones that it waits among.
+    /// Ordered by deadline, so that requests made by running requests come before younger ones.
     pub queue: BTreeMap<(Nanos, u64), Waiting>,
     pub budget: Budget,
     pub demand: Demand,
     pub target: Nanos,
-    /// Requests by zone, forgetting; in the order of the zones.
+    /// Exponentially decaying request count per zone, sorted by zone.
     zones_by_demand: Vec<(CompactString, f64)>,
-    /// What was last said to be wanted, and when.
+    /// Time and value of the last reported instance target.
     pub last_reported: Option<(Nanos, u32)>,
-    /// What it took of its owner's strength when that was said.
+    /// Fraction of its owner's capacity that the function used at that report.
     pub reported_load: f64,
-    /// What control keeps under it.
+    /// Minimum instance count set by the controller.
     pub min_instances: Option<MinInstances>,
 }
 
@@ -59,7 +61,7 @@
         }
     }
 
-    /// A request has come for the first time, in this zone.
+    /// Records the first attempt of a request that arrived in this zone.
     pub fn record_arrival(&mut self, now: Nanos, zone: &CompactString) {
         self.budget.record_request(now);
         self.demand.record_arrival(now);
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Where its requests come in, most first.
+    /// Zones in which requests arrive, the busiest first.
     pub fn zones_by_demand(&self) -> Vec<CompactString> {
         let mut zones: Vec<_> = self.zones_by_demand.iter().collect();
         zones.sort_by(|a, b| b.1.total_cmp(&a.1));
@@ -80,43 +82,46 @@
     }
 }
 
-/// Sums over the instances of a function.
+/// Totals over the instances of a function.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct InstanceTotals {
-    /// Requests may go there.
+    /// Instances that can receive requests.
     pub available: usize,
-    /// They are about to.
+    /// Instances that are starting.
     pub starting: usize,
-    /// When the first of those was heard of.
+    /// When the first of the starting instances was first seen.
     first_starting: Nanos,
-    /// To be let go once nothing is out.
+    /// Instances to be retired once they have no outstanding permits.
     pub draining: usize,
-    /// Let go or lost, and still named by control.
+    /// Retired or lost instances that the controller still lists.
     pub retired: usize,
-    /// Permits that are out.
+    /// Outstanding permits.
     pub permits: usize,
 }
 
-/// A function: what the configuration says of it, if it names it, and the instances that control has told of.
+/// A function: its configured state, if the configuration names it, and the instances listed by the
+/// controller.
 #[derive(Debug, Default)]
 pub(crate) struct FunctionState {
     pub name: CompactString,
     pub function: Option<ConfiguredFunction>,
     instances: Vec<InstanceState>,
     totals: InstanceTotals,
-    /// It is owned here, all of it or the lot of this stall's zone.
+    /// This proxy owns the function or, if it is split, the partition of its zone.
     pub owned: bool,
-    /// Each zone has an owner of its own.
+    /// Each zone has its own owner.
     pub split: bool,
-    /// Its owner has changed, and until then not all may have heard of that.
+    /// Until this time, others may not yet have learnt of a change of owners.
     pub settling_until: Nanos,
-    /// Owners of before, whose word on what they have out is waited for until then, and longer with care.
+    /// Previous owners whose outstanding permits have not been transferred yet. They are awaited until
+    /// `settling_until`, and after that for `UNCERTAIN_TIME` with restrictions.
     pub awaited_owners: BTreeSet<CompactString>,
-    /// Instances that somebody else may have given out are tried again from then on, should one have been full.
+    /// After an uncertain instance rejected a request as full, uncertain instances are probed again from
+    /// this time.
     probe_after: Nanos,
-    /// Of those, how many were full one after the other.
+    /// Consecutive probes rejected as full.
     rejected_probes: u32,
-    /// It is looked at with each tick.
+    /// Whether the function is processed on each tick.
     pub active: bool,
 }
 
@@ -125,7 +130,7 @@
         FunctionState { name, ..FunctionState::default() }
     }
 
-    /// Nothing is known of it any more.
+    /// Whether nothing is known of the function any more.
     pub fn is_empty(&self) -> bool {
         self.function.is_none() && self.instances.is_empty()
     }
@@ -134,7 +139,7 @@
         self.totals
     }
 
-    /// Those that it has, and is about to have.
+    /// Number of running and starting instances.
     pub fn live_instances(&self) -> usize {
         self.totals.available + self.totals.starting
     }
@@ -151,12 +156,13 @@
         self.instances.get(self.position(id).ok()?)
     }
 
-    /// It counts here: an owner goes by its own instances, who stands in for one by all that it knows.
+    /// Whether an instance counts here: an owner uses only its own, a proxy that acts in place of the
+    /// owner uses all that it knows.
     fn is_counted(&self, place: &InstanceState) -> bool {
         place.owned || !self.owned
     }
 
-    /// Changes the instances, and counts anew.
+    /// Changes the instances and recomputes the totals.
     pub fn update_all<T>(&mut self, what: impl FnOnce(&mut Vec<InstanceState>) -> T) -> T {
         let given = what(&mut self.instances);
         let mut stock = InstanceTotals { first_starting: Nanos::MAX, ..InstanceTotals::default() };
@@ -178,31 +184,31 @@
         given
     }
 
-    /// Changes one instance, if it is there, and counts anew.
+    /// Changes one instance, if it exists, and recomputes the totals.
     pub fn update_instance<T>(&mut self, id: &str, what: impl FnOnce(&mut InstanceState) -> T) -> Option<T> {
         let at = self.position(id).ok()?;
         self.update_all(|places| places.get_mut(at).map(what))
     }
 
-    /// Changes what hangs on no count.
+    /// Changes fields that do not affect the totals.
     pub fn update_ranks(&mut self, what: impl Fn(usize, &mut InstanceState)) {
         self.instances.iter_mut().enumerate().for_each(|(at, place)| what(at, place));
     }
 
-    /// A new instance.
+    /// Adds an instance.
     pub fn add(&mut self, place: InstanceState) {
         if let Err(at) = self.position(&place.info.id) {
             self.update_all(|places| places.insert(at, place));
         }
     }
 
-    /// An instance that is no more.
+    /// Removes an instance.
     pub fn remove(&mut self, id: &str) -> Option<InstanceState> {
         let at = self.position(id).ok()?;
         Some(self.update_all(|places| places.remove(at)))
     }
 
-    /// A permit goes out.
+    /// Adds a permit to an instance.
     pub fn add_permit(&mut self, id: &str, key: (CompactString, u64)) -> Option<&mut InstanceState> {
         let at = self.position(id).ok()?;
         let place = self.instances.get_mut(at)?;
@@ -212,7 +218,7 @@
         Some(place)
     }
 
-    /// A permit is no longer out.
+    /// Removes a permit from an instance.
     pub fn remove_permit(&mut self, id: &str, from: &str, ask: u64) -> Option<&mut InstanceState> {
         let at = self.position(id).ok()?;
         let place = self.instances.get_mut(at)?;
@@ -223,24 +229,28 @@
         Some(place)
     }
 
-    /// How many slots are held from now on, for the averages.
+    /// Updates the demand averages with the current number of permits.
     pub fn record_permits(&mut self, now: Nanos) {
         if let Some(function) = &mut self.function {
             function.demand.set_held(now, self.totals.permits);
         }
     }
 
-    /// The instance that gets the next request: one that surely ends no later than others, not nearly full, near by, with fewest calls out, then in turns.
+    /// Selects the instance for a request: one that has not failed it, not significantly slower than
+    /// others, not nearly full, in the same zone, recently used by the caller, with the fewest permits,
+    /// then the least recently granted.
     pub fn select_instance(&self, now: Nanos, from: &str, ask: &PermitRequest) -> Option<&CompactString> {
         let all = self.function.as_ref()?.spec.concurrency.max(1) as usize;
         if self.totals.available == 0 {
             return None;
         }
-        // A new owner gives nothing of what it found before the one of before, if it lives, has said what it has out; where that one
-        // is dead, a part. So does who is asked in the owner's place, and does not know what the owner has out; who was the owner
-        // until a moment ago gives nothing.
+        // A new owner grants nothing on inherited instances until a live previous owner has transferred
+        // its permits, and only part of the slots if the previous owner is dead. A proxy acting in place
+        // of the owner does not know the owner's permits, so it grants only probes, and none while
+        // ownership settles.
         let settles = now < self.settling_until;
-        // An owner that is only slow may have all of them out: one slot of a few, until one has been served there.
+        // A slow owner may have filled all uncertain instances: grant one slot on a few of them until one
+        // has answered.
         let mut tries = if now < self.probe_after { 0 } else { self.probe_limit() };
         if tries > 0 {
             let tried = self
@@ -268,7 +278,7 @@
             let avoided = ask.avoid.contains(&p.info.id);
             let most = most(p);
             let nearly_full = most > 1 && p.permits.len() + 1 >= most;
-            // An asker that comes back to an instance has a connection there.
+            // A caller that returns to an instance has a connection there.
             (
                 avoided,
                 p.latency_rank,
@@ -282,7 +292,8 @@
         best.map(|p| &p.info.id)
     }
 
-    /// Somebody else may have given its slots out: this stall stands in for the owner, or has not heard from the one of before.
+    /// Whether another proxy may have granted its slots: this proxy acts in place of the owner, or a
+    /// previous owner has not transferred its permits.
     pub fn is_uncertain(&self, now: Nanos, place: &InstanceState) -> bool {
         !self.owned
             || place.inherited
@@ -290,13 +301,13 @@
                 && now < self.settling_until + UNCERTAIN_TIME
     }
 
-    /// How many instances that are not proven are tried at once: who stands in does so for moments, and each zone's owner after a split
-    /// may wait for the same word.
+    /// Number of unverified instances probed at once. Lower for an owner, as acting in place of one is
+    /// short, while after a split the owners of several zones may await the same transfer.
     fn probe_limit(&self) -> usize {
         if self.owned || self.rejected_probes > 0 { 1 } else { 4 }
     }
 
-    /// One that somebody else may have given out was tried.
+    /// Records the outcome of a probe on an uncertain instance.
     pub fn probe_ended(&mut self, now: Nanos, was_full: bool) {
         if was_full {
             let pause = if self.owned { SECOND } else { 300 * MS };
@@ -307,12 +318,13 @@
         }
     }
 
-    /// Its owner is another one: what was tried says nothing any more.
+    /// Discards the probe results after a change of owners.
     pub fn reset_probes(&mut self) {
         (self.probe_after, self.rejected_probes) = (0, 0);
     }
 
-    /// This owner of before has told of all it had out, or is gone: those who have it out tell of it now.
+    /// Stops awaiting a previous owner that has transferred its permits or is gone; in the latter case the
+    /// holders report them.
     pub fn stop_awaiting(&mut self, now: Nanos, from: &str, gone: bool) {
         if self.awaited_owners.remove(from) && self.awaited_owners.is_empty() {
             self.settling_until = if gone { now + SETTLING_TIME } else { self.settling_until.min(now) };
@@ -323,7 +335,7 @@
         }
     }
 
-    /// The probability of a further try, over all that are open.
+    /// Mean retry probability over the available instances.
     pub fn mean_chance(&self, t1: Nanos) -> f64 {
         if self.totals.available == 0 {
             return 1.0;
@@ -332,7 +344,8 @@
         open.map(|p| p.retry_probability(t1)).sum::<f64>() / self.totals.available as f64
     }
 
-    /// How long a request that comes now waits for a slot, by what is out, what waits and what boots.
+    /// Expected wait of a new request for a slot, from outstanding permits, queue length and starting
+    /// instances.
     pub fn expected_wait(&self, now: Nanos) -> Nanos {
         let Some(function) = &self.function else { return SECOND };
         let per = f64::from(function.spec.concurrency.max(1));
@@ -355,7 +368,8 @@
         boots + ((ahead - done).max(0.0) / (slots + coming) * hold * 0.5) as Nanos
     }
 
-    /// The instance that is to go first where there are more than are needed: none while it is not at rest.
+    /// Instance to retire first when there are more than needed; `None` while it has permits or was used
+    /// in the last 100 ms.
     pub fn surplus_instance(&self, now: Nanos, need: usize) -> Option<CompactString> {
         if self.live_instances() <= need {
             return None;
@@ -368,26 +382,27 @@
         (old.permits.is_empty() && old.last_used + 100 * MS <= now).then(|| old.info.id.clone())
     }
 
-    /// What is needed, and what is not, may change with time.
+    /// Whether the instance target or the surplus may change with time.
     pub fn needs_update(&self) -> bool {
         let Some(function) = self.function.as_ref().filter(|_| self.owned) else { return false };
         let said = || function.last_reported.is_none_or(|(_, count)| count > 0);
         !self.instances.is_empty() || !function.queue.is_empty() || said()
     }
 
-    /// It is to be looked at with the next tick too. What was said never and needs nothing stays so until something comes.
+    /// Whether to process the function on the next tick too. A function without instances whose target was
+    /// never reported stays inactive until something arrives.
     pub fn stays_active(&self) -> bool {
         let Some(function) = &self.function else { return false };
         !function.queue.is_empty()
             || self.needs_update() && !(self.instances.is_empty() && function.last_reported.is_none())
     }
 
-    /// Something of it waits or is out.
+    /// Whether requests are queued or permits outstanding.
     pub fn is_busy(&self) -> bool {
         self.totals.permits > 0 || self.function.as_ref().is_some_and(|f| !f.queue.is_empty())
     }
 
-    /// It has an instance that boots: it is to be found out when it is up.
+    /// Whether the instance is booting, so that its readiness is to be probed.
     pub fn is_booting(&self, id: &str) -> bool {
         self.instance(id).is_some_and(|p| p.info.stage == Stage::Booting)
     }
--- a/scheduler/src/shutdown.rs
+++ b/scheduler/src/shutdown.rs
@@ -1,42 +1,44 @@
-//! The end of a proxy, from the word to end to its last moment: which phase it is in after so long. No clock.
+//! Shutdown phases of a proxy, as a function of the time since the shutdown request. Reads no clock.
 //!
-//! Invariant: each request that was read whole is answered before the last phase: one that waits is refused while there is time to go
-//! elsewhere, one that may be running is waited for as long as possible and then told so.
+//! Invariant: every request that was read completely is answered before the last phase. Waiting requests
+//! are refused while the client still has time to go elsewhere; requests that may be running are waited
+//! for as long as possible and then answered with that status.
 
 use crate::{MS, Nanos};
 
-/// How far the end has come.
+/// Phase of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
-    /// As ever.
+    /// Normal operation.
     Serving,
-    /// Not ready; every answer closes its connection.
+    /// Not ready; every response closes its connection.
     Leaving,
-    /// No new connections; idle ones are closed. It owns no functions any more.
+    /// No new connections; idle ones are closed. The proxy owns no functions any more.
     Closing,
-    /// Nothing more is sent to an instance: what waits is refused.
+    /// Nothing more is sent to instances; waiting requests are refused.
     Refusing,
-    /// What still runs is told that there is no answer.
+    /// Running requests are answered with an error status.
     Ending,
-    /// The process ends.
+    /// The process exits.
     Finished,
 }
 
-/// The platform asks every second whether a proxy is ready, and needs two misses.
+/// The platform checks readiness every second and acts after two failures.
 const LEAVING_TIME: Nanos = 2_300 * MS;
-/// So long before the last moment nothing more is sent: a try takes less, and who is refused has time elsewhere.
+/// How long before the end of the grace time sending stops: an attempt takes less, and refused clients
+/// have time to go elsewhere.
 const REFUSING_BEFORE: Nanos = 1_600 * MS;
-/// Answers to what still runs are given so long before the last moment.
+/// How long before the end of the grace time running requests are answered.
 const ENDING_BEFORE: Nanos = 800 * MS;
-/// ... and the process ends so long before it.
+/// How long before the end of the grace time the process exits.
 const OVER_BEFORE: Nanos = 600 * MS;
 
 impl ShutdownPhase {
-    /// After being told to end, the next phases and how long after that word each begins.
+    /// The phases, and how long after the shutdown request each begins.
     pub fn schedule(grace: Nanos) -> [(ShutdownPhase, Nanos); 5] {
         let before = |span: Nanos| grace.saturating_sub(span);
         let closing = LEAVING_TIME.min(grace / 2);
-        // A short grace time leaves less for each; none begins before the one that it follows.
+        // A short grace time shortens the phases; none begins before the previous one.
         let refusing = before(REFUSING_BEFORE).max(closing);
         let ending = before(ENDING_BEFORE).max(refusing);
         let over = before(OVER_BEFORE).max(ending);
@@ -49,7 +51,7 @@
         ]
     }
 
-    /// The phase so long after the word to end.
+    /// Phase at this time after the shutdown request.
     pub fn after(grace: Nanos, since: Nanos) -> ShutdownPhase {
         let reached = ShutdownPhase::schedule(grace).into_iter().rev().find(|(_, at)| since >= *at);
         reached.map_or(ShutdownPhase::Leaving, |(phase, _)| phase)
@@ -77,7 +79,8 @@
         }
     }
 
-    /// What was sent in the first 3 s and is still at work may be told so in the last sixth of the grace time, and not before.
+    /// A request sent in the first 3 s that is still running may be given up only in the last sixth of the
+    /// grace time.
     #[test]
     fn what_runs_is_waited_for_into_the_last_sixth_of_the_grace_time() {
         let [.., (_, ending), (_, over)] = ShutdownPhase::schedule(6 * SECOND);
--- a/scheduler/src/trace.rs
+++ b/scheduler/src/trace.rs
@@ -1,6 +1,7 @@
-//! What a stall did with a request, as lines beside those of its desk: when it was read, what became of each of its tries, that its
-//! client left. They are the inputs of its [`RequestFlow`](crate::RequestFlow) with their exact times, so that the answer that it got follows
-//! from them; the desk hears nothing of them.
+//! Trace of client requests, written beside the inputs of the coordinator: arrival, outcome of each
+//! attempt, client disconnects. The events are the inputs of [`RequestFlow`](crate::RequestFlow) with
+//! their exact times, so that the response to the client can be derived from them. The coordinator does
+//! not receive them.
 
 use std::collections::HashMap;
 
@@ -13,86 +14,86 @@
 use crate::request_flow::RequestInfo;
 use crate::{Nanos, Outcome};
 
-/// A client's id of a try is cut to so many bytes.
+/// Maximum length of a client's attempt id, in bytes; longer ones are truncated.
 const MAX_ID_BYTES: usize = 64;
 
-/// One step of a request, under the number that the life gave it; or a word of the stall's own.
+/// One event of a request, identified by its trace number, or an event of the proxy itself.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TraceEvent {
-    /// It was read.
+    /// The request was read.
     Received {
-        /// Its number in this life; its asks name it.
+        /// Trace number, unique within the incarnation and referred to by its permit requests.
         p: u64,
-        /// The client's id of this try.
+        /// The client's id of this attempt.
         attempt: CompactString,
-        /// Its route.
+        /// Route of the request.
         route: CompactString,
-        /// What is known of it. Its zone is the stall's.
+        /// Properties of the request. Its zone is that of the proxy and is not recorded.
         info: RequestInfo,
     },
-    /// Its ask was turned down.
+    /// A permit was denied.
     Denied {
-        /// Its number.
+        /// Trace number.
         p: u64,
-        /// Why.
+        /// Reason of the denial.
         reason: DenialReason,
     },
-    /// The function that it was for is gone, and this is looked for in its place.
+    /// The function no longer exists, and the route was resolved again.
     Moved {
-        /// Its number.
+        /// Trace number.
         p: u64,
-        /// The function where its route leads now; none where there is no such route.
+        /// Function the route leads to now; `None` if there is no such route.
         to: Option<CompactString>,
     },
-    /// Its time ended before word of its ask came.
+    /// The time of the request ran out before its permit request was answered.
     DeadlinePassed {
-        /// Its number.
+        /// Trace number.
         p: u64,
     },
-    /// A try is over.
+    /// An attempt ended.
     Ended {
-        /// Its number.
+        /// Trace number.
         p: u64,
-        /// When the call went out.
+        /// When the attempt was sent.
         begun: Nanos,
-        /// Where it went.
+        /// Instance it was sent to.
         instance: CompactString,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// Something of it may have reached the endpoint.
+        /// Whether something may have reached the endpoint.
         sent: bool,
-        /// The status of the answer, where there was one.
+        /// Status of the answer, if there was one.
         status: Option<u16>,
     },
-    /// Its client left before it was answered.
+    /// The client disconnected before it was answered.
     ClientLeft {
-        /// Its number.
+        /// Trace number.
         p: u64,
     },
-    /// A request was answered without any try: it makes no sense, or has no route.
+    /// A request was answered without any attempt: it is invalid or has no route.
     Rejected {
-        /// The client's id of this try; empty where it has none.
+        /// The client's id of this attempt; empty if there is none.
         attempt: CompactString,
-        /// The answer.
+        /// Status of the response.
         status: u16,
     },
-    /// A configuration is in force.
+    /// A configuration took effect.
     ConfigInForce {
-        /// Its revision.
+        /// Revision of the configuration.
         revision: u64,
     },
 }
 
-/// A client's id of a try, as lines hold it.
+/// Converts a client's attempt id to the form used in the trace.
 pub fn attempt_id(id: &[u8]) -> CompactString {
     String::from_utf8_lossy(&id[..id.len().min(MAX_ID_BYTES)]).into()
 }
 
-/// The words for these in lines.
+/// Names of the events in lines.
 pub const NAMES: [&str; 8] = ["request", "denied", "late", "ended", "left", "turned", "acts", "moved"];
 
 impl TraceEvent {
-    /// The word for it in a line.
+    /// Name of the event in a line.
     pub fn name(&self) -> &'static str {
         match self {
             TraceEvent::Received { .. } => NAMES[0],
@@ -106,7 +107,7 @@
         }
     }
 
-    /// The request's number.
+    /// Trace number of the request.
     pub fn of(&self) -> Option<u64> {
         match self {
             TraceEvent::Received { p, .. }
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Reads the line with this word.
+    /// Reads the event with this name.
     pub(crate) fn read(name: &str, from: &HashMap<String, JsonValue>) -> Result<Self, Fault> {
         let p = || line::large(from, "p");
         let status = || {
