--- a/scheduler/src/attempt_timeouts.rs
+++ b/scheduler/src/attempt_timeouts.rs
@@ -81,9 +81,9 @@
     use super::*;
 
     fn seen(takes: Nanos, answers: u32) -> AttemptTimeouts {
-        let mut margins = AttemptTimeouts::default();
-        (0..answers).for_each(|_| margins.answered(&"f".into(), takes));
-        margins
+        let mut timeouts = AttemptTimeouts::default();
+        (0..answers).for_each(|_| timeouts.answered(&"f".into(), takes));
+        timeouts
     }
 
     #[yare::parameterized(
@@ -93,39 +93,39 @@
         enough = { 50, 40, Some(400) },
         quick = { 2, 40, Some(100) },
     )]
-    fn a_wide_margin_once_enough_is_known(takes_ms: Nanos, answers: u32, within_ms: Option<Nanos>) {
+    fn timeout_applies_after_enough_answers(takes_ms: Nanos, answers: u32, within_ms: Option<Nanos>) {
         assert_eq!(seen(takes_ms * MS, answers).timeout("f"), within_ms.map(|ms| ms * MS));
     }
 
     #[test]
-    fn a_long_answer_widens_it_for_a_while_and_so_does_one_that_was_given_up() {
-        let mut margins = seen(50 * MS, 100);
-        margins.answered(&"f".into(), 300 * MS);
-        assert_eq!(margins.timeout("f"), Some(600 * MS));
-        (0..100).for_each(|_| margins.answered(&"f".into(), 50 * MS));
-        assert_eq!(margins.timeout("f").map(|within| within / MS), Some(400));
-        margins.timed_out("f", 400 * MS);
-        assert_eq!(margins.timeout("f"), Some(800 * MS));
+    fn long_answers_and_timeouts_extend_the_timeout() {
+        let mut timeouts = seen(50 * MS, 100);
+        timeouts.answered(&"f".into(), 300 * MS);
+        assert_eq!(timeouts.timeout("f"), Some(600 * MS));
+        (0..100).for_each(|_| timeouts.answered(&"f".into(), 50 * MS));
+        assert_eq!(timeouts.timeout("f").map(|within| within / MS), Some(400));
+        timeouts.timed_out("f", 400 * MS);
+        assert_eq!(timeouts.timeout("f"), Some(800 * MS));
     }
 
     /// If all endpoints of a function become slow, attempts are waited for rather than timed out.
     #[test]
-    fn where_most_are_slow_few_are_given_up() {
-        let (mut margins, mut given_up, mut answered) = (seen(50 * MS, 100), 0, 0);
+    fn few_attempts_time_out_if_most_are_slow() {
+        let (mut timeouts, mut given_up, mut answered) = (seen(50 * MS, 100), 0, 0);
         for _ in 0..1_000 {
-            match margins.timeout("f").filter(|within| *within < 1_200 * MS) {
+            match timeouts.timeout("f").filter(|within| *within < 1_200 * MS) {
                 Some(within) => {
-                    margins.timed_out("f", within);
+                    timeouts.timed_out("f", within);
                     given_up += 1;
                 }
                 None => {
-                    margins.answered(&"f".into(), 1_200 * MS);
+                    timeouts.answered(&"f".into(), 1_200 * MS);
                     answered += 1;
                 }
             }
         }
         assert!(given_up <= 3 && answered >= 997, "{given_up} given up");
-        margins.retain(|name| name != "f");
-        assert_eq!(margins.timeout("f"), None);
+        timeouts.retain(|name| name != "f");
+        assert_eq!(timeouts.timeout("f"), None);
     }
 }
--- a/scheduler/src/budget.rs
+++ b/scheduler/src/budget.rs
@@ -25,8 +25,8 @@
     }
 
     /// Splits the constant part of the budget among the partitions of the function.
-    pub fn set_partitions(&mut self, lots: usize) {
-        self.partitions = lots.max(1);
+    pub fn set_partitions(&mut self, partitions: usize) {
+        self.partitions = partitions.max(1);
     }
 
     fn slice(&mut self, now: Nanos) -> &mut (Nanos, u64, u64) {
@@ -76,7 +76,7 @@
     use crate::SECOND;
 
     #[test]
-    fn no_window_holds_more_repeats_than_its_part_and_the_slack() {
+    fn no_window_exceeds_the_retry_budget() {
         let mut budget = Budget::new(10 * SECOND, 0.2, 20.0);
         let mut sent = VecDeque::new();
         for step in 0..4_000u64 {
--- a/scheduler/src/coordinator.rs
+++ b/scheduler/src/coordinator.rs
@@ -81,17 +81,17 @@
     /// Adds all fields to a digest.
     pub fn fold(&self, into: &mut Fold<'_>) {
         match self {
-            Action::Send { to, note } => note.fold(into.text("send").text(to)),
-            Action::Granted { ask, instance, address } => {
-                into.text("granted").whole(*ask).text(instance).text(address);
+            Action::Send { to, note: message } => message.fold(into.text("send").text(to)),
+            Action::Granted { ask: request_id, instance, address } => {
+                into.text("granted").whole(*request_id).text(instance).text(address);
             }
-            Action::Refused { ask, reason: no } => {
-                into.text("refused").whole(*ask).text(no.as_str());
-                if let DenialReason::Full(wait) = no {
+            Action::Refused { ask: request_id, reason } => {
+                into.text("refused").whole(*request_id).text(reason.as_str());
+                if let DenialReason::Full(wait) = reason {
                     into.whole(*wait);
                 }
             }
-            Action::NotifyController(note) => note.fold(into.text("up")),
+            Action::NotifyController(message) => message.fold(into.text("up")),
             Action::ProbeReadiness { instance, from } => {
                 into.text("scout").text(&instance.id).text(&instance.service).text(&instance.address);
                 into.whole(instance.stage as u64).whole(*from);
@@ -189,12 +189,12 @@
 
 impl Coordinator {
     /// `first`: base of the request ids; must be higher than any id of an earlier incarnation.
-    pub fn new(me: Peer, terms: SchedulerLimits, seed: u64, first: u64) -> Self {
+    pub fn new(me: Peer, limits: SchedulerLimits, seed: u64, first: u64) -> Self {
         let owners = Owners::default();
         Coordinator {
             me,
             previous_owners: Owners::default(),
-            scheduler: Scheduler::new(terms, seed),
+            scheduler: Scheduler::new(limits, seed),
             owners,
             current_digest: 0,
             instances_version: (0, 0),
@@ -277,13 +277,13 @@
     }
 
     /// Recomputes ownership after a change; `before` are the previous owners.
-    fn update_ownership(&mut self, now: Nanos, before: &Owners, turn: &OwnershipChange) {
+    fn update_ownership(&mut self, now: Nanos, before: &Owners, change: &OwnershipChange) {
         let (owners, me, told_over, missing) =
             (&self.owners, &self.me, &self.transfers_received, &self.unconfirmed);
         let transfer = |service: &str, zones: &BTreeSet<CompactString>| {
-            let told = told_over.get(service);
+            let receivers = told_over.get(service);
             let has_told = |name: &str| {
-                told.and_then(|t| t.get(name)).is_some_and(|version| *version >= owners.version())
+                receivers.and_then(|t| t.get(name)).is_some_and(|version| *version >= owners.version())
             };
             // A proxy that is shutting down transfers its permits like any other.
             let tells = |name: &str| {
@@ -306,9 +306,9 @@
             }
             transfer
         };
-        let parted = self.scheduler.update_ownership(now, me, owners, turn, transfer);
-        for parted in parted {
-            self.hand_over(now, parted);
+        let released = self.scheduler.update_ownership(now, me, owners, change, transfer);
+        for released in released {
+            self.hand_over(now, released);
         }
         self.process_effects(now);
     }
@@ -325,17 +325,17 @@
 
     /// Requests a permit. Returns the id under which it is granted or denied, possibly at once; `None` if
     /// too many requests are open.
-    pub fn request_permit(&mut self, now: Nanos, mut ask: PermitRequest, first: bool) -> Option<u64> {
+    pub fn request_permit(&mut self, now: Nanos, mut request: PermitRequest, first: bool) -> Option<u64> {
         if self.open.len() >= MAX_OPEN_REQUESTS {
             return None;
         }
         self.last_id += 1;
         let id = self.last_id;
-        ask.id = id;
+        request.id = id;
         self.open.insert(
             id,
             PendingRequest {
-                request: ask,
+                request,
                 first,
                 owner: None,
                 last_sent: now,
@@ -357,35 +357,35 @@
             (open.owner, open.waiting_since, open.resends) = (Some(owner.name.clone()), now, 0);
         }
         open.last_sent = now;
-        let (ask, first) = (open.request.clone(), open.first);
+        let (request, first) = (open.request.clone(), open.first);
         if owner.name == self.me.name {
-            self.defer_to_owner(now, &ask);
-            self.scheduler.request_permit(now, self.me.name.clone(), ask, first);
+            self.defer_to_owner(now, &request);
+            self.scheduler.request_permit(now, self.me.name.clone(), request, first);
             return self.process_effects(now);
         }
         let ms = |until: Nanos| (until as f64 - now as f64) / MS as f64;
-        let note = PeerMessage::Ask {
+        let message = PeerMessage::Ask {
             id,
-            left: ms(ask.deadline),
-            aim: ms(ask.soft_deadline),
-            target: ask.target as f64 / MS as f64,
-            service: ask.service,
-            sent: ask.attempts_sent,
+            left: ms(request.deadline),
+            aim: ms(request.soft_deadline),
+            target: request.target as f64 / MS as f64,
+            service: request.service,
+            sent: request.attempts_sent,
             first,
-            returned: ask.returned,
-            avoid: ask.avoid,
-            zone: ask.zone,
+            returned: request.returned,
+            avoid: request.avoid,
+            zone: request.zone,
         };
-        self.actions.push_back(Action::Send { to: owner.address, note });
+        self.actions.push_back(Action::Send { to: owner.address, note: message });
     }
 
     /// While the owner is known to be alive it grants its slots itself; a proxy asked in its place waits
     /// until nothing has been heard from the owner for a while.
-    fn defer_to_owner(&mut self, now: Nanos, ask: &PermitRequest) {
-        let owner = self.owners.owner(&ask.service, &ask.zone, |_| true);
+    fn defer_to_owner(&mut self, now: Nanos, request: &PermitRequest) {
+        let owner = self.owners.owner(&request.service, &request.zone, |_| true);
         let heard = owner.filter(|p| p.name != self.me.name).and_then(|p| self.last_heard.get(&p.name));
         if let Some(at) = heard.filter(|at| **at + UNRESPONSIVE_AFTER > now) {
-            self.scheduler.defer_to_owner(&ask.service, at + UNRESPONSIVE_AFTER);
+            self.scheduler.defer_to_owner(&request.service, at + UNRESPONSIVE_AFTER);
         }
     }
 
@@ -409,12 +409,12 @@
             }
             return self.process_effects(now);
         }
-        let note = if open.granted.is_some() {
+        let message = if open.granted.is_some() {
             PeerMessage::Done { id, outcome: outcome.as_str().into(), took: took as f64 / MS as f64 }
         } else {
             PeerMessage::Drop { id }
         };
-        self.send(&owner, note);
+        self.send(&owner, message);
     }
 
     /// Address of a proxy that is alive or was listed in an earlier view.
@@ -423,9 +423,9 @@
         living.or_else(|| self.departed.get(name))
     }
 
-    fn send(&mut self, name: &str, note: PeerMessage) {
+    fn send(&mut self, name: &str, message: PeerMessage) {
         match self.address_of(name).cloned() {
-            Some(to) => self.actions.push_back(Action::Send { to, note }),
+            Some(to) => self.actions.push_back(Action::Send { to, note: message }),
             None => self.scheduler.counts.unaddressed += 1,
         }
     }
@@ -450,18 +450,18 @@
     }
 
     /// Handles messages from an incarnation of another proxy.
-    pub fn receive(&mut self, now: Nanos, from: &str, life: u64, notes: Vec<PeerMessage>) {
+    pub fn receive(&mut self, now: Nanos, from: &str, incarnation: u64, messages: Vec<PeerMessage>) {
         match self.incarnations.get(from) {
-            Some(known) if *known == life => {}
+            Some(known) if *known == incarnation => {}
             // Either a late message of an earlier incarnation, or the sender's clock was set back. Only a
             // sender that is alive can tell.
-            Some(known) if *known > life => return self.reject_stale_incarnation(from, *known),
+            Some(known) if *known > incarnation => return self.reject_stale_incarnation(from, *known),
             _ if self.incarnations.len() > 10_000 => return,
             known => {
-                let anew = known.is_some();
-                self.incarnations.insert(from.into(), life);
+                let restarted = known.is_some();
+                self.incarnations.insert(from.into(), incarnation);
                 // On first contact, permits reported by a previous owner remain outstanding.
-                if anew {
+                if restarted {
                     self.scheduler.proxy_left(now, from);
                     self.resend_held(now, from);
                 }
@@ -469,8 +469,8 @@
         }
         self.skipped_until.remove(from);
         self.last_heard.insert(from.into(), now);
-        for note in notes {
-            self.handle_message(now, from, note);
+        for message in messages {
+            self.handle_message(now, from, message);
         }
         self.process_effects(now);
     }
@@ -482,13 +482,13 @@
         }
     }
 
-    fn handle_message(&mut self, now: Nanos, from: &str, note: PeerMessage) {
+    fn handle_message(&mut self, now: Nanos, from: &str, message: PeerMessage) {
         let at = |left: f64| now.saturating_add_signed((left.clamp(-1e7, 1e7) * MS as f64) as i64);
         let span = |ms: f64| (ms.clamp(0.0, 1e7) * MS as f64) as Nanos;
-        match note {
+        match message {
             PeerMessage::Ask { id, service, left, aim, target, sent, first, returned, avoid, zone } => {
                 let (deadline, aim, target) = (at(left), at(aim), span(target));
-                let ask = PermitRequest {
+                let request = PermitRequest {
                     id,
                     service,
                     deadline,
@@ -499,8 +499,8 @@
                     avoid,
                     zone,
                 };
-                self.defer_to_owner(now, &ask);
-                self.scheduler.request_permit(now, from.into(), ask, first);
+                self.defer_to_owner(now, &request);
+                self.scheduler.request_permit(now, from.into(), request, first);
             }
             PeerMessage::Drop { id } => {
                 let passed = self.forward_release(from, id, Outcome::Unused.as_str(), 0.0);
@@ -553,14 +553,14 @@
                     .is_some_and(|o| o.granted.is_none() && o.owner.as_deref() == Some(from));
                 if mine {
                     self.open.remove(&id);
-                    let no = match why.as_str() {
+                    let reason = match why.as_str() {
                         "skip" => DenialReason::Skip,
                         "spent" => DenialReason::Spent,
                         "unknown" => DenialReason::Unknown,
                         "moved" => DenialReason::Moved,
                         _ => DenialReason::Full(span(wait)),
                     };
-                    self.actions.push_back(Action::Refused { ask: id, reason: no });
+                    self.actions.push_back(Action::Refused { ask: id, reason });
                 }
             }
             _ => {}
@@ -568,9 +568,9 @@
     }
 
     /// Handles a message from the controller.
-    pub fn receive_from_controller(&mut self, now: Nanos, note: PeerMessage) {
+    pub fn receive_from_controller(&mut self, now: Nanos, message: PeerMessage) {
         self.skipped_until.remove(&self.me.name);
-        match note {
+        match message {
             PeerMessage::Stalls { version, peers, leaving, split } if version > self.owners.version() => {
                 self.apply_view(now, MembershipView::new(version, peers, split).with_leaving(leaving).into());
             }
@@ -626,22 +626,22 @@
 
     /// Handles messages that could not be delivered: the proxy is skipped for a while and its requests go
     /// to the next one.
-    pub fn undelivered(&mut self, now: Nanos, address: &str, notes: Vec<PeerMessage>) {
-        let roster = self.owners.view();
-        let mut living = roster.peers().iter().chain(roster.leaving());
+    pub fn undelivered(&mut self, now: Nanos, address: &str, messages: Vec<PeerMessage>) {
+        let view = self.owners.view();
+        let mut living = view.peers().iter().chain(view.leaving());
         let Some(name) = living.find(|p| p.address == address).map(|p| p.name.clone()) else { return };
         self.skipped_until.insert(name.clone(), now + SKIP_TIME);
-        for note in notes {
+        for message in messages {
             // The message may still have been delivered late, so a granted slot is not reused. Messages
             // about permits are sent again; a receiver without use for a permit releases it.
-            let again = match &note {
+            let again = match &message {
                 PeerMessage::Grant { id, .. } => self.scheduler.has_request(&name, *id),
                 PeerMessage::Over { version, .. } => *version == self.owners.version(),
                 PeerMessage::Back { .. } => true,
                 _ => false,
             };
             if again {
-                self.actions.push_back(Action::Send { to: address.into(), note });
+                self.actions.push_back(Action::Send { to: address.into(), note: message });
             }
         }
         self.process_effects(now);
@@ -672,43 +672,53 @@
 
     fn apply_effect(&mut self, now: Nanos, effect: Effect) {
         match effect {
-            Effect::Grant { to, ask, instance } if to == self.me.name => match self.open.get_mut(&ask) {
-                Some(open) if open.granted.is_none() => {
-                    open.granted = Some((instance.id.clone(), instance.zone.clone()));
-                    let (instance, address) = (instance.id, instance.address);
-                    self.actions.push_back(Action::Granted { ask, instance, address });
+            Effect::Grant { to, ask: request_id, instance } if to == self.me.name => {
+                match self.open.get_mut(&request_id) {
+                    Some(open) if open.granted.is_none() => {
+                        open.granted = Some((instance.id.clone(), instance.zone.clone()));
+                        let (instance, address) = (instance.id, instance.address);
+                        self.actions.push_back(Action::Granted { ask: request_id, instance, address });
+                    }
+                    Some(_) => {}
+                    None => self.scheduler.release(now, &to, request_id, Outcome::Unused, 0),
                 }
-                Some(_) => {}
-                None => self.scheduler.release(now, &to, ask, Outcome::Unused, 0),
-            },
-            Effect::Refuse { to, ask, reason: no } if to == self.me.name => {
-                if self.open.remove(&ask).is_some() {
-                    self.actions.push_back(Action::Refused { ask, reason: no });
+            }
+            Effect::Refuse { to, ask: request_id, reason } if to == self.me.name => {
+                if self.open.remove(&request_id).is_some() {
+                    self.actions.push_back(Action::Refused { ask: request_id, reason });
                 }
             }
-            Effect::Grant { to, ask, instance } => {
+            Effect::Grant { to, ask: request_id, instance } => {
                 let near = self.owners.find(&to).is_some_and(|p| p.zone == instance.zone);
                 let zone = (!near).then_some(instance.zone);
-                let note =
-                    PeerMessage::Grant { id: ask, instance: instance.id, address: instance.address, zone };
-                self.send(&to, note);
+                let message = PeerMessage::Grant {
+                    id: request_id,
+                    instance: instance.id,
+                    address: instance.address,
+                    zone,
+                };
+                self.send(&to, message);
             }
-            Effect::Refuse { to, ask, reason: no } => {
-                let wait = if let DenialReason::Full(wait) = no { wait } else { 0 };
+            Effect::Refuse { to, ask: request_id, reason } => {
+                let wait = if let DenialReason::Full(wait) = reason { wait } else { 0 };
                 self.send(
                     &to,
-                    PeerMessage::No { id: ask, why: no.as_str().into(), wait: wait as f64 / MS as f64 },
+                    PeerMessage::No {
+                        id: request_id,
+                        why: reason.as_str().into(),
+                        wait: wait as f64 / MS as f64,
+                    },
                 );
             }
             Effect::Queued { to, .. } if to == self.me.name => {}
-            Effect::Queued { to, ask } => self.send(&to, PeerMessage::Waits { id: ask }),
+            Effect::Queued { to, ask: request_id } => self.send(&to, PeerMessage::Waits { id: request_id }),
             Effect::SetInstanceTarget { service, count, zones, strain, does, slow } => {
-                let lot = (self.owners.partition_count(&service) > 1).then(|| self.me.zone.clone());
+                let home_zone = (self.owners.partition_count(&service) > 1).then(|| self.me.zone.clone());
                 self.actions.push_back(Action::NotifyController(PeerMessage::Want {
                     service,
                     count,
                     zones,
-                    lot,
+                    lot: home_zone,
                     strain,
                     does,
                     slow,
@@ -730,19 +740,19 @@
     /// the fault is probably on this side and nothing is done.
     fn skip_unresponsive(&mut self, now: Nanos) {
         let lately = |name: &str| self.last_heard.get(name).is_some_and(|at| at + UNRESPONSIVE_AFTER > now);
-        let mut deaf = BTreeSet::new();
+        let mut unresponsive = BTreeSet::new();
         for open in
             self.open.values().filter(|o| o.granted.is_none() && o.waiting_since + UNRESPONSIVE_AFTER <= now)
         {
             let of = open.owner.as_ref().filter(|name| **name != self.me.name && !lately(name));
-            deaf.extend(
+            unresponsive.extend(
                 of.filter(|name| self.skipped_until.get(*name).is_none_or(|until| *until <= now)).cloned(),
             );
         }
-        if deaf.is_empty() || !self.last_heard.keys().any(|name| lately(name)) {
+        if unresponsive.is_empty() || !self.last_heard.keys().any(|name| lately(name)) {
             return;
         }
-        for peer in deaf {
+        for peer in unresponsive {
             self.skipped_until.insert(peer.clone(), now + SKIP_TIME);
             self.actions
                 .push_back(Action::NotifyController(PeerMessage::Deaf { peer, from: self.me.name.clone() }));
--- a/scheduler/src/coordinator/permit_transfer.rs
+++ b/scheduler/src/coordinator/permit_transfer.rs
@@ -14,28 +14,31 @@
 impl Coordinator {
     /// Sends the outstanding permits of a released function to its new owners.
     pub(super) fn hand_over(&mut self, now: Nanos, Released { function: service, permits: out }: Released) {
-        let mut told: BTreeMap<CompactString, (CompactString, Vec<Permit>)> = BTreeMap::new();
+        let mut receivers: BTreeMap<CompactString, (CompactString, Vec<Permit>)> = BTreeMap::new();
         for zone in self.owners.partition_zones(&service, &self.me.zone) {
             if let Some(owner) =
                 self.owners.owner(&service, zone, |_| true).filter(|p| p.name != self.me.name)
             {
-                told.entry(owner.name.clone()).or_insert_with(|| (owner.address.clone(), Vec::new()));
+                receivers.entry(owner.name.clone()).or_insert_with(|| (owner.address.clone(), Vec::new()));
             }
         }
         self.handed_over.retain(|_, handed| handed.until > now);
         for out in out {
             let Some(owner) = self.owners.owner(&service, &out.zone, |_| true) else { continue };
-            let Some((_, permits)) = told.get_mut(&owner.name) else { continue };
+            let Some((_, permits)) = receivers.get_mut(&owner.name) else { continue };
             let left = (out.until as f64 - now as f64) / MS as f64;
             let (to, instance) = (owner.name.clone(), out.instance.clone());
-            self.record_hand_over((out.who.clone(), out.ask), HandedOver { to, instance, until: out.until });
+            self.record_hand_over(
+                (out.who.clone(), out.request_id),
+                HandedOver { to, instance, until: out.until },
+            );
             self.scheduler.counts.handed_over += 1;
-            permits.push(Permit { who: out.who, id: out.ask, instance: out.instance, left });
+            permits.push(Permit { who: out.who, id: out.request_id, instance: out.instance, left });
         }
         let version = self.owners.version();
-        for (to, permits) in told.into_values() {
-            let note = PeerMessage::Over { service: service.clone(), version, permits };
-            self.actions.push_back(Action::Send { to, note });
+        for (to, permits) in receivers.into_values() {
+            let message = PeerMessage::Over { service: service.clone(), version, permits };
+            self.actions.push_back(Action::Send { to, note: message });
         }
     }
 
@@ -114,10 +117,10 @@
 
     /// Redirects the release of a permit held by this proxy to another owner.
     fn redirect_release(&mut self, from: &str, id: u64, instance: &str, owner: CompactString) {
-        let told = |open: &&mut PendingRequest| {
+        let receivers = |open: &&mut PendingRequest| {
             open.owner.as_deref() == Some(from) && open.granted.as_ref().is_some_and(|(at, _)| at == instance)
         };
-        if let Some(open) = self.open.get_mut(&id).filter(told) {
+        if let Some(open) = self.open.get_mut(&id).filter(receivers) {
             open.owner = Some(owner);
         }
     }
@@ -137,9 +140,9 @@
     /// Handles a grant from `from`. Each request uses one grant, and its assigned owner is told which.
     pub(super) fn receive_grant(&mut self, now: Nanos, from: &str, id: u64, granted: Granted) {
         let Some(open) = self.open.get(&id) else { return self.release_unused(from, id) };
-        let stands_with = open.owner.as_deref() == Some(from);
+        let is_assigned = open.owner.as_deref() == Some(from);
         match &open.granted {
-            None if stands_with => self.take_grant(id, granted),
+            None if is_assigned => self.take_grant(id, granted),
             // The grant was in transit while the request moved to the new owner, which grants no second
             // permit once it is notified.
             None if self.owned_previously(from, &open.request.service, &granted.zone) => {
@@ -149,7 +152,7 @@
             // Duplicate of the same grant.
             Some((instance, _)) if *instance == granted.instance => {}
             // This owner did not yet know of the first grant.
-            Some(_) if stands_with => self.notify_held(now, id),
+            Some(_) if is_assigned => self.notify_held(now, id),
             _ => self.release_unused(from, id),
         }
     }
@@ -192,8 +195,8 @@
     pub(super) fn forward_release(&mut self, from: &str, id: u64, outcome: &str, took: f64) -> bool {
         let Some(handed) = self.handed_over.remove(&(from.into(), id)) else { return false };
         let (instance, outcome) = (Some(handed.instance), outcome.into());
-        let note = PeerMessage::Back { who: from.into(), id, instance, outcome, took };
-        self.send(&handed.to, note);
+        let message = PeerMessage::Back { who: from.into(), id, instance, outcome, took };
+        self.send(&handed.to, message);
         true
     }
 }
--- a/scheduler/src/coordinator/view_change.rs
+++ b/scheduler/src/coordinator/view_change.rs
@@ -26,19 +26,19 @@
 impl Coordinator {
     /// Applies a new membership view.
     pub(super) fn apply_view(&mut self, now: Nanos, owners: Owners) {
-        let turn = owners.change_since(&self.owners, &self.me.name);
+        let change = owners.change_since(&self.owners, &self.me.name);
         #[cfg(test)]
-        let turn = if self.full_recompute { OwnershipChange::all() } else { turn };
+        let change = if self.full_recompute { OwnershipChange::all() } else { change };
         self.scheduler.counts.views_applied += 1;
         self.current_digest = owners.view().digest();
         let before = std::mem::replace(&mut self.owners, owners);
         // A proxy that is shutting down is still alive, as are its requests, so its permits stay
         // outstanding until they are released. A proxy knows that it is alive itself, whatever the view
         // says.
-        let roster = self.owners.view().clone();
-        self.record_zones(roster.peers().iter().chain(roster.leaving()).map(|peer| &peer.zone));
+        let view = self.owners.view().clone();
+        self.record_zones(view.peers().iter().chain(view.leaving()).map(|peer| &peer.zone));
         let newer = owners_are_newer(&self.owners, &before);
-        for peer in roster.gone_since(before.view()) {
+        for peer in view.gone_since(before.view()) {
             if self.departed.len() < MAX_DEPARTED {
                 self.departed.insert(peer.name.clone(), peer.address.clone());
             }
@@ -56,7 +56,7 @@
         if newer {
             self.scheduler.resend_targets();
         }
-        self.update_ownership(now, &before, &turn);
+        self.update_ownership(now, &before, &change);
         let version = self.owners.version();
         self.previous_owners = before;
         self.transfers_received.retain(|_, all| {
@@ -95,7 +95,7 @@
 
     /// Reports the owned instances to a new leader, including those that are starting and not yet listed.
     pub(super) fn report_owned_instances(&mut self) {
-        let note = |i: &Instance| millpost_protocol::Instance {
+        let message = |i: &Instance| millpost_protocol::Instance {
             id: i.id.clone(),
             service: i.service.clone(),
             address: i.address.clone(),
@@ -103,7 +103,7 @@
             worker: i.worker.clone(),
             stage: i.stage as u8,
         };
-        let set: Vec<_> = self.scheduler.owned_instances().map(note).collect();
+        let set: Vec<_> = self.scheduler.owned_instances().map(message).collect();
         if !set.is_empty() {
             self.actions.push_back(Action::NotifyController(PeerMessage::Mine { set }));
         }
--- a/scheduler/src/demand.rs
+++ b/scheduler/src/demand.rs
@@ -150,7 +150,7 @@
     }
 
     #[test]
-    fn one_request_needs_one_instance_until_some_time_of_silence() {
+    fn one_request_needs_one_instance_until_idle() {
         let (spec, mut demand) = (spec(1), Demand::new(0));
         assert_eq!(demand.needed(0, &spec, 0), 0);
         demand.record_arrival(10 * MS);
@@ -162,7 +162,7 @@
     }
 
     #[test]
-    fn a_steady_load_gets_room_and_a_queue_gets_more() {
+    fn steady_load_gets_headroom_and_a_queue_gets_more() {
         let (spec, mut demand) = (spec(4), Demand::new(0));
         for n in 0..600u64 {
             demand.record_arrival(n * 10 * MS);
--- a/scheduler/src/function.rs
+++ b/scheduler/src/function.rs
@@ -113,10 +113,10 @@
 
 impl Scheduler {
     /// Creates a scheduler without any functions or instances.
-    pub fn new(terms: SchedulerLimits, seed: u64) -> Self {
-        let speeds = terms.rank_by_latency.then(LatencyModel::new);
+    pub fn new(limits: SchedulerLimits, seed: u64) -> Self {
+        let speeds = limits.rank_by_latency.then(LatencyModel::new);
         Scheduler {
-            limits: terms,
+            limits,
             functions: Vec::new(),
             rival_seeds: Vec::new(),
             free_indices: Vec::new(),
@@ -196,8 +196,8 @@
     fn activate(&mut self, at: usize) {
         if !std::mem::replace(&mut self.functions[at].active, true) {
             let name = &self.functions[at].name;
-            let place = self.active.partition_point(|n| self.functions[*n].name < *name);
-            self.active.insert(place, at);
+            let position = self.active.partition_point(|n| self.functions[*n].name < *name);
+            self.active.insert(position, at);
         }
     }
 
@@ -248,11 +248,11 @@
 
     fn probe_if_booting(&mut self, now: Nanos, at: usize, id: &str) {
         let service = &self.functions[at];
-        let Some(place) = service.instance(id).filter(|p| p.info.stage == Stage::Booting) else { return };
+        let Some(state) = service.instance(id).filter(|p| p.info.stage == Stage::Booting) else { return };
         let Some(function) = &service.function else { return };
-        if service.owned && place.owned {
-            let from = (place.first_seen + function.spec.startup_time * 2 / 5).max(now);
-            self.effects.push(Effect::ProbeReadiness { instance: place.info.clone(), from });
+        if service.owned && state.owned {
+            let from = (state.first_seen + function.spec.startup_time * 2 / 5).max(now);
+            self.effects.push(Effect::ProbeReadiness { instance: state.info.clone(), from });
         }
     }
 
@@ -302,76 +302,82 @@
     /// Outstanding permits, in no particular order: holder, request id, function, instance.
     pub fn permits(&self) -> impl Iterator<Item = (&str, u64, &str, &str)> {
         let of = self.permits.iter();
-        of.map(|((who, ask), p)| {
-            (who.as_str(), *ask, self.functions[p.function].name.as_str(), p.instance.as_str())
+        of.map(|((who, request_id), p)| {
+            (who.as_str(), *request_id, self.functions[p.function].name.as_str(), p.instance.as_str())
         })
     }
 
     /// Whether the request is queued or has a permit.
-    pub fn has_request(&self, who: &str, ask: u64) -> bool {
-        let key = (who.into(), ask);
+    pub fn has_request(&self, who: &str, request_id: u64) -> bool {
+        let key = (who.into(), request_id);
         self.permits.contains_key(&key) || self.queue_positions.contains_key(&key)
     }
 
     /// Whether the request has a permit.
-    pub(crate) fn is_granted(&self, who: &str, ask: u64) -> bool {
-        self.permits.contains_key(&(who.into(), ask))
+    pub(crate) fn is_granted(&self, who: &str, request_id: u64) -> bool {
+        self.permits.contains_key(&(who.into(), request_id))
     }
 
     /// Whether the request has a permit for this instance.
-    pub fn is_granted_at(&self, who: &str, ask: u64, instance: &str) -> bool {
-        self.permits.get(&(who.into(), ask)).is_some_and(|permit| permit.instance == instance)
+    pub fn is_granted_at(&self, who: &str, request_id: u64, instance: &str) -> bool {
+        self.permits.get(&(who.into(), request_id)).is_some_and(|permit| permit.instance == instance)
     }
 
     /// Zone of an instance, if it is known.
     pub fn zone_of(&self, instance: &str) -> Option<&CompactString> {
         let at = *self.index_by_instance.get(instance)?;
-        self.functions[at].instance(instance).map(|place| &place.info.zone)
+        self.functions[at].instance(instance).map(|state| &state.info.zone)
     }
 
-    fn push_refusal(&mut self, to: CompactString, ask: u64, no: DenialReason) {
-        self.effects.push(Effect::Refuse { to, ask, reason: no });
+    fn push_refusal(&mut self, to: CompactString, request_id: u64, reason: DenialReason) {
+        self.effects.push(Effect::Refuse { to, ask: request_id, reason });
     }
 
-    fn deny(&mut self, to: CompactString, ask: u64, no: DenialReason, why: impl FnOnce() -> RequestDecision) {
-        self.reasons.push_request(&to, ask, why);
-        self.push_refusal(to, ask, no);
+    fn deny(
+        &mut self,
+        to: CompactString,
+        request_id: u64,
+        reason: DenialReason,
+        why: impl FnOnce() -> RequestDecision,
+    ) {
+        self.reasons.push_request(&to, request_id, why);
+        self.push_refusal(to, request_id, reason);
     }
 
     /// Requests a permit. Repeating a request that is queued or granted sends the same response again.
-    pub fn request_permit(&mut self, now: Nanos, from: CompactString, ask: PermitRequest, first: bool) {
-        let key = (from, ask.id);
+    pub fn request_permit(&mut self, now: Nanos, from: CompactString, request: PermitRequest, first: bool) {
+        let key = (from, request.id);
         if self.permits.contains_key(&key) || self.queue_positions.contains_key(&key) {
             self.reasons.push_request(&key.0, key.1, || RequestDecision::Duplicate);
         }
         if let Some(permit) = self.permits.get(&key) {
-            if let Some(place) = self.functions[permit.function].instance(&permit.instance) {
-                let instance = place.info.clone();
-                self.effects.push(Effect::Grant { to: key.0, ask: ask.id, instance });
+            if let Some(state) = self.functions[permit.function].instance(&permit.instance) {
+                let instance = state.info.clone();
+                self.effects.push(Effect::Grant { to: key.0, ask: request.id, instance });
             }
             return;
         }
         if self.queue_positions.contains_key(&key) {
-            return self.effects.push(Effect::Queued { to: key.0, ask: ask.id });
+            return self.effects.push(Effect::Queued { to: key.0, ask: request.id });
         }
-        let at = self.index_by_name.get(&ask.service).copied();
+        let at = self.index_by_name.get(&request.service).copied();
         let Some((at, service)) = at.map(|at| (at, &mut self.functions[at])) else {
-            return self.deny_unknown(now, key, &ask.service);
+            return self.deny_unknown(now, key, &request.service);
         };
         let Some(function) = &mut service.function else {
-            return self.deny_unknown(now, key, &ask.service);
+            return self.deny_unknown(now, key, &request.service);
         };
-        function.target = ask.target;
+        function.target = request.target;
         if let Some(floor) = &mut function.min_instances {
             floor.record_request(now);
         }
         if first {
-            function.record_arrival(now, &ask.zone);
+            function.record_arrival(now, &request.zone);
         }
-        let chosen = service.select_instance(now, &key.0, &ask).cloned();
-        if ask.attempts_sent > 0 {
+        let chosen = service.select_instance(now, &key.0, &request).cloned();
+        if request.attempts_sent > 0 {
             // By design, a retry is sent with the probability of the instance that it would go to.
-            let t1 = first_retry_delay(ask.target);
+            let t1 = first_retry_delay(request.target);
             let chance = match &chosen {
                 Some(id) => service.instance(id).map_or(1.0, |p| p.retry_probability(t1)),
                 None => service.mean_chance(t1),
@@ -379,24 +385,24 @@
             let drawn = self.rng.share();
             if drawn >= chance {
                 let why = || RequestDecision::RetrySuppressed { chance, drawn, instance: chosen };
-                return self.deny(key.0, ask.id, DenialReason::Skip, why);
+                return self.deny(key.0, request.id, DenialReason::Skip, why);
             }
             if let Some(f) = &mut service.function
                 && !f.budget.try_retry(now)
             {
                 let (requests, repeats, most) = f.budget.counts(now);
                 let why = || RequestDecision::BudgetSpent { requests, repeats, most };
-                return self.deny(key.0, ask.id, DenialReason::Spent, why);
+                return self.deny(key.0, request.id, DenialReason::Spent, why);
             }
         }
         if let Some(id) = chosen {
-            self.grant(now, at, key, &ask, &id, false);
+            self.grant(now, at, key, &request, &id, false);
             return self.report_target(now, at);
         }
         // No instance is known here, and other proxies may already see this one as the owner: instance
         // information may still be on its way.
-        let unheard = service.live_instances() == 0 && (!service.owned || now < service.settling_until);
-        let wait = if unheard {
+        let awaiting = service.live_instances() == 0 && (!service.owned || now < service.settling_until);
+        let wait = if awaiting {
             INSTANCE_DISCOVERY_WAIT.min(service.expected_wait(now))
         } else {
             service.expected_wait(now)
@@ -404,44 +410,45 @@
         let stock = service.totals();
         let Some(function) = &mut service.function else { return };
         let end = now + wait + function.demand.expected_hold_time() as Nanos;
-        let hopeless = now + wait >= ask.deadline;
-        let late = !ask.returned && ask.attempts_sent == 0 && end > ask.soft_deadline && !unheard;
+        let hopeless = now + wait >= request.deadline;
+        let late =
+            !request.returned && request.attempts_sent == 0 && end > request.soft_deadline && !awaiting;
         let queued = function.queue.len();
         if queued >= MAX_QUEUE_LEN || hopeless || late {
             let why = || match () {
                 () if hopeless => {
-                    RequestDecision::DeadlineUnreachable { wait, left: ask.deadline.saturating_sub(now) }
+                    RequestDecision::DeadlineUnreachable { wait, left: request.deadline.saturating_sub(now) }
                 }
                 () if late => RequestDecision::WouldMissTarget {
                     wait,
                     takes: end - now - wait,
-                    left: ask.soft_deadline.saturating_sub(now),
+                    left: request.soft_deadline.saturating_sub(now),
                 },
                 () => RequestDecision::QueueFull { queued },
             };
-            self.deny(key.0, ask.id, DenialReason::Full(wait), why);
+            self.deny(key.0, request.id, DenialReason::Full(wait), why);
             self.functions[at].record_refusal(now);
         } else {
             self.sequence += 1;
-            let place = (ask.deadline, self.sequence);
+            let position = (request.deadline, self.sequence);
             let why = || {
-                let ahead = function.queue.range(..place).count();
+                let ahead = function.queue.range(..position).count();
                 RequestDecision::Queued {
                     ahead,
                     wait,
                     open: stock.available,
                     coming: stock.starting,
-                    awaiting_instances: unheard,
+                    awaiting_instances: awaiting,
                 }
             };
             self.reasons.push_request(&key.0, key.1, why);
-            self.effects.push(Effect::Queued { to: key.0.clone(), ask: ask.id });
-            let unheard = unheard.then_some(now + INSTANCE_DISCOVERY_WAIT);
+            self.effects.push(Effect::Queued { to: key.0.clone(), ask: request.id });
+            let awaiting = awaiting.then_some(now + INSTANCE_DISCOVERY_WAIT);
             function.queue.insert(
-                place,
-                Waiting { from: key.0.clone(), request: ask, awaiting_instances_until: unheard },
+                position,
+                Waiting { from: key.0.clone(), request, awaiting_instances_until: awaiting },
             );
-            self.queue_positions.insert(key, (at, place));
+            self.queue_positions.insert(key, (at, position));
             self.activate(at);
         }
         self.report_target(now, at);
@@ -452,21 +459,21 @@
         now: Nanos,
         at: usize,
         key: Key,
-        ask: &PermitRequest,
+        request: &PermitRequest,
         id: &CompactString,
         waited: bool,
     ) {
         let service = &mut self.functions[at];
         let most = service.function.as_ref().map_or(1, |f| f.spec.concurrency);
-        let Some(place) = service.add_permit(id, key.clone()) else { return };
+        let Some(state) = service.add_permit(id, key.clone()) else { return };
         self.sequence += 1;
-        (place.last_grant, place.last_used) = (self.sequence, now);
-        let (out, failed_there) = (place.permits.len(), ask.avoid.contains(id));
+        (state.last_grant, state.last_used) = (self.sequence, now);
+        let (out, failed_there) = (state.permits.len(), request.avoid.contains(id));
         let why = || RequestDecision::Granted { instance: id.clone(), out, most, failed_there, waited };
         self.reasons.push_request(&key.0, key.1, why);
-        self.effects.push(Effect::Grant { to: key.0.clone(), ask: ask.id, instance: place.info.clone() });
+        self.effects.push(Effect::Grant { to: key.0.clone(), ask: request.id, instance: state.info.clone() });
         service.record_permits(now);
-        let until = ask.deadline.saturating_add(PERMIT_GRACE);
+        let until = request.deadline.saturating_add(PERMIT_GRACE);
         self.record_permit(
             key,
             Permit {
@@ -485,35 +492,35 @@
     }
 
     fn dequeue(&mut self, key: &Key) {
-        if let Some((at, place)) = self.queue_positions.remove(key)
+        if let Some((at, position)) = self.queue_positions.remove(key)
             && let Some(function) = &mut self.functions[at].function
         {
-            function.queue.remove(&place);
+            function.queue.remove(&position);
         }
     }
 
     /// Removes a request whose client no longer waits.
-    pub fn cancel(&mut self, now: Nanos, from: &str, ask: u64) {
-        self.dequeue(&(from.into(), ask));
-        self.release(now, from, ask, Outcome::Unused, 0);
+    pub fn cancel(&mut self, now: Nanos, from: &str, request_id: u64) {
+        self.dequeue(&(from.into(), request_id));
+        self.release(now, from, request_id, Outcome::Unused, 0);
     }
 
     /// Removes a request that moves to another owner, together with its permit. The freed slot is not
     /// granted to a queued request here.
-    pub fn forget(&mut self, now: Nanos, from: &str, ask: u64) {
-        let key = (from.into(), ask);
+    pub fn forget(&mut self, now: Nanos, from: &str, request_id: u64) {
+        let key = (from.into(), request_id);
         self.dequeue(&key);
         let Some(permit) = self.permits.remove(&key) else { return };
         let service = &mut self.functions[permit.function];
-        service.remove_permit(&permit.instance, from, ask);
+        service.remove_permit(&permit.instance, from, request_id);
         service.record_permits(now);
     }
 
     /// Releases a permit after an attempt.
-    pub fn release(&mut self, now: Nanos, from: &str, ask: u64, outcome: Outcome, took: Nanos) {
-        let key = (from.into(), ask);
+    pub fn release(&mut self, now: Nanos, from: &str, request_id: u64, outcome: Outcome, took: Nanos) {
+        let key = (from.into(), request_id);
         let Some(permit) = self.permits.get_mut(&key) else {
-            return self.permit_returned(now, from, ask, outcome);
+            return self.permit_returned(now, from, request_id, outcome);
         };
         let (at, service) = (permit.function, &mut self.functions[permit.function]);
         if outcome.may_still_run() && !permit.abandoned {
@@ -536,24 +543,24 @@
             self.returned_permits.insert(now, key);
         }
         let target = service.function.as_ref().map_or(200 * MS, |f| f.target);
-        let (mut lost, settles) = (false, now < service.settling_until + SETTLING_TIME);
-        let unsure = service.instance(&permit.instance).is_some_and(|p| service.is_uncertain(now, p));
-        if unsure && matches!(outcome, Outcome::Answered | Outcome::Full) {
+        let (mut lost, settling) = (false, now < service.settling_until + SETTLING_TIME);
+        let uncertain = service.instance(&permit.instance).is_some_and(|p| service.is_uncertain(now, p));
+        if uncertain && matches!(outcome, Outcome::Answered | Outcome::Full) {
             service.probe_ended(now, outcome == Outcome::Full);
         }
-        if let Some(place) = service.remove_permit(&permit.instance, from, ask) {
-            place.attempt_ended(now, outcome, took, first_retry_delay(target));
-            place.last_used = now;
-            place.verified =
-                unsure && (outcome == Outcome::Answered || place.verified && outcome != Outcome::Full);
-            if outcome == Outcome::Full && (unsure || settles && place.inherited) {
-                place.yielded_until = now + YIELD_TIME;
+        if let Some(state) = service.remove_permit(&permit.instance, from, request_id) {
+            state.attempt_ended(now, outcome, took, first_retry_delay(target));
+            state.last_used = now;
+            state.verified =
+                uncertain && (outcome == Outcome::Answered || state.verified && outcome != Outcome::Full);
+            if outcome == Outcome::Full && (uncertain || settling && state.inherited) {
+                state.yielded_until = now + YIELD_TIME;
             }
-            lost = outcome == Outcome::Unreachable && place.info.stage == Stage::Ready && place.is_failing();
+            lost = outcome == Outcome::Unreachable && state.info.stage == Stage::Ready && state.is_failing();
         }
         if outcome == Outcome::Full {
             service.record_refusal(now);
-            let out = service.instance(&permit.instance).map_or(0, |place| place.permits.len());
+            let out = service.instance(&permit.instance).map_or(0, |state| state.permits.len());
             self.counts.refused_as_full += 1;
             self.counts.last_full = Some((permit.instance.clone(), out));
         }
@@ -581,7 +588,7 @@
             return;
         }
         self.functions[at]
-            .update_instance(id, |place| (place.retired, place.lost, place.reported_at) = (true, true, now));
+            .update_instance(id, |state| (state.retired, state.lost, state.reported_at) = (true, true, now));
         self.reasons.push(|| Reason::DeadInstance { instance: id.into(), failing });
         self.effects.push(Effect::ReportLost(id.into()));
         self.report_target(now, at);
@@ -595,8 +602,8 @@
         permits.sort_unstable();
         queued.sort_unstable();
         self.counts.freed += permits.len() as u64;
-        for ask in permits.into_iter().chain(queued) {
-            self.cancel(now, from, ask);
+        for request_id in permits.into_iter().chain(queued) {
+            self.cancel(now, from, request_id);
         }
     }
 
@@ -616,14 +623,14 @@
                 return;
             }
             let first = service.function.as_mut().and_then(|f| f.queue.pop_first());
-            let Some((_, Waiting { from, request: ask, .. })) = first else { return };
-            let key = (from, ask.id);
+            let Some((_, Waiting { from, request, .. })) = first else { return };
+            let key = (from, request.id);
             self.queue_positions.remove(&key);
             match chosen {
-                Some(id) => self.grant(now, at, key, &ask, &id, true),
+                Some(id) => self.grant(now, at, key, &request, &id, true),
                 None => {
                     self.functions[at].record_refusal(now);
-                    self.deny(key.0, ask.id, DenialReason::Full(0), || RequestDecision::DeadlinePassed);
+                    self.deny(key.0, request.id, DenialReason::Full(0), || RequestDecision::DeadlinePassed);
                 }
             }
         }
@@ -636,17 +643,23 @@
         let Some(function) = &service.function else { return };
         let (wait, usual) = (service.expected_wait(now), function.demand.expected_hold_time() as Nanos);
         let over = |w: &Waiting| w.awaiting_instances_until.is_some_and(|until| until <= now);
-        let due: Vec<_> = function.queue.iter().filter(|(_, w)| over(w)).map(|(place, _)| *place).collect();
-        for place in due {
+        let due: Vec<_> =
+            function.queue.iter().filter(|(_, w)| over(w)).map(|(position, _)| *position).collect();
+        for position in due {
             let Some(function) = &mut self.functions[at].function else { return };
-            let Some(waiting) = function.queue.get_mut(&place) else { continue };
+            let Some(waiting) = function.queue.get_mut(&position) else { continue };
             waiting.awaiting_instances_until = None;
-            let ask = &waiting.request;
-            let hopeless = now + wait >= ask.deadline;
-            if hopeless || !ask.returned && ask.attempts_sent == 0 && now + wait + usual > ask.soft_deadline {
-                let (from, id) = (waiting.from.clone(), ask.id);
-                let (left, aim) = (ask.deadline.saturating_sub(now), ask.soft_deadline.saturating_sub(now));
-                function.queue.remove(&place);
+            let request = &waiting.request;
+            let hopeless = now + wait >= request.deadline;
+            if hopeless
+                || !request.returned
+                    && request.attempts_sent == 0
+                    && now + wait + usual > request.soft_deadline
+            {
+                let (from, id) = (waiting.from.clone(), request.id);
+                let (left, aim) =
+                    (request.deadline.saturating_sub(now), request.soft_deadline.saturating_sub(now));
+                function.queue.remove(&position);
                 self.queue_positions.remove(&(from.clone(), id));
                 let late = RequestDecision::WouldMissTarget { wait, takes: usual, left: aim };
                 let why =
@@ -665,11 +678,11 @@
         let mut overdue: Vec<_> =
             self.permits.iter().filter(|(_, p)| p.expires_at <= now).map(|(k, _)| k.clone()).collect();
         overdue.sort_unstable();
-        for (from, ask) in overdue {
-            if let Some(permit) = self.permits.get_mut(&(from.clone(), ask)) {
+        for (from, request_id) in overdue {
+            if let Some(permit) = self.permits.get_mut(&(from.clone(), request_id)) {
                 permit.abandoned = true;
             }
-            self.release(now, &from, ask, Outcome::Abandoned, 0);
+            self.release(now, &from, request_id, Outcome::Abandoned, 0);
         }
         self.next_expiry = self.permits.values().map(|p| p.expires_at).min().unwrap_or(Nanos::MAX);
     }
--- a/scheduler/src/function/instances.rs
+++ b/scheduler/src/function/instances.rs
@@ -14,10 +14,10 @@
     pub fn update_instance(&mut self, now: Nanos, of: Instance, mine: bool) {
         let id = of.id.clone();
         if let Some(at) = self.index_by_instance.get(&id).copied() {
-            self.functions[at].update_instance(&id, |place| {
+            self.functions[at].update_instance(&id, |state| {
                 // An instance that this owner has seen working never goes back to booting.
-                let stage = of.stage.max(place.info.stage);
-                (place.info, place.owned) = (Instance { stage, ..of }, mine);
+                let stage = of.stage.max(state.info.stage);
+                (state.info, state.owned) = (Instance { stage, ..of }, mine);
             });
             return self.serve_queue(now, at);
         }
@@ -26,14 +26,14 @@
         self.add_instance(now, at, InstanceState::new(of, mine, now));
     }
 
-    fn add_instance(&mut self, now: Nanos, at: usize, place: InstanceState) {
-        let (id, mine, adopted) = (place.info.id.clone(), place.owned, place.info.stage == Stage::Ready);
-        self.functions[at].add(place);
+    fn add_instance(&mut self, now: Nanos, at: usize, state: InstanceState) {
+        let (id, mine, adopted) = (state.info.id.clone(), state.owned, state.info.stage == Stage::Ready);
+        self.functions[at].add(state);
         self.activate(at);
         self.probe_if_booting(now, at, &id);
-        for ((from, ask), until, heard) in self.early_permits.remove(&id).unwrap_or_default() {
+        for ((from, request_id), until, heard) in self.early_permits.remove(&id).unwrap_or_default() {
             if now < heard + EARLY_PERMIT_TTL && now < until.saturating_add(PERMIT_GRACE) {
-                self.hold_permit(now, from, ask, &id, until);
+                self.hold_permit(now, from, request_id, &id, until);
             }
         }
         if adopted && mine && self.functions[at].owned {
@@ -50,14 +50,14 @@
             return;
         };
         self.functions[at]
-            .update_instance(id, |place| (place.info.stage, place.last_used) = (Stage::Ready, now));
+            .update_instance(id, |state| (state.info.stage, state.last_used) = (Stage::Ready, now));
         self.serve_queue(now, at);
     }
 
     /// Removes an instance that the controller reports as gone.
     pub fn remove_instance(&mut self, now: Nanos, id: &str) {
         let Some(at) = self.index_by_instance.remove(id) else { return };
-        let out = self.functions[at].remove(id).map(|place| place.permits);
+        let out = self.functions[at].remove(id).map(|state| state.permits);
         for key in out.into_iter().flatten() {
             self.permits.remove(&key);
         }
@@ -86,17 +86,18 @@
     fn list_instance(&mut self, now: Nanos, instance: Instance, mine: impl Fn(&Instance) -> bool) {
         let (id, mine) = (instance.id.clone(), mine(&instance));
         let new = !self.knows(&id);
-        let settles = |s: &FunctionState| s.owned && (now < s.settling_until || !s.awaited_owners.is_empty());
+        let settling =
+            |s: &FunctionState| s.owned && (now < s.settling_until || !s.awaited_owners.is_empty());
         let found =
-            new && self.index_by_name.get(&instance.service).is_some_and(|at| settles(&self.functions[*at]));
+            new && self.index_by_name.get(&instance.service).is_some_and(|at| settling(&self.functions[*at]));
         if !found {
             return self.update_instance(now, instance, mine);
         }
         let at = self.index_or_insert(&instance.service);
         self.index_by_instance.insert(id.clone(), at);
-        let mut place = InstanceState::new(instance, mine, now);
-        place.inherited = true;
-        self.add_instance(now, at, place);
+        let mut state = InstanceState::new(instance, mine, now);
+        state.inherited = true;
+        self.add_instance(now, at, state);
     }
 
     /// Applies the list of a new leader. Instances of functions owned here are kept even if they are
--- a/scheduler/src/function/ownership.rs
+++ b/scheduler/src/function/ownership.rs
@@ -45,7 +45,7 @@
     /// Proxy that holds it.
     pub who: CompactString,
     /// Request id at that proxy.
-    pub ask: u64,
+    pub request_id: u64,
     /// Zone of the instance.
     pub zone: CompactString,
     /// Instance id.
@@ -64,39 +64,40 @@
         now: Nanos,
         me: &Peer,
         owners: &Owners,
-        turn: &OwnershipChange,
+        change: &OwnershipChange,
         before: impl Fn(&str, &BTreeSet<CompactString>) -> Transfer,
     ) -> Vec<Released> {
-        let (mut new, mut parted) = (Vec::new(), Vec::new());
-        for at in self.affected_functions(turn) {
+        let (mut new, mut released) = (Vec::new(), Vec::new());
+        for at in self.affected_functions(change) {
             let service = &mut self.functions[at];
             let name = service.name.clone();
-            let lots = owners.partition_count(&name);
+            let partitions = owners.partition_count(&name);
             let here = owners.owns(&me.name, &name, &me.zone);
-            let mine =
-                |zone: &str| if lots > 1 { owners.owns(&me.name, &name, zone).is_ok() } else { here.is_ok() };
+            let mine = |zone: &str| {
+                if partitions > 1 { owners.owns(&me.name, &name, zone).is_ok() } else { here.is_ok() }
+            };
             let owned = service.function.is_some() && here.is_ok();
             let was = (service.owned, service.split);
-            (service.owned, service.split) = (owned, lots > 1);
+            (service.owned, service.split) = (owned, partitions > 1);
             self.rival_seeds[at] = here.err().unwrap_or(0);
             if let Some(function) = &mut service.function {
-                function.budget.set_partitions(lots);
+                function.budget.set_partitions(partitions);
             }
             let mut gained = BTreeSet::new();
-            service.update_all(|places| {
-                for place in places {
-                    let is_mine = owned && mine(&place.info.zone);
-                    if is_mine && !place.owned {
-                        gained.insert(place.info.id.clone());
+            service.update_all(|instances| {
+                for state in instances {
+                    let is_mine = owned && mine(&state.info.zone);
+                    if is_mine && !state.owned {
+                        gained.insert(state.info.id.clone());
                     }
-                    place.owned = is_mine;
+                    state.owned = is_mine;
                 }
             });
-            let stays = was == (owned, lots > 1);
-            if stays && !(owned && lots > 1) {
+            let stays = was == (owned, partitions > 1);
+            if stays && !(owned && partitions > 1) {
                 continue;
             }
-            let zones = service.instances().iter().map(|place| place.info.zone.clone()).collect();
+            let zones = service.instances().iter().map(|state| state.info.zone.clone()).collect();
             let transfer = before(&name, &zones);
             if stays {
                 // The owner of one partition takes over or gives back another; the rest is unchanged.
@@ -104,7 +105,7 @@
                     let settling = service.settling_until;
                     let out = self.release_partition(now, at, mine);
                     self.functions[at].settling_until = settling;
-                    parted.push(Released { function: name.clone(), permits: out });
+                    released.push(Released { function: name.clone(), permits: out });
                 }
                 if !transfer.from.is_empty() || !gained.is_empty() {
                     self.gain_partition(now, at, transfer.from, &gained);
@@ -114,7 +115,7 @@
             service.reset_probes();
             if was.0 {
                 let out = self.release_partition(now, at, mine);
-                parted.push(Released { function: name.clone(), permits: out });
+                released.push(Released { function: name.clone(), permits: out });
             }
             if owned {
                 self.functions[at].awaited_owners = transfer.from;
@@ -126,11 +127,11 @@
                 self.probe_if_booting(now, at, &id);
             }
             // From now on they are judged by this owner's demand.
-            self.functions[at].update_all(|places| {
-                for place in places {
-                    (place.last_used, place.inherited, place.verified, place.yielded_until) =
+            self.functions[at].update_all(|instances| {
+                for state in instances {
+                    (state.last_used, state.inherited, state.verified, state.yielded_until) =
                         (now, true, false, 0);
-                    (place.draining, place.retired) = (false, false);
+                    (state.draining, state.retired) = (false, false);
                 }
             });
             let waits =
@@ -144,7 +145,7 @@
             self.activate(at);
             self.inherit_instances(now, at);
         }
-        parted
+        released
     }
 
     /// Takes over instances of another partition in addition to those already owned.
@@ -162,14 +163,14 @@
         service.awaited_owners.extend(from);
         let waits = if service.awaited_owners.is_empty() { SETTLING_TIME } else { TRANSFER_TIMEOUT };
         service.settling_until = service.settling_until.max(now + waits);
-        service.update_all(|places| {
-            for place in places {
-                if gained.contains(&place.info.id) {
-                    (place.last_used, place.inherited, place.verified, place.yielded_until) =
+        service.update_all(|instances| {
+            for state in instances {
+                if gained.contains(&state.info.id) {
+                    (state.last_used, state.inherited, state.verified, state.yielded_until) =
                         (now, true, false, 0);
-                    (place.draining, place.retired) = (false, false);
+                    (state.draining, state.retired) = (false, false);
                 } else if settled {
-                    place.inherited = false;
+                    state.inherited = false;
                 }
             }
         });
@@ -184,16 +185,16 @@
     /// Functions affected by a change, ordered by name. An owned function can be lost only to a new proxy
     /// that ranks above this one; a function not owned can be gained only if the proxy that ranked above
     /// this one has left.
-    fn affected_functions(&self, turn: &OwnershipChange) -> Vec<usize> {
-        if turn.is_full() {
+    fn affected_functions(&self, change: &OwnershipChange) -> Vec<usize> {
+        if change.is_full() {
             return self.indices_where(|_| true);
         }
         let is = |(at, rival): (usize, &u64)| {
-            let here = |service: &FunctionState| service.owned && turn.may_lose(&service.name);
-            (if *rival == 0 { here(&self.functions[at]) } else { turn.has_left(*rival) }).then_some(at)
+            let here = |service: &FunctionState| service.owned && change.may_lose(&service.name);
+            (if *rival == 0 { here(&self.functions[at]) } else { change.has_left(*rival) }).then_some(at)
         };
         let mut found: Vec<_> = self.rival_seeds.iter().enumerate().filter_map(is).collect();
-        found.extend(turn.split().filter_map(|name| self.index_by_name.get(name)));
+        found.extend(change.split().filter_map(|name| self.index_by_name.get(name)));
         let mut found = self.sort_by_name(found);
         found.dedup();
         found
@@ -212,14 +213,14 @@
         let gone: Vec<_> = match &service.function {
             Some(function) => {
                 let of = function.queue.iter().filter(|(_, w)| !mine(&w.request.zone));
-                of.map(|(place, w)| (*place, (w.from.clone(), w.request.id))).collect()
+                of.map(|(position, w)| (*position, (w.from.clone(), w.request.id))).collect()
             }
             None => Vec::new(),
         };
-        for (place, key) in gone {
+        for (position, key) in gone {
             self.queue_positions.remove(&key);
             if let Some(function) = &mut self.functions[at].function {
-                function.queue.remove(&place);
+                function.queue.remove(&position);
             }
         }
         let service = &self.functions[at];
@@ -227,12 +228,12 @@
         let keys: Vec<_> =
             away.flat_map(|p| p.permits.iter().map(|key| (key.clone(), p.info.zone.clone()))).collect();
         let mut out = Vec::new();
-        for ((who, ask), zone) in keys {
-            let Some(permit) = self.permits.remove(&(who.clone(), ask)) else { continue };
-            self.functions[at].remove_permit(&permit.instance, &who, ask);
+        for ((who, request_id), zone) in keys {
+            let Some(permit) = self.permits.remove(&(who.clone(), request_id)) else { continue };
+            self.functions[at].remove_permit(&permit.instance, &who, request_id);
             out.push(OutstandingPermit {
                 who,
-                ask,
+                request_id,
                 zone,
                 instance: permit.instance,
                 until: permit.expires_at,
@@ -269,23 +270,32 @@
     }
 
     /// Takes over a permit that a previous owner granted.
-    pub fn take_over_permit(&mut self, now: Nanos, who: CompactString, ask: u64, id: &str, until: Nanos) {
+    pub fn take_over_permit(
+        &mut self,
+        now: Nanos,
+        who: CompactString,
+        request_id: u64,
+        id: &str,
+        until: Nanos,
+    ) {
         // A permit granted here meanwhile is kept until its holder reports using the other one.
-        if !self.permits.contains_key(&(who.clone(), ask)) {
+        if !self.permits.contains_key(&(who.clone(), request_id)) {
             self.counts.taken_over += 1;
-            self.hold_permit(now, who, ask, id, until.saturating_sub(PERMIT_GRACE));
+            self.hold_permit(now, who, request_id, id, until.saturating_sub(PERMIT_GRACE));
         }
     }
 
     /// Records a permit that its holder reports as granted by a previous owner. The request is removed
     /// from the queue here, and a permit granted to it here is dropped as unused.
-    pub fn hold_permit(&mut self, now: Nanos, from: CompactString, ask: u64, id: &str, until: Nanos) {
-        let key = (from, ask);
-        if self.is_granted_at(&key.0, ask, id) || self.permits.len() > 100_000 || self.has_returned(now, &key)
+    pub fn hold_permit(&mut self, now: Nanos, from: CompactString, request_id: u64, id: &str, until: Nanos) {
+        let key = (from, request_id);
+        if self.is_granted_at(&key.0, request_id, id)
+            || self.permits.len() > 100_000
+            || self.has_returned(now, &key)
         {
             return;
         }
-        self.forget(now, &key.0, ask);
+        self.forget(now, &key.0, request_id);
         let Some(at) = self.index_by_instance.get(id).copied() else {
             // The holder may know of this owner before the owner knows the instance.
             self.early_permits
--- a/scheduler/src/function/removed_functions.rs
+++ b/scheduler/src/function/removed_functions.rs
@@ -47,9 +47,9 @@
     }
 
     /// Denies a request for a function that is not configured here.
-    pub(super) fn deny_unknown(&mut self, now: Nanos, (from, ask): Key, name: &str) {
+    pub(super) fn deny_unknown(&mut self, now: Nanos, (from, request_id): Key, name: &str) {
         let moved = self.removed_functions.0.get(name).is_some_and(|until| now < *until);
-        let no = if moved { DenialReason::Moved } else { DenialReason::Unknown };
-        self.deny(from, ask, no, || RequestDecision::UnknownFunction);
+        let reason = if moved { DenialReason::Moved } else { DenialReason::Unknown };
+        self.deny(from, request_id, reason, || RequestDecision::UnknownFunction);
     }
 }
--- a/scheduler/src/function/returned_permits.rs
+++ b/scheduler/src/function/returned_permits.rs
@@ -37,9 +37,9 @@
 impl Scheduler {
     /// Remembers the release of a permit that is not known here. An unused permit is not remembered, since
     /// its request may use another one.
-    pub(crate) fn permit_returned(&mut self, now: Nanos, who: &str, ask: u64, outcome: Outcome) {
+    pub(crate) fn permit_returned(&mut self, now: Nanos, who: &str, request_id: u64, outcome: Outcome) {
         if outcome != Outcome::Unused {
-            self.returned_permits.insert(now, (who.into(), ask));
+            self.returned_permits.insert(now, (who.into(), request_id));
         }
     }
 
--- a/scheduler/src/function/targets.rs
+++ b/scheduler/src/function/targets.rs
@@ -59,17 +59,17 @@
         let Some((_, need)) = said else { return };
         let live = service.live_instances();
         if let Some(old) = service.surplus_instance(now, need as usize) {
-            service.update_instance(&old, |place| place.draining = true);
+            service.update_instance(&old, |state| state.draining = true);
             self.reasons.push(|| Reason::SurplusInstance { instance: old, need, live });
         }
         if service.totals().draining == 0 {
             return;
         }
         let effects = &mut self.effects;
-        service.update_all(|places| {
-            for place in places.iter_mut().filter(|p| p.draining && !p.retired && p.permits.is_empty()) {
-                (place.retired, place.reported_at) = (true, now);
-                effects.push(Effect::Retire(place.info.id.clone()));
+        service.update_all(|instances| {
+            for state in instances.iter_mut().filter(|p| p.draining && !p.retired && p.permits.is_empty()) {
+                (state.retired, state.reported_at) = (true, now);
+                effects.push(Effect::Retire(state.info.id.clone()));
             }
         });
     }
@@ -81,13 +81,13 @@
             return;
         }
         let effects = &mut self.effects;
-        service.update_all(|places| {
-            for place in
-                places.iter_mut().filter(|p| p.retired && p.reported_at + RETIRE_REPORT_INTERVAL <= now)
+        service.update_all(|instances| {
+            for state in
+                instances.iter_mut().filter(|p| p.retired && p.reported_at + RETIRE_REPORT_INTERVAL <= now)
             {
-                place.reported_at = now;
-                let id = place.info.id.clone();
-                effects.push(if place.lost { Effect::ReportLost(id) } else { Effect::Retire(id) });
+                state.reported_at = now;
+                let id = state.info.id.clone();
+                effects.push(if state.lost { Effect::ReportLost(id) } else { Effect::Retire(id) });
             }
         });
     }
--- a/scheduler/src/function/worker_speed.rs
+++ b/scheduler/src/function/worker_speed.rs
@@ -28,8 +28,8 @@
     /// Records the response time of a successful answer.
     pub(super) fn record_latency(&mut self, now: Nanos, at: usize, id: &str, took: Nanos) {
         let service = &self.functions[at];
-        if let (Some(place), Some(speeds)) = (service.instance(id), &mut self.latency_model) {
-            speeds.saw(now, &service.name, &place.info.worker, took);
+        if let (Some(state), Some(speeds)) = (service.instance(id), &mut self.latency_model) {
+            speeds.saw(now, &service.name, &state.info.worker, took);
         }
     }
 }
@@ -53,9 +53,9 @@
             let steps = ((lag.log - best.log) / STEP.ln()).clamp(0.0, 8.0) as u8;
             if slow || already || lag.surely_behind(&best, BEYOND, SURE) { steps } else { 0 }
         };
-        self.update_ranks(|at, place| {
-            place.on_slow_worker = speeds.slow_for(&name, &place.info.worker);
-            place.latency_rank = step(lags[at], place.on_slow_worker, place.latency_rank > 0);
+        self.update_ranks(|at, state| {
+            state.on_slow_worker = speeds.slow_for(&name, &state.info.worker);
+            state.latency_rank = step(lags[at], state.on_slow_worker, state.latency_rank > 0);
         });
     }
 }
--- a/scheduler/src/instance.rs
+++ b/scheduler/src/instance.rs
@@ -121,18 +121,18 @@
     }
 
     /// Whether this caller used the instance recently and may still have a connection to it.
-    pub fn recently_used_by(&self, asker: &str) -> bool {
-        self.recent_callers.iter().any(|a| a == asker)
+    pub fn recently_used_by(&self, caller: &str) -> bool {
+        self.recent_callers.iter().any(|a| a == caller)
     }
 
     /// Records the caller of a new request.
-    pub fn record_caller(&mut self, asker: &CompactString) {
-        if self.recent_callers.back() != Some(asker) {
-            self.recent_callers.retain(|a| a != asker);
+    pub fn record_caller(&mut self, caller: &CompactString) {
+        if self.recent_callers.back() != Some(caller) {
+            self.recent_callers.retain(|a| a != caller);
             if self.recent_callers.len() >= MAX_RECENT_CALLERS {
                 self.recent_callers.pop_front();
             }
-            self.recent_callers.push_back(asker.clone());
+            self.recent_callers.push_back(caller.clone());
         }
     }
 
--- a/scheduler/src/instance/slot_limit.rs
+++ b/scheduler/src/instance/slot_limit.rs
@@ -56,15 +56,15 @@
     /// Counts the rejections while an unknown request holds one slot for `lasts`, and the time from its
     /// end until all slots are used again.
     fn with_one_uncounted(all: usize, lasts: Nanos) -> (usize, Nanos) {
-        let (mut narrow, mut refusals, mut now) = (SlotLimit::default(), 0, 0);
+        let (mut limit, mut refusals, mut now) = (SlotLimit::default(), 0, 0);
         loop {
-            let used = narrow.usable(now, all);
+            let used = limit.usable(now, all);
             if now >= lasts && used == all {
                 return (refusals, now - lasts);
             }
             // All usable slots are taken, and more requests are queued.
             if now < lasts && used == all {
-                narrow.rejected(now, all - 1);
+                limit.rejected(now, all - 1);
                 refusals += 1;
             }
             now += 10 * MS;
@@ -76,20 +76,20 @@
         eight_slots = { 8, 5 * SECOND, 5, 2 * SECOND },
         short = { 8, 100 * MS, 1, 500 * MS },
     )]
-    fn a_slot_that_only_seems_free_is_tried_seldom(all: usize, lasts: Nanos, most: usize, back: Nanos) {
+    fn seemingly_free_slot_is_probed_rarely(all: usize, lasts: Nanos, most: usize, back: Nanos) {
         let (refusals, late) = with_one_uncounted(all, lasts);
         assert!(refusals <= most && late <= back, "{refusals} refusals, {late} ns");
     }
 
     #[test]
-    fn several_that_were_sent_at_once_leave_what_the_instance_holds() {
-        let mut narrow = SlotLimit::default();
-        assert_eq!(narrow.usable(0, 8), 8);
-        [7, 6, 5].into_iter().for_each(|others| narrow.rejected(MS, others));
-        assert_eq!(narrow.usable(2 * MS, 8), 5);
+    fn concurrent_rejections_lower_the_limit_to_what_the_instance_holds() {
+        let mut limit = SlotLimit::default();
+        assert_eq!(limit.usable(0, 8), 8);
+        [7, 6, 5].into_iter().for_each(|others| limit.rejected(MS, others));
+        assert_eq!(limit.usable(2 * MS, 8), 5);
         // Slots are added one at a time, since the unknown requests may all still be running.
-        assert_eq!(narrow.usable(MS + PAUSE, 8), 6);
-        assert_eq!(narrow.usable(MS + 2 * PAUSE, 8), 7);
-        assert_eq!(narrow.usable(MS + 10 * PAUSE, 8), 8);
+        assert_eq!(limit.usable(MS + PAUSE, 8), 6);
+        assert_eq!(limit.usable(MS + 2 * PAUSE, 8), 7);
+        assert_eq!(limit.usable(MS + 10 * PAUSE, 8), 8);
     }
 }
--- a/scheduler/src/owner_ranking.rs
+++ b/scheduler/src/owner_ranking.rs
@@ -66,21 +66,21 @@
         let owners = &self.owners;
         let (came, left) = owners.view().since(before.view());
         let left: BTreeSet<_> = left.into_iter().map(|p| &p.name).collect();
-        let mut stand: BTreeSet<_> = came.iter().map(|p| p.name.clone()).collect();
+        let mut reassigned: BTreeSet<_> = came.iter().map(|p| p.name.clone()).collect();
         let came: Vec<_> = came
             .into_iter()
             .filter(|p| before.find(&p.name).is_none())
             .map(|p| (seed(&p.name), &p.name))
             .collect();
         let split: BTreeSet<_> = owners.split().union(before.split()).collect();
-        let turned: BTreeSet<_> = split
+        let resplit: BTreeSet<_> = split
             .iter()
             .filter(|s| (owners.partition_count(s) > 1) != (before.partition_count(s) > 1))
             .map(|s| (*s).clone())
             .collect();
         self.pairs.retain(|(service, zone), two| {
-            if turned.contains(service) {
-                stand.extend(names(two).cloned());
+            if resplit.contains(service) {
+                reassigned.extend(names(two).cloned());
                 return false;
             }
             let now = if split.contains(service) || names(two).any(|name| left.contains(name)) {
@@ -98,13 +98,13 @@
                 now
             };
             if now != *two {
-                stand.extend(names(two).filter(|name| !names(&now).any(|n| n == *name)).cloned());
-                stand.extend(names(&now).filter(|name| !names(two).any(|n| n == *name)).cloned());
+                reassigned.extend(names(two).filter(|name| !names(&now).any(|n| n == *name)).cloned());
+                reassigned.extend(names(&now).filter(|name| !names(two).any(|n| n == *name)).cloned());
                 *two = now;
             }
             true
         });
-        (stand, turned)
+        (reassigned, resplit)
     }
 }
 
@@ -116,7 +116,7 @@
     use crate::owners::Peer;
 
     #[test]
-    fn what_is_kept_is_what_is_worked_out_anew_and_who_stands_otherwise_is_told() {
+    fn cache_equals_full_ranking_and_changed_proxies_are_returned() {
         let mut dice = Dice::seeded(3);
         let mut below = |n: u64| (dice.share() * n as f64) as u64;
         let zones = ["a", "b", "c"].map(CompactString::from);
@@ -148,8 +148,8 @@
                 };
             let before: Vec<_> = asked.iter().map(|(s, z)| two(&mut ranks, s, z)).collect();
             let kept = ranks.pairs.len();
-            let (stand, turned) = ranks.update(owners.clone());
-            assert!(ranks.pairs.len() == kept || !turned.is_empty());
+            let (reassigned, resplit) = ranks.update(owners.clone());
+            assert!(ranks.pairs.len() == kept || !resplit.is_empty());
             for ((service, zone), before) in asked.iter().zip(before) {
                 let first_two = owners.owner_and_deputy(service, zone).map(|p| p.map(|p| &p.name));
                 assert_eq!(
@@ -157,9 +157,9 @@
                     Vec::from_iter(first_two.into_iter().flatten())
                 );
                 let now = two(&mut ranks, service, zone);
-                let others = || before.symmetric_difference(&now).all(|name| stand.contains(name));
-                assert!(turned.contains(service) || others(), "{service}");
-                assert!(!turned.contains(service) || before.iter().all(|name| stand.contains(name)));
+                let others = || before.symmetric_difference(&now).all(|name| reassigned.contains(name));
+                assert!(resplit.contains(service) || others(), "{service}");
+                assert!(!resplit.contains(service) || before.iter().all(|name| reassigned.contains(name)));
             }
         }
     }
--- a/scheduler/src/owners.rs
+++ b/scheduler/src/owners.rs
@@ -15,17 +15,17 @@
 /// The proxies of the latest membership view from the controller.
 #[derive(Clone, Debug, Default)]
 pub struct Owners {
-    roster: MembershipView,
+    view: MembershipView,
     /// Hash seeds of the proxies, in the order of `peers`.
     seeds: Vec<u64>,
     zones: BTreeSet<CompactString>,
 }
 
 impl From<MembershipView> for Owners {
-    fn from(roster: MembershipView) -> Self {
-        let seeds = roster.peers().iter().map(|p| seed(&p.name)).collect();
-        let zones = roster.peers().iter().map(|p| &p.zone).collect::<BTreeSet<_>>();
-        Owners { seeds, zones: zones.into_iter().cloned().collect(), roster }
+    fn from(view: MembershipView) -> Self {
+        let seeds = view.peers().iter().map(|p| seed(&p.name)).collect();
+        let zones = view.peers().iter().map(|p| &p.zone).collect::<BTreeSet<_>>();
+        Owners { seeds, zones: zones.into_iter().cloned().collect(), view }
     }
 }
 
@@ -42,22 +42,22 @@
 
     /// Applies a change to the view; `None` if it is relative to another version.
     pub fn apply_change(&self, shift: &ViewChange) -> Option<Self> {
-        self.roster.shifted(shift).map(Owners::from)
+        self.view.shifted(shift).map(Owners::from)
     }
 
     /// The membership view.
     pub fn view(&self) -> &MembershipView {
-        &self.roster
+        &self.view
     }
 
     /// Fencing number of the leader that issued the view, and its sequence number.
     pub fn version(&self) -> Version {
-        self.roster.version()
+        self.view.version()
     }
 
     /// Functions with an owner in each zone.
     pub fn split(&self) -> &BTreeSet<CompactString> {
-        self.roster.split()
+        self.view.split()
     }
 
     /// Number of partitions of a function.
@@ -78,17 +78,17 @@
 
     /// The proxies, ordered by name.
     pub fn peers(&self) -> &[Peer] {
-        self.roster.peers()
+        self.view.peers()
     }
 
     /// Finds a proxy that can own functions.
     pub fn find(&self, name: &str) -> Option<&Peer> {
-        self.roster.find(name)
+        self.view.find(name)
     }
 
     /// Finds a proxy that is alive, including one that is shutting down and owns nothing any more.
     pub fn find_living(&self, name: &str) -> Option<&Peer> {
-        self.roster.find_living(name)
+        self.view.find_living(name)
     }
 
     /// Number of proxies.
@@ -112,8 +112,8 @@
     /// not split has the same owner in all zones.
     pub fn owner(&self, service: &str, zone: &str, may: impl Fn(&Peer) -> bool) -> Option<&Peer> {
         if self.split().contains(service) {
-            let lot = self.partition_zone(service, zone);
-            let near = self.highest_ranked(service, |p| p.zone == lot && may(p));
+            let home_zone = self.partition_zone(service, zone);
+            let near = self.highest_ranked(service, |p| p.zone == home_zone && may(p));
             if near.is_some() {
                 return near;
             }
@@ -126,12 +126,13 @@
     /// finding the owner.
     pub fn owns(&self, me: &str, service: &str, zone: &str) -> Result<(), u64> {
         let me = self.find(me).ok_or(0_u64)?;
-        let lot = self.split().contains(service).then(|| self.partition_zone(service, zone));
-        if lot.is_some_and(|lot| me.zone != lot) {
+        let home_zone = self.split().contains(service).then(|| self.partition_zone(service, zone));
+        if home_zone.is_some_and(|home_zone| me.zone != home_zone) {
             return Err(0);
         }
         let here = (hash(service, seed(&me.name)), &me.name);
-        let mut others = self.seeds.iter().zip(self.peers()).filter(|(_, p)| lot.is_none_or(|z| p.zone == z));
+        let mut others =
+            self.seeds.iter().zip(self.peers()).filter(|(_, p)| home_zone.is_none_or(|z| p.zone == z));
         others
             .find(|(seed, p)| (hash(service, **seed), &p.name) > here)
             .map_or(Ok(()), |(seed, _)| Err(*seed))
@@ -156,7 +157,7 @@
         if self.find(me).is_some() != before.find(me).is_some() {
             return OwnershipChange { all: true, ..OwnershipChange::default() };
         }
-        let (came, left) = self.roster.since(&before.roster);
+        let (came, left) = self.view.since(&before.view);
         let came = came.into_iter().filter(|p| before.find(&p.name).is_none());
         let mut left: Vec<_> = left.into_iter().map(|p| seed(&p.name)).collect();
         left.sort_unstable();
@@ -216,16 +217,16 @@
     use super::*;
 
     #[test]
-    fn one_gone_moves_only_what_it_owned_and_all_agree() {
+    fn departure_moves_only_owned_functions_and_all_agree() {
         let peer =
             |n: usize| Peer { name: format!("edge-{n}").into(), address: "a".into(), zone: "z".into() };
         let all = Owners::new((1, 1), (0..6).map(peer).collect(), []);
-        let turned = Owners::new((1, 1), (0..6).rev().map(peer).collect(), []);
+        let resplit = Owners::new((1, 1), (0..6).rev().map(peer).collect(), []);
         let mut owned = [0; 6];
         for n in 0..600 {
             let service = format!("s{n}");
             let owner = all.owner(&service, "y", |_| true).expect("one").name.clone();
-            assert_eq!(turned.owner(&service, "z", |_| true).expect("one").name, owner);
+            assert_eq!(resplit.owner(&service, "z", |_| true).expect("one").name, owner);
             let second = all.owner(&service, "z", |p| p.name != "edge-3").expect("one").name.clone();
             assert!(owner == "edge-3" || second == owner);
             owned[owner[5..].parse::<usize>().expect("a number")] += 1;
@@ -234,7 +235,7 @@
     }
 
     #[test]
-    fn a_split_function_has_an_owner_in_each_zone_and_a_zone_without_stalls_falls_to_another() {
+    fn split_function_has_an_owner_per_zone_and_empty_zones_map_to_another() {
         let peer = |n: usize| Peer {
             name: format!("edge-{n}").into(),
             address: "a".into(),
@@ -259,7 +260,7 @@
     }
 
     #[test]
-    fn whether_a_stall_owns_is_as_the_owner_says_and_who_stands_before_it_does() {
+    fn owns_agrees_with_owner_and_returns_a_higher_ranked_rival() {
         let peer = |n: usize| Peer {
             name: format!("edge-{n}").into(),
             address: "a".into(),
--- a/scheduler/src/reason.rs
+++ b/scheduler/src/reason.rs
@@ -145,7 +145,12 @@
         }
     }
 
-    pub fn push_request(&mut self, who: &CompactString, ask: u64, why: impl FnOnce() -> RequestDecision) {
-        self.push(|| Reason::Request { who: who.clone(), ask, why: why() });
+    pub fn push_request(
+        &mut self,
+        who: &CompactString,
+        request_id: u64,
+        why: impl FnOnce() -> RequestDecision,
+    ) {
+        self.push(|| Reason::Request { who: who.clone(), ask: request_id, why: why() });
     }
 }
--- a/scheduler/src/recording.rs
+++ b/scheduler/src/recording.rs
@@ -38,34 +38,30 @@
 impl RecordedCoordinator {
     /// As [`Coordinator::new`].
     pub fn new(me: Peer, terms: SchedulerLimits, seed: u64, first: u64, sink: Option<Sink>) -> Self {
-        let mut tape = sink.map(Recorder::new);
-        if let Some(tape) = &mut tape {
-            let mut line = tape.begin("new", 0);
+        let mut recorder = sink.map(Recorder::new);
+        if let Some(recorder) = &mut recorder {
+            let mut line = recorder.begin("new", 0);
             write_new(&mut line, &me, &terms, seed, first);
-            tape.put(line);
-        }
-        RecordedCoordinator {
-            coordinator: Coordinator::new(me, terms, seed, first),
-            recorder: tape,
-            requests: 0,
+            recorder.put(line);
         }
+        RecordedCoordinator { coordinator: Coordinator::new(me, terms, seed, first), recorder, requests: 0 }
     }
 
     fn record(&mut self, name: &str, now: Nanos, fill: impl FnOnce(&mut Line)) {
-        if let Some(tape) = &mut self.recorder {
-            let mut line = tape.begin(name, now);
+        if let Some(recorder) = &mut self.recorder {
+            let mut line = recorder.begin(name, now);
             fill(&mut line);
-            tape.put(line);
+            recorder.put(line);
         }
     }
 
     /// As [`Coordinator::take_actions`], which is not an input.
     pub fn take_actions(&mut self) -> VecDeque<Action> {
-        let outs = self.coordinator.take_actions();
-        if let Some(tape) = &mut self.recorder {
-            outs.iter().for_each(|out| tape.digest().fold(|parts| out.fold(parts)));
+        let actions = self.coordinator.take_actions();
+        if let Some(recorder) = &mut self.recorder {
+            actions.iter().for_each(|out| recorder.digest().fold(|parts| out.fold(parts)));
         }
-        outs
+        actions
     }
 
     /// As [`Coordinator::configure`].
@@ -91,26 +87,28 @@
     }
 
     /// Records a trace event, which is not an input of the coordinator.
-    pub fn trace(&mut self, now: Nanos, trail: &TraceEvent) {
-        self.record(trail.name(), now, |line| trail.write(line));
+    pub fn trace(&mut self, now: Nanos, event: &TraceEvent) {
+        self.record(event.name(), now, |line| event.write(line));
     }
 
     /// As [`Coordinator::request_permit`]; `of` is the trace number of the request, if any.
     pub fn request_permit(
         &mut self,
         now: Nanos,
-        ask: PermitRequest,
+        request: PermitRequest,
         first: bool,
         of: Option<u64>,
     ) -> Option<u64> {
-        let Some(tape) = &mut self.recorder else { return self.coordinator.request_permit(now, ask, first) };
-        let mut line = tape.begin("ask", now);
-        write_ask(&mut line, &ask, first, of);
-        let id = self.coordinator.request_permit(now, ask, first);
+        let Some(recorder) = &mut self.recorder else {
+            return self.coordinator.request_permit(now, request, first);
+        };
+        let mut line = recorder.begin("ask", now);
+        write_request(&mut line, &request, first, of);
+        let id = self.coordinator.request_permit(now, request, first);
         if let Some(id) = id {
             line.whole("id", id);
         }
-        tape.put(line);
+        recorder.put(line);
         id
     }
 
@@ -147,27 +145,27 @@
     }
 
     /// As [`Coordinator::receive`].
-    pub fn receive(&mut self, now: Nanos, from: &str, life: u64, notes: Vec<PeerMessage>) {
+    pub fn receive(&mut self, now: Nanos, from: &str, incarnation: u64, messages: Vec<PeerMessage>) {
         self.record("mail", now, |line| {
-            line.text("from", from).whole("life", life).notes("notes", &notes);
+            line.text("from", from).whole("life", incarnation).notes("notes", &messages);
         });
-        self.coordinator.receive(now, from, life, notes);
+        self.coordinator.receive(now, from, incarnation, messages);
     }
 
     /// As [`Coordinator::receive_from_controller`].
-    pub fn receive_from_controller(&mut self, now: Nanos, note: PeerMessage) {
+    pub fn receive_from_controller(&mut self, now: Nanos, message: PeerMessage) {
         self.record("told", now, |line| {
-            line.note("note", &note);
+            line.note("note", &message);
         });
-        self.coordinator.receive_from_controller(now, note);
+        self.coordinator.receive_from_controller(now, message);
     }
 
     /// As [`Coordinator::undelivered`].
-    pub fn undelivered(&mut self, now: Nanos, address: &str, notes: Vec<PeerMessage>) {
+    pub fn undelivered(&mut self, now: Nanos, address: &str, messages: Vec<PeerMessage>) {
         self.record("returned", now, |line| {
-            line.text("to", address).notes("notes", &notes);
+            line.text("to", address).notes("notes", &messages);
         });
-        self.coordinator.undelivered(now, address, notes);
+        self.coordinator.undelivered(now, address, messages);
     }
 
     /// As [`Coordinator::controller_unreachable`].
@@ -288,13 +286,16 @@
     });
 }
 
-fn write_ask(line: &mut Line, ask: &PermitRequest, first: bool, of: Option<u64>) {
-    line.text("s", &ask.service).time("deadline", ask.deadline).time("aim", ask.soft_deadline);
-    line.time("target", ask.target);
-    if ask.attempts_sent > 0 {
-        line.whole("sent", ask.attempts_sent.into());
+fn write_request(line: &mut Line, request: &PermitRequest, first: bool, of: Option<u64>) {
+    line.text("s", &request.service).time("deadline", request.deadline).time("aim", request.soft_deadline);
+    line.time("target", request.target);
+    if request.attempts_sent > 0 {
+        line.whole("sent", request.attempts_sent.into());
     }
-    line.mark("first", first).mark("back", ask.returned).names("avoid", &ask.avoid).text("z", &ask.zone);
+    line.mark("first", first)
+        .mark("back", request.returned)
+        .names("avoid", &request.avoid)
+        .text("z", &request.zone);
     if let Some(of) = of {
         line.whole("p", of);
     }
@@ -317,7 +318,7 @@
 
 fn read_new(from: &Parts) -> Result<Input, Fault> {
     if string(from, "of")? != COORDINATOR_LOG {
-        return Err(Fault { key: "of".to_owned(), reason: "no desk" });
+        return Err(Fault { key: "of".to_owned(), reason: "not a coordinator recording" });
     }
     Ok(Input::New {
         me: Peer { name: string(from, "me")?, address: string(from, "a")?, zone: string(from, "z")? },
@@ -338,8 +339,8 @@
     })
 }
 
-fn read_ask(from: &Parts) -> Result<Input, Fault> {
-    let ask = PermitRequest {
+fn read_request(from: &Parts) -> Result<Input, Fault> {
+    let request = PermitRequest {
         id: 0,
         service: string(from, "s")?,
         deadline: whole(from, "deadline")?,
@@ -351,7 +352,12 @@
         zone: string(from, "z")?,
     };
     let number = |key| from.contains_key(key).then(|| line::large(from, key)).transpose();
-    Ok(Input::RequestPermit { ask, first: line::flag(from, "first")?, id: number("id")?, of: number("p")? })
+    Ok(Input::RequestPermit {
+        ask: request,
+        first: line::flag(from, "first")?,
+        id: number("id")?,
+        of: number("p")?,
+    })
 }
 
 impl Entry {
@@ -361,8 +367,8 @@
         match &self.input {
             Input::New { me, terms, seed, first } => write_new(&mut line, me, terms, *seed, *first),
             Input::Configure(specs) => write_specs(&mut line, specs),
-            Input::RequestPermit { ask, first, id, of } => {
-                write_ask(&mut line, ask, *first, *of);
+            Input::RequestPermit { ask: request, first, id, of } => {
+                write_request(&mut line, request, *first, *of);
                 if let Some(id) = id {
                     line.whole("id", *id);
                 }
@@ -379,14 +385,14 @@
             Input::PeerMessages { from, incarnation, messages } => {
                 line.text("from", from).whole("life", *incarnation).notes("notes", messages);
             }
-            Input::ControllerMessage(note) => {
-                line.note("note", note);
+            Input::ControllerMessage(message) => {
+                line.note("note", message);
             }
-            Input::Undelivered { address, messages: notes } => {
-                line.text("to", address).notes("notes", notes);
+            Input::Undelivered { address, messages } => {
+                line.text("to", address).notes("notes", messages);
             }
             Input::ControllerUnreachable | Input::Tick => {}
-            Input::TraceEvent(trail) => trail.write(&mut line),
+            Input::TraceEvent(event) => event.write(&mut line),
         }
         line.end()
     }
@@ -402,12 +408,12 @@
         let input = match string(from, "in")?.as_str() {
             "new" => read_new(from)?,
             "configure" => Input::Configure(line::objects(from, "specs", read_spec)?),
-            "ask" => read_ask(from)?,
+            "ask" => read_request(from)?,
             "give_up" => Input::Cancel { id: id("id")? },
             "finish" => Input::Finish {
                 id: id("id")?,
                 outcome: Outcome::parse(&string(from, "o")?)
-                    .ok_or(Fault { key: "o".to_owned(), reason: "no outcome" })?,
+                    .ok_or(Fault { key: "o".to_owned(), reason: "unknown outcome" })?,
                 took: whole(from, "took")?,
             },
             "up" => Input::InstanceUp(string(from, "i")?),
@@ -446,27 +452,29 @@
             Input::Undelivered { .. } => "returned",
             Input::ControllerUnreachable => "mute",
             Input::Tick => "tick",
-            Input::TraceEvent(trail) => trail.name(),
+            Input::TraceEvent(event) => event.name(),
         }
     }
 
     /// Applies the input to a coordinator. Returns the id given to a permit request.
-    pub fn apply(self, now: Nanos, desk: &mut Coordinator) -> Option<u64> {
+    pub fn apply(self, now: Nanos, coordinator: &mut Coordinator) -> Option<u64> {
         match self {
-            Input::New { me, terms, seed, first } => *desk = Coordinator::new(me, terms, seed, first),
-            Input::Configure(specs) => desk.configure(now, specs.into_iter()),
-            Input::RequestPermit { ask, first, .. } => return desk.request_permit(now, ask, first),
-            Input::Cancel { id } => desk.cancel(now, id),
-            Input::Finish { id, outcome, took } => desk.finish(now, id, outcome, took),
-            Input::InstanceUp(id) => desk.instance_up(now, &id),
-            Input::ConnectionRefused(id) => desk.connection_refused(now, &id),
+            Input::New { me, terms, seed, first } => *coordinator = Coordinator::new(me, terms, seed, first),
+            Input::Configure(specs) => coordinator.configure(now, specs.into_iter()),
+            Input::RequestPermit { ask: request, first, .. } => {
+                return coordinator.request_permit(now, request, first);
+            }
+            Input::Cancel { id } => coordinator.cancel(now, id),
+            Input::Finish { id, outcome, took } => coordinator.finish(now, id, outcome, took),
+            Input::InstanceUp(id) => coordinator.instance_up(now, &id),
+            Input::ConnectionRefused(id) => coordinator.connection_refused(now, &id),
             Input::PeerMessages { from, incarnation, messages } => {
-                desk.receive(now, &from, incarnation, messages)
+                coordinator.receive(now, &from, incarnation, messages)
             }
-            Input::ControllerMessage(note) => desk.receive_from_controller(now, note),
-            Input::Undelivered { address, messages } => desk.undelivered(now, &address, messages),
-            Input::ControllerUnreachable => desk.controller_unreachable(now),
-            Input::Tick => desk.tick(now),
+            Input::ControllerMessage(message) => coordinator.receive_from_controller(now, message),
+            Input::Undelivered { address, messages } => coordinator.undelivered(now, &address, messages),
+            Input::ControllerUnreachable => coordinator.controller_unreachable(now),
+            Input::Tick => coordinator.tick(now),
             Input::TraceEvent(_) => {}
         }
         None
@@ -483,7 +491,7 @@
 
     fn all() -> Vec<Input> {
         let me = Peer { name: "edge-1".into(), address: "10.0.0.1:1".into(), zone: "a".into() };
-        let ask = PermitRequest {
+        let request = PermitRequest {
             id: 0,
             service: "f".into(),
             deadline: 900 * MS + 1,
@@ -495,7 +503,7 @@
             zone: "a".into(),
         };
         let spec = FunctionSpec { name: "f".into(), concurrency: 2, startup_time: 300 * MS, memory_mb: 128 };
-        let wish = RequestInfo {
+        let info = RequestInfo {
             service: "f".into(),
             zone: "".into(),
             target: 200 * MS,
@@ -528,8 +536,8 @@
                 first: 7 << 20,
             },
             Input::Configure(vec![spec]),
-            Input::RequestPermit { ask: ask.clone(), first: false, id: Some(9), of: Some(3) },
-            Input::RequestPermit { ask, first: true, id: None, of: None },
+            Input::RequestPermit { ask: request.clone(), first: false, id: Some(9), of: Some(3) },
+            Input::RequestPermit { ask: request, first: true, id: None, of: None },
             Input::Cancel { id: 9 },
             Input::Finish { id: 9, outcome: Outcome::NoAnswer, took: 12_345_678 },
             Input::InstanceUp("i-1".into()),
@@ -548,12 +556,7 @@
             Input::Undelivered { address: "10.0.0.2:1".into(), messages: vec![PeerMessage::Drop { id: 5 }] },
             Input::ControllerUnreachable,
             Input::Tick,
-            Input::TraceEvent(TraceEvent::Received {
-                p: 3,
-                attempt: "9c41".into(),
-                route: "r".into(),
-                info: wish,
-            }),
+            Input::TraceEvent(TraceEvent::Received { p: 3, attempt: "9c41".into(), route: "r".into(), info }),
             Input::TraceEvent(TraceEvent::Denied { p: 3, reason: DenialReason::Full(7) }),
             Input::TraceEvent(TraceEvent::Denied { p: 3, reason: DenialReason::Skip }),
             Input::TraceEvent(TraceEvent::Denied { p: 3, reason: DenialReason::Moved }),
@@ -569,7 +572,7 @@
     }
 
     #[test]
-    fn every_input_reads_back_and_without_a_part_it_is_an_error_or_another() {
+    fn every_input_round_trips_and_missing_keys_are_detected() {
         for (number, input) in all().into_iter().enumerate() {
             let entry = Entry { number: Some(number as u64), at: number as u64 * MS, input };
             let text = entry.write();
@@ -590,35 +593,35 @@
     }
 
     #[test]
-    fn what_a_taped_desk_tells_is_what_it_was_given() {
+    fn recording_contains_the_inputs() {
         let lines = Rc::new(RefCell::new(Vec::new()));
-        let told = Rc::clone(&lines);
-        let sink: Sink = Box::new(move |line| told.borrow_mut().push(line.to_owned()));
+        let sink_lines = Rc::clone(&lines);
+        let sink: Sink = Box::new(move |line| sink_lines.borrow_mut().push(line.to_owned()));
         let inputs = all();
         let Input::New { me, terms, seed, first } = inputs[0].clone() else { panic!("a life begins") };
-        let mut desk = RecordedCoordinator::new(me, terms, seed, first, Some(sink));
+        let mut coordinator = RecordedCoordinator::new(me, terms, seed, first, Some(sink));
         let mut expected = inputs.clone();
         for (n, input) in inputs.into_iter().enumerate().skip(1) {
             let now = n as u64 * MS;
             match input {
                 Input::New { .. } => {}
-                Input::Configure(specs) => desk.configure(now, specs.into_iter()),
-                Input::RequestPermit { ask, first, of, .. } => {
-                    let given = desk.request_permit(now, ask.clone(), first, of);
-                    expected[n] = Input::RequestPermit { ask, first, id: given, of };
+                Input::Configure(specs) => coordinator.configure(now, specs.into_iter()),
+                Input::RequestPermit { ask: request, first, of, .. } => {
+                    let given = coordinator.request_permit(now, request.clone(), first, of);
+                    expected[n] = Input::RequestPermit { ask: request, first, id: given, of };
                 }
-                Input::Cancel { id } => desk.cancel(now, id),
-                Input::Finish { id, outcome, took } => desk.finish(now, id, outcome, took),
-                Input::InstanceUp(id) => desk.instance_up(now, &id),
-                Input::ConnectionRefused(id) => desk.connection_refused(now, &id),
+                Input::Cancel { id } => coordinator.cancel(now, id),
+                Input::Finish { id, outcome, took } => coordinator.finish(now, id, outcome, took),
+                Input::InstanceUp(id) => coordinator.instance_up(now, &id),
+                Input::ConnectionRefused(id) => coordinator.connection_refused(now, &id),
                 Input::PeerMessages { from, incarnation, messages } => {
-                    desk.receive(now, &from, incarnation, messages)
+                    coordinator.receive(now, &from, incarnation, messages)
                 }
-                Input::ControllerMessage(note) => desk.receive_from_controller(now, note),
-                Input::Undelivered { address, messages } => desk.undelivered(now, &address, messages),
-                Input::ControllerUnreachable => desk.controller_unreachable(now),
-                Input::Tick => desk.tick(now),
-                Input::TraceEvent(trail) => desk.trace(now, &trail),
+                Input::ControllerMessage(message) => coordinator.receive_from_controller(now, message),
+                Input::Undelivered { address, messages } => coordinator.undelivered(now, &address, messages),
+                Input::ControllerUnreachable => coordinator.controller_unreachable(now),
+                Input::Tick => coordinator.tick(now),
+                Input::TraceEvent(event) => coordinator.trace(now, &event),
             }
         }
         let read: Vec<_> = lines.borrow().iter().map(|line| Entry::read(line).expect("a line")).collect();
--- a/scheduler/src/request_flow.rs
+++ b/scheduler/src/request_flow.rs
@@ -92,7 +92,7 @@
 /// Flow of one request; `A` is an endpoint's answer.
 #[derive(Debug)]
 pub struct RequestFlow<A> {
-    wish: RequestInfo,
+    info: RequestInfo,
     schedule: RetrySchedule,
     first: bool,
     /// The route now leads to another function than on arrival.
@@ -104,11 +104,11 @@
 
 impl<A> RequestFlow<A> {
     /// Creates the flow of a request that has arrived.
-    pub fn new(wish: RequestInfo) -> Self {
-        let tries = RetrySchedule::new(wish.target, wish.repeatable, wish.max_attempts, wish.deadline);
+    pub fn new(info: RequestInfo) -> Self {
+        let tries = RetrySchedule::new(info.target, info.repeatable, info.max_attempts, info.deadline);
         let (first, moved, may_have_run) = (true, false, false);
         RequestFlow {
-            wish,
+            info,
             schedule: tries,
             first,
             route_moved: moved,
@@ -122,7 +122,7 @@
     pub fn begin(&mut self, informed: bool) -> FlowStep<A> {
         // A client that retries has few attempts left, so its request waits until there is an owner to
         // ask.
-        if !self.wish.returned && !informed {
+        if !self.info.returned && !informed {
             return FlowStep::Respond(Err(Refusal::NotReady));
         }
         self.request_permit()
@@ -130,19 +130,19 @@
 
     /// Requests a permit.
     pub fn request_permit(&mut self) -> FlowStep<A> {
-        let wish = &self.wish;
-        let ask = PermitRequest {
+        let info = &self.info;
+        let request = PermitRequest {
             id: 0,
-            service: wish.service.clone(),
-            deadline: wish.deadline,
-            soft_deadline: wish.received_at + wish.target,
-            target: wish.target,
+            service: info.service.clone(),
+            deadline: info.deadline,
+            soft_deadline: info.received_at + info.target,
+            target: info.target,
             attempts_sent: self.schedule.sent,
-            returned: wish.returned,
+            returned: info.returned,
             avoid: self.avoid.clone(),
-            zone: wish.zone.clone(),
+            zone: info.zone.clone(),
         };
-        FlowStep::RequestPermit(ask, std::mem::take(&mut self.first))
+        FlowStep::RequestPermit(request, std::mem::take(&mut self.first))
     }
 
     /// Handles the limit on open permit requests.
@@ -165,8 +165,8 @@
     }
 
     /// Handles the denial of a permit.
-    pub fn denied(&mut self, now: Nanos, no: DenialReason) -> FlowStep<A> {
-        match no {
+    pub fn denied(&mut self, now: Nanos, reason: DenialReason) -> FlowStep<A> {
+        match reason {
             DenialReason::Skip => {
                 let next = self.schedule.skipped(now);
                 self.next_step(now, next)
@@ -184,7 +184,7 @@
     pub fn attempt_deadline(&self, now: Nanos, within: Option<Nanos>) -> Option<Nanos> {
         let until = now + within.filter(|_| self.schedule.may_run_again())?;
         // Another attempt needs as much time again.
-        (until + (until - now) / 2 < self.wish.deadline).then_some(until)
+        (until + (until - now) / 2 < self.info.deadline).then_some(until)
     }
 
     /// Continues with the function that the route leads to now. Arrival time and deadline are kept, and
@@ -193,9 +193,9 @@
         match to {
             None => FlowStep::Respond(Err(Refusal::NotReady)),
             // The owner has already received the change of configuration and this proxy has not.
-            Some(to) if to == self.wish.service => self.resolve_again(now),
+            Some(to) if to == self.info.service => self.resolve_again(now),
             Some(to) => {
-                (self.wish.service, self.wish.returned) = (to, true);
+                (self.info.service, self.info.returned) = (to, true);
                 (self.first, self.route_moved) = (true, true);
                 self.avoid.clear();
                 self.request_permit()
@@ -204,7 +204,7 @@
     }
 
     fn resolve_again(&mut self, now: Nanos) -> FlowStep<A> {
-        if now + RESOLVE_INTERVAL < self.wish.deadline {
+        if now + RESOLVE_INTERVAL < self.info.deadline {
             FlowStep::Wait(now + RESOLVE_INTERVAL)
         } else {
             self.finish(true)
@@ -243,13 +243,13 @@
 
     /// What is known of the request.
     pub fn info(&self) -> &RequestInfo {
-        &self.wish
+        &self.info
     }
 
     fn next_step(&mut self, now: Nanos, next: RetryDecision) -> FlowStep<A> {
         match next {
             RetryDecision::RetryAt(at) => FlowStep::Wait(at),
-            RetryDecision::GiveUp => self.finish(now >= self.wish.deadline),
+            RetryDecision::GiveUp => self.finish(now >= self.info.deadline),
         }
     }
 
@@ -302,9 +302,9 @@
         })
     }
 
-    fn sent(passage: &mut RequestFlow<u16>, outcome: Outcome, answer: Option<u16>) -> FlowStep<u16> {
-        passage.granted(20 * MS);
-        passage.attempt_ended(30 * MS, "i".into(), outcome, !matches!(outcome, Outcome::Unreachable), answer)
+    fn sent(flow: &mut RequestFlow<u16>, outcome: Outcome, answer: Option<u16>) -> FlowStep<u16> {
+        flow.granted(20 * MS);
+        flow.attempt_ended(30 * MS, "i".into(), outcome, !matches!(outcome, Outcome::Unreachable), answer)
     }
 
     /// Response to the client after an attempt with this outcome, if the next permit request is denied.
@@ -320,28 +320,30 @@
         failed_once = { false, Outcome::Failed, Some(500), DenialReason::Unknown, Ok(500) },
         answered = { false, Outcome::Answered, Some(200), DenialReason::Spent, Ok(200) },
     )]
-    fn what_may_have_run_is_never_promised_not_to_have(
+    fn response_never_denies_a_run_that_may_have_happened(
         repeatable: bool,
         outcome: Outcome,
         answer: Option<u16>,
-        no: DenialReason,
-        told: Result<u16, Refusal>,
+        reason: DenialReason,
+        receivers: Result<u16, Refusal>,
     ) {
-        let mut passage = passage(repeatable);
-        assert!(matches!(passage.begin(true), FlowStep::RequestPermit(_, true)));
-        let step = match sent(&mut passage, outcome, answer) {
+        let mut flow = passage(repeatable);
+        assert!(matches!(flow.begin(true), FlowStep::RequestPermit(_, true)));
+        let step = match sent(&mut flow, outcome, answer) {
             FlowStep::Wait(_) => {
-                let FlowStep::RequestPermit(ask, first) = passage.request_permit() else { panic!("it asks") };
-                assert_eq!((first, ask.avoid), (false, vec!["i".into()]));
-                passage.denied(100 * MS, no)
+                let FlowStep::RequestPermit(request, first) = flow.request_permit() else {
+                    panic!("it asks")
+                };
+                assert_eq!((first, request.avoid), (false, vec!["i".into()]));
+                flow.denied(100 * MS, reason)
             }
             step => step,
         };
-        assert_eq!(step, FlowStep::Respond(told));
+        assert_eq!(step, FlowStep::Respond(receivers));
     }
 
     #[test]
-    fn one_whose_time_ends_while_it_runs_is_late_and_one_that_waits_was_never_sent() {
+    fn deadline_times_out_a_running_request_and_refuses_a_waiting_one() {
         let mut waits = passage(true);
         waits.begin(true);
         assert_eq!(waits.deadline_passed(), FlowStep::Respond(Err(Refusal::NotSent)));
@@ -354,7 +356,7 @@
 
     /// On shutdown, clients of waiting requests learn whether their request may have run.
     #[test]
-    fn when_the_process_ends_each_is_told_what_became_of_it() {
+    fn on_shutdown_each_client_gets_the_matching_response() {
         let mut waits = passage(true);
         waits.begin(true);
         assert_eq!(waits.shutdown(), FlowStep::Respond(Err(Refusal::NotSent)));
@@ -369,10 +371,10 @@
     }
 
     #[test]
-    fn with_nobody_to_ask_only_what_came_back_waits() {
+    fn without_a_view_only_returning_requests_wait() {
         assert_eq!(passage(true).begin(false), FlowStep::Respond(Err(Refusal::NotReady)));
         let mut back = passage(true);
-        back.wish.returned = true;
+        back.info.returned = true;
         assert!(matches!(back.begin(false), FlowStep::RequestPermit(_, true)));
         let mut patience = ClientTimeouts::default();
         let given = [1_000.0, 980.0, 960.0].map(|given| patience.is_returning(&"r".into(), given));
--- a/scheduler/src/retry_schedule.rs
+++ b/scheduler/src/retry_schedule.rs
@@ -166,7 +166,7 @@
     }
 
     #[test]
-    fn retries_follow_the_doubled_times_and_skipped_ones_wait_for_the_next() {
+    fn retries_follow_the_doubling_schedule_and_suppressed_ones_wait() {
         let mut t = tries(true);
         assert_eq!(t.ended(12 * MS, Outcome::NoAnswer), RetryDecision::RetryAt(10 * MS + T1));
         assert_eq!(t.skipped(60 * MS), RetryDecision::RetryAt(10 * MS + 3 * T1));
@@ -186,7 +186,7 @@
         broken = { Outcome::NoAnswer, true, false },
         left = { Outcome::Abandoned, false, false },
     )]
-    fn what_may_go_again(outcome: Outcome, repeatable: bool, once: bool) {
+    fn retry_allowed_by_outcome(outcome: Outcome, repeatable: bool, once: bool) {
         for (safe, may) in [(true, repeatable), (false, once)] {
             assert_eq!(
                 tries(safe).ended(20 * MS, outcome) != RetryDecision::GiveUp,
@@ -198,7 +198,7 @@
     }
 
     #[test]
-    fn no_more_endpoints_than_the_route_allows_and_none_past_the_deadline() {
+    fn retries_respect_the_attempt_limit_and_the_deadline() {
         let mut t = tries(true);
         t.sending(60 * MS);
         assert_eq!(t.ended(70 * MS, Outcome::NoAnswer), RetryDecision::GiveUp);
--- a/scheduler/src/service.rs
+++ b/scheduler/src/service.rs
@@ -158,27 +158,27 @@
 
     /// Whether an instance counts here: an owner uses only its own, a proxy that acts in place of the
     /// owner uses all that it knows.
-    fn is_counted(&self, place: &InstanceState) -> bool {
-        place.owned || !self.owned
+    fn is_counted(&self, state: &InstanceState) -> bool {
+        state.owned || !self.owned
     }
 
     /// Changes the instances and recomputes the totals.
     pub fn update_all<T>(&mut self, what: impl FnOnce(&mut Vec<InstanceState>) -> T) -> T {
         let given = what(&mut self.instances);
         let mut stock = InstanceTotals { first_starting: Nanos::MAX, ..InstanceTotals::default() };
-        for place in &self.instances {
-            stock.retired += usize::from(place.retired);
-            stock.permits += place.permits.len();
-            if !self.is_counted(place) {
+        for state in &self.instances {
+            stock.retired += usize::from(state.retired);
+            stock.permits += state.permits.len();
+            if !self.is_counted(state) {
                 continue;
             }
-            if place.is_available() {
+            if state.is_available() {
                 stock.available += 1;
-            } else if place.is_live() {
+            } else if state.is_live() {
                 stock.starting += 1;
-                stock.first_starting = stock.first_starting.min(place.first_seen);
+                stock.first_starting = stock.first_starting.min(state.first_seen);
             }
-            stock.draining += usize::from(place.draining && !place.retired);
+            stock.draining += usize::from(state.draining && !state.retired);
         }
         self.totals = stock;
         given
@@ -187,46 +187,46 @@
     /// Changes one instance, if it exists, and recomputes the totals.
     pub fn update_instance<T>(&mut self, id: &str, what: impl FnOnce(&mut InstanceState) -> T) -> Option<T> {
         let at = self.position(id).ok()?;
-        self.update_all(|places| places.get_mut(at).map(what))
+        self.update_all(|instances| instances.get_mut(at).map(what))
     }
 
     /// Changes fields that do not affect the totals.
     pub fn update_ranks(&mut self, what: impl Fn(usize, &mut InstanceState)) {
-        self.instances.iter_mut().enumerate().for_each(|(at, place)| what(at, place));
+        self.instances.iter_mut().enumerate().for_each(|(at, state)| what(at, state));
     }
 
     /// Adds an instance.
-    pub fn add(&mut self, place: InstanceState) {
-        if let Err(at) = self.position(&place.info.id) {
-            self.update_all(|places| places.insert(at, place));
+    pub fn add(&mut self, state: InstanceState) {
+        if let Err(at) = self.position(&state.info.id) {
+            self.update_all(|instances| instances.insert(at, state));
         }
     }
 
     /// Removes an instance.
     pub fn remove(&mut self, id: &str) -> Option<InstanceState> {
         let at = self.position(id).ok()?;
-        Some(self.update_all(|places| places.remove(at)))
+        Some(self.update_all(|instances| instances.remove(at)))
     }
 
     /// Adds a permit to an instance.
     pub fn add_permit(&mut self, id: &str, key: (CompactString, u64)) -> Option<&mut InstanceState> {
         let at = self.position(id).ok()?;
-        let place = self.instances.get_mut(at)?;
-        place.record_caller(&key.0);
-        place.permits.push(key);
+        let state = self.instances.get_mut(at)?;
+        state.record_caller(&key.0);
+        state.permits.push(key);
         self.totals.permits += 1;
-        Some(place)
+        Some(state)
     }
 
     /// Removes a permit from an instance.
-    pub fn remove_permit(&mut self, id: &str, from: &str, ask: u64) -> Option<&mut InstanceState> {
+    pub fn remove_permit(&mut self, id: &str, from: &str, request_id: u64) -> Option<&mut InstanceState> {
         let at = self.position(id).ok()?;
-        let place = self.instances.get_mut(at)?;
-        if let Some(which) = place.permits.iter().position(|(who, n)| *n == ask && who == from) {
-            place.permits.swap_remove(which);
+        let state = self.instances.get_mut(at)?;
+        if let Some(which) = state.permits.iter().position(|(who, n)| *n == request_id && who == from) {
+            state.permits.swap_remove(which);
             self.totals.permits -= 1;
         }
-        Some(place)
+        Some(state)
     }
 
     /// Updates the demand averages with the current number of permits.
@@ -239,7 +239,7 @@
     /// Selects the instance for a request: one that has not failed it, not significantly slower than
     /// others, not nearly full, in the same zone, recently used by the caller, with the fewest permits,
     /// then the least recently granted.
-    pub fn select_instance(&self, now: Nanos, from: &str, ask: &PermitRequest) -> Option<&CompactString> {
+    pub fn select_instance(&self, now: Nanos, from: &str, request: &PermitRequest) -> Option<&CompactString> {
         let all = self.function.as_ref()?.spec.concurrency.max(1) as usize;
         if self.totals.available == 0 {
             return None;
@@ -248,7 +248,7 @@
         // its permits, and only part of the slots if the previous owner is dead. A proxy acting in place
         // of the owner does not know the owner's permits, so it grants only probes, and none while
         // ownership settles.
-        let settles = now < self.settling_until;
+        let settling = now < self.settling_until;
         // A slow owner may have filled all uncertain instances: grant one slot on a few of them until one
         // has answered.
         let mut tries = if now < self.probe_after { 0 } else { self.probe_limit() };
@@ -260,9 +260,9 @@
             tries = tries.saturating_sub(tried.count());
         }
         let most = |p: &InstanceState| match self.owned {
-            true if settles && p.inherited && !self.awaited_owners.is_empty() => 0,
-            true if settles && p.inherited => p.usable_slots(now, all.div_ceil(2)),
-            false if settles => 0,
+            true if settling && p.inherited && !self.awaited_owners.is_empty() => 0,
+            true if settling && p.inherited => p.usable_slots(now, all.div_ceil(2)),
+            false if settling => 0,
             _ if !self.is_uncertain(now, p) => p.usable_slots(now, all),
             _ if p.verified => (all / 4).max(1),
             _ if tries > 0 => 1,
@@ -275,7 +275,7 @@
                 && self.is_counted(p)
         });
         let best = free.min_by_key(|p| {
-            let avoided = ask.avoid.contains(&p.info.id);
+            let avoided = request.avoid.contains(&p.info.id);
             let most = most(p);
             let nearly_full = most > 1 && p.permits.len() + 1 >= most;
             // A caller that returns to an instance has a connection there.
@@ -283,7 +283,7 @@
                 avoided,
                 p.latency_rank,
                 nearly_full,
-                p.info.zone != ask.zone,
+                p.info.zone != request.zone,
                 !p.recently_used_by(from),
                 p.permits.len(),
                 p.last_grant,
@@ -294,9 +294,9 @@
 
     /// Whether another proxy may have granted its slots: this proxy acts in place of the owner, or a
     /// previous owner has not transferred its permits.
-    pub fn is_uncertain(&self, now: Nanos, place: &InstanceState) -> bool {
+    pub fn is_uncertain(&self, now: Nanos, state: &InstanceState) -> bool {
         !self.owned
-            || place.inherited
+            || state.inherited
                 && !self.awaited_owners.is_empty()
                 && now < self.settling_until + UNCERTAIN_TIME
     }
@@ -329,8 +329,8 @@
         if self.awaited_owners.remove(from) && self.awaited_owners.is_empty() {
             self.settling_until = if gone { now + SETTLING_TIME } else { self.settling_until.min(now) };
             self.reset_probes();
-            self.update_all(|places| {
-                places.iter_mut().for_each(|p| (p.yielded_until, p.verified) = (0, false))
+            self.update_all(|instances| {
+                instances.iter_mut().for_each(|p| (p.yielded_until, p.verified) = (0, false))
             });
         }
     }
--- a/scheduler/src/shutdown.rs
+++ b/scheduler/src/shutdown.rs
@@ -64,13 +64,13 @@
     use crate::SECOND;
 
     #[yare::parameterized(
-        as_users_have_it = { 6 * SECOND },
+        default_grace = { 6 * SECOND },
         short = { SECOND },
         very_short = { 200 * MS },
         none = { 0 },
         long = { 60 * SECOND },
     )]
-    fn phases_come_in_their_order_and_within_the_grace_time(grace: Nanos) {
+    fn phases_are_ordered_and_within_the_grace_time(grace: Nanos) {
         let schedule = ShutdownPhase::schedule(grace);
         assert!(schedule.is_sorted_by(|a, b| a.0 < b.0 && a.1 <= b.1), "{schedule:?}");
         assert!(schedule.iter().all(|(_, at)| *at <= grace));
@@ -82,7 +82,7 @@
     /// A request sent in the first 3 s that is still running may be given up only in the last sixth of the
     /// grace time.
     #[test]
-    fn what_runs_is_waited_for_into_the_last_sixth_of_the_grace_time() {
+    fn running_requests_are_awaited_until_the_last_sixth_of_the_grace_time() {
         let [.., (_, ending), (_, over)] = ShutdownPhase::schedule(6 * SECOND);
         assert!(ending >= 5 * SECOND && over > ending && over < 6 * SECOND, "{ending}, {over}");
     }
--- a/scheduler/src/trace.rs
+++ b/scheduler/src/trace.rs
@@ -125,18 +125,18 @@
             line.whole("p", p);
         }
         match self {
-            TraceEvent::Received { attempt, route, info: wish, .. } => {
-                line.text("id", attempt).text("r", route).text("s", &wish.service);
-                line.time("came", wish.received_at)
-                    .time("deadline", wish.deadline)
-                    .time("target", wish.target);
-                line.whole("most", wish.max_attempts.into())
-                    .mark("again", wish.repeatable)
-                    .mark("back", wish.returned);
+            TraceEvent::Received { attempt, route, info, .. } => {
+                line.text("id", attempt).text("r", route).text("s", &info.service);
+                line.time("came", info.received_at)
+                    .time("deadline", info.deadline)
+                    .time("target", info.target);
+                line.whole("most", info.max_attempts.into())
+                    .mark("again", info.repeatable)
+                    .mark("back", info.returned);
             }
-            TraceEvent::Denied { reason: no, .. } => {
-                line.text("y", no.as_str());
-                if let DenialReason::Full(wait) = no {
+            TraceEvent::Denied { reason, .. } => {
+                line.text("y", reason.as_str());
+                if let DenialReason::Full(wait) = reason {
                     line.time("wait", *wait);
                 }
             }
@@ -189,15 +189,15 @@
                 },
             },
             "denied" => {
-                let no = match string(from, "y")?.as_str() {
+                let reason = match string(from, "y")?.as_str() {
                     "full" => DenialReason::Full(whole(from, "wait")?),
                     "skip" => DenialReason::Skip,
                     "spent" => DenialReason::Spent,
                     "unknown" => DenialReason::Unknown,
                     "moved" => DenialReason::Moved,
-                    _ => return Err(Fault { key: "y".to_owned(), reason: "no word that is known" }),
+                    _ => return Err(Fault { key: "y".to_owned(), reason: "unknown denial reason" }),
                 };
-                TraceEvent::Denied { p: p()?, reason: no }
+                TraceEvent::Denied { p: p()?, reason }
             }
             "moved" => TraceEvent::Moved {
                 p: p()?,
@@ -209,7 +209,7 @@
                 begun: whole(from, "begun")?,
                 instance: string(from, "i")?,
                 outcome: Outcome::parse(&string(from, "o")?)
-                    .ok_or(Fault { key: "o".to_owned(), reason: "no outcome" })?,
+                    .ok_or(Fault { key: "o".to_owned(), reason: "unknown outcome" })?,
                 sent: line::flag(from, "sent")?,
                 status: from.contains_key("status").then(status).transpose()?,
             },
--- a/scheduler/tests/town/mod.rs
+++ b/scheduler/tests/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! Several desks with mail between them that comes when the test says.
+//! Several coordinators that exchange messages, delivered when the test says so.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -13,11 +13,11 @@
 pub const T: Nanos = 2 * SECOND;
 pub const CONCURRENCY: u32 = 4;
 
-pub struct Town {
-    pub desks: BTreeMap<String, Coordinator>,
-    /// Mail that has not come yet: from, to, note.
-    pub mail: Vec<(String, String, PeerMessage)>,
-    /// Granted, by desk: ask and instance.
+pub struct Cluster {
+    pub coordinators: BTreeMap<String, Coordinator>,
+    /// Messages in transit: sender, receiver address, message.
+    pub in_transit: Vec<(String, String, PeerMessage)>,
+    /// Grants: proxy, request id and instance.
     pub granted: Vec<(String, u64, String)>,
 }
 
@@ -26,7 +26,7 @@
     Peer { name: format!("edge-{n}").into(), address: format!("edge-{n}:1").into(), zone: zone.into() }
 }
 
-pub fn stalls(version: u64, who: &[usize], split: bool) -> PeerMessage {
+pub fn full_view(version: u64, who: &[usize], split: bool) -> PeerMessage {
     let split = if split { vec!["f".into()] } else { vec![] };
     let peers = who.iter().map(|n| peer(*n)).collect();
     PeerMessage::Stalls { version: (1, version), peers, leaving: vec![], split }
@@ -55,46 +55,46 @@
     }
 }
 
-impl Town {
-    /// So many stalls that all have heard of the first naming, and all instances.
-    pub fn new(stalls_of: &[usize]) -> Self {
-        let mut town = Town { desks: BTreeMap::new(), mail: vec![], granted: vec![] };
-        for n in stalls_of {
+impl Cluster {
+    /// Creates the proxies of these numbers; all know the first view and all instances.
+    pub fn new(numbers: &[usize]) -> Self {
+        let mut cluster = Cluster { coordinators: BTreeMap::new(), in_transit: vec![], granted: vec![] };
+        for n in numbers {
             let me = peer(*n);
-            let terms = SchedulerLimits {
+            let limits = SchedulerLimits {
                 retry_ratio: 0.2,
                 retry_window: 10 * SECOND,
                 retry_slack: 50.0,
                 requests_per_s: 100.0,
                 rank_by_latency: false,
             };
-            let mut desk = Coordinator::new(me, terms, *n as u64, 1_000 * *n as u64);
+            let mut coordinator = Coordinator::new(me, limits, *n as u64, 1_000 * *n as u64);
             let spec = FunctionSpec {
                 name: "f".into(),
                 concurrency: CONCURRENCY,
                 startup_time: 400 * MS,
                 memory_mb: 128,
             };
-            desk.configure(0, [spec].into_iter());
-            desk.receive_from_controller(0, stalls(1, stalls_of, false));
-            desk.receive_from_controller(0, instances(1));
-            town.desks.insert(format!("edge-{n}"), desk);
+            coordinator.configure(0, [spec].into_iter());
+            coordinator.receive_from_controller(0, full_view(1, numbers, false));
+            coordinator.receive_from_controller(0, instances(1));
+            cluster.coordinators.insert(format!("edge-{n}"), coordinator);
         }
-        let names: Vec<_> = town.desks.keys().cloned().collect();
-        names.iter().for_each(|name| town.with(T, name, |desk| desk.tick(T)));
-        town
+        let names: Vec<_> = cluster.coordinators.keys().cloned().collect();
+        names.iter().for_each(|name| cluster.with(T, name, |coordinator| coordinator.tick(T)));
+        cluster
     }
 
     pub fn with(&mut self, now: Nanos, name: &str, what: impl FnOnce(&mut Coordinator)) {
-        let desk = self.desks.get_mut(name).expect("a desk");
-        what(desk);
-        for out in desk.take_actions() {
+        let coordinator = self.coordinators.get_mut(name).expect("a coordinator");
+        what(coordinator);
+        for out in coordinator.take_actions() {
             match out {
-                Action::Send { to, note } => {
-                    self.mail.push((name.into(), to.trim_end_matches(":1").to_owned(), note));
+                Action::Send { to, note: message } => {
+                    self.in_transit.push((name.into(), to.trim_end_matches(":1").to_owned(), message));
                 }
-                Action::Granted { ask, instance, .. } => {
-                    self.granted.push((name.into(), ask, instance.into()));
+                Action::Granted { ask: request_id, instance, .. } => {
+                    self.granted.push((name.into(), request_id, instance.into()));
                 }
                 _ => {}
             }
@@ -102,9 +102,9 @@
         let _ = now;
     }
 
-    pub fn ask(&mut self, now: Nanos, name: &str) {
-        self.with(now, name, |desk| {
-            let ask = PermitRequest {
+    pub fn request(&mut self, now: Nanos, name: &str) {
+        self.with(now, name, |coordinator| {
+            let request = PermitRequest {
                 id: 0,
                 service: "f".into(),
                 deadline: now + 4 * SECOND,
@@ -115,24 +115,24 @@
                 avoid: vec![],
                 zone: peer(name[5..].parse().expect("a number")).zone,
             };
-            desk.request_permit(now, ask, true);
+            coordinator.request_permit(now, request, true);
         });
     }
 
-    /// Mail comes, but for what goes to those that are named.
-    pub fn post(&mut self, now: Nanos, but: &[&str]) {
+    /// Delivers messages, except those to the proxies in `but`.
+    pub fn deliver(&mut self, now: Nanos, but: &[&str]) {
         loop {
-            let Some(at) = self.mail.iter().position(|(_, to, _)| !but.contains(&to.as_str())) else {
+            let Some(at) = self.in_transit.iter().position(|(_, to, _)| !but.contains(&to.as_str())) else {
                 return;
             };
-            let (from, to, note) = self.mail.remove(at);
-            if self.desks.contains_key(&to) {
-                self.with(now, &to, |desk| desk.receive(now, &from, 1, vec![note]));
+            let (from, to, message) = self.in_transit.remove(at);
+            if self.coordinators.contains_key(&to) {
+                self.with(now, &to, |coordinator| coordinator.receive(now, &from, 1, vec![message]));
             }
         }
     }
 
-    /// Granted and not done yet, by instance.
+    /// Number of outstanding permits by instance.
     pub fn out(&self) -> BTreeMap<&str, usize> {
         let mut out = BTreeMap::new();
         self.granted.iter().for_each(|(.., i)| *out.entry(i.as_str()).or_default() += 1);
@@ -143,11 +143,11 @@
         self.out().values().all(|n| *n <= CONCURRENCY as usize)
     }
 
-    /// So many of those that are out are over.
+    /// Ends this many of the outstanding requests.
     pub fn finish(&mut self, now: Nanos, count: usize) {
         for _ in 0..count.min(self.granted.len()) {
             let (name, id, _) = self.granted.remove(0);
-            self.with(now, &name, |desk| desk.finish(now, id, Outcome::Answered, 50 * MS));
+            self.with(now, &name, |coordinator| coordinator.finish(now, id, Outcome::Answered, 50 * MS));
         }
     }
 }
