--- a/scheduler/src/attempt_timeouts.rs
+++ b/scheduler/src/attempt_timeouts.rs
@@ -1,8 +1,8 @@
-//! How long a stall waits for an answer before a request that may run more than once goes elsewhere: a wide margin over what
-//! answers of its function take. Arithmetic alone.
+//! Attempt timeouts: how long a proxy waits for an answer before it sends a repeatable request elsewhere,
+//! a wide margin over the usual response time of the function. Pure arithmetic.
 //!
-//! Invariant: of a function's tries no more are given up so than a twentieth of those that were answered, and a few: where all of
-//! it is slow, nothing is won by running it again.
+//! Invariant: per function, the number of timed-out attempts is limited to a twentieth of the answered
+//! ones plus a small constant, since retrying does not help if the whole function is slow.
 
 use std::collections::HashMap;
 
@@ -10,45 +10,45 @@
 
 use crate::{MS, Nanos};
 
-/// Weight of a new answer in the average.
+/// Weight of a new sample in the average.
 const WEIGHT: f64 = 0.1;
-/// Answers that must have been seen.
-const ENOUGH: u32 = 8;
-/// The margin, in times of the average,
-const USUAL: f64 = 8.0;
-/// ... in times of the longest that was seen lately,
-const LONGEST: f64 = 2.0;
-/// ... and at least.
-const LEAST: f64 = (100 * MS) as f64;
-/// What is left of the longest with each answer.
-const FADES: f64 = 0.98;
-/// Tries that may be given up for each that is answered,
-const PART: f64 = 0.05;
-/// ... and at once.
-const AT_ONCE: f64 = 3.0;
+/// Minimum number of answers before a timeout applies.
+const MIN_ANSWERS: u32 = 8;
+/// Timeout as a multiple of the average response time.
+const MEAN_FACTOR: f64 = 8.0;
+/// Timeout as a multiple of the longest recent response time.
+const MAX_FACTOR: f64 = 2.0;
+/// Minimum timeout.
+const MIN_TIMEOUT: f64 = (100 * MS) as f64;
+/// Decay of the longest response time per answer.
+const MAX_DECAY: f64 = 0.98;
+/// Timeouts allowed per answered attempt.
+const TIMEOUTS_PER_ANSWER: f64 = 0.05;
+/// Maximum number of timeouts saved up.
+const MAX_CREDIT: f64 = 3.0;
 
-/// What one function's answers take, in nanoseconds.
+/// Response times of one function, in nanoseconds.
 #[derive(Debug, Default)]
-struct Seen {
+struct LatencyStats {
     answers: u32,
-    usual: f64,
-    longest: f64,
-    /// Tries that may be given up.
-    spare: f64,
+    mean: f64,
+    recent_max: f64,
+    /// Number of attempts that may time out.
+    timeout_credit: f64,
 }
 
-/// What the answers of each function take, as one stall sees them.
+/// Response times of each function, as seen by one proxy.
 #[derive(Debug, Default)]
-pub struct AttemptTimeouts(HashMap<CompactString, Seen>);
+pub struct AttemptTimeouts(HashMap<CompactString, LatencyStats>);
 
 impl AttemptTimeouts {
-    /// How long a try of this function may go unanswered before it is given up; none where too little is known, or too many were.
+    /// Timeout for an attempt at this function; `None` if there are too few samples or too many timeouts.
     pub fn timeout(&self, service: &str) -> Option<Nanos> {
-        let seen = self.0.get(service).filter(|s| s.answers >= ENOUGH && s.spare >= 1.0)?;
-        Some((seen.usual * USUAL).max(seen.longest * LONGEST).max(LEAST) as Nanos)
+        let seen = self.0.get(service).filter(|s| s.answers >= MIN_ANSWERS && s.timeout_credit >= 1.0)?;
+        Some((seen.mean * MEAN_FACTOR).max(seen.recent_max * MAX_FACTOR).max(MIN_TIMEOUT) as Nanos)
     }
 
-    /// One was answered after so long.
+    /// Records an answer.
     pub fn answered(&mut self, service: &CompactString, took: Nanos) {
         let took = took as f64;
         let seen = match self.0.get_mut(service) {
@@ -56,21 +56,21 @@
             None => self.0.entry(service.clone()).or_default(),
         };
         let weight = if seen.answers == 0 { 1.0 } else { WEIGHT };
-        seen.usual += weight * (took - seen.usual);
-        seen.longest = (seen.longest * FADES).max(took);
-        seen.spare = (seen.spare + PART).min(AT_ONCE);
+        seen.mean += weight * (took - seen.mean);
+        seen.recent_max = (seen.recent_max * MAX_DECAY).max(took);
+        seen.timeout_credit = (seen.timeout_credit + TIMEOUTS_PER_ANSWER).min(MAX_CREDIT);
         seen.answers = seen.answers.saturating_add(1);
     }
 
-    /// One was given up after so long: the next is given more time.
+    /// Records a timeout; the next attempt gets more time.
     pub fn timed_out(&mut self, service: &str, took: Nanos) {
         if let Some(seen) = self.0.get_mut(service) {
-            seen.longest = seen.longest.max(took as f64);
-            seen.spare = (seen.spare - 1.0).max(0.0);
+            seen.recent_max = seen.recent_max.max(took as f64);
+            seen.timeout_credit = (seen.timeout_credit - 1.0).max(0.0);
         }
     }
 
-    /// Forgets the functions that are no more.
+    /// Drops functions that no longer exist.
     pub fn retain(&mut self, is_there: impl Fn(&CompactString) -> bool) {
         self.0.retain(|service, _| is_there(service));
     }
@@ -81,9 +81,9 @@
     use super::*;
 
     fn seen(takes: Nanos, answers: u32) -> AttemptTimeouts {
-        let mut margins = AttemptTimeouts::default();
-        (0..answers).for_each(|_| margins.answered(&"f".into(), takes));
-        margins
+        let mut timeouts = AttemptTimeouts::default();
+        (0..answers).for_each(|_| timeouts.answered(&"f".into(), takes));
+        timeouts
     }
 
     #[yare::parameterized(
@@ -93,39 +93,39 @@
         enough = { 50, 40, Some(400) },
         quick = { 2, 40, Some(100) },
     )]
-    fn a_wide_margin_once_enough_is_known(takes_ms: Nanos, answers: u32, within_ms: Option<Nanos>) {
+    fn timeout_applies_after_enough_answers(takes_ms: Nanos, answers: u32, within_ms: Option<Nanos>) {
         assert_eq!(seen(takes_ms * MS, answers).timeout("f"), within_ms.map(|ms| ms * MS));
     }
 
     #[test]
-    fn a_long_answer_widens_it_for_a_while_and_so_does_one_that_was_given_up() {
-        let mut margins = seen(50 * MS, 100);
-        margins.answered(&"f".into(), 300 * MS);
-        assert_eq!(margins.timeout("f"), Some(600 * MS));
-        (0..100).for_each(|_| margins.answered(&"f".into(), 50 * MS));
-        assert_eq!(margins.timeout("f").map(|within| within / MS), Some(400));
-        margins.timed_out("f", 400 * MS);
-        assert_eq!(margins.timeout("f"), Some(800 * MS));
+    fn long_answers_and_timeouts_extend_the_timeout() {
+        let mut timeouts = seen(50 * MS, 100);
+        timeouts.answered(&"f".into(), 300 * MS);
+        assert_eq!(timeouts.timeout("f"), Some(600 * MS));
+        (0..100).for_each(|_| timeouts.answered(&"f".into(), 50 * MS));
+        assert_eq!(timeouts.timeout("f").map(|within| within / MS), Some(400));
+        timeouts.timed_out("f", 400 * MS);
+        assert_eq!(timeouts.timeout("f"), Some(800 * MS));
     }
 
-    /// Where a function's endpoints have all turned slow, its tries are waited for.
+    /// If all endpoints of a function become slow, attempts are waited for rather than timed out.
     #[test]
-    fn where_most_are_slow_few_are_given_up() {
-        let (mut margins, mut given_up, mut answered) = (seen(50 * MS, 100), 0, 0);
+    fn few_attempts_time_out_if_most_are_slow() {
+        let (mut timeouts, mut given_up, mut answered) = (seen(50 * MS, 100), 0, 0);
         for _ in 0..1_000 {
-            match margins.timeout("f").filter(|within| *within < 1_200 * MS) {
+            match timeouts.timeout("f").filter(|within| *within < 1_200 * MS) {
                 Some(within) => {
-                    margins.timed_out("f", within);
+                    timeouts.timed_out("f", within);
                     given_up += 1;
                 }
                 None => {
-                    margins.answered(&"f".into(), 1_200 * MS);
+                    timeouts.answered(&"f".into(), 1_200 * MS);
                     answered += 1;
                 }
             }
         }
         assert!(given_up <= 3 && answered >= 997, "{given_up} given up");
-        margins.retain(|name| name != "f");
-        assert_eq!(margins.timeout("f"), None);
+        timeouts.retain(|name| name != "f");
+        assert_eq!(timeouts.timeout("f"), None);
     }
 }
--- a/scheduler/src/budget.rs
+++ b/scheduler/src/budget.rs
@@ -1,31 +1,32 @@
-//! The budget of further tries: within any window no more repeats than a part of the requests and some slack. One counter for each
-//! function, kept by its owner, so that it holds over all machines.
+//! Retry budget: within any window, retries are limited to a fraction of the requests plus a constant.
+//! Each function has one counter, kept by its owner, so that the limit holds across all machines.
 
 use std::collections::VecDeque;
 
 use crate::Nanos;
 
-/// Counts by slices of a tenth of the window, so that the sum is never under the truth.
+/// Counts per tenth of the window; the sum covers at least the whole window, so it is never too low.
 #[derive(Debug)]
 pub(crate) struct Budget {
     slices: VecDeque<(Nanos, u64, u64)>,
     window: Nanos,
     ratio: f64,
     slack: f64,
-    lots: usize,
+    partitions: usize,
 }
 
-/// Part of the allowance that is used: other machines may have counted a little otherwise, runs that were repeats make calls.
-const USED: f64 = 0.5;
+/// Usable fraction of the budget. The rest is a margin for differences to the counts of other machines and
+/// for calls made by retried requests.
+const USABLE_SHARE: f64 = 0.5;
 
 impl Budget {
     pub fn new(window: Nanos, ratio: f64, slack: f64) -> Self {
-        Budget { slices: VecDeque::new(), window: window.max(10), ratio, slack, lots: 1 }
+        Budget { slices: VecDeque::new(), window: window.max(10), ratio, slack, partitions: 1 }
     }
 
-    /// The function is kept in so many lots, each with a part of the slack.
-    pub fn share(&mut self, lots: usize) {
-        self.lots = lots.max(1);
+    /// Splits the constant part of the budget among the partitions of the function.
+    pub fn set_partitions(&mut self, partitions: usize) {
+        self.partitions = partitions.max(1);
     }
 
     fn slice(&mut self, now: Nanos) -> &mut (Nanos, u64, u64) {
@@ -41,20 +42,24 @@
         &mut self.slices[last]
     }
 
-    /// A request's first try.
-    pub fn request(&mut self, now: Nanos) {
+    /// Counts the first attempt of a request.
+    pub fn record_request(&mut self, now: Nanos) {
         self.slice(now).1 += 1;
     }
 
-    /// Requests and repeats within the window, and how many repeats may be.
+    /// Requests and retries within the window, and the number of retries allowed.
     pub fn counts(&self, now: Nanos) -> (u64, u64, f64) {
         let within = self.slices.iter().filter(|s| s.0 + self.window + self.window / 10 >= now);
         let (requests, repeats) = within.fold((0, 0), |(a, b), s| (a + s.1, b + s.2));
-        (requests, repeats, (requests as f64 * self.ratio + self.slack / self.lots as f64) * USED)
+        (
+            requests,
+            repeats,
+            (requests as f64 * self.ratio + self.slack / self.partitions as f64) * USABLE_SHARE,
+        )
     }
 
-    /// Whether a further try may go; it is counted then.
-    pub fn repeat(&mut self, now: Nanos) -> bool {
+    /// Counts a retry and returns true if the budget allows one.
+    pub fn try_retry(&mut self, now: Nanos) -> bool {
         self.slice(now);
         let (_, repeats, most) = self.counts(now);
         let may = (repeats as f64) + 1.0 <= most;
@@ -71,15 +76,15 @@
     use crate::SECOND;
 
     #[test]
-    fn no_window_holds_more_repeats_than_its_part_and_the_slack() {
+    fn no_window_exceeds_the_retry_budget() {
         let mut budget = Budget::new(10 * SECOND, 0.2, 20.0);
         let mut sent = VecDeque::new();
         for step in 0..4_000u64 {
             let now = step * SECOND / 50;
             if step % 3 == 0 {
-                budget.request(now);
+                budget.record_request(now);
             }
-            if budget.repeat(now) {
+            if budget.try_retry(now) {
                 sent.push_back(now);
             }
             while sent.front().is_some_and(|t| t + 10 * SECOND <= now) {
--- a/scheduler/src/coordinator.rs
+++ b/scheduler/src/coordinator.rs
@@ -1,12 +1,14 @@
-//! One stall among the others: who owns what, which asks of its own are open where, and the functions that it owns itself. It takes
-//! notes, asks and time, and returns what to send, grant or say; no I/O, no clock.
+//! Coordination of one proxy with its peers: which proxy owns which function, the open permit requests of
+//! this proxy, and the scheduler for the functions it owns. Takes messages, requests and time, and returns
+//! actions; performs no I/O and reads no clock.
 //!
-//! Invariant: an open ask stands with one owner at a time, or with nobody until the next one is known.
+//! Invariant: an open request is assigned to at most one owner at a time, and to none until an owner is
+//! known.
 
-mod passing;
+mod permit_transfer;
+mod view_change;
 #[cfg(test)]
-mod turns;
-mod view;
+mod view_change_tests;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -14,7 +16,7 @@
 use millpost_protocol::frame::Fold;
 use millpost_protocol::{MembershipView, PeerMessage, Version};
 
-use crate::coordinator::passing::Granted;
+use crate::coordinator::permit_transfer::Granted;
 use crate::effect::{DenialReason, Effect, SchedulerLimits};
 use crate::function::{Scheduler, Transfer};
 use crate::instance::{Instance, Stage};
@@ -22,74 +24,74 @@
 use crate::reason::Reason;
 use crate::{FunctionSpec, MS, Nanos, Outcome, PermitRequest, SECOND};
 
-/// An ask that nothing was heard of is sent again after this time,
-const ASK_AGAIN: Nanos = 300 * MS;
-/// ... and one of which it is known that it waits, after this.
-const WAITS: Nanos = 1_500 * MS;
-/// A stall that has not answered an ask for so long, and was not heard of otherwise, is taken for dead: an owner answers each ask at
-/// once, were it with the word that it waits.
-const DEAF: Nanos = 400 * MS;
-/// A stall whose mail came back is passed over for so long.
-const PASSED_OVER: Nanos = SECOND;
-/// A new leader has heard within this time which stalls live: each says so every 450 ms.
-const MISSING: Nanos = 800 * MS;
-/// A new steward has heard within this time which instances there are.
-const RENEWS: Nanos = 2 * SECOND;
-/// Asks that may be open.
-const MOST_ASKS: usize = 20_000;
-
-/// What is to be done.
+/// A permit request without any response is sent again after this time.
+const RESEND_AFTER: Nanos = 300 * MS;
+/// A permit request reported as queued is sent again after this time.
+const QUEUED_RESEND_AFTER: Nanos = 1_500 * MS;
+/// A proxy that has not answered a permit request for this time, and from which nothing else arrived, is
+/// taken to be dead: owners answer every request at once, if only to say that it is queued.
+const UNRESPONSIVE_AFTER: Nanos = 400 * MS;
+/// A proxy to which a message could not be delivered is skipped for this time.
+const SKIP_TIME: Nanos = SECOND;
+/// Time for a new leader to learn which proxies are alive; each reports every 450 ms.
+const UNCONFIRMED_TIMEOUT: Nanos = 800 * MS;
+/// Time for a new leader to learn which instances exist.
+const RENEWAL_TIME: Nanos = 2 * SECOND;
+/// Maximum number of open permit requests.
+const MAX_OPEN_REQUESTS: usize = 20_000;
+
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Mail for another stall.
+    /// Send a message to another proxy.
     Send {
-        /// Its address.
+        /// Address of the proxy.
         to: CompactString,
-        /// What it says.
+        /// The message.
         note: PeerMessage,
     },
-    /// An ask of this stall's own is granted.
+    /// A permit request of this proxy was granted.
     Granted {
-        /// Its number.
+        /// Request id.
         ask: u64,
-        /// Where it goes.
+        /// Granted instance.
         instance: CompactString,
-        /// The address of that.
+        /// Address of the instance.
         address: CompactString,
     },
-    /// An ask of this stall's own is turned down.
+    /// A permit request of this proxy was denied.
     Refused {
-        /// Its number.
+        /// Request id.
         ask: u64,
-        /// Why.
+        /// Reason of the denial.
         reason: DenialReason,
     },
-    /// Word for control.
+    /// Send a message to the controller.
     NotifyController(PeerMessage),
     /// Find out when this instance accepts connections.
     ProbeReadiness {
-        /// The instance.
+        /// Instance to probe.
         instance: Instance,
-        /// Not before.
+        /// Earliest time to start.
         from: Nanos,
     },
 }
 
 impl Action {
-    /// Puts it into a digest, whole.
+    /// Adds all fields to a digest.
     pub fn fold(&self, into: &mut Fold<'_>) {
         match self {
-            Action::Send { to, note } => note.fold(into.text("send").text(to)),
-            Action::Granted { ask, instance, address } => {
-                into.text("granted").whole(*ask).text(instance).text(address);
+            Action::Send { to, note: message } => message.fold(into.text("send").text(to)),
+            Action::Granted { ask: request_id, instance, address } => {
+                into.text("granted").whole(*request_id).text(instance).text(address);
             }
-            Action::Refused { ask, reason: no } => {
-                into.text("refused").whole(*ask).text(no.as_str());
-                if let DenialReason::Full(wait) = no {
+            Action::Refused { ask: request_id, reason } => {
+                into.text("refused").whole(*request_id).text(reason.as_str());
+                if let DenialReason::Full(wait) = reason {
                     into.whole(*wait);
                 }
             }
-            Action::NotifyController(note) => note.fold(into.text("up")),
+            Action::NotifyController(message) => message.fold(into.text("up")),
             Action::ProbeReadiness { instance, from } => {
                 into.text("scout").text(&instance.id).text(&instance.service).text(&instance.address);
                 into.whole(instance.stage as u64).whole(*from);
@@ -98,78 +100,83 @@
     }
 }
 
-/// An ask of this proxy's own, for operators.
+/// An open permit request of this proxy, as shown to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenRequest<'a> {
-    /// The function.
+    /// Name of the function.
     pub service: &'a str,
-    /// With which proxy it stands, if with any.
+    /// Proxy that handles the request, if one is known.
     pub owner: Option<&'a str>,
-    /// The instance that was granted, if one was.
+    /// Granted instance, if any.
     pub instance: Option<&'a str>,
-    /// Until when its client waits.
+    /// Time after which the client no longer waits.
     pub deadline: Nanos,
 }
 
 #[derive(Debug)]
-struct Open {
-    ask: PermitRequest,
+struct PendingRequest {
+    request: PermitRequest,
     first: bool,
-    /// With whom it stands; none while nobody is known.
+    /// Proxy that handles the request; `None` while no owner is known.
     owner: Option<CompactString>,
-    said: Nanos,
-    /// When it was put to that one first; where that one has said that it waits, when it is asked again.
-    since: Nanos,
-    /// How often it was sent again.
-    again: u32,
-    /// The instance, and its zone.
+    last_sent: Nanos,
+    /// When the current owner was first asked; after it reported the request as queued, when it is due to
+    /// be asked again.
+    waiting_since: Nanos,
+    /// Number of times the request was sent again.
+    resends: u32,
+    /// Granted instance and its zone.
     granted: Option<(CompactString, CompactString)>,
 }
 
-/// A permit that went to another owner.
+/// A permit transferred to another owner.
 #[derive(Debug)]
-struct Handed {
-    /// To whom.
+struct HandedOver {
+    /// New owner.
     to: CompactString,
     instance: CompactString,
-    /// Nothing comes of it any more after that.
+    /// Time after which the entry is obsolete.
     until: Nanos,
 }
 
-/// A stall's dealings with the others.
+/// Coordination state of one proxy.
 #[derive(Debug)]
 pub struct Coordinator {
     me: Peer,
-    broker: Scheduler,
+    scheduler: Scheduler,
     owners: Owners,
-    /// Those of the naming before.
-    owners_before: Owners,
-    /// Of those that are named now.
-    digest: u64,
-    seen: (u64, u64),
-    /// Until then a new steward's snapshots may lack what it has still to hear from here.
-    renews: Nanos,
-    /// Addresses of stalls that sent mail, and their lives.
-    lives: BTreeMap<CompactString, u64>,
-    passed_over: BTreeMap<CompactString, Nanos>,
-    /// When other stalls were heard of last.
-    heard: BTreeMap<CompactString, Nanos>,
-    /// Zones that were ever heard of: instances stand also where no stall is any more.
+    /// Owners of the previous membership view.
+    previous_owners: Owners,
+    /// Digest of the current membership view.
+    current_digest: u64,
+    instances_version: (u64, u64),
+    /// Until this time, snapshots of a new leader may lack instances that it has yet to learn of from this
+    /// proxy.
+    renewing_until: Nanos,
+    /// Incarnations of proxies that sent messages, by name.
+    incarnations: BTreeMap<CompactString, u64>,
+    skipped_until: BTreeMap<CompactString, Nanos>,
+    /// Time of the last message from each proxy.
+    last_heard: BTreeMap<CompactString, Nanos>,
+    /// All zones seen so far: instances may exist in zones without a proxy.
     zones: BTreeSet<CompactString>,
-    /// Stalls that a new leader has not named, as it may not have heard of them yet; they are gone from then on.
-    missing: BTreeMap<CompactString, Nanos>,
-    /// Stalls that were named before, and where: they may ask still, as they may not know.
-    away: BTreeMap<CompactString, CompactString>,
-    open: BTreeMap<u64, Open>,
-    /// Permits that went to another owner: who has them may not know.
-    handed: BTreeMap<(CompactString, u64), Handed>,
-    /// Owners of before that have told of all they had out, by function, and by which naming.
-    told_over: BTreeMap<CompactString, BTreeMap<CompactString, Version>>,
-    next: u64,
-    outs: VecDeque<Action>,
-    /// All is worked out anew whatever has changed, for a comparison.
+    /// Proxies missing from the view of a new leader, which may not have heard of them yet, and when they
+    /// are taken to be gone.
+    unconfirmed: BTreeMap<CompactString, Nanos>,
+    /// Addresses of proxies from earlier views: they may not know yet that they were removed, and may
+    /// still send requests.
+    departed: BTreeMap<CompactString, CompactString>,
+    open: BTreeMap<u64, PendingRequest>,
+    /// Permits transferred to another owner; their holders may not know yet.
+    handed_over: BTreeMap<(CompactString, u64), HandedOver>,
+    /// Previous owners that have transferred all their permits, by function, with the version of the view
+    /// under which they did.
+    transfers_received: BTreeMap<CompactString, BTreeMap<CompactString, Version>>,
+    last_id: u64,
+    actions: VecDeque<Action>,
+    /// Recompute everything on each change, as a reference in tests.
     #[cfg(test)]
-    plainly: bool,
+    full_recompute: bool,
 }
 
 fn stage(n: u8) -> Stage {
@@ -181,108 +188,109 @@
 }
 
 impl Coordinator {
-    /// `first`: the number of the first ask; higher than those of any life before.
-    pub fn new(me: Peer, terms: SchedulerLimits, seed: u64, first: u64) -> Self {
+    /// `first`: base of the request ids; must be higher than any id of an earlier incarnation.
+    pub fn new(me: Peer, limits: SchedulerLimits, seed: u64, first: u64) -> Self {
         let owners = Owners::default();
         Coordinator {
             me,
-            owners_before: Owners::default(),
-            broker: Scheduler::new(terms, seed),
+            previous_owners: Owners::default(),
+            scheduler: Scheduler::new(limits, seed),
             owners,
-            digest: 0,
-            seen: (0, 0),
-            renews: 0,
-            lives: BTreeMap::new(),
-            passed_over: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            current_digest: 0,
+            instances_version: (0, 0),
+            renewing_until: 0,
+            incarnations: BTreeMap::new(),
+            skipped_until: BTreeMap::new(),
+            last_heard: BTreeMap::new(),
             zones: BTreeSet::new(),
-            missing: BTreeMap::new(),
-            away: BTreeMap::new(),
+            unconfirmed: BTreeMap::new(),
+            departed: BTreeMap::new(),
             open: BTreeMap::new(),
-            handed: BTreeMap::new(),
-            told_over: BTreeMap::new(),
-            next: first,
-            outs: VecDeque::new(),
+            handed_over: BTreeMap::new(),
+            transfers_received: BTreeMap::new(),
+            last_id: first,
+            actions: VecDeque::new(),
             #[cfg(test)]
-            plainly: false,
+            full_recompute: false,
         }
     }
 
-    /// What is to be done since.
+    /// Returns and clears the pending actions.
     pub fn take_actions(&mut self) -> VecDeque<Action> {
-        std::mem::take(&mut self.outs)
+        std::mem::take(&mut self.actions)
     }
 
-    /// From now on it is told why something is decided about the functions that are owned here.
+    /// Starts recording the reasons for decisions about the functions owned here.
     pub fn explain(&mut self) {
-        self.broker.explain();
+        self.scheduler.explain();
     }
 
-    /// Why it was decided so, since.
+    /// Returns and clears the recorded reasons.
     pub fn reasons(&mut self) -> Vec<Reason> {
-        self.broker.reasons()
+        self.scheduler.reasons()
     }
 
-    /// The stalls that are known to be alive.
+    /// The proxies known to be alive.
     pub fn owners(&self) -> &Owners {
         &self.owners
     }
 
-    /// The functions that are owned here.
+    /// The scheduler for the functions owned here.
     pub fn scheduler(&self) -> &Scheduler {
-        &self.broker
+        &self.scheduler
     }
 
-    /// Control has named the stalls.
+    /// Whether a membership view has arrived from the controller.
     pub fn has_view(&self) -> bool {
         self.owners.version() > (0, 0)
     }
 
-    /// The naming of stalls that is known here, and the functions that were split in it.
+    /// Version of the membership view and the functions split in it.
     pub fn view_split(&self) -> Option<((u64, u64), Vec<CompactString>)> {
         self.has_view().then(|| (self.owners.version(), self.owners.split().iter().cloned().collect()))
     }
 
-    /// The digest of that naming.
+    /// Digest of the membership view.
     pub fn view_digest(&self) -> Option<u64> {
-        self.has_view().then_some(self.digest)
+        self.has_view().then_some(self.current_digest)
     }
 
-    /// Asks that are open or granted.
+    /// Number of open permit requests, including granted ones.
     pub fn open_request_count(&self) -> usize {
         self.open.len()
     }
 
-    /// Each of them, in the order in which they were made.
+    /// The open permit requests, in the order in which they were made.
     pub fn open_requests(&self) -> impl Iterator<Item = OpenRequest<'_>> {
         self.open.values().map(|open| OpenRequest {
-            service: &open.ask.service,
+            service: &open.request.service,
             owner: open.owner.as_deref(),
             instance: open.granted.as_ref().map(|(instance, _)| instance.as_str()),
-            deadline: open.ask.deadline,
+            deadline: open.request.deadline,
         })
     }
 
-    /// The functions of the configuration in force.
+    /// Applies the functions of the current configuration.
     pub fn configure(&mut self, now: Nanos, specs: impl Iterator<Item = FunctionSpec>) {
-        self.broker.configure(now, specs);
-        self.own(now, &self.owners.clone(), &OwnershipChange::all());
+        self.scheduler.configure(now, specs);
+        self.update_ownership(now, &self.owners.clone(), &OwnershipChange::all());
     }
 
-    /// Who owns what, after a change; `before`: who did.
-    fn own(&mut self, now: Nanos, before: &Owners, turn: &OwnershipChange) {
-        let (owners, me, told_over, missing) = (&self.owners, &self.me, &self.told_over, &self.missing);
+    /// Recomputes ownership after a change; `before` are the previous owners.
+    fn update_ownership(&mut self, now: Nanos, before: &Owners, change: &OwnershipChange) {
+        let (owners, me, told_over, missing) =
+            (&self.owners, &self.me, &self.transfers_received, &self.unconfirmed);
         let transfer = |service: &str, zones: &BTreeSet<CompactString>| {
-            let told = told_over.get(service);
+            let receivers = told_over.get(service);
             let has_told = |name: &str| {
-                told.and_then(|t| t.get(name)).is_some_and(|version| *version >= owners.version())
+                receivers.and_then(|t| t.get(name)).is_some_and(|version| *version >= owners.version())
             };
-            // One that leaves tells of what it has out as one that stays does.
+            // A proxy that is shutting down transfers its permits like any other.
             let tells = |name: &str| {
                 (owners.find_living(name).is_some() || missing.contains_key(name)) && !has_told(name)
             };
             let mut transfer = Transfer::default();
-            // Of a function with one owner before and after, it is the same in all zones.
+            // A function that is not split has the same owner in all zones.
             let is_split = before.partition_count(service) > 1 || owners.partition_count(service) > 1;
             let all = zones.iter().chain(&self.zones);
             for zone in all.take(if is_split { usize::MAX } else { 1 }) {
@@ -298,172 +306,186 @@
             }
             transfer
         };
-        let parted = self.broker.update_ownership(now, me, owners, turn, transfer);
-        for parted in parted {
-            self.hand_over(now, parted);
+        let released = self.scheduler.update_ownership(now, me, owners, change, transfer);
+        for released in released {
+            self.hand_over(now, released);
         }
-        self.carry_out(now);
+        self.process_effects(now);
     }
 
-    /// With whom a function's asks stand. Until control has named the stalls nobody owns anything: each would give out the same slots.
+    /// The proxy that handles requests for a function. Until the first membership view arrives there is
+    /// none, since several proxies would grant the same slots.
     fn owner_of(&self, now: Nanos, service: &str) -> Option<&Peer> {
         if !self.has_view() {
             return None;
         }
-        let heard = |p: &Peer| self.passed_over.get(&p.name).is_none_or(|until| *until <= now);
+        let heard = |p: &Peer| self.skipped_until.get(&p.name).is_none_or(|until| *until <= now);
         self.owners.owner(service, &self.me.zone, heard).or(Some(&self.me))
     }
 
-    /// A request needs a permit. The number under which it is granted or refused, perhaps at once.
-    pub fn request_permit(&mut self, now: Nanos, mut ask: PermitRequest, first: bool) -> Option<u64> {
-        if self.open.len() >= MOST_ASKS {
+    /// Requests a permit. Returns the id under which it is granted or denied, possibly at once; `None` if
+    /// too many requests are open.
+    pub fn request_permit(&mut self, now: Nanos, mut request: PermitRequest, first: bool) -> Option<u64> {
+        if self.open.len() >= MAX_OPEN_REQUESTS {
             return None;
         }
-        self.next += 1;
-        let id = self.next;
-        ask.id = id;
-        self.open
-            .insert(id, Open { ask, first, owner: None, said: now, since: now, again: 0, granted: None });
-        self.place(now, id);
+        self.last_id += 1;
+        let id = self.last_id;
+        request.id = id;
+        self.open.insert(
+            id,
+            PendingRequest {
+                request,
+                first,
+                owner: None,
+                last_sent: now,
+                waiting_since: now,
+                resends: 0,
+                granted: None,
+            },
+        );
+        self.route_request(now, id);
         Some(id)
     }
 
-    /// Puts an open ask to whom it belongs now.
-    fn place(&mut self, now: Nanos, id: u64) {
+    /// Sends an open request to its current owner.
+    fn route_request(&mut self, now: Nanos, id: u64) {
         let Some(open) = self.open.get(&id) else { return };
-        let Some(owner) = self.owner_of(now, &open.ask.service).cloned() else { return };
+        let Some(owner) = self.owner_of(now, &open.request.service).cloned() else { return };
         let Some(open) = self.open.get_mut(&id) else { return };
         if open.owner.as_ref() != Some(&owner.name) {
-            (open.owner, open.since, open.again) = (Some(owner.name.clone()), now, 0);
+            (open.owner, open.waiting_since, open.resends) = (Some(owner.name.clone()), now, 0);
         }
-        open.said = now;
-        let (ask, first) = (open.ask.clone(), open.first);
+        open.last_sent = now;
+        let (request, first) = (open.request.clone(), open.first);
         if owner.name == self.me.name {
-            self.stand_back(now, &ask);
-            self.broker.request_permit(now, self.me.name.clone(), ask, first);
-            return self.carry_out(now);
+            self.defer_to_owner(now, &request);
+            self.scheduler.request_permit(now, self.me.name.clone(), request, first);
+            return self.process_effects(now);
         }
         let ms = |until: Nanos| (until as f64 - now as f64) / MS as f64;
-        let note = PeerMessage::RequestPermit {
+        let message = PeerMessage::RequestPermit {
             id,
-            left: ms(ask.deadline),
-            aim: ms(ask.soft_deadline),
-            target: ask.target as f64 / MS as f64,
-            service: ask.service,
-            sent: ask.attempts_sent,
+            left: ms(request.deadline),
+            aim: ms(request.soft_deadline),
+            target: request.target as f64 / MS as f64,
+            service: request.service,
+            sent: request.attempts_sent,
             first,
-            returned: ask.returned,
-            avoid: ask.avoid,
-            zone: ask.zone,
+            returned: request.returned,
+            avoid: request.avoid,
+            zone: request.zone,
         };
-        self.outs.push_back(Action::Send { to: owner.address, note });
+        self.actions.push_back(Action::Send { to: owner.address, note: message });
     }
 
-    /// An owner that is heard of lives, and gives its slots itself: who is asked in its place waits until it is not heard of any more.
-    fn stand_back(&mut self, now: Nanos, ask: &PermitRequest) {
-        let owner = self.owners.owner(&ask.service, &ask.zone, |_| true);
-        let heard = owner.filter(|p| p.name != self.me.name).and_then(|p| self.heard.get(&p.name));
-        if let Some(at) = heard.filter(|at| **at + DEAF > now) {
-            self.broker.defer_to_owner(&ask.service, at + DEAF);
+    /// While the owner is known to be alive it grants its slots itself; a proxy asked in its place waits
+    /// until nothing has been heard from the owner for a while.
+    fn defer_to_owner(&mut self, now: Nanos, request: &PermitRequest) {
+        let owner = self.owners.owner(&request.service, &request.zone, |_| true);
+        let heard = owner.filter(|p| p.name != self.me.name).and_then(|p| self.last_heard.get(&p.name));
+        if let Some(at) = heard.filter(|at| **at + UNRESPONSIVE_AFTER > now) {
+            self.scheduler.defer_to_owner(&request.service, at + UNRESPONSIVE_AFTER);
         }
     }
 
-    /// A request no longer waits for its permit.
+    /// Cancels a request whose client no longer waits.
     pub fn cancel(&mut self, now: Nanos, id: u64) {
         self.finish(now, id, Outcome::Unused, 0);
     }
 
-    /// A granted try is over.
+    /// Ends a granted attempt.
     pub fn finish(&mut self, now: Nanos, id: u64, outcome: Outcome, took: Nanos) {
         let Some(open) = self.open.remove(&id) else { return };
         let Some(owner) = open.owner else { return };
         if owner == self.me.name {
             let me = self.me.name.clone();
             if open.granted.is_some() {
-                if !self.pass_on(&me, id, outcome.as_str(), took as f64 / MS as f64) {
-                    self.broker.release(now, &me, id, outcome, took);
+                if !self.forward_release(&me, id, outcome.as_str(), took as f64 / MS as f64) {
+                    self.scheduler.release(now, &me, id, outcome, took);
                 }
             } else {
-                self.broker.cancel(now, &me, id);
+                self.scheduler.cancel(now, &me, id);
             }
-            return self.carry_out(now);
+            return self.process_effects(now);
         }
-        let note = if open.granted.is_some() {
+        let message = if open.granted.is_some() {
             PeerMessage::ReleasePermit { id, outcome: outcome.as_str().into(), took: took as f64 / MS as f64 }
         } else {
             PeerMessage::CancelRequest { id }
         };
-        self.send(&owner, note);
+        self.send(&owner, message);
     }
 
-    /// Where a stall is that lives, or was named once.
+    /// Address of a proxy that is alive or was listed in an earlier view.
     pub fn address_of(&self, name: &str) -> Option<&CompactString> {
         let living = self.owners.find_living(name).map(|peer| &peer.address);
-        living.or_else(|| self.away.get(name))
+        living.or_else(|| self.departed.get(name))
     }
 
-    fn send(&mut self, name: &str, note: PeerMessage) {
+    fn send(&mut self, name: &str, message: PeerMessage) {
         match self.address_of(name).cloned() {
-            Some(to) => self.outs.push_back(Action::Send { to, note }),
-            None => self.broker.counts.unaddressed += 1,
+            Some(to) => self.actions.push_back(Action::Send { to, note: message }),
+            None => self.scheduler.counts.unaddressed += 1,
         }
     }
 
-    /// An instance was seen to accept connections.
+    /// Records that an instance accepts connections.
     pub fn instance_up(&mut self, now: Nanos, id: &str) {
-        self.broker.instance_up(now, id);
-        self.outs.push_back(Action::NotifyController(PeerMessage::InstanceUp { instance: id.into() }));
-        self.carry_out(now);
+        self.scheduler.instance_up(now, id);
+        self.actions.push_back(Action::NotifyController(PeerMessage::InstanceUp { instance: id.into() }));
+        self.process_effects(now);
     }
 
-    /// An instance is known, and was not seen to accept connections yet.
+    /// Whether an instance is known and has not yet been seen accepting connections.
     pub fn is_booting(&self, id: &str) -> bool {
-        self.broker.is_booting(id)
+        self.scheduler.is_booting(id)
     }
 
-    /// A connection to an instance was refused outright.
+    /// Records that an instance refused a connection.
     pub fn connection_refused(&mut self, now: Nanos, id: &str) {
-        self.broker.mark_lost(now, id, false);
-        self.outs.push_back(Action::NotifyController(PeerMessage::InstanceDown { instance: id.into() }));
-        self.carry_out(now);
-    }
-
-    /// Mail from a stall, in this life of it.
-    pub fn receive(&mut self, now: Nanos, from: &str, life: u64, notes: Vec<PeerMessage>) {
-        match self.lives.get(from) {
-            Some(known) if *known == life => {}
-            // Late mail of a life that has ended, or the clock of its machine has stepped back: only one that lives can say.
-            Some(known) if *known > life => return self.refute(from, *known),
-            _ if self.lives.len() > 10_000 => return,
+        self.scheduler.mark_lost(now, id, false);
+        self.actions.push_back(Action::NotifyController(PeerMessage::InstanceDown { instance: id.into() }));
+        self.process_effects(now);
+    }
+
+    /// Handles messages from an incarnation of another proxy.
+    pub fn receive(&mut self, now: Nanos, from: &str, incarnation: u64, messages: Vec<PeerMessage>) {
+        match self.incarnations.get(from) {
+            Some(known) if *known == incarnation => {}
+            // Either a late message of an earlier incarnation, or the sender's clock was set back. Only a
+            // sender that is alive can tell.
+            Some(known) if *known > incarnation => return self.reject_stale_incarnation(from, *known),
+            _ if self.incarnations.len() > 10_000 => return,
             known => {
-                let anew = known.is_some();
-                self.lives.insert(from.into(), life);
-                // Of one that is heard for the first time, what another owner told of before is out still.
-                if anew {
-                    self.broker.proxy_left(now, from);
-                    self.tell_anew(now, from);
+                let restarted = known.is_some();
+                self.incarnations.insert(from.into(), incarnation);
+                // On first contact, permits reported by a previous owner remain outstanding.
+                if restarted {
+                    self.scheduler.proxy_left(now, from);
+                    self.resend_held(now, from);
                 }
             }
         }
-        self.passed_over.remove(from);
-        self.heard.insert(from.into(), now);
-        for note in notes {
-            self.note(now, from, note);
+        self.skipped_until.remove(from);
+        self.last_heard.insert(from.into(), now);
+        for message in messages {
+            self.handle_message(now, from, message);
         }
-        self.carry_out(now);
+        self.process_effects(now);
     }
 
-    /// A stall is told by which later incarnation it is known here.
-    fn refute(&mut self, name: &str, known: u64) {
+    /// Tells a proxy which later incarnation of it is known here.
+    fn reject_stale_incarnation(&mut self, name: &str, known: u64) {
         if let Some(to) = self.owners.find_living(name).map(|p| p.address.clone()) {
-            self.outs.push_back(Action::Send { to, note: PeerMessage::StaleIncarnation { known } });
+            self.actions.push_back(Action::Send { to, note: PeerMessage::StaleIncarnation { known } });
         }
     }
 
-    fn note(&mut self, now: Nanos, from: &str, note: PeerMessage) {
+    fn handle_message(&mut self, now: Nanos, from: &str, message: PeerMessage) {
         let at = |left: f64| now.saturating_add_signed((left.clamp(-1e7, 1e7) * MS as f64) as i64);
         let span = |ms: f64| (ms.clamp(0.0, 1e7) * MS as f64) as Nanos;
-        match note {
+        match message {
             PeerMessage::RequestPermit {
                 id,
                 service,
@@ -477,7 +499,7 @@
                 zone,
             } => {
                 let (deadline, aim, target) = (at(left), at(aim), span(target));
-                let ask = PermitRequest {
+                let request = PermitRequest {
                     id,
                     service,
                     deadline,
@@ -488,51 +510,51 @@
                     avoid,
                     zone,
                 };
-                self.stand_back(now, &ask);
-                self.broker.request_permit(now, from.into(), ask, first);
+                self.defer_to_owner(now, &request);
+                self.scheduler.request_permit(now, from.into(), request, first);
             }
             PeerMessage::CancelRequest { id } => {
-                let passed = self.pass_on(from, id, Outcome::Unused.as_str(), 0.0);
+                let passed = self.forward_release(from, id, Outcome::Unused.as_str(), 0.0);
                 if !passed {
-                    self.broker.cancel(now, from, id);
+                    self.scheduler.cancel(now, from, id);
                 }
             }
             PeerMessage::HandOverPermits { service, version, permits } => {
-                self.over(now, from, service, version, permits)
+                self.receive_transfer(now, from, service, version, permits)
             }
             PeerMessage::ForwardRelease { who, id, instance, outcome, took } => {
-                // It may have gone on from here by now.
-                if self.pass_on(&who, id, &outcome, took) {
+                // The permit may have been transferred to another owner meanwhile.
+                if self.forward_release(&who, id, &outcome, took) {
                     return;
                 }
                 let outcome = Outcome::parse(&outcome).unwrap_or(Outcome::Abandoned);
-                let stands = |at: &CompactString| self.broker.is_out_at(&who, id, at);
+                let stands = |at: &CompactString| self.scheduler.is_granted_at(&who, id, at);
                 if instance.as_ref().is_none_or(stands) {
-                    self.broker.release(now, &who, id, outcome, span(took));
-                } else if !self.broker.is_out(&who, id) {
-                    self.broker.came_back(now, &who, id, outcome);
+                    self.scheduler.release(now, &who, id, outcome, span(took));
+                } else if !self.scheduler.is_granted(&who, id) {
+                    self.scheduler.permit_returned(now, &who, id, outcome);
                 }
             }
             PeerMessage::ReleasePermit { id, outcome, took } => {
-                let passed = self.pass_on(from, id, &outcome, took);
+                let passed = self.forward_release(from, id, &outcome, took);
                 if !passed {
                     let outcome = Outcome::parse(&outcome).unwrap_or(Outcome::Abandoned);
-                    self.broker.release(now, from, id, outcome, span(took));
+                    self.scheduler.release(now, from, id, outcome, span(took));
                 }
             }
             PeerMessage::HeldPermit { id, instance, left, .. } => {
-                self.broker.counts.held += 1;
-                self.broker.hold_permit(now, from.into(), id, &instance, at(left));
+                self.scheduler.counts.held += 1;
+                self.scheduler.hold_permit(now, from.into(), id, &instance, at(left));
             }
             PeerMessage::Grant { id, instance, address, zone } => {
                 let zone = zone.unwrap_or_else(|| self.me.zone.clone());
-                self.granted(now, from, id, Granted { instance, address, zone });
+                self.receive_grant(now, from, id, Granted { instance, address, zone });
             }
             PeerMessage::Queued { id } => {
                 if let Some(open) = self.open.get_mut(&id).filter(|o| o.owner.as_deref() == Some(from)) {
-                    (open.said, open.again) = (now + WAITS - ASK_AGAIN, 0);
-                    // It was answered: whoever gave it has nothing to say until then.
-                    open.since = now + WAITS;
+                    (open.last_sent, open.resends) = (now + QUEUED_RESEND_AFTER - RESEND_AFTER, 0);
+                    // The request was answered, so the owner owes no response until this time.
+                    open.waiting_since = now + QUEUED_RESEND_AFTER;
                 }
             }
             PeerMessage::Denied { id, why, wait } => {
@@ -542,43 +564,43 @@
                     .is_some_and(|o| o.granted.is_none() && o.owner.as_deref() == Some(from));
                 if mine {
                     self.open.remove(&id);
-                    let no = match why.as_str() {
+                    let reason = match why.as_str() {
                         "skip" => DenialReason::Skip,
                         "spent" => DenialReason::Spent,
                         "unknown" => DenialReason::Unknown,
                         "moved" => DenialReason::Moved,
                         _ => DenialReason::Full(span(wait)),
                     };
-                    self.outs.push_back(Action::Refused { ask: id, reason: no });
+                    self.actions.push_back(Action::Refused { ask: id, reason });
                 }
             }
             _ => {}
         }
     }
 
-    /// What control tells.
-    pub fn receive_from_controller(&mut self, now: Nanos, note: PeerMessage) {
-        self.passed_over.remove(&self.me.name);
-        match note {
+    /// Handles a message from the controller.
+    pub fn receive_from_controller(&mut self, now: Nanos, message: PeerMessage) {
+        self.skipped_until.remove(&self.me.name);
+        match message {
             PeerMessage::FullView { version, peers, leaving, split } if version > self.owners.version() => {
-                self.named(now, MembershipView::new(version, peers, split).with_leaving(leaving).into());
+                self.apply_view(now, MembershipView::new(version, peers, split).with_leaving(leaving).into());
             }
             PeerMessage::ViewChange(shift) if shift.version > self.owners.version() => {
                 match self.owners.apply_change(&shift) {
-                    Some(owners) => self.named(now, owners),
-                    // What lies between was missed: it comes whole.
-                    None => self.outs.push_back(Action::NotifyController(PeerMessage::ViewOutdated {
+                    Some(owners) => self.apply_view(now, owners),
+                    // A change in between was missed: request the full view.
+                    None => self.actions.push_back(Action::NotifyController(PeerMessage::ViewOutdated {
                         version: self.owners.version(),
                     })),
                 }
             }
             PeerMessage::Instances { version, all, set, gone }
-                if version > self.seen || all && version == self.seen =>
+                if version > self.instances_version || all && version == self.instances_version =>
             {
-                if version.0 > self.seen.0 && self.seen.0 > 0 {
-                    self.renews = now + RENEWS;
+                if version.0 > self.instances_version.0 && self.instances_version.0 > 0 {
+                    self.renewing_until = now + RENEWAL_TIME;
                 }
-                self.seen = version;
+                self.instances_version = version;
                 let set = set.into_iter().map(|i| Instance {
                     id: i.id,
                     service: i.service,
@@ -588,170 +610,186 @@
                     stage: stage(i.stage),
                 });
                 let set: Vec<Instance> = set.collect();
-                self.hear_of_zones(set.iter().map(|i| &i.zone));
+                self.record_zones(set.iter().map(|i| &i.zone));
                 let (owners, me) = (&self.owners, &self.me.name);
                 let mine = |i: &Instance| owners.owns(me, &i.service, &i.zone).is_ok();
-                if all && now < self.renews {
-                    self.broker.merge_instances(now, set, mine);
+                if all && now < self.renewing_until {
+                    self.scheduler.merge_instances(now, set, mine);
                 } else if all {
-                    self.broker.replace_instances(now, set, mine);
+                    self.scheduler.replace_instances(now, set, mine);
                 } else {
                     for i in set {
                         let mine = mine(&i);
-                        self.broker.update_instance(now, i, mine);
+                        self.scheduler.update_instance(now, i, mine);
                     }
-                    gone.iter().for_each(|id| self.broker.remove_instance(now, id));
+                    gone.iter().for_each(|id| self.scheduler.remove_instance(now, id));
                 }
-                self.carry_out(now);
+                self.process_effects(now);
             }
             PeerMessage::MinInstances { service, count, fence, left } => {
                 let until = now + (left.clamp(0.0, 1e7) * MS as f64) as Nanos;
-                self.broker.set_floor(now, &service, count, fence, until);
-                self.carry_out(now);
+                self.scheduler.set_min_instances(now, &service, count, fence, until);
+                self.process_effects(now);
             }
             _ => {}
         }
     }
 
-    /// Mail to a stall came back: it is passed over for a while, and what it was asked goes to the next.
-    pub fn undelivered(&mut self, now: Nanos, address: &str, notes: Vec<PeerMessage>) {
-        let roster = self.owners.view();
-        let mut living = roster.peers().iter().chain(roster.leaving());
+    /// Handles messages that could not be delivered: the proxy is skipped for a while and its requests go
+    /// to the next one.
+    pub fn undelivered(&mut self, now: Nanos, address: &str, messages: Vec<PeerMessage>) {
+        let view = self.owners.view();
+        let mut living = view.peers().iter().chain(view.leaving());
         let Some(name) = living.find(|p| p.address == address).map(|p| p.name.clone()) else { return };
-        self.passed_over.insert(name.clone(), now + PASSED_OVER);
-        for note in notes {
-            // It may have come all the same, late: a slot that was granted is not given to another on that account. Who did not hear of
-            // it hears again, and says if it has no use for it.
-            let again = match &note {
-                PeerMessage::Grant { id, .. } => self.broker.has_request(&name, *id),
+        self.skipped_until.insert(name.clone(), now + SKIP_TIME);
+        for message in messages {
+            // The message may still have been delivered late, so a granted slot is not reused. Messages
+            // about permits are sent again; a receiver without use for a permit releases it.
+            let again = match &message {
+                PeerMessage::Grant { id, .. } => self.scheduler.has_request(&name, *id),
                 PeerMessage::HandOverPermits { version, .. } => *version == self.owners.version(),
                 PeerMessage::ForwardRelease { .. } => true,
                 _ => false,
             };
             if again {
-                self.outs.push_back(Action::Send { to: address.into(), note });
+                self.actions.push_back(Action::Send { to: address.into(), note: message });
             }
         }
-        self.carry_out(now);
-        self.replace(now);
-        self.carry_out(now);
+        self.process_effects(now);
+        self.reroute_requests(now);
+        self.process_effects(now);
     }
 
-    /// Control can't be told anything: for a while others own what this stall owned, so that it can be started and stopped.
+    /// Handles the loss of contact to the controller: for a while other proxies handle the functions owned
+    /// here, so that instances can be started and stopped.
     pub fn controller_unreachable(&mut self, now: Nanos) {
-        self.passed_over.insert(self.me.name.clone(), now + PASSED_OVER);
-        self.replace(now);
-        self.carry_out(now);
+        self.skipped_until.insert(self.me.name.clone(), now + SKIP_TIME);
+        self.reroute_requests(now);
+        self.process_effects(now);
     }
 
-    fn carry_out(&mut self, now: Nanos) {
-        // Refusals and grants of this stall's own may lead to further ones.
+    fn process_effects(&mut self, now: Nanos) {
+        // Denials and grants for this proxy may cause further effects.
         loop {
-            let effects = self.broker.take_effects();
+            let effects = self.scheduler.take_effects();
             if effects.is_empty() {
                 return;
             }
             for effect in effects {
-                self.effect(now, effect);
+                self.apply_effect(now, effect);
             }
         }
     }
 
-    fn effect(&mut self, now: Nanos, effect: Effect) {
+    fn apply_effect(&mut self, now: Nanos, effect: Effect) {
         match effect {
-            Effect::Grant { to, ask, instance } if to == self.me.name => match self.open.get_mut(&ask) {
-                Some(open) if open.granted.is_none() => {
-                    open.granted = Some((instance.id.clone(), instance.zone.clone()));
-                    let (instance, address) = (instance.id, instance.address);
-                    self.outs.push_back(Action::Granted { ask, instance, address });
+            Effect::Grant { to, ask: request_id, instance } if to == self.me.name => {
+                match self.open.get_mut(&request_id) {
+                    Some(open) if open.granted.is_none() => {
+                        open.granted = Some((instance.id.clone(), instance.zone.clone()));
+                        let (instance, address) = (instance.id, instance.address);
+                        self.actions.push_back(Action::Granted { ask: request_id, instance, address });
+                    }
+                    Some(_) => {}
+                    None => self.scheduler.release(now, &to, request_id, Outcome::Unused, 0),
                 }
-                Some(_) => {}
-                None => self.broker.release(now, &to, ask, Outcome::Unused, 0),
-            },
-            Effect::Refuse { to, ask, reason: no } if to == self.me.name => {
-                if self.open.remove(&ask).is_some() {
-                    self.outs.push_back(Action::Refused { ask, reason: no });
+            }
+            Effect::Refuse { to, ask: request_id, reason } if to == self.me.name => {
+                if self.open.remove(&request_id).is_some() {
+                    self.actions.push_back(Action::Refused { ask: request_id, reason });
                 }
             }
-            Effect::Grant { to, ask, instance } => {
+            Effect::Grant { to, ask: request_id, instance } => {
                 let near = self.owners.find(&to).is_some_and(|p| p.zone == instance.zone);
                 let zone = (!near).then_some(instance.zone);
-                let note =
-                    PeerMessage::Grant { id: ask, instance: instance.id, address: instance.address, zone };
-                self.send(&to, note);
+                let message = PeerMessage::Grant {
+                    id: request_id,
+                    instance: instance.id,
+                    address: instance.address,
+                    zone,
+                };
+                self.send(&to, message);
             }
-            Effect::Refuse { to, ask, reason: no } => {
-                let wait = if let DenialReason::Full(wait) = no { wait } else { 0 };
+            Effect::Refuse { to, ask: request_id, reason } => {
+                let wait = if let DenialReason::Full(wait) = reason { wait } else { 0 };
                 self.send(
                     &to,
-                    PeerMessage::Denied { id: ask, why: no.as_str().into(), wait: wait as f64 / MS as f64 },
+                    PeerMessage::Denied {
+                        id: request_id,
+                        why: reason.as_str().into(),
+                        wait: wait as f64 / MS as f64,
+                    },
                 );
             }
             Effect::Queued { to, .. } if to == self.me.name => {}
-            Effect::Queued { to, ask } => self.send(&to, PeerMessage::Queued { id: ask }),
+            Effect::Queued { to, ask: request_id } => self.send(&to, PeerMessage::Queued { id: request_id }),
             Effect::SetInstanceTarget { service, count, zones, strain, does, slow } => {
-                let lot = (self.owners.partition_count(&service) > 1).then(|| self.me.zone.clone());
-                self.outs.push_back(Action::NotifyController(PeerMessage::DesiredInstances {
+                let home_zone = (self.owners.partition_count(&service) > 1).then(|| self.me.zone.clone());
+                self.actions.push_back(Action::NotifyController(PeerMessage::DesiredInstances {
                     service,
                     count,
                     zones,
-                    lot,
+                    lot: home_zone,
                     strain,
                     does,
                     slow,
                 }))
             }
             Effect::Retire(instance) => {
-                self.outs.push_back(Action::NotifyController(PeerMessage::RetireInstance { instance }))
+                self.actions.push_back(Action::NotifyController(PeerMessage::RetireInstance { instance }))
             }
             Effect::ReportLost(instance) => {
-                self.outs.push_back(Action::NotifyController(PeerMessage::InstanceDown { instance }))
+                self.actions.push_back(Action::NotifyController(PeerMessage::InstanceDown { instance }))
             }
             Effect::ProbeReadiness { instance, from } => {
-                self.outs.push_back(Action::ProbeReadiness { instance, from })
+                self.actions.push_back(Action::ProbeReadiness { instance, from })
             }
         }
     }
 
-    /// Owners that answer nothing are passed over, and control hears of it. Where nobody at all is heard, it may well be this stall that
-    /// nobody hears.
-    fn pass_over_the_deaf(&mut self, now: Nanos) {
-        let lately = |name: &str| self.heard.get(name).is_some_and(|at| at + DEAF > now);
-        let mut deaf = BTreeSet::new();
-        for open in self.open.values().filter(|o| o.granted.is_none() && o.since + DEAF <= now) {
+    /// Skips owners that do not respond and reports them to the controller. If no proxy at all responds,
+    /// the fault is probably on this side and nothing is done.
+    fn skip_unresponsive(&mut self, now: Nanos) {
+        let lately = |name: &str| self.last_heard.get(name).is_some_and(|at| at + UNRESPONSIVE_AFTER > now);
+        let mut unresponsive = BTreeSet::new();
+        for open in
+            self.open.values().filter(|o| o.granted.is_none() && o.waiting_since + UNRESPONSIVE_AFTER <= now)
+        {
             let of = open.owner.as_ref().filter(|name| **name != self.me.name && !lately(name));
-            deaf.extend(
-                of.filter(|name| self.passed_over.get(*name).is_none_or(|until| *until <= now)).cloned(),
+            unresponsive.extend(
+                of.filter(|name| self.skipped_until.get(*name).is_none_or(|until| *until <= now)).cloned(),
             );
         }
-        if deaf.is_empty() || !self.heard.keys().any(|name| lately(name)) {
+        if unresponsive.is_empty() || !self.last_heard.keys().any(|name| lately(name)) {
             return;
         }
-        for peer in deaf {
-            self.passed_over.insert(peer.clone(), now + PASSED_OVER);
-            self.outs.push_back(Action::NotifyController(PeerMessage::PeerUnreachable {
+        for peer in unresponsive {
+            self.skipped_until.insert(peer.clone(), now + SKIP_TIME);
+            self.actions
+                .push_back(Action::NotifyController(PeerMessage::PeerUnreachable {
                 peer,
                 from: self.me.name.clone(),
             }));
         }
-        self.replace(now);
-        self.carry_out(now);
+        self.reroute_requests(now);
+        self.process_effects(now);
     }
 
-    /// Time passes.
+    /// Processes time: expiry, unresponsive owners and resends.
     pub fn tick(&mut self, now: Nanos) {
-        self.broker.tick(now);
-        self.end_missing(now);
-        self.carry_out(now);
-        self.pass_over_the_deaf(now);
-        let due = |o: &Open| o.said + (ASK_AGAIN << o.again.min(3)) <= now;
+        self.scheduler.tick(now);
+        self.expire_unconfirmed(now);
+        self.process_effects(now);
+        self.skip_unresponsive(now);
+        let due = |o: &PendingRequest| o.last_sent + (RESEND_AFTER << o.resends.min(3)) <= now;
         let silent = self.open.iter().filter(|(_, o)| o.granted.is_none() && due(o));
         for id in silent.map(|(id, _)| *id).collect::<Vec<_>>() {
-            // An owner that is slow is not helped by more of the same.
+            // Resend with increasing intervals, since more of the same requests would not help a slow
+            // owner.
             if let Some(open) = self.open.get_mut(&id) {
-                open.again += 1;
+                open.resends += 1;
             }
-            self.place(now, id);
+            self.route_request(now, id);
         }
     }
 }
--- /dev/null
+++ b/scheduler/src/function/worker_speed.rs
@@ -0,0 +1,62 @@
+//! Worker speed estimated from response times, and its use in scheduling. With workers of similar speed
+//! this has no effect.
+//!
+//! An instance is ranked behind others of its function only if it is significantly slower, and a worker is
+//! reported to the controller only if it is significantly slow.
+
+use millpost_latency::{LatencyModel, RelativeLatency};
+
+use crate::Nanos;
+use crate::service::FunctionState;
+
+use super::Scheduler;
+
+impl Scheduler {
+    /// Periodically updates the model with the latest answers and ranks the instances by it.
+    pub(super) fn update_latency_ranks(&mut self, now: Nanos) {
+        let Some(speeds) = &mut self.latency_model else { return };
+        if !speeds.update(now) {
+            return;
+        }
+        let speeds = &*speeds;
+        self.functions
+            .iter_mut()
+            .filter(|s| !s.instances().is_empty())
+            .for_each(|s| s.update_latency_ranks(speeds));
+    }
+
+    /// Records the response time of a successful answer.
+    pub(super) fn record_latency(&mut self, now: Nanos, at: usize, id: &str, took: Nanos) {
+        let service = &self.functions[at];
+        if let (Some(state), Some(speeds)) = (service.instance(id), &mut self.latency_model) {
+            speeds.observe(now, &service.name, &state.info.worker, took);
+        }
+    }
+}
+
+/// Slowdown factor per rank step.
+const STEP: f64 = 1.3;
+/// Slowdown relative to the best instance that exceeds the normal variation between instances.
+const BEYOND: f64 = 1.5;
+/// Required confidence, in standard deviations.
+const SURE: f64 = 2.5;
+
+impl FunctionState {
+    /// Ranks instances behind others that are significantly faster.
+    fn update_latency_ranks(&mut self, speeds: &LatencyModel) {
+        let name = self.name.clone();
+        let lags: Vec<_> =
+            self.instances().iter().map(|p| speeds.relative_latency(&name, &p.info.worker)).collect();
+        let open = self.instances().iter().zip(&lags).filter(|(p, _)| p.is_available());
+        let best = open.filter_map(|(_, lag)| *lag).min_by(|a, b| a.log_ratio.total_cmp(&b.log_ratio));
+        let step = |lag: Option<RelativeLatency>, slow: bool, already: bool| {
+            let Some((lag, best)) = lag.zip(best) else { return 0 };
+            let steps = ((lag.log_ratio - best.log_ratio) / STEP.ln()).clamp(0.0, 8.0) as u8;
+            if slow || already || lag.is_slower_than(&best, BEYOND, SURE) { steps } else { 0 }
+        };
+        self.update_ranks(|at, state| {
+            state.on_slow_worker = speeds.is_slow_for(&name, &state.info.worker);
+            state.latency_rank = step(lags[at], state.on_slow_worker, state.latency_rank > 0);
+        });
+    }
+}
--- a/scheduler/src/instance.rs
+++ b/scheduler/src/instance.rs
@@ -1,6 +1,6 @@
-//! One instance of a function as its owner sees it: what is out there, how long it takes, whether it is well.
+//! Owner's view of one instance: outstanding permits, latency and health.
 
-mod narrow;
+mod slot_limit;
 
 use std::collections::VecDeque;
 
@@ -8,203 +8,209 @@
 use millpost::retry_probability;
 
 use crate::{MS, Nanos, Outcome, SECOND};
-use narrow::Narrow;
+use slot_limit::SlotLimit;
 
-/// Weight of a new sample in the averages (the paper's w_q).
+/// Weight of a new sample in the averages (w_q in the paper).
 const WEIGHT: f64 = 0.2;
-/// The baseline is the lowest average of this span and the one before.
-const SPAN: Nanos = 5 * SECOND;
+/// The baseline is the lowest average of the current and the previous span of this length.
+const BASELINE_SPAN: Nanos = 5 * SECOND;
 
-/// Askers of an instance that are remembered.
-const ASKERS: usize = 32;
+/// Number of recent callers remembered per instance.
+const MAX_RECENT_CALLERS: usize = 32;
 
-/// How far an instance's life has come.
+/// Lifecycle stage of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// It refuses connections still.
+    /// Not yet accepting connections.
     Booting,
-    /// It works.
+    /// Accepting requests.
     Ready,
-    /// It is leaving: nothing more goes there.
+    /// Shutting down; receives no new requests.
     Draining,
 }
 
-/// An instance as control tells of it.
+/// An instance as listed by the controller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Instance {
-    /// The name of its life.
+    /// Instance id, unique per start.
     pub id: CompactString,
-    /// Its function.
+    /// Name of its function.
     pub service: CompactString,
     /// Address and port.
     pub address: CompactString,
-    /// Where it stands.
+    /// Zone of the instance.
     pub zone: CompactString,
-    /// The worker it stands on.
+    /// Worker on which it runs.
     pub worker: CompactString,
-    /// How far its life has come.
+    /// Lifecycle stage.
     pub stage: Stage,
 }
 
-/// What the owner keeps of an instance.
+/// Scheduling state of an instance.
 #[derive(Debug)]
-pub(crate) struct Place {
-    pub of: Instance,
-    /// It belongs to what is owned here; else this stall stands in for its owner.
-    pub mine: bool,
-    /// It worked before this owner came: others may have permits for it out.
-    pub found: bool,
-    /// It has served a request that this stall gave it in its owner's place.
-    pub proven: bool,
-    /// Until then it is left to somebody else who has it full.
-    pub yielded: Nanos,
-    /// Permits that are out: who has them, and the asker's number.
-    pub out: Vec<(CompactString, u64)>,
-    /// When it was first heard of.
-    pub since: Nanos,
-    /// When a slot was last given.
-    pub turn: u64,
-    /// Who was here lately, the last one last.
-    askers: VecDeque<CompactString>,
-    /// The last time a request was there.
-    pub used: Nanos,
-    /// It gets nothing more, and is stopped once nothing is out.
-    pub leaving: bool,
-    /// It was told to be stopped.
+pub(crate) struct InstanceState {
+    pub info: Instance,
+    /// This proxy owns the instance; otherwise it only acts in place of the owner.
+    pub owned: bool,
+    /// The instance was running before this proxy became its owner: permits of others may be outstanding.
+    pub inherited: bool,
+    /// The instance has answered a request granted here while `inherited` or not owned.
+    pub verified: bool,
+    /// No grants until this time, because another proxy has filled the instance.
+    pub yielded_until: Nanos,
+    /// Outstanding permits: holder and request id.
+    pub permits: Vec<(CompactString, u64)>,
+    /// When it was first listed.
+    pub first_seen: Nanos,
+    /// Sequence number of the last grant.
+    pub last_grant: u64,
+    /// Recent callers, the latest one last.
+    recent_callers: VecDeque<CompactString>,
+    /// Time of the last request.
+    pub last_used: Nanos,
+    /// Receives no new requests and is retired once no permits are outstanding.
+    pub draining: bool,
+    /// Reported as retired.
     pub retired: bool,
-    /// It was seen to be dead, rather than not needed.
+    /// Found dead, rather than surplus.
     pub lost: bool,
-    /// When control was told so last: it may not have heard.
-    pub told: Nanos,
-    /// Others of its function surely end sooner: by how much, in steps.
-    pub behind: u8,
-    /// Its worker is slow.
-    pub slow: bool,
-    /// What is left of its slots after it was full by its own count.
-    narrow: Narrow,
-    /// Nothing goes there before; grows with failures in a row.
-    pub shunned: Nanos,
-    fails: u32,
-    /// Averaged latency in nanoseconds, starting at 0 (the design's q_avg over μ).
-    average: f64,
-    floors: [Option<f64>; 2],
-    floor_from: Nanos,
+    /// Time of the last report to the controller, which may have been lost.
+    pub reported_at: Nanos,
+    /// How much slower it is than others of its function, in rank steps; 0 if not significantly.
+    pub latency_rank: u8,
+    /// Its worker is slow for this function.
+    pub on_slow_worker: bool,
+    /// Limit on its slots after it rejected a request as full.
+    slot_limit: SlotLimit,
+    /// No grants before this time; grows with consecutive failures.
+    pub backoff_until: Nanos,
+    consecutive_failures: u32,
+    /// Average latency in nanoseconds, starting at 0 (q_avg over μ in the design).
+    mean_latency: f64,
+    baselines: [Option<f64>; 2],
+    baseline_start: Nanos,
 }
 
-impl Place {
+impl InstanceState {
     pub fn new(of: Instance, mine: bool, now: Nanos) -> Self {
         let found = of.stage == Stage::Ready;
-        Place {
-            of,
-            mine,
-            found,
-            proven: false,
-            yielded: 0,
-            out: Vec::new(),
-            since: now,
-            turn: 0,
-            askers: VecDeque::new(),
-            used: now,
-            leaving: false,
+        InstanceState {
+            info: of,
+            owned: mine,
+            inherited: found,
+            verified: false,
+            yielded_until: 0,
+            permits: Vec::new(),
+            first_seen: now,
+            last_grant: 0,
+            recent_callers: VecDeque::new(),
+            last_used: now,
+            draining: false,
             retired: false,
             lost: false,
-            told: now,
-            behind: 0,
-            slow: false,
-            narrow: Narrow::default(),
-            shunned: 0,
-            fails: 0,
-            average: 0.0,
-            floors: [None, None],
-            floor_from: now,
+            reported_at: now,
+            latency_rank: 0,
+            on_slow_worker: false,
+            slot_limit: SlotLimit::default(),
+            backoff_until: 0,
+            consecutive_failures: 0,
+            mean_latency: 0.0,
+            baselines: [None, None],
+            baseline_start: now,
         }
     }
 
-    /// This asker was here lately, and may have a connection still.
-    pub fn knows(&self, asker: &str) -> bool {
-        self.askers.iter().any(|a| a == asker)
+    /// Whether this caller used the instance recently and may still have a connection to it.
+    pub fn recently_used_by(&self, caller: &str) -> bool {
+        self.recent_callers.iter().any(|a| a == caller)
     }
 
-    /// This asker comes.
-    pub fn serves(&mut self, asker: &CompactString) {
-        if self.askers.back() != Some(asker) {
-            self.askers.retain(|a| a != asker);
-            if self.askers.len() >= ASKERS {
-                self.askers.pop_front();
+    /// Records the caller of a new request.
+    pub fn record_caller(&mut self, caller: &CompactString) {
+        if self.recent_callers.back() != Some(caller) {
+            self.recent_callers.retain(|a| a != caller);
+            if self.recent_callers.len() >= MAX_RECENT_CALLERS {
+                self.recent_callers.pop_front();
             }
-            self.askers.push_back(asker.clone());
+            self.recent_callers.push_back(caller.clone());
         }
     }
 
-    /// How many of all its slots may be used.
-    pub fn slots_left(&self, now: Nanos, all: usize) -> usize {
-        self.narrow.left_of(now, all)
+    /// Number of usable slots out of `all`.
+    pub fn usable_slots(&self, now: Nanos, all: usize) -> usize {
+        self.slot_limit.usable(now, all)
     }
 
-    /// Requests may go there.
-    pub fn open(&self) -> bool {
-        self.of.stage == Stage::Ready && !self.leaving && !self.retired
+    /// Whether it can receive requests.
+    pub fn is_available(&self) -> bool {
+        self.info.stage == Stage::Ready && !self.draining && !self.retired
     }
 
-    /// It counts among those that the function has, or is about to have.
-    pub fn live(&self) -> bool {
-        self.of.stage != Stage::Draining && !self.leaving && !self.retired
+    /// Whether it counts as running or starting.
+    pub fn is_live(&self) -> bool {
+        self.info.stage != Stage::Draining && !self.draining && !self.retired
     }
 
-    /// The probability with which a retry goes there: 1 at the baseline, falling linearly to 0 at T1 above it.
-    pub fn chance(&self, t1: Nanos) -> f64 {
-        let floor = self.floors.iter().flatten().copied().fold(f64::INFINITY, f64::min);
+    /// Probability of sending a retry to it: 1 at the latency baseline, falling linearly to 0 at T1 above
+    /// it.
+    pub fn retry_probability(&self, t1: Nanos) -> f64 {
+        let floor = self.baselines.iter().flatten().copied().fold(f64::INFINITY, f64::min);
         if floor.is_infinite() {
             return 1.0;
         }
-        retry_probability((self.average - floor).max(0.0), t1)
+        retry_probability((self.mean_latency - floor).max(0.0), t1)
     }
 
-    /// Its averaged delay in nanoseconds; none before it has served.
-    pub fn delay(&self) -> Option<f64> {
-        (self.average > 0.0).then_some(self.average)
+    /// Average latency in nanoseconds; `None` before the first answer.
+    pub fn mean_latency(&self) -> Option<f64> {
+        (self.mean_latency > 0.0).then_some(self.mean_latency)
     }
 
-    fn sample(&mut self, now: Nanos, sample: f64) {
-        self.average =
-            if self.average == 0.0 { sample } else { self.average + WEIGHT * (sample - self.average) };
-        if now >= self.floor_from + SPAN {
-            self.floors = [None, self.floors[0].filter(|_| now < self.floor_from + 2 * SPAN)];
-            self.floor_from = now;
+    fn record_latency(&mut self, now: Nanos, sample: f64) {
+        self.mean_latency = if self.mean_latency == 0.0 {
+            sample
+        } else {
+            self.mean_latency + WEIGHT * (sample - self.mean_latency)
+        };
+        if now >= self.baseline_start + BASELINE_SPAN {
+            self.baselines =
+                [None, self.baselines[0].filter(|_| now < self.baseline_start + 2 * BASELINE_SPAN)];
+            self.baseline_start = now;
         }
-        let floor = self.floors[0].get_or_insert(self.average);
-        *floor = floor.min(self.average);
+        let floor = self.baselines[0].get_or_insert(self.mean_latency);
+        *floor = floor.min(self.mean_latency);
     }
 
-    /// Connections to it fail one after the other.
-    pub fn failing(&self) -> bool {
-        self.fails >= 2
+    /// Whether connections to it have failed repeatedly.
+    pub fn is_failing(&self) -> bool {
+        self.consecutive_failures >= 2
     }
 
-    /// A try is over. A refusal as full counts as a full time-out, T1; what was given up by its client says nothing.
-    pub fn over(&mut self, now: Nanos, outcome: Outcome, took: Nanos, t1: Nanos) {
+    /// Records the outcome of an attempt. A rejection as full counts as a full timeout T1; an attempt
+    /// abandoned by its client is ignored.
+    pub fn attempt_ended(&mut self, now: Nanos, outcome: Outcome, took: Nanos, t1: Nanos) {
         match outcome {
             Outcome::Answered | Outcome::Failed => {
-                self.sample(now, took as f64);
-                (self.fails, self.shunned) = (0, 0);
+                self.record_latency(now, took as f64);
+                (self.consecutive_failures, self.backoff_until) = (0, 0);
             }
             Outcome::Full => {
-                let full = self.average + t1 as f64;
-                self.sample(now, full);
-                // Somebody holds a slot that is not known here: a moment of rest, and that slot is left alone.
-                self.shunned = now + 15 * MS;
-                self.narrow.refused(now, self.out.len());
+                let full = self.mean_latency + t1 as f64;
+                self.record_latency(now, full);
+                // A slot is taken that is not known here: pause briefly and leave that slot unused.
+                self.backoff_until = now + 15 * MS;
+                self.slot_limit.rejected(now, self.permits.len());
             }
             Outcome::NoAnswer | Outcome::TimedOut => {
-                self.sample(now, (took as f64).max(self.average));
-                self.fails += 1;
-                if self.fails >= 2 {
-                    self.shunned = now + 50 * MS * (1 << self.fails.min(5));
+                self.record_latency(now, (took as f64).max(self.mean_latency));
+                self.consecutive_failures += 1;
+                if self.consecutive_failures >= 2 {
+                    self.backoff_until = now + 50 * MS * (1 << self.consecutive_failures.min(5));
                 }
             }
             Outcome::Unreachable => {
-                self.fails += 1;
-                self.shunned = now + 25 * MS * (1 << self.fails.min(6));
+                self.consecutive_failures += 1;
+                self.backoff_until = now + 25 * MS * (1 << self.consecutive_failures.min(6));
             }
             Outcome::AddressReused | Outcome::Unused | Outcome::Abandoned => {}
         }
--- a/scheduler/src/owner_ranking.rs
+++ b/scheduler/src/owner_ranking.rs
@@ -1,7 +1,8 @@
-//! Who owns each function that is asked for, and who is asked next, kept as stalls come and go.
+//! Cache of the owner and deputy of each requested function, updated as proxies join and leave.
 //!
-//! Invariant: what is kept is what [`Owners::owner_and_deputy`] says. A stall that came costs one hash for each function; one that is gone
-//! costs all of them for the functions that it stood for, and nothing for others.
+//! Invariant: the cache holds what [`Owners::owner_and_deputy`] returns. A joining proxy costs one hash
+//! per cached function; a leaving one costs a full ranking of the functions it was owner or deputy of, and
+//! nothing for others.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,34 +11,34 @@
 
 use crate::owners::{Owners, hash};
 
-/// The first two, with what each of them is ranked by.
-type Two = [Option<(u64, CompactString)>; 2];
+/// Owner and deputy with their rank.
+type RankedPair = [Option<(u64, CompactString)>; 2];
 
-/// The stalls, and the first two of functions that were asked for.
+/// The owners and the cached pairs of requested functions.
 #[derive(Debug, Default)]
 pub struct OwnerRanking {
     owners: Owners,
-    /// By function, and by zone where it is split.
-    kept: BTreeMap<(CompactString, CompactString), Two>,
+    /// By function, and by zone if it is split.
+    pairs: BTreeMap<(CompactString, CompactString), RankedPair>,
 }
 
-fn names(two: &Two) -> impl Iterator<Item = &CompactString> {
+fn names(two: &RankedPair) -> impl Iterator<Item = &CompactString> {
     two.iter().flatten().map(|(_, name)| name)
 }
 
-fn work_out(owners: &Owners, service: &str, zone: &str) -> Two {
+fn rank(owners: &Owners, service: &str, zone: &str) -> RankedPair {
     owners
         .owner_and_deputy(service, zone)
         .map(|p| p.map(|p| (hash(service, peer_hash(&p.name)), p.name.clone())))
 }
 
 impl OwnerRanking {
-    /// The stalls.
+    /// The current owners.
     pub fn owners(&self) -> &Owners {
         &self.owners
     }
 
-    /// The owner of a function in a zone, and the stall that is asked where the owner can't be.
+    /// Owner of a function in a zone, and the proxy that is asked when the owner cannot be reached.
     pub fn owner_and_deputy(
         &mut self,
         service: &CompactString,
@@ -47,45 +48,45 @@
             if self.owners.partition_count(service) > 1 { zone.clone() } else { CompactString::default() };
         let key = (service.clone(), zone);
         let owners = &self.owners;
-        names(self.kept.entry(key).or_insert_with_key(|(service, zone)| work_out(owners, service, zone)))
+        names(self.pairs.entry(key).or_insert_with_key(|(service, zone)| rank(owners, service, zone)))
     }
 
-    /// A function is asked for.
+    /// Adds a function to the cache.
     pub fn track(&mut self, service: &CompactString, zone: &CompactString) {
         let _ = self.owner_and_deputy(service, zone);
     }
 
-    /// Of functions that are gone nothing is kept.
+    /// Drops functions that no longer exist.
     pub fn retain(&mut self, is: impl Fn(&str) -> bool) {
-        self.kept.retain(|(service, _), _| is(service));
+        self.pairs.retain(|(service, _), _| is(service));
     }
 
-    /// A new naming. Those who stand for other functions than before, or for none any more, among the functions that were asked for; and
-    /// the functions that are split now and were not, or the other way round: of those nothing is kept.
+    /// Applies a new view. Returns the proxies that are owner or deputy of other requested functions than
+    /// before, and the functions that were split or joined, which are dropped from the cache.
     pub fn update(&mut self, owners: Owners) -> (BTreeSet<CompactString>, BTreeSet<CompactString>) {
         let before = std::mem::replace(&mut self.owners, owners);
         let owners = &self.owners;
         let (came, left) = owners.view().diff_peers(before.view());
         let left: BTreeSet<_> = left.into_iter().map(|p| &p.name).collect();
-        let mut stand: BTreeSet<_> = came.iter().map(|p| p.name.clone()).collect();
+        let mut reassigned: BTreeSet<_> = came.iter().map(|p| p.name.clone()).collect();
         let came: Vec<_> = came
             .into_iter()
             .filter(|p| before.find(&p.name).is_none())
             .map(|p| (peer_hash(&p.name), &p.name))
             .collect();
         let split: BTreeSet<_> = owners.split().union(before.split()).collect();
-        let turned: BTreeSet<_> = split
+        let resplit: BTreeSet<_> = split
             .iter()
             .filter(|s| (owners.partition_count(s) > 1) != (before.partition_count(s) > 1))
             .map(|s| (*s).clone())
             .collect();
-        self.kept.retain(|(service, zone), two| {
-            if turned.contains(service) {
-                stand.extend(names(two).cloned());
+        self.pairs.retain(|(service, zone), two| {
+            if resplit.contains(service) {
+                reassigned.extend(names(two).cloned());
                 return false;
             }
             let now = if split.contains(service) || names(two).any(|name| left.contains(name)) {
-                work_out(owners, service, zone)
+                rank(owners, service, zone)
             } else {
                 let mut now = two.clone();
                 for (seed, name) in &came {
@@ -99,13 +100,13 @@
                 now
             };
             if now != *two {
-                stand.extend(names(two).filter(|name| !names(&now).any(|n| n == *name)).cloned());
-                stand.extend(names(&now).filter(|name| !names(two).any(|n| n == *name)).cloned());
+                reassigned.extend(names(two).filter(|name| !names(&now).any(|n| n == *name)).cloned());
+                reassigned.extend(names(&now).filter(|name| !names(two).any(|n| n == *name)).cloned());
                 *two = now;
             }
             true
         });
-        (stand, turned)
+        (reassigned, resplit)
     }
 }
 
@@ -117,7 +118,7 @@
     use crate::owners::Peer;
 
     #[test]
-    fn what_is_kept_is_what_is_worked_out_anew_and_who_stands_otherwise_is_told() {
+    fn cache_equals_full_ranking_and_changed_proxies_are_returned() {
         let mut dice = RandomSource::seeded(3);
         let mut below = |n: u64| (dice.next_f64() * n as f64) as u64;
         let zones = ["a", "b", "c"].map(CompactString::from);
@@ -148,9 +149,9 @@
                     ranks.owner_and_deputy(service, zone).cloned().collect()
                 };
             let before: Vec<_> = asked.iter().map(|(s, z)| two(&mut ranks, s, z)).collect();
-            let kept = ranks.kept.len();
-            let (stand, turned) = ranks.update(owners.clone());
-            assert!(ranks.kept.len() == kept || !turned.is_empty());
+            let kept = ranks.pairs.len();
+            let (reassigned, resplit) = ranks.update(owners.clone());
+            assert!(ranks.pairs.len() == kept || !resplit.is_empty());
             for ((service, zone), before) in asked.iter().zip(before) {
                 let first_two = owners.owner_and_deputy(service, zone).map(|p| p.map(|p| &p.name));
                 assert_eq!(
@@ -158,9 +159,9 @@
                     Vec::from_iter(first_two.into_iter().flatten())
                 );
                 let now = two(&mut ranks, service, zone);
-                let others = || before.symmetric_difference(&now).all(|name| stand.contains(name));
-                assert!(turned.contains(service) || others(), "{service}");
-                assert!(!turned.contains(service) || before.iter().all(|name| stand.contains(name)));
+                let others = || before.symmetric_difference(&now).all(|name| reassigned.contains(name));
+                assert!(resplit.contains(service) || others(), "{service}");
+                assert!(!resplit.contains(service) || before.iter().all(|name| reassigned.contains(name)));
             }
         }
     }
--- a/scheduler/src/recording.rs
+++ b/scheduler/src/recording.rs
@@ -1,7 +1,8 @@
-//! A desk's inputs as lines of JSON, to be played again: each call of [`Coordinator`] that may change it, with its time. Written by
-//! [`RecordedCoordinator`], read by [`Entry::read`].
+//! Recording of the inputs of a coordinator as JSON lines for replay: each call of [`Coordinator`] that
+//! may change it, with its time. Written by [`RecordedCoordinator`], read by [`Entry::read`].
 //!
-//! Times are nanoseconds of the process's life, whole numbers below 2^53. Of what comes from elsewhere nothing is rounded.
+//! Times are nanoseconds since the start of the process, integers below 2^53. External values are not
+//! rounded.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -14,209 +15,211 @@
     Action, Coordinator, FunctionSpec, Nanos, Outcome, Peer, PermitRequest, SchedulerLimits, TraceEvent,
 };
 
-/// What the first line of a desk says that it is of.
+/// Kind of recording named in the first line of a coordinator's recording.
 pub const COORDINATOR_LOG: &str = "desk";
 
-/// A desk whose inputs are told as lines, where somebody wants them. Without a sink it costs nothing.
+/// A coordinator whose inputs are written to a sink, if there is one. Without a sink there is no overhead.
 #[derive(Debug)]
 pub struct RecordedCoordinator {
-    desk: Coordinator,
-    tape: Option<Recorder>,
-    /// Requests so far.
+    coordinator: Coordinator,
+    recorder: Option<Recorder>,
+    /// Number of requests traced so far.
     requests: u64,
 }
 
 impl std::ops::Deref for RecordedCoordinator {
     type Target = Coordinator;
-    // What changes a desk goes by the methods below.
+    // Gives access to the methods that do not change the coordinator; the others are wrapped below.
     fn deref(&self) -> &Coordinator {
-        &self.desk
+        &self.coordinator
     }
 }
 
 impl RecordedCoordinator {
     /// As [`Coordinator::new`].
     pub fn new(me: Peer, terms: SchedulerLimits, seed: u64, first: u64, sink: Option<Sink>) -> Self {
-        let mut tape = sink.map(Recorder::new);
-        if let Some(tape) = &mut tape {
-            let mut line = tape.begin("new", 0);
+        let mut recorder = sink.map(Recorder::new);
+        if let Some(recorder) = &mut recorder {
+            let mut line = recorder.begin("new", 0);
             write_new(&mut line, &me, &terms, seed, first);
-            tape.put(line);
+            recorder.put(line);
         }
-        RecordedCoordinator { desk: Coordinator::new(me, terms, seed, first), tape, requests: 0 }
+        RecordedCoordinator { coordinator: Coordinator::new(me, terms, seed, first), recorder, requests: 0 }
     }
 
-    fn tell(&mut self, name: &str, now: Nanos, fill: impl FnOnce(&mut Line)) {
-        if let Some(tape) = &mut self.tape {
-            let mut line = tape.begin(name, now);
+    fn record(&mut self, name: &str, now: Nanos, fill: impl FnOnce(&mut Line)) {
+        if let Some(recorder) = &mut self.recorder {
+            let mut line = recorder.begin(name, now);
             fill(&mut line);
-            tape.put(line);
+            recorder.put(line);
         }
     }
 
-    /// As [`Coordinator::take_actions`], which is no input.
+    /// As [`Coordinator::take_actions`], which is not an input.
     pub fn take_actions(&mut self) -> VecDeque<Action> {
-        let outs = self.desk.take_actions();
-        if let Some(tape) = &mut self.tape {
-            outs.iter().for_each(|out| tape.digest().fold(|parts| out.fold(parts)));
+        let actions = self.coordinator.take_actions();
+        if let Some(recorder) = &mut self.recorder {
+            actions.iter().for_each(|out| recorder.digest().fold(|parts| out.fold(parts)));
         }
-        outs
+        actions
     }
 
     /// As [`Coordinator::configure`].
     pub fn configure(&mut self, now: Nanos, specs: impl Iterator<Item = FunctionSpec>) {
-        if self.tape.is_none() {
-            return self.desk.configure(now, specs);
+        if self.recorder.is_none() {
+            return self.coordinator.configure(now, specs);
         }
         let specs: Vec<FunctionSpec> = specs.collect();
-        self.tell("configure", now, |line| write_specs(line, &specs));
-        self.desk.configure(now, specs.into_iter());
+        self.record("configure", now, |line| write_specs(line, &specs));
+        self.coordinator.configure(now, specs.into_iter());
     }
 
-    /// Somebody wants the lines.
+    /// Whether the inputs are being recorded.
     pub fn is_recording(&self) -> bool {
-        self.tape.is_some()
+        self.recorder.is_some()
     }
 
-    /// A number for the next request's trail; none where nothing is taped.
+    /// Returns the trace number of the next request; `None` if nothing is recorded.
     pub fn next_request_number(&mut self) -> Option<u64> {
-        self.tape.as_ref()?;
+        self.recorder.as_ref()?;
         self.requests += 1;
         Some(self.requests)
     }
 
-    /// A step of a request's, which is no input of the desk.
-    pub fn trace(&mut self, now: Nanos, trail: &TraceEvent) {
-        self.tell(trail.name(), now, |line| trail.write(line));
+    /// Records a trace event, which is not an input of the coordinator.
+    pub fn trace(&mut self, now: Nanos, event: &TraceEvent) {
+        self.record(event.name(), now, |line| event.write(line));
     }
 
-    /// As [`Coordinator::request_permit`]; `of`: the request's number, where there is one.
+    /// As [`Coordinator::request_permit`]; `of` is the trace number of the request, if any.
     pub fn request_permit(
         &mut self,
         now: Nanos,
-        ask: PermitRequest,
+        request: PermitRequest,
         first: bool,
         of: Option<u64>,
     ) -> Option<u64> {
-        let Some(tape) = &mut self.tape else { return self.desk.request_permit(now, ask, first) };
-        let mut line = tape.begin("ask", now);
-        write_ask(&mut line, &ask, first, of);
-        let id = self.desk.request_permit(now, ask, first);
+        let Some(recorder) = &mut self.recorder else {
+            return self.coordinator.request_permit(now, request, first);
+        };
+        let mut line = recorder.begin("ask", now);
+        write_request(&mut line, &request, first, of);
+        let id = self.coordinator.request_permit(now, request, first);
         if let Some(id) = id {
             line.whole("id", id);
         }
-        tape.put(line);
+        recorder.put(line);
         id
     }
 
     /// As [`Coordinator::cancel`].
     pub fn cancel(&mut self, now: Nanos, id: u64) {
-        self.tell("give_up", now, |line| {
+        self.record("give_up", now, |line| {
             line.whole("id", id);
         });
-        self.desk.cancel(now, id);
+        self.coordinator.cancel(now, id);
     }
 
     /// As [`Coordinator::finish`].
     pub fn finish(&mut self, now: Nanos, id: u64, outcome: Outcome, took: Nanos) {
-        self.tell("finish", now, |line| {
+        self.record("finish", now, |line| {
             line.whole("id", id).text("o", outcome.as_str()).time("took", took);
         });
-        self.desk.finish(now, id, outcome, took);
+        self.coordinator.finish(now, id, outcome, took);
     }
 
     /// As [`Coordinator::instance_up`].
     pub fn instance_up(&mut self, now: Nanos, id: &str) {
-        self.tell("up", now, |line| {
+        self.record("up", now, |line| {
             line.text("i", id);
         });
-        self.desk.instance_up(now, id);
+        self.coordinator.instance_up(now, id);
     }
 
     /// As [`Coordinator::connection_refused`].
     pub fn connection_refused(&mut self, now: Nanos, id: &str) {
-        self.tell("refused", now, |line| {
+        self.record("refused", now, |line| {
             line.text("i", id);
         });
-        self.desk.connection_refused(now, id);
+        self.coordinator.connection_refused(now, id);
     }
 
     /// As [`Coordinator::receive`].
-    pub fn receive(&mut self, now: Nanos, from: &str, life: u64, notes: Vec<PeerMessage>) {
-        self.tell("mail", now, |line| {
-            line.text("from", from).whole("life", life).messages("notes", &notes);
+    pub fn receive(&mut self, now: Nanos, from: &str, incarnation: u64, messages: Vec<PeerMessage>) {
+        self.record("mail", now, |line| {
+            line.text("from", from).whole("life", incarnation).messages("notes", &messages);
         });
-        self.desk.receive(now, from, life, notes);
+        self.coordinator.receive(now, from, incarnation, messages);
     }
 
     /// As [`Coordinator::receive_from_controller`].
-    pub fn receive_from_controller(&mut self, now: Nanos, note: PeerMessage) {
-        self.tell("told", now, |line| {
-            line.message("note", &note);
+    pub fn receive_from_controller(&mut self, now: Nanos, message: PeerMessage) {
+        self.record("told", now, |line| {
+            line.message("note", &message);
         });
-        self.desk.receive_from_controller(now, note);
+        self.coordinator.receive_from_controller(now, message);
     }
 
     /// As [`Coordinator::undelivered`].
-    pub fn undelivered(&mut self, now: Nanos, address: &str, notes: Vec<PeerMessage>) {
-        self.tell("returned", now, |line| {
-            line.text("to", address).messages("notes", &notes);
+    pub fn undelivered(&mut self, now: Nanos, address: &str, messages: Vec<PeerMessage>) {
+        self.record("returned", now, |line| {
+            line.text("to", address).messages("notes", &messages);
         });
-        self.desk.undelivered(now, address, notes);
+        self.coordinator.undelivered(now, address, messages);
     }
 
     /// As [`Coordinator::controller_unreachable`].
     pub fn controller_unreachable(&mut self, now: Nanos) {
-        self.tell("mute", now, |_| {});
-        self.desk.controller_unreachable(now);
+        self.record("mute", now, |_| {});
+        self.coordinator.controller_unreachable(now);
     }
 
     /// As [`Coordinator::tick`].
     pub fn tick(&mut self, now: Nanos) {
-        self.tell("tick", now, |_| {});
-        self.desk.tick(now);
+        self.record("tick", now, |_| {});
+        self.coordinator.tick(now);
     }
 }
 
-/// One input of a desk.
+/// One input of a coordinator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// A life begins.
+    /// Start of an incarnation.
     New {
-        /// The stall itself.
+        /// The proxy itself.
         me: Peer,
-        /// The bounds of further tries.
+        /// Limits of its scheduler.
         terms: SchedulerLimits,
-        /// What its chance is drawn from.
+        /// Seed of its random choices.
         seed: u64,
-        /// The number before the first ask's.
+        /// Number before the first request id.
         first: u64,
     },
     /// [`Coordinator::configure`].
     Configure(Vec<FunctionSpec>),
     /// [`Coordinator::request_permit`].
     RequestPermit {
-        /// What is asked.
+        /// The permit request.
         ask: PermitRequest,
-        /// The request's first one.
+        /// Whether it is the first one for its client request.
         first: bool,
-        /// The number that it was given; none where too many were open.
+        /// Id that it was given; `None` if too many were open.
         id: Option<u64>,
-        /// The request that it is for, by its number in the life's trails.
+        /// Trace number of the client request.
         of: Option<u64>,
     },
     /// [`Coordinator::cancel`].
     Cancel {
-        /// The ask's number.
+        /// Request id.
         id: u64,
     },
     /// [`Coordinator::finish`].
     Finish {
-        /// The ask's number.
+        /// Request id.
         id: u64,
-        /// How the try ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// How long it took.
+        /// Duration of the attempt.
         took: Nanos,
     },
     /// [`Coordinator::instance_up`].
@@ -225,38 +228,38 @@
     ConnectionRefused(CompactString),
     /// [`Coordinator::receive`].
     PeerMessages {
-        /// Who sent it.
+        /// Sending proxy.
         from: CompactString,
-        /// In which life.
+        /// Incarnation of the sender.
         incarnation: u64,
-        /// What it says.
+        /// Its messages.
         messages: Vec<PeerMessage>,
     },
     /// [`Coordinator::receive_from_controller`].
     ControllerMessage(PeerMessage),
     /// [`Coordinator::undelivered`].
     Undelivered {
-        /// The address that it went to.
+        /// Address they were sent to.
         address: CompactString,
-        /// What it said.
+        /// The undelivered messages.
         messages: Vec<PeerMessage>,
     },
     /// [`Coordinator::controller_unreachable`].
     ControllerUnreachable,
     /// [`Coordinator::tick`].
     Tick,
-    /// A step of a request's, of which the desk hears nothing.
+    /// A trace event, which is not passed to the coordinator.
     TraceEvent(TraceEvent),
 }
 
-/// A line of a recording.
+/// One line of a recording.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Its number in the life; lines made by hand may have none.
+    /// Sequence number within the incarnation; lines written by hand may have none.
     pub number: Option<u64>,
-    /// When it came, in the process's life.
+    /// Time of the input, since the start of the process.
     pub at: Nanos,
-    /// What came.
+    /// The input.
     pub input: Input,
 }
 
@@ -283,13 +286,16 @@
     });
 }
 
-fn write_ask(line: &mut Line, ask: &PermitRequest, first: bool, of: Option<u64>) {
-    line.text("s", &ask.service).time("deadline", ask.deadline).time("aim", ask.soft_deadline);
-    line.time("target", ask.target);
-    if ask.attempts_sent > 0 {
-        line.whole("sent", ask.attempts_sent.into());
+fn write_request(line: &mut Line, request: &PermitRequest, first: bool, of: Option<u64>) {
+    line.text("s", &request.service).time("deadline", request.deadline).time("aim", request.soft_deadline);
+    line.time("target", request.target);
+    if request.attempts_sent > 0 {
+        line.whole("sent", request.attempts_sent.into());
     }
-    line.mark("first", first).mark("back", ask.returned).names("avoid", &ask.avoid).text("z", &ask.zone);
+    line.mark("first", first)
+        .mark("back", request.returned)
+        .names("avoid", &request.avoid)
+        .text("z", &request.zone);
     if let Some(of) = of {
         line.whole("p", of);
     }
@@ -312,7 +318,7 @@
 
 fn read_new(from: &Parts) -> Result<Input, Fault> {
     if string(from, "of")? != COORDINATOR_LOG {
-        return Err(Fault { key: "of".to_owned(), reason: "no desk" });
+        return Err(Fault { key: "of".to_owned(), reason: "not a coordinator recording" });
     }
     Ok(Input::New {
         me: Peer { name: string(from, "me")?, address: string(from, "a")?, zone: string(from, "z")? },
@@ -320,7 +326,7 @@
             retry_ratio: millpost_protocol::number(from, "ratio")?,
             retry_window: whole(from, "window")?,
             retry_slack: millpost_protocol::number(from, "slack")?,
-            // Recordings from before it was a bound have none.
+            // Older recordings, from before this limit existed, lack the key.
             requests_per_s: if from.contains_key("asks") {
                 millpost_protocol::number(from, "asks")?
             } else {
@@ -333,8 +339,8 @@
     })
 }
 
-fn read_ask(from: &Parts) -> Result<Input, Fault> {
-    let ask = PermitRequest {
+fn read_request(from: &Parts) -> Result<Input, Fault> {
+    let request = PermitRequest {
         id: 0,
         service: string(from, "s")?,
         deadline: whole(from, "deadline")?,
@@ -346,18 +352,23 @@
         zone: string(from, "z")?,
     };
     let number = |key| from.contains_key(key).then(|| line::large(from, key)).transpose();
-    Ok(Input::RequestPermit { ask, first: line::flag(from, "first")?, id: number("id")?, of: number("p")? })
+    Ok(Input::RequestPermit {
+        ask: request,
+        first: line::flag(from, "first")?,
+        id: number("id")?,
+        of: number("p")?,
+    })
 }
 
 impl Entry {
-    /// As a line, without its end.
+    /// Formats the entry as a line, without a line break.
     pub fn write(&self) -> String {
         let mut line = line::begin(self.input.name(), self.number, self.at);
         match &self.input {
             Input::New { me, terms, seed, first } => write_new(&mut line, me, terms, *seed, *first),
             Input::Configure(specs) => write_specs(&mut line, specs),
-            Input::RequestPermit { ask, first, id, of } => {
-                write_ask(&mut line, ask, *first, *of);
+            Input::RequestPermit { ask: request, first, id, of } => {
+                write_request(&mut line, request, *first, *of);
                 if let Some(id) = id {
                     line.whole("id", *id);
                 }
@@ -374,35 +385,35 @@
             Input::PeerMessages { from, incarnation, messages } => {
                 line.text("from", from).whole("life", *incarnation).messages("notes", messages);
             }
-            Input::ControllerMessage(note) => {
-                line.message("note", note);
+            Input::ControllerMessage(message) => {
+                line.message("note", message);
             }
-            Input::Undelivered { address, messages: notes } => {
-                line.text("to", address).messages("notes", notes);
+            Input::Undelivered { address, messages } => {
+                line.text("to", address).messages("notes", messages);
             }
             Input::ControllerUnreachable | Input::Tick => {}
-            Input::TraceEvent(trail) => trail.write(&mut line),
+            Input::TraceEvent(event) => event.write(&mut line),
         }
         line.end()
     }
 
-    /// Reads a line.
+    /// Parses a line.
     pub fn read(text: &str) -> Result<Entry, Fault> {
         Entry::from_json(&line::read(text)?)
     }
 
-    /// Reads a line that was read as JSON.
+    /// Reads an entry from a parsed JSON object.
     pub fn from_json(from: &HashMap<String, JsonValue>) -> Result<Entry, Fault> {
         let id = |key| line::large(from, key);
         let input = match string(from, "in")?.as_str() {
             "new" => read_new(from)?,
             "configure" => Input::Configure(line::objects(from, "specs", read_spec)?),
-            "ask" => read_ask(from)?,
+            "ask" => read_request(from)?,
             "give_up" => Input::Cancel { id: id("id")? },
             "finish" => Input::Finish {
                 id: id("id")?,
                 outcome: Outcome::parse(&string(from, "o")?)
-                    .ok_or(Fault { key: "o".to_owned(), reason: "no outcome" })?,
+                    .ok_or(Fault { key: "o".to_owned(), reason: "unknown outcome" })?,
                 took: whole(from, "took")?,
             },
             "up" => Input::InstanceUp(string(from, "i")?),
@@ -427,7 +438,7 @@
 }
 
 impl Input {
-    /// The word for it in a line.
+    /// Name of the input in a line.
     pub fn name(&self) -> &'static str {
         match self {
             Input::New { .. } => "new",
@@ -442,27 +453,29 @@
             Input::Undelivered { .. } => "returned",
             Input::ControllerUnreachable => "mute",
             Input::Tick => "tick",
-            Input::TraceEvent(trail) => trail.name(),
+            Input::TraceEvent(event) => event.name(),
         }
     }
 
-    /// Gives it to a desk. The number that an ask was given.
-    pub fn apply(self, now: Nanos, desk: &mut Coordinator) -> Option<u64> {
+    /// Applies the input to a coordinator. Returns the id given to a permit request.
+    pub fn apply(self, now: Nanos, coordinator: &mut Coordinator) -> Option<u64> {
         match self {
-            Input::New { me, terms, seed, first } => *desk = Coordinator::new(me, terms, seed, first),
-            Input::Configure(specs) => desk.configure(now, specs.into_iter()),
-            Input::RequestPermit { ask, first, .. } => return desk.request_permit(now, ask, first),
-            Input::Cancel { id } => desk.cancel(now, id),
-            Input::Finish { id, outcome, took } => desk.finish(now, id, outcome, took),
-            Input::InstanceUp(id) => desk.instance_up(now, &id),
-            Input::ConnectionRefused(id) => desk.connection_refused(now, &id),
+            Input::New { me, terms, seed, first } => *coordinator = Coordinator::new(me, terms, seed, first),
+            Input::Configure(specs) => coordinator.configure(now, specs.into_iter()),
+            Input::RequestPermit { ask: request, first, .. } => {
+                return coordinator.request_permit(now, request, first);
+            }
+            Input::Cancel { id } => coordinator.cancel(now, id),
+            Input::Finish { id, outcome, took } => coordinator.finish(now, id, outcome, took),
+            Input::InstanceUp(id) => coordinator.instance_up(now, &id),
+            Input::ConnectionRefused(id) => coordinator.connection_refused(now, &id),
             Input::PeerMessages { from, incarnation, messages } => {
-                desk.receive(now, &from, incarnation, messages)
+                coordinator.receive(now, &from, incarnation, messages)
             }
-            Input::ControllerMessage(note) => desk.receive_from_controller(now, note),
-            Input::Undelivered { address, messages } => desk.undelivered(now, &address, messages),
-            Input::ControllerUnreachable => desk.controller_unreachable(now),
-            Input::Tick => desk.tick(now),
+            Input::ControllerMessage(message) => coordinator.receive_from_controller(now, message),
+            Input::Undelivered { address, messages } => coordinator.undelivered(now, &address, messages),
+            Input::ControllerUnreachable => coordinator.controller_unreachable(now),
+            Input::Tick => coordinator.tick(now),
             Input::TraceEvent(_) => {}
         }
         None
@@ -479,7 +492,7 @@
 
     fn all() -> Vec<Input> {
         let me = Peer { name: "edge-1".into(), address: "10.0.0.1:1".into(), zone: "a".into() };
-        let ask = PermitRequest {
+        let request = PermitRequest {
             id: 0,
             service: "f".into(),
             deadline: 900 * MS + 1,
@@ -491,7 +504,7 @@
             zone: "a".into(),
         };
         let spec = FunctionSpec { name: "f".into(), concurrency: 2, startup_time: 300 * MS, memory_mb: 128 };
-        let wish = RequestInfo {
+        let info = RequestInfo {
             service: "f".into(),
             zone: "".into(),
             target: 200 * MS,
@@ -524,8 +537,8 @@
                 first: 7 << 20,
             },
             Input::Configure(vec![spec]),
-            Input::RequestPermit { ask: ask.clone(), first: false, id: Some(9), of: Some(3) },
-            Input::RequestPermit { ask, first: true, id: None, of: None },
+            Input::RequestPermit { ask: request.clone(), first: false, id: Some(9), of: Some(3) },
+            Input::RequestPermit { ask: request, first: true, id: None, of: None },
             Input::Cancel { id: 9 },
             Input::Finish { id: 9, outcome: Outcome::NoAnswer, took: 12_345_678 },
             Input::InstanceUp("i-1".into()),
@@ -547,12 +560,7 @@
             },
             Input::ControllerUnreachable,
             Input::Tick,
-            Input::TraceEvent(TraceEvent::Received {
-                p: 3,
-                attempt: "9c41".into(),
-                route: "r".into(),
-                info: wish,
-            }),
+            Input::TraceEvent(TraceEvent::Received { p: 3, attempt: "9c41".into(), route: "r".into(), info }),
             Input::TraceEvent(TraceEvent::Denied { p: 3, reason: DenialReason::Full(7) }),
             Input::TraceEvent(TraceEvent::Denied { p: 3, reason: DenialReason::Skip }),
             Input::TraceEvent(TraceEvent::Denied { p: 3, reason: DenialReason::Moved }),
@@ -568,7 +576,7 @@
     }
 
     #[test]
-    fn every_input_reads_back_and_without_a_part_it_is_an_error_or_another() {
+    fn every_input_round_trips_and_missing_keys_are_detected() {
         for (number, input) in all().into_iter().enumerate() {
             let entry = Entry { number: Some(number as u64), at: number as u64 * MS, input };
             let text = entry.write();
@@ -589,35 +597,35 @@
     }
 
     #[test]
-    fn what_a_taped_desk_tells_is_what_it_was_given() {
+    fn recording_contains_the_inputs() {
         let lines = Rc::new(RefCell::new(Vec::new()));
-        let told = Rc::clone(&lines);
-        let sink: Sink = Box::new(move |line| told.borrow_mut().push(line.to_owned()));
+        let sink_lines = Rc::clone(&lines);
+        let sink: Sink = Box::new(move |line| sink_lines.borrow_mut().push(line.to_owned()));
         let inputs = all();
         let Input::New { me, terms, seed, first } = inputs[0].clone() else { panic!("a life begins") };
-        let mut desk = RecordedCoordinator::new(me, terms, seed, first, Some(sink));
+        let mut coordinator = RecordedCoordinator::new(me, terms, seed, first, Some(sink));
         let mut expected = inputs.clone();
         for (n, input) in inputs.into_iter().enumerate().skip(1) {
             let now = n as u64 * MS;
             match input {
                 Input::New { .. } => {}
-                Input::Configure(specs) => desk.configure(now, specs.into_iter()),
-                Input::RequestPermit { ask, first, of, .. } => {
-                    let given = desk.request_permit(now, ask.clone(), first, of);
-                    expected[n] = Input::RequestPermit { ask, first, id: given, of };
+                Input::Configure(specs) => coordinator.configure(now, specs.into_iter()),
+                Input::RequestPermit { ask: request, first, of, .. } => {
+                    let given = coordinator.request_permit(now, request.clone(), first, of);
+                    expected[n] = Input::RequestPermit { ask: request, first, id: given, of };
                 }
-                Input::Cancel { id } => desk.cancel(now, id),
-                Input::Finish { id, outcome, took } => desk.finish(now, id, outcome, took),
-                Input::InstanceUp(id) => desk.instance_up(now, &id),
-                Input::ConnectionRefused(id) => desk.connection_refused(now, &id),
+                Input::Cancel { id } => coordinator.cancel(now, id),
+                Input::Finish { id, outcome, took } => coordinator.finish(now, id, outcome, took),
+                Input::InstanceUp(id) => coordinator.instance_up(now, &id),
+                Input::ConnectionRefused(id) => coordinator.connection_refused(now, &id),
                 Input::PeerMessages { from, incarnation, messages } => {
-                    desk.receive(now, &from, incarnation, messages)
+                    coordinator.receive(now, &from, incarnation, messages)
                 }
-                Input::ControllerMessage(note) => desk.receive_from_controller(now, note),
-                Input::Undelivered { address, messages } => desk.undelivered(now, &address, messages),
-                Input::ControllerUnreachable => desk.controller_unreachable(now),
-                Input::Tick => desk.tick(now),
-                Input::TraceEvent(trail) => desk.trace(now, &trail),
+                Input::ControllerMessage(message) => coordinator.receive_from_controller(now, message),
+                Input::Undelivered { address, messages } => coordinator.undelivered(now, &address, messages),
+                Input::ControllerUnreachable => coordinator.controller_unreachable(now),
+                Input::Tick => coordinator.tick(now),
+                Input::TraceEvent(event) => coordinator.trace(now, &event),
             }
         }
         let read: Vec<_> = lines.borrow().iter().map(|line| Entry::read(line).expect("a line")).collect();
