--- a/agent/src/agent.rs
+++ b/agent/src/agent.rs
@@ -401,7 +401,10 @@
         let Some(batch) = messaging::json(body).and_then(|json| MessageBatch::read(&json).ok()) else {
             return;
         };
-        let answers = batch.messages.into_iter().filter(|message| matches!(message, PeerMessage::CommittedRevision { .. }));
+        let answers = batch
+            .messages
+            .into_iter()
+            .filter(|message| matches!(message, PeerMessage::CommittedRevision { .. }));
         self.effects.extend(answers.map(Effect::SendToProxy));
     }
 
--- a/agent/tests/round.rs
+++ b/agent/tests/round.rs
@@ -719,7 +719,9 @@
         panic!("{:?}", harness.to_proxy)
     };
     assert_eq!(peers.iter().map(|p| p.name.as_str()).collect::<Vec<_>>(), ["edge-2", "edge-3"]);
-    assert!(harness.to_control.iter().all(|(_, message)| !matches!(message, PeerMessage::ViewOutdated { .. })));
+    assert!(
+        harness.to_control.iter().all(|(_, message)| !matches!(message, PeerMessage::ViewOutdated { .. }))
+    );
 }
 
 #[test]
--- a/scheduler/src/coordinator.rs
+++ b/scheduler/src/coordinator.rs
@@ -765,8 +765,7 @@
         }
         for peer in unresponsive {
             self.skipped_until.insert(peer.clone(), now + SKIP_TIME);
-            self.actions
-                .push_back(Action::NotifyController(PeerMessage::PeerUnreachable {
+            self.actions.push_back(Action::NotifyController(PeerMessage::PeerUnreachable {
                 peer,
                 from: self.me.name.clone(),
             }));
--- a/scheduler/src/coordinator/view_change.rs
+++ b/scheduler/src/coordinator/view_change.rs
@@ -158,7 +158,8 @@
         deadline: Nanos,
     ) {
         let left = (deadline as f64 - now as f64) / MS as f64;
-        self.actions.push_back(Action::Send { to, note: PeerMessage::HeldPermit { id, service, instance, left } });
+        self.actions
+            .push_back(Action::Send { to, note: PeerMessage::HeldPermit { id, service, instance, left } });
     }
 
     /// Reports the permits held here to a proxy that has restarted and lost its record of them.
