--- a/controller/src/core.rs
+++ b/controller/src/core.rs
@@ -1,5 +1,7 @@
-//! The sum of the rooms: all of a control machine that decides. Inputs go in with the time at which they came, effects come out and are
-//! carried out in their order. Invariant: each call that comes in is answered once.
+//! The state machine of a controller, without I/O and without a clock. Inputs are passed in with their
+//! arrival time; the resulting effects must be carried out in order.
+//!
+//! Invariant: each incoming call is answered exactly once.
 
 mod api;
 mod drains;
@@ -14,7 +16,7 @@
 use bytes::Bytes;
 use compact_str::{CompactString, ToCompactString};
 use millpost_autoscaler::{Sink, Terms};
-use millpost_config::{Config, Settings, change};
+use millpost_config::{Config, Settings};
 use millpost_net::messaging::{Call, Reply};
 use millpost_net::pack;
 use millpost_protocol::PeerMessage;
@@ -39,40 +41,41 @@
 use crate::voters::{VoterAction, VoterView, Voters};
 use crate::{MS, Nanos};
 
-/// The longest that the core waits for time to pass.
+/// Longest time between two calls of [`Core::tick`].
 const MAX_TICK_INTERVAL: Nanos = 100 * MS;
-/// The configuration is looked for this often while none is known.
+/// Interval between reads of the configuration register while no configuration is known.
 const CONFIG_READ_INTERVAL: Nanos = 1_500 * MS;
-/// One that another wrote here and that nobody has called chosen since is looked for after so long, and so often: who acknowledged it may
-/// be gone.
+/// A configuration that another controller writes to the local voter and that no gossip reports as chosen is
+/// read from the register after this delay, at most [`MAX_UNCONFIRMED_READS`] times: the controller that
+/// acknowledged it may have failed before announcing it.
 const UNCONFIRMED_CONFIG_DELAY: Nanos = 600 * MS;
 const MAX_UNCONFIRMED_READS: u32 = 3;
-/// A process is new for so long.
+/// A process counts as just started for this long.
 const STARTUP_PERIOD: Nanos = 5_000 * MS;
 
-/// What the core starts from.
+/// Parameters of a [`Core`].
 pub struct CoreOptions {
-    /// This machine's address, which is its name among the voters.
+    /// Address of this controller, which is also its name as a voter.
     pub me: Address,
-    /// Differs at each start: the time of day, in milliseconds, when the clock that is handed in was at 0.
+    /// Identifies this process start: the wall-clock time in milliseconds at which the monotonic clock was 0.
     pub life: u64,
-    /// Ways in.
+    /// Addresses of the seed nodes.
     pub seeds: Vec<Address>,
-    /// Machines that may be lost at once.
+    /// Number of machines that may fail at the same time.
     pub tolerated_losses: u32,
-    /// Who was not heard of for so long is not in touch.
+    /// `contact_ms`: a machine that was silent for this long counts as unreachable.
     pub contact_timeout: Nanos,
-    /// A configuration is in force everywhere so long after its acknowledgement.
+    /// `config_apply_ms`: time from the acknowledgement of a configuration until it is in force everywhere.
     pub config_apply_time: Nanos,
-    /// From the word to end to the last moment of the process.
+    /// `grace_s`: time from the request to shut down until the process is killed.
     pub shutdown_grace: Nanos,
-    /// The platform's `duty_per_s`, `max_lag_ms` and `rate_per_s`, where there is one.
+    /// The platform's `duty_per_s`, `max_lag_ms` and `rate_per_s`; `None` without a platform.
     pub platform: Option<PlatformLimits>,
-    /// Where each scaler's lines go, if they are wanted.
+    /// Creates the recording sink of a scaler; `None` if nothing is recorded.
     pub sink: Option<Box<dyn Fn() -> Sink>>,
 }
 
-/// What the platform bears.
+/// Rates and lag that the platform guarantees.
 #[derive(Clone, Copy, Debug)]
 #[allow(missing_docs, reason = "the names are those of the settings file")]
 pub struct PlatformLimits {
@@ -82,7 +85,7 @@
 }
 
 impl CoreOptions {
-    /// Of the machine at this address, from its settings.
+    /// Builds the options of the controller at `address`. `life` must differ at each start.
     pub fn from_settings(settings: &Settings, address: SocketAddr, life: u64) -> CoreOptions {
         let platform = settings.platform_api.as_ref().map(|api| PlatformLimits {
             duty_per_s: api.duty_per_s,
@@ -103,79 +106,80 @@
     }
 }
 
-/// The seeds as voters are named.
+/// Returns the seed nodes as voter names.
 pub fn seeds(settings: &Settings) -> Vec<Address> {
     settings.seed_nodes.iter().map(ToCompactString::to_compact_string).collect()
 }
 
-/// Whom a voter's answer is for.
+/// The consumer of a voter's reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyTarget {
-    /// A round; it comes as [`Input::RoundReply`].
+    /// The round with this number, through [`Input::RoundReply`].
     Round(u64),
-    /// The lease; it comes as [`Input::LeaseReply`].
+    /// The lease, through [`Input::LeaseReply`].
     Lease,
-    /// This machine's own voter, and it goes there.
+    /// The local voter, to which the runtime passes the reply directly.
     Voter,
 }
 
-/// What happens to a control machine.
+/// An event that the core reacts to.
 #[derive(Debug)]
 pub enum Input {
-    /// A call, with a number that no other has.
+    /// An incoming call, with a unique number.
     Call(u64, Call),
-    /// Its own voter's state, and the members that it knows.
+    /// The state of the local voter: whether it votes, and the members it knows.
     VoterStatus(bool, Option<Members>),
-    /// Its own voter copies: this is for others, and their answers are for the voter.
+    /// Requests of the local voter, which is copying its state from other voters; the replies go back to the
+    /// voter.
     VoterRequests(Vec<(Address, Message)>),
-    /// A voter's answer to the round of this number.
+    /// A voter's reply to the round with this number.
     RoundReply(u64, Address, Message),
-    /// A voter's answer about the lease.
+    /// A voter's reply about the lease.
     LeaseReply(Address, Message),
-    /// What stands on the own disk, chosen or not: the answer to [`Effect::ReadLocalConfig`].
+    /// The configuration stored on the local disk, chosen or not: the reply to [`Effect::ReadLocalConfig`].
     LocalConfig(u64, Option<Value>),
-    /// The answer to [`Effect::FetchConfig`]: the configuration as the other machine keeps it.
+    /// The reply to [`Effect::FetchConfig`]: the configuration as stored by the other controller.
     FetchedConfig(u64, Option<String>),
-    /// The platform's answer to an errand of this fence that was decided on at this time.
+    /// The platform's reply to a call of the leader with this fence that was decided on at this time.
     PlatformReply(u64, Nanos, PlatformReply),
-    /// Another control machine has answered to news.
+    /// Another controller has replied to a gossip message.
     GossipReply(Address, GossipReply),
-    /// A follower's connection has ended, or had no room.
+    /// The connection of a feed has closed, or its queue was full.
     FeedClosed(ConnectionId),
-    /// The seeds have changed.
+    /// The list of seed nodes has changed.
     Seeds(Vec<Address>),
-    /// The process is to end.
+    /// The process was asked to terminate.
     Shutdown,
 }
 
-/// What is to be done.
+/// An action that the caller of the core must carry out.
 #[derive(Debug)]
 pub enum Effect {
-    /// A message goes to a voter, perhaps this machine's own.
+    /// Sends a message to a voter, which may be the local one, and passes its reply to the target.
     SendToVoter(Address, Message, ReplyTarget),
-    /// A message goes to this machine's voter, and what that says is the answer of the call of this number.
+    /// Passes a message to the local voter; the voter's reply answers the call with this number.
     AskLocalVoter(u64, Address, Message),
-    /// The answer of the call of this number.
+    /// Answers the call with this number.
     Reply(u64, Reply),
-    /// The call of this number is answered by lines for as long as its connection is kept; this is the first.
+    /// Answers the call with this number by a stream of lines, of which this is the first.
     OpenFeed(u64, ConnectionId, Bytes),
-    /// A line.
+    /// Sends a line on a feed connection.
     FeedLine(ConnectionId, Bytes),
-    /// The connection is no more.
+    /// Closes a feed connection.
     CloseFeed(ConnectionId),
-    /// An empty line for all seats; who has no room for it needs none.
+    /// Sends an empty line on all feed connections, except those whose queue is full.
     Heartbeat,
-    /// News for another control machine; its answer comes as [`Input::GossipReply`].
+    /// Sends a gossip message to another controller, whose reply comes back as [`Input::GossipReply`].
     Gossip(Address, Bytes),
-    /// What stands on the own disk under the configuration's key is wanted.
+    /// Reads the configuration stored on the local disk, chosen or not.
     ReadLocalConfig(u64),
-    /// What this machine holds as chosen is wanted.
+    /// Fetches the chosen configuration from this controller.
     FetchConfig(u64, Address),
-    /// The platform is called, unless it is too late.
+    /// Calls the platform, unless the deadline of the call has passed.
     PlatformCall(PlatformCall),
 }
 
-/// All of a control machine that decides.
+/// The state machine of a controller.
 pub struct Core {
     me: Address,
     seeds: Vec<Address>,
@@ -183,40 +187,41 @@
     platform: Option<PlatformLimits>,
     sink: Option<Box<dyn Fn() -> Sink>>,
     voting: bool,
-    /// A read of the configuration has ended well in this life, whatever it found.
+    /// Whether a read of the configuration register has succeeded since the start, even if it found nothing.
     config_read: bool,
     contact: Contact,
-    /// Whether followers were told last that contact holds.
+    /// The contact state that was last announced to followers.
     announced_contact: bool,
     rounds: Rounds,
     leadership: Leadership,
     gossip: Gossip,
     voters: Voters,
     feed: Feed,
-    /// Porters that wait until contact holds.
+    /// Agents that wait until contact is established.
     waiting: Waiting,
     migrations: MigrationDriver,
-    /// What operators have taken out.
+    /// Drains ordered by operators.
     drain_state: DrainState,
-    /// What the platform has told this leader.
+    /// Replies of the platform since this controller became the leader.
     platform_stats: PlatformStats,
-    /// PendingPuts of operators whose rounds are under way.
+    /// Configurations from operators whose rounds are in progress.
     pending_puts: PendingPuts,
-    /// A configuration newer than the one that is known to be chosen, which another wrote here; when it is looked for, and how often it was.
+    /// A configuration newer than the chosen one that another controller has written to the local voter: its
+    /// revision, the time of the next read, and the number of reads so far.
     unconfirmed_config: Option<(u64, Nanos, u32)>,
     heartbeat_at: Nanos,
     config_read_at: Nanos,
     grace: Nanos,
-    /// Once it was told to end.
+    /// Set once the process was asked to terminate.
     shutdown: Option<ShutdownProgress>,
-    /// Configurations that operators put here lately, as they were read; the newest last.
+    /// Recently received configurations from operators in parsed form; the newest is last.
     parsed_configs: Vec<(Arc<str>, Config)>,
     effects: Vec<Effect>,
 }
 
 impl Core {
-    /// Of a machine that starts.
-    pub fn new(start: CoreOptions) -> Self {
+    /// Creates the core of a starting controller.
+    pub fn new(options: CoreOptions) -> Self {
         let CoreOptions {
             me,
             life,
@@ -227,7 +232,7 @@
             shutdown_grace: grace,
             platform,
             sink,
-        } = start;
+        } = options;
         let seed = life ^ xxhash_rust::xxh3::xxh3_64(me.as_bytes());
         Core {
             seeds,
@@ -244,7 +249,7 @@
             voters: Voters::default(),
             feed: Feed::default(),
             waiting: Waiting::default(),
-            migrations: MigrationDriver::new(life, contact, platform.map_or(0.0, |bounds| bounds.duty_per_s)),
+            migrations: MigrationDriver::new(life, contact, platform.map_or(0.0, |limits| limits.duty_per_s)),
             drain_state: DrainState::default(),
             platform_stats: PlatformStats::default(),
             pending_puts: PendingPuts::default(),
@@ -259,35 +264,38 @@
         }
     }
 
-    /// What is to be done, in order.
+    /// Returns the pending effects, in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// When to call [`Core::tick`] next, at the latest.
+    /// Returns the latest time at which [`Core::tick`] must be called next.
     pub fn next_wake(&self, now: Nanos) -> Nanos {
         let due = self.rounds.next_wake().min(self.leadership.next_wake()).min(now + MAX_TICK_INTERVAL);
         let shutdown = self.shutdown.map_or(Nanos::MAX, |shutdown| shutdown.due(now));
         due.min(self.gossip.next_send()).min(self.waiting.due()).min(shutdown).max(now + MS)
     }
 
-    /// Whether this machine is the leader.
+    /// Returns whether this controller is the leader.
     pub fn is_leader(&self) -> bool {
         self.leadership.leader().is_some()
     }
 
-    /// Rounds of the register that are under way.
+    /// Returns the number of register rounds in progress.
     pub fn rounds_in_progress(&self) -> usize {
         self.rounds.in_progress()
     }
 
-    /// Something happened.
+    /// Processes an input that arrived at `now`.
     pub fn handle(&mut self, now: Nanos, input: Input) {
         match input {
             Input::Call(id, call) => self.call(now, id, &call),
             Input::VoterStatus(voting, members) => {
                 if voting != self.voting {
-                    log::info!("{}", if voting { "votes" } else { "has no state yet" });
+                    log::info!(
+                        "{}",
+                        if voting { "local voter votes" } else { "local voter has no state yet" }
+                    );
                 }
                 self.voting = voting;
                 if let Some(members) = members {
@@ -320,7 +328,7 @@
                 }
             }
             Input::PlatformReply(fence, decided_at, reply) => {
-                if self.leadership.term().is_some_and(|(of, _)| of == fence) {
+                if self.leadership.term().is_some_and(|(held, _)| held == fence) {
                     self.platform_stats.record(now, &reply);
                 }
                 let reply = self.apply_drains(now, reply);
@@ -339,7 +347,7 @@
         }
     }
 
-    /// Time passes.
+    /// Advances all timers to `now`.
     pub fn tick(&mut self, now: Nanos) {
         let out = self.rounds.tick(now);
         self.apply_round_output(now, out);
@@ -368,7 +376,8 @@
         }
     }
 
-    /// Another writes a value here. Whether it is chosen, its writer tells, if that lives.
+    /// Notes a configuration that another controller writes to the local voter. Gossip reports it once it is
+    /// chosen, unless the writer fails first.
     fn note_proposed_config(&mut self, now: Nanos, message: &Message) {
         let Message::Write { key: Key::Config, value, .. } = message else { return };
         let known = self.unconfirmed_config.map_or(0, |(version, ..)| version).max(self.gossip.revision());
@@ -390,18 +399,18 @@
         self.leadership.adopt(members);
     }
 
-    fn start_round(&mut self, now: Nanos, kind: RoundKind, key: Key, to: RoundPurpose) {
-        let out = self.rounds.start(now, kind, key, to);
+    fn start_round(&mut self, now: Nanos, kind: RoundKind, key: Key, purpose: RoundPurpose) {
+        let out = self.rounds.start(now, kind, key, purpose);
         self.apply_round_output(now, out);
     }
 
-    /// What the rounds want done.
+    /// Carries out the output of register rounds.
     fn apply_round_output(&mut self, now: Nanos, out: rounds::RoundOutput) {
         if let Some(members) = self.rounds.members() {
             self.leadership.adopt(members);
         }
-        let vote = |(id, to, message)| Effect::SendToVoter(to, message, ReplyTarget::Round(id));
-        self.effects.extend(out.send.into_iter().map(vote));
+        let send = |(id, to, message)| Effect::SendToVoter(to, message, ReplyTarget::Round(id));
+        self.effects.extend(out.send.into_iter().map(send));
         for finished in out.finished {
             self.finish_round(now, finished);
         }
@@ -483,10 +492,10 @@
                 self.start_round(now, kind, Key::Steward, RoundPurpose::WriteFence(fence));
             }
             LeadershipStep::BecomeLeader(fence) => {
-                let Some(bounds) = self.platform else { return };
-                let terms = Terms::new(fence, bounds.duty_per_s, bounds.max_lag_ms);
+                let Some(limits) = self.platform else { return };
+                let terms = Terms::new(fence, limits.duty_per_s, limits.max_lag_ms);
                 let sink = self.sink.as_ref().map(|sink| sink());
-                let mut leader = Leader::new(now, terms, bounds.rate_per_s, self.feed.config(), sink);
+                let mut leader = Leader::new(now, terms, limits.rate_per_s, self.feed.config(), sink);
                 leader.control_restarted = self.contact.uptime(now) < STARTUP_PERIOD;
                 self.leadership.install_leader(leader);
                 self.platform_stats = PlatformStats::default();
@@ -496,14 +505,14 @@
         }
     }
 
-    /// Whether what is known here may be handed out as what stands: contact holds, the configuration was learnt in this life, and none of
-    /// the others knows a newer one.
+    /// Returns whether the local configuration may be served as the chosen one: contact holds, the
+    /// configuration was read since the start, and no other controller reports a newer one.
     fn in_contact(&self, now: Nanos) -> bool {
-        let learned = self.config_read || self.gossip.chosen().is_some();
-        self.contact.holds() && learned && self.gossip.revision() >= self.contact.newest_revision(now)
+        let known = self.config_read || self.gossip.chosen().is_some();
+        self.contact.holds() && known && self.gossip.revision() >= self.contact.newest_revision(now)
     }
 
-    /// Looks for the configuration while none is known.
+    /// Reads the configuration register while no configuration is known.
     fn read_unknown_config(&mut self, now: Nanos) {
         if self.gossip.chosen().is_none() && self.rounds.members().is_some() && now >= self.config_read_at {
             self.config_read_at = now + CONFIG_READ_INTERVAL;
@@ -511,10 +520,10 @@
         }
     }
 
-    /// Whether a majority is reached, and who may follow by that.
+    /// Updates contact with a majority, and admits waiting agents accordingly.
     fn update_contact(&mut self, now: Nanos) {
         if let Some(read) = self.contact.update(now, self.rounds.members(), self.voting) {
-            // A small value: the configuration may be long, and each voter would send the whole of it.
+            // Reads a small value: each voter would send the whole of a possibly long configuration.
             self.start_round(now, RoundKind::Read, Key::Steward, RoundPurpose::ConfirmContact(read));
         }
         self.read_unknown_config(now);
@@ -522,7 +531,8 @@
         self.admit_waiting(now);
     }
 
-    /// Followers hear whether a majority is reached, where that has changed: who feeds nothing new is not to be waited for.
+    /// Announces a change of contact to followers, so that they do not wait for this controller while its
+    /// feed may be stale.
     fn announce_contact(&mut self) {
         let holds = self.contact.holds();
         let certain = holds || !self.contact.has_majority();
@@ -533,7 +543,7 @@
         }
     }
 
-    /// Who is the leader, if that is news.
+    /// Records the leader, and announces it to followers if it has changed.
     fn update_leader(&mut self, fence: u64, address: &str) {
         if self.gossip.update_leader(fence, address) {
             let lines = self.feed.broadcast(&[PeerMessage::Steward { address: address.into(), fence }]);
@@ -541,7 +551,7 @@
         }
     }
 
-    /// The next step towards a newer configuration.
+    /// Carries out the next step of fetching a newer configuration.
     fn continue_fetch(&mut self, now: Nanos, next: Option<gossip::FetchStep>) {
         match next {
             Some(gossip::FetchStep::ReadLocal(number)) => self.effects.push(Effect::ReadLocalConfig(number)),
@@ -558,18 +568,19 @@
         }
     }
 
-    /// A chosen configuration by how it differs from the one that stands here, if that is the one meant: reading a long one whole takes
-    /// ten times as long. Whether that was so.
+    /// Installs a chosen configuration by applying its change to the current one, if the change is based on
+    /// that. Parsing a long configuration as a whole takes ten times as long. Returns whether the change was
+    /// applied.
     fn apply_config_change(
         &mut self,
         now: Nanos,
         value: &Value,
         change: Option<gossip::ConfigChange>,
     ) -> bool {
-        let Some(step) = change.filter(|s| self.gossip.digest() == Some(&s.base)) else { return false };
+        let Some(change) = change.filter(|c| self.gossip.digest() == Some(&c.base)) else { return false };
         let read = || {
-            let text = pack::unpack(&step.packed, MAX_BODY)?;
-            let config = change::apply(self.feed.config()?, &text.parse().ok()?).ok()?;
+            let text = pack::unpack(&change.packed, MAX_BODY)?;
+            let config = millpost_config::change::apply(self.feed.config()?, &text.parse().ok()?).ok()?;
             (config.revision == value.version).then_some(config)
         };
         let Some(config) = read() else { return false };
@@ -577,20 +588,20 @@
         true
     }
 
-    /// A configuration that is chosen.
+    /// Installs a chosen configuration unless it is older than the current one.
     fn install_config(&mut self, now: Nanos, value: &Value) {
         if self.gossip.revision() >= value.version && self.gossip.chosen().is_some() {
             return;
         }
-        // What an operator put here was read when it came.
+        // A configuration from an operator was parsed when it arrived.
         if let Some(at) = self.parsed_configs.iter().position(|(content, _)| *content == value.content) {
             let (content, config) = self.parsed_configs.swap_remove(at);
             return self.set_config(now, value.version, content, config);
         }
         match api::config_text(&value.content).map(|text| Config::parse(&text)) {
             Some(Ok(config)) => self.set_config(now, value.version, value.content.clone(), config),
-            Some(Err(e)) => log::error!("the configuration that stands can't be read: {e}"),
-            None => log::error!("the configuration that stands can't be unpacked"),
+            Some(Err(e)) => log::error!("invalid chosen configuration {}: {e}", value.version),
+            None => log::error!("cannot unpack chosen configuration {}", value.version),
         }
     }
 
@@ -611,7 +622,7 @@
         self.pass_chosen_config(now);
     }
 
-    /// Tells the other control machines what is known here.
+    /// Sends the local state to the other controllers.
     fn send_gossip(&mut self, now: Nanos) {
         let state = gossip::LocalState { voting: self.voting, leaving: self.shutdown.is_some() };
         let (to, message) = self.gossip.prepare(now, &self.seeds, self.rounds.members(), state);
@@ -625,11 +636,11 @@
     }
 
     fn tick_lease(&mut self, now: Nanos) {
-        // Without a platform there is nothing to start or to poll, and nobody is the leader.
+        // Without a platform there are no instances to manage, so there is no leader.
         let eligible = self.voting && self.platform.is_some();
-        let (out, want) = self.leadership.tick(now, self.rounds.members(), eligible);
+        let (out, read) = self.leadership.tick(now, self.rounds.members(), eligible);
         self.send_to_voters(out, ReplyTarget::Lease);
-        match want {
+        match read {
             Some(RegisterRead::LastLeader) if !self.rounds.is_running(RoundPurpose::LastLeader) => {
                 self.start_round(now, RoundKind::Read, Key::Steward, RoundPurpose::LastLeader);
             }
@@ -640,7 +651,7 @@
         }
     }
 
-    /// What the leader does.
+    /// Runs the leader's duties.
     fn tick_leader(&mut self, now: Nanos) {
         let feed = &self.feed;
         let Some(LeaderOutput { view, messages, platform_calls }) =
@@ -652,7 +663,7 @@
             messages.iter().filter_map(|(name, notes)| feed.send_to(name, notes)).collect()
         };
         if let Some((view, instances)) = view {
-            // One line for all, and each its own instances behind it.
+            // The view is one line for all proxies; the instances of each proxy follow it.
             let lines = self.feed.broadcast(&[view]);
             self.send_lines(lines);
             let lines = send(instances, &mut self.feed);
--- a/controller/src/core/api.rs
+++ b/controller/src/core/api.rs
@@ -1,4 +1,4 @@
-//! Calls that come in: of operators, porters and other control machines.
+//! Handles incoming calls from operators, agents and other controllers.
 
 use std::borrow::Cow;
 use std::sync::Arc;
@@ -21,16 +21,17 @@
 use crate::rounds::RoundPurpose;
 use crate::{MS, Nanos};
 
-/// Longer configurations are packed once, as they come, and stay so in the register, on its disks and in the feed.
+/// Configurations above this size, in bytes, are compressed on arrival and stay compressed in the register,
+/// on disk and in the feed.
 const PACK_THRESHOLD: usize = 4 * 1024;
-/// A leader has longer ones read by another.
+/// The leader redirects configurations above this size, in bytes, to another voter.
 const DELEGATE_THRESHOLD: usize = 64 * 1024;
-/// Another control machine that has answered so lately is there.
+/// A controller that replied to a message sent this recently counts as available.
 const REPLY_TTL: Nanos = 1_000 * MS;
-/// Configurations that were read and may be chosen yet.
+/// Maximum number of parsed configurations that are kept until they are chosen.
 const MAX_PARSED_CONFIGS: usize = 4;
 
-/// Another control machine takes the call.
+/// Redirects the call to another controller.
 fn redirect_to(address: &Address) -> Reply {
     let to = HeaderValue::try_from(format!("http://{address}/Config.Replace"));
     match to {
@@ -39,18 +40,18 @@
     }
 }
 
-/// The text of a configuration as its operator sent it.
+/// Returns the text of a stored configuration as its operator sent it.
 pub(super) fn config_text(content: &str) -> Option<Cow<'_, str>> {
     pack::plain(content, MAX_BODY)
 }
 
-/// The answer to an operator's put.
+/// Returns the reply to an operator's put.
 pub(super) fn put_reply(revision: u64) -> Reply {
     let body = object([("revision", JsonValue::Number(revision as f64))]).stringify().unwrap_or_default();
     Reply::json(StatusCode::OK, body)
 }
 
-/// The answer to an operator who reads.
+/// Returns the reply to an operator's read.
 pub(super) fn config_reply(value: Option<&Value>) -> Result<Reply, CallError> {
     let text = value.and_then(|value| config_text(&value.content)).ok_or(CallError::Empty)?;
     Ok(Reply::json(StatusCode::OK, text.into_owned()))
@@ -75,11 +76,11 @@
         self.effects.push(Effect::Reply(id, answer.unwrap_or_else(|kind| kind.to_reply())));
     }
 
-    /// A call is answered now, or by the round or the voter that it is handed to.
+    /// Answers a call immediately, or passes it to a round, the voter or a feed that answers it later.
     pub(super) fn call(&mut self, now: Nanos, id: u64, call: &Call) {
         let answer = match route(&call.method, &call.path) {
             Err(kind) => Err(kind),
-            // Who asks from now on goes elsewhere.
+            // During a shutdown new calls are refused, so that the callers try another controller.
             Ok(
                 Endpoint::PutConfig
                 | Endpoint::ReadConfig
@@ -87,7 +88,7 @@
                 | Endpoint::MigrationOrder
                 | Endpoint::DrainOrder,
             ) if self.shutdown.is_some() => Err(CallError::Busy),
-            // A round would only wait for a majority that is known not to answer.
+            // Without a majority a round would only run into its timeout.
             Ok(Endpoint::PutConfig | Endpoint::ReadConfig | Endpoint::MigrationOrder)
                 if self.contact.is_lost(now) =>
             {
@@ -143,23 +144,25 @@
         self.answer(id, answer);
     }
 
-    /// A leader has much to do: another voter, which has answered just now, reads what is long.
+    /// Returns an available voter other than the leader, to parse long configurations: parsing them delayed
+    /// the leader beyond its lease.
     fn other_voter(&self, now: Nanos) -> Option<&Address> {
         self.leadership.leader()?;
         let members = self.rounds.members()?;
-        let hears = |a: &Address| self.contact.last_reply_sent(a).is_some_and(|sent| sent + REPLY_TTL > now);
+        let available =
+            |a: &Address| self.contact.last_reply_sent(a).is_some_and(|sent| sent + REPLY_TTL > now);
         let votes = |a: &Address| self.gossip.peers().get(a).is_some_and(|s| s.voting);
-        let fresh = |a: &&Address| hears(a) && votes(a);
+        let fresh = |a: &&Address| available(a) && votes(a);
         let all: Vec<_> = members.voters.iter().filter(|a| **a != self.me).filter(fresh).collect();
         let turn = (now / REPLY_TTL) as usize % all.len().max(1);
         all.get(turn).copied()
     }
 
-    /// The offer of a configuration, which is read and packed.
+    /// Parses and compresses a configuration, and returns the round that proposes it.
     pub(super) fn prepare_put(&mut self, text: &str, over: Option<u64>) -> Result<RoundKind, String> {
         let config = Config::parse(text).map_err(|e| e.to_string())?;
         let packed = if text.len() > PACK_THRESHOLD { pack(text) } else { None };
-        // What begins otherwise would be taken for packed.
+        // Content that starts with another character counts as compressed.
         let content = packed.map_or_else(|| Arc::from(text.trim_start()), Arc::<str>::from);
         let version = config.revision;
         if self.parsed_configs.len() >= MAX_PARSED_CONFIGS {
@@ -173,7 +176,7 @@
         let text = std::str::from_utf8(&call.body).map_err(|e| e.to_string());
         let read = text.and_then(|text| self.prepare_put(text, None));
         read.map_err(|why| {
-            log::info!("a configuration is refused: {why}");
+            log::info!("rejected configuration: {why}");
             CallError::Invalid(why)
         })
     }
@@ -197,28 +200,32 @@
 
     fn on_messages(&mut self, now: Nanos, call: &Call) -> Result<Reply, CallError> {
         let batch = read_batch(call)?;
-        let (mut missed, mut asks) = (false, false);
+        let (mut needs_leader, mut asks_revision) = (false, false);
         for note in &batch.notes {
             match (note, self.leadership.leader_mut()) {
                 (PeerMessage::Acts { revision, .. }, _) => {
-                    let again = self.feed.on_applied(now, &batch.from, *revision);
-                    self.send_lines(again);
+                    let resent = self.feed.on_applied(now, &batch.from, *revision);
+                    self.send_lines(resent);
                 }
-                (PeerMessage::AskRevision, _) => asks = true,
+                (PeerMessage::AskRevision, _) => asks_revision = true,
                 (PeerMessage::Rest { name, left }, _) => self.on_rest(now, name, *left),
                 (note, Some(leader)) => leader.on_message(now, note),
                 (PeerMessage::Alive { .. }, None) => {}
-                (_, None) => missed = true,
+                (_, None) => needs_leader = true,
             }
         }
-        if missed {
+        if needs_leader {
             return Err(CallError::NotLeader);
         }
-        // Who is not in contact can't say what stands.
-        Ok(if asks && self.in_contact(now) { self.revision_reply() } else { Reply::empty(StatusCode::OK) })
+        // Without contact the chosen revision is unknown.
+        Ok(if asks_revision && self.in_contact(now) {
+            self.revision_reply()
+        } else {
+            Reply::empty(StatusCode::OK)
+        })
     }
 
-    /// Which configuration stands, for a stall that has started.
+    /// Returns the chosen revision, for a proxy that has started.
     fn revision_reply(&self) -> Reply {
         let note = PeerMessage::Stands { revision: self.gossip.revision() };
         let body = object([
@@ -229,7 +236,7 @@
         Reply::json(StatusCode::OK, body.stringify().unwrap_or_default())
     }
 
-    /// How far this machine is from the leader's lease.
+    /// Returns the state of this controller with respect to the leader's lease.
     fn lease_status(&self, now: Nanos) -> &'static str {
         match () {
             () if self.platform.is_none() => "no_platform",
@@ -238,7 +245,7 @@
         }
     }
 
-    /// How things stand, for operators.
+    /// Returns the status of this controller, for operators.
     fn status(&self, now: Nanos) -> Reply {
         let number = |n: u64| JsonValue::Number(n as f64);
         let strings = |all: &[Address]| JsonValue::Array(all.iter().map(|a| text(a)).collect());
--- a/controller/src/core/drains.rs
+++ b/controller/src/core/drains.rs
@@ -1,5 +1,7 @@
-//! Drains on a control machine: what operators have taken out is carried to the leader, its scaler, stalls and other control machines.
-//! What is out is decided in [`crate::drains`]. Invariant: while nothing is out nobody is told anything, and nothing is sent.
+//! Applies drains to the leader, its scaler, the proxies and the other controllers. [`crate::drains`] decides
+//! what is drained.
+//!
+//! Invariant: without drains no messages are sent.
 
 use std::collections::BTreeMap;
 
@@ -16,29 +18,31 @@
 use crate::leadership::PlatformReply;
 use crate::{MS, Nanos};
 
-/// Instances on workers that are out are checked_at at this often.
+/// Interval between checks of the instances on drained workers.
 const EMPTY_CHECK_INTERVAL: Nanos = 250 * MS;
-/// Requests that an instance had when it was taken out of use end within this, whatever their routes say.
+/// Upper bound of the time that requests of a draining instance take, whatever the deadlines of the routes
+/// are.
 const MAX_REQUEST_TIME: Nanos = 30_000 * MS;
 
-/// What is out, and instances that wait for the end of their requests.
+/// The drains, and the instances whose requests must end before they are stopped.
 #[derive(Default)]
 pub(super) struct DrainState {
     drains: Drains,
-    /// Since when instances on workers that are out are told as draining.
+    /// When each instance on a drained worker was first reported as draining.
     draining_since: BTreeMap<CompactString, Nanos>,
     checked_at: Nanos,
 }
 
 impl DrainState {
-    /// What is out.
+    /// Returns the drains.
     pub fn drains(&self) -> &Drains {
         &self.drains
     }
 }
 
 impl Core {
-    /// Time passes: who does not own functions, who is told, and instances that go.
+    /// Applies the drains: excludes drained proxies from ownership, notifies proxies, and stops instances on
+    /// drained workers.
     pub(super) fn tick_drains(&mut self, now: Nanos) {
         let fence = self.leadership.leader().map(|leader| leader.fence);
         self.drain_state.drains.tick(now, fence);
@@ -56,8 +60,8 @@
         self.empty_workers(now);
     }
 
-    /// Instances on workers that are out are stopped once their requests have ended: others were started in their places when they were
-    /// told as draining.
+    /// Stops instances on drained workers once their requests have ended. The scaler started their
+    /// replacements when it was told that they drain.
     fn empty_workers(&mut self, now: Nanos) {
         if now < self.drain_state.checked_at + EMPTY_CHECK_INTERVAL {
             return;
@@ -80,7 +84,8 @@
         }
     }
 
-    /// The platform's word on workers, as the scaler is to take it: one that is out takes no starts, and its instances drain.
+    /// Marks drained workers as draining in the platform's reply, so that the scaler starts nothing on them
+    /// and drains their instances.
     pub(super) fn apply_drains(&self, now: Nanos, reply: PlatformReply) -> PlatformReply {
         let drains = &self.drain_state.drains;
         match reply {
@@ -93,7 +98,7 @@
         }
     }
 
-    /// An operator's order.
+    /// Handles an operator's order.
     pub(super) fn order_drain(&mut self, now: Nanos, call: &Call) -> Result<Reply, CallError> {
         let json = call.json().ok_or_else(|| CallError::Invalid("no JSON".to_owned()))?;
         let order = Order::read(&json)?;
@@ -112,7 +117,7 @@
         self.drains_reply(now)
     }
 
-    /// What is out, for operators.
+    /// Returns the drains for operators.
     pub(super) fn drains_reply(&self, now: Nanos) -> Result<Reply, CallError> {
         let leader = self.leadership.leader().ok_or(CallError::NotLeader)?;
         let mut on: BTreeMap<&str, usize> = BTreeMap::new();
@@ -130,14 +135,14 @@
         Ok(Reply::json(StatusCode::OK, body.stringify().unwrap_or_default()))
     }
 
-    /// A stall says that it rests.
+    /// Handles the report of a proxy that it takes no new clients.
     pub(super) fn on_rest(&mut self, now: Nanos, name: &str, left: f64) {
         let Some(leader) = self.leadership.leader() else { return };
         let zone = leader.proxy_states(now).find(|stall| stall.name == name).map(|stall| stall.zone);
         self.drain_state.drains.on_report(now, name, zone, left);
     }
 
-    /// Another control machine's word of what is out.
+    /// Merges the drains from another controller's gossip.
     pub(super) fn merge_drains(&mut self, now: Nanos, news: &JsonValue) {
         let JsonValue::Object(parts) = news else { return };
         if let Some(news) = parts.get("drains") {
--- a/controller/src/core/follow.rs
+++ b/controller/src/core/follow.rs
@@ -1,5 +1,7 @@
-//! Porters that want to be fed. Who comes while contact with a majority does not hold waits a moment for it, and is sent on after that:
-//! another machine may have it. Invariants: each call is answered once; no more than [`MAX_WAITING`] wait.
+//! Feed requests of agents. A request that arrives while the controller has no contact with a majority waits
+//! briefly for it, and is then refused so that the agent tries another controller.
+//!
+//! Invariants: each call is answered once; at most [`MAX_WAITING`] requests wait.
 
 use std::collections::VecDeque;
 
@@ -10,33 +12,33 @@
 use crate::errors::CallError;
 use crate::{MS, Nanos};
 
-/// A porter that comes without contact waits for so long: longer than one round of news, less than it gives an answer.
+/// How long a request waits for contact: longer than one gossip interval, shorter than the agent's timeout.
 const CONTACT_WAIT: Nanos = 500 * MS;
-/// Porters that wait at once.
+/// Maximum number of waiting requests.
 const MAX_WAITING: usize = 2_000;
 
-/// A porter's call.
+/// A feed request of an agent.
 struct FollowRequest {
     call: u64,
     batch: MessageBatch,
-    /// It is fed whole configurations.
+    /// Whether this controller sends whole configurations to the agent.
     whole: bool,
     deadline: Nanos,
 }
 
-/// Those that wait, in the order in which they came.
+/// Waiting requests in order of arrival.
 #[derive(Default)]
 pub(super) struct Waiting(VecDeque<FollowRequest>);
 
 impl Waiting {
-    /// When the first of them has waited for too long.
+    /// Returns when the wait of the oldest request ends.
     pub(super) fn due(&self) -> Nanos {
         self.0.front().map_or(Nanos::MAX, |follow| follow.deadline)
     }
 }
 
 impl Core {
-    /// A porter wants to be fed.
+    /// Opens a feed for an agent, or lets the request wait for contact.
     pub(super) fn follow(&mut self, now: Nanos, call: u64, request: &Call) -> Result<(), CallError> {
         let batch = api::read_batch(request)?;
         let whole = request.query.as_deref() != Some("whole=0");
@@ -51,7 +53,8 @@
         Ok(())
     }
 
-    /// Seats those that wait, once contact holds; who has waited for too long is sent on.
+    /// Opens the feeds of waiting requests once contact holds, and refuses those that have waited for too
+    /// long.
     pub(super) fn admit_waiting(&mut self, now: Nanos) {
         let holds = self.in_contact(now);
         let due = |follow: &FollowRequest| holds || follow.deadline <= now;
--- a/controller/src/core/metrics.rs
+++ b/controller/src/core/metrics.rs
@@ -1,4 +1,4 @@
-//! What a control machine tells of itself, for monitoring.
+//! Metrics of the controller.
 
 use millpost_net::metrics::Metrics;
 
@@ -6,7 +6,7 @@
 use crate::{MS, Nanos};
 
 impl Core {
-    /// All metrics of this moment.
+    /// Returns the current values of all metrics.
     pub(super) fn metrics(&self, now: Nanos) -> Metrics {
         let mut metrics = Metrics::default();
         metrics.put("control_uptime_seconds", now / (1_000 * MS));
--- a/controller/src/core/migrations.rs
+++ b/controller/src/core/migrations.rs
@@ -1,11 +1,15 @@
-//! Moves on a control machine: the migrator is told what it has to know, and what it decides is carried into the core. Nothing is decided here.
-//! Invariants: each order is answered once; while no move is open and no order waits, the record is read when office is taken, once more
-//! when nothing old can come to stand any more, and not at all otherwise.
+//! Connects the [`Migrator`] to the core: passes it observations and carries out its effects, and makes no
+//! decisions itself.
+//!
+//! Invariants: each order is answered once. While no migration is open and no order waits, the record is read
+//! when the controller becomes the leader, once more when no earlier write can take effect any more, and at
+//! no other time.
 
 use hyper::StatusCode;
 use millpost_config::At;
 use millpost_migration::{
-    Effect, Function, Input, Kind as Said, Migrator, Moment, Order, OrderFailure, Standing, Stands, Terms,
+    Effect, Function, Input, Kind as PublishedKind, Migrator, Moment, Order, OrderFailure, Standing, Stands,
+    Terms,
 };
 use millpost_net::messaging::{Call, Reply};
 use millpost_protocol::{object, text};
@@ -17,15 +21,16 @@
 use crate::rounds::RoundPurpose;
 use crate::{MS, Nanos};
 
-/// What is seen is told this often while a move is open.
+/// Interval between observations while a migration is open.
 const OBSERVATION_INTERVAL: Nanos = 300 * MS;
-/// A function that its owners want so many instances for holds a part of their slots only, at its busiest: they keep room.
+/// At its peak a function uses this part of the slots of its wanted instances, because owners keep spare
+/// capacity.
 const MAX_UTILIZATION: f64 = 0.8;
 
-/// The carter, and when it was told last.
+/// The migrator, and when it last received observations.
 pub(super) struct MigrationDriver {
     migrator: Migrator,
-    /// The time of day, in milliseconds, when the clock was at 0.
+    /// Wall-clock time in milliseconds at which the monotonic clock was 0.
     unix_ms: u64,
     observed_at: Nanos,
 }
@@ -41,7 +46,7 @@
     }
 }
 
-/// An operator's order.
+/// Parses an operator's order.
 pub(super) fn order(call: &Call) -> Result<Order, CallError> {
     let json = call.json().ok_or_else(|| CallError::Invalid("no JSON".to_owned()))?;
     Order::read(&At::root(&json)).map_err(|e| CallError::Invalid(e.to_string()))
@@ -57,13 +62,14 @@
 }
 
 impl Core {
-    /// The lease, time, and what is seen of proxies and functions.
+    /// Passes on the state of the lease and, while a migration is open, observations of proxies and
+    /// functions.
     pub(super) fn tick_migrations(&mut self, now: Nanos) {
         let lease =
             self.leadership.term().map_or(Input::Unleased, |(fence, until)| Input::Lease(fence, until));
         self.drive_migrations(now, lease);
-        let out = |standing: &Standing| standing.record().moves.iter().any(|of| of.state.out());
-        if self.migrations.migrator.standing().is_some_and(|standing| !out(standing))
+        let is_active = |standing: &Standing| standing.record().moves.iter().any(|of| of.state.out());
+        if self.migrations.migrator.standing().is_some_and(|standing| !is_active(standing))
             && let Some(leader) = self.leadership.leader_mut()
         {
             leader.clear_min_instances();
@@ -78,29 +84,30 @@
         let room = leader.scaler.room();
         let names = self.migrations.migrator.looks_at();
         let config = self.feed.config();
-        let does = names.into_iter().filter_map(|name| {
+        let functions = names.into_iter().filter_map(|name| {
             let standing = leader.scaler.function(now, &name)?;
             let slots = config.and_then(|c| c.service(&name)).map_or(1, |s| s.concurrency.max(1));
             let wanted = standing.wanted.map_or(0, |(count, _)| count);
             let busy = f64::from(wanted) * f64::from(slots) * MAX_UTILIZATION;
-            let of = |n: usize| n.min(u32::MAX as usize) as u32;
-            let live = of(standing.ready + standing.booting + standing.starting);
-            // Who keeps it warm tells how it does. Without that word for a while the next load waits, and does not go as if all were well.
+            let count = |n: usize| n.min(u32::MAX as usize) as u32;
+            let live = count(standing.ready + standing.booting + standing.starting);
+            // The owners of a target report its health. Without a recent report the function is left out, so
+            // that the next load waits rather than proceeds as if the target were healthy.
             let (delay, refused) = match leader.function_health(now, &name) {
                 None => (0.0, 0.0),
-                Some(doing) => doing.map(|doing| (doing.delay, doing.refused))?,
+                Some(health) => health.map(|health| (health.delay, health.refused))?,
             };
-            Some((name, Function { ready: of(standing.ready), live, busy, delay, refused }))
+            Some((name, Function { ready: count(standing.ready), live, busy, delay, refused }))
         });
-        let does = does.collect();
-        // PendingPuts are judged with the word of functions, so that comes last.
+        let functions = functions.collect();
+        // The migrator evaluates orders when it receives the state of functions, so that input comes last.
         if let Some(room) = room {
             self.drive_migrations(now, Input::Room(room));
         }
-        self.drive_migrations(now, Input::Does(does));
+        self.drive_migrations(now, Input::Does(functions));
     }
 
-    /// Tells the migrator something, and does what it wants.
+    /// Passes an input to the migrator and carries out its effects.
     pub(super) fn drive_migrations(&mut self, now: Nanos, input: Input) {
         let at = self.migrations.at(now);
         self.migrations.migrator.input(at, input);
@@ -120,8 +127,8 @@
                 Effect::ReadConfig => self.pass_chosen_config(now),
                 Effect::OrderFailure(id, why) => self.answer(id, Err(order_error(why))),
                 Effect::Out(out) => match out.is() {
-                    Said::Put { name, number, over, text } => {
-                        log::info!("move {name}: configuration {number} is put over {over:?}");
+                    PublishedKind::Put { name, number, over, text } => {
+                        log::info!("migration {name}: proposing configuration {number} over {over:?}");
                         match self.prepare_put(text, *over) {
                             Ok(kind) => self.start_round(
                                 now,
@@ -129,15 +136,17 @@
                                 Key::Config,
                                 RoundPurpose::MigrationConfig(*number),
                             ),
-                            Err(e) => log::error!("move {name}: configuration {number} can't be put: {e}"),
+                            Err(e) => {
+                                log::error!("migration {name}: cannot propose configuration {number}: {e}")
+                            }
                         }
                     }
-                    Said::Warm { service, count } => {
+                    PublishedKind::Warm { service, count } => {
                         if let Some(leader) = self.leadership.leader_mut() {
                             leader.set_min_instances(now, service, *count);
                         }
                     }
-                    Said::Answer(answer) => {
+                    PublishedKind::Answer(answer) => {
                         let reply = match &answer.said {
                             millpost_migration::Said::Stands(step) => {
                                 let body = object([("step", text(step))]).stringify().unwrap_or_default();
@@ -154,21 +163,22 @@
         }
     }
 
-    /// The register's word on the record.
+    /// Passes on the result of reading or writing the record.
     pub(super) fn on_migration_record(&mut self, now: Nanos, ask: u64, outcome: Result<Outcome, CallError>) {
         let outcome = outcome.unwrap_or(Outcome::Lost(Why::NoMajority));
         self.drive_migrations(now, Input::Record(ask, outcome));
     }
 
-    /// A move's configuration was put, or something else stands, or nobody knows.
-    pub(super) fn on_migration_config(&mut self, now: Nanos, number: u64, stands: Option<Value>) {
-        if let Some(value) = stands {
+    /// Passes on that the put of a migration's configuration has ended. `chosen` is the configuration that is
+    /// now chosen, `None` if that is unknown.
+    pub(super) fn on_migration_config(&mut self, now: Nanos, number: u64, chosen: Option<Value>) {
+        if let Some(value) = chosen {
             self.install_config(now, &value);
         }
         self.drive_migrations(now, Input::Put(number));
     }
 
-    /// The configuration that is chosen, as far as is known here, for the migrator.
+    /// Passes the chosen configuration to the migrator, as far as it is known here.
     pub(super) fn pass_chosen_config(&mut self, now: Nanos) {
         if !self.migrations.migrator.is_busy() {
             return;
@@ -179,7 +189,7 @@
         self.drive_migrations(now, Input::Stands(stands));
     }
 
-    /// How moves stand, for operators.
+    /// Returns the state of migrations for operators.
     pub(super) fn migrations_reply(&self, now: Nanos, query: Option<&str>) -> Result<Reply, CallError> {
         let name = match query.unwrap_or_default().split_once('=') {
             None if query.unwrap_or_default().is_empty() => None,
@@ -192,11 +202,11 @@
         if self.leadership.leader().is_none() {
             return Err(CallError::NotLeader);
         }
-        let told = self
+        let status = self
             .migrations
             .migrator
             .tell(self.migrations.at(now), name.as_deref())
             .ok_or(CallError::Unclear)?;
-        Ok(Reply::json(StatusCode::OK, millpost_config::values::write(&told)))
+        Ok(Reply::json(StatusCode::OK, millpost_config::values::write(&status)))
     }
 }
--- a/controller/src/core/shutdown.rs
+++ b/controller/src/core/shutdown.rs
@@ -1,5 +1,7 @@
-//! A process that was told to end. Invariant: a voter does not end, inside half of its grace, before a spare that there is votes in its
-//! place, or, where there is none, before all that it holds stands on a majority of the voters without it.
+//! Graceful shutdown.
+//!
+//! Invariant: within the first half of its grace time a voter does not exit before an available spare votes
+//! in its place or, without a spare, before a majority of the other voters stores all that it holds.
 
 use millpost_quorum::{Key, Kind as RoundKind};
 
@@ -7,17 +9,17 @@
 use crate::rounds::RoundPurpose;
 use crate::{MS, Nanos, voters};
 
-/// What is under way when the process is told to end gets its answer within this.
+/// Time for the replies to calls that are in progress when the shutdown begins.
 const REPLY_TIME: Nanos = 300 * MS;
 
-/// How far a process that is to end has come.
+/// Progress of a shutdown.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ShutdownProgress {
-    /// It does not end before,
+    /// The process does not exit before this time.
     earliest: Nanos,
-    /// ... and ends then, whoever lacks what it holds.
+    /// The process exits at this time, even if other voters lack state that it holds.
     latest: Nanos,
-    /// Keys that were seen to stand on a majority of the others, by their order in [`Key::ALL`].
+    /// Number of keys, in the order of [`Key::ALL`], that a majority of the other voters is known to store.
     keys_handed_over: usize,
 }
 
@@ -30,19 +32,20 @@
         }
     }
 
-    /// When it is to be looked at next.
+    /// Returns when the progress must be checked next.
     pub(super) fn due(&self, now: Nanos) -> Nanos {
         if now < self.earliest { self.earliest } else { self.latest }
     }
 }
 
 impl Core {
-    /// The process is to end.
+    /// Begins the shutdown: releases the lease, tells the other controllers, and hands over the voter's
+    /// state.
     pub(super) fn begin_shutdown(&mut self, now: Nanos) {
         if self.shutdown.is_some() {
             return;
         }
-        log::info!("leaving");
+        log::info!("shutting down");
         self.shutdown = Some(ShutdownProgress::new(now, self.grace));
         let out = self.leadership.leave(now);
         self.send_to_voters(out, ReplyTarget::Lease);
@@ -50,13 +53,13 @@
         self.hand_over(now);
     }
 
-    /// Whether the process may end.
+    /// Returns whether the process may exit.
     pub fn can_exit(&self, now: Nanos) -> bool {
         let Some(shutdown) = &self.shutdown else { return false };
         now >= shutdown.latest || now >= shutdown.earliest && self.state_is_safe(now)
     }
 
-    /// Whether nothing is lost with this machine.
+    /// Returns whether no state is lost without this controller.
     fn state_is_safe(&self, now: Nanos) -> bool {
         let Some(members) = self.rounds.members().filter(|_| self.is_voter()) else { return true };
         let keys_handed_over =
@@ -70,7 +73,8 @@
         self.voting && self.rounds.members().is_some_and(|members| members.names(&self.me))
     }
 
-    /// The next key is read from a majority of the others, which writes there what only this machine and too few of them hold.
+    /// Reads the next key from a majority of the other voters. The read writes back a value that too few of
+    /// them store.
     pub(super) fn hand_over(&mut self, now: Nanos) {
         let Some(shutdown) = self.shutdown else { return };
         let Some(key) = Key::ALL.get(shutdown.keys_handed_over).copied().filter(|_| self.is_voter()) else {
@@ -83,7 +87,7 @@
         }
     }
 
-    /// That read has ended.
+    /// Handles the end of such a read.
     pub(super) fn on_handed_over(&mut self, now: Nanos, key: Key, confirmed: bool) {
         if let Some(shutdown) = &mut self.shutdown
             && confirmed
--- a/controller/src/leadership.rs
+++ b/controller/src/leadership.rs
@@ -1,6 +1,8 @@
-//! The leadership of one machine: the lease, taking over, standing back, and what is asked of the platform. Invariants: there is a leader
-//! only while the lease is held; it took over under the lease that it asked for its fence with; every call to the platform names
-//! the time by which it must have begun, and whoever keeps it back says so.
+//! Leadership of a controller: acquiring and releasing the lease, writing the fence, running the leader's
+//! duties, and calls to the platform.
+//!
+//! Invariants: a [`Leader`] exists only while the lease is held, and its fence was written under that same
+//! lease. Every call to the platform has a deadline, and a call that misses it is reported as unanswered.
 
 use std::net::SocketAddr;
 
@@ -20,20 +22,20 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[allow(missing_docs, reason = "the fields are the platform's own words")]
 pub enum Call {
-    /// A page of the list; without a token the first.
+    /// Lists a page of instances; without a token the first page.
     List { token: Option<CompactString> },
-    /// The workers.
+    /// Lists the workers.
     Workers,
-    /// Start an instance.
+    /// Starts an instance.
     Start { service: CompactString, worker: CompactString, nonce: CompactString },
-    /// Stop one.
+    /// Stops an instance.
     Stop { id: CompactString },
 }
 
-/// A page of the list, and the token of the next one.
+/// A page of the list, and the token of the next page.
 pub type Page = (Vec<Entry>, Option<CompactString>);
 
-/// What the platform answered; none, or unclear, where it did not.
+/// A reply of the platform. `None` or a fault `Unclear` means that there was no usable answer.
 #[derive(Debug)]
 #[allow(missing_docs, reason = "the fields are the platform's own words")]
 pub enum PlatformReply {
@@ -44,7 +46,7 @@
 }
 
 impl Call {
-    /// What is known of it where there is no answer.
+    /// Returns the reply that stands for a missing answer.
     pub fn unanswered(self) -> PlatformReply {
         match self {
             Call::List { .. } => PlatformReply::Listed(None),
@@ -55,45 +57,47 @@
     }
 }
 
-/// A call to the platform, under a fence. It does not begin at `until` or later; then its answer is [`Call::unanswered`].
+/// A call to the platform under a fence. If it has not begun before the deadline, its reply is
+/// [`Call::unanswered`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformCall {
     /// The leader's fence.
     pub fence: u64,
-    /// When it was decided on.
+    /// The time at which the call was decided on.
     pub decided_at: Nanos,
-    /// The end of the lease.
+    /// The end of the lease, before which the call must begin.
     pub deadline: Nanos,
-    /// What is called.
+    /// The call.
     pub call: Call,
 }
 
 impl PlatformCall {
-    /// The call, where it may still begin; else what is known of it without an answer.
+    /// Returns the call if it may still begin, else its reply without an answer.
     pub fn begin(self, now: Nanos) -> Result<Call, PlatformReply> {
         if now < self.deadline { Ok(self.call) } else { Err(self.call.unanswered()) }
     }
 }
 
-/// What the register has to be asked for.
+/// A read of the register that the leadership needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegisterRead {
-    /// Who was the last leader.
+    /// The last leader; the result goes to [`Leadership::on_last_leader`].
     LastLeader,
-    /// Which fence stands; answered by [`Leadership::on_fence`] in any case.
+    /// The current fence; the result, including an error, goes to [`Leadership::on_fence`].
     Fence,
 }
 
-/// What comes of an answer of the register.
+/// The next step after a reply of the register.
 #[derive(Debug, PartialEq)]
 pub enum LeadershipStep {
-    /// Nothing.
+    /// Nothing to do.
     Idle,
-    /// These messages go to the voters: the lease is given back.
+    /// Send these messages to the voters, to release the lease.
     ReleaseLease(Vec<(Address, Message)>),
-    /// This fence is to be written over the one below it; answered by [`Leadership::on_fence_written`] in any case.
+    /// Write this fence over the one below it; the result, including an error, goes to
+    /// [`Leadership::on_fence_written`].
     WriteFence(u64),
-    /// The leader of this fence is to be seated, at once.
+    /// Install the leader of this fence immediately, with [`Leadership::install_leader`].
     BecomeLeader(u64),
 }
 
@@ -101,27 +105,29 @@
 enum FenceAttempt {
     None,
     InProgress,
-    /// The lease was lost on the way: what comes of it is of the past.
+    /// The lease was lost during the attempt, so its result is ignored.
     Expired,
 }
 
-/// What a leader has done with a moment.
+/// The output of one tick of the leader.
 pub struct LeaderOutput {
-    /// Who is named, for all, and what each is told with it; this goes first.
+    /// A new membership view for all proxies, and the instances that individual proxies receive with it; sent
+    /// first.
     pub view: Option<(PeerMessage, ProxyMessages)>,
-    /// What some are told of instances.
+    /// Other messages for individual proxies.
     pub messages: ProxyMessages,
-    /// What is asked of the platform.
+    /// Calls to the platform.
     pub platform_calls: Vec<PlatformCall>,
 }
 
-/// Whether this machine leads, and what it does as the leader.
+/// Decides whether this controller leads, and runs the leader's duties.
 pub struct Leadership {
     me: Address,
     life: u64,
     seed: u64,
     holder: Option<Holder>,
-    /// Whether the register named this machine as the leader when its process started; none until that is known.
+    /// Whether the register named this controller as the leader when the process started; `None` until that
+    /// was read.
     was_leader: Option<bool>,
     fence_attempt: FenceAttempt,
     leader: Option<Leader>,
@@ -130,7 +136,7 @@
 }
 
 impl Leadership {
-    /// Of this machine; `life` differs at each start.
+    /// Creates the leadership of the controller `me`; `life` must differ at each start.
     pub fn new(me: Address, life: u64, seed: u64) -> Self {
         let (holder, was_leader, fence_attempt, leader) = (None, None, FenceAttempt::None, None);
         Leadership {
@@ -146,23 +152,23 @@
         }
     }
 
-    /// The fence and the end of the lease, while this machine is the leader.
+    /// Returns the fence and the end of the lease while this controller is the leader.
     pub fn term(&self) -> Option<(u64, Nanos)> {
         let until = self.holder.as_ref()?.until();
         self.leader.as_ref().map(|leader| (leader.fence, until))
     }
 
-    /// The leader, while this machine is that.
+    /// Returns the leader while this controller is it.
     pub fn leader(&self) -> Option<&Leader> {
         self.leader.as_ref()
     }
 
-    /// The same, to be told something.
+    /// Returns the leader for modification.
     pub fn leader_mut(&mut self) -> Option<&mut Leader> {
         self.leader.as_mut()
     }
 
-    /// How far it has come, for people.
+    /// Returns the state of the lease, for operators.
     pub fn lease_status(&self, now: Nanos) -> &'static str {
         match () {
             () if self.leader.is_some() => "steward",
@@ -173,18 +179,18 @@
         }
     }
 
-    /// When to call [`Leadership::tick`] next.
+    /// Returns when [`Leadership::tick`] must be called next.
     pub fn next_wake(&self) -> Nanos {
         let holder = self.holder.as_ref().map_or(Nanos::MAX, Holder::next_wake);
         holder.min(self.leader.as_ref().map_or(Nanos::MAX, |s| s.pace.next()))
     }
 
-    /// The members that the lease is counted by.
+    /// Returns the members whose majority grants the lease.
     pub fn members(&self) -> Option<&Members> {
         self.holder.as_ref().map(Holder::members)
     }
 
-    /// These are chosen.
+    /// Adopts chosen members.
     pub fn adopt(&mut self, members: &Members) {
         if let Some(holder) = &mut self.holder {
             holder.adopt(members);
@@ -195,14 +201,15 @@
         self.holder.as_ref().is_some_and(|h| h.may_act(now))
     }
 
-    /// A fence that was asked for under a lease is of no use once that has ended, even if it is held again.
+    /// Expires the attempt to write a fence if the lease was lost, even if it is acquired again afterwards.
     fn expire_attempt(&mut self, now: Nanos) {
         if self.fence_attempt == FenceAttempt::InProgress && !self.may_act(now) {
             self.fence_attempt = FenceAttempt::Expired;
         }
     }
 
-    /// Time passes: the lease is asked for, kept, and lost. A machine `stands` that votes and has a platform; another asks for nothing.
+    /// Acquires, renews and gives up the lease. `eligible` controllers vote and have a platform; others do
+    /// not ask for the lease.
     pub fn tick(
         &mut self,
         now: Nanos,
@@ -210,12 +217,12 @@
         eligible: bool,
     ) -> (Vec<(Address, Message)>, Option<RegisterRead>) {
         self.expire_attempt(now);
-        // Also where it stands no more, and asks for nothing.
+        // Also applies to a controller that is no longer eligible and asks for nothing.
         if !self.may_act(now)
             && let Some(mut leader) = self.leader.take()
         {
             leader.scaler.over(now);
-            log::info!("steward no more");
+            log::info!("leadership lost");
         }
         let Some(members) = members.filter(|_| eligible && !self.leaving) else { return (Vec::new(), None) };
         let Some(last) = self.was_leader else { return (Vec::new(), Some(RegisterRead::LastLeader)) };
@@ -234,25 +241,25 @@
         (out, read_fence.then_some(RegisterRead::Fence))
     }
 
-    /// A voter's word on the lease.
+    /// Handles a voter's reply about the lease.
     pub fn on_lease(&mut self, now: Nanos, from: &str, message: &Message) -> Vec<(Address, Message)> {
         self.expire_attempt(now);
         self.holder.as_mut().map_or_else(Vec::new, |holder| holder.on_message(now, from, message))
     }
 
-    /// Who the register names as the last leader, as the process starts.
+    /// Handles the last leader as named by the register when the process started.
     pub fn on_last_leader(&mut self, value: Option<&Value>) {
         self.was_leader = Some(value.is_some_and(|v| *v.content == *self.me));
     }
 
-    /// Which fence stands.
+    /// Handles the current fence.
     pub fn on_fence(&mut self, now: Nanos, outcome: Result<Option<Value>, CallError>) -> LeadershipStep {
         self.expire_attempt(now);
         let attempt = std::mem::replace(&mut self.fence_attempt, FenceAttempt::None);
         let Ok(value) = outcome else { return LeadershipStep::Idle };
         let mine = value.as_ref().is_some_and(|v| *v.content == *self.me);
         if !mine && self.is_again() {
-            // Somebody has taken over since: that lease is waited for like any other's.
+            // Another controller has led since, so the lease of that controller must be waited for.
             return self.release_lease(now);
         }
         if attempt != FenceAttempt::InProgress {
@@ -262,7 +269,7 @@
         LeadershipStep::WriteFence(value.map_or(0, |v| v.version) + 1)
     }
 
-    /// How writing this fence ended.
+    /// Handles the result of writing the fence.
     pub fn on_fence_written(
         &mut self,
         now: Nanos,
@@ -285,24 +292,25 @@
         self.holder.as_ref().is_some_and(Holder::is_again)
     }
 
-    /// Gives back a lease that was asked for as the last leader, who it turned out not to be.
+    /// Releases a lease that was requested as the last leader by a controller that turned out not to be the
+    /// last leader.
     fn release_lease(&mut self, now: Nanos) -> LeadershipStep {
         let Some(holder) = &mut self.holder else { return LeadershipStep::Idle };
         holder.set_again(false);
         LeadershipStep::ReleaseLease(holder.release(now))
     }
 
-    /// The leader that was asked for with [`LeadershipStep::BecomeLeader`].
+    /// Installs the leader that [`LeadershipStep::BecomeLeader`] requested.
     pub fn install_leader(&mut self, leader: Leader) {
         if let Some(holder) = &mut self.holder {
             holder.set_again(false);
         }
-        log::info!("steward, fence {}", leader.fence);
+        log::info!("leadership acquired with fence {}", leader.fence);
         self.pages.clear();
         self.leader = Some(leader);
     }
 
-    /// The process is about to end: the lease is given back, and no other asked for.
+    /// Releases the lease before the process exits, and requests no other.
     pub fn leave(&mut self, now: Nanos) -> Vec<(Address, Message)> {
         self.leaving = true;
         if let Some(mut leader) = self.leader.take() {
@@ -311,22 +319,22 @@
         self.holder.as_mut().map_or_else(Vec::new, |holder| holder.release(now))
     }
 
-    /// What the leader does. `has` says whose porter is connected.
-    pub fn tick_leader(&mut self, now: Nanos, has: impl Fn(&str) -> bool) -> Option<LeaderOutput> {
+    /// Runs the leader's duties. `is_connected` returns whether the agent of a proxy is connected.
+    pub fn tick_leader(&mut self, now: Nanos, is_connected: impl Fn(&str) -> bool) -> Option<LeaderOutput> {
         let until = self.holder.as_ref().map_or(0, Holder::until);
         let leader = self.leader.as_mut()?;
-        let view = leader.check_proxies(now, has);
+        let view = leader.check_proxies(now, is_connected);
         leader.scaler.tick(now);
         let (mut messages, effects) = leader.take_effects();
         leader.send_min_instances(now, &mut messages);
-        let ask = leader.pace.ask(now);
+        let request = leader.pace.ask(now);
         let start_or_stop = |effect| match effect {
             Effect::Start { service, worker, nonce } => Some(Call::Start { service, worker, nonce }),
             Effect::Stop { id } => Some(Call::Stop { id }),
             Effect::Known { .. } | Effect::Gone { .. } => None,
         };
         let mut calls: Vec<_> = effects.into_iter().filter_map(start_or_stop).collect();
-        match ask {
+        match request {
             Some(Ask::List) => {
                 self.pages.clear();
                 calls.push(Call::List { token: None });
@@ -343,7 +351,7 @@
         Some(LeaderOutput { view, messages, platform_calls })
     }
 
-    /// The platform's answer to a call that was decided on at `asked`.
+    /// Handles the platform's reply to a call that was decided on at `decided_at`.
     pub fn on_platform_reply(&mut self, now: Nanos, fence: u64, decided_at: Nanos, reply: PlatformReply) {
         let Some(leader) = self.leader.as_mut().filter(|s| s.fence == fence) else { return };
         match reply {
@@ -360,7 +368,7 @@
                         leader.scaler.listed(now, requested_at, entries);
                     }
                     PageResult::TooLong => {
-                        log::error!("the list has no end");
+                        log::error!("the platform's list does not end; discarding it");
                         leader.pace.listed();
                     }
                 }
@@ -369,13 +377,13 @@
             PlatformReply::Workers(None) => leader.pace.refused(now),
             PlatformReply::Started { nonce, answer } => {
                 if let Err(fault) = &answer {
-                    log::info!("start {nonce}: {fault:?}");
+                    log::info!("starting instance with nonce {nonce} failed: {fault:?}");
                 }
                 leader.scaler.started(now, &nonce, answer);
             }
             PlatformReply::Stopped { id, answer } => {
                 if let Err(fault) = &answer {
-                    log::info!("stop of {id}: {fault:?}");
+                    log::info!("stopping instance {id} failed: {fault:?}");
                 }
                 leader.scaler.stopped(now, &id, answer);
             }
@@ -390,9 +398,9 @@
     use super::*;
     use crate::MS;
 
-    const BOUNDS: f64 = 100.0;
+    const RATE: f64 = 100.0;
 
-    /// Leadership under one voter, which grants what is asked at this time.
+    /// Ticks the leadership under a single voter that grants every request immediately.
     fn tick_and_grant(leadership: &mut Leadership, now: Nanos) -> Option<RegisterRead> {
         let members = Members::first("u", ["a".into()]);
         let (out, want) = leadership.tick(now, Some(&members), true);
@@ -425,18 +433,18 @@
             leadership.on_fence_written(now, 1, Ok(Outcome::Written(register_value("a")))),
             LeadershipStep::BecomeLeader(1)
         );
-        leadership.install_leader(Leader::new(now, Terms::new(1, BOUNDS, 100), BOUNDS, None, None));
+        leadership.install_leader(Leader::new(now, Terms::new(1, RATE, 100), RATE, None, None));
         leadership
     }
 
     #[test]
-    fn a_fence_of_a_lease_that_was_lost_on_the_way_is_of_no_use() {
+    fn a_fence_written_under_a_lost_lease_is_ignored() {
         let mut leadership = with_lease(None);
         assert_eq!(
             leadership.on_fence(102 * MS, Ok(Some(register_value("b")))),
             LeadershipStep::WriteFence(5)
         );
-        // Its lease ends; it is given back, asked for again and granted, before the register answers.
+        // The lease ends, is released, and is granted again before the register replies.
         for at in [1_700, 1_701, 2_200] {
             assert_eq!(tick_and_grant(&mut leadership, at * MS), None);
         }
@@ -447,7 +455,7 @@
     }
 
     #[test]
-    fn a_fence_that_was_read_under_a_lease_that_was_lost_is_read_again() {
+    fn a_fence_read_under_a_lost_lease_is_read_again() {
         let mut leadership = with_lease(None);
         for at in [1_700, 1_701, 2_200] {
             assert_eq!(tick_and_grant(&mut leadership, at * MS), None);
@@ -457,23 +465,23 @@
     }
 
     #[yare::parameterized(
-        still_the_last = { Some("a"), Some("a"), false },
-        another_since = { Some("a"), Some("b"), true },
-        never_was = { None, Some("b"), false },
+        still_the_last_leader = { Some("a"), Some("a"), false },
+        another_leader_since = { Some("a"), Some("b"), true },
+        never_led = { None, Some("b"), false },
     )]
-    fn who_asked_as_the_last_leader_and_is_not_stands_back(
+    fn a_wrongly_assumed_last_leader_releases_the_lease(
         last: Option<&str>,
         now: Option<&str>,
-        back: bool,
+        releases: bool,
     ) {
         let mut leadership = with_lease(last);
-        let next = leadership.on_fence(102 * MS, Ok(now.map(register_value)));
-        assert_eq!(matches!(next, LeadershipStep::ReleaseLease(_)), back, "{next:?}");
-        assert_eq!(leadership.may_act(102 * MS), !back);
+        let step = leadership.on_fence(102 * MS, Ok(now.map(register_value)));
+        assert_eq!(matches!(step, LeadershipStep::ReleaseLease(_)), releases, "{step:?}");
+        assert_eq!(leadership.may_act(102 * MS), !releases);
     }
 
     #[test]
-    fn an_office_ends_with_its_lease_also_where_nothing_more_is_asked_for() {
+    fn leadership_ends_with_the_lease_even_if_not_eligible() {
         let mut leadership = with_leader(102 * MS);
         let members = Members::first("u", ["a".into()]);
         assert_eq!(leadership.tick(1_400 * MS, Some(&members), false), (Vec::new(), None));
@@ -483,7 +491,7 @@
     }
 
     #[test]
-    fn a_list_that_was_kept_back_is_asked_for_again() {
+    fn a_list_that_missed_its_deadline_is_requested_again() {
         let mut leadership = with_leader(102 * MS);
         let list = |leadership: &mut Leadership, at: Nanos| {
             let calls = leadership
@@ -493,9 +501,9 @@
         };
         let call = (103..1_000).find_map(|at| list(&mut leadership, at)).expect("a list");
         let (fence, asked, until) = (call.fence, call.decided_at, call.deadline);
-        // Its turn comes too late, while the lease was renewed.
-        let kept_back = call.begin(until).expect_err("too late");
-        leadership.on_platform_reply(until, fence, asked, kept_back);
+        // The call begins only at its deadline, although the lease was renewed meanwhile.
+        let unanswered = call.begin(until).expect_err("too late");
+        leadership.on_platform_reply(until, fence, asked, unanswered);
         assert!((1_600..2_600).any(|at| list(&mut leadership, at).is_some()));
     }
 }
--- a/controller/src/rounds.rs
+++ b/controller/src/rounds.rs
@@ -1,5 +1,6 @@
-//! Rounds of the register, and what each is for. Invariants: what was begun ends once, at its time at the latest; no more than
-//! [`MAX_ROUNDS`] are under way.
+//! Rounds of the register, each with its purpose.
+//!
+//! Invariants: each round ends once, at its timeout at the latest; at most [`MAX_ROUNDS`] are in progress.
 
 use std::collections::BTreeMap;
 
@@ -12,55 +13,55 @@
 use crate::errors::CallError;
 use crate::{MS, Nanos};
 
-/// A round of the register ends by then, so that who asked can move on within a second.
+/// Timeout of a round, so that its caller can continue within a second.
 const ROUND_TIMEOUT: Nanos = 800 * MS;
-/// All rounds of a change of voters.
+/// Timeout of all rounds of a change of voters.
 const CHANGE_TIMEOUT: Nanos = 6_000 * MS;
-/// Rounds at once.
+/// Maximum number of rounds in progress.
 pub const MAX_ROUNDS: usize = 200;
 
-/// What a round is for.
+/// The purpose of a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoundPurpose {
-    /// An operator put this, by the call of this number.
+    /// An operator puts a configuration, by the call of this number.
     PutConfig(u64),
-    /// An operator reads.
+    /// An operator reads the configuration, by the call of this number.
     ReadConfig(u64),
-    /// To know the configuration oneself.
+    /// This controller reads the configuration.
     LearnConfig,
-    /// To know that what is known is what a majority stands behind.
+    /// Confirms that the local state is the one that a majority holds.
     ConfirmContact(ContactRead),
-    /// Who was the last leader.
+    /// Reads the last leader.
     LastLeader,
-    /// To become the leader: the fence that stands.
+    /// Reads the current fence, to become the leader.
     ReadFence,
-    /// To become the leader: this fence is mine.
+    /// Writes this fence, to become the leader.
     WriteFence(u64),
-    /// The voters change.
+    /// Changes the voters.
     ChangeVoters,
-    /// The record of moves is read or written, for the carter's question of this number.
+    /// Reads or writes the record of migrations, for the migrator's request of this number.
     MigrationRecord(u64),
-    /// A move's configuration of this number is put.
+    /// Puts a migration's configuration, for the migrator's request of this number.
     MigrationConfig(u64),
-    /// This machine is about to end: what it holds under this key is to stand without it.
+    /// Makes a majority without this controller store the value of this key, before a shutdown.
     HandOver(Key),
 }
 
-/// A round that is over. One that changed voters is not told of: see [`Rounds::members`].
+/// A finished round. A successful change of voters is not reported: see [`Rounds::members`].
 #[derive(Debug)]
 pub struct FinishedRound {
-    /// What it was for.
+    /// Its purpose.
     pub purpose: RoundPurpose,
-    /// How it ended.
+    /// Its result.
     pub outcome: Result<Outcome, CallError>,
 }
 
-/// What to do.
+/// What the caller must do.
 #[derive(Debug, Default)]
 pub struct RoundOutput {
-    /// Messages to voters, each of the round of this number.
+    /// Messages to voters, each with the number of its round.
     pub send: Vec<(u64, Address, Message)>,
-    /// What is over.
+    /// Finished rounds.
     pub finished: Vec<FinishedRound>,
 }
 
@@ -93,10 +94,11 @@
     wake: Nanos,
 }
 
-/// All rounds of a state, and the newest members it knows.
+/// The rounds of a controller, and the newest members it knows.
 pub struct Rounds {
     ballots: Ballots,
-    /// Chance differs from machine to state, also where all start in one moment.
+    /// Differs between controllers, so that they draw different random numbers even if all start at the same
+    /// time.
     seed: u64,
     members: Option<Members>,
     rounds: BTreeMap<u64, RunningRound>,
@@ -104,46 +106,46 @@
 }
 
 impl Rounds {
-    /// Of a machine that knows of no members yet. `life` differs at each start.
+    /// Creates the rounds of a controller that knows no members yet. `life` must differ at each start.
     pub fn new(me: &str, life: u64, seed: u64) -> Self {
         Rounds { ballots: Ballots::new(me, life), seed, members: None, rounds: BTreeMap::new(), next: 0 }
     }
 
-    /// The newest members it knows of.
+    /// Returns the newest known members.
     pub fn members(&self) -> Option<&Members> {
         self.members.as_ref()
     }
 
-    /// These are chosen.
+    /// Adopts chosen members if they are newer than the known ones.
     pub fn adopt(&mut self, members: &Members) {
-        if self.members.as_ref().is_none_or(|mine| mine.epoch < members.epoch) {
+        if self.members.as_ref().is_none_or(|known| known.epoch < members.epoch) {
             self.members = Some(members.clone());
         }
     }
 
-    /// Whether a round for this is under way.
+    /// Returns whether a round with this purpose is in progress.
     pub fn is_running(&self, purpose: RoundPurpose) -> bool {
         self.rounds.values().any(|r| r.purpose == purpose)
     }
 
-    /// How many are under way.
+    /// Returns the number of rounds in progress.
     pub fn in_progress(&self) -> usize {
         self.rounds.len()
     }
 
-    /// When to call [`Rounds::tick`] next.
+    /// Returns when [`Rounds::tick`] must be called next.
     pub fn next_wake(&self) -> Nanos {
         self.rounds.values().map(|r| r.wake).min().unwrap_or(Nanos::MAX)
     }
 
-    /// Begins a round.
+    /// Starts a round.
     pub fn start(&mut self, now: Nanos, kind: RoundKind, key: Key, purpose: RoundPurpose) -> RoundOutput {
         self.begin(now, purpose, |members, ballots, seed| {
             RoundState::Round(Box::new(Round::new(kind, key, members, ballots, seed, now + ROUND_TIMEOUT)))
         })
     }
 
-    /// Begins a round whose majorities are made up without this voter.
+    /// Starts a round whose majorities are formed without this voter.
     pub fn start_without(
         &mut self,
         now: Nanos,
@@ -158,7 +160,7 @@
         })
     }
 
-    /// Begins a change of the voters, or ends one that somebody began.
+    /// Starts a change of the voters, or without a change finishes one that another controller began.
     pub fn start_change(&mut self, now: Nanos, change: Option<Change>) -> RoundOutput {
         self.begin(now, RoundPurpose::ChangeVoters, |members, ballots, seed| {
             RoundState::Moving(Box::new(Moving::new(
@@ -179,9 +181,9 @@
         purpose: RoundPurpose,
         state: impl FnOnce(Members, &Ballots, u64) -> RoundState,
     ) -> RoundOutput {
-        let refused = |kind| RoundOutput {
+        let refused = |error| RoundOutput {
             send: Vec::new(),
-            finished: vec![FinishedRound { purpose, outcome: Err(kind) }],
+            finished: vec![FinishedRound { purpose, outcome: Err(error) }],
         };
         let Some(members) = self.members.clone() else { return refused(CallError::NoMajority) };
         if self.rounds.len() >= MAX_ROUNDS {
@@ -191,32 +193,32 @@
         let state = state(members, &self.ballots, self.seed ^ self.next.rotate_left(32));
         self.rounds.insert(self.next, RunningRound { state, purpose, wake: now });
         let mut out = RoundOutput::default();
-        self.drive(now, self.next, None, &mut out);
+        self.advance(now, self.next, None, &mut out);
         out
     }
 
-    /// A voter's answer to the round of this number.
+    /// Handles a voter's reply to the round of this number.
     pub fn on_answer(&mut self, now: Nanos, id: u64, from: &str, message: &Message) -> RoundOutput {
         let mut out = RoundOutput::default();
-        self.drive(now, id, Some((from, message)), &mut out);
+        self.advance(now, id, Some((from, message)), &mut out);
         out
     }
 
-    /// Time passes.
+    /// Advances rounds whose timers are due.
     pub fn tick(&mut self, now: Nanos) -> RoundOutput {
         let mut out = RoundOutput::default();
         let due: Vec<_> = self.rounds.iter().filter(|(_, r)| r.wake <= now).map(|(id, _)| *id).collect();
-        due.into_iter().for_each(|id| self.drive(now, id, None, &mut out));
+        due.into_iter().for_each(|id| self.advance(now, id, None, &mut out));
         out
     }
 
-    fn drive(&mut self, now: Nanos, id: u64, answer: Option<(&str, &Message)>, out: &mut RoundOutput) {
+    fn advance(&mut self, now: Nanos, id: u64, answer: Option<(&str, &Message)>, out: &mut RoundOutput) {
         let Some(running) = self.rounds.get_mut(&id) else { return };
         let step = running.state.advance(now, answer);
         running.wake = step.wake.unwrap_or(now + 20 * MS);
         out.send.extend(step.send.into_iter().map(|(to, message)| (id, to, message)));
         let newer = running.state.members();
-        if self.members.as_ref().is_none_or(|mine| mine.epoch < newer.epoch) {
+        if self.members.as_ref().is_none_or(|known| known.epoch < newer.epoch) {
             self.members = Some(newer.clone());
         }
         let moved = match &running.state {
@@ -227,10 +229,10 @@
             self.rounds.remove(&id);
             match moved {
                 Moved::Done(members) => {
-                    log::info!("voters are now {}", members.voters.join(" "));
+                    log::info!("voters are now: {}", members.voters.join(" "));
                     self.adopt(&members);
                 }
-                other => log::warn!("the voters did not change: {other:?}"),
+                other => log::warn!("change of voters failed: {other:?}"),
             }
         } else if let Some(outcome) = step.outcome
             && let Some(running) = self.rounds.remove(&id)
@@ -239,7 +241,7 @@
             let outcome = match outcome {
                 Outcome::Lost(why) => {
                     if matches!(purpose, RoundPurpose::PutConfig(_) | RoundPurpose::ReadConfig(_)) {
-                        log::info!("an operator's call found no majority: {why:?}");
+                        log::info!("an operator's call reached no majority: {why:?}");
                     }
                     Err(CallError::NoMajority)
                 }
--- a/controller/src/voters.rs
+++ b/controller/src/voters.rs
@@ -1,7 +1,8 @@
-//! Who should vote: as many as tolerated_losses call for, and a spare in the place of one that is gone or about to end.
+//! Decides which controllers vote: as many as the tolerated losses require, with a spare in the place of a
+//! voter that is silent or shutting down.
 //!
-//! Invariant: no change is begun unless those voters that are there, with a state, are a majority of the voters before it and, with the
-//! newcomer, of those after it.
+//! Invariant: a change starts only if available voters with a state form a majority of the voters before the
+//! change and, together with the new voter, a majority of those after it.
 
 use std::collections::BTreeMap;
 
@@ -10,45 +11,46 @@
 use crate::gossip::PeerState;
 use crate::{MS, Nanos};
 
-/// Who was heard of within this is there.
+/// A controller that was heard within this time counts as available.
 const FRESH: Nanos = 1_500 * MS;
-/// A voter that nothing was heard of for so long gives way to a spare.
+/// A voter that was silent for this long is replaced by a spare.
 const SILENCE_TIMEOUT: Nanos = 3_000 * MS;
-/// Looked at so often.
+/// Interval between checks of the voters.
 const CHECK_INTERVAL: Nanos = 500 * MS;
-/// ... and so soon again while one waits to end.
+/// Interval between checks while a voter waits to shut down.
 const LEAVING_CHECK_INTERVAL: Nanos = 100 * MS;
 
-/// What is to be done about the voters.
+/// A step in changing the voters.
 #[derive(Debug, PartialEq, Eq)]
 pub enum VoterAction {
-    /// A change that somebody began is to be ended.
+    /// Finish a change that another controller began.
     FinishChange,
-    /// This one is to be made.
+    /// Start this change.
     StartChange(Change),
 }
 
-/// What a control machine goes by when it looks after the voters.
+/// The state on which the decision is based.
 #[derive(Clone, Copy)]
 pub struct VoterView<'a> {
-    /// This machine, which votes.
+    /// This controller, which votes.
     pub me: &'a str,
-    /// Who votes.
+    /// The current members.
     pub members: &'a Members,
-    /// Who was heard of.
+    /// The other known controllers.
     pub peers: &'a BTreeMap<Address, PeerState>,
-    /// Machines that may be lost at once.
+    /// Number of machines that may fail at the same time.
     pub tolerated_losses: u32,
 }
 
 impl VoterView<'_> {
-    /// Whether a voter is there, and has a state.
+    /// Returns whether a voter is available and has a state.
     fn has_state(&self, now: Nanos, voter: &Address) -> bool {
         let fresh = |seen: &PeerState| seen.voting && seen.heard + FRESH > now;
         voter == self.me || self.peers.get(voter).is_some_and(fresh)
     }
 
-    /// Whether enough of the voters hold their state for this change; who comes copies it before it counts.
+    /// Returns whether enough voters have a state for this change. The new voter copies the state before it
+    /// counts.
     fn has_majorities(&self, now: Nanos, change: &Change, new: &Address) -> bool {
         let Ok(after) = change.apply(&self.members.voters) else { return false };
         let holders = |set: &[Address]| set.iter().filter(|voter| self.has_state(now, voter)).count();
@@ -57,26 +59,26 @@
         majority(&self.members.voters, holders(&self.members.voters)) && majority(&after, holders(&peers) + 1)
     }
 
-    /// A voter that is about to end, else one that is silent.
+    /// Returns a voter that is shutting down, or else one that is silent.
     fn voter_to_replace(&self, now: Nanos) -> Option<&Address> {
         let voters = || self.members.voters.iter().filter(|voter| **voter != *self.me);
-        let leaves = |voter: &&Address| self.peers.get(*voter).is_some_and(|seen| seen.leaving);
+        let leaving = |voter: &&Address| self.peers.get(*voter).is_some_and(|seen| seen.leaving);
         let silent = |voter: &&Address| {
             now > 2 * SILENCE_TIMEOUT
                 && self.peers.get(*voter).is_none_or(|seen| seen.heard + SILENCE_TIMEOUT < now)
         };
-        voters().find(leaves).or_else(|| voters().find(silent))
+        voters().find(leaving).or_else(|| voters().find(silent))
     }
 }
 
-/// When they were looked at last.
+/// Schedules checks of the voters.
 #[derive(Debug, Default)]
 pub struct Voters {
     checked_at: Nanos,
 }
 
 impl Voters {
-    /// What to do now, if anything; not to be asked while a change is under way.
+    /// Returns the next step, if there is one. Must not be called while a change is in progress.
     pub fn next_action(&mut self, now: Nanos, view: VoterView<'_>) -> Option<VoterAction> {
         let any_leaving = view.peers.iter().any(|(a, seen)| seen.leaving && view.members.names(a));
         let interval = if any_leaving { LEAVING_CHECK_INTERVAL } else { CHECK_INTERVAL };
@@ -94,25 +96,27 @@
             Change::Replace { out: view.voter_to_replace(now)?.clone(), new: new.clone() }
         };
         if !view.has_majorities(now, &change, &new) {
-            log::debug!("the voters stay as they are: too few of them are there");
+            log::debug!("voters unchanged: too few of them are available");
             return None;
         }
-        log::info!("{new} is to vote: {change:?}");
+        log::info!("changing voters to include {new}: {change:?}");
         Some(VoterAction::StartChange(change))
     }
 }
 
-/// Machines that could vote in the place of another: they are there, are not about to end, and do not vote under these members.
+/// Returns the controllers that could replace a voter: available, not shutting down, and not among these
+/// members.
 pub fn spares<'a>(
     now: Nanos,
     members: &'a Members,
     peers: &'a BTreeMap<Address, PeerState>,
 ) -> impl Iterator<Item = (&'a Address, &'a PeerState)> {
-    let there = move |seen: &PeerState| !seen.leaving && seen.heard + FRESH > now;
-    peers.iter().filter(move |(a, seen)| !members.names(a) && there(seen))
+    let available = move |seen: &PeerState| !seen.leaving && seen.heard + FRESH > now;
+    peers.iter().filter(move |(a, seen)| !members.names(a) && available(seen))
 }
 
-/// Who is to vote next. Who has no state yet comes before who votes elsewhere, or did.
+/// Returns the spare that should vote next. Spares without a state come before those that vote, or voted,
+/// elsewhere.
 fn newcomer(now: Nanos, view: VoterView<'_>) -> Option<Address> {
     let spares = || spares(now, view.members, view.peers);
     let empty = spares().find(|(_, seen)| !seen.voting);
@@ -123,25 +127,26 @@
 mod tests {
     use super::*;
 
-    /// Machines by letter; who was heard when, in ms; with a mark: it leaves.
+    /// Controllers by letter, each with the time in ms when it was last heard and whether it has a state. `!`
+    /// marks one that is shutting down.
     #[yare::parameterized(
-        all_well = { "abc", &[("b", 9_900, true), ("c", 9_900, true), ("d", 9_900, false)], 10_000, None },
-        silent_for_long = { "abc", &[("b", 6_999, true), ("c", 9_900, true), ("d", 9_900, false)], 10_000, Some("b d") },
-        silent_for_less = { "abc", &[("b", 7_000, true), ("c", 9_900, true), ("d", 9_900, false)], 10_000, None },
+        all_available = { "abc", &[("b", 9_900, true), ("c", 9_900, true), ("d", 9_900, false)], 10_000, None },
+        silent_past_the_timeout = { "abc", &[("b", 6_999, true), ("c", 9_900, true), ("d", 9_900, false)], 10_000, Some("b d") },
+        silent_within_the_timeout = { "abc", &[("b", 7_000, true), ("c", 9_900, true), ("d", 9_900, false)], 10_000, None },
         leaves = { "abc", &[("b!", 9_900, true), ("c", 9_900, true), ("d", 9_900, false)], 10_000, Some("b d") },
-        leaves_before_one_that_is_silent = { "abc", &[("b", 6_000, true), ("c!", 9_900, true), ("d", 9_900, false)], 10_000, Some("c d") },
+        leaving_before_silent = { "abc", &[("b", 6_000, true), ("c!", 9_900, true), ("d", 9_900, false)], 10_000, Some("c d") },
         has_left = { "abc", &[("b!", 5_000, true), ("c", 9_900, true), ("d", 9_900, false)], 10_000, Some("b d") },
-        leaves_and_too_few_are_there = { "abc", &[("b!", 6_000, true), ("c", 6_000, true), ("d", 9_900, false)], 10_000, None },
-        the_other_has_no_state = { "abc", &[("b", 6_000, true), ("c", 9_900, false), ("d", 9_900, false)], 10_000, None },
-        spare_leaves = { "abc", &[("b", 6_999, true), ("c", 9_900, true), ("d!", 9_900, false)], 10_000, None },
+        leaves_without_a_majority = { "abc", &[("b!", 6_000, true), ("c", 6_000, true), ("d", 9_900, false)], 10_000, None },
+        other_voter_has_no_state = { "abc", &[("b", 6_000, true), ("c", 9_900, false), ("d", 9_900, false)], 10_000, None },
+        leaving_spare = { "abc", &[("b", 6_999, true), ("c", 9_900, true), ("d!", 9_900, false)], 10_000, None },
         never_heard = { "abc", &[("c", 9_900, true), ("d", 9_900, false)], 10_000, Some("b d") },
         just_started = { "abc", &[("c", 5_900, true), ("d", 5_900, false)], 6_000, None },
         spare_is_stale = { "abc", &[("c", 9_900, true), ("d", 8_500, false)], 10_000, None },
-        the_empty_first = { "abc", &[("c", 9_900, true), ("d", 9_900, true), ("e", 9_900, false)], 10_000, Some("b e") },
+        spare_without_state_first = { "abc", &[("c", 9_900, true), ("d", 9_900, true), ("e", 9_900, false)], 10_000, Some("b e") },
         too_few = { "ab", &[("b", 9_900, true), ("d", 9_900, false)], 10_000, Some("+d") },
-        too_few_and_no_spare = { "ab", &[("b", 9_900, true)], 10_000, None },
+        too_few_without_a_spare = { "ab", &[("b", 9_900, true)], 10_000, None },
     )]
-    fn a_spare_takes_the_place_of_who_is_gone(
+    fn a_spare_replaces_a_silent_or_leaving_voter(
         voters: &str,
         heard: &[(&str, u64, bool)],
         now: u64,
@@ -162,8 +167,9 @@
         });
         assert_eq!(action.as_deref(), expected);
         let joint = members.joint(vec!["a".into()]);
-        let waits = peers.iter().any(|(a, seen): (&Address, &PeerState)| seen.leaving && members.names(a));
-        let interval = if waits { 100 } else { 500 };
+        let any_leaving =
+            peers.iter().any(|(a, seen): (&Address, &PeerState)| seen.leaving && members.names(a));
+        let interval = if any_leaving { 100 } else { 500 };
         assert_eq!(voters_state.next_action((now + interval - 1) * MS, view(&joint)), None);
         assert_eq!(
             voters_state.next_action((now + interval) * MS, view(&joint)),
