--- a/controller/src/contact.rs
+++ b/controller/src/contact.rs
@@ -1,10 +1,13 @@
-//! Contact with a majority of the voters: whether it holds, and what has to be done to regain it.
+//! Contact with a majority of the voters: whether it holds, and which read of the register is needed to
+//! regain it.
 //!
-//! Evidence is an answer to a message of this machine: it shows that the other one hears it and is heard. Each piece counts from the
-//! moment at which the message was sent, so that an answer that was long on its way proves nothing about the present.
+//! The evidence of contact is a reply to a message of this controller, which shows that both directions work.
+//! A reply counts from the time at which the message was sent, so that a delayed reply proves nothing about
+//! the present.
 //!
-//! Invariant: while contact holds, this machine has reached a majority within the timeout, and since it did so for the first time after a
-//! loss it has read the register from a majority. What it knows as chosen is therefore no older than the timeout.
+//! Invariant: while contact holds, this controller has reached a majority within the timeout, and it has read
+//! the register from a majority since it first reached one after a loss. The configuration that it knows as
+//! chosen is therefore no older than the timeout.
 
 use std::collections::BTreeMap;
 
@@ -14,28 +17,28 @@
 
 use crate::{MS, Nanos};
 
-/// A read of the register that did not end well is begun again after this.
+/// Delay before a failed read of the register is repeated.
 const READ_RETRY_DELAY: Nanos = 1_000 * MS;
-/// Peers whose answers are kept: more than can vote.
+/// Maximum number of peers whose replies are kept; larger than the number of voters.
 const MAX_PEERS: usize = 64;
 
-/// What another control machine answered, and when it was asked.
+/// Another controller's reply to a gossip message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GossipReply {
-    /// When the message that it answers was sent, by this machine's clock.
+    /// When the message was sent, by the clock of this controller.
     pub sent: Nanos,
-    /// The epoch of the members that the other machine goes by.
+    /// The epoch of the members that the other controller knows.
     pub epoch: u64,
-    /// Whether it has a state to vote with.
+    /// Whether the other controller has a state to vote with.
     pub voting: bool,
     /// The revision of the configuration that it knows to be chosen.
     pub revision: u64,
-    /// Those members, where they are newer than what this machine said it goes by.
+    /// Its members, if they are newer than those that the message reported.
     pub members: Option<Members>,
 }
 
 impl GossipReply {
-    /// The body of an answer to news of a machine that goes by members of the epoch `known`, if by any.
+    /// Returns the body of the reply to a sender whose members have the epoch `known`, if it has any.
     pub fn encode(members: Option<&Members>, known: Option<u64>, voting: bool, revision: u64) -> String {
         let epoch = members.map_or(0, |members| members.epoch);
         let newer = members.filter(|members| known.is_none_or(|known| known < members.epoch));
@@ -48,7 +51,7 @@
         parts.stringify().unwrap_or_default()
     }
 
-    /// Reads such a body; none where it is something else.
+    /// Parses the body of a reply to a message sent at `sent`; returns `None` if it is invalid.
     pub fn decode(sent: Nanos, body: &[u8]) -> Option<GossipReply> {
         let JsonValue::Object(parts) = millpost_net::messaging::json(body)? else { return None };
         let voting = parts.get("voting") == Some(&JsonValue::Boolean(true));
@@ -58,20 +61,20 @@
     }
 }
 
-/// A read of the register that is to confirm what is known; its number goes with its answer.
+/// Number of a read of the register that confirms the local state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ContactRead(pub u64);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Lost,
-    /// A majority is reached, and this read of the register, begun then, has not ended yet.
+    /// A majority is reached. This read of the register has been in progress since the given time.
     Confirming(ContactRead, Nanos),
-    /// Since then, under the members of this epoch.
+    /// Contact holds since this time, under the members of this epoch.
     Holds(Nanos, u64),
 }
 
-/// The contact of one machine.
+/// The contact of a controller.
 #[derive(Debug)]
 pub struct Contact {
     me: Address,
@@ -84,12 +87,12 @@
 }
 
 impl Contact {
-    /// Of the machine `me`, which loses it after `timeout` without a majority.
+    /// Creates the contact of the controller `me`, which is lost after `timeout` without a majority.
     pub fn new(me: Address, timeout: Nanos) -> Self {
         Contact { me, timeout, started_at: None, replies: BTreeMap::new(), state: State::Lost, reads: 0 }
     }
 
-    /// Another machine has answered.
+    /// Records a reply of another controller.
     pub fn on_reply(&mut self, peer: Address, reply: GossipReply) {
         let known = self.replies.get(&peer);
         if known.is_some_and(|known| known.sent >= reply.sent) {
@@ -103,13 +106,13 @@
         self.replies.insert(peer, reply);
     }
 
-    /// When a voter answered last, by the time at which it was asked.
+    /// Returns when the message was sent that a voter replied to last.
     pub fn last_reply_sent(&self, peer: &str) -> Option<Nanos> {
         self.replies.get(peer).map(|reply| reply.sent)
     }
 
-    /// Looks at where it stands. `voting`: this machine has a state to vote with. A read of the register is to be begun where one is
-    /// returned.
+    /// Updates the state. `voting`: this controller has a state to vote with. If a number is returned, the
+    /// caller must start a read of the register.
     pub fn update(&mut self, now: Nanos, members: Option<&Members>, voting: bool) -> Option<ContactRead> {
         self.started_at.get_or_insert(now);
         let Some(members) = members else {
@@ -124,13 +127,13 @@
         };
         if !members.quorum(reaches) {
             if self.state != State::Lost {
-                log::warn!("no majority of the voters is reached");
+                log::warn!("contact lost: no majority of the voters replies");
             }
             self.state = State::Lost;
             return None;
         }
         match self.state {
-            // Under newer members others may have decided than those that were asked.
+            // Newer members may have decided without the voters that were asked.
             State::Holds(_, epoch) if epoch == members.epoch => None,
             State::Confirming(_, asked) if now < asked + READ_RETRY_DELAY => None,
             _ => {
@@ -141,37 +144,38 @@
         }
     }
 
-    /// A read of the register has ended, and a majority answered it under the members of this epoch.
+    /// Records that a majority of the members of this epoch has answered a read of the register.
     pub fn confirmed(&mut self, now: Nanos, read: ContactRead, epoch: u64) {
         if matches!(self.state, State::Confirming(under_way, _) if under_way == read) {
-            log::info!("a majority of the voters is reached");
+            log::info!("contact with a majority of the voters established");
             self.state = State::Holds(now, epoch);
         }
     }
 
-    /// Whether contact holds: what is known here may be handed out as what stands.
+    /// Returns whether contact holds, so that the local configuration may be served as the chosen one.
     pub fn holds(&self) -> bool {
         matches!(self.state, State::Holds(..))
     }
 
-    /// The newest revision that the others were lately heard to know as chosen.
+    /// Returns the newest chosen revision in recent replies.
     pub fn newest_revision(&self, now: Nanos) -> u64 {
         let fresh = self.replies.values().filter(|reply| reply.sent + self.timeout > now);
         fresh.map(|reply| reply.revision).max().unwrap_or(0)
     }
 
-    /// Whether a majority is reached, though the register may not have been read yet.
+    /// Returns whether a majority is reached, even if the register has not been read yet.
     pub fn has_majority(&self) -> bool {
         self.state != State::Lost
     }
 
-    /// Whether it is known that there is none: a round of the register would only wait. Not in the first moments of a process.
+    /// Returns whether there is no majority, so that a round of the register would only run into its timeout.
+    /// Returns false until the timeout has passed once since the start.
     pub fn is_lost(&self, now: Nanos) -> bool {
         self.state == State::Lost
             && self.started_at.is_some_and(|started_at| now >= started_at + self.timeout)
     }
 
-    /// How it stands, for people.
+    /// Returns the state, for operators.
     pub fn status(&self) -> &'static str {
         match self.state {
             State::Lost => "lost",
@@ -180,12 +184,12 @@
         }
     }
 
-    /// For how long the process has run.
+    /// Returns how long the process has been running.
     pub fn uptime(&self, now: Nanos) -> Nanos {
         self.started_at.map_or(0, |started_at| now.saturating_sub(started_at))
     }
 
-    /// For how long it has held.
+    /// Returns for how long contact has held.
     pub fn held_for(&self, now: Nanos) -> Option<Nanos> {
         let State::Holds(since, _) = self.state else { return None };
         Some(now.saturating_sub(since))
@@ -206,7 +210,7 @@
         GossipReply { sent: sent_ms * MS, epoch, voting, revision: 0, members: None }
     }
 
-    /// One that holds since 10 ms.
+    /// Returns a contact that holds since 10 ms.
     fn contact_that_holds() -> Contact {
         let mut contact = Contact::new("a".into(), TIMEOUT);
         contact.on_reply("b".into(), reply(0, 0, true));
@@ -218,14 +222,14 @@
     }
 
     #[yare::parameterized(
-        nobody = { &[], true, false },
+        no_replies = { &[], true, false },
         one_of_three = { &[("b", 0, true)], true, true },
         without_a_state_here = { &[("b", 0, true)], false, false },
         both_others = { &[("b", 0, true), ("c", 0, true)], false, true },
-        one_that_lost_its_disk = { &[("b", 0, false)], true, false },
-        one_that_votes_no_more = { &[("x", 0, true)], true, false },
+        one_without_a_state = { &[("b", 0, false)], true, false },
+        one_that_is_no_voter = { &[("x", 0, true)], true, false },
     )]
-    fn a_majority_that_answers_and_has_a_state_is_contact(
+    fn contact_needs_replies_of_a_majority_with_a_state(
         peers: &[(&str, u64, bool)],
         voting: bool,
         expected: bool,
@@ -238,32 +242,33 @@
     }
 
     #[test]
-    fn an_answer_counts_from_when_its_message_was_sent() {
+    fn a_reply_counts_from_when_its_message_was_sent() {
         let mut contact = contact_that_holds();
         assert_eq!(contact.update(TIMEOUT - 1, Some(&members(0)), true), None);
         assert!(contact.holds());
-        // Another answer comes now, to a message that was sent before.
+        // A newer reply arrives now, to a message that was sent earlier.
         contact.on_reply("b".into(), reply(0, 0, true));
         assert_eq!(contact.update(TIMEOUT, Some(&members(0)), true), None);
         assert!(!contact.has_majority() && contact.is_lost(TIMEOUT + 5 * MS));
     }
 
     #[test]
-    fn after_a_loss_the_register_is_read_before_it_holds() {
+    fn after_a_loss_contact_holds_only_after_a_read_of_the_register() {
         let mut contact = contact_that_holds();
         contact.update(2 * TIMEOUT, Some(&members(0)), true);
         contact.on_reply("c".into(), reply(3_000, 0, true));
         let first = contact.update(3_001 * MS, Some(&members(0)), true).expect("a read");
         assert!(!contact.holds() && !contact.is_lost(3_001 * MS));
         let second = contact.update(4_001 * MS, Some(&members(0)), true).expect("another");
-        // The first one may have been answered before.
+        // The first read may have been answered before the second one started.
         contact.confirmed(4_002 * MS, first, 0);
         assert!(!contact.holds());
         contact.confirmed(4_003 * MS, second, 0);
         assert_eq!(contact.held_for(4_005 * MS), Some(2 * MS));
     }
 
-    /// A machine that heard of newer members from one whose voters did not know them yet read the register without end.
+    /// A controller that learned newer members from a peer, before its voters knew them, used to read the
+    /// register repeatedly.
     #[test]
     fn under_newer_members_the_register_is_read_again_once() {
         let mut contact = contact_that_holds();
@@ -277,14 +282,14 @@
     }
 
     #[test]
-    fn a_process_that_has_just_started_may_try() {
+    fn contact_is_not_lost_directly_after_the_start() {
         let mut contact = Contact::new("a".into(), TIMEOUT);
         assert_eq!(contact.update(7 * MS, Some(&members(0)), true), None);
         assert!(!contact.is_lost(8 * MS) && contact.is_lost(7 * MS + TIMEOUT));
     }
 
     #[test]
-    fn what_is_kept_of_others_is_bounded() {
+    fn the_number_of_kept_replies_is_bounded() {
         let mut contact = Contact::new("a".into(), TIMEOUT);
         for n in 0..3 * MAX_PEERS as u64 {
             contact.on_reply(format!("p{n}").into(), reply(n, 0, true));
@@ -294,11 +299,11 @@
     }
 
     #[test]
-    fn an_answer_is_read_as_it_is_sent_and_nothing_else_is() {
-        for (known, told) in [(None, true), (Some(6), true), (Some(7), false)] {
+    fn replies_round_trip_and_invalid_bodies_are_rejected() {
+        for (known, has_members) in [(None, true), (Some(6), true), (Some(7), false)] {
             let newer = members(7);
             let body = GossipReply::encode(Some(&newer), known, true, 5);
-            let members = told.then_some(newer);
+            let members = has_members.then_some(newer);
             let expected = GossipReply { sent: 3, epoch: 7, voting: true, revision: 5, members };
             assert_eq!(GossipReply::decode(3, body.as_bytes()), Some(expected), "{known:?}");
         }
--- a/controller/src/feed.rs
+++ b/controller/src/feed.rs
@@ -1,5 +1,6 @@
-//! The feed to porters: numbered lines for held connections, each of which has a connection. Whoever carries the lines says which seats are
-//! left: a porter that reads too slowly loses its connection, comes again, and takes a snapshot.
+//! The feed: numbered lines on long-lived connections to agents. The caller reports connections that closed
+//! or whose queue is full: an agent that reads too slowly loses its connection, reconnects, and receives a
+//! snapshot.
 
 use std::collections::BTreeMap;
 
@@ -12,36 +13,39 @@
 
 use crate::{MS, Nanos};
 
-/// An empty line this often shows that the feed lives.
+/// Interval of empty lines, which show that the feed is alive.
 pub const HEARTBEAT_INTERVAL: Nanos = 300 * MS;
-/// A porter that still acts on an older configuration this long after it was sent gets it again.
+/// An agent that still reports an older configuration this long after a newer one was sent receives the whole
+/// configuration.
 const RESEND_DELAY: Nanos = 1_500 * MS;
-/// A longer change goes out packed, and at first only to who is fed whole configurations: on a slow link twice the same would cost a
-/// second.
+/// Changes above this size, in bytes, are compressed, and first sent only to agents that receive whole
+/// configurations from this controller. Agents follow several controllers, and on a slow link a second copy
+/// would take another second.
 const LARGE_CHANGE: usize = 2 * 1024;
-/// Who was not sent a long change, and does not act on it after so long, gets it all the same.
+/// An agent that was not sent a large change and has not applied it after this time receives it from this
+/// controller as well.
 const LARGE_CHANGE_DELAY: Nanos = 700 * MS;
-/// Porters at once.
+/// Maximum number of connected agents.
 const MAX_FOLLOWERS: usize = 2_000;
 
-/// The number of a connection; never used twice.
+/// Number of a connection, which is never reused.
 pub type ConnectionId = u64;
-/// Lines for seats. One that goes to many is one piece of memory.
+/// Lines by connection. Copies of a line share its memory.
 pub type Lines = Vec<(ConnectionId, Bytes)>;
 
 struct Follower {
     connection: ConnectionId,
-    /// What it acts on.
+    /// The newest configuration that the agent has reported.
     applied_revision: u64,
-    /// What it was sent, and when.
+    /// The revision that was last sent, and when.
     sent: (u64, Nanos),
-    /// It is fed whole configurations; another that it follows does that otherwise.
+    /// Whether this controller sends whole configurations. Otherwise another controller does that.
     whole: bool,
-    /// Since when it is pending_since a long change.
+    /// Since when a large change is withheld.
     pending_since: Option<Nanos>,
 }
 
-/// All followers.
+/// The feed of a controller.
 #[derive(Default)]
 pub struct Feed {
     followers: BTreeMap<CompactString, Follower>,
@@ -49,24 +53,24 @@
     last_connection: ConnectionId,
     line_number: u64,
     config: Option<Config>,
-    /// The whole of it as a note, once somebody needed that.
+    /// The whole configuration as a compressed message, once that was needed.
     packed_config: Option<JsonValue>,
     /// The last change as text.
     change: Option<String>,
-    /// The last change where it is long: the revision before, and the line.
+    /// The last change if it is large: the revision before it, and the line.
     large_change: Option<(u64, Bytes)>,
     configured_at: Option<Nanos>,
     last_logged: u64,
 }
 
-/// What a porter that follows gets first.
+/// The result of opening a feed.
 #[derive(Debug)]
 pub struct Followed {
-    /// Its connection.
+    /// The new connection.
     pub connection: ConnectionId,
     /// The first line.
     pub line: Bytes,
-    /// The connection of a connection before, which is to end.
+    /// The agent's previous connection, which must be closed.
     pub replaced: Option<ConnectionId>,
 }
 
@@ -78,28 +82,28 @@
 }
 
 impl Feed {
-    /// The revision that is fed.
+    /// Returns the revision of the current configuration; 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.config.as_ref().map_or(0, |c| c.revision)
     }
 
-    /// The configuration that is fed.
+    /// Returns the current configuration.
     pub fn config(&self) -> Option<&Config> {
         self.config.as_ref()
     }
 
-    /// How the configuration differs from the one before, as text.
+    /// Returns the change between the previous and the current configuration, as text.
     pub fn change(&self) -> Option<&str> {
         self.change.as_deref()
     }
 
-    /// Who follows.
+    /// Returns the connected agents and the revisions that they have applied.
     pub fn followers(&self) -> impl Iterator<Item = (&CompactString, u64)> {
         self.followers.iter().map(|(name, f)| (name, f.applied_revision))
     }
 
-    /// The whole configuration as a note.
-    fn packed_note(&mut self) -> Option<JsonValue> {
+    /// Returns the whole configuration as a compressed message.
+    fn packed_message(&mut self) -> Option<JsonValue> {
         if self.packed_config.is_none()
             && let Some(config) = &self.config
         {
@@ -109,7 +113,8 @@
         self.packed_config.clone()
     }
 
-    /// A porter follows from now on; `acts` is the configuration that it has. The snapshot goes first. None where there are too many.
+    /// Opens the feed of an agent that has applied `applied_revision`, starting with the snapshot. Returns
+    /// `None` if too many agents are connected.
     pub fn follow(
         &mut self,
         now: Nanos,
@@ -123,7 +128,7 @@
         }
         let mut notes: Vec<JsonValue> = Vec::new();
         if whole && applied_revision < self.revision() {
-            notes.extend(self.packed_note());
+            notes.extend(self.packed_message());
         }
         notes.extend(snapshot.iter().map(PeerMessage::to_json));
         self.line_number += 1;
@@ -142,21 +147,21 @@
         Some(Followed { connection, line, replaced })
     }
 
-    /// A connection is left: its connection has gone, or had no room for a line.
+    /// Removes a connection that has closed or whose queue is full.
     pub fn disconnected(&mut self, connection: ConnectionId) {
         if let Some(name) = self.connections.remove(&connection) {
             self.followers.remove(&name);
         }
     }
 
-    /// Notes for one, if it follows.
+    /// Returns the line with these messages for one agent, if it is connected.
     pub fn send_to(&mut self, name: &str, notes: &[PeerMessage]) -> Option<(ConnectionId, Bytes)> {
         self.line_number += 1;
         let connection = self.followers.get(name)?.connection;
         Some((connection, line(self.line_number, notes.iter().map(PeerMessage::to_json).collect())))
     }
 
-    /// Notes for all.
+    /// Returns the lines with these messages for all agents.
     pub fn broadcast(&mut self, notes: &[PeerMessage]) -> Lines {
         if notes.is_empty() || self.followers.is_empty() {
             return Lines::new();
@@ -166,34 +171,35 @@
         self.followers.values().map(|f| (f.connection, line.clone())).collect()
     }
 
-    /// A newer configuration is chosen: to each as a difference where it may have the one before. One that can't apply it says so
-    /// by what it acts on, or comes anew for the whole.
+    /// Installs a newer configuration and returns the lines for it: the change for agents that have the
+    /// previous configuration, else the whole. An agent that cannot apply the change keeps reporting its old
+    /// revision, or reconnects to get the whole configuration.
     pub fn configure(&mut self, now: Nanos, config: Config, packed: Option<String>) -> Lines {
         let before = self.config.take();
         self.line_number += 1;
         let number = self.line_number;
         let old = before.as_ref().map(|c| c.revision);
-        let (mut long, mut patch) = (false, None);
+        let (mut large, mut patch) = (false, None);
         self.change = None;
         if let Some(before) = &before {
             let (revision, change) = (config.revision, change::between(before, &config));
-            // Keys in their order: the same change is the same text, and packs the shorter.
+            // Sorted keys make equal changes equal texts, and compress better.
             let text = values::write(&change);
             self.change = Some(text.clone());
-            long = text.len() > LARGE_CHANGE;
-            let note = match if long { pack(&text) } else { None } {
+            large = text.len() > LARGE_CHANGE;
+            let note = match if large { pack(&text) } else { None } {
                 Some(packed) => PeerMessage::Folded { revision, packed },
                 None => PeerMessage::Patch { revision, change },
             };
             patch = Some(line(number, vec![note.to_json()]));
         }
-        self.large_change = old.filter(|_| long).zip(patch.clone());
+        self.large_change = old.filter(|_| large).zip(patch.clone());
         let note = packed.map(|packed| PeerMessage::Packed { revision: config.revision, packed }.to_json());
         (self.config, self.packed_config) = (Some(config), note);
         let has_previous =
             |f: &Follower| !f.whole || Some(f.sent.0) == old || Some(f.applied_revision) == old;
         let whole = if patch.is_none() || !self.followers.values().all(has_previous) {
-            self.packed_note()
+            self.packed_message()
         } else {
             None
         };
@@ -201,7 +207,7 @@
         let revision = self.revision();
         let mut lines = Lines::new();
         for f in self.followers.values_mut() {
-            if long && !f.whole {
+            if large && !f.whole {
                 f.pending_since = Some(now);
                 continue;
             }
@@ -217,7 +223,7 @@
         lines
     }
 
-    /// Long changes for those that another machine should have fed, and has not.
+    /// Returns the lines with large changes that other controllers should have sent to agents but have not.
     pub fn overdue_changes(&mut self, now: Nanos) -> Lines {
         let newest = self.revision();
         let mut lines = Lines::new();
@@ -238,7 +244,7 @@
         if !behind.is_empty() {
             self.line_number += 1;
             let number = self.line_number;
-            if let Some(note) = self.packed_note() {
+            if let Some(note) = self.packed_message() {
                 let whole = line(number, vec![note]);
                 lines.extend(behind.into_iter().map(|connection| (connection, whole.clone())));
             }
@@ -246,7 +252,8 @@
         lines
     }
 
-    /// A porter says what its stall acts on.
+    /// Handles an agent's report of the revision that its proxy has applied. Returns the line to send again,
+    /// if that is due.
     pub fn on_applied(&mut self, now: Nanos, name: &str, revision: u64) -> Option<(ConnectionId, Bytes)> {
         let newest = self.revision();
         let follower = self.followers.get_mut(name)?;
@@ -257,20 +264,20 @@
             let connection = follower.connection;
             self.line_number += 1;
             let number = self.line_number;
-            resent = self.packed_note().map(|note| (connection, line(number, vec![note])));
+            resent = self.packed_message().map(|note| (connection, line(number, vec![note])));
         }
         if newest > self.last_logged && self.followers.values().all(|f| f.applied_revision >= newest) {
             self.last_logged = newest;
             let took = self.configured_at.map_or(0, |at| now.saturating_sub(at) / MS);
             log::info!(
-                "configuration {newest} acted on by all {} that follow, after {took} ms",
+                "configuration {newest} applied by all {} followers after {took} ms",
                 self.followers.len()
             );
         }
         resent
     }
 
-    /// Whether it follows.
+    /// Returns whether the agent of this proxy is connected.
     pub fn is_connected(&self, name: &str) -> bool {
         self.followers.contains_key(name)
     }
@@ -286,12 +293,12 @@
         Config::parse(&text).expect("a configuration")
     }
 
-    fn has(line: &(ConnectionId, Bytes), word: &str) -> bool {
-        String::from_utf8_lossy(&line.1).contains(word)
+    fn line_contains(line: &(ConnectionId, Bytes), text: &str) -> bool {
+        String::from_utf8_lossy(&line.1).contains(text)
     }
 
     #[test]
-    fn what_goes_to_many_is_one_piece_of_memory() {
+    fn broadcast_lines_share_their_memory() {
         let mut feed = Feed::default();
         for name in ["a", "b"] {
             assert_eq!(feed.follow(0, name.into(), 0, true, &[]).map(|f| f.replaced), Some(None));
@@ -302,22 +309,23 @@
     }
 
     #[test]
-    fn a_difference_goes_to_who_has_what_was_before_and_the_whole_again_to_who_stays_behind() {
+    fn a_change_is_sent_and_the_whole_configuration_to_agents_that_stay_behind() {
         let mut feed = Feed::default();
         feed.follow(0, "a".into(), 0, true, &[]).expect("room");
-        assert!(has(&feed.configure(0, config(1), None)[0], "\"packed\""));
+        assert!(line_contains(&feed.configure(0, config(1), None)[0], "\"packed\""));
         let lines = feed.configure(MS, config(2), None);
-        assert!(has(&lines[0], "patch"), "{lines:?}");
+        assert!(line_contains(&lines[0], "patch"), "{lines:?}");
         assert_eq!(feed.on_applied(RESEND_DELAY, "a", 1), None);
-        let again = feed.on_applied(MS + RESEND_DELAY, "a", 1).expect("again");
-        assert!(!has(&again, "patch"), "{again:?}");
+        let resent = feed.on_applied(MS + RESEND_DELAY, "a", 1).expect("resent");
+        assert!(!line_contains(&resent, "patch"), "{resent:?}");
         assert_eq!(feed.on_applied(2 + RESEND_DELAY, "a", 1), None);
     }
 
-    /// A change of 1,400 routes went twice down a link of 2 Mbit/s, at 350 KB each: three seconds in which it carried nothing else.
+    /// A change of 1,400 routes (350 KB) was sent twice over a link of 2 Mbit/s, which blocked the link for
+    /// three seconds.
     #[test]
-    fn a_long_change_goes_packed_and_once_unless_it_does_not_come() {
-        let many = |revision: u64| {
+    fn a_large_change_is_compressed_and_sent_by_one_controller_unless_it_is_overdue() {
+        let with_many_services = |revision: u64| {
             let mut new = config(revision);
             let service = new.services[0].clone();
             new.services.extend((0..400).map(|n| millpost_config::Service {
@@ -331,25 +339,28 @@
         for (name, whole) in [("a", true), ("b", false), ("c", false)] {
             feed.follow(0, name.into(), 1, whole, &[]).expect("room");
         }
-        let lines = feed.configure(MS, many(2), None);
+        let lines = feed.configure(MS, with_many_services(2), None);
         assert_eq!(lines.iter().map(|(connection, _)| *connection).collect::<Vec<_>>(), [1]);
-        assert!(has(&lines[0], "folded") && lines[0].1.len() < 12_000, "{}", lines[0].1.len());
+        assert!(line_contains(&lines[0], "folded") && lines[0].1.len() < 12_000, "{}", lines[0].1.len());
         feed.on_applied(300 * MS, "b", 2);
         assert!(feed.overdue_changes(600 * MS).is_empty());
-        let late = feed.overdue_changes(MS + LARGE_CHANGE_DELAY);
-        assert!(late.len() == 1 && late[0].0 == 3 && has(&late[0], "folded"), "{late:?}");
+        let overdue = feed.overdue_changes(MS + LARGE_CHANGE_DELAY);
+        assert!(
+            overdue.len() == 1 && overdue[0].0 == 3 && line_contains(&overdue[0], "folded"),
+            "{overdue:?}"
+        );
         assert!(feed.overdue_changes(2 * LARGE_CHANGE_DELAY).is_empty());
-        // Two in a row: the second alone does not meet what it has.
-        feed.configure(3 * LARGE_CHANGE_DELAY, many(3), None);
-        feed.configure(3 * LARGE_CHANGE_DELAY + MS, many(4), None);
+        // After two changes in a row the second one alone does not apply to the agent's configuration.
+        feed.configure(3 * LARGE_CHANGE_DELAY, with_many_services(3), None);
+        feed.configure(3 * LARGE_CHANGE_DELAY + MS, with_many_services(4), None);
         feed.on_applied(3 * LARGE_CHANGE_DELAY + 2 * MS, "b", 4);
-        let late = feed.overdue_changes(4 * LARGE_CHANGE_DELAY + MS);
-        assert!(late.len() == 1 && has(&late[0], "\"packed\""), "{late:?}");
+        let overdue = feed.overdue_changes(4 * LARGE_CHANGE_DELAY + MS);
+        assert!(overdue.len() == 1 && line_contains(&overdue[0], "\"packed\""), "{overdue:?}");
     }
 
     #[test]
-    fn the_same_long_change_is_the_same_text() {
-        let folded = || {
+    fn equal_large_changes_have_equal_texts() {
+        let large_change = || {
             let mut new = config(2);
             let service = new.services[0].clone();
             let more = (0..40)
@@ -361,14 +372,14 @@
             let json = millpost_net::messaging::json(&feed.configure(MS, new, None)[0].1).expect("JSON");
             let JsonValue::Object(parts) = json else { panic!("an object") };
             let Some(JsonValue::Array(notes)) = parts.get("notes") else { panic!("notes") };
-            PeerMessage::read(&notes[0]).expect("a note")
+            PeerMessage::read(&notes[0]).expect("a message")
         };
-        let PeerMessage::Folded { packed, .. } = folded() else { panic!("packed") };
-        assert_eq!(folded(), PeerMessage::Folded { revision: 2, packed });
+        let PeerMessage::Folded { packed, .. } = large_change() else { panic!("packed") };
+        assert_eq!(large_change(), PeerMessage::Folded { revision: 2, packed });
     }
 
     #[test]
-    fn a_connection_that_ends_does_not_end_the_one_after_it() {
+    fn closing_a_replaced_connection_does_not_close_its_successor() {
         let mut feed = Feed::default();
         let first = feed.follow(0, "a".into(), 0, true, &[]).expect("room").connection;
         let second = feed.follow(0, "a".into(), 0, true, &[]).expect("room");
--- a/controller/src/gossip.rs
+++ b/controller/src/gossip.rs
@@ -1,5 +1,8 @@
-//! GossipMessage between control machines: who was heard, who is the leader, and when a newer configuration is to be fetched. Invariants: no
-//! more than [`MAX_PEERS`] peers are kept; of one revision one copy at a time is on its way here.
+//! Gossip between controllers: which peers are alive, who the leader is, and which newer configuration must
+//! be fetched.
+//!
+//! Invariants: at most [`MAX_PEERS`] peers are kept; of each revision at most one copy at a time is being
+//! fetched.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,84 +17,85 @@
 use crate::errors::CallError;
 use crate::{MS, Nanos};
 
-/// What is known goes round this often,
+/// Interval between messages to all peers.
 const INTERVAL: Nanos = 400 * MS;
-/// ... and no more often than this while no majority is reached and somebody was heard.
+/// Minimum interval while no majority is reached and peers are heard.
 const MIN_INTERVAL: Nanos = 50 * MS;
-/// Other control machines.
+/// Maximum number of known peers.
 pub const MAX_PEERS: usize = 256;
-/// One that was not heard of for so long is told nothing unless it is a seed or a voter; for so long, is forgotten.
+/// A peer that is neither a seed nor a voter receives no messages after it was silent for [`SEND_TIMEOUT`];
+/// any peer is forgotten after [`FORGET_AFTER`].
 const SEND_TIMEOUT: Nanos = 10_000 * MS;
 const FORGET_AFTER: Nanos = 60_000 * MS;
 
-/// Another control machine.
+/// The state of another controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerState {
-    /// When it was heard of last.
+    /// When it was last heard.
     pub heard: Nanos,
     /// Whether it votes.
     pub voting: bool,
-    /// Its process was told to end.
+    /// Whether it is shutting down.
     pub leaving: bool,
 }
 
-/// How this machine stands.
+/// The state of this controller.
 #[derive(Clone, Copy, Debug)]
 pub struct LocalState {
     /// Whether it votes.
     pub voting: bool,
-    /// Its process was told to end.
+    /// Whether it is shutting down.
     pub leaving: bool,
 }
 
-/// What a control machine says of itself.
+/// A gossip message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GossipMessage {
-    /// Who says it.
+    /// The sender.
     pub from: Address,
-    /// The revision that it knows to be chosen; 0: none.
+    /// The revision of the configuration that the sender knows to be chosen; 0 if none.
     pub revision: u64,
     /// The digest of that configuration.
     pub digest: CompactString,
-    /// The leader as last heard of.
+    /// The last known leader.
     pub leader: CompactString,
-    /// Its fence; 0: nobody was heard of.
+    /// The fence of that leader; 0 if no leader is known.
     pub fence: u64,
-    /// Whether it votes.
+    /// Whether the sender votes.
     pub voting: bool,
-    /// Its process was told to end.
+    /// Whether the sender is shutting down.
     pub leaving: bool,
-    /// The epoch of the members that it goes by, if it knows any.
+    /// The epoch of the members that the sender knows, if any.
     pub epoch: Option<u64>,
-    /// How that configuration differs from the one before; with the first word of it only.
+    /// The change from the previous configuration; only in the first message after the change.
     pub change: Option<ConfigChange>,
 }
 
-/// What leads from one configuration to the next.
+/// The change from one configuration to the next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigChange {
-    /// The digest of the one before.
+    /// The digest of the previous configuration.
     pub base: CompactString,
-    /// The difference, packed.
+    /// The compressed change.
     pub packed: String,
 }
 
 impl GossipMessage {
-    /// Reads them, and checks that they come from an address.
+    /// Parses a message and checks that the sender is an address.
     pub fn read(value: &JsonValue) -> Result<GossipMessage, CallError> {
         let JsonValue::Object(parts) = value else { return Err(CallError::Invalid("no JSON".to_owned())) };
         let invalid = |e: millpost_protocol::Fault| CallError::Invalid(e.to_string());
         let field = |key| string(parts, key).map_err(invalid);
-        let count = |key| whole(parts, key).map_err(invalid);
+        let number = |key| whole(parts, key).map_err(invalid);
         let message = GossipMessage {
             from: field("from")?,
             digest: field("mark")?,
             leader: field("steward")?,
-            revision: count("rev")?,
-            fence: count("fence")?,
+            revision: number("rev")?,
+            fence: number("fence")?,
             voting: parts.get("voting") == Some(&JsonValue::Boolean(true)),
             leaving: parts.get("leaving") == Some(&JsonValue::Boolean(true)),
-            epoch: parts.contains_key("epoch").then(|| count("epoch")).transpose()?,
+            epoch: parts.contains_key("epoch").then(|| number("epoch")).transpose()?,
             change: match (parts.get("change"), parts.get("base")) {
                 (Some(JsonValue::String(packed)), Some(JsonValue::String(base))) => {
                     Some(ConfigChange { base: base.as_str().into(), packed: packed.clone() })
@@ -105,7 +109,7 @@
         }
     }
 
-    /// As they are sent.
+    /// Encodes the message.
     pub fn to_json(&self) -> JsonValue {
         object([
             ("from", text(&self.from)),
@@ -122,57 +126,57 @@
     }
 }
 
-/// A configuration that is chosen, as it stands in the register.
+/// The chosen configuration, as stored in the register.
 struct Chosen {
     revision: u64,
     text: Arc<str>,
     digest: CompactString,
 }
 
-/// A newer configuration that is on its way here.
+/// A newer configuration that is being fetched.
 struct Fetching {
     number: u64,
     from: Address,
     revision: u64,
     digest: CompactString,
     change: Option<ConfigChange>,
-    /// The own disk has answered.
+    /// Whether the local disk has answered.
     local_checked: bool,
-    /// From then on another may bring it.
+    /// After this time it may be fetched from another peer.
     until: Nanos,
 }
 
-/// The next step towards a newer configuration; its answer carries the same number.
+/// The next step of fetching a newer configuration. The result must be passed back with the same number.
 #[derive(Debug, PartialEq, Eq)]
 pub enum FetchStep {
-    /// Look at the own disk.
+    /// Read it from the local disk.
     ReadLocal(u64),
-    /// It stands there: here it is, and how it differs from one before, if that was told.
+    /// The local disk holds it. The change from an earlier configuration is given if it was received.
     Found(Value, Option<ConfigChange>),
-    /// Get it from this machine.
+    /// Fetch it from this peer.
     Fetch(u64, Address),
 }
 
-/// What is known of other control machines.
+/// The state of gossip on a controller.
 pub struct Gossip {
     me: Address,
     peers: BTreeMap<Address, PeerState>,
     leader: (u64, CompactString),
     chosen: Option<Chosen>,
-    /// How it differs from the one before, until that was told.
+    /// The change from the previous configuration, until it is sent.
     change: Option<ConfigChange>,
     fetching: Option<Fetching>,
     count: u64,
     next_send: Nanos,
 }
 
-/// The name of a content, for saying which one is meant without sending it.
+/// Returns the digest that identifies a content.
 pub fn digest(text: &str) -> CompactString {
     format!("{:016x}", xxh3_64(text.as_bytes())).into()
 }
 
 impl Gossip {
-    /// Of the machine `me`, which knows nothing yet.
+    /// Creates the gossip of the controller `me`, which knows nothing yet.
     pub fn new(me: Address) -> Self {
         let leader = (0, CompactString::default());
         Gossip {
@@ -187,32 +191,32 @@
         }
     }
 
-    /// Who was heard of.
+    /// Returns the known peers.
     pub fn peers(&self) -> &BTreeMap<Address, PeerState> {
         &self.peers
     }
 
-    /// The leader as last heard of, with its fence.
+    /// Returns the last known leader and its fence.
     pub fn leader(&self) -> &(u64, CompactString) {
         &self.leader
     }
 
-    /// The configuration that is chosen, as it stands in the register.
+    /// Returns the chosen configuration as stored in the register.
     pub fn chosen(&self) -> Option<&Arc<str>> {
         self.chosen.as_ref().map(|c| &c.text)
     }
 
-    /// Its revision; 0: none is known.
+    /// Returns the revision of the chosen configuration; 0 if none is known.
     pub fn revision(&self) -> u64 {
         self.chosen.as_ref().map_or(0, |c| c.revision)
     }
 
-    /// The digest of the one that is chosen.
+    /// Returns the digest of the chosen configuration.
     pub fn digest(&self) -> Option<&CompactString> {
         self.chosen.as_ref().map(|c| &c.digest)
     }
 
-    /// A newer one is chosen; `change`: how it differs from the one before, packed.
+    /// Records a newer chosen configuration. `change` is the compressed change from the previous one.
     pub fn set_chosen(&mut self, revision: u64, text: Arc<str>, change: Option<String>) {
         let digest = digest(&text);
         let before = self.chosen.as_ref().map(|c| c.digest.clone());
@@ -223,7 +227,7 @@
         }
     }
 
-    /// Whether it is news that this machine is the leader.
+    /// Records the leader of a fence. Returns whether the fence is newer than the known one.
     pub fn update_leader(&mut self, fence: u64, leader: &str) -> bool {
         let newer = fence > self.leader.0;
         if newer {
@@ -232,18 +236,18 @@
         newer
     }
 
-    /// When what is known is to go round again.
+    /// Returns when the next messages are due.
     pub fn next_send(&self) -> Nanos {
         self.next_send
     }
 
-    /// Somebody may be reached who was not before: what is known goes round soon.
+    /// Advances the next messages, because a peer may have become reachable.
     pub fn hasten(&mut self, now: Nanos) {
         let last = self.next_send.saturating_sub(INTERVAL);
         self.next_send = self.next_send.min((last + MIN_INTERVAL).max(now));
     }
 
-    /// What is known here, and who is to be told.
+    /// Returns the next message and its recipients.
     pub fn prepare(
         &mut self,
         now: Nanos,
@@ -272,7 +276,7 @@
         (to, message)
     }
 
-    /// GossipMessage from another. The own disk is looked at first, unless it has hung since the last time.
+    /// Handles a message. The local disk is read first, unless it has not answered since the last time.
     pub fn on_message(&mut self, now: Nanos, message: GossipMessage) -> Result<Option<FetchStep>, CallError> {
         self.peers.retain(|_, seen| seen.heard + FORGET_AFTER > now);
         if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&message.from) {
@@ -305,7 +309,7 @@
         Ok(Some(next))
     }
 
-    /// What stands on the own disk, chosen or not.
+    /// Handles the configuration on the local disk, chosen or not.
     pub fn on_local_config(&mut self, number: u64, value: Option<Value>) -> Option<FetchStep> {
         let fetching = self.fetching.as_mut().filter(|f| f.number == number)?;
         fetching.local_checked = true;
@@ -317,7 +321,8 @@
         }
     }
 
-    /// The other machine has answered, or has not: whoever tells of it next is asked.
+    /// Handles the end of a fetch, successful or not. The next peer that reports the revision is asked again
+    /// if needed.
     pub fn on_fetched(&mut self, number: u64) {
         if self.fetching.as_ref().is_some_and(|f| f.number == number) {
             self.fetching = None;
@@ -345,21 +350,21 @@
     }
 
     #[test]
-    fn a_newer_configuration_that_many_tell_of_is_fetched_once() {
+    fn a_newer_configuration_that_many_report_is_fetched_once() {
         let mut gossip = Gossip::new("10.1.0.0:1".into());
         assert_eq!(gossip.on_message(0, message(1, 7, "m")), Ok(Some(FetchStep::ReadLocal(1))));
         assert_eq!(gossip.on_local_config(1, None), Some(FetchStep::Fetch(1, message(1, 0, "").from)));
         assert_eq!(gossip.on_message(MS, message(2, 7, "m")), Ok(None));
         assert_eq!(gossip.on_message(2 * MS, message(3, 6, "m")), Ok(None));
-        // A still newer one does not wait for it.
+        // An even newer configuration does not wait for it.
         assert_eq!(gossip.on_message(3 * MS, message(3, 8, "m")), Ok(Some(FetchStep::ReadLocal(2))));
         assert_eq!(gossip.on_local_config(1, None), None);
         gossip.on_fetched(1);
         assert_eq!(gossip.on_message(4 * MS, message(2, 8, "m")), Ok(None));
-        // Nor is one waited for that brings nothing, or answers nothing.
+        // A fetch that failed or was not answered does not block the next one.
         gossip.on_fetched(2);
         assert_eq!(gossip.on_message(5 * MS, message(2, 8, "m")), Ok(Some(FetchStep::ReadLocal(3))));
-        // Where even the own disk says nothing, that is not waited for again.
+        // If the local disk did not answer either, it is not read again.
         let again = FetchStep::Fetch(4, message(1, 0, "").from);
         assert_eq!(gossip.on_message(5 * MS + INTERVAL, message(1, 8, "m")), Ok(Some(again)));
         assert_eq!(gossip.on_message(5 * MS + INTERVAL, message(2, 8, "m")), Ok(None));
@@ -368,7 +373,7 @@
     }
 
     #[test]
-    fn the_own_disk_brings_it_only_where_the_content_is_the_same() {
+    fn the_local_configuration_is_used_only_if_its_content_matches() {
         let mut gossip = Gossip::new("10.1.0.0:1".into());
         let value = |version, content: &str| Value { version, content: content.into() };
         assert_eq!(gossip.on_message(0, message(1, 7, &digest("{1}"))), Ok(Some(FetchStep::ReadLocal(1))));
@@ -385,7 +390,7 @@
     }
 
     #[test]
-    fn others_are_bounded_and_those_known_go_on_being_heard() {
+    fn peers_are_bounded_and_known_ones_are_still_accepted() {
         let mut gossip = Gossip::new("10.1.0.0:1".into());
         for n in 0..2 * MAX_PEERS {
             assert_eq!(gossip.on_message(0, message(n, 0, "")).is_ok(), n < MAX_PEERS);
@@ -396,7 +401,7 @@
     }
 
     #[test]
-    fn news_are_read_as_they_are_sent() {
+    fn messages_round_trip() {
         let sent = message(1, 7, "m");
         assert_eq!(GossipMessage::read(&sent.to_json()), Ok(sent.clone()));
         let change = ConfigChange { base: "l".into(), packed: "eJ".to_owned() };
--- a/controller/src/leader.rs
+++ b/controller/src/leader.rs
@@ -1,4 +1,5 @@
-//! The leader's duties, without I/O: which stalls are alive, and the scaler. It exists only while the lease is held.
+//! The duties of the leader, without I/O: tracking which proxies are alive, assigning functions to them, and
+//! running the scaler. A [`Leader`] exists only while the lease is held.
 
 mod min_instances;
 mod view;
@@ -17,50 +18,58 @@
 use min_instances::MinInstances;
 
 const MS: Nanos = 1_000_000;
-/// The first naming of stalls waits until nobody new was heard for so long, and no longer than this in all.
+/// The first membership view waits until no new proxy was heard for [`FIRST_VIEW_QUIET`], but at most
+/// [`FIRST_VIEW_MAX_WAIT`] in all.
 const FIRST_VIEW_QUIET: Nanos = 120 * MS;
 const FIRST_VIEW_MAX_WAIT: Nanos = 600 * MS;
-/// ... nor than this where control has just started and no proxy goes by a naming: then nobody owns anything, and nothing is served.
+/// Shorter limit of that wait if all controllers have just started and no proxy reports a view: no proxy owns
+/// functions then, and no requests are served.
 const FIRST_VIEW_RESTART_WAIT: Nanos = 200 * MS;
-/// Between two namings: what changes together is named together, since each goes to all.
+/// Minimum time between two views. A view goes to all proxies, so changes within this time are combined.
 const VIEW_INTERVAL: Nanos = 250 * MS;
-/// A leader that has just taken office names whom it hears of at once, since they have nobody else.
+/// A new leader publishes every change immediately for this long, because proxies have no other source of
+/// views.
 const NEW_LEADER_PERIOD: Nanos = 800 * MS;
-/// Where there are more stalls than this, those that come within a short span are named together also then, and who is alive is checked_at
-/// at no more often than needed.
+/// With more proxies than this, changes within a short time are combined even in that period, and liveness is
+/// checked less often.
 const LARGE_FLEET: usize = 128;
 const LARGE_FLEET_VIEW_INTERVAL: Nanos = 100 * MS;
 const LARGE_FLEET_CHECK_INTERVAL: Nanos = 10 * MS;
-/// A proxy that is told of a naming and still goes by an older one after so long is told all of it.
+/// A proxy that received a view and still reports an older one after this time is sent the whole view.
 const VIEW_RESEND_DELAY: Nanos = 1_500 * MS;
-/// ... but one at a time: where many are behind, it may be for what is sent already.
+/// Minimum time between two such views: where many proxies are behind, the missing change may still be in
+/// transit.
 const VIEW_RESEND_SPACING: Nanos = 50 * MS;
-/// A proxy that nothing was heard of for so long is gone.
+/// A proxy that was silent for this long counts as failed.
 const PROXY_TIMEOUT: Nanos = 1_500 * MS;
-/// ... and after so long one that others say does not answer them.
+/// Shorter limit for a proxy that others report as unreachable.
 const UNREACHABLE_TIMEOUT: Nanos = 650 * MS;
-/// So many others have to say so, within this time.
+/// This many other proxies must report it within [`UNREACHABLE_REPORT_TTL`].
 const UNREACHABLE_WITNESSES: usize = 2;
 const UNREACHABLE_REPORT_TTL: Nanos = 1_000 * MS;
-/// One whose porter is gone has this long to come back.
+/// Time that a disconnected agent has to reconnect before its proxy is excluded.
 const AGENT_TIMEOUT: Nanos = 250 * MS;
-/// A function that takes this part of its owner's strength gets an owner in each zone,
+/// A function with at least this share of its owner's capacity gets an owner in each zone.
 const SPLIT_THRESHOLD: f64 = 0.25;
-/// ... until for so long all of them together spend less than this part of one proxy's.
+/// A split function is merged after all of its owners together used less than this share of one proxy's
+/// capacity for [`MERGE_DELAY`].
 const MERGE_THRESHOLD: f64 = 0.08;
 const MERGE_DELAY: Nanos = 10_000 * MS;
-/// Zones whose workers have no room for so long are too few: one owner starts wherever there is room.
+/// A function is also merged if a zone had no room for its instances for this long, since a single owner may
+/// start them in any zone.
 const STARVATION_TIMEOUT: Nanos = 1_500 * MS;
-/// After that it is not split again for so long,
+/// Time that a function merged for lack of room stays merged.
 const RESPLIT_DELAY: Nanos = 30_000 * MS;
-/// ... but it may_own split, or is split again after this, where it takes this part of a proxy's strength: one owner alone would sink.
+/// A function with at least this share of a proxy's capacity stays split, or is split again after
+/// [`HEAVY_RESPLIT_DELAY`], because it would overload a single owner.
 const HEAVY_LOAD: f64 = 0.5;
 const HEAVY_RESPLIT_DELAY: Nanos = 2_000 * MS;
-/// A proxy that was named no more since others called it deaf, and was heard of again, is slow: for so long that does not count.
+/// A proxy that is heard again after it was excluded as unreachable is only slow, so reports about it are
+/// ignored for this long.
 const UNREACHABLE_HOLD_OFF: Nanos = 30_000 * MS;
-/// Functions and zones of instances that owners told of.
+/// Maximum number of inherited pairs of function and zone.
 const MAX_INHERITED: usize = 100_000;
-/// Functions that are split at once.
+/// Maximum number of functions that are split at the same time.
 const MAX_SPLIT: usize = 500;
 
 struct ProxyStatus {
@@ -68,71 +77,73 @@
     last_heard: Nanos,
     serving: bool,
     agent_lost_at: Option<Nanos>,
-    /// Whom it does not answer, and when they said so.
+    /// Proxies that report this one as unreachable, with the time of their last report.
     unreachable_from: BTreeMap<CompactString, Nanos>,
-    /// It is not named, since others call it deaf.
+    /// Not in the view, because other proxies report it as unreachable.
     excluded: bool,
-    /// What others say counts from then on.
+    /// Reports of other proxies are ignored until then.
     ignore_reports_until: Nanos,
-    /// The naming that it goes by, and the digest of that.
+    /// The version and digest of the view that it last reported.
     known_view: Option<(Version, u64)>,
-    /// Since when it goes by one that is long past, or since it was told all of the newest for that.
+    /// Since when it reports an outdated view, or when it was last sent the whole view because of that.
     outdated_since: Option<Nanos>,
 }
 
-/// The duties.
+/// The leader's state.
 pub struct Leader {
-    /// Its fence.
+    /// The fence under which it leads.
     pub fence: u64,
-    /// The scaler.
+    /// The autoscaler.
     pub scaler: Scaler,
-    /// When the platform is asked.
+    /// Schedules the reads of the platform's lists.
     pub pace: Pace,
     started_at: Nanos,
-    /// When a proxy was heard for the first time.
+    /// When a proxy was last heard for the first time.
     last_new_proxy: Nanos,
     view_count: u64,
     proxies: BTreeMap<CompactString, ProxyStatus>,
     view_sent_at: Nanos,
-    /// Who is named; under version 0 while nobody was.
+    /// The owners of functions by the current view; its version is 0 before the first view.
     ranking: OwnerRanking,
-    /// A naming that all have had the time to hear of; and since when the one that is that next has stood.
+    /// A view that all proxies have had the time to receive; then the view that follows it as `settled`, and
+    /// since when it is the candidate.
     settled: Version,
     settling: (Nanos, Version),
-    /// Stalls that are to be told all of it, and when one was last.
+    /// Proxies to which the whole view must be sent, and when that was last done.
     outdated: BTreeSet<CompactString>,
     resent_at: Nanos,
-    /// Instances that owners told of, and that those who are next for them hear of with the next naming.
+    /// Functions and zones of instances reported by owners; the next view passes these instances to the
+    /// second in the ranking.
     inherited: BTreeSet<(CompactString, CompactString)>,
     checked_at: Nanos,
     split: BTreeSet<CompactString>,
-    /// The naming that those come from, while nothing was named here.
+    /// The view that `split` was taken from, before the first own view.
     split_version: Version,
     loads: BTreeMap<CompactString, FunctionLoad>,
-    /// The average time of a start, by service.
+    /// Average boot time in milliseconds, by service.
     boots: BTreeMap<CompactString, u32>,
     specs: Vec<ServiceSpec>,
-    /// The process of this control machine has started so lately that all of control may have.
+    /// This process has started so recently that all controllers may have restarted.
     pub control_restarted: bool,
-    /// Stalls that operators have taken out: they are not named.
+    /// Proxies drained by operators; they are not in the view.
     pub drained: BTreeSet<CompactString>,
     min_instances: MinInstances,
 }
 
-/// What a function takes of its owners' strength.
+/// The share of its owners' capacity that a function uses.
 #[derive(Default)]
 struct FunctionLoad {
-    /// By zone, where each has an owner.
+    /// By zone, if each zone has an owner.
     by_zone: BTreeMap<CompactString, f64>,
-    /// It has been low_since since then.
+    /// Since when the load is below [`MERGE_THRESHOLD`].
     low_since: Option<Nanos>,
-    /// It may_own with one owner until then.
+    /// The function is not split before this time.
     merged_until: Nanos,
 }
 
-/// Instances that are new or changed, and those that are gone.
+/// New or changed instances, and removed ones.
 type Changed = (Vec<Instance>, Vec<CompactString>);
-/// Notes for each of those that are to hear something.
+/// Messages for individual proxies, by their names.
 pub type ProxyMessages = BTreeMap<CompactString, Vec<PeerMessage>>;
 
 fn specs(config: &Config) -> Vec<ServiceSpec> {
@@ -165,26 +176,26 @@
     }
 }
 
-/// Tells the log of a naming.
+/// Logs a new view.
 fn log_view(roster: &MembershipView, note: &PeerMessage) {
     let names = |of: &mut dyn Iterator<Item = &CompactString>| {
         of.map(CompactString::as_str).collect::<Vec<_>>().join(" ")
     };
-    let many = roster.peers().len() > LARGE_FLEET;
+    let large = roster.peers().len() > LARGE_FLEET;
     match note {
-        PeerMessage::ViewChange(shift) if many => {
-            let came = names(&mut shift.came.iter().map(|p| &p.name));
+        PeerMessage::ViewChange(shift) if large => {
+            let added = names(&mut shift.came.iter().map(|p| &p.name));
             log::info!(
-                "stalls: {} are alive; new: {came}; gone: {}",
+                "proxies: {} alive; added: {added}; removed: {}",
                 roster.peers().len(),
                 names(&mut shift.left.iter())
             );
         }
-        _ if many => log::info!("stalls: {} are alive", roster.peers().len()),
-        _ => log::info!("stalls: {}", names(&mut roster.peers().iter().map(|p| &p.name))),
+        _ if large => log::info!("proxies: {} alive", roster.peers().len()),
+        _ => log::info!("proxies: {}", names(&mut roster.peers().iter().map(|p| &p.name))),
     }
     if !roster.leaving().is_empty() {
-        log::info!("leaving: {}", names(&mut roster.leaving().iter().map(|p| &p.name)));
+        log::info!("leaving proxies: {}", names(&mut roster.leaving().iter().map(|p| &p.name)));
     }
     let split = match note {
         PeerMessage::ViewChange(shift) => !shift.split.is_empty() || !shift.joined.is_empty(),
@@ -196,7 +207,7 @@
 }
 
 impl Leader {
-    /// Takes office under a fence. What its scaler is given goes to `sink` too.
+    /// Creates the leader of this fence. The scaler's inputs are also recorded to `sink`.
     pub fn new(
         now: Nanos,
         terms: Terms,
@@ -238,7 +249,7 @@
         }
     }
 
-    /// The configuration in force. Most changes leave the services as they are.
+    /// Applies a new configuration. Most changes leave the services as they are.
     pub fn configure(&mut self, now: Nanos, config: &Config) {
         let specs = specs(config);
         if self.specs == specs {
@@ -248,12 +259,12 @@
         self.scaler.configure(now, specs.iter().cloned());
         self.specs = specs;
         let boots = &self.boots;
-        // What is gone from it is there until its instances are.
+        // A removed service stays known as long as it has instances.
         let shown: BTreeSet<_> = self.scaler.shown().map(|i| i.service.as_str()).collect();
         self.ranking.retain(|service| boots.contains_key(service) || shown.contains(service));
     }
 
-    /// Somebody was named.
+    /// Returns whether a view was published.
     fn has_view(&self) -> bool {
         self.ranking.owners().version() > (0, 0)
     }
@@ -263,7 +274,7 @@
         (self.fence, self.view_count)
     }
 
-    /// A word of a proxy, or of its porter.
+    /// Handles a message of a proxy or its agent.
     pub fn on_message(&mut self, now: Nanos, note: &PeerMessage) {
         match note {
             PeerMessage::Alive { peer, serving, split, digest } if self.proxies.len() < 5_000 => {
@@ -321,7 +332,8 @@
         }
     }
 
-    /// A proxy goes by this naming: since when it goes by one that is long past.
+    /// Records that a proxy reports this version of the view, and returns since when the proxy reports
+    /// outdated versions.
     fn check_view_version(&mut self, now: Nanos, name: &CompactString, version: Version) -> Option<Nanos> {
         if now >= self.settling.0 + VIEW_RESEND_DELAY {
             self.settled = self.settling.1;
@@ -339,21 +351,21 @@
         Some(now)
     }
 
-    /// An owner says what a function takes of its strength.
+    /// Handles an owner's report of the load of a function, and splits the function if that is too high.
     fn update_load(&mut self, now: Nanos, service: &CompactString, lot: Option<&CompactString>, strain: f64) {
-        // One who does not know yet who owns what.
+        // An owner with another view of the split reports for a different set of requests.
         if !self.has_view() || self.split.contains(service) != lot.is_some() {
             return;
         }
         let Some(lot) = lot else {
-            let may = |s: &FunctionLoad| {
+            let may_split = |s: &FunctionLoad| {
                 s.merged_until <= now
                     || strain >= HEAVY_LOAD && s.merged_until <= now + RESPLIT_DELAY - HEAVY_RESPLIT_DELAY
             };
             if strain >= SPLIT_THRESHOLD
                 && self.boots.contains_key(service)
                 && self.split.len() < MAX_SPLIT
-                && self.loads.get(service).is_none_or(may)
+                && self.loads.get(service).is_none_or(may_split)
             {
                 self.loads.insert(service.clone(), FunctionLoad::default());
                 self.split.insert(service.clone());
@@ -371,7 +383,7 @@
         }
     }
 
-    /// Functions that go back to one owner: they are low_since used, gone, or zones have no room for what they want.
+    /// Merges split functions that have little load, were removed, or whose zones lack room.
     fn merge_functions(&mut self, now: Nanos) {
         let starved: BTreeSet<_> = self.scaler.starved(now, STARVATION_TIMEOUT).cloned().collect();
         let (loads, boots) = (&mut self.loads, &self.boots);
@@ -381,14 +393,14 @@
             if starving {
                 known.merged_until = now + RESPLIT_DELAY;
             }
-            let low_since = known.low_since.is_some_and(|since| since + MERGE_DELAY <= now);
-            !starving && !low_since && boots.contains_key(service)
+            let idle = known.low_since.is_some_and(|since| since + MERGE_DELAY <= now);
+            !starving && !idle && boots.contains_key(service)
         });
         let split = &self.split;
         loads.retain(|service, s| split.contains(service) || s.merged_until > now);
     }
 
-    /// An instance that an owner tells of; none where it can't be one.
+    /// Converts an instance reported by an owner; returns `None` if it is invalid.
     fn parse_instance(&self, now: Nanos, of: &Instance) -> Option<Known> {
         Some(Known {
             id: of.id.clone(),
@@ -406,18 +418,18 @@
         })
     }
 
-    /// Which stalls' porters are connected, and whoever is to be named by that: as [`Leader::update_view`].
+    /// Checks which proxies have a connected agent, and updates the view as [`Leader::update_view`] does.
     pub fn check_proxies(
         &mut self,
         now: Nanos,
-        has: impl Fn(&str) -> bool,
+        is_connected: impl Fn(&str) -> bool,
     ) -> Option<(PeerMessage, ProxyMessages)> {
         if self.proxies.len() > LARGE_FLEET && now < self.checked_at + LARGE_FLEET_CHECK_INTERVAL {
             return None;
         }
         self.checked_at = now;
         for (name, proxy) in &mut self.proxies {
-            if has(name) {
+            if is_connected(name) {
                 proxy.agent_lost_at = None;
             } else {
                 proxy.agent_lost_at.get_or_insert(now);
@@ -426,16 +438,17 @@
         self.update_view(now)
     }
 
-    /// When the first naming is due, unless somebody new is heard before. One that goes without stalls which still own functions makes
-    /// them give up what they hold; where none can own any, waiting only leaves requests unserved.
+    /// Returns when the first view is due, unless another new proxy is heard. A view that lacks proxies which
+    /// still own functions makes them give up what they hold; where no proxy can own any, waiting only
+    /// leaves requests unserved.
     fn first_view_due(&self) -> Nanos {
         let nobody_owns = self.control_restarted && self.split_version == (0, 0);
-        let heard_all = if nobody_owns { FIRST_VIEW_RESTART_WAIT } else { FIRST_VIEW_MAX_WAIT };
-        (self.last_new_proxy + FIRST_VIEW_QUIET).min(self.started_at + heard_all)
+        let max_wait = if nobody_owns { FIRST_VIEW_RESTART_WAIT } else { FIRST_VIEW_MAX_WAIT };
+        (self.last_new_proxy + FIRST_VIEW_QUIET).min(self.started_at + max_wait)
     }
 
-    /// The stalls and the functions that are split, where they have changed, for all; and for each whose functions have changed with
-    /// that the instances of those that are now its own.
+    /// Publishes a new view if the proxies or the split functions have changed. Returns the view for all
+    /// proxies, and the instances of the functions that individual proxies newly own or back up.
     pub fn update_view(&mut self, now: Nanos) -> Option<(PeerMessage, ProxyMessages)> {
         self.proxies.retain(|_, s| s.last_heard + 10 * PROXY_TIMEOUT > now);
         let gap = match now < self.started_at + NEW_LEADER_PERIOD {
@@ -448,16 +461,17 @@
             return None;
         }
         for proxy in self.proxies.values_mut() {
-            let deaf =
+            let unreachable =
                 proxy.unreachable_from.values().filter(|at| **at + UNREACHABLE_REPORT_TTL > now).count()
                     >= UNREACHABLE_WITNESSES;
-            proxy.excluded |=
-                deaf && now >= proxy.ignore_reports_until && proxy.last_heard + UNREACHABLE_TIMEOUT <= now;
+            proxy.excluded |= unreachable
+                && now >= proxy.ignore_reports_until
+                && proxy.last_heard + UNREACHABLE_TIMEOUT <= now;
         }
         let drained = self.drained.clone();
         let is_alive = |s: &&ProxyStatus| {
-            let agent_lost_at = s.agent_lost_at.is_some_and(|since| since + AGENT_TIMEOUT <= now);
-            !s.excluded && s.last_heard + PROXY_TIMEOUT > now && !agent_lost_at
+            let agent_lost = s.agent_lost_at.is_some_and(|since| since + AGENT_TIMEOUT <= now);
+            !s.excluded && s.last_heard + PROXY_TIMEOUT > now && !agent_lost
         };
         let may_own = |s: &&ProxyStatus| s.serving && !drained.contains(&s.peer.name);
         let eligible = |s: &&ProxyStatus| is_alive(s) && may_own(s);
@@ -467,7 +481,7 @@
         let before = self.ranking.owners().roster();
         let members = || self.proxies.values().filter(eligible).map(|s| &s.peer);
         let leaving = || self.proxies.values().filter(|s| is_alive(s) && !may_own(s)).map(|s| &s.peer);
-        // With one zone there is nothing to split by.
+        // With a single zone there is nothing to split.
         let one = members().next()?;
         let split = if members().any(|p| p.zone != one.zone) { self.split.clone() } else { BTreeSet::new() };
         let same = *before.split() == split && members().eq(before.peers());
@@ -476,7 +490,8 @@
         }
         let peers = members().cloned().collect();
         let leaving = leaving().cloned().collect();
-        // What the leader before has named may stand as it is; else all of it goes to those who know nothing yet, or something else.
+        // If the proxies report a view of the previous leader with the same content, only its version
+        // changes; otherwise the whole view is sent.
         let known = self.proxies.values().filter(eligible).filter_map(|s| s.known_view).max();
         self.scaler.split(now, &split);
         self.view_sent_at = now;
@@ -491,32 +506,35 @@
             None => roster.note(),
         };
         log_view(&roster, &note);
-        // Of others whoever stands for them was told.
+        // Instances of other functions were sent to the proxies in their ranking before.
         let inherited = std::mem::take(&mut self.inherited);
         inherited.iter().for_each(|(service, zone)| self.ranking.keep(service, zone));
-        let (mut stand, turned) = self.ranking.turn(Owners::from(roster));
+        let (mut recipients, unknown) = self.ranking.turn(Owners::from(roster));
         for (service, zone) in &inherited {
-            stand.extend(self.ranking.two(service, zone).cloned());
+            recipients.extend(self.ranking.two(service, zone).cloned());
         }
-        Some((note, self.instance_messages(if first { None } else { Some((stand, turned)) })))
+        Some((note, self.instance_messages(if first { None } else { Some((recipients, unknown)) })))
     }
 
-    /// The instances of each proxy that stands for other functions than before, all of them. `turned`: functions of which it is not known
-    /// who stood for them. Without that, of each proxy.
+    /// Returns all instances of each proxy in `recipients`, whose ranking for functions has changed, and of the
+    /// first two in the ranking of the functions in `unknown`, for which the previous ranking is unknown.
+    /// Without `changes` returns those of every proxy.
     fn instance_messages(
         &mut self,
-        turn: Option<(BTreeSet<CompactString>, BTreeSet<CompactString>)>,
+        changes: Option<(BTreeSet<CompactString>, BTreeSet<CompactString>)>,
     ) -> ProxyMessages {
         let mut all: BTreeMap<CompactString, Vec<Instance>> = BTreeMap::new();
-        let named = self.ranking.owners();
-        match turn {
-            None => all.extend(named.peers().iter().map(|p| (p.name.clone(), Vec::new()))),
-            Some((mut stand, turned)) => {
-                for instance in self.scaler.shown().filter(|i| turned.contains(&i.service)) {
-                    stand.extend(self.ranking.two(&instance.service, &instance.zone).cloned());
+        let owners = self.ranking.owners();
+        match changes {
+            None => all.extend(owners.peers().iter().map(|p| (p.name.clone(), Vec::new()))),
+            Some((mut recipients, unknown)) => {
+                for instance in self.scaler.shown().filter(|i| unknown.contains(&i.service)) {
+                    recipients.extend(self.ranking.two(&instance.service, &instance.zone).cloned());
                 }
-                let named = self.ranking.owners();
-                all.extend(stand.into_iter().filter(|n| named.find(n).is_some()).map(|n| (n, Vec::new())));
+                let owners = self.ranking.owners();
+                all.extend(
+                    recipients.into_iter().filter(|n| owners.find(n).is_some()).map(|n| (n, Vec::new())),
+                );
             }
         }
         if !all.is_empty() {
@@ -533,26 +551,27 @@
         all.into_iter().map(|(name, set)| (name, note(set))).collect()
     }
 
-    /// The naming in force: fence and count.
+    /// Returns the version of the current view: the fence and a count.
     pub fn view_version(&self) -> Version {
         self.ranking.owners().version()
     }
 
-    /// All of the naming, where there is one.
+    /// Returns a message with the whole view, if there is one.
     fn view_message(&self) -> Option<PeerMessage> {
         self.has_view().then(|| self.ranking.owners().roster().note())
     }
 
-    /// The proxy that owns a function, or its lot in a zone.
+    /// Returns the proxy that owns a function, or the owner in a zone if the function is split.
     pub fn owner(&self, function: &str, zone: &str) -> Option<&str> {
         self.ranking.owners().owner(function, zone, |_| true).map(|peer| peer.name.as_str())
     }
 
-    /// What the porter of this proxy gets first: the stalls, and the instances of the functions that the proxy owns or owns next.
+    /// Returns the first messages for a proxy's agent: the view, and the instances of the functions for which
+    /// the proxy is first or second in the ranking.
     pub fn snapshot(&mut self, name: &str) -> Vec<PeerMessage> {
         let mut notes: Vec<_> = self.view_message().into_iter().collect();
         let mut set = Vec::new();
-        // Who is not named stands for nothing.
+        // A proxy that is not in the view is in no ranking.
         if self.ranking.owners().find(name).is_some() {
             for instance in self.scaler.shown() {
                 if self.ranking.two(&instance.service, &instance.zone).any(|n| n == name) {
@@ -569,7 +588,7 @@
         notes
     }
 
-    /// What the scaler decided: notes for the feed, and calls to the platform.
+    /// Returns the effects of the scaler: messages for proxies, and calls to the platform.
     pub fn take_effects(&mut self) -> (ProxyMessages, Vec<Effect>) {
         let mut changes: BTreeMap<CompactString, Changed> = BTreeMap::new();
         let mut calls = Vec::new();
--- a/controller/src/leader/min_instances.rs
+++ b/controller/src/leader/min_instances.rs
@@ -1,6 +1,7 @@
-//! MinInstances under functions while a tenant moves: sent_at to those who stand for each, with what its owners tell of it.
+//! Minimum numbers of instances of functions during a migration. They are sent to the first two proxies in
+//! each function's ranking, which report the function's status in return.
 //!
-//! Invariant: while nothing is to be warm nothing is kept, and nothing is sent_at.
+//! Invariant: without minimums nothing is kept and nothing is sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,15 +11,15 @@
 
 use super::{Leader, MS, Nanos, ProxyMessages};
 
-/// A minimum is sent_at again this often: an owner may have started anew,
+/// A minimum is sent again after this time, since an owner may have restarted.
 const RESEND_INTERVAL: Nanos = 1_000 * MS;
-/// ... and holds for so long without: the next leader has taken it up by then.
+/// A minimum is valid for this long, in which the next leader takes it over.
 const VALIDITY: Nanos = 10_000 * MS;
-/// What nobody wants warm for so long has no minimum any more.
+/// A minimum that no migration requests for this long is removed.
 const EXPIRY: Nanos = 6_000 * MS;
-/// How a function status counts for so long.
+/// A reported status is valid for this long.
 const STATUS_TTL: Nanos = 3_000 * MS;
-/// Functions with a minimum, and zones whose owners tell of one.
+/// Maximum number of functions with a minimum, and of zones per function whose owners report a status.
 const MAX_FUNCTIONS: usize = 2_000;
 const MAX_LOTS: usize = 64;
 
@@ -26,18 +27,18 @@
 struct MinInstance {
     count: u32,
     requested_at: Nanos,
-    /// Stalls that were recipients.
+    /// Proxies to which the minimum was sent.
     recipients: BTreeSet<CompactString>,
-    /// How it status, by lot, and when that was heard.
+    /// The status by zone, and when it was reported. The zone is empty if the function is not split.
     status: BTreeMap<CompactString, (FunctionStatus, Nanos)>,
 }
 
-/// How a function status, over its lots.
+/// The health of a function over all of its owners.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FunctionHealth {
-    /// The averaged delay above its lowest, in nanoseconds: of several lots the mean.
+    /// Smoothed delay above its lowest value, in nanoseconds; the mean over the owners.
     pub delay: f64,
-    /// The part that is refused.
+    /// Share of refused requests.
     pub refused: f64,
 }
 
@@ -46,12 +47,12 @@
 pub(super) struct MinInstances {
     all: BTreeMap<CompactString, MinInstance>,
     sent_at: Nanos,
-    /// By this naming.
+    /// The version of the view in which they were last sent.
     view: Version,
 }
 
 impl MinInstances {
-    /// An owner tells how a function status.
+    /// Records an owner's report of the status of a function.
     pub fn record_status(
         &mut self,
         now: Nanos,
@@ -66,7 +67,8 @@
         }
     }
 
-    /// What is sent_at of one minimum: to the owner of each lot, and to the next for it, that lot's part.
+    /// Appends the messages about one minimum: each zone's share of it goes to the first two proxies in the
+    /// zone's ranking.
     fn push_messages(
         service: &CompactString,
         minimum: &mut MinInstance,
@@ -77,17 +79,17 @@
         let zones: Vec<CompactString> =
             ranking.owners().lot_zones(service, "").into_iter().map(Into::into).collect();
         let lots = zones.len().max(1) as u32;
-        let mut stand: BTreeMap<CompactString, u32> = BTreeMap::new();
+        let mut ranked: BTreeMap<CompactString, u32> = BTreeMap::new();
         for (n, zone) in zones.iter().enumerate() {
             let part = minimum.count / lots + u32::from((n as u32) < minimum.count % lots);
-            // One at least: a lot without any would not be recipients of either.
+            // At least one per zone: the owners of a zone without a minimum would not report a status.
             let part = if minimum.count > 0 { part.max(1) } else { 0 };
-            stand.extend(ranking.two(service, zone).map(|name| (name.clone(), part)));
+            ranked.extend(ranking.two(service, zone).map(|name| (name.clone(), part)));
         }
-        // Who stands for it no more needs no minimum.
-        let gone = minimum.recipients.iter().filter(|name| !stand.contains_key(*name)).cloned();
-        let all: Vec<_> = gone.map(|name| (name, 0)).chain(stand.clone()).collect();
-        minimum.recipients = stand.into_keys().collect();
+        // Proxies that left the ranking receive a minimum of 0.
+        let removed = minimum.recipients.iter().filter(|name| !ranked.contains_key(*name)).cloned();
+        let all: Vec<_> = removed.map(|name| (name, 0)).chain(ranked.clone()).collect();
+        minimum.recipients = ranked.into_keys().collect();
         let left = (VALIDITY / MS) as f64;
         for (name, count) in all {
             let note = PeerMessage::Floor { service: service.clone(), count, fence, left };
@@ -97,11 +99,11 @@
 }
 
 impl Leader {
-    /// A function is to have at least so many instances, until nothing is sent_at of it any more.
+    /// Sets the minimum number of instances of a function. It expires unless it is set again.
     pub fn set_min_instances(&mut self, now: Nanos, service: &str, count: u32) {
         let minimums = &mut self.min_instances;
         if let Some(minimum) = minimums.all.get_mut(service) {
-            // Several moves may want it at once.
+            // Several migrations may set it at the same time.
             let count = if minimum.requested_at == now { minimum.count.max(count) } else { count };
             if count != minimum.count {
                 minimums.sent_at = 0;
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Nothing is to be warm any more.
+    /// Removes all minimums.
     pub fn clear_min_instances(&mut self) {
         if !self.min_instances.all.is_empty() {
             self.min_instances.sent_at = 0;
@@ -122,7 +124,7 @@
         }
     }
 
-    /// What is sent_at of floors now.
+    /// Appends the messages that are due.
     pub fn send_min_instances(&mut self, now: Nanos, into: &mut ProxyMessages) {
         let (minimums, ranking) = (&mut self.min_instances, &mut self.ranking);
         let view = ranking.owners().version();
@@ -141,22 +143,23 @@
         minimums.all.retain(|_, minimum| minimum.count > 0);
     }
 
-    /// How a function with a minimum status, as its owners have recipients lately; none where one has not. Without a minimum nobody is asked.
+    /// Returns the health of a function from the recent reports of its owners: `Some(None)` if a report is
+    /// missing, and `None` for a function without a minimum, which owners do not report.
     pub fn function_health(&self, now: Nanos, service: &str) -> Option<Option<FunctionHealth>> {
         let minimum = self.min_instances.all.get(service)?;
-        let fresh = |lot: &str| {
+        let recent = |lot: &str| {
             minimum.status.get(lot).filter(|(_, at)| now < at + STATUS_TTL).map(|(status, _)| *status)
         };
         let owners = self.ranking.owners();
         let lots = if owners.lots(service) > 1 { owners.lot_zones(service, "") } else { vec![""] };
-        let Some(all) = lots.iter().map(|lot| fresh(lot)).collect::<Option<Vec<_>>>() else {
+        let Some(all) = lots.iter().map(|lot| recent(lot)).collect::<Option<Vec<_>>>() else {
             return Some(None);
         };
         let above = all.iter().map(|status| (status.delay - status.lowest).max(0.0)).sum::<f64>();
         let sum =
             |of: fn(&FunctionStatus) -> u32| all.iter().map(|status| f64::from(of(status))).sum::<f64>();
         let delay = above / all.len() as f64 * MS as f64;
-        // An ask may have been refused a while after it came.
+        // A request may be refused in a later reporting period than the one in which it arrived.
         let refused = sum(|status| status.refused) / sum(|status| status.asked.max(status.refused)).max(1.0);
         Some(Some(FunctionHealth { delay, refused }))
     }
--- a/controller/src/leader/view.rs
+++ b/controller/src/leader/view.rs
@@ -1,27 +1,26 @@
-//! How stalls stand with the leader, for people: a view that changes nothing.
+//! Read-only view of the proxies, for operators.
 
 use millpost_protocol::{object, text};
 use tinyjson::JsonValue;
 
 use super::{AGENT_TIMEOUT, Leader, MS, Nanos, PROXY_TIMEOUT};
 
-/// How a proxy stands.
+/// The state of a proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProxyState<'a> {
-    /// The machine's name.
+    /// The name of its machine.
     pub name: &'a str,
-    /// Where it stands.
+    /// Its zone.
     pub zone: &'a str,
-    /// It owns functions.
+    /// Whether it is in the membership view and so may own functions.
     pub in_view: bool,
-    /// When it was heard last, in milliseconds.
+    /// Time since it was last heard, in milliseconds.
     pub heard_ms_ago: u64,
-    /// Why it should not be named; none where it should.
+    /// Why it should not be in the view; `None` if it should.
     pub exclusion: Option<&'static str>,
 }
 
 impl ProxyState<'_> {
-    /// As JSON.
     pub fn to_json(&self) -> JsonValue {
         object([
             ("name", text(self.name)),
@@ -34,7 +33,7 @@
 }
 
 impl Leader {
-    /// How the stalls stand that were heard of lately, in the order of their names.
+    /// Returns the states of the recently heard proxies, by name.
     pub fn proxy_states(&self, now: Nanos) -> impl Iterator<Item = ProxyState<'_>> {
         self.proxies.iter().map(move |(name, proxy)| {
             let exclusion = match proxy {
@@ -55,12 +54,12 @@
         })
     }
 
-    /// How long it is the leader, in milliseconds.
+    /// Returns how long this controller has been the leader, in milliseconds.
     pub fn age_ms(&self, now: Nanos) -> u64 {
         now.saturating_sub(self.started_at) / MS
     }
 
-    /// The memory of one instance of a function.
+    /// Returns the memory of one instance of a function, in MB.
     pub fn memory_mb(&self, function: &str) -> Option<u32> {
         self.specs.iter().find(|spec| spec.name == function).map(|spec| spec.memory_mb)
     }
