--- a/controller/src/calls.rs
+++ b/controller/src/calls.rs
@@ -1,48 +1,48 @@
-//! Which call is meant: a tree of matchers, by segments of the path and then by method.
+//! Routing of calls, by the segments of the path and then by method.
 
 use hyper::Method;
 
 use crate::errors::CallError;
 
-/// The longest body of a call, and so the longest configuration, in bytes.
+/// Maximum size of the body of a call, and so of a configuration, in bytes.
 pub const MAX_BODY: usize = 4 << 20;
 
-/// The calls that control takes.
+/// The endpoints of a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Endpoint {
     /// An operator puts a configuration.
     PutConfig,
     /// An operator reads the configuration.
     ReadConfig,
-    /// An operator asks how things stand.
+    /// An operator reads the status of the controller.
     Status,
-    /// An operator asks the leader how functions stand.
+    /// An operator reads the state of functions from the leader.
     Functions,
-    /// An operator asks how the leader's duty stands.
+    /// An operator reads the state of the leader's duties.
     Duty,
-    /// An operator asks what is taken out for a while.
+    /// An operator lists the drains.
     Drains,
-    /// An operator takes something out, or lets it back.
+    /// An operator starts or undoes a drain.
     DrainOrder,
-    /// An operator asks how moves stand.
+    /// An operator reads the state of migrations.
     Migrations,
-    /// An operator's order about a move.
+    /// An operator's order about a migration.
     MigrationOrder,
-    /// A porter wants to be fed.
+    /// An agent opens its feed.
     Follow,
-    /// Notes of a porter.
+    /// Messages of an agent.
     Messages,
-    /// A message for the voter here.
+    /// A message for the local voter.
     Vote,
-    /// Endpoint another control machine knows.
+    /// Gossip of another controller.
     Gossip,
-    /// A configuration that is chosen, for another control machine.
+    /// Another controller fetches the chosen configuration.
     ChosenConfig,
-    /// Monitoring asks for figures.
+    /// Reads the metrics.
     Metrics,
 }
 
-/// One segment of a path.
+/// A segment of a path.
 struct Node {
     segment: &'static str,
     methods: &'static [(&'static str, Endpoint)],
@@ -74,7 +74,7 @@
     },
 ];
 
-/// The call that a method and a path name.
+/// Returns the endpoint of a method and a path.
 pub fn route(method: &Method, path: &str) -> Result<Endpoint, CallError> {
     let (mut level, mut found) = (ROUTES, None);
     for segment in path.strip_prefix('/').unwrap_or(path).split('/') {
@@ -98,13 +98,13 @@
         wrong_method = { "GET", "/Config.Replace", Err(CallError::Method) },
         read = { "GET", "/Config.Read", Ok(Endpoint::ReadConfig) },
         children = { "POST", "/core/vote", Ok(Endpoint::Vote) },
-        figures = { "GET", millpost_net::metrics::PATH, Ok(Endpoint::Metrics) },
-        between = { "GET", "/core", Ok(Endpoint::Status) },
+        metrics = { "GET", millpost_net::metrics::PATH, Ok(Endpoint::Metrics) },
+        inner_node = { "GET", "/core", Ok(Endpoint::Status) },
         too_deep = { "GET", "/core/vote/x", Err(CallError::Unknown) },
-        trailing = { "GET", "/Config.Read/", Err(CallError::Unknown) },
-        nothing = { "GET", "/", Err(CallError::Unknown) },
+        trailing_slash = { "GET", "/Config.Read/", Err(CallError::Unknown) },
+        root = { "GET", "/", Err(CallError::Unknown) },
     )]
-    fn calls_are_found_by_path_and_method(method: &str, path: &str, expected: Result<Endpoint, CallError>) {
+    fn calls_are_routed_by_path_and_method(method: &str, path: &str, expected: Result<Endpoint, CallError>) {
         assert_eq!(route(&method.parse().expect("a method"), path), expected);
     }
 }
--- a/controller/src/core.rs
+++ b/controller/src/core.rs
@@ -660,7 +660,7 @@
             return;
         };
         let send = |messages: ProxyMessages, feed: &mut Feed| -> Vec<_> {
-            messages.iter().filter_map(|(name, notes)| feed.send_to(name, notes)).collect()
+            messages.iter().filter_map(|(name, messages)| feed.send_to(name, messages)).collect()
         };
         if let Some((view, instances)) = view {
             // The view is one line for all proxies; the instances of each proxy follow it.
--- a/controller/src/core/api.rs
+++ b/controller/src/core/api.rs
@@ -201,15 +201,15 @@
     fn on_messages(&mut self, now: Nanos, call: &Call) -> Result<Reply, CallError> {
         let batch = read_batch(call)?;
         let (mut needs_leader, mut asks_revision) = (false, false);
-        for note in &batch.notes {
-            match (note, self.leadership.leader_mut()) {
+        for message in &batch.notes {
+            match (message, self.leadership.leader_mut()) {
                 (PeerMessage::Acts { revision, .. }, _) => {
                     let resent = self.feed.on_applied(now, &batch.from, *revision);
                     self.send_lines(resent);
                 }
                 (PeerMessage::AskRevision, _) => asks_revision = true,
                 (PeerMessage::Rest { name, left }, _) => self.on_rest(now, name, *left),
-                (note, Some(leader)) => leader.on_message(now, note),
+                (message, Some(leader)) => leader.on_message(now, message),
                 (PeerMessage::Alive { .. }, None) => {}
                 (_, None) => needs_leader = true,
             }
@@ -227,11 +227,11 @@
 
     /// Returns the chosen revision, for a proxy that has started.
     fn revision_reply(&self) -> Reply {
-        let note = PeerMessage::Stands { revision: self.gossip.revision() };
+        let message = PeerMessage::Stands { revision: self.gossip.revision() };
         let body = object([
             ("from", text(&self.me)),
             ("life", JsonValue::Number(0.0)),
-            ("notes", JsonValue::Array(vec![note.to_json()])),
+            ("notes", JsonValue::Array(vec![message.to_json()])),
         ]);
         Reply::json(StatusCode::OK, body.stringify().unwrap_or_default())
     }
@@ -253,8 +253,8 @@
         let members = self.rounds.members();
         let voters = members.map_or(JsonValue::Null, |m| strings(&m.voters));
         let next = members.and_then(|m| m.next.as_deref()).map_or(JsonValue::Null, strings);
-        let ago = |heard: Nanos| number(now.saturating_sub(heard) / MS);
-        let others = self.gossip.peers().iter().map(|(a, s)| (a.to_string(), ago(s.heard))).collect();
+        let ago = |at: Nanos| number(now.saturating_sub(at) / MS);
+        let others = self.gossip.peers().iter().map(|(a, s)| (a.to_string(), ago(s.last_heard))).collect();
         let leader = self.leadership.leader();
         let (fence, address) = self.gossip.leader();
         let body = object([
--- a/controller/src/core/drains.rs
+++ b/controller/src/core/drains.rs
@@ -53,8 +53,8 @@
             return self.drain_state.draining_since.clear();
         };
         leader.drained = self.drain_state.drains.excluded_proxies(now);
-        for (name, note) in self.drain_state.drains.due_messages(now) {
-            let line = self.feed.send_to(&name, &[note]);
+        for (name, message) in self.drain_state.drains.due_messages(now) {
+            let line = self.feed.send_to(&name, &[message]);
             self.send_lines(line);
         }
         self.empty_workers(now);
@@ -101,12 +101,12 @@
     /// Handles an operator's order.
     pub(super) fn order_drain(&mut self, now: Nanos, call: &Call) -> Result<Reply, CallError> {
         let json = call.json().ok_or_else(|| CallError::Invalid("no JSON".to_owned()))?;
-        let order = Order::read(&json)?;
+        let order = Order::parse(&json)?;
         self.tick_drains(now);
         let leader = self.leadership.leader().ok_or(CallError::NotLeader)?;
         let up =
-            leader.proxy_states(now).filter(|stall| !matches!(stall.exclusion, Some("silent" | "leaves")));
-        let proxies = up.map(|stall| (stall.name, stall.zone)).collect();
+            leader.proxy_states(now).filter(|proxy| !matches!(proxy.exclusion, Some("silent" | "leaves")));
+        let proxies = up.map(|proxy| (proxy.name, proxy.zone)).collect();
         let workers = self.platform_stats.workers().iter().filter(|worker| !worker.draining);
         let workers = workers.map(|worker| (worker.name.as_str(), worker.zone.as_str())).collect();
         let description = order.describe();
@@ -120,16 +120,16 @@
     /// Returns the drains for operators.
     pub(super) fn drains_reply(&self, now: Nanos) -> Result<Reply, CallError> {
         let leader = self.leadership.leader().ok_or(CallError::NotLeader)?;
-        let mut on: BTreeMap<&str, usize> = BTreeMap::new();
+        let mut instances: BTreeMap<&str, usize> = BTreeMap::new();
         for instance in leader.scaler.shown() {
-            *on.entry(&instance.worker).or_default() += 1;
+            *instances.entry(&instance.worker).or_default() += 1;
         }
-        let named = |name: &str| leader.proxy_states(now).any(|stall| stall.name == name && stall.in_view);
+        let named = |name: &str| leader.proxy_states(now).any(|proxy| proxy.name == name && proxy.in_view);
         let body = object([
             ("fence", JsonValue::Number(leader.fence as f64)),
             (
                 "drains",
-                self.drain_state.drains.to_json(now, named, |name| on.get(name).copied().unwrap_or(0)),
+                self.drain_state.drains.to_json(now, named, |name| instances.get(name).copied().unwrap_or(0)),
             ),
         ]);
         Ok(Reply::json(StatusCode::OK, body.stringify().unwrap_or_default()))
@@ -138,15 +138,15 @@
     /// Handles the report of a proxy that it takes no new clients.
     pub(super) fn on_rest(&mut self, now: Nanos, name: &str, left: f64) {
         let Some(leader) = self.leadership.leader() else { return };
-        let zone = leader.proxy_states(now).find(|stall| stall.name == name).map(|stall| stall.zone);
+        let zone = leader.proxy_states(now).find(|proxy| proxy.name == name).map(|proxy| proxy.zone);
         self.drain_state.drains.on_report(now, name, zone, left);
     }
 
     /// Merges the drains from another controller's gossip.
-    pub(super) fn merge_drains(&mut self, now: Nanos, news: &JsonValue) {
-        let JsonValue::Object(parts) = news else { return };
-        if let Some(news) = parts.get("drains") {
-            self.drain_state.drains.merge(now, news);
+    pub(super) fn merge_drains(&mut self, now: Nanos, gossip: &JsonValue) {
+        let JsonValue::Object(parts) = gossip else { return };
+        if let Some(drains) = parts.get("drains") {
+            self.drain_state.drains.merge(now, drains);
         }
     }
 }
--- a/controller/src/core/follow.rs
+++ b/controller/src/core/follow.rs
@@ -74,12 +74,12 @@
         FollowRequest { call, batch, whole, .. }: FollowRequest,
     ) -> Result<(), CallError> {
         let mut applied_revision = 0;
-        for note in &batch.notes {
-            if let PeerMessage::Acts { revision, .. } = note {
+        for message in &batch.notes {
+            if let PeerMessage::Acts { revision, .. } = message {
                 applied_revision = *revision;
             }
             if let Some(leader) = self.leadership.leader_mut() {
-                leader.on_message(now, note);
+                leader.on_message(now, message);
             }
         }
         let (fence, address) = self.known_leader();
--- a/controller/src/disk.rs
+++ b/controller/src/disk.rs
@@ -1,10 +1,10 @@
-//! The records on disk.
+//! The voter's records on disk.
 
 pub use millpost_quorum_store::{Disk, read};
 
-/// Reads a folder that was just closed: threads of the store may keep its lock for a moment.
+/// Reads a folder that was just closed, whose lock the threads of the store may hold for a moment longer.
 #[cfg(test)]
-pub(crate) fn read_again(folder: &std::path::Path) -> Vec<(String, String)> {
+pub(crate) fn read_after_close(folder: &std::path::Path) -> Vec<(String, String)> {
     loop {
         match read(folder) {
             Ok((_, records)) => return records,
--- a/controller/src/drains.rs
+++ b/controller/src/drains.rs
@@ -1,6 +1,9 @@
-//! Target operators have taken out for a while: stalls, and workers. Every control machine knows it, so that the next leader does; a
-//! drain ends by itself, and one that was undone is keep_until until it would have ended, so that no late word brings it back. Invariants: an
-//! order changes all or nothing; at least half of a zone's stalls, and of its workers, stay; no more than [`MAX_DRAINS`] are keep_until.
+//! Temporary drains of proxies and workers, ordered by operators. Every controller knows them, so that the
+//! next leader does. A drain ends by itself; an undone drain is kept until it would have ended, so that
+//! delayed messages do not restore it.
+//!
+//! Invariants: an order is applied as a whole or not at all; at least half of a zone's proxies and of its
+//! workers stay in service; at most [`MAX_DRAINS`] drains are kept.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,24 +14,26 @@
 use crate::errors::CallError;
 use crate::{MS, Nanos};
 
-/// Drains at once, those that were undone counted in.
+/// Maximum number of drains, including undone ones.
 const MAX_DRAINS: usize = 64;
-/// The longest drain.
+/// Longest duration of a drain.
 const MAX_DURATION: Nanos = 24 * 3_600_000 * MS;
-/// A stall goes on owning functions for so long: the platform asks every second whether it is ready, and needs two misses.
+/// A drained proxy keeps its functions for this long: the platform checks its readiness every second and
+/// stops sending clients after two failures.
 const OWNERSHIP_DELAY: Nanos = 2_500 * MS;
-/// A new leader has heard what the others know.
+/// After this time a new leader has received the drains that the other controllers know.
 const TAKEOVER_DELAY: Nanos = 1_000 * MS;
-/// A stall says with each beat, every 450 ms, that it rests; after so long without that it is told again, and no more often.
+/// A resting proxy says so with each heartbeat, every 450 ms. A report is valid for [`REPORT_TTL`], and the
+/// proxy is told again at intervals of at least [`RESEND_DELAY`].
 const REPORT_TTL: Nanos = 1_000 * MS;
 const RESEND_DELAY: Nanos = 500 * MS;
-/// Two ends that differ by less are the same: no two machines share a clock.
+/// Ends that differ by less than this count as equal, because machines do not share a clock.
 const END_TOLERANCE: Nanos = 1_000 * MS;
 
-/// Target is taken out.
+/// The kind of what is drained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Target {
-    /// An edge machine's stall.
+    /// The proxy of an edge machine.
     Edge,
     /// A worker of the platform.
     Worker,
@@ -42,40 +47,40 @@
         }
     }
 
-    fn read(word: &str) -> Option<Self> {
-        [Target::Edge, Target::Worker].into_iter().find(|what| what.name() == word)
+    fn parse(name: &str) -> Option<Self> {
+        [Target::Edge, Target::Worker].into_iter().find(|what| what.name() == name)
     }
 }
 
 /// An operator's order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Out, for so long.
+    /// Drains the target of this name for this long.
     Drain(Target, CompactString, Nanos),
-    /// Back.
+    /// Ends the drain of the target of this name.
     Undo(Target, CompactString),
 }
 
 impl Order {
-    /// In words, for the log.
+    /// Describes the order for the log.
     pub fn describe(&self) -> String {
         match self {
             Order::Drain(what, name, lasts) => {
-                format!("{} {name:?} is to be out for {} s", what.name(), lasts / (1_000 * MS))
+                format!("{} {name:?} drained for {} s", what.name(), lasts / (1_000 * MS))
             }
-            Order::Undo(what, name) => format!("{} {name:?} is to be back", what.name()),
+            Order::Undo(what, name) => format!("{} {name:?} no longer drained", what.name()),
         }
     }
 
-    /// Reads one.
-    pub fn read(json: &JsonValue) -> Result<Self, CallError> {
+    /// Parses an order.
+    pub fn parse(json: &JsonValue) -> Result<Self, CallError> {
         let JsonValue::Object(parts) = json else { return Err(CallError::Invalid("no object".to_owned())) };
         let invalid = |e: millpost_protocol::Fault| CallError::Invalid(e.to_string());
-        let word = |key| string(parts, key).map_err(invalid);
-        let what = Target::read(&word("what")?);
+        let field = |key| string(parts, key).map_err(invalid);
+        let what = Target::parse(&field("what")?);
         let what = what.ok_or_else(|| CallError::Invalid("what: edge or worker".to_owned()))?;
-        let name = word("name")?;
-        match word("order")?.as_str() {
+        let name = field("name")?;
+        match field("order")?.as_str() {
             "undo" => Ok(Order::Undo(what, name)),
             "drain" => {
                 let lasts = whole(parts, "for_ms").map_err(invalid)?.saturating_mul(MS);
@@ -89,22 +94,22 @@
     }
 }
 
-/// Target there is, as the leader knows it: names with their zones.
+/// The proxies and workers that the leader knows, as pairs of name and zone.
 pub struct Fleet<'a> {
-    /// Stalls that are alive.
+    /// Live proxies.
     pub proxies: Vec<(&'a str, &'a str)>,
-    /// Workers of the last answer that the platform does not empty itself.
+    /// Workers in the platform's last reply that the platform itself does not drain.
     pub workers: Vec<(&'a str, &'a str)>,
 }
 
 #[derive(Clone, Debug)]
 struct Drain {
     zone: CompactString,
-    /// Since when it is known here; long ago, where another has told of it.
+    /// Since when the drain is known here; `None` if it was received from another controller.
     since: Option<Nanos>,
     until: Nanos,
     undone: bool,
-    /// The latest end that it ever had: its stall may go by that.
+    /// The latest end that the drain ever had, which its proxy may still assume.
     keep_until: Nanos,
 }
 
@@ -114,32 +119,32 @@
     }
 }
 
-/// DrainMap that are keep_until, by what they are about.
+/// Drains by kind and name.
 type DrainMap = BTreeMap<(Target, CompactString), Drain>;
 
-/// Target a stall says, and was told.
+/// What a proxy has reported, and when it was last told.
 #[derive(Clone, Copy, Debug, Default)]
 struct ProxyReport {
-    /// When it last said that it rests, and until when.
-    said: Option<(Nanos, Nanos)>,
-    told: Option<Nanos>,
+    /// When it last reported that it rests, and until when.
+    rest: Option<(Nanos, Nanos)>,
+    told_at: Option<Nanos>,
 }
 
 impl ProxyReport {
-    /// Until when it rests, as it says.
+    /// Returns until when the proxy rests, by its last report.
     fn resting_until(&self, now: Nanos) -> Option<Nanos> {
-        self.said.filter(|(at, _)| at + REPORT_TTL > now).map(|(_, until)| until)
+        self.rest.filter(|(at, _)| at + REPORT_TTL > now).map(|(_, until)| until)
     }
 }
 
-/// DrainMap of it.
+/// All drains.
 #[derive(Debug, Default)]
 pub struct Drains {
-    /// The newer one counts, whoever tells it.
+    /// The version; the newest one wins, whichever controller sends it.
     version: Version,
     all: DrainMap,
     reports: BTreeMap<CompactString, ProxyReport>,
-    /// The fence of this machine, and since when it is the leader.
+    /// The fence of this controller, and since when it is the leader.
     leadership: Option<(u64, Nanos)>,
 }
 
@@ -148,7 +153,7 @@
 }
 
 impl Drains {
-    /// Time passes; the fence while this machine is the leader.
+    /// Updates the timers. `fence` is the fence of this controller while it is the leader.
     pub fn tick(&mut self, now: Nanos, fence: Option<u64>) {
         if self.leadership.map(|(of, _)| of) != fence {
             self.leadership = fence.map(|fence| (fence, now));
@@ -158,12 +163,12 @@
         let all = &self.all;
         self.reports.retain(|name, report| {
             let lately =
-                report.resting_until(now).is_some() || report.told.is_some_and(|at| at + REPORT_TTL > now);
+                report.resting_until(now).is_some() || report.told_at.is_some_and(|at| at + REPORT_TTL > now);
             lately || all.contains_key(&(Target::Edge, name.clone()))
         });
     }
 
-    /// Nothing is out, and nothing was.
+    /// Returns whether there are no drains, not even undone ones.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty() && self.reports.is_empty()
     }
@@ -177,13 +182,13 @@
         self.active(what, now).find(|(of, _)| *of == name).map(|(_, drain)| drain)
     }
 
-    /// Stalls that are not to own functions.
+    /// Returns the proxies that must not own functions.
     pub fn excluded_proxies(&self, now: Nanos) -> BTreeSet<CompactString> {
         let settled = |d: &Drain| d.since.is_none_or(|since| since + OWNERSHIP_DELAY <= now);
         self.active(Target::Edge, now).filter(|(_, d)| settled(d)).map(|(name, _)| name.clone()).collect()
     }
 
-    /// Whether a worker is out.
+    /// Returns whether a worker is drained.
     pub fn is_worker_drained(&self, now: Nanos, name: &str) -> bool {
         self.find_drained(Target::Worker, now, name).is_some()
     }
@@ -193,7 +198,7 @@
         self.version = (fence, if self.version.0 == fence { self.version.1 + 1 } else { 1 });
     }
 
-    /// An operator's order, or all reasons against it.
+    /// Applies an operator's order, or returns all reasons against it.
     pub fn order(&mut self, now: Nanos, order: Order, fleet: &Fleet<'_>) -> Result<(), CallError> {
         let Some((_, since)) = self.leadership else { return Err(CallError::NotLeader) };
         if now < since + TAKEOVER_DELAY {
@@ -215,11 +220,11 @@
             }
         }
         self.bump_version();
-        self.reports.values_mut().for_each(|report| report.told = None);
+        self.reports.values_mut().for_each(|report| report.told_at = None);
         Ok(())
     }
 
-    /// The zone of what may be taken out.
+    /// Returns the zone of a target that may be drained, or all reasons against draining it.
     fn check(
         &self,
         now: Nanos,
@@ -242,22 +247,23 @@
             return Err(why);
         };
         let up: BTreeSet<&str> = all.iter().filter(|(_, z)| *z == zone).map(|(of, _)| *of).collect();
-        let mut out: BTreeSet<&str> =
-            self.active(what, now).map(|(of, _)| of.as_str()).filter(|of| up.contains(of)).collect();
-        out.extend(up.get(name));
-        let stay = up.len() - out.len();
-        if stay * 2 < up.len() || stay == 0 {
+        let mut drained: BTreeSet<&str> =
+            self.active(what, now).map(|(name, _)| name.as_str()).filter(|name| up.contains(name)).collect();
+        drained.extend(up.get(name));
+        let remaining = up.len() - drained.len();
+        if remaining * 2 < up.len() || remaining == 0 {
             let nouns = if what == Target::Edge { "stalls" } else { "workers" };
             let count = up.len();
             why.push(format!(
-                "{stay} of {count} {nouns} of zone {zone:?} would stay: fewer than half, or none"
+                "{remaining} of {count} {nouns} of zone {zone:?} would stay: fewer than half, or none"
             ));
         }
         if why.is_empty() { Ok(zone) } else { Err(why) }
     }
 
-    /// A stall says that it rests, for so many milliseconds more. Where nobody knows why, it goes on: all of control was lost, and it
-    /// is what is left of the order.
+    /// Handles the report of a proxy that it rests for `left` more milliseconds. If no controller knows the
+    /// reason, the drain continues: after a loss of all controllers the report is all that is left of the
+    /// order.
     pub fn on_report(&mut self, now: Nanos, name: &str, zone: Option<&str>, left: f64) {
         let until = now.saturating_add((left.clamp(0.0, 1e9) * MS as f64) as Nanos).min(now + MAX_DURATION);
         let key = (Target::Edge, CompactString::from(name));
@@ -270,10 +276,10 @@
             self.all.insert(key, Drain { zone, since: None, until, undone: false, keep_until: until });
             self.bump_version();
         }
-        self.reports.entry(name.into()).or_default().said = Some((now, until));
+        self.reports.entry(name.into()).or_default().rest = Some((now, until));
     }
 
-    /// Stalls that are to be told now, and what.
+    /// Returns the proxies that must be told now, with their messages.
     pub fn due_messages(&mut self, now: Nanos) -> Vec<(CompactString, PeerMessage)> {
         let mut due = Vec::new();
         for ((what, name), drain) in &self.all {
@@ -281,25 +287,25 @@
                 continue;
             }
             let report = self.reports.entry(name.clone()).or_default();
-            let knows = match report.resting_until(now) {
+            let confirmed = match report.resting_until(now) {
                 Some(until) => drain.is_active(now) && until.abs_diff(drain.until) < END_TOLERANCE,
                 None => !drain.is_active(now),
             };
-            if !knows && report.told.is_none_or(|at| at + RESEND_DELAY <= now) {
-                report.told = Some(now);
+            if !confirmed && report.told_at.is_none_or(|at| at + RESEND_DELAY <= now) {
+                report.told_at = Some(now);
                 due.push((name.clone(), rest_message(now, name, drain)));
             }
         }
         due
     }
 
-    /// Target a porter is told of its stall as it begins to follow.
+    /// Returns the message for a proxy's agent when its feed opens.
     pub fn snapshot(&self, now: Nanos, name: &str) -> Option<PeerMessage> {
         let drain = self.all.get(&(Target::Edge, name.into()))?;
         Some(rest_message(now, name, drain))
     }
 
-    /// For other control machines; nothing where nothing is out.
+    /// Returns the drains for other controllers; `null` if there are none.
     pub fn to_gossip(&self, now: Nanos) -> JsonValue {
         if self.all.is_empty() {
             return JsonValue::Null;
@@ -318,23 +324,24 @@
         object([("v", JsonValue::Array(version)), ("all", JsonValue::Array(each.collect()))])
     }
 
-    /// Another control machine tells what it knows. Target can't be read changes nothing.
-    pub fn merge(&mut self, now: Nanos, news: &JsonValue) {
-        let Some((version, all)) = self.read(now, news).filter(|(version, _)| *version > self.version) else {
+    /// Merges the drains of another controller. Invalid values change nothing.
+    pub fn merge(&mut self, now: Nanos, gossip: &JsonValue) {
+        let Some((version, all)) = self.parse(now, gossip).filter(|(version, _)| *version > self.version)
+        else {
             return;
         };
         (self.version, self.all) = (version, all);
     }
 
-    fn read(&self, now: Nanos, news: &JsonValue) -> Option<(Version, DrainMap)> {
-        let JsonValue::Object(parts) = news else { return None };
+    fn parse(&self, now: Nanos, gossip: &JsonValue) -> Option<(Version, DrainMap)> {
+        let JsonValue::Object(parts) = gossip else { return None };
         let (JsonValue::Array(version), JsonValue::Array(all)) = (parts.get("v")?, parts.get("all")?) else {
             return None;
         };
         let [JsonValue::Number(fence), JsonValue::Number(count)] = version[..] else { return None };
         let each = all.iter().take(MAX_DRAINS).map(|one| {
             let JsonValue::Object(parts) = one else { return None };
-            let key = (Target::read(&string(parts, "w").ok()?)?, string(parts, "n").ok()?);
+            let key = (Target::parse(&string(parts, "w").ok()?)?, string(parts, "n").ok()?);
             let span = |key| Some(whole(parts, key).ok()?.saturating_mul(MS).min(MAX_DURATION));
             let (until, keep_until) = (now + span("l")?, now + span("k")?);
             let since = self.all.get(&key).and_then(|known| known.since);
@@ -344,7 +351,7 @@
         Some(((fence as u64, count as u64), each.collect::<Option<_>>()?))
     }
 
-    /// For operators.
+    /// Returns the drains for operators.
     pub fn to_json(
         &self,
         now: Nanos,
@@ -352,9 +359,9 @@
         instances: impl Fn(&str) -> usize,
     ) -> JsonValue {
         let each = self.all.iter().map(|((what, name), drain)| {
-            let says = self.reports.get(name).is_some_and(|report| report.resting_until(now).is_some());
+            let rests = self.reports.get(name).is_some_and(|report| report.resting_until(now).is_some());
             let (rests, owns, instances) = match what {
-                Target::Edge => (JsonValue::Boolean(says), JsonValue::Boolean(named(name)), JsonValue::Null),
+                Target::Edge => (JsonValue::Boolean(rests), JsonValue::Boolean(named(name)), JsonValue::Null),
                 Target::Worker => (JsonValue::Null, JsonValue::Null, number(instances(name) as u64)),
             };
             object([
@@ -394,7 +401,7 @@
         drains
     }
 
-    fn out(drains: &mut Drains, now: Nanos, name: &str) -> Result<(), CallError> {
+    fn drain(drains: &mut Drains, now: Nanos, name: &str) -> Result<(), CallError> {
         drains.order(now, Order::Drain(Target::Edge, name.into(), 10 * S), &fleet(&UP))
     }
 
@@ -403,59 +410,59 @@
     }
 
     #[test]
-    fn half_of_a_zone_stays_and_what_is_not_known_is_refused() {
+    fn half_of_a_zone_stays_in_service_and_unknown_names_are_refused() {
         let mut drains = leader(4);
-        assert_eq!(out(&mut drains, S / 2, "a"), Err(CallError::Unclear));
-        assert_eq!(out(&mut drains, S, "a"), Ok(()));
-        assert_eq!(out(&mut drains, S, "b"), Ok(()));
+        assert_eq!(drain(&mut drains, S / 2, "a"), Err(CallError::Unclear));
+        assert_eq!(drain(&mut drains, S, "a"), Ok(()));
+        assert_eq!(drain(&mut drains, S, "b"), Ok(()));
         let few = r#"1 of 4 stalls of zone "z" would stay: fewer than half, or none"#;
-        assert_eq!(out(&mut drains, S, "c"), reasons(&[few]));
-        // One that is out already is only told anew for how long; and workers are others.
-        assert_eq!(out(&mut drains, 2 * S, "b"), Ok(()));
+        assert_eq!(drain(&mut drains, S, "c"), reasons(&[few]));
+        // A drained proxy may be drained again to change the duration, and workers are counted separately.
+        assert_eq!(drain(&mut drains, 2 * S, "b"), Ok(()));
         assert_eq!(drains.order(S, Order::Drain(Target::Worker, "c".into(), S), &fleet(&UP)), Ok(()));
         let none = r#"0 of 1 stalls of zone "y" would stay: fewer than half, or none"#;
-        assert_eq!(out(&mut drains, S, "e"), reasons(&[none]));
-        assert_eq!(out(&mut drains, S, "x"), reasons(&[r#"no edge "x" is known to be up"#]));
+        assert_eq!(drain(&mut drains, S, "e"), reasons(&[none]));
+        assert_eq!(drain(&mut drains, S, "x"), reasons(&[r#"no edge "x" is known to be up"#]));
         let undo = |drains: &mut Drains, name: &str| {
             drains.order(3 * S, Order::Undo(Target::Edge, name.into()), &fleet(&UP))
         };
         assert_eq!(undo(&mut drains, "c"), reasons(&[r#"edge "c" is not out"#]));
         assert_eq!(undo(&mut drains, "b"), Ok(()));
-        assert_eq!(out(&mut drains, 3 * S, "c"), Ok(()));
+        assert_eq!(drain(&mut drains, 3 * S, "c"), Ok(()));
         drains.tick(4 * S, None);
-        assert_eq!(out(&mut drains, 4 * S, "a"), Err(CallError::NotLeader));
+        assert_eq!(drain(&mut drains, 4 * S, "a"), Err(CallError::NotLeader));
     }
 
     #[test]
-    fn a_stall_is_told_until_it_says_so_and_owns_on_while_clients_leave() {
+    fn a_proxy_is_told_until_it_confirms_and_keeps_its_functions_while_clients_leave() {
         let mut drains = leader(4);
-        let told = |drains: &mut Drains, at: Nanos| {
+        let due = |drains: &mut Drains, at: Nanos| {
             drains
                 .due_messages(at)
                 .iter()
-                .map(|(name, note)| (name.to_string(), note.clone()))
+                .map(|(name, message)| (name.to_string(), message.clone()))
                 .collect::<Vec<_>>()
         };
-        out(&mut drains, S, "a").expect("it may");
-        let note = |left| vec![("a".to_owned(), PeerMessage::Rest { name: "a".into(), left })];
-        assert_eq!(told(&mut drains, S), note(10_000.0));
-        assert_eq!(told(&mut drains, S + 100 * MS), []);
-        assert_eq!(told(&mut drains, S + 500 * MS), note(9_500.0));
+        drain(&mut drains, S, "a").expect("it may");
+        let message = |left| vec![("a".to_owned(), PeerMessage::Rest { name: "a".into(), left })];
+        assert_eq!(due(&mut drains, S), message(10_000.0));
+        assert_eq!(due(&mut drains, S + 100 * MS), []);
+        assert_eq!(due(&mut drains, S + 500 * MS), message(9_500.0));
         assert!(drains.excluded_proxies(3 * S).is_empty());
         drains.on_report(2 * S, "a", Some("z"), 9_000.0);
-        assert_eq!(told(&mut drains, 2 * S + 900 * MS), []);
+        assert_eq!(due(&mut drains, 2 * S + 900 * MS), []);
         assert_eq!(drains.excluded_proxies(S + OWNERSHIP_DELAY), BTreeSet::from(["a".into()]));
-        // It was started again, and knows nothing.
-        assert_eq!(told(&mut drains, 4 * S), note(7_000.0));
+        // The proxy restarted and does not know of the drain.
+        assert_eq!(due(&mut drains, 4 * S), message(7_000.0));
         drains.on_report(5 * S, "a", Some("z"), 6_500.0);
-        assert_eq!(told(&mut drains, 5 * S), []);
-        // Another time is told as well.
+        assert_eq!(due(&mut drains, 5 * S), []);
+        // A changed duration is sent as well.
         drains.order(5 * S, Order::Drain(Target::Edge, "a".into(), 4 * S), &fleet(&UP)).expect("it may");
-        assert_eq!(told(&mut drains, 5 * S), note(4_000.0));
+        assert_eq!(due(&mut drains, 5 * S), message(4_000.0));
         drains.order(5 * S, Order::Undo(Target::Edge, "a".into()), &fleet(&UP)).expect("it is out");
         assert!(drains.excluded_proxies(5 * S).is_empty());
-        assert_eq!(told(&mut drains, 5 * S), note(0.0));
-        // A late word of it does not bring the drain back.
+        assert_eq!(due(&mut drains, 5 * S), message(0.0));
+        // A late report of the proxy does not restore the drain.
         drains.on_report(6 * S, "a", Some("z"), 5_000.0);
         assert!(drains.excluded_proxies(9 * S).is_empty());
         drains.tick(10 * S, Some(4));
@@ -465,25 +472,25 @@
     }
 
     #[test]
-    fn a_new_leader_goes_on_with_what_it_has_heard() {
+    fn a_new_leader_continues_the_drains_that_it_received() {
         let (mut old, mut new) = (leader(4), Drains::default());
-        out(&mut old, S, "a").expect("it may");
+        drain(&mut old, S, "a").expect("it may");
         let first = old.to_gossip(2 * S);
         new.merge(2 * S, &first);
         old.order(3 * S, Order::Undo(Target::Edge, "a".into()), &fleet(&UP)).expect("it is out");
-        out(&mut old, 3 * S, "b").expect("it may");
+        drain(&mut old, 3 * S, "b").expect("it may");
         new.merge(3 * S, &old.to_gossip(3 * S));
-        // Older news count no more, and what can't be read changes nothing.
+        // Older drains are ignored, and invalid ones change nothing.
         new.merge(3 * S, &first);
         new.merge(3 * S, &r#"{"v":[9,9],"all":[{"w":"edge"}]}"#.parse().expect("JSON"));
         new.tick(4 * S, Some(5));
         assert_eq!(new.excluded_proxies(4 * S), BTreeSet::from(["b".into()]));
         assert_eq!(new.due_messages(4 * S).len(), 1);
-        out(&mut new, 5 * S, "c").expect("it may");
+        drain(&mut new, 5 * S, "c").expect("it may");
         old.tick(5 * S, None);
         old.merge(5 * S, &new.to_gossip(5 * S));
         assert_eq!(old.to_gossip(5 * S), new.to_gossip(5 * S));
-        // With all of control gone a stall's own word is what is left.
+        // After a loss of all controllers the proxy's report is all that is left.
         let mut last = leader(6);
         last.on_report(S, "b", Some("z"), 3_000.0);
         assert_eq!(last.excluded_proxies(S), BTreeSet::from(["b".into()]));
@@ -492,19 +499,19 @@
     }
 
     #[yare::parameterized(
-        out = { r#"{"order":"drain","what":"edge","name":"a","for_ms":2000}"#,
+        drain = { r#"{"order":"drain","what":"edge","name":"a","for_ms":2000}"#,
             Ok(Order::Drain(Target::Edge, "a".into(), 2 * S)) },
-        back = { r#"{"order":"undo","what":"worker","name":"w"}"#, Ok(Order::Undo(Target::Worker, "w".into())) },
-        short = { r#"{"order":"drain","what":"edge","name":"a","for_ms":999}"#,
+        undo = { r#"{"order":"undo","what":"worker","name":"w"}"#, Ok(Order::Undo(Target::Worker, "w".into())) },
+        too_short = { r#"{"order":"drain","what":"edge","name":"a","for_ms":999}"#,
             Err(CallError::Invalid("for_ms: from a second to a day".into())) },
-        long = { r#"{"order":"drain","what":"edge","name":"a","for_ms":86400001}"#,
+        too_long = { r#"{"order":"drain","what":"edge","name":"a","for_ms":86400001}"#,
             Err(CallError::Invalid("for_ms: from a second to a day".into())) },
-        what = { r#"{"order":"drain","what":"core","name":"a"}"#,
+        unknown_target = { r#"{"order":"drain","what":"core","name":"a"}"#,
             Err(CallError::Invalid("what: edge or worker".into())) },
-        order = { r#"{"order":"x","what":"edge","name":"a"}"#, Err(CallError::Invalid("order: drain or undo".into())) },
-        nameless = { r#"{"order":"undo","what":"edge"}"#, Err(CallError::Invalid("name: missing".into())) },
+        unknown_order = { r#"{"order":"x","what":"edge","name":"a"}"#, Err(CallError::Invalid("order: drain or undo".into())) },
+        missing_name = { r#"{"order":"undo","what":"edge"}"#, Err(CallError::Invalid("name: missing".into())) },
     )]
-    fn orders_are_read_or_their_fault_is_named(text: &str, expected: Result<Order, CallError>) {
-        assert_eq!(Order::read(&text.parse().expect("JSON")), expected);
+    fn orders_are_parsed_or_rejected_with_a_reason(text: &str, expected: Result<Order, CallError>) {
+        assert_eq!(Order::parse(&text.parse().expect("JSON")), expected);
     }
 }
--- a/controller/src/duty.rs
+++ b/controller/src/duty.rs
@@ -1,4 +1,4 @@
-//! The leader's duty as its operators see it: `GET /core/duty`. A view that changes nothing.
+//! The state of the leader's duties, for operators: `GET /core/duty`.
 
 use std::collections::BTreeMap;
 
@@ -16,18 +16,18 @@
     JsonValue::Number(n as f64)
 }
 
-/// The answer; who is not the leader has no duty.
+/// Returns the state, or an error if this controller is not the leader.
 pub fn reply(leader: Option<&Leader>, stats: &PlatformStats, now: Nanos) -> Result<Reply, CallError> {
     let leader = leader.ok_or(CallError::NotLeader)?;
-    let mut on: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut instances: BTreeMap<&str, usize> = BTreeMap::new();
     for instance in leader.scaler.shown() {
-        *on.entry(&instance.worker).or_default() += 1;
+        *instances.entry(&instance.worker).or_default() += 1;
     }
     let body = object([
         ("fence", number(leader.fence)),
         ("seated_ms", number(leader.age_ms(now))),
-        ("stalls", JsonValue::Array(leader.proxy_states(now).map(|stall| stall.to_json()).collect())),
-        ("workers", stats.workers_json(now, |name| on.get(name).copied().unwrap_or(0))),
+        ("stalls", JsonValue::Array(leader.proxy_states(now).map(|proxy| proxy.to_json()).collect())),
+        ("workers", stats.workers_json(now, |name| instances.get(name).copied().unwrap_or(0))),
         ("answers", stats.answers_json(now)),
         ("faults", stats.faults_json(now)),
     ]);
--- a/controller/src/errors.rs
+++ b/controller/src/errors.rs
@@ -1,4 +1,4 @@
-//! What can go wrong, as one closed list, and what a caller is told of it.
+//! Error types, and their replies to callers.
 
 use compact_str::CompactString;
 use hyper::StatusCode;
@@ -6,72 +6,72 @@
 use millpost_protocol::{object, text};
 use snafu::Snafu;
 
-/// Why the program can't go on.
+/// A fatal error of the program.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// An address can't be listened on.
-    #[snafu(display("can't listen on {address}: {source}"))]
+    /// Listening on an address failed.
+    #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
         /// The address.
         address: String,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The settings lack something that this role needs.
-    #[snafu(display("settings: {key}: missing, and control needs it"))]
+    /// The settings lack a required value.
+    #[snafu(display("settings: {key}: missing; the controller requires it"))]
     Needed {
         /// Its key.
         key: &'static str,
     },
-    /// Signals can't be waited for.
-    #[snafu(display("signals: {source}"))]
+    /// Installing a signal handler failed.
+    #[snafu(display("cannot handle signals: {source}"))]
     Signals {
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// No thread for the disk.
-    #[snafu(display("no thread for the disk: {source}"))]
+    /// Starting the voter thread failed.
+    #[snafu(display("cannot start the voter thread: {source}"))]
     Thread {
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
 }
 
-/// Why a caller does not get what it asked for.
+/// The reason why a call fails.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallError {
-    /// Nothing is there under this name.
+    /// The path or name is unknown.
     Unknown,
-    /// Another method is meant.
+    /// The path exists, but not with this method.
     Method,
-    /// What came can't be read, or is not valid; with what is wrong.
+    /// The request is malformed or invalid; with the reason.
     Invalid(String),
-    /// No majority answers here: try another, or again.
+    /// No majority is reached: the caller should try another controller, or try again.
     NoMajority,
-    /// Nothing has been put there yet.
+    /// There is no configuration yet.
     Empty,
-    /// Too much is under way.
+    /// Too many calls are in progress.
     Busy,
-    /// This one is not the leader.
+    /// This controller is not the leader.
     NotLeader,
-    /// What is asked for can't be; with all reasons.
+    /// The request is refused; with all reasons.
     Refused(Vec<String>),
-    /// It is not clear here; it may come to be all the same.
+    /// The outcome is unknown; the request may still take effect.
     Unclear,
-    /// What is kept of it can't be read.
+    /// The stored record cannot be read.
     Unreadable,
-    /// Another content stands under this revision, for good.
+    /// Other content was chosen under this revision, which is permanent.
     Conflict {
         /// The revision.
         revision: u64,
-        /// The digest of the content that stands.
+        /// The digest of the chosen content.
         stands: CompactString,
     },
 }
 
 impl CallError {
-    /// Status and text.
+    /// Returns the reply to the caller.
     pub fn to_reply(&self) -> Reply {
         let (status, word) = match self {
             CallError::Unknown => (404, "unknown"),
--- a/controller/src/feed.rs
+++ b/controller/src/feed.rs
@@ -74,8 +74,8 @@
     pub replaced: Option<ConnectionId>,
 }
 
-fn line(number: u64, notes: Vec<JsonValue>) -> Bytes {
-    let line = object([("n", JsonValue::Number(number as f64)), ("notes", JsonValue::Array(notes))]);
+fn line(number: u64, messages: Vec<JsonValue>) -> Bytes {
+    let line = object([("n", JsonValue::Number(number as f64)), ("notes", JsonValue::Array(messages))]);
     let mut text = line.stringify().unwrap_or_default();
     text.push('\n');
     Bytes::from(text)
@@ -126,14 +126,14 @@
         if self.followers.len() >= MAX_FOLLOWERS && !self.followers.contains_key(&name) {
             return None;
         }
-        let mut notes: Vec<JsonValue> = Vec::new();
+        let mut messages: Vec<JsonValue> = Vec::new();
         if whole && applied_revision < self.revision() {
-            notes.extend(self.packed_message());
+            messages.extend(self.packed_message());
         }
-        notes.extend(snapshot.iter().map(PeerMessage::to_json));
+        messages.extend(snapshot.iter().map(PeerMessage::to_json));
         self.line_number += 1;
         self.last_connection += 1;
-        let (connection, line) = (self.last_connection, line(self.line_number, notes));
+        let (connection, line) = (self.last_connection, line(self.line_number, messages));
         let sent = (self.revision(), now);
         let before = self.followers.insert(
             name.clone(),
@@ -155,19 +155,19 @@
     }
 
     /// Returns the line with these messages for one agent, if it is connected.
-    pub fn send_to(&mut self, name: &str, notes: &[PeerMessage]) -> Option<(ConnectionId, Bytes)> {
+    pub fn send_to(&mut self, name: &str, messages: &[PeerMessage]) -> Option<(ConnectionId, Bytes)> {
         self.line_number += 1;
         let connection = self.followers.get(name)?.connection;
-        Some((connection, line(self.line_number, notes.iter().map(PeerMessage::to_json).collect())))
+        Some((connection, line(self.line_number, messages.iter().map(PeerMessage::to_json).collect())))
     }
 
     /// Returns the lines with these messages for all agents.
-    pub fn broadcast(&mut self, notes: &[PeerMessage]) -> Lines {
-        if notes.is_empty() || self.followers.is_empty() {
+    pub fn broadcast(&mut self, messages: &[PeerMessage]) -> Lines {
+        if messages.is_empty() || self.followers.is_empty() {
             return Lines::new();
         }
         self.line_number += 1;
-        let line = line(self.line_number, notes.iter().map(PeerMessage::to_json).collect());
+        let line = line(self.line_number, messages.iter().map(PeerMessage::to_json).collect());
         self.followers.values().map(|f| (f.connection, line.clone())).collect()
     }
 
@@ -187,15 +187,16 @@
             let text = values::write(&change);
             self.change = Some(text.clone());
             large = text.len() > LARGE_CHANGE;
-            let note = match if large { pack(&text) } else { None } {
+            let message = match if large { pack(&text) } else { None } {
                 Some(packed) => PeerMessage::Folded { revision, packed },
                 None => PeerMessage::Patch { revision, change },
             };
-            patch = Some(line(number, vec![note.to_json()]));
+            patch = Some(line(number, vec![message.to_json()]));
         }
         self.large_change = old.filter(|_| large).zip(patch.clone());
-        let note = packed.map(|packed| PeerMessage::Packed { revision: config.revision, packed }.to_json());
-        (self.config, self.packed_config) = (Some(config), note);
+        let message =
+            packed.map(|packed| PeerMessage::Packed { revision: config.revision, packed }.to_json());
+        (self.config, self.packed_config) = (Some(config), message);
         let has_previous =
             |f: &Follower| !f.whole || Some(f.sent.0) == old || Some(f.applied_revision) == old;
         let whole = if patch.is_none() || !self.followers.values().all(has_previous) {
@@ -203,7 +204,7 @@
         } else {
             None
         };
-        let whole = whole.map(|note| line(number, vec![note]));
+        let whole = whole.map(|message| line(number, vec![message]));
         let revision = self.revision();
         let mut lines = Lines::new();
         for f in self.followers.values_mut() {
@@ -244,8 +245,8 @@
         if !behind.is_empty() {
             self.line_number += 1;
             let number = self.line_number;
-            if let Some(note) = self.packed_message() {
-                let whole = line(number, vec![note]);
+            if let Some(message) = self.packed_message() {
+                let whole = line(number, vec![message]);
                 lines.extend(behind.into_iter().map(|connection| (connection, whole.clone())));
             }
         }
@@ -264,7 +265,7 @@
             let connection = follower.connection;
             self.line_number += 1;
             let number = self.line_number;
-            resent = self.packed_message().map(|note| (connection, line(number, vec![note])));
+            resent = self.packed_message().map(|message| (connection, line(number, vec![message])));
         }
         if newest > self.last_logged && self.followers.values().all(|f| f.applied_revision >= newest) {
             self.last_logged = newest;
@@ -371,8 +372,8 @@
             feed.follow(0, "a".into(), 1, true, &[]).expect("room");
             let json = millpost_net::messaging::json(&feed.configure(MS, new, None)[0].1).expect("JSON");
             let JsonValue::Object(parts) = json else { panic!("an object") };
-            let Some(JsonValue::Array(notes)) = parts.get("notes") else { panic!("notes") };
-            PeerMessage::read(&notes[0]).expect("a message")
+            let Some(JsonValue::Array(messages)) = parts.get("notes") else { panic!("notes") };
+            PeerMessage::read(&messages[0]).expect("a message")
         };
         let PeerMessage::Folded { packed, .. } = large_change() else { panic!("packed") };
         assert_eq!(large_change(), PeerMessage::Folded { revision: 2, packed });
--- a/controller/src/functions.rs
+++ b/controller/src/functions.rs
@@ -1,4 +1,4 @@
-//! How functions stand, as the leader tells its operators: `GET /core/functions`, in pages.
+//! The state of functions, for operators, in pages: `GET /core/functions`.
 
 use hyper::StatusCode;
 use millpost_autoscaler::Nanos;
@@ -11,11 +11,11 @@
 use crate::errors::CallError;
 use crate::leader::Leader;
 
-/// Functions in one answer, where the call names no number, and at most.
+/// Number of functions in a reply by default, and at most.
 const DEFAULT_PAGE: usize = 200;
 const MAX_PAGE: usize = 500;
 
-/// What the call asks for.
+/// The query of a call.
 #[derive(Debug, Default, PartialEq)]
 struct FunctionsQuery {
     name: Option<String>,
@@ -86,9 +86,9 @@
     ])
 }
 
-/// A function; its instances only where it was query for by name.
+/// Encodes a function, with its instances if they are given.
 fn function(of: &Standing, leader: &Leader, instances: Option<Vec<Seen>>) -> JsonValue {
-    // One owner, or one for each lot.
+    // A function has one owner, or one in each zone if it is split.
     let owner = if of.lots.is_empty() { leader.owner(&of.name, "") } else { None };
     let lots: Vec<_> = of.lots.iter().map(|part| lot(part, &of.name, leader)).collect();
     let zones =
@@ -114,7 +114,7 @@
     ])
 }
 
-/// The answer; who is not the leader knows nothing of functions.
+/// Returns the queried functions, or an error if this controller is not the leader.
 pub fn reply(leader: Option<&Leader>, now: Nanos, query: Option<&str>) -> Result<Reply, CallError> {
     let body = body(leader, now, query)?;
     Ok(Reply::json(StatusCode::OK, body.stringify().unwrap_or_default()))
@@ -125,7 +125,7 @@
     let Some(leader) = leader else { return Err(CallError::NotLeader) };
     let scaler = &leader.scaler;
     let one = match &query.instance {
-        // No function has this name where nothing is known of the instance.
+        // An unknown instance yields the empty name, which no function has.
         Some(id) => Some(scaler.function_of(id).unwrap_or_default()),
         None => query.name.as_deref(),
     };
@@ -195,15 +195,15 @@
 
     #[yare::parameterized(
         all = { None, &["a", "c", "f g"], None },
-        first = { Some("most=2"), &["a", "c"], Some("c") },
-        rest = { Some("after=c&most=2"), &["f g"], None },
-        just_full = { Some("most=3"), &["a", "c", "f g"], None },
+        first_page = { Some("most=2"), &["a", "c"], Some("c") },
+        last_page = { Some("after=c&most=2"), &["f g"], None },
+        exactly_one_page = { Some("most=3"), &["a", "c", "f g"], None },
         one = { Some("name=f%20g"), &["f g"], None },
-        none = { Some("name=x"), &[], None },
+        unknown_name = { Some("name=x"), &[], None },
         of_an_instance = { Some("instance=i-1"), &["a"], None },
-        of_no_instance = { Some("instance=i-2"), &[], None },
+        of_an_unknown_instance = { Some("instance=i-2"), &[], None },
     )]
-    fn functions_come_by_page_or_by_name(query: Option<&str>, names: &[&str], next: Option<&str>) {
+    fn functions_are_returned_by_page_or_by_name(query: Option<&str>, names: &[&str], next: Option<&str>) {
         let answer = answer(Some(&leader()), query).expect("an answer");
         let all = answer["functions"].get::<Vec<JsonValue>>().expect("a list");
         let name = |f: &JsonValue| f["name"].get::<String>().expect("text").clone();
@@ -212,9 +212,9 @@
     }
 
     #[test]
-    fn a_function_is_told_with_its_owner_and_what_holds_it() {
+    fn a_function_has_its_owner_and_the_reason_that_delays_it() {
         let answer = answer(Some(&leader()), Some("name=f%20g")).expect("an answer");
-        let told = answer["functions"][0].stringify().expect("text");
+        let body = answer["functions"][0].stringify().expect("text");
         for part in [
             r#""instances":[]"#,
             r#""owner":"edge-1""#,
@@ -222,18 +222,18 @@
             r#""said_ms_ago":10"#,
             r#""hold":"no_list""#,
         ] {
-            assert!(told.contains(part), "{told}");
+            assert!(body.contains(part), "{body}");
         }
     }
 
     #[yare::parameterized(
         not_the_leader = { None, CallError::NotLeader },
-        none = { Some("most=0"), CallError::Invalid("most: a number from 1 to 500".into()) },
-        many = { Some("most=501"), CallError::Invalid("most: a number from 1 to 500".into()) },
-        unknown = { Some("x=1"), CallError::Invalid("x: is not known; name, instance, after or most".into()) },
-        no_text = { Some("name=%ff"), CallError::Invalid("name: is no UTF-8".into()) },
+        limit_zero = { Some("most=0"), CallError::Invalid("most: a number from 1 to 500".into()) },
+        limit_too_large = { Some("most=501"), CallError::Invalid("most: a number from 1 to 500".into()) },
+        unknown_key = { Some("x=1"), CallError::Invalid("x: is not known; name, instance, after or most".into()) },
+        invalid_utf8 = { Some("name=%ff"), CallError::Invalid("name: is no UTF-8".into()) },
     )]
-    fn what_can_not_be_answered_is_said(query: Option<&str>, kind: CallError) {
-        assert_eq!(answer(None, query).expect_err("turned down"), kind);
+    fn invalid_queries_are_rejected_with_a_reason(query: Option<&str>, error: CallError) {
+        assert_eq!(answer(None, query).expect_err("rejected"), error);
     }
 }
--- a/controller/src/gossip.rs
+++ b/controller/src/gossip.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerState {
     /// When it was last heard.
-    pub heard: Nanos,
+    pub last_heard: Nanos,
     /// Whether it votes.
     pub voting: bool,
     /// Whether it is shutting down.
@@ -258,7 +258,9 @@
         self.next_send = now + INTERVAL;
         let mut to = seeds.to_vec();
         to.extend(members.into_iter().flat_map(Members::all));
-        to.extend(self.peers.iter().filter(|(_, s)| s.heard + SEND_TIMEOUT > now).map(|(a, _)| a.clone()));
+        to.extend(
+            self.peers.iter().filter(|(_, s)| s.last_heard + SEND_TIMEOUT > now).map(|(a, _)| a.clone()),
+        );
         to.sort();
         to.dedup();
         to.retain(|a| *a != self.me);
@@ -278,11 +280,11 @@
 
     /// Handles a message. The local disk is read first, unless it has not answered since the last time.
     pub fn on_message(&mut self, now: Nanos, message: GossipMessage) -> Result<Option<FetchStep>, CallError> {
-        self.peers.retain(|_, seen| seen.heard + FORGET_AFTER > now);
+        self.peers.retain(|_, seen| seen.last_heard + FORGET_AFTER > now);
         if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&message.from) {
             return Err(CallError::Invalid("from".to_owned()));
         }
-        let seen = PeerState { heard: now, voting: message.voting, leaving: message.leaving };
+        let seen = PeerState { last_heard: now, voting: message.voting, leaving: message.leaving };
         self.peers.insert(message.from.clone(), seen);
         let GossipMessage { from, revision, digest, change, .. } = message;
         let in_flight = self.fetching.as_ref().is_some_and(|f| f.revision >= revision && now < f.until);
--- a/controller/src/leader.rs
+++ b/controller/src/leader.rs
@@ -177,12 +177,12 @@
 }
 
 /// Logs a new view.
-fn log_view(roster: &MembershipView, note: &PeerMessage) {
+fn log_view(roster: &MembershipView, message: &PeerMessage) {
     let names = |of: &mut dyn Iterator<Item = &CompactString>| {
         of.map(CompactString::as_str).collect::<Vec<_>>().join(" ")
     };
     let large = roster.peers().len() > LARGE_FLEET;
-    match note {
+    match message {
         PeerMessage::ViewChange(shift) if large => {
             let added = names(&mut shift.came.iter().map(|p| &p.name));
             log::info!(
@@ -197,7 +197,7 @@
     if !roster.leaving().is_empty() {
         log::info!("leaving proxies: {}", names(&mut roster.leaving().iter().map(|p| &p.name)));
     }
-    let split = match note {
+    let split = match message {
         PeerMessage::ViewChange(shift) => !shift.split.is_empty() || !shift.joined.is_empty(),
         _ => true,
     };
@@ -275,8 +275,8 @@
     }
 
     /// Handles a message of a proxy or its agent.
-    pub fn on_message(&mut self, now: Nanos, note: &PeerMessage) {
-        match note {
+    pub fn on_message(&mut self, now: Nanos, message: &PeerMessage) {
+        match message {
             PeerMessage::Alive { peer, serving, split, digest } if self.proxies.len() < 5_000 => {
                 if let Some((version, all)) = split
                     && !self.has_view()
@@ -496,7 +496,7 @@
         self.scaler.split(now, &split);
         self.view_sent_at = now;
         let roster = MembershipView::new(self.version(), peers, split).with_leaving(leaving);
-        let note = match known.filter(|(v, d)| *v < roster.version() && *d == roster.digest()) {
+        let message = match known.filter(|(v, d)| *v < roster.version() && *d == roster.digest()) {
             _ if !first => PeerMessage::ViewChange(roster.shift(self.ranking.owners().roster())),
             Some((from, _)) => PeerMessage::ViewChange(ViewChange {
                 version: roster.version(),
@@ -505,7 +505,7 @@
             }),
             None => roster.note(),
         };
-        log_view(&roster, &note);
+        log_view(&roster, &message);
         // Instances of other functions were sent to the proxies in their ranking before.
         let inherited = std::mem::take(&mut self.inherited);
         inherited.iter().for_each(|(service, zone)| self.ranking.keep(service, zone));
@@ -513,7 +513,7 @@
         for (service, zone) in &inherited {
             recipients.extend(self.ranking.two(service, zone).cloned());
         }
-        Some((note, self.instance_messages(if first { None } else { Some((recipients, unknown)) })))
+        Some((message, self.instance_messages(if first { None } else { Some((recipients, unknown)) })))
     }
 
     /// Returns all instances of each proxy in `recipients`, whose ranking for functions has changed, and of the
@@ -547,8 +547,8 @@
             }
         }
         let version = (self.fence, self.view_count);
-        let note = |set| vec![PeerMessage::Instances { version, all: true, set, gone: Vec::new() }];
-        all.into_iter().map(|(name, set)| (name, note(set))).collect()
+        let message = |set| vec![PeerMessage::Instances { version, all: true, set, gone: Vec::new() }];
+        all.into_iter().map(|(name, set)| (name, message(set))).collect()
     }
 
     /// Returns the version of the current view: the fence and a count.
@@ -569,7 +569,7 @@
     /// Returns the first messages for a proxy's agent: the view, and the instances of the functions for which
     /// the proxy is first or second in the ranking.
     pub fn snapshot(&mut self, name: &str) -> Vec<PeerMessage> {
-        let mut notes: Vec<_> = self.view_message().into_iter().collect();
+        let mut messages: Vec<_> = self.view_message().into_iter().collect();
         let mut set = Vec::new();
         // A proxy that is not in the view is in no ranking.
         if self.ranking.owners().find(name).is_some() {
@@ -579,13 +579,13 @@
                 }
             }
         }
-        notes.push(PeerMessage::Instances {
+        messages.push(PeerMessage::Instances {
             version: (self.fence, self.view_count),
             all: true,
             set,
             gone: Vec::new(),
         });
-        notes
+        messages
     }
 
     /// Returns the effects of the scaler: messages for proxies, and calls to the platform.
@@ -613,15 +613,15 @@
         }
         let outdated = std::mem::take(&mut self.outdated);
         let whole = if outdated.is_empty() { None } else { self.view_message() };
-        let mut told: ProxyMessages =
+        let mut messages: ProxyMessages =
             outdated.into_iter().zip(whole.into_iter().cycle()).map(|(n, w)| (n, vec![w])).collect();
         if changes.is_empty() {
-            return (told, calls);
+            return (messages, calls);
         }
         let version = self.version();
         for (name, (set, gone)) in changes {
-            told.entry(name).or_default().push(PeerMessage::Instances { version, all: false, set, gone });
+            messages.entry(name).or_default().push(PeerMessage::Instances { version, all: false, set, gone });
         }
-        (told, calls)
+        (messages, calls)
     }
 }
--- a/controller/src/leader/min_instances.rs
+++ b/controller/src/leader/min_instances.rs
@@ -92,8 +92,8 @@
         minimum.recipients = ranked.into_keys().collect();
         let left = (VALIDITY / MS) as f64;
         for (name, count) in all {
-            let note = PeerMessage::Floor { service: service.clone(), count, fence, left };
-            into.entry(name).or_default().push(note);
+            let message = PeerMessage::Floor { service: service.clone(), count, fence, left };
+            into.entry(name).or_default().push(message);
         }
     }
 }
--- a/controller/src/leadership.rs
+++ b/controller/src/leadership.rs
@@ -403,13 +403,13 @@
     /// Ticks the leadership under a single voter that grants every request immediately.
     fn tick_and_grant(leadership: &mut Leadership, now: Nanos) -> Option<RegisterRead> {
         let members = Members::first("u", ["a".into()]);
-        let (out, want) = leadership.tick(now, Some(&members), true);
+        let (out, read) = leadership.tick(now, Some(&members), true);
         for (from, message) in out {
             if let Message::Ask { duty, life, ask, .. } = message {
                 leadership.on_lease(now, &from, &Message::Granted { duty, life, ask });
             }
         }
-        want
+        read
     }
 
     fn with_lease(last: Option<&str>) -> Leadership {
--- a/controller/src/lib.rs
+++ b/controller/src/lib.rs
@@ -1,12 +1,15 @@
-//! Control, on each core machine. What decides has no I/O and no clock: it takes inputs with a time in nanoseconds and returns what
-//! to do, so that an emulator can drive it like the daemon does.
+//! The control plane, on each core machine. The state machines have no I/O and no clock: they take inputs
+//! with a time in nanoseconds and return effects, so that a simulator can drive them in the same way as the
+//! program does.
 //!
-//! - [`core`]: the sum of the rooms; inputs in, effects out.
-//! - [`rounds`]: rounds of the register. [`leadership`]: the lease and the leader's duties. [`gossip`]: news between control machines.
-//!   [`voters`]: who should vote. [`pages`]: the platform's list. [`feed`]: what porters are told.
-//! - `contact`: whether a majority of the voters is reached. `orders`: what an operator's order is answered.
-//! - `functions`, `duty`, `ledger`: what operators are told of the leader's duty.
-//! - [`runtime`]: sockets, the thread of the voter and the platform's client; it carries effects out.
+//! - [`core`]: combines the state machines below; inputs in, effects out.
+//! - [`rounds`]: rounds of the register. [`leadership`]: the lease and the leader's duties. [`leader`]: the
+//!   leader's state. [`gossip`]: messages between controllers. [`voters`]: the choice of voters. [`pages`]:
+//!   reading the platform's list. [`feed`]: the feed to agents. [`contact`]: contact with a majority of the
+//!   voters.
+//! - `pending_puts`: replies to operators who put a configuration. `drains`: drains of proxies and workers.
+//! - `functions`, `duty`, `platform_stats`: the state of the leader's duties, for operators.
+//! - [`runtime`]: sockets, the voter thread and the platform's client; it carries out the effects.
 
 pub mod calls;
 pub mod contact;
@@ -29,7 +32,7 @@
 mod voter_thread;
 pub mod voters;
 
-/// Nanoseconds of a clock that never steps back.
+/// Nanoseconds on a monotonic clock.
 pub type Nanos = u64;
 
 pub(crate) const MS: Nanos = 1_000_000;
--- a/controller/src/main.rs
+++ b/controller/src/main.rs
@@ -1,5 +1,6 @@
-//! `controller`: control, on each core machine. It keeps the register on its disk, takes configurations from operators, feeds the
-//! porters, and, while it holds the lease, polls the platform's list and starts and stops instances.
+//! `controller`: the control plane, on each core machine. It stores the register on its disk, accepts
+//! configurations from operators, feeds the agents and, while it holds the lease, polls the platform's lists
+//! and starts and stops instances.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,27 +10,27 @@
 use millpost_net::lines::{Bound, Lines};
 use millpost_protocol::frame;
 
-/// Control, on each core machine.
+/// The control plane, on each core machine.
 #[derive(argh::FromArgs)]
 struct Options {
-    /// the settings file; else the path in DEWJUNCTION_CONFIG
+    /// path of the settings file; default: the path in DEWJUNCTION_CONFIG
     #[argh(option)]
     config: Option<PathBuf>,
-    /// read and check the settings file, say what is wrong with it, and end
+    /// check the settings file, report its errors, and exit
     #[argh(switch)]
     check_config: bool,
-    /// write what the scaler decides on as lines to the standard output, for `replay`
+    /// write the inputs of the scaler as lines to the standard output, for `replay`
     #[argh(switch)]
     record: bool,
-    /// megabytes of lines at most; what comes beyond is counted and left out
+    /// maximum size of the recorded lines, in MB; further lines are counted and dropped
     #[argh(option, default = "64")]
     record_mb: u64,
-    /// tell figures of the process at this port of the machine, under /metrics
+    /// serve the metrics of the process on this port, under /metrics
     #[argh(option)]
     metrics: Option<u16>,
 }
 
-/// What this program needs beside what all do.
+/// Settings that this program requires besides the common ones.
 const NEEDS: [&str; 2] = ["bind_addrs.control", "data_dir"];
 
 fn main() -> ExitCode {
@@ -37,7 +38,7 @@
     millpost_net::logs::start();
     let path = options.config.or_else(|| std::env::var_os("DEWJUNCTION_CONFIG").map(PathBuf::from));
     let Some(path) = path else {
-        log::error!("no settings: neither --config nor DEWJUNCTION_CONFIG names a file");
+        log::error!("no settings file: neither --config nor DEWJUNCTION_CONFIG is set");
         return ExitCode::from(2);
     };
     let settings = match Settings::checked_for(&path, &NEEDS) {
@@ -54,7 +55,7 @@
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => {
-            log::error!("no runtime: {e}");
+            log::error!("cannot start the runtime: {e}");
             return ExitCode::FAILURE;
         }
     };
@@ -62,7 +63,7 @@
     let lines = match options.record.then(|| Lines::start(bound)).transpose() {
         Ok(lines) => lines,
         Err(e) => {
-            log::error!("nothing can be recorded: {e}");
+            log::error!("cannot start recording: {e}");
             return ExitCode::FAILURE;
         }
     };
--- a/controller/src/pages.rs
+++ b/controller/src/pages.rs
@@ -1,21 +1,21 @@
-//! The platform's list, page by page.
+//! Reads the platform's list page by page.
 
 use compact_str::CompactString;
 use millpost_autoscaler::Entry;
 
 use crate::Nanos;
 
-/// The longest list.
+/// Maximum number of entries of a list.
 const MAX_ENTRIES: usize = 100_000;
 
-/// What a page makes of the list.
+/// The result of adding a page.
 #[derive(Debug, PartialEq)]
 pub enum PageResult {
-    /// More is to come.
+    /// The list has more pages.
     More,
-    /// This is all of it, as it stood when its first page was asked for.
+    /// The complete list, with the time at which its first page was requested.
     Complete(Nanos, Vec<Entry>),
-    /// It has no end, and is given up.
+    /// The list exceeds [`MAX_ENTRIES`] and was discarded.
     TooLong,
 }
 
@@ -28,17 +28,17 @@
 }
 
 impl ListReader {
-    /// Starts anew.
+    /// Discards the list.
     pub fn clear(&mut self) {
         *self = ListReader::default();
     }
 
-    /// What the next page is asked for by, once.
+    /// Takes the token of the next page.
     pub fn next_token(&mut self) -> Option<CompactString> {
         self.next.take()
     }
 
-    /// A page that was asked for at this time.
+    /// Adds a page that was requested at `requested_at`.
     pub fn add_page(
         &mut self,
         requested_at: Nanos,
@@ -78,7 +78,7 @@
     }
 
     #[test]
-    fn a_list_counts_from_when_its_first_page_was_asked_for() {
+    fn a_list_counts_from_the_request_of_its_first_page() {
         let mut pages = ListReader::default();
         assert_eq!(pages.add_page(10, entries(0, 2), Some("t".into())), PageResult::More);
         assert_eq!((pages.next_token(), pages.next_token()), (Some("t".into()), None));
@@ -87,7 +87,7 @@
     }
 
     #[test]
-    fn a_list_without_end_is_given_up() {
+    fn an_endless_list_is_discarded() {
         let mut pages = ListReader::default();
         let last = (0..)
             .map(|n| pages.add_page(n, entries(0, 20_000), Some("t".into())))
--- a/controller/src/platform.rs
+++ b/controller/src/platform.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform: the list, the workers, starts and stops.
+//! Calls to the platform: lists of instances and workers, starts and stops.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,19 +13,19 @@
 
 use crate::leadership::{Call, Page, PlatformReply};
 
-/// The list and the workers answer timeout this, or the next time.
+/// Timeout of the lists, which are then requested again in the next period.
 const LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A start or stop without an answer by then is unclear.
+/// Timeout of a start or stop, whose outcome is unknown after it.
 const DUTY_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// The platform, as it is called by the holder of a fence.
+/// The platform's client for the holder of a fence.
 pub struct Platform {
     client: Client,
     headers: HeaderMap,
 }
 
 impl Platform {
-    /// At this address.
+    /// Creates the client for this address.
     pub fn new(address: SocketAddr, holder: &str, fence: u64) -> Arc<Self> {
         let mut headers = HeaderMap::new();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -51,13 +51,13 @@
             Ok((status, _, body)) => Some((status.as_u16(), String::from_utf8_lossy(&body).into_owned())),
             Err(e) => {
                 self.client.clear();
-                log::debug!("platform, {path}: {e}");
+                log::debug!("call to platform {path} failed: {e}");
                 None
             }
         }
     }
 
-    /// Makes a call.
+    /// Makes a call and returns its reply.
     pub async fn carry_out(&self, call: Call) -> PlatformReply {
         match call {
             Call::List { token } => PlatformReply::Listed(self.list(token.as_deref()).await),
@@ -73,19 +73,23 @@
         }
     }
 
-    /// One page of the list.
+    /// Reads a page of the list.
     async fn list(&self, token: Option<&str>) -> Option<Page> {
         let path = token.map_or("/endpoints".to_owned(), |t| format!("/endpoints?page_token={t}"));
         match self.call(Method::GET, &path, String::new(), LIST_TIMEOUT).await? {
-            (200, text) => platform::read_endpoints(&text).map_err(|e| log::warn!("the list: {e}")).ok(),
+            (200, text) => {
+                platform::read_endpoints(&text).map_err(|e| log::warn!("invalid list of endpoints: {e}")).ok()
+            }
             _ => None,
         }
     }
 
-    /// The workers.
+    /// Reads the workers.
     async fn workers(&self) -> Option<Vec<Worker>> {
         match self.call(Method::GET, "/workers", String::new(), LIST_TIMEOUT).await? {
-            (200, text) => platform::read_workers(&text).map_err(|e| log::warn!("the workers: {e}")).ok(),
+            (200, text) => {
+                platform::read_workers(&text).map_err(|e| log::warn!("invalid list of workers: {e}")).ok()
+            }
             _ => None,
         }
     }
@@ -104,7 +108,7 @@
         }
     }
 
-    /// Stops one.
+    /// Stops an instance.
     async fn stop(&self, id: &str) -> Result<(), StopFault> {
         match self.call(Method::POST, "/stop", platform::stop_body(id), DUTY_TIMEOUT).await {
             Some((status, _)) => platform::stop_answer(status),
--- a/controller/src/platform_stats.rs
+++ b/controller/src/platform_stats.rs
@@ -1,5 +1,7 @@
-//! What the platform has said to this leader, for people. Invariants: nothing is decided by it; one count for each kind of answer, and
-//! no more than [`MAX_FAULTS`] faults are kept.
+//! Statistics of the platform's replies to this leader, for operators.
+//!
+//! Invariants: nothing is decided by them; there is one counter for each kind of reply, and at most
+//! [`MAX_FAULTS`] faults are kept.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,27 +13,27 @@
 use crate::leadership::PlatformReply;
 use crate::{MS, Nanos};
 
-/// Faults that are kept, and workers that are told of.
+/// Maximum numbers of kept faults, and of workers in a reply.
 const MAX_FAULTS: usize = 100;
 const MAX_WORKERS: usize = 500;
 
-/// An answer to a call.
+/// A kind of reply to a kind of call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ReplyKind {
     call: &'static str,
     answer: &'static str,
-    /// The status that it stands for, where that is one.
+    /// The HTTP status that the reply stands for; 0 if it stands for none.
     status: u16,
 }
 
-/// An answer that was no good: of which start or stop, and when.
+/// A failed call: the kind of its reply, the start or stop that failed, and the time.
 struct Fault {
     kind: ReplyKind,
     of: CompactString,
     at: Nanos,
 }
 
-/// All of it.
+/// The statistics.
 #[derive(Default)]
 pub struct PlatformStats {
     workers: Option<(Nanos, Vec<Worker>)>,
@@ -43,7 +45,7 @@
     JsonValue::Number(n as f64)
 }
 
-/// The kind for an answer, and what it is about.
+/// Returns the kind of a reply, and the nonce or instance that it is about.
 fn classify(reply: &PlatformReply) -> (ReplyKind, &str) {
     let of = |call, (answer, status)| ReplyKind { call, answer, status };
     let whole = |there: bool| if there { ("ok", 200) } else { ("none", 0) };
@@ -89,12 +91,12 @@
 }
 
 impl PlatformStats {
-    /// How often the platform has answered a kind of call so: call, answer, count.
+    /// Returns the call, the answer and the count for each kind of reply.
     pub fn answers(&self) -> impl Iterator<Item = (&'static str, &'static str, u64)> {
         self.counts.iter().map(|(kind, (count, _))| (kind.call, kind.answer, *count))
     }
 
-    /// The platform has answered, or has not.
+    /// Counts a reply.
     pub fn record(&mut self, now: Nanos, reply: &PlatformReply) {
         let (kind, of) = classify(reply);
         let count = self.counts.entry(kind).or_default();
@@ -108,12 +110,12 @@
         }
     }
 
-    /// The workers, as they were told last.
+    /// Returns the workers of the last reply that listed them.
     pub fn workers(&self) -> &[Worker] {
         self.workers.as_ref().map_or(&[], |(_, all)| all)
     }
 
-    /// The workers; `instances` says how many stand on each.
+    /// Returns the workers for operators. `instances` returns the number of instances on a worker.
     pub fn workers_json(&self, now: Nanos, instances: impl Fn(&str) -> usize) -> JsonValue {
         let Some((at, all)) = &self.workers else { return JsonValue::Null };
         let each = all.iter().take(MAX_WORKERS).map(|worker| {
@@ -133,7 +135,7 @@
         ])
     }
 
-    /// Each kind of answer: how often it came, and when last.
+    /// Returns the count and the time of the last reply for each kind.
     pub fn answers_json(&self, now: Nanos) -> JsonValue {
         let ago = |at: Nanos| number(now.saturating_sub(at) / MS);
         let each = self.counts.iter().map(|(kind, (count, at))| {
@@ -142,7 +144,7 @@
         JsonValue::Array(each.collect())
     }
 
-    /// Answers that were no good, the newest first.
+    /// Returns the kept faults, newest first.
     pub fn faults_json(&self, now: Nanos) -> JsonValue {
         let each = self.faults.iter().rev().map(|fault| {
             let of = if fault.of.is_empty() { JsonValue::Null } else { text(&fault.of) };
@@ -158,7 +160,7 @@
     use super::*;
 
     #[test]
-    fn answers_are_counted_and_faults_are_bounded() {
+    fn replies_are_counted_and_faults_are_bounded() {
         let mut stats = PlatformStats::default();
         let started = |answer| PlatformReply::Started { nonce: "4.7.f".into(), answer };
         stats.record(0, &started(Ok(("i-1".into(), ([10, 0, 0, 1], 80).into()))));
--- a/controller/src/runtime.rs
+++ b/controller/src/runtime.rs
@@ -1,5 +1,5 @@
-//! The loop of a control machine: it owns the sockets, the way to the voter's thread and the platform's client, hands the core what
-//! comes, and carries out what the core decides.
+//! The event loop of a controller. It owns the sockets, the handle of the voter thread and the platform's
+//! client, passes events to the core, and carries out the core's effects.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -36,16 +36,16 @@
 use crate::voter_thread::{self, VoterEvent, VoterThread};
 use crate::{MS, Nanos};
 
-/// Answers of other control machines.
+/// Timeout of calls to other controllers.
 const PEER_TIMEOUT: Duration = Duration::from_millis(900);
-/// The settings file is looked at this often.
+/// Interval between checks of the settings file.
 const RELOAD_INTERVAL: Nanos = 1_000 * MS;
-/// Lines that may wait for a porter.
+/// Maximum number of lines that wait for an agent.
 const FEED_QUEUE_LENGTH: usize = 256;
-/// Other machines that connections are kept to.
+/// Maximum number of other controllers to which connections are kept.
 const MAX_CLIENTS: usize = 64;
 
-/// What comes.
+/// An event for the loop.
 enum Event {
     Call(Call, oneshot::Sender<Reply>),
     Input(Input),
@@ -59,17 +59,17 @@
     events: mpsc::UnboundedSender<Event>,
     voter: VoterThread,
     clients: BTreeMap<Address, Arc<Client>>,
-    /// Whoever waits for an answer.
+    /// Callers that wait for a reply, by the number of their call.
     calls: BTreeMap<u64, oneshot::Sender<Reply>>,
     last_call: u64,
     feeds: BTreeMap<ConnectionId, mpsc::Sender<Bytes>>,
-    /// The platform, as it is called under the fence.
+    /// The platform's client, with the fence under which it calls.
     platform: Option<(u64, Arc<Platform>)>,
     reload_at: Nanos,
     core: Core,
 }
 
-/// Serves until SIGTERM. What scalers are given is told as `lines`.
+/// Serves until SIGTERM. If `lines` is given, the inputs of the scaler are recorded to it.
 pub async fn run(
     settings: Settings,
     path: PathBuf,
@@ -107,16 +107,16 @@
     let clock = Instant::now();
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     let life = unix.as_millis() as u64;
-    let mut start = CoreOptions::from_settings(&settings, address, life);
+    let mut options = CoreOptions::from_settings(&settings, address, life);
     if let Some(lines) = &lines {
         lines.sink()(&Head::new(&settings.node_name, "bourse", life, life).line());
     }
-    start.sink = lines.map(|lines| Box::new(move || lines.sink()) as Box<dyn Fn() -> Sink>);
-    let me = start.me.clone();
-    let mut seeds = start.seeds.clone();
+    options.sink = lines.map(|lines| Box::new(move || lines.sink()) as Box<dyn Fn() -> Sink>);
+    let me = options.me.clone();
+    let mut seeds = options.seeds.clone();
     seeds.sort();
     seeds.dedup();
-    // All that start together read the same seeds, and so begin with the same members.
+    // Controllers that start together read the same seeds, and so begin with the same members.
     let uid = format!("{:016x}", xxh3_64(seeds.join(" ").as_bytes()));
     let first = settings.bootstrap.then(|| Members::first(&uid, seeds.iter().cloned()));
     let (voter_events, mut voter_receiver) = mpsc::unbounded_channel();
@@ -150,10 +150,10 @@
         feeds: BTreeMap::new(),
         platform: None,
         reload_at: 0,
-        core: Core::new(start),
+        core: Core::new(options),
         settings,
     };
-    log::info!("control on {address}");
+    log::info!("listening on {address}");
     loop {
         let wake = runtime.core.next_wake(runtime.now());
         tokio::select! {
@@ -165,7 +165,7 @@
             _ = term.recv() => runtime.input(Input::Shutdown),
             () = sleep_until(runtime.clock + Duration::from_nanos(wake)) => {}
         }
-        // All that has come is taken in before anything is decided.
+        // All available events are handled before timers and decisions.
         while let Ok(event) = receiver.try_recv() {
             runtime.event(event);
         }
@@ -185,12 +185,12 @@
     fn reload(&mut self) {
         match Settings::load(&self.path) {
             Ok(settings) if settings.seed_nodes != self.settings.seed_nodes => {
-                log::info!("seeds are now {:?}", settings.seed_nodes);
+                log::info!("seed nodes are now {:?}", settings.seed_nodes);
                 self.settings.seed_nodes = settings.seed_nodes;
                 self.input(Input::Seeds(seeds(&self.settings)));
             }
             Ok(_) => {}
-            Err(e) => log::warn!("settings stay as they are: {e}"),
+            Err(e) => log::warn!("cannot reload settings, keeping the current ones: {e}"),
         }
     }
 
@@ -272,7 +272,7 @@
         if let Some(client) = self.clients.get(to) {
             return Some(Arc::clone(client));
         }
-        let address = to.parse().map_err(|e| log::warn!("{to}: {e}")).ok()?;
+        let address = to.parse().map_err(|e| log::warn!("invalid address {to}: {e}")).ok()?;
         if self.clients.len() > MAX_CLIENTS {
             self.clients.clear();
         }
@@ -281,14 +281,14 @@
         Some(client)
     }
 
-    /// Sends a message to a voter; its answer goes where `back` says.
+    /// Sends a message to a voter, and passes its reply to `target`.
     fn send_to_voter(&mut self, to: Address, message: Message, target: ReplyTarget) {
         let (events, voter) = (self.events.clone(), self.voter.clone());
-        let deliver = move |from, answer| {
+        let deliver = move |from, reply| {
             let input = match target {
-                ReplyTarget::Round(id) => Input::RoundReply(id, from, answer),
-                ReplyTarget::Lease => Input::LeaseReply(from, answer),
-                ReplyTarget::Voter => return drop(voter.send(from, answer)),
+                ReplyTarget::Round(id) => Input::RoundReply(id, from, reply),
+                ReplyTarget::Lease => Input::LeaseReply(from, reply),
+                ReplyTarget::Voter => return drop(voter.send(from, reply)),
             };
             let _ = events.send(Event::Input(input));
         };
@@ -305,7 +305,7 @@
         let body =
             object([("from", text(&self.me)), ("m", message.to_json())]).stringify().unwrap_or_default();
         tokio::spawn(async move {
-            let answer = client
+            let reply = client
                 .call(
                     Method::POST,
                     "/core/vote",
@@ -315,7 +315,7 @@
                     2 * MAX_BODY,
                 )
                 .await;
-            match answer {
+            match reply {
                 Ok((StatusCode::OK, _, body)) => {
                     if let Some(answer) = messaging::json(&body).and_then(|json| Message::read(&json).ok()) {
                         deliver(to, answer);
@@ -324,13 +324,13 @@
                 Ok(_) => {}
                 Err(e) => {
                     client.clear();
-                    log::debug!("{to}: {e}");
+                    log::debug!("call to voter {to} failed: {e}");
                 }
             }
         });
     }
 
-    /// Hands another's message to the voter here, whose answer is that of the call.
+    /// Passes another controller's message to the local voter, whose reply answers the call.
     fn ask_local_voter(&mut self, call: u64, from: Address, message: Message) {
         let Some(caller) = self.calls.remove(&call) else { return };
         let answer = self.voter.send(from, message);
@@ -371,14 +371,14 @@
     fn fetch_config(&mut self, number: u64, from: &Address) {
         let (events, client) = (self.events.clone(), self.client(from));
         tokio::spawn(async move {
-            let answer = match client {
+            let reply = match client {
                 Some(client) => client
                     .call(Method::GET, "/core/chosen", HeaderMap::new(), Bytes::new(), PEER_TIMEOUT, MAX_BODY)
                     .await
                     .ok(),
                 None => None,
             };
-            let text = match answer {
+            let text = match reply {
                 Some((StatusCode::OK, _, body)) => String::from_utf8(body.to_vec()).ok(),
                 _ => None,
             };
@@ -396,7 +396,8 @@
         self.platform = Some((fence, Arc::clone(&platform)));
         let (events, clock) = (self.events.clone(), self.clock);
         tokio::spawn(async move {
-            // The clock is read where the call begins: its turn may come late, and the process may have been stopped.
+            // The clock is read when the call begins: the task may have been delayed, and the process may
+            // have been suspended.
             let reply = match call.begin(clock.elapsed().as_nanos() as Nanos) {
                 Ok(request) => platform.carry_out(request).await,
                 Err(unanswered) => unanswered,
--- a/controller/src/voter_thread.rs
+++ b/controller/src/voter_thread.rs
@@ -1,7 +1,9 @@
-//! The voter on a thread of its own, since its disk may hang for seconds: it takes one message at a time, writes, and answers.
+//! Runs the voter on its own thread, because its disk may hang for seconds. The thread handles one message at
+//! a time: it writes to disk, then replies.
 //!
-//! A disk that can't be opened or read counts as wiped: its folder is put aside, where the last such one stays for whoever looks,
-//! and the voter copies from the others before it says anything. After a write that failed the records are read anew.
+//! Records that cannot be opened or read are treated as lost: their folder is moved aside, where the last
+//! such folder is kept for inspection, and the voter copies its state from the others before it replies to
+//! anything. After a failed write the records are read again.
 
 use std::path::{Path, PathBuf};
 use std::sync::mpsc;
@@ -15,44 +17,44 @@
 use crate::disk::{self, Disk};
 use crate::errors::{Error, ThreadSnafu};
 
-/// Messages that may wait for the disk.
+/// Maximum number of messages that wait for the disk.
 const QUEUE_LENGTH: usize = 500;
-/// Pause between two tries to open a disk that does not open.
+/// Pause before records that could not be opened are opened again.
 const OPEN_RETRY_DELAY: Duration = Duration::from_millis(300);
-/// Records that take more bytes than this are not kept aside: the disk must have room for those in use.
+/// Records larger than this, in bytes, are not kept aside, because the disk must have room for those in use.
 const MAX_ASIDE_BYTES: u64 = 32 << 20;
 
-/// What the voter is asked.
+/// A request to the voter thread.
 enum VoterRequest {
-    /// A message, and where its answer goes: none where it says nothing.
+    /// A message, and the channel for the voter's reply, which is `None` if the voter does not reply.
     Message { from: Address, message: Message, reply: oneshot::Sender<Option<Message>> },
-    /// The configuration that stands on this disk, chosen or not.
+    /// Reads the configuration stored on the disk, chosen or not.
     ReadConfig(oneshot::Sender<Option<Value>>),
 }
 
-/// What the voter wants the others asked, and what is known of it.
+/// An event of the voter thread.
 #[derive(Debug)]
 pub enum VoterEvent {
-    /// Its state and the members it knows, when they change.
+    /// The voter's state and its members, sent when they change.
     Status { voting: bool, members: Option<Members> },
-    /// For others; their answers come back as messages.
+    /// Messages for other voters, whose replies must be sent to this voter.
     Requests(Vec<(Address, Message)>),
 }
 
-/// What a voter starts from.
+/// Parameters of a voter.
 pub struct VoterOptions {
     pub me: Address,
     pub folder: PathBuf,
     pub seeds: Vec<Address>,
     pub life: u64,
-    /// The first members, where the whole system starts on empty disks.
+    /// The first members, if the whole system starts on empty disks.
     pub first: Option<Members>,
 }
 
 #[cfg(test)]
 mod newer;
 
-/// The way to the voter.
+/// A handle of the voter thread.
 #[derive(Clone)]
 pub struct VoterThread {
     requests: mpsc::SyncSender<VoterRequest>,
@@ -61,12 +63,12 @@
 impl VoterThread {
     /// Starts the thread.
     pub fn start(
-        start: VoterOptions,
+        options: VoterOptions,
         events: async_mpsc::UnboundedSender<VoterEvent>,
         clock: Instant,
     ) -> Result<Self, Error> {
         let (requests, receiver) = mpsc::sync_channel(QUEUE_LENGTH);
-        let run = move || run(&start, &receiver, &events, clock);
+        let run = move || run(&options, &receiver, &events, clock);
         thread::Builder::new()
             .name("voter".to_owned())
             .stack_size(512 * 1024)
@@ -75,14 +77,15 @@
         Ok(VoterThread { requests })
     }
 
-    /// Hands a message over. Where the disk hangs and too much waits it is dropped, and its answer with it.
+    /// Sends a message to the voter and returns the receiver of its reply. If the queue is full because the
+    /// disk hangs, the message is dropped and the receiver fails.
     pub fn send(&self, from: Address, message: Message) -> oneshot::Receiver<Option<Message>> {
         let (reply, replied) = oneshot::channel();
         let _ = self.requests.try_send(VoterRequest::Message { from, message, reply });
         replied
     }
 
-    /// The configuration that stands on this disk, whether it is chosen or not.
+    /// Returns a receiver of the configuration stored on the disk, whether it is chosen or not.
     pub fn read_config(&self) -> oneshot::Receiver<Option<Value>> {
         let (reply, replied) = oneshot::channel();
         let _ = self.requests.try_send(VoterRequest::ReadConfig(reply));
@@ -90,12 +93,12 @@
     }
 }
 
-/// Where records that can't be read are put: one such folder is kept.
+/// Returns the folder to which unreadable records are moved.
 fn aside_path(folder: &Path) -> PathBuf {
     folder.with_extension("aside")
 }
 
-/// The bytes of all files under a folder.
+/// Returns the size of all files under a folder, in bytes.
 fn size_of_files(folder: &Path) -> io::Result<u64> {
     let mut sum = 0;
     for entry in fs::read_dir(folder)? {
@@ -106,7 +109,8 @@
     Ok(sum)
 }
 
-/// Puts the records aside, in the place of older ones. It lasts: what is written from then on never meets what was there before.
+/// Moves the records aside, replacing older ones there, and syncs the parent folder: later writes must never
+/// mix with the records that were moved.
 fn move_aside(folder: &Path) -> io::Result<()> {
     let to = aside_path(folder);
     match fs::remove_dir_all(&to) {
@@ -116,41 +120,41 @@
     fs::rename(folder, &to)?;
     let size = size_of_files(&to)?;
     if size > MAX_ASIDE_BYTES {
-        log::warn!("{size} bytes of records are too many to be kept aside");
-        // The folder itself stays, as a sign that there were records.
+        log::warn!("deleting unreadable records instead of keeping them aside: {size} bytes");
+        // The empty folder remains to show that there were records.
         fs::remove_dir_all(&to)?;
         fs::create_dir(&to)?;
     }
     folder.parent().map_or(Ok(()), |parent| fs::File::open(parent)?.sync_all())
 }
 
-/// Opens the records, or puts aside what can't be read.
-fn open(start: &VoterOptions, now: u64) -> Option<(Disk, Voter)> {
+/// Opens the records, or moves them aside if they are unreadable.
+fn open(options: &VoterOptions, now: u64) -> Option<(Disk, Voter)> {
     let set_aside = |why: &str| {
-        log::error!("the records are put aside, and copied from the others: {why}");
-        if let Err(e) = move_aside(&start.folder) {
-            log::error!("{}: not put aside: {e}", start.folder.display());
+        log::error!("moving unreadable records aside, copying from the other voters: {why}");
+        if let Err(e) = move_aside(&options.folder) {
+            log::error!("cannot move {} aside: {e}", options.folder.display());
         }
     };
-    let (disk, records) = match disk::read(&start.folder) {
+    let (disk, records) = match disk::read(&options.folder) {
         Ok(read) => read,
         Err(e) => {
-            // A disk that is full or hangs is not one that is broken.
+            // A disk that is full or hangs does not mean that the records are corrupt.
             let text = e.to_string();
-            if start.folder.exists() && text.contains("orrupt") {
+            if options.folder.exists() && text.contains("orrupt") {
                 set_aside(&text);
             } else {
-                log::error!("{text}");
+                log::error!("cannot open the voter's records: {text}");
             }
             return None;
         }
     };
-    match Voter::open(start.me.clone(), records, start.seeds.clone(), start.life, now) {
+    match Voter::open(options.me.clone(), records, options.seeds.clone(), options.life, now) {
         Ok(voter) => Some((disk, voter)),
-        // Nothing is wrong with them: they stay for the program that wrote them.
+        // The records are valid, but of a newer format: they are kept for the program that wrote them.
         Err(e @ millpost_quorum::OpenError::Newer { .. }) => {
             static ONCE: std::sync::Once = std::sync::Once::new();
-            ONCE.call_once(|| log::error!("does not vote: {}: {e}", start.folder.display()));
+            ONCE.call_once(|| log::error!("not voting: {}: {e}", options.folder.display()));
             None
         }
         Err(e) => {
@@ -162,7 +166,7 @@
 }
 
 fn run(
-    start: &VoterOptions,
+    options: &VoterOptions,
     requests: &mpsc::Receiver<VoterRequest>,
     events: &async_mpsc::UnboundedSender<VoterEvent>,
     clock: Instant,
@@ -170,18 +174,18 @@
     let now = || clock.elapsed().as_nanos() as u64;
     let mut reported = None;
     loop {
-        let Some((disk, mut voter)) = open(start, now()) else {
+        let Some((disk, mut voter)) = open(options, now()) else {
             thread::sleep(OPEN_RETRY_DELAY);
-            // What waited is answered by nobody.
+            // Requests that arrived meanwhile get no reply.
             while requests.try_recv().is_ok() {}
             continue;
         };
-        // Records that were put aside made promises: this is no first start any more.
-        if let Some(first) = &start.first
-            && !aside_path(&start.folder).exists()
+        // Records that were moved aside may have contained promises, so this does not count as a first start.
+        if let Some(first) = &options.first
+            && !aside_path(&options.folder).exists()
             && let Err(e) = voter.bootstrap(first.clone()).carry_out(|batch| disk.put(batch))
         {
-            log::error!("{e}");
+            log::error!("cannot write the first members: {e}");
             continue;
         }
         loop {
@@ -209,7 +213,7 @@
                             let _ = reply.send(answer);
                         }
                         Err(e) => {
-                            log::error!("not written: {e}");
+                            log::error!("cannot write the voter's records: {e}");
                             break;
                         }
                     }
@@ -226,7 +230,7 @@
     }
 }
 
-/// Where the records are, under the folder of the settings.
+/// Returns the folder of the voter's records under the data directory.
 pub fn folder(data_dir: &Path) -> PathBuf {
     data_dir.join("tally")
 }
@@ -237,7 +241,7 @@
 
     use super::*;
 
-    fn start(folder: PathBuf) -> VoterOptions {
+    fn options_in(folder: PathBuf) -> VoterOptions {
         let first = Some(Members::first("u", ["127.0.0.1:1".into()]));
         VoterOptions { me: "127.0.0.1:1".into(), folder, seeds: vec!["127.0.0.1:1".into()], life: 1, first }
     }
@@ -248,46 +252,46 @@
     }
 
     #[test]
-    fn the_last_records_that_could_not_be_read_are_kept_aside() {
+    fn the_last_unreadable_records_are_kept_aside() {
         let data = tempfile::tempdir().expect("a folder");
-        let start = start(folder(data.path()));
+        let options = options_in(folder(data.path()));
         for text in ["older", "newer"] {
-            write_invalid_record(&start.folder, text);
-            // The store may keep its lock for a moment.
-            while start.folder.exists() {
-                assert!(open(&start, 0).is_none());
+            write_invalid_record(&options.folder, text);
+            // The store may hold its lock for a moment longer.
+            while options.folder.exists() {
+                assert!(open(&options, 0).is_none());
             }
-            let records = disk::read_again(&data.path().join("tally.aside"));
+            let records = disk::read_after_close(&data.path().join("tally.aside"));
             assert_eq!(records, [("of nobody".to_owned(), text.to_owned())]);
         }
-        let (_, voter) = open(&start, 0).expect("a new folder");
+        let (_, voter) = open(&options, 0).expect("a new folder");
         assert_eq!(voter.state(), State::Blank);
         assert_eq!(fs::read_dir(data.path()).expect("listed").count(), 2);
     }
 
     #[test]
-    fn too_much_is_not_kept_aside() {
+    fn large_records_are_not_kept_aside() {
         let data = tempfile::tempdir().expect("a folder");
         let folder = folder(data.path());
-        fs::create_dir(&folder).expect("made");
-        fs::File::create(folder.join("db")).and_then(|f| f.set_len(MAX_ASIDE_BYTES + 1)).expect("made");
-        move_aside(&folder).expect("put aside");
+        fs::create_dir(&folder).expect("created");
+        fs::File::create(folder.join("db")).and_then(|f| f.set_len(MAX_ASIDE_BYTES + 1)).expect("created");
+        move_aside(&folder).expect("moved aside");
         assert!(!folder.exists());
         assert_eq!(size_of_files(&aside_path(&folder)).expect("read"), 0);
     }
 
     #[test]
-    fn promises_that_were_put_aside_are_not_forgotten_by_a_first_start() {
+    fn moving_records_aside_prevents_a_first_start() {
         let data = tempfile::tempdir().expect("a folder");
-        let start = start(folder(data.path()));
-        let members = start.first.clone().expect("the first");
-        write_invalid_record(&start.folder, "x");
+        let options = options_in(folder(data.path()));
+        let members = options.first.clone().expect("the first");
+        write_invalid_record(&options.folder, "x");
         let (events, mut received) = async_mpsc::unbounded_channel();
-        let voter = VoterThread::start(start, events, Instant::now()).expect("a thread");
+        let voter = VoterThread::start(options, events, Instant::now()).expect("a thread");
         let first = received.blocking_recv();
         assert!(
             matches!(first, Some(VoterEvent::Status { voting: false, .. })),
-            "copies before it votes: {first:?}"
+            "must copy before it votes: {first:?}"
         );
         let ballot = millpost_quorum::Ballots::new("127.0.0.1:1", 2).next(0);
         let prepare = Message::Prepare { key: Key::Config, ballot, members };
--- a/controller/src/voter_thread/newer.rs
+++ b/controller/src/voter_thread/newer.rs
@@ -1,22 +1,22 @@
-//! Records of a newer version of the program.
+//! Records that a newer version of the program has written.
 
 use millpost_quorum::Write;
 
 use super::*;
 
 #[test]
-fn records_of_a_newer_format_stay_as_they_are_and_nobody_votes() {
+fn records_of_a_newer_format_are_kept_and_the_voter_does_not_open() {
     let data = tempfile::tempdir().expect("a folder");
     let first = Some(Members::first("u", ["127.0.0.1:1".into()]));
     let (me, seeds) = ("127.0.0.1:1".into(), vec!["127.0.0.1:1".into()]);
-    let start = VoterOptions { me, folder: folder(data.path()), seeds, life: 1, first };
+    let options = VoterOptions { me, folder: folder(data.path()), seeds, life: 1, first };
     let records = [("key/config", "{}"), ("later", "x"), ("voter", r#"{"format":"3","later":[]}"#)];
     let writes = records.map(|(key, text)| Write { key: key.to_owned(), text: text.to_owned() });
-    disk::read(&start.folder).and_then(|(disk, _)| disk.put(&writes)).expect("written");
+    disk::read(&options.folder).and_then(|(disk, _)| disk.put(&writes)).expect("written");
     for _ in 0..2 {
-        assert!(open(&start, 0).is_none());
+        assert!(open(&options, 0).is_none());
         assert_eq!(
-            disk::read_again(&start.folder),
+            disk::read_after_close(&options.folder),
             records.map(|(key, text)| (key.to_owned(), text.to_owned()))
         );
     }
--- a/controller/src/voters.rs
+++ b/controller/src/voters.rs
@@ -45,7 +45,7 @@
 impl VoterView<'_> {
     /// Returns whether a voter is available and has a state.
     fn has_state(&self, now: Nanos, voter: &Address) -> bool {
-        let fresh = |seen: &PeerState| seen.voting && seen.heard + FRESH > now;
+        let fresh = |seen: &PeerState| seen.voting && seen.last_heard + FRESH > now;
         voter == self.me || self.peers.get(voter).is_some_and(fresh)
     }
 
@@ -65,7 +65,7 @@
         let leaving = |voter: &&Address| self.peers.get(*voter).is_some_and(|seen| seen.leaving);
         let silent = |voter: &&Address| {
             now > 2 * SILENCE_TIMEOUT
-                && self.peers.get(*voter).is_none_or(|seen| seen.heard + SILENCE_TIMEOUT < now)
+                && self.peers.get(*voter).is_none_or(|seen| seen.last_heard + SILENCE_TIMEOUT < now)
         };
         voters().find(leaving).or_else(|| voters().find(silent))
     }
@@ -111,7 +111,7 @@
     members: &'a Members,
     peers: &'a BTreeMap<Address, PeerState>,
 ) -> impl Iterator<Item = (&'a Address, &'a PeerState)> {
-    let available = move |seen: &PeerState| !seen.leaving && seen.heard + FRESH > now;
+    let available = move |seen: &PeerState| !seen.leaving && seen.last_heard + FRESH > now;
     peers.iter().filter(move |(a, seen)| !members.names(a) && available(seen))
 }
 
@@ -155,7 +155,7 @@
         let members = Members::first("u", voters.chars().map(|c| c.to_string().into()));
         let seen = |&(a, ms, voting): &(&str, u64, bool)| {
             let (name, leaving) = (a.trim_end_matches('!').into(), a.ends_with('!'));
-            (name, PeerState { heard: ms * MS, voting, leaving })
+            (name, PeerState { last_heard: ms * MS, voting, leaving })
         };
         let peers = heard.iter().map(seen).collect();
         let mut voters_state = Voters::default();
