--- a/controller/tests/cluster/mod.rs
+++ b/controller/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Control machines in memory: their floors and voters, a network that takes 2 ms, a clock that is turned by hand. What happens is the
-//! same each time.
+//! Controllers in memory, with simulated disks, a network with a latency of 2 ms, and a simulated clock. Runs
+//! are deterministic.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,57 +16,58 @@
 use tinyjson::JsonValue;
 
 pub const MS: u64 = 1_000_000;
-const WAY: u64 = 2 * MS;
+const LATENCY: u64 = 2 * MS;
 
 enum Event {
     Input(Input),
-    /// For the voter here; its answer goes to that machine, or is that call's.
-    Vote(Address, Message, Result<(usize, ReplyTarget), u64>),
-    Begin(PlatformCall),
+    /// A message for the local voter. The reply goes to the given machine, or answers the given call.
+    VoterMessage(Address, Message, Result<(usize, ReplyTarget), u64>),
+    PlatformCall(PlatformCall),
 }
 
 struct Machine {
     core: Core,
     voter: Voter,
-    /// What its voter has written.
+    /// The records that the voter has written.
     disk: BTreeMap<String, String>,
     wake: u64,
     up: bool,
-    /// Nothing happens to it before.
-    frozen: u64,
+    /// All events are delayed until then.
+    frozen_until: u64,
     side: u32,
-    /// It hears those of other sides, though they don't hear it.
-    hears: bool,
-    told: Option<(bool, Option<Members>)>,
+    /// Receives messages from other sides of a partition, which do not receive its messages.
+    hears_others: bool,
+    reported: Option<(bool, Option<Members>)>,
 }
 
 #[derive(Default)]
 pub struct Cluster {
     pub now: u64,
-    /// With any but 0, messages take up to 20 ms, and one in 32 is lost.
-    pub luck: u64,
+    /// With any value but 0, messages take up to 20 ms, and one in 32 is lost.
+    pub seed: u64,
     machines: Vec<Machine>,
     seeds: Vec<Address>,
     queue: BTreeMap<(u64, u64), (usize, Event)>,
     count: u64,
-    /// Answers by call, with their time.
-    pub answers: BTreeMap<u64, (u64, StatusCode, String)>,
-    fetchers: BTreeMap<u64, (usize, u64)>,
-    /// News under way: whose, and when they were sent.
-    tellers: BTreeMap<u64, (usize, u64)>,
-    /// Fetches by machine.
+    /// Replies by call, with their times.
+    pub replies: BTreeMap<u64, (u64, StatusCode, String)>,
+    fetch_calls: BTreeMap<u64, (usize, u64)>,
+    /// Gossip calls in progress: the sender, and when it sent them.
+    gossip_calls: BTreeMap<u64, (usize, u64)>,
+    /// The machines that fetched a configuration, once per fetch.
     pub fetches: Vec<usize>,
-    /// Calls to the platform that went out, and those that were kept back: when, and by whom.
-    pub went: Vec<(u64, usize, PlatformCall)>,
-    pub kept_back: Vec<(u64, usize)>,
-    /// Memory that a worker has, and another half of; with none nothing starts.
+    /// Calls to the platform that were made, and those that missed their deadline: when, and by which
+    /// machine.
+    pub platform_calls: Vec<(u64, usize, PlatformCall)>,
+    pub late_calls: Vec<(u64, usize)>,
+    /// Memory of the first worker in MB; the second has half of it. With 0 there are no workers, and starts get no reply.
     pub workers: u64,
-    /// Instances that were started: when, and what the list shows of each a while later.
+    /// Started instances and their start times; the list shows them after a delay.
     pub started: Vec<(u64, Entry)>,
-    names: usize,
-    /// Lines for porters, by machine and seat; first those of calls that follow, by the call.
+    next_instance: usize,
+    /// Feed lines, by machine and connection; and the feeds, by the call that opened them.
     pub lines: Vec<(usize, u64, Bytes)>,
-    pub seats: BTreeMap<u64, (usize, u64)>,
+    pub feeds: BTreeMap<u64, (usize, u64)>,
 }
 
 pub fn address(n: usize) -> Address {
@@ -84,8 +85,8 @@
     Ok(())
 }
 
-/// What a machine starts from.
-fn start(n: usize, life: u64, seeds: &[Address]) -> CoreOptions {
+/// Returns the options of a machine.
+fn options(n: usize, life: u64, seeds: &[Address]) -> CoreOptions {
     CoreOptions {
         me: address(n),
         life,
@@ -100,7 +101,7 @@
 }
 
 impl Cluster {
-    /// So many voters, and machines beside them that start with nothing.
+    /// Creates a cluster of voters, and of spares that start without a state.
     pub fn new(voters: usize, spares: usize) -> Self {
         let seeds: Vec<_> = (0..voters).map(address).collect();
         let mut cluster = Cluster { seeds: seeds.clone(), ..Cluster::default() };
@@ -111,9 +112,19 @@
                 let first = Members::first("u", seeds.iter().cloned());
                 voter.bootstrap(first).carry_out(|batch| write(&mut disk, batch)).expect("written");
             }
-            let core = Core::new(start(n, 1, &seeds));
-            let (wake, up, frozen, side, hears, told) = (0, true, 0, 0, false, None);
-            cluster.machines.push(Machine { core, voter, disk, wake, up, frozen, side, hears, told });
+            let core = Core::new(options(n, 1, &seeds));
+            let (wake, up, frozen_until, side, hears_others, reported) = (0, true, 0, 0, false, None);
+            cluster.machines.push(Machine {
+                core,
+                voter,
+                disk,
+                wake,
+                up,
+                frozen_until,
+                side,
+                hears_others,
+                reported,
+            });
         }
         cluster
     }
@@ -127,75 +138,75 @@
         leaders.next().filter(|n| self.machines[*n].up && leaders.next().is_none())
     }
 
-    /// Whether a machine has anything of moves on its disk.
-    pub fn holds_moves(&self, n: usize) -> bool {
+    /// Returns whether a machine stores a record of migrations.
+    pub fn stores_migrations(&self, n: usize) -> bool {
         self.machines[n].voter.slot(Key::Moves).is_some()
     }
 
-    /// Who holds this revision on disk.
+    /// Returns the number of machines that store this revision.
     pub fn holders(&self, revision: u64) -> usize {
         let version = |m: &Machine| Some(m.voter.slot(Key::Config)?.accepted.as_ref()?.value.version);
         self.machines.iter().filter(|m| version(m) == Some(revision)).count()
     }
 
-    /// The next number below this one, drawn from the luck.
+    /// Draws the next pseudo-random number below `below`.
     pub fn draw(&mut self, below: u64) -> u64 {
-        self.luck = self.luck.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.luck >> 33) % below
+        self.seed = self.seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        (self.seed >> 33) % below
     }
 
-    /// When what is sent now arrives, if it does.
-    fn way(&mut self, from: usize, to: usize) -> Option<u64> {
-        let whole = self.machines[from].side == self.machines[to].side || self.machines[to].hears;
-        if self.luck == 0 || from == to {
-            return whole.then_some(self.now + WAY);
+    /// Returns when a message sent now arrives; `None` if it is lost.
+    fn arrival(&mut self, from: usize, to: usize) -> Option<u64> {
+        let reachable = self.machines[from].side == self.machines[to].side || self.machines[to].hears_others;
+        if self.seed == 0 || from == to {
+            return reachable.then_some(self.now + LATENCY);
         }
-        let arrives = self.now + WAY + self.draw(18) * MS;
-        (self.draw(32) > 0 && whole).then_some(arrives)
+        let arrives = self.now + LATENCY + self.draw(18) * MS;
+        (self.draw(32) > 0 && reachable).then_some(arrives)
     }
 
-    /// Whether a call to the platform is decided on and has not begun.
-    pub fn in_hand(&self, n: usize) -> bool {
-        self.queue.values().any(|(of, event)| *of == n && matches!(event, Event::Begin(_)))
+    /// Returns whether a machine has decided on a call to the platform that has not begun.
+    pub fn has_pending_platform_call(&self, n: usize) -> bool {
+        self.queue.values().any(|(of, event)| *of == n && matches!(event, Event::PlatformCall(_)))
     }
 
     pub fn down(&mut self, n: usize) {
         self.machines[n].up = false;
     }
 
-    /// It has power again.
+    /// Switches a machine on again, with its process in the state in which it was.
     pub fn up(&mut self, n: usize) {
         self.machines[n].up = true;
     }
 
-    /// Bytes of a machine's records.
+    /// Returns the size of a machine's records in bytes.
     pub fn disk_bytes(&self, n: usize) -> usize {
         self.machines[n].disk.values().map(String::len).sum()
     }
 
     pub fn freeze(&mut self, n: usize, until: u64) {
-        self.machines[n].frozen = until;
+        self.machines[n].frozen_until = until;
     }
 
-    /// Machines of one side hear those of another no more.
+    /// Moves a machine to a side of a network partition.
     pub fn cut(&mut self, n: usize, side: u32) {
         self.machines[n].side = side;
     }
 
-    /// Whether a machine that is cut off still hears the others.
-    pub fn hears_across(&mut self, n: usize, hears: bool) {
-        self.machines[n].hears = hears;
+    /// Sets whether a machine receives messages from other sides.
+    pub fn set_hears_others(&mut self, n: usize, hears: bool) {
+        self.machines[n].hears_others = hears;
     }
 
-    /// A machine's process ends, and another begins on its disk.
+    /// Ends a machine's process and starts another one on its disk.
     pub fn restart(&mut self, n: usize) {
         self.queue.retain(|_, (of, _)| *of != n);
         let records = self.machines[n].disk.clone();
         let (life, seeds) = (self.now / MS + 2, self.seeds.clone());
         let voter = Voter::open(address(n), records, seeds.clone(), life, self.now).expect("its records");
         self.machines[n].voter = voter;
-        self.machines[n].core = Core::new(start(n, life, &seeds));
-        (self.machines[n].wake, self.machines[n].told) = (self.now, None);
+        self.machines[n].core = Core::new(options(n, life, &seeds));
+        (self.machines[n].wake, self.machines[n].reported) = (self.now, None);
     }
 
     pub fn input(&mut self, n: usize, input: Input) {
@@ -226,11 +237,11 @@
         self.call(n, Method::GET, "/Config.Read", "")
     }
 
-    /// A field of what a machine says to operators.
+    /// Returns a field of a machine's status for operators.
     pub fn status(&mut self, n: usize, key: &str) -> JsonValue {
         let id = self.call(n, Method::GET, "/core", "");
         self.run(self.now);
-        let JsonValue::Object(mut all) = json(self.answers[&id].2.as_bytes()).expect("JSON") else {
+        let JsonValue::Object(mut all) = json(self.replies[&id].2.as_bytes()).expect("JSON") else {
             panic!("no object")
         };
         all.remove(key).expect("a field")
@@ -241,9 +252,9 @@
         self.queue.insert((at, self.count), (n, event));
     }
 
-    /// Turns the clock on, up to what is true.
-    pub fn until(&mut self, longest: u64, done: impl Fn(&Self) -> bool) -> bool {
-        let end = self.now + longest;
+    /// Advances the clock until the condition holds; returns false after `timeout`.
+    pub fn until(&mut self, timeout: u64, done: impl Fn(&Self) -> bool) -> bool {
+        let end = self.now + timeout;
         while !done(self) {
             if self.now >= end {
                 return false;
@@ -253,12 +264,12 @@
         true
     }
 
-    /// Turns the clock on.
+    /// Advances the clock to `end`.
     pub fn run(&mut self, end: u64) {
         loop {
             let due = |m: &Machine| {
                 let voter = m.voter.next_wake().unwrap_or(u64::MAX);
-                if m.up { m.wake.min(voter).max(m.frozen) } else { u64::MAX }
+                if m.up { m.wake.min(voter).max(m.frozen_until) } else { u64::MAX }
             };
             let next = (0..self.machines.len()).map(|n| (due(&self.machines[n]), n)).min();
             let (at, n) = next.expect("machines");
@@ -267,7 +278,7 @@
                 self.now = self.now.max(at);
                 match &self.machines[n] {
                     machine if !machine.up => {}
-                    machine if machine.frozen > self.now => self.push(machine.frozen, n, event),
+                    machine if machine.frozen_until > self.now => self.push(machine.frozen_until, n, event),
                     _ => self.event(n, event),
                 }
             } else if at <= end {
@@ -291,34 +302,40 @@
                 self.effects(n);
                 self.machines[n].wake = self.machines[n].core.next_wake(self.now);
             }
-            Event::Vote(from, message, back) => {
+            Event::VoterMessage(from, message, target) => {
                 let Machine { voter, disk, .. } = &mut self.machines[n];
                 let step = voter.handle(self.now, &from, message);
                 let Ok(Some(answer)) = step.carry_out(|batch| write(disk, batch)) else { return };
-                match back {
+                match target {
                     Ok((to, ReplyTarget::Round(id))) => {
-                        self.hand(n, to, Input::RoundReply(id, address(n), answer))
+                        self.deliver(n, to, Input::RoundReply(id, address(n), answer))
+                    }
+                    Ok((to, ReplyTarget::Lease)) => {
+                        self.deliver(n, to, Input::LeaseReply(address(n), answer))
                     }
-                    Ok((to, ReplyTarget::Lease)) => self.hand(n, to, Input::LeaseReply(address(n), answer)),
                     Ok((to, ReplyTarget::Voter)) => {
-                        self.push(self.now + WAY, to, Event::Vote(address(n), answer, Err(0)));
+                        self.push(self.now + LATENCY, to, Event::VoterMessage(address(n), answer, Err(0)));
                     }
                     Err(_) => {}
                 }
             }
-            Event::Begin(errand) => {
-                let (fence, asked) = (errand.fence, errand.decided_at);
-                let heard = match errand.clone().begin(self.now) {
-                    Ok(call) => {
-                        self.went.push((self.now, n, errand));
-                        self.platform(call)
+            Event::PlatformCall(call) => {
+                let (fence, decided_at) = (call.fence, call.decided_at);
+                let reply = match call.clone().begin(self.now) {
+                    Ok(request) => {
+                        self.platform_calls.push((self.now, n, call));
+                        self.platform(request)
                     }
-                    Err(heard) => {
-                        self.kept_back.push((self.now, n));
-                        heard
+                    Err(reply) => {
+                        self.late_calls.push((self.now, n));
+                        reply
                     }
                 };
-                self.push(self.now + WAY, n, Event::Input(Input::PlatformReply(fence, asked, heard)));
+                self.push(
+                    self.now + LATENCY,
+                    n,
+                    Event::Input(Input::PlatformReply(fence, decided_at, reply)),
+                );
             }
         }
     }
@@ -342,9 +359,9 @@
                 PlatformReply::Workers(Some(all.collect()))
             }
             leadership::Call::Start { service, worker, nonce } if self.workers > 0 => {
-                let id = CompactString::from(format!("i-{}", self.names));
-                let address = ([10, 1, 0, self.names as u8], 80).into();
-                self.names += 1;
+                let id = CompactString::from(format!("i-{}", self.next_instance));
+                let address = ([10, 1, 0, self.next_instance as u8], 80).into();
+                self.next_instance += 1;
                 let entry = Entry {
                     id: id.clone(),
                     service,
@@ -364,19 +381,19 @@
         }
     }
 
-    fn hand(&mut self, from: usize, to: usize, input: Input) {
-        if let Some(at) = self.way(from, to) {
+    fn deliver(&mut self, from: usize, to: usize, input: Input) {
+        if let Some(at) = self.arrival(from, to) {
             self.push(at, to, Event::Input(input));
         }
     }
 
     fn tick(&mut self, n: usize) {
         let machine = &mut self.machines[n];
-        let standing =
+        let status =
             (machine.voter.state() == millpost_quorum::State::Voting, machine.voter.members().cloned());
-        if machine.told.as_ref() != Some(&standing) {
-            machine.told = Some(standing.clone());
-            machine.core.handle(self.now, Input::VoterStatus(standing.0, standing.1));
+        if machine.reported.as_ref() != Some(&status) {
+            machine.reported = Some(status.clone());
+            machine.core.handle(self.now, Input::VoterStatus(status.0, status.1));
         }
         machine.core.tick(self.now);
         machine.wake = machine.core.next_wake(self.now);
@@ -386,74 +403,74 @@
     fn effects(&mut self, n: usize) {
         for effect in self.machines[n].core.take_effects() {
             match effect {
-                Effect::SendToVoter(to, message, back) => {
+                Effect::SendToVoter(to, message, target) => {
                     let to = (0..self.machines.len()).find(|n| address(*n) == to).expect("a machine");
-                    if let Some(at) = self.way(n, to) {
-                        self.push(at, to, Event::Vote(address(n), message, Ok((n, back))));
+                    if let Some(at) = self.arrival(n, to) {
+                        self.push(at, to, Event::VoterMessage(address(n), message, Ok((n, target))));
                     }
                 }
                 Effect::AskLocalVoter(id, from, message) => {
-                    self.push(self.now, n, Event::Vote(from, message, Err(id)));
+                    self.push(self.now, n, Event::VoterMessage(from, message, Err(id)));
                 }
-                Effect::Reply(id, reply) => self.answer(n, id, reply),
+                Effect::Reply(id, reply) => self.record_reply(n, id, reply),
                 Effect::Gossip(to, body) => {
                     let to = (0..self.machines.len()).find(|n| address(*n) == to).expect("a machine");
-                    if self.way(n, to).is_some() && self.machines[to].up {
+                    if self.arrival(n, to).is_some() && self.machines[to].up {
                         let body = String::from_utf8_lossy(&body).into_owned();
                         let id = self.call(to, Method::POST, "/core/news", &body);
-                        self.tellers.insert(id, (n, self.now));
+                        self.gossip_calls.insert(id, (n, self.now));
                     }
                 }
                 Effect::ReadLocalConfig(number) => {
                     let slot = self.machines[n].voter.slot(Key::Config);
                     let value = slot.and_then(|slot| slot.accepted.as_ref()).map(|a| a.value.clone());
-                    self.push(self.now + WAY, n, Event::Input(Input::LocalConfig(number, value)));
+                    self.push(self.now + LATENCY, n, Event::Input(Input::LocalConfig(number, value)));
                 }
                 Effect::FetchConfig(number, from) => {
                     self.fetches.push(n);
                     let from = (0..self.machines.len()).find(|n| address(*n) == from).expect("a machine");
-                    if self.way(n, from).is_some() {
+                    if self.arrival(n, from).is_some() {
                         let id = self.call(from, Method::GET, "/core/chosen", "");
-                        self.fetchers.insert(id, (n, number));
+                        self.fetch_calls.insert(id, (n, number));
                     }
                 }
-                Effect::PlatformCall(errand) => self.push(self.now + WAY, n, Event::Begin(errand)),
-                Effect::OpenFeed(id, seat, line) => {
-                    self.seats.insert(id, (n, seat));
-                    self.lines.push((n, seat, line));
+                Effect::PlatformCall(call) => self.push(self.now + LATENCY, n, Event::PlatformCall(call)),
+                Effect::OpenFeed(id, connection, line) => {
+                    self.feeds.insert(id, (n, connection));
+                    self.lines.push((n, connection, line));
                 }
-                Effect::FeedLine(seat, line) => self.lines.push((n, seat, line)),
+                Effect::FeedLine(connection, line) => self.lines.push((n, connection, line)),
                 Effect::CloseFeed(_) | Effect::Heartbeat => {}
             }
         }
     }
 
-    fn answer(&mut self, n: usize, id: u64, reply: Reply) {
-        let Content::Whole(body) = reply.content else { panic!("a held answer") };
+    fn record_reply(&mut self, n: usize, id: u64, reply: Reply) {
+        let Content::Whole(body) = reply.content else { panic!("a streamed reply") };
         let body = String::from_utf8_lossy(&body).into_owned();
-        if let Some((to, number)) = self.fetchers.remove(&id) {
+        if let Some((to, number)) = self.fetch_calls.remove(&id) {
             let text = (reply.status == StatusCode::OK).then(|| body.clone());
-            self.hand(n, to, Input::FetchedConfig(number, text));
+            self.deliver(n, to, Input::FetchedConfig(number, text));
         }
-        if let Some((to, sent)) = self.tellers.remove(&id)
-            && let Some(answered) = GossipReply::decode(sent, body.as_bytes())
+        if let Some((to, sent)) = self.gossip_calls.remove(&id)
+            && let Some(reply) = GossipReply::decode(sent, body.as_bytes())
         {
-            self.hand(n, to, Input::GossipReply(address(n), answered));
+            self.deliver(n, to, Input::GossipReply(address(n), reply));
         }
-        let before = self.answers.insert(id, (self.now, reply.status, body));
-        assert!(before.is_none(), "call {id} is answered twice");
+        let before = self.replies.insert(id, (self.now, reply.status, body));
+        assert!(before.is_none(), "call {id} was answered twice");
     }
 
-    /// The status and body of a call's answer.
-    pub fn answer_to(&self, id: u64) -> Option<(u16, &str)> {
-        self.answers.get(&id).map(|(_, status, body)| (status.as_u16(), body.as_str()))
+    /// Returns the status and body of the reply to a call.
+    pub fn reply_to(&self, id: u64) -> Option<(u16, &str)> {
+        self.replies.get(&id).map(|(_, status, body)| (status.as_u16(), body.as_str()))
     }
 
-    /// Different texts that the machines which are up hold as chosen.
+    /// Returns the distinct configurations that running machines hold as chosen.
     pub fn chosen(&mut self) -> BTreeSet<String> {
         let up: Vec<_> = (0..self.machines.len()).filter(|n| self.machines[*n].up).collect();
         let ids: Vec<_> = up.iter().map(|n| self.call(*n, Method::GET, "/core/chosen", "")).collect();
         self.run(self.now);
-        ids.iter().map(|id| self.answers[id].2.clone()).collect()
+        ids.iter().map(|id| self.replies[id].2.clone()).collect()
     }
 }
--- a/controller/tests/control.rs
+++ b/controller/tests/control.rs
@@ -1,4 +1,4 @@
-//! Control machines against each other in memory: what operators are told, who is the leader, and what is bounded.
+//! Controllers in memory: replies to operators, leadership, feeds, and bounds.
 
 mod cluster;
 
@@ -9,11 +9,11 @@
 use millpost_controller::rounds;
 use tinyjson::JsonValue;
 
-/// Three voters with a leader, and machines beside them.
-fn settled(spares: usize) -> (Cluster, usize) {
+/// Returns a cluster of three voters with a leader, and spares.
+fn cluster_with_leader(spares: usize) -> (Cluster, usize) {
     let mut cluster = Cluster::new(3, spares);
-    assert!(cluster.until(4_000 * MS, |cluster| cluster.leader().is_some()), "no steward");
-    let leader = cluster.leader().expect("a steward");
+    assert!(cluster.until(4_000 * MS, |cluster| cluster.leader().is_some()), "no leader");
+    let leader = cluster.leader().expect("a leader");
     (cluster, leader)
 }
 
@@ -21,36 +21,36 @@
     at_once = { 0 },
     while_the_first_prepares = { 3 },
     while_it_writes = { 5 },
-    after_it_stands = { 20 },
+    after_it_is_chosen = { 20 },
 )]
-fn of_two_contents_under_one_revision_one_wins_everywhere(later_ms: u64) {
-    let (mut cluster, _) = settled(1);
+fn one_of_two_contents_under_one_revision_is_chosen_everywhere(later_ms: u64) {
+    let (mut cluster, _) = cluster_with_leader(1);
     let first = cluster.put(0, &config(1, "one"));
     cluster.run(cluster.now + later_ms * MS);
     let second = cluster.put(1, &config(1, "two"));
     cluster.run(cluster.now + 1_500 * MS);
     assert_eq!(cluster.chosen().len(), 1);
     let chosen = cluster.chosen();
-    let stands = |text: &str| chosen.contains(text);
+    let is_chosen = |text: &str| chosen.contains(text);
     for (id, text) in [(first, config(1, "one")), (second, config(1, "two"))] {
-        confirmed_if(&cluster, id, stands(&text));
+        confirmed_if(&cluster, id, is_chosen(&text));
     }
     for n in 0..4 {
         let id = cluster.read(n);
         cluster.run(cluster.now + 900 * MS);
-        let read = cluster.answer_to(id);
-        assert_eq!(read.map(|(status, text)| (status, stands(text))), Some((200, true)));
+        let read = cluster.reply_to(id);
+        assert_eq!(read.map(|(status, text)| (status, is_chosen(text))), Some((200, true)));
         for text in [config(1, "one"), config(1, "two")] {
             let id = cluster.put(n, &text);
             cluster.run(cluster.now + 900 * MS);
-            confirmed_if(&cluster, id, stands(&text));
+            confirmed_if(&cluster, id, is_chosen(&text));
         }
     }
 }
 
-/// An order is confirmed, or refused for good with the revision that stands.
+/// Checks that a put was confirmed, or rejected permanently with the chosen revision.
 fn confirmed_if(cluster: &Cluster, id: u64, confirmed: bool) {
-    let (status, body) = cluster.answer_to(id).expect("an answer");
+    let (status, body) = cluster.reply_to(id).expect("a reply");
     if confirmed {
         assert_eq!((status, body), (200, r#"{"revision":1}"#));
     } else {
@@ -61,14 +61,15 @@
     }
 }
 
-/// Eight operators put as many contents under one revision, each to a machine of its own choice, and each again as long as it hears
-/// nothing clear; answers are lost, and machines restart after. One content is confirmed, however often it comes.
+/// Eight operators put different contents under one revision, each through a random controller and repeatedly
+/// until there is a definite reply; replies are lost, and controllers restart. Only one content is ever
+/// confirmed.
 #[test]
-fn of_eight_contents_under_one_revision_one_is_ever_confirmed() {
+fn one_of_eight_contents_under_one_revision_is_confirmed() {
     let contents: Vec<_> = (0..8).map(|n| config(1, &format!("s{n}"))).collect();
-    for luck in 1..=20 {
+    for seed in 1..=20 {
         let mut cluster = Cluster::new(3, 2);
-        cluster.luck = luck;
+        cluster.seed = seed;
         cluster.run(4_000 * MS);
         let mut confirmed = std::collections::BTreeSet::new();
         for round in 0..4 {
@@ -83,61 +84,62 @@
             let ids: Vec<_> = contents.iter().map(|text| put(&mut cluster, text)).collect();
             cluster.run(cluster.now + 900 * MS);
             for (id, text) in ids.iter().zip(&contents) {
-                match cluster.answer_to(*id).expect("an answer") {
+                match cluster.reply_to(*id).expect("a reply") {
                     (200, _) => drop(confirmed.insert(text.clone())),
-                    (409, _) => assert!(!confirmed.contains(text), "{luck}: refused after it was confirmed"),
+                    (409, _) => assert!(!confirmed.contains(text), "{seed}: refused after it was confirmed"),
                     (status, body) => assert_eq!(status, 503, "{body}"),
                 }
             }
         }
-        assert_eq!(confirmed.len(), 1, "{luck}");
-        assert_eq!(cluster.chosen(), confirmed, "{luck}");
+        assert_eq!(confirmed.len(), 1, "{seed}");
+        assert_eq!(cluster.chosen(), confirmed, "{seed}");
     }
 }
 
 #[test]
-fn an_order_below_the_revision_that_stands_is_confirmed_and_changes_nothing() {
-    let (mut cluster, _) = settled(0);
+fn a_put_below_the_chosen_revision_is_confirmed_and_changes_nothing() {
+    let (mut cluster, _) = cluster_with_leader(0);
     for text in [config(1, "one"), config(3, "three"), config(1, "one"), config(1, "two"), config(2, "two")] {
         let id = cluster.put(0, &text);
         cluster.run(cluster.now + 900 * MS);
-        assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(200), "{text}");
+        assert_eq!(cluster.reply_to(id).map(|a| a.0), Some(200), "{text}");
     }
     assert_eq!(cluster.chosen().into_iter().collect::<Vec<_>>(), [config(3, "three")]);
 }
 
-/// The other two are out of reach for 20 s: what is known here is handed out as what stands no more, and that is said at once. A change
-/// is made meanwhile; once the cut is gone, who follows is fed it first.
+/// A controller that cannot reach the other two for 20 s refuses immediately to serve its configuration as
+/// the chosen one. A new configuration is chosen meanwhile; after the partition the first line of a feed
+/// contains it.
 #[yare::parameterized(
     both_ways = { false },
-    hears_but_is_not_heard = { true },
+    only_outgoing_messages_lost = { true },
 )]
-fn who_is_cut_off_confirms_and_feeds_nothing(one_way: bool) {
-    let (mut cluster, leader) = settled(0);
+fn a_partitioned_controller_confirms_and_feeds_nothing(one_way: bool) {
+    let (mut cluster, leader) = cluster_with_leader(0);
     let old = config(1, "old");
     cluster.put(leader, &old);
     cluster.run(cluster.now + 1_000 * MS);
     cluster.cut(leader, 1);
-    cluster.hears_across(leader, one_way);
+    cluster.set_hears_others(leader, one_way);
     cluster.run(cluster.now + 2_500 * MS);
     let before = cluster.now;
     let other = (leader + 1) % 3;
     let put = cluster.put(other, &config(2, "new"));
     cluster.run(cluster.now + 900 * MS);
-    assert_eq!(cluster.answer_to(put).map(|a| a.0), Some(200));
+    assert_eq!(cluster.reply_to(put).map(|a| a.0), Some(200));
     cluster.run(before + 17_000 * MS);
-    let letter = r#"{"from":"edge-1","life":1,"notes":[]}"#;
+    let batch = r#"{"from":"edge-1","life":1,"notes":[]}"#;
     let asked = cluster.now;
     let ids = [
         cluster.put(leader, &config(3, "third")),
         cluster.put(leader, &old),
         cluster.read(leader),
         cluster.call(leader, Method::GET, "/core/chosen", ""),
-        cluster.call(leader, Method::POST, "/follow", letter),
+        cluster.call(leader, Method::POST, "/follow", batch),
     ];
     cluster.run(asked + MS);
     for id in ids {
-        let (at, status, body) = &cluster.answers[&id];
+        let (at, status, body) = &cluster.replies[&id];
         assert!(
             status.as_u16() == 503 && body.contains("no_majority") && at - asked <= MS,
             "{status} {body}"
@@ -145,120 +147,121 @@
     }
     assert!(!cluster.core(leader).is_leader());
     cluster.cut(leader, 0);
-    cluster.hears_across(leader, false);
+    cluster.set_hears_others(leader, false);
     let healed = cluster.now;
     while cluster.status(leader, "contact") != JsonValue::String("holds".to_owned()) {
         cluster.run(cluster.now + MS);
-        assert!(cluster.now <= healed + 420 * MS, "one round of news, and a read");
+        assert!(cluster.now <= healed + 420 * MS, "one gossip interval, and a read");
     }
-    let follow = cluster.call(leader, Method::POST, "/follow", letter);
+    let follow = cluster.call(leader, Method::POST, "/follow", batch);
     cluster.run(cluster.now + 100 * MS);
-    let (_, seat) = cluster.seats[&follow];
-    let lines = cluster.lines.iter().filter(|(n, of, _)| (*n, *of) == (leader, seat));
+    let (_, connection) = cluster.feeds[&follow];
+    let lines = cluster.lines.iter().filter(|(n, of, _)| (*n, *of) == (leader, connection));
     let first = lines.map(|(_, _, line)| String::from_utf8_lossy(line).into_owned()).next().expect("a line");
     let packed = |text: &str| millpost_net::pack::pack(text).expect("packed");
     let configuration = millpost_config::Config::parse(&config(2, "new")).expect("one").to_json();
     assert!(first.contains(&packed(&configuration)), "{first}");
 }
 
-/// A spare asks the seeds who votes half a second after its start; until then it held up whoever wanted to follow it.
+/// A spare used to learn the members only half a second after its start, from the seeds, and refused agents
+/// until then.
 #[test]
-fn a_spare_hears_who_votes_with_the_first_answer_to_its_news() {
-    let (mut cluster, _) = settled(1);
+fn a_spare_learns_the_members_from_the_first_gossip_reply() {
+    let (mut cluster, _) = cluster_with_leader(1);
     cluster.restart(3);
-    let letter = r#"{"from":"edge-1","life":1,"notes":[]}"#;
-    let follow = cluster.call(3, Method::POST, "/follow", letter);
+    let batch = r#"{"from":"edge-1","life":1,"notes":[]}"#;
+    let follow = cluster.call(3, Method::POST, "/follow", batch);
     cluster.run(cluster.now + 30 * MS);
-    assert!(cluster.seats.contains_key(&follow));
+    assert!(cluster.feeds.contains_key(&follow));
 }
 
-/// A stall that has started hears which configuration stands from a machine in contact only.
+/// A proxy that has started learns the chosen revision only from a controller in contact.
 #[test]
-fn which_configuration_stands_is_told_in_contact_only() {
-    let (mut cluster, leader) = settled(0);
+fn the_chosen_revision_is_reported_only_in_contact() {
+    let (mut cluster, leader) = cluster_with_leader(0);
     cluster.put(leader, &config(7, "one"));
     cluster.run(cluster.now + 1_000 * MS);
     let other = (leader + 1) % 3;
-    let asked = |cluster: &mut Cluster| {
-        let letter = r#"{"from":"edge-1","life":1,"notes":[{"t":"acts","v":0,"n":0},{"t":"askrev"}]}"#;
-        let id = cluster.call(other, Method::POST, "/mail", letter);
+    let ask = |cluster: &mut Cluster| {
+        let batch = r#"{"from":"edge-1","life":1,"notes":[{"t":"acts","v":0,"n":0},{"t":"askrev"}]}"#;
+        let id = cluster.call(other, Method::POST, "/mail", batch);
         cluster.run(cluster.now + MS);
-        cluster.answer_to(id).map(|(status, body)| (status, body.to_owned())).expect("an answer")
+        cluster.reply_to(id).map(|(status, body)| (status, body.to_owned())).expect("a reply")
     };
-    let (status, body) = asked(&mut cluster);
+    let (status, body) = ask(&mut cluster);
     assert!(status == 200 && body.contains(r#""t":"stands""#) && body.contains(r#""v":7"#), "{body}");
     cluster.cut(other, 1);
     cluster.run(cluster.now + 2_000 * MS);
-    assert_eq!(asked(&mut cluster), (200, String::new()));
+    assert_eq!(ask(&mut cluster), (200, String::new()));
 }
 
-/// A porter that comes while a machine starts waits for its contact, and for its contact only.
+/// An agent's request that arrives during a start waits for contact.
 #[test]
-fn who_follows_a_machine_that_starts_is_seated_once_it_is_in_contact() {
+fn a_feed_requested_during_a_start_opens_once_contact_holds() {
     let mut cluster = Cluster::new(3, 0);
     cluster.cut(0, 1);
-    let letter = r#"{"from":"edge-1","life":1,"notes":[]}"#;
+    let batch = r#"{"from":"edge-1","life":1,"notes":[]}"#;
     cluster.run(MS);
-    let first = cluster.call(0, Method::POST, "/follow", letter);
+    let first = cluster.call(0, Method::POST, "/follow", batch);
     cluster.run(300 * MS);
-    assert!(!cluster.seats.contains_key(&first) && cluster.answer_to(first).is_none());
+    assert!(!cluster.feeds.contains_key(&first) && cluster.reply_to(first).is_none());
     cluster.run(502 * MS);
-    assert_eq!(cluster.answer_to(first).map(|a| a.0), Some(503));
-    let second = cluster.call(0, Method::POST, "/follow", letter);
+    assert_eq!(cluster.reply_to(first).map(|a| a.0), Some(503));
+    let second = cluster.call(0, Method::POST, "/follow", batch);
     cluster.cut(0, 0);
     cluster.run(700 * MS);
-    assert!(!cluster.seats.contains_key(&second));
+    assert!(!cluster.feeds.contains_key(&second));
     cluster.run(830 * MS);
-    assert!(cluster.seats.contains_key(&second));
+    assert!(cluster.feeds.contains_key(&second));
 }
 
-/// Who follows it already hears at once that it feeds nothing new, and that it does again.
+/// The agents that are connected when contact is lost are notified of the loss and of the recovery.
 #[test]
-fn followers_are_told_when_contact_is_lost_and_when_it_is_back() {
-    let (mut cluster, leader) = settled(0);
+fn followers_are_notified_of_lost_and_regained_contact() {
+    let (mut cluster, leader) = cluster_with_leader(0);
     cluster.run(cluster.now + 1_000 * MS);
-    let porter = cluster.call(leader, Method::POST, "/follow", r#"{"from":"edge-1","life":1,"notes":[]}"#);
+    let agent = cluster.call(leader, Method::POST, "/follow", r#"{"from":"edge-1","life":1,"notes":[]}"#);
     cluster.run(cluster.now + 10 * MS);
-    let (_, seat) = cluster.seats[&porter];
-    let told = |cluster: &Cluster, what: &str| {
-        let of = |line: &&(usize, u64, bytes::Bytes)| (line.0, line.1) == (leader, seat);
+    let (_, connection) = cluster.feeds[&agent];
+    let count = |cluster: &Cluster, what: &str| {
+        let of = |line: &&(usize, u64, bytes::Bytes)| (line.0, line.1) == (leader, connection);
         cluster.lines.iter().filter(of).filter(|line| String::from_utf8_lossy(&line.2).contains(what)).count()
     };
     cluster.cut(leader, 1);
     cluster.run(cluster.now + 2_000 * MS);
-    assert_eq!((told(&cluster, r#""t":"contact""#), told(&cluster, r#""o":1"#)), (1, 0));
+    assert_eq!((count(&cluster, r#""t":"contact""#), count(&cluster, r#""o":1"#)), (1, 0));
     cluster.cut(leader, 0);
     cluster.run(cluster.now + 1_000 * MS);
-    assert_eq!((told(&cluster, r#""t":"contact""#), told(&cluster, r#""o":1"#)), (2, 1));
+    assert_eq!((count(&cluster, r#""t":"contact""#), count(&cluster, r#""o":1"#)), (2, 1));
 }
 
 #[test]
 fn a_put_is_acknowledged_once_a_majority_has_it_on_disk() {
-    let (mut cluster, _) = settled(1);
+    let (mut cluster, _) = cluster_with_leader(1);
     let id = cluster.put(3, &config(1, "one"));
-    while cluster.answer_to(id).is_none() {
+    while cluster.reply_to(id).is_none() {
         cluster.run(cluster.now + MS / 4);
-        assert!(cluster.answer_to(id).is_none() || cluster.holders(1) >= 2);
+        assert!(cluster.reply_to(id).is_none() || cluster.holders(1) >= 2);
     }
-    assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(200));
+    assert_eq!(cluster.reply_to(id).map(|a| a.0), Some(200));
 }
 
 #[test]
-fn in_the_minority_operators_are_sent_on_within_a_second() {
-    let (mut cluster, _) = settled(0);
+fn a_minority_refuses_operators_within_a_second() {
+    let (mut cluster, _) = cluster_with_leader(0);
     cluster.cut(0, 1);
     let before = cluster.now;
     let ids = [cluster.put(0, &config(1, "one")), cluster.read(0)];
-    assert!(cluster.until(1_000 * MS, |cluster| ids.iter().all(|id| cluster.answer_to(*id).is_some())));
+    assert!(cluster.until(1_000 * MS, |cluster| ids.iter().all(|id| cluster.reply_to(*id).is_some())));
     for id in ids {
-        let (at, status, body) = &cluster.answers[&id];
+        let (at, status, body) = &cluster.replies[&id];
         assert_eq!(status.as_u16(), 503);
         assert!(body.contains("no_majority") && at - before < 1_000 * MS, "{body}");
     }
-    // Others are not kept from it, and what they put comes over once the cut is gone.
+    // The other controllers still work, and their configuration is copied after the partition.
     let id = cluster.put(1, &config(2, "two"));
     cluster.run(cluster.now + 900 * MS);
-    assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(200));
+    assert_eq!(cluster.reply_to(id).map(|a| a.0), Some(200));
     cluster.cut(0, 0);
     cluster.run(cluster.now + 1_000 * MS);
     assert_eq!(cluster.chosen().len(), 1);
@@ -266,150 +269,156 @@
 
 #[test]
 fn rounds_are_bounded_and_each_call_is_answered_once() {
-    let (mut cluster, _) = settled(0);
+    let (mut cluster, _) = cluster_with_leader(0);
     cluster.cut(0, 1);
     let ids: Vec<_> = (0..2 * rounds::MAX_ROUNDS).map(|_| cluster.read(0)).collect();
     cluster.run(cluster.now + MS);
     assert!(cluster.core(0).rounds_in_progress() <= rounds::MAX_ROUNDS);
     cluster.run(cluster.now + 900 * MS);
-    let busy = ids.iter().filter(|id| cluster.answers[id].2.contains("busy")).count();
+    let busy = ids.iter().filter(|id| cluster.replies[id].2.contains("busy")).count();
     assert!((rounds::MAX_ROUNDS..2 * rounds::MAX_ROUNDS).contains(&busy), "{busy}");
     assert!(cluster.core(0).rounds_in_progress() <= 2);
 }
 
 #[test]
-fn a_holder_that_was_frozen_calls_nothing_after_its_lease() {
-    let (mut cluster, leader) = settled(0);
-    assert!(cluster.until(1_000 * MS, |cluster| cluster.in_hand(leader)));
-    let thaws = cluster.now + 2_500 * MS;
-    cluster.freeze(leader, thaws);
-    cluster.run(thaws + 2_000 * MS);
-    assert_eq!(cluster.kept_back.iter().map(|(at, n)| (*at, *n)).collect::<Vec<_>>(), [(thaws, leader)]);
-    assert!(cluster.went.iter().all(|(at, _, errand)| *at < errand.deadline));
-    assert!(cluster.went.iter().all(|(at, n, _)| *n != leader || *at < thaws));
+fn a_frozen_leader_makes_no_calls_after_its_lease() {
+    let (mut cluster, leader) = cluster_with_leader(0);
+    assert!(cluster.until(1_000 * MS, |cluster| cluster.has_pending_platform_call(leader)));
+    let resumes_at = cluster.now + 2_500 * MS;
+    cluster.freeze(leader, resumes_at);
+    cluster.run(resumes_at + 2_000 * MS);
+    assert_eq!(
+        cluster.late_calls.iter().map(|(at, n)| (*at, *n)).collect::<Vec<_>>(),
+        [(resumes_at, leader)]
+    );
+    assert!(cluster.platform_calls.iter().all(|(at, _, call)| *at < call.deadline));
+    assert!(cluster.platform_calls.iter().all(|(at, n, _)| *n != leader || *at < resumes_at));
     assert!(cluster.leader().is_some_and(|n| n != leader));
 }
 
 #[test]
-fn a_leader_whose_voter_says_nothing_is_none_after_its_lease() {
-    let (mut cluster, leader) = settled(0);
+fn a_leader_without_a_voter_loses_its_lease() {
+    let (mut cluster, leader) = cluster_with_leader(0);
     cluster.input(leader, Input::VoterStatus(false, None));
     let note = r#"{"from":"e","life":1,"notes":[{"t":"want","s":"f","c":1}]}"#;
     cluster.run(cluster.now + 1_600 * MS);
     let id = cluster.call(leader, Method::POST, "/mail", note);
     cluster.run(cluster.now);
-    assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(409));
+    assert_eq!(cluster.reply_to(id).map(|a| a.0), Some(409));
     assert!(!cluster.core(leader).is_leader());
 }
 
 #[test]
-fn a_voter_that_is_silent_gives_way_to_a_spare() {
-    let (mut cluster, leader) = settled(1);
+fn a_silent_voter_is_replaced_by_a_spare() {
+    let (mut cluster, leader) = cluster_with_leader(1);
     let id = cluster.put(0, &config(1, "one"));
     cluster.run(8_000 * MS);
-    assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(200));
-    let gone = (0..3).find(|n| *n != leader).expect("another");
-    cluster.down(gone);
+    assert_eq!(cluster.reply_to(id).map(|a| a.0), Some(200));
+    let failed = (0..3).find(|n| *n != leader).expect("another");
+    cluster.down(failed);
     cluster.run(cluster.now + 2_900 * MS);
     let votes = |cluster: &mut Cluster, n| {
         let JsonValue::Array(all) = cluster.status(leader, "voters") else { panic!("no voters") };
         all.iter().any(|a| *a == JsonValue::String(address(n).to_string()))
     };
-    assert!(votes(&mut cluster, gone) && !votes(&mut cluster, 3));
+    assert!(votes(&mut cluster, failed) && !votes(&mut cluster, 3));
     cluster.run(cluster.now + 4_000 * MS);
-    assert!(!votes(&mut cluster, gone) && votes(&mut cluster, 3));
-    // The spare counts: without another of the first three all is still there.
-    let next = (0..3).find(|n| *n != leader && *n != gone).expect("a third");
+    assert!(!votes(&mut cluster, failed) && votes(&mut cluster, 3));
+    // The spare counts: after another voter fails, everything is still available.
+    let next = (0..3).find(|n| *n != leader && *n != failed).expect("a third");
     cluster.down(next);
     let id = cluster.read(leader);
     cluster.run(cluster.now + 900 * MS);
-    assert_eq!(cluster.answer_to(id), Some((200, config(1, "one").as_str())));
+    assert_eq!(cluster.reply_to(id), Some((200, config(1, "one").as_str())));
 }
 
-/// A second loss may come at any moment: a voter that is told to end goes on voting until a spare votes in its place, also where it is the
-/// leader. Right after its end another machine is gone for good, and all that was acknowledged is there.
+/// Another machine may fail at any time, so a voter that shuts down keeps voting until a spare votes in its
+/// place, even if it is the leader. Directly after its exit another machine fails for good, and everything
+/// that was acknowledged is still available.
 #[yare::parameterized(
     a_voter = { 1 },
     the_leader = { 0 },
 )]
-fn a_voter_that_leaves_waits_until_a_spare_votes_in_its_place(beyond: usize) {
-    let (mut cluster, leader) = settled(1);
-    let leaves = (leader + beyond) % 3;
+fn a_voter_exits_only_after_a_spare_votes_in_its_place(beyond: usize) {
+    let (mut cluster, leader) = cluster_with_leader(1);
+    let leaving = (leader + beyond) % 3;
     cluster.put(leader, &config(1, "one"));
     cluster.run(8_000 * MS);
-    cluster.input(leaves, Input::Shutdown);
+    cluster.input(leaving, Input::Shutdown);
     let left = cluster.now;
-    assert!(cluster.until(3_000 * MS, |cluster| cluster.core(leaves).can_exit(cluster.now)));
+    assert!(cluster.until(3_000 * MS, |cluster| cluster.core(leaving).can_exit(cluster.now)));
     assert!(
         cluster.now < left + 2_900 * MS,
-        "it waited for a spare, not for its time: {}",
+        "it waited for the spare, not for its timeout: {}",
         (cluster.now - left) / MS
     );
-    cluster.down(leaves);
-    let others: Vec<_> = (0..3).filter(|n| *n != leaves).collect();
-    // Each has heard of it by then, or hears of it with the next news.
+    cluster.down(leaving);
+    let others: Vec<_> = (0..3).filter(|n| *n != leaving).collect();
+    // By then all controllers have learned the new members, or learn them with the next gossip.
     cluster.run(cluster.now + 400 * MS);
     let voters = cluster.status(others[0], "voters");
     let JsonValue::Array(voters) = voters else { panic!("no voters") };
     let names = |n| voters.contains(&JsonValue::String(address(n).to_string()));
-    assert!(names(3) && !names(leaves));
+    assert!(names(3) && !names(leaving));
     cluster.down(others[0]);
     cluster.run(cluster.now + 2_500 * MS);
     let id = cluster.read(others[1]);
     cluster.run(cluster.now + 900 * MS);
-    assert_eq!(cluster.answer_to(id), Some((200, config(1, "one").as_str())));
+    assert_eq!(cluster.reply_to(id), Some((200, config(1, "one").as_str())));
 }
 
-/// Two voters hold what was acknowledged, and one of them is told to end. There is no spare: the third has it on its disk before that.
+/// Two voters store what was acknowledged, one of them shuts down, and there is no spare: the third voter
+/// stores it before the exit.
 #[test]
-fn what_a_voter_that_leaves_holds_stands_without_it() {
-    let (mut cluster, leader) = settled(0);
-    let (leaves, lacks) = ((leader + 1) % 3, (leader + 2) % 3);
-    cluster.cut(lacks, 1);
+fn a_voter_hands_over_its_state_before_it_exits() {
+    let (mut cluster, leader) = cluster_with_leader(0);
+    let (leaving, lacking) = ((leader + 1) % 3, (leader + 2) % 3);
+    cluster.cut(lacking, 1);
     cluster.put(leader, &config(1, "one"));
     cluster.run(cluster.now + 1_000 * MS);
-    cluster.cut(lacks, 0);
+    cluster.cut(lacking, 0);
     cluster.run(cluster.now + 3_000 * MS);
     assert_eq!(cluster.holders(1), 2);
-    cluster.input(leaves, Input::Shutdown);
+    cluster.input(leaving, Input::Shutdown);
     let left = cluster.now;
     cluster.run(left + 299 * MS);
-    assert!(!cluster.core(leaves).can_exit(cluster.now));
+    assert!(!cluster.core(leaving).can_exit(cluster.now));
     cluster.run(left + 300 * MS);
-    assert!(cluster.core(leaves).can_exit(cluster.now));
+    assert!(cluster.core(leaving).can_exit(cluster.now));
     assert_eq!(cluster.holders(1), 3);
 }
 
-/// The third does not answer: what is held is not handed over, and the process ends all the same, at half of its grace.
+/// The third voter does not reply, so nothing is handed over, and the process exits after half of its grace
+/// time.
 #[test]
-fn a_voter_whose_successors_are_silent_ends_at_half_of_its_grace() {
-    let (mut cluster, leader) = settled(0);
+fn a_voter_exits_after_half_of_its_grace_without_a_successor() {
+    let (mut cluster, leader) = cluster_with_leader(0);
     cluster.down((leader + 2) % 3);
     cluster.run(cluster.now + 1_000 * MS);
-    let leaves = (leader + 1) % 3;
-    cluster.input(leaves, Input::Shutdown);
+    let leaving = (leader + 1) % 3;
+    cluster.input(leaving, Input::Shutdown);
     let left = cluster.now;
     cluster.run(left + 2_999 * MS);
-    assert!(!cluster.core(leaves).can_exit(cluster.now));
+    assert!(!cluster.core(leaving).can_exit(cluster.now));
     cluster.run(left + 3_000 * MS);
-    assert!(cluster.core(leaves).can_exit(cluster.now));
+    assert!(cluster.core(leaving).can_exit(cluster.now));
 }
 
-/// Memory, disk and the time to catch up hang on what stands, not on how many changes there were: one voter is down throughout, a spare
-/// starts again every few changes.
+/// Memory, disk usage and catch-up time depend on the current state, not on the number of earlier changes:
+/// one voter is down throughout, and a spare restarts every few changes.
 #[test]
-fn after_a_thousand_changes_who_was_away_is_back_as_soon_as_after_ten() {
+fn catching_up_takes_as_long_after_a_thousand_changes_as_after_ten() {
     let mut found = Vec::new();
     for changes in [10, 100, 1_000] {
-        let (mut cluster, leader) = settled(1);
+        let (mut cluster, leader) = cluster_with_leader(1);
         let away = (0..3).find(|n| *n != leader).expect("another");
-        let stays = (0..3).find(|n| *n != leader && *n != away).expect("a third");
+        let running = (0..3).find(|n| *n != leader && *n != away).expect("a third");
         cluster.down(away);
         for revision in 1..=changes {
             let id =
-                cluster.put(if revision % 2 == 0 { leader } else { stays }, &config(1_000 + revision, "s"));
-            assert!(cluster.until(900 * MS, |cluster| cluster.answer_to(id).is_some()));
-            assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(200), "{revision}");
+                cluster.put(if revision % 2 == 0 { leader } else { running }, &config(1_000 + revision, "s"));
+            assert!(cluster.until(900 * MS, |cluster| cluster.reply_to(id).is_some()));
+            assert_eq!(cluster.reply_to(id).map(|a| a.0), Some(200), "{revision}");
             if revision % 7 == 0 {
                 cluster.restart(3);
             }
@@ -417,10 +426,10 @@
         cluster.up(away);
         cluster.restart(away);
         let back = cluster.now;
-        // It hands out nothing before it has read what stands from a majority.
+        // It serves nothing before it has read the register from a majority.
         let early = cluster.call(away, Method::GET, "/core/chosen", "");
         cluster.run(back + MS);
-        assert_eq!(cluster.answer_to(early).map(|a| a.0), Some(503));
+        assert_eq!(cluster.reply_to(early).map(|a| a.0), Some(503));
         let newest = JsonValue::Number((1_000 + changes) as f64);
         while cluster.status(away, "revision") != newest
             || cluster.status(away, "contact") != JsonValue::String("holds".to_owned())
@@ -428,17 +437,17 @@
             cluster.run(cluster.now + MS);
             assert!(cluster.now < back + 5_000 * MS, "{changes} changes");
         }
-        found.push((cluster.now - back, cluster.disk_bytes(away), cluster.disk_bytes(stays)));
+        found.push((cluster.now - back, cluster.disk_bytes(away), cluster.disk_bytes(running)));
     }
     let (most, least) = (found.iter().max().expect("some"), found.iter().min().expect("some"));
     assert!(most.0 <= least.0 + 100 * MS, "{found:?}");
     // A configuration of 120 bytes, and the records of two other keys.
-    assert!(found.iter().all(|(_, away, stays)| *away < 1_024 && *stays < 1_024), "{found:?}");
+    assert!(found.iter().all(|(_, away, running)| *away < 1_024 && *running < 1_024), "{found:?}");
 }
 
 #[test]
-fn news_of_a_newer_configuration_is_fetched_once_by_each_that_lacks_it() {
-    let (mut cluster, _) = settled(3);
+fn each_controller_fetches_a_newer_configuration_once() {
+    let (mut cluster, _) = cluster_with_leader(3);
     cluster.run(cluster.now + 1_000 * MS);
     cluster.put(0, &config(1, "one"));
     cluster.run(cluster.now + 1_000 * MS);
@@ -448,34 +457,34 @@
 }
 
 #[test]
-fn who_leaves_answers_what_is_under_way_and_takes_nothing_new() {
-    let (mut cluster, leader) = settled(0);
+fn a_shutdown_answers_calls_in_progress_and_refuses_new_ones() {
+    let (mut cluster, leader) = cluster_with_leader(0);
     let put = cluster.put(leader, &config(1, "one"));
     cluster.run(cluster.now + MS);
     cluster.input(leader, Input::Shutdown);
     let left = cluster.now;
     let new = cluster.read(leader);
     cluster.run(left + 299 * MS);
-    assert_eq!(cluster.answer_to(put).map(|a| a.0), Some(200));
-    assert!(cluster.answer_to(new).is_some_and(|(status, body)| status == 503 && body.contains("busy")));
+    assert_eq!(cluster.reply_to(put).map(|a| a.0), Some(200));
+    assert!(cluster.reply_to(new).is_some_and(|(status, body)| status == 503 && body.contains("busy")));
     assert!(!cluster.core(leader).is_leader() && !cluster.core(leader).can_exit(left + 299 * MS));
     assert!(cluster.core(leader).can_exit(left + 300 * MS));
-    assert!(cluster.until(700 * MS, |cluster| cluster.leader().is_some()), "the lease was given back");
+    assert!(cluster.until(700 * MS, |cluster| cluster.leader().is_some()), "the lease was released");
 }
 
 #[test]
-fn whatever_freezes_and_is_cut_off_one_acts_at_a_time_and_nothing_acknowledged_is_lost() {
+fn one_leader_acts_at_a_time_and_no_acknowledged_put_is_lost_under_faults() {
     let mut changes = 0;
-    for luck in 1..=40 {
+    for seed in 1..=40 {
         let mut cluster = Cluster::new(3, 2);
-        cluster.luck = luck;
+        cluster.seed = seed;
         let mut puts = Vec::new();
         for revision in 1..=15 {
             let n = cluster.draw(5) as usize;
             match cluster.draw(4) {
                 0 => {
-                    let thaws = cluster.now + cluster.draw(5_000) * MS;
-                    cluster.freeze(n, thaws);
+                    let resumes_at = cluster.now + cluster.draw(5_000) * MS;
+                    cluster.freeze(n, resumes_at);
                 }
                 1 => cluster.cut(n, 1),
                 _ => (0..5).for_each(|n| cluster.cut(n, 0)),
@@ -491,26 +500,29 @@
         }
         (0..5).for_each(|n| cluster.cut(n, 0));
         cluster.run(cluster.now + 6_000 * MS);
-        assert!(cluster.until(6_000 * MS, |cluster| cluster.leader().is_some()), "{luck}: no steward");
+        assert!(cluster.until(6_000 * MS, |cluster| cluster.leader().is_some()), "{seed}: no leader");
         let acknowledged =
-            puts.iter().filter(|(_, id)| cluster.answer_to(*id).is_some_and(|(status, _)| status == 200));
+            puts.iter().filter(|(_, id)| cluster.reply_to(*id).is_some_and(|(status, _)| status == 200));
         let newest = acknowledged.map(|(revision, _)| *revision).max();
         let id = cluster.read(0);
         cluster.run(cluster.now + 900 * MS);
-        let read = cluster.answer_to(id).and_then(|(_, text)| millpost_config::Config::parse(text).ok());
-        assert!(read.map(|config| config.revision) >= newest, "{luck}: {newest:?} was acknowledged");
-        assert_eq!(cluster.chosen().len(), 1, "{luck}");
-        assert!(cluster.went.iter().all(|(at, _, errand)| *at < errand.deadline), "{luck}");
-        assert!(cluster.went.is_sorted_by_key(|(_, _, errand)| errand.fence), "{luck}: two act at once");
-        changes += cluster.went.last().map_or(0, |(_, _, errand)| errand.fence);
+        let read = cluster.reply_to(id).and_then(|(_, text)| millpost_config::Config::parse(text).ok());
+        assert!(read.map(|config| config.revision) >= newest, "{seed}: {newest:?} was acknowledged");
+        assert_eq!(cluster.chosen().len(), 1, "{seed}");
+        assert!(cluster.platform_calls.iter().all(|(at, _, call)| *at < call.deadline), "{seed}");
+        assert!(
+            cluster.platform_calls.is_sorted_by_key(|(_, _, call)| call.fence),
+            "{seed}: two leaders act at the same time"
+        );
+        changes += cluster.platform_calls.last().map_or(0, |(_, _, call)| call.fence);
     }
     assert!(changes > 40, "{changes}");
 }
 
-/// A storm of long configurations kept the leader reading for longer than its lease; it has another voter read them, and all follow by
-/// what differs.
+/// Parsing many long configurations used to delay the leader beyond its lease. Another voter parses them now,
+/// and all controllers apply only the change.
 #[test]
-fn long_configurations_are_read_by_another_than_the_leader_and_reach_all() {
+fn long_configurations_are_parsed_by_another_voter_and_reach_all() {
     let long = |revision: u64| {
         let route = |n: u64| {
             format!(
@@ -526,75 +538,76 @@
             routes.join(",")
         )
     };
-    let (mut cluster, leader) = settled(1);
+    let (mut cluster, leader) = cluster_with_leader(1);
     for revision in 1..=4 {
         let id = cluster.put(leader, &long(revision));
         cluster.run(cluster.now);
-        assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(307));
+        assert_eq!(cluster.reply_to(id).map(|a| a.0), Some(307));
         let id = cluster.put((leader + 1) % 3, &long(revision));
         cluster.run(cluster.now + 300 * MS);
-        assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(200));
+        assert_eq!(cluster.reply_to(id).map(|a| a.0), Some(200));
     }
     cluster.run(cluster.now + 600 * MS);
     assert_eq!(cluster.chosen().len(), 1);
     for n in 0..4 {
         let id = cluster.call(n, Method::GET, "/core", "");
         cluster.run(cluster.now);
-        let (status, body) = cluster.answer_to(id).expect("an answer");
+        let (status, body) = cluster.reply_to(id).expect("a reply");
         assert_eq!((status, body.contains("\"revision\":4")), (200, true), "{body}");
     }
-    // Alone, it reads them itself: nobody else could.
+    // Without other voters the leader parses the configuration itself.
     cluster.cut(leader, 1);
     cluster.run(cluster.now + 1_100 * MS);
     let id = cluster.put(leader, &long(9));
     cluster.run(cluster.now + 900 * MS);
-    assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(503));
+    assert_eq!(cluster.reply_to(id).map(|a| a.0), Some(503));
 }
 
-/// A porter that follows all machines, acts on what the first of them feeds 50 ms later, and says what owners want.
+/// An agent that follows all controllers, applies what the first one feeds one step of 250 ms later, and
+/// reports what owners want.
 #[derive(Default)]
-struct Porter {
-    acts: u64,
-    /// Owners keep the target warm.
-    warms: bool,
+struct Agent {
+    revision: u64,
+    /// Whether owners report the status of the target.
+    reports_status: bool,
 }
 
-fn porter(cluster: &mut Cluster, Porter { acts, warms }: &mut Porter) {
-    let letter = |notes: &str| format!(r#"{{"from":"edge-1","life":1,"notes":[{notes}]}}"#);
+fn run_agent(cluster: &mut Cluster, Agent { revision: applied, reports_status }: &mut Agent) {
+    let batch = |notes: &str| format!(r#"{{"from":"edge-1","life":1,"notes":[{notes}]}}"#);
     let revision = |cluster: &mut Cluster| match cluster.status(0, "revision") {
         JsonValue::Number(revision) => revision as u64,
         other => panic!("{other:?}"),
     };
     let newest = revision(cluster);
     for n in 0..3 {
-        let said = letter(&format!(r#"{{"t":"acts","v":{acts},"n":1}}"#));
-        if *acts == 0 {
-            cluster.call(n, Method::POST, "/follow", &said);
+        let applied_message = batch(&format!(r#"{{"t":"acts","v":{applied},"n":1}}"#));
+        if *applied == 0 {
+            cluster.call(n, Method::POST, "/follow", &applied_message);
         }
-        cluster.call(n, Method::POST, "/mail", &said);
+        cluster.call(n, Method::POST, "/mail", &applied_message);
         let want = r#"{"t":"want","s":"s","c":2,"z":["z"],"n":0}"#;
-        cluster.call(n, Method::POST, "/mail", &letter(want));
-        if *warms {
+        cluster.call(n, Method::POST, "/mail", &batch(want));
+        if *reports_status {
             let want = r#"{"t":"want","s":"t","c":2,"n":0,"d":[0,0,0,0]}"#;
-            cluster.call(n, Method::POST, "/mail", &letter(want));
+            cluster.call(n, Method::POST, "/mail", &batch(want));
         }
     }
-    *acts = newest.max(1);
+    *applied = newest.max(1);
     cluster.run(cluster.now + 250 * MS);
 }
 
-fn order(cluster: &mut Cluster, owners: &mut Porter, text: &str) -> (u16, String) {
+fn order(cluster: &mut Cluster, agent: &mut Agent, text: &str) -> (u16, String) {
     for _ in 0..40 {
-        let n = cluster.leader().expect("a steward");
+        let n = cluster.leader().expect("a leader");
         let id = cluster.call(n, Method::POST, "/core/moves", text);
         for _ in 0..40 {
-            if let Some((status, body)) = cluster.answer_to(id).filter(|(status, _)| *status != 503) {
+            if let Some((status, body)) = cluster.reply_to(id).filter(|(status, _)| *status != 503) {
                 return (status, body.to_owned());
             }
-            porter(cluster, owners);
+            run_agent(cluster, agent);
         }
     }
-    panic!("no clear answer to {text}");
+    panic!("no definite reply to {text}");
 }
 
 const TENANT: &str = r#"{"revision":1,"routes":[
@@ -603,78 +616,79 @@
   "services":[{"name":"s","memory_mb":512,"boot_ms":300,"concurrency":4},
               {"name":"t","memory_mb":512,"boot_ms":300,"concurrency":4}],"limits":{}}"#;
 
-/// A tenant is planned, started and done, over a target that gets warm meanwhile; its leader is cut off in the middle, and the next one ends it.
+/// A tenant is planned, started and done, on a target that gets instances meanwhile; the leader is cut off in
+/// the middle, and the next one completes the migration.
 #[test]
-fn a_move_is_checked_and_carried_on_by_the_next_leader() {
-    let (mut cluster, leader) = settled(0);
+fn a_migration_is_checked_and_continued_by_the_next_leader() {
+    let (mut cluster, leader) = cluster_with_leader(0);
     cluster.workers = 700;
-    let mut owners = Porter::default();
+    let mut agent = Agent::default();
     cluster.put(0, TENANT);
-    (0..20).for_each(|_| porter(&mut cluster, &mut owners));
-    let disk = |cluster: &Cluster| (0..3).filter(|n| cluster.holds_moves(*n)).count();
-    assert_eq!(disk(&cluster), 0, "no trace of moves before the first");
+    (0..20).for_each(|_| run_agent(&mut cluster, &mut agent));
+    let disk = |cluster: &Cluster| (0..3).filter(|n| cluster.stores_migrations(*n)).count();
+    assert_eq!(disk(&cluster), 0, "nothing is stored before the first migration");
 
     let plan =
         r#"{"order":"plan","contract":{"name":"m","hosts":["l.example"],"services":{"s":"t"},"loads":2}}"#;
-    let (status, body) = order(&mut cluster, &mut owners, plan);
-    // Two instances are wanted at the source, so two at the target: no worker has room for a second.
+    let (status, body) = order(&mut cluster, &mut agent, plan);
+    // The source wants two instances, so the target does as well, and no worker has room for the second.
     assert!(status == 422 && body.contains("workers have no room for 1 of 2 instances"), "{status} {body}");
     cluster.workers = 8_000;
-    // Until the leader has heard of it.
-    (0..40).for_each(|_| porter(&mut cluster, &mut owners));
-    assert_eq!(order(&mut cluster, &mut owners, plan), (200, r#"{"step":"planned"}"#.to_owned()));
+    // Waits until the leader has read the workers again.
+    (0..40).for_each(|_| run_agent(&mut cluster, &mut agent));
+    assert_eq!(order(&mut cluster, &mut agent, plan), (200, r#"{"step":"planned"}"#.to_owned()));
     assert!(disk(&cluster) >= 2);
     let start = |range: &str| format!(r#"{{"order":"start","name":"m","revisions":{range}}}"#);
-    let (status, body) = order(&mut cluster, &mut owners, &start(r#"{"first":2,"last":4}"#));
+    let (status, body) = order(&mut cluster, &mut agent, &start(r#"{"first":2,"last":4}"#));
     assert!(status == 422 && body.contains("4 revisions above 1 are needed"), "{status} {body}");
-    let (status, _) = order(&mut cluster, &mut owners, &start(r#"{"first":10,"last":14}"#));
+    let (status, _) = order(&mut cluster, &mut agent, &start(r#"{"first":10,"last":14}"#));
     assert_eq!(status, 200);
 
-    owners.warms = true;
+    agent.reports_status = true;
     let step = |cluster: &mut Cluster| {
         let Some(n) = cluster.leader() else { return String::new() };
         let id = cluster.call(n, Method::GET, "/core/moves?name=m", "");
         cluster.run(cluster.now);
-        cluster.answer_to(id).map(|(_, body)| body.to_owned()).unwrap_or_default()
+        cluster.reply_to(id).map(|(_, body)| body.to_owned()).unwrap_or_default()
     };
     let mut cut = false;
     for _ in 0..200 {
-        porter(&mut cluster, &mut owners);
-        let told = step(&mut cluster);
-        if told.contains(r#""step":"switching""#) && !cut {
+        run_agent(&mut cluster, &mut agent);
+        let status = step(&mut cluster);
+        if status.contains(r#""step":"switching""#) && !cut {
             cut = true;
             cluster.cut(leader, 1);
         }
         if cut && cluster.leader().is_some_and(|n| n != leader) {
             cluster.cut(leader, 0);
         }
-        if told.contains(r#""step":"done""#) {
+        if status.contains(r#""step":"done""#) {
             break;
         }
     }
-    let told = step(&mut cluster);
-    assert!(cut && told.contains(r#""step":"done""#), "{told}");
+    let status = step(&mut cluster);
+    assert!(cut && status.contains(r#""step":"done""#), "{status}");
     assert!(cluster.leader().is_some_and(|n| n != leader));
     let id = cluster.read(0);
     cluster.run(cluster.now + 900 * MS);
-    let (_, text) = cluster.answer_to(id).expect("an answer");
+    let (_, text) = cluster.reply_to(id).expect("a reply");
     let config = millpost_config::Config::parse(text).expect("valid");
     assert!(config.routes.iter().all(|route| route.shares == [("t".into(), 1)]), "{text}");
     assert!((11..=13).contains(&config.revision), "{}", config.revision);
 }
 
-/// What the leader says of its duty.
+/// Returns what the leader reports about its duties.
 fn duty(cluster: &mut Cluster, leader: usize) -> String {
     let id = cluster.call(leader, Method::GET, "/core/duty", "");
     cluster.run(cluster.now);
-    let (status, text) = cluster.answer_to(id).expect("an answer");
+    let (status, text) = cluster.reply_to(id).expect("a reply");
     assert_eq!(status, 200);
     text.to_owned()
 }
 
 #[test]
-fn the_leader_tells_its_operators_of_stalls_workers_and_the_platforms_answers() {
-    let (mut cluster, leader) = settled(0);
+fn the_leader_reports_proxies_workers_and_platform_replies() {
+    let (mut cluster, leader) = cluster_with_leader(0);
     let alive =
         r#"{"from":"e","life":1,"notes":[{"t":"alive","p":{"n":"e","a":"10.0.1.1:1","z":"z"},"o":1}]}"#;
     cluster.call(leader, Method::POST, "/mail", alive);
@@ -685,13 +699,13 @@
     let want = r#"{"from":"e","life":1,"notes":[{"t":"want","s":"f","c":1}]}"#;
     cluster.call(leader, Method::POST, "/mail", want);
     cluster.run(cluster.now + 400 * MS);
-    let told = duty(&mut cluster, leader);
+    let body = duty(&mut cluster, leader);
     for part in
         [r#""name":"w-1""#, r#""call":"start""#, r#""answer":"ok""#, r#""zone":"z""#, r#""out":"unfed""#]
     {
-        assert!(told.contains(part), "{part} in {told}");
+        assert!(body.contains(part), "{part} in {body}");
     }
-    // The platform takes nothing more, and is silent on starts.
+    // The platform has no workers any more and does not reply to starts.
     cluster.workers = 0;
     let want = r#"{"from":"e","life":1,"notes":[{"t":"want","s":"f","c":9}]}"#;
     cluster.call(leader, Method::POST, "/mail", want);
@@ -700,22 +714,22 @@
     let other = (0..3).find(|n| *n != leader).expect("another");
     let id = cluster.call(other, Method::GET, "/core/duty", "");
     cluster.run(cluster.now);
-    assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(409));
-    let words = [leader, other].map(|n| cluster.status(n, "lease"));
-    assert_eq!(words, ["steward", "asks"].map(|word| JsonValue::String(word.to_owned())));
+    assert_eq!(cluster.reply_to(id).map(|a| a.0), Some(409));
+    let leases = [leader, other].map(|n| cluster.status(n, "lease"));
+    assert_eq!(leases, ["steward", "asks"].map(|state| JsonValue::String(state.to_owned())));
 }
 
 fn alive(cluster: &mut Cluster, leader: usize, rest: &str) {
     for name in ["e-1", "e-2"] {
         let peer = format!(r#"{{"t":"alive","p":{{"n":"{name}","a":"10.0.1.1:1","z":"z"}},"o":1}}"#);
         let more = if name == "e-1" { rest } else { "" };
-        let letter = format!(r#"{{"from":"{name}","life":1,"notes":[{peer}{more}]}}"#);
-        cluster.call(leader, Method::POST, "/mail", &letter);
+        let batch = format!(r#"{{"from":"{name}","life":1,"notes":[{peer}{more}]}}"#);
+        cluster.call(leader, Method::POST, "/mail", &batch);
     }
 }
 
-/// Both stalls are heard of for so long, and the first one rests.
-fn beats(cluster: &mut Cluster, ms: u64) {
+/// Both proxies are heard for this long, and the first one reports that it rests.
+fn run_with_heartbeats(cluster: &mut Cluster, ms: u64) {
     for _ in 0..ms / 400 {
         if let Some(leader) = cluster.leader() {
             alive(cluster, leader, r#",{"t":"rest","n":"e-1","l":60000}"#);
@@ -725,20 +739,20 @@
 }
 
 fn drains(cluster: &mut Cluster, body: &str) -> (u16, String) {
-    let leader = cluster.leader().expect("a steward");
+    let leader = cluster.leader().expect("a leader");
     let method = if body.is_empty() { Method::GET } else { Method::POST };
     let id = cluster.call(leader, method, "/core/drains", body);
     cluster.run(cluster.now);
-    cluster.answer_to(id).map(|(status, text)| (status, text.to_owned())).expect("an answer")
+    cluster.reply_to(id).map(|(status, text)| (status, text.to_owned())).expect("a reply")
 }
 
 #[test]
-fn what_is_out_stays_out_under_the_next_leader_and_until_its_time() {
-    let (mut cluster, leader) = settled(0);
+fn drains_last_until_their_end_and_under_the_next_leader() {
+    let (mut cluster, leader) = cluster_with_leader(0);
     cluster.workers = 512;
     let edge = r#"{"order":"drain","what":"edge","name":"e-1","for_ms":20000}"#;
     alive(&mut cluster, leader, "");
-    assert_eq!(drains(&mut cluster, edge).0, 503, "what was out before may not be known yet");
+    assert_eq!(drains(&mut cluster, edge).0, 503, "earlier drains may not be known yet");
     cluster.run(cluster.now + 1_000 * MS);
     alive(&mut cluster, leader, "");
     assert_eq!(drains(&mut cluster, edge).0, 200);
@@ -748,30 +762,30 @@
     let other = (0..3).find(|n| *n != leader).expect("another");
     let id = cluster.call(other, Method::POST, "/core/drains", edge);
     cluster.run(cluster.now);
-    assert_eq!(cluster.answer_to(id).map(|a| a.0), Some(409));
+    assert_eq!(cluster.reply_to(id).map(|a| a.0), Some(409));
     cluster.cut(leader, 1);
     cluster.run(cluster.now + 3_000 * MS);
     assert!(cluster.leader().is_some_and(|n| n != leader));
-    beats(&mut cluster, 2_000);
-    let (status, told) = drains(&mut cluster, "");
+    run_with_heartbeats(&mut cluster, 2_000);
+    let (status, body) = drains(&mut cluster, "");
     assert_eq!(status, 200);
-    assert!(told.contains(r#""name":"e-1""#) && told.contains(r#""name":"w-1""#), "{told}");
-    assert!(told.contains(r#""rests":true"#), "{told}");
-    let leader = cluster.leader().expect("a steward");
+    assert!(body.contains(r#""name":"e-1""#) && body.contains(r#""name":"w-1""#), "{body}");
+    assert!(body.contains(r#""rests":true"#), "{body}");
+    let leader = cluster.leader().expect("a leader");
     assert!(duty(&mut cluster, leader).contains(r#""out":"drained""#));
     assert_eq!(drains(&mut cluster, r#"{"order":"undo","what":"edge","name":"e-1"}"#).0, 200);
     assert_eq!(
         drains(&mut cluster, r#"{"order":"undo","what":"edge","name":"e-1"}"#).0,
         200,
-        "again is the same"
+        "undoing again succeeds"
     );
     cluster.run(cluster.now + 20_000 * MS);
     assert!(drains(&mut cluster, "").1.contains(r#""drains":[]"#));
 }
 
 #[test]
-fn a_worker_that_is_out_takes_no_starts_and_is_emptied() {
-    let (mut cluster, leader) = settled(0);
+fn a_drained_worker_takes_no_starts_and_is_emptied() {
+    let (mut cluster, leader) = cluster_with_leader(0);
     cluster.workers = 512;
     cluster.put(0, &config(1, "f"));
     let want = |cluster: &mut Cluster| {
@@ -787,27 +801,29 @@
     let order = r#"{"order":"drain","what":"worker","name":"w-1","for_ms":60000}"#;
     assert_eq!(drains(&mut cluster, order).0, 200);
     (0..4).for_each(|_| want(&mut cluster));
-    assert_eq!((on(&cluster, "w-1"), on(&cluster, "w-2")), (1, 2), "another has come in its place");
-    assert!(!cluster.went.iter().any(|(_, _, errand)| matches!(errand.call, Call::Stop { .. })));
-    // Its requests have had their time.
+    assert_eq!((on(&cluster, "w-1"), on(&cluster, "w-2")), (1, 2), "a replacement was started");
+    assert!(!cluster.platform_calls.iter().any(|(_, _, call)| matches!(call.call, Call::Stop { .. })));
+    // The requests of the instance have had the time to end.
     (0..30).for_each(|_| want(&mut cluster));
-    let stops: Vec<_> = cluster.went.iter().filter(|(_, _, e)| matches!(e.call, Call::Stop { .. })).collect();
+    let stops: Vec<_> =
+        cluster.platform_calls.iter().filter(|(_, _, e)| matches!(e.call, Call::Stop { .. })).collect();
     assert!(!stops.is_empty());
     assert_eq!(
         (on(&cluster, "w-1"), on(&cluster, "w-2")),
         (0, 2),
-        "it was stopped, and nothing was started there"
+        "the instance was stopped and not replaced there"
     );
 }
 
-/// News are answered with members only where they are newer than what their sender goes by: every 400 ms they would be most of the bytes.
+/// The reply to gossip contains members only if they are newer than the sender's: sent every 400 ms, they
+/// would make up most of the traffic.
 #[test]
-fn at_rest_no_answer_to_news_brings_members() {
-    let (mut cluster, _) = settled(2);
+fn unchanged_members_are_not_sent_in_gossip_replies() {
+    let (mut cluster, _) = cluster_with_leader(2);
     cluster.run(cluster.now + 2_000 * MS);
-    let before: std::collections::BTreeSet<_> = cluster.answers.keys().copied().collect();
+    let before: std::collections::BTreeSet<_> = cluster.replies.keys().copied().collect();
     cluster.run(cluster.now + 4_000 * MS);
-    let bodies: Vec<_> = cluster.answers.iter().filter(|(id, _)| !before.contains(id)).collect();
+    let bodies: Vec<_> = cluster.replies.iter().filter(|(id, _)| !before.contains(id)).collect();
     let news = bodies.iter().filter(|(_, (_, _, body))| body.contains("epoch")).count();
     assert!((4 * 5 * 9..4 * 5 * 12).contains(&news), "{news}");
     assert!(bodies.iter().all(|(_, (_, _, body))| !body.contains("members")), "{bodies:?}");
