--- a/controller/src/core/drains.rs
+++ b/controller/src/core/drains.rs
@@ -61,7 +61,7 @@
     }
 
     /// Stops instances on drained workers once their requests have ended. The scaler started their
-    /// replacements when it was told that they drain.
+    /// replacements when they were reported as draining.
     fn empty_workers(&mut self, now: Nanos) {
         if now < self.drain_state.checked_at + EMPTY_CHECK_INTERVAL {
             return;
@@ -124,12 +124,14 @@
         for instance in leader.scaler.shown() {
             *instances.entry(&instance.worker).or_default() += 1;
         }
-        let named = |name: &str| leader.proxy_states(now).any(|proxy| proxy.name == name && proxy.in_view);
+        let in_view = |name: &str| leader.proxy_states(now).any(|proxy| proxy.name == name && proxy.in_view);
         let body = object([
             ("fence", JsonValue::Number(leader.fence as f64)),
             (
                 "drains",
-                self.drain_state.drains.to_json(now, named, |name| instances.get(name).copied().unwrap_or(0)),
+                self.drain_state
+                    .drains
+                    .to_json(now, in_view, |name| instances.get(name).copied().unwrap_or(0)),
             ),
         ]);
         Ok(Reply::json(StatusCode::OK, body.stringify().unwrap_or_default()))
--- a/controller/src/drains.rs
+++ b/controller/src/drains.rs
@@ -24,7 +24,7 @@
 /// After this time a new leader has received the drains that the other controllers know.
 const TAKEOVER_DELAY: Nanos = 1_000 * MS;
 /// A resting proxy says so with each heartbeat, every 450 ms. A report is valid for [`REPORT_TTL`], and the
-/// proxy is told again at intervals of at least [`RESEND_DELAY`].
+/// proxy is notified again at intervals of at least [`RESEND_DELAY`].
 const REPORT_TTL: Nanos = 1_000 * MS;
 const RESEND_DELAY: Nanos = 500 * MS;
 /// Ends that differ by less than this count as equal, because machines do not share a clock.
@@ -122,12 +122,12 @@
 /// Drains by kind and name.
 type DrainMap = BTreeMap<(Target, CompactString), Drain>;
 
-/// What a proxy has reported, and when it was last told.
+/// What a proxy has reported, and when it was last notified.
 #[derive(Clone, Copy, Debug, Default)]
 struct ProxyReport {
     /// When it last reported that it rests, and until when.
     rest: Option<(Nanos, Nanos)>,
-    told_at: Option<Nanos>,
+    notified_at: Option<Nanos>,
 }
 
 impl ProxyReport {
@@ -155,16 +155,16 @@
 impl Drains {
     /// Updates the timers. `fence` is the fence of this controller while it is the leader.
     pub fn tick(&mut self, now: Nanos, fence: Option<u64>) {
-        if self.leadership.map(|(of, _)| of) != fence {
+        if self.leadership.map(|(held, _)| held) != fence {
             self.leadership = fence.map(|fence| (fence, now));
             self.reports.clear();
         }
         self.all.retain(|_, drain| drain.keep_until > now);
         let all = &self.all;
         self.reports.retain(|name, report| {
-            let lately =
-                report.resting_until(now).is_some() || report.told_at.is_some_and(|at| at + REPORT_TTL > now);
-            lately || all.contains_key(&(Target::Edge, name.clone()))
+            let recent = report.resting_until(now).is_some()
+                || report.notified_at.is_some_and(|at| at + REPORT_TTL > now);
+            recent || all.contains_key(&(Target::Edge, name.clone()))
         });
     }
 
@@ -174,12 +174,12 @@
     }
 
     fn active(&self, what: Target, now: Nanos) -> impl Iterator<Item = (&CompactString, &Drain)> {
-        let all = self.all.iter().filter(move |((of, _), d)| *of == what && d.is_active(now));
+        let all = self.all.iter().filter(move |((target, _), d)| *target == what && d.is_active(now));
         all.map(|((_, name), drain)| (name, drain))
     }
 
     fn find_drained(&self, what: Target, now: Nanos, name: &str) -> Option<&Drain> {
-        self.active(what, now).find(|(of, _)| *of == name).map(|(_, drain)| drain)
+        self.active(what, now).find(|(known, _)| *known == name).map(|(_, drain)| drain)
     }
 
     /// Returns the proxies that must not own functions.
@@ -220,7 +220,7 @@
             }
         }
         self.bump_version();
-        self.reports.values_mut().for_each(|report| report.told_at = None);
+        self.reports.values_mut().for_each(|report| report.notified_at = None);
         Ok(())
     }
 
@@ -241,12 +241,12 @@
         if known.is_none() && self.all.len() >= MAX_DRAINS {
             why.push(format!("{MAX_DRAINS} are out or were undone, and no more are kept"));
         }
-        let found = all.iter().find(|(of, _)| *of == name).map(|(_, zone)| CompactString::from(*zone));
+        let found = all.iter().find(|(known, _)| *known == name).map(|(_, zone)| CompactString::from(*zone));
         let Some(zone) = found.or_else(|| known.map(|d| d.zone.clone())) else {
             why.push(format!("no {} {name:?} is known to be up", what.name()));
             return Err(why);
         };
-        let up: BTreeSet<&str> = all.iter().filter(|(_, z)| *z == zone).map(|(of, _)| *of).collect();
+        let up: BTreeSet<&str> = all.iter().filter(|(_, z)| *z == zone).map(|(known, _)| *known).collect();
         let mut drained: BTreeSet<&str> =
             self.active(what, now).map(|(name, _)| name.as_str()).filter(|name| up.contains(name)).collect();
         drained.extend(up.get(name));
@@ -279,7 +279,7 @@
         self.reports.entry(name.into()).or_default().rest = Some((now, until));
     }
 
-    /// Returns the proxies that must be told now, with their messages.
+    /// Returns the proxies that must be notified now, with their messages.
     pub fn due_messages(&mut self, now: Nanos) -> Vec<(CompactString, PeerMessage)> {
         let mut due = Vec::new();
         for ((what, name), drain) in &self.all {
@@ -291,8 +291,8 @@
                 Some(until) => drain.is_active(now) && until.abs_diff(drain.until) < END_TOLERANCE,
                 None => !drain.is_active(now),
             };
-            if !confirmed && report.told_at.is_none_or(|at| at + RESEND_DELAY <= now) {
-                report.told_at = Some(now);
+            if !confirmed && report.notified_at.is_none_or(|at| at + RESEND_DELAY <= now) {
+                report.notified_at = Some(now);
                 due.push((name.clone(), rest_message(now, name, drain)));
             }
         }
@@ -434,7 +434,7 @@
     }
 
     #[test]
-    fn a_proxy_is_told_until_it_confirms_and_keeps_its_functions_while_clients_leave() {
+    fn a_proxy_is_notified_until_it_confirms_and_keeps_its_functions_while_clients_leave() {
         let mut drains = leader(4);
         let due = |drains: &mut Drains, at: Nanos| {
             drains
--- a/controller/src/gossip.rs
+++ b/controller/src/gossip.rs
@@ -241,7 +241,7 @@
         self.next_send
     }
 
-    /// Advances the next messages, because a peer may have become reachable.
+    /// Makes the next messages due earlier, because a peer may have become reachable.
     pub fn hasten(&mut self, now: Nanos) {
         let last = self.next_send.saturating_sub(INTERVAL);
         self.next_send = self.next_send.min((last + MIN_INTERVAL).max(now));
--- a/controller/src/leader.rs
+++ b/controller/src/leader.rs
@@ -121,7 +121,7 @@
     split_version: Version,
     loads: BTreeMap<CompactString, FunctionLoad>,
     /// Average boot time in milliseconds, by service.
-    boots: BTreeMap<CompactString, u32>,
+    boot_times: BTreeMap<CompactString, u32>,
     specs: Vec<ServiceSpec>,
     /// This process has started so recently that all controllers may have restarted.
     pub control_restarted: bool,
@@ -157,7 +157,7 @@
     config.services.iter().map(spec).collect()
 }
 
-fn boots(specs: &[ServiceSpec]) -> BTreeMap<CompactString, u32> {
+fn boot_times(specs: &[ServiceSpec]) -> BTreeMap<CompactString, u32> {
     specs.iter().map(|s| (s.name.clone(), s.boot_ms)).collect()
 }
 
@@ -241,7 +241,7 @@
             split: BTreeSet::new(),
             split_version: (0, 0),
             loads: BTreeMap::new(),
-            boots: boots(&specs),
+            boot_times: boot_times(&specs),
             specs,
             control_restarted: false,
             drained: BTreeSet::new(),
@@ -255,13 +255,13 @@
         if self.specs == specs {
             return;
         }
-        self.boots = boots(&specs);
+        self.boot_times = boot_times(&specs);
         self.scaler.configure(now, specs.iter().cloned());
         self.specs = specs;
-        let boots = &self.boots;
+        let boot_times = &self.boot_times;
         // A removed service stays known as long as it has instances.
         let shown: BTreeSet<_> = self.scaler.shown().map(|i| i.service.as_str()).collect();
-        self.ranking.retain(|service| boots.contains_key(service) || shown.contains(service));
+        self.ranking.retain(|service| boot_times.contains_key(service) || shown.contains(service));
     }
 
     /// Returns whether a view was published.
@@ -352,18 +352,18 @@
     }
 
     /// Handles an owner's report of the load of a function, and splits the function if that is too high.
-    fn update_load(&mut self, now: Nanos, service: &CompactString, lot: Option<&CompactString>, strain: f64) {
+    fn update_load(&mut self, now: Nanos, service: &CompactString, zone: Option<&CompactString>, load: f64) {
         // An owner with another view of the split reports for a different set of requests.
-        if !self.has_view() || self.split.contains(service) != lot.is_some() {
+        if !self.has_view() || self.split.contains(service) != zone.is_some() {
             return;
         }
-        let Some(lot) = lot else {
+        let Some(zone) = zone else {
             let may_split = |s: &FunctionLoad| {
                 s.merged_until <= now
-                    || strain >= HEAVY_LOAD && s.merged_until <= now + RESPLIT_DELAY - HEAVY_RESPLIT_DELAY
+                    || load >= HEAVY_LOAD && s.merged_until <= now + RESPLIT_DELAY - HEAVY_RESPLIT_DELAY
             };
-            if strain >= SPLIT_THRESHOLD
-                && self.boots.contains_key(service)
+            if load >= SPLIT_THRESHOLD
+                && self.boot_times.contains_key(service)
                 && self.split.len() < MAX_SPLIT
                 && self.loads.get(service).is_none_or(may_split)
             {
@@ -374,7 +374,7 @@
         };
         let known = self.loads.entry(service.clone()).or_default();
         if known.by_zone.len() < 64 {
-            known.by_zone.insert(lot.clone(), strain);
+            known.by_zone.insert(zone.clone(), load);
         }
         if known.by_zone.values().sum::<f64>() >= MERGE_THRESHOLD {
             known.low_since = None;
@@ -386,7 +386,7 @@
     /// Merges split functions that have little load, were removed, or whose zones lack room.
     fn merge_functions(&mut self, now: Nanos) {
         let starved: BTreeSet<_> = self.scaler.starved(now, STARVATION_TIMEOUT).cloned().collect();
-        let (loads, boots) = (&mut self.loads, &self.boots);
+        let (loads, boot_times) = (&mut self.loads, &self.boot_times);
         self.split.retain(|service| {
             let known = loads.entry(service.clone()).or_default();
             let starving = starved.contains(service) && known.by_zone.values().sum::<f64>() < HEAVY_LOAD;
@@ -394,7 +394,7 @@
                 known.merged_until = now + RESPLIT_DELAY;
             }
             let idle = known.low_since.is_some_and(|since| since + MERGE_DELAY <= now);
-            !starving && !idle && boots.contains_key(service)
+            !starving && !idle && boot_times.contains_key(service)
         });
         let split = &self.split;
         loads.retain(|service, s| split.contains(service) || s.merged_until > now);
@@ -413,7 +413,7 @@
                 1 => State::Ready,
                 _ => State::Draining,
             },
-            boot_ms: *self.boots.get(&of.service)?,
+            boot_ms: *self.boot_times.get(&of.service)?,
             since: now,
         })
     }
--- a/controller/src/leader/min_instances.rs
+++ b/controller/src/leader/min_instances.rs
@@ -21,7 +21,7 @@
 const STATUS_TTL: Nanos = 3_000 * MS;
 /// Maximum number of functions with a minimum, and of zones per function whose owners report a status.
 const MAX_FUNCTIONS: usize = 2_000;
-const MAX_LOTS: usize = 64;
+const MAX_ZONES: usize = 64;
 
 #[derive(Debug)]
 struct MinInstance {
@@ -57,13 +57,13 @@
         &mut self,
         now: Nanos,
         service: &str,
-        lot: Option<&CompactString>,
+        zone: Option<&CompactString>,
         status: FunctionStatus,
     ) {
         let Some(minimum) = self.all.get_mut(service) else { return };
-        let lot = lot.cloned().unwrap_or_default();
-        if minimum.status.len() < MAX_LOTS || minimum.status.contains_key(&lot) {
-            minimum.status.insert(lot, (status, now));
+        let zone = zone.cloned().unwrap_or_default();
+        if minimum.status.len() < MAX_ZONES || minimum.status.contains_key(&zone) {
+            minimum.status.insert(zone, (status, now));
         }
     }
 
@@ -78,10 +78,10 @@
     ) {
         let zones: Vec<CompactString> =
             ranking.owners().lot_zones(service, "").into_iter().map(Into::into).collect();
-        let lots = zones.len().max(1) as u32;
+        let partitions = zones.len().max(1) as u32;
         let mut ranked: BTreeMap<CompactString, u32> = BTreeMap::new();
         for (n, zone) in zones.iter().enumerate() {
-            let part = minimum.count / lots + u32::from((n as u32) < minimum.count % lots);
+            let part = minimum.count / partitions + u32::from((n as u32) < minimum.count % partitions);
             // At least one per zone: the owners of a zone without a minimum would not report a status.
             let part = if minimum.count > 0 { part.max(1) } else { 0 };
             ranked.extend(ranking.two(service, zone).map(|name| (name.clone(), part)));
@@ -147,12 +147,12 @@
     /// missing, and `None` for a function without a minimum, which owners do not report.
     pub fn function_health(&self, now: Nanos, service: &str) -> Option<Option<FunctionHealth>> {
         let minimum = self.min_instances.all.get(service)?;
-        let recent = |lot: &str| {
-            minimum.status.get(lot).filter(|(_, at)| now < at + STATUS_TTL).map(|(status, _)| *status)
+        let recent = |zone: &str| {
+            minimum.status.get(zone).filter(|(_, at)| now < at + STATUS_TTL).map(|(status, _)| *status)
         };
         let owners = self.ranking.owners();
-        let lots = if owners.lots(service) > 1 { owners.lot_zones(service, "") } else { vec![""] };
-        let Some(all) = lots.iter().map(|lot| recent(lot)).collect::<Option<Vec<_>>>() else {
+        let zones = if owners.lots(service) > 1 { owners.lot_zones(service, "") } else { vec![""] };
+        let Some(all) = zones.iter().map(|zone| recent(zone)).collect::<Option<Vec<_>>>() else {
             return Some(None);
         };
         let above = all.iter().map(|status| (status.delay - status.lowest).max(0.0)).sum::<f64>();
--- a/controller/src/platform_stats.rs
+++ b/controller/src/platform_stats.rs
@@ -48,10 +48,10 @@
 /// Returns the kind of a reply, and the nonce or instance that it is about.
 fn classify(reply: &PlatformReply) -> (ReplyKind, &str) {
     let of = |call, (answer, status)| ReplyKind { call, answer, status };
-    let whole = |there: bool| if there { ("ok", 200) } else { ("none", 0) };
+    let list_status = |listed: bool| if listed { ("ok", 200) } else { ("none", 0) };
     match reply {
-        PlatformReply::Listed(page) => (of("list", whole(page.is_some())), ""),
-        PlatformReply::Workers(all) => (of("workers", whole(all.is_some())), ""),
+        PlatformReply::Listed(page) => (of("list", list_status(page.is_some())), ""),
+        PlatformReply::Workers(all) => (of("workers", list_status(all.is_some())), ""),
         PlatformReply::Started { nonce, answer } => {
             let answer = match answer {
                 Ok(_) => ("ok", 200),
--- a/controller/src/runtime.rs
+++ b/controller/src/runtime.rs
@@ -390,7 +390,7 @@
         let (fence, decided_at) = (call.fence, call.decided_at);
         let Some(api) = &self.settings.platform_api else { return };
         let platform = match &self.platform {
-            Some((of, platform)) if *of == fence => Arc::clone(platform),
+            Some((held, platform)) if *held == fence => Arc::clone(platform),
             _ => Platform::new(api.address, &self.settings.node_name, fence),
         };
         self.platform = Some((fence, Arc::clone(&platform)));
