--- a/controller/src/core/migrations.rs
+++ b/controller/src/core/migrations.rs
@@ -185,8 +185,8 @@
         }
         let text = self.gossip.chosen().and_then(|content| api::config_text(content));
         let (Some(text), Some(config)) = (text, self.feed.config()) else { return };
-        let stands = Stands { config: config.clone(), text: text.into_owned().into() };
-        self.drive_migrations(now, Input::Stands(stands));
+        let chosen = Stands { config: config.clone(), text: text.into_owned().into() };
+        self.drive_migrations(now, Input::Stands(chosen));
     }
 
     /// Returns the state of migrations for operators.
--- a/controller/src/drains.rs
+++ b/controller/src/drains.rs
@@ -23,7 +23,7 @@
 const OWNERSHIP_DELAY: Nanos = 2_500 * MS;
 /// After this time a new leader has received the drains that the other controllers know.
 const TAKEOVER_DELAY: Nanos = 1_000 * MS;
-/// A resting proxy says so with each heartbeat, every 450 ms. A report is valid for [`REPORT_TTL`], and the
+/// A resting proxy reports this with each heartbeat, every 450 ms. A report is valid for [`REPORT_TTL`], and the
 /// proxy is notified again at intervals of at least [`RESEND_DELAY`].
 const REPORT_TTL: Nanos = 1_000 * MS;
 const RESEND_DELAY: Nanos = 500 * MS;
--- a/controller/src/errors.rs
+++ b/controller/src/errors.rs
@@ -66,14 +66,14 @@
         /// The revision.
         revision: u64,
         /// The digest of the chosen content.
-        stands: CompactString,
+        chosen_digest: CompactString,
     },
 }
 
 impl CallError {
     /// Returns the reply to the caller.
     pub fn to_reply(&self) -> Reply {
-        let (status, word) = match self {
+        let (status, code) = match self {
             CallError::Unknown => (404, "unknown"),
             CallError::Method => (405, "method"),
             CallError::Invalid(_) => (400, "invalid"),
@@ -91,13 +91,13 @@
             CallError::Refused(reasons) => {
                 tinyjson::JsonValue::Array(reasons.iter().map(|r| text(r)).collect())
             }
-            CallError::Conflict { revision, stands } => object([
+            CallError::Conflict { revision, chosen_digest } => object([
                 ("revision", tinyjson::JsonValue::Number(*revision as f64)),
-                ("stands", text(stands)),
+                ("stands", text(chosen_digest)),
             ]),
             _ => tinyjson::JsonValue::Null,
         };
-        let body = object([("error", text(word)), ("why", why)]).stringify().unwrap_or_default();
+        let body = object([("error", text(code)), ("why", why)]).stringify().unwrap_or_default();
         Reply::json(StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR), body)
     }
 }
--- a/controller/src/leadership.rs
+++ b/controller/src/leadership.rs
@@ -20,7 +20,7 @@
 
 /// A call to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
-#[allow(missing_docs, reason = "the fields are the platform's own words")]
+#[allow(missing_docs, reason = "the fields are named as in the platform API")]
 pub enum Call {
     /// Lists a page of instances; without a token the first page.
     List { token: Option<CompactString> },
@@ -37,7 +37,7 @@
 
 /// A reply of the platform. `None` or a fault `Unclear` means that there was no usable answer.
 #[derive(Debug)]
-#[allow(missing_docs, reason = "the fields are the platform's own words")]
+#[allow(missing_docs, reason = "the fields are named as in the platform API")]
 pub enum PlatformReply {
     Listed(Option<Page>),
     Workers(Option<Vec<Worker>>),
@@ -46,7 +46,7 @@
 }
 
 impl Call {
-    /// Returns the reply that stands for a missing answer.
+    /// Returns the reply that is used when there is no answer.
     pub fn unanswered(self) -> PlatformReply {
         match self {
             Call::List { .. } => PlatformReply::Listed(None),
--- a/controller/src/pending_puts.rs
+++ b/controller/src/pending_puts.rs
@@ -51,9 +51,12 @@
         // A successful round has written the value or found one with at least its revision.
         let chosen = chosen?.filter(|value| value.version >= put.revision).ok_or(CallError::NoMajority)?;
         if chosen.version == put.revision && !same_config(&chosen.content, &put.content) {
-            let stands = digest(&chosen.content);
-            log::info!("revision {} is already chosen with other content, digest {stands}", put.revision);
-            return Err(CallError::Conflict { revision: put.revision, stands });
+            let chosen_digest = digest(&chosen.content);
+            log::info!(
+                "revision {} is already chosen with other content, digest {chosen_digest}",
+                put.revision
+            );
+            return Err(CallError::Conflict { revision: put.revision, chosen_digest });
         }
         Ok(Confirmed { revision: chosen.version })
     }
@@ -101,7 +104,7 @@
 
     #[test]
     fn a_conflict_reports_the_chosen_digest_and_a_put_without_a_majority_stays_open() {
-        let conflict = CallError::Conflict { revision: 2, stands: digest(CHOSEN) };
+        let conflict = CallError::Conflict { revision: 2, chosen_digest: digest(CHOSEN) };
         assert_eq!(put_result(2, "{}", Some((2, CHOSEN))), Err(conflict));
         assert_eq!(put_result(2, CHOSEN, None), Err(CallError::NoMajority));
     }
--- a/controller/src/platform_stats.rs
+++ b/controller/src/platform_stats.rs
@@ -22,7 +22,7 @@
 struct ReplyKind {
     call: &'static str,
     answer: &'static str,
-    /// The HTTP status that the reply stands for; 0 if it stands for none.
+    /// The HTTP status of the reply; 0 if it has none.
     status: u16,
 }
 
