--- a/controller/src/leader.rs
+++ b/controller/src/leader.rs
@@ -530,7 +530,8 @@
             None => all.extend(owners.peers().iter().map(|p| (p.name.clone(), Vec::new()))),
             Some((mut recipients, unknown)) => {
                 for instance in self.scaler.visible_instances().filter(|i| unknown.contains(&i.service)) {
-                    recipients.extend(self.ranking.owner_and_deputy(&instance.service, &instance.zone).cloned());
+                    recipients
+                        .extend(self.ranking.owner_and_deputy(&instance.service, &instance.zone).cloned());
                 }
                 let owners = self.ranking.owners();
                 all.extend(
--- a/controller/tests/deployment/mod.rs
+++ b/controller/tests/deployment/mod.rs
@@ -103,7 +103,8 @@
             let coordinator = Coordinator::new(peer.clone(), terms, n, 1_000_000 * n);
             deployment.proxies.push(Proxy { peer, coordinator, config: None, up: true, outbox: Vec::new() });
             for machine in 0..3 {
-                let body = batch(&format!("edge-{n}"), &[PeerMessage::ConfigApplied { revision: 0, number: 0 }]);
+                let body =
+                    batch(&format!("edge-{n}"), &[PeerMessage::ConfigApplied { revision: 0, number: 0 }]);
                 let id = deployment.cluster.call(machine, Method::POST, "/follow", &body);
                 deployment.follow_calls.insert(id, n as usize);
             }
@@ -246,7 +247,8 @@
                 }
                 PeerMessage::Leader { .. } => None,
                 message => {
-                    self.min_instances_messages += usize::from(matches!(message, PeerMessage::MinInstances { .. }));
+                    self.min_instances_messages +=
+                        usize::from(matches!(message, PeerMessage::MinInstances { .. }));
                     proxy.coordinator.receive_from_controller(now, message);
                     None
                 }
