--- a/protocol/src/fold.rs
+++ b/protocol/src/fold.rs
@@ -1,11 +1,11 @@
-//! Notes in a digest: what is said often goes in by its parts, all else as its text.
+//! Adds messages to a digest: frequent messages field by field, all others as their JSON text.
 
 use crate::frame::Fold;
 use crate::line::Line;
 use crate::peer_message::PeerMessage;
 
 impl PeerMessage {
-    /// Puts it in, whole.
+    /// Adds all fields of the message to the digest.
     pub fn fold(&self, into: &mut Fold<'_>) {
         match self {
             PeerMessage::RequestPermit {
@@ -68,8 +68,8 @@
     use crate::frame::Digest;
 
     #[test]
-    fn notes_that_differ_in_one_part_differ_in_the_digest() {
-        let ask = |id, avoid: &[&str], zone: &str| PeerMessage::RequestPermit {
+    fn messages_that_differ_in_one_field_have_different_digests() {
+        let request = |id, avoid: &[&str], zone: &str| PeerMessage::RequestPermit {
             id,
             service: "s".into(),
             left: 1.0,
@@ -81,7 +81,7 @@
             avoid: avoid.iter().map(|i| (*i).into()).collect(),
             zone: zone.into(),
         };
-        let want = |count, strain| PeerMessage::DesiredInstances {
+        let desired = |count, strain| PeerMessage::DesiredInstances {
             service: "s".into(),
             count,
             zones: vec!["a".into()],
@@ -97,12 +97,12 @@
             zone: zone.map(Into::into),
         };
         let all = [
-            ask(1, &[], "ab"),
-            ask(2, &[], "ab"),
-            ask(1, &["a"], "b"),
-            want(1, 0.0),
-            want(2, 0.0),
-            want(1, 0.1),
+            request(1, &[], "ab"),
+            request(2, &[], "ab"),
+            request(1, &["a"], "b"),
+            desired(1, 0.0),
+            desired(2, 0.0),
+            desired(1, 0.1),
             PeerMessage::MinInstances { service: "s".into(), count: 1, fence: 1, left: 1.0 },
             grant(None),
             grant(Some("z")),
@@ -114,9 +114,9 @@
             PeerMessage::InstanceDown { instance: "i".into() },
             PeerMessage::InstanceUp { instance: "i".into() },
         ];
-        let sums = all.iter().map(|note| {
+        let sums = all.iter().map(|message| {
             let mut digest = Digest::default();
-            digest.fold(|parts| note.fold(parts));
+            digest.fold(|fields| message.fold(fields));
             digest.state().1
         });
         assert_eq!(sums.collect::<std::collections::BTreeSet<_>>().len(), all.len());
--- a/protocol/src/function_status.rs
+++ b/protocol/src/function_status.rs
@@ -1,4 +1,5 @@
-//! How a function does at its owner: told with what it wants, while that is asked for.
+//! Load status of a function, reported by its owner with the desired instance count while the controller
+//! asks for it.
 
 use std::collections::HashMap;
 
@@ -6,16 +7,16 @@
 
 use crate::json::{Fault, list};
 
-/// How a function does, as one owner sees it.
+/// Load status of a function as one owner sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FunctionStatus {
-    /// The averaged delay of its instances, their mean, in milliseconds; 0 where nothing was served yet.
+    /// Mean of the averaged delays of its instances, in milliseconds; 0 if nothing has been served yet.
     pub delay: f64,
-    /// The lowest that was since this is asked for.
+    /// Lowest value of `delay`, in milliseconds, since the controller began to ask for the status.
     pub lowest: f64,
-    /// Asks in a short span up to now,
+    /// Permit requests in a short recent interval.
     pub asked: u32,
-    /// ... and those that were refused, or refused by an instance.
+    /// Permit requests in the same interval that were denied, or rejected by an instance.
     pub refused: u32,
 }
 
@@ -42,7 +43,7 @@
                     refused: count(*refused),
                 })
             }
-            _ => Err(Fault { key: key.to_owned(), reason: "no four numbers" }),
+            _ => Err(Fault { key: key.to_owned(), reason: "not four non-negative numbers" }),
         }
     }
 }
--- a/protocol/src/json.rs
+++ b/protocol/src/json.rs
@@ -1,4 +1,4 @@
-//! Reading and making of `tinyjson` values.
+//! Helpers to build and read `tinyjson` values.
 
 use std::collections::HashMap;
 
@@ -6,13 +6,13 @@
 use snafu::Snafu;
 use tinyjson::JsonValue;
 
-/// What is wrong with a note.
+/// Why a JSON value was rejected.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(display("{key}: {reason}"))]
 pub struct Fault {
-    /// The key it is about.
+    /// Key of the rejected value.
     pub key: String,
-    /// What is wrong with it.
+    /// Why it was rejected.
     pub reason: &'static str,
 }
 
@@ -20,35 +20,35 @@
     Fault { key: key.to_owned(), reason }
 }
 
-/// Texts longer than this are no names of ours.
-const LONGEST: usize = 1_024;
+/// Maximum length in bytes of a string; no valid name is longer.
+const MAX_STRING_LEN: usize = 1_024;
 
-/// An object from its parts; parts that are null are left out.
-pub fn object<const N: usize>(parts: [(&str, JsonValue); N]) -> JsonValue {
-    let parts = parts.into_iter().filter(|(_, v)| !matches!(v, JsonValue::Null));
-    JsonValue::Object(parts.map(|(k, v)| (k.to_owned(), v)).collect())
+/// Builds an object from key-value pairs; null values are omitted.
+pub fn object<const N: usize>(entries: [(&str, JsonValue); N]) -> JsonValue {
+    let entries = entries.into_iter().filter(|(_, v)| !matches!(v, JsonValue::Null));
+    JsonValue::Object(entries.map(|(k, v)| (k.to_owned(), v)).collect())
 }
 
-/// A text value.
+/// Builds a string value.
 pub fn text(value: &str) -> JsonValue {
     JsonValue::String(value.to_owned())
 }
 
-/// The value under a key.
+/// Returns the value of a required key.
 pub(crate) fn get<'a>(from: &'a HashMap<String, JsonValue>, key: &str) -> Result<&'a JsonValue, Fault> {
     from.get(key).ok_or_else(|| fault(key, "missing"))
 }
 
-/// The text under a key.
+/// Returns the string under a required key, at most 1,024 bytes long.
 pub fn string(from: &HashMap<String, JsonValue>, key: &str) -> Result<CompactString, Fault> {
     match get(from, key)? {
-        JsonValue::String(s) if s.len() <= LONGEST => Ok(s.as_str().into()),
+        JsonValue::String(s) if s.len() <= MAX_STRING_LEN => Ok(s.as_str().into()),
         JsonValue::String(_) => Err(fault(key, "too long")),
         _ => Err(fault(key, "no text")),
     }
 }
 
-/// The number under a key.
+/// Returns the finite number under a required key.
 pub fn number(from: &HashMap<String, JsonValue>, key: &str) -> Result<f64, Fault> {
     match get(from, key)? {
         JsonValue::Number(n) if n.is_finite() => Ok(*n),
@@ -56,14 +56,14 @@
     }
 }
 
-/// The whole number under a key.
+/// Returns the non-negative integer under a required key, up to 2^53.
 pub fn whole(from: &HashMap<String, JsonValue>, key: &str) -> Result<u64, Fault> {
     let n = number(from, key)?;
     let exact = (0.0..=9_007_199_254_740_992.0).contains(&n) && n.fract() == 0.0;
     if exact { Ok(n as u64) } else { Err(fault(key, "no whole number")) }
 }
 
-/// The list under a key; none where it is left out.
+/// Returns the array under a key, or an empty slice if the key is absent.
 pub fn list<'a>(from: &'a HashMap<String, JsonValue>, key: &str) -> Result<&'a [JsonValue], Fault> {
     match from.get(key) {
         None => Ok(&[]),
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -1,7 +1,8 @@
-//! What the system's own processes say to one another: notes as JSON objects, read by hand and checked. Times are told as what is
-//! left, in milliseconds, since no two machines share a clock.
+//! Messages between the processes of the system, encoded as JSON objects and validated when they are read.
+//! Times are sent as remaining durations in milliseconds, because machines do not share a clock.
 //!
-//! What is not understood is an error that names the key; nothing from the network panics.
+//! A message that cannot be read is an error that names the offending key. Input from the network never
+//! causes a panic.
 
 mod fold;
 pub mod frame;
@@ -9,12 +10,11 @@
 mod json;
 pub mod line;
 mod membership;
+mod message_batch;
 mod peer_message;
 
 pub use function_status::FunctionStatus;
 pub use json::{Fault, list, number, object, string, text, whole};
 pub use membership::{MembershipView, ViewChange, peer_hash};
-pub use peer_message::{Instance, Peer, PeerMessage, Permit, Version};
-
-mod message_batch;
 pub use message_batch::MessageBatch;
+pub use peer_message::{Instance, Peer, PeerMessage, Permit, Version};
--- a/protocol/src/membership.rs
+++ b/protocol/src/membership.rs
@@ -1,10 +1,10 @@
-//! The stalls that are alive, as control names them, and how one naming differs from the one before.
+//! Membership views: the live proxies as published by the controller, and the difference between two views.
 //!
-//! A stall that was told to end, or that operators took out, is *leaving*: it owns no function any more, but it lives, sees its requests
-//! through, and must be answered. Who stands in neither list is taken to be gone.
+//! A proxy that is shutting down or was drained by an operator is *leaving*: it owns no functions, but it is
+//! alive, completes its requests and must still be answered. A proxy in neither list is considered gone.
 //!
-//! Invariant: names stand in their order, none twice and none in both lists; a shift makes out of the naming that it goes from exactly
-//! the one that it leads to, or nothing.
+//! Invariants: peers are sorted by name, and no name occurs twice or in both lists. Applying a change to the
+//! view that it starts from yields exactly the target view; applying it to any other view fails.
 
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
@@ -18,10 +18,10 @@
     Peer, PeerMessage, Version, map, names, peers_or_none, read_names, read_version, version,
 };
 
-/// Stalls in a naming, and functions that are split; a shift that leads to more is none.
-const MOST: usize = 10_000;
+/// Maximum number of peers in each list and of split functions. A change that exceeds it is rejected.
+const MAX_ENTRIES: usize = 10_000;
 
-/// A naming of stalls, all of it.
+/// A complete view of the live proxies.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MembershipView {
     version: Version,
@@ -30,87 +30,87 @@
     split: BTreeSet<CompactString>,
 }
 
-/// How a naming differs from the one before.
+/// The difference between two membership views.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ViewChange {
-    /// The naming that it leads to.
+    /// Version of the target view.
     pub version: Version,
-    /// The naming that it goes from.
+    /// Version of the view that the change applies to.
     pub from: Version,
-    /// Stalls that are new, or have moved.
+    /// Members that are new, or whose address or zone changed.
     pub came: Vec<Peer>,
-    /// Names of those that own functions no more: they leave, or are gone.
+    /// Names of peers that are members no longer: they are leaving or gone.
     pub left: Vec<CompactString>,
-    /// Stalls that leave from now on, or have moved meanwhile.
+    /// Peers that started leaving, or whose address or zone changed while leaving.
     pub leaving: Vec<Peer>,
-    /// Names of those that left, and are gone now.
+    /// Names of leaving peers that are now gone.
     pub ended: Vec<CompactString>,
-    /// Functions that have an owner in each zone from now on.
+    /// Functions that now have one owner per zone.
     pub split: Vec<CompactString>,
-    /// ... and no more.
+    /// Functions that no longer have one owner per zone.
     pub joined: Vec<CompactString>,
 }
 
 impl MembershipView {
-    /// Of these stalls, in any order; of two of one name the last counts.
+    /// Creates a view from peers in any order. Of several peers with one name the last is kept.
     pub fn new(version: Version, peers: Vec<Peer>, split: impl IntoIterator<Item = CompactString>) -> Self {
         MembershipView {
             version,
-            peers: in_order(peers),
+            peers: sort_by_name(peers),
             leaving: Vec::new(),
             split: split.into_iter().collect(),
         }
     }
 
-    /// The same, with these stalls leaving; those that are named are not.
+    /// Sets the leaving peers; those that are also members are ignored.
     #[must_use]
     pub fn with_leaving(mut self, mut leaving: Vec<Peer>) -> Self {
         leaving.retain(|peer| self.find(&peer.name).is_none());
-        self.leaving = in_order(leaving);
+        self.leaving = sort_by_name(leaving);
         self
     }
 
-    /// Fence of the steward that named them, and its count.
+    /// Fence of the leader that published the view, and the leader's view count.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// The stalls, in the order of their names.
+    /// Members, sorted by name.
     pub fn peers(&self) -> &[Peer] {
         &self.peers
     }
 
-    /// The functions that have an owner in each zone.
+    /// Functions that have one owner per zone.
     pub fn split(&self) -> &BTreeSet<CompactString> {
         &self.split
     }
 
-    /// The stalls that leave, in the order of their names.
+    /// Leaving peers, sorted by name.
     pub fn leaving(&self) -> &[Peer] {
         &self.leaving
     }
 
-    /// The stall of this name, if it is named.
+    /// Returns the member with this name.
     pub fn find(&self, name: &str) -> Option<&Peer> {
         find(&self.peers, name)
     }
 
-    /// The stall of this name, if it lives: it is named, or leaves.
+    /// Returns the live peer with this name, whether a member or leaving.
     pub fn find_living(&self, name: &str) -> Option<&Peer> {
         self.find(name).or_else(|| find(&self.leaving, name))
     }
 
-    /// The stalls that lived by the naming before, and do no more.
+    /// Peers that were alive in the `before` view and are not in this one.
     pub fn gone_since<'a>(&'a self, before: &'a MembershipView) -> impl Iterator<Item = &'a Peer> {
         before.peers.iter().chain(&before.leaving).filter(|peer| self.find_living(&peer.name).is_none())
     }
 
-    /// The same stalls and functions have the same digest, under whatever version.
+    /// Hash of the peers and split functions; the version is not included.
     pub fn digest(&self) -> u64 {
         let mut all = Xxh3::with_seed(17);
         let mut add = |text: &str| {
             all.update(text.as_bytes());
-            // No text holds that byte.
+            // Separator: 0xff does not occur in UTF-8.
             all.update(&[0xff]);
         };
         for peer in &self.peers {
@@ -118,7 +118,7 @@
         }
         add("");
         self.split.iter().for_each(|name| add(name));
-        // Where nobody leaves the digest is as it was before there was that list.
+        // An empty list is not hashed, so that the digest equals that of releases without leaving peers.
         if !self.leaving.is_empty() {
             add("");
             for peer in &self.leaving {
@@ -128,22 +128,23 @@
         all.digest()
     }
 
-    /// All of it, for who has nothing.
+    /// The whole view as a message, for a recipient that has no earlier view.
     pub fn to_message(&self) -> PeerMessage {
         let split = self.split.iter().cloned().collect();
         let (peers, leaving) = (self.peers.clone(), self.leaving.clone());
         PeerMessage::FullView { version: self.version, peers, leaving, split }
     }
 
-    /// Stalls that are new here or have moved since, and those of before that are gone.
+    /// Returns the members that were added or changed since `before`, and the members of `before` that are
+    /// not in this view.
     pub fn diff_peers<'a>(&'a self, before: &'a MembershipView) -> (Vec<&'a Peer>, Vec<&'a Peer>) {
-        differ(&self.peers, &before.peers)
+        diff(&self.peers, &before.peers)
     }
 
-    /// How this differs from the naming before.
+    /// Computes the change from `before` to this view.
     pub fn change_from(&self, before: &MembershipView) -> ViewChange {
         let (came, left) = self.diff_peers(before);
-        let (leaving, _) = differ(&self.leaving, &before.leaving);
+        let (leaving, _) = diff(&self.leaving, &before.leaving);
         let ended = before.leaving.iter().filter(|p| self.find_living(&p.name).is_none());
         ViewChange {
             version: self.version,
@@ -157,29 +158,33 @@
         }
     }
 
-    /// The naming that a shift leads to; none where it goes from another than this one, or leads to too many.
-    pub fn apply(&self, shift: &ViewChange) -> Option<MembershipView> {
-        let too_many = self.peers.len() + shift.came.len() > MOST
-            || self.leaving.len() + shift.leaving.len() > MOST
-            || self.split.len() + shift.split.len() > MOST;
-        if shift.from != self.version || too_many {
+    /// Applies a change. Returns `None` if it starts from another version or exceeds [`MAX_ENTRIES`].
+    pub fn apply(&self, change: &ViewChange) -> Option<MembershipView> {
+        let too_large = self.peers.len() + change.came.len() > MAX_ENTRIES
+            || self.leaving.len() + change.leaving.len() > MAX_ENTRIES
+            || self.split.len() + change.split.len() > MAX_ENTRIES;
+        if change.from != self.version || too_large {
             return None;
         }
-        let gone: BTreeSet<_> =
-            shift.left.iter().chain(shift.came.iter().map(|p| &p.name)).map(CompactString::as_str).collect();
-        let stay = self.peers.iter().filter(|p| !gone.contains(p.name.as_str()));
-        let peers = stay.chain(&shift.came).cloned().collect();
-        let ended: BTreeSet<_> = shift.ended.iter().collect();
-        let leave = self.leaving.iter().filter(|p| !ended.contains(&p.name)).chain(&shift.leaving);
-        let leaving = leave.cloned().collect();
-        let joined: BTreeSet<_> = shift.joined.iter().collect();
-        let split = self.split.iter().filter(|name| !joined.contains(name)).chain(&shift.split);
-        Some(MembershipView::new(shift.version, peers, split.cloned()).with_leaving(leaving))
+        let gone: BTreeSet<_> = change
+            .left
+            .iter()
+            .chain(change.came.iter().map(|p| &p.name))
+            .map(CompactString::as_str)
+            .collect();
+        let kept = self.peers.iter().filter(|p| !gone.contains(p.name.as_str()));
+        let peers = kept.chain(&change.came).cloned().collect();
+        let ended: BTreeSet<_> = change.ended.iter().collect();
+        let still_leaving = self.leaving.iter().filter(|p| !ended.contains(&p.name)).chain(&change.leaving);
+        let leaving = still_leaving.cloned().collect();
+        let joined: BTreeSet<_> = change.joined.iter().collect();
+        let split = self.split.iter().filter(|name| !joined.contains(name)).chain(&change.split);
+        Some(MembershipView::new(change.version, peers, split.cloned()).with_leaving(leaving))
     }
 }
 
-/// In the order of their names; of two of one name the last counts.
-fn in_order(mut peers: Vec<Peer>) -> Vec<Peer> {
+/// Sorts peers by name; of several with one name the last is kept.
+fn sort_by_name(mut peers: Vec<Peer>) -> Vec<Peer> {
     peers.reverse();
     peers.sort_by(|a, b| a.name.cmp(&b.name));
     peers.dedup_by(|a, b| a.name == b.name);
@@ -191,8 +196,9 @@
     peers.get(at)
 }
 
-/// Of two lists in order: those that are new here or have moved since, and those of there that are here no more.
-fn differ<'a>(here: &'a [Peer], there: &'a [Peer]) -> (Vec<&'a Peer>, Vec<&'a Peer>) {
+/// Compares two sorted lists. Returns the peers of `here` that are new or changed, and the peers of `there`
+/// that are not in `here`.
+fn diff<'a>(here: &'a [Peer], there: &'a [Peer]) -> (Vec<&'a Peer>, Vec<&'a Peer>) {
     let (mut came, mut left) = (Vec::new(), Vec::new());
     let (mut here, mut there) = (here.iter().peekable(), there.iter().peekable());
     loop {
@@ -213,7 +219,7 @@
     }
 }
 
-/// The hash by which a stall stands for functions.
+/// Hash of a proxy's name, used in rendezvous hashing to choose the owners of functions.
 pub fn peer_hash(name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), 7)
 }
@@ -260,9 +266,9 @@
         }
     }
 
-    /// Any naming, out of the digits of a number.
-    fn roster(count: u64, draw: u64) -> MembershipView {
-        let bit = |n: u64| draw >> n & 1 == 1;
+    /// Derives an arbitrary view from the bits of a number.
+    fn arbitrary_view(count: u64, random: u64) -> MembershipView {
+        let bit = |n: u64| random >> n & 1 == 1;
         let peers = (0..10).filter(|n| bit(*n)).map(|n| peer(n, u64::from(bit(n + 10))));
         let split = (0..4).filter(|n| bit(n + 20)).map(|n| format!("f{n}").into());
         let leaving = (0..10).filter(|n| bit(n + 21)).map(|n| peer(n, u64::from(bit(n + 10))));
@@ -270,43 +276,43 @@
     }
 
     #[test]
-    fn a_shift_leads_from_any_naming_to_any_other_and_from_no_third() {
-        let mut draw = 7_u64;
+    fn a_change_applies_only_to_the_view_it_starts_from_and_yields_the_target_view() {
+        let mut random = 7_u64;
         let mut before = MembershipView::default();
         for count in 1..500 {
-            draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-            let after = roster(count, draw >> 33);
-            let shift = after.change_from(&before);
-            let read = PeerMessage::read(&PeerMessage::ViewChange(shift.clone()).to_json());
-            assert_eq!(read, Ok(PeerMessage::ViewChange(shift.clone())));
-            assert_eq!(before.apply(&shift).as_ref(), Some(&after));
-            assert_eq!(after.apply(&shift), None, "it goes from another");
+            random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+            let after = arbitrary_view(count, random >> 33);
+            let change = after.change_from(&before);
+            let read = PeerMessage::read(&PeerMessage::ViewChange(change.clone()).to_json());
+            assert_eq!(read, Ok(PeerMessage::ViewChange(change.clone())));
+            assert_eq!(before.apply(&change).as_ref(), Some(&after));
+            assert_eq!(after.apply(&change), None, "the change starts from another view");
             let same = (&after.peers, &after.split, &after.leaving)
                 == (&before.peers, &before.split, &before.leaving);
             assert_eq!(after.digest() == before.digest(), same);
-            assert_eq!(shift.came.is_empty() && shift.left.is_empty(), after.peers == before.peers);
-            let lived = |n: u64| before.find_living(&peer(n, 0).name).is_some();
-            let lives = |n: u64| after.find_living(&peer(n, 0).name).is_some();
+            assert_eq!(change.came.is_empty() && change.left.is_empty(), after.peers == before.peers);
+            let was_alive = |n: u64| before.find_living(&peer(n, 0).name).is_some();
+            let is_alive = |n: u64| after.find_living(&peer(n, 0).name).is_some();
             let gone: Vec<_> = after.gone_since(&before).map(|p| p.name.clone()).collect();
             let expected: BTreeSet<_> =
-                (0..10).filter(|n| lived(*n) && !lives(*n)).map(|n| peer(n, 0).name).collect();
+                (0..10).filter(|n| was_alive(*n) && !is_alive(*n)).map(|n| peer(n, 0).name).collect();
             assert_eq!(gone.iter().cloned().collect::<BTreeSet<_>>(), expected);
-            assert!(after.leaving.iter().all(|p| after.find(&p.name).is_none()), "none in both lists");
+            assert!(after.leaving.iter().all(|p| after.find(&p.name).is_none()), "no peer is in both lists");
             before = after;
         }
     }
 
     #[test]
-    fn of_two_of_one_name_the_last_counts_and_no_shift_leads_to_too_many() {
-        let twice = MembershipView::new((1, 1), vec![peer(2, 1), peer(1, 1), peer(2, 3)], []);
-        assert_eq!(twice.peers(), [peer(1, 1), peer(2, 3)]);
-        assert_eq!(twice.find("edge-2"), Some(&peer(2, 3)));
-        assert_eq!(twice.find("edge-3"), None);
-        let came: Vec<_> = (0..MOST as u64).map(|n| peer(n, 0)).collect();
-        let shift = ViewChange { version: (1, 2), from: (1, 1), came, ..ViewChange::default() };
-        assert_eq!(twice.apply(&shift), None);
-        let split = (0..=MOST).map(|n| format!("f{n}").into()).collect();
-        let shift = ViewChange { version: (1, 2), from: (1, 1), split, ..ViewChange::default() };
-        assert_eq!(twice.apply(&shift), None);
+    fn the_last_of_two_peers_with_one_name_is_kept_and_too_large_changes_are_rejected() {
+        let view = MembershipView::new((1, 1), vec![peer(2, 1), peer(1, 1), peer(2, 3)], []);
+        assert_eq!(view.peers(), [peer(1, 1), peer(2, 3)]);
+        assert_eq!(view.find("edge-2"), Some(&peer(2, 3)));
+        assert_eq!(view.find("edge-3"), None);
+        let came: Vec<_> = (0..MAX_ENTRIES as u64).map(|n| peer(n, 0)).collect();
+        let change = ViewChange { version: (1, 2), from: (1, 1), came, ..ViewChange::default() };
+        assert_eq!(view.apply(&change), None);
+        let split = (0..=MAX_ENTRIES).map(|n| format!("f{n}").into()).collect();
+        let change = ViewChange { version: (1, 2), from: (1, 1), split, ..ViewChange::default() };
+        assert_eq!(view.apply(&change), None);
     }
 }
--- a/protocol/src/message_batch.rs
+++ b/protocol/src/message_batch.rs
@@ -1,4 +1,4 @@
-//! What one process posts to another: from whom, in which of its lives, and the messages.
+//! A batch of messages from one process to another, with the sender's name and incarnation.
 
 use compact_str::CompactString;
 use tinyjson::JsonValue;
@@ -6,21 +6,21 @@
 use crate::json::{Fault, list, string, whole};
 use crate::peer_message::PeerMessage;
 
-/// A letter that was read.
+/// A batch as it was received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MessageBatch {
-    /// The machine that sent it.
+    /// Name of the sending machine.
     pub from: CompactString,
-    /// Which of the sender's lives: later ones are higher.
+    /// Incarnation of the sender; higher after each restart.
     pub incarnation: u64,
-    /// Its messages that could be read.
+    /// The messages that could be read.
     pub messages: Vec<PeerMessage>,
-    /// What was wrong with the others.
+    /// Errors of the messages that could not be read.
     pub faults: Vec<Fault>,
 }
 
 impl MessageBatch {
-    /// Reads one. A message that can't be read is told in `faults`; the others stand.
+    /// Reads a batch. A message that cannot be read is reported in `faults` and does not affect the others.
     pub fn read(value: &JsonValue) -> Result<MessageBatch, Fault> {
         let JsonValue::Object(parts) = value else {
             return Err(Fault { key: "letter".to_owned(), reason: "no object" });
