--- a/protocol/src/frame.rs
+++ b/protocol/src/frame.rs
@@ -1,7 +1,7 @@
-//! The frame of a recording: the line that each life of a process begins with, the checksum at the end of each line, the line that
-//! says how much is left out, and the digest of what was decided.
+//! Framing of a recording: the header line of each process incarnation, the checksum at the end of each line,
+//! the line that reports omitted lines, and the digest of the recorded outputs.
 //!
-//! Invariant: a line that was cut anywhere, or changed in one place, does not read as another.
+//! Invariant: a line that was truncated, or in which one byte changed, is never read as a different line.
 
 use std::collections::HashMap;
 
@@ -11,39 +11,40 @@
 use crate::json::{Fault, fault, string, whole};
 use crate::line::{Line, large};
 
-/// The format that is written. 1 is that of recordings without a head: no checksums, no requests, no digests.
+/// Format version that is written. Version 1 recordings have no header, checksums, requests or digests.
 pub const FORMAT: u64 = 2;
-/// What a head begins with.
+/// Prefix of a header line.
 pub const HEADER_PREFIX: &str = r#"{"in":"record","#;
-/// What a line that tells of others that are left out begins with.
+/// Prefix of a line that reports omitted lines.
 pub const OMITTED_PREFIX: &str = r#"{"in":"left_out","#;
-/// The checksum's key, and its length with all that stands round it.
-const SUM: &str = r##","#":""##;
-const SUMMED: usize = SUM.len() + 8 + 2;
+/// Text before the checksum digits.
+const CHECKSUM_KEY: &str = r##","#":""##;
+/// Length of the checksum field, with its key, eight digits, closing quote and brace.
+const CHECKSUM_FIELD_LEN: usize = CHECKSUM_KEY.len() + 8 + 2;
 
-/// What a life of a process begins with in a recording.
+/// Header of a recording, written once per process incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
-    /// The format of the lines that follow.
+    /// Format version of the lines that follow.
     pub format: u64,
-    /// Who records: `machine/process`.
+    /// Recording process, as `machine/process`.
     pub by: CompactString,
-    /// The version of the program.
+    /// Version of the program.
     pub build: CompactString,
-    /// The life, as the process's mail tells it.
+    /// Incarnation of the process, as in its messages.
     pub life: u64,
-    /// The machine's own clock as the times of the life begin, in milliseconds of Unix time.
+    /// Wall-clock time at which the recorded times start, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
 }
 
 impl Head {
-    /// Of this build.
+    /// Creates a header with the current format and the version of this build.
     pub fn new(machine: &str, process: &str, life: u64, unix_ms: u64) -> Self {
         let by = compact_str::format_compact!("{machine}/{process}");
         Head { format: FORMAT, by, build: env!("CARGO_PKG_VERSION").into(), life, unix_ms }
     }
 
-    /// As a line, without its end.
+    /// Formats the header as a line, without a line terminator.
     pub fn line(&self) -> String {
         let mut line = Line::new();
         line.text("in", "record").whole("v", self.format).text("by", &self.by).text("build", &self.build);
@@ -51,7 +52,10 @@
         sealed(line.end())
     }
 
-    /// Reads a line that was read as JSON.
+    /// Reads a header from the fields of a parsed line.
+    ///
+    /// # Errors
+    /// If a field is missing or invalid, or the format is newer than [`FORMAT`].
     pub fn of(from: &HashMap<String, JsonValue>) -> Result<Self, Fault> {
         let head = Head {
             format: whole(from, "v")?,
@@ -67,17 +71,17 @@
     }
 }
 
-/// Why lines are left out.
+/// Why lines were omitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OmissionReason {
-    /// The recording has reached its bound: nothing more is recorded in this life.
+    /// The recording has reached its size limit; nothing more is recorded in this incarnation.
     Bound,
-    /// Nobody read them in time.
+    /// The output was not drained fast enough.
     Unread,
 }
 
 impl OmissionReason {
-    /// The word for it.
+    /// Name as written in a recording.
     pub fn as_str(self) -> &'static str {
         match self {
             OmissionReason::Bound => "bound",
@@ -85,70 +89,74 @@
         }
     }
 
-    /// The line that says so: so many more since the last one of its kind.
+    /// Formats a line that reports `lines` more omitted lines since the last report for this reason.
     pub fn line(self, lines: u64) -> String {
         let mut line = Line::new();
         line.text("in", "left_out").whole("lines", lines).text("why", self.as_str());
         sealed(line.end())
     }
 
-    /// Reads that line.
+    /// Reads the reason and the number of omitted lines from the fields of a parsed line.
     pub fn of(from: &HashMap<String, JsonValue>) -> Result<(Self, u64), Fault> {
-        let word = string(from, "why")?;
-        let left =
-            [OmissionReason::Bound, OmissionReason::Unread].into_iter().find(|left| left.as_str() == word);
-        Ok((left.ok_or_else(|| fault("why", "no word that is known"))?, whole(from, "lines")?))
+        let name = string(from, "why")?;
+        let reason = [OmissionReason::Bound, OmissionReason::Unread]
+            .into_iter()
+            .find(|reason| reason.as_str() == name);
+        Ok((reason.ok_or_else(|| fault("why", "unknown reason"))?, whole(from, "lines")?))
     }
 }
 
-/// The line that says that so many more are left out: for the bound, or because nobody reads them.
+/// Formats a line that reports omitted lines: due to the size limit if `bound`, else because the output was
+/// not drained fast enough.
 pub fn omitted_line(bound: bool, lines: u64) -> String {
     if bound { OmissionReason::Bound } else { OmissionReason::Unread }.line(lines)
 }
 
-/// Eight hex digits.
+/// Appends `sum` as eight hex digits.
 pub(crate) fn hex(out: &mut String, sum: u32) {
     const DIGITS: &[u8; 16] = b"0123456789abcdef";
     let digits: [u8; 8] = std::array::from_fn(|n| DIGITS[(sum >> (28 - 4 * n)) as usize & 0xf]);
     out.push_str(std::str::from_utf8(&digits).unwrap_or_default());
 }
 
-/// The same object with its checksum as its last part.
+/// Appends a checksum as the last field of a JSON object.
 pub fn sealed(mut line: String) -> String {
     line.pop();
     let sum = crc32fast::hash(line.as_bytes());
-    line.reserve(SUMMED);
-    line.push_str(SUM);
+    line.reserve(CHECKSUM_FIELD_LEN);
+    line.push_str(CHECKSUM_KEY);
     hex(&mut line, sum);
     line.push_str("\"}");
     line
 }
 
-/// What a line's checksum says.
+/// Result of checking the checksum of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Checksum {
-    /// It has none.
+    /// The line has no checksum.
     Missing,
-    /// The line is as it was written.
+    /// The checksum matches.
     Valid,
-    /// It is not.
+    /// The checksum does not match.
     Invalid,
 }
 
-/// Looks at the checksum of a whole line.
+/// Checks the checksum of a complete line.
 pub fn checksum(line: &str) -> Checksum {
-    let Some((rest, tail)) = line.len().checked_sub(SUMMED).and_then(|at| line.split_at_checked(at)) else {
+    let Some((rest, tail)) =
+        line.len().checked_sub(CHECKSUM_FIELD_LEN).and_then(|at| line.split_at_checked(at))
+    else {
         return Checksum::Missing;
     };
-    let Some(digits) = tail.strip_prefix(SUM).and_then(|t| t.strip_suffix("\"}")) else {
+    let Some(digits) = tail.strip_prefix(CHECKSUM_KEY).and_then(|t| t.strip_suffix("\"}")) else {
         return Checksum::Missing;
     };
-    let mut right = String::with_capacity(8);
-    hex(&mut right, crc32fast::hash(rest.as_bytes()));
-    if right == digits { Checksum::Valid } else { Checksum::Invalid }
+    let mut expected = String::with_capacity(8);
+    hex(&mut expected, crc32fast::hash(rest.as_bytes()));
+    if expected == digits { Checksum::Valid } else { Checksum::Invalid }
 }
 
-/// What a machine has decided so far, as the count of its outputs and one number for all of them in their order.
+/// Running digest of the outputs of a state machine: their count and an order-dependent hash.
 #[derive(Clone, Debug, Default)]
 pub struct Digest {
     count: u64,
@@ -156,28 +164,28 @@
 }
 
 impl Digest {
-    /// One more output, by its parts.
-    pub fn fold(&mut self, parts: impl FnOnce(&mut Fold<'_>)) {
+    /// Adds one output, given by its fields.
+    pub fn fold(&mut self, fields: impl FnOnce(&mut Fold<'_>)) {
         self.count += 1;
         let mut fold = Fold(&mut self.state);
         fold.whole(self.count);
-        parts(&mut fold);
+        fields(&mut fold);
     }
 
-    /// Outputs so far, and their number.
+    /// Number of outputs so far, and the hash of them.
     pub fn state(&self) -> (u64, u32) {
         let mixed = self.state ^ (self.state >> 29);
         (self.count, (mixed.wrapping_mul(FACTOR) >> 32) as u32)
     }
 
-    /// As the parts of a line.
+    /// Writes count and hash as fields of a line.
     pub(crate) fn write(&self, line: &mut Line) {
         let (count, sum) = self.state();
         line.whole("k", count).hex("d", sum);
     }
 }
 
-/// Reads what a line tells of the digest; nothing where nothing was decided before it.
+/// Reads output count and hash from the fields of a line; `None` if the line has no digest.
 pub fn read_digest(from: &HashMap<String, JsonValue>) -> Result<Option<(u64, u32)>, Fault> {
     if !from.contains_key("k") {
         return Ok(None);
@@ -186,14 +194,14 @@
     Ok(Some((whole(from, "k")?, sum)))
 }
 
-/// Odd, and its bits are even by chance.
+/// Multiplier of the hash: odd, with evenly distributed bits.
 const FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The parts of an output.
+/// Receives the fields of an output and mixes them into the digest.
 pub struct Fold<'a>(&'a mut u64);
 
 impl Fold<'_> {
-    /// A text.
+    /// Adds a string.
     pub fn text(&mut self, text: &str) -> &mut Self {
         let (chunks, rest) = text.as_bytes().as_chunks::<8>();
         chunks.iter().for_each(|chunk| {
@@ -201,17 +209,17 @@
         });
         let mut last = [0; 8];
         last[..rest.len()].copy_from_slice(rest);
-        // The length keeps one text from running into the next.
+        // The length separates consecutive strings.
         self.whole(u64::from_le_bytes(last)).whole(text.len() as u64)
     }
 
-    /// A whole number.
+    /// Adds an integer.
     pub fn whole(&mut self, value: u64) -> &mut Self {
         *self.0 = (self.0.rotate_left(23) ^ value).wrapping_mul(FACTOR);
         self
     }
 
-    /// A number, to the bit.
+    /// Adds a floating-point number by its exact bits.
     pub fn number(&mut self, value: f64) -> &mut Self {
         self.whole(value.to_bits())
     }
@@ -223,7 +231,7 @@
     use crate::line::read;
 
     #[test]
-    fn a_head_and_what_is_left_out_read_back() {
+    fn header_and_omission_lines_read_back_as_written() {
         let head = Head::new("edge-1", "stall", u64::MAX, 1_796_172_615_944);
         let line = head.line();
         assert!(line.starts_with(HEADER_PREFIX));
@@ -233,15 +241,15 @@
         );
         let newer = Head { format: FORMAT + 1, ..head }.line();
         assert!(Head::of(&read(&newer).expect("JSON")).is_err());
-        for left in [OmissionReason::Bound, OmissionReason::Unread] {
-            let line = left.line(7);
+        for reason in [OmissionReason::Bound, OmissionReason::Unread] {
+            let line = reason.line(7);
             assert!(line.starts_with(OMITTED_PREFIX));
-            assert_eq!(OmissionReason::of(&read(&line).expect("JSON")), Ok((left, 7)));
+            assert_eq!(OmissionReason::of(&read(&line).expect("JSON")), Ok((reason, 7)));
         }
     }
 
     #[test]
-    fn no_byte_of_a_line_can_change_unseen() {
+    fn a_change_of_any_byte_of_a_line_is_detected() {
         let line = Head::new("edge-1", "stall", 5, 7).line();
         let whole = read(&line).expect("JSON");
         for at in 0..line.len() {
@@ -252,9 +260,9 @@
                     continue;
                 }
                 let text = String::from_utf8(bytes).expect("ASCII");
-                // What has no checksum any more is no line of this format.
-                let seen = checksum(&text) != Checksum::Valid || read(&text).is_err();
-                assert!(seen || read(&text) == Ok(whole.clone()), "{text}");
+                // A line without a checksum is not a valid line of this format.
+                let detected = checksum(&text) != Checksum::Valid || read(&text).is_err();
+                assert!(detected || read(&text) == Ok(whole.clone()), "{text}");
             }
         }
         assert_eq!(checksum(r#"{"in":"tick","n":5,"at":3}"#), Checksum::Missing);
@@ -262,12 +270,12 @@
     }
 
     #[test]
-    fn a_digest_hangs_on_each_part_and_on_their_order() {
+    fn a_digest_depends_on_every_field_and_on_their_order() {
         let digest = |all: &[(&str, u64)]| {
             let mut digest = Digest::default();
             for (text, n) in all {
-                digest.fold(|parts| {
-                    parts.text(text).whole(*n);
+                digest.fold(|fields| {
+                    fields.text(text).whole(*n);
                 });
             }
             digest.state()
@@ -278,8 +286,8 @@
             assert_ne!(one, digest(&other));
         }
         let mut digest = Digest::default();
-        digest.fold(|parts| {
-            parts.number(0.1);
+        digest.fold(|fields| {
+            fields.number(0.1);
         });
         let mut line = Line::new();
         digest.write(&mut line);
--- a/protocol/src/line.rs
+++ b/protocol/src/line.rs
@@ -1,4 +1,5 @@
-//! Lines of a recording: JSON objects with their keys in a fixed order, written at little cost, and read back to the bit.
+//! Lines of a recording: JSON objects with keys in a fixed order, cheap to write, whose numbers read back
+//! exactly.
 
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -10,17 +11,17 @@
 use crate::json::{Fault, fault, get};
 use crate::peer_message::{PeerMessage, Permit};
 
-/// The most that a JSON number tells exactly; larger ones are written as text.
-const EXACT: u64 = 1 << 53;
-/// How deep a line may nest: the parser calls itself for each level.
-const DEEPEST: usize = 24;
+/// Largest integer that a JSON number represents exactly; larger ones are written as strings.
+const MAX_EXACT_INTEGER: u64 = 1 << 53;
+/// Maximum nesting depth of a line. The parser is recursive, so that deeper input could overflow the stack.
+const MAX_DEPTH: usize = 24;
 
-/// A line in the making.
+/// Builder of a line.
 #[derive(Debug)]
 pub struct Line(String);
 
 impl Line {
-    /// An object without any part.
+    /// Creates an object without fields.
     #[allow(clippy::new_without_default)]
     pub fn new() -> Self {
         let mut text = String::with_capacity(192);
@@ -37,20 +38,20 @@
         &mut self.0
     }
 
-    /// A text.
+    /// Adds a string field.
     pub fn text(&mut self, key: &str, value: &str) -> &mut Self {
         quote(self.key(key), value);
         self
     }
 
-    /// A whole number.
+    /// Adds an integer field; above 2^53 it is written as a string.
     pub fn whole(&mut self, key: &str, value: u64) -> &mut Self {
         let out = self.key(key);
-        let _ = if value <= EXACT { write!(out, "{value}") } else { write!(out, "\"{value}\"") };
+        let _ = if value <= MAX_EXACT_INTEGER { write!(out, "{value}") } else { write!(out, "\"{value}\"") };
         self
     }
 
-    /// A number of 32 bits, in hex digits.
+    /// Adds a 32-bit integer as eight hex digits.
     pub(crate) fn hex(&mut self, key: &str, value: u32) -> &mut Self {
         let out = self.key(key);
         out.push('"');
@@ -59,18 +60,18 @@
         self
     }
 
-    /// A time; what lies beyond any that comes is cut to the last that does.
+    /// Adds a time, capped at the largest integer that JSON represents exactly.
     pub fn time(&mut self, key: &str, value: u64) -> &mut Self {
-        self.whole(key, value.min(EXACT))
+        self.whole(key, value.min(MAX_EXACT_INTEGER))
     }
 
-    /// A number, exactly.
+    /// Adds a floating-point field without loss of precision.
     pub fn number(&mut self, key: &str, value: f64) -> &mut Self {
         number(self.key(key), value);
         self
     }
 
-    /// A mark; left out where it is off.
+    /// Adds a flag; omitted if it is off.
     pub fn mark(&mut self, key: &str, on: bool) -> &mut Self {
         if on {
             self.key(key).push('1');
@@ -78,12 +79,12 @@
         self
     }
 
-    /// Names; left out where there are none.
+    /// Adds a list of names; omitted if it is empty.
     pub fn names(&mut self, key: &str, all: &[CompactString]) -> &mut Self {
         if all.is_empty() { self } else { self.list(key, all, |out, name| quote(out, name)) }
     }
 
-    /// A list.
+    /// Adds a list, each element of which is written by `each`.
     pub fn list<T>(
         &mut self,
         key: &str,
@@ -102,32 +103,32 @@
         self
     }
 
-    /// An object within.
+    /// Adds a nested object, the fields of which are added by `fill`.
     pub fn object(&mut self, key: &str, fill: impl FnOnce(&mut Line)) -> &mut Self {
         let out = self.key(key);
         part(out, fill);
         self
     }
 
-    /// A note.
+    /// Adds a message.
     pub fn message(&mut self, key: &str, value: &PeerMessage) -> &mut Self {
-        note(self.key(key), value);
+        message(self.key(key), value);
         self
     }
 
-    /// Notes.
+    /// Adds a list of messages.
     pub fn messages(&mut self, key: &str, all: &[PeerMessage]) -> &mut Self {
-        self.list(key, all, note)
+        self.list(key, all, message)
     }
 
-    /// The whole line.
+    /// Closes the object and returns the line.
     pub fn end(mut self) -> String {
         self.0.push('}');
         self.0
     }
 }
 
-/// An object as part of a list.
+/// Appends an object to `out`, the fields of which are added by `fill`.
 pub fn part(out: &mut String, fill: impl FnOnce(&mut Line)) {
     let mut line = Line(std::mem::take(out));
     line.0.push('{');
@@ -157,8 +158,9 @@
     let _ = if value.is_finite() { write!(out, "{value}") } else { write!(out, "null") };
 }
 
-/// A note, exactly as it was read: [`PeerMessage::to_json`] rounds its times, which is enough between machines.
-fn note(out: &mut String, value: &PeerMessage) {
+/// Writes a message without loss of precision; [`PeerMessage::to_json`] rounds times, which is sufficient
+/// between machines.
+fn message(out: &mut String, value: &PeerMessage) {
     part(out, |line| {
         match value {
             PeerMessage::RequestPermit {
@@ -220,7 +222,7 @@
             }
             other => {
                 if let JsonValue::Object(parts) = other.to_json() {
-                    sorted(line, &parts);
+                    write_sorted(line, &parts);
                 }
                 line
             }
@@ -228,9 +230,9 @@
     });
 }
 
-fn sorted(line: &mut Line, parts: &HashMap<String, JsonValue>) {
+fn write_sorted(line: &mut Line, parts: &HashMap<String, JsonValue>) {
     let mut keys: Vec<_> = parts.keys().collect();
-    // The kind first, for people.
+    // The kind comes first, for readability.
     keys.sort_by_key(|key| (*key != "t", *key));
     for key in keys {
         if let Some(part) = parts.get(key) {
@@ -239,7 +241,7 @@
     }
 }
 
-/// A JSON value; the keys of objects in their order.
+/// Writes a JSON value; object keys are sorted.
 fn value(out: &mut String, of: &JsonValue) {
     match of {
         JsonValue::Number(n) => number(out, *n),
@@ -256,20 +258,20 @@
             }
             out.push(']');
         }
-        JsonValue::Object(parts) => part(out, |line| sorted(line, parts)),
+        JsonValue::Object(parts) => part(out, |line| write_sorted(line, parts)),
     }
 }
 
-/// Where the lines of a recording go, without their ends.
+/// Receives the lines of a recording, without line terminators.
 pub type Sink = Box<dyn FnMut(&str)>;
 
-/// A recording in the making: the inputs of one state machine in one life, numbered from 0. Each line but the first tells the digest of
-/// what was decided, where that is news.
+/// Writes a recording: the inputs of one state machine during one process incarnation, numbered from 0. A
+/// line includes the digest of the outputs if there were outputs since the last digest.
 pub struct Recorder {
     number: u64,
     digest: Digest,
-    /// Outputs that a line has told the digest of.
-    told: u64,
+    /// Number of outputs covered by the last digest that was written.
+    digested: u64,
     sink: Sink,
 }
 
@@ -280,34 +282,34 @@
 }
 
 impl Recorder {
-    /// One that goes to `sink`.
+    /// Creates a recorder that writes to `sink`.
     pub fn new(sink: Sink) -> Self {
-        Recorder { number: 0, digest: Digest::default(), told: 0, sink }
+        Recorder { number: 0, digest: Digest::default(), digested: 0, sink }
     }
 
-    /// What the machine has decided goes in here.
+    /// The digest to which the outputs of the state machine are added.
     pub fn digest(&mut self) -> &mut Digest {
         &mut self.digest
     }
 
-    /// The beginning of the next line.
+    /// Starts the next line.
     pub fn begin(&mut self, name: &str, at: u64) -> Line {
         self.number += 1;
         begin(name, Some(self.number - 1), at)
     }
 
-    /// A line that is whole.
+    /// Writes a finished line with the digest, if it has changed, and a checksum.
     pub fn put(&mut self, mut line: Line) {
         let (count, _) = self.digest.state();
-        if count > self.told {
-            self.told = count;
+        if count > self.digested {
+            self.digested = count;
             self.digest.write(&mut line);
         }
         (self.sink)(&frame::sealed(line.end()));
     }
 }
 
-/// How a line of a recording begins: `{"in":"…","n":0,"at":0`.
+/// Starts a line of a recording with its common fields: `{"in":"…","n":0,"at":0`.
 pub fn begin(name: &str, number: Option<u64>, at: u64) -> Line {
     let mut line = Line::new();
     line.text("in", name);
@@ -318,13 +320,16 @@
     line
 }
 
-/// What every line of a recording begins with.
+/// Prefix of every line of a recording.
 pub const LINE_PREFIX: &str = r#"{"in":"#;
 
-/// What is wrong with a line that was cut off.
+/// Reason given for a truncated line.
 pub const TRUNCATED: &str = "ends before its end";
 
-/// Reads an object, whatever it holds.
+/// Parses a JSON object.
+///
+/// # Errors
+/// If the text is not a JSON object, is truncated, or is nested too deeply.
 pub fn read(text: &str) -> Result<HashMap<String, JsonValue>, Fault> {
     let (mut depth, mut quoted, mut escaped) = (0_usize, false, false);
     for byte in text.bytes() {
@@ -336,7 +341,7 @@
             b']' | b'}' if !quoted => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if depth > DEEPEST {
+        if depth > MAX_DEPTH {
             return Err(fault("(line)", "nested too deeply"));
         }
     }
@@ -348,7 +353,7 @@
     }
 }
 
-/// The whole number under a key, also one that no JSON number tells exactly.
+/// Returns the integer under a key; integers above 2^53 are encoded as strings.
 pub fn large(from: &HashMap<String, JsonValue>, key: &str) -> Result<u64, Fault> {
     match get(from, key)? {
         JsonValue::String(digits) => digits.parse().map_err(|_| fault(key, "no whole number")),
@@ -356,37 +361,37 @@
     }
 }
 
-/// The mark under a key; off where it is left out.
+/// Returns the flag under a key; `false` if the key is absent.
 pub fn flag(from: &HashMap<String, JsonValue>, key: &str) -> Result<bool, Fault> {
     match from.get(key) {
         None => Ok(false),
         Some(JsonValue::Number(n)) => Ok(*n != 0.0),
         Some(JsonValue::Boolean(on)) => Ok(*on),
-        Some(_) => Err(fault(key, "no mark")),
+        Some(_) => Err(fault(key, "no flag")),
     }
 }
 
-/// The names under a key; none where it is left out.
+/// Returns the names under a key; empty if the key is absent.
 pub fn names(from: &HashMap<String, JsonValue>, key: &str) -> Result<Vec<CompactString>, Fault> {
     let name = |value: &JsonValue| match value {
         JsonValue::String(name) => Ok(name.as_str().into()),
-        _ => Err(fault(key, "holds what is no text")),
+        _ => Err(fault(key, "contains a value that is no text")),
     };
     crate::json::list(from, key)?.iter().map(name).collect()
 }
 
-/// The note under a key.
+/// Returns the message under a key.
 pub fn message_field(from: &HashMap<String, JsonValue>, key: &str) -> Result<PeerMessage, Fault> {
     PeerMessage::read(get(from, key)?).map_err(|e| within(key, e))
 }
 
-/// The notes under a key.
+/// Returns the messages under a key.
 pub fn messages_field(from: &HashMap<String, JsonValue>, key: &str) -> Result<Vec<PeerMessage>, Fault> {
     let all = crate::json::list(from, key)?.iter().enumerate();
     all.map(|(n, value)| PeerMessage::read(value).map_err(|e| within(&format!("{key}[{n}]"), e))).collect()
 }
 
-/// The objects under a key, read one by one.
+/// Returns the objects under a key, each read by `each`.
 pub fn objects<T>(
     from: &HashMap<String, JsonValue>,
     key: &str,
@@ -399,7 +404,7 @@
     crate::json::list(from, key)?.iter().enumerate().map(object).collect()
 }
 
-/// The same fault, of a part of something larger.
+/// Prefixes the key of a fault with the key of the enclosing value.
 pub fn within(key: &str, of: Fault) -> Fault {
     Fault { key: format!("{key}.{}", of.key), reason: of.reason }
 }
@@ -409,9 +414,9 @@
     use super::*;
 
     #[test]
-    fn a_line_reads_back_to_the_bit() {
-        let ask = PeerMessage::RequestPermit {
-            id: EXACT,
+    fn a_line_reads_back_without_loss_of_precision() {
+        let request = PeerMessage::RequestPermit {
+            id: MAX_EXACT_INTEGER,
             service: "a \"b\" \\ c\u{1}é".into(),
             left: 1.0 / 3.0,
             aim: -0.1 - 0.2,
@@ -423,8 +428,8 @@
             zone: "".into(),
         };
         let peers = vec![crate::Peer { name: "n".into(), address: "a".into(), zone: "z".into() }];
-        let notes = vec![
-            ask,
+        let messages = vec![
+            request,
             PeerMessage::Denied { id: 1, why: "full".into(), wait: 0.1 + 0.2 },
             PeerMessage::ReleasePermit { id: 1, outcome: "ok".into(), took: 12.3456789 },
             PeerMessage::HeldPermit { id: 2, service: "s".into(), instance: "i".into(), left: -7.0 / 9.0 },
@@ -444,15 +449,15 @@
             },
         ];
         let mut line = begin("mail", Some(7), 12);
-        line.whole("life", u64::MAX).mark("no", false).mark("yes", true).messages("notes", &notes);
+        line.whole("life", u64::MAX).mark("no", false).mark("yes", true).messages("notes", &messages);
         let parts = read(&line.end()).expect("an object");
-        assert_eq!(messages_field(&parts, "notes"), Ok(notes));
+        assert_eq!(messages_field(&parts, "notes"), Ok(messages));
         assert_eq!(large(&parts, "life"), Ok(u64::MAX));
         assert_eq!((flag(&parts, "no"), flag(&parts, "yes")), (Ok(false), Ok(true)));
     }
 
     #[test]
-    fn what_is_cut_short_or_too_deep_is_an_error() {
+    fn truncated_and_too_deeply_nested_lines_are_rejected() {
         let mut line = begin("told", None, 5);
         line.message("note", &PeerMessage::CancelRequest { id: 4 }).names("x", &["a".into()]);
         let text = line.end();
@@ -460,8 +465,8 @@
             assert!(read(&text[..end]).is_err(), "{}", &text[..end]);
         }
         assert_eq!(read(&"[".repeat(1_000_000)), Err(fault("(line)", "nested too deeply")));
-        let spoilt = text.replace("\"id\"", "\"di\"");
-        let parts = read(&spoilt).expect("an object");
+        let misnamed = text.replace("\"id\"", "\"di\"");
+        let parts = read(&misnamed).expect("an object");
         assert_eq!(message_field(&parts, "note"), Err(fault("note.id", "missing")));
     }
 }
--- a/protocol/src/membership.rs
+++ b/protocol/src/membership.rs
@@ -15,7 +15,7 @@
 
 use crate::json::{Fault, list, object, text};
 use crate::peer_message::{
-    Peer, PeerMessage, Version, map, names, peers_or_none, read_names, read_version, version,
+    Peer, PeerMessage, Version, map, names, peers_or_null, read_names, read_version, version,
 };
 
 /// Maximum number of peers in each list and of split functions. A change that exceeds it is rejected.
@@ -230,9 +230,9 @@
             ("t", text("shift")),
             ("v", version(self.version)),
             ("from", version(self.from)),
-            ("came", peers_or_none(&self.came)),
+            ("came", peers_or_null(&self.came)),
             ("left", names(&self.left)),
-            ("leaving", peers_or_none(&self.leaving)),
+            ("leaving", peers_or_null(&self.leaving)),
             ("ended", names(&self.ended)),
             ("split", names(&self.split)),
             ("joined", names(&self.joined)),
--- a/protocol/src/peer_message.rs
+++ b/protocol/src/peer_message.rs
@@ -1,4 +1,6 @@
-//! The notes.
+//! The messages between processes, and their encoding as JSON.
+//!
+//! *Down* messages go from the controller through the agent to a proxy, *up* messages the other way.
 
 use std::collections::HashMap;
 
@@ -9,316 +11,321 @@
 use crate::json::{Fault, list, number, object, string, text, whole};
 use crate::membership::ViewChange;
 
-/// Which of two tellings is newer: the fence of the steward that tells, and its count.
+/// Orders published state: the fence of the publishing leader, and its count of publications.
 pub type Version = (u64, u64);
 
-/// A stall that is alive.
+/// A live proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peer {
-    /// The machine's name.
+    /// Name of the machine.
     pub name: CompactString,
-    /// Where it takes mail.
+    /// Address at which it accepts messages.
     pub address: CompactString,
-    /// Where it stands.
+    /// Its zone.
     pub zone: CompactString,
 }
 
 /// An instance of a function.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Instance {
-    /// The name of its life.
+    /// Unique id of this run of the instance.
     pub id: CompactString,
-    /// Its function.
+    /// The function that it serves.
     pub service: CompactString,
     /// Address and port.
     pub address: CompactString,
-    /// Where it stands.
+    /// Its zone.
     pub zone: CompactString,
-    /// The worker it stands on.
+    /// The worker that it runs on.
     pub worker: CompactString,
-    /// 0 booting, 1 ready, 2 draining.
+    /// Lifecycle stage: 0 booting, 1 ready, 2 draining.
     pub stage: u8,
 }
 
-/// A permit that is out.
+/// A granted permit that has not been released.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Permit {
-    /// Who has it.
+    /// Name of the holder.
     pub who: CompactString,
-    /// Its number for it.
+    /// Request number, assigned by the holder.
     pub id: u64,
-    /// The instance's life.
+    /// Id of the instance.
     pub instance: CompactString,
-    /// Milliseconds until its client has gone; below 0 where it has, and the request may be running still.
+    /// Milliseconds until the client's deadline; negative if it has passed and the request may still be
+    /// running.
     pub left: f64,
 }
 
-/// What one process tells another.
+/// A message from one process to another.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerMessage {
-    /// To the owner of a function: a permit is wanted.
+    /// To the owner of a function: requests a permit.
     RequestPermit {
-        /// The asker's number for it.
+        /// Request number, assigned by the requester.
         id: u64,
         /// The function.
         service: CompactString,
-        /// Milliseconds until its client has gone.
+        /// Milliseconds until the client's deadline.
         left: f64,
-        /// Milliseconds until an answer is late; negative once it is.
+        /// Milliseconds until the target latency is exceeded; negative once it is.
         aim: f64,
-        /// The whole time in which an answer is not late, in milliseconds.
+        /// Target latency of the route in milliseconds.
         target: f64,
-        /// Endpoints that it was sent to already.
+        /// Number of endpoints to which the request was already sent.
         sent: u32,
-        /// It is a request's first ask.
+        /// Whether this is the first permit request for the client request.
         first: bool,
-        /// It came back, or was made by one that is running.
+        /// Whether the client request is a retry, or was made by a running request.
         returned: bool,
-        /// Instances that failed it.
+        /// Instances on which the request failed.
         avoid: Vec<CompactString>,
-        /// Where it came in.
+        /// Zone in which the request arrived.
         zone: CompactString,
     },
-    /// To the owner: it is wanted no longer.
+    /// To the owner: cancels a permit request.
     CancelRequest {
-        /// The asker's number.
+        /// Request number, assigned by the requester.
         id: u64,
     },
-    /// To an asker: it waits for a slot.
+    /// To the requester: the request waits for a free slot.
     Queued {
-        /// The asker's number.
+        /// Request number, assigned by the requester.
         id: u64,
     },
-    /// To an asker: it may go there.
+    /// To the requester: grants a permit for an instance.
     Grant {
-        /// The asker's number.
+        /// Request number, assigned by the requester.
         id: u64,
-        /// The instance's life.
+        /// Id of the instance.
         instance: CompactString,
-        /// Its address.
+        /// Address of the instance.
         address: CompactString,
-        /// Its zone, where that is not the asker's.
+        /// Zone of the instance, if it differs from the requester's.
         zone: Option<CompactString>,
     },
-    /// To an asker: it may not.
+    /// To the requester: denies a permit.
     Denied {
-        /// The asker's number.
+        /// Request number, assigned by the requester.
         id: u64,
-        /// `full`, `skip`, `spent`, `unknown` or `moved`.
+        /// Reason: `full`, `skip`, `spent`, `unknown` or `moved`.
         why: CompactString,
-        /// Milliseconds after which a slot may be free.
+        /// Milliseconds until a slot may be free.
         wait: f64,
     },
-    /// To the owner: a permit comes back.
+    /// To the owner: releases a permit.
     ReleasePermit {
-        /// The asker's number.
+        /// Request number, assigned by the requester.
         id: u64,
-        /// How the try ended.
+        /// Outcome of the attempt.
         outcome: CompactString,
-        /// Milliseconds that it took.
+        /// Duration of the attempt in milliseconds.
         took: f64,
     },
-    /// To a new owner: this permit is out.
+    /// To a new owner: the sender holds this permit.
     HeldPermit {
-        /// The asker's number.
+        /// Request number, assigned by the requester.
         id: u64,
         /// The function.
         service: CompactString,
-        /// The instance's life.
+        /// Id of the instance.
         instance: CompactString,
-        /// Milliseconds until its client has gone.
+        /// Milliseconds until the client's deadline.
         left: f64,
     },
-    /// To a new owner, from the one before: these permits of what is now yours are out, and no others of mine.
+    /// From the previous owner to the new one: all permits of the function that the sender granted and that
+    /// are not yet released.
     HandOverPermits {
         /// The function.
         service: CompactString,
-        /// The naming of stalls by which it is yours.
+        /// The membership view in which the recipient is the owner.
         version: Version,
-        /// The permits.
+        /// The unreleased permits.
         permits: Vec<Permit>,
     },
-    /// To a new owner, from the one before: a permit has come back here.
+    /// From the previous owner to the new one: a permit was released to the sender.
     ForwardRelease {
-        /// Who had it.
+        /// Name of the holder.
         who: CompactString,
-        /// Its number for it.
+        /// Request number, assigned by the holder.
         id: u64,
-        /// Where it was out: a permit that the new owner has granted to the same ask elsewhere stays. Older releases leave it out.
+        /// Instance of the permit; a permit that the new owner granted to the same request for another
+        /// instance remains valid. Older releases omit it.
         instance: Option<CompactString>,
-        /// How the try ended.
+        /// Outcome of the attempt.
         outcome: CompactString,
-        /// Milliseconds that it took.
+        /// Duration of the attempt in milliseconds.
         took: f64,
     },
     /// Down: the configuration.
     Config {
-        /// Its revision.
+        /// Revision of the configuration.
         revision: u64,
-        /// All of it, as the operator sent it.
+        /// The whole configuration, as sent by the operator.
         body: JsonValue,
     },
-    /// Down: the configuration, packed (see `millpost_net::pack`).
+    /// Down: the configuration, compressed (see `millpost_net::pack`).
     PackedConfig {
-        /// Its revision.
+        /// Revision of the configuration.
         revision: u64,
-        /// All of it, packed.
+        /// The whole configuration, compressed.
         packed: String,
     },
-    /// Down: how one configuration differs from the one before (see `millpost_config::change`).
+    /// Down: the difference to the previous configuration (see `millpost_config::change`).
     Patch {
-        /// The revision that it leads to.
+        /// Revision that results from the change.
         revision: u64,
         /// The difference.
         change: JsonValue,
     },
-    /// Down: the same, packed.
+    /// Down: the difference to the previous configuration, compressed.
     PackedPatch {
-        /// The revision that it leads to.
+        /// Revision that results from the change.
         revision: u64,
-        /// The difference, packed.
+        /// The difference, compressed.
         packed: String,
     },
-    /// Down: the stalls that are alive, all of them.
+    /// Down: the complete view of the live proxies.
     FullView {
-        /// The newest counts.
+        /// Version; older ones are ignored.
         version: Version,
-        /// All of them.
+        /// The members.
         peers: Vec<Peer>,
-        /// Those that own functions no more, and live still.
+        /// Live proxies that own no functions any more.
         leaving: Vec<Peer>,
-        /// Functions with an owner in each zone, in their order.
+        /// Functions with one owner per zone, sorted.
         split: Vec<CompactString>,
     },
-    /// Down: how that differs from the naming before.
+    /// Down: the difference to the previous view.
     ViewChange(ViewChange),
     /// Down: instances.
     Instances {
-        /// The newest counts.
+        /// Version; older ones are ignored.
         version: Version,
-        /// All that there are; else only what has changed.
+        /// Whether `set` is the complete list; otherwise it contains only changes.
         all: bool,
-        /// New or changed.
+        /// New or changed instances.
         set: Vec<Instance>,
-        /// No more.
+        /// Ids of removed instances.
         gone: Vec<CompactString>,
     },
-    /// Down, to the owner of a function and to the next in order: a floor under what it wants. While it holds, the owner says how the
-    /// function does.
+    /// Down, to the owner of a function and to its deputy: a minimum for the desired instance count. While it
+    /// is in force, the owner reports the function's status.
     MinInstances {
         /// The function.
         service: CompactString,
-        /// Live instances at least, all of this owner's; 0: no floor any more.
+        /// Minimum number of live instances of this owner; 0 removes the minimum.
         count: u32,
-        /// The fence of the steward that says so; the newest counts.
+        /// Fence of the leader that set it; lower fences are ignored.
         fence: u64,
-        /// Milliseconds that it holds for, unless it is said again.
+        /// Milliseconds for which it is in force, unless it is renewed.
         left: f64,
     },
-    /// Down: who is the steward.
+    /// Down: the current leader.
     Leader {
-        /// Its address; empty while nobody is known.
+        /// Its address; empty while no leader is known.
         address: CompactString,
         /// Its fence.
         fence: u64,
     },
-    /// Down: this stall rests, and takes no new clients; up: it does.
+    /// Down: drains this proxy, so that it accepts no new clients; up: the proxy is drained.
     Drain {
-        /// The machine's name.
+        /// Name of the machine.
         name: CompactString,
-        /// For so many milliseconds; 0: it goes on as ever.
+        /// Remaining duration in milliseconds; 0 ends the drain.
         left: f64,
     },
-    /// Up: a function wants so many instances.
+    /// Up: the number of instances that a function needs.
     DesiredInstances {
         /// The function.
         service: CompactString,
-        /// In all.
+        /// Total number of instances.
         count: u32,
-        /// Where its requests come in, most first.
+        /// Zones in which its requests arrive, busiest first.
         zones: Vec<CompactString>,
-        /// The zone that its owner speaks for, where each zone has one.
+        /// Zone of the sending owner, if the function has one owner per zone.
         lot: Option<CompactString>,
-        /// The part of what its owner can do in all that this function takes.
+        /// Share of the owner's capacity that this function uses.
         strain: f64,
-        /// How it does, while a floor asks for that.
+        /// Status of the function, while a minimum is in force.
         does: Option<FunctionStatus>,
-        /// Workers that are surely slow for it; left out where none is.
+        /// Workers that are known to be slow for it; omitted if there are none.
         slow: Vec<CompactString>,
     },
-    /// Up, to a steward that has just taken office: the instances of the functions that this stall owns, all that it knows.
+    /// Up, to a newly elected leader: all instances that the sender knows of the functions that it owns.
     OwnedInstances {
         /// The instances.
         set: Vec<Instance>,
     },
-    /// Down, no further than the porter: whether the control machine that feeds it reaches a majority of the voters. It did when the feed
-    /// began.
+    /// Down, only to the agent: whether the controller that feeds it reaches a majority of the voters. It did
+    /// when the feed began.
     Contact {
-        /// It does.
+        /// Whether a majority is reachable.
         holds: bool,
     },
-    /// Between stalls: mail came that counts for a life of its sender which has ended, since a later one was heard of. A sender that
-    /// lives, and whose clock had stepped back between two starts, takes a higher number for this peer.
+    /// Between proxies: a batch arrived with a lower incarnation of its sender than is known. If the sender
+    /// is in fact running, because its clock stepped back between two starts, it uses a higher incarnation
+    /// for this peer from then on.
     StaleIncarnation {
-        /// The incarnation that is known, by its number.
+        /// The highest known incarnation.
         known: u64,
     },
-    /// Up: an instance may be stopped.
+    /// Up: an instance is no longer needed and may be stopped.
     RetireInstance {
-        /// The instance's life.
+        /// Id of the instance.
         instance: CompactString,
     },
     /// Up: an instance refuses connections.
     InstanceDown {
-        /// The instance's life.
+        /// Id of the instance.
         instance: CompactString,
     },
-    /// Up, and between stalls: an instance accepts connections.
+    /// Up, and between proxies: an instance accepts connections.
     InstanceUp {
-        /// The instance's life.
+        /// Id of the instance.
         instance: CompactString,
     },
-    /// Up: a stall does not answer another.
+    /// Up: a proxy does not answer another.
     PeerUnreachable {
-        /// Who does not answer.
+        /// Name of the proxy that does not answer.
         peer: CompactString,
-        /// Whom.
+        /// Name of the proxy that gets no answer.
         from: CompactString,
     },
-    /// Up: this stall acts on a configuration.
+    /// Up: this proxy has applied a configuration.
     ConfigApplied {
-        /// Its revision.
+        /// Revision of the configuration.
         revision: u64,
-        /// Numbers of the feed up to this one have been taken in.
+        /// Sequence number up to which the feed has been processed.
         number: u64,
     },
-    /// Up: this stall is alive and takes mail there.
+    /// Up: this proxy is alive and accepts messages at its address.
     Heartbeat {
-        /// The stall.
+        /// The sending proxy.
         peer: Peer,
-        /// It serves.
+        /// Whether it serves clients.
         serving: bool,
-        /// The newest naming of stalls that it knows, and the functions that were split in it.
+        /// Version of the newest view that it knows, and the split functions of that view.
         split: Option<(Version, Vec<CompactString>)>,
-        /// The digest of that naming, where it is known.
+        /// Digest of that view, if known.
         digest: Option<u64>,
     },
-    /// Up: a stall has started, and wants to know which configuration stands.
+    /// Up: this proxy has started and asks for the committed configuration revision.
     QueryRevision,
-    /// Down, in answer to that: a majority stood behind this one after the question was asked, and perhaps behind a newer one.
+    /// Down, in answer to [`PeerMessage::QueryRevision`]: a majority had committed this revision after the
+    /// query was sent. A newer one may have been committed since.
     CommittedRevision {
-        /// Its revision; 0: none.
+        /// The committed revision; 0 if there is none.
         revision: u64,
     },
-    /// Up, no further than the porter: a shift came that goes from another naming than is known here.
+    /// Up, only to the agent: a view change arrived that does not start from the known view.
     ViewOutdated {
-        /// The naming that is.
+        /// Version of the known view.
         version: Version,
     },
 }
 
-/// No key where there are none.
-pub(crate) fn peers_or_none(all: &[Peer]) -> JsonValue {
+/// Encodes peers; `Null`, which is omitted from objects, if there are none.
+pub(crate) fn peers_or_null(all: &[Peer]) -> JsonValue {
     if all.is_empty() { JsonValue::Null } else { JsonValue::Array(all.iter().map(Peer::to_json).collect()) }
 }
 
@@ -329,7 +336,7 @@
 pub(crate) fn read_names(from: &HashMap<String, JsonValue>, key: &str) -> Result<Vec<CompactString>, Fault> {
     let read = |value: &JsonValue| match value {
         JsonValue::String(s) if s.len() <= 1_024 => Ok(s.as_str().into()),
-        _ => Err(Fault { key: key.to_owned(), reason: "holds what is no text" }),
+        _ => Err(Fault { key: key.to_owned(), reason: "contains a value that is no text" }),
     };
     list(from, key)?.iter().map(read).collect()
 }
@@ -339,7 +346,7 @@
         || from.get(key) == Some(&JsonValue::Boolean(true))
 }
 
-fn mark(on: bool) -> JsonValue {
+fn flag_value(on: bool) -> JsonValue {
     if on { JsonValue::Number(1.0) } else { JsonValue::Null }
 }
 
@@ -347,7 +354,7 @@
     JsonValue::Number(n as f64)
 }
 
-/// Hundredths of a millisecond are enough.
+/// Encodes milliseconds, rounded to hundredths.
 fn ms(time: f64) -> JsonValue {
     JsonValue::Number((time * 100.0).round() / 100.0)
 }
@@ -376,11 +383,11 @@
 }
 
 impl Peer {
-    /// As JSON.
+    /// Encodes as JSON.
     pub fn to_json(&self) -> JsonValue {
         object([("n", text(&self.name)), ("a", text(&self.address)), ("z", text(&self.zone))])
     }
-    /// Reads it.
+    /// Decodes from JSON.
     pub fn read(value: &JsonValue) -> Result<Self, Fault> {
         let from = map(value, "peer")?;
         Ok(Peer { name: string(from, "n")?, address: string(from, "a")?, zone: string(from, "z")? })
@@ -388,7 +395,7 @@
 }
 
 impl Instance {
-    /// As JSON.
+    /// Encodes as JSON.
     pub fn to_json(&self) -> JsonValue {
         object([
             ("i", text(&self.id)),
@@ -399,7 +406,7 @@
             ("st", count(self.stage.into())),
         ])
     }
-    /// Reads it.
+    /// Decodes from JSON.
     pub fn read(value: &JsonValue) -> Result<Self, Fault> {
         let from = map(value, "instance")?;
         Ok(Instance {
@@ -434,7 +441,7 @@
 }
 
 impl PeerMessage {
-    /// As JSON.
+    /// Encodes as JSON.
     pub fn to_json(&self) -> JsonValue {
         let n = |id: &u64| count(*id);
         match self {
@@ -457,8 +464,8 @@
                 ("m", ms(*aim)),
                 ("g", ms(*target)),
                 ("n", if *sent > 0 { count((*sent).into()) } else { JsonValue::Null }),
-                ("f", mark(*first)),
-                ("r", mark(*returned)),
+                ("f", flag_value(*first)),
+                ("r", flag_value(*returned)),
                 ("x", names(avoid)),
                 ("z", text(zone)),
             ]),
@@ -514,14 +521,14 @@
                 ("t", text("stalls")),
                 ("v", version(*v)),
                 ("all", JsonValue::Array(peers.iter().map(Peer::to_json).collect())),
-                ("leaving", peers_or_none(leaving)),
+                ("leaving", peers_or_null(leaving)),
                 ("split", names(split)),
             ]),
-            PeerMessage::ViewChange(shift) => shift.to_json(),
+            PeerMessage::ViewChange(change) => change.to_json(),
             PeerMessage::Instances { version: v, all, set, gone } => object([
                 ("t", text("inst")),
                 ("v", version(*v)),
-                ("w", mark(*all)),
+                ("w", flag_value(*all)),
                 ("set", JsonValue::Array(set.iter().map(Instance::to_json).collect())),
                 ("gone", names(gone)),
             ]),
@@ -552,7 +559,7 @@
                 ("t", text("mine")),
                 ("set", JsonValue::Array(set.iter().map(Instance::to_json).collect())),
             ]),
-            PeerMessage::Contact { holds } => object([("t", text("contact")), ("o", mark(*holds))]),
+            PeerMessage::Contact { holds } => object([("t", text("contact")), ("o", flag_value(*holds))]),
             PeerMessage::StaleIncarnation { known } => object([("t", text("staleinc")), ("known", n(known))]),
             PeerMessage::RetireInstance { instance } => {
                 object([("t", text("retire")), ("i", text(instance))])
@@ -573,7 +580,7 @@
             PeerMessage::Heartbeat { peer, serving, split, digest } => object([
                 ("t", text("alive")),
                 ("p", peer.to_json()),
-                ("o", mark(*serving)),
+                ("o", flag_value(*serving)),
                 ("v", split.as_ref().map_or(JsonValue::Null, |(v, _)| version(*v))),
                 ("split", split.as_ref().map_or(JsonValue::Null, |(_, all)| names(all))),
                 ("d", digest.map_or(JsonValue::Null, |d| text(&format!("{d:016x}")))),
@@ -581,7 +588,10 @@
         }
     }
 
-    /// Reads a note.
+    /// Decodes a message from JSON.
+    ///
+    /// # Errors
+    /// If a required field is missing or invalid, or the type is unknown.
     pub fn read(value: &JsonValue) -> Result<PeerMessage, Fault> {
         let from = map(value, "note")?;
         let small = |key: &str| whole(from, key).map(|n| n.min(u32::MAX.into()) as u32);
@@ -700,7 +710,7 @@
             "askrev" => PeerMessage::QueryRevision,
             "stands" => PeerMessage::CommittedRevision { revision: whole(from, "v")? },
             "behind" => PeerMessage::ViewOutdated { version: read_version(from, "v")? },
-            _ => return Err(Fault { key: "t".to_owned(), reason: "no note that is known here" }),
+            _ => return Err(Fault { key: "t".to_owned(), reason: "unknown message type" }),
         })
     }
 }
--- a/protocol/src/peer_message/tests.rs
+++ b/protocol/src/peer_message/tests.rs
@@ -1,8 +1,8 @@
-//! Every note reads back as it was written.
+//! Encoding and decoding of every message type.
 
 use super::*;
 
-fn all() -> Vec<PeerMessage> {
+fn all_messages() -> Vec<PeerMessage> {
     let peer = Peer { name: "edge-1".into(), address: "10.0.0.1:7760".into(), zone: "a".into() };
     let instance = Instance {
         id: "i-1".into(),
@@ -12,7 +12,7 @@
         worker: "w".into(),
         stage: 1,
     };
-    let ask = |sent, avoid| PeerMessage::RequestPermit {
+    let request = |sent, avoid| PeerMessage::RequestPermit {
         id: 7,
         service: "f".into(),
         left: 1_500.25,
@@ -25,8 +25,8 @@
         zone: "a".into(),
     };
     vec![
-        ask(0, vec![]),
-        ask(2, vec!["i-2".into()]),
+        request(0, vec![]),
+        request(2, vec!["i-2".into()]),
         PeerMessage::CancelRequest { id: 1 },
         PeerMessage::Queued { id: 1 },
         PeerMessage::Grant { id: 1, instance: "i-1".into(), address: "10.0.0.9:80".into(), zone: None },
@@ -119,19 +119,19 @@
 }
 
 #[test]
-fn every_note_reads_back_and_without_any_of_its_parts_it_is_an_error_or_another() {
-    for note in all() {
-        let json = note.to_json();
+fn every_message_reads_back_and_does_not_read_as_the_same_without_any_of_its_fields() {
+    for message in all_messages() {
+        let json = message.to_json();
         let text = json.stringify().expect("finite numbers");
-        assert_eq!(PeerMessage::read(&text.parse().expect("JSON")), Ok(note.clone()));
-        let JsonValue::Object(parts) = json else { panic!("an object") };
-        for key in parts.keys() {
-            let mut fewer = parts.clone();
+        assert_eq!(PeerMessage::read(&text.parse().expect("JSON")), Ok(message.clone()));
+        let JsonValue::Object(fields) = json else { panic!("an object") };
+        for key in fields.keys() {
+            let mut fewer = fields.clone();
             fewer.remove(key);
-            assert_ne!(PeerMessage::read(&JsonValue::Object(fewer)), Ok(note.clone()), "{key}");
-            let mut odd = parts.clone();
-            odd.insert(key.clone(), JsonValue::Object(HashMap::new()));
-            let _ = PeerMessage::read(&JsonValue::Object(odd));
+            assert_ne!(PeerMessage::read(&JsonValue::Object(fewer)), Ok(message.clone()), "{key}");
+            let mut mistyped = fields.clone();
+            mistyped.insert(key.clone(), JsonValue::Object(HashMap::new()));
+            let _ = PeerMessage::read(&JsonValue::Object(mistyped));
         }
     }
 }
