--- a/scheduler/src/budget.rs
+++ b/scheduler/src/budget.rs
@@ -92,6 +92,6 @@
             }
             assert!(sent.len() as f64 <= 0.2 * (10.0 * 50.0 / 3.0 + 1.0) + 20.0, "at {now}");
         }
-        assert!(!sent.is_empty(), "some go all along");
+        assert!(!sent.is_empty(), "some retries are allowed");
     }
 }
--- a/scheduler/src/coordinator.rs
+++ b/scheduler/src/coordinator.rs
@@ -278,16 +278,17 @@
 
     /// Recomputes ownership after a change; `before` are the previous owners.
     fn update_ownership(&mut self, now: Nanos, before: &Owners, change: &OwnershipChange) {
-        let (owners, me, told_over, missing) =
+        let (owners, me, received, unconfirmed) =
             (&self.owners, &self.me, &self.transfers_received, &self.unconfirmed);
         let transfer = |service: &str, zones: &BTreeSet<CompactString>| {
-            let receivers = told_over.get(service);
-            let has_told = |name: &str| {
-                receivers.and_then(|t| t.get(name)).is_some_and(|version| *version >= owners.version())
+            let received_for = received.get(service);
+            let has_transferred = |name: &str| {
+                received_for.and_then(|t| t.get(name)).is_some_and(|version| *version >= owners.version())
             };
             // A proxy that is shutting down transfers its permits like any other.
-            let tells = |name: &str| {
-                (owners.find_living(name).is_some() || missing.contains_key(name)) && !has_told(name)
+            let will_transfer = |name: &str| {
+                (owners.find_living(name).is_some() || unconfirmed.contains_key(name))
+                    && !has_transferred(name)
             };
             let mut transfer = Transfer::default();
             // A function that is not split has the same owner in all zones.
@@ -301,7 +302,7 @@
                 }
                 transfer.loses |= was.as_ref() == Some(&me.name);
                 if is.as_ref() == Some(&me.name) {
-                    transfer.from.extend(was.filter(|name| tells(name)));
+                    transfer.from.extend(was.filter(|name| will_transfer(name)));
                 }
             }
             transfer
@@ -319,8 +320,8 @@
         if !self.has_view() {
             return None;
         }
-        let heard = |p: &Peer| self.skipped_until.get(&p.name).is_none_or(|until| *until <= now);
-        self.owners.owner(service, &self.me.zone, heard).or(Some(&self.me))
+        let is_reachable = |p: &Peer| self.skipped_until.get(&p.name).is_none_or(|until| *until <= now);
+        self.owners.owner(service, &self.me.zone, is_reachable).or(Some(&self.me))
     }
 
     /// Requests a permit. Returns the id under which it is granted or denied, possibly at once; `None` if
@@ -383,8 +384,8 @@
     /// until nothing has been heard from the owner for a while.
     fn defer_to_owner(&mut self, now: Nanos, request: &PermitRequest) {
         let owner = self.owners.owner(&request.service, &request.zone, |_| true);
-        let heard = owner.filter(|p| p.name != self.me.name).and_then(|p| self.last_heard.get(&p.name));
-        if let Some(at) = heard.filter(|at| **at + UNRESPONSIVE_AFTER > now) {
+        let last_heard = owner.filter(|p| p.name != self.me.name).and_then(|p| self.last_heard.get(&p.name));
+        if let Some(at) = last_heard.filter(|at| **at + UNRESPONSIVE_AFTER > now) {
             self.scheduler.defer_to_owner(&request.service, at + UNRESPONSIVE_AFTER);
         }
     }
@@ -503,8 +504,8 @@
                 self.scheduler.request_permit(now, from.into(), request, first);
             }
             PeerMessage::Drop { id } => {
-                let passed = self.forward_release(from, id, Outcome::Unused.as_str(), 0.0);
-                if !passed {
+                let forwarded = self.forward_release(from, id, Outcome::Unused.as_str(), 0.0);
+                if !forwarded {
                     self.scheduler.cancel(now, from, id);
                 }
             }
@@ -517,16 +518,16 @@
                     return;
                 }
                 let outcome = Outcome::parse(&outcome).unwrap_or(Outcome::Abandoned);
-                let stands = |at: &CompactString| self.scheduler.is_granted_at(&who, id, at);
-                if instance.as_ref().is_none_or(stands) {
+                let is_same_grant = |at: &CompactString| self.scheduler.is_granted_at(&who, id, at);
+                if instance.as_ref().is_none_or(is_same_grant) {
                     self.scheduler.release(now, &who, id, outcome, span(took));
                 } else if !self.scheduler.is_granted(&who, id) {
                     self.scheduler.permit_returned(now, &who, id, outcome);
                 }
             }
             PeerMessage::Done { id, outcome, took } => {
-                let passed = self.forward_release(from, id, &outcome, took);
-                if !passed {
+                let forwarded = self.forward_release(from, id, &outcome, took);
+                if !forwarded {
                     let outcome = Outcome::parse(&outcome).unwrap_or(Outcome::Abandoned);
                     self.scheduler.release(now, from, id, outcome, span(took));
                 }
@@ -574,8 +575,8 @@
             PeerMessage::Stalls { version, peers, leaving, split } if version > self.owners.version() => {
                 self.apply_view(now, MembershipView::new(version, peers, split).with_leaving(leaving).into());
             }
-            PeerMessage::ViewChange(shift) if shift.version > self.owners.version() => {
-                match self.owners.apply_change(&shift) {
+            PeerMessage::ViewChange(change) if change.version > self.owners.version() => {
+                match self.owners.apply_change(&change) {
                     Some(owners) => self.apply_view(now, owners),
                     // A change in between was missed: request the full view.
                     None => self.actions.push_back(Action::NotifyController(PeerMessage::Behind {
@@ -634,13 +635,13 @@
         for message in messages {
             // The message may still have been delivered late, so a granted slot is not reused. Messages
             // about permits are sent again; a receiver without use for a permit releases it.
-            let again = match &message {
+            let resend = match &message {
                 PeerMessage::Grant { id, .. } => self.scheduler.has_request(&name, *id),
                 PeerMessage::Over { version, .. } => *version == self.owners.version(),
                 PeerMessage::Back { .. } => true,
                 _ => false,
             };
-            if again {
+            if resend {
                 self.actions.push_back(Action::Send { to: address.into(), note: message });
             }
         }
@@ -689,8 +690,8 @@
                 }
             }
             Effect::Grant { to, ask: request_id, instance } => {
-                let near = self.owners.find(&to).is_some_and(|p| p.zone == instance.zone);
-                let zone = (!near).then_some(instance.zone);
+                let same_zone = self.owners.find(&to).is_some_and(|p| p.zone == instance.zone);
+                let zone = (!same_zone).then_some(instance.zone);
                 let message = PeerMessage::Grant {
                     id: request_id,
                     instance: instance.id,
@@ -739,17 +740,18 @@
     /// Skips owners that do not respond and reports them to the controller. If no proxy at all responds,
     /// the fault is probably on this side and nothing is done.
     fn skip_unresponsive(&mut self, now: Nanos) {
-        let lately = |name: &str| self.last_heard.get(name).is_some_and(|at| at + UNRESPONSIVE_AFTER > now);
+        let recently_heard =
+            |name: &str| self.last_heard.get(name).is_some_and(|at| at + UNRESPONSIVE_AFTER > now);
         let mut unresponsive = BTreeSet::new();
         for open in
             self.open.values().filter(|o| o.granted.is_none() && o.waiting_since + UNRESPONSIVE_AFTER <= now)
         {
-            let of = open.owner.as_ref().filter(|name| **name != self.me.name && !lately(name));
+            let of = open.owner.as_ref().filter(|name| **name != self.me.name && !recently_heard(name));
             unresponsive.extend(
                 of.filter(|name| self.skipped_until.get(*name).is_none_or(|until| *until <= now)).cloned(),
             );
         }
-        if unresponsive.is_empty() || !self.last_heard.keys().any(|name| lately(name)) {
+        if unresponsive.is_empty() || !self.last_heard.keys().any(|name| recently_heard(name)) {
             return;
         }
         for peer in unresponsive {
@@ -768,8 +770,8 @@
         self.process_effects(now);
         self.skip_unresponsive(now);
         let due = |o: &PendingRequest| o.last_sent + (RESEND_AFTER << o.resends.min(3)) <= now;
-        let silent = self.open.iter().filter(|(_, o)| o.granted.is_none() && due(o));
-        for id in silent.map(|(id, _)| *id).collect::<Vec<_>>() {
+        let unanswered = self.open.iter().filter(|(_, o)| o.granted.is_none() && due(o));
+        for id in unanswered.map(|(id, _)| *id).collect::<Vec<_>>() {
             // Resend with increasing intervals, since more of the same requests would not help a slow
             // owner.
             if let Some(open) = self.open.get_mut(&id) {
--- a/scheduler/src/coordinator/permit_transfer.rs
+++ b/scheduler/src/coordinator/permit_transfer.rs
@@ -13,7 +13,11 @@
 
 impl Coordinator {
     /// Sends the outstanding permits of a released function to its new owners.
-    pub(super) fn hand_over(&mut self, now: Nanos, Released { function: service, permits: out }: Released) {
+    pub(super) fn hand_over(
+        &mut self,
+        now: Nanos,
+        Released { function: service, permits: released }: Released,
+    ) {
         let mut receivers: BTreeMap<CompactString, (CompactString, Vec<Permit>)> = BTreeMap::new();
         for zone in self.owners.partition_zones(&service, &self.me.zone) {
             if let Some(owner) =
@@ -22,18 +26,18 @@
                 receivers.entry(owner.name.clone()).or_insert_with(|| (owner.address.clone(), Vec::new()));
             }
         }
-        self.handed_over.retain(|_, handed| handed.until > now);
-        for out in out {
-            let Some(owner) = self.owners.owner(&service, &out.zone, |_| true) else { continue };
+        self.handed_over.retain(|_, entry| entry.until > now);
+        for permit in released {
+            let Some(owner) = self.owners.owner(&service, &permit.zone, |_| true) else { continue };
             let Some((_, permits)) = receivers.get_mut(&owner.name) else { continue };
-            let left = (out.until as f64 - now as f64) / MS as f64;
-            let (to, instance) = (owner.name.clone(), out.instance.clone());
+            let left = (permit.until as f64 - now as f64) / MS as f64;
+            let (to, instance) = (owner.name.clone(), permit.instance.clone());
             self.record_hand_over(
-                (out.who.clone(), out.request_id),
-                HandedOver { to, instance, until: out.until },
+                (permit.who.clone(), permit.request_id),
+                HandedOver { to, instance, until: permit.until },
             );
             self.scheduler.counts.handed_over += 1;
-            permits.push(Permit { who: out.who, id: out.request_id, instance: out.instance, left });
+            permits.push(Permit { who: permit.who, id: permit.request_id, instance: permit.instance, left });
         }
         let version = self.owners.version();
         for (to, permits) in receivers.into_values() {
@@ -42,9 +46,9 @@
         }
     }
 
-    fn record_hand_over(&mut self, key: (CompactString, u64), handed: HandedOver) {
+    fn record_hand_over(&mut self, key: (CompactString, u64), entry: HandedOver) {
         if self.handed_over.len() < MAX_OPEN_REQUESTS {
-            self.handed_over.insert(key, handed);
+            self.handed_over.insert(key, entry);
         }
     }
 
@@ -61,14 +65,14 @@
         permits: Vec<Permit>,
     ) {
         let overtaken = self.owners.version() > version;
-        let mut on: BTreeMap<CompactString, Vec<Permit>> = BTreeMap::new();
+        let mut to_forward: BTreeMap<CompactString, Vec<Permit>> = BTreeMap::new();
         for permit in permits {
             match self.other_owner(&service, &permit.instance).filter(|_| overtaken) {
-                Some(owner) => on.entry(owner).or_default().push(permit),
+                Some(owner) => to_forward.entry(owner).or_default().push(permit),
                 None => self.take_over_permit(now, from, permit),
             }
         }
-        for (owner, permits) in on {
+        for (owner, permits) in to_forward {
             self.forward_transfer(now, from, &service, &owner, permits);
         }
         if self.transfers_received.len() < MAX_OPEN_REQUESTS {
@@ -80,11 +84,11 @@
     /// Takes over a permit granted by a previous owner.
     fn take_over_permit(&mut self, now: Nanos, from: &str, permit: Permit) {
         let until = until(now, permit.left);
-        let own = permit.who == self.me.name;
+        let is_own = permit.who == self.me.name;
         self.scheduler.take_over_permit(now, permit.who, permit.id, &permit.instance, until);
         // This proxy's own permits are released here directly: by way of the previous owner, the slot
         // would stay taken longer.
-        if own && self.scheduler.has_request(&self.me.name, permit.id) {
+        if is_own && self.scheduler.has_request(&self.me.name, permit.id) {
             let me = self.me.name.clone();
             self.redirect_release(from, permit.id, &permit.instance, me);
         }
@@ -103,12 +107,12 @@
             if permit.who == self.me.name {
                 self.redirect_release(from, permit.id, &permit.instance, owner.clone());
             } else {
-                let handed = HandedOver {
+                let entry = HandedOver {
                     to: owner.clone(),
                     instance: permit.instance.clone(),
                     until: until(now, permit.left),
                 };
-                self.record_hand_over((permit.who.clone(), permit.id), handed);
+                self.record_hand_over((permit.who.clone(), permit.id), entry);
             }
         }
         let version = self.owners.version();
@@ -193,10 +197,10 @@
 
     /// Forwards the release of a permit that was transferred to another owner. Returns whether it was.
     pub(super) fn forward_release(&mut self, from: &str, id: u64, outcome: &str, took: f64) -> bool {
-        let Some(handed) = self.handed_over.remove(&(from.into(), id)) else { return false };
-        let (instance, outcome) = (Some(handed.instance), outcome.into());
+        let Some(entry) = self.handed_over.remove(&(from.into(), id)) else { return false };
+        let (instance, outcome) = (Some(entry.instance), outcome.into());
         let message = PeerMessage::Back { who: from.into(), id, instance, outcome, took };
-        self.send(&handed.to, message);
+        self.send(&entry.to, message);
         true
     }
 }
--- a/scheduler/src/coordinator/view_change.rs
+++ b/scheduler/src/coordinator/view_change.rs
@@ -83,9 +83,9 @@
         if self.unconfirmed.values().all(|until| *until > now) {
             return;
         }
-        let (gone, missing) =
+        let (gone, unconfirmed) =
             std::mem::take(&mut self.unconfirmed).into_iter().partition(|(_, until)| *until <= now);
-        self.unconfirmed = missing;
+        self.unconfirmed = unconfirmed;
         let gone: BTreeMap<CompactString, Nanos> = gone;
         gone.keys().for_each(|name| self.scheduler.proxy_left(now, name));
         self.process_effects(now);
@@ -132,8 +132,8 @@
             if open.owner.as_deref().is_some_and(alive) {
                 continue;
             }
-            let heard = |p: &Peer| self.skipped_until.get(&p.name).is_none_or(|until| *until <= now);
-            let Some(owner) = self.owners.owner(&open.request.service, &zone, heard).cloned() else {
+            let is_reachable = |p: &Peer| self.skipped_until.get(&p.name).is_none_or(|until| *until <= now);
+            let Some(owner) = self.owners.owner(&open.request.service, &zone, is_reachable).cloned() else {
                 continue;
             };
             let (service, deadline) = (open.request.service.clone(), open.request.deadline);
--- a/scheduler/src/demand.rs
+++ b/scheduler/src/demand.rs
@@ -118,12 +118,12 @@
         let concurrency = f64::from(spec.concurrency.max(1));
         let load = self.mean_held.max(self.rate * self.expected_hold_time() / SECOND as f64);
         // Arrivals are random: add room for as many more as coincide occasionally.
-        let room = if spec.concurrency > 1 { load.sqrt() } else { 0.6 * load.sqrt() };
-        let by_load = if load < 0.2 { 0.0 } else { (load + room) / concurrency };
+        let headroom = if spec.concurrency > 1 { load.sqrt() } else { 0.6 * load.sqrt() };
+        let by_load = if load < 0.2 { 0.0 } else { (load + headroom) / concurrency };
         let by_queue = if queued > 0 { (self.held + queued) as f64 / concurrency } else { 0.0 };
         let retention = idle_retention(spec);
-        let stands_by = self.last_arrival.is_none() && self.standby_until.is_some_and(|until| now < until);
-        let recent = stands_by || self.last_arrival.is_some_and(|at| at + retention > now) || self.held > 0;
+        let on_standby = self.last_arrival.is_none() && self.standby_until.is_some_and(|until| now < until);
+        let recent = on_standby || self.last_arrival.is_some_and(|at| at + retention > now) || self.held > 0;
         let mut need = by_load.max(by_queue).ceil().max(f64::from(u8::from(recent))) as u32;
         if let Some((at, instances)) = self.inherited
             && at + retention + SPAN as Nanos > now
--- a/scheduler/src/function.rs
+++ b/scheduler/src/function.rs
@@ -368,8 +368,8 @@
             return self.deny_unknown(now, key, &request.service);
         };
         function.target = request.target;
-        if let Some(floor) = &mut function.min_instances {
-            floor.record_request(now);
+        if let Some(minimum) = &mut function.min_instances {
+            minimum.record_request(now);
         }
         if first {
             function.record_arrival(now, &request.zone);
@@ -407,16 +407,16 @@
         } else {
             service.expected_wait(now)
         };
-        let stock = service.totals();
+        let totals = service.totals();
         let Some(function) = &mut service.function else { return };
         let end = now + wait + function.demand.expected_hold_time() as Nanos;
-        let hopeless = now + wait >= request.deadline;
+        let unreachable = now + wait >= request.deadline;
         let late =
             !request.returned && request.attempts_sent == 0 && end > request.soft_deadline && !awaiting;
         let queued = function.queue.len();
-        if queued >= MAX_QUEUE_LEN || hopeless || late {
+        if queued >= MAX_QUEUE_LEN || unreachable || late {
             let why = || match () {
-                () if hopeless => {
+                () if unreachable => {
                     RequestDecision::DeadlineUnreachable { wait, left: request.deadline.saturating_sub(now) }
                 }
                 () if late => RequestDecision::WouldMissTarget {
@@ -436,8 +436,8 @@
                 RequestDecision::Queued {
                     ahead,
                     wait,
-                    open: stock.available,
-                    coming: stock.starting,
+                    open: totals.available,
+                    coming: totals.starting,
                     awaiting_instances: awaiting,
                 }
             };
@@ -532,8 +532,8 @@
             }
             // Not every endpoint stops a request after its client has left. The slot is reused only after
             // the usual hold time.
-            let usual = service.function.as_ref().map_or(0.0, |f| f.demand.expected_hold_time()) as Nanos;
-            (permit.expires_at, permit.abandoned) = (now + usual, true);
+            let hold_time = service.function.as_ref().map_or(0.0, |f| f.demand.expected_hold_time()) as Nanos;
+            (permit.expires_at, permit.abandoned) = (now + hold_time, true);
             self.next_expiry = self.next_expiry.min(permit.expires_at);
             return;
         }
@@ -641,29 +641,29 @@
     fn reassess_waiting(&mut self, now: Nanos, at: usize) {
         let service = &self.functions[at];
         let Some(function) = &service.function else { return };
-        let (wait, usual) = (service.expected_wait(now), function.demand.expected_hold_time() as Nanos);
-        let over = |w: &Waiting| w.awaiting_instances_until.is_some_and(|until| until <= now);
+        let (wait, hold_time) = (service.expected_wait(now), function.demand.expected_hold_time() as Nanos);
+        let expired = |w: &Waiting| w.awaiting_instances_until.is_some_and(|until| until <= now);
         let due: Vec<_> =
-            function.queue.iter().filter(|(_, w)| over(w)).map(|(position, _)| *position).collect();
+            function.queue.iter().filter(|(_, w)| expired(w)).map(|(position, _)| *position).collect();
         for position in due {
             let Some(function) = &mut self.functions[at].function else { return };
             let Some(waiting) = function.queue.get_mut(&position) else { continue };
             waiting.awaiting_instances_until = None;
             let request = &waiting.request;
-            let hopeless = now + wait >= request.deadline;
-            if hopeless
+            let unreachable = now + wait >= request.deadline;
+            if unreachable
                 || !request.returned
                     && request.attempts_sent == 0
-                    && now + wait + usual > request.soft_deadline
+                    && now + wait + hold_time > request.soft_deadline
             {
                 let (from, id) = (waiting.from.clone(), request.id);
-                let (left, aim) =
+                let (left, target_left) =
                     (request.deadline.saturating_sub(now), request.soft_deadline.saturating_sub(now));
                 function.queue.remove(&position);
                 self.queue_positions.remove(&(from.clone(), id));
-                let late = RequestDecision::WouldMissTarget { wait, takes: usual, left: aim };
+                let late = RequestDecision::WouldMissTarget { wait, takes: hold_time, left: target_left };
                 let why =
-                    || if hopeless { RequestDecision::DeadlineUnreachable { wait, left } } else { late };
+                    || if unreachable { RequestDecision::DeadlineUnreachable { wait, left } } else { late };
                 self.deny(from, id, DenialReason::Full(wait), why);
                 self.functions[at].record_refusal(now);
             }
@@ -675,10 +675,10 @@
         if now < self.next_expiry {
             return;
         }
-        let mut overdue: Vec<_> =
+        let mut expired: Vec<_> =
             self.permits.iter().filter(|(_, p)| p.expires_at <= now).map(|(k, _)| k.clone()).collect();
-        overdue.sort_unstable();
-        for (from, request_id) in overdue {
+        expired.sort_unstable();
+        for (from, request_id) in expired {
             if let Some(permit) = self.permits.get_mut(&(from.clone(), request_id)) {
                 permit.abandoned = true;
             }
@@ -694,27 +694,27 @@
         self.update_latency_ranks(now);
         // Functions activated meanwhile are processed on the next tick.
         for at in self.active.clone() {
-            let looked_at = self.functions[at].needs_update();
+            let needs_update = self.functions[at].needs_update();
             self.serve_queue(now, at);
             self.reassess_waiting(now, at);
-            if looked_at {
+            if needs_update {
                 self.report_target(now, at);
                 self.retire_surplus(now, at);
                 self.resend_reports(now, at);
             }
         }
-        let services = &mut self.functions;
+        let functions = &mut self.functions;
         self.active.retain(|at| {
-            services[*at].active = services[*at].stays_active();
-            services[*at].active
+            functions[*at].active = functions[*at].stays_active();
+            functions[*at].active
         });
     }
 
     /// Latest time of the next tick; `None` if nothing depends on time.
     pub fn next_wake(&self, now: Nanos) -> Option<Nanos> {
-        let awake =
+        let intervals =
             self.active.iter().map(|at| if self.functions[*at].is_busy() { BUSY_TICK } else { IDLE_TICK });
-        let due = awake.min().map(|pause| now + pause);
+        let due = intervals.min().map(|pause| now + pause);
         due.into_iter().chain((self.next_expiry < Nanos::MAX).then_some(self.next_expiry)).min()
     }
 }
--- a/scheduler/src/function/min_instances.rs
+++ b/scheduler/src/function/min_instances.rs
@@ -48,8 +48,8 @@
     }
 
     /// Whether a report is due again, the last one having been sent at `said`.
-    pub fn report_due(&self, now: Nanos, said: Nanos) -> bool {
-        now >= said + STATUS_INTERVAL
+    pub fn report_due(&self, now: Nanos, last_report: Nanos) -> bool {
+        now >= last_report + STATUS_INTERVAL
     }
 
     fn status(&mut self, now: Nanos, delay: Option<f64>) -> FunctionStatus {
@@ -68,16 +68,16 @@
     /// Returns the current minimum, dropping one that has expired.
     pub fn min_instances(&mut self, now: Nanos) -> u32 {
         let Some(function) = &mut self.function else { return 0 };
-        if function.min_instances.as_ref().is_some_and(|floor| now >= floor.until) {
+        if function.min_instances.as_ref().is_some_and(|minimum| now >= minimum.until) {
             function.min_instances = None;
         }
-        function.min_instances.as_ref().map_or(0, |floor| floor.count)
+        function.min_instances.as_ref().map_or(0, |minimum| minimum.count)
     }
 
     /// Counts a refusal if a minimum is set.
     pub fn record_refusal(&mut self, now: Nanos) {
-        if let Some(floor) = self.function.as_mut().and_then(|f| f.min_instances.as_mut()) {
-            floor.record_refusal(now);
+        if let Some(minimum) = self.function.as_mut().and_then(|f| f.min_instances.as_mut()) {
+            minimum.record_refusal(now);
         }
     }
 
@@ -99,24 +99,18 @@
     pub fn set_min_instances(&mut self, now: Nanos, name: &str, count: u32, fence: u64, until: Nanos) {
         let Some(at) = self.index_by_name.get(name).copied() else { return };
         let Some(function) = &mut self.functions[at].function else { return };
-        if function.min_instances.as_ref().is_some_and(|floor| floor.fence > fence) {
+        if function.min_instances.as_ref().is_some_and(|minimum| minimum.fence > fence) {
             return;
         }
         match &mut function.min_instances {
-            floor if count == 0 => *floor = None,
-            Some(floor) => (floor.fence, floor.count, floor.until) = (fence, count, until),
-            floor => {
+            minimum if count == 0 => *minimum = None,
+            Some(minimum) => (minimum.fence, minimum.count, minimum.until) = (fence, count, until),
+            minimum => {
                 // Report the status at once.
                 function.last_reported = None;
-                let spans = [(0, 0); 2];
-                *floor = Some(MinInstances {
-                    fence,
-                    count,
-                    until,
-                    lowest_delay: None,
-                    counts: spans,
-                    span_start: now,
-                });
+                let counts = [(0, 0); 2];
+                *minimum =
+                    Some(MinInstances { fence, count, until, lowest_delay: None, counts, span_start: now });
             }
         }
         self.activate(at);
--- a/scheduler/src/function/ownership.rs
+++ b/scheduler/src/function/ownership.rs
@@ -55,7 +55,7 @@
 }
 
 impl Scheduler {
-    /// Recomputes which of the functions affected by `turn` this proxy owns. `before` returns what moves
+    /// Recomputes which of the functions affected by `change` this proxy owns. `before` returns what moves
     /// for a function whose instances are in the given zones. For functions owned elsewhere, nothing is
     /// reported, retired or probed. Returns the released functions with their outstanding permits, for the
     /// new owners.
@@ -73,7 +73,7 @@
             let name = service.name.clone();
             let partitions = owners.partition_count(&name);
             let here = owners.owns(&me.name, &name, &me.zone);
-            let mine = |zone: &str| {
+            let is_mine = |zone: &str| {
                 if partitions > 1 { owners.owns(&me.name, &name, zone).is_ok() } else { here.is_ok() }
             };
             let owned = service.function.is_some() && here.is_ok();
@@ -86,24 +86,24 @@
             let mut gained = BTreeSet::new();
             service.update_all(|instances| {
                 for state in instances {
-                    let is_mine = owned && mine(&state.info.zone);
-                    if is_mine && !state.owned {
+                    let now_owned = owned && is_mine(&state.info.zone);
+                    if now_owned && !state.owned {
                         gained.insert(state.info.id.clone());
                     }
-                    state.owned = is_mine;
+                    state.owned = now_owned;
                 }
             });
-            let stays = was == (owned, partitions > 1);
-            if stays && !(owned && partitions > 1) {
+            let unchanged = was == (owned, partitions > 1);
+            if unchanged && !(owned && partitions > 1) {
                 continue;
             }
             let zones = service.instances().iter().map(|state| state.info.zone.clone()).collect();
             let transfer = before(&name, &zones);
-            if stays {
+            if unchanged {
                 // The owner of one partition takes over or gives back another; the rest is unchanged.
                 if transfer.loses {
                     let settling = service.settling_until;
-                    let out = self.release_partition(now, at, mine);
+                    let out = self.release_partition(now, at, is_mine);
                     self.functions[at].settling_until = settling;
                     released.push(Released { function: name.clone(), permits: out });
                 }
@@ -114,7 +114,7 @@
             }
             service.reset_probes();
             if was.0 {
-                let out = self.release_partition(now, at, mine);
+                let out = self.release_partition(now, at, is_mine);
                 released.push(Released { function: name.clone(), permits: out });
             }
             if owned {
@@ -206,13 +206,13 @@
         &mut self,
         now: Nanos,
         at: usize,
-        mine: impl Fn(&str) -> bool,
+        is_mine: impl Fn(&str) -> bool,
     ) -> Vec<OutstandingPermit> {
         let service = &mut self.functions[at];
         service.settling_until = now + TRANSFER_TIMEOUT;
         let gone: Vec<_> = match &service.function {
             Some(function) => {
-                let of = function.queue.iter().filter(|(_, w)| !mine(&w.request.zone));
+                let of = function.queue.iter().filter(|(_, w)| !is_mine(&w.request.zone));
                 of.map(|(position, w)| (*position, (w.from.clone(), w.request.id))).collect()
             }
             None => Vec::new(),
--- a/scheduler/src/function/targets.rs
+++ b/scheduler/src/function/targets.rs
@@ -15,35 +15,34 @@
         }
         let (wait, live, held) =
             (service.expected_wait(now), service.live_instances(), service.totals().permits);
-        let floor = service.min_instances(now);
+        let minimum = service.min_instances(now);
         let Some(function) = &mut service.function else { return };
         // A queue expected to drain within a fraction of the latency target needs no further instance.
-        let patience = (function.target / 4).min(function.spec.startup_time / 2);
-        let queued = if live == 0 || wait > patience { function.queue.len() } else { 0 };
-        let need = function.demand.needed(now, &function.spec, queued).max(floor);
+        let tolerated_wait = (function.target / 4).min(function.spec.startup_time / 2);
+        let queued = if live == 0 || wait > tolerated_wait { function.queue.len() } else { 0 };
+        let need = function.demand.needed(now, &function.spec, queued).max(minimum);
         let strain = function.demand.rate(now) / self.limits.requests_per_s.max(1.0);
         let idle =
             function.demand.last_arrival.is_none_or(|at| at + 3 * idle_retention(&function.spec) < now);
-        let say = match function.last_reported {
+        let report_due = match function.last_reported {
             None => need > 0 || live > 0,
             Some((at, count)) => {
                 count != need
                     || (strain - function.reported_load).abs() > LOAD_REPORT_STEP
-                    || function.min_instances.as_ref().is_some_and(|floor| floor.report_due(now, at))
+                    || function.min_instances.as_ref().is_some_and(|minimum| minimum.report_due(now, at))
                     || (now >= at + REPORT_INTERVAL && !(idle && need == 0 && live == 0))
             }
         };
-        if say {
+        if report_due {
             (function.last_reported, function.reported_load) = (Some((now, need)), strain);
-            let waits = function.queue.len();
+            let queue_len = function.queue.len();
             let (service, zones) = (service.name.clone(), function.zones_by_demand());
             self.reasons.push(|| {
                 let service = service.clone();
-                Reason::InstanceTarget { service, need, live, held, queued: waits, wait }
+                Reason::InstanceTarget { service, need, live, held, queued: queue_len, wait }
             });
             let does = self.functions[at].status(now);
-            let slow =
-                self.latency_model.as_ref().map(|speeds| speeds.slow_ones(&service)).unwrap_or_default();
+            let slow = self.latency_model.as_ref().map(|model| model.slow_ones(&service)).unwrap_or_default();
             self.effects.push(Effect::SetInstanceTarget { service, count: need, zones, strain, does, slow });
             if need > 0 {
                 self.activate(at);
@@ -55,12 +54,12 @@
     /// outstanding permits.
     pub(super) fn retire_surplus(&mut self, now: Nanos, at: usize) {
         let service = &mut self.functions[at];
-        let said = service.function.as_ref().filter(|_| service.owned).and_then(|f| f.last_reported);
-        let Some((_, need)) = said else { return };
+        let last_report = service.function.as_ref().filter(|_| service.owned).and_then(|f| f.last_reported);
+        let Some((_, need)) = last_report else { return };
         let live = service.live_instances();
-        if let Some(old) = service.surplus_instance(now, need as usize) {
-            service.update_instance(&old, |state| state.draining = true);
-            self.reasons.push(|| Reason::SurplusInstance { instance: old, need, live });
+        if let Some(surplus) = service.surplus_instance(now, need as usize) {
+            service.update_instance(&surplus, |state| state.draining = true);
+            self.reasons.push(|| Reason::SurplusInstance { instance: surplus, need, live });
         }
         if service.totals().draining == 0 {
             return;
--- a/scheduler/src/function/worker_speed.rs
+++ b/scheduler/src/function/worker_speed.rs
@@ -14,22 +14,22 @@
 impl Scheduler {
     /// Periodically updates the model with the latest answers and ranks the instances by it.
     pub(super) fn update_latency_ranks(&mut self, now: Nanos) {
-        let Some(speeds) = &mut self.latency_model else { return };
-        if !speeds.settle(now) {
+        let Some(model) = &mut self.latency_model else { return };
+        if !model.settle(now) {
             return;
         }
-        let speeds = &*speeds;
+        let model = &*model;
         self.functions
             .iter_mut()
             .filter(|s| !s.instances().is_empty())
-            .for_each(|s| s.update_latency_ranks(speeds));
+            .for_each(|s| s.update_latency_ranks(model));
     }
 
     /// Records the response time of a successful answer.
     pub(super) fn record_latency(&mut self, now: Nanos, at: usize, id: &str, took: Nanos) {
         let service = &self.functions[at];
-        if let (Some(state), Some(speeds)) = (service.instance(id), &mut self.latency_model) {
-            speeds.saw(now, &service.name, &state.info.worker, took);
+        if let (Some(state), Some(model)) = (service.instance(id), &mut self.latency_model) {
+            model.saw(now, &service.name, &state.info.worker, took);
         }
     }
 }
@@ -43,9 +43,9 @@
 
 impl FunctionState {
     /// Ranks instances behind others that are significantly faster.
-    fn update_latency_ranks(&mut self, speeds: &LatencyModel) {
+    fn update_latency_ranks(&mut self, model: &LatencyModel) {
         let name = self.name.clone();
-        let lags: Vec<_> = self.instances().iter().map(|p| speeds.lag(&name, &p.info.worker)).collect();
+        let lags: Vec<_> = self.instances().iter().map(|p| model.lag(&name, &p.info.worker)).collect();
         let open = self.instances().iter().zip(&lags).filter(|(p, _)| p.is_available());
         let best = open.filter_map(|(_, lag)| *lag).min_by(|a, b| a.log.total_cmp(&b.log));
         let step = |lag: Option<RelativeLatency>, slow: bool, already: bool| {
@@ -54,7 +54,7 @@
             if slow || already || lag.surely_behind(&best, BEYOND, SURE) { steps } else { 0 }
         };
         self.update_ranks(|at, state| {
-            state.on_slow_worker = speeds.slow_for(&name, &state.info.worker);
+            state.on_slow_worker = model.slow_for(&name, &state.info.worker);
             state.latency_rank = step(lags[at], state.on_slow_worker, state.latency_rank > 0);
         });
     }
--- a/scheduler/src/owner_ranking.rs
+++ b/scheduler/src/owner_ranking.rs
@@ -22,8 +22,8 @@
     pairs: BTreeMap<(CompactString, CompactString), RankedPair>,
 }
 
-fn names(two: &RankedPair) -> impl Iterator<Item = &CompactString> {
-    two.iter().flatten().map(|(_, name)| name)
+fn names(pair: &RankedPair) -> impl Iterator<Item = &CompactString> {
+    pair.iter().flatten().map(|(_, name)| name)
 }
 
 fn rank(owners: &Owners, service: &str, zone: &str) -> RankedPair {
@@ -55,8 +55,8 @@
     }
 
     /// Drops functions that no longer exist.
-    pub fn retain(&mut self, is: impl Fn(&str) -> bool) {
-        self.pairs.retain(|(service, _), _| is(service));
+    pub fn retain(&mut self, exists: impl Fn(&str) -> bool) {
+        self.pairs.retain(|(service, _), _| exists(service));
     }
 
     /// Applies a new view. Returns the proxies that are owner or deputy of other requested functions than
@@ -64,10 +64,10 @@
     pub fn update(&mut self, owners: Owners) -> (BTreeSet<CompactString>, BTreeSet<CompactString>) {
         let before = std::mem::replace(&mut self.owners, owners);
         let owners = &self.owners;
-        let (came, left) = owners.view().since(before.view());
+        let (joined, left) = owners.view().since(before.view());
         let left: BTreeSet<_> = left.into_iter().map(|p| &p.name).collect();
-        let mut reassigned: BTreeSet<_> = came.iter().map(|p| p.name.clone()).collect();
-        let came: Vec<_> = came
+        let mut reassigned: BTreeSet<_> = joined.iter().map(|p| p.name.clone()).collect();
+        let joined: Vec<_> = joined
             .into_iter()
             .filter(|p| before.find(&p.name).is_none())
             .map(|p| (seed(&p.name), &p.name))
@@ -78,16 +78,16 @@
             .filter(|s| (owners.partition_count(s) > 1) != (before.partition_count(s) > 1))
             .map(|s| (*s).clone())
             .collect();
-        self.pairs.retain(|(service, zone), two| {
+        self.pairs.retain(|(service, zone), pair| {
             if resplit.contains(service) {
-                reassigned.extend(names(two).cloned());
+                reassigned.extend(names(pair).cloned());
                 return false;
             }
-            let now = if split.contains(service) || names(two).any(|name| left.contains(name)) {
+            let now = if split.contains(service) || names(pair).any(|name| left.contains(name)) {
                 rank(owners, service, zone)
             } else {
-                let mut now = two.clone();
-                for (seed, name) in &came {
+                let mut now = pair.clone();
+                for (seed, name) in &joined {
                     let rank = Some((hash(service, *seed), (*name).clone()));
                     if rank > now[0] {
                         now = [rank, now[0].take()];
@@ -97,10 +97,10 @@
                 }
                 now
             };
-            if now != *two {
-                reassigned.extend(names(two).filter(|name| !names(&now).any(|n| n == *name)).cloned());
-                reassigned.extend(names(&now).filter(|name| !names(two).any(|n| n == *name)).cloned());
-                *two = now;
+            if now != *pair {
+                reassigned.extend(names(pair).filter(|name| !names(&now).any(|n| n == *name)).cloned());
+                reassigned.extend(names(&now).filter(|name| !names(pair).any(|n| n == *name)).cloned());
+                *pair = now;
             }
             true
         });
@@ -142,21 +142,21 @@
             let owners = Owners::new((1, count), alive.iter().map(peer).collect(), split.iter().cloned());
             let asked: Vec<_> =
                 services.iter().flat_map(|s| zones.iter().map(move |z| (s.clone(), z.clone()))).collect();
-            let two =
+            let pair =
                 |ranks: &mut OwnerRanking, service: &CompactString, zone: &CompactString| -> BTreeSet<_> {
                     ranks.owner_and_deputy(service, zone).cloned().collect()
                 };
-            let before: Vec<_> = asked.iter().map(|(s, z)| two(&mut ranks, s, z)).collect();
+            let before: Vec<_> = asked.iter().map(|(s, z)| pair(&mut ranks, s, z)).collect();
             let kept = ranks.pairs.len();
             let (reassigned, resplit) = ranks.update(owners.clone());
             assert!(ranks.pairs.len() == kept || !resplit.is_empty());
             for ((service, zone), before) in asked.iter().zip(before) {
-                let first_two = owners.owner_and_deputy(service, zone).map(|p| p.map(|p| &p.name));
+                let expected = owners.owner_and_deputy(service, zone).map(|p| p.map(|p| &p.name));
                 assert_eq!(
                     ranks.owner_and_deputy(service, zone).collect::<Vec<_>>(),
-                    Vec::from_iter(first_two.into_iter().flatten())
+                    Vec::from_iter(expected.into_iter().flatten())
                 );
-                let now = two(&mut ranks, service, zone);
+                let now = pair(&mut ranks, service, zone);
                 let others = || before.symmetric_difference(&now).all(|name| reassigned.contains(name));
                 assert!(resplit.contains(service) || others(), "{service}");
                 assert!(!resplit.contains(service) || before.iter().all(|name| reassigned.contains(name)));
--- a/scheduler/src/owners.rs
+++ b/scheduler/src/owners.rs
@@ -41,8 +41,8 @@
     }
 
     /// Applies a change to the view; `None` if it is relative to another version.
-    pub fn apply_change(&self, shift: &ViewChange) -> Option<Self> {
-        self.view.shifted(shift).map(Owners::from)
+    pub fn apply_change(&self, change: &ViewChange) -> Option<Self> {
+        self.view.shifted(change).map(Owners::from)
     }
 
     /// The membership view.
@@ -113,9 +113,9 @@
     pub fn owner(&self, service: &str, zone: &str, may: impl Fn(&Peer) -> bool) -> Option<&Peer> {
         if self.split().contains(service) {
             let home_zone = self.partition_zone(service, zone);
-            let near = self.highest_ranked(service, |p| p.zone == home_zone && may(p));
-            if near.is_some() {
-                return near;
+            let in_zone = self.highest_ranked(service, |p| p.zone == home_zone && may(p));
+            if in_zone.is_some() {
+                return in_zone;
             }
         }
         self.highest_ranked(service, may)
@@ -130,11 +130,11 @@
         if home_zone.is_some_and(|home_zone| me.zone != home_zone) {
             return Err(0);
         }
-        let here = (hash(service, seed(&me.name)), &me.name);
+        let rank = (hash(service, seed(&me.name)), &me.name);
         let mut others =
             self.seeds.iter().zip(self.peers()).filter(|(_, p)| home_zone.is_none_or(|z| p.zone == z));
         others
-            .find(|(seed, p)| (hash(service, **seed), &p.name) > here)
+            .find(|(seed, p)| (hash(service, **seed), &p.name) > rank)
             .map_or(Ok(()), |(seed, _)| Err(*seed))
     }
 
@@ -157,15 +157,15 @@
         if self.find(me).is_some() != before.find(me).is_some() {
             return OwnershipChange { all: true, ..OwnershipChange::default() };
         }
-        let (came, left) = self.view.since(&before.view);
-        let came = came.into_iter().filter(|p| before.find(&p.name).is_none());
+        let (joined, left) = self.view.since(&before.view);
+        let joined = joined.into_iter().filter(|p| before.find(&p.name).is_none());
         let mut left: Vec<_> = left.into_iter().map(|p| seed(&p.name)).collect();
         left.sort_unstable();
         let split = self.split().union(before.split()).cloned().collect();
         OwnershipChange {
             all: false,
             me: seed(me),
-            joined: came.map(|p| seed(&p.name)).collect(),
+            joined: joined.map(|p| seed(&p.name)).collect(),
             left,
             split,
         }
@@ -207,8 +207,8 @@
 
     /// Whether a proxy that joined ranks above this one for a function.
     pub(crate) fn may_lose(&self, service: &str) -> bool {
-        let here = hash(service, self.me);
-        self.joined.iter().any(|seed| hash(service, *seed) >= here)
+        let rank = hash(service, self.me);
+        self.joined.iter().any(|seed| hash(service, *seed) >= rank)
     }
 }
 
@@ -221,13 +221,13 @@
         let peer =
             |n: usize| Peer { name: format!("edge-{n}").into(), address: "a".into(), zone: "z".into() };
         let all = Owners::new((1, 1), (0..6).map(peer).collect(), []);
-        let resplit = Owners::new((1, 1), (0..6).rev().map(peer).collect(), []);
+        let reversed = Owners::new((1, 1), (0..6).rev().map(peer).collect(), []);
         let mut owned = [0; 6];
         for n in 0..600 {
             let service = format!("s{n}");
-            let owner = all.owner(&service, "y", |_| true).expect("one").name.clone();
-            assert_eq!(resplit.owner(&service, "z", |_| true).expect("one").name, owner);
-            let second = all.owner(&service, "z", |p| p.name != "edge-3").expect("one").name.clone();
+            let owner = all.owner(&service, "y", |_| true).expect("an owner").name.clone();
+            assert_eq!(reversed.owner(&service, "z", |_| true).expect("an owner").name, owner);
+            let second = all.owner(&service, "z", |p| p.name != "edge-3").expect("an owner").name.clone();
             assert!(owner == "edge-3" || second == owner);
             owned[owner[5..].parse::<usize>().expect("a number")] += 1;
         }
@@ -245,17 +245,18 @@
         assert_eq!((named.partition_count("hot"), named.partition_count("rare")), (3, 1));
         let mut owners = BTreeSet::new();
         for zone in ["a", "b", "c"] {
-            let [first, second] = named.owner_and_deputy("hot", zone).map(|p| p.expect("one").clone());
+            let [first, second] = named.owner_and_deputy("hot", zone).map(|p| p.expect("an owner").clone());
             assert!(first.zone == zone && second.zone == zone && first.name != second.name);
             owners.insert(first.name.clone());
             // If no proxy of the zone can be reached, one from another zone is asked.
-            let away = named.owner("hot", zone, |p| p.zone != zone).expect("one");
+            let away = named.owner("hot", zone, |p| p.zone != zone).expect("an owner");
             assert_ne!(away.zone, zone);
         }
         assert_eq!(owners.len(), 3);
-        let stray = named.owner("hot", "d", |_| true).expect("one").name.clone();
-        assert!(owners.contains(&stray), "a lot that is owned anyway");
-        let everywhere = ["a", "b", "d"].map(|z| named.owner("rare", z, |_| true).expect("one").name.clone());
+        let stray = named.owner("hot", "d", |_| true).expect("an owner").name.clone();
+        assert!(owners.contains(&stray), "a partition of another zone");
+        let everywhere =
+            ["a", "b", "d"].map(|z| named.owner("rare", z, |_| true).expect("an owner").name.clone());
         assert!(everywhere.iter().all(|name| *name == everywhere[0]));
     }
 
@@ -270,7 +271,7 @@
         for service in (0..40).map(|n| format!("s{n}")) {
             for (zone, n) in ["a", "b", "d"].into_iter().flat_map(|z| (0..10).map(move |n| (z, n))) {
                 let me = format!("edge-{n}");
-                let owner = named.owner(&service, zone, |_| true).expect("one");
+                let owner = named.owner(&service, zone, |_| true).expect("an owner");
                 match named.owns(&me, &service, zone) {
                     Ok(()) => assert_eq!(owner.name, me),
                     Err(0) => assert!(n == 9 || ["s1", "s2"].contains(&service.as_str())),
--- a/scheduler/src/recording.rs
+++ b/scheduler/src/recording.rs
@@ -598,7 +598,9 @@
         let sink_lines = Rc::clone(&lines);
         let sink: Sink = Box::new(move |line| sink_lines.borrow_mut().push(line.to_owned()));
         let inputs = all();
-        let Input::New { me, terms, seed, first } = inputs[0].clone() else { panic!("a life begins") };
+        let Input::New { me, terms, seed, first } = inputs[0].clone() else {
+            panic!("the first input is `New`")
+        };
         let mut coordinator = RecordedCoordinator::new(me, terms, seed, first, Some(sink));
         let mut expected = inputs.clone();
         for (n, input) in inputs.into_iter().enumerate().skip(1) {
--- a/scheduler/src/request_flow.rs
+++ b/scheduler/src/request_flow.rs
@@ -313,8 +313,8 @@
         full = { false, Outcome::Full, None, DenialReason::Unknown, Err(Refusal::NotReady) },
         full_spent = { false, Outcome::Full, None, DenialReason::Spent, Err(Refusal::NotSent) },
         broken = { true, Outcome::NoAnswer, None, DenialReason::Full(MS), Err(Refusal::NoAnswer) },
-        silent = { true, Outcome::TimedOut, None, DenialReason::Full(MS), Err(Refusal::NoAnswer) },
-        silent_once = { false, Outcome::NoAnswer, None, DenialReason::Unknown, Err(Refusal::NoAnswer) },
+        timed_out = { true, Outcome::TimedOut, None, DenialReason::Full(MS), Err(Refusal::NoAnswer) },
+        timed_out_once = { false, Outcome::NoAnswer, None, DenialReason::Unknown, Err(Refusal::NoAnswer) },
         garbled = { false, Outcome::NoAnswer, Some(200), DenialReason::Spent, Err(Refusal::NoAnswer) },
         failed = { true, Outcome::Failed, Some(500), DenialReason::Spent, Ok(500) },
         failed_once = { false, Outcome::Failed, Some(500), DenialReason::Unknown, Ok(500) },
@@ -332,7 +332,7 @@
         let step = match sent(&mut flow, outcome, answer) {
             FlowStep::Wait(_) => {
                 let FlowStep::RequestPermit(request, first) = flow.request_permit() else {
-                    panic!("it asks")
+                    panic!("expected a permit request")
                 };
                 assert_eq!((first, request.avoid), (false, vec!["i".into()]));
                 flow.denied(100 * MS, reason)
--- a/scheduler/src/retry_schedule.rs
+++ b/scheduler/src/retry_schedule.rs
@@ -134,13 +134,13 @@
     /// Decides what follows an attempt. An attempt that was never sent does not count as one: the next
     /// follows at once.
     pub fn ended(&mut self, now: Nanos, outcome: Outcome) -> RetryDecision {
-        let may = match outcome {
+        let allowed = match outcome {
             Outcome::Answered | Outcome::Abandoned => false,
             Outcome::Unused => return RetryDecision::RetryAt(now),
             o if o.proves_not_run() => true,
             _ => self.repeatable,
         };
-        if !may || self.sent >= self.max_attempts && outcome != Outcome::Unreachable {
+        if !allowed || self.sent >= self.max_attempts && outcome != Outcome::Unreachable {
             return RetryDecision::GiveUp;
         }
         self.next(now)
@@ -159,20 +159,20 @@
 
     const T1: Nanos = 50 * MS;
 
-    fn tries(repeatable: bool) -> RetrySchedule {
-        let mut tries = RetrySchedule::new(200 * MS, repeatable, 2, 1_500 * MS);
-        tries.sending(10 * MS);
-        tries
+    fn schedule_after_first_attempt(repeatable: bool) -> RetrySchedule {
+        let mut schedule = RetrySchedule::new(200 * MS, repeatable, 2, 1_500 * MS);
+        schedule.sending(10 * MS);
+        schedule
     }
 
     #[test]
     fn retries_follow_the_doubling_schedule_and_suppressed_ones_wait() {
-        let mut t = tries(true);
-        assert_eq!(t.ended(12 * MS, Outcome::NoAnswer), RetryDecision::RetryAt(10 * MS + T1));
-        assert_eq!(t.skipped(60 * MS), RetryDecision::RetryAt(10 * MS + 3 * T1));
-        assert_eq!(t.skipped(160 * MS), RetryDecision::RetryAt(10 * MS + 7 * T1));
+        let mut schedule = schedule_after_first_attempt(true);
+        assert_eq!(schedule.ended(12 * MS, Outcome::NoAnswer), RetryDecision::RetryAt(10 * MS + T1));
+        assert_eq!(schedule.skipped(60 * MS), RetryDecision::RetryAt(10 * MS + 3 * T1));
+        assert_eq!(schedule.skipped(160 * MS), RetryDecision::RetryAt(10 * MS + 7 * T1));
         // After its first retry time has passed, the next one after the outcome applies.
-        let mut late = tries(true);
+        let mut late = schedule_after_first_attempt(true);
         assert_eq!(late.ended(300 * MS, Outcome::NoAnswer), RetryDecision::RetryAt(10 * MS + 7 * T1));
     }
 
@@ -180,18 +180,18 @@
         answered = { Outcome::Answered, false, false },
         failed = { Outcome::Failed, true, false },
         full = { Outcome::Full, true, true },
-        elsewhere = { Outcome::AddressReused, true, true },
+        address_reused = { Outcome::AddressReused, true, true },
         unreachable = { Outcome::Unreachable, true, true },
-        silent = { Outcome::TimedOut, true, false },
+        timed_out = { Outcome::TimedOut, true, false },
         broken = { Outcome::NoAnswer, true, false },
-        left = { Outcome::Abandoned, false, false },
+        abandoned = { Outcome::Abandoned, false, false },
     )]
-    fn retry_allowed_by_outcome(outcome: Outcome, repeatable: bool, once: bool) {
-        for (safe, may) in [(true, repeatable), (false, once)] {
+    fn retry_allowed_by_outcome(outcome: Outcome, if_repeatable: bool, otherwise: bool) {
+        for (repeatable, allowed) in [(true, if_repeatable), (false, otherwise)] {
             assert_eq!(
-                tries(safe).ended(20 * MS, outcome) != RetryDecision::GiveUp,
-                may,
-                "{outcome:?} {safe}"
+                schedule_after_first_attempt(repeatable).ended(20 * MS, outcome) != RetryDecision::GiveUp,
+                allowed,
+                "{outcome:?}, repeatable: {repeatable}"
             );
         }
         assert_eq!(Outcome::parse(outcome.as_str()), Some(outcome));
@@ -199,9 +199,12 @@
 
     #[test]
     fn retries_respect_the_attempt_limit_and_the_deadline() {
-        let mut t = tries(true);
-        t.sending(60 * MS);
-        assert_eq!(t.ended(70 * MS, Outcome::NoAnswer), RetryDecision::GiveUp);
-        assert_eq!(tries(true).ended(1_490 * MS, Outcome::NoAnswer), RetryDecision::GiveUp);
+        let mut schedule = schedule_after_first_attempt(true);
+        schedule.sending(60 * MS);
+        assert_eq!(schedule.ended(70 * MS, Outcome::NoAnswer), RetryDecision::GiveUp);
+        assert_eq!(
+            schedule_after_first_attempt(true).ended(1_490 * MS, Outcome::NoAnswer),
+            RetryDecision::GiveUp
+        );
     }
 }
--- a/scheduler/src/service.rs
+++ b/scheduler/src/service.rs
@@ -251,33 +251,33 @@
         let settling = now < self.settling_until;
         // A slow owner may have filled all uncertain instances: grant one slot on a few of them until one
         // has answered.
-        let mut tries = if now < self.probe_after { 0 } else { self.probe_limit() };
-        if tries > 0 {
-            let tried = self
+        let mut probes = if now < self.probe_after { 0 } else { self.probe_limit() };
+        if probes > 0 {
+            let probed = self
                 .instances
                 .iter()
                 .filter(|p| self.is_uncertain(now, p) && !p.verified && !p.permits.is_empty());
-            tries = tries.saturating_sub(tried.count());
+            probes = probes.saturating_sub(probed.count());
         }
-        let most = |p: &InstanceState| match self.owned {
+        let slot_limit = |p: &InstanceState| match self.owned {
             true if settling && p.inherited && !self.awaited_owners.is_empty() => 0,
             true if settling && p.inherited => p.usable_slots(now, all.div_ceil(2)),
             false if settling => 0,
             _ if !self.is_uncertain(now, p) => p.usable_slots(now, all),
             _ if p.verified => (all / 4).max(1),
-            _ if tries > 0 => 1,
+            _ if probes > 0 => 1,
             _ => 0,
         };
-        let free = self.instances.iter().filter(|p| {
-            p.permits.len() < most(p)
+        let candidates = self.instances.iter().filter(|p| {
+            p.permits.len() < slot_limit(p)
                 && p.is_available()
                 && now >= p.backoff_until.max(p.yielded_until)
                 && self.is_counted(p)
         });
-        let best = free.min_by_key(|p| {
+        let best = candidates.min_by_key(|p| {
             let avoided = request.avoid.contains(&p.info.id);
-            let most = most(p);
-            let nearly_full = most > 1 && p.permits.len() + 1 >= most;
+            let limit = slot_limit(p);
+            let nearly_full = limit > 1 && p.permits.len() + 1 >= limit;
             // A caller that returns to an instance has a connection there.
             (
                 avoided,
@@ -348,24 +348,25 @@
     /// instances.
     pub fn expected_wait(&self, now: Nanos) -> Nanos {
         let Some(function) = &self.function else { return SECOND };
-        let per = f64::from(function.spec.concurrency.max(1));
-        let hold = function.demand.expected_hold_time();
-        let (slots, coming) = (self.totals.available as f64 * per, self.totals.starting as f64 * per);
+        let concurrency = f64::from(function.spec.concurrency.max(1));
+        let hold_time = function.demand.expected_hold_time();
+        let (slots, starting_slots) =
+            (self.totals.available as f64 * concurrency, self.totals.starting as f64 * concurrency);
         let ahead = function.queue.len() as f64 + 1.0;
-        let by_slots = if slots > 0.0 { ahead / slots * hold } else { f64::INFINITY };
-        let boots = if self.totals.starting > 0 {
+        let by_slots = if slots > 0.0 { ahead / slots * hold_time } else { f64::INFINITY };
+        let startup_wait = if self.totals.starting > 0 {
             (self.totals.first_starting + function.spec.startup_time)
                 .max(now + function.spec.startup_time / 10)
                 - now
         } else {
             function.spec.startup_time + 30 * MS
         };
-        if by_slots <= boots as f64 {
+        if by_slots <= startup_wait as f64 {
             return by_slots as Nanos;
         }
-        let coming = if coming > 0.0 { coming } else { per };
-        let done = slots / hold * boots as f64;
-        boots + ((ahead - done).max(0.0) / (slots + coming) * hold * 0.5) as Nanos
+        let starting_slots = if starting_slots > 0.0 { starting_slots } else { concurrency };
+        let done = slots / hold_time * startup_wait as f64;
+        startup_wait + ((ahead - done).max(0.0) / (slots + starting_slots) * hold_time * 0.5) as Nanos
     }
 
     /// Instance to retire first when there are more than needed; `None` while it has permits or was used
@@ -374,19 +375,20 @@
         if self.live_instances() <= need {
             return None;
         }
-        let spare = self
+        let surplus = self
             .instances
             .iter()
             .filter(|p| self.is_counted(p) && p.is_live() && (p.is_available() || need == 0));
-        let old = spare.min_by_key(|p| (!p.on_slow_worker, p.permits.len(), p.last_used))?;
-        (old.permits.is_empty() && old.last_used + 100 * MS <= now).then(|| old.info.id.clone())
+        let candidate = surplus.min_by_key(|p| (!p.on_slow_worker, p.permits.len(), p.last_used))?;
+        (candidate.permits.is_empty() && candidate.last_used + 100 * MS <= now)
+            .then(|| candidate.info.id.clone())
     }
 
     /// Whether the instance target or the surplus may change with time.
     pub fn needs_update(&self) -> bool {
         let Some(function) = self.function.as_ref().filter(|_| self.owned) else { return false };
-        let said = || function.last_reported.is_none_or(|(_, count)| count > 0);
-        !self.instances.is_empty() || !function.queue.is_empty() || said()
+        let may_report = || function.last_reported.is_none_or(|(_, count)| count > 0);
+        !self.instances.is_empty() || !function.queue.is_empty() || may_report()
     }
 
     /// Whether to process the function on the next tick too. A function without instances whose target was
--- a/scheduler/tests/cluster/mod.rs
+++ b/scheduler/tests/cluster/mod.rs
@@ -35,7 +35,7 @@
 pub fn owner(who: &[usize], split: bool, zone: &str) -> String {
     let split = split.then(|| "f".into());
     let owners = Owners::new((1, 1), who.iter().map(|n| peer(*n)).collect(), split);
-    owners.owner("f", zone, |_| true).expect("one").name.to_string()
+    owners.owner("f", zone, |_| true).expect("an owner").name.to_string()
 }
 
 pub fn instances(version: u64) -> PeerMessage {
--- a/scheduler/tests/handover.rs
+++ b/scheduler/tests/handover.rs
@@ -13,8 +13,8 @@
 #[test]
 fn messages_of_a_lower_incarnation_are_ignored_and_answered_with_the_known_one() {
     let mut cluster = Cluster::new(&[1, 2]);
-    let to_me = |life, message| {
-        move |coordinator: &mut Coordinator| coordinator.receive(T, "edge-2", life, vec![message])
+    let to_me = |incarnation, message| {
+        move |coordinator: &mut Coordinator| coordinator.receive(T, "edge-2", incarnation, vec![message])
     };
     let request = || PeerMessage::Ask {
         id: 7,
@@ -43,7 +43,7 @@
             .iter()
             .all(|(.., message)| !matches!(message, PeerMessage::StaleIncarnation { .. }))
     );
-    assert_eq!(cluster.in_transit.len(), 1, "the ask is answered: {:?}", cluster.in_transit);
+    assert_eq!(cluster.in_transit.len(), 1, "the request is answered: {:?}", cluster.in_transit);
 }
 
 #[test]
@@ -55,7 +55,7 @@
         ALL.iter().for_each(|n| cluster.request(T, &format!("edge-{n}")));
     }
     cluster.deliver(T, &[]);
-    assert_eq!(cluster.granted.len(), 16, "all that there is");
+    assert_eq!(cluster.granted.len(), 16, "all slots");
     assert!(cluster.within_limits());
     // The new owners apply the view first, the old owner and the requesting proxies a moment later;
     // permits are released meanwhile.
@@ -64,7 +64,7 @@
         cluster.with(T, name, |coordinator| coordinator.receive_from_controller(T, full_view(2, &ALL, true)));
     }
     cluster.deliver(T + 10 * MS, &[]);
-    assert_eq!(cluster.granted.len(), 16, "nothing is given twice");
+    assert_eq!(cluster.granted.len(), 16, "no slot is granted twice");
     cluster.finish(T + 20 * MS, 6);
     cluster.deliver(T + 20 * MS, &[]);
     assert!(cluster.within_limits(), "{:?}", cluster.out());
@@ -139,24 +139,25 @@
     let old = owner(&ALL, false, "a");
     let mut cluster = Cluster::new(&ALL);
     let caller = ALL.iter().map(|n| format!("edge-{n}")).find(|n| *n != old).expect("another");
-    let friend =
+    let other_peer =
         ALL.iter().map(|n| format!("edge-{n}")).find(|n| *n != old && *n != caller).expect("a third");
     cluster.coordinators.remove(&old);
     let up = |cluster: &mut Cluster, at: Nanos| {
         let coordinator = cluster.coordinators.get_mut(&caller).expect("a coordinator");
         coordinator.tick(at);
-        let outs = coordinator.take_actions();
+        let actions = coordinator.take_actions();
         let is_unresponsive = |o: &Action| matches!(o, Action::NotifyController(PeerMessage::Deaf { peer, .. }) if *peer == old);
-        let asks = outs.iter().filter_map(|o| match o {
+        let asks = actions.iter().filter_map(|o| match o {
             Action::Send { to, note: PeerMessage::Ask { .. } } => Some(to.trim_end_matches(":1").to_owned()),
             _ => None,
         });
-        (outs.iter().any(is_unresponsive), asks.collect::<Vec<_>>())
+        (actions.iter().any(is_unresponsive), asks.collect::<Vec<_>>())
     };
     cluster.request(T, &caller);
     // No proxy responded at all: the fault may be on this proxy's own link.
     assert!(!up(&mut cluster, T + 450 * MS).0);
-    cluster.with(T + 500 * MS, &caller, |coordinator| coordinator.receive(T + 500 * MS, &friend, 1, vec![]));
+    cluster
+        .with(T + 500 * MS, &caller, |coordinator| coordinator.receive(T + 500 * MS, &other_peer, 1, vec![]));
     let (is_unresponsive, asks) = up(&mut cluster, T + 525 * MS);
     assert!(is_unresponsive && asks.iter().any(|to| *to != old), "{asks:?}");
     // An owner that is slow but has sent something is waited for.
@@ -174,18 +175,18 @@
     let old = owner(&ALL, false, "a");
     let mut cluster = Cluster::new(&ALL);
     let caller = ALL.iter().map(|n| format!("edge-{n}")).find(|n| *n != old).expect("another");
-    let friend =
+    let other_peer =
         ALL.iter().map(|n| format!("edge-{n}")).find(|n| *n != old && *n != caller).expect("a third");
     cluster.request(T, &caller);
     let asked = cluster.in_transit.iter().find_map(|(from, to, message)| match message {
         PeerMessage::Ask { id, .. } if *from == caller && to.starts_with(&old) => Some(*id),
         _ => None,
     });
-    let waits = PeerMessage::Waits { id: asked.expect("an ask") };
+    let waits = PeerMessage::Waits { id: asked.expect("a request") };
     let coordinator = cluster.coordinators.get_mut(&caller).expect("a coordinator");
     coordinator.receive(T + 5 * MS, &old, 1, vec![waits]);
     let mut is_unresponsive = |at: Nanos| {
-        coordinator.receive(at, &friend, 1, vec![]);
+        coordinator.receive(at, &other_peer, 1, vec![]);
         coordinator.tick(at);
         coordinator
             .take_actions()
@@ -206,7 +207,7 @@
     let caller = ALL.iter().map(|n| format!("edge-{n}")).find(|n| *n != old).expect("another");
     cluster.request(T, &caller);
     cluster.deliver(T, &[&caller]);
-    let (_, _, grant) = cluster.in_transit.pop().expect("a grant on its way");
+    let (_, _, grant) = cluster.in_transit.pop().expect("a grant in transit");
     let address = format!("{caller}:1");
     cluster.with(T + 700 * MS, &old, |coordinator| {
         coordinator.undelivered(T + 700 * MS, &address, vec![grant.clone()])
@@ -256,7 +257,7 @@
             cluster.with(now, &name, |coordinator| coordinator.finish(now, id, Outcome::Full, 2 * MS));
         }
     }
-    assert!((1..=3 * new.len()).contains(&full), "{full} turned away");
+    assert!((1..=3 * new.len()).contains(&full), "{full} rejected");
     // Once it is gone, half of all slots are granted at once, and permits reported by their holders count.
     let left: Vec<_> = ALL.into_iter().filter(|n| format!("edge-{n}") != old).collect();
     let now = T + 4_200 * MS;
@@ -379,10 +380,10 @@
     }
     cluster.deliver(T, &[]);
     let counted = cluster.coordinators[&new].scheduler().permits().count();
-    assert_eq!(counted, 8, "those of its zone");
+    assert_eq!(counted, 8, "the permits of its zone");
     cluster.finish(T + 20 * MS, 16);
-    assert_eq!(cluster.coordinators[&new].scheduler().permits().count(), 0, "before any in_transit");
-    assert_eq!(cluster.in_transit.len(), 8, "those of the other zone");
+    assert_eq!(cluster.coordinators[&new].scheduler().permits().count(), 0, "before any message");
+    assert_eq!(cluster.in_transit.len(), 8, "the permits of the other zone");
     cluster.deliver(T + 30 * MS, &[]);
     assert!(cluster.coordinators.values().all(|coordinator| coordinator.scheduler().permits().count() == 0));
 }
@@ -431,7 +432,7 @@
         });
     }
     cluster.deliver(start + 5 * MS, &[]);
-    assert_eq!(cluster.coordinators[&third].scheduler().permits().count(), 16, "all that is out");
+    assert_eq!(cluster.coordinators[&third].scheduler().permits().count(), 16, "all outstanding permits");
     assert_eq!(cluster.coordinators[&second].scheduler().permits().count(), 0);
     // The current owner grants none of those slots before they are released, by way of both previous
     // owners.
@@ -441,7 +442,7 @@
     assert_eq!(cluster.granted.len(), 16);
     cluster.finish(later, 16);
     cluster.deliver(later, &[]);
-    assert_eq!(cluster.granted.len(), 4, "those that waited");
+    assert_eq!(cluster.granted.len(), 4, "the queued requests");
     assert_eq!(cluster.coordinators[&third].scheduler().permits().count(), 4);
 }
 
@@ -478,7 +479,7 @@
     let now = T + 3 * SECOND;
     cluster.request(now, &caller);
     cluster.deliver(now, &[&caller]);
-    let grant = cluster.in_transit.pop().expect("a grant on its way");
+    let grant = cluster.in_transit.pop().expect("a grant in transit");
     let PeerMessage::Grant { instance: old, .. } = grant.2.clone() else { panic!("{grant:?}") };
     for name in [&caller, &first, &second] {
         cluster.with(now, name, |coordinator| {
@@ -488,14 +489,18 @@
     cluster.in_transit.sort_by_key(|(from, ..)| (*from == first) != (order == Order::TransferFirst));
     let now = now + 10 * MS;
     if matches!(order, Order::TwiceOld | Order::TwiceNew) {
-        let response = cluster.in_transit.iter().position(|(from, ..)| *from == first).expect("its response");
+        let response = cluster
+            .in_transit
+            .iter()
+            .position(|(from, ..)| *from == first)
+            .expect("a message of the first owner");
         let response = cluster.in_transit.remove(response);
         // It knows all instances except that one, so that it grants another.
         let PeerMessage::Instances { set, .. } = instances(2) else { panic!("instances") };
-        let but: Vec<_> = set.iter().filter(|i| i.id != old).cloned().collect();
+        let others: Vec<_> = set.iter().filter(|i| i.id != old).cloned().collect();
         let whole =
             |version, set| PeerMessage::Instances { version: (1, version), all: true, set, gone: vec![] };
-        cluster.with(now, &second, |coordinator| coordinator.receive_from_controller(now, whole(3, but)));
+        cluster.with(now, &second, |coordinator| coordinator.receive_from_controller(now, whole(3, others)));
         cluster.deliver(now, &[&caller]);
         for step in 0..80 {
             let now = now + step * 25 * MS;
@@ -505,8 +510,8 @@
         assert!(
             cluster.in_transit.iter().any(|(_, _, message)| matches!(message, PeerMessage::Grant { .. }))
         );
-        let place = if order == Order::TwiceOld { 0 } else { cluster.in_transit.len() };
-        cluster.in_transit.insert(place, grant);
+        let position = if order == Order::TwiceOld { 0 } else { cluster.in_transit.len() };
+        cluster.in_transit.insert(position, grant);
         cluster.in_transit.push(response);
     } else {
         cluster.deliver(now, &[]);
@@ -521,7 +526,7 @@
         .permits()
         .map(|(.., instance)| instance.to_owned())
         .collect();
-    assert_eq!(out, used, "and that one is counted");
+    assert_eq!(out, used, "the used grant is counted");
     let end = now + 2 * SECOND + 100 * MS;
     cluster.finish(end, 1);
     cluster.deliver(end, &[]);
--- a/scheduler/tests/min_instances.rs
+++ b/scheduler/tests/min_instances.rs
@@ -47,7 +47,7 @@
 /// Runs ticks from one time to another. Returns the last reported target, the number of reports and the
 /// number of retired instances.
 fn run_ticks(scheduler: &mut Scheduler, from: Nanos, to: Nanos) -> (Option<u32>, usize, usize) {
-    let (mut wanted, mut said, mut retired) = (None, 0, 0);
+    let (mut target, mut reports, mut retired) = (None, 0, 0);
     for now in (from..to).step_by(25 * MS as usize) {
         scheduler.tick(now);
         for effect in scheduler.take_effects() {
@@ -55,30 +55,30 @@
                 scheduler.remove_instance(now, id);
             }
             match effect {
-                Effect::SetInstanceTarget { count, .. } => (wanted, said) = (Some(count), said + 1),
+                Effect::SetInstanceTarget { count, .. } => (target, reports) = (Some(count), reports + 1),
                 Effect::Retire(_) => retired += 1,
                 _ => {}
             }
         }
     }
-    (wanted, said, retired)
+    (target, reports, retired)
 }
 
 #[test]
 fn owner_retires_nothing_below_the_minimum_until_it_expires() {
     let mut scheduler = scheduler("me");
     scheduler.set_min_instances(0, "f", 2, 7, 20 * SECOND);
-    let (wanted, said, retired) = run_ticks(&mut scheduler, 0, 10 * SECOND);
-    assert_eq!((wanted, retired), (Some(2), 1), "one more than the floor");
-    assert!((18..=24).contains(&said), "twice a second: {said}");
+    let (target, reports, retired) = run_ticks(&mut scheduler, 0, 10 * SECOND);
+    assert_eq!((target, retired), (Some(2), 1), "one instance above the minimum is retired");
+    assert!((18..=24).contains(&reports), "twice a second: {reports}");
     // A message from an earlier leader is ignored; those from the current and later leaders apply.
     scheduler.set_min_instances(10 * SECOND, "f", 0, 6, 0);
     assert_eq!(run_ticks(&mut scheduler, 10 * SECOND, 12 * SECOND).2, 0);
     scheduler.set_min_instances(12 * SECOND, "f", 1, 8, 14 * SECOND);
     assert_eq!(run_ticks(&mut scheduler, 12 * SECOND, 13 * SECOND), (Some(1), 2, 1));
     // The minimum has expired without a further message.
-    let (wanted, _, retired) = run_ticks(&mut scheduler, 13 * SECOND, 16 * SECOND);
-    assert_eq!((wanted, retired), (Some(0), 1));
+    let (target, _, retired) = run_ticks(&mut scheduler, 13 * SECOND, 16 * SECOND);
+    assert_eq!((target, retired), (Some(0), 1));
     assert_eq!(run_ticks(&mut scheduler, 16 * SECOND, 30 * SECOND), (None, 0, 0));
 }
 
@@ -121,15 +121,15 @@
             .find_map(|e| if let Effect::SetInstanceTarget { does, .. } = e { Some(*does) } else { None })?
     };
     serve(&mut scheduler, SECOND, 0..3, Outcome::Answered, 40 * MS);
-    assert_eq!(reported_status(&mut scheduler, 2 * SECOND), None, "nobody has asked for it");
+    assert_eq!(reported_status(&mut scheduler, 2 * SECOND), None, "no minimum is set");
     scheduler.set_min_instances(2 * SECOND, "f", 1, 7, 60 * SECOND);
-    let does = FunctionStatus { delay: 40.0, lowest: 40.0, asked: 0, refused: 0 };
-    assert_eq!(reported_status(&mut scheduler, 2_100 * MS), Some(does));
+    let status = FunctionStatus { delay: 40.0, lowest: 40.0, asked: 0, refused: 0 };
+    assert_eq!(reported_status(&mut scheduler, 2_100 * MS), Some(status));
     // All three instances take 240 ms once: the average moves by a fifth of that.
     serve(&mut scheduler, 2_200 * MS, 10..13, Outcome::Answered, 240 * MS);
-    let does = reported_status(&mut scheduler, 2_700 * MS).expect("asked for");
-    assert!((does.delay - 80.0).abs() < 1e-6 && does.lowest == 40.0, "{does:?}");
-    assert_eq!((does.asked, does.refused), (3, 0));
+    let status = reported_status(&mut scheduler, 2_700 * MS).expect("a status while a minimum is set");
+    assert!((status.delay - 80.0).abs() < 1e-6 && status.lowest == 40.0, "{status:?}");
+    assert_eq!((status.asked, status.refused), (3, 0));
     serve(&mut scheduler, 2_800 * MS, 20..21, Outcome::Full, MS);
     assert_eq!(reported_status(&mut scheduler, 3_300 * MS).map(|d| (d.asked, d.refused)), Some((4, 1)));
     assert_eq!(reported_status(&mut scheduler, 6_000 * MS).map(|d| (d.asked, d.refused)), Some((0, 0)));
--- a/scheduler/tests/removed_functions.rs
+++ b/scheduler/tests/removed_functions.rs
@@ -16,7 +16,7 @@
 /// Which of the two proxies owns a function.
 fn owner(service: &str) -> usize {
     let owners = Owners::new((1, 1), vec![peer(0), peer(1)], []);
-    owners.owner(service, "z", |_| true).expect("one").name[5..].parse().expect("a number")
+    owners.owner(service, "z", |_| true).expect("an owner").name[5..].parse().expect("a number")
 }
 
 fn spec(name: &str) -> FunctionSpec {
@@ -105,7 +105,8 @@
     /// Makes the permit request of a flow step.
     fn request(&mut self, now: Nanos, n: usize, step: FlowStep<u16>) -> u64 {
         let FlowStep::RequestPermit(request_id, first) = step else { panic!("{step:?}") };
-        let id = self.coordinators[n].request_permit(now, request_id, first).expect("room");
+        let id =
+            self.coordinators[n].request_permit(now, request_id, first).expect("below the request limit");
         self.deliver_all(now);
         id
     }
@@ -124,17 +125,17 @@
 }
 
 /// The flow of a returning request, which is queued rather than denied.
-fn flow(came: Nanos) -> RequestFlow<u16> {
+fn flow(received_at: Nanos) -> RequestFlow<u16> {
     let (service, zone) = ("s".into(), "z".into());
-    let (target, repeatable, most, returned) = (400 * MS, false, 1, true);
-    let deadline = came + 1_500 * MS;
+    let (target, repeatable, max_attempts, returned) = (400 * MS, false, 1, true);
+    let deadline = received_at + 1_500 * MS;
     RequestFlow::new(RequestInfo {
         service,
         zone,
         target,
         repeatable,
-        max_attempts: most,
-        received_at: came,
+        max_attempts,
+        received_at,
         deadline,
         returned,
     })
@@ -149,49 +150,49 @@
 )]
 fn queued_request_follows_its_route_and_keeps_its_arrival_time(same: bool, owner_first: bool) {
     let mut cluster = Cluster::new();
-    let owns = owner("s");
-    let asks = if same { owns } else { 1 - owns };
-    let runs = flow(T).begin(true);
-    let runs = cluster.request(T, asks, runs);
-    assert_eq!(cluster.response(asks, runs), Some(&Ok("i".to_owned())));
-    let mut waits = flow(T + 10 * MS);
-    let step = waits.begin(true);
-    let before = cluster.request(T + 10 * MS, asks, step);
-    assert_eq!(cluster.response(asks, before), None);
+    let owner_index = owner("s");
+    let requester = if same { owner_index } else { 1 - owner_index };
+    let running = flow(T).begin(true);
+    let running = cluster.request(T, requester, running);
+    assert_eq!(cluster.response(requester, running), Some(&Ok("i".to_owned())));
+    let mut queued = flow(T + 10 * MS);
+    let step = queued.begin(true);
+    let before = cluster.request(T + 10 * MS, requester, step);
+    assert_eq!(cluster.response(requester, before), None);
 
     let now = T + 100 * MS;
-    cluster.remove_s(now, if owner_first { owns } else { asks });
+    cluster.remove_s(now, if owner_first { owner_index } else { requester });
     if !owner_first {
-        assert_eq!(cluster.response(asks, before), None, "it waits as before");
-        cluster.remove_s(now, owns);
+        assert_eq!(cluster.response(requester, before), None, "the request is still queued");
+        cluster.remove_s(now, owner_index);
     }
-    assert_eq!(cluster.response(asks, before), Some(&Err(DenialReason::Moved)));
-    assert_eq!(waits.denied(now, DenialReason::Moved), FlowStep::ResolveRoute);
-    let (mut now, mut step) = (now, waits.route_resolved(now, Some("t".into())));
+    assert_eq!(cluster.response(requester, before), Some(&Err(DenialReason::Moved)));
+    assert_eq!(queued.denied(now, DenialReason::Moved), FlowStep::ResolveRoute);
+    let (mut now, mut step) = (now, queued.route_resolved(now, Some("t".into())));
     if owner_first && !same {
         // By this proxy's older configuration the route still leads to the same function for a moment.
         let mut behind = flow(T + 10 * MS);
         behind.begin(true);
         behind.denied(now, DenialReason::Moved);
         let FlowStep::Wait(again) = behind.route_resolved(now, Some("s".into())) else {
-            panic!("it looks again")
+            panic!("expected a wait before resolving the route again")
         };
         let asked_again = behind.request_permit();
-        let id = cluster.request(again, asks, asked_again);
+        let id = cluster.request(again, requester, asked_again);
         assert_eq!(
-            cluster.response(asks, id),
+            cluster.response(requester, id),
             Some(&Err(DenialReason::Moved)),
-            "as long as stalls may not have heard"
+            "while proxies may have an older configuration"
         );
-        cluster.remove_s(again, asks);
+        cluster.remove_s(again, requester);
         behind.denied(again, DenialReason::Moved);
         (now, step) = (again, behind.route_resolved(again, Some("t".into())));
     }
     let FlowStep::RequestPermit(request, first) = &step else { panic!("{step:?}") };
     assert_eq!((request.service.as_str(), *first, request.returned), ("t", true, true));
     assert_eq!((request.deadline, request.soft_deadline), (T + 1_510 * MS, T + 410 * MS));
-    let id = cluster.request(now, asks, step);
-    assert!(matches!(cluster.response(asks, id), Some(Ok(instance)) if instance != "i"));
+    let id = cluster.request(now, requester, step);
+    assert!(matches!(cluster.response(requester, id), Some(Ok(instance)) if instance != "i"));
 }
 
 #[test]
@@ -202,8 +203,8 @@
     assert_eq!(gone.denied(T, DenialReason::Moved), FlowStep::ResolveRoute);
     assert_eq!(gone.route_resolved(T, None), FlowStep::Respond(Err(Refusal::NotReady)));
 
-    let wish = RequestInfo { repeatable: true, max_attempts: 2, ..flow(T).info().clone() };
-    let mut ran = RequestFlow::<u16>::new(wish);
+    let info = RequestInfo { repeatable: true, max_attempts: 2, ..flow(T).info().clone() };
+    let mut ran = RequestFlow::<u16>::new(info);
     ran.begin(true);
     ran.granted(T);
     let step = ran.attempt_ended(T + MS, "i".into(), Outcome::NoAnswer, true, None);
@@ -225,17 +226,17 @@
 #[test]
 fn late_requests_for_a_removed_function_are_moved_until_it_is_configured_again() {
     let mut cluster = Cluster::new();
-    let owns = owner("s");
-    cluster.remove_s(T, owns);
+    let owner_index = owner("s");
+    cluster.remove_s(T, owner_index);
     for (at, reason) in [(T + 9 * SECOND, DenialReason::Moved), (T + 11 * SECOND, DenialReason::Unknown)] {
         let step = flow(at).begin(true);
-        let id = cluster.request(at, owns, step);
-        assert_eq!(cluster.response(owns, id), Some(&Err(reason)));
+        let id = cluster.request(at, owner_index, step);
+        assert_eq!(cluster.response(owner_index, id), Some(&Err(reason)));
     }
     let now = T + 12 * SECOND;
-    cluster.remove_s(now, owns);
-    cluster.coordinators[owns].configure(now, [spec("s"), spec("t")].into_iter());
+    cluster.remove_s(now, owner_index);
+    cluster.coordinators[owner_index].configure(now, [spec("s"), spec("t")].into_iter());
     let step = flow(now).begin(true);
-    let id = cluster.request(now, owns, step);
-    assert!(!matches!(cluster.response(owns, id), Some(Err(_))));
+    let id = cluster.request(now, owner_index, step);
+    assert!(!matches!(cluster.response(owner_index, id), Some(Err(_))));
 }
--- a/scheduler/tests/scheduler.rs
+++ b/scheduler/tests/scheduler.rs
@@ -136,7 +136,11 @@
     }
     assert_eq!(granted(&scheduler.take_effects()), [] as [u64; 0]);
     scheduler.tick(T + 500 * MS);
-    assert_eq!(granted(&scheduler.take_effects()), [] as [u64; 0], "free, and left alone for a while");
+    assert_eq!(
+        granted(&scheduler.take_effects()),
+        [] as [u64; 0],
+        "the slots are free, but the instance is backed off"
+    );
     scheduler.tick(T + 700 * MS);
     assert_eq!(granted(&scheduler.take_effects()), [2, 3]);
 }
@@ -153,7 +157,7 @@
     );
     assert!(
         effects.iter().any(|e| matches!(e, Effect::SetInstanceTarget { count: 1, .. })),
-        "it counts as demand: {effects:?}"
+        "a denied request counts as demand: {effects:?}"
     );
     scheduler.request_permit(T + 450 * MS, "s".into(), request(2, T + 450 * MS, T + 1_050 * MS, true), true);
     assert!(scheduler.take_effects().iter().any(|e| matches!(e, Effect::Queued { ask: 2, .. })));
--- a/scheduler/tests/shutdown.rs
+++ b/scheduler/tests/shutdown.rs
@@ -43,7 +43,7 @@
         });
         if matches!(order, Order::MessagesBetween) {
             cluster.deliver(now, &[]);
-            assert!(cluster.within_limits(), "once {n} has heard: {:?}", cluster.out());
+            assert!(cluster.within_limits(), "after {n} applied the view: {:?}", cluster.out());
         }
     }
 }
@@ -67,9 +67,9 @@
         ALL.iter().for_each(|n| cluster.request(T, &name(*n)));
         cluster.deliver(T, &[]);
     }
-    assert_eq!(cluster.granted.len(), 16, "all slots are taken, and others wait");
-    let its_own = cluster.granted.iter().filter(|(who, ..)| *who == name(leaver)).count();
-    assert!(its_own > 0, "the one that leaves has some of them");
+    assert_eq!(cluster.granted.len(), 16, "all slots are taken, and requests are queued");
+    let held_by_leaver = cluster.granted.iter().filter(|(who, ..)| *who == name(leaver)).count();
+    assert!(held_by_leaver > 0, "the leaving proxy holds some of them");
     apply_view(&mut cluster, T + 10 * MS, leaver, order);
     cluster.deliver(T + 10 * MS, &[]);
     assert!(cluster.within_limits(), "{:?}", cluster.out());
@@ -110,7 +110,7 @@
     cluster.finish(T + 20 * MS, 1);
     cluster.deliver(T + 20 * MS, &[]);
     let granted = cluster.granted.iter().any(|(who, ..)| *who == name(leaver));
-    assert!(granted, "it gets the first slot that is free: {:?}", cluster.granted);
+    assert!(granted, "it gets the first free slot: {:?}", cluster.granted);
     assert!(cluster.within_limits());
 }
 
@@ -121,7 +121,8 @@
     let leaver = 0;
     let stay: Vec<_> = ALL.into_iter().filter(|n| *n != leaver).collect();
     let with = |n: usize| stay.iter().copied().chain([n]).collect::<Vec<_>>();
-    let new = (6..40).find(|n| owner(&with(*n), false, "a") == name(*n)).expect("one that owns it");
+    let new =
+        (6..40).find(|n| owner(&with(*n), false, "a") == name(*n)).expect("a proxy that would be the owner");
     let view = || view_without(2, &with(new), &[leaver]);
     let mut cluster = Cluster::new(&ALL);
     let limits = SchedulerLimits {
@@ -154,7 +155,7 @@
         .values()
         .map(|coordinator| coordinator.scheduler().counts().unaddressed)
         .sum::<u64>();
-    assert_eq!((cluster.granted.len(), unanswered), (1, 0), "it is answered");
+    assert_eq!((cluster.granted.len(), unanswered), (1, 0), "the request is answered");
     let (who, id, _) = cluster.granted.remove(0);
     assert_eq!(who, name(leaver));
     cluster.with(T + 3 * SECOND, &who, |coordinator| {
@@ -190,7 +191,7 @@
 /// Owner of the function's partition for this zone, among these proxies.
 fn partition_owner(who: &[usize], zone: &str) -> String {
     let owners = Owners::new((1, 1), who.iter().map(|n| peer(*n)).collect(), ["f".into()]);
-    owners.owner("f", zone, |_| true).expect("one").name.to_string()
+    owners.owner("f", zone, |_| true).expect("an owner").name.to_string()
 }
 
 /// An instance with four slots in this zone, all in use, whose partition belongs to the only proxy of zone
@@ -223,7 +224,7 @@
 /// A zone without a proxy, whose instances belong to the partition of zone c.
 fn zone_without_proxies() -> String {
     let zones = (0..200).map(|n| format!("d{n}"));
-    zones.into_iter().find(|zone| partition_owner(&[0, 1, 2, 3, 100], zone) == name(100)).expect("one")
+    zones.into_iter().find(|zone| partition_owner(&[0, 1, 2, 3, 100], zone) == name(100)).expect("an owner")
 }
 
 /// Found by the simulator: when the owner of one partition took over another, it granted the slots at once
@@ -234,17 +235,21 @@
     zone_without_a_proxy = { zone_without_proxies(), true },
 )]
 fn owner_of_another_partition_awaits_its_permits_and_transfers_them_back(zone: String, known: bool) {
-    let (mut cluster, heir) = full_partition(&zone, known);
+    let (mut cluster, successor) = full_partition(&zone, known);
     let now = T + 2 * SECOND + 10 * MS;
-    cluster.with(now, &heir, |coordinator| {
+    cluster.with(now, &successor, |coordinator| {
         coordinator.receive_from_controller(now, split_view((1, 3), &[0, 1, 2, 3], &[100]));
         coordinator.receive_from_controller(now, instance_in((1, 3), &zone));
     });
-    (0..6).for_each(|_| cluster.request(now, &heir));
+    (0..6).for_each(|_| cluster.request(now, &successor));
     cluster.deliver(now, &[]);
-    assert!(cluster.within_limits(), "before the one of before has said anything: {:?}", cluster.out());
+    assert!(
+        cluster.within_limits(),
+        "before the previous owner has transferred its permits: {:?}",
+        cluster.out()
+    );
     for n in [0, 1, 2, 3, 100] {
-        if name(n) != heir {
+        if name(n) != successor {
             cluster.with(now, &name(n), |coordinator| {
                 coordinator.receive_from_controller(now, split_view((1, 3), &[0, 1, 2, 3], &[100]))
             });
@@ -255,9 +260,10 @@
     // Released slots are granted again, by the new owner.
     cluster.finish(now + 20 * MS, 2);
     cluster.deliver(now + 20 * MS, &[]);
-    let of_heir =
-        |cluster: &Cluster| cluster.granted.iter().filter(|(who, _, i)| *who == heir && i == "i-c").count();
-    assert_eq!((of_heir(&cluster), cluster.out().get("i-c")), (2, Some(&4)));
+    let granted_to_successor = |cluster: &Cluster| {
+        cluster.granted.iter().filter(|(who, _, i)| *who == successor && i == "i-c").count()
+    };
+    assert_eq!((granted_to_successor(&cluster), cluster.out().get("i-c")), (2, Some(&4)));
     // The other proxy is back and owns the partition again, but grants no slot that is in use.
     let now = now + SECOND;
     cluster.with(now, &name(100), |coordinator| {
@@ -276,7 +282,7 @@
     assert_eq!(
         cluster.coordinators[&name(100)].scheduler().counts().taken_over,
         4,
-        "it is told of all that is out"
+        "all outstanding permits are transferred"
     );
     for step in 1..60 {
         let now = now + step * 25 * MS;
@@ -287,7 +293,7 @@
         cluster.deliver(now, &[]);
         assert!(cluster.within_limits(), "{:?}", cluster.out());
     }
-    assert!(cluster.granted.is_empty(), "all are served: {:?}", cluster.granted);
+    assert!(cluster.granted.is_empty(), "all requests are served: {:?}", cluster.granted);
     assert!(cluster.coordinators.values().all(|coordinator| coordinator.scheduler().permits().count() == 0));
 }
 
@@ -310,7 +316,7 @@
     // Only the holders can report the permits of a dead owner.
     let old = owner(&ALL, false, "a");
     let has_some = |n: &usize| cluster.granted.iter().any(|(who, ..)| *who == name(*n));
-    let dead = ALL.into_iter().find(|n| name(*n) != old && has_some(n)).expect("one");
+    let dead = ALL.into_iter().find(|n| name(*n) != old && has_some(n)).expect("an owner");
     let first = ALL.into_iter().find(|n| *n != dead && name(*n) != old).expect("another");
     let live: Vec<_> = ALL.into_iter().filter(|n| *n != dead).collect();
     for (at, version, who) in [(10, (2, 1), vec![first]), (150, (2, 2), live.clone())] {
@@ -320,11 +326,11 @@
                 coordinator.receive_from_controller(now, view(version, &who))
             });
             cluster.deliver(now, &[&name(dead)]);
-            assert!(cluster.within_limits(), "{at} ms, once {n} has heard: {:?}", cluster.out());
+            assert!(cluster.within_limits(), "{at} ms, after {n} applied the view: {:?}", cluster.out());
         }
     }
     // A proxy that never returns is taken for gone in the end, and its slots go to queued requests.
-    let its_own = cluster.granted.iter().filter(|(who, ..)| *who == name(dead)).count();
+    let held_by_leaver = cluster.granted.iter().filter(|(who, ..)| *who == name(dead)).count();
     cluster.granted.retain(|(who, ..)| *who != name(dead));
     cluster.coordinators.remove(&name(dead));
     let before = cluster.granted.len();
@@ -334,5 +340,5 @@
         cluster.deliver(now, &[]);
         assert!(cluster.within_limits(), "{:?}", cluster.out());
     }
-    assert_eq!(cluster.granted.len(), before + its_own);
+    assert_eq!(cluster.granted.len(), before + held_by_leaver);
 }
--- a/scheduler/tests/worker_speed.rs
+++ b/scheduler/tests/worker_speed.rs
@@ -61,7 +61,8 @@
     took: impl Fn(&str) -> Nanos,
     outcome: Outcome,
 ) -> (Vec<String>, BTreeSet<String>) {
-    let (mut got, mut reported, mut out) = (Vec::new(), BTreeSet::new(), Vec::<(Nanos, u64, Nanos)>::new());
+    let (mut granted_to, mut reported, mut out) =
+        (Vec::new(), BTreeSet::new(), Vec::<(Nanos, u64, Nanos)>::new());
     for step in 0..1_000u64 {
         let now = T + step * 10 * MS;
         if step % 2 == 0 {
@@ -77,42 +78,46 @@
                     // Durations vary as those of real requests do.
                     let took = took(&instance.id) * (70 + request_id * 7_919 % 61) / 100;
                     out.push((now + took, request_id, took));
-                    got.push(instance.id.to_string());
+                    granted_to.push(instance.id.to_string());
                 }
                 Effect::SetInstanceTarget { slow, .. } => reported.extend(slow.iter().map(|w| w.to_string())),
                 _ => {}
             }
         }
     }
-    (got, reported)
+    (granted_to, reported)
 }
 
-fn share(got: &[String], id: &str) -> f64 {
-    let late = &got[got.len() / 2..];
+fn share(granted_to: &[String], id: &str) -> f64 {
+    let late = &granted_to[granted_to.len() / 2..];
     late.iter().filter(|g| *g == id).count() as f64 / late.len() as f64
 }
 
 #[test]
 fn similar_instances_take_turns_and_no_worker_is_reported() {
     // Normal variation between instances is a factor of 1.5.
-    let (got, reported) =
+    let (granted_to, reported) =
         run_requests(&mut scheduler(), |id| if id == "i-0" { 60 * MS } else { 45 * MS }, Outcome::Answered);
     // One of the three is surplus and is retired.
-    assert!((0.3..0.7).contains(&share(&got, "i-0")) || share(&got, "i-0") == 0.0, "{}", share(&got, "i-0"));
+    assert!(
+        (0.3..0.7).contains(&share(&granted_to, "i-0")) || share(&granted_to, "i-0") == 0.0,
+        "{}",
+        share(&granted_to, "i-0")
+    );
     assert!(reported.is_empty(), "{reported:?}");
 }
 
 #[test]
 fn instance_on_slow_worker_gets_only_overflow_and_the_worker_is_reported() {
-    let (got, reported) =
+    let (granted_to, reported) =
         run_requests(&mut scheduler(), |id| if id == "i-1" { 180 * MS } else { 45 * MS }, Outcome::Answered);
-    assert!(share(&got, "i-1") < 0.02, "{}", share(&got, "i-1"));
+    assert!(share(&granted_to, "i-1") < 0.02, "{}", share(&granted_to, "i-1"));
     assert_eq!(reported, BTreeSet::from(["w-1".to_owned()]));
 }
 
 #[test]
 fn fast_errors_do_not_count_as_speed() {
-    let (got, reported) =
+    let (granted_to, reported) =
         run_requests(&mut scheduler(), |id| if id == "i-1" { 2 * MS } else { 45 * MS }, Outcome::Failed);
-    assert!(share(&got, "i-0") > 0.2 && reported.is_empty(), "{reported:?}");
+    assert!(share(&granted_to, "i-0") > 0.2 && reported.is_empty(), "{reported:?}");
 }
