--- a/scheduler/src/coordinator.rs
+++ b/scheduler/src/coordinator.rs
@@ -673,7 +673,7 @@
 
     fn apply_effect(&mut self, now: Nanos, effect: Effect) {
         match effect {
-            Effect::Grant { to, ask: request_id, instance } if to == self.me.name => {
+            Effect::Grant { to, request_id, instance } if to == self.me.name => {
                 match self.open.get_mut(&request_id) {
                     Some(open) if open.granted.is_none() => {
                         open.granted = Some((instance.id.clone(), instance.zone.clone()));
@@ -684,12 +684,12 @@
                     None => self.scheduler.release(now, &to, request_id, Outcome::Unused, 0),
                 }
             }
-            Effect::Refuse { to, ask: request_id, reason } if to == self.me.name => {
+            Effect::Refuse { to, request_id, reason } if to == self.me.name => {
                 if self.open.remove(&request_id).is_some() {
                     self.actions.push_back(Action::Refused { ask: request_id, reason });
                 }
             }
-            Effect::Grant { to, ask: request_id, instance } => {
+            Effect::Grant { to, request_id, instance } => {
                 let same_zone = self.owners.find(&to).is_some_and(|p| p.zone == instance.zone);
                 let zone = (!same_zone).then_some(instance.zone);
                 let message = PeerMessage::Grant {
@@ -700,7 +700,7 @@
                 };
                 self.send(&to, message);
             }
-            Effect::Refuse { to, ask: request_id, reason } => {
+            Effect::Refuse { to, request_id, reason } => {
                 let wait = if let DenialReason::Full(wait) = reason { wait } else { 0 };
                 self.send(
                     &to,
@@ -712,17 +712,17 @@
                 );
             }
             Effect::Queued { to, .. } if to == self.me.name => {}
-            Effect::Queued { to, ask: request_id } => self.send(&to, PeerMessage::Waits { id: request_id }),
-            Effect::SetInstanceTarget { service, count, zones, strain, does, slow } => {
+            Effect::Queued { to, request_id } => self.send(&to, PeerMessage::Waits { id: request_id }),
+            Effect::SetInstanceTarget { service, count, zones, load, status, slow_workers } => {
                 let home_zone = (self.owners.partition_count(&service) > 1).then(|| self.me.zone.clone());
                 self.actions.push_back(Action::NotifyController(PeerMessage::Want {
                     service,
                     count,
                     zones,
                     lot: home_zone,
-                    strain,
-                    does,
-                    slow,
+                    strain: load,
+                    does: status,
+                    slow: slow_workers,
                 }))
             }
             Effect::Retire(instance) => {
--- a/scheduler/src/coordinator/permit_transfer.rs
+++ b/scheduler/src/coordinator/permit_transfer.rs
@@ -121,10 +121,10 @@
 
     /// Redirects the release of a permit held by this proxy to another owner.
     fn redirect_release(&mut self, from: &str, id: u64, instance: &str, owner: CompactString) {
-        let receivers = |open: &&mut PendingRequest| {
+        let is_granted_there = |open: &&mut PendingRequest| {
             open.owner.as_deref() == Some(from) && open.granted.as_ref().is_some_and(|(at, _)| at == instance)
         };
-        if let Some(open) = self.open.get_mut(&id).filter(receivers) {
+        if let Some(open) = self.open.get_mut(&id).filter(is_granted_there) {
             open.owner = Some(owner);
         }
     }
--- a/scheduler/src/coordinator/view_change_tests.rs
+++ b/scheduler/src/coordinator/view_change_tests.rs
@@ -2,7 +2,7 @@
 //! recomputes everything.
 
 use millpost::Dice;
-use millpost_protocol::{Instance as Told, MembershipView};
+use millpost_protocol::{Instance as ListedInstance, MembershipView};
 
 use super::*;
 use crate::recording::Input;
@@ -62,14 +62,14 @@
         let split: Vec<_> = self.split.iter().map(|n| service(*n)).collect();
         let next = MembershipView::new(self.version(), peers, split);
         let before = std::mem::replace(&mut self.view, next);
-        let mut shift = self.view.shift(&before);
+        let mut change = self.view.shift(&before);
         match self.below(8) {
             0 => self.view.note(),
             1 => {
-                shift.from.1 += 1_000_000;
-                PeerMessage::ViewChange(shift)
+                change.from.1 += 1_000_000;
+                PeerMessage::ViewChange(change)
             }
-            _ => PeerMessage::ViewChange(shift),
+            _ => PeerMessage::ViewChange(change),
         }
     }
 
@@ -88,7 +88,7 @@
         if all {
             set = self.instances.iter().copied().collect();
         }
-        let receivers = |n: u64| Told {
+        let listed = |n: u64| ListedInstance {
             id: format!("i{n}").into(),
             service: service(n % (FUNCTIONS + 2)),
             address: format!("b-{n}:1").into(),
@@ -96,7 +96,7 @@
             worker: "w".into(),
             stage: (!n.is_multiple_of(5)).into(),
         };
-        let set = set.into_iter().map(receivers).collect();
+        let set = set.into_iter().map(listed).collect();
         PeerMessage::Instances { version: self.version(), all, set, gone }
     }
 
@@ -175,8 +175,8 @@
         };
         let actions = given(&mut incremental, now, input.clone());
         assert_eq!(actions, given(&mut reference, now, input.clone()), "seed {seed}, {input:?}");
-        for out in &actions {
-            match out {
+        for action in &actions {
+            match action {
                 Action::Granted { ask: request_id, .. } => granted.push(*request_id),
                 Action::NotifyController(PeerMessage::Behind { version }) => {
                     behind += 1;
@@ -197,10 +197,10 @@
             reference.scheduler.ownership_state(),
             "seed {seed}, {input:?}"
         );
-        let home = incremental.owners.find("edge-0").is_none_or(|p| p.zone == "a");
+        let in_zone_a = incremental.owners.find("edge-0").is_none_or(|p| p.zone == "a");
         for (name, owned, split) in incremental.scheduler.ownership_state() {
-            let mine = incremental.owners.owner(&name, "a", |_| true).is_some_and(|p| p.name == "edge-0");
-            assert!(!home || owned == mine, "{name}");
+            let expected = incremental.owners.owner(&name, "a", |_| true).is_some_and(|p| p.name == "edge-0");
+            assert!(!in_zone_a || owned == expected, "{name}");
             assert_eq!(split, incremental.owners.partition_count(&name) > 1, "{name}");
         }
     }
@@ -211,8 +211,8 @@
 fn incremental_update_equals_full_recomputation() {
     let (mut behind, mut released) = (0, 0);
     for seed in 0..12 {
-        let (b, p) = run_random_inputs(seed);
-        (behind, released) = (behind + b, released + p);
+        let (behind_here, released_here) = run_random_inputs(seed);
+        (behind, released) = (behind + behind_here, released + released_here);
     }
     assert!(behind > 50 && released > 500, "{behind}, {released}");
 }
--- a/scheduler/src/effect.rs
+++ b/scheduler/src/effect.rs
@@ -59,7 +59,7 @@
         /// Requesting proxy.
         to: CompactString,
         /// Request id.
-        ask: u64,
+        request_id: u64,
         /// Granted instance.
         instance: Instance,
     },
@@ -68,7 +68,7 @@
         /// Requesting proxy.
         to: CompactString,
         /// Request id.
-        ask: u64,
+        request_id: u64,
         /// Reason of the denial.
         reason: DenialReason,
     },
@@ -77,7 +77,7 @@
         /// Requesting proxy.
         to: CompactString,
         /// Request id.
-        ask: u64,
+        request_id: u64,
     },
     /// Reports the instance target of a function.
     SetInstanceTarget {
@@ -88,11 +88,11 @@
         /// Zones in which requests arrive, the busiest first.
         zones: Vec<CompactString>,
         /// Fraction of this proxy's capacity that the function uses.
-        strain: f64,
+        load: f64,
         /// Status of the function, while a minimum instance count is set.
-        does: Option<FunctionStatus>,
+        status: Option<FunctionStatus>,
         /// Workers that are significantly slow for the function.
-        slow: Vec<CompactString>,
+        slow_workers: Vec<CompactString>,
     },
     /// The instance receives no more requests and may be stopped.
     Retire(CompactString),
--- a/scheduler/src/function.rs
+++ b/scheduler/src/function.rs
@@ -114,7 +114,7 @@
 impl Scheduler {
     /// Creates a scheduler without any functions or instances.
     pub fn new(limits: SchedulerLimits, seed: u64) -> Self {
-        let speeds = limits.rank_by_latency.then(LatencyModel::new);
+        let latency_model = limits.rank_by_latency.then(LatencyModel::new);
         Scheduler {
             limits,
             functions: Vec::new(),
@@ -129,7 +129,7 @@
             queue_positions: HashMap::new(),
             removed_functions: RemovedFunctions::default(),
             active: Vec::new(),
-            latency_model: speeds,
+            latency_model,
             sequence: 0,
             rng: Dice::seeded(seed),
             effects: Vec::new(),
@@ -160,14 +160,14 @@
 
     /// Returns the index of a function, adding it if it is unknown.
     fn index_or_insert(&mut self, name: &CompactString) -> usize {
-        if let Some(at) = self.index_by_name.get(name) {
-            return *at;
+        if let Some(index) = self.index_by_name.get(name) {
+            return *index;
         }
         let service = FunctionState::new(name.clone());
-        let at = match self.free_indices.pop() {
-            Some(at) => {
-                (self.functions[at], self.rival_seeds[at]) = (service, 0);
-                at
+        let index = match self.free_indices.pop() {
+            Some(index) => {
+                (self.functions[index], self.rival_seeds[index]) = (service, 0);
+                index
             }
             None => {
                 self.functions.push(service);
@@ -175,35 +175,35 @@
                 self.functions.len() - 1
             }
         };
-        self.index_by_name.insert(name.clone(), at);
-        at
+        self.index_by_name.insert(name.clone(), index);
+        index
     }
 
     /// Frees the index of a function of which nothing is known any more.
-    fn free_if_empty(&mut self, at: usize) {
-        let service = &mut self.functions[at];
+    fn free_if_empty(&mut self, index: usize) {
+        let service = &mut self.functions[index];
         if !service.is_empty() {
             return;
         }
         self.index_by_name.remove(&service.name);
         *service = FunctionState::default();
-        self.rival_seeds[at] = 0;
-        self.active.retain(|n| *n != at);
-        self.free_indices.push(at);
+        self.rival_seeds[index] = 0;
+        self.active.retain(|n| *n != index);
+        self.free_indices.push(index);
     }
 
     /// Marks a function for processing on the next tick.
-    fn activate(&mut self, at: usize) {
-        if !std::mem::replace(&mut self.functions[at].active, true) {
-            let name = &self.functions[at].name;
+    fn activate(&mut self, index: usize) {
+        if !std::mem::replace(&mut self.functions[index].active, true) {
+            let name = &self.functions[index].name;
             let position = self.active.partition_point(|n| self.functions[*n].name < *name);
-            self.active.insert(position, at);
+            self.active.insert(position, index);
         }
     }
 
     /// Indices of the functions that match, ordered by name.
     fn indices_where(&self, which: impl Fn(&FunctionState) -> bool) -> Vec<usize> {
-        self.sort_by_name((0..self.functions.len()).filter(|at| which(&self.functions[*at])).collect())
+        self.sort_by_name((0..self.functions.len()).filter(|index| which(&self.functions[*index])).collect())
     }
 
     fn sort_by_name(&self, mut all: Vec<usize>) -> Vec<usize> {
@@ -214,40 +214,42 @@
     /// Applies the functions of the current configuration.
     pub fn configure(&mut self, now: Nanos, specs: impl Iterator<Item = FunctionSpec>) {
         let mut gone: BTreeSet<usize> = self.indices_where(|s| s.function.is_some()).into_iter().collect();
-        let begins = gone.is_empty();
+        let is_first = gone.is_empty();
         for spec in specs {
-            let at = self.index_or_insert(&spec.name);
-            gone.remove(&at);
+            let index = self.index_or_insert(&spec.name);
+            gone.remove(&index);
             self.removed_functions.restore(&spec.name);
-            if let Some(function) = &mut self.functions[at].function {
+            if let Some(function) = &mut self.functions[index].function {
                 function.spec = spec;
                 continue;
             }
             let budget =
                 Budget::new(self.limits.retry_window, self.limits.retry_ratio, self.limits.retry_slack);
             let mut demand = Demand::new(now);
-            if begins && spec.concurrency > 1 {
+            if is_first && spec.concurrency > 1 {
                 demand.keep_standby(now + STANDBY_TIME);
             }
-            self.functions[at].function = Some(ConfiguredFunction::new(spec, budget, demand));
-            self.activate(at);
+            self.functions[index].function = Some(ConfiguredFunction::new(spec, budget, demand));
+            self.activate(index);
         }
-        for at in self.indices_where(|s| s.function.is_some()).into_iter().filter(|at| gone.contains(at)) {
-            self.remove_function(now, at);
+        for index in
+            self.indices_where(|s| s.function.is_some()).into_iter().filter(|index| gone.contains(index))
+        {
+            self.remove_function(now, index);
         }
     }
 
     /// Keeps instances that another owner started until this owner has measured the demand.
-    fn inherit_instances(&mut self, now: Nanos, at: usize) {
-        let service = &mut self.functions[at];
+    fn inherit_instances(&mut self, now: Nanos, index: usize) {
+        let service = &mut self.functions[index];
         let live = service.live_instances() as u32;
         if let Some(function) = &mut service.function {
             function.demand.inherited(now, live);
         }
     }
 
-    fn probe_if_booting(&mut self, now: Nanos, at: usize, id: &str) {
-        let service = &self.functions[at];
+    fn probe_if_booting(&mut self, now: Nanos, index: usize, id: &str) {
+        let service = &self.functions[index];
         let Some(state) = service.instance(id).filter(|p| p.info.stage == Stage::Booting) else { return };
         let Some(function) = &service.function else { return };
         if service.owned && state.owned {
@@ -258,17 +260,17 @@
 
     /// Reports all instance targets again, since a new leader has received none of them.
     pub fn resend_targets(&mut self) {
-        for at in 0..self.functions.len() {
-            if let Some(function) = &mut self.functions[at].function {
+        for index in 0..self.functions.len() {
+            if let Some(function) = &mut self.functions[index].function {
                 function.last_reported = None;
             }
-            self.activate(at);
+            self.activate(index);
         }
     }
 
     /// Whether the instance is known and has not yet been seen accepting connections.
     pub fn is_booting(&self, id: &str) -> bool {
-        self.index_by_instance.get(id).is_some_and(|at| self.functions[*at].is_booting(id))
+        self.index_by_instance.get(id).is_some_and(|index| self.functions[*index].is_booting(id))
     }
 
     /// Live instances of the functions owned here, without those that are draining, retired or lost.
@@ -325,12 +327,12 @@
 
     /// Zone of an instance, if it is known.
     pub fn zone_of(&self, instance: &str) -> Option<&CompactString> {
-        let at = *self.index_by_instance.get(instance)?;
-        self.functions[at].instance(instance).map(|state| &state.info.zone)
+        let index = *self.index_by_instance.get(instance)?;
+        self.functions[index].instance(instance).map(|state| &state.info.zone)
     }
 
     fn push_refusal(&mut self, to: CompactString, request_id: u64, reason: DenialReason) {
-        self.effects.push(Effect::Refuse { to, ask: request_id, reason });
+        self.effects.push(Effect::Refuse { to, request_id, reason });
     }
 
     fn deny(
@@ -353,15 +355,15 @@
         if let Some(permit) = self.permits.get(&key) {
             if let Some(state) = self.functions[permit.function].instance(&permit.instance) {
                 let instance = state.info.clone();
-                self.effects.push(Effect::Grant { to: key.0, ask: request.id, instance });
+                self.effects.push(Effect::Grant { to: key.0, request_id: request.id, instance });
             }
             return;
         }
         if self.queue_positions.contains_key(&key) {
-            return self.effects.push(Effect::Queued { to: key.0, ask: request.id });
+            return self.effects.push(Effect::Queued { to: key.0, request_id: request.id });
         }
-        let at = self.index_by_name.get(&request.service).copied();
-        let Some((at, service)) = at.map(|at| (at, &mut self.functions[at])) else {
+        let index = self.index_by_name.get(&request.service).copied();
+        let Some((index, service)) = index.map(|index| (index, &mut self.functions[index])) else {
             return self.deny_unknown(now, key, &request.service);
         };
         let Some(function) = &mut service.function else {
@@ -396,8 +398,8 @@
             }
         }
         if let Some(id) = chosen {
-            self.grant(now, at, key, &request, &id, false);
-            return self.report_target(now, at);
+            self.grant(now, index, key, &request, &id, false);
+            return self.report_target(now, index);
         }
         // No instance is known here, and other proxies may already see this one as the owner: instance
         // information may still be on its way.
@@ -427,7 +429,7 @@
                 () => RequestDecision::QueueFull { queued },
             };
             self.deny(key.0, request.id, DenialReason::Full(wait), why);
-            self.functions[at].record_refusal(now);
+            self.functions[index].record_refusal(now);
         } else {
             self.sequence += 1;
             let position = (request.deadline, self.sequence);
@@ -442,28 +444,28 @@
                 }
             };
             self.reasons.push_request(&key.0, key.1, why);
-            self.effects.push(Effect::Queued { to: key.0.clone(), ask: request.id });
+            self.effects.push(Effect::Queued { to: key.0.clone(), request_id: request.id });
             let awaiting = awaiting.then_some(now + INSTANCE_DISCOVERY_WAIT);
             function.queue.insert(
                 position,
                 Waiting { from: key.0.clone(), request, awaiting_instances_until: awaiting },
             );
-            self.queue_positions.insert(key, (at, position));
-            self.activate(at);
+            self.queue_positions.insert(key, (index, position));
+            self.activate(index);
         }
-        self.report_target(now, at);
+        self.report_target(now, index);
     }
 
     fn grant(
         &mut self,
         now: Nanos,
-        at: usize,
+        index: usize,
         key: Key,
         request: &PermitRequest,
         id: &CompactString,
         waited: bool,
     ) {
-        let service = &mut self.functions[at];
+        let service = &mut self.functions[index];
         let most = service.function.as_ref().map_or(1, |f| f.spec.concurrency);
         let Some(state) = service.add_permit(id, key.clone()) else { return };
         self.sequence += 1;
@@ -471,13 +473,17 @@
         let (out, failed_there) = (state.permits.len(), request.avoid.contains(id));
         let why = || RequestDecision::Granted { instance: id.clone(), out, most, failed_there, waited };
         self.reasons.push_request(&key.0, key.1, why);
-        self.effects.push(Effect::Grant { to: key.0.clone(), ask: request.id, instance: state.info.clone() });
+        self.effects.push(Effect::Grant {
+            to: key.0.clone(),
+            request_id: request.id,
+            instance: state.info.clone(),
+        });
         service.record_permits(now);
         let until = request.deadline.saturating_add(PERMIT_GRACE);
         self.record_permit(
             key,
             Permit {
-                function: at,
+                function: index,
                 instance: id.clone(),
                 expires_at: until,
                 granted_at: now,
@@ -492,8 +498,8 @@
     }
 
     fn dequeue(&mut self, key: &Key) {
-        if let Some((at, position)) = self.queue_positions.remove(key)
-            && let Some(function) = &mut self.functions[at].function
+        if let Some((index, position)) = self.queue_positions.remove(key)
+            && let Some(function) = &mut self.functions[index].function
         {
             function.queue.remove(&position);
         }
@@ -522,7 +528,7 @@
         let Some(permit) = self.permits.get_mut(&key) else {
             return self.permit_returned(now, from, request_id, outcome);
         };
-        let (at, service) = (permit.function, &mut self.functions[permit.function]);
+        let (index, service) = (permit.function, &mut self.functions[permit.function]);
         if outcome.may_still_run() && !permit.abandoned {
             if outcome == Outcome::TimedOut {
                 let target = service.function.as_ref().map_or(200 * MS, |f| f.target);
@@ -571,27 +577,27 @@
         }
         service.record_permits(now);
         if outcome == Outcome::Answered {
-            self.record_latency(now, at, &permit.instance, took);
+            self.record_latency(now, index, &permit.instance, took);
         }
         if lost {
             self.mark_lost(now, &permit.instance, true);
         }
-        self.serve_queue(now, at);
-        self.retire_surplus(now, at);
+        self.serve_queue(now, index);
+        self.retire_surplus(now, index);
     }
 
     /// Marks an instance as dead. `failing`: detected by consecutive failed attempts rather than by a
     /// refused connection.
     pub fn mark_lost(&mut self, now: Nanos, id: &str, failing: bool) {
-        let Some(at) = self.index_by_instance.get(id).copied() else { return };
-        if self.functions[at].instance(id).is_none_or(|p| p.retired) {
+        let Some(index) = self.index_by_instance.get(id).copied() else { return };
+        if self.functions[index].instance(id).is_none_or(|p| p.retired) {
             return;
         }
-        self.functions[at]
+        self.functions[index]
             .update_instance(id, |state| (state.retired, state.lost, state.reported_at) = (true, true, now));
         self.reasons.push(|| Reason::DeadInstance { instance: id.into(), failing });
         self.effects.push(Effect::ReportLost(id.into()));
-        self.report_target(now, at);
+        self.report_target(now, index);
     }
 
     /// Releases all permits and queued requests of a proxy that is gone.
@@ -608,9 +614,9 @@
     }
 
     /// Grants free slots to queued requests.
-    fn serve_queue(&mut self, now: Nanos, at: usize) {
+    fn serve_queue(&mut self, now: Nanos, index: usize) {
         loop {
-            let service = &mut self.functions[at];
+            let service = &mut self.functions[index];
             let first = service.function.as_ref().and_then(|f| f.queue.first_key_value());
             let Some((_, waiting)) = first else { return };
             let late = waiting.request.deadline <= now;
@@ -627,9 +633,9 @@
             let key = (from, request.id);
             self.queue_positions.remove(&key);
             match chosen {
-                Some(id) => self.grant(now, at, key, &request, &id, true),
+                Some(id) => self.grant(now, index, key, &request, &id, true),
                 None => {
-                    self.functions[at].record_refusal(now);
+                    self.functions[index].record_refusal(now);
                     self.deny(key.0, request.id, DenialReason::Full(0), || RequestDecision::DeadlinePassed);
                 }
             }
@@ -638,15 +644,15 @@
 
     /// Applies the admission checks to requests that waited for instance information which did not arrive
     /// in time.
-    fn reassess_waiting(&mut self, now: Nanos, at: usize) {
-        let service = &self.functions[at];
+    fn reassess_waiting(&mut self, now: Nanos, index: usize) {
+        let service = &self.functions[index];
         let Some(function) = &service.function else { return };
         let (wait, hold_time) = (service.expected_wait(now), function.demand.expected_hold_time() as Nanos);
         let expired = |w: &Waiting| w.awaiting_instances_until.is_some_and(|until| until <= now);
         let due: Vec<_> =
             function.queue.iter().filter(|(_, w)| expired(w)).map(|(position, _)| *position).collect();
         for position in due {
-            let Some(function) = &mut self.functions[at].function else { return };
+            let Some(function) = &mut self.functions[index].function else { return };
             let Some(waiting) = function.queue.get_mut(&position) else { continue };
             waiting.awaiting_instances_until = None;
             let request = &waiting.request;
@@ -665,7 +671,7 @@
                 let why =
                     || if unreachable { RequestDecision::DeadlineUnreachable { wait, left } } else { late };
                 self.deny(from, id, DenialReason::Full(wait), why);
-                self.functions[at].record_refusal(now);
+                self.functions[index].record_refusal(now);
             }
         }
     }
@@ -693,27 +699,29 @@
         self.returned_permits.sweep(now);
         self.update_latency_ranks(now);
         // Functions activated meanwhile are processed on the next tick.
-        for at in self.active.clone() {
-            let needs_update = self.functions[at].needs_update();
-            self.serve_queue(now, at);
-            self.reassess_waiting(now, at);
+        for index in self.active.clone() {
+            let needs_update = self.functions[index].needs_update();
+            self.serve_queue(now, index);
+            self.reassess_waiting(now, index);
             if needs_update {
-                self.report_target(now, at);
-                self.retire_surplus(now, at);
-                self.resend_reports(now, at);
+                self.report_target(now, index);
+                self.retire_surplus(now, index);
+                self.resend_reports(now, index);
             }
         }
         let functions = &mut self.functions;
-        self.active.retain(|at| {
-            functions[*at].active = functions[*at].stays_active();
-            functions[*at].active
+        self.active.retain(|index| {
+            functions[*index].active = functions[*index].stays_active();
+            functions[*index].active
         });
     }
 
     /// Latest time of the next tick; `None` if nothing depends on time.
     pub fn next_wake(&self, now: Nanos) -> Option<Nanos> {
-        let intervals =
-            self.active.iter().map(|at| if self.functions[*at].is_busy() { BUSY_TICK } else { IDLE_TICK });
+        let intervals = self
+            .active
+            .iter()
+            .map(|index| if self.functions[*index].is_busy() { BUSY_TICK } else { IDLE_TICK });
         let due = intervals.min().map(|pause| now + pause);
         due.into_iter().chain((self.next_expiry < Nanos::MAX).then_some(self.next_expiry)).min()
     }
--- a/scheduler/src/function/min_instances.rs
+++ b/scheduler/src/function/min_instances.rs
@@ -97,8 +97,8 @@
     /// Sets the minimum instance count until `until`; a count of 0 removes it. A proxy that does not own
     /// the function stores it in case it becomes the owner.
     pub fn set_min_instances(&mut self, now: Nanos, name: &str, count: u32, fence: u64, until: Nanos) {
-        let Some(at) = self.index_by_name.get(name).copied() else { return };
-        let Some(function) = &mut self.functions[at].function else { return };
+        let Some(index) = self.index_by_name.get(name).copied() else { return };
+        let Some(function) = &mut self.functions[index].function else { return };
         if function.min_instances.as_ref().is_some_and(|minimum| minimum.fence > fence) {
             return;
         }
@@ -113,7 +113,7 @@
                     Some(MinInstances { fence, count, until, lowest_delay: None, counts, span_start: now });
             }
         }
-        self.activate(at);
-        self.report_target(now, at);
+        self.activate(index);
+        self.report_target(now, index);
     }
 }
--- a/scheduler/src/function/ownership.rs
+++ b/scheduler/src/function/ownership.rs
@@ -68,8 +68,8 @@
         before: impl Fn(&str, &BTreeSet<CompactString>) -> Transfer,
     ) -> Vec<Released> {
         let (mut new, mut released) = (Vec::new(), Vec::new());
-        for at in self.affected_functions(change) {
-            let service = &mut self.functions[at];
+        for index in self.affected_functions(change) {
+            let service = &mut self.functions[index];
             let name = service.name.clone();
             let partitions = owners.partition_count(&name);
             let here = owners.owns(&me.name, &name, &me.zone);
@@ -79,7 +79,7 @@
             let owned = service.function.is_some() && here.is_ok();
             let was = (service.owned, service.split);
             (service.owned, service.split) = (owned, partitions > 1);
-            self.rival_seeds[at] = here.err().unwrap_or(0);
+            self.rival_seeds[index] = here.err().unwrap_or(0);
             if let Some(function) = &mut service.function {
                 function.budget.set_partitions(partitions);
             }
@@ -103,47 +103,51 @@
                 // The owner of one partition takes over or gives back another; the rest is unchanged.
                 if transfer.loses {
                     let settling = service.settling_until;
-                    let out = self.release_partition(now, at, is_mine);
-                    self.functions[at].settling_until = settling;
-                    released.push(Released { function: name.clone(), permits: out });
+                    let permits = self.release_partition(now, index, is_mine);
+                    self.functions[index].settling_until = settling;
+                    released.push(Released { function: name.clone(), permits });
                 }
                 if !transfer.from.is_empty() || !gained.is_empty() {
-                    self.gain_partition(now, at, transfer.from, &gained);
+                    self.gain_partition(now, index, transfer.from, &gained);
                 }
                 continue;
             }
             service.reset_probes();
             if was.0 {
-                let out = self.release_partition(now, at, is_mine);
-                released.push(Released { function: name.clone(), permits: out });
+                let permits = self.release_partition(now, index, is_mine);
+                released.push(Released { function: name.clone(), permits });
             }
             if owned {
-                self.functions[at].awaited_owners = transfer.from;
-                new.push(at);
+                self.functions[index].awaited_owners = transfer.from;
+                new.push(index);
             }
         }
-        for at in new {
-            for id in self.functions[at].instances().iter().map(|p| p.info.id.clone()).collect::<Vec<_>>() {
-                self.probe_if_booting(now, at, &id);
+        for index in new {
+            for id in self.functions[index].instances().iter().map(|p| p.info.id.clone()).collect::<Vec<_>>()
+            {
+                self.probe_if_booting(now, index, &id);
             }
             // From now on they are judged by this owner's demand.
-            self.functions[at].update_all(|instances| {
+            self.functions[index].update_all(|instances| {
                 for state in instances {
                     (state.last_used, state.inherited, state.verified, state.yielded_until) =
                         (now, true, false, 0);
                     (state.draining, state.retired) = (false, false);
                 }
             });
-            let waits =
-                if self.functions[at].awaited_owners.is_empty() { SETTLING_TIME } else { TRANSFER_TIMEOUT };
-            self.functions[at].settling_until = now + waits;
-            if let Some(function) = &mut self.functions[at].function {
+            let settling_time = if self.functions[index].awaited_owners.is_empty() {
+                SETTLING_TIME
+            } else {
+                TRANSFER_TIMEOUT
+            };
+            self.functions[index].settling_until = now + settling_time;
+            if let Some(function) = &mut self.functions[index].function {
                 function.last_reported = None;
                 function.demand.reset(now);
             }
-            self.functions[at].record_permits(now);
-            self.activate(at);
-            self.inherit_instances(now, at);
+            self.functions[index].record_permits(now);
+            self.activate(index);
+            self.inherit_instances(now, index);
         }
         released
     }
@@ -152,17 +156,17 @@
     fn gain_partition(
         &mut self,
         now: Nanos,
-        at: usize,
+        index: usize,
         from: BTreeSet<CompactString>,
         gained: &BTreeSet<CompactString>,
     ) {
-        let service = &mut self.functions[at];
+        let service = &mut self.functions[index];
         // Permits of previously inherited instances have been reported by now; only those of new instances
         // are awaited.
         let settled = now >= service.settling_until && service.awaited_owners.is_empty();
         service.awaited_owners.extend(from);
-        let waits = if service.awaited_owners.is_empty() { SETTLING_TIME } else { TRANSFER_TIMEOUT };
-        service.settling_until = service.settling_until.max(now + waits);
+        let settling_time = if service.awaited_owners.is_empty() { SETTLING_TIME } else { TRANSFER_TIMEOUT };
+        service.settling_until = service.settling_until.max(now + settling_time);
         service.update_all(|instances| {
             for state in instances {
                 if gained.contains(&state.info.id) {
@@ -175,11 +179,11 @@
             }
         });
         for id in gained {
-            self.probe_if_booting(now, at, id);
+            self.probe_if_booting(now, index, id);
         }
-        self.functions[at].record_permits(now);
-        self.activate(at);
-        self.inherit_instances(now, at);
+        self.functions[index].record_permits(now);
+        self.activate(index);
+        self.inherit_instances(now, index);
     }
 
     /// Functions affected by a change, ordered by name. An owned function can be lost only to a new proxy
@@ -189,11 +193,12 @@
         if change.is_full() {
             return self.indices_where(|_| true);
         }
-        let is = |(at, rival): (usize, &u64)| {
+        let is_affected = |(index, rival): (usize, &u64)| {
             let here = |service: &FunctionState| service.owned && change.may_lose(&service.name);
-            (if *rival == 0 { here(&self.functions[at]) } else { change.has_left(*rival) }).then_some(at)
+            (if *rival == 0 { here(&self.functions[index]) } else { change.has_left(*rival) })
+                .then_some(index)
         };
-        let mut found: Vec<_> = self.rival_seeds.iter().enumerate().filter_map(is).collect();
+        let mut found: Vec<_> = self.rival_seeds.iter().enumerate().filter_map(is_affected).collect();
         found.extend(change.split().filter_map(|name| self.index_by_name.get(name)));
         let mut found = self.sort_by_name(found);
         found.dedup();
@@ -205,10 +210,10 @@
     fn release_partition(
         &mut self,
         now: Nanos,
-        at: usize,
+        index: usize,
         is_mine: impl Fn(&str) -> bool,
     ) -> Vec<OutstandingPermit> {
-        let service = &mut self.functions[at];
+        let service = &mut self.functions[index];
         service.settling_until = now + TRANSFER_TIMEOUT;
         let gone: Vec<_> = match &service.function {
             Some(function) => {
@@ -219,19 +224,20 @@
         };
         for (position, key) in gone {
             self.queue_positions.remove(&key);
-            if let Some(function) = &mut self.functions[at].function {
+            if let Some(function) = &mut self.functions[index].function {
                 function.queue.remove(&position);
             }
         }
-        let service = &self.functions[at];
-        let away = service.instances().iter().filter(|p| !p.owned && !p.permits.is_empty());
-        let keys: Vec<_> =
-            away.flat_map(|p| p.permits.iter().map(|key| (key.clone(), p.info.zone.clone()))).collect();
-        let mut out = Vec::new();
+        let service = &self.functions[index];
+        let with_permits = service.instances().iter().filter(|p| !p.owned && !p.permits.is_empty());
+        let keys: Vec<_> = with_permits
+            .flat_map(|p| p.permits.iter().map(|key| (key.clone(), p.info.zone.clone())))
+            .collect();
+        let mut permits = Vec::new();
         for ((who, request_id), zone) in keys {
             let Some(permit) = self.permits.remove(&(who.clone(), request_id)) else { continue };
-            self.functions[at].remove_permit(&permit.instance, &who, request_id);
-            out.push(OutstandingPermit {
+            self.functions[index].remove_permit(&permit.instance, &who, request_id);
+            permits.push(OutstandingPermit {
                 who,
                 request_id,
                 zone,
@@ -239,21 +245,22 @@
                 until: permit.expires_at,
             });
         }
-        self.functions[at].record_permits(now);
-        out
+        self.functions[index].record_permits(now);
+        permits
     }
 
     /// Configured functions, with whether each is owned here and whether it is split.
     #[cfg(test)]
     pub(crate) fn ownership_state(&self) -> Vec<(CompactString, bool, bool)> {
-        let all = self.indices_where(|s| s.function.is_some()).into_iter().map(|at| &self.functions[at]);
+        let all =
+            self.indices_where(|s| s.function.is_some()).into_iter().map(|index| &self.functions[index]);
         all.map(|s| (s.name.clone(), s.owned, s.split)).collect()
     }
 
     /// Grants nothing in place of the owner before `until`.
     pub fn defer_to_owner(&mut self, name: &str, until: Nanos) {
-        let Some(at) = self.index_by_name.get(name).copied() else { return };
-        let service = &mut self.functions[at];
+        let Some(index) = self.index_by_name.get(name).copied() else { return };
+        let service = &mut self.functions[index];
         if !service.owned {
             service.settling_until = service.settling_until.max(until);
         }
@@ -261,11 +268,11 @@
 
     /// Records that a previous owner has transferred all outstanding permits of a function owned here.
     pub fn transfer_complete(&mut self, now: Nanos, name: &str, from: &str) {
-        let Some(at) = self.index_by_name.get(name).copied() else { return };
-        let service = &mut self.functions[at];
+        let Some(index) = self.index_by_name.get(name).copied() else { return };
+        let service = &mut self.functions[index];
         service.stop_awaiting(now, from, false);
         if service.owned && service.awaited_owners.is_empty() {
-            self.serve_queue(now, at);
+            self.serve_queue(now, index);
         }
     }
 
@@ -296,16 +303,16 @@
             return;
         }
         self.forget(now, &key.0, request_id);
-        let Some(at) = self.index_by_instance.get(id).copied() else {
+        let Some(index) = self.index_by_instance.get(id).copied() else {
             // The holder may know of this owner before the owner knows the instance.
             self.early_permits
-                .retain(|_, all| all.iter().any(|(_, _, heard)| now < heard + EARLY_PERMIT_TTL));
+                .retain(|_, all| all.iter().any(|(_, _, reported_at)| now < reported_at + EARLY_PERMIT_TTL));
             if self.early_permits.values().map(Vec::len).sum::<usize>() < MAX_EARLY_PERMITS {
                 self.early_permits.entry(id.into()).or_default().push((key, until, now));
             }
             return;
         };
-        let service = &mut self.functions[at];
+        let service = &mut self.functions[index];
         if service.add_permit(id, key.clone()).is_none() {
             return;
         }
@@ -314,7 +321,7 @@
         self.record_permit(
             key,
             Permit {
-                function: at,
+                function: index,
                 instance: id.into(),
                 expires_at: until,
                 granted_at: now,
--- a/scheduler/src/function/removed_functions.rs
+++ b/scheduler/src/function/removed_functions.rs
@@ -36,14 +36,14 @@
 
 impl Scheduler {
     /// Removes a function that the configuration no longer names.
-    pub(super) fn remove_function(&mut self, now: Nanos, at: usize) {
-        let Some(function) = self.functions[at].function.take() else { return };
-        self.removed_functions.insert(now, self.functions[at].name.clone());
+    pub(super) fn remove_function(&mut self, now: Nanos, index: usize) {
+        let Some(function) = self.functions[index].function.take() else { return };
+        self.removed_functions.insert(now, self.functions[index].name.clone());
         for waiting in function.queue.into_values() {
             self.queue_positions.remove(&(waiting.from.clone(), waiting.request.id));
             self.push_refusal(waiting.from, waiting.request.id, DenialReason::Moved);
         }
-        self.free_if_empty(at);
+        self.free_if_empty(index);
     }
 
     /// Denies a request for a function that is not configured here.
--- a/scheduler/src/function/targets.rs
+++ b/scheduler/src/function/targets.rs
@@ -8,8 +8,8 @@
 
 impl Scheduler {
     /// Reports the instance target if it has changed or the last report is old.
-    pub(super) fn report_target(&mut self, now: Nanos, at: usize) {
-        let service = &mut self.functions[at];
+    pub(super) fn report_target(&mut self, now: Nanos, index: usize) {
+        let service = &mut self.functions[index];
         if !service.owned {
             return;
         }
@@ -21,39 +21,52 @@
         let tolerated_wait = (function.target / 4).min(function.spec.startup_time / 2);
         let queued = if live == 0 || wait > tolerated_wait { function.queue.len() } else { 0 };
         let need = function.demand.needed(now, &function.spec, queued).max(minimum);
-        let strain = function.demand.rate(now) / self.limits.requests_per_s.max(1.0);
-        let idle =
-            function.demand.last_arrival.is_none_or(|at| at + 3 * idle_retention(&function.spec) < now);
+        let load = function.demand.rate(now) / self.limits.requests_per_s.max(1.0);
+        let idle = function
+            .demand
+            .last_arrival
+            .is_none_or(|arrival| arrival + 3 * idle_retention(&function.spec) < now);
         let report_due = match function.last_reported {
             None => need > 0 || live > 0,
-            Some((at, count)) => {
+            Some((reported_at, count)) => {
                 count != need
-                    || (strain - function.reported_load).abs() > LOAD_REPORT_STEP
-                    || function.min_instances.as_ref().is_some_and(|minimum| minimum.report_due(now, at))
-                    || (now >= at + REPORT_INTERVAL && !(idle && need == 0 && live == 0))
+                    || (load - function.reported_load).abs() > LOAD_REPORT_STEP
+                    || function
+                        .min_instances
+                        .as_ref()
+                        .is_some_and(|minimum| minimum.report_due(now, reported_at))
+                    || (now >= reported_at + REPORT_INTERVAL && !(idle && need == 0 && live == 0))
             }
         };
         if report_due {
-            (function.last_reported, function.reported_load) = (Some((now, need)), strain);
+            (function.last_reported, function.reported_load) = (Some((now, need)), load);
             let queue_len = function.queue.len();
             let (service, zones) = (service.name.clone(), function.zones_by_demand());
             self.reasons.push(|| {
                 let service = service.clone();
                 Reason::InstanceTarget { service, need, live, held, queued: queue_len, wait }
             });
-            let does = self.functions[at].status(now);
-            let slow = self.latency_model.as_ref().map(|model| model.slow_ones(&service)).unwrap_or_default();
-            self.effects.push(Effect::SetInstanceTarget { service, count: need, zones, strain, does, slow });
+            let status = self.functions[index].status(now);
+            let slow_workers =
+                self.latency_model.as_ref().map(|model| model.slow_ones(&service)).unwrap_or_default();
+            self.effects.push(Effect::SetInstanceTarget {
+                service,
+                count: need,
+                zones,
+                load,
+                status,
+                slow_workers,
+            });
             if need > 0 {
-                self.activate(at);
+                self.activate(index);
             }
         }
     }
 
     /// Drains surplus instances: no new requests are sent to one, and it is retired once it has no
     /// outstanding permits.
-    pub(super) fn retire_surplus(&mut self, now: Nanos, at: usize) {
-        let service = &mut self.functions[at];
+    pub(super) fn retire_surplus(&mut self, now: Nanos, index: usize) {
+        let service = &mut self.functions[index];
         let last_report = service.function.as_ref().filter(|_| service.owned).and_then(|f| f.last_reported);
         let Some((_, need)) = last_report else { return };
         let live = service.live_instances();
@@ -74,8 +87,8 @@
     }
 
     /// Repeats reports that the controller has not received or not acted on.
-    pub(super) fn resend_reports(&mut self, now: Nanos, at: usize) {
-        let service = &mut self.functions[at];
+    pub(super) fn resend_reports(&mut self, now: Nanos, index: usize) {
+        let service = &mut self.functions[index];
         if service.totals().retired == 0 {
             return;
         }
--- a/scheduler/src/function/worker_speed.rs
+++ b/scheduler/src/function/worker_speed.rs
@@ -26,8 +26,8 @@
     }
 
     /// Records the response time of a successful answer.
-    pub(super) fn record_latency(&mut self, now: Nanos, at: usize, id: &str, took: Nanos) {
-        let service = &self.functions[at];
+    pub(super) fn record_latency(&mut self, now: Nanos, index: usize, id: &str, took: Nanos) {
+        let service = &self.functions[index];
         if let (Some(state), Some(model)) = (service.instance(id), &mut self.latency_model) {
             model.saw(now, &service.name, &state.info.worker, took);
         }
@@ -37,25 +37,31 @@
 /// Slowdown factor per rank step.
 const STEP: f64 = 1.3;
 /// Slowdown relative to the best instance that exceeds the normal variation between instances.
-const BEYOND: f64 = 1.5;
+const MIN_SLOWDOWN: f64 = 1.5;
 /// Required confidence, in standard deviations.
-const SURE: f64 = 2.5;
+const MIN_CONFIDENCE: f64 = 2.5;
 
 impl FunctionState {
     /// Ranks instances behind others that are significantly faster.
     fn update_latency_ranks(&mut self, model: &LatencyModel) {
         let name = self.name.clone();
-        let lags: Vec<_> = self.instances().iter().map(|p| model.lag(&name, &p.info.worker)).collect();
-        let open = self.instances().iter().zip(&lags).filter(|(p, _)| p.is_available());
-        let best = open.filter_map(|(_, lag)| *lag).min_by(|a, b| a.log.total_cmp(&b.log));
-        let step = |lag: Option<RelativeLatency>, slow: bool, already: bool| {
-            let Some((lag, best)) = lag.zip(best) else { return 0 };
-            let steps = ((lag.log - best.log) / STEP.ln()).clamp(0.0, 8.0) as u8;
-            if slow || already || lag.surely_behind(&best, BEYOND, SURE) { steps } else { 0 }
+        let relative: Vec<_> = self.instances().iter().map(|p| model.lag(&name, &p.info.worker)).collect();
+        let available = self.instances().iter().zip(&relative).filter(|(p, _)| p.is_available());
+        let best = available
+            .filter_map(|(_, relative_latency)| *relative_latency)
+            .min_by(|a, b| a.log.total_cmp(&b.log));
+        let step = |relative_latency: Option<RelativeLatency>, slow: bool, was_behind: bool| {
+            let Some((relative_latency, best)) = relative_latency.zip(best) else { return 0 };
+            let steps = ((relative_latency.log - best.log) / STEP.ln()).clamp(0.0, 8.0) as u8;
+            if slow || was_behind || relative_latency.surely_behind(&best, MIN_SLOWDOWN, MIN_CONFIDENCE) {
+                steps
+            } else {
+                0
+            }
         };
-        self.update_ranks(|at, state| {
+        self.update_ranks(|index, state| {
             state.on_slow_worker = model.slow_for(&name, &state.info.worker);
-            state.latency_rank = step(lags[at], state.on_slow_worker, state.latency_rank > 0);
+            state.latency_rank = step(relative[index], state.on_slow_worker, state.latency_rank > 0);
         });
     }
 }
--- a/scheduler/src/instance.rs
+++ b/scheduler/src/instance.rs
@@ -92,12 +92,12 @@
 }
 
 impl InstanceState {
-    pub fn new(of: Instance, mine: bool, now: Nanos) -> Self {
-        let found = of.stage == Stage::Ready;
+    pub fn new(info: Instance, owned: bool, now: Nanos) -> Self {
+        let inherited = info.stage == Stage::Ready;
         InstanceState {
-            info: of,
-            owned: mine,
-            inherited: found,
+            info,
+            owned,
+            inherited,
             verified: false,
             yielded_until: 0,
             permits: Vec::new(),
@@ -154,11 +154,11 @@
     /// Probability of sending a retry to it: 1 at the latency baseline, falling linearly to 0 at T1 above
     /// it.
     pub fn retry_probability(&self, t1: Nanos) -> f64 {
-        let floor = self.baselines.iter().flatten().copied().fold(f64::INFINITY, f64::min);
-        if floor.is_infinite() {
+        let baseline = self.baselines.iter().flatten().copied().fold(f64::INFINITY, f64::min);
+        if baseline.is_infinite() {
             return 1.0;
         }
-        retry_probability((self.mean_latency - floor).max(0.0), t1)
+        retry_probability((self.mean_latency - baseline).max(0.0), t1)
     }
 
     /// Average latency in nanoseconds; `None` before the first answer.
@@ -177,8 +177,8 @@
                 [None, self.baselines[0].filter(|_| now < self.baseline_start + 2 * BASELINE_SPAN)];
             self.baseline_start = now;
         }
-        let floor = self.baselines[0].get_or_insert(self.mean_latency);
-        *floor = floor.min(self.mean_latency);
+        let baseline = self.baselines[0].get_or_insert(self.mean_latency);
+        *baseline = baseline.min(self.mean_latency);
     }
 
     /// Whether connections to it have failed repeatedly.
--- a/scheduler/src/owner_ranking.rs
+++ b/scheduler/src/owner_ranking.rs
@@ -121,7 +121,7 @@
         let mut below = |n: u64| (dice.share() * n as f64) as u64;
         let zones = ["a", "b", "c"].map(CompactString::from);
         let services: Vec<CompactString> = (0..30).map(|n| format!("f{n}").into()).collect();
-        let (mut ranks, mut alive, mut split) = (OwnerRanking::default(), BTreeMap::new(), BTreeSet::new());
+        let (mut ranking, mut alive, mut split) = (OwnerRanking::default(), BTreeMap::new(), BTreeSet::new());
         for count in 1..600 {
             for _ in 0..=below(2) {
                 let n = below(12);
@@ -140,23 +140,23 @@
                 Peer { name: format!("edge-{n}").into(), address: "a".into(), zone }
             };
             let owners = Owners::new((1, count), alive.iter().map(peer).collect(), split.iter().cloned());
-            let asked: Vec<_> =
+            let keys: Vec<_> =
                 services.iter().flat_map(|s| zones.iter().map(move |z| (s.clone(), z.clone()))).collect();
             let pair =
-                |ranks: &mut OwnerRanking, service: &CompactString, zone: &CompactString| -> BTreeSet<_> {
-                    ranks.owner_and_deputy(service, zone).cloned().collect()
+                |ranking: &mut OwnerRanking, service: &CompactString, zone: &CompactString| -> BTreeSet<_> {
+                    ranking.owner_and_deputy(service, zone).cloned().collect()
                 };
-            let before: Vec<_> = asked.iter().map(|(s, z)| pair(&mut ranks, s, z)).collect();
-            let kept = ranks.pairs.len();
-            let (reassigned, resplit) = ranks.update(owners.clone());
-            assert!(ranks.pairs.len() == kept || !resplit.is_empty());
-            for ((service, zone), before) in asked.iter().zip(before) {
+            let before: Vec<_> = keys.iter().map(|(s, z)| pair(&mut ranking, s, z)).collect();
+            let kept = ranking.pairs.len();
+            let (reassigned, resplit) = ranking.update(owners.clone());
+            assert!(ranking.pairs.len() == kept || !resplit.is_empty());
+            for ((service, zone), before) in keys.iter().zip(before) {
                 let expected = owners.owner_and_deputy(service, zone).map(|p| p.map(|p| &p.name));
                 assert_eq!(
-                    ranks.owner_and_deputy(service, zone).collect::<Vec<_>>(),
+                    ranking.owner_and_deputy(service, zone).collect::<Vec<_>>(),
                     Vec::from_iter(expected.into_iter().flatten())
                 );
-                let now = pair(&mut ranks, service, zone);
+                let now = pair(&mut ranking, service, zone);
                 let others = || before.symmetric_difference(&now).all(|name| reassigned.contains(name));
                 assert!(resplit.contains(service) || others(), "{service}");
                 assert!(!resplit.contains(service) || before.iter().all(|name| reassigned.contains(name)));
--- a/scheduler/src/request_flow.rs
+++ b/scheduler/src/request_flow.rs
@@ -105,13 +105,13 @@
 impl<A> RequestFlow<A> {
     /// Creates the flow of a request that has arrived.
     pub fn new(info: RequestInfo) -> Self {
-        let tries = RetrySchedule::new(info.target, info.repeatable, info.max_attempts, info.deadline);
-        let (first, moved, may_have_run) = (true, false, false);
+        let schedule = RetrySchedule::new(info.target, info.repeatable, info.max_attempts, info.deadline);
+        let (first, route_moved, may_have_run) = (true, false, false);
         RequestFlow {
             info,
-            schedule: tries,
+            schedule,
             first,
-            route_moved: moved,
+            route_moved,
             may_have_run,
             failed_answer: None,
             avoid: Vec::new(),
@@ -179,10 +179,10 @@
         }
     }
 
-    /// Time until which an attempt that starts now is waited for, if its timeout is `within`; `None` if no
+    /// Time until which an attempt that starts now is waited for, if its timeout is `timeout`; `None` if no
     /// other attempt could follow.
-    pub fn attempt_deadline(&self, now: Nanos, within: Option<Nanos>) -> Option<Nanos> {
-        let until = now + within.filter(|_| self.schedule.may_run_again())?;
+    pub fn attempt_deadline(&self, now: Nanos, timeout: Option<Nanos>) -> Option<Nanos> {
+        let until = now + timeout.filter(|_| self.schedule.may_run_again())?;
         // Another attempt needs as much time again.
         (until + (until - now) / 2 < self.info.deadline).then_some(until)
     }
@@ -270,10 +270,10 @@
 
 impl ClientTimeouts {
     /// Whether a request with this remaining time is a client's retry or was made by a running request.
-    pub fn is_returning(&mut self, route: &CompactString, given: f64) -> bool {
-        let longest = self.0.entry(route.clone()).or_insert(given);
-        *longest = longest.max(given);
-        given < *longest * RETURNING_FRACTION
+    pub fn is_returning(&mut self, route: &CompactString, timeout: f64) -> bool {
+        let longest = self.0.entry(route.clone()).or_insert(timeout);
+        *longest = longest.max(timeout);
+        timeout < *longest * RETURNING_FRACTION
     }
 
     /// Drops routes that no longer exist.
@@ -286,17 +286,17 @@
 mod tests {
     use super::*;
 
-    fn passage(repeatable: bool) -> RequestFlow<u16> {
-        let (came, deadline) = (10 * MS, 1_500 * MS);
+    fn new_flow(repeatable: bool) -> RequestFlow<u16> {
+        let (received_at, deadline) = (10 * MS, 1_500 * MS);
         let (service, zone) = ("s".into(), "z".into());
-        let (target, most, returned) = (200 * MS, 2, false);
+        let (target, max_attempts, returned) = (200 * MS, 2, false);
         RequestFlow::new(RequestInfo {
             service,
             zone,
             target,
             repeatable,
-            max_attempts: most,
-            received_at: came,
+            max_attempts,
+            received_at,
             deadline,
             returned,
         })
@@ -325,9 +325,9 @@
         outcome: Outcome,
         answer: Option<u16>,
         reason: DenialReason,
-        receivers: Result<u16, Refusal>,
+        expected: Result<u16, Refusal>,
     ) {
-        let mut flow = passage(repeatable);
+        let mut flow = new_flow(repeatable);
         assert!(matches!(flow.begin(true), FlowStep::RequestPermit(_, true)));
         let step = match sent(&mut flow, outcome, answer) {
             FlowStep::Wait(_) => {
@@ -339,32 +339,32 @@
             }
             step => step,
         };
-        assert_eq!(step, FlowStep::Respond(receivers));
+        assert_eq!(step, FlowStep::Respond(expected));
     }
 
     #[test]
     fn deadline_times_out_a_running_request_and_refuses_a_waiting_one() {
-        let mut waits = passage(true);
-        waits.begin(true);
-        assert_eq!(waits.deadline_passed(), FlowStep::Respond(Err(Refusal::NotSent)));
-        let mut runs = passage(true);
-        runs.begin(true);
-        runs.granted(20 * MS);
-        let step = runs.attempt_ended(1_500 * MS, "i".into(), Outcome::Abandoned, true, None);
+        let mut waiting = new_flow(true);
+        waiting.begin(true);
+        assert_eq!(waiting.deadline_passed(), FlowStep::Respond(Err(Refusal::NotSent)));
+        let mut running = new_flow(true);
+        running.begin(true);
+        running.granted(20 * MS);
+        let step = running.attempt_ended(1_500 * MS, "i".into(), Outcome::Abandoned, true, None);
         assert_eq!(step, FlowStep::Respond(Err(Refusal::TimedOut)));
     }
 
     /// On shutdown, clients of waiting requests learn whether their request may have run.
     #[test]
     fn on_shutdown_each_client_gets_the_matching_response() {
-        let mut waits = passage(true);
-        waits.begin(true);
-        assert_eq!(waits.shutdown(), FlowStep::Respond(Err(Refusal::NotSent)));
-        let mut again = passage(true);
+        let mut waiting = new_flow(true);
+        waiting.begin(true);
+        assert_eq!(waiting.shutdown(), FlowStep::Respond(Err(Refusal::NotSent)));
+        let mut again = new_flow(true);
         again.begin(true);
         sent(&mut again, Outcome::NoAnswer, None);
         assert_eq!(again.shutdown(), FlowStep::Respond(Err(Refusal::NoAnswer)));
-        let mut failed = passage(true);
+        let mut failed = new_flow(true);
         failed.begin(true);
         sent(&mut failed, Outcome::Failed, Some(500));
         assert_eq!(failed.shutdown(), FlowStep::Respond(Ok(500)));
@@ -372,12 +372,12 @@
 
     #[test]
     fn without_a_view_only_returning_requests_wait() {
-        assert_eq!(passage(true).begin(false), FlowStep::Respond(Err(Refusal::NotReady)));
-        let mut back = passage(true);
-        back.info.returned = true;
-        assert!(matches!(back.begin(false), FlowStep::RequestPermit(_, true)));
-        let mut patience = ClientTimeouts::default();
-        let given = [1_000.0, 980.0, 960.0].map(|given| patience.is_returning(&"r".into(), given));
-        assert_eq!(given, [false, false, true]);
+        assert_eq!(new_flow(true).begin(false), FlowStep::Respond(Err(Refusal::NotReady)));
+        let mut returning = new_flow(true);
+        returning.info.returned = true;
+        assert!(matches!(returning.begin(false), FlowStep::RequestPermit(_, true)));
+        let mut timeouts = ClientTimeouts::default();
+        let timeout = [1_000.0, 980.0, 960.0].map(|timeout| timeouts.is_returning(&"r".into(), timeout));
+        assert_eq!(timeout, [false, false, true]);
     }
 }
--- a/scheduler/src/retry_schedule.rs
+++ b/scheduler/src/retry_schedule.rs
@@ -55,11 +55,11 @@
         }
     }
     /// Parses the name returned by [`Outcome::as_str`].
-    pub fn parse(word: &str) -> Option<Self> {
+    pub fn parse(name: &str) -> Option<Self> {
         use Outcome::*;
         [Answered, Failed, Full, AddressReused, Unreachable, NoAnswer, TimedOut, Abandoned, Unused]
             .into_iter()
-            .find(|o| o.as_str() == word)
+            .find(|o| o.as_str() == name)
     }
 }
 
--- a/scheduler/tests/min_instances.rs
+++ b/scheduler/tests/min_instances.rs
@@ -116,9 +116,9 @@
     let reported_status = |scheduler: &mut Scheduler, now| -> Option<FunctionStatus> {
         scheduler.tick(now);
         let all = scheduler.take_effects();
-        all.iter()
-            .rev()
-            .find_map(|e| if let Effect::SetInstanceTarget { does, .. } = e { Some(*does) } else { None })?
+        all.iter().rev().find_map(|e| {
+            if let Effect::SetInstanceTarget { status: does, .. } = e { Some(*does) } else { None }
+        })?
     };
     serve(&mut scheduler, SECOND, 0..3, Outcome::Answered, 40 * MS);
     assert_eq!(reported_status(&mut scheduler, 2 * SECOND), None, "no minimum is set");
--- a/scheduler/tests/scheduler.rs
+++ b/scheduler/tests/scheduler.rs
@@ -66,7 +66,7 @@
 fn granted(effects: &[Effect]) -> Vec<u64> {
     let grants = effects
         .iter()
-        .filter_map(|e| if let Effect::Grant { ask: request_id, .. } = e { Some(*request_id) } else { None });
+        .filter_map(|e| if let Effect::Grant { request_id, .. } = e { Some(*request_id) } else { None });
     grants.collect()
 }
 
@@ -160,7 +160,7 @@
         "a denied request counts as demand: {effects:?}"
     );
     scheduler.request_permit(T + 450 * MS, "s".into(), request(2, T + 450 * MS, T + 1_050 * MS, true), true);
-    assert!(scheduler.take_effects().iter().any(|e| matches!(e, Effect::Queued { ask: 2, .. })));
+    assert!(scheduler.take_effects().iter().any(|e| matches!(e, Effect::Queued { request_id: 2, .. })));
     scheduler.update_instance(T + 500 * MS, instance("i", Stage::Booting), true);
     assert!(scheduler.take_effects().iter().any(|e| matches!(e, Effect::ProbeReadiness { .. })));
     scheduler.instance_up(T + 800 * MS, "i");
@@ -244,7 +244,7 @@
     scheduler.tick(T + 900 * MS);
     assert!(!scheduler.take_effects().iter().any(|e| matches!(e, Effect::Refuse { .. })));
     scheduler.tick(T + 975 * MS);
-    assert!(scheduler.take_effects().iter().any(|e| matches!(e, Effect::Refuse { ask: 3, .. })));
+    assert!(scheduler.take_effects().iter().any(|e| matches!(e, Effect::Refuse { request_id: 3, .. })));
 }
 
 /// The owner of a partition uses only the instances of its zone, and has a share of the constant part of
--- a/scheduler/tests/worker_speed.rs
+++ b/scheduler/tests/worker_speed.rs
@@ -74,13 +74,15 @@
         scheduler.tick(now);
         for effect in scheduler.take_effects() {
             match effect {
-                Effect::Grant { ask: request_id, instance, .. } => {
+                Effect::Grant { request_id, instance, .. } => {
                     // Durations vary as those of real requests do.
                     let took = took(&instance.id) * (70 + request_id * 7_919 % 61) / 100;
                     out.push((now + took, request_id, took));
                     granted_to.push(instance.id.to_string());
                 }
-                Effect::SetInstanceTarget { slow, .. } => reported.extend(slow.iter().map(|w| w.to_string())),
+                Effect::SetInstanceTarget { slow_workers: slow, .. } => {
+                    reported.extend(slow.iter().map(|w| w.to_string()))
+                }
                 _ => {}
             }
         }
