--- a/controller/src/core/migrations.rs
+++ b/controller/src/core/migrations.rs
@@ -5,7 +5,8 @@
 use hyper::StatusCode;
 use millpost_config::JsonCursor;
 use millpost_migration::{
-    Effect, Function, Input, Kind as Said, Migrator, Moment, Order, OrderFailure, Standing, Stands, Terms,
+    Action, ActiveConfig, DurableRecord, Effect, FunctionLoad, Input, Migrator, Moment, Order, OrderFailure,
+    OrderResult, Settings,
 };
 use millpost_net::messaging::{Call, Reply};
 use millpost_protocol::{object, text};
@@ -22,7 +23,7 @@
 /// A function that its owners want so many instances for holds a part of their slots only, at its busiest: they keep room.
 const MAX_UTILIZATION: f64 = 0.8;
 
-/// The carter, and when it was told last.
+/// The migrator, and when it last received observations.
 pub(super) struct MigrationDriver {
     migrator: Migrator,
     /// The time of day, in milliseconds, when the clock was at 0.
@@ -31,13 +32,13 @@
 }
 
 impl MigrationDriver {
-    pub fn new(unix_ms: u64, contact: Nanos, duty_per_s: f64) -> Self {
-        let terms = Terms { contact, duty_per_s, warms: true };
-        MigrationDriver { migrator: Migrator::new(terms), unix_ms, observed_at: 0 }
+    pub fn new(unix_ms: u64, contact_timeout: Nanos, duty_per_s: f64) -> Self {
+        let settings = Settings { contact_timeout, duty_per_s, prewarms: true };
+        MigrationDriver { migrator: Migrator::new(settings), unix_ms, observed_at: 0 }
     }
 
     fn at(&self, now: Nanos) -> Moment {
-        Moment { now, day: self.unix_ms + now / MS }
+        Moment { now, unix_ms: self.unix_ms + now / MS }
     }
 }
 
@@ -49,7 +50,7 @@
 
 fn order_error(failure: OrderFailure) -> CallError {
     match failure {
-        OrderFailure::NotHolder => CallError::NotLeader,
+        OrderFailure::NotLeader => CallError::NotLeader,
         OrderFailure::Busy => CallError::Busy,
         OrderFailure::Unclear => CallError::Unclear,
         OrderFailure::Unreadable => CallError::Unreadable,
@@ -60,10 +61,10 @@
     /// The lease, time, and what is seen of proxies and functions.
     pub(super) fn tick_migrations(&mut self, now: Nanos) {
         let lease =
-            self.leadership.term().map_or(Input::Unleased, |(fence, until)| Input::Lease(fence, until));
+            self.leadership.term().map_or(Input::LeaseLost, |(fence, until)| Input::Lease(fence, until));
         self.drive_migrations(now, lease);
-        let out = |standing: &Standing| standing.record().moves.iter().any(|of| of.state.out());
-        if self.migrations.migrator.standing().is_some_and(|standing| !out(standing))
+        let out = |standing: &DurableRecord| standing.record().moves.iter().any(|of| of.state.is_active());
+        if self.migrations.migrator.durable_record().is_some_and(|standing| !out(standing))
             && let Some(leader) = self.leadership.leader_mut()
         {
             leader.clear_min_instances();
@@ -73,38 +74,41 @@
         }
         self.migrations.observed_at = now;
         let acts = self.feed.followers().map(|(name, acts)| (name.clone(), acts)).collect();
-        self.drive_migrations(now, Input::Acts(acts));
+        self.drive_migrations(now, Input::ProxyRevisions(acts));
         let Some(leader) = self.leadership.leader() else { return };
         let room = leader.scaler.free_memory();
-        let names = self.migrations.migrator.looks_at();
+        let names = self.migrations.migrator.observed_functions();
         let config = self.feed.config();
         let does = names.into_iter().filter_map(|name| {
             let standing = leader.scaler.function(now, &name)?;
             let slots = config.and_then(|c| c.service(&name)).map_or(1, |s| s.concurrency.max(1));
             let wanted = standing.wanted.map_or(0, |(count, _)| count);
-            let busy = f64::from(wanted) * f64::from(slots) * MAX_UTILIZATION;
+            let peak_requests = f64::from(wanted) * f64::from(slots) * MAX_UTILIZATION;
             let of = |n: usize| n.min(u32::MAX as usize) as u32;
             let live = of(standing.ready + standing.booting + standing.starting);
             // Who keeps it warm tells how it does. Without that word for a while the next load waits, and does not go as if all were well.
-            let (delay, refused) = match leader.function_health(now, &name) {
+            let (delay, refused_ratio) = match leader.function_health(now, &name) {
                 None => (0.0, 0.0),
                 Some(doing) => doing.map(|doing| (doing.delay, doing.refused))?,
             };
-            Some((name, Function { ready: of(standing.ready), live, busy, delay, refused }))
+            Some((
+                name,
+                FunctionLoad { ready: of(standing.ready), live, peak_requests, delay, refused_ratio },
+            ))
         });
         let does = does.collect();
         // PendingPuts are judged with the word of functions, so that comes last.
         if let Some(room) = room {
-            self.drive_migrations(now, Input::Room(room));
+            self.drive_migrations(now, Input::FreeMemory(room));
         }
-        self.drive_migrations(now, Input::Does(does));
+        self.drive_migrations(now, Input::Functions(does));
     }
 
     /// Tells the migrator something, and does what it wants.
     pub(super) fn drive_migrations(&mut self, now: Nanos, input: Input) {
         let at = self.migrations.at(now);
         self.migrations.migrator.input(at, input);
-        for effect in self.migrations.migrator.take() {
+        for effect in self.migrations.migrator.take_effects() {
             match effect {
                 Effect::ReadRecord(ask) => self.start_round(
                     now,
@@ -112,41 +116,41 @@
                     Key::Migrations,
                     RoundPurpose::MigrationRecord(ask),
                 ),
-                Effect::Write { ask, value: Value { version, content }, over } => {
+                Effect::Write { ask, value: Value { version, content }, expected_version } => {
                     self.start_round(
                         now,
-                        Operation::Propose { version, content, expected_version: over },
+                        Operation::Propose { version, content, expected_version },
                         Key::Migrations,
                         RoundPurpose::MigrationRecord(ask),
                     );
                 }
                 Effect::ReadConfig => self.pass_chosen_config(now),
                 Effect::OrderFailure(id, why) => self.answer(id, Err(order_error(why))),
-                Effect::Out(out) => match out.is() {
-                    Said::Put { name, number, over, text } => {
-                        log::info!("move {name}: configuration {number} is put over {over:?}");
-                        match self.prepare_put(text, *over) {
+                Effect::Publish(published) => match published.action() {
+                    Action::Put { name, revision, base, text } => {
+                        log::info!("move {name}: configuration {revision} is put over {base:?}");
+                        match self.prepare_put(text, *base) {
                             Ok(kind) => self.start_round(
                                 now,
                                 kind,
                                 Key::Config,
-                                RoundPurpose::MigrationConfig(*number),
+                                RoundPurpose::MigrationConfig(*revision),
                             ),
-                            Err(e) => log::error!("move {name}: configuration {number} can't be put: {e}"),
+                            Err(e) => log::error!("move {name}: configuration {revision} can't be put: {e}"),
                         }
                     }
-                    Said::Warm { service, count } => {
+                    Action::Warm { service, count } => {
                         if let Some(leader) = self.leadership.leader_mut() {
                             leader.set_min_instances(now, service, *count);
                         }
                     }
-                    Said::Answer(answer) => {
-                        let reply = match &answer.said {
-                            millpost_migration::Said::Stands(step) => {
+                    Action::Answer(answer) => {
+                        let reply = match &answer.result {
+                            OrderResult::Accepted(step) => {
                                 let body = object([("step", text(step))]).stringify().unwrap_or_default();
                                 Ok(Reply::json(StatusCode::OK, body))
                             }
-                            millpost_migration::Said::Refused(all) => {
+                            OrderResult::Refused(all) => {
                                 Err(CallError::Refused(all.iter().map(ToString::to_string).collect()))
                             }
                         };
@@ -168,7 +172,7 @@
         if let Some(value) = stands {
             self.install_config(now, &value);
         }
-        self.drive_migrations(now, Input::Put(number));
+        self.drive_migrations(now, Input::PutFinished(number));
     }
 
     /// The configuration that is chosen, as far as is known here, for the migrator.
@@ -178,8 +182,8 @@
         }
         let text = self.gossip.chosen().and_then(|content| api::config_text(content));
         let (Some(text), Some(config)) = (text, self.feed.config()) else { return };
-        let stands = Stands { config: config.clone(), text: text.into_owned().into() };
-        self.drive_migrations(now, Input::Stands(stands));
+        let stands = ActiveConfig { config: config.clone(), text: text.into_owned().into() };
+        self.drive_migrations(now, Input::ActiveConfig(stands));
     }
 
     /// How moves stand, for operators.
@@ -198,7 +202,7 @@
         let told = self
             .migrations
             .migrator
-            .tell(self.migrations.at(now), name.as_deref())
+            .status(self.migrations.at(now), name.as_deref())
             .ok_or(CallError::Unclear)?;
         Ok(Reply::json(StatusCode::OK, millpost_config::values::write(&told)))
     }
--- a/migration/src/check.rs
+++ b/migration/src/check.rs
@@ -9,19 +9,19 @@
 use snafu::Snafu;
 
 use crate::Nanos;
-use crate::contract::{Bounds, Contract, MOST_LOADS, MOST_ROUTES};
-use crate::migrator::Terms;
+use crate::contract::{Bounds, Contract, MAX_LOADS, MAX_ROUTES};
+use crate::guards::{Guard, is_disabled};
+use crate::migrator::Settings;
 use crate::observation::Observation;
-use crate::plant::{Guard, is_out};
-use crate::record::{MOST_OPEN, Move, Record, RouteMove};
-use crate::shift::{Place, places};
+use crate::record::{MAX_OPEN, Move, Record, RouteMove};
+use crate::shift::{RouteLocation, locate_routes};
 
 /// Room that is kept above what the source holds at its busiest.
 const MARGIN: f64 = 1.25;
 /// A start may take so much longer than it does on average.
 const BOOT_MARGIN: f64 = 1.5;
 /// Reasons of one kind that are told, and that are kept in all.
-const MOST_REASONS: usize = 100;
+const MAX_REASONS: usize = 100;
 
 /// Why a move is not kept, or does not begin.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
@@ -30,76 +30,76 @@
     #[snafu(display("no configuration stands yet, or none is known here"))]
     NoConfig,
     #[snafu(display("a move of this name is there already, with another contract"))]
-    Taken,
-    #[snafu(display("{MOST_OPEN} moves are open; one has to end first"))]
-    Full,
+    NameTaken,
+    #[snafu(display("{MAX_OPEN} moves are open; one has to end first"))]
+    TooManyMoves,
     #[snafu(display("there is no move of this name"))]
-    Unknown,
+    UnknownMove,
     #[snafu(display("the move has ended: {step}"))]
-    Ended { step: &'static str },
+    AlreadyEnded { step: &'static str },
     #[snafu(display("the move turns back; it can be planned anew once it has"))]
-    TurnsBack,
+    RollingBack,
     #[snafu(display("nothing goes any more that could be paused"))]
     NothingToPause,
     #[snafu(display("no route is named"))]
     NoRoutes,
-    #[snafu(display("{count} routes; at most {MOST_ROUTES}"))]
-    TooMany { count: usize },
+    #[snafu(display("{count} routes; at most {MAX_ROUTES}"))]
+    TooManyRoutes { count: usize },
     #[snafu(display("loads: {loads}; from 1 to {most}"))]
-    Loads { loads: u32, most: u32 },
+    InvalidLoads { loads: u32, most: u32 },
     #[snafu(display("host {host:?} has no route with a service that is left"))]
     UnknownHost { host: CompactString },
     #[snafu(display("there is no route {host:?} {prefix:?}"))]
     UnknownRoute { host: CompactString, prefix: CompactString },
     #[snafu(display("route {host:?} {prefix:?} has none of the services that are left"))]
-    NothingLeft { host: CompactString, prefix: CompactString },
+    NoMappedService { host: CompactString, prefix: CompactString },
     #[snafu(display("route {host:?} {prefix:?} is held by move {by:?}"))]
-    Held { host: CompactString, prefix: CompactString, by: CompactString },
+    RouteHeld { host: CompactString, prefix: CompactString, by: CompactString },
     #[snafu(display("route {host:?} {prefix:?} has other services than when the move was planned"))]
-    Changed { host: CompactString, prefix: CompactString },
+    RouteChanged { host: CompactString, prefix: CompactString },
     #[snafu(display("there is no service {service:?}"))]
     UnknownService { service: CompactString },
     #[snafu(display("service {service:?} would be left and gone to"))]
-    Itself { service: CompactString },
+    ChainedService { service: CompactString },
     #[snafu(display("service {to:?} has another protocol, or other TLS, than {from:?}"))]
-    Protocol { from: CompactString, to: CompactString },
+    ProtocolMismatch { from: CompactString, to: CompactString },
     #[snafu(display(
         "service {service:?} accepts {max_conns} connections and is to hold {concurrency} requests"
     ))]
-    Connections { service: CompactString, max_conns: u32, concurrency: u32 },
+    TooFewConnections { service: CompactString, max_conns: u32, concurrency: u32 },
     #[snafu(display(
         "a start of {service:?} takes {boot_ms} ms, a route of it is held {deadline_ms} ms at most"
     ))]
-    Deadline { service: CompactString, boot_ms: u64, deadline_ms: u64 },
+    StartTooSlow { service: CompactString, boot_ms: u64, deadline_ms: u64 },
     #[snafu(display("nothing was heard lately of service {service:?}"))]
-    Unseen { service: CompactString },
+    NoFunctionReport { service: CompactString },
     #[snafu(display("the workers' room is not known yet"))]
-    NoWorkers,
+    FreeMemoryUnknown,
     #[snafu(display(
         "workers have no room for {missing} of {wanted} instances of {service:?}, {memory_mb} MB each"
     ))]
-    NoRoom { service: CompactString, wanted: u32, missing: u32, memory_mb: u64 },
+    NotEnoughMemory { service: CompactString, wanted: u32, missing: u32, memory_mb: u64 },
     #[snafu(display("it would take {takes_ms} ms to warm the target; {warm_ms} ms are given"))]
-    TooSlow { takes_ms: u64, warm_ms: u64 },
+    WarmingTooSlow { takes_ms: u64, warm_ms: u64 },
     #[snafu(display("instances that are to be started take {takes_mb} MB; {most_mb} MB are given"))]
-    TooDear { takes_mb: u64, most_mb: u64 },
+    TooMuchMemory { takes_mb: u64, most_mb: u64 },
     #[snafu(display(
         "{needed} revisions above {above} are needed, from the operator's own range; given: {first} to {last}"
     ))]
-    Numbers { needed: u64, above: u64, first: u64, last: u64 },
+    TooFewRevisions { needed: u64, above: u64, first: u64, last: u64 },
 }
 
 /// What a move takes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Estimate {
     /// Its routes.
-    pub hauls: Vec<RouteMove>,
+    pub route_moves: Vec<RouteMove>,
     /// Which of the services named are left, and for which.
     pub services: Vec<(CompactString, CompactString)>,
     /// Instances that each target is to have.
-    pub needs: Vec<(CompactString, u32)>,
+    pub target_instances: Vec<(CompactString, u32)>,
     /// Instances that each source has now, and keeps for the way back.
-    pub keeps: Vec<(CompactString, u32)>,
+    pub source_instances: Vec<(CompactString, u32)>,
     /// Starts.
     pub starts: u32,
     /// What those take.
@@ -107,23 +107,23 @@
     /// The time in which the target is warm.
     pub warm_ms: u64,
     /// The longest that a request of its routes may be held.
-    pub longest_ms: u64,
+    pub max_deadline_ms: u64,
     /// Revisions that the move needs: its loads, the way back, and one to spare.
-    pub revisions: u64,
+    pub revisions_needed: u64,
     /// All that stands against it.
     pub reasons: Vec<Reason>,
 }
 
 impl Estimate {
-    fn against(&mut self, reason: Reason) {
-        if self.reasons.len() < MOST_REASONS && !self.reasons.contains(&reason) {
+    fn reject(&mut self, reason: Reason) {
+        if self.reasons.len() < MAX_REASONS && !self.reasons.contains(&reason) {
             self.reasons.push(reason);
         }
     }
 }
 
 /// Revisions that a move of so many loads needs.
-pub(crate) fn revisions(loads: u32) -> u64 {
+pub(crate) fn revisions_needed(loads: u32) -> u64 {
     u64::from(loads) + 2
 }
 
@@ -132,93 +132,95 @@
 pub fn check(
     contract: &Contract,
     record: &Record,
-    sight: &Observation,
-    terms: &Terms,
+    observation: &Observation,
+    settings: &Settings,
     now: Nanos,
 ) -> Estimate {
-    let mut found = Estimate { revisions: revisions(contract.loads), ..Estimate::default() };
-    if record.named(&contract.name).is_some() {
-        found.against(Reason::Taken);
+    let mut found = Estimate { revisions_needed: revisions_needed(contract.loads), ..Estimate::default() };
+    if record.find(&contract.name).is_some() {
+        found.reject(Reason::NameTaken);
     }
-    if record.open().count() >= MOST_OPEN {
-        found.against(Reason::Full);
+    if record.open().count() >= MAX_OPEN {
+        found.reject(Reason::TooManyMoves);
     }
-    let Some(stands) = sight.stands() else {
-        found.against(Reason::NoConfig);
+    let Some(stands) = observation.active_config() else {
+        found.reject(Reason::NoConfig);
         return found;
     };
     let config = &stands.config;
     let routes = routes(contract, config, &mut found);
     match routes.len() {
-        0 => found.against(Reason::NoRoutes),
-        count if count > MOST_ROUTES => found.against(Reason::TooMany { count }),
+        0 => found.reject(Reason::NoRoutes),
+        count if count > MAX_ROUTES => found.reject(Reason::TooManyRoutes { count }),
         _ => {}
     }
-    let most = MOST_LOADS.min(routes.len() as u32);
+    let most = MAX_LOADS.min(routes.len() as u32);
     if contract.loads == 0 || contract.loads > most {
-        found.against(Reason::Loads { loads: contract.loads, most });
+        found.reject(Reason::InvalidLoads { loads: contract.loads, most });
     }
     let held = held(record);
-    for (at, route) in routes.iter().enumerate().take(MOST_ROUTES) {
+    for (at, route) in routes.iter().enumerate().take(MAX_ROUTES) {
         let (host, prefix) = (&route.host, &route.path_prefix);
-        if let Some(by) = held.get(&key(route)).filter(|_| !is_out(Guard::Crossing)) {
+        if let Some(by) = held.get(&key(route)).filter(|_| !is_disabled(Guard::Crossing)) {
             let (host, prefix, by) = (host.clone(), prefix.clone(), (*by).clone());
-            found.against(Reason::Held { host, prefix, by });
+            found.reject(Reason::RouteHeld { host, prefix, by });
         }
         let to = renamed(route, contract);
         if to == route.shares {
-            found.against(Reason::NothingLeft { host: host.clone(), prefix: prefix.clone() });
+            found.reject(Reason::NoMappedService { host: host.clone(), prefix: prefix.clone() });
         }
         let load = 1 + (at as u64 * u64::from(contract.loads) / routes.len().max(1) as u64) as u32;
         let (host, path_prefix) = (host.clone(), prefix.clone());
-        found.hauls.push(RouteMove { host, path_prefix, from: route.shares.clone(), to, load });
+        found.route_moves.push(RouteMove { host, path_prefix, from: route.shares.clone(), to, load });
     }
     let used: HashSet<_> = routes.iter().flat_map(|route| &route.shares).map(|(name, _)| name).collect();
     let pairs = contract.services.iter().filter(|(from, _)| used.contains(from));
     found.services = pairs.map(|(from, to)| (from.clone(), to.clone())).collect();
     for (from, to) in &contract.services {
         if contract.services.contains_key(to) {
-            found.against(Reason::Itself { service: to.clone() });
+            found.reject(Reason::ChainedService { service: to.clone() });
         }
         if config.service(from).is_none() {
-            found.against(Reason::UnknownService { service: from.clone() });
+            found.reject(Reason::UnknownService { service: from.clone() });
         }
     }
-    bear(&mut found, &contract.bounds, config, sight, terms, now);
+    check_capacity(&mut found, &contract.bounds, config, observation, settings, now);
     found
 }
 
 /// A move of the record that is to be opened now.
 #[must_use]
-pub fn check_again(of: &Move, sight: &Observation, terms: &Terms, now: Nanos) -> Estimate {
+pub fn recheck(of: &Move, observation: &Observation, settings: &Settings, now: Nanos) -> Estimate {
     let mut found = Estimate {
-        hauls: of.hauls.clone(),
+        route_moves: of.route_moves.clone(),
         services: of.services.clone(),
-        revisions: revisions(of.loads),
+        revisions_needed: revisions_needed(of.loads),
         ..Estimate::default()
     };
-    let Some(stands) = sight.stands() else {
-        found.against(Reason::NoConfig);
+    let Some(stands) = observation.active_config() else {
+        found.reject(Reason::NoConfig);
         return found;
     };
-    for (haul, place) in of.hauls.iter().zip(places(&stands.config, &of.hauls)) {
-        let (host, prefix) = (haul.host.clone(), haul.path_prefix.clone());
+    for (route_move, place) in of.route_moves.iter().zip(locate_routes(&stands.config, &of.route_moves)) {
+        let (host, prefix) = (route_move.host.clone(), route_move.path_prefix.clone());
         match place {
-            Place::Here => {}
-            Place::Gone => found.against(Reason::UnknownRoute { host, prefix }),
-            Place::There | Place::Elsewhere => found.against(Reason::Changed { host, prefix }),
+            RouteLocation::Source => {}
+            RouteLocation::Missing => found.reject(Reason::UnknownRoute { host, prefix }),
+            RouteLocation::Target | RouteLocation::Other => {
+                found.reject(Reason::RouteChanged { host, prefix })
+            }
         }
     }
-    numbers(&mut found, of.numbers, stands.config.revision);
-    bear(&mut found, &of.bounds, &stands.config, sight, terms, now);
+    check_revisions(&mut found, of.revisions, stands.config.revision);
+    check_capacity(&mut found, &of.bounds, &stands.config, observation, settings, now);
     found
 }
 
 /// The range of revisions has enough above the one that stands.
-pub(crate) fn numbers(found: &mut Estimate, (first, last): (u64, u64), above: u64) {
+pub(crate) fn check_revisions(found: &mut Estimate, (first, last): (u64, u64), above: u64) {
     let left = (last + 1).saturating_sub(first.max(above + 1));
-    if left < found.revisions {
-        found.against(Reason::Numbers { needed: found.revisions, above, first, last });
+    if left < found.revisions_needed {
+        found.reject(Reason::TooFewRevisions { needed: found.revisions_needed, above, first, last });
     }
 }
 
@@ -228,8 +230,13 @@
 
 /// Routes that open moves hold, and which.
 fn held(record: &Record) -> HashMap<(String, CompactString), &CompactString> {
-    let all = record.open().flat_map(|known| known.hauls.iter().map(move |haul| (haul, &known.name)));
-    all.map(|(haul, name)| ((host_key(&haul.host).into_owned(), haul.path_prefix.clone()), name)).collect()
+    let all = record
+        .open()
+        .flat_map(|known| known.route_moves.iter().map(move |route_move| (route_move, &known.name)));
+    all.map(|(route_move, name)| {
+        ((host_key(&route_move.host).into_owned(), route_move.path_prefix.clone()), name)
+    })
+    .collect()
 }
 
 /// The routes that are meant: those that are named, then those of the hosts that have a service which is left, each once.
@@ -241,7 +248,7 @@
         match known.get(&(host_key(host).into_owned(), prefix.clone())) {
             Some(route) if seen.insert(key(route)) => all.push(route),
             Some(_) => {}
-            None => found.against(Reason::UnknownRoute { host: host.clone(), prefix: prefix.clone() }),
+            None => found.reject(Reason::UnknownRoute { host: host.clone(), prefix: prefix.clone() }),
         }
     }
     for host in &contract.hosts {
@@ -251,7 +258,7 @@
         let of_host = config.routes.iter().filter(|route| host_key(&route.host) == name);
         let mut of_host = of_host.filter(leaves).peekable();
         if of_host.peek().is_none() {
-            found.against(Reason::UnknownHost { host: host.clone() });
+            found.reject(Reason::UnknownHost { host: host.clone() });
         }
         all.extend(of_host.filter(|route| seen.insert(key(route))));
     }
@@ -272,12 +279,12 @@
 }
 
 /// What the targets can bear.
-fn bear(
+fn check_capacity(
     found: &mut Estimate,
     bounds: &Bounds,
     config: &Config,
-    sight: &Observation,
-    terms: &Terms,
+    observation: &Observation,
+    settings: &Settings,
     now: Nanos,
 ) {
     let services: HashMap<&str, &Service> = config.services.iter().map(|s| (s.name.as_str(), s)).collect();
@@ -287,49 +294,51 @@
     for (from, to) in found.services.clone() {
         let (Some(old), Some(new)) = (services.get(from.as_str()), services.get(to.as_str())) else {
             for service in [&from, &to].into_iter().filter(|name| !services.contains_key(name.as_str())) {
-                found.against(Reason::UnknownService { service: service.clone() });
+                found.reject(Reason::UnknownService { service: service.clone() });
             }
             continue;
         };
         if (&old.protocol, old.tls) != (&new.protocol, new.tls) {
-            found.against(Reason::Protocol { from: from.clone(), to: to.clone() });
+            found.reject(Reason::ProtocolMismatch { from: from.clone(), to: to.clone() });
         }
         if new.max_conns < new.concurrency {
             let (max_conns, concurrency) = (new.max_conns, new.concurrency);
-            found.against(Reason::Connections { service: to.clone(), max_conns, concurrency });
+            found.reject(Reason::TooFewConnections { service: to.clone(), max_conns, concurrency });
         }
         slowest = slowest.max(new.boot_ms);
         // As if all of the source's work went: how much of it is the tenant's is not known.
-        match sight.function(now, &from) {
+        match observation.function(now, &from) {
             Some(function) => {
-                *busy.entry(to).or_default() += function.busy;
-                found.keeps.push((from, function.live));
+                *busy.entry(to).or_default() += function.peak_requests;
+                found.source_instances.push((from, function.live));
             }
-            None => found.against(Reason::Unseen { service: from }),
+            None => found.reject(Reason::NoFunctionReport { service: from }),
         }
     }
-    for haul in found.hauls.clone() {
-        let Some(route) = known.get(&(host_key(&haul.host).into_owned(), haul.path_prefix.clone())) else {
+    for route_move in found.route_moves.clone() {
+        let Some(route) =
+            known.get(&(host_key(&route_move.host).into_owned(), route_move.path_prefix.clone()))
+        else {
             continue;
         };
-        found.longest_ms = found.longest_ms.max(route.deadline_ms);
-        for (name, _) in haul.to.iter().filter(|share| !haul.from.contains(share)) {
+        found.max_deadline_ms = found.max_deadline_ms.max(route.deadline_ms);
+        for (name, _) in route_move.to.iter().filter(|share| !route_move.from.contains(share)) {
             let Some(service) = services.get(name.as_str()) else { continue };
             if service.boot_ms >= route.deadline_ms {
                 let (boot_ms, deadline_ms) = (service.boot_ms, route.deadline_ms);
-                found.against(Reason::Deadline { service: name.clone(), boot_ms, deadline_ms });
+                found.reject(Reason::StartTooSlow { service: name.clone(), boot_ms, deadline_ms });
             }
         }
     }
-    room(found, &busy, &services, sight, now);
-    let turns = f64::from(found.starts) / terms.duty_per_s.max(0.1) * 1e3;
+    room(found, &busy, &services, observation, now);
+    let turns = f64::from(found.starts) / settings.duty_per_s.max(0.1) * 1e3;
     let boots = if found.starts > 0 { slowest as f64 * BOOT_MARGIN } else { 0.0 };
     found.warm_ms = (turns + boots).ceil() as u64;
     if found.warm_ms > bounds.warm_ms {
-        found.against(Reason::TooSlow { takes_ms: found.warm_ms, warm_ms: bounds.warm_ms });
+        found.reject(Reason::WarmingTooSlow { takes_ms: found.warm_ms, warm_ms: bounds.warm_ms });
     }
     if let Some(most_mb) = bounds.most_memory_mb.filter(|most| found.memory_mb > *most) {
-        found.against(Reason::TooDear { takes_mb: found.memory_mb, most_mb });
+        found.reject(Reason::TooMuchMemory { takes_mb: found.memory_mb, most_mb });
     }
 }
 
@@ -338,23 +347,23 @@
     found: &mut Estimate,
     busy: &BTreeMap<CompactString, f64>,
     services: &HashMap<&str, &Service>,
-    sight: &Observation,
+    observation: &Observation,
     now: Nanos,
 ) {
-    let mut workers = sight.room().map(<[u64]>::to_vec);
+    let mut workers = observation.free_memory_mb().map(<[u64]>::to_vec);
     if workers.is_none() {
-        found.against(Reason::NoWorkers);
+        found.reject(Reason::FreeMemoryUnknown);
     }
     let mut wanted = Vec::new();
     for (name, more) in busy {
         let Some(service) = services.get(name.as_str()) else { continue };
-        let Some(function) = sight.function(now, name) else {
-            found.against(Reason::Unseen { service: name.clone() });
+        let Some(function) = observation.function(now, name) else {
+            found.reject(Reason::NoFunctionReport { service: name.clone() });
             continue;
         };
-        let slots = (more + function.busy) * MARGIN;
+        let slots = (more + function.peak_requests) * MARGIN;
         let need = (slots / f64::from(service.concurrency.max(1))).ceil().clamp(1.0, 1e6) as u32;
-        found.needs.push((name.clone(), need));
+        found.target_instances.push((name.clone(), need));
         wanted.push((service.memory_mb, name, need, need.saturating_sub(function.live)));
     }
     // The largest first, each on the worker with the most room: as the scaler has it, near enough.
@@ -371,7 +380,7 @@
             missing -= 1;
         }
         if missing > 0 {
-            found.against(Reason::NoRoom { service: name.clone(), wanted: need, missing, memory_mb });
+            found.reject(Reason::NotEnoughMemory { service: name.clone(), wanted: need, missing, memory_mb });
         }
     }
 }
--- a/migration/src/contract.rs
+++ b/migration/src/contract.rs
@@ -10,11 +10,11 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Bytes of a name.
-const MOST_NAME: usize = 128;
+const MAX_NAME: usize = 128;
 /// Hosts, routes and services that a contract names.
-pub(crate) const MOST_ROUTES: usize = 1_000;
+pub(crate) const MAX_ROUTES: usize = 1_000;
 /// Loads of a move: each is a configuration that goes to all.
-pub(crate) const MOST_LOADS: u32 = 50;
+pub(crate) const MAX_LOADS: u32 = 50;
 
 /// Within what a move has to keep; past them it turns back by itself.
 #[derive(Clone, Debug, PartialEq)]
@@ -73,7 +73,7 @@
     /// No further load goes.
     Pause(CompactString),
     /// It turns back; revisions as above.
-    Back(CompactString, Option<(u64, u64)>),
+    Rollback(CompactString, Option<(u64, u64)>),
 }
 
 impl Order {
@@ -81,7 +81,7 @@
     pub fn name(&self) -> &CompactString {
         match self {
             Order::Plan(contract) => &contract.name,
-            Order::Start(name, _) | Order::Pause(name) | Order::Back(name, _) => name,
+            Order::Start(name, _) | Order::Pause(name) | Order::Rollback(name, _) => name,
         }
     }
 
@@ -90,27 +90,27 @@
         let kind = at.required("order")?;
         match kind.str()? {
             "plan" => Ok(Order::Plan(Contract::read(&at.required("contract")?)?)),
-            "start" => Ok(Order::Start(named(at)?, numbers(at)?)),
+            "start" => Ok(Order::Start(named(at)?, revision_range(at)?)),
             "pause" => Ok(Order::Pause(named(at)?)),
-            "back" => Ok(Order::Back(named(at)?, numbers(at)?)),
+            "back" => Ok(Order::Rollback(named(at)?, revision_range(at)?)),
             other => Err(kind.error(format!("is {other:?}; plan, start, pause or back"))),
         }
     }
 }
 
-fn word(at: &JsonCursor<'_>) -> Result<CompactString, ConfigError> {
+fn short_text(at: &JsonCursor<'_>) -> Result<CompactString, ConfigError> {
     match at.str()? {
         "" => Err(at.error("is empty")),
-        text if text.len() > MOST_NAME => Err(at.error(format!("is longer than {MOST_NAME} bytes"))),
+        text if text.len() > MAX_NAME => Err(at.error(format!("is longer than {MAX_NAME} bytes"))),
         text => Ok(text.into()),
     }
 }
 
 fn named(at: &JsonCursor<'_>) -> Result<CompactString, ConfigError> {
-    word(&at.required("name")?)
+    short_text(&at.required("name")?)
 }
 
-fn numbers(at: &JsonCursor<'_>) -> Result<Option<(u64, u64)>, ConfigError> {
+fn revision_range(at: &JsonCursor<'_>) -> Result<Option<(u64, u64)>, ConfigError> {
     let Some(numbers) = at.optional("revisions") else { return Ok(None) };
     let (first, last) = (numbers.required("first")?.uint()?, numbers.required("last")?.uint()?);
     if first == 0 || last < first {
@@ -126,8 +126,8 @@
     read: impl Fn(&JsonCursor<'_>) -> Result<T, ConfigError>,
 ) -> Result<Vec<T>, ConfigError> {
     let Some(at) = at.optional(key) else { return Ok(Vec::new()) };
-    if at.items()?.len() > MOST_ROUTES {
-        return Err(at.error(format!("are more than {MOST_ROUTES}")));
+    if at.items()?.len() > MAX_ROUTES {
+        return Err(at.error(format!("are more than {MAX_ROUTES}")));
     }
     at.items()?.map(|at| read(&at)).collect()
 }
@@ -138,20 +138,20 @@
         let place = |at: &JsonCursor<'_>| {
             let prefix = at.required("path_prefix")?;
             let text = prefix.str()?;
-            if text.len() > 2 * MOST_NAME {
+            if text.len() > 2 * MAX_NAME {
                 return Err(prefix.error("is too long"));
             }
-            Ok((word(&at.required("host")?)?, text.into()))
+            Ok((short_text(&at.required("host")?)?, text.into()))
         };
         let services = at.required("services")?;
         let entries = services.entries()?;
-        if entries.len() > MOST_ROUTES {
-            return Err(services.error(format!("are more than {MOST_ROUTES}")));
+        if entries.len() > MAX_ROUTES {
+            return Err(services.error(format!("are more than {MAX_ROUTES}")));
         }
-        let service = |(from, to): (&str, JsonCursor<'_>)| Ok((from.into(), word(&to)?));
+        let service = |(from, to): (&str, JsonCursor<'_>)| Ok((from.into(), short_text(&to)?));
         Ok(Self {
             name: named(at)?,
-            hosts: items(at, "hosts", word)?,
+            hosts: items(at, "hosts", short_text)?,
             routes: items(at, "routes", place)?,
             services: entries.into_iter().map(service).collect::<Result<_, _>>()?,
             loads: at.saturating_u32_or("loads", 1)?,
@@ -177,7 +177,7 @@
     }
 
     /// What tells it from others of its name; half of it, since a number in JSON holds 53 bits.
-    pub(crate) fn mark(&self) -> u32 {
+    pub(crate) fn content_hash(&self) -> u32 {
         xxh3_64(write(&self.to_value()).as_bytes()) as u32
     }
 }
--- a/migration/src/plant.rs
+++ b/migration/src/guards.rs
@@ -28,7 +28,7 @@
     /// Nothing is said or done without the lease.
     Lease,
     /// An operator's configuration that puts routes elsewhere ends the move.
-    Overtaken,
+    Superseded,
     /// The side that was left has the time of its longest request.
     Settle,
     /// A target past its thresholds takes no load.
@@ -43,17 +43,17 @@
 }
 
 #[cfg(test)]
-pub(crate) fn is_out(guard: Guard) -> bool {
+pub(crate) fn is_disabled(guard: Guard) -> bool {
     OUT.get() == Some(guard)
 }
 
 #[cfg(not(test))]
-pub(crate) const fn is_out(_: Guard) -> bool {
+pub(crate) const fn is_disabled(_: Guard) -> bool {
     false
 }
 
 /// Takes a guard out on this thread, or puts it back.
 #[cfg(test)]
-pub(crate) fn take_out(guard: Option<Guard>) {
+pub(crate) fn disable(guard: Option<Guard>) {
     OUT.set(guard);
 }
--- a/migration/src/lib.rs
+++ b/migration/src/lib.rs
@@ -10,14 +10,14 @@
 
 pub mod check;
 mod contract;
+mod durable;
+mod guards;
 mod migrator;
 mod observation;
-mod plant;
 mod record;
 pub mod shift;
-mod standing;
+mod status;
 mod steps;
-mod tell;
 mod watch;
 
 #[cfg(test)]
@@ -25,10 +25,10 @@
 
 pub use check::{Estimate, Reason};
 pub use contract::{Bounds, Contract, Order};
-pub use migrator::{Effect, Input, Migrator, OrderFailure, Terms};
-pub use observation::{Function, Observation, PendingReason, Stands};
-pub use record::{BadRecord, Direction, Move, Put, Record, RouteMove, State};
-pub use standing::{Answer, Kind, Published, Said, Standing};
+pub use durable::{Action, Answer, DurableRecord, OrderResult, Published};
+pub use migrator::{Effect, Input, Migrator, OrderFailure, Settings};
+pub use observation::{ActiveConfig, FunctionLoad, Observation, PendingReason};
+pub use record::{Direction, Move, Put, Record, RecordError, RouteMove, State};
 
 pub use millpost_scheduler::{MS, Nanos};
 
@@ -38,5 +38,5 @@
     /// The steady clock, of this machine alone.
     pub now: Nanos,
     /// The time of day, for people and for the age of a move.
-    pub day: u64,
+    pub unix_ms: u64,
 }
--- a/migration/src/migrator.rs
+++ b/migration/src/migrator.rs
@@ -8,11 +8,11 @@
 use millpost_quorum::{Outcome, Value};
 
 use crate::contract::Order;
-use crate::observation::{Function, Observation, Stands};
-use crate::plant::{Guard, is_out};
-use crate::record::{BadRecord, Move, Record, State};
-use crate::standing::{Published, Standing};
-use crate::steps::{Ground, Obeyed, advance, obey};
+use crate::durable::{DurableRecord, Published};
+use crate::guards::{Guard, is_disabled};
+use crate::observation::{ActiveConfig, FunctionLoad, Observation};
+use crate::record::{Move, Record, RecordError, State};
+use crate::steps::{OrderOutcome, StepContext, advance, apply_order};
 use crate::watch::Watch;
 use crate::{MS, Moment, Nanos};
 
@@ -27,17 +27,17 @@
 /// An order waits for so long beyond the time in touch, until enough is seen to judge it.
 const ORDER: Nanos = 3_000 * MS;
 /// Orders at once.
-const MOST_ORDERS: usize = 64;
+const MAX_ORDERS: usize = 64;
 
 /// What the deployment says.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct Settings {
     /// Who was not heard of for so long is not in touch (`contact_ms`).
-    pub contact: Nanos,
+    pub contact_timeout: Nanos,
     /// Starts and stops a second (`duty_per_s`).
     pub duty_per_s: f64,
     /// Whether somebody keeps warm what is to be: if not, the first load goes to a target as it is.
-    pub warms: bool,
+    pub prewarms: bool,
 }
 
 /// What happens.
@@ -46,21 +46,21 @@
     /// The lease is held, under this fence, until this moment of the steady clock.
     Lease(u64, Nanos),
     /// It is not, any more.
-    Unleased,
+    LeaseLost,
     /// An operator's order, with a number that no other has.
     Order(u64, Order),
     /// The answer to [`Effect::ReadRecord`] or [`Effect::Write`] of this number.
     Record(u64, Outcome),
     /// This configuration stands, as this machine has heard or in answer to [`Effect::ReadConfig`].
-    Stands(Stands),
+    ActiveConfig(ActiveConfig),
     /// How a put of this number ended: it stands, something else does and came as [`Input::Stands`], or nobody knows.
-    Put(u64),
+    PutFinished(u64),
     /// Proxies say on which revision they act.
-    Acts(Vec<(CompactString, u64)>),
+    ProxyRevisions(Vec<(CompactString, u64)>),
     /// How functions do. Orders are judged after the next one of these, so that goes after all else that is seen.
-    Does(Vec<(CompactString, Function)>),
+    Functions(Vec<(CompactString, FunctionLoad)>),
     /// Memory that is free on each worker that takes instances, in MB.
-    Room(Vec<u64>),
+    FreeMemory(Vec<u64>),
     /// Time passes.
     Tick,
 }
@@ -79,10 +79,10 @@
         /// What is written.
         value: Value,
         /// What has to stand.
-        over: Option<u64>,
+        expected_version: Option<u64>,
     },
     /// Something goes outward.
-    Out(Published),
+    Publish(Published),
     /// An order has no clear answer here.
     OrderFailure(u64, OrderFailure),
 }
@@ -91,7 +91,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderFailure {
     /// This machine holds no lease.
-    NotHolder,
+    NotLeader,
     /// Too many orders wait.
     Busy,
     /// It took too long.
@@ -116,9 +116,9 @@
 struct Term {
     fence: u64,
     until: Nanos,
-    sight: Observation,
+    observation: Observation,
     watches: BTreeMap<CompactString, Watch>,
-    standing: Option<Standing>,
+    standing: Option<DurableRecord>,
     /// Nothing that was offered before can come to stand any more: a write of this term over what stood has ended well, and none since
     /// has ended without a clear word.
     firm: bool,
@@ -135,7 +135,7 @@
 
 /// Moves, on one control machine.
 pub struct Migrator {
-    terms: Terms,
+    settings: Settings,
     term: Option<Term>,
     asks: u64,
     effects: Vec<Effect>,
@@ -143,30 +143,30 @@
 
 impl Migrator {
     /// Of a machine that holds no lease.
-    pub fn new(terms: Terms) -> Self {
-        Migrator { terms, term: None, asks: 0, effects: Vec::new() }
+    pub fn new(settings: Settings) -> Self {
+        Migrator { settings, term: None, asks: 0, effects: Vec::new() }
     }
 
     /// What is to be done, in order.
-    pub fn take(&mut self) -> Vec<Effect> {
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
     /// The record as it stands, as far as the holder of the lease knows.
-    pub fn standing(&self) -> Option<&Standing> {
+    pub fn durable_record(&self) -> Option<&DurableRecord> {
         self.term.as_ref()?.standing.as_ref()
     }
 
     /// Whether a move is open or an order waits: what is seen is wanted then.
     pub fn is_busy(&self) -> bool {
-        let open = |standing: &Standing| standing.record().open().next().is_some();
+        let open = |standing: &DurableRecord| standing.record().open().next().is_some();
         self.term
             .as_ref()
             .is_some_and(|term| !term.orders.is_empty() || term.standing.as_ref().is_some_and(open))
     }
 
     /// The functions that are of interest.
-    pub fn looks_at(&self) -> BTreeSet<CompactString> {
+    pub fn observed_functions(&self) -> BTreeSet<CompactString> {
         let Some(term) = &self.term else { return BTreeSet::new() };
         let open = term.standing.iter().flat_map(|standing| standing.record().open());
         let mut all: BTreeSet<_> =
@@ -180,23 +180,23 @@
     }
 
     /// Whether somebody keeps warm what is to be.
-    pub(crate) fn warms(&self) -> bool {
-        self.terms.warms
+    pub(crate) fn prewarms(&self) -> bool {
+        self.settings.prewarms
     }
 
     pub(crate) fn seen(&self) -> Option<(&Observation, &BTreeMap<CompactString, Watch>)> {
-        self.term.as_ref().map(|term| (&term.sight, &term.watches))
+        self.term.as_ref().map(|term| (&term.observation, &term.watches))
     }
 
     /// Something happened.
     pub fn input(&mut self, at: Moment, input: Input) {
         let now = at.now;
-        if self.term.as_ref().is_some_and(|term| now >= term.until) && !is_out(Guard::Lease) {
+        if self.term.as_ref().is_some_and(|term| now >= term.until) && !is_disabled(Guard::Lease) {
             self.end();
         }
         match input {
             Input::Lease(fence, until) => self.lease(now, fence, until),
-            Input::Unleased => self.end(),
+            Input::LeaseLost => self.end(),
             Input::Order(id, order) => self.order(now, id, order),
             input => {
                 if let Some(term) = &mut self.term {
@@ -214,11 +214,11 @@
         }
         self.end();
         if now < until {
-            let sight = Observation::new(now, &self.terms);
+            let observation = Observation::new(now, &self.settings);
             self.term = Some(Term {
                 fence,
                 until,
-                sight,
+                observation,
                 watches: BTreeMap::new(),
                 standing: None,
                 firm: false,
@@ -235,16 +235,16 @@
 
     fn end(&mut self) {
         let Some(term) = self.term.take() else { return };
-        let turned = |waiting: Waiting| Effect::OrderFailure(waiting.id, OrderFailure::NotHolder);
+        let turned = |waiting: Waiting| Effect::OrderFailure(waiting.id, OrderFailure::NotLeader);
         self.effects.extend(term.orders.into_iter().map(turned));
     }
 
     fn order(&mut self, now: Nanos, id: u64, order: Order) {
-        let until = now + self.terms.contact + ORDER;
+        let until = now + self.settings.contact_timeout + ORDER;
         let turned = match &mut self.term {
-            None => OrderFailure::NotHolder,
+            None => OrderFailure::NotLeader,
             Some(term) if term.unreadable => OrderFailure::Unreadable,
-            Some(term) if term.orders.len() >= MOST_ORDERS => OrderFailure::Busy,
+            Some(term) if term.orders.len() >= MAX_ORDERS => OrderFailure::Busy,
             Some(term) => return term.orders.push_back(Waiting { id, order, came: now, until }),
         };
         self.effects.push(Effect::OrderFailure(id, turned));
@@ -254,7 +254,7 @@
     fn go_on(&mut self, at: Moment) {
         let Some(term) = &mut self.term else { return };
         let now = at.now;
-        term.sight.sweep(now);
+        term.observation.sweep(now);
         if term.asked.as_ref().is_some_and(|asked| now >= asked.until) {
             (term.asked, term.standing, term.firm, term.read_again) = (None, None, false, None);
         }
@@ -278,35 +278,35 @@
             term.asked = Some(Asked { id: self.asks, until: now + pause });
             return self.effects.push(Effect::ReadRecord(self.asks));
         };
-        term.watches.retain(|name, _| standing.record().named(name).is_some_and(|of| of.state.out()));
-        for of in standing.record().moves.iter().filter(|of| of.state.out()) {
+        term.watches.retain(|name, _| standing.record().find(name).is_some_and(|of| of.state.is_active()));
+        for of in standing.record().moves.iter().filter(|of| of.state.is_active()) {
             let watch = term.watches.entry(of.name.clone()).or_insert_with(|| Watch::new(now, of));
-            watch.look(now, of, &term.sight);
+            watch.look(now, of, &term.observation);
         }
-        let ground = |since| {
-            let (sight, watches) = (&term.sight, &term.watches);
-            Ground { at, fence: term.fence, terms: &self.terms, sight, watches, since }
+        let context = |since| {
+            let (observation, watches) = (&term.observation, &term.watches);
+            StepContext { at, fence: term.fence, settings: &self.settings, observation, watches, since }
         };
-        let mut next = advance(standing.record(), &ground(0));
+        let mut next = advance(standing.record(), &context(0));
         let mut answers = Vec::new();
         for (n, waiting) in term.orders.iter().enumerate() {
             if next.is_some() {
                 break;
             }
-            let ground = ground(waiting.came);
-            let refused = match obey(standing.record(), standing.version(), &waiting.order, &ground) {
-                Obeyed::Later => continue,
-                Obeyed::Change(record) => {
+            let context = context(waiting.came);
+            let refused = match apply_order(standing.record(), standing.version(), &waiting.order, &context) {
+                OrderOutcome::Later => continue,
+                OrderOutcome::Change(record) => {
                     next = Some(record);
                     break;
                 }
-                Obeyed::Already => None,
-                Obeyed::Refused(reasons) => Some(reasons),
+                OrderOutcome::Already => None,
+                OrderOutcome::Refused(reasons) => Some(reasons),
             };
             answers.push((n, standing.answer(waiting.id, waiting.order.name(), refused)));
         }
-        let out = standing.record().moves.iter().any(|of| of.state.out());
-        if next.is_none() && !term.firm && (out || !answers.is_empty()) && !is_out(Guard::Firm) {
+        let out = standing.record().moves.iter().any(|of| of.state.is_active());
+        if next.is_none() && !term.firm && (out || !answers.is_empty()) && !is_disabled(Guard::Firm) {
             next = Some(standing.record().clone());
         }
         if let Some(record) = next {
@@ -314,10 +314,10 @@
         }
         for (n, answer) in answers.into_iter().rev() {
             term.orders.remove(n);
-            self.effects.push(Effect::Out(answer));
+            self.effects.push(Effect::Publish(answer));
         }
         term.look_for_config(now, &mut self.effects);
-        if term.firm || is_out(Guard::Firm) {
+        if term.firm || is_disabled(Guard::Firm) {
             term.outward(now, &mut self.effects);
         }
     }
@@ -327,17 +327,18 @@
         record.fence = term.fence;
         let Some(standing) = &term.standing else { return };
         let version = standing.version() + 1;
-        let over = Some(version - 1);
+        let expected_version = Some(version - 1);
         let content = record.to_text().into();
         self.asks += 1;
         term.asked = Some(Asked { id: self.asks, until: now + ROUND });
         let value = Value { version, content };
-        self.effects.push(Effect::Write { ask: self.asks, value, over });
+        self.effects.push(Effect::Write { ask: self.asks, value, expected_version });
         #[cfg(test)]
-        if let (Some(ahead), Some(stands)) = (Standing::planted(version, record.clone()), term.sight.stands())
+        if let (Some(ahead), Some(stands)) =
+            (DurableRecord::unwritten(version, record.clone()), term.observation.active_config())
         {
             let puts = ahead.record().moves.iter().filter_map(|of| ahead.put(of, stands));
-            self.effects.extend(puts.map(Effect::Out));
+            self.effects.extend(puts.map(Effect::Publish));
         }
     }
 }
@@ -351,17 +352,21 @@
                     self.record(now, outcome);
                 }
             }
-            Input::Stands(stands) => self.sight.stand(stands),
-            Input::Put(number) => {
+            Input::ActiveConfig(stands) => self.observation.set_active_config(stands),
+            Input::PutFinished(number) => {
                 if self.put.0 == number {
                     self.put.1 = now + AGAIN;
                     self.read_config = 0;
                 }
             }
-            Input::Acts(all) => all.into_iter().for_each(|(name, acts)| self.sight.acts(now, name, acts)),
-            Input::Does(all) => all.into_iter().for_each(|(name, does)| self.sight.does(now, name, does)),
-            Input::Room(room) => self.sight.make_room(room),
-            Input::Lease(..) | Input::Unleased | Input::Order(..) | Input::Tick => {}
+            Input::ProxyRevisions(all) => {
+                all.into_iter().for_each(|(name, acts)| self.observation.record_proxy(now, name, acts))
+            }
+            Input::Functions(all) => {
+                all.into_iter().for_each(|(name, does)| self.observation.record_function(now, name, does))
+            }
+            Input::FreeMemory(room) => self.observation.set_free_memory(room),
+            Input::Lease(..) | Input::LeaseLost | Input::Order(..) | Input::Tick => {}
         }
     }
 
@@ -384,13 +389,13 @@
         if !self.firm {
             self.read_again.get_or_insert(now + LATE);
         }
-        match Standing::read(value.as_ref()) {
+        match DurableRecord::read(value.as_ref()) {
             Ok(standing) => (self.standing, self.unreadable) = (Some(standing), false),
             Err(error) => self.spoilt(now, &error),
         }
     }
 
-    fn spoilt(&mut self, now: Nanos, error: &BadRecord) {
+    fn spoilt(&mut self, now: Nanos, error: &RecordError) {
         if !self.unreadable {
             log::error!("{error}: nothing is done about moves");
         }
@@ -404,10 +409,10 @@
         let Some(standing) = &self.standing else { return };
         let wanted = !self.orders.is_empty() || standing.record().open().next().is_some();
         let behind = standing.record().moves.iter().any(|of| match of.state {
-            State::Switching(_, put) => self.sight.revision() <= put.over,
+            State::Switching(_, put) => self.observation.revision() <= put.base,
             _ => false,
         });
-        if wanted && (self.sight.stands().is_none() || behind) && now >= self.read_config {
+        if wanted && (self.observation.active_config().is_none() || behind) && now >= self.read_config {
             self.read_config = now + AGAIN;
             effects.push(Effect::ReadConfig);
         }
@@ -415,21 +420,23 @@
 
     /// What goes outward now, out of the record as it stands.
     fn outward(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
-        let (Some(standing), Some(stands)) = (&self.standing, self.sight.stands()) else { return };
+        let (Some(standing), Some(stands)) = (&self.standing, self.observation.active_config()) else {
+            return;
+        };
         for of in &standing.record().moves {
             let State::Switching(_, put) = of.state else { continue };
-            if self.put.0 == put.number && now < self.put.1 {
+            if self.put.0 == put.revision && now < self.put.1 {
                 continue;
             }
             if let Some(out) = standing.put(of, stands) {
-                self.put = (put.number, now + ROUND);
-                effects.push(Effect::Out(out));
+                self.put = (put.revision, now + ROUND);
+                effects.push(Effect::Publish(out));
             }
         }
         if now >= self.warm {
             self.warm = now + WARM;
             let rests = |of: &Move| self.watches.get(&of.name).is_some_and(|watch| watch.rests(now));
-            effects.extend(standing.warm(rests).into_iter().map(Effect::Out));
+            effects.extend(standing.warm(rests).into_iter().map(Effect::Publish));
         }
     }
 }
--- a/migration/src/observation.rs
+++ b/migration/src/observation.rs
@@ -7,8 +7,8 @@
 use compact_str::CompactString;
 use millpost_config::{Config, ConfigError};
 
-use crate::migrator::Terms;
-use crate::plant::{Guard, is_out};
+use crate::guards::{Guard, is_disabled};
+use crate::migrator::Settings;
 use crate::{MS, Nanos};
 
 /// Proxies, and functions.
@@ -18,14 +18,14 @@
 
 /// A configuration that stands.
 #[derive(Clone, Debug)]
-pub struct Stands {
+pub struct ActiveConfig {
     /// As it was read.
     pub config: Config,
     /// Its text, as it was put.
     pub text: Arc<str>,
 }
 
-impl Stands {
+impl ActiveConfig {
     /// Reads one.
     pub fn read(text: &str) -> Result<Self, ConfigError> {
         Ok(Self { config: Config::parse(text)?, text: text.into() })
@@ -34,36 +34,36 @@
 
 /// How a function does.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Function {
+pub struct FunctionLoad {
     /// Instances that work.
     pub ready: u32,
     /// Those, and those that are about to.
     pub live: u32,
     /// Requests that it held at once lately, at its busiest.
-    pub busy: f64,
+    pub peak_requests: f64,
     /// Its averaged delay above its floor, in nanoseconds: of several instances the mean.
     pub delay: f64,
     /// Which part of what it was asked for lately it refused.
-    pub refused: f64,
+    pub refused_ratio: f64,
 }
 
 /// Why it can't be said yet that all act on a revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PendingReason {
     /// This holder is new, and may not have heard of all.
-    New,
+    LeaseTooRecent,
     /// No proxy is in touch.
-    Nobody,
+    NoProxies,
     /// These act on an older one; five of them, and how many there are.
-    Behind(Vec<CompactString>, usize),
+    ProxiesBehind(Vec<CompactString>, usize),
 }
 
 impl std::fmt::Display for PendingReason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            PendingReason::New => f.write_str("a new holder has not heard of all proxies yet"),
-            PendingReason::Nobody => f.write_str("no proxy is in touch"),
-            PendingReason::Behind(names, all) => {
+            PendingReason::LeaseTooRecent => f.write_str("a new holder has not heard of all proxies yet"),
+            PendingReason::NoProxies => f.write_str("no proxy is in touch"),
+            PendingReason::ProxiesBehind(names, all) => {
                 let more = if *all > names.len() { " and others" } else { "" };
                 write!(f, "{all} of the proxies act on an older configuration: {}{more}", names.join(" "))
             }
@@ -81,9 +81,9 @@
     /// When the lease was gained.
     began: Nanos,
     contact: Nanos,
-    stands: Option<Stands>,
+    stands: Option<ActiveConfig>,
     proxies: BTreeMap<CompactString, Proxy>,
-    functions: BTreeMap<CompactString, (Function, Nanos)>,
+    functions: BTreeMap<CompactString, (FunctionLoad, Nanos)>,
     /// When functions were told of last.
     told: Nanos,
     /// Memory that is free on each worker, in MB.
@@ -91,10 +91,10 @@
 }
 
 impl Observation {
-    pub(crate) fn new(now: Nanos, terms: &Terms) -> Self {
+    pub(crate) fn new(now: Nanos, settings: &Settings) -> Self {
         Self {
             began: now,
-            contact: terms.contact,
+            contact: settings.contact_timeout,
             stands: None,
             proxies: BTreeMap::new(),
             functions: BTreeMap::new(),
@@ -104,7 +104,7 @@
     }
 
     /// The configuration that stands, as far as is known here.
-    pub fn stands(&self) -> Option<&Stands> {
+    pub fn active_config(&self) -> Option<&ActiveConfig> {
         self.stands.as_ref()
     }
 
@@ -114,14 +114,14 @@
     }
 
     /// This one stands; an older one that comes late is passed over.
-    pub(crate) fn stand(&mut self, stands: Stands) {
+    pub(crate) fn set_active_config(&mut self, stands: ActiveConfig) {
         if stands.config.revision > self.revision() {
             self.stands = Some(stands);
         }
     }
 
     /// A proxy says on which revision it acts.
-    pub(crate) fn acts(&mut self, now: Nanos, name: CompactString, acts: u64) {
+    pub(crate) fn record_proxy(&mut self, now: Nanos, name: CompactString, acts: u64) {
         if self.proxies.len() < MOST || self.proxies.contains_key(&name) {
             // Its last word counts, not its highest: one that was started anew may be behind again.
             self.proxies.insert(name, Proxy { acts, heard: now });
@@ -129,7 +129,7 @@
     }
 
     /// How a function does.
-    pub(crate) fn does(&mut self, now: Nanos, name: CompactString, function: Function) {
+    pub(crate) fn record_function(&mut self, now: Nanos, name: CompactString, function: FunctionLoad) {
         self.told = now;
         if self.functions.len() < MOST || self.functions.contains_key(&name) {
             self.functions.insert(name, (function, now));
@@ -137,11 +137,11 @@
     }
 
     /// Functions were told of since then.
-    pub(crate) fn told_since(&self, then: Nanos) -> bool {
+    pub(crate) fn functions_reported_since(&self, then: Nanos) -> bool {
         self.told > then
     }
 
-    pub(crate) fn make_room(&mut self, room: Vec<u64>) {
+    pub(crate) fn set_free_memory(&mut self, room: Vec<u64>) {
         self.room = Some(room);
     }
 
@@ -153,35 +153,35 @@
     }
 
     /// A function, if it was heard of lately.
-    pub fn function(&self, now: Nanos, name: &str) -> Option<&Function> {
+    pub fn function(&self, now: Nanos, name: &str) -> Option<&FunctionLoad> {
         self.functions.get(name).filter(|(_, heard)| now < heard + FRESH).map(|(function, _)| function)
     }
 
     /// Memory that is free on each worker, in MB, if it is known.
-    pub fn room(&self) -> Option<&[u64]> {
+    pub fn free_memory_mb(&self) -> Option<&[u64]> {
         self.room.as_deref()
     }
 
     /// Whether all that are in touch may have been heard of by now.
-    pub fn heard_all(&self, now: Nanos) -> bool {
-        now >= self.began + self.contact || is_out(Guard::HearAll)
+    pub fn has_heard_all(&self, now: Nanos) -> bool {
+        now >= self.began + self.contact || is_disabled(Guard::HearAll)
     }
 
     /// Whether all proxies in touch act on this revision, or a higher one.
     pub fn all_act(&self, now: Nanos, revision: u64) -> Result<(), PendingReason> {
-        if !self.heard_all(now) {
-            return Err(PendingReason::New);
+        if !self.has_heard_all(now) {
+            return Err(PendingReason::LeaseTooRecent);
         }
         let in_touch = || self.proxies.iter().filter(|(_, proxy)| now < proxy.heard + self.contact);
         if in_touch().next().is_none() {
-            return Err(PendingReason::Nobody);
+            return Err(PendingReason::NoProxies);
         }
         let behind = in_touch().filter(|(_, proxy)| proxy.acts < revision);
         let behind: Vec<_> = behind.map(|(name, _)| name.clone()).collect();
-        if behind.is_empty() || is_out(Guard::AllAct) {
+        if behind.is_empty() || is_disabled(Guard::AllAct) {
             return Ok(());
         }
         let all = behind.len();
-        Err(PendingReason::Behind(behind.into_iter().take(5).collect(), all))
+        Err(PendingReason::ProxiesBehind(behind.into_iter().take(5).collect(), all))
     }
 }
--- a/migration/src/record.rs
+++ b/migration/src/record.rs
@@ -7,18 +7,18 @@
 use snafu::Snafu;
 use tinyjson::JsonValue;
 
-use crate::contract::{Bounds, MOST_LOADS, MOST_ROUTES};
+use crate::contract::{Bounds, MAX_LOADS, MAX_ROUTES};
 
 /// The form that is written, and the newest that is read.
 const FORMAT: u64 = 1;
 /// Moves that have not ended.
-pub(crate) const MOST_OPEN: usize = 8;
+pub(crate) const MAX_OPEN: usize = 8;
 /// Moves that have ended, and are kept for people.
-const MOST_ENDED: usize = 20;
+const MAX_ENDED: usize = 20;
 /// Steps of a move that are kept: the first, and the last ones.
-const MOST_STAMPS: usize = 24;
+const MAX_HISTORY: usize = 24;
 /// Bytes of a reason.
-const MOST_WHY: usize = 400;
+const MAX_REASON_BYTES: usize = 400;
 
 /// A service and its weight in a route.
 pub(crate) type Share = (CompactString, u32);
@@ -42,22 +42,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// To the target.
-    There,
+    ToTarget,
     /// Back to the source.
-    Back,
+    ToSource,
 }
 
 /// A configuration that is to stand. It is decided once what stands is above its base: it does then, or never will.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Put {
     /// Its revision.
-    pub number: u64,
+    pub revision: u64,
     /// Its base: the revision that it is written over, and no other.
-    pub over: u64,
+    pub base: u64,
     /// Loads that are on the target in it.
-    pub load: u32,
+    pub loads: u32,
     /// Loads that may have been there before it.
-    pub of: u32,
+    pub previous_loads: u32,
 }
 
 /// How far a move is.
@@ -77,50 +77,50 @@
     /// All of it is on the target.
     Done,
     /// None of it is.
-    TurnedBack,
+    RolledBack,
     /// An operator's configuration has put its routes elsewhere.
-    Overtaken,
+    Superseded,
 }
 
 impl State {
     /// Nothing more comes of it.
-    pub fn ended(&self) -> bool {
-        matches!(self, State::Done | State::TurnedBack | State::Overtaken)
+    pub fn is_ended(&self) -> bool {
+        matches!(self, State::Done | State::RolledBack | State::Superseded)
     }
 
     /// It has begun and not ended: one move at a time.
-    pub fn out(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         matches!(self, State::Opened | State::Switching(..) | State::Settling(..))
     }
 
     /// The word for it.
-    pub fn word(&self) -> &'static str {
+    pub fn name(&self) -> &'static str {
         match self {
             State::Planned { started: false } => "planned",
             State::Planned { started: true } => "started",
             State::Opened => "opened",
-            State::Switching(Direction::There, _) => "switching",
-            State::Switching(Direction::Back, _) => "switching_back",
-            State::Settling(Direction::There, _) => "settling",
-            State::Settling(Direction::Back, _) => "settling_back",
+            State::Switching(Direction::ToTarget, _) => "switching",
+            State::Switching(Direction::ToSource, _) => "switching_back",
+            State::Settling(Direction::ToTarget, _) => "settling",
+            State::Settling(Direction::ToSource, _) => "settling_back",
             State::Done => "done",
-            State::TurnedBack => "turned_back",
-            State::Overtaken => "overtaken",
+            State::RolledBack => "turned_back",
+            State::Superseded => "overtaken",
         }
     }
 }
 
 /// A step that was taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Stamp {
+pub struct StepEntry {
     /// When, by the time of day of who took it.
-    pub day: u64,
+    pub unix_ms: u64,
     /// Under which fence.
     pub fence: u64,
     /// Into which state.
     pub step: CompactString,
     /// Why.
-    pub why: String,
+    pub reason: String,
 }
 
 /// One move.
@@ -131,58 +131,61 @@
     /// The version of the record that it was planned with: no other move has the same, of whatever name.
     pub epoch: u64,
     /// What tells its contract from others.
-    pub mark: u32,
+    pub contract_hash: u32,
     /// Its routes in the order of their loads; none any more where it has ended.
-    pub hauls: Vec<RouteMove>,
+    pub route_moves: Vec<RouteMove>,
     /// The steps in which they go.
     pub loads: u32,
     /// Which service takes the place of which.
     pub services: Vec<(CompactString, CompactString)>,
     /// The longest that a request of its routes may be held.
-    pub longest_ms: u64,
+    pub max_deadline_ms: u64,
     /// What it has to keep within.
     pub bounds: Bounds,
     /// Instances that each target is to have before the first load goes.
-    pub needs: Vec<(CompactString, u32)>,
+    pub target_instances: Vec<(CompactString, u32)>,
     /// Instances that each source had, and keeps until the move has ended.
-    pub keeps: Vec<(CompactString, u32)>,
+    pub source_instances: Vec<(CompactString, u32)>,
     /// The next revision of its own, and the last one: none left where the next is above.
-    pub numbers: (u64, u64),
+    pub revisions: (u64, u64),
     /// No further load goes.
     pub paused: bool,
     /// How far it is.
     pub state: State,
     /// The steps that it took.
-    pub stamps: Vec<Stamp>,
+    pub history: Vec<StepEntry>,
 }
 
 impl Move {
     /// Takes a step.
-    pub(crate) fn enter(&mut self, state: State, day: u64, fence: u64, why: impl Into<String>) {
-        let mut why = why.into();
-        let end = (0..=MOST_WHY.min(why.len())).rev().find(|at| why.is_char_boundary(*at)).unwrap_or(0);
-        why.truncate(end);
-        if self.stamps.len() >= MOST_STAMPS {
-            self.stamps.remove(1);
+    pub(crate) fn enter(&mut self, state: State, unix_ms: u64, fence: u64, reason: impl Into<String>) {
+        let mut reason = reason.into();
+        let end = (0..=MAX_REASON_BYTES.min(reason.len()))
+            .rev()
+            .find(|at| reason.is_char_boundary(*at))
+            .unwrap_or(0);
+        reason.truncate(end);
+        if self.history.len() >= MAX_HISTORY {
+            self.history.remove(1);
         }
-        self.stamps.push(Stamp { day, fence, step: state.word().into(), why });
+        self.history.push(StepEntry { unix_ms, fence, step: state.name().into(), reason });
         self.state = state;
-        if self.state.ended() {
-            self.hauls.clear();
+        if self.state.is_ended() {
+            self.route_moves.clear();
             self.services.clear();
-            self.needs.clear();
-            self.keeps.clear();
+            self.target_instances.clear();
+            self.source_instances.clear();
         }
     }
 
     /// When it was planned, by the time of day.
     pub fn planned_at(&self) -> u64 {
-        self.stamps.first().map_or(0, |stamp| stamp.day)
+        self.history.first().map_or(0, |entry| entry.unix_ms)
     }
 
     /// When it was opened, by the time of day; none where it has not been yet.
     pub fn opened_at(&self) -> Option<u64> {
-        self.stamps.iter().find(|stamp| stamp.step == "opened").map(|stamp| stamp.day)
+        self.history.iter().find(|entry| entry.step == "opened").map(|entry| entry.unix_ms)
     }
 }
 
@@ -197,7 +200,7 @@
 
 /// The record can't be read: nothing is done with it, and nothing written over it.
 #[derive(Debug, Snafu)]
-pub enum BadRecord {
+pub enum RecordError {
     /// It is of a newer version of the program.
     #[snafu(display("moves of format {format}, from a newer version; this one reads up to {FORMAT}"))]
     Newer {
@@ -206,7 +209,7 @@
     },
     /// It is not what was written.
     #[snafu(display("the record of moves: {source}"), context(false))]
-    Spoilt {
+    Corrupt {
         /// Why.
         source: ConfigError,
     },
@@ -214,24 +217,24 @@
 
 impl Record {
     /// A move by its name.
-    pub fn named(&self, name: &str) -> Option<&Move> {
+    pub fn find(&self, name: &str) -> Option<&Move> {
         self.moves.iter().find(|known| known.name == name)
     }
 
-    pub(crate) fn named_mut(&mut self, name: &str) -> Option<&mut Move> {
+    pub(crate) fn find_mut(&mut self, name: &str) -> Option<&mut Move> {
         self.moves.iter_mut().find(|known| known.name == name)
     }
 
     /// Moves that have not ended.
     pub fn open(&self) -> impl Iterator<Item = &Move> {
-        self.moves.iter().filter(|known| !known.state.ended())
+        self.moves.iter().filter(|known| !known.state.is_ended())
     }
 
     /// Forgets the oldest of those that have ended, where they are many.
     pub(crate) fn tidy(&mut self) {
-        let mut over = self.moves.iter().filter(|m| m.state.ended()).count().saturating_sub(MOST_ENDED);
+        let mut over = self.moves.iter().filter(|m| m.state.is_ended()).count().saturating_sub(MAX_ENDED);
         self.moves.retain(|known| {
-            let forgotten = over > 0 && known.state.ended();
+            let forgotten = over > 0 && known.state.is_ended();
             over -= usize::from(forgotten);
             !forgotten
         });
@@ -244,12 +247,12 @@
     }
 
     /// Reads what was written.
-    pub fn read(text: &str) -> Result<Self, BadRecord> {
+    pub fn read(text: &str) -> Result<Self, RecordError> {
         let value = values::parse(text)?;
         let at = JsonCursor::root(&value);
         match at.required("format")?.uint()? {
             FORMAT => {}
-            format => return Err(BadRecord::Newer { format }),
+            format => return Err(RecordError::Newer { format }),
         }
         let moves = at.required("moves")?;
         let moves = moves.items()?.map(|at| Move::read(&at)).collect::<Result<_, _>>()?;
@@ -296,14 +299,14 @@
 
 impl State {
     fn to_value(&self) -> JsonValue {
-        let word = ("step", string(self.word()));
+        let word = ("step", string(self.name()));
         match self {
             State::Switching(_, put) => object([
                 word,
-                ("number", number(put.number)),
-                ("over", number(put.over)),
-                ("load", number(put.load.into())),
-                ("of", number(put.of.into())),
+                ("number", number(put.revision)),
+                ("over", number(put.base)),
+                ("load", number(put.loads.into())),
+                ("of", number(put.previous_loads.into())),
             ]),
             State::Settling(_, revision) => object([word, ("revision", number(*revision))]),
             _ => object([word]),
@@ -314,7 +317,12 @@
         let put = || {
             let whole = |key| at.required(key)?.uint();
             let count = |key| at.required(key)?.saturating_u32();
-            Ok(Put { number: whole("number")?, over: whole("over")?, load: count("load")?, of: count("of")? })
+            Ok(Put {
+                revision: whole("number")?,
+                base: whole("over")?,
+                loads: count("load")?,
+                previous_loads: count("of")?,
+            })
         };
         let revision = || at.required("revision")?.uint();
         let step = at.required("step")?;
@@ -322,34 +330,34 @@
             "planned" => State::Planned { started: false },
             "started" => State::Planned { started: true },
             "opened" => State::Opened,
-            "switching" => State::Switching(Direction::There, put()?),
-            "switching_back" => State::Switching(Direction::Back, put()?),
-            "settling" => State::Settling(Direction::There, revision()?),
-            "settling_back" => State::Settling(Direction::Back, revision()?),
+            "switching" => State::Switching(Direction::ToTarget, put()?),
+            "switching_back" => State::Switching(Direction::ToSource, put()?),
+            "settling" => State::Settling(Direction::ToTarget, revision()?),
+            "settling_back" => State::Settling(Direction::ToSource, revision()?),
             "done" => State::Done,
-            "turned_back" => State::TurnedBack,
-            "overtaken" => State::Overtaken,
+            "turned_back" => State::RolledBack,
+            "overtaken" => State::Superseded,
             other => return Err(step.error(format!("is {other:?}, which is no step"))),
         })
     }
 }
 
-impl Stamp {
+impl StepEntry {
     fn to_value(&self) -> JsonValue {
         object([
-            ("day", number(self.day)),
+            ("day", number(self.unix_ms)),
             ("fence", number(self.fence)),
             ("step", string(&self.step)),
-            ("why", string(&self.why)),
+            ("why", string(&self.reason)),
         ])
     }
 
     fn read(at: &JsonCursor<'_>) -> Result<Self, ConfigError> {
         Ok(Self {
-            day: at.required("day")?.uint()?,
+            unix_ms: at.required("day")?.uint()?,
             fence: at.required("fence")?.uint()?,
             step: at.required("step")?.str()?.into(),
-            why: at.required("why")?.str()?.to_owned(),
+            reason: at.required("why")?.str()?.to_owned(),
         })
     }
 }
@@ -359,27 +367,27 @@
         object([
             ("name", string(&self.name)),
             ("epoch", number(self.epoch)),
-            ("mark", number(self.mark.into())),
-            ("hauls", list(self.hauls.iter().map(RouteMove::to_value))),
+            ("mark", number(self.contract_hash.into())),
+            ("hauls", list(self.route_moves.iter().map(RouteMove::to_value))),
             ("loads", number(self.loads.into())),
             ("services", list(self.services.iter().map(|(from, to)| list([string(from), string(to)])))),
-            ("longest_ms", number(self.longest_ms)),
+            ("longest_ms", number(self.max_deadline_ms)),
             ("bounds", self.bounds.to_value()),
-            ("needs", shares(&self.needs)),
-            ("keeps", shares(&self.keeps)),
-            ("next", number(self.numbers.0)),
-            ("last", number(self.numbers.1)),
+            ("needs", shares(&self.target_instances)),
+            ("keeps", shares(&self.source_instances)),
+            ("next", number(self.revisions.0)),
+            ("last", number(self.revisions.1)),
             ("paused", JsonValue::Boolean(self.paused)),
             ("state", self.state.to_value()),
-            ("stamps", list(self.stamps.iter().map(Stamp::to_value))),
+            ("stamps", list(self.history.iter().map(StepEntry::to_value))),
         ])
     }
 
     fn read(at: &JsonCursor<'_>) -> Result<Self, ConfigError> {
-        let hauls = at.required("hauls")?;
-        let stamps = at.required("stamps")?;
+        let route_moves = at.required("hauls")?;
+        let history = at.required("stamps")?;
         let loads = at.required("loads")?;
-        if hauls.items()?.len() > MOST_ROUTES || loads.saturating_u32()? > MOST_LOADS {
+        if route_moves.items()?.len() > MAX_ROUTES || loads.saturating_u32()? > MAX_LOADS {
             return Err(at.error("is larger than any of ours"));
         }
         let pair = |at: JsonCursor<'_>| {
@@ -391,18 +399,18 @@
         Ok(Self {
             name: at.required("name")?.str()?.into(),
             epoch: at.required("epoch")?.uint()?,
-            mark: at.required("mark")?.saturating_u32()?,
-            hauls: hauls.items()?.map(|at| RouteMove::read(&at)).collect::<Result<_, _>>()?,
+            contract_hash: at.required("mark")?.saturating_u32()?,
+            route_moves: route_moves.items()?.map(|at| RouteMove::read(&at)).collect::<Result<_, _>>()?,
             loads: loads.saturating_u32()?,
             services: at.required("services")?.items()?.map(pair).collect::<Result<_, _>>()?,
-            longest_ms: at.required("longest_ms")?.uint()?,
+            max_deadline_ms: at.required("longest_ms")?.uint()?,
             bounds: Bounds::read(&at.required("bounds")?)?,
-            needs: read_shares(&at.required("needs")?)?,
-            keeps: read_shares(&at.required("keeps")?)?,
-            numbers: (at.required("next")?.uint()?, at.required("last")?.uint()?),
+            target_instances: read_shares(&at.required("needs")?)?,
+            source_instances: read_shares(&at.required("keeps")?)?,
+            revisions: (at.required("next")?.uint()?, at.required("last")?.uint()?),
             paused: at.required("paused")?.boolean()?,
             state: State::read(&at.required("state")?)?,
-            stamps: stamps.items()?.map(|at| Stamp::read(&at)).collect::<Result<_, _>>()?,
+            history: history.items()?.map(|at| StepEntry::read(&at)).collect::<Result<_, _>>()?,
         })
     }
 }
--- a/migration/src/shift.rs
+++ b/migration/src/shift.rs
@@ -11,15 +11,15 @@
 
 /// Where a configuration has a route of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum RouteLocation {
     /// On the target.
-    There,
+    Target,
     /// On the source.
-    Here,
+    Source,
     /// It has no such route.
-    Gone,
+    Missing,
     /// On other services.
-    Elsewhere,
+    Other,
 }
 
 fn same(one: &[Share], other: &[Share]) -> bool {
@@ -32,19 +32,19 @@
 
 /// Where each route is.
 #[must_use]
-pub fn places(config: &Config, hauls: &[RouteMove]) -> Vec<Place> {
+pub fn locate_routes(config: &Config, route_moves: &[RouteMove]) -> Vec<RouteLocation> {
     // Tenants are small beside configurations, which this is asked of again and again.
-    let of = |(at, haul): (usize, &RouteMove)| (key(&haul.host, &haul.path_prefix), at);
-    let wanted: HashMap<_, _> = hauls.iter().enumerate().map(of).collect();
-    let hosts: HashSet<_> = hauls.iter().map(|haul| host_key(&haul.host)).collect();
-    let mut found = vec![Place::Gone; hauls.len()];
+    let of = |(at, route_move): (usize, &RouteMove)| (key(&route_move.host, &route_move.path_prefix), at);
+    let wanted: HashMap<_, _> = route_moves.iter().enumerate().map(of).collect();
+    let hosts: HashSet<_> = route_moves.iter().map(|route_move| host_key(&route_move.host)).collect();
+    let mut found = vec![RouteLocation::Missing; route_moves.len()];
     for route in config.routes.iter().filter(|route| hosts.contains(&host_key(&route.host))) {
         if let Some(at) = wanted.get(&key(&route.host, &route.path_prefix)) {
-            let haul = &hauls[*at];
+            let route_move = &route_moves[*at];
             found[*at] = match &route.shares {
-                shares if same(shares, &haul.to) => Place::There,
-                shares if same(shares, &haul.from) => Place::Here,
-                _ => Place::Elsewhere,
+                shares if same(shares, &route_move.to) => RouteLocation::Target,
+                shares if same(shares, &route_move.from) => RouteLocation::Source,
+                _ => RouteLocation::Other,
             };
         }
     }
@@ -53,20 +53,30 @@
 
 /// Whether a configuration has the first loads on the target and the others on the source; a route that is gone is where it should be.
 #[must_use]
-pub fn fits(config: &Config, hauls: &[RouteMove], loads: u32) -> bool {
-    let meant = |haul: &RouteMove| if haul.load <= loads { Place::There } else { Place::Here };
-    let places = places(config, hauls);
-    hauls.iter().zip(places).all(|(haul, place)| place == Place::Gone || place == meant(haul))
+pub fn has_loads_on_target(config: &Config, route_moves: &[RouteMove], loads: u32) -> bool {
+    let meant = |route_move: &RouteMove| {
+        if route_move.load <= loads { RouteLocation::Target } else { RouteLocation::Source }
+    };
+    let places = locate_routes(config, route_moves);
+    route_moves
+        .iter()
+        .zip(places)
+        .all(|(route_move, place)| place == RouteLocation::Missing || place == meant(route_move))
 }
 
 /// The configuration that has the first loads on the target, out of the text of another.
-pub fn shifted(base: &str, hauls: &[RouteMove], loads: u32, number: u64) -> Result<String, ConfigError> {
+pub fn with_loads_on_target(
+    base: &str,
+    route_moves: &[RouteMove],
+    loads: u32,
+    number: u64,
+) -> Result<String, ConfigError> {
     let mut value = values::parse(base)?;
-    let meant: HashMap<_, _> = hauls
+    let meant: HashMap<_, _> = route_moves
         .iter()
-        .map(|haul| {
-            let shares = if haul.load <= loads { &haul.to } else { &haul.from };
-            (key(&haul.host, &haul.path_prefix), shares)
+        .map(|route_move| {
+            let shares = if route_move.load <= loads { &route_move.to } else { &route_move.from };
+            (key(&route_move.host, &route_move.path_prefix), shares)
         })
         .collect();
     if let JsonValue::Object(entries) = &mut value {
--- a/migration/src/steps.rs
+++ b/migration/src/steps.rs
@@ -6,13 +6,13 @@
 
 use compact_str::CompactString;
 
-use crate::check::{Estimate, Reason, check, check_again, numbers};
+use crate::check::{Estimate, Reason, check, check_revisions, recheck};
 use crate::contract::Order;
-use crate::migrator::Terms;
+use crate::guards::{Guard, is_disabled};
+use crate::migrator::Settings;
 use crate::observation::Observation;
-use crate::plant::{Guard, is_out};
 use crate::record::{Direction, Move, Put, Record, State};
-use crate::shift::fits;
+use crate::shift::has_loads_on_target;
 use crate::watch::Watch;
 use crate::{MS, Moment, Nanos};
 
@@ -20,28 +20,28 @@
 const OVERTIME: Nanos = 500 * MS;
 
 /// What a step is decided on besides the record.
-pub(crate) struct Ground<'a> {
+pub(crate) struct StepContext<'a> {
     pub at: Moment,
     pub fence: u64,
-    pub terms: &'a Terms,
-    pub sight: &'a Observation,
+    pub settings: &'a Settings,
+    pub observation: &'a Observation,
     pub watches: &'a BTreeMap<CompactString, Watch>,
     /// When the order came that is judged: what was seen before may not have been looked at for it.
     pub since: Nanos,
 }
 
-impl Ground<'_> {
+impl StepContext<'_> {
     /// Enough is seen to judge what a target can bear.
     fn sees_all(&self) -> bool {
-        self.sight.heard_all(self.at.now)
-            && self.sight.stands().is_some()
-            && self.sight.told_since(self.since)
+        self.observation.has_heard_all(self.at.now)
+            && self.observation.active_config().is_some()
+            && self.observation.functions_reported_since(self.since)
     }
 }
 
 /// What becomes of an order.
 #[derive(Debug)]
-pub(crate) enum Obeyed {
+pub(crate) enum OrderOutcome {
     /// This record is to stand first.
     Change(Record),
     /// The record has it.
@@ -56,75 +56,83 @@
 struct Step {
     state: State,
     why: String,
-    number: Option<u64>,
+    revision: Option<u64>,
 }
 
 fn step(state: State, why: impl Into<String>) -> Option<Step> {
-    Some(Step { state, why: why.into(), number: None })
+    Some(Step { state, why: why.into(), revision: None })
 }
 
 impl Move {
     /// The next number of its own above what stands; with one more left after it where that has to be.
-    fn number(&self, above: u64, spare: u64) -> Option<u64> {
-        let number = self.numbers.0.max(above + 1);
-        (number + spare <= self.numbers.1).then_some(number)
+    fn next_revision(&self, above: u64, spare: u64) -> Option<u64> {
+        let revision = self.revisions.0.max(above + 1);
+        (revision + spare <= self.revisions.1).then_some(revision)
     }
 
-    fn take(&mut self, number: u64) {
-        if !is_out(Guard::Burned) {
-            self.numbers.0 = number + 1;
+    fn mark_used(&mut self, revision: u64) {
+        if !is_disabled(Guard::Burned) {
+            self.revisions.0 = revision + 1;
         }
     }
 
     /// So many loads are to be on the target next; `of`: so many may be there now.
-    fn put(&self, way: Direction, load: u32, of: u32, over: u64, why: impl Into<String>) -> Option<Step> {
-        let number = self.number(over, u64::from(way == Direction::There))?;
-        let state = State::Switching(way, Put { number, over, load, of });
-        Some(Step { state, why: why.into(), number: Some(number) })
+    fn put(
+        &self,
+        way: Direction,
+        loads: u32,
+        previous_loads: u32,
+        base: u64,
+        why: impl Into<String>,
+    ) -> Option<Step> {
+        let revision = self.next_revision(base, u64::from(way == Direction::ToTarget))?;
+        let state = State::Switching(way, Put { revision, base, loads, previous_loads });
+        Some(Step { state, why: why.into(), revision: Some(revision) })
     }
 }
 
 /// Takes a step in a copy of the record.
-fn taken(record: &Record, name: &str, ground: &Ground<'_>, step: Step) -> Record {
+fn taken(record: &Record, name: &str, context: &StepContext<'_>, step: Step) -> Record {
     let mut next = record.clone();
-    if let Some(of) = next.named_mut(name) {
-        if let Some(number) = step.number {
-            of.take(number);
+    if let Some(of) = next.find_mut(name) {
+        if let Some(revision) = step.revision {
+            of.mark_used(revision);
         }
-        of.enter(step.state, ground.at.day, ground.fence, step.why);
+        of.enter(step.state, context.at.unix_ms, context.fence, step.why);
     }
     next.tidy();
     next
 }
 
 /// The next step that a move takes by itself.
-pub(crate) fn advance(record: &Record, ground: &Ground<'_>) -> Option<Record> {
-    for of in record.moves.iter().filter(|of| of.state.out()) {
-        if let Some(step) = proceed(of, ground) {
-            return Some(taken(record, &of.name, ground, step));
+pub(crate) fn advance(record: &Record, context: &StepContext<'_>) -> Option<Record> {
+    for of in record.moves.iter().filter(|of| of.state.is_active()) {
+        if let Some(step) = proceed(of, context) {
+            return Some(taken(record, &of.name, context, step));
         }
     }
-    if record.moves.iter().any(|of| of.state.out()) && !is_out(Guard::Turns) {
+    if record.moves.iter().any(|of| of.state.is_active()) && !is_disabled(Guard::Turns) {
         return None;
     }
     let next = record.moves.iter().find(|of| of.state == State::Planned { started: true })?;
-    if !ground.sees_all() {
+    if !context.sees_all() {
         return None;
     }
-    let found = check_again(next, ground.sight, ground.terms, ground.at.now);
-    let Estimate { needs, keeps, longest_ms, reasons, .. } = found;
+    let found = recheck(next, context.observation, context.settings, context.at.now);
+    let Estimate { target_instances, source_instances, max_deadline_ms, reasons, .. } = found;
     if !reasons.is_empty() {
         return Some(taken(
             record,
             &next.name,
-            ground,
+            context,
             step(State::Planned { started: false }, told(&reasons))?,
         ));
     }
     let mut opened =
-        taken(record, &next.name, ground, step(State::Opened, "its turn, and the target can bear it")?);
-    let of = opened.named_mut(&next.name)?;
-    (of.needs, of.keeps, of.longest_ms) = (needs, keeps, longest_ms.max(of.longest_ms));
+        taken(record, &next.name, context, step(State::Opened, "its turn, and the target can bear it")?);
+    let of = opened.find_mut(&next.name)?;
+    (of.target_instances, of.source_instances, of.max_deadline_ms) =
+        (target_instances, source_instances, max_deadline_ms.max(of.max_deadline_ms));
     Some(opened)
 }
 
@@ -133,121 +141,123 @@
 }
 
 /// The next step of a move that is out.
-fn proceed(of: &Move, ground: &Ground<'_>) -> Option<Step> {
-    let now = ground.at.now;
-    let config = &ground.sight.stands()?.config;
-    let watch = ground.watches.get(&of.name)?;
-    let has = |loads| is_out(Guard::Overtaken) || fits(config, &of.hauls, loads);
+fn proceed(of: &Move, context: &StepContext<'_>) -> Option<Step> {
+    let now = context.at.now;
+    let config = &context.observation.active_config()?.config;
+    let watch = context.watches.get(&of.name)?;
+    let has = |loads| is_disabled(Guard::Superseded) || has_loads_on_target(config, &of.route_moves, loads);
     let overtaken =
-        || step(State::Overtaken, format!("configuration {} has its routes elsewhere", config.revision));
-    let quiet = |since: Nanos| now >= since + of.longest_ms * MS + OVERTIME || is_out(Guard::Settle);
+        || step(State::Superseded, format!("configuration {} has its routes elsewhere", config.revision));
+    let quiet =
+        |since: Nanos| now >= since + of.max_deadline_ms * MS + OVERTIME || is_disabled(Guard::Settle);
     match of.state {
         State::Opened if !has(0) => overtaken(),
         State::Opened => {
-            if let Some(why) = too_old(of, ground) {
-                return step(State::TurnedBack, why);
+            if let Some(why) = too_old(of, context) {
+                return step(State::RolledBack, why);
             }
             let ready = |(name, need): &(CompactString, u32)| {
-                ground.sight.function(now, name).is_some_and(|function| function.ready >= *need)
+                context.observation.function(now, name).is_some_and(|function| function.ready >= *need)
             };
             if of.paused {
                 return None;
             }
-            let warm = !ground.terms.warms || of.needs.iter().all(ready);
-            let why = if ground.terms.warms { "the target is warm" } else { "nobody warms the target here" };
-            let first = of.put(Direction::There, 1, 0, config.revision, why).filter(|_| warm);
-            if first.is_some() || now < watch.going + of.bounds.warm_ms * MS || is_out(Guard::Bounds) {
+            let warm = !context.settings.prewarms || of.target_instances.iter().all(ready);
+            let why =
+                if context.settings.prewarms { "the target is warm" } else { "nobody warms the target here" };
+            let first = of.put(Direction::ToTarget, 1, 0, config.revision, why).filter(|_| warm);
+            if first.is_some() || now < watch.going + of.bounds.warm_ms * MS || is_disabled(Guard::Bounds) {
                 return first;
             }
             let what = if warm { "there was no revision for it" } else { "the target was not warm" };
-            step(State::TurnedBack, format!("{what} in {} ms", of.bounds.warm_ms))
+            step(State::RolledBack, format!("{what} in {} ms", of.bounds.warm_ms))
         }
-        State::Switching(Direction::There, put) => {
-            let decided = config.revision > put.over;
-            if config.revision < put.over {
+        State::Switching(Direction::ToTarget, put) => {
+            let decided = config.revision > put.base;
+            if config.revision < put.base {
                 return None;
             }
-            if decided && !has(put.load) && !has(put.load - 1) {
+            if decided && !has(put.loads) && !has(put.loads - 1) {
                 return overtaken();
             }
-            if let Some(why) = trouble(of, watch, ground) {
-                return turn_back(of, put.load, ground, why);
+            if let Some(why) = trouble(of, watch, context) {
+                return turn_back(of, put.loads, context, why);
             }
             if !decided {
                 None
-            } else if !has(put.load) {
-                let why = format!("{} can't be written any more: {} stands", put.number, config.revision);
+            } else if !has(put.loads) {
+                let why = format!("{} can't be written any more: {} stands", put.revision, config.revision);
                 if of.paused {
                     None
                 } else {
-                    of.put(Direction::There, put.load, put.of, config.revision, why)
+                    of.put(Direction::ToTarget, put.loads, put.previous_loads, config.revision, why)
                 }
-            } else if put.load == of.loads {
-                step(State::Settling(Direction::There, config.revision), "all of it stands")
+            } else if put.loads == of.loads {
+                step(State::Settling(Direction::ToTarget, config.revision), "all of it stands")
             } else if of.paused
-                || ground.sight.all_act(now, config.revision).is_err()
-                || !watch.earned() && !is_out(Guard::Pace)
+                || context.observation.all_act(now, config.revision).is_err()
+                || !watch.earned() && !is_disabled(Guard::Pace)
             {
                 None
             } else {
-                let why = format!("all act on load {}, and the target has room", put.load);
-                of.put(Direction::There, put.load + 1, put.load, config.revision, why)
+                let why = format!("all act on load {}, and the target has room", put.loads);
+                of.put(Direction::ToTarget, put.loads + 1, put.loads, config.revision, why)
             }
         }
-        State::Settling(Direction::There, _) if !has(of.loads) => overtaken(),
-        State::Settling(Direction::There, _) => match trouble(of, watch, ground) {
-            Some(why) => turn_back(of, of.loads, ground, why),
+        State::Settling(Direction::ToTarget, _) if !has(of.loads) => overtaken(),
+        State::Settling(Direction::ToTarget, _) => match trouble(of, watch, context) {
+            Some(why) => turn_back(of, of.loads, context, why),
             None if watch.all.is_some_and(quiet) => {
                 step(State::Done, "all act on it, and what was left has had its time")
             }
             None => None,
         },
-        State::Switching(Direction::Back, put) => {
-            if config.revision <= put.over {
+        State::Switching(Direction::ToSource, put) => {
+            if config.revision <= put.base {
                 None
             } else if has(0) {
-                step(State::Settling(Direction::Back, config.revision), "all of it is back")
-            } else if has(put.of) || put.of > 0 && has(put.of - 1) {
-                let why = format!("{} can't be written any more: {} stands", put.number, config.revision);
-                of.put(Direction::Back, 0, put.of, config.revision, why)
+                step(State::Settling(Direction::ToSource, config.revision), "all of it is back")
+            } else if has(put.previous_loads) || put.previous_loads > 0 && has(put.previous_loads - 1) {
+                let why = format!("{} can't be written any more: {} stands", put.revision, config.revision);
+                of.put(Direction::ToSource, 0, put.previous_loads, config.revision, why)
             } else {
                 overtaken()
             }
         }
-        State::Settling(Direction::Back, _) if !has(0) => overtaken(),
-        State::Settling(Direction::Back, _) if watch.all.is_some_and(quiet) => {
-            step(State::TurnedBack, "all act on it, and what was left has had its time")
+        State::Settling(Direction::ToSource, _) if !has(0) => overtaken(),
+        State::Settling(Direction::ToSource, _) if watch.all.is_some_and(quiet) => {
+            step(State::RolledBack, "all act on it, and what was left has had its time")
         }
-        State::Settling(Direction::Back, _) | State::Planned { .. } => None,
-        State::Done | State::TurnedBack | State::Overtaken => None,
+        State::Settling(Direction::ToSource, _) | State::Planned { .. } => None,
+        State::Done | State::RolledBack | State::Superseded => None,
     }
 }
 
 /// The way back: over what stands, whether or not a put over the same base is under way still.
-fn turn_back(of: &Move, loads: u32, ground: &Ground<'_>, why: String) -> Option<Step> {
-    let revision = ground.sight.revision();
+fn turn_back(of: &Move, loads: u32, context: &StepContext<'_>, why: String) -> Option<Step> {
+    let revision = context.observation.revision();
     if let State::Switching(_, put) = of.state
-        && is_out(Guard::Decided)
-        && put.over == revision
+        && is_disabled(Guard::Decided)
+        && put.base == revision
         && loads == 1
     {
-        return step(State::TurnedBack, why);
+        return step(State::RolledBack, why);
     }
-    of.put(Direction::Back, 0, loads, revision, why)
+    of.put(Direction::ToSource, 0, loads, revision, why)
 }
 
-fn too_old(of: &Move, ground: &Ground<'_>) -> Option<String> {
-    let age = ground.at.day.saturating_sub(of.opened_at()?);
-    let over = !of.paused && age > of.bounds.most_age_ms && !is_out(Guard::Bounds);
+fn too_old(of: &Move, context: &StepContext<'_>) -> Option<String> {
+    let age = context.at.unix_ms.saturating_sub(of.opened_at()?);
+    let over = !of.paused && age > of.bounds.most_age_ms && !is_disabled(Guard::Bounds);
     over.then(|| format!("it is out for {age} ms, and {} are given", of.bounds.most_age_ms))
 }
 
 /// A bound that a move on its way there has passed.
-fn trouble(of: &Move, watch: &Watch, ground: &Ground<'_>) -> Option<String> {
-    if is_out(Guard::Bounds) {
+fn trouble(of: &Move, watch: &Watch, context: &StepContext<'_>) -> Option<String> {
+    if is_disabled(Guard::Bounds) {
         return None;
     }
-    let (now, bounds) = (ground.at.now, &of.bounds);
+    let (now, bounds) = (context.at.now, &of.bounds);
     let past = |since: Option<Nanos>, ms: u64| since.is_some_and(|since| now >= since + ms * MS);
     if past(watch.beyond, bounds.patience_ms) {
         return Some(format!("the target's delay is past T1 for {} ms", bounds.patience_ms));
@@ -257,106 +267,110 @@
     }
     if past(watch.stood, bounds.ack_ms)
         && watch.all.is_none()
-        && let Err(waits) = ground.sight.all_act(now, ground.sight.revision())
+        && let Err(waits) = context.observation.all_act(now, context.observation.revision())
     {
         return Some(format!("after {} ms {waits}", bounds.ack_ms));
     }
-    too_old(of, ground)
+    too_old(of, context)
 }
 
 /// What becomes of an order, where no move takes a step by itself.
-pub(crate) fn obey(record: &Record, version: u64, order: &Order, ground: &Ground<'_>) -> Obeyed {
-    let Order::Plan(contract) = order else { return obey_named(record, order, ground) };
-    if record.named(&contract.name).is_some_and(|known| known.mark == contract.mark()) {
-        return Obeyed::Already;
+pub(crate) fn apply_order(
+    record: &Record,
+    version: u64,
+    order: &Order,
+    context: &StepContext<'_>,
+) -> OrderOutcome {
+    let Order::Plan(contract) = order else { return apply_to_known_move(record, order, context) };
+    if record.find(&contract.name).is_some_and(|known| known.contract_hash == contract.content_hash()) {
+        return OrderOutcome::Already;
     }
-    if !ground.sees_all() {
-        return Obeyed::Later;
+    if !context.sees_all() {
+        return OrderOutcome::Later;
     }
-    let found = check(contract, record, ground.sight, ground.terms, ground.at.now);
+    let found = check(contract, record, context.observation, context.settings, context.at.now);
     if !found.reasons.is_empty() {
-        return Obeyed::Refused(found.reasons);
+        return OrderOutcome::Refused(found.reasons);
     }
     let state = State::Planned { started: false };
     let mut of = Move {
         name: contract.name.clone(),
         epoch: version + 1,
-        mark: contract.mark(),
-        hauls: found.hauls,
+        contract_hash: contract.content_hash(),
+        route_moves: found.route_moves,
         loads: contract.loads,
         services: found.services,
-        longest_ms: found.longest_ms,
+        max_deadline_ms: found.max_deadline_ms,
         bounds: contract.bounds.clone(),
-        needs: found.needs,
-        keeps: found.keeps,
-        numbers: (1, 0),
+        target_instances: found.target_instances,
+        source_instances: found.source_instances,
+        revisions: (1, 0),
         paused: false,
         state: state.clone(),
-        stamps: Vec::new(),
+        history: Vec::new(),
     };
-    of.enter(state, ground.at.day, ground.fence, "an operator's order");
+    of.enter(state, context.at.unix_ms, context.fence, "an operator's order");
     let mut next = record.clone();
     next.moves.push(of);
-    Obeyed::Change(next)
+    OrderOutcome::Change(next)
 }
 
-fn obey_named(record: &Record, order: &Order, ground: &Ground<'_>) -> Obeyed {
-    let Some(of) = record.named(order.name()) else { return Obeyed::Refused(vec![Reason::Unknown]) };
-    let refused = |reason| Obeyed::Refused(vec![reason]);
-    if of.state.ended() && !(matches!(order, Order::Back(..)) && of.state == State::TurnedBack) {
-        return refused(Reason::Ended { step: of.state.word() });
+fn apply_to_known_move(record: &Record, order: &Order, context: &StepContext<'_>) -> OrderOutcome {
+    let Some(of) = record.find(order.name()) else { return OrderOutcome::Refused(vec![Reason::UnknownMove]) };
+    let refused = |reason| OrderOutcome::Refused(vec![reason]);
+    if of.state.is_ended() && !(matches!(order, Order::Rollback(..)) && of.state == State::RolledBack) {
+        return refused(Reason::AlreadyEnded { step: of.state.name() });
     }
     // What it is with the numbers that came with the order; what was used stays used.
     let mut with = of.clone();
     let given = match order {
-        Order::Start(_, given) | Order::Back(_, given) => *given,
+        Order::Start(_, given) | Order::Rollback(_, given) => *given,
         Order::Plan(_) | Order::Pause(_) => None,
     };
     if let Some((first, last)) = given
-        && (last != of.numbers.1 || first > of.numbers.0)
+        && (last != of.revisions.1 || first > of.revisions.0)
     {
-        with.numbers = (first.max(of.numbers.0), last);
+        with.revisions = (first.max(of.revisions.0), last);
     }
     let change = |with: Move, step: Option<Step>| {
         let mut next = record.clone();
-        let Some(known) = next.named_mut(&with.name) else { return Obeyed::Later };
+        let Some(known) = next.find_mut(&with.name) else { return OrderOutcome::Later };
         *known = with;
         let name = known.name.clone();
         match step {
-            Some(step) => Obeyed::Change(taken(&next, &name, ground, step)),
-            None if next == *record => Obeyed::Already,
-            None => Obeyed::Change(next),
+            Some(step) => OrderOutcome::Change(taken(&next, &name, context, step)),
+            None if next == *record => OrderOutcome::Already,
+            None => OrderOutcome::Change(next),
         }
     };
     let short = |with: &Move, needed| {
-        let above = ground.sight.revision();
-        let mut found = Estimate { revisions: needed, ..Estimate::default() };
-        numbers(&mut found, with.numbers, above);
+        let above = context.observation.revision();
+        let mut found = Estimate { revisions_needed: needed, ..Estimate::default() };
+        check_revisions(&mut found, with.revisions, above);
         (!found.reasons.is_empty()).then_some(found.reasons)
     };
     let order_of = |state| step(state, "an operator's order");
     match (order, &of.state) {
-        (Order::Plan(_), _) => Obeyed::Later,
+        (Order::Plan(_), _) => OrderOutcome::Later,
         (Order::Start(..), State::Planned { started }) => {
-            if !ground.sees_all() {
-                return Obeyed::Later;
+            if !context.sees_all() {
+                return OrderOutcome::Later;
             }
-            let found = check_again(&with, ground.sight, ground.terms, ground.at.now);
+            let found = recheck(&with, context.observation, context.settings, context.at.now);
             if !found.reasons.is_empty() {
-                return Obeyed::Refused(found.reasons);
+                return OrderOutcome::Refused(found.reasons);
             }
             let step = if *started { None } else { order_of(State::Planned { started: true }) };
             change(with, step)
         }
-        (Order::Start(..), State::Switching(Direction::Back, _) | State::Settling(Direction::Back, _))
-            if given.is_none() =>
-        {
-            refused(Reason::TurnsBack)
-        }
+        (
+            Order::Start(..),
+            State::Switching(Direction::ToSource, _) | State::Settling(Direction::ToSource, _),
+        ) if given.is_none() => refused(Reason::RollingBack),
         (Order::Start(..), _) => {
             let needed = if given.is_some() { 2 } else { 0 };
             if let Some(reasons) = short(&with, needed) {
-                return Obeyed::Refused(reasons);
+                return OrderOutcome::Refused(reasons);
             }
             with.paused = false;
             change(with, None)
@@ -364,27 +378,32 @@
         (Order::Pause(_), State::Planned { started: true }) => {
             change(with, order_of(State::Planned { started: false }))
         }
-        (Order::Pause(_), State::Planned { .. }) => Obeyed::Already,
-        (Order::Pause(_), State::Opened | State::Switching(Direction::There, _)) => {
+        (Order::Pause(_), State::Planned { .. }) => OrderOutcome::Already,
+        (Order::Pause(_), State::Opened | State::Switching(Direction::ToTarget, _)) => {
             with.paused = true;
             change(with, None)
         }
         (Order::Pause(_), _) => refused(Reason::NothingToPause),
-        (Order::Back(..), State::Planned { .. } | State::Opened) => change(with, order_of(State::TurnedBack)),
-        (Order::Back(..), State::Switching(Direction::There, _) | State::Settling(Direction::There, _)) => {
+        (Order::Rollback(..), State::Planned { .. } | State::Opened) => {
+            change(with, order_of(State::RolledBack))
+        }
+        (
+            Order::Rollback(..),
+            State::Switching(Direction::ToTarget, _) | State::Settling(Direction::ToTarget, _),
+        ) => {
             let (over, loads) = match of.state {
-                State::Switching(_, put) => (put.over, put.load),
+                State::Switching(_, put) => (put.base, put.loads),
                 _ => (0, of.loads),
             };
-            if ground.sight.revision() < over || ground.sight.stands().is_none() {
-                return Obeyed::Later;
+            if context.observation.revision() < over || context.observation.active_config().is_none() {
+                return OrderOutcome::Later;
             }
-            match turn_back(&with, loads, ground, "an operator's order".to_owned()) {
+            match turn_back(&with, loads, context, "an operator's order".to_owned()) {
                 Some(step) => change(with, Some(step)),
-                None => Obeyed::Refused(short(&with, 1).unwrap_or_default()),
+                None => OrderOutcome::Refused(short(&with, 1).unwrap_or_default()),
             }
         }
-        (Order::Back(..), State::Switching(..) | State::Settling(..)) => change(with, None),
-        (Order::Back(..), State::Done | State::TurnedBack | State::Overtaken) => Obeyed::Already,
+        (Order::Rollback(..), State::Switching(..) | State::Settling(..)) => change(with, None),
+        (Order::Rollback(..), State::Done | State::RolledBack | State::Superseded) => OrderOutcome::Already,
     }
 }
--- a/migration/src/tests.rs
+++ b/migration/src/tests.rs
@@ -7,7 +7,7 @@
 
 use town::{Day, Town};
 
-use crate::plant::{Guard, take_out};
+use crate::guards::{Guard, disable};
 
 /// A day that holds, and what it was.
 fn holds(day: Day) -> Town {
@@ -71,18 +71,18 @@
     version = { Guard::Version, "forgotten" },
     firm = { Guard::Firm, "denied" },
     lease = { Guard::Lease, "without the lease" },
-    overtaken = { Guard::Overtaken, "fights" },
+    overtaken = { Guard::Superseded, "fights" },
     settle = { Guard::Settle, "early" },
     pace = { Guard::Pace, "pushed" },
     bounds = { Guard::Bounds, "past its bounds" },
 )]
 fn a_guard_that_is_taken_out_is_missed(guard: Guard, what: &str) {
-    take_out(Some(guard));
+    disable(Some(guard));
     let found = (0..3_000).any(|seed| {
         let mut town = Town::new(Day::wild(seed));
         town.play();
         town.oracle.broken.iter().any(|broken| broken.starts_with(what))
     });
-    take_out(None);
+    disable(None);
     assert!(found, "{guard:?} is not missed");
 }
--- a/migration/src/tests/oracle.rs
+++ b/migration/src/tests/oracle.rs
@@ -6,7 +6,7 @@
 use millpost_config::Config;
 
 use crate::record::{Direction, Record, RouteMove, State};
-use crate::shift::{Place, fits, places};
+use crate::shift::{RouteLocation, has_loads_on_target, locate_routes};
 use crate::{MS, Nanos};
 
 /// A proxy, as the oracle sees it.
@@ -25,7 +25,7 @@
     /// Puts that stood in a record: number, base, move, loads.
     recorded: BTreeSet<(u64, u64)>,
     /// The routes of each move, which its record forgets at its end.
-    pub hauls: BTreeMap<CompactString, (Vec<RouteMove>, u32, u64)>,
+    pub route_moves: BTreeMap<CompactString, (Vec<RouteMove>, u32, u64)>,
     /// The highest revision that an operator put.
     by_operator: BTreeSet<u64>,
     /// Orders that were answered well: planned, to turn back, paused.
@@ -62,10 +62,10 @@
         if !self.recorded.contains(&(number, before.revision)) {
             self.fail(now, "unrecorded", format!("{number} over {}", before.revision));
         }
-        if record.named(name).is_none_or(|of| of.state.ended()) {
+        if record.find(name).is_none_or(|of| of.state.is_ended()) {
             self.fail(now, "after its end", format!("{number} of {name}"));
         }
-        let Some((hauls, loads, _)) = self.hauls.get(name).cloned() else {
+        let Some((route_moves, loads, _)) = self.route_moves.get(name).cloned() else {
             return self.fail(now, "unrecorded", format!("no move {name}"));
         };
         // All but the tenant's services is as it was.
@@ -73,7 +73,7 @@
             let mut config = config.clone();
             config.revision = 0;
             for route in &mut config.routes {
-                if hauls.iter().any(|h| h.host == route.host && h.path_prefix == route.path_prefix) {
+                if route_moves.iter().any(|h| h.host == route.host && h.path_prefix == route.path_prefix) {
                     route.shares.clear();
                 }
             }
@@ -86,8 +86,9 @@
                 format!("{number} over {} changes what is not its own", before.revision),
             );
         }
-        let at = places(before, &hauls);
-        let elsewhere = at.contains(&Place::Elsewhere) || !(0..=loads).any(|n| fits(before, &hauls, n));
+        let at = locate_routes(before, &route_moves);
+        let elsewhere = at.contains(&RouteLocation::Other)
+            || !(0..=loads).any(|n| has_loads_on_target(before, &route_moves, n));
         if elsewhere && self.by_operator.contains(&before.revision) {
             self.fail(now, "fights", format!("{number} over the operator's {}", before.revision));
         }
@@ -105,40 +106,43 @@
     ) {
         let mut held = BTreeSet::new();
         for of in record.open() {
-            for haul in &of.hauls {
-                if !held.insert((&haul.host, &haul.path_prefix)) {
-                    self.fail(now, "crossing", format!("{:?} is in two moves", haul.path_prefix));
+            for route_move in &of.route_moves {
+                if !held.insert((&route_move.host, &route_move.path_prefix)) {
+                    self.fail(now, "crossing", format!("{:?} is in two moves", route_move.path_prefix));
                 }
             }
         }
-        if record.moves.iter().filter(|of| of.state.out()).count() > 1 {
+        if record.moves.iter().filter(|of| of.state.is_active()).count() > 1 {
             self.fail(now, "two out", "");
         }
         for name in self.planned.clone() {
-            if record.named(&name).is_none() {
+            if record.find(&name).is_none() {
                 self.fail(now, "forgotten", format!("the plan of {name}"));
             }
         }
         for name in &self.refused.clone() {
             let far = |record: &Record| {
-                record.named(name).map_or(0, |of| 1 + u8::from(of.state.word() != "planned"))
+                record.find(name).map_or(0, |of| 1 + u8::from(of.state.name() != "planned"))
             };
-            if far(record) > far(before) && record.named(name).is_some_and(|of| !of.state.ended()) {
+            if far(record) > far(before) && record.find(name).is_some_and(|of| !of.state.is_ended()) {
                 self.fail(now, "denied", format!("{name} goes on though that was refused"));
             }
         }
         for of in &record.moves {
-            let was = before.named(&of.name).map(|was| &was.state);
-            if !of.hauls.is_empty() {
-                self.hauls.insert(of.name.clone(), (of.hauls.clone(), of.loads, of.longest_ms));
+            let was = before.find(&of.name).map(|was| &was.state);
+            if !of.route_moves.is_empty() {
+                self.route_moves
+                    .insert(of.name.clone(), (of.route_moves.clone(), of.loads, of.max_deadline_ms));
             }
             if let State::Switching(way, put) = of.state {
-                self.recorded.insert((put.number, put.over));
-                if way == Direction::There && self.paused.get(&of.name).is_some_and(|load| put.load > *load) {
+                self.recorded.insert((put.revision, put.base));
+                if way == Direction::ToTarget
+                    && self.paused.get(&of.name).is_some_and(|load| put.loads > *load)
+                {
                     self.fail(now, "forgotten", format!("the pause of {}", of.name));
                 }
             }
-            if was != Some(&of.state) && of.state.ended() {
+            if was != Some(&of.state) && of.state.is_ended() {
                 self.ended(now, &of.name, &of.state, was, stands, proxies);
             }
         }
@@ -148,10 +152,10 @@
     pub fn offered_record(&mut self, now: Nanos, stands: &Record, next: &Record, bad: bool) {
         for of in &next.moves {
             let load = |of: &crate::Move| match of.state {
-                State::Switching(Direction::There, put) => put.load,
+                State::Switching(Direction::ToTarget, put) => put.loads,
                 _ => 0,
             };
-            let was = stands.named(&of.name).map_or(0, load);
+            let was = stands.find(&of.name).map_or(0, load);
             if bad && was > 0 && load(of) > was {
                 self.fail(now, "pushed", format!("load {} on a target that is past T1", load(of)));
             }
@@ -170,10 +174,10 @@
         if *state == State::Done && self.backs.contains(name) {
             self.fail(now, "forgotten", format!("the way back of {name}"));
         }
-        let Some((hauls, loads, longest)) = self.hauls.get(name).cloned() else { return };
+        let Some((route_moves, loads, longest)) = self.route_moves.get(name).cloned() else { return };
         let loads = match state {
             State::Done => loads,
-            State::TurnedBack => 0,
+            State::RolledBack => 0,
             _ => return,
         };
         if !was.is_some_and(|was| matches!(was, State::Settling(..))) {
@@ -183,17 +187,21 @@
             return;
         }
         // An operator's own word may have come in the same moment.
-        if !fits(stands, &hauls, loads) && !self.by_operator.contains(&stands.revision) {
-            self.fail(now, "apart", format!("{name} is {} and {} stands", state.word(), stands.revision));
+        if !has_loads_on_target(stands, &route_moves, loads) && !self.by_operator.contains(&stands.revision) {
+            self.fail(now, "apart", format!("{name} is {} and {} stands", state.name(), stands.revision));
         }
         for (n, seen) in proxies.iter().enumerate().filter(|(_, seen)| seen.in_touch) {
             let Some(config) = &seen.config else { continue };
-            if !fits(config, &hauls, loads) && !self.by_operator.contains(&config.revision) {
+            if !has_loads_on_target(config, &route_moves, loads)
+                && !self.by_operator.contains(&config.revision)
+            {
                 self.fail(now, "early", format!("{name} ends, proxy {n} acts on {}", config.revision));
             }
             // Since when it acts on what fits.
             let fitting = seen.since.iter().rev().take_while(|(revision, _)| {
-                self.configs.get(revision).is_some_and(|config| fits(config, &hauls, loads))
+                self.configs
+                    .get(revision)
+                    .is_some_and(|config| has_loads_on_target(config, &route_moves, loads))
             });
             if let Some(since) = fitting.map(|(_, since)| *since).last()
                 && now < since + longest * MS
@@ -206,15 +214,15 @@
     /// An operator's order is answered well.
     pub fn answered(&mut self, order: &crate::Order, record: &Record) {
         let name = order.name().clone();
-        let load = match record.named(&name).map(|of| &of.state) {
-            Some(State::Switching(_, put)) => put.load,
+        let load = match record.find(&name).map(|of| &of.state) {
+            Some(State::Switching(_, put)) => put.loads,
             _ => 0,
         };
         match order {
             crate::Order::Plan(_) => _ = self.planned.insert(name),
             crate::Order::Start(..) => {}
             crate::Order::Pause(_) => _ = self.paused.insert(name, load),
-            crate::Order::Back(..) => _ = self.backs.insert(name),
+            crate::Order::Rollback(..) => _ = self.backs.insert(name),
         }
     }
 
--- a/migration/src/tests/small.rs
+++ b/migration/src/tests/small.rs
@@ -4,10 +4,10 @@
 use millpost_config::{JsonCursor, values};
 
 use crate::check::check;
-use crate::observation::{Function, Observation, Stands};
+use crate::observation::{ActiveConfig, FunctionLoad, Observation};
 use crate::record::{Direction, Move, Put, Record, RouteMove, State};
-use crate::shift::{fits, shifted};
-use crate::{Contract, MS, Order, Reason, Terms};
+use crate::shift::{has_loads_on_target, with_loads_on_target};
+use crate::{Contract, MS, Order, Reason, Settings};
 
 const BASE: &str = r#"{"revision":7,"odd":{"a":[1]},"routes":[
     {"name":"a","host":"L.example","path_prefix":"/a/","traffic_kind":"mutating","deadline_ms":1500,"services":[["s",3],["x",1]],"odd":1},
@@ -22,55 +22,64 @@
     Contract::read(&JsonCursor::root(&value)).expect("a contract")
 }
 
-fn sight(room: Option<Vec<u64>>) -> (Observation, Terms) {
-    let terms = Terms { contact: 4_000 * MS, duty_per_s: 10.0, warms: true };
-    let mut sight = Observation::new(0, &terms);
-    sight.stand(Stands::read(BASE).expect("valid"));
-    let of = |live, busy| Function { ready: live, live, busy, delay: 0.0, refused: 0.0 };
-    sight.does(0, "s".into(), of(5, 18.0));
-    sight.does(0, "t".into(), of(1, 1.0));
+fn observation(room: Option<Vec<u64>>) -> (Observation, Settings) {
+    let settings = Settings { contact_timeout: 4_000 * MS, duty_per_s: 10.0, prewarms: true };
+    let mut observation = Observation::new(0, &settings);
+    observation.set_active_config(ActiveConfig::read(BASE).expect("valid"));
+    let of = |live, peak_requests| FunctionLoad {
+        ready: live,
+        live,
+        peak_requests,
+        delay: 0.0,
+        refused_ratio: 0.0,
+    };
+    observation.record_function(0, "s".into(), of(5, 18.0));
+    observation.record_function(0, "t".into(), of(1, 1.0));
     if let Some(room) = room {
-        sight.make_room(room);
+        observation.set_free_memory(room);
     }
-    (sight, terms)
+    (observation, settings)
 }
 
 /// 18 slots and one of its own, with a quarter more, are six instances of the target; one is there.
 #[test]
 fn a_check_says_what_would_move_and_all_that_stands_against_it() {
-    let (sight, terms) = sight(Some(vec![1_900, 900]));
+    let (observation, settings) = observation(Some(vec![1_900, 900]));
     let plan = contract(
         r#"{"name":"m","hosts":["l.EXAMPLE","none.example"],"routes":[{"host":"o.example","path_prefix":"/z/"}],
             "services":{"s":"t","q":"t"},"loads":9,"bounds":{"warm_ms":900,"most_memory_mb":4000}}"#,
     );
-    let found = check(&plan, &Record::default(), &sight, &terms, 0);
-    assert_eq!((found.hauls.len(), found.starts, found.memory_mb, found.longest_ms), (2, 5, 5_000, 1_500));
-    assert_eq!(found.needs, [("t".into(), 6)]);
-    assert_eq!(found.hauls[0].to, [("t".into(), 3), ("x".into(), 1)]);
+    let found = check(&plan, &Record::default(), &observation, &settings, 0);
+    assert_eq!(
+        (found.route_moves.len(), found.starts, found.memory_mb, found.max_deadline_ms),
+        (2, 5, 5_000, 1_500)
+    );
+    assert_eq!(found.target_instances, [("t".into(), 6)]);
+    assert_eq!(found.route_moves[0].to, [("t".into(), 3), ("x".into(), 1)]);
     let service = CompactString::from;
     let expected = [
         Reason::UnknownRoute { host: "o.example".into(), prefix: "/z/".into() },
         Reason::UnknownHost { host: "none.example".into() },
-        Reason::Loads { loads: 9, most: 2 },
+        Reason::InvalidLoads { loads: 9, most: 2 },
         Reason::UnknownService { service: "q".into() },
-        Reason::Protocol { from: "s".into(), to: "t".into() },
-        Reason::Connections { service: service("t"), max_conns: 2, concurrency: 4 },
-        Reason::Deadline { service: service("t"), boot_ms: 450, deadline_ms: 300 },
-        Reason::NoRoom { service: service("t"), wanted: 6, missing: 4, memory_mb: 1_000 },
-        Reason::TooSlow { takes_ms: 1_175, warm_ms: 900 },
-        Reason::TooDear { takes_mb: 5_000, most_mb: 4_000 },
+        Reason::ProtocolMismatch { from: "s".into(), to: "t".into() },
+        Reason::TooFewConnections { service: service("t"), max_conns: 2, concurrency: 4 },
+        Reason::StartTooSlow { service: service("t"), boot_ms: 450, deadline_ms: 300 },
+        Reason::NotEnoughMemory { service: service("t"), wanted: 6, missing: 4, memory_mb: 1_000 },
+        Reason::WarmingTooSlow { takes_ms: 1_175, warm_ms: 900 },
+        Reason::TooMuchMemory { takes_mb: 5_000, most_mb: 4_000 },
     ];
     assert_eq!(found.reasons, expected);
 }
 
 #[yare::parameterized(
-    no_workers = { None, 0, r#""services":{"s":"x"}"#, &[Reason::NoWorkers, Reason::Unseen { service: "x".into() }] },
-    long_ago = { Some(vec![9_000]), 5_000 * MS, r#""services":{"s":"x"}"#, &[Reason::Unseen { service: "s".into() }] },
+    no_workers = { None, 0, r#""services":{"s":"x"}"#, &[Reason::FreeMemoryUnknown, Reason::NoFunctionReport { service: "x".into() }] },
+    long_ago = { Some(vec![9_000]), 5_000 * MS, r#""services":{"s":"x"}"#, &[Reason::NoFunctionReport { service: "s".into() }] },
     circle = { Some(vec![9_000]), 0, r#""services":{"s":"x","x":"s"}"#,
-        &[Reason::Itself { service: "x".into() }, Reason::Itself { service: "s".into() }, Reason::Unseen { service: "x".into() }] },
+        &[Reason::ChainedService { service: "x".into() }, Reason::ChainedService { service: "s".into() }, Reason::NoFunctionReport { service: "x".into() }] },
     nothing = { Some(vec![9_000]), 0, r#""services":{"t":"x"},"routes":[{"host":"o.example","path_prefix":"/a/"}]"#,
         &[Reason::UnknownHost { host: "o.example".into() },
-            Reason::NothingLeft { host: "o.example".into(), prefix: "/a/".into() }] },
+            Reason::NoMappedService { host: "o.example".into(), prefix: "/a/".into() }] },
 )]
 fn a_check_refuses_what_it_can_not_judge(
     room: Option<Vec<u64>>,
@@ -78,13 +87,13 @@
     services: &str,
     reasons: &[Reason],
 ) {
-    let (sight, terms) = sight(room);
+    let (observation, settings) = observation(room);
     let plan = contract(&format!(r#"{{"name":"m","hosts":["o.example"],{services}}}"#));
-    assert_eq!(check(&plan, &Record::default(), &sight, &terms, now).reasons, reasons);
+    assert_eq!(check(&plan, &Record::default(), &observation, &settings, now).reasons, reasons);
 }
 
-fn hauls() -> Vec<RouteMove> {
-    let haul = |prefix: &str, from: &[(&str, u32)], to: &[(&str, u32)], load| RouteMove {
+fn route_moves() -> Vec<RouteMove> {
+    let route_move = |prefix: &str, from: &[(&str, u32)], to: &[(&str, u32)], load| RouteMove {
         host: "l.example".into(),
         path_prefix: prefix.into(),
         from: from.iter().map(|(name, weight)| ((*name).into(), *weight)).collect(),
@@ -92,25 +101,29 @@
         load,
     };
     vec![
-        haul("/a/", &[("s", 3), ("x", 1)], &[("t", 3), ("x", 1)], 1),
-        haul("/b/", &[("s", 1)], &[("t", 1)], 2),
+        route_move("/a/", &[("s", 3), ("x", 1)], &[("t", 3), ("x", 1)], 1),
+        route_move("/b/", &[("s", 1)], &[("t", 1)], 2),
     ]
 }
 
 #[test]
 fn a_step_changes_the_tenants_services_and_nothing_else_and_there_and_back_is_the_same() {
-    let hauls = hauls();
-    let there = shifted(BASE, &hauls, 1, 8).expect("valid");
-    let stands = Stands::read(&there).expect("valid");
-    assert!(fits(&stands.config, &hauls, 1) && !fits(&stands.config, &hauls, 0));
-    assert_eq!(there, shifted(BASE, &hauls, 1, 8).expect("valid"));
+    let route_moves = route_moves();
+    let there = with_loads_on_target(BASE, &route_moves, 1, 8).expect("valid");
+    let stands = ActiveConfig::read(&there).expect("valid");
+    assert!(
+        has_loads_on_target(&stands.config, &route_moves, 1)
+            && !has_loads_on_target(&stands.config, &route_moves, 0)
+    );
+    assert_eq!(there, with_loads_on_target(BASE, &route_moves, 1, 8).expect("valid"));
     // Fields that nobody here knows stay, of the whole and of a route that changes.
     let value = values::parse(&there).expect("JSON");
     let route = &values::get_list(&value, "routes").expect("routes")[0];
     assert!(values::get(&value, "odd").is_some() && values::get_u64(route, "odd") == Some(1));
-    let back = Stands::read(&shifted(&there, &hauls, 0, 9).expect("valid")).expect("valid");
-    let base = Stands::read(BASE).expect("valid");
-    assert!(fits(&back.config, &hauls, 0));
+    let back =
+        ActiveConfig::read(&with_loads_on_target(&there, &route_moves, 0, 9).expect("valid")).expect("valid");
+    let base = ActiveConfig::read(BASE).expect("valid");
+    assert!(has_loads_on_target(&back.config, &route_moves, 0));
     assert_eq!((back.config.routes, back.config.services), (base.config.routes, base.config.services));
 }
 
@@ -119,30 +132,30 @@
     let mut of = Move {
         name: "m \"1\"".into(),
         epoch: 3,
-        mark: 4_000_000_000,
-        hauls: hauls(),
+        contract_hash: 4_000_000_000,
+        route_moves: route_moves(),
         loads: 2,
         services: vec![("s".into(), "t".into())],
-        longest_ms: 1_500,
+        max_deadline_ms: 1_500,
         bounds: crate::Bounds { most_memory_mb: Some(5), ..crate::Bounds::default() },
-        needs: vec![("t".into(), 6)],
-        keeps: vec![("s".into(), 5)],
-        numbers: (11, 14),
+        target_instances: vec![("t".into(), 6)],
+        source_instances: vec![("s".into(), 5)],
+        revisions: (11, 14),
         paused: true,
         state: State::Opened,
-        stamps: Vec::new(),
+        history: Vec::new(),
     };
-    let put = Put { number: 9, over: 7, load: 1, of: 0 };
+    let put = Put { revision: 9, base: 7, loads: 1, previous_loads: 0 };
     let states = [
         State::Planned { started: false },
         State::Planned { started: true },
         State::Opened,
-        State::Switching(Direction::There, put),
-        State::Switching(Direction::Back, put),
-        State::Settling(Direction::There, 9),
-        State::Settling(Direction::Back, 9),
-        State::Overtaken,
-        State::TurnedBack,
+        State::Switching(Direction::ToTarget, put),
+        State::Switching(Direction::ToSource, put),
+        State::Settling(Direction::ToTarget, 9),
+        State::Settling(Direction::ToSource, 9),
+        State::Superseded,
+        State::RolledBack,
         State::Done,
     ];
     for state in states {
@@ -151,13 +164,13 @@
         let text = record.to_text();
         assert_eq!(Record::read(&text).expect("reads"), record);
         let newer = text.replacen(r#""format":1"#, r#""format":2"#, 1);
-        assert!(matches!(Record::read(&newer), Err(crate::BadRecord::Newer { format: 2 })));
+        assert!(matches!(Record::read(&newer), Err(crate::RecordError::Newer { format: 2 })));
         let spoilt = text.replacen("epoch", "epo", 1);
-        assert!(matches!(Record::read(&spoilt), Err(crate::BadRecord::Spoilt { .. })));
+        assert!(matches!(Record::read(&spoilt), Err(crate::RecordError::Corrupt { .. })));
     }
     // Steps and reasons are bounded.
     (0..100).for_each(|_| of.enter(State::Done, 0, 2, "x".repeat(1_000)));
-    assert!(of.stamps.len() == 24 && of.stamps.iter().all(|stamp| stamp.why.len() <= 400));
+    assert!(of.history.len() == 24 && of.history.iter().all(|entry| entry.reason.len() <= 400));
     assert_eq!(of.planned_at(), 1_700_000_000_000);
 }
 
@@ -182,20 +195,21 @@
 /// What a machine asks of the register within a while of taking office, where no move ever was.
 #[test]
 fn without_moves_a_holder_reads_the_record_twice_and_writes_nothing() {
-    let mut carter = crate::Migrator::new(Terms { contact: 4_000 * MS, duty_per_s: 1.0, warms: false });
+    let mut migrator =
+        crate::Migrator::new(Settings { contact_timeout: 4_000 * MS, duty_per_s: 1.0, prewarms: false });
     let (mut reads, mut others) = (0, 0);
     for ms in 0..60_000 {
-        let at = crate::Moment { now: ms * MS, day: ms };
-        carter.input(at, crate::Input::Lease(1, (ms + 1_000) * MS));
-        for effect in carter.take() {
+        let at = crate::Moment { now: ms * MS, unix_ms: ms };
+        migrator.input(at, crate::Input::Lease(1, (ms + 1_000) * MS));
+        for effect in migrator.take_effects() {
             match effect {
                 crate::Effect::ReadRecord(ask) => {
                     reads += 1;
-                    carter.input(at, crate::Input::Record(ask, millpost_quorum::Outcome::Found(None)));
+                    migrator.input(at, crate::Input::Record(ask, millpost_quorum::Outcome::Found(None)));
                 }
                 _ => others += 1,
             }
         }
     }
-    assert_eq!((reads, others, carter.is_busy()), (2, 0, false));
+    assert_eq!((reads, others, migrator.is_busy()), (2, 0, false));
 }
--- a/migration/src/tests/town.rs
+++ b/migration/src/tests/town.rs
@@ -9,12 +9,12 @@
 use millpost_quorum::{FailureReason, Outcome, Value};
 
 use super::oracle::{Oracle, Seen};
-use crate::plant::{Guard, is_out};
+use crate::durable::Action;
+use crate::guards::{Guard, is_disabled};
 use crate::record::Record;
-use crate::standing::Kind;
 use crate::{
-    Bounds, Contract, Direction, Effect, Function, Input, MS, Migrator, Moment, Nanos, Order, Said, Stands,
-    State, Terms,
+    ActiveConfig, Bounds, Contract, Direction, Effect, FunctionLoad, Input, MS, Migrator, Moment, Nanos,
+    Order, OrderResult, Settings, State,
 };
 
 const CONTACT: Nanos = 4_000 * MS;
@@ -129,7 +129,7 @@
     Read(u64),
     Write(u64, Value, Option<u64>),
     ReadConfig,
-    Put { name: CompactString, number: u64, over: Option<u64>, text: String },
+    Put { name: CompactString, revision: u64, base: Option<u64>, text: String },
 }
 
 enum Event {
@@ -147,7 +147,7 @@
 }
 
 struct Machine {
-    carter: Option<Migrator>,
+    migrator: Option<Migrator>,
     life: u64,
     steady: Nanos,
     day: u64,
@@ -165,7 +165,7 @@
 struct Wanted {
     order: Order,
     not_before: Nanos,
-    said: Option<Said>,
+    said: Option<OrderResult>,
 }
 
 pub(super) struct Town {
@@ -215,7 +215,7 @@
     pub fn new(day: Day) -> Town {
         let mut rng = Rng(day.seed);
         let machines = (0..3)
-            .map(|_| Machine { carter: None, life: 0, steady: rng.below(1 << 40), day: rng.below(1_000) })
+            .map(|_| Machine { migrator: None, life: 0, steady: rng.below(1 << 40), day: rng.below(1_000) })
             .collect();
         let proxies = (0..3).map(|n| Proxy {
             acts: 10,
@@ -249,7 +249,7 @@
             orders.push((at, Order::Pause("one".into())));
             orders.push((at + 4_000, Order::Start("one".into(), None)));
         }
-        orders.extend(day.back_at.map(|at| (at, Order::Back("one".into(), None))));
+        orders.extend(day.back_at.map(|at| (at, Order::Rollback("one".into(), None))));
         orders.sort_by_key(|(at, _)| *at);
         let wanted =
             orders.into_iter().map(|(at, order)| Wanted { order, not_before: at * MS, said: None }).collect();
@@ -315,7 +315,7 @@
 
     /// How the moves have ended, or how far they are.
     pub fn ends(&self) -> Vec<&'static str> {
-        self.kept.moves.iter().map(|of| of.state.word()).collect()
+        self.kept.moves.iter().map(|of| of.state.name()).collect()
     }
 
     fn within(&self, spans: &[(usize, u64, u64)], which: usize) -> Option<Nanos> {
@@ -353,7 +353,7 @@
             self.oracle.fail(now, "stuck", format!("order {n} has no answer: {:?}", wanted.order));
         }
         for of in self.kept.open().filter(|of| of.state != State::Planned { started: false }) {
-            self.oracle.fail(now, "stuck", format!("{} is {}", of.name, of.state.word()));
+            self.oracle.fail(now, "stuck", format!("{} is {}", of.name, of.state.name()));
         }
     }
 
@@ -362,8 +362,8 @@
             Event::To(m, life, input) => self.deliver(m, life, input),
             Event::Apply(m, life, op, answered) => self.apply(m, life, op, answered),
             Event::Start(m) => {
-                let terms = Terms { contact: CONTACT, duty_per_s: 78.0, warms: true };
-                self.machines[m].carter = Some(Migrator::new(terms));
+                let settings = Settings { contact_timeout: CONTACT, duty_per_s: 78.0, prewarms: true };
+                self.machines[m].migrator = Some(Migrator::new(settings));
                 self.machines[m].steady = self.rng.below(1 << 40);
             }
             Event::Grant => {
@@ -373,7 +373,7 @@
             Event::Beat(p) => {
                 if !self.asleep(p) {
                     let proxy = &self.proxies[p];
-                    let acts = Input::Acts(vec![(format!("edge-{p}").into(), proxy.acts)]);
+                    let acts = Input::ProxyRevisions(vec![(format!("edge-{p}").into(), proxy.acts)]);
                     let most = if proxy.slow && self.now < CALM_FROM { 3_000 } else { 60 };
                     self.tell_holder(1, most, acts);
                 }
@@ -421,7 +421,7 @@
             self.tell_holder(
                 1,
                 if slow { 1_400 } else { 60 },
-                Input::Acts(vec![(format!("edge-{p}").into(), revision)]),
+                Input::ProxyRevisions(vec![(format!("edge-{p}").into(), revision)]),
             );
         }
     }
@@ -435,7 +435,7 @@
     fn grant(&mut self) {
         let (day, now) = (self.day.clone(), self.now);
         let fit = |town: &Town, m: usize| {
-            town.machines[m].carter.is_some()
+            town.machines[m].migrator.is_some()
                 && town.within(&day.cuts, m).is_none()
                 && town.within(&day.freezes, m).is_none()
         };
@@ -471,14 +471,17 @@
     fn report(&mut self) {
         let ready = |name: &str| self.ready.get(name).copied().unwrap_or(0);
         let delay = if self.is_bad() { 90.0 * MS as f64 } else { MS as f64 };
-        let of = |name: &str, busy, delay| {
+        let of = |name: &str, peak_requests, delay| {
             let live = ready(name);
-            (CompactString::from(name), Function { ready: live, live, busy, delay, refused: 0.0 })
+            (
+                CompactString::from(name),
+                FunctionLoad { ready: live, live, peak_requests, delay, refused_ratio: 0.0 },
+            )
         };
         for (name, function) in [of("s", 6.0, 0.0), of("t", 1.0, delay), of("u", 0.0, 0.0)] {
-            self.tell_holder(1, 150, Input::Does(vec![(name, function)]));
+            self.tell_holder(1, 150, Input::Functions(vec![(name, function)]));
         }
-        self.tell_holder(1, 150, Input::Room(vec![4_096; 3]));
+        self.tell_holder(1, 150, Input::FreeMemory(vec![4_096; 3]));
         self.tell_holder(1, 5, Input::Tick);
         if let Some((from, to)) = self.day.bad
             && self.now > (to * MS).saturating_sub(600 * MS)
@@ -497,16 +500,16 @@
             for of in self.kept.moves.clone() {
                 let there = matches!(
                     of.state,
-                    State::Switching(Direction::There, _) | State::Settling(Direction::There, _)
+                    State::Switching(Direction::ToTarget, _) | State::Settling(Direction::ToTarget, _)
                 );
-                let number = of.numbers.0.max(self.config.0 + 1) <= of.numbers.1;
+                let number = of.revisions.0.max(self.config.0 + 1) <= of.revisions.1;
                 if there && number && of.name == "one" && !of.paused {
-                    self.oracle.fail(self.now, "past its bounds", of.state.word());
+                    self.oracle.fail(self.now, "past its bounds", of.state.name());
                 }
             }
         }
         if self.day.bad.is_some_and(|(from, _)| self.now < from * MS) {
-            self.was_there = self.kept.named("one").is_some_and(|of| of.state.out());
+            self.was_there = self.kept.find("one").is_some_and(|of| of.state.is_active());
         }
     }
 
@@ -518,10 +521,10 @@
         if machine.life != life {
             return;
         }
-        let Some(carter) = &mut machine.carter else { return };
-        let day = 1_700_000_000_000 + machine.day + self.now / MS;
-        carter.input(Moment { now: self.now + machine.steady, day }, *input);
-        for effect in carter.take() {
+        let Some(migrator) = &mut machine.migrator else { return };
+        let unix_ms = 1_700_000_000_000 + machine.day + self.now / MS;
+        migrator.input(Moment { now: self.now + machine.steady, unix_ms }, *input);
+        for effect in migrator.take_effects() {
             let word = self.words;
             self.words += 1;
             let dies = |after| self.day.deaths.contains(&(word, after));
@@ -538,7 +541,7 @@
 
     fn kill(&mut self, m: usize) {
         self.say(|| format!("machine {m} dies"));
-        self.machines[m].carter = None;
+        self.machines[m].migrator = None;
         self.machines[m].life += 1;
         self.after(400, 600, Event::Start(m));
     }
@@ -551,23 +554,23 @@
         let op = match effect {
             Effect::ReadRecord(ask) => Op::Read(ask),
             Effect::ReadConfig => Op::ReadConfig,
-            Effect::Write { ask, value, over } => {
-                self.say(|| format!("{m} writes {} over {over:?}", value.version));
+            Effect::Write { ask, value, expected_version } => {
+                self.say(|| format!("{m} writes {} over {expected_version:?}", value.version));
                 self.writes(&value);
-                Op::Write(ask, value, over)
+                Op::Write(ask, value, expected_version)
             }
             Effect::OrderFailure(id, why) => {
                 self.say(|| format!("order {id} turned down by {m}: {why:?}"));
                 return;
             }
-            Effect::Out(out) => match out.is().clone() {
-                Kind::Warm { service, count } => return self.after(300, 900, Event::Ready(service, count)),
-                Kind::Answer(answer) => return self.answered(answer.order, answer.said),
-                Kind::Put { name, number, over, text } => {
-                    self.oracle.offers(self.now, number, &text);
-                    self.say(|| format!("{m} puts {number} over {over:?} for {name}"));
-                    self.put_begins(number);
-                    Op::Put { name, number, over, text }
+            Effect::Publish(out) => match out.action().clone() {
+                Action::Warm { service, count } => return self.after(300, 900, Event::Ready(service, count)),
+                Action::Answer(answer) => return self.answered(answer.order, answer.result),
+                Action::Put { name, revision, base, text } => {
+                    self.oracle.offers(self.now, revision, &text);
+                    self.say(|| format!("{m} puts {revision} over {base:?} for {name}"));
+                    self.put_begins(revision);
+                    Op::Put { name, revision, base, text }
                 }
             },
         };
@@ -575,7 +578,7 @@
             Op::Read(ask) | Op::Write(ask, ..) => {
                 Some(Input::Record(*ask, Outcome::Indeterminate(FailureReason::NoMajority)))
             }
-            Op::Put { number, .. } => Some(Input::Put(*number)),
+            Op::Put { revision, .. } => Some(Input::PutFinished(*revision)),
             Op::ReadConfig => None,
         };
         let cut = self.within(&self.day.cuts, m).is_some();
@@ -600,7 +603,7 @@
         let bad_for =
             self.day.bad.is_some_and(|(from, to)| (from * MS + 1_500 * MS..to * MS).contains(&self.now));
         let Ok(next) = Record::read(&value.content) else { return };
-        let starts = next.named("one").is_some_and(|of| of.state == State::Planned { started: true });
+        let starts = next.find("one").is_some_and(|of| of.state == State::Planned { started: true });
         if starts && std::mem::take(&mut self.day.spoilt) {
             self.after(10, 200, Event::Replace(Replace::Elsewhere));
         }
@@ -615,7 +618,7 @@
             self.replace(Replace::Agrees);
         }
         if self.day.back_with == Some(nth) {
-            let order = Order::Back("one".into(), None);
+            let order = Order::Rollback("one".into(), None);
             self.wanted.push(Wanted { order, not_before: 0, said: None });
             self.operate();
         }
@@ -630,7 +633,7 @@
             Op::Write(ask, value, over) => {
                 let current = self.record.version;
                 let may = value.version > current && over.is_none_or(|over| over == current);
-                let outcome = if may || is_out(Guard::Version) {
+                let outcome = if may || is_disabled(Guard::Version) {
                     self.stands(&value);
                     Outcome::Written(value)
                 } else {
@@ -638,19 +641,19 @@
                 };
                 Input::Record(ask, outcome)
             }
-            Op::ReadConfig => Input::Stands(Stands::read(&self.config.1).expect("valid")),
-            Op::Put { name, number, over, text } => {
-                if number > self.config.0 && over.is_none_or(|over| over == self.config.0) {
+            Op::ReadConfig => Input::ActiveConfig(ActiveConfig::read(&self.config.1).expect("valid")),
+            Op::Put { name, revision, base, text } => {
+                if revision > self.config.0 && base.is_none_or(|base| base == self.config.0) {
                     let before = self.oracle.configs[&self.config.0].clone();
                     let config = Config::parse(&text).expect("valid");
                     self.oracle.put_by_move(self.now, &name, &before, config, &self.kept);
-                    self.install(number, text);
+                    self.install(revision, text);
                 }
                 if answered {
-                    let stands = Input::Stands(Stands::read(&self.config.1).expect("valid"));
+                    let stands = Input::ActiveConfig(ActiveConfig::read(&self.config.1).expect("valid"));
                     self.after(1, 30, Event::To(m, life, Box::new(stands)));
                 }
-                Input::Put(number)
+                Input::PutFinished(revision)
             }
         };
         if answered {
@@ -684,8 +687,8 @@
             let most = if self.proxies[p].slow { 5_000 } else { 200 };
             self.after(5, most, Event::Learn(p, life, revision));
         }
-        let stands = Stands::read(&self.config.1).expect("valid");
-        self.tell_holder(50, 500, Input::Stands(stands));
+        let stands = ActiveConfig::read(&self.config.1).expect("valid");
+        self.tell_holder(50, 500, Input::ActiveConfig(stands));
     }
 
     /// An operator puts a configuration, out of the one that stands.
@@ -739,8 +742,8 @@
         }
         let waits = |of: &crate::Move| {
             let (m, _, _, _) = self.lease?;
-            let at = Moment { now: self.now + self.machines[m].steady, day: 0 };
-            let told = self.machines[m].carter.as_ref()?.tell(at, Some(&of.name))?;
+            let at = Moment { now: self.now + self.machines[m].steady, unix_ms: 0 };
+            let told = self.machines[m].migrator.as_ref()?.status(at, Some(&of.name))?;
             let told = millpost_config::values::get_list(&told, "moves")?.first()?;
             millpost_config::values::get_str(told, "waits").map(str::to_owned)
         };
@@ -750,7 +753,7 @@
                 let first = self.last_number.max(self.config.0) + 3;
                 return Some((Order::Start(of.name.clone(), Some((first, first + 12))), first + 12));
             }
-            (of.paused && of.state.out()).then(|| (Order::Start(of.name.clone(), None), 0))
+            (of.paused && of.state.is_active()).then(|| (Order::Start(of.name.clone(), None), 0))
         });
         if let Some((order, last)) = order {
             self.last_number = self.last_number.max(last);
@@ -758,14 +761,14 @@
         }
     }
 
-    fn answered(&mut self, id: u64, said: Said) {
+    fn answered(&mut self, id: u64, said: OrderResult) {
         let Some(n) = self.given.get(&id).copied() else { return };
         self.say(|| format!("order {n} is answered: {said:?}"));
         let wanted = &mut self.wanted[n];
         if wanted.said.is_none() {
             match said {
-                Said::Stands(_) => self.oracle.answered(&wanted.order, &self.kept),
-                Said::Refused(_) => self.oracle.refuses(&wanted.order),
+                OrderResult::Accepted(_) => self.oracle.answered(&wanted.order, &self.kept),
+                OrderResult::Refused(_) => self.oracle.refuses(&wanted.order),
             }
             wanted.said = Some(said);
         }
--- a/migration/src/watch.rs
+++ b/migration/src/watch.rs
@@ -6,7 +6,7 @@
 
 use crate::observation::Observation;
 use crate::record::{Direction, Move, State};
-use crate::shift::fits;
+use crate::shift::has_loads_on_target;
 use crate::{MS, Nanos};
 
 /// How often a move earns its target's probability; at 1 its next load goes.
@@ -61,11 +61,11 @@
     }
 
     /// Looks at the move as it is in the record now.
-    pub fn look(&mut self, now: Nanos, of: &Move, sight: &Observation) {
+    pub fn look(&mut self, now: Nanos, of: &Move, observation: &Observation) {
         if self.state != of.state {
             *self = Watch { beyond: self.beyond, refusing: self.refusing, ..Watch::new(now, of) };
         }
-        let does = target(now, of, sight);
+        let health = target(now, of, observation);
         let keep = |since: &mut Option<Nanos>, holds: bool| {
             *since = if holds { since.or(Some(now)) } else { None };
         };
@@ -73,51 +73,56 @@
         if of.paused {
             self.going = now;
         }
-        keep(&mut self.beyond, does.is_some_and(|does| does.chance <= 0.0));
-        keep(&mut self.refusing, does.is_some_and(|does| does.refused > of.bounds.most_refused));
-        let Some(config) = sight.stands().map(|stands| &stands.config) else { return };
+        keep(&mut self.beyond, health.is_some_and(|health| health.probability <= 0.0));
+        keep(&mut self.refusing, health.is_some_and(|health| health.refused_ratio > of.bounds.most_refused));
+        let Some(config) = observation.active_config().map(|stands| &stands.config) else { return };
         let stands = match of.state {
-            State::Switching(_, put) => config.revision > put.over && fits(config, &of.hauls, put.load),
-            State::Settling(Direction::There, _) => fits(config, &of.hauls, of.loads),
-            State::Settling(Direction::Back, _) => fits(config, &of.hauls, 0),
+            State::Switching(_, put) => {
+                config.revision > put.base && has_loads_on_target(config, &of.route_moves, put.loads)
+            }
+            State::Settling(Direction::ToTarget, _) => has_loads_on_target(config, &of.route_moves, of.loads),
+            State::Settling(Direction::ToSource, _) => has_loads_on_target(config, &of.route_moves, 0),
             _ => false,
         };
         keep(&mut self.stood, stands);
-        keep(&mut self.all, stands && sight.all_act(now, config.revision).is_ok());
-        let chance = does.map_or(0.0, |does| does.chance);
-        if self.all.is_none() || of.paused || chance <= 0.0 {
+        keep(&mut self.all, stands && observation.all_act(now, config.revision).is_ok());
+        let probability = health.map_or(0.0, |health| health.probability);
+        if self.all.is_none() || of.paused || probability <= 0.0 {
             // What was earned is for the moment, not for later.
             (self.beat, self.credit) = (now, 0.0);
         } else if now >= self.beat + BEAT {
             // One beat at a time: a holder that was frozen has earned nothing meanwhile.
-            (self.beat, self.credit) = (now, self.credit + chance);
+            (self.beat, self.credit) = (now, self.credit + probability);
         }
     }
 }
 
 /// How the targets of a move do.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Does {
+pub(crate) struct TargetHealth {
     /// The design's probability for the averaged delay; of several targets the least.
-    pub chance: f64,
+    pub probability: f64,
     /// The largest part that one refuses.
-    pub refused: f64,
+    pub refused_ratio: f64,
 }
 
 /// None where nothing was heard of one of them lately.
-pub(crate) fn target(now: Nanos, of: &Move, sight: &Observation) -> Option<Does> {
-    let config = &sight.stands()?.config;
-    let aim = |haul: &crate::RouteMove| {
-        let route = config.routes.iter().find(|r| r.host == haul.host && r.path_prefix == haul.path_prefix);
+pub(crate) fn target(now: Nanos, of: &Move, observation: &Observation) -> Option<TargetHealth> {
+    let config = &observation.active_config()?.config;
+    let aim = |route_move: &crate::RouteMove| {
+        let route = config
+            .routes
+            .iter()
+            .find(|r| r.host == route_move.host && r.path_prefix == route_move.path_prefix);
         route.map(|route| route.target_latency_ms)
     };
-    let aim = of.hauls.iter().filter_map(aim).min().unwrap_or(1_000);
+    let aim = of.route_moves.iter().filter_map(aim).min().unwrap_or(1_000);
     let t1 = first_retry_delay(aim.saturating_mul(MS));
-    let mut does = Does { chance: 1.0, refused: 0.0 };
-    for (name, _) in &of.needs {
-        let function = sight.function(now, name)?;
-        does.chance = does.chance.min(retry_probability(function.delay.max(0.0), t1));
-        does.refused = does.refused.max(function.refused);
+    let mut health = TargetHealth { probability: 1.0, refused_ratio: 0.0 };
+    for (name, _) in &of.target_instances {
+        let function = observation.function(now, name)?;
+        health.probability = health.probability.min(retry_probability(function.delay.max(0.0), t1));
+        health.refused_ratio = health.refused_ratio.max(function.refused_ratio);
     }
-    Some(does)
+    Some(health)
 }
