--- a/charts/src/lib.rs
+++ b/charts/src/lib.rs
@@ -7,7 +7,7 @@
 /// Colours that are told apart.
 pub const COLORS: [&str; 6] = ["#2563eb", "#16a34a", "#dc2626", "#d97706", "#7c3aed", "#0891b2"];
 /// One for what the others are measured against.
-pub const PLAIN: &str = "#94a3b8";
+pub const BASELINE_COLOR: &str = "#94a3b8";
 
 const WIDTH: f64 = 860.0;
 const HEIGHT: f64 = 170.0;
@@ -24,7 +24,7 @@
     #[allow(missing_docs)]
     pub to: f64,
     /// What it shows under the pointer.
-    pub what: String,
+    pub tooltip: String,
     /// Its colour; spans behind a plot have one of their own.
     pub color: String,
 }
@@ -105,7 +105,7 @@
             "<rect x='{from:.1}' y='8' width='{:.1}' height='{:.1}' class='fault'><title>{}</title></rect>",
             (to - from).max(1.0),
             HEIGHT - 30.0,
-            escape(&span.what)
+            escape(&span.tooltip)
         );
     }
     for part in 0..=4 {
@@ -157,7 +157,7 @@
                 (to - from).max(0.8),
                 ROW - 3.0,
                 escape(&span.color),
-                escape(&span.what)
+                escape(&span.tooltip)
             );
         }
     }
@@ -205,7 +205,7 @@
     #[test]
     fn whatever_is_put_in_stays_text_and_nothing_comes_from_elsewhere() {
         let odd = "<script src='http://x'>\"&";
-        let span = || Span { from: 0.5, to: 9.0, what: odd.into(), color: odd.into() };
+        let span = || Span { from: 0.5, to: 9.0, tooltip: odd.into(), color: odd.into() };
         let line = Line { name: odd, color: odd, points: vec![(0.0, 1.0), (1.0, f64::INFINITY)] };
         let rows = [Row { name: odd.into(), spans: vec![span()] }];
         let body = [
--- a/replay/src/report/page.rs
+++ b/replay/src/report/page.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use millpost_charts::{COLORS, Line, PLAIN, Row, Span, bars, color, page, plot, table};
+use millpost_charts::{BASELINE_COLOR, COLORS, Line, Row, Span, bars, color, page, plot, table};
 use millpost_protocol::line::{Line as Json, part};
 
 use super::Report;
@@ -145,12 +145,12 @@
         let seconds = |node, at| self.of.seconds(&self.clocks, node, at);
         let gaps = self.of.terms.windows(2).filter_map(|pair| {
             let (from, to) = (seconds(pair[0].node, pair[0].to), seconds(pair[1].node, pair[1].from));
-            let what = format!("nobody is the steward, before fence {}", pair[1].fence);
-            (to > from).then_some(Span { from, to, what, color: String::new() })
+            let tooltip = format!("nobody is the steward, before fence {}", pair[1].fence);
+            (to > from).then_some(Span { from, to, tooltip, color: String::new() })
         });
         let later = self.of.began.iter().filter(|(node, _)| node.1 > 0).map(|(node, at)| {
-            let what = format!("{} begins its life {}", self.who(*node), node.1 + 1);
-            Span { from: *at, to: *at, what, color: String::new() }
+            let tooltip = format!("{} begins its life {}", self.who(*node), node.1 + 1);
+            Span { from: *at, to: *at, tooltip, color: String::new() }
         });
         gaps.chain(later).collect()
     }
@@ -163,7 +163,7 @@
             self.line("503", COLORS[3], count(1)),
             self.line("502, 504", COLORS[2], count(2)),
             self.line("others", COLORS[4], count(3)),
-            self.line("clients that left", PLAIN, |at| spans[at].left as f64 * each),
+            self.line("clients that left", BASELINE_COLOR, |at| spans[at].left as f64 * each),
         ];
         let times = |part: f64| move |at: usize| spans[at].time(part).unwrap_or(0.0);
         let took = [self.line("p50", COLORS[1], times(0.5)), self.line("p99", COLORS[2], times(0.99))];
@@ -188,7 +188,7 @@
         }
         for on in &self.of.on {
             let color = color(places.get(&on.revision).copied().unwrap_or(0));
-            let what = format!(
+            let tooltip = format!(
                 "{} acts on {} from {:.3} s to {:.3} s",
                 self.who(on.node),
                 on.revision,
@@ -198,7 +198,7 @@
             rows.entry(self.machine(on.node)).or_default().push(Span {
                 from: on.from,
                 to: on.to,
-                what,
+                tooltip,
                 color,
             });
         }
@@ -216,11 +216,11 @@
         for (place, term) in self.of.terms.iter().enumerate() {
             let seconds = |at| self.of.seconds(&self.clocks, term.node, at);
             let (from, to) = (seconds(term.from), seconds(term.to));
-            let what = format!(
+            let tooltip = format!(
                 "fence {} from {from:.3} s to {to:.3} s: {} starts, {} stops, {} lists",
                 term.fence, term.starts, term.stops, term.lists
             );
-            let span = Span { from, to, what, color: color(place) };
+            let span = Span { from, to, tooltip, color: color(place) };
             rows.entry(self.machine(term.node)).or_default().push(span);
         }
         let rows: Vec<Row> = rows.into_iter().take(ROWS).map(|(name, spans)| Row { name, spans }).collect();
@@ -252,7 +252,7 @@
             self.line("no slot in time", COLORS[2], refused(2)),
             self.line("thinned out", COLORS[3], refused(0)),
             self.line("budget spent", COLORS[4], refused(1)),
-            self.line("function unknown", PLAIN, refused(3)),
+            self.line("function unknown", BASELINE_COLOR, refused(3)),
             self.line("further tries that went", COLORS[0], |at| spans[at].repeats as f64 * each),
         ];
         let mut used: Vec<_> = self.of.functions.iter().collect();
@@ -265,7 +265,7 @@
             points: self.points(|at| 100.0 * function.samples.get(&at).map_or(0.0, |s| s.used)),
         });
         let mut part: Vec<_> = part.collect();
-        part.push(self.line("all of it", PLAIN, |_| 100.0));
+        part.push(self.line("all of it", BASELINE_COLOR, |_| 100.0));
         let (behind, end) = (self.behind(), self.of.length);
         plot("Refusals and further tries", "a second", end, &behind, &lines)
             + &plot(
--- a/rig/src/report.rs
+++ b/rig/src/report.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use millpost_charts::{self as charts, COLORS, Line, PLAIN, Span};
+use millpost_charts::{self as charts, BASELINE_COLOR, COLORS, Line, Span};
 use millpost_standins::audit::RULES;
 
 use crate::play::{Outcome, Sample};
@@ -107,7 +107,7 @@
     let fault = |(at, lasts, what): &(f64, f64, String)| Span {
         from: *at,
         to: at + lasts,
-        what: what.clone(),
+        tooltip: what.clone(),
         color: String::new(),
     };
     charts::plot(title, unit, end, &o.faults.iter().map(fault).collect::<Vec<_>>(), lines)
@@ -121,7 +121,7 @@
         "a second",
         o,
         &[
-            line(o, "offered", PLAIN, |s| s.offered),
+            line(o, "offered", BASELINE_COLOR, |s| s.offered),
             line(o, "taken on", COLORS[0], |s| s.taken),
             line(o, "delivered", COLORS[1], |s| s.delivered),
             line(o, "refused at the door", COLORS[2], |s| s.refused),
@@ -155,7 +155,7 @@
             line(o, name, COLORS[n % COLORS.len()], move |s: &Sample| s.cores.get(n).copied().unwrap_or(0.0))
         })
         .collect();
-    cores.push(line(o, "the rig, of its own cores", PLAIN, |s| s.rig));
+    cores.push(line(o, "the rig, of its own cores", BASELINE_COLOR, |s| s.rig));
     body.push_str(&plot("Cores", "share of one", o, &cores));
     let resident: Vec<Line> = names
         .iter()
