--- a/migration/src/contract.rs
+++ b/migration/src/contract.rs
@@ -1,5 +1,6 @@
-//! What operators ask for: a contract that is to change hands, and orders about it. Invariant: what is read is within its bounds, so that a
-//! record of moves is.
+//! Operators' requests: contracts, which describe a tenant's move, and orders about moves.
+//!
+//! Invariant: a parsed contract is within the size limits, and so is the record of moves made from it.
 
 use std::collections::BTreeMap;
 
@@ -9,27 +10,27 @@
 use tinyjson::JsonValue;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bytes of a name.
+/// Maximum length of a name, in bytes.
 const MAX_NAME: usize = 128;
-/// Hosts, routes and services that a contract names.
+/// Limit on each of the hosts, routes and services of a contract.
 pub(crate) const MAX_ROUTES: usize = 1_000;
-/// Loads of a move: each is a configuration that goes to all.
+/// Limit on the loads of a move, each of which is a configuration sent to all proxies.
 pub(crate) const MAX_LOADS: u32 = 50;
 
-/// Within what a move has to keep; past them it turns back by itself.
+/// Limits of a move; it rolls back by itself when it exceeds one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// The target is warm within this.
+    /// Time for the target to become warm.
     pub warm_ms: u64,
-    /// All in touch act on a load within this.
+    /// Time for all connected proxies to apply a load.
     pub ack_ms: u64,
-    /// The target may be past its thresholds, or refuse too much, for so long.
+    /// How long the target may be past its latency threshold, or refuse more than `most_refused`.
     pub patience_ms: u64,
-    /// Of what the target is asked for, so much may be refused.
+    /// Fraction of the target's requests that may be refused.
     pub most_refused: f64,
-    /// A move that is not paused ends within this.
+    /// Maximum age of a move that is not paused, counted from when it was opened.
     pub most_age_ms: u64,
-    /// Instances that are started for the move take so much at most; no bound where left out.
+    /// Limit on the memory of all instances started for the move; unlimited if omitted.
     pub most_memory_mb: Option<u64>,
 }
 
@@ -46,38 +47,38 @@
     }
 }
 
-/// A tenant and where it goes.
+/// A request to move a tenant's routes to other services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Contract {
-    /// The move's name.
+    /// The name of the move.
     pub name: CompactString,
-    /// Hosts, of which all routes go that have a service which is left.
+    /// Hosts all of whose routes with a service listed in `services` are moved.
     pub hosts: Vec<CompactString>,
-    /// Routes, by host and prefix.
+    /// Further routes to move, by host and path prefix.
     pub routes: Vec<(CompactString, CompactString)>,
-    /// Which service takes the place of which.
+    /// Source services, and the target service that replaces each.
     pub services: BTreeMap<CompactString, CompactString>,
-    /// Steps in which the routes go.
+    /// Number of loads: the batches in which the routes are switched.
     pub loads: u32,
-    /// What it has to keep within.
+    /// Limits past which the move rolls back.
     pub bounds: Bounds,
 }
 
-/// What an operator wants.
+/// An operator's order about a move.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
-    /// A move is to be checked and kept.
+    /// Check a contract and record it as a move.
     Plan(Contract),
-    /// It begins, or goes on after a pause; with revisions that are its own from now on, from the first to the last.
+    /// Start the move, or resume it after a pause; optionally with the first and the last revision reserved for it.
     Start(CompactString, Option<(u64, u64)>),
-    /// No further load goes.
+    /// Pause the move: switch no further load.
     Pause(CompactString),
-    /// It turns back; revisions as above.
+    /// Roll the move back; revisions as for `Start`.
     Rollback(CompactString, Option<(u64, u64)>),
 }
 
 impl Order {
-    /// The move that is meant.
+    /// The name of the move that the order is about.
     pub fn name(&self) -> &CompactString {
         match self {
             Order::Plan(contract) => &contract.name,
@@ -85,15 +86,15 @@
         }
     }
 
-    /// Reads one: `order` is `plan`, `start`, `pause` or `back`.
+    /// Parses an order; its `order` field is `plan`, `start`, `pause` or `back`.
     pub fn read(at: &JsonCursor<'_>) -> Result<Self, ConfigError> {
         let kind = at.required("order")?;
         match kind.str()? {
             "plan" => Ok(Order::Plan(Contract::read(&at.required("contract")?)?)),
-            "start" => Ok(Order::Start(named(at)?, revision_range(at)?)),
-            "pause" => Ok(Order::Pause(named(at)?)),
-            "back" => Ok(Order::Rollback(named(at)?, revision_range(at)?)),
-            other => Err(kind.error(format!("is {other:?}; plan, start, pause or back"))),
+            "start" => Ok(Order::Start(move_name(at)?, revision_range(at)?)),
+            "pause" => Ok(Order::Pause(move_name(at)?)),
+            "back" => Ok(Order::Rollback(move_name(at)?, revision_range(at)?)),
+            other => Err(kind.error(format!("unknown order {other:?}; expected plan, start, pause or back"))),
         }
     }
 }
@@ -106,20 +107,20 @@
     }
 }
 
-fn named(at: &JsonCursor<'_>) -> Result<CompactString, ConfigError> {
+fn move_name(at: &JsonCursor<'_>) -> Result<CompactString, ConfigError> {
     short_text(&at.required("name")?)
 }
 
 fn revision_range(at: &JsonCursor<'_>) -> Result<Option<(u64, u64)>, ConfigError> {
-    let Some(numbers) = at.optional("revisions") else { return Ok(None) };
-    let (first, last) = (numbers.required("first")?.uint()?, numbers.required("last")?.uint()?);
+    let Some(range) = at.optional("revisions") else { return Ok(None) };
+    let (first, last) = (range.required("first")?.uint()?, range.required("last")?.uint()?);
     if first == 0 || last < first {
-        return Err(numbers.error("is no range of revisions"));
+        return Err(range.error("is not a range of revisions"));
     }
     Ok(Some((first, last)))
 }
 
-/// The items of a list that may be left out.
+/// Reads the items of an optional list.
 fn items<T>(
     at: &JsonCursor<'_>,
     key: &str,
@@ -127,15 +128,15 @@
 ) -> Result<Vec<T>, ConfigError> {
     let Some(at) = at.optional(key) else { return Ok(Vec::new()) };
     if at.items()?.len() > MAX_ROUTES {
-        return Err(at.error(format!("are more than {MAX_ROUTES}")));
+        return Err(at.error(format!("has more than {MAX_ROUTES} entries")));
     }
     at.items()?.map(|at| read(&at)).collect()
 }
 
 impl Contract {
-    /// Reads one.
+    /// Parses a contract.
     pub fn read(at: &JsonCursor<'_>) -> Result<Self, ConfigError> {
-        let place = |at: &JsonCursor<'_>| {
+        let route = |at: &JsonCursor<'_>| {
             let prefix = at.required("path_prefix")?;
             let text = prefix.str()?;
             if text.len() > 2 * MAX_NAME {
@@ -146,20 +147,20 @@
         let services = at.required("services")?;
         let entries = services.entries()?;
         if entries.len() > MAX_ROUTES {
-            return Err(services.error(format!("are more than {MAX_ROUTES}")));
+            return Err(services.error(format!("has more than {MAX_ROUTES} entries")));
         }
         let service = |(from, to): (&str, JsonCursor<'_>)| Ok((from.into(), short_text(&to)?));
         Ok(Self {
-            name: named(at)?,
+            name: move_name(at)?,
             hosts: items(at, "hosts", short_text)?,
-            routes: items(at, "routes", place)?,
+            routes: items(at, "routes", route)?,
             services: entries.into_iter().map(service).collect::<Result<_, _>>()?,
             loads: at.saturating_u32_or("loads", 1)?,
             bounds: at.optional("bounds").map_or_else(|| Ok(Bounds::default()), |at| Bounds::read(&at))?,
         })
     }
 
-    /// As a value, which reads back equal.
+    /// Encodes the contract as a JSON value that reads back equal.
     #[must_use]
     pub fn to_value(&self) -> JsonValue {
         let route = |(host, prefix): &(CompactString, CompactString)| {
@@ -176,7 +177,7 @@
         ])
     }
 
-    /// What tells it from others of its name; half of it, since a number in JSON holds 53 bits.
+    /// Hash that distinguishes contracts of the same name; 32 bits, since a number in JSON holds 53 bits.
     pub(crate) fn content_hash(&self) -> u32 {
         xxh3_64(write(&self.to_value()).as_bytes()) as u32
     }
@@ -184,14 +185,14 @@
 
 impl Bounds {
     pub(crate) fn read(at: &JsonCursor<'_>) -> Result<Self, ConfigError> {
-        let other = Self::default();
+        let defaults = Self::default();
         at.object()?;
         Ok(Self {
-            warm_ms: at.uint_or("warm_ms", other.warm_ms)?,
-            ack_ms: at.uint_or("ack_ms", other.ack_ms)?,
-            patience_ms: at.uint_or("patience_ms", other.patience_ms)?,
-            most_refused: at.non_negative_or("most_refused", other.most_refused)?,
-            most_age_ms: at.uint_or("most_age_ms", other.most_age_ms)?,
+            warm_ms: at.uint_or("warm_ms", defaults.warm_ms)?,
+            ack_ms: at.uint_or("ack_ms", defaults.ack_ms)?,
+            patience_ms: at.uint_or("patience_ms", defaults.patience_ms)?,
+            most_refused: at.non_negative_or("most_refused", defaults.most_refused)?,
+            most_age_ms: at.uint_or("most_age_ms", defaults.most_age_ms)?,
             most_memory_mb: at.optional("most_memory_mb").map(|at| at.uint()).transpose()?,
         })
     }
--- a/migration/src/durable.rs
+++ b/migration/src/durable.rs
@@ -1,5 +1,8 @@
-//! A record that a majority holds, and what goes outward. Invariant, in the types: an [`Published`] is made from a [`Standing`] alone, and a
-//! [`Standing`] only of what the register was read to hold or has just written. So each step is durable before anybody hears of it.
+//! A record that a majority has stored, and the actions that follow from it.
+//!
+//! Invariant, enforced by the types: a [`Published`] action is only made from a [`DurableRecord`], and a [`DurableRecord`]
+//! only from a value that was read from or written to the register. So each step is durable before it has any effect
+//! outside this machine.
 
 use compact_str::CompactString;
 use millpost_quorum::Value;
@@ -10,61 +13,61 @@
 use crate::record::{Move, Record, RecordError, State};
 use crate::shift::with_loads_on_target;
 
-/// What an operator is told.
+/// The result of an order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OrderResult {
-    /// The record has it; how far the move is.
+    /// The record includes the order; the name of the move's state.
     Accepted(&'static str),
-    /// It can't be, for all of these reasons.
+    /// The order was rejected for all of these reasons.
     Refused(Vec<Reason>),
 }
 
 /// The answer to an order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
-    /// The order's number.
+    /// The identifier that came with the order.
     pub order: u64,
-    /// What its operator is told.
+    /// Whether the order was accepted.
     pub result: OrderResult,
 }
 
-/// What goes outward; see [`Published::is`].
+/// An action that follows from a durable record; see [`Published::action`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Published(Action);
 
-/// The kinds of it.
+/// An action with an effect outside the record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// This configuration is to be put under this number, over exactly this revision.
+    /// Write a configuration.
     Put {
-        /// The move.
+        /// The name of the move.
         name: CompactString,
-        /// Its revision.
+        /// The revision of the configuration.
         revision: u64,
-        /// What has to stand.
+        /// The revision that has to be active; `None` only in tests that drop this check.
         base: Option<u64>,
-        /// The configuration.
+        /// The configuration, as JSON.
         text: String,
     },
-    /// A function has at least so many instances until nothing is said of it any more.
+    /// Keep at least this many instances of a function for as long as this action is repeated.
     Warm {
         /// The function.
         service: CompactString,
-        /// Instances.
+        /// The minimum number of instances.
         count: u32,
     },
-    /// An operator is told.
+    /// Answer an operator's order.
     Answer(Answer),
 }
 
 impl Published {
-    /// What it is.
+    /// The action to carry out.
     pub fn action(&self) -> &Action {
         &self.0
     }
 }
 
-/// The record of moves as it stands, and its version.
+/// The current record of moves and its version in the register.
 #[derive(Clone, Debug)]
 pub struct DurableRecord {
     version: u64,
@@ -72,55 +75,55 @@
 }
 
 impl DurableRecord {
-    /// Of what a majority was read to hold.
+    /// Parses a value that was read from or written to a majority; `None` is the empty record.
     pub(crate) fn read(value: Option<&Value>) -> Result<Self, RecordError> {
         let Some(value) = value else { return Ok(Self { version: 0, record: Record::default() }) };
         Ok(Self { version: value.version, record: Record::read(&value.content)? })
     }
 
-    /// Not durable at all.
+    /// A record that has not been written yet, to test that this is noticed; only with [`Guard::Durable`] disabled.
     #[cfg(test)]
     pub(crate) fn unwritten(version: u64, record: Record) -> Option<Self> {
         is_disabled(Guard::Durable).then_some(Self { version, record })
     }
 
-    /// The version: it goes up with each step of any move.
+    /// The version, which increases with each step of any move.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The moves.
+    /// All moves.
     pub fn record(&self) -> &Record {
         &self.record
     }
 
-    /// The configuration that is to be put for a move, where its base stands.
-    pub(crate) fn put(&self, of: &Move, stands: &ActiveConfig) -> Option<Published> {
-        let State::Switching(_, put) = of.state else { return None };
-        if stands.config.revision != put.base && !is_disabled(Guard::Base)
-            || stands.config.revision >= put.revision
+    /// The configuration to write for a move, if the base of its put is the active revision.
+    pub(crate) fn put(&self, mv: &Move, active: &ActiveConfig) -> Option<Published> {
+        let State::Switching(_, put) = mv.state else { return None };
+        if active.config.revision != put.base && !is_disabled(Guard::Base)
+            || active.config.revision >= put.revision
         {
             return None;
         }
-        // One that can't be made can't have been made by who wrote the put either: the base says otherwise than it did.
-        let text = with_loads_on_target(&stands.text, &of.route_moves, put.loads, put.revision).ok()?;
+        // This fails only if the base is not the configuration that the put was decided on.
+        let text = with_loads_on_target(&active.text, &mv.route_moves, put.loads, put.revision).ok()?;
         let base = if is_disabled(Guard::Base) { None } else { Some(put.base) };
-        Some(Published(Action::Put { name: of.name.clone(), revision: put.revision, base, text }))
+        Some(Published(Action::Put { name: mv.name.clone(), revision: put.revision, base, text }))
     }
 
-    /// What is to be warm: the targets, and the sources for the way back, but for moves that rest.
-    pub(crate) fn warm(&self, rests: impl Fn(&Move) -> bool) -> Vec<Published> {
-        let out = self.record.moves.iter().filter(|of| of.state.is_active() && !rests(of));
-        let all = out.flat_map(|of| of.target_instances.iter().chain(&of.source_instances));
+    /// The instances to keep warm: targets, and sources in case of a rollback. Skips moves for which `is_idle` holds.
+    pub(crate) fn warm(&self, is_idle: impl Fn(&Move) -> bool) -> Vec<Published> {
+        let active = self.record.moves.iter().filter(|mv| mv.state.is_active() && !is_idle(mv));
+        let all = active.flat_map(|mv| mv.target_instances.iter().chain(&mv.source_instances));
         all.map(|(service, count)| Published(Action::Warm { service: service.clone(), count: *count }))
             .collect()
     }
 
-    /// The answer to an order that this record has, or that it can't have.
+    /// The answer to an order that this record includes, or that was rejected for the given reasons.
     pub(crate) fn answer(&self, order: u64, name: &str, refused: Option<Vec<Reason>>) -> Published {
         let result = match refused {
             Some(reasons) => OrderResult::Refused(reasons),
-            None => OrderResult::Accepted(self.record.find(name).map_or("unknown", |of| of.state.name())),
+            None => OrderResult::Accepted(self.record.find(name).map_or("unknown", |mv| mv.state.name())),
         };
         Published(Action::Answer(Answer { order, result }))
     }
--- a/migration/src/guards.rs
+++ b/migration/src/guards.rs
@@ -1,50 +1,50 @@
-//! Guards that tests take out, one at a time, to see that something breaks without them. Outside of tests each stands.
+//! Safety checks that tests disable one at a time to verify that the oracle notices. All are active outside of tests.
 
-/// A guard.
+/// A safety check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Guard {
-    /// A new holder waits until it may have heard of all proxies.
-    HearAll,
-    /// A step waits until all in touch act on the one before.
-    AllAct,
-    /// A configuration is written over the base of its put only.
+    /// A new leader waits until it has had time to hear from all proxies.
+    HearAllProxies,
+    /// A step waits until all connected proxies apply the previous one.
+    AllProxiesApply,
+    /// A configuration only replaces the base of its put.
     Base,
-    /// A put is decided before a move ends.
-    Decided,
-    /// What goes outward stands in the record first.
+    /// The outcome of a put is decided before its move ends.
+    PutDecided,
+    /// An action is in the durable record before it is published.
     #[cfg(test)]
     Durable,
-    /// A number is used once.
-    Burned,
-    /// Routes that an open move holds go with no other.
-    Crossing,
-    /// One move at a time is out.
-    Turns,
-    /// A record is written over the version it was decided on only; played by the register of the tests.
+    /// A revision is used at most once.
+    UniqueRevision,
+    /// A route of an open move is part of no other move.
+    DisjointRoutes,
+    /// At most one move is active at a time.
+    OneActiveMove,
+    /// A record only replaces the version it was derived from; enforced by the simulated register of the tests.
     #[cfg(test)]
     Version,
-    /// Nothing goes outward while something that was offered before may still come to stand.
-    Firm,
-    /// Nothing is said or done without the lease.
+    /// Nothing is published while an earlier write of unknown outcome may still be applied.
+    NoUnresolvedWrite,
+    /// Nothing is written or published without the lease.
     Lease,
-    /// An operator's configuration that puts routes elsewhere ends the move.
+    /// An operator's configuration that assigns routes to other services ends the move.
     Superseded,
-    /// The side that was left has the time of its longest request.
+    /// The side that lost the traffic has time for its longest request.
     Settle,
-    /// A target past its thresholds takes no load.
+    /// A target past its latency threshold gets no further load.
     Pace,
-    /// A move that passes its bounds turns back.
+    /// A move that exceeds its bounds rolls back.
     Bounds,
 }
 
 #[cfg(test)]
 thread_local! {
-    static OUT: std::cell::Cell<Option<Guard>> = const { std::cell::Cell::new(None) };
+    static DISABLED: std::cell::Cell<Option<Guard>> = const { std::cell::Cell::new(None) };
 }
 
 #[cfg(test)]
 pub(crate) fn is_disabled(guard: Guard) -> bool {
-    OUT.get() == Some(guard)
+    DISABLED.get() == Some(guard)
 }
 
 #[cfg(not(test))]
@@ -52,8 +52,8 @@
     false
 }
 
-/// Takes a guard out on this thread, or puts it back.
+/// Disables a guard on this thread; `None` enables all.
 #[cfg(test)]
 pub(crate) fn disable(guard: Option<Guard>) {
-    OUT.set(guard);
+    DISABLED.set(guard);
 }
--- a/migration/src/lib.rs
+++ b/migration/src/lib.rs
@@ -1,12 +1,12 @@
-//! Moves: a tenant (a set of routes) goes from the services of one cluster to those of another while it is in use
+//! Moves: switching a tenant (a set of routes) from the services of one cluster to those of another without downtime
 //! (`docs/design/012-moves.md`). No I/O, no clock, no randomness.
 //!
-//! - [`Contract`], [`Order`]: what operators ask for.
-//! - [`Record`]: all moves as one value in the register; [`Standing`] is one that a majority holds, and all that goes [`Published`] is made
-//!   from it.
-//! - [`check`](check::check): what would move, against what the target can bear.
-//! - [`shift`]: the configuration of a step, out of the one below it.
-//! - [`Migrator`]: the whole of it on one control machine, which carries moves on while it holds the lease.
+//! - [`Contract`], [`Order`]: operators' requests.
+//! - [`Record`]: all moves as one value in the replicated register. A [`DurableRecord`] is one that a majority has stored;
+//!   all [`Published`] actions are made from it.
+//! - [`check`](check::check): compares what a move needs with the capacity of the target.
+//! - [`shift`]: derives the configuration of a step from the one it replaces.
+//! - [`Migrator`]: the state machine on a control machine, which advances moves while it holds the lease.
 
 pub mod check;
 mod contract;
@@ -32,11 +32,11 @@
 
 pub use millpost_scheduler::{MS, Nanos};
 
-/// When something comes: by a clock that never steps back, and by the time of day, in milliseconds since 1970.
+/// The time of an event, by two clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Moment {
-    /// The steady clock, of this machine alone.
+    /// The monotonic clock of this machine, in nanoseconds.
     pub now: Nanos,
-    /// The time of day, for people and for the age of a move.
+    /// Wall-clock time in milliseconds since 1970, for operators and for the age of a move.
     pub unix_ms: u64,
 }
--- a/migration/src/migrator.rs
+++ b/migration/src/migrator.rs
@@ -254,7 +254,7 @@
     fn go_on(&mut self, at: Moment) {
         let Some(term) = &mut self.term else { return };
         let now = at.now;
-        term.observation.sweep(now);
+        term.observation.expire(now);
         if term.asked.as_ref().is_some_and(|asked| now >= asked.until) {
             (term.asked, term.standing, term.firm, term.read_again) = (None, None, false, None);
         }
@@ -281,7 +281,7 @@
         term.watches.retain(|name, _| standing.record().find(name).is_some_and(|of| of.state.is_active()));
         for of in standing.record().moves.iter().filter(|of| of.state.is_active()) {
             let watch = term.watches.entry(of.name.clone()).or_insert_with(|| Watch::new(now, of));
-            watch.look(now, of, &term.observation);
+            watch.update(now, of, &term.observation);
         }
         let context = |since| {
             let (observation, watches) = (&term.observation, &term.watches);
@@ -306,7 +306,11 @@
             answers.push((n, standing.answer(waiting.id, waiting.order.name(), refused)));
         }
         let out = standing.record().moves.iter().any(|of| of.state.is_active());
-        if next.is_none() && !term.firm && (out || !answers.is_empty()) && !is_disabled(Guard::Firm) {
+        if next.is_none()
+            && !term.firm
+            && (out || !answers.is_empty())
+            && !is_disabled(Guard::NoUnresolvedWrite)
+        {
             next = Some(standing.record().clone());
         }
         if let Some(record) = next {
@@ -317,7 +321,7 @@
             self.effects.push(Effect::Publish(answer));
         }
         term.look_for_config(now, &mut self.effects);
-        if term.firm || is_disabled(Guard::Firm) {
+        if term.firm || is_disabled(Guard::NoUnresolvedWrite) {
             term.outward(now, &mut self.effects);
         }
     }
@@ -435,7 +439,7 @@
         }
         if now >= self.warm {
             self.warm = now + WARM;
-            let rests = |of: &Move| self.watches.get(&of.name).is_some_and(|watch| watch.rests(now));
+            let rests = |of: &Move| self.watches.get(&of.name).is_some_and(|watch| watch.is_idle(now));
             effects.extend(standing.warm(rests).into_iter().map(Effect::Publish));
         }
     }
--- a/migration/src/observation.rs
+++ b/migration/src/observation.rs
@@ -1,5 +1,7 @@
-//! What the holder sees: the configuration that stands, what proxies act on, how functions do. All of it is soft, and of this machine alone.
-//! Invariant: nobody is judged to act on a revision before all in touch have had the time to be heard.
+//! What the leader observes: the active configuration, the revisions that proxies apply, the load of functions. All of it is
+//! soft state of this machine.
+//!
+//! Invariant: no revision counts as applied by all proxies before all connected proxies have had time to report.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,174 +13,177 @@
 use crate::migrator::Settings;
 use crate::{MS, Nanos};
 
-/// Proxies, and functions.
-const MOST: usize = 20_000;
-/// What was heard of a function counts for so long.
-const FRESH: Nanos = 5_000 * MS;
+/// Limit on proxies and on functions that are remembered.
+const MAX_ENTRIES: usize = 20_000;
+/// How long the report of a function is valid.
+const FUNCTION_REPORT_TTL: Nanos = 5_000 * MS;
 
-/// A configuration that stands.
+/// The active configuration.
 #[derive(Clone, Debug)]
 pub struct ActiveConfig {
-    /// As it was read.
+    /// The parsed configuration.
     pub config: Config,
-    /// Its text, as it was put.
+    /// The text it was written as.
     pub text: Arc<str>,
 }
 
 impl ActiveConfig {
-    /// Reads one.
+    /// Parses a configuration.
     pub fn read(text: &str) -> Result<Self, ConfigError> {
         Ok(Self { config: Config::parse(text)?, text: text.into() })
     }
 }
 
-/// How a function does.
+/// The load and health of a function.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FunctionLoad {
-    /// Instances that work.
+    /// Instances that serve requests.
     pub ready: u32,
-    /// Those, and those that are about to.
+    /// Instances that serve requests, boot or are being started.
     pub live: u32,
-    /// Requests that it held at once lately, at its busiest.
+    /// Recent peak of concurrent requests.
     pub peak_requests: f64,
-    /// Its averaged delay above its floor, in nanoseconds: of several instances the mean.
+    /// Average latency above the function's baseline in nanoseconds; the mean over its instances.
     pub delay: f64,
-    /// Which part of what it was asked for lately it refused.
+    /// Fraction of recent requests that it refused.
     pub refused_ratio: f64,
 }
 
-/// Why it can't be said yet that all act on a revision.
+/// Why a revision does not count as applied by all proxies yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PendingReason {
-    /// This holder is new, and may not have heard of all.
+    /// This leader is new and may not have heard from all proxies.
     LeaseTooRecent,
-    /// No proxy is in touch.
+    /// No proxy is connected.
     NoProxies,
-    /// These act on an older one; five of them, and how many there are.
+    /// Proxies apply an older revision: up to five of their names, and their number.
     ProxiesBehind(Vec<CompactString>, usize),
 }
 
 impl std::fmt::Display for PendingReason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            PendingReason::LeaseTooRecent => f.write_str("a new holder has not heard of all proxies yet"),
-            PendingReason::NoProxies => f.write_str("no proxy is in touch"),
+            PendingReason::LeaseTooRecent => f.write_str("a new leader has not heard from all proxies yet"),
+            PendingReason::NoProxies => f.write_str("no proxy is connected"),
             PendingReason::ProxiesBehind(names, all) => {
                 let more = if *all > names.len() { " and others" } else { "" };
-                write!(f, "{all} of the proxies act on an older configuration: {}{more}", names.join(" "))
+                write!(f, "{all} proxies apply an older configuration: {}{more}", names.join(" "))
             }
         }
     }
 }
 
 struct Proxy {
-    acts: u64,
+    revision: u64,
     heard: Nanos,
 }
 
-/// What is seen.
+/// Observations of the leader.
 pub struct Observation {
-    /// When the lease was gained.
-    began: Nanos,
-    contact: Nanos,
-    stands: Option<ActiveConfig>,
+    /// When this machine gained the lease.
+    lease_gained_at: Nanos,
+    contact_timeout: Nanos,
+    config: Option<ActiveConfig>,
     proxies: BTreeMap<CompactString, Proxy>,
     functions: BTreeMap<CompactString, (FunctionLoad, Nanos)>,
-    /// When functions were told of last.
-    told: Nanos,
-    /// Memory that is free on each worker, in MB.
-    room: Option<Vec<u64>>,
+    /// When a function was last reported.
+    functions_reported_at: Nanos,
+    /// Free memory of each worker in MB.
+    free_memory_mb: Option<Vec<u64>>,
 }
 
 impl Observation {
     pub(crate) fn new(now: Nanos, settings: &Settings) -> Self {
         Self {
-            began: now,
-            contact: settings.contact_timeout,
-            stands: None,
+            lease_gained_at: now,
+            contact_timeout: settings.contact_timeout,
+            config: None,
             proxies: BTreeMap::new(),
             functions: BTreeMap::new(),
-            told: 0,
-            room: None,
+            functions_reported_at: 0,
+            free_memory_mb: None,
         }
     }
 
-    /// The configuration that stands, as far as is known here.
+    /// The active configuration as far as this machine knows.
     pub fn active_config(&self) -> Option<&ActiveConfig> {
-        self.stands.as_ref()
+        self.config.as_ref()
     }
 
-    /// Its revision; 0 where none is known.
+    /// The active revision; 0 if none is known.
     pub fn revision(&self) -> u64 {
-        self.stands.as_ref().map_or(0, |stands| stands.config.revision)
+        self.config.as_ref().map_or(0, |active| active.config.revision)
     }
 
-    /// This one stands; an older one that comes late is passed over.
-    pub(crate) fn set_active_config(&mut self, stands: ActiveConfig) {
-        if stands.config.revision > self.revision() {
-            self.stands = Some(stands);
+    /// Records the active configuration, unless a newer one is known.
+    pub(crate) fn set_active_config(&mut self, active: ActiveConfig) {
+        if active.config.revision > self.revision() {
+            self.config = Some(active);
         }
     }
 
-    /// A proxy says on which revision it acts.
-    pub(crate) fn record_proxy(&mut self, now: Nanos, name: CompactString, acts: u64) {
-        if self.proxies.len() < MOST || self.proxies.contains_key(&name) {
-            // Its last word counts, not its highest: one that was started anew may be behind again.
-            self.proxies.insert(name, Proxy { acts, heard: now });
+    /// Records the revision that a proxy reports to apply.
+    pub(crate) fn record_proxy(&mut self, now: Nanos, name: CompactString, revision: u64) {
+        if self.proxies.len() < MAX_ENTRIES || self.proxies.contains_key(&name) {
+            // The latest report counts, not the highest revision: a restarted proxy may be behind again.
+            self.proxies.insert(name, Proxy { revision, heard: now });
         }
     }
 
-    /// How a function does.
+    /// Records the load of a function.
     pub(crate) fn record_function(&mut self, now: Nanos, name: CompactString, function: FunctionLoad) {
-        self.told = now;
-        if self.functions.len() < MOST || self.functions.contains_key(&name) {
+        self.functions_reported_at = now;
+        if self.functions.len() < MAX_ENTRIES || self.functions.contains_key(&name) {
             self.functions.insert(name, (function, now));
         }
     }
 
-    /// Functions were told of since then.
+    /// Whether a function was reported after `then`.
     pub(crate) fn functions_reported_since(&self, then: Nanos) -> bool {
-        self.told > then
+        self.functions_reported_at > then
     }
 
-    pub(crate) fn set_free_memory(&mut self, room: Vec<u64>) {
-        self.room = Some(room);
+    pub(crate) fn set_free_memory(&mut self, free_mb: Vec<u64>) {
+        self.free_memory_mb = Some(free_mb);
     }
 
-    /// Forgets who was not heard of for long.
-    pub(crate) fn sweep(&mut self, now: Nanos) {
-        let contact = self.contact;
-        self.proxies.retain(|_, proxy| now < proxy.heard + 4 * contact);
-        self.functions.retain(|_, (_, heard)| now < *heard + FRESH);
+    /// Drops expired reports.
+    pub(crate) fn expire(&mut self, now: Nanos) {
+        let contact_timeout = self.contact_timeout;
+        self.proxies.retain(|_, proxy| now < proxy.heard + 4 * contact_timeout);
+        self.functions.retain(|_, (_, heard)| now < *heard + FUNCTION_REPORT_TTL);
     }
 
-    /// A function, if it was heard of lately.
+    /// The load of a function, if its report is recent enough.
     pub fn function(&self, now: Nanos, name: &str) -> Option<&FunctionLoad> {
-        self.functions.get(name).filter(|(_, heard)| now < heard + FRESH).map(|(function, _)| function)
+        self.functions
+            .get(name)
+            .filter(|(_, heard)| now < heard + FUNCTION_REPORT_TTL)
+            .map(|(function, _)| function)
     }
 
-    /// Memory that is free on each worker, in MB, if it is known.
+    /// Free memory of each worker in MB, if it is known.
     pub fn free_memory_mb(&self) -> Option<&[u64]> {
-        self.room.as_deref()
+        self.free_memory_mb.as_deref()
     }
 
-    /// Whether all that are in touch may have been heard of by now.
+    /// Whether all connected proxies have had time to report since this machine gained the lease.
     pub fn has_heard_all(&self, now: Nanos) -> bool {
-        now >= self.began + self.contact || is_disabled(Guard::HearAll)
+        now >= self.lease_gained_at + self.contact_timeout || is_disabled(Guard::HearAllProxies)
     }
 
-    /// Whether all proxies in touch act on this revision, or a higher one.
-    pub fn all_act(&self, now: Nanos, revision: u64) -> Result<(), PendingReason> {
+    /// Checks that all connected proxies apply this revision or a newer one.
+    pub fn all_apply(&self, now: Nanos, revision: u64) -> Result<(), PendingReason> {
         if !self.has_heard_all(now) {
             return Err(PendingReason::LeaseTooRecent);
         }
-        let in_touch = || self.proxies.iter().filter(|(_, proxy)| now < proxy.heard + self.contact);
-        if in_touch().next().is_none() {
+        let connected = || self.proxies.iter().filter(|(_, proxy)| now < proxy.heard + self.contact_timeout);
+        if connected().next().is_none() {
             return Err(PendingReason::NoProxies);
         }
-        let behind = in_touch().filter(|(_, proxy)| proxy.acts < revision);
+        let behind = connected().filter(|(_, proxy)| proxy.revision < revision);
         let behind: Vec<_> = behind.map(|(name, _)| name.clone()).collect();
-        if behind.is_empty() || is_disabled(Guard::AllAct) {
+        if behind.is_empty() || is_disabled(Guard::AllProxiesApply) {
             return Ok(());
         }
         let all = behind.len();
--- a/migration/src/record.rs
+++ b/migration/src/record.rs
@@ -1,5 +1,7 @@
-//! The record of all moves: one value in the register, whose version goes up with each step of any of them. Invariants: what is written
-//! reads back equal; a route is held by one open move at most; one move at a time is out; the record is bounded.
+//! The record of all moves: one value in the replicated register, whose version increases with each step of any move.
+//!
+//! Invariants: a written record reads back equal; a route belongs to at most one open move; at most one move is active
+//! at a time; the size of the record is bounded.
 
 use compact_str::CompactString;
 use millpost_config::values::{self, list, number, object, string, write};
@@ -9,32 +11,32 @@
 
 use crate::contract::{Bounds, MAX_LOADS, MAX_ROUTES};
 
-/// The form that is written, and the newest that is read.
+/// The format version that is written, and the newest that can be read.
 const FORMAT: u64 = 1;
-/// Moves that have not ended.
+/// Limit on moves that have not ended.
 pub(crate) const MAX_OPEN: usize = 8;
-/// Moves that have ended, and are kept for people.
+/// Limit on ended moves that are kept for operators to look up.
 const MAX_ENDED: usize = 20;
-/// Steps of a move that are kept: the first, and the last ones.
+/// Limit on history entries per move: the first entry and the most recent ones are kept.
 const MAX_HISTORY: usize = 24;
-/// Bytes of a reason.
+/// Maximum length of a step's reason, in bytes.
 const MAX_REASON_BYTES: usize = 400;
 
 /// A service and its weight in a route.
 pub(crate) type Share = (CompactString, u32);
 
-/// A route of a tenant.
+/// A route that a move switches from its source services to its target services.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteMove {
-    /// Its host.
+    /// The route's host.
     pub host: CompactString,
-    /// What its paths begin with.
+    /// The route's path prefix.
     pub path_prefix: CompactString,
-    /// The services it had.
+    /// Services and weights before the move.
     pub from: Vec<Share>,
-    /// The services it gets.
+    /// Services and weights after the move.
     pub to: Vec<Share>,
-    /// The load that it goes with, from 1.
+    /// The load (batch of routes switched by one configuration) that contains this route, counted from 1.
     pub load: u32,
 }
 
@@ -47,53 +49,55 @@
     ToSource,
 }
 
-/// A configuration that is to stand. It is decided once what stands is above its base: it does then, or never will.
+/// A configuration that a move writes. Its outcome is decided once the active revision is above `base`: by then it has
+/// been applied, or it never will be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Put {
-    /// Its revision.
+    /// The revision it is written under.
     pub revision: u64,
-    /// Its base: the revision that it is written over, and no other.
+    /// The only revision that it may replace.
     pub base: u64,
-    /// Loads that are on the target in it.
+    /// Number of loads on the target once it is applied.
     pub loads: u32,
-    /// Loads that may have been there before it.
+    /// Number of loads that may have been on the target before it.
     pub previous_loads: u32,
 }
 
-/// How far a move is.
+/// The state of a move.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It was checked. Once started it waits for its turn.
+    /// The contract was checked and recorded. A started move waits until no other move is active.
     Planned {
-        /// Whether it is.
+        /// Whether an operator has started the move.
         started: bool,
     },
-    /// Its target is being warmed.
+    /// Target instances are being warmed.
     Opened,
-    /// A configuration is to stand.
+    /// A configuration is being written.
     Switching(Direction, Put),
-    /// The last configuration stands, by this revision; all have to act on it, and the side that was left is to end its work.
+    /// The last configuration is active under this revision. The move ends once all proxies apply it and the side that
+    /// lost the traffic has had time to finish its requests.
     Settling(Direction, u64),
-    /// All of it is on the target.
+    /// All routes are on the target.
     Done,
-    /// None of it is.
+    /// All routes are back on the source.
     RolledBack,
-    /// An operator's configuration has put its routes elsewhere.
+    /// An operator's configuration has assigned the routes to other services.
     Superseded,
 }
 
 impl State {
-    /// Nothing more comes of it.
+    /// Whether the state is final.
     pub fn is_ended(&self) -> bool {
         matches!(self, State::Done | State::RolledBack | State::Superseded)
     }
 
-    /// It has begun and not ended: one move at a time.
+    /// Whether the move has been opened and has not ended. At most one move is active at a time.
     pub fn is_active(&self) -> bool {
         matches!(self, State::Opened | State::Switching(..) | State::Settling(..))
     }
 
-    /// The word for it.
+    /// The name of the state in the record and in operator-facing output.
     pub fn name(&self) -> &'static str {
         match self {
             State::Planned { started: false } => "planned",
@@ -110,54 +114,54 @@
     }
 }
 
-/// A step that was taken.
+/// An entry of a move's history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StepEntry {
-    /// When, by the time of day of who took it.
+    /// Wall-clock time on the machine that took the step, in milliseconds since 1970.
     pub unix_ms: u64,
-    /// Under which fence.
+    /// The leader's fence.
     pub fence: u64,
-    /// Into which state.
+    /// The name of the state that was entered.
     pub step: CompactString,
-    /// Why.
+    /// The reason for the step.
     pub reason: String,
 }
 
-/// One move.
+/// A move of a tenant's routes between clusters.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Move {
-    /// Its name.
+    /// The name of the move.
     pub name: CompactString,
-    /// The version of the record that it was planned with: no other move has the same, of whatever name.
+    /// The version of the record that added the move; unique among all moves, including those of the same name.
     pub epoch: u64,
-    /// What tells its contract from others.
+    /// Hash of the contract, which distinguishes contracts of the same name.
     pub contract_hash: u32,
-    /// Its routes in the order of their loads; none any more where it has ended.
+    /// The routes in the order of their loads; empty once the move has ended.
     pub route_moves: Vec<RouteMove>,
-    /// The steps in which they go.
+    /// Number of loads, the batches in which the routes are switched.
     pub loads: u32,
-    /// Which service takes the place of which.
+    /// Pairs of source and target service.
     pub services: Vec<(CompactString, CompactString)>,
-    /// The longest that a request of its routes may be held.
+    /// The longest deadline of the routes.
     pub max_deadline_ms: u64,
-    /// What it has to keep within.
+    /// Limits past which the move rolls back.
     pub bounds: Bounds,
-    /// Instances that each target is to have before the first load goes.
+    /// Instances that each target service needs before the first load is switched.
     pub target_instances: Vec<(CompactString, u32)>,
-    /// Instances that each source had, and keeps until the move has ended.
+    /// Instances that each source service had when the move was opened, and keeps until it ends.
     pub source_instances: Vec<(CompactString, u32)>,
-    /// The next revision of its own, and the last one: none left where the next is above.
+    /// The next and the last revision reserved for the move; none is left if the next is greater than the last.
     pub revisions: (u64, u64),
-    /// No further load goes.
+    /// Whether an operator has paused the move: no further load is switched.
     pub paused: bool,
-    /// How far it is.
+    /// The current state.
     pub state: State,
-    /// The steps that it took.
+    /// Steps taken: the first one and the most recent ones.
     pub history: Vec<StepEntry>,
 }
 
 impl Move {
-    /// Takes a step.
+    /// Enters a state and adds it to the history; the reason is cut at [`MAX_REASON_BYTES`].
     pub(crate) fn enter(&mut self, state: State, unix_ms: u64, fence: u64, reason: impl Into<String>) {
         let mut reason = reason.into();
         let end = (0..=MAX_REASON_BYTES.min(reason.len()))
@@ -178,12 +182,12 @@
         }
     }
 
-    /// When it was planned, by the time of day.
+    /// When the move was planned, in milliseconds since 1970.
     pub fn planned_at(&self) -> u64 {
         self.history.first().map_or(0, |entry| entry.unix_ms)
     }
 
-    /// When it was opened, by the time of day; none where it has not been yet.
+    /// When the move was opened, in milliseconds since 1970; `None` if it has not been.
     pub fn opened_at(&self) -> Option<u64> {
         self.history.iter().find(|entry| entry.step == "opened").map(|entry| entry.unix_ms)
     }
@@ -192,61 +196,61 @@
 /// All moves, in the order in which they were planned.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Record {
-    /// The fence of who wrote it.
+    /// The fence of the leader that wrote the record.
     pub fence: u64,
-    /// The moves.
+    /// All moves.
     pub moves: Vec<Move>,
 }
 
-/// The record can't be read: nothing is done with it, and nothing written over it.
+/// The record can't be read. It is neither acted on nor overwritten.
 #[derive(Debug, Snafu)]
 pub enum RecordError {
-    /// It is of a newer version of the program.
-    #[snafu(display("moves of format {format}, from a newer version; this one reads up to {FORMAT}"))]
+    /// The record was written by a newer version of the program.
+    #[snafu(display("record of moves has format {format}, from a newer version; supported up to {FORMAT}"))]
     Newer {
-        /// Its format.
+        /// The format of the record.
         format: u64,
     },
-    /// It is not what was written.
-    #[snafu(display("the record of moves: {source}"), context(false))]
+    /// The record is malformed.
+    #[snafu(display("malformed record of moves: {source}"), context(false))]
     Corrupt {
-        /// Why.
+        /// What is wrong with it.
         source: ConfigError,
     },
 }
 
 impl Record {
-    /// A move by its name.
+    /// Finds a move by name.
     pub fn find(&self, name: &str) -> Option<&Move> {
-        self.moves.iter().find(|known| known.name == name)
+        self.moves.iter().find(|m| m.name == name)
     }
 
     pub(crate) fn find_mut(&mut self, name: &str) -> Option<&mut Move> {
-        self.moves.iter_mut().find(|known| known.name == name)
+        self.moves.iter_mut().find(|m| m.name == name)
     }
 
     /// Moves that have not ended.
     pub fn open(&self) -> impl Iterator<Item = &Move> {
-        self.moves.iter().filter(|known| !known.state.is_ended())
+        self.moves.iter().filter(|m| !m.state.is_ended())
     }
 
-    /// Forgets the oldest of those that have ended, where they are many.
-    pub(crate) fn tidy(&mut self) {
+    /// Removes the oldest ended moves above [`MAX_ENDED`].
+    pub(crate) fn prune_ended(&mut self) {
         let mut over = self.moves.iter().filter(|m| m.state.is_ended()).count().saturating_sub(MAX_ENDED);
-        self.moves.retain(|known| {
-            let forgotten = over > 0 && known.state.is_ended();
-            over -= usize::from(forgotten);
-            !forgotten
+        self.moves.retain(|m| {
+            let removed = over > 0 && m.state.is_ended();
+            over -= usize::from(removed);
+            !removed
         });
     }
 
-    /// As text, which reads back equal.
+    /// Encodes the record as JSON text that reads back equal.
     pub(crate) fn to_text(&self) -> String {
         let moves = list(self.moves.iter().map(Move::to_value));
         write(&object([("format", number(FORMAT)), ("fence", number(self.fence)), ("moves", moves)]))
     }
 
-    /// Reads what was written.
+    /// Parses a record.
     pub fn read(text: &str) -> Result<Self, RecordError> {
         let value = values::parse(text)?;
         let at = JsonCursor::root(&value);
@@ -269,7 +273,7 @@
         let mut parts = at.items()?;
         match (parts.next(), parts.next(), parts.next()) {
             (Some(name), Some(weight), None) => Ok((name.str()?.into(), weight.saturating_u32()?)),
-            _ => Err(at.error("is no name with a number")),
+            _ => Err(at.error("expected a pair of name and weight")),
         }
     };
     at.items()?.map(pair).collect()
@@ -299,27 +303,27 @@
 
 impl State {
     fn to_value(&self) -> JsonValue {
-        let word = ("step", string(self.name()));
+        let step = ("step", string(self.name()));
         match self {
             State::Switching(_, put) => object([
-                word,
+                step,
                 ("number", number(put.revision)),
                 ("over", number(put.base)),
                 ("load", number(put.loads.into())),
                 ("of", number(put.previous_loads.into())),
             ]),
-            State::Settling(_, revision) => object([word, ("revision", number(*revision))]),
-            _ => object([word]),
+            State::Settling(_, revision) => object([step, ("revision", number(*revision))]),
+            _ => object([step]),
         }
     }
 
     fn read(at: &JsonCursor<'_>) -> Result<Self, ConfigError> {
         let put = || {
-            let whole = |key| at.required(key)?.uint();
+            let uint = |key| at.required(key)?.uint();
             let count = |key| at.required(key)?.saturating_u32();
             Ok(Put {
-                revision: whole("number")?,
-                base: whole("over")?,
+                revision: uint("number")?,
+                base: uint("over")?,
                 loads: count("load")?,
                 previous_loads: count("of")?,
             })
@@ -337,7 +341,7 @@
             "done" => State::Done,
             "turned_back" => State::RolledBack,
             "overtaken" => State::Superseded,
-            other => return Err(step.error(format!("is {other:?}, which is no step"))),
+            other => return Err(step.error(format!("unknown step {other:?}"))),
         })
     }
 }
@@ -388,12 +392,13 @@
         let history = at.required("stamps")?;
         let loads = at.required("loads")?;
         if route_moves.items()?.len() > MAX_ROUTES || loads.saturating_u32()? > MAX_LOADS {
-            return Err(at.error("is larger than any of ours"));
+            return Err(at.error("has more routes or loads than a move may have"));
         }
         let pair = |at: JsonCursor<'_>| {
             let parts =
                 at.items()?.map(|at| Ok(at.str()?.into())).collect::<Result<Vec<_>, ConfigError>>()?;
-            let [from, to] = <[CompactString; 2]>::try_from(parts).map_err(|_| at.error("are not two"))?;
+            let [from, to] =
+                <[CompactString; 2]>::try_from(parts).map_err(|_| at.error("expected a pair of services"))?;
             Ok((from, to))
         };
         Ok(Self {
--- a/migration/src/status.rs
+++ b/migration/src/status.rs
@@ -9,7 +9,7 @@
 use crate::observation::Observation;
 use crate::record::{Direction, Move, State, StepEntry};
 use crate::shift::has_loads_on_target;
-use crate::watch::{Watch, target};
+use crate::watch::{Watch, target_health};
 use crate::{MS, Moment, Nanos};
 
 impl Migrator {
@@ -122,10 +122,10 @@
         }
     }
     if let State::Settling(..) = of.state {
-        return match observation.all_act(now, revision) {
+        return match observation.all_apply(now, revision) {
             Err(waits) => by_itself(waits),
             Ok(()) => {
-                let since = watch.and_then(|watch| watch.all).unwrap_or(now);
+                let since = watch.and_then(|watch| watch.all_apply_since).unwrap_or(now);
                 let left = (of.max_deadline_ms).saturating_sub(now.saturating_sub(since) / MS);
                 by_itself(format!("{left} ms more for what the other side may still have"))
             }
@@ -144,9 +144,9 @@
             return numbers();
         }
     }
-    match observation.all_act(now, revision) {
+    match observation.all_apply(now, revision) {
         Err(waits) => by_itself(waits),
-        Ok(()) => match target(now, of, observation) {
+        Ok(()) => match target_health(now, of, observation) {
             None => by_itself("word of how the target does"),
             Some(health) => by_itself(format!("the target's pace, {:.2} each 250 ms", health.probability)),
         },
--- a/migration/src/steps.rs
+++ b/migration/src/steps.rs
@@ -71,7 +71,7 @@
     }
 
     fn mark_used(&mut self, revision: u64) {
-        if !is_disabled(Guard::Burned) {
+        if !is_disabled(Guard::UniqueRevision) {
             self.revisions.0 = revision + 1;
         }
     }
@@ -100,7 +100,7 @@
         }
         of.enter(step.state, context.at.unix_ms, context.fence, step.why);
     }
-    next.tidy();
+    next.prune_ended();
     next
 }
 
@@ -111,7 +111,7 @@
             return Some(taken(record, &of.name, context, step));
         }
     }
-    if record.moves.iter().any(|of| of.state.is_active()) && !is_disabled(Guard::Turns) {
+    if record.moves.iter().any(|of| of.state.is_active()) && !is_disabled(Guard::OneActiveMove) {
         return None;
     }
     let next = record.moves.iter().find(|of| of.state == State::Planned { started: true })?;
@@ -166,7 +166,10 @@
             let why =
                 if context.settings.prewarms { "the target is warm" } else { "nobody warms the target here" };
             let first = of.put(Direction::ToTarget, 1, 0, config.revision, why).filter(|_| warm);
-            if first.is_some() || now < watch.going + of.bounds.warm_ms * MS || is_disabled(Guard::Bounds) {
+            if first.is_some()
+                || now < watch.running_since + of.bounds.warm_ms * MS
+                || is_disabled(Guard::Bounds)
+            {
                 return first;
             }
             let what = if warm { "there was no revision for it" } else { "the target was not warm" };
@@ -195,8 +198,8 @@
             } else if put.loads == of.loads {
                 step(State::Settling(Direction::ToTarget, config.revision), "all of it stands")
             } else if of.paused
-                || context.observation.all_act(now, config.revision).is_err()
-                || !watch.earned() && !is_disabled(Guard::Pace)
+                || context.observation.all_apply(now, config.revision).is_err()
+                || !watch.has_credit() && !is_disabled(Guard::Pace)
             {
                 None
             } else {
@@ -207,7 +210,7 @@
         State::Settling(Direction::ToTarget, _) if !has(of.loads) => overtaken(),
         State::Settling(Direction::ToTarget, _) => match trouble(of, watch, context) {
             Some(why) => turn_back(of, of.loads, context, why),
-            None if watch.all.is_some_and(quiet) => {
+            None if watch.all_apply_since.is_some_and(quiet) => {
                 step(State::Done, "all act on it, and what was left has had its time")
             }
             None => None,
@@ -225,7 +228,7 @@
             }
         }
         State::Settling(Direction::ToSource, _) if !has(0) => overtaken(),
-        State::Settling(Direction::ToSource, _) if watch.all.is_some_and(quiet) => {
+        State::Settling(Direction::ToSource, _) if watch.all_apply_since.is_some_and(quiet) => {
             step(State::RolledBack, "all act on it, and what was left has had its time")
         }
         State::Settling(Direction::ToSource, _) | State::Planned { .. } => None,
@@ -237,7 +240,7 @@
 fn turn_back(of: &Move, loads: u32, context: &StepContext<'_>, why: String) -> Option<Step> {
     let revision = context.observation.revision();
     if let State::Switching(_, put) = of.state
-        && is_disabled(Guard::Decided)
+        && is_disabled(Guard::PutDecided)
         && put.base == revision
         && loads == 1
     {
@@ -259,15 +262,15 @@
     }
     let (now, bounds) = (context.at.now, &of.bounds);
     let past = |since: Option<Nanos>, ms: u64| since.is_some_and(|since| now >= since + ms * MS);
-    if past(watch.beyond, bounds.patience_ms) {
+    if past(watch.past_threshold_since, bounds.patience_ms) {
         return Some(format!("the target's delay is past T1 for {} ms", bounds.patience_ms));
     }
-    if past(watch.refusing, bounds.patience_ms) {
+    if past(watch.refusing_since, bounds.patience_ms) {
         return Some(format!("the target refuses too much for {} ms", bounds.patience_ms));
     }
-    if past(watch.stood, bounds.ack_ms)
-        && watch.all.is_none()
-        && let Err(waits) = context.observation.all_act(now, context.observation.revision())
+    if past(watch.active_since, bounds.ack_ms)
+        && watch.all_apply_since.is_none()
+        && let Err(waits) = context.observation.all_apply(now, context.observation.revision())
     {
         return Some(format!("after {} ms {waits}", bounds.ack_ms));
     }
--- a/migration/src/tests.rs
+++ b/migration/src/tests.rs
@@ -60,16 +60,16 @@
 
 /// Without any of the guards something is seen to break, and it is what that guard keeps.
 #[yare::parameterized(
-    hear_all = { Guard::HearAll, "early" },
-    all_act = { Guard::AllAct, "early" },
+    hear_all = { Guard::HearAllProxies, "early" },
+    all_apply = { Guard::AllProxiesApply, "early" },
     base = { Guard::Base, "undone" },
-    decided = { Guard::Decided, "after its end" },
+    decided = { Guard::PutDecided, "after its end" },
     durable = { Guard::Durable, "unrecorded" },
-    burned = { Guard::Burned, "twice" },
-    crossing = { Guard::Crossing, "crossing" },
-    turns = { Guard::Turns, "two out" },
+    burned = { Guard::UniqueRevision, "twice" },
+    crossing = { Guard::DisjointRoutes, "crossing" },
+    turns = { Guard::OneActiveMove, "two out" },
     version = { Guard::Version, "forgotten" },
-    firm = { Guard::Firm, "denied" },
+    firm = { Guard::NoUnresolvedWrite, "denied" },
     lease = { Guard::Lease, "without the lease" },
     overtaken = { Guard::Superseded, "fights" },
     settle = { Guard::Settle, "early" },
--- a/migration/src/tests/small.rs
+++ b/migration/src/tests/small.rs
@@ -178,9 +178,9 @@
     plan = { r#"{"order":"plan","contract":{"name":"m","hosts":["h"],"services":{"s":"t"},"loads":2}}"#, None },
     start = { r#"{"order":"start","name":"m","revisions":{"first":10,"last":14}}"#, None },
     back = { r#"{"order":"back","name":"m"}"#, None },
-    no_order = { r#"{"order":"go","name":"m"}"#, Some("order: is \"go\"; plan, start, pause or back") },
+    no_order = { r#"{"order":"go","name":"m"}"#, Some("order: unknown order \"go\"; expected plan, start, pause or back") },
     no_name = { r#"{"order":"pause","name":""}"#, Some("name: is empty") },
-    no_range = { r#"{"order":"back","name":"m","revisions":{"first":5,"last":4}}"#, Some("revisions: is no range of revisions") },
+    no_range = { r#"{"order":"back","name":"m","revisions":{"first":5,"last":4}}"#, Some("revisions: is not a range of revisions") },
     no_service = { r#"{"order":"plan","contract":{"name":"m","services":{"s":1}}}"#, Some("contract.services.s: is not a string") },
 )]
 fn an_order_is_read_or_said_what_is_wrong_with_it(text: &str, fault: Option<&str>) {
