--- a/migration/src/check.rs
+++ b/migration/src/check.rs
@@ -191,20 +191,20 @@
 
 /// Checks a recorded move that is to be opened now.
 #[must_use]
-pub fn recheck(of: &Move, observation: &Observation, settings: &Settings, now: Nanos) -> Estimate {
+pub fn recheck(mv: &Move, observation: &Observation, settings: &Settings, now: Nanos) -> Estimate {
     let mut estimate = Estimate {
-        route_moves: of.route_moves.clone(),
-        services: of.services.clone(),
-        revisions_needed: revisions_needed(of.loads),
+        route_moves: mv.route_moves.clone(),
+        services: mv.services.clone(),
+        revisions_needed: revisions_needed(mv.loads),
         ..Estimate::default()
     };
     let Some(active) = observation.active_config() else {
         estimate.reject(Reason::NoConfig);
         return estimate;
     };
-    for (route_move, place) in of.route_moves.iter().zip(locate_routes(&active.config, &of.route_moves)) {
+    for (route_move, location) in mv.route_moves.iter().zip(locate_routes(&active.config, &mv.route_moves)) {
         let (host, prefix) = (route_move.host.clone(), route_move.path_prefix.clone());
-        match place {
+        match location {
             RouteLocation::Source => {}
             RouteLocation::Missing => estimate.reject(Reason::UnknownRoute { host, prefix }),
             RouteLocation::Target | RouteLocation::Other => {
@@ -212,8 +212,8 @@
             }
         }
     }
-    check_revisions(&mut estimate, of.revisions, active.config.revision);
-    check_capacity(&mut estimate, &of.bounds, &active.config, observation, settings, now);
+    check_revisions(&mut estimate, mv.revisions, active.config.revision);
+    check_capacity(&mut estimate, &mv.bounds, &active.config, observation, settings, now);
     estimate
 }
 
@@ -290,8 +290,8 @@
 ) {
     let services: HashMap<&str, &Service> = config.services.iter().map(|s| (s.name.as_str(), s)).collect();
     let known: HashMap<_, _> = config.routes.iter().map(|route| (key(route), route)).collect();
-    let mut busy: BTreeMap<CompactString, f64> = BTreeMap::new();
-    let mut slowest = 0;
+    let mut peak_load: BTreeMap<CompactString, f64> = BTreeMap::new();
+    let mut max_boot_ms = 0;
     for (from, to) in estimate.services.clone() {
         let (Some(source), Some(target)) = (services.get(from.as_str()), services.get(to.as_str())) else {
             for service in [&from, &to].into_iter().filter(|name| !services.contains_key(name.as_str())) {
@@ -306,11 +306,11 @@
             let (max_conns, concurrency) = (target.max_conns, target.concurrency);
             estimate.reject(Reason::TooFewConnections { service: to.clone(), max_conns, concurrency });
         }
-        slowest = slowest.max(target.boot_ms);
+        max_boot_ms = max_boot_ms.max(target.boot_ms);
         // Assumes that all load of the source moves: the tenant's part of it is not known.
         match observation.function(now, &from) {
             Some(function) => {
-                *busy.entry(to).or_default() += function.peak_requests;
+                *peak_load.entry(to).or_default() += function.peak_requests;
                 estimate.source_instances.push((from, function.live));
             }
             None => estimate.reject(Reason::NoFunctionReport { service: from }),
@@ -331,9 +331,9 @@
             }
         }
     }
-    plan_instances(estimate, &busy, &services, observation, now);
+    plan_instances(estimate, &peak_load, &services, observation, now);
     let start_ms = f64::from(estimate.starts) / settings.duty_per_s.max(0.1) * 1e3;
-    let boot_ms = if estimate.starts > 0 { slowest as f64 * BOOT_MARGIN } else { 0.0 };
+    let boot_ms = if estimate.starts > 0 { max_boot_ms as f64 * BOOT_MARGIN } else { 0.0 };
     estimate.warm_ms = (start_ms + boot_ms).ceil() as u64;
     if estimate.warm_ms > bounds.warm_ms {
         estimate.reject(Reason::WarmingTooSlow { takes_ms: estimate.warm_ms, warm_ms: bounds.warm_ms });
@@ -346,7 +346,7 @@
 /// Computes the instances that the targets need, and checks that the workers have memory for those to be started.
 fn plan_instances(
     estimate: &mut Estimate,
-    busy: &BTreeMap<CompactString, f64>,
+    peak_load: &BTreeMap<CompactString, f64>,
     services: &HashMap<&str, &Service>,
     observation: &Observation,
     now: Nanos,
@@ -356,13 +356,13 @@
         estimate.reject(Reason::FreeMemoryUnknown);
     }
     let mut wanted = Vec::new();
-    for (name, more) in busy {
+    for (name, added_load) in peak_load {
         let Some(service) = services.get(name.as_str()) else { continue };
         let Some(function) = observation.function(now, name) else {
             estimate.reject(Reason::NoFunctionReport { service: name.clone() });
             continue;
         };
-        let slots = (more + function.peak_requests) * CAPACITY_MARGIN;
+        let slots = (added_load + function.peak_requests) * CAPACITY_MARGIN;
         let need = (slots / f64::from(service.concurrency.max(1))).ceil().clamp(1.0, 1e6) as u32;
         estimate.target_instances.push((name.clone(), need));
         wanted.push((service.memory_mb, name, need, need.saturating_sub(function.live)));
--- a/migration/src/tests/town.rs
+++ b/migration/src/tests/town.rs
@@ -749,7 +749,7 @@
         };
         let order = self.kept.open().find_map(|of| {
             let waits = waits(of).unwrap_or_default();
-            if waits.contains("start it again with more") {
+            if waits.contains("start the move again with more") {
                 let first = self.last_number.max(self.config.0) + 3;
                 return Some((Order::Start(of.name.clone(), Some((first, first + 12))), first + 12));
             }
