--- a/migration/src/migrator.rs
+++ b/migration/src/migrator.rs
@@ -1,6 +1,8 @@
-//! The whole of it on one control machine. While this machine holds the lease it reads the record, carries moves on by one step at a time
-//! and says what goes outward. Any other can go on from the record alone. Invariants: an order is answered once; one write of the record
-//! at a time is under way; nothing is said without the lease.
+//! The state machine that advances moves on a control machine. While the machine holds the lease it reads the record, takes
+//! one step at a time and publishes the resulting actions. Any other machine can continue from the record alone.
+//!
+//! Invariants: an order is answered exactly once; at most one write of the record is in progress; nothing is published
+//! without the lease.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,165 +14,170 @@
 use crate::guards::{Guard, is_disabled};
 use crate::observation::{ActiveConfig, FunctionLoad, Observation};
 use crate::record::{Move, Record, RecordError, State};
-use crate::steps::{OrderOutcome, StepContext, advance, apply_order};
+use crate::steps::{self, OrderOutcome, StepContext};
 use crate::watch::Watch;
 use crate::{MS, Moment, Nanos};
 
-/// What is under way in the register counts as lost after this; its rounds end sooner.
-const ROUND: Nanos = 2_000 * MS;
-/// What was offered without a clear end has come to stand by then, or never will.
-const LATE: Nanos = 5_000 * MS;
-/// A configuration that was put without a clear end is put again after this; so is what has to be read again.
-const AGAIN: Nanos = 300 * MS;
-/// What is to be warm is said this often.
-const WARM: Nanos = 1_000 * MS;
-/// An order waits for so long beyond the time in touch, until enough is seen to judge it.
-const ORDER: Nanos = 3_000 * MS;
-/// Orders at once.
+/// Time-out of a read or write of the register; the rounds themselves end sooner.
+const REGISTER_TIMEOUT: Nanos = 2_000 * MS;
+/// After this time a write of unknown outcome has been applied or never will be.
+const WRITE_SETTLE_TIME: Nanos = 5_000 * MS;
+/// Pause before a put of unknown outcome is repeated, and before a repeated read.
+const RETRY_PAUSE: Nanos = 300 * MS;
+/// How often the instances to keep warm are published.
+const WARM_INTERVAL: Nanos = 1_000 * MS;
+/// How long an order waits for sufficient observations, in addition to the contact time-out.
+const ORDER_TIMEOUT: Nanos = 3_000 * MS;
+/// Limit on waiting orders.
 const MAX_ORDERS: usize = 64;
 
-/// What the deployment says.
+/// Deployment settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Who was not heard of for so long is not in touch (`contact_ms`).
+    /// A proxy that has not reported for this long counts as disconnected (`contact_ms`).
     pub contact_timeout: Nanos,
-    /// Starts and stops a second (`duty_per_s`).
+    /// Instance starts and stops per second that the platform accepts (`duty_per_s`).
     pub duty_per_s: f64,
-    /// Whether somebody keeps warm what is to be: if not, the first load goes to a target as it is.
+    /// Whether instances are kept warm on request. If not, the first load is switched to the target as it is.
     pub prewarms: bool,
 }
 
-/// What happens.
+/// An event for the migrator.
 #[derive(Debug)]
 pub enum Input {
-    /// The lease is held, under this fence, until this moment of the steady clock.
+    /// This machine holds the lease under this fence, until this time of the monotonic clock.
     Lease(u64, Nanos),
-    /// It is not, any more.
+    /// This machine does not hold the lease.
     LeaseLost,
-    /// An operator's order, with a number that no other has.
+    /// An operator's order, with a unique identifier.
     Order(u64, Order),
-    /// The answer to [`Effect::ReadRecord`] or [`Effect::Write`] of this number.
+    /// The outcome of the [`Effect::ReadRecord`] or [`Effect::Write`] with this identifier.
     Record(u64, Outcome),
-    /// This configuration stands, as this machine has heard or in answer to [`Effect::ReadConfig`].
+    /// The active configuration, as learned by this machine or in response to [`Effect::ReadConfig`].
     ActiveConfig(ActiveConfig),
-    /// How a put of this number ended: it stands, something else does and came as [`Input::Stands`], or nobody knows.
+    /// A put of this revision has ended. If another configuration is active, it came as [`Input::ActiveConfig`]; the outcome
+    /// may also be unknown.
     PutFinished(u64),
-    /// Proxies say on which revision they act.
+    /// The revisions that proxies report to apply.
     ProxyRevisions(Vec<(CompactString, u64)>),
-    /// How functions do. Orders are judged after the next one of these, so that goes after all else that is seen.
+    /// The load of functions. This has to come after the other observations, because waiting orders are checked once it
+    /// arrives.
     Functions(Vec<(CompactString, FunctionLoad)>),
-    /// Memory that is free on each worker that takes instances, in MB.
+    /// Free memory in MB of each worker that accepts instances.
     FreeMemory(Vec<u64>),
-    /// Time passes.
+    /// Time has passed.
     Tick,
 }
 
-/// What is to be done.
+/// An action for the caller to carry out.
 #[derive(Debug)]
 pub enum Effect {
-    /// The record is to be read from a majority.
+    /// Read the record from a majority; the result comes as [`Input::Record`] with this identifier.
     ReadRecord(u64),
-    /// The configuration is to be read from a majority.
+    /// Read the configuration from a majority.
     ReadConfig,
-    /// The record is to be written under this version, over exactly the other one; 0: over nothing.
+    /// Write the record if the expected version is current.
     Write {
-        /// The number of the answer.
+        /// The identifier of the [`Input::Record`] with the result.
         ask: u64,
-        /// What is written.
+        /// The record and its new version.
         value: Value,
-        /// What has to stand.
+        /// The version to replace; 0 if there is no record yet.
         expected_version: Option<u64>,
     },
-    /// Something goes outward.
+    /// Carry out an action of the durable record.
     Publish(Published),
-    /// An order has no clear answer here.
+    /// The order with this identifier has no definite answer.
     OrderFailure(u64, OrderFailure),
 }
 
-/// Why an order has no clear answer. It may come to stand all the same, and can be given again.
+/// Why an order has no definite answer. It may still take effect, and can be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderFailure {
-    /// This machine holds no lease.
+    /// This machine does not hold the lease.
     NotLeader,
-    /// Too many orders wait.
+    /// Too many orders are waiting.
     Busy,
-    /// It took too long.
+    /// The order timed out.
     Unclear,
-    /// The record is not one that this program can read.
+    /// The record can't be read by this version.
     Unreadable,
 }
 
-struct Asked {
+struct RegisterRequest {
     id: u64,
     until: Nanos,
 }
 
-struct Waiting {
+struct WaitingOrder {
     id: u64,
     order: Order,
-    came: Nanos,
+    received: Nanos,
     until: Nanos,
 }
 
-/// What is known while the lease is held; none of it outlasts it.
+/// State of one term of leadership, dropped when the lease ends.
 struct Term {
     fence: u64,
     until: Nanos,
     observation: Observation,
     watches: BTreeMap<CompactString, Watch>,
-    standing: Option<DurableRecord>,
-    /// Nothing that was offered before can come to stand any more: a write of this term over what stood has ended well, and none since
-    /// has ended without a clear word.
-    firm: bool,
-    /// What is not firm is read once more then: something may have come to stand late.
-    read_again: Option<Nanos>,
-    /// The record can't be read, and this was logged.
+    durable: Option<DurableRecord>,
+    /// No earlier write can be applied any more: a write of this term has succeeded, and none since has had an unknown outcome.
+    no_unresolved_write: bool,
+    /// When to read the record once more while a write may be unresolved; it may have been applied late.
+    reread_at: Option<Nanos>,
+    /// The record can't be parsed, and this has been logged.
     unreadable: bool,
-    asked: Option<Asked>,
-    read_config: Nanos,
+    request: Option<RegisterRequest>,
+    /// The next time at which the configuration may be read.
+    read_config_at: Nanos,
+    /// The revision of the last put, and when it may be repeated.
     put: (u64, Nanos),
-    warm: Nanos,
-    orders: VecDeque<Waiting>,
+    /// The next time at which the instances to keep warm are published.
+    warm_at: Nanos,
+    orders: VecDeque<WaitingOrder>,
 }
 
-/// Moves, on one control machine.
+/// Advances moves on a control machine.
 pub struct Migrator {
     settings: Settings,
     term: Option<Term>,
-    asks: u64,
+    /// The identifier of the last register request.
+    last_request: u64,
     effects: Vec<Effect>,
 }
 
 impl Migrator {
-    /// Of a machine that holds no lease.
+    /// Creates a migrator for a machine that does not hold the lease.
     pub fn new(settings: Settings) -> Self {
-        Migrator { settings, term: None, asks: 0, effects: Vec::new() }
+        Migrator { settings, term: None, last_request: 0, effects: Vec::new() }
     }
 
-    /// What is to be done, in order.
+    /// Takes the effects to carry out, in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// The record as it stands, as far as the holder of the lease knows.
+    /// The current record, if this machine holds the lease and has read it.
     pub fn durable_record(&self) -> Option<&DurableRecord> {
-        self.term.as_ref()?.standing.as_ref()
+        self.term.as_ref()?.durable.as_ref()
     }
 
-    /// Whether a move is open or an order waits: what is seen is wanted then.
+    /// Whether a move is open or an order is waiting, so that observations are needed.
     pub fn is_busy(&self) -> bool {
-        let open = |standing: &DurableRecord| standing.record().open().next().is_some();
+        let open = |durable: &DurableRecord| durable.record().open().next().is_some();
         self.term
             .as_ref()
-            .is_some_and(|term| !term.orders.is_empty() || term.standing.as_ref().is_some_and(open))
+            .is_some_and(|term| !term.orders.is_empty() || term.durable.as_ref().is_some_and(open))
     }
 
-    /// The functions that are of interest.
+    /// The functions whose load is needed for open moves and waiting orders.
     pub fn observed_functions(&self) -> BTreeSet<CompactString> {
         let Some(term) = &self.term else { return BTreeSet::new() };
-        let open = term.standing.iter().flat_map(|standing| standing.record().open());
+        let open = term.durable.iter().flat_map(|durable| durable.record().open());
         let mut all: BTreeSet<_> =
-            open.flat_map(|of| &of.services).flat_map(|(a, b)| [a, b]).cloned().collect();
+            open.flat_map(|mv| &mv.services).flat_map(|(a, b)| [a, b]).cloned().collect();
         for waiting in &term.orders {
             if let Order::Plan(contract) = &waiting.order {
                 all.extend(contract.services.iter().flat_map(|(from, to)| [from, to]).cloned());
@@ -179,40 +186,40 @@
         all
     }
 
-    /// Whether somebody keeps warm what is to be.
+    /// Whether instances are kept warm on request.
     pub(crate) fn prewarms(&self) -> bool {
         self.settings.prewarms
     }
 
-    pub(crate) fn seen(&self) -> Option<(&Observation, &BTreeMap<CompactString, Watch>)> {
+    pub(crate) fn observations(&self) -> Option<(&Observation, &BTreeMap<CompactString, Watch>)> {
         self.term.as_ref().map(|term| (&term.observation, &term.watches))
     }
 
-    /// Something happened.
+    /// Handles an event.
     pub fn input(&mut self, at: Moment, input: Input) {
         let now = at.now;
         if self.term.as_ref().is_some_and(|term| now >= term.until) && !is_disabled(Guard::Lease) {
-            self.end();
+            self.end_term();
         }
         match input {
-            Input::Lease(fence, until) => self.lease(now, fence, until),
-            Input::LeaseLost => self.end(),
-            Input::Order(id, order) => self.order(now, id, order),
+            Input::Lease(fence, until) => self.on_lease(now, fence, until),
+            Input::LeaseLost => self.end_term(),
+            Input::Order(id, order) => self.on_order(now, id, order),
             input => {
                 if let Some(term) = &mut self.term {
-                    term.input(now, input);
+                    term.observe(now, input);
                 }
             }
         }
-        self.go_on(at);
+        self.advance(at);
     }
 
-    fn lease(&mut self, now: Nanos, fence: u64, until: Nanos) {
+    fn on_lease(&mut self, now: Nanos, fence: u64, until: Nanos) {
         if let Some(term) = self.term.as_mut().filter(|term| term.fence == fence) {
             term.until = until;
             return;
         }
-        self.end();
+        self.end_term();
         if now < until {
             let observation = Observation::new(now, &self.settings);
             self.term = Some(Term {
@@ -220,98 +227,100 @@
                 until,
                 observation,
                 watches: BTreeMap::new(),
-                standing: None,
-                firm: false,
-                read_again: None,
+                durable: None,
+                no_unresolved_write: false,
+                reread_at: None,
                 unreadable: false,
-                asked: None,
-                read_config: 0,
+                request: None,
+                read_config_at: 0,
                 put: (0, 0),
-                warm: 0,
+                warm_at: 0,
                 orders: VecDeque::new(),
             });
         }
     }
 
-    fn end(&mut self) {
+    fn end_term(&mut self) {
         let Some(term) = self.term.take() else { return };
-        let turned = |waiting: Waiting| Effect::OrderFailure(waiting.id, OrderFailure::NotLeader);
-        self.effects.extend(term.orders.into_iter().map(turned));
+        let fail = |waiting: WaitingOrder| Effect::OrderFailure(waiting.id, OrderFailure::NotLeader);
+        self.effects.extend(term.orders.into_iter().map(fail));
     }
 
-    fn order(&mut self, now: Nanos, id: u64, order: Order) {
-        let until = now + self.settings.contact_timeout + ORDER;
-        let turned = match &mut self.term {
+    fn on_order(&mut self, now: Nanos, id: u64, order: Order) {
+        let until = now + self.settings.contact_timeout + ORDER_TIMEOUT;
+        let failure = match &mut self.term {
             None => OrderFailure::NotLeader,
             Some(term) if term.unreadable => OrderFailure::Unreadable,
             Some(term) if term.orders.len() >= MAX_ORDERS => OrderFailure::Busy,
-            Some(term) => return term.orders.push_back(Waiting { id, order, came: now, until }),
+            Some(term) => return term.orders.push_back(WaitingOrder { id, order, received: now, until }),
         };
-        self.effects.push(Effect::OrderFailure(id, turned));
+        self.effects.push(Effect::OrderFailure(id, failure));
     }
 
-    /// All that follows from what is known by now.
-    fn go_on(&mut self, at: Moment) {
+    /// Does everything that follows from the current state.
+    fn advance(&mut self, at: Moment) {
         let Some(term) = &mut self.term else { return };
         let now = at.now;
         term.observation.expire(now);
-        if term.asked.as_ref().is_some_and(|asked| now >= asked.until) {
-            (term.asked, term.standing, term.firm, term.read_again) = (None, None, false, None);
+        if term.request.as_ref().is_some_and(|request| now >= request.until) {
+            (term.request, term.durable, term.no_unresolved_write, term.reread_at) =
+                (None, None, false, None);
         }
         while term.orders.front().is_some_and(|waiting| now >= waiting.until) {
-            let turned = term
+            let failure = term
                 .orders
                 .pop_front()
                 .map(|waiting| Effect::OrderFailure(waiting.id, OrderFailure::Unclear));
-            self.effects.extend(turned);
+            self.effects.extend(failure);
         }
-        if term.asked.is_some() {
+        if term.request.is_some() {
             return;
         }
-        let late = !term.firm && term.read_again.is_some_and(|at| now >= at);
-        let Some(standing) = term.standing.as_ref().filter(|_| !late) else {
-            // Once: nothing that old is under way after that.
-            term.read_again = term.read_again.map(|at| if late { Nanos::MAX } else { at });
-            // What can't be read is looked at again now and then: it may be restored.
-            self.asks += 1;
-            let pause = if term.unreadable { 4 * ROUND } else { ROUND };
-            term.asked = Some(Asked { id: self.asks, until: now + pause });
-            return self.effects.push(Effect::ReadRecord(self.asks));
+        let reread = !term.no_unresolved_write && term.reread_at.is_some_and(|at| now >= at);
+        let Some(durable) = term.durable.as_ref().filter(|_| !reread) else {
+            // Only once: no older write can still be in progress after that.
+            term.reread_at = term.reread_at.map(|at| if reread { Nanos::MAX } else { at });
+            // A record that can't be parsed is read again from time to time: it may be restored.
+            self.last_request += 1;
+            let timeout = if term.unreadable { 4 * REGISTER_TIMEOUT } else { REGISTER_TIMEOUT };
+            term.request = Some(RegisterRequest { id: self.last_request, until: now + timeout });
+            return self.effects.push(Effect::ReadRecord(self.last_request));
         };
-        term.watches.retain(|name, _| standing.record().find(name).is_some_and(|of| of.state.is_active()));
-        for of in standing.record().moves.iter().filter(|of| of.state.is_active()) {
-            let watch = term.watches.entry(of.name.clone()).or_insert_with(|| Watch::new(now, of));
-            watch.update(now, of, &term.observation);
+        term.watches.retain(|name, _| durable.record().find(name).is_some_and(|mv| mv.state.is_active()));
+        for mv in durable.record().moves.iter().filter(|mv| mv.state.is_active()) {
+            let watch = term.watches.entry(mv.name.clone()).or_insert_with(|| Watch::new(now, mv));
+            watch.update(now, mv, &term.observation);
         }
         let context = |since| {
             let (observation, watches) = (&term.observation, &term.watches);
             StepContext { at, fence: term.fence, settings: &self.settings, observation, watches, since }
         };
-        let mut next = advance(standing.record(), &context(0));
+        let mut next = steps::advance(durable.record(), &context(0));
         let mut answers = Vec::new();
         for (n, waiting) in term.orders.iter().enumerate() {
             if next.is_some() {
                 break;
             }
-            let context = context(waiting.came);
-            let refused = match apply_order(standing.record(), standing.version(), &waiting.order, &context) {
-                OrderOutcome::Later => continue,
-                OrderOutcome::Change(record) => {
-                    next = Some(record);
-                    break;
-                }
-                OrderOutcome::Already => None,
-                OrderOutcome::Refused(reasons) => Some(reasons),
-            };
-            answers.push((n, standing.answer(waiting.id, waiting.order.name(), refused)));
+            let context = context(waiting.received);
+            let refused =
+                match steps::apply_order(durable.record(), durable.version(), &waiting.order, &context) {
+                    OrderOutcome::Later => continue,
+                    OrderOutcome::Change(record) => {
+                        next = Some(record);
+                        break;
+                    }
+                    OrderOutcome::Already => None,
+                    OrderOutcome::Refused(reasons) => Some(reasons),
+                };
+            answers.push((n, durable.answer(waiting.id, waiting.order.name(), refused)));
         }
-        let out = standing.record().moves.iter().any(|of| of.state.is_active());
+        let active = durable.record().moves.iter().any(|mv| mv.state.is_active());
         if next.is_none()
-            && !term.firm
-            && (out || !answers.is_empty())
+            && !term.no_unresolved_write
+            && (active || !answers.is_empty())
             && !is_disabled(Guard::NoUnresolvedWrite)
         {
-            next = Some(standing.record().clone());
+            next = Some(durable.record().clone());
         }
         if let Some(record) = next {
             return self.write(now, record);
@@ -320,127 +329,128 @@
             term.orders.remove(n);
             self.effects.push(Effect::Publish(answer));
         }
-        term.look_for_config(now, &mut self.effects);
-        if term.firm || is_disabled(Guard::NoUnresolvedWrite) {
-            term.outward(now, &mut self.effects);
+        term.read_config(now, &mut self.effects);
+        if term.no_unresolved_write || is_disabled(Guard::NoUnresolvedWrite) {
+            term.publish(now, &mut self.effects);
         }
     }
 
     fn write(&mut self, now: Nanos, mut record: Record) {
         let Some(term) = &mut self.term else { return };
         record.fence = term.fence;
-        let Some(standing) = &term.standing else { return };
-        let version = standing.version() + 1;
+        let Some(durable) = &term.durable else { return };
+        let version = durable.version() + 1;
         let expected_version = Some(version - 1);
         let content = record.to_text().into();
-        self.asks += 1;
-        term.asked = Some(Asked { id: self.asks, until: now + ROUND });
+        self.last_request += 1;
+        term.request = Some(RegisterRequest { id: self.last_request, until: now + REGISTER_TIMEOUT });
         let value = Value { version, content };
-        self.effects.push(Effect::Write { ask: self.asks, value, expected_version });
+        self.effects.push(Effect::Write { ask: self.last_request, value, expected_version });
         #[cfg(test)]
-        if let (Some(ahead), Some(stands)) =
+        if let (Some(unwritten), Some(active_config)) =
             (DurableRecord::unwritten(version, record.clone()), term.observation.active_config())
         {
-            let puts = ahead.record().moves.iter().filter_map(|of| ahead.put(of, stands));
+            let puts = unwritten.record().moves.iter().filter_map(|mv| unwritten.put(mv, active_config));
             self.effects.extend(puts.map(Effect::Publish));
         }
     }
 }
 
 impl Term {
-    fn input(&mut self, now: Nanos, input: Input) {
+    fn observe(&mut self, now: Nanos, input: Input) {
         match input {
             Input::Record(ask, outcome) => {
-                if self.asked.as_ref().is_some_and(|asked| asked.id == ask) {
-                    self.asked = None;
-                    self.record(now, outcome);
+                if self.request.as_ref().is_some_and(|request| request.id == ask) {
+                    self.request = None;
+                    self.on_record(now, outcome);
                 }
             }
-            Input::ActiveConfig(stands) => self.observation.set_active_config(stands),
-            Input::PutFinished(number) => {
-                if self.put.0 == number {
-                    self.put.1 = now + AGAIN;
-                    self.read_config = 0;
+            Input::ActiveConfig(config) => self.observation.set_active_config(config),
+            Input::PutFinished(revision) => {
+                if self.put.0 == revision {
+                    self.put.1 = now + RETRY_PAUSE;
+                    self.read_config_at = 0;
                 }
             }
-            Input::ProxyRevisions(all) => {
-                all.into_iter().for_each(|(name, acts)| self.observation.record_proxy(now, name, acts))
-            }
+            Input::ProxyRevisions(all) => all
+                .into_iter()
+                .for_each(|(name, revision)| self.observation.record_proxy(now, name, revision)),
             Input::Functions(all) => {
-                all.into_iter().for_each(|(name, does)| self.observation.record_function(now, name, does))
+                all.into_iter().for_each(|(name, load)| self.observation.record_function(now, name, load))
             }
-            Input::FreeMemory(room) => self.observation.set_free_memory(room),
+            Input::FreeMemory(free_mb) => self.observation.set_free_memory(free_mb),
             Input::Lease(..) | Input::LeaseLost | Input::Order(..) | Input::Tick => {}
         }
     }
 
-    /// What the register says. After a write without a clear end it is read again: the write may stand, or come to stand later, which only
-    /// another write over the same version rules out.
-    fn record(&mut self, now: Nanos, outcome: Outcome) {
+    /// Handles the outcome of a register request. After a write of unknown outcome the record is read again: the write may
+    /// have been applied, or may be applied later, which only another write over the same version rules out.
+    fn on_record(&mut self, now: Nanos, outcome: Outcome) {
         let value = match outcome {
             Outcome::Written(value) => {
-                self.firm = true;
+                self.no_unresolved_write = true;
                 Some(value)
             }
             Outcome::Found(value) | Outcome::Conflict(value) => value,
             Outcome::Indeterminate(_) => {
-                (self.standing, self.firm, self.read_again) = (None, false, None);
-                // Not at once again: where no majority answers, that says so as fast as it is asked.
-                self.asked = Some(Asked { id: 0, until: now + AGAIN });
+                (self.durable, self.no_unresolved_write, self.reread_at) = (None, false, None);
+                // Wait before the next attempt: without a majority, requests fail immediately.
+                self.request = Some(RegisterRequest { id: 0, until: now + RETRY_PAUSE });
                 return;
             }
         };
-        if !self.firm {
-            self.read_again.get_or_insert(now + LATE);
+        if !self.no_unresolved_write {
+            self.reread_at.get_or_insert(now + WRITE_SETTLE_TIME);
         }
         match DurableRecord::read(value.as_ref()) {
-            Ok(standing) => (self.standing, self.unreadable) = (Some(standing), false),
-            Err(error) => self.spoilt(now, &error),
+            Ok(durable) => (self.durable, self.unreadable) = (Some(durable), false),
+            Err(error) => self.on_unreadable(now, &error),
         }
     }
 
-    fn spoilt(&mut self, now: Nanos, error: &RecordError) {
+    fn on_unreadable(&mut self, now: Nanos, error: &RecordError) {
         if !self.unreadable {
-            log::error!("{error}: nothing is done about moves");
+            log::error!("{error}; moves are not advanced");
         }
-        (self.standing, self.unreadable) = (None, true);
-        // Not at once again.
-        self.asked = Some(Asked { id: 0, until: now + 4 * ROUND });
+        (self.durable, self.unreadable) = (None, true);
+        // Wait before the next attempt.
+        self.request = Some(RegisterRequest { id: 0, until: now + 4 * REGISTER_TIMEOUT });
     }
 
-    /// Asks for the configuration that stands where it is not known, or a put may have changed it.
-    fn look_for_config(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
-        let Some(standing) = &self.standing else { return };
-        let wanted = !self.orders.is_empty() || standing.record().open().next().is_some();
-        let behind = standing.record().moves.iter().any(|of| match of.state {
+    /// Requests the active configuration if it is not known or a put may have changed it.
+    fn read_config(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
+        let Some(durable) = &self.durable else { return };
+        let needed = !self.orders.is_empty() || durable.record().open().next().is_some();
+        let put_pending = durable.record().moves.iter().any(|mv| match mv.state {
             State::Switching(_, put) => self.observation.revision() <= put.base,
             _ => false,
         });
-        if wanted && (self.observation.active_config().is_none() || behind) && now >= self.read_config {
-            self.read_config = now + AGAIN;
+        if needed && (self.observation.active_config().is_none() || put_pending) && now >= self.read_config_at
+        {
+            self.read_config_at = now + RETRY_PAUSE;
             effects.push(Effect::ReadConfig);
         }
     }
 
-    /// What goes outward now, out of the record as it stands.
-    fn outward(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
-        let (Some(standing), Some(stands)) = (&self.standing, self.observation.active_config()) else {
+    /// Publishes the actions that follow from the current record.
+    fn publish(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
+        let (Some(durable), Some(active_config)) = (&self.durable, self.observation.active_config()) else {
             return;
         };
-        for of in &standing.record().moves {
-            let State::Switching(_, put) = of.state else { continue };
+        for mv in &durable.record().moves {
+            let State::Switching(_, put) = mv.state else { continue };
             if self.put.0 == put.revision && now < self.put.1 {
                 continue;
             }
-            if let Some(out) = standing.put(of, stands) {
-                self.put = (put.revision, now + ROUND);
-                effects.push(Effect::Publish(out));
+            if let Some(published) = durable.put(mv, active_config) {
+                self.put = (put.revision, now + REGISTER_TIMEOUT);
+                effects.push(Effect::Publish(published));
             }
         }
-        if now >= self.warm {
-            self.warm = now + WARM;
-            let rests = |of: &Move| self.watches.get(&of.name).is_some_and(|watch| watch.is_idle(now));
-            effects.extend(standing.warm(rests).into_iter().map(Effect::Publish));
+        if now >= self.warm_at {
+            self.warm_at = now + WARM_INTERVAL;
+            let is_idle = |mv: &Move| self.watches.get(&mv.name).is_some_and(|watch| watch.is_idle(now));
+            effects.extend(durable.warm(is_idle).into_iter().map(Effect::Publish));
         }
     }
 }
--- a/migration/src/status.rs
+++ b/migration/src/status.rs
@@ -17,7 +17,7 @@
     /// or has not read the record yet.
     #[must_use]
     pub fn status(&self, at: Moment, name: Option<&str>) -> Option<JsonValue> {
-        let (durable, (observation, watches)) = (self.durable_record()?, self.seen()?);
+        let (durable, (observation, watches)) = (self.durable_record()?, self.observations()?);
         let selected = |mv: &&Move| name.is_none_or(|name| mv.name == name);
         let moves = durable.record().moves.iter().filter(selected).map(|mv| {
             let waits = wait_reason(mv, watches.get(&mv.name), observation, self.prewarms(), at.now);
