--- a/controller/src/core/migrations.rs
+++ b/controller/src/core/migrations.rs
@@ -8,8 +8,8 @@
 use hyper::StatusCode;
 use millpost_config::JsonCursor;
 use millpost_migration::{
-    Effect, Function, Input, Kind as PublishedKind, Migrator, Moment, Order, OrderFailure, Standing, Stands,
-    Terms,
+    Action, ActiveConfig, DurableRecord, Effect, FunctionLoad, Input, Migrator, Moment, Order, OrderFailure,
+    OrderResult, Settings,
 };
 use millpost_net::messaging::{Call, Reply};
 use millpost_protocol::{object, text};
@@ -36,13 +36,13 @@
 }
 
 impl MigrationDriver {
-    pub fn new(unix_ms: u64, contact: Nanos, duty_per_s: f64) -> Self {
-        let terms = Terms { contact, duty_per_s, warms: true };
-        MigrationDriver { migrator: Migrator::new(terms), unix_ms, observed_at: 0 }
+    pub fn new(unix_ms: u64, contact_timeout: Nanos, duty_per_s: f64) -> Self {
+        let settings = Settings { contact_timeout, duty_per_s, prewarms: true };
+        MigrationDriver { migrator: Migrator::new(settings), unix_ms, observed_at: 0 }
     }
 
     fn at(&self, now: Nanos) -> Moment {
-        Moment { now, day: self.unix_ms + now / MS }
+        Moment { now, unix_ms: self.unix_ms + now / MS }
     }
 }
 
@@ -54,7 +54,7 @@
 
 fn order_error(failure: OrderFailure) -> CallError {
     match failure {
-        OrderFailure::NotHolder => CallError::NotLeader,
+        OrderFailure::NotLeader => CallError::NotLeader,
         OrderFailure::Busy => CallError::Busy,
         OrderFailure::Unclear => CallError::Unclear,
         OrderFailure::Unreadable => CallError::Unreadable,
@@ -66,10 +66,10 @@
     /// functions.
     pub(super) fn tick_migrations(&mut self, now: Nanos) {
         let lease =
-            self.leadership.term().map_or(Input::Unleased, |(fence, until)| Input::Lease(fence, until));
+            self.leadership.term().map_or(Input::LeaseLost, |(fence, until)| Input::Lease(fence, until));
         self.drive_migrations(now, lease);
-        let is_active = |standing: &Standing| standing.record().moves.iter().any(|of| of.state.out());
-        if self.migrations.migrator.standing().is_some_and(|standing| !is_active(standing))
+        let is_active = |standing: &DurableRecord| standing.record().moves.iter().any(|of| of.state.is_active());
+        if self.migrations.migrator.durable_record().is_some_and(|standing| !is_active(standing))
             && let Some(leader) = self.leadership.leader_mut()
         {
             leader.clear_min_instances();
@@ -79,39 +79,42 @@
         }
         self.migrations.observed_at = now;
         let acts = self.feed.followers().map(|(name, acts)| (name.clone(), acts)).collect();
-        self.drive_migrations(now, Input::Acts(acts));
+        self.drive_migrations(now, Input::ProxyRevisions(acts));
         let Some(leader) = self.leadership.leader() else { return };
         let room = leader.scaler.free_memory();
-        let names = self.migrations.migrator.looks_at();
+        let names = self.migrations.migrator.observed_functions();
         let config = self.feed.config();
         let functions = names.into_iter().filter_map(|name| {
             let standing = leader.scaler.function(now, &name)?;
             let slots = config.and_then(|c| c.service(&name)).map_or(1, |s| s.concurrency.max(1));
             let wanted = standing.wanted.map_or(0, |(count, _)| count);
-            let busy = f64::from(wanted) * f64::from(slots) * MAX_UTILIZATION;
+            let peak_requests = f64::from(wanted) * f64::from(slots) * MAX_UTILIZATION;
             let count = |n: usize| n.min(u32::MAX as usize) as u32;
             let live = count(standing.ready + standing.booting + standing.starting);
             // The owners of a target report its health. Without a recent report the function is left out, so
             // that the next load waits rather than proceeds as if the target were healthy.
-            let (delay, refused) = match leader.function_health(now, &name) {
+            let (delay, refused_ratio) = match leader.function_health(now, &name) {
                 None => (0.0, 0.0),
                 Some(health) => health.map(|health| (health.delay, health.refused))?,
             };
-            Some((name, Function { ready: count(standing.ready), live, busy, delay, refused }))
+            Some((
+                name,
+                FunctionLoad { ready: count(standing.ready), live, peak_requests, delay, refused_ratio },
+            ))
         });
         let functions = functions.collect();
         // The migrator evaluates orders when it receives the state of functions, so that input comes last.
         if let Some(room) = room {
-            self.drive_migrations(now, Input::Room(room));
+            self.drive_migrations(now, Input::FreeMemory(room));
         }
-        self.drive_migrations(now, Input::Does(functions));
+        self.drive_migrations(now, Input::Functions(functions));
     }
 
     /// Passes an input to the migrator and carries out its effects.
     pub(super) fn drive_migrations(&mut self, now: Nanos, input: Input) {
         let at = self.migrations.at(now);
         self.migrations.migrator.input(at, input);
-        for effect in self.migrations.migrator.take() {
+        for effect in self.migrations.migrator.take_effects() {
             match effect {
                 Effect::ReadRecord(ask) => self.start_round(
                     now,
@@ -119,43 +122,43 @@
                     Key::Migrations,
                     RoundPurpose::MigrationRecord(ask),
                 ),
-                Effect::Write { ask, value: Value { version, content }, over } => {
+                Effect::Write { ask, value: Value { version, content }, expected_version } => {
                     self.start_round(
                         now,
-                        Operation::Propose { version, content, expected_version: over },
+                        Operation::Propose { version, content, expected_version },
                         Key::Migrations,
                         RoundPurpose::MigrationRecord(ask),
                     );
                 }
                 Effect::ReadConfig => self.pass_chosen_config(now),
                 Effect::OrderFailure(id, why) => self.answer(id, Err(order_error(why))),
-                Effect::Out(out) => match out.is() {
-                    PublishedKind::Put { name, number, over, text } => {
-                        log::info!("migration {name}: proposing configuration {number} over {over:?}");
-                        match self.prepare_put(text, *over) {
+                Effect::Publish(published) => match published.action() {
+                    Action::Put { name, revision, base, text } => {
+                        log::info!("migration {name}: proposing configuration {revision} over {base:?}");
+                        match self.prepare_put(text, *base) {
                             Ok(kind) => self.start_round(
                                 now,
                                 kind,
                                 Key::Config,
-                                RoundPurpose::MigrationConfig(*number),
+                                RoundPurpose::MigrationConfig(*revision),
                             ),
                             Err(e) => {
-                                log::error!("migration {name}: cannot propose configuration {number}: {e}")
+                                log::error!("migration {name}: cannot propose configuration {revision}: {e}")
                             }
                         }
                     }
-                    PublishedKind::Warm { service, count } => {
+                    Action::Warm { service, count } => {
                         if let Some(leader) = self.leadership.leader_mut() {
                             leader.set_min_instances(now, service, *count);
                         }
                     }
-                    PublishedKind::Answer(answer) => {
-                        let reply = match &answer.said {
-                            millpost_migration::Said::Stands(step) => {
+                    Action::Answer(answer) => {
+                        let reply = match &answer.result {
+                            OrderResult::Accepted(step) => {
                                 let body = object([("step", text(step))]).stringify().unwrap_or_default();
                                 Ok(Reply::json(StatusCode::OK, body))
                             }
-                            millpost_migration::Said::Refused(all) => {
+                            OrderResult::Refused(all) => {
                                 Err(CallError::Refused(all.iter().map(ToString::to_string).collect()))
                             }
                         };
@@ -178,7 +181,7 @@
         if let Some(value) = chosen {
             self.install_config(now, &value);
         }
-        self.drive_migrations(now, Input::Put(number));
+        self.drive_migrations(now, Input::PutFinished(number));
     }
 
     /// Passes the chosen configuration to the migrator, as far as it is known here.
@@ -188,8 +191,8 @@
         }
         let text = self.gossip.chosen().and_then(|content| api::config_text(content));
         let (Some(text), Some(config)) = (text, self.feed.config()) else { return };
-        let chosen = Stands { config: config.clone(), text: text.into_owned().into() };
-        self.drive_migrations(now, Input::Stands(chosen));
+        let chosen = ActiveConfig { config: config.clone(), text: text.into_owned().into() };
+        self.drive_migrations(now, Input::ActiveConfig(chosen));
     }
 
     /// Returns the state of migrations for operators.
@@ -208,7 +211,7 @@
         let status = self
             .migrations
             .migrator
-            .tell(self.migrations.at(now), name.as_deref())
+            .status(self.migrations.at(now), name.as_deref())
             .ok_or(CallError::Unclear)?;
         Ok(Reply::json(StatusCode::OK, millpost_config::values::write(&status)))
     }
--- a/migration/src/check.rs
+++ b/migration/src/check.rs
@@ -1,5 +1,6 @@
-//! What a move would move, against what the target can bear; all reasons against it at once. Invariant: no move is kept or opened against
-//! which one stands.
+//! Checks what a move needs against the capacity of the target, and reports all reasons against it at once.
+//!
+//! Invariant: no move is recorded or opened while there is a reason against it.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -9,216 +10,218 @@
 use snafu::Snafu;
 
 use crate::Nanos;
-use crate::contract::{Bounds, Contract, MOST_LOADS, MOST_ROUTES};
-use crate::migrator::Terms;
+use crate::contract::{Bounds, Contract, MAX_LOADS, MAX_ROUTES};
+use crate::guards::{Guard, is_disabled};
+use crate::migrator::Settings;
 use crate::observation::Observation;
-use crate::plant::{Guard, is_out};
-use crate::record::{MOST_OPEN, Move, Record, RouteMove};
-use crate::shift::{Place, places};
+use crate::record::{MAX_OPEN, Move, Record, RouteMove};
+use crate::shift::{RouteLocation, locate_routes};
 
-/// Room that is kept above what the source holds at its busiest.
-const MARGIN: f64 = 1.25;
-/// A start may take so much longer than it does on average.
+/// Capacity of the target relative to the peak load that it has to take over.
+const CAPACITY_MARGIN: f64 = 1.25;
+/// Factor by which a start may take longer than on average.
 const BOOT_MARGIN: f64 = 1.5;
-/// Reasons of one kind that are told, and that are kept in all.
-const MOST_REASONS: usize = 100;
+/// Limit on the reasons that are reported.
+const MAX_REASONS: usize = 100;
 
-/// Why a move is not kept, or does not begin.
+/// Why a move is not accepted or not opened.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-#[allow(missing_docs, reason = "the text of each says what its parts are")]
+#[allow(missing_docs, reason = "the message of each variant describes its fields")]
 pub enum Reason {
-    #[snafu(display("no configuration stands yet, or none is known here"))]
+    #[snafu(display("no configuration is active yet, or none is known here"))]
     NoConfig,
-    #[snafu(display("a move of this name is there already, with another contract"))]
-    Taken,
-    #[snafu(display("{MOST_OPEN} moves are open; one has to end first"))]
-    Full,
-    #[snafu(display("there is no move of this name"))]
-    Unknown,
-    #[snafu(display("the move has ended: {step}"))]
-    Ended { step: &'static str },
-    #[snafu(display("the move turns back; it can be planned anew once it has"))]
-    TurnsBack,
-    #[snafu(display("nothing goes any more that could be paused"))]
+    #[snafu(display("a move of this name already exists with another contract"))]
+    NameTaken,
+    #[snafu(display("{MAX_OPEN} moves are open, which is the limit; one has to end first"))]
+    TooManyMoves,
+    #[snafu(display("no move has this name"))]
+    UnknownMove,
+    #[snafu(display("the move has already ended: {step}"))]
+    AlreadyEnded { step: &'static str },
+    #[snafu(display("the move is rolling back; it can be planned again once that has ended"))]
+    RollingBack,
+    #[snafu(display("the move has no further load to pause"))]
     NothingToPause,
-    #[snafu(display("no route is named"))]
+    #[snafu(display("the contract selects no route"))]
     NoRoutes,
-    #[snafu(display("{count} routes; at most {MOST_ROUTES}"))]
-    TooMany { count: usize },
-    #[snafu(display("loads: {loads}; from 1 to {most}"))]
-    Loads { loads: u32, most: u32 },
-    #[snafu(display("host {host:?} has no route with a service that is left"))]
+    #[snafu(display("{count} routes selected; at most {MAX_ROUTES} are allowed"))]
+    TooManyRoutes { count: usize },
+    #[snafu(display("loads is {loads}; must be from 1 to {most}"))]
+    InvalidLoads { loads: u32, most: u32 },
+    #[snafu(display("host {host:?} has no route with a source service of the contract"))]
     UnknownHost { host: CompactString },
-    #[snafu(display("there is no route {host:?} {prefix:?}"))]
+    #[snafu(display("no route {host:?} {prefix:?} exists"))]
     UnknownRoute { host: CompactString, prefix: CompactString },
-    #[snafu(display("route {host:?} {prefix:?} has none of the services that are left"))]
-    NothingLeft { host: CompactString, prefix: CompactString },
-    #[snafu(display("route {host:?} {prefix:?} is held by move {by:?}"))]
-    Held { host: CompactString, prefix: CompactString, by: CompactString },
-    #[snafu(display("route {host:?} {prefix:?} has other services than when the move was planned"))]
-    Changed { host: CompactString, prefix: CompactString },
-    #[snafu(display("there is no service {service:?}"))]
+    #[snafu(display("route {host:?} {prefix:?} has no source service of the contract"))]
+    NoMappedService { host: CompactString, prefix: CompactString },
+    #[snafu(display("route {host:?} {prefix:?} belongs to the open move {by:?}"))]
+    RouteHeld { host: CompactString, prefix: CompactString, by: CompactString },
+    #[snafu(display("the services of route {host:?} {prefix:?} have changed since the move was planned"))]
+    RouteChanged { host: CompactString, prefix: CompactString },
+    #[snafu(display("no service {service:?} exists"))]
     UnknownService { service: CompactString },
-    #[snafu(display("service {service:?} would be left and gone to"))]
-    Itself { service: CompactString },
-    #[snafu(display("service {to:?} has another protocol, or other TLS, than {from:?}"))]
-    Protocol { from: CompactString, to: CompactString },
+    #[snafu(display("service {service:?} is both a source and a target"))]
+    ChainedService { service: CompactString },
+    #[snafu(display("service {to:?} differs from {from:?} in protocol or TLS"))]
+    ProtocolMismatch { from: CompactString, to: CompactString },
     #[snafu(display(
-        "service {service:?} accepts {max_conns} connections and is to hold {concurrency} requests"
+        "service {service:?} accepts {max_conns} connections, fewer than its concurrency of {concurrency}"
     ))]
-    Connections { service: CompactString, max_conns: u32, concurrency: u32 },
+    TooFewConnections { service: CompactString, max_conns: u32, concurrency: u32 },
     #[snafu(display(
-        "a start of {service:?} takes {boot_ms} ms, a route of it is held {deadline_ms} ms at most"
+        "a start of {service:?} takes {boot_ms} ms, but one of its routes has a deadline of {deadline_ms} ms"
     ))]
-    Deadline { service: CompactString, boot_ms: u64, deadline_ms: u64 },
-    #[snafu(display("nothing was heard lately of service {service:?}"))]
-    Unseen { service: CompactString },
-    #[snafu(display("the workers' room is not known yet"))]
-    NoWorkers,
+    StartTooSlow { service: CompactString, boot_ms: u64, deadline_ms: u64 },
+    #[snafu(display("service {service:?} has not been reported recently"))]
+    NoFunctionReport { service: CompactString },
+    #[snafu(display("the workers' free memory is not known yet"))]
+    FreeMemoryUnknown,
     #[snafu(display(
-        "workers have no room for {missing} of {wanted} instances of {service:?}, {memory_mb} MB each"
+        "workers lack memory for {missing} of {wanted} instances of {service:?} with {memory_mb} MB each"
     ))]
-    NoRoom { service: CompactString, wanted: u32, missing: u32, memory_mb: u64 },
-    #[snafu(display("it would take {takes_ms} ms to warm the target; {warm_ms} ms are given"))]
-    TooSlow { takes_ms: u64, warm_ms: u64 },
-    #[snafu(display("instances that are to be started take {takes_mb} MB; {most_mb} MB are given"))]
-    TooDear { takes_mb: u64, most_mb: u64 },
+    NotEnoughMemory { service: CompactString, wanted: u32, missing: u32, memory_mb: u64 },
+    #[snafu(display("warming the target would take {takes_ms} ms; the limit is {warm_ms} ms"))]
+    WarmingTooSlow { takes_ms: u64, warm_ms: u64 },
+    #[snafu(display("the instances to start need {takes_mb} MB; the limit is {most_mb} MB"))]
+    TooMuchMemory { takes_mb: u64, most_mb: u64 },
     #[snafu(display(
-        "{needed} revisions above {above} are needed, from the operator's own range; given: {first} to {last}"
+        "{needed} revisions above {above} are needed, reserved by the operator; reserved are {first} to {last}"
     ))]
-    Numbers { needed: u64, above: u64, first: u64, last: u64 },
+    TooFewRevisions { needed: u64, above: u64, first: u64, last: u64 },
 }
 
-/// What a move takes.
+/// What a move needs, and the reasons against it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Estimate {
-    /// Its routes.
-    pub hauls: Vec<RouteMove>,
-    /// Which of the services named are left, and for which.
+    /// The routes of the move.
+    pub route_moves: Vec<RouteMove>,
+    /// Pairs of source and target service, for the source services in use.
     pub services: Vec<(CompactString, CompactString)>,
-    /// Instances that each target is to have.
-    pub needs: Vec<(CompactString, u32)>,
-    /// Instances that each source has now, and keeps for the way back.
-    pub keeps: Vec<(CompactString, u32)>,
-    /// Starts.
+    /// Instances that each target service needs.
+    pub target_instances: Vec<(CompactString, u32)>,
+    /// Instances that each source service has now, and keeps in case of a rollback.
+    pub source_instances: Vec<(CompactString, u32)>,
+    /// Number of instances to start.
     pub starts: u32,
-    /// What those take.
+    /// Memory of the instances to start, in MB.
     pub memory_mb: u64,
-    /// The time in which the target is warm.
+    /// Estimated time to warm the target.
     pub warm_ms: u64,
-    /// The longest that a request of its routes may be held.
-    pub longest_ms: u64,
-    /// Revisions that the move needs: its loads, the way back, and one to spare.
-    pub revisions: u64,
-    /// All that stands against it.
+    /// The longest deadline of the routes.
+    pub max_deadline_ms: u64,
+    /// Revisions that the move needs: one for each load, one for the rollback, and a spare one.
+    pub revisions_needed: u64,
+    /// All reasons against the move.
     pub reasons: Vec<Reason>,
 }
 
 impl Estimate {
-    fn against(&mut self, reason: Reason) {
-        if self.reasons.len() < MOST_REASONS && !self.reasons.contains(&reason) {
+    fn reject(&mut self, reason: Reason) {
+        if self.reasons.len() < MAX_REASONS && !self.reasons.contains(&reason) {
             self.reasons.push(reason);
         }
     }
 }
 
-/// Revisions that a move of so many loads needs.
-pub(crate) fn revisions(loads: u32) -> u64 {
+/// Number of revisions that a move with this many loads needs.
+pub(crate) fn revisions_needed(loads: u32) -> u64 {
     u64::from(loads) + 2
 }
 
-/// A contract that is to be kept as a move.
+/// Checks a contract that is to be recorded as a move.
 #[must_use]
 pub fn check(
     contract: &Contract,
     record: &Record,
-    sight: &Observation,
-    terms: &Terms,
+    observation: &Observation,
+    settings: &Settings,
     now: Nanos,
 ) -> Estimate {
-    let mut found = Estimate { revisions: revisions(contract.loads), ..Estimate::default() };
-    if record.named(&contract.name).is_some() {
-        found.against(Reason::Taken);
+    let mut estimate = Estimate { revisions_needed: revisions_needed(contract.loads), ..Estimate::default() };
+    if record.find(&contract.name).is_some() {
+        estimate.reject(Reason::NameTaken);
     }
-    if record.open().count() >= MOST_OPEN {
-        found.against(Reason::Full);
+    if record.open().count() >= MAX_OPEN {
+        estimate.reject(Reason::TooManyMoves);
     }
-    let Some(stands) = sight.stands() else {
-        found.against(Reason::NoConfig);
-        return found;
+    let Some(active) = observation.active_config() else {
+        estimate.reject(Reason::NoConfig);
+        return estimate;
     };
-    let config = &stands.config;
-    let routes = routes(contract, config, &mut found);
+    let config = &active.config;
+    let routes = select_routes(contract, config, &mut estimate);
     match routes.len() {
-        0 => found.against(Reason::NoRoutes),
-        count if count > MOST_ROUTES => found.against(Reason::TooMany { count }),
+        0 => estimate.reject(Reason::NoRoutes),
+        count if count > MAX_ROUTES => estimate.reject(Reason::TooManyRoutes { count }),
         _ => {}
     }
-    let most = MOST_LOADS.min(routes.len() as u32);
+    let most = MAX_LOADS.min(routes.len() as u32);
     if contract.loads == 0 || contract.loads > most {
-        found.against(Reason::Loads { loads: contract.loads, most });
+        estimate.reject(Reason::InvalidLoads { loads: contract.loads, most });
     }
-    let held = held(record);
-    for (at, route) in routes.iter().enumerate().take(MOST_ROUTES) {
+    let held = routes_of_open_moves(record);
+    for (at, route) in routes.iter().enumerate().take(MAX_ROUTES) {
         let (host, prefix) = (&route.host, &route.path_prefix);
-        if let Some(by) = held.get(&key(route)).filter(|_| !is_out(Guard::Crossing)) {
+        if let Some(by) = held.get(&key(route)).filter(|_| !is_disabled(Guard::DisjointRoutes)) {
             let (host, prefix, by) = (host.clone(), prefix.clone(), (*by).clone());
-            found.against(Reason::Held { host, prefix, by });
+            estimate.reject(Reason::RouteHeld { host, prefix, by });
         }
-        let to = renamed(route, contract);
+        let to = target_shares(route, contract);
         if to == route.shares {
-            found.against(Reason::NothingLeft { host: host.clone(), prefix: prefix.clone() });
+            estimate.reject(Reason::NoMappedService { host: host.clone(), prefix: prefix.clone() });
         }
         let load = 1 + (at as u64 * u64::from(contract.loads) / routes.len().max(1) as u64) as u32;
         let (host, path_prefix) = (host.clone(), prefix.clone());
-        found.hauls.push(RouteMove { host, path_prefix, from: route.shares.clone(), to, load });
+        estimate.route_moves.push(RouteMove { host, path_prefix, from: route.shares.clone(), to, load });
     }
     let used: HashSet<_> = routes.iter().flat_map(|route| &route.shares).map(|(name, _)| name).collect();
     let pairs = contract.services.iter().filter(|(from, _)| used.contains(from));
-    found.services = pairs.map(|(from, to)| (from.clone(), to.clone())).collect();
+    estimate.services = pairs.map(|(from, to)| (from.clone(), to.clone())).collect();
     for (from, to) in &contract.services {
         if contract.services.contains_key(to) {
-            found.against(Reason::Itself { service: to.clone() });
+            estimate.reject(Reason::ChainedService { service: to.clone() });
         }
         if config.service(from).is_none() {
-            found.against(Reason::UnknownService { service: from.clone() });
+            estimate.reject(Reason::UnknownService { service: from.clone() });
         }
     }
-    bear(&mut found, &contract.bounds, config, sight, terms, now);
-    found
+    check_capacity(&mut estimate, &contract.bounds, config, observation, settings, now);
+    estimate
 }
 
-/// A move of the record that is to be opened now.
+/// Checks a recorded move that is to be opened now.
 #[must_use]
-pub fn check_again(of: &Move, sight: &Observation, terms: &Terms, now: Nanos) -> Estimate {
-    let mut found = Estimate {
-        hauls: of.hauls.clone(),
-        services: of.services.clone(),
-        revisions: revisions(of.loads),
+pub fn recheck(mv: &Move, observation: &Observation, settings: &Settings, now: Nanos) -> Estimate {
+    let mut estimate = Estimate {
+        route_moves: mv.route_moves.clone(),
+        services: mv.services.clone(),
+        revisions_needed: revisions_needed(mv.loads),
         ..Estimate::default()
     };
-    let Some(stands) = sight.stands() else {
-        found.against(Reason::NoConfig);
-        return found;
+    let Some(active) = observation.active_config() else {
+        estimate.reject(Reason::NoConfig);
+        return estimate;
     };
-    for (haul, place) in of.hauls.iter().zip(places(&stands.config, &of.hauls)) {
-        let (host, prefix) = (haul.host.clone(), haul.path_prefix.clone());
-        match place {
-            Place::Here => {}
-            Place::Gone => found.against(Reason::UnknownRoute { host, prefix }),
-            Place::There | Place::Elsewhere => found.against(Reason::Changed { host, prefix }),
+    for (route_move, location) in mv.route_moves.iter().zip(locate_routes(&active.config, &mv.route_moves)) {
+        let (host, prefix) = (route_move.host.clone(), route_move.path_prefix.clone());
+        match location {
+            RouteLocation::Source => {}
+            RouteLocation::Missing => estimate.reject(Reason::UnknownRoute { host, prefix }),
+            RouteLocation::Target | RouteLocation::Other => {
+                estimate.reject(Reason::RouteChanged { host, prefix })
+            }
         }
     }
-    numbers(&mut found, of.numbers, stands.config.revision);
-    bear(&mut found, &of.bounds, &stands.config, sight, terms, now);
-    found
+    check_revisions(&mut estimate, mv.revisions, active.config.revision);
+    check_capacity(&mut estimate, &mv.bounds, &active.config, observation, settings, now);
+    estimate
 }
 
-/// The range of revisions has enough above the one that stands.
-pub(crate) fn numbers(found: &mut Estimate, (first, last): (u64, u64), above: u64) {
+/// Checks that the reserved range has enough revisions above the active one.
+pub(crate) fn check_revisions(estimate: &mut Estimate, (first, last): (u64, u64), above: u64) {
     let left = (last + 1).saturating_sub(first.max(above + 1));
-    if left < found.revisions {
-        found.against(Reason::Numbers { needed: found.revisions, above, first, last });
+    if left < estimate.revisions_needed {
+        estimate.reject(Reason::TooFewRevisions { needed: estimate.revisions_needed, above, first, last });
     }
 }
 
@@ -226,14 +229,19 @@
     (host_key(&route.host).into_owned(), route.path_prefix.clone())
 }
 
-/// Routes that open moves hold, and which.
-fn held(record: &Record) -> HashMap<(String, CompactString), &CompactString> {
-    let all = record.open().flat_map(|known| known.hauls.iter().map(move |haul| (haul, &known.name)));
-    all.map(|(haul, name)| ((host_key(&haul.host).into_owned(), haul.path_prefix.clone()), name)).collect()
+/// Routes of open moves, and the name of the move that each belongs to.
+fn routes_of_open_moves(record: &Record) -> HashMap<(String, CompactString), &CompactString> {
+    let all =
+        record.open().flat_map(|mv| mv.route_moves.iter().map(move |route_move| (route_move, &mv.name)));
+    all.map(|(route_move, name)| {
+        ((host_key(&route_move.host).into_owned(), route_move.path_prefix.clone()), name)
+    })
+    .collect()
 }
 
-/// The routes that are meant: those that are named, then those of the hosts that have a service which is left, each once.
-fn routes<'a>(contract: &Contract, config: &'a Config, found: &mut Estimate) -> Vec<&'a Route> {
+/// The routes that a contract selects, each once: first those that it lists, then those of its hosts that have a source
+/// service of the contract.
+fn select_routes<'a>(contract: &Contract, config: &'a Config, estimate: &mut Estimate) -> Vec<&'a Route> {
     let known: HashMap<_, _> = config.routes.iter().map(|route| (key(route), route)).collect();
     let mut all: Vec<&Route> = Vec::new();
     let mut seen = HashSet::new();
@@ -241,25 +249,25 @@
         match known.get(&(host_key(host).into_owned(), prefix.clone())) {
             Some(route) if seen.insert(key(route)) => all.push(route),
             Some(_) => {}
-            None => found.against(Reason::UnknownRoute { host: host.clone(), prefix: prefix.clone() }),
+            None => estimate.reject(Reason::UnknownRoute { host: host.clone(), prefix: prefix.clone() }),
         }
     }
     for host in &contract.hosts {
         let name = host_key(host);
-        let leaves =
+        let has_source =
             |route: &&Route| route.shares.iter().any(|(name, _)| contract.services.contains_key(name));
         let of_host = config.routes.iter().filter(|route| host_key(&route.host) == name);
-        let mut of_host = of_host.filter(leaves).peekable();
+        let mut of_host = of_host.filter(has_source).peekable();
         if of_host.peek().is_none() {
-            found.against(Reason::UnknownHost { host: host.clone() });
+            estimate.reject(Reason::UnknownHost { host: host.clone() });
         }
         all.extend(of_host.filter(|route| seen.insert(key(route))));
     }
     all
 }
 
-/// A route's services with those that are left exchanged; two that become one are added up.
-fn renamed(route: &Route, contract: &Contract) -> Vec<(CompactString, u32)> {
+/// A route's services after the move. The weights of services that map to the same one are added up.
+fn target_shares(route: &Route, contract: &Contract) -> Vec<(CompactString, u32)> {
     let mut shares: Vec<(CompactString, u32)> = Vec::new();
     for (name, weight) in &route.shares {
         let name = contract.services.get(name).unwrap_or(name);
@@ -271,97 +279,99 @@
     shares
 }
 
-/// What the targets can bear.
-fn bear(
-    found: &mut Estimate,
+/// Checks the targets against the load, deadlines and memory of the move.
+fn check_capacity(
+    estimate: &mut Estimate,
     bounds: &Bounds,
     config: &Config,
-    sight: &Observation,
-    terms: &Terms,
+    observation: &Observation,
+    settings: &Settings,
     now: Nanos,
 ) {
     let services: HashMap<&str, &Service> = config.services.iter().map(|s| (s.name.as_str(), s)).collect();
     let known: HashMap<_, _> = config.routes.iter().map(|route| (key(route), route)).collect();
-    let mut busy: BTreeMap<CompactString, f64> = BTreeMap::new();
-    let mut slowest = 0;
-    for (from, to) in found.services.clone() {
-        let (Some(old), Some(new)) = (services.get(from.as_str()), services.get(to.as_str())) else {
+    let mut peak_load: BTreeMap<CompactString, f64> = BTreeMap::new();
+    let mut max_boot_ms = 0;
+    for (from, to) in estimate.services.clone() {
+        let (Some(source), Some(target)) = (services.get(from.as_str()), services.get(to.as_str())) else {
             for service in [&from, &to].into_iter().filter(|name| !services.contains_key(name.as_str())) {
-                found.against(Reason::UnknownService { service: service.clone() });
+                estimate.reject(Reason::UnknownService { service: service.clone() });
             }
             continue;
         };
-        if (&old.protocol, old.tls) != (&new.protocol, new.tls) {
-            found.against(Reason::Protocol { from: from.clone(), to: to.clone() });
+        if (&source.protocol, source.tls) != (&target.protocol, target.tls) {
+            estimate.reject(Reason::ProtocolMismatch { from: from.clone(), to: to.clone() });
         }
-        if new.max_conns < new.concurrency {
-            let (max_conns, concurrency) = (new.max_conns, new.concurrency);
-            found.against(Reason::Connections { service: to.clone(), max_conns, concurrency });
+        if target.max_conns < target.concurrency {
+            let (max_conns, concurrency) = (target.max_conns, target.concurrency);
+            estimate.reject(Reason::TooFewConnections { service: to.clone(), max_conns, concurrency });
         }
-        slowest = slowest.max(new.boot_ms);
-        // As if all of the source's work went: how much of it is the tenant's is not known.
-        match sight.function(now, &from) {
+        max_boot_ms = max_boot_ms.max(target.boot_ms);
+        // Assumes that all load of the source moves: the tenant's part of it is not known.
+        match observation.function(now, &from) {
             Some(function) => {
-                *busy.entry(to).or_default() += function.busy;
-                found.keeps.push((from, function.live));
+                *peak_load.entry(to).or_default() += function.peak_requests;
+                estimate.source_instances.push((from, function.live));
             }
-            None => found.against(Reason::Unseen { service: from }),
+            None => estimate.reject(Reason::NoFunctionReport { service: from }),
         }
     }
-    for haul in found.hauls.clone() {
-        let Some(route) = known.get(&(host_key(&haul.host).into_owned(), haul.path_prefix.clone())) else {
+    for route_move in estimate.route_moves.clone() {
+        let Some(route) =
+            known.get(&(host_key(&route_move.host).into_owned(), route_move.path_prefix.clone()))
+        else {
             continue;
         };
-        found.longest_ms = found.longest_ms.max(route.deadline_ms);
-        for (name, _) in haul.to.iter().filter(|share| !haul.from.contains(share)) {
+        estimate.max_deadline_ms = estimate.max_deadline_ms.max(route.deadline_ms);
+        for (name, _) in route_move.to.iter().filter(|share| !route_move.from.contains(share)) {
             let Some(service) = services.get(name.as_str()) else { continue };
             if service.boot_ms >= route.deadline_ms {
                 let (boot_ms, deadline_ms) = (service.boot_ms, route.deadline_ms);
-                found.against(Reason::Deadline { service: name.clone(), boot_ms, deadline_ms });
+                estimate.reject(Reason::StartTooSlow { service: name.clone(), boot_ms, deadline_ms });
             }
         }
     }
-    room(found, &busy, &services, sight, now);
-    let turns = f64::from(found.starts) / terms.duty_per_s.max(0.1) * 1e3;
-    let boots = if found.starts > 0 { slowest as f64 * BOOT_MARGIN } else { 0.0 };
-    found.warm_ms = (turns + boots).ceil() as u64;
-    if found.warm_ms > bounds.warm_ms {
-        found.against(Reason::TooSlow { takes_ms: found.warm_ms, warm_ms: bounds.warm_ms });
+    plan_instances(estimate, &peak_load, &services, observation, now);
+    let start_ms = f64::from(estimate.starts) / settings.duty_per_s.max(0.1) * 1e3;
+    let boot_ms = if estimate.starts > 0 { max_boot_ms as f64 * BOOT_MARGIN } else { 0.0 };
+    estimate.warm_ms = (start_ms + boot_ms).ceil() as u64;
+    if estimate.warm_ms > bounds.warm_ms {
+        estimate.reject(Reason::WarmingTooSlow { takes_ms: estimate.warm_ms, warm_ms: bounds.warm_ms });
     }
-    if let Some(most_mb) = bounds.most_memory_mb.filter(|most| found.memory_mb > *most) {
-        found.against(Reason::TooDear { takes_mb: found.memory_mb, most_mb });
+    if let Some(most_mb) = bounds.most_memory_mb.filter(|most| estimate.memory_mb > *most) {
+        estimate.reject(Reason::TooMuchMemory { takes_mb: estimate.memory_mb, most_mb });
     }
 }
 
-/// Instances that the targets need, and whether the workers have room for those that they have not.
-fn room(
-    found: &mut Estimate,
-    busy: &BTreeMap<CompactString, f64>,
+/// Computes the instances that the targets need, and checks that the workers have memory for those to be started.
+fn plan_instances(
+    estimate: &mut Estimate,
+    peak_load: &BTreeMap<CompactString, f64>,
     services: &HashMap<&str, &Service>,
-    sight: &Observation,
+    observation: &Observation,
     now: Nanos,
 ) {
-    let mut workers = sight.room().map(<[u64]>::to_vec);
+    let mut workers = observation.free_memory_mb().map(<[u64]>::to_vec);
     if workers.is_none() {
-        found.against(Reason::NoWorkers);
+        estimate.reject(Reason::FreeMemoryUnknown);
     }
     let mut wanted = Vec::new();
-    for (name, more) in busy {
+    for (name, added_load) in peak_load {
         let Some(service) = services.get(name.as_str()) else { continue };
-        let Some(function) = sight.function(now, name) else {
-            found.against(Reason::Unseen { service: name.clone() });
+        let Some(function) = observation.function(now, name) else {
+            estimate.reject(Reason::NoFunctionReport { service: name.clone() });
             continue;
         };
-        let slots = (more + function.busy) * MARGIN;
+        let slots = (added_load + function.peak_requests) * CAPACITY_MARGIN;
         let need = (slots / f64::from(service.concurrency.max(1))).ceil().clamp(1.0, 1e6) as u32;
-        found.needs.push((name.clone(), need));
+        estimate.target_instances.push((name.clone(), need));
         wanted.push((service.memory_mb, name, need, need.saturating_sub(function.live)));
     }
-    // The largest first, each on the worker with the most room: as the scaler has it, near enough.
+    // The largest instances first, each on the worker with the most free memory; this approximates the autoscaler.
     wanted.sort_by_key(|(memory_mb, ..)| std::cmp::Reverse(*memory_mb));
     for (memory_mb, name, need, starts) in wanted {
-        found.starts = found.starts.saturating_add(starts);
-        found.memory_mb = found.memory_mb.saturating_add(memory_mb.saturating_mul(starts.into()));
+        estimate.starts = estimate.starts.saturating_add(starts);
+        estimate.memory_mb = estimate.memory_mb.saturating_add(memory_mb.saturating_mul(starts.into()));
         let Some(workers) = &mut workers else { continue };
         let mut missing = starts;
         while missing > 0
@@ -371,7 +381,12 @@
             missing -= 1;
         }
         if missing > 0 {
-            found.against(Reason::NoRoom { service: name.clone(), wanted: need, missing, memory_mb });
+            estimate.reject(Reason::NotEnoughMemory {
+                service: name.clone(),
+                wanted: need,
+                missing,
+                memory_mb,
+            });
         }
     }
 }
--- a/migration/src/tests.rs
+++ b/migration/src/tests.rs
@@ -7,7 +7,7 @@
 
 use town::{Day, Town};
 
-use crate::plant::{Guard, take_out};
+use crate::guards::{Guard, disable};
 
 /// A day that holds, and what it was.
 fn holds(day: Day) -> Town {
@@ -60,29 +60,29 @@
 
 /// Without any of the guards something is seen to break, and it is what that guard keeps.
 #[yare::parameterized(
-    hear_all = { Guard::HearAll, "early" },
-    all_act = { Guard::AllAct, "early" },
+    hear_all = { Guard::HearAllProxies, "early" },
+    all_apply = { Guard::AllProxiesApply, "early" },
     base = { Guard::Base, "undone" },
-    decided = { Guard::Decided, "after its end" },
+    decided = { Guard::PutDecided, "after its end" },
     durable = { Guard::Durable, "unrecorded" },
-    burned = { Guard::Burned, "twice" },
-    crossing = { Guard::Crossing, "crossing" },
-    turns = { Guard::Turns, "two out" },
+    burned = { Guard::UniqueRevision, "twice" },
+    crossing = { Guard::DisjointRoutes, "crossing" },
+    turns = { Guard::OneActiveMove, "two out" },
     version = { Guard::Version, "forgotten" },
-    firm = { Guard::Firm, "denied" },
+    firm = { Guard::NoUnresolvedWrite, "denied" },
     lease = { Guard::Lease, "without the lease" },
-    overtaken = { Guard::Overtaken, "fights" },
+    overtaken = { Guard::Superseded, "fights" },
     settle = { Guard::Settle, "early" },
     pace = { Guard::Pace, "pushed" },
     bounds = { Guard::Bounds, "past its bounds" },
 )]
 fn a_guard_that_is_taken_out_is_missed(guard: Guard, what: &str) {
-    take_out(Some(guard));
+    disable(Some(guard));
     let found = (0..3_000).any(|seed| {
         let mut town = Town::new(Day::wild(seed));
         town.play();
         town.oracle.broken.iter().any(|broken| broken.starts_with(what))
     });
-    take_out(None);
+    disable(None);
     assert!(found, "{guard:?} is not missed");
 }
