--- a/controller/src/core/migrations.rs
+++ b/controller/src/core/migrations.rs
@@ -68,7 +68,8 @@
         let lease =
             self.leadership.term().map_or(Input::LeaseLost, |(fence, until)| Input::Lease(fence, until));
         self.drive_migrations(now, lease);
-        let is_active = |standing: &DurableRecord| standing.record().moves.iter().any(|of| of.state.is_active());
+        let is_active =
+            |standing: &DurableRecord| standing.record().moves.iter().any(|of| of.state.is_active());
         if self.migrations.migrator.durable_record().is_some_and(|standing| !is_active(standing))
             && let Some(leader) = self.leadership.leader_mut()
         {
