--- a/scheduler/tests/handover.rs
+++ b/scheduler/tests/handover.rs
@@ -142,30 +142,33 @@
     let other_peer =
         ALL.iter().map(|n| format!("edge-{n}")).find(|n| *n != old && *n != caller).expect("a third");
     cluster.coordinators.remove(&old);
-    let up = |cluster: &mut Cluster, at: Nanos| {
+    let tick = |cluster: &mut Cluster, at: Nanos| {
         let coordinator = cluster.coordinators.get_mut(&caller).expect("a coordinator");
         coordinator.tick(at);
         let actions = coordinator.take_actions();
-        let is_unresponsive = |o: &Action| matches!(o, Action::NotifyController(PeerMessage::Deaf { peer, .. }) if *peer == old);
-        let asks = actions.iter().filter_map(|o| match o {
+        let reports_old = |o: &Action| match o {
+            Action::NotifyController(PeerMessage::Deaf { peer, .. }) => *peer == old,
+            _ => false,
+        };
+        let requests = actions.iter().filter_map(|o| match o {
             Action::Send { to, note: PeerMessage::Ask { .. } } => Some(to.trim_end_matches(":1").to_owned()),
             _ => None,
         });
-        (actions.iter().any(is_unresponsive), asks.collect::<Vec<_>>())
+        (actions.iter().any(reports_old), requests.collect::<Vec<_>>())
     };
     cluster.request(T, &caller);
     // No proxy responded at all: the fault may be on this proxy's own link.
-    assert!(!up(&mut cluster, T + 450 * MS).0);
+    assert!(!tick(&mut cluster, T + 450 * MS).0);
     cluster
         .with(T + 500 * MS, &caller, |coordinator| coordinator.receive(T + 500 * MS, &other_peer, 1, vec![]));
-    let (is_unresponsive, asks) = up(&mut cluster, T + 525 * MS);
-    assert!(is_unresponsive && asks.iter().any(|to| *to != old), "{asks:?}");
+    let (reported, requests) = tick(&mut cluster, T + 525 * MS);
+    assert!(reported && requests.iter().any(|to| *to != old), "{requests:?}");
     // An owner that is slow but has sent something is waited for.
     let mut cluster = Cluster::new(&ALL);
     cluster.request(T, &caller);
     cluster.with(T + 300 * MS, &caller, |coordinator| coordinator.receive(T + 300 * MS, &old, 1, vec![]));
-    assert!(!up(&mut cluster, T + 425 * MS).0);
-    assert!(!up(&mut cluster, T + 575 * MS).0);
+    assert!(!tick(&mut cluster, T + 425 * MS).0);
+    assert!(!tick(&mut cluster, T + 575 * MS).0);
 }
 
 /// Starting an instance takes 300 ms and more. Meanwhile an owner that has reported a request as queued
