--- a/scheduler/src/shutdown.rs
+++ b/scheduler/src/shutdown.rs
@@ -31,7 +31,7 @@
 /// How long before the end of the grace time running requests are answered.
 const ENDING_BEFORE: Nanos = 800 * MS;
 /// How long before the end of the grace time the process exits.
-const OVER_BEFORE: Nanos = 600 * MS;
+const FINISHED_BEFORE: Nanos = 600 * MS;
 
 impl ShutdownPhase {
     /// The phases, and how long after the shutdown request each begins.
@@ -41,13 +41,13 @@
         // A short grace time shortens the phases; none begins before the previous one.
         let refusing = before(REFUSING_BEFORE).max(closing);
         let ending = before(ENDING_BEFORE).max(refusing);
-        let over = before(OVER_BEFORE).max(ending);
+        let finished = before(FINISHED_BEFORE).max(ending);
         [
             (ShutdownPhase::Leaving, 0),
             (ShutdownPhase::Closing, closing),
             (ShutdownPhase::Refusing, refusing),
             (ShutdownPhase::Ending, ending),
-            (ShutdownPhase::Finished, over),
+            (ShutdownPhase::Finished, finished),
         ]
     }
 
@@ -83,7 +83,7 @@
     /// grace time.
     #[test]
     fn running_requests_are_awaited_until_the_last_sixth_of_the_grace_time() {
-        let [.., (_, ending), (_, over)] = ShutdownPhase::schedule(6 * SECOND);
-        assert!(ending >= 5 * SECOND && over > ending && over < 6 * SECOND, "{ending}, {over}");
+        let [.., (_, ending), (_, finished)] = ShutdownPhase::schedule(6 * SECOND);
+        assert!(ending >= 5 * SECOND && finished > ending && finished < 6 * SECOND, "{ending}, {finished}");
     }
 }
