--- a/net/src/messaging/outbox.rs
+++ b/net/src/messaging/outbox.rs
@@ -229,7 +229,7 @@
                     if up.replace(false) != Some(false) {
                         tell(Event::Down { peer: peer.clone() }).await;
                     }
-                    tell(Event::Undelivered { peer: peer.clone(), messages: messages }).await;
+                    tell(Event::Undelivered { peer: peer.clone(), messages }).await;
                 }
                 Err(e) => log::error!("post to {peer}: {e}"),
             },
--- a/proxy/src/errors.rs
+++ b/proxy/src/errors.rs
@@ -1,4 +1,4 @@
-//! What can go wrong, as one closed list, and what a client is told of it.
+//! Errors of the program, and the answers to requests that no instance answered.
 
 use std::time::Duration;
 
@@ -6,49 +6,50 @@
 use millpost_scheduler::Refusal;
 use snafu::Snafu;
 
-/// Why the program can't go on.
+/// Why the program cannot run.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// An address can't be listened on.
+    /// An address cannot be listened on.
     #[snafu(display("can't listen on {address}: {source}"))]
     Listen {
         /// The address.
         address: String,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The settings lack something that this role needs.
-    #[snafu(display("settings: {key}: missing, and a stall needs it"))]
+    /// The settings lack a key that the proxy requires.
+    #[snafu(display("settings: {key}: missing, but required by the proxy"))]
     Needed {
-        /// Its key.
+        /// The missing key.
         key: &'static str,
     },
-    /// Signals can't be waited for.
+    /// Signal handlers cannot be installed.
     #[snafu(display("signals: {source}"))]
     Signals {
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
 }
 
-/// Why a client gets an answer of ours.
+/// Why the proxy itself answers a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
-    /// What came is no request that may be passed on.
+    /// The request is invalid and cannot be forwarded.
     Malformed,
-    /// No route is there for it.
+    /// No route matches the request.
     NoRoute,
-    /// Its body is longer than the configuration allows.
+    /// The body exceeds the configured limit.
     TooLarge,
-    /// Its body did not come in time.
+    /// The body did not arrive in time.
     Slow,
-    /// It got no endpoint's answer.
+    /// No instance answered the request.
     Refused(Refusal),
 }
 
 impl Kind {
-    /// The status, and when to come back. A status that promises that the request has not run stands only where it has not.
+    /// Returns the status and, if a retry makes sense, the time after which to retry. A status that promises
+    /// that the request was not executed is used only if it was not.
     pub fn answer(self) -> (StatusCode, Option<Duration>) {
         match self {
             Kind::Malformed => (StatusCode::BAD_REQUEST, None),
@@ -78,8 +79,12 @@
         late = { Kind::Refused(Refusal::TimedOut), 504, false },
         no_route = { Kind::NoRoute, 404, false },
     )]
-    fn what_may_have_run_gets_no_status_that_promises_otherwise(kind: Kind, status: u16, wait: bool) {
-        let (told, when) = kind.answer();
-        assert_eq!((told.as_u16(), when.is_some()), (status, wait));
+    fn a_request_that_may_have_been_executed_gets_no_status_that_promises_otherwise(
+        kind: Kind,
+        status: u16,
+        wait: bool,
+    ) {
+        let (actual, retry_after) = kind.answer();
+        assert_eq!((actual.as_u16(), retry_after.is_some()), (status, wait));
     }
 }
--- a/proxy/src/opening.rs
+++ b/proxy/src/listeners.rs
@@ -1,4 +1,4 @@
-//! The addresses that a stall listens on: clients', the platform's, other stalls' and its porter's.
+//! The listeners of a proxy: for clients, readiness checks, other proxies and its agent.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,25 +14,25 @@
 use tokio::sync::{oneshot, watch};
 
 use crate::errors::{Error, ListenSnafu, NeededSnafu};
-use crate::front;
-use crate::shop::{Input, Shop, loopback};
+use crate::frontend;
+use crate::proxy::{Input, Proxy, loopback};
 
 async fn listen(address: SocketAddr) -> Result<TcpListener, Error> {
     TcpListener::bind(address).await.context(ListenSnafu { address: address.to_string() })
 }
 
-/// Serves until the end.
-pub async fn work(
-    shop: &Rc<Shop>,
+/// Serves on all listeners until shutdown has finished.
+pub async fn serve(
+    proxy: &Rc<Proxy>,
     phases: watch::Receiver<ShutdownPhase>,
     metrics: Option<u16>,
 ) -> Result<(), Error> {
-    let settings = &shop.settings;
+    let settings = &proxy.settings;
     let front = listen(settings.bind_addrs.front.context(NeededSnafu { key: "bind_addrs.front" })?).await?;
-    let ready =
+    let readiness =
         listen(settings.bind_addrs.readiness.context(NeededSnafu { key: "bind_addrs.readiness" })?).await?;
-    let inner = listen(SocketAddr::new(settings.ip, settings.internal_ports.0)).await?;
-    let local = listen(SocketAddr::new(loopback(settings.ip), settings.internal_ports.0 + 1)).await?;
+    let peers = listen(SocketAddr::new(settings.ip, settings.internal_ports.0)).await?;
+    let agent = listen(SocketAddr::new(loopback(settings.ip), settings.internal_ports.0 + 1)).await?;
     log::info!("serving clients on {}", front.local_addr().map(|a| a.to_string()).unwrap_or_default());
 
     let limits = Limits {
@@ -42,22 +42,23 @@
         max_connections: 400,
         ack_timeout: None,
     };
-    // What the porter brings goes before what waits from others: who owns what may have changed.
-    for (listener, inputs) in [(inner, shop.inputs()), (local, shop.urgent())] {
+    // Messages from the agent are processed before those of other proxies, as they may change function
+    // owners.
+    for (listener, inputs) in [(peers, proxy.inputs()), (agent, proxy.urgent_inputs())] {
         let handler = move |call| {
             let inputs = inputs.clone();
             async move {
                 let (reply, replied) = oneshot::channel();
-                let gone = || Reply::empty(StatusCode::SERVICE_UNAVAILABLE);
+                let unavailable = || Reply::empty(StatusCode::SERVICE_UNAVAILABLE);
                 if inputs.send(Input::Call(call, reply)).await.is_err() {
-                    return gone();
+                    return unavailable();
                 }
-                replied.await.unwrap_or_else(|_| gone())
+                replied.await.unwrap_or_else(|_| unavailable())
             }
         };
         tokio::spawn(messaging::serve(listener, limits, handler, std::future::pending()));
     }
-    let (inputs, limits) = (shop.inputs(), Limits { max_body_bytes: 0, max_connections: 20, ..limits });
+    let (inputs, limits) = (proxy.inputs(), Limits { max_body_bytes: 0, max_connections: 20, ..limits });
     let handler = move |call| {
         let inputs = inputs.clone();
         async move {
@@ -69,9 +70,9 @@
     if let Some(port) = metrics {
         metrics::serve_at(SocketAddr::new(settings.ip, port), handler.clone()).await;
     }
-    tokio::spawn(messaging::serve(ready, limits, handler, std::future::pending()));
-    let room = ConnectionLimiter::new((settings.limits.max_fds as usize).saturating_sub(200) / 2);
-    tokio::task::spawn_local(front::serve(Rc::clone(shop), front, room, phases.clone()));
-    shop.rounds(phases).await;
+    tokio::spawn(messaging::serve(readiness, limits, handler, std::future::pending()));
+    let limiter = ConnectionLimiter::new((settings.limits.max_fds as usize).saturating_sub(200) / 2);
+    tokio::task::spawn_local(frontend::serve(Rc::clone(proxy), front, limiter, phases.clone()));
+    proxy.run(phases).await;
     Ok(())
 }
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -1,16 +1,17 @@
-//! `proxy`: the proxy of an edge machine. It takes requests from clients, asks the owner of the function for a permit and sends the
-//! request to the instance that it names. Its configuration, the other stalls and the instances come from the porter beside it.
+//! `proxy`: the proxy of an edge machine. It accepts client requests, requests a permit from the owner of the
+//! function and forwards the request to the instance that the permit names. It receives its configuration,
+//! the membership view and the instances from the agent on the same machine.
 
-mod currency;
+mod config_revisions;
+mod drain;
 mod errors;
-mod figures;
-mod front;
-mod opening;
+mod frontend;
+mod listeners;
+mod metrics;
 mod pool;
-mod rest;
-mod shop;
+mod proxy;
+mod request_trace;
 mod signals;
-mod trail;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -24,38 +25,38 @@
 /// The proxy of an edge machine.
 #[derive(argh::FromArgs)]
 struct Options {
-    /// the settings file; else the path in DEWJUNCTION_CONFIG
+    /// path of the settings file; default: the path in DEWJUNCTION_CONFIG
     #[argh(option)]
     config: Option<PathBuf>,
-    /// read and check the settings file, say what is wrong with it, and end
+    /// check the settings file, report its errors, and exit
     #[argh(switch)]
     check_config: bool,
-    /// tell figures of the process at this port of the machine, under /metrics
+    /// serve metrics at this port of the machine, under /metrics
     #[argh(option)]
     metrics: Option<u16>,
-    /// learn how fast workers are from what answers take, and give instances on slow ones out last
+    /// rank workers by measured response times, and use instances on slow workers last
     #[argh(switch)]
     speeds: bool,
-    /// write what the stall decides on as lines to the standard output, for `replay`
+    /// write a recording of all scheduling inputs to standard output, for `replay`
     #[argh(switch)]
     record: bool,
-    /// megabytes of lines at most; what comes beyond is counted and left out
+    /// maximum size of the recording in megabytes; further lines are counted and omitted
     #[argh(option, default = "64")]
     record_mb: u64,
 }
 
-/// What this program needs beside what all do.
-const NEEDS: [&str; 2] = ["bind_addrs.front", "bind_addrs.readiness"];
+/// Settings that only the proxy requires.
+const REQUIRED_KEYS: [&str; 2] = ["bind_addrs.front", "bind_addrs.readiness"];
 
 fn main() -> ExitCode {
     let options: Options = argh::from_env();
     millpost_net::logs::start();
     let path = options.config.or_else(|| std::env::var_os("DEWJUNCTION_CONFIG").map(PathBuf::from));
     let Some(path) = path else {
-        log::error!("no settings: neither --config nor DEWJUNCTION_CONFIG names a file");
+        log::error!("no settings file: set --config or DEWJUNCTION_CONFIG");
         return ExitCode::from(2);
     };
-    let settings = match Settings::load_for(&path, &NEEDS) {
+    let settings = match Settings::load_for(&path, &REQUIRED_KEYS) {
         Ok(settings) => settings,
         Err(faults) => {
             faults.lines().for_each(|fault| log::error!("{fault}"));
@@ -69,23 +70,23 @@
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => {
-            log::error!("no runtime: {e}");
+            log::error!("cannot start the async runtime: {e}");
             return ExitCode::FAILURE;
         }
     };
-    let bound =
+    let limit =
         OutputLimit { bytes: options.record_mb.saturating_mul(1 << 20), omitted_line: frame::omitted_line };
-    let lines = match options.record.then(|| Lines::start(bound)).transpose() {
+    let lines = match options.record.then(|| Lines::start(limit)).transpose() {
         Ok(lines) => lines,
         Err(e) => {
-            log::error!("nothing can be recorded: {e}");
+            log::error!("cannot start the recording: {e}");
             return ExitCode::FAILURE;
         }
     };
     let local = tokio::task::LocalSet::new();
     let ended = local
         .block_on(&runtime, run(settings, options.speeds, options.metrics, lines.as_ref().map(Lines::sink)));
-    // What is still under way is not waited for: its time was up.
+    // Remaining tasks are not awaited: the shutdown grace period is over.
     runtime.shutdown_background();
     match ended {
         Ok(()) => ExitCode::SUCCESS,
@@ -102,7 +103,7 @@
     metrics: Option<u16>,
     sink: Option<Sink>,
 ) -> Result<(), errors::Error> {
-    let shop = shop::Shop::open(settings, speeds, sink).await?;
-    let phases = signals::phases(Duration::from_secs_f64(shop.settings.bounds.grace_s))?;
-    opening::work(&shop, phases, metrics).await
+    let proxy = proxy::Proxy::open(settings, speeds, sink).await?;
+    let phases = signals::phases(Duration::from_secs_f64(proxy.settings.bounds.grace_s))?;
+    listeners::serve(&proxy, phases, metrics).await
 }
--- a/proxy/src/pool.rs
+++ b/proxy/src/pool.rs
@@ -1,5 +1,7 @@
-//! Connections to instances, and one exchange on them. Invariant: a connection on which anything is odd carries nothing more; an
-//! outcome says *not run* only where the last byte was not written or the endpoint said so.
+//! Connections to instances, and single request-response exchanges on them.
+//!
+//! Invariants: a connection on which anything unexpected happened is not reused. An outcome states that the
+//! request was not executed only if its last byte was not written or the instance said so.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -16,32 +18,35 @@
 use millpost_scheduler::Outcome;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Answers are kept whole before they are passed on, up to this.
-const LONGEST_BODY: usize = 8 << 20;
-/// A connection comes up within this, or the instance is not there.
-const CONNECT: Duration = Duration::from_millis(300);
-/// What the endpoint doesn't say: its idle connections may be gone after this.
-const IDLE: Duration = Duration::from_secs(4);
-/// A connection that was used so lately has not been given up since.
+/// Maximum size of an answer's body, which is buffered before it is forwarded.
+const MAX_BODY_BYTES: usize = 8 << 20;
+/// Connect timeout, after which an instance counts as unreachable.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time after which an idle connection is no longer reused, unless the instance announces another.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// A connection used within this time is assumed not to have been closed by the instance since.
 const JUST_USED: Duration = Duration::from_millis(50);
-/// After an answer its connection can carry another request within this, or is closed.
-const REST: Duration = Duration::from_millis(20);
-/// Idle connections in all.
-const MOST: usize = 1_500;
+/// Time after an answer within which its connection must be reusable; otherwise it is closed.
+const REUSABLE_WITHIN: Duration = Duration::from_millis(20);
+/// Maximum number of idle connections to all instances.
+const MAX_IDLE: usize = 1_500;
 
-/// The header by which an endpoint knows that it is meant.
-const EXPECT: HeaderName = HeaderName::from_static("x-expect-endpoint");
-const NOT_RUN: HeaderName = HeaderName::from_static("x-not-executed");
+/// Names the instance for which a request is meant, so that another one at a reused address rejects it.
+const EXPECTED_INSTANCE: HeaderName = HeaderName::from_static("x-expect-endpoint");
+/// Set by an instance that did not execute the request.
+const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
+/// Set by an instance on every successful answer.
 const SEAL: HeaderName = HeaderName::from_static("x-endpoint-seal");
-/// The id of a try of a client.
+/// Header with the id that the client gave to its attempt.
 pub const ATTEMPT: HeaderName = HeaderName::from_static("x-attempt-id");
-/// What is left of its time, in milliseconds.
+/// Header with the time remaining until the client's deadline, in milliseconds.
 pub const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
 
 struct Idle {
     link: Link,
     since: Instant,
-    within: Duration,
+    /// Time for which the connection may stay idle.
+    max_idle_time: Duration,
 }
 
 /// Idle connections by instance.
@@ -50,35 +55,35 @@
     idle: RefCell<HashMap<CompactString, Vec<Idle>>>,
 }
 
-/// What is to be sent.
+/// A request to send to an instance.
 pub struct Call<'a> {
-    /// As it came.
+    /// The request as received.
     pub request: &'a Request<Bytes>,
-    /// It may run only once.
-    pub once: bool,
-    /// Until when its client waits.
+    /// Whether the request must not be executed more than once.
+    pub non_idempotent: bool,
+    /// The client's deadline.
     pub deadline: Instant,
-    /// Until when this try is waited for, where that is less.
+    /// Deadline of this attempt, if earlier than the client's.
     pub until: Option<Instant>,
-    /// Idle connections to the instance that may be kept.
-    pub most: usize,
+    /// Maximum number of idle connections to keep to the instance.
+    pub max_idle: usize,
 }
 
-/// How one exchange ended.
+/// Result of an exchange.
 pub struct Exchange {
-    /// The outcome.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Something of the request may have reached the endpoint.
+    /// Whether any part of the request may have reached the instance.
     pub sent: bool,
-    /// A connection was refused outright.
+    /// Whether the instance refused the connection.
     pub refused: bool,
-    /// The endpoint's answer, whole.
+    /// The complete answer of the instance.
     pub answer: Option<Response<Bytes>>,
 }
 
 impl Exchange {
-    /// One that is waited for no more: its request may be running.
-    pub fn cut() -> Self {
+    /// Result of an exchange that was abandoned; the request may still be running.
+    pub fn abandoned() -> Self {
         Exchange::of(Outcome::Abandoned, true)
     }
 
@@ -88,13 +93,13 @@
 }
 
 impl Pool {
-    /// The connection that was used last.
-    fn kept(&self, instance: &str) -> Option<(Link, Duration)> {
+    /// Takes the most recently used idle connection, and returns it with its idle time.
+    fn take_idle(&self, instance: &str) -> Option<(Link, Duration)> {
         let mut idle = self.idle.borrow_mut();
         let all = idle.get_mut(instance)?;
         while let Some(kept) = all.pop() {
             let age = kept.since.elapsed();
-            if age < kept.within && kept.link.usable() {
+            if age < kept.max_idle_time && kept.link.usable() {
                 return Some((kept.link, age));
             }
         }
@@ -102,31 +107,32 @@
         None
     }
 
-    /// Keeps a connection for the next request, if no more than `most` are kept.
-    pub fn keep(&self, instance: &CompactString, link: Link, within: Duration, most: usize) {
+    /// Keeps an idle connection for reuse, if fewer than `max_idle` are kept for the instance.
+    pub fn keep(&self, instance: &CompactString, link: Link, max_idle_time: Duration, max_idle: usize) {
         let mut idle = self.idle.borrow_mut();
         let count: usize = idle.values().map(Vec::len).sum();
         let all = idle.entry(instance.clone()).or_default();
-        if all.len() < most.max(1) && count < MOST && !within.is_zero() && link.usable() {
-            all.push(Idle { link, since: Instant::now(), within });
+        if all.len() < max_idle.max(1) && count < MAX_IDLE && !max_idle_time.is_zero() && link.usable() {
+            all.push(Idle { link, since: Instant::now(), max_idle_time });
         }
     }
 
-    /// Closes what is too old.
-    pub fn sweep(&self) {
+    /// Closes connections that are idle for too long.
+    pub fn close_expired(&self) {
         self.idle.borrow_mut().retain(|_, all| {
-            all.retain(|kept| kept.since.elapsed() < kept.within && kept.link.usable());
+            all.retain(|kept| kept.since.elapsed() < kept.max_idle_time && kept.link.usable());
             !all.is_empty()
         });
     }
 
-    /// A new connection, kept for the first request: the instance has come up. Whether it has.
-    pub async fn scout(&self, instance: &CompactString, address: SocketAddr, keep: bool) -> bool {
-        let options = Options { connect_timeout: Some(CONNECT), ack_timeout: None };
+    /// Opens a connection to check that an instance is up. With `keep` the connection is kept for the first
+    /// request.
+    pub async fn probe(&self, instance: &CompactString, address: SocketAddr, keep: bool) -> bool {
+        let options = Options { connect_timeout: Some(CONNECT_TIMEOUT), ack_timeout: None };
         match Link::open_with(address, options).await {
             Ok(link) => {
                 if keep {
-                    self.keep(instance, link, IDLE, 1);
+                    self.keep(instance, link, IDLE_TIMEOUT, 1);
                 }
                 true
             }
@@ -134,21 +140,22 @@
         }
     }
 
-    /// Sends a request to an instance, and waits for its answer.
+    /// Sends a request to an instance and waits for the complete answer. Retries once on a new connection if
+    /// a reused one was closed before the request was written completely.
     pub async fn exchange(&self, instance: &CompactString, address: SocketAddr, call: Call<'_>) -> Exchange {
-        let Call { request, once, deadline, until, most } = call;
-        let (until, unheard) = match until.filter(|until| *until < deadline) {
+        let Call { request, non_idempotent, deadline, until, max_idle } = call;
+        let (until, timeout_outcome) = match until.filter(|until| *until < deadline) {
             Some(until) => (until, Outcome::TimedOut),
             None => (deadline, Outcome::Abandoned),
         };
         let mut fresh = false;
         loop {
-            let kept = if fresh { None } else { self.kept(instance) };
+            let kept = if fresh { None } else { self.take_idle(instance) };
             let (mut link, age) = match kept {
                 Some(kept) => kept,
                 None => {
                     fresh = true;
-                    let within = CONNECT.min(deadline.saturating_duration_since(Instant::now()));
+                    let within = CONNECT_TIMEOUT.min(deadline.saturating_duration_since(Instant::now()));
                     let options = Options { connect_timeout: Some(within), ack_timeout: None };
                     match Link::open_with(address, options).await {
                         Ok(link) => (link, Duration::ZERO),
@@ -159,14 +166,15 @@
                     }
                 }
             };
-            let proof = once || age >= JUST_USED;
-            let Some(out) = outward(request, instance, deadline) else {
+            let proof = non_idempotent || age >= JUST_USED;
+            let Some(out) = outgoing(request, instance, deadline) else {
                 return Exchange::of(Outcome::Abandoned, false);
             };
-            let asked = timeout_at(until, link.send(out, proof, None)).await;
-            let answer = match asked {
-                Err(_) => return Exchange::of(unheard, true),
-                // A kept connection that was given up: nothing has run, and a new one may do.
+            let result = timeout_at(until, link.send(out, proof, None)).await;
+            let answer = match result {
+                Err(_) => return Exchange::of(timeout_outcome, true),
+                // The instance had closed the idle connection: the request was not executed, so that it can
+                // be sent on a new one.
                 Ok(Err(Error::NotSent | Error::Cut)) if !fresh => {
                     fresh = true;
                     continue;
@@ -176,24 +184,28 @@
                 Ok(Ok(answer)) => answer,
             };
             let (head, body) = answer.into_parts();
-            // One without a length ends with its connection. Where that was reset on the way, reading it fails.
+            // A body without a length ends with its connection. Reading it fails if the connection is reset.
             let sized = body.size_hint().exact().is_some()
                 || head.headers.contains_key(hyper::header::TRANSFER_ENCODING);
-            let whole = timeout_at(until, Limited::new(body, LONGEST_BODY).collect()).await;
+            let whole = timeout_at(until, Limited::new(body, MAX_BODY_BYTES).collect()).await;
             let body = match whole {
-                Err(_) => return Exchange::of(unheard, true),
+                Err(_) => return Exchange::of(timeout_outcome, true),
                 Ok(Err(_)) => return Exchange::of(Outcome::NoAnswer, true),
                 Ok(Ok(body)) => body.to_bytes(),
             };
-            let outcome = judge(request, head.status, &head.headers);
+            let outcome = classify(request, head.status, &head.headers);
             if outcome == Outcome::NoAnswer {
                 return Exchange::of(outcome, true);
             }
-            let within = idle_for(&head.headers);
-            // An endpoint may answer before it has read a long body, and read on later: its client does not wait for that, and what
-            // is written of the next request could not be told from what is left of this one.
-            if sized && link.all_written() && matches!(timeout(REST, link.reusable()).await, Ok(true)) {
-                self.keep(instance, link, within, most);
+            let max_idle_time = keep_alive(&head.headers);
+            // An instance may answer before it has read a long body, and read on later. The answer is not
+            // delayed for that, and the connection is not reused, because bytes written for the next request
+            // could not be distinguished from the remaining ones of this request.
+            if sized
+                && link.all_written()
+                && matches!(timeout(REUSABLE_WITHIN, link.reusable()).await, Ok(true))
+            {
+                self.keep(instance, link, max_idle_time, max_idle);
             }
             let sent = true;
             let answer = Some(Response::from_parts(head, body));
@@ -202,8 +214,9 @@
     }
 }
 
-/// The request as it goes out: as it came, with the instance that is meant and what is left of its time.
-fn outward(request: &Request<Bytes>, instance: &str, deadline: Instant) -> Option<Request<Full<Bytes>>> {
+/// Builds the request to send: as received, with the headers for the target instance and the remaining time.
+/// Returns `None` if the deadline has passed.
+fn outgoing(request: &Request<Bytes>, instance: &str, deadline: Instant) -> Option<Request<Full<Bytes>>> {
     let mut out = Request::new(Full::new(request.body().clone()));
     *out.method_mut() = request.method().clone();
     *out.uri_mut() = request.uri().clone();
@@ -213,42 +226,43 @@
         return None;
     }
     out.headers_mut().insert(DEADLINE, left.to_string().parse().ok()?);
-    out.headers_mut().insert(EXPECT, instance.parse().ok()?);
+    out.headers_mut().insert(EXPECTED_INSTANCE, instance.parse().ok()?);
     Some(out)
 }
 
-/// What an answer means that was read to its end. One that belongs to another request, or is no endpoint's, is none.
-fn judge(request: &Request<Bytes>, status: StatusCode, headers: &HeaderMap) -> Outcome {
-    let (asked, named) = (request.headers().get(ATTEMPT), headers.get(ATTEMPT));
-    // A late answer to another request proves nothing of this one, whatever it says: this one may run yet.
-    if named.is_some() && named != asked {
+/// Classifies a complete answer. One that belongs to another request, or is not from an instance, counts as
+/// no answer.
+fn classify(request: &Request<Bytes>, status: StatusCode, headers: &HeaderMap) -> Outcome {
+    let (expected, actual) = (request.headers().get(ATTEMPT), headers.get(ATTEMPT));
+    // A late answer to another request says nothing about this one, which may still be executed.
+    if actual.is_some() && actual != expected {
         return Outcome::NoAnswer;
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
         return Outcome::AddressReused;
     }
-    if headers.contains_key(NOT_RUN) {
+    if headers.contains_key(NOT_EXECUTED) {
         return Outcome::Full;
     }
-    if named != asked {
+    if actual != expected {
         return Outcome::NoAnswer;
     }
     if status.is_success() {
         let good = headers.contains_key(SEAL) && !headers.contains_key(CONTENT_ENCODING);
         return if good { Outcome::Answered } else { Outcome::NoAnswer };
     }
-    // These promise that nothing has run, and only the endpoint's own word for it counts.
+    // These statuses promise that nothing was executed, which is trusted only with the header above.
     if matches!(status.as_u16(), 408 | 429 | 503) { Outcome::NoAnswer } else { Outcome::Failed }
 }
 
-/// How long an idle connection may be used again, by what the endpoint says.
-fn idle_for(headers: &HeaderMap) -> Duration {
-    let told = headers.get("keep-alive").and_then(|v| v.to_str().ok()).and_then(|v| {
-        let of = v.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
-        of.trim().parse::<u64>().ok()
+/// Time for which an idle connection may be reused, from the `Keep-Alive` header.
+fn keep_alive(headers: &HeaderMap) -> Duration {
+    let announced = headers.get("keep-alive").and_then(|v| v.to_str().ok()).and_then(|v| {
+        let timeout = v.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
+        timeout.trim().parse::<u64>().ok()
     });
-    // It closes by its own clock, and its word is in whole seconds.
-    told.map_or(IDLE, |s| Duration::from_millis((s.min(3_600) * 1_000).saturating_sub(300)))
+    // The margin allows for differing clocks and for the header's resolution of one second.
+    announced.map_or(IDLE_TIMEOUT, |s| Duration::from_millis((s.min(3_600) * 1_000).saturating_sub(300)))
 }
 
 #[cfg(test)]
@@ -263,20 +277,20 @@
         request.body(Bytes::from(vec![b'x'; body])).expect("a request")
     }
 
-    /// Status and headers.
+    /// Cases: status, headers, expected outcome.
     #[yare::parameterized(
         success = { 200, &[("x-attempt-id", "mine"), ("x-endpoint-seal", "s")], Outcome::Answered },
         of_another_request = { 200, &[("x-attempt-id", "other"), ("x-endpoint-seal", "s")], Outcome::NoAnswer },
         of_none = { 200, &[("x-endpoint-seal", "s")], Outcome::NoAnswer },
         without_a_seal = { 200, &[("x-attempt-id", "mine")], Outcome::NoAnswer },
         failure = { 500, &[("x-attempt-id", "mine")], Outcome::Failed },
-        turned_away = { 503, &[("x-attempt-id", "mine"), ("x-not-executed", "1")], Outcome::Full },
-        another_was_turned_away = { 503, &[("x-attempt-id", "other"), ("x-not-executed", "1")], Outcome::NoAnswer },
-        elsewhere = { 421, &[("x-attempt-id", "mine")], Outcome::AddressReused },
-        another_was_elsewhere = { 421, &[("x-attempt-id", "other")], Outcome::NoAnswer },
-        a_promise_of_nobody = { 503, &[("x-attempt-id", "mine")], Outcome::NoAnswer },
+        rejected = { 503, &[("x-attempt-id", "mine"), ("x-not-executed", "1")], Outcome::Full },
+        another_was_rejected = { 503, &[("x-attempt-id", "other"), ("x-not-executed", "1")], Outcome::NoAnswer },
+        address_reused = { 421, &[("x-attempt-id", "mine")], Outcome::AddressReused },
+        another_was_address_reused = { 421, &[("x-attempt-id", "other")], Outcome::NoAnswer },
+        unavailable_without_the_header = { 503, &[("x-attempt-id", "mine")], Outcome::NoAnswer },
     )]
-    fn an_answer_counts_for_the_request_that_it_names(
+    fn an_answer_counts_only_for_the_request_that_it_names(
         status: u16,
         headers: &[(&'static str, &'static str)],
         expected: Outcome,
@@ -286,11 +300,11 @@
             all.insert(*name, value.parse().expect("a value"));
         });
         let status = StatusCode::from_u16(status).expect("a status");
-        assert_eq!(judge(&request(0), status, &all), expected);
+        assert_eq!(classify(&request(0), status, &all), expected);
     }
 
-    /// An endpoint that answers one request with these bytes, and ends the connection in order or resets it.
-    async fn endpoint(answer: &'static [u8], reset: bool) -> SocketAddr {
+    /// Starts an instance that answers one request with these bytes, then closes or resets the connection.
+    async fn start_instance(answer: &'static [u8], reset: bool) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         tokio::spawn(async move {
@@ -307,25 +321,26 @@
         address
     }
 
-    /// Without a length an answer is as long as its connection, if that ends in order; one with a length may not end before it.
+    /// An answer without a length ends when its connection is closed properly. An answer with a length must
+    /// not end before it.
     #[yare::parameterized(
-        in_order = { "", false, Some(3) },
-        by_a_reset = { "", true, None },
-        before_its_length = { "content-length: 4\r\n", false, None },
+        closed = { "", false, Some(3) },
+        reset = { "", true, None },
+        closed_before_its_length = { "content-length: 4\r\n", false, None },
     )]
     #[test_macro(tokio::test)]
-    async fn an_answer_is_whole_where_its_connection_ends_in_order(
+    async fn an_answer_is_complete_only_if_its_connection_is_closed_properly(
         length: &str,
         reset: bool,
         whole: Option<usize>,
     ) {
         let answer =
             format!("HTTP/1.1 200 OK\r\nx-attempt-id: mine\r\nx-endpoint-seal: s\r\n{length}\r\nabc");
-        let address = endpoint(answer.leak().as_bytes(), reset).await;
+        let address = start_instance(answer.leak().as_bytes(), reset).await;
         let pool = Pool::default();
         let request = request(0);
         let deadline = Instant::now() + Duration::from_secs(60);
-        let call = Call { request: &request, once: true, deadline, until: None, most: 1 };
+        let call = Call { request: &request, non_idempotent: true, deadline, until: None, max_idle: 1 };
         let done = pool.exchange(&"i".into(), address, call).await;
         let expected = if whole.is_some() { Outcome::Answered } else { Outcome::NoAnswer };
         assert_eq!(done.outcome, expected);
@@ -333,12 +348,13 @@
         assert!(pool.idle.borrow().is_empty());
     }
 
-    /// It answers once it has read the head, and never reads on: its answer is passed on, and no other request goes that way.
+    /// The instance answers after reading the head and never reads the body: its answer must be forwarded
+    /// without delay, and the connection must not be reused.
     #[tokio::test]
-    async fn an_answer_before_the_body_is_read_is_passed_on_at_once_and_ends_the_connection() {
+    async fn an_answer_sent_before_the_body_is_read_is_forwarded_and_closes_the_connection() {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let endpoint = tokio::spawn(async move {
+        let instance = tokio::spawn(async move {
             let (mut stream, _) = listener.accept().await.expect("a connection");
             let mut head = Vec::new();
             while !head.ends_with(b"\r\n\r\n") {
@@ -352,10 +368,10 @@
         let pool = Pool::default();
         let request = request(32 << 20);
         let deadline = Instant::now() + Duration::from_secs(60);
-        let call = Call { request: &request, once: true, deadline, until: None, most: 1 };
+        let call = Call { request: &request, non_idempotent: true, deadline, until: None, max_idle: 1 };
         let done = pool.exchange(&"i".into(), address, call).await;
         assert_eq!(done.outcome, Outcome::Answered);
         assert!(pool.idle.borrow().is_empty());
-        endpoint.abort();
+        instance.abort();
     }
 }
--- a/proxy/src/signals.rs
+++ b/proxy/src/signals.rs
@@ -1,4 +1,4 @@
-//! The end of the process: SIGTERM leads through the phases, by the clock.
+//! Shutdown on SIGTERM, in timed phases.
 
 use std::time::Duration;
 
@@ -10,24 +10,26 @@
 
 use crate::errors::{Error, SignalsSnafu};
 
-/// Follows SIGTERM through the phases; a second one changes nothing. SIGHUP means that the settings file has changed: nothing in it that
-/// a stall uses may change in its life, and the porter follows the seeds.
+/// Returns the current phase, which advances by schedule once SIGTERM arrives; further signals are ignored.
+///
+/// SIGHUP signals that the settings file has changed. It only causes a log line: no setting that the proxy
+/// uses can change while it runs, and the agent applies changes of the seed nodes.
 pub fn phases(grace: Duration) -> Result<watch::Receiver<ShutdownPhase>, Error> {
-    let (told, phases) = watch::channel(ShutdownPhase::Serving);
+    let (sender, phases) = watch::channel(ShutdownPhase::Serving);
     let mut term = signal(SignalKind::terminate()).context(SignalsSnafu)?;
     let mut hang_up = signal(SignalKind::hangup()).context(SignalsSnafu)?;
     tokio::task::spawn_local(async move {
         loop {
             tokio::select! {
                 _ = term.recv() => break,
-                _ = hang_up.recv() => log::info!("settings have changed; a stall goes on with its own"),
+                _ = hang_up.recv() => log::info!("settings file changed; the proxy keeps its settings"),
             }
         }
-        let began = Instant::now();
+        let started = Instant::now();
         log::info!("leaving");
         for (phase, after) in ShutdownPhase::schedule(grace.as_nanos() as u64) {
-            sleep_until(began + Duration::from_nanos(after)).await;
-            let _ = told.send(phase);
+            sleep_until(started + Duration::from_nanos(after)).await;
+            let _ = sender.send(phase);
         }
     });
     Ok(phases)
