--- a/net/src/connection_limiter.rs
+++ b/net/src/connection_limiter.rs
@@ -1,4 +1,4 @@
-//! Which of the clients' connections are kept: as many as there is room for, and who leaves when there is none.
+//! Limits the number of client connections, and selects the connection to close when the limit is reached.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,112 +8,116 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, timeout};
 
-/// A client that means to ask does so right after it has connected. Guards its first request, which fails if
-/// the connection closes under it.
-const GREETING: Duration = Duration::from_millis(200);
-/// A body that is on its way comes within this time.
-const SLOW: Duration = Duration::from_millis(500);
-/// An answer has been written by then. No longer, or a crowd of clients that ask once and stay keeps others out.
-const WRITTEN: Duration = Duration::from_millis(10);
-/// How often it is looked again whether one may leave.
-const AGAIN: Duration = Duration::from_millis(20);
-
-/// What a connection is at.
+/// Time after connecting in which a connection is not closed: clients send their first request right after
+/// connecting, and it would fail.
+const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(200);
+/// Time after which the sender of a request body is considered slow, and its connection may be closed.
+const SLOW_BODY: Duration = Duration::from_millis(500);
+/// Time after an answer in which the connection is not closed, so that the answer can be written. A longer
+/// time would let many clients that send one request and stay connected keep others out.
+const WRITE_GRACE: Duration = Duration::from_millis(10);
+/// Interval at which a waiting connection checks again whether another one can be closed.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
+
+/// State of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// It has asked nothing yet.
-    Silent,
-    /// No request is open.
+    /// No request has been received yet.
+    New,
+    /// No request is in progress.
     Idle,
-    /// The body of a request is being read.
+    /// A request is being received.
     Reading,
-    /// A request is owed its answer.
+    /// A request was received and has not been answered.
     Answering,
 }
 
-struct Place {
+struct Connection {
     state: State,
     since: Instant,
-    /// None once it has been told to leave.
-    leave: Option<oneshot::Sender<()>>,
+    /// Signals the connection to close; `None` once signalled.
+    close: Option<oneshot::Sender<()>>,
 }
 
 #[derive(Default)]
-struct Places {
-    taken: HashMap<u64, Place>,
+struct Connections {
+    open: HashMap<u64, Connection>,
     next: u64,
 }
 
-/// The room for clients' connections.
+/// Limits the number of open client connections.
 pub struct ConnectionLimiter {
-    most: AtomicUsize,
-    places: Mutex<Places>,
+    limit: AtomicUsize,
+    connections: Mutex<Connections>,
     freed: Notify,
 }
 
-/// The place of one connection, which it holds until this is dropped.
+/// The slot of one connection, which is released when this is dropped.
 pub struct ConnectionSlot {
     number: u64,
-    room: Arc<ConnectionLimiter>,
+    limiter: Arc<ConnectionLimiter>,
 }
 
 impl ConnectionLimiter {
-    /// Room for so many.
-    pub fn new(most: usize) -> Arc<Self> {
+    /// Creates a limiter for up to `limit` connections.
+    pub fn new(limit: usize) -> Arc<Self> {
         Arc::new(ConnectionLimiter {
-            most: AtomicUsize::new(most),
-            places: Mutex::default(),
+            limit: AtomicUsize::new(limit),
+            connections: Mutex::default(),
             freed: Notify::new(),
         })
     }
 
-    /// There is room for so many from now on.
-    pub fn set_limit(&self, most: usize) {
-        self.most.store(most, Ordering::Relaxed);
+    /// Changes the limit.
+    pub fn set_limit(&self, limit: usize) {
+        self.limit.store(limit, Ordering::Relaxed);
         self.freed.notify_waiters();
     }
 
-    /// How many there are.
+    /// Returns the number of open connections.
     pub fn taken(&self) -> usize {
-        self.places().taken.len()
+        self.connections().open.len()
     }
 
-    fn places(&self) -> MutexGuard<'_, Places> {
-        self.places.lock().unwrap_or_else(PoisonError::into_inner)
+    fn connections(&self) -> MutexGuard<'_, Connections> {
+        self.connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A place for a new connection, and the word that it must leave. With no room, one that is of least use
-    /// leaves; it waits only while all are owed an answer.
+    /// Waits for a slot for a new connection. The returned receiver signals that the connection must be
+    /// closed. At the limit the least useful connection is closed; the call waits only while no connection
+    /// may be closed.
     pub async fn acquire(self: &Arc<Self>) -> (ConnectionSlot, oneshot::Receiver<()>) {
         loop {
             let freed = self.freed.notified();
             {
-                let mut places = self.places();
-                if places.taken.len() < self.most.load(Ordering::Relaxed) {
-                    let (leave, leaves) = oneshot::channel();
-                    let number = places.next;
-                    places.next += 1;
-                    let place = Place { state: State::Silent, since: Instant::now(), leave: Some(leave) };
-                    places.taken.insert(number, place);
-                    return (ConnectionSlot { number, room: self.clone() }, leaves);
+                let mut connections = self.connections();
+                if connections.open.len() < self.limit.load(Ordering::Relaxed) {
+                    let (close, closed) = oneshot::channel();
+                    let number = connections.next;
+                    connections.next += 1;
+                    let connection =
+                        Connection { state: State::New, since: Instant::now(), close: Some(close) };
+                    connections.open.insert(number, connection);
+                    return (ConnectionSlot { number, limiter: self.clone() }, closed);
                 }
-                // One at a time: its place is free once its descriptor is.
-                let leaving = places.taken.values().any(|place| place.leave.is_none());
-                if let Some(number) = least(&places.taken).filter(|_| !leaving)
-                    && let Some(leave) = places.taken.get_mut(&number).and_then(|place| place.leave.take())
+                // One at a time: the slot becomes free only after the descriptor is closed.
+                let closing = connections.open.values().any(|connection| connection.close.is_none());
+                if let Some(number) = select_victim(&connections.open).filter(|_| !closing)
+                    && let Some(close) =
+                        connections.open.get_mut(&number).and_then(|connection| connection.close.take())
                 {
-                    let _ = leave.send(());
+                    let _ = close.send(());
                 }
             }
-            let _ = timeout(AGAIN, freed).await;
+            let _ = timeout(RETRY_INTERVAL, freed).await;
         }
     }
 
-    /// Waits until every connection has ended.
+    /// Waits until all connections are closed.
     pub async fn wait_until_empty(&self) {
         loop {
             let freed = self.freed.notified();
-            if self.places().taken.is_empty() {
+            if self.connections().open.is_empty() {
                 return;
             }
             freed.await;
@@ -121,48 +125,50 @@
     }
 }
 
-/// The connection that leaves first: one that says nothing, one whose request does not come to its end, then
-/// the one that has stood idle for longest. None that is owed an answer.
-fn least(taken: &HashMap<u64, Place>) -> Option<u64> {
-    let rank = |place: &Place| {
-        let passed = place.since.elapsed();
-        match place.state {
-            State::Silent if passed > GREETING => Some(0),
-            State::Reading if passed > SLOW => Some(1),
-            State::Idle if passed > WRITTEN => Some(2),
-            State::Silent | State::Idle | State::Reading | State::Answering => None,
+/// Selects the connection to close: one without a request, else one with a slow request, else the one that
+/// has been idle longest. A connection whose request has not been answered is never selected.
+fn select_victim(open: &HashMap<u64, Connection>) -> Option<u64> {
+    let rank = |connection: &Connection| {
+        let elapsed = connection.since.elapsed();
+        match connection.state {
+            State::New if elapsed > FIRST_REQUEST_GRACE => Some(0),
+            State::Reading if elapsed > SLOW_BODY => Some(1),
+            State::Idle if elapsed > WRITE_GRACE => Some(2),
+            State::New | State::Idle | State::Reading | State::Answering => None,
         }
     };
-    let ranked = taken.iter().filter_map(|(number, place)| Some((rank(place)?, place.since, *number)));
+    let ranked =
+        open.iter().filter_map(|(number, connection)| Some((rank(connection)?, connection.since, *number)));
     ranked.min().map(|(_, _, number)| number)
 }
 
 impl ConnectionSlot {
-    fn now(&self, state: State) {
-        if let Some(place) = self.room.places().taken.get_mut(&self.number) {
-            (place.state, place.since) = (state, Instant::now());
+    fn set_state(&self, state: State) {
+        if let Some(connection) = self.limiter.connections().open.get_mut(&self.number) {
+            (connection.state, connection.since) = (state, Instant::now());
         }
     }
-    /// Since when no request has been open: since it came, or since the last answer.
+    /// Marks the start of a request. Returns since when there was no request: the time of the connection or
+    /// of the last answer.
     pub fn reading(&self) -> Instant {
-        let since = self.room.places().taken.get(&self.number).map(|place| place.since);
-        self.now(State::Reading);
+        let since = self.limiter.connections().open.get(&self.number).map(|connection| connection.since);
+        self.set_state(State::Reading);
         since.unwrap_or_else(Instant::now)
     }
-    /// A request has come in whole, and is owed its answer.
+    /// Marks that a request was received completely.
     pub fn answering(&self) {
-        self.now(State::Answering);
+        self.set_state(State::Answering);
     }
-    /// The answer has been given.
+    /// Marks that the request was answered.
     pub fn idle(&self) {
-        self.now(State::Idle);
+        self.set_state(State::Idle);
     }
 }
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.room.places().taken.remove(&self.number);
-        self.room.freed.notify_waiters();
+        self.limiter.connections().open.remove(&self.number);
+        self.limiter.freed.notify_waiters();
     }
 }
 
@@ -170,29 +176,29 @@
 mod tests {
     use super::*;
 
-    fn place(state: State, age_ms: u64) -> Place {
-        let since = Instant::now().checked_sub(Duration::from_millis(age_ms)).expect("a past");
-        Place { state, since, leave: None }
+    fn connection(state: State, age_ms: u64) -> Connection {
+        let since = Instant::now().checked_sub(Duration::from_millis(age_ms)).expect("earlier instant");
+        Connection { state, since, close: None }
     }
 
     #[test]
-    fn who_leaves_first() {
+    fn connections_are_closed_in_order_of_usefulness() {
         let all = [
-            (1, place(State::Answering, 9_000)),
-            (2, place(State::Idle, 100)),
-            (3, place(State::Idle, 200)),
-            (4, place(State::Reading, 100)),
-            (5, place(State::Reading, 1_000)),
-            (6, place(State::Silent, 1_000)),
-            (7, place(State::Silent, 0)),
+            (1, connection(State::Answering, 9_000)),
+            (2, connection(State::Idle, 100)),
+            (3, connection(State::Idle, 200)),
+            (4, connection(State::Reading, 100)),
+            (5, connection(State::Reading, 1_000)),
+            (6, connection(State::New, 1_000)),
+            (7, connection(State::New, 0)),
         ];
-        let mut taken = HashMap::from(all);
+        let mut open = HashMap::from(all);
         let mut order = Vec::new();
-        while let Some(number) = least(&taken) {
+        while let Some(number) = select_victim(&open) {
             order.push(number);
-            taken.remove(&number);
+            open.remove(&number);
         }
-        // Nobody who is owed an answer, or whose request is just coming in, though all else is full.
+        // Connections with an unanswered or just arriving request are never closed.
         assert_eq!(order, [6, 5, 3, 2]);
     }
 }
--- a/net/src/lib.rs
+++ b/net/src/lib.rs
@@ -1,4 +1,5 @@
-//! Plumbing that the programs share: connections, what was written on them, rooms for clients, mail between our processes.
+//! Networking code shared by the programs: connections, connection limits, messages between processes,
+//! metrics and logs.
 
 pub mod connection_limiter;
 pub mod lines;
--- a/net/src/link.rs
+++ b/net/src/link.rs
@@ -1,5 +1,5 @@
-//! A kept HTTP/1.1 connection: to an endpoint, to discovery, to one of our own processes. It never sends anything again
-//! that may have been acted on.
+//! Persistent HTTP/1.1 connections: to endpoints, to discovery, and to processes of the system. A request
+//! that may have been executed is never sent again.
 
 use std::io;
 use std::net::SocketAddr;
@@ -23,59 +23,60 @@
 use crate::meter::{Part, metered};
 use crate::write_progress::{MessageCounter, MonitoredStream, Peek, WriteProgress};
 
-/// Why there is no answer.
+/// Why a request got no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The connection did not come up.
-    #[error("no connection: {0}")]
+    /// The connection could not be established.
+    #[error("cannot connect: {0}")]
     Connect(#[from] io::Error),
-    /// The connection was gone before anything of the request was written.
-    #[error("not sent")]
+    /// The connection was closed before any part of the request was written.
+    #[error("connection closed before the request was sent")]
     NotSent,
-    /// The connection broke before the last byte of the request was written: it can't have been acted on.
-    #[error("sent in part")]
+    /// The connection broke before the last byte of the request was written, so that it cannot have been
+    /// executed.
+    #[error("connection closed before the request was sent completely")]
     Cut,
-    /// The connection broke, or what came is no answer.
-    #[error("no answer: {0}")]
+    /// The connection broke after the request was sent, or the answer is invalid.
+    #[error("no valid answer: {0}")]
     Broken(hyper::Error),
-    /// The answer's body broke or is too long.
-    #[error("no whole answer: {0}")]
+    /// The body of the answer is incomplete or too long.
+    #[error("cannot read the answer: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// It took too long.
+    /// The time limit was exceeded.
     #[error("timed out")]
     TimedOut,
-    /// The other side has a new address.
-    #[error("the address has changed")]
+    /// The address of the server has changed.
+    #[error("the address of the server has changed")]
     Moved,
 }
 
-/// Guards the memory against an answer without end.
-const LONGEST_HEAD: usize = 64 * 1024;
+/// Maximum length of an answer's head in bytes, which bounds memory use.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// What a connection is to be like.
+/// Options of a connection.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Options {
-    /// How long it may take to come up.
+    /// Time limit for establishing the connection.
     pub connect_timeout: Option<Duration>,
-    /// How long what was sent may go ack_timeout before the connection counts as broken.
+    /// Maximum time for which sent data may remain unacknowledged before the connection is considered broken.
     pub ack_timeout: Option<Duration>,
 }
 
-/// A kept connection.
+/// A persistent connection.
 pub struct Link {
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
     written: WriteProgress,
 }
 
-/// An answer in whole.
+/// A complete answer: status, headers and body.
 pub type Answer = (StatusCode, HeaderMap, Bytes);
 
 impl Link {
-    /// Connects.
+    /// Connects with default options.
     ///
     /// # Errors
-    /// Where no connection comes up.
+    /// If the connection cannot be established.
     pub async fn open(address: SocketAddr) -> Result<Self, Error> {
         Self::open_with(address, Options::default()).await
     }
@@ -83,7 +84,7 @@
     /// Connects.
     ///
     /// # Errors
-    /// Where no connection comes up in time.
+    /// If the connection cannot be established in time.
     pub async fn open_with(address: SocketAddr, options: Options) -> Result<Self, Error> {
         let connecting = TcpStream::connect(address);
         let stream = match options.connect_timeout {
@@ -103,64 +104,68 @@
         let written = WriteProgress::default();
         let stream = MonitoredStream::new(stream, written.clone());
         let mut http = http1::Builder::new();
-        http.max_buf_size(LONGEST_HEAD);
+        http.max_buf_size(MAX_HEAD_BYTES);
         let (sender, connection) = http.handshake(TokioIo::new(stream)).await.map_err(Error::Broken)?;
         let task = tokio::spawn(metered(Part::Calls, async move {
-            // How it ends is told to whoever waits for an answer on it.
+            // Errors are reported to the pending request.
             let _ = connection.await;
         }));
         Ok(Link { sender, task, written })
     }
 
-    /// Nothing is out on it and the other side has not closed it.
+    /// Whether the connection is open and has no pending request.
     pub fn usable(&self) -> bool {
         self.sender.is_ready() && !self.sender.is_closed()
     }
 
-    /// Sends a request, and waits for the head of its answer. With `proof` its last byte is held back for a moment,
-    /// so that a connection that was given up proves that the request never ran. `counted`: where to count the messages
-    /// in it, once it has been written whole.
+    /// Sends a request, and waits for the head of its answer. With `delay_last_byte` the last byte is delayed
+    /// briefly, so that a connection that was closed by the peer shows that the request was not executed.
+    /// `on_complete` is a counter and the number of messages to add to it once the request is written
+    /// completely.
     ///
     /// # Errors
-    /// Where no head of an answer came.
+    /// If no head of an answer arrives.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-        proof: bool,
-        counted: Option<(MessageCounter, u64)>,
+        delay_last_byte: bool,
+        on_complete: Option<(MessageCounter, u64)>,
     ) -> Result<Response<Incoming>, Error> {
-        self.written.expect(request.body().size_hint().exact().unwrap_or(u64::MAX) as usize, proof, counted);
+        self.written.expect(
+            request.body().size_hint().exact().unwrap_or(u64::MAX) as usize,
+            delay_last_byte,
+            on_complete,
+        );
         self.sender.try_send_request(request).await.map_err(|mut e| match e.take_message() {
             Some(_) => Error::NotSent,
             None if self.written.stale() => Error::NotSent,
-            None if !self.written.all() => Error::Cut,
+            None if !self.written.all_written() => Error::Cut,
             None => Error::Broken(e.into_error()),
         })
     }
 
-    /// The last byte of the latest request has been written.
+    /// Whether the last byte of the latest request has been written.
     pub fn all_written(&self) -> bool {
-        self.written.all()
+        self.written.all_written()
     }
 
-    /// The status in the first line of the latest answer, also of one that can't be read any further.
+    /// Returns the status of the latest answer, even if the rest of the answer cannot be parsed.
     pub fn status(&self) -> Option<u16> {
         self.written.status()
     }
 
-    /// What tells of the latest request and its answer, while the link is in use.
+    /// Returns the write progress, which tracks the latest request and its answer.
     pub fn written(&self) -> WriteProgress {
         self.written.clone()
     }
 
-    /// Waits until the connection can carry another request. It never can where more came than the answer: what was
-    /// read of that is known here, and what still waits in the socket when the next request begins makes it
-    /// [`Error::NotSent`].
+    /// Waits until the connection can be reused, and returns whether it can. It cannot if data beyond the
+    /// answer was read. Unread data in the socket makes the next request fail with [`Error::NotSent`].
     pub async fn reusable(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Closes the connection; it is closed once this returns.
+    /// Closes the connection, and returns once it is closed.
     pub async fn close(mut self) {
         self.task.abort();
         let _ = (&mut self.task).await;
@@ -173,7 +178,7 @@
     }
 }
 
-/// Connections to one peer that are opened when they are needed, as many as are in use at once, and kept while they work.
+/// Connections to one server, opened on demand, one per concurrent request, and kept for reuse.
 pub struct Client {
     address: SocketAddr,
     options: Options,
@@ -181,17 +186,17 @@
 }
 
 impl Client {
-    /// Connects to `address`, once it is asked something.
+    /// Creates a client. It connects on the first request.
     pub fn new(address: SocketAddr, options: Options) -> Self {
         Client { address, options, idle: Mutex::default() }
     }
 
-    /// Where it connects to.
+    /// Returns the address of the server.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Closes the connections that are not in use.
+    /// Closes idle connections.
     pub fn clear(&self) {
         self.idle().clear();
     }
@@ -200,47 +205,48 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A kept connection, the one that was in use last.
-    fn kept(&self) -> Option<Link> {
+    /// Takes the most recently used idle connection.
+    fn take_idle(&self) -> Option<Link> {
         let mut idle = self.idle();
         idle.retain(Link::usable);
         idle.pop()
     }
 
-    /// One request and its whole answer, which may be so long. Anything that goes wrong closes the connection. Where a
-    /// kept connection turns out to be closed before anything was written, a new one is opened.
+    /// Sends one request, and returns the complete answer, the body of which may have up to `max_body_bytes`.
+    /// Any error closes the connection. If an idle connection turns out to be closed before any part of the
+    /// request was written, a new one is opened.
     ///
     /// # Errors
-    /// Where no whole answer came in time.
+    /// If no complete answer arrives in time.
     pub async fn ask(
         &self,
         request: Request<Full<Bytes>>,
-        within: Duration,
-        longest: usize,
+        timeout: Duration,
+        max_body_bytes: usize,
     ) -> Result<Answer, Error> {
         let exchange = async {
-            if let Some(link) = self.kept() {
-                match self.on(link, request.clone(), longest).await {
+            if let Some(link) = self.take_idle() {
+                match self.exchange(link, request.clone(), max_body_bytes).await {
                     Err(Error::NotSent) => {}
                     answer => return answer,
                 }
             }
-            self.on(Link::open_with(self.address, self.options).await?, request, longest).await
+            self.exchange(Link::open_with(self.address, self.options).await?, request, max_body_bytes).await
         };
-        timeout(within, exchange).await.map_err(|_| Error::TimedOut)?
+        tokio::time::timeout(timeout, exchange).await.map_err(|_| Error::TimedOut)?
     }
 
-    async fn on(
+    async fn exchange(
         &self,
         mut link: Link,
         mut request: Request<Full<Bytes>>,
-        longest: usize,
+        max_body_bytes: usize,
     ) -> Result<Answer, Error> {
         if let Ok(host) = HeaderValue::from_str(&self.address.to_string()) {
             request.headers_mut().insert(HOST, host);
         }
         let (head, body) = link.send(request, false, None).await?.into_parts();
-        let body = Limited::new(body, longest).collect().await.map_err(Error::Body)?;
+        let body = Limited::new(body, max_body_bytes).collect().await.map_err(Error::Body)?;
         if link.reusable().await {
             self.idle().push(link);
         }
@@ -248,51 +254,53 @@
     }
 }
 
-/// A connection to discovery that is opened when it is needed and kept while it works. Its address may
-/// change at any moment: what is under way then ends at once, and the next request goes to the new one.
+/// A client for the discovery service, whose address may change at any time. A change cancels the current
+/// request, and the next request goes to the new address.
 pub struct DiscoveryClient {
     address: watch::Receiver<SocketAddr>,
     client: Client,
 }
 
-const CONNECT: Duration = Duration::from_secs(1);
+/// Time limit for connecting to discovery.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 fn client(address: SocketAddr) -> Client {
-    Client::new(address, Options { connect_timeout: Some(CONNECT), ack_timeout: None })
+    Client::new(address, Options { connect_timeout: Some(CONNECT_TIMEOUT), ack_timeout: None })
 }
 
 impl DiscoveryClient {
-    /// Connects to the address of the moment, once it is asked something.
+    /// Creates a client. It connects on the first request.
     pub fn new(mut address: watch::Receiver<SocketAddr>) -> Self {
         let client = client(*address.borrow_and_update());
         DiscoveryClient { address, client }
     }
 
-    /// Waits until the address has changed, and closes the connection to the old one.
+    /// Waits until the address changes, and closes connections to the old one.
     pub async fn address_changed(&mut self) {
         if self.address.changed().await.is_err() {
-            // Nobody is left who could change it.
+            // The sender is dropped: the address cannot change any more.
             std::future::pending::<()>().await;
         }
         self.client = client(*self.address.borrow_and_update());
     }
 
-    /// One request and its whole answer. Anything that goes wrong closes the connection.
+    /// Sends one request, and returns status and body of the complete answer. Any error closes the
+    /// connection.
     ///
     /// # Errors
-    /// Where no whole answer came.
+    /// If no complete answer arrives in time, or the address changes.
     pub async fn ask(
         &mut self,
         request: Request<Full<Bytes>>,
-        within: Duration,
-        longest: usize,
+        timeout: Duration,
+        max_body_bytes: usize,
     ) -> Result<(StatusCode, Bytes), Error> {
         if self.address.has_changed().unwrap_or(false) {
             self.address_changed().await;
             return Err(Error::Moved);
         }
         let answer = tokio::select! {
-            answer = self.client.ask(request, within, longest) => answer,
+            answer = self.client.ask(request, timeout, max_body_bytes) => answer,
             Ok(()) = self.address.changed() => {
                 self.client = client(*self.address.borrow());
                 Err(Error::Moved)
@@ -309,23 +317,24 @@
     use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 
     impl Peek for DuplexStream {
-        fn waiting(&self) -> Readable {
+        fn readable(&self) -> Readable {
             Readable::Nothing
         }
     }
 
-    /// The other side reads so many bytes of a request with a long body, then closes.
-    async fn cut_after(read: usize) -> Error {
+    /// Sends a request with a long body to a peer that reads `read` bytes of it and then closes the
+    /// connection.
+    async fn close_after(read: usize) -> Error {
         let (ours, mut theirs) = tokio::io::duplex(16);
         let mut link = Link::over(ours).await.expect("a connection");
         let reader = tokio::spawn(async move {
             let mut bytes = vec![0; read];
-            theirs.read_exact(&mut bytes).await.expect("so many bytes");
+            theirs.read_exact(&mut bytes).await.expect("enough bytes");
         });
         let body = Full::new(Bytes::from(vec![b'x'; 1_000]));
         let request = Request::post("/hook").header("Host", "a").body(body).expect("a request");
         let error = link.send(request, true, None).await.expect_err("no answer");
-        reader.await.expect("it read");
+        reader.await.expect("reader finished");
         error
     }
 
@@ -338,26 +347,28 @@
     }
 
     #[test]
-    fn a_request_that_was_not_written_to_its_end_never_ran() {
-        assert!(matches!(wait(cut_after(500)), Error::Cut));
+    fn a_request_that_was_not_written_completely_is_reported_as_cut() {
+        assert!(matches!(wait(close_after(500)), Error::Cut));
         let whole = "POST /hook HTTP/1.1\r\nhost: a\r\ncontent-length: 1000\r\n\r\n".len() + 1_000;
-        assert!(matches!(wait(cut_after(whole - 1)), Error::Cut));
-        assert!(matches!(wait(cut_after(whole)), Error::Broken(_)));
+        assert!(matches!(wait(close_after(whole - 1)), Error::Cut));
+        assert!(matches!(wait(close_after(whole)), Error::Broken(_)));
     }
 
-    /// The runtime has not looked at the socket since the answer: only the socket itself can tell.
+    /// An endpoint sends a second answer that nobody requested. The runtime has not polled the socket since
+    /// the first one, so that only the socket itself shows the pending data; it must not be taken for the
+    /// next answer.
     #[test]
-    fn what_waits_in_the_socket_answers_no_request() {
+    fn unsolicited_data_in_the_socket_is_not_taken_for_an_answer() {
         use std::io::{Read, Write};
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let request = || Request::post("/hook").header("Host", "a").body(Full::default()).expect("a request");
-        let (copy, copied) = (std::sync::mpsc::channel::<()>(), std::sync::mpsc::channel::<()>());
-        let (go, told) = (copy.1, copied.0);
+        let (send_again, sent_again) = (std::sync::mpsc::channel::<()>(), std::sync::mpsc::channel::<()>());
+        let (go, sent) = (send_again.1, sent_again.0);
         let server = std::thread::spawn(move || {
             let (mut stream, _) = listener.accept().expect("a connection");
             let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-            // To its end: its last byte comes by itself, and later on a busy machine.
+            // The last byte is sent separately, and may arrive late on a busy machine.
             let mut head = Vec::new();
             while !head.ends_with(b"\r\n\r\n") {
                 let mut byte = [0];
@@ -365,10 +376,10 @@
                 head.push(byte[0]);
             }
             stream.write_all(answer).expect("sent");
-            go.recv().expect("the word");
+            go.recv().expect("signal to send again");
             stream.write_all(answer).expect("sent");
-            told.send(()).expect("it waits");
-            // Nothing more of a request comes before the end.
+            sent.send(()).expect("receiver is waiting");
+            // No byte of the second request may arrive before the connection is closed.
             let _ = stream.set_read_timeout(Some(Duration::from_secs(60)));
             stream.read(&mut [0; 4096]).map_or(0, |n| n)
         });
@@ -376,24 +387,25 @@
             let mut link = Link::open(address).await.expect("a connection");
             assert_eq!(link.send(request(), true, None).await.expect("an answer").status(), StatusCode::OK);
             assert!(link.reusable().await && link.usable());
-            // No await here, so that the runtime sees nothing of it.
-            copy.0.send(()).expect("it waits");
-            copied.1.recv().expect("it is sent");
+            // There must be no await here, so that the runtime does not poll the socket.
+            send_again.0.send(()).expect("receiver is waiting");
+            sent_again.1.recv().expect("second answer was sent");
             assert!(matches!(link.send(request(), true, None).await, Err(Error::NotSent)));
             link.close().await;
         });
-        assert_eq!(server.join().expect("it ends"), 0);
+        assert_eq!(server.join().expect("server finished"), 0);
     }
-    /// Bytes that came with the answer are read with it: the connection then is known not to be usable.
+
+    /// Data beyond the answer that is read together with it must make the connection unusable.
     #[test]
-    fn what_came_beyond_the_answer_ends_the_connection() {
+    fn data_beyond_the_answer_makes_the_connection_unusable() {
         let answers: [&[u8]; 3] = [
             b"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
             b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok!",
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n\r\n",
         ];
         for answer in answers {
-            let (rested, error) = wait(async {
+            let (reusable, error) = wait(async {
                 let (ours, mut theirs) = tokio::io::duplex(4096);
                 let mut link = Link::over(ours).await.expect("a connection");
                 let request =
@@ -404,10 +416,10 @@
                 };
                 let (answer, ()) = tokio::join!(link.send(request(), false, None), server);
                 answer.expect("an answer").into_body().collect().await.expect("its body");
-                let rested = link.reusable().await;
-                (rested, link.send(request(), false, None).await.expect_err("no answer"))
+                let reusable = link.reusable().await;
+                (reusable, link.send(request(), false, None).await.expect_err("no answer"))
             });
-            assert!(!rested && matches!(error, Error::NotSent), "{rested} {error} {answer:?}");
+            assert!(!reusable && matches!(error, Error::NotSent), "{reusable} {error} {answer:?}");
         }
     }
 }
--- a/net/src/messaging.rs
+++ b/net/src/messaging.rs
@@ -1,8 +1,8 @@
-//! Messages between our own processes: JSON over HTTP/1.1, with no header that nobody reads.
+//! Messages between the processes of the system: JSON over HTTP/1.1, without unused headers.
 //!
-//! Three ways: a [`Outbox`] sends notes that need no answer, many in one request; a [`Client`] or
-//! [`call`] asks and gets an answer; a [`LineStream`] stream yields lines for as long as both sides live. [`serve`] is the
-//! other side of all three.
+//! An [`Outbox`] sends batches of messages that need no answer; a [`Client`] or [`call`] sends a request and
+//! returns the answer; a [`LineStream`] yields lines until either side ends it. [`serve`] is the server for
+//! all three.
 
 mod incarnation;
 mod line_stream;
@@ -25,16 +25,17 @@
 pub use outbox::{Event, Outbox, OutboxLimits, OutboxTarget, PushError};
 pub use serve::{Call, Content, Limits, Reply, serve};
 
-/// What connections between our processes are like.
+/// Options of connections between the processes of the system.
 pub const OPTIONS: Options = Options {
     connect_timeout: Some(Duration::from_millis(300)),
     ack_timeout: Some(Duration::from_millis(1_500)),
 };
 
-/// The deepest value that is read. Guards the stack: reading and dropping one goes as deep as it does.
-const DEEPEST: usize = 64;
+/// Maximum nesting depth of a JSON value. Parsing and dropping are recursive, so that deeper values could
+/// overflow the stack.
+const MAX_DEPTH: usize = 64;
 
-/// A JSON value, unless it is none or lies deeper than any of ours.
+/// Parses a JSON value. Returns `None` if it is invalid or nested too deeply.
 pub fn json(bytes: &[u8]) -> Option<JsonValue> {
     let text = std::str::from_utf8(bytes).ok()?;
     let (mut depth, mut quoted, mut escaped) = (0_usize, false, false);
@@ -47,14 +48,14 @@
             (false, b']' | b'}') => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if depth > DEEPEST {
+        if depth > MAX_DEPTH {
             return None;
         }
     }
     text.parse().ok()
 }
 
-/// A request to one of our processes. The connection adds `Host` and the length.
+/// Builds a request. The connection adds `Host` and `Content-Length`.
 fn request(
     method: Method,
     path: &str,
@@ -67,37 +68,39 @@
     Ok(request)
 }
 
-/// One request on a connection of its own, and its whole answer, which may be so long.
+/// Sends one request on a new connection, and returns the complete answer, the body of which may have up to
+/// `max_body_bytes`.
 ///
 /// # Errors
-/// Where no whole answer came in time.
+/// If no complete answer arrives in time.
 pub async fn call(
     address: SocketAddr,
     method: Method,
     path: &str,
     headers: HeaderMap,
     body: Bytes,
-    within: Duration,
-    longest: usize,
+    timeout: Duration,
+    max_body_bytes: usize,
 ) -> Result<Answer, Error> {
-    Client::new(address, OPTIONS).call(method, path, headers, body, within, longest).await
+    Client::new(address, OPTIONS).call(method, path, headers, body, timeout, max_body_bytes).await
 }
 
 impl Client {
-    /// One request and its whole answer, which may be so long; see [`Client::ask`].
+    /// Sends one request, and returns the complete answer, the body of which may have up to `max_body_bytes`.
+    /// See [`Client::ask`].
     ///
     /// # Errors
-    /// Where no whole answer came in time.
+    /// If no complete answer arrives in time.
     pub async fn call(
         &self,
         method: Method,
         path: &str,
         headers: HeaderMap,
         body: Bytes,
-        within: Duration,
-        longest: usize,
+        timeout: Duration,
+        max_body_bytes: usize,
     ) -> Result<Answer, Error> {
-        self.ask(request(method, path, headers, body)?, within, longest).await
+        self.ask(request(method, path, headers, body)?, timeout, max_body_bytes).await
     }
 }
 
--- a/net/src/messaging/line_stream.rs
+++ b/net/src/messaging/line_stream.rs
@@ -1,4 +1,4 @@
-//! The reading side of a stream that the other side holds open.
+//! Client of a line stream: an HTTP response whose body yields lines until either side ends it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,65 +14,66 @@
 use super::{OPTIONS, request};
 use crate::link::{self, Link};
 
-/// Why there is no stream.
+/// Why a stream could not be opened.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum Error {
-    /// There is no answer.
+    /// The server did not answer.
     #[snafu(transparent)]
     Link {
-        /// Why.
+        /// The cause.
         source: link::Error,
     },
-    /// It is refused.
+    /// The server refused the stream.
     #[snafu(display("status {status}"))]
     Status {
-        /// With this.
+        /// Status of the answer.
         status: StatusCode,
     },
 }
 
-/// What holds for a stream.
+/// Options of a stream.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamOptions {
-    /// How long it may take until the stream begins.
+    /// Time limit for the response head.
     pub open_timeout: Duration,
-    /// The longest line, without its end.
+    /// Maximum length of a line, without its terminator.
     pub max_line_bytes: usize,
-    /// How long nothing may come. An empty line, which is passed over, is something.
+    /// Maximum time without input. Empty lines count as input and are skipped.
     pub idle_timeout: Duration,
 }
 
-/// How a stream ended.
+/// Why a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StreamEnd {
-    /// The other side ended it.
+    /// The server ended it.
     Closed,
     /// The connection broke.
     Broken,
     /// A line was too long.
     TooLong,
-    /// Nothing came for too long.
+    /// No input arrived for too long.
     Silent,
 }
 
-/// A stream of lines. Dropping it closes its connection.
+/// A stream of lines. Dropping it closes the connection.
 pub struct LineStream {
     body: Incoming,
     options: StreamOptions,
-    /// What came and has not been yielded; up to `seen` it holds no end of a line.
-    rest: BytesMut,
-    seen: usize,
-    heard: Instant,
+    /// Received data that has not been returned.
+    buffer: BytesMut,
+    /// Length of the prefix of `buffer` that is known to contain no line terminator.
+    scanned: usize,
+    last_input: Instant,
     ended: Option<StreamEnd>,
     _link: Link,
 }
 
 impl LineStream {
-    /// Asks for a stream with a POST.
+    /// Opens a stream with a POST request.
     ///
     /// # Errors
-    /// Where it does not begin in time, or is refused.
+    /// If the stream does not start in time, or the server refuses it.
     pub async fn open(
         address: SocketAddr,
         path: &str,
@@ -95,44 +96,55 @@
         if !answer.status().is_success() {
             return StatusSnafu { status: answer.status() }.fail();
         }
-        let (rest, heard) = (BytesMut::new(), Instant::now());
-        Ok(LineStream { body: answer.into_body(), options, rest, seen: 0, heard, ended: None, _link: link })
+        let (buffer, last_input) = (BytesMut::new(), Instant::now());
+        Ok(LineStream {
+            body: answer.into_body(),
+            options,
+            buffer,
+            scanned: 0,
+            last_input,
+            ended: None,
+            _link: link,
+        })
     }
 
-    /// The next line that is not empty, without its end; none once the stream has ended. Nothing is lost where the
-    /// wait is given up.
+    /// Returns the next non-empty line without its terminator, or `None` once the stream has ended.
+    /// Cancel-safe: no data is lost if the future is dropped.
     pub async fn next_line(&mut self) -> Option<Bytes> {
         while self.ended.is_none() {
-            let end = self.rest[self.seen..].iter().position(|byte| *byte == b'\n').map(|at| self.seen + at);
-            if end.unwrap_or(self.rest.len()) > self.options.max_line_bytes {
+            let end = self.buffer[self.scanned..]
+                .iter()
+                .position(|byte| *byte == b'\n')
+                .map(|at| self.scanned + at);
+            if end.unwrap_or(self.buffer.len()) > self.options.max_line_bytes {
                 self.ended = Some(StreamEnd::TooLong);
             } else if let Some(end) = end {
-                let line = self.rest.split_to(end);
-                self.rest.advance(1);
-                self.seen = 0;
+                let line = self.buffer.split_to(end);
+                self.buffer.advance(1);
+                self.scanned = 0;
                 if !line.is_empty() {
                     return Some(line.freeze());
                 }
             } else {
-                self.seen = self.rest.len();
-                self.ended = self.more().await.err();
+                self.scanned = self.buffer.len();
+                self.ended = self.receive().await.err();
             }
         }
         None
     }
 
-    /// How it ended, once it has.
+    /// Returns why the stream ended, once it has.
     pub fn ended(&self) -> Option<StreamEnd> {
         self.ended
     }
 
-    async fn more(&mut self) -> Result<(), StreamEnd> {
-        let frame = timeout_at(self.heard + self.options.idle_timeout, self.body.frame()).await;
+    async fn receive(&mut self) -> Result<(), StreamEnd> {
+        let frame = timeout_at(self.last_input + self.options.idle_timeout, self.body.frame()).await;
         let frame =
             frame.map_err(|_| StreamEnd::Silent)?.ok_or(StreamEnd::Closed)?.map_err(|_| StreamEnd::Broken)?;
-        self.heard = Instant::now();
+        self.last_input = Instant::now();
         if let Some(data) = frame.data_ref() {
-            self.rest.extend_from_slice(data);
+            self.buffer.extend_from_slice(data);
         }
         Ok(())
     }
--- a/net/src/messaging/outbox.rs
+++ b/net/src/messaging/outbox.rs
@@ -1,4 +1,5 @@
-//! Notes to one peer: what is due together goes in one request.
+//! Queue of messages to one peer, sent in batches: messages that are pending at the same time share a
+//! request.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,84 +16,85 @@
 use super::{Incarnation, OPTIONS};
 use crate::link::Client;
 
-/// The pause before the next connection after a failure; it doubles with each.
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
-/// The answer says that the messages came, and perhaps something in return.
-const LONGEST_ANSWER: usize = 1 << 20;
+/// Pause before the next request after a failure; it doubles with each further failure.
+const MIN_PAUSE: Duration = Duration::from_millis(20);
+/// Upper limit of the pause.
+const MAX_PAUSE: Duration = Duration::from_millis(500);
+/// Maximum length of an answer, which may contain messages in return.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// Where messages go, and from whom.
+/// Recipient and sender of the messages of an outbox.
 #[derive(Clone, Debug)]
 pub struct OutboxTarget {
-    /// What the owner calls the peer; told with each event.
+    /// Name of the peer, included in each event.
     pub peer: Arc<str>,
-    /// Where it listens.
+    /// Address of the peer.
     pub address: SocketAddr,
     /// Path of the requests.
     pub path: String,
-    /// Sent with each request, beside the content type.
+    /// Headers of each request, in addition to the content type.
     pub headers: HeaderMap,
-    /// Name of the sender, as the envelope has it.
+    /// Name of the sender, included in each batch.
     pub from: JsonValue,
-    /// Which of its lives this is, as the envelope has it.
+    /// Incarnation of the sender, included in each batch.
     pub incarnation: Incarnation,
 }
 
-/// How much goes out at once.
+/// Limits of an outbox.
 #[derive(Clone, Copy, Debug)]
 pub struct OutboxLimits {
-    /// Notes that may wait to be sent.
+    /// Maximum number of pending messages.
     pub max_messages: usize,
-    /// Bytes that they may have together; no request's body is much longer.
+    /// Maximum total size of pending messages in bytes, which also limits the body of a request.
     pub max_bytes: usize,
-    /// Requests under way at once, each on a connection of its own. With more than one, a later message may be there before
-    /// an earlier one of another request.
+    /// Maximum number of concurrent requests, each on its own connection. With more than one, messages of
+    /// different requests may arrive out of order.
     pub max_in_flight: usize,
-    /// How long a request and its answer may take.
+    /// Time limit for a request and its answer.
     pub timeout: Duration,
 }
 
-/// What the owner is told.
+/// Reports on the peer and the delivery of messages.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The peer took messages, for the first time or again.
+    /// The peer accepted messages, for the first time or after a failure.
     Up {
-        /// Which.
+        /// Name of the peer.
         peer: Arc<str>,
     },
-    /// A request failed, for the first time or after the peer was up.
+    /// A request failed, for the first time or after a success.
     Down {
-        /// Which.
+        /// Name of the peer.
         peer: Arc<str>,
     },
-    /// The peer took messages, and its answer says something.
+    /// The peer accepted messages and returned a non-empty answer.
     Answered {
-        /// Which.
+        /// Name of the peer.
         peer: Arc<str>,
-        /// The body of its answer.
+        /// Body of the answer.
         body: Bytes,
     },
-    /// Nobody said that these were taken. They may have been, if the request got so far.
+    /// The peer did not confirm these messages. It may nevertheless have received them.
     Undelivered {
-        /// Whose they were.
+        /// Name of the peer.
         peer: Arc<str>,
-        /// As they were pushed, in that order.
+        /// The messages in the order in which they were pushed.
         messages: Vec<JsonValue>,
     },
 }
 
-/// A message that is not sent, given back.
+/// A message was not accepted, and is returned.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum PushError {
-    /// So much waits already.
-    #[error("too much waits")]
+    /// The outbox is full.
+    #[error("too many pending messages")]
     Full(JsonValue),
-    /// It holds what JSON can't: a number without end, say.
-    #[error("not to be written as JSON")]
+    /// The message cannot be encoded as JSON, for example because of an infinite number.
+    #[error("not serializable as JSON")]
     NotSerializable(JsonValue),
 }
 
-/// Notes that go together, and their text.
+/// Messages of one request, and their JSON text.
 #[derive(Default)]
 struct Batch {
     messages: Vec<JsonValue>,
@@ -100,61 +102,64 @@
 }
 
 struct Shared {
-    waiting: Mutex<Batch>,
-    due: Notify,
-    bounds: OutboxLimits,
+    pending: Mutex<Batch>,
+    pushed: Notify,
+    limits: OutboxLimits,
 }
 
 impl Shared {
-    fn waiting(&self) -> MutexGuard<'_, Batch> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pending(&self) -> MutexGuard<'_, Batch> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Sends messages to one peer until it is dropped; what waits then is not sent.
+/// Sends messages to one peer until it is dropped; messages that are pending then are discarded.
 pub struct Outbox {
     shared: Arc<Shared>,
     task: JoinHandle<()>,
 }
 
 impl Outbox {
-    /// Connects once there is a message. Must be called within a runtime.
+    /// Creates an outbox that reports to `events`. It connects when the first message is pushed.
+    ///
+    /// # Panics
+    /// If called outside a Tokio runtime.
     pub fn new<I: From<Event> + Send + 'static>(
-        to: OutboxTarget,
-        bounds: OutboxLimits,
-        told: mpsc::Sender<I>,
+        target: OutboxTarget,
+        limits: OutboxLimits,
+        events: mpsc::Sender<I>,
     ) -> Self {
-        let shared = Arc::new(Shared { waiting: Mutex::default(), due: Notify::new(), bounds });
-        let task = tokio::spawn(run(Carrier::new(to, bounds.timeout), shared.clone(), told));
+        let shared = Arc::new(Shared { pending: Mutex::default(), pushed: Notify::new(), limits });
+        let task = tokio::spawn(run(BatchSender::new(target, limits.timeout), shared.clone(), events));
         Outbox { shared, task }
     }
 
-    /// Has the message sent with the next request.
+    /// Queues a message for the next request.
     ///
     /// # Errors
-    /// Where too much waits already, or the message can't be written.
+    /// If the outbox is full, or the message cannot be encoded.
     pub fn push(&self, message: JsonValue) -> Result<(), PushError> {
         let Ok(text) = message.stringify() else { return Err(PushError::NotSerializable(message)) };
-        let bounds = self.shared.bounds;
-        let mut waiting = self.shared.waiting();
-        if waiting.messages.len() >= bounds.max_messages
-            || waiting.text.len() + text.len() >= bounds.max_bytes
+        let limits = self.shared.limits;
+        let mut pending = self.shared.pending();
+        if pending.messages.len() >= limits.max_messages
+            || pending.text.len() + text.len() >= limits.max_bytes
         {
             return Err(PushError::Full(message));
         }
-        if !waiting.messages.is_empty() {
-            waiting.text.push(',');
+        if !pending.messages.is_empty() {
+            pending.text.push(',');
         }
-        waiting.text.push_str(&text);
-        waiting.messages.push(message);
-        drop(waiting);
-        self.shared.due.notify_one();
+        pending.text.push_str(&text);
+        pending.messages.push(message);
+        drop(pending);
+        self.shared.pushed.notify_one();
         Ok(())
     }
 
-    /// How many messages wait to be sent.
-    pub fn waiting(&self) -> usize {
-        self.shared.waiting().messages.len()
+    /// Returns the number of pending messages.
+    pub fn pending(&self) -> usize {
+        self.shared.pending().messages.len()
     }
 }
 
@@ -164,92 +169,92 @@
     }
 }
 
-/// What requests have in common.
-struct Carrier {
-    to: OutboxTarget,
-    within: Duration,
+/// Sends the requests of an outbox.
+struct BatchSender {
+    target: OutboxTarget,
+    timeout: Duration,
     client: Client,
-    /// Name of the sender, as text.
+    /// Name of the sender as JSON text.
     from: String,
 }
 
-impl Carrier {
-    fn new(mut to: OutboxTarget, within: Duration) -> Self {
-        let from = to.from.stringify().unwrap_or_else(|_| "null".to_owned());
-        to.headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        Carrier { client: Client::new(to.address, OPTIONS), to, within, from }
+impl BatchSender {
+    fn new(mut target: OutboxTarget, timeout: Duration) -> Self {
+        let from = target.from.stringify().unwrap_or_else(|_| "null".to_owned());
+        target.headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+        BatchSender { client: Client::new(target.address, OPTIONS), target, timeout, from }
     }
 
-    /// What the peer answered, if it took the messages.
+    /// Sends a batch. Returns the body of the answer if the peer accepted it.
     async fn send(&self, text: &str) -> Option<Bytes> {
-        let life = self.to.incarnation.get();
-        let body = Bytes::from(format!(r#"{{"from":{},"life":{life},"notes":[{text}]}}"#, self.from));
-        let headers = self.to.headers.clone();
+        let incarnation = self.target.incarnation.get();
+        let body = Bytes::from(format!(r#"{{"from":{},"life":{incarnation},"notes":[{text}]}}"#, self.from));
+        let headers = self.target.headers.clone();
         let answer =
-            self.client.call(Method::POST, &self.to.path, headers, body, self.within, LONGEST_ANSWER);
-        let why = match answer.await {
+            self.client.call(Method::POST, &self.target.path, headers, body, self.timeout, MAX_ANSWER_BYTES);
+        let reason = match answer.await {
             Ok((status, _, body)) if status.is_success() => return Some(body),
             Ok((status, ..)) => format!("status {status}"),
             Err(e) => {
-                // The others may be as dead.
+                // The other idle connections may be broken as well.
                 self.client.clear();
                 format!("{e:?}")
             }
         };
-        log::debug!("post to {} at {}: {why}", self.to.peer, self.to.address);
+        log::debug!("cannot send messages to {} at {}: {reason}", self.target.peer, self.target.address);
         None
     }
 }
 
-async fn run<I: From<Event>>(carrier: Carrier, shared: Arc<Shared>, told: mpsc::Sender<I>) {
-    let (peer, carrier) = (carrier.to.peer.clone(), Arc::new(carrier));
-    // An owner that is gone is told nothing.
-    let tell = async |event: Event| drop(told.send(event.into()).await);
-    let mut flights: JoinSet<(Vec<JsonValue>, Option<Bytes>)> = JoinSet::new();
+async fn run<I: From<Event>>(sender: BatchSender, shared: Arc<Shared>, events: mpsc::Sender<I>) {
+    let (peer, sender) = (sender.target.peer.clone(), Arc::new(sender));
+    // Events are dropped if the receiver is gone.
+    let report = async |event: Event| drop(events.send(event.into()).await);
+    let mut in_flight: JoinSet<(Vec<JsonValue>, Option<Bytes>)> = JoinSet::new();
     let mut up = None;
-    let (mut pause, mut not_before) = (FIRST_PAUSE, Instant::now());
+    let (mut pause, mut not_before) = (MIN_PAUSE, Instant::now());
     loop {
-        // While it is down, one at a time finds out whether it still is.
-        let most = if up == Some(false) { 1 } else { shared.bounds.max_in_flight.max(1) };
+        // While the peer is down, a single request at a time checks whether it still is.
+        let max_in_flight = if up == Some(false) { 1 } else { shared.limits.max_in_flight.max(1) };
         tokio::select! {
             biased;
-            Some(landed) = flights.join_next() => match landed {
+            Some(finished) = in_flight.join_next() => match finished {
                 Ok((_, Some(body))) => {
-                    pause = FIRST_PAUSE;
+                    pause = MIN_PAUSE;
                     if up.replace(true) != Some(true) {
-                        tell(Event::Up { peer: peer.clone() }).await;
+                        report(Event::Up { peer: peer.clone() }).await;
                     }
                     if !body.is_empty() {
-                        tell(Event::Answered { peer: peer.clone(), body }).await;
+                        report(Event::Answered { peer: peer.clone(), body }).await;
                     }
                 }
                 Ok((messages, None)) => {
                     not_before = Instant::now() + pause;
-                    pause = (pause * 2).min(LONGEST_PAUSE);
+                    pause = (pause * 2).min(MAX_PAUSE);
                     if up.replace(false) != Some(false) {
-                        tell(Event::Down { peer: peer.clone() }).await;
+                        report(Event::Down { peer: peer.clone() }).await;
                     }
-                    tell(Event::Undelivered { peer: peer.clone(), messages }).await;
+                    report(Event::Undelivered { peer: peer.clone(), messages }).await;
                 }
-                Err(e) => log::error!("post to {peer}: {e}"),
+                Err(e) => log::error!("task sending messages to {peer} failed: {e}"),
             },
-            () = ready(&shared, not_before), if flights.len() < most => {
-                let Batch { messages, text } = std::mem::take(&mut *shared.waiting());
-                let carrier = carrier.clone();
-                flights.spawn(async move { (messages, carrier.send(&text).await) });
+            () = ready(&shared, not_before), if in_flight.len() < max_in_flight => {
+                let Batch { messages, text } = std::mem::take(&mut *shared.pending());
+                let sender = sender.clone();
+                in_flight.spawn(async move { (messages, sender.send(&text).await) });
             }
         }
     }
 }
 
-/// Waits until there is a message to send, and the pause is over.
+/// Waits until a message is pending and the pause is over.
 async fn ready(shared: &Shared, not_before: Instant) {
     sleep_until(not_before).await;
     loop {
-        let due = shared.due.notified();
-        if !shared.waiting().messages.is_empty() {
+        let pushed = shared.pushed.notified();
+        if !shared.pending().messages.is_empty() {
             return;
         }
-        due.await;
+        pushed.await;
     }
 }
--- a/net/src/messaging/serve.rs
+++ b/net/src/messaging/serve.rs
@@ -1,4 +1,4 @@
-//! A small server of JSON calls.
+//! A small HTTP server for JSON calls and line streams.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -25,44 +25,44 @@
 use super::json;
 use crate::serving::serve_one;
 
-/// The longest head of a request.
-const LONGEST_HEAD: usize = 16 * 1024;
+/// Maximum length of a request's head in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// What a server puts up with.
+/// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// The longest body.
+    /// Maximum length of a request's body in bytes.
     pub max_body_bytes: usize,
-    /// How long a connection may take for the next head, idle time and all.
+    /// Time limit for receiving the next request head, including idle time.
     pub idle_timeout: Duration,
-    /// How long the body may take after the head.
+    /// Time limit for receiving the body after the head.
     pub body_timeout: Duration,
-    /// Connections at once; beyond it new ones are closed.
+    /// Maximum number of open connections; further ones are closed at once.
     pub max_connections: usize,
-    /// How long what was sent may go unacknowledged, or wait for a peer that does not read, before the connection
-    /// counts as broken.
+    /// Maximum time for which sent data may remain unacknowledged, or unsent because the peer does not read,
+    /// before the connection is considered broken.
     pub ack_timeout: Option<Duration>,
 }
 
-/// A request that came in whole.
+/// A completely received request.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path, without the query.
+    /// Path without the query.
     pub path: String,
-    /// What follows the `?`.
+    /// Query without the `?`.
     pub query: Option<String>,
-    /// Its headers.
+    /// Headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body.
     pub body: Bytes,
-    /// Who sent it.
+    /// Address of the client.
     pub peer: SocketAddr,
 }
 
 impl Call {
-    /// The body as JSON, where it is.
+    /// Parses the body as JSON. Returns `None` if it is invalid or nested too deeply.
     pub fn json(&self) -> Option<JsonValue> {
         json(&self.body)
     }
@@ -71,55 +71,55 @@
 /// The body of an answer.
 #[derive(Debug)]
 pub enum Content {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// What comes, until the channel ends or the server closes.
+    /// Pieces that are sent as they arrive, until the channel or the server is closed.
     Streamed(mpsc::Receiver<Bytes>),
 }
 
 /// An answer.
 #[derive(Debug)]
 pub struct Reply {
-    /// Its status.
+    /// Status.
     pub status: StatusCode,
-    /// Its headers; the length is added.
+    /// Headers; `Content-Length` is added.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body.
     pub content: Content,
 }
 
 impl Reply {
-    /// No body.
+    /// Creates an answer without a body.
     pub fn empty(status: StatusCode) -> Self {
         Reply { status, headers: HeaderMap::new(), content: Content::Whole(Bytes::new()) }
     }
 
-    /// A body that is JSON already.
+    /// Creates an answer with a body that is already encoded as JSON.
     pub fn json(status: StatusCode, body: impl Into<Bytes>) -> Self {
         let reply = Reply { content: Content::Whole(body.into()), ..Reply::empty(status) };
         reply.with(CONTENT_TYPE, HeaderValue::from_static("application/json"))
     }
 
-    /// A body that is sent piece by piece, each at once, until the channel ends. Its sender learns from the channel that
-    /// the peer has gone.
+    /// Creates an answer whose body is sent piece by piece, without delay, until the channel is closed. The
+    /// sender of the channel fails once the peer has disconnected.
     pub fn streamed(pieces: mpsc::Receiver<Bytes>) -> Self {
         Reply { content: Content::Streamed(pieces), ..Reply::empty(StatusCode::OK) }
     }
 
-    /// With a header, instead of one of that name.
+    /// Sets a header and replaces any previous value.
     pub fn with(mut self, name: HeaderName, value: HeaderValue) -> Self {
         self.headers.insert(name, value);
         self
     }
 }
 
-/// A body on its way.
-enum Sending {
+/// The body of a response in transmission.
+enum ResponseBody {
     Whole(Option<Bytes>),
     Streamed(mpsc::Receiver<Bytes>, Pin<Box<dyn Future<Output = ()> + Send>>),
 }
 
-impl Body for Sending {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -128,8 +128,8 @@
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
         let piece = match &mut *self {
-            Sending::Whole(body) => body.take().filter(|body| !body.is_empty()),
-            Sending::Streamed(pieces, closing) => match pieces.poll_recv(cx) {
+            ResponseBody::Whole(body) => body.take().filter(|body| !body.is_empty()),
+            ResponseBody::Streamed(pieces, closing) => match pieces.poll_recv(cx) {
                 Poll::Ready(piece) => piece,
                 Poll::Pending => {
                     ready!(closing.as_mut().poll(cx));
@@ -142,21 +142,21 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Sending::Whole(body) => body.as_ref().is_none_or(Bytes::is_empty),
-            Sending::Streamed(..) => false,
+            ResponseBody::Whole(body) => body.as_ref().is_none_or(Bytes::is_empty),
+            ResponseBody::Streamed(..) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Sending::Whole(body) => SizeHint::with_exact(body.as_ref().map_or(0, Bytes::len) as u64),
-            Sending::Streamed(..) => SizeHint::default(),
+            ResponseBody::Whole(body) => SizeHint::with_exact(body.as_ref().map_or(0, Bytes::len) as u64),
+            ResponseBody::Streamed(..) => SizeHint::default(),
         }
     }
 }
 
-/// Serves until `shutdown` is over: then idle connections are closed, requests at work finished, held streams ended,
-/// and it returns. Dropping it closes everything at once.
+/// Serves until `shutdown` completes. Then it closes idle connections, completes requests in progress, ends
+/// streams, and returns. Dropping the future closes everything at once.
 pub async fn serve<H, F>(
     listener: TcpListener,
     limits: Limits,
@@ -181,10 +181,10 @@
             Ok((stream, peer)) if connections.len() < limits.max_connections => {
                 connections.spawn(connection(stream, peer, limits, handler.clone(), closing.clone()));
             }
-            Ok((_, peer)) => log::debug!("no room for {peer}"),
+            Ok((_, peer)) => log::debug!("too many connections; connection of {peer} closed"),
             Err(e) => {
-                // Out of descriptors, perhaps: the next try may do better.
-                log::warn!("accept: {e}");
+                // Possibly out of file descriptors, which may be temporary.
+                log::warn!("cannot accept a connection: {e}");
                 sleep(Duration::from_millis(10)).await;
             }
         }
@@ -194,7 +194,7 @@
     while connections.join_next().await.is_some() {}
 }
 
-/// Over once the server closes, or is gone.
+/// Completes once the server shuts down or is dropped.
 async fn closed(mut closing: watch::Receiver<bool>) {
     let _ = closing.wait_for(|closing| *closing).await;
 }
@@ -216,33 +216,34 @@
         let (handler, closing) = (handler.clone(), closing.clone());
         Box::pin(async move {
             let chunked = Request::headers(&request).contains_key(TRANSFER_ENCODING);
-            let mut reply = match take(request, peer, limits).await {
+            let mut reply = match receive(request, peer, limits).await {
                 Ok(call) => handler(call).await,
                 Err(status) => Reply::empty(status),
             };
-            // Where a body ends may be in doubt: a length beside the chunks is not shown. Nothing follows it then.
-            let odd = matches!(reply.status.as_u16(), 400 | 408 | 413);
-            if chunked || odd || *closing.borrow() {
+            // The end of such a body may be ambiguous: hyper hides a `Content-Length` that was sent in
+            // addition to chunks. The connection is therefore not reused.
+            let invalid = matches!(reply.status.as_u16(), 400 | 408 | 413);
+            if chunked || invalid || *closing.borrow() {
                 reply = reply.with(CONNECTION, HeaderValue::from_static("close"));
             }
             let mut response = Response::new(match reply.content {
-                Content::Whole(body) => Sending::Whole(Some(body)),
-                Content::Streamed(pieces) => Sending::Streamed(pieces, Box::pin(closed(closing))),
+                Content::Whole(body) => ResponseBody::Whole(Some(body)),
+                Content::Streamed(pieces) => ResponseBody::Streamed(pieces, Box::pin(closed(closing))),
             });
             (*response.status_mut(), *response.headers_mut()) = (reply.status, reply.headers);
             Ok::<_, Infallible>(response)
         })
     });
     let mut http = http1::Builder::new();
-    http.timer(TokioTimer::new()).header_read_timeout(limits.idle_timeout).max_buf_size(LONGEST_HEAD);
+    http.timer(TokioTimer::new()).header_read_timeout(limits.idle_timeout).max_buf_size(MAX_HEAD_BYTES);
     http.auto_date_header(false);
     serve_one(&http, stream, service, until).await;
 }
 
-/// Reads a request to its end. An error is a status of its own.
-async fn take(request: Request<Incoming>, peer: SocketAddr, limits: Limits) -> Result<Call, StatusCode> {
+/// Receives a complete request. An error is the status to answer with.
+async fn receive(request: Request<Incoming>, peer: SocketAddr, limits: Limits) -> Result<Call, StatusCode> {
     let (head, body) = request.into_parts();
-    // Told before any of it is read.
+    // Rejected by the announced length, before any of the body is read.
     if body.size_hint().lower() > limits.max_body_bytes as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
--- a/net/src/meter.rs
+++ b/net/src/meter.rs
@@ -1,21 +1,22 @@
-//! Where time and memory go, by part of the dispatcher: with the feature `meter`, at the end of the process, one line
-//! on the standard error. Without it everything here is nothing at all.
+//! Measures time and allocations by component of the dispatcher. With the feature `meter` a line on standard
+//! error reports them at exit; without it all functions do nothing.
 //!
-//! Parts lie within one another (the driver calls the module): each moment and each allocation is the innermost's.
+//! Components are nested (the driver calls the module): time and allocations are attributed to the innermost
+//! one.
 
-/// A part of the dispatcher.
+/// A component of the dispatcher.
 #[derive(Clone, Copy, Debug)]
 #[cfg_attr(not(feature = "meter"), allow(dead_code))]
 pub enum Part {
-    /// Clients' connections.
+    /// Client connections.
     Intake,
     /// The store.
     Journal,
     /// The decision module.
     Module,
-    /// Endpoints' connections.
+    /// Connections to endpoints.
     Calls,
-    /// The loop between them.
+    /// The main loop that connects the others.
     Driver,
 }
 
@@ -23,19 +24,19 @@
 mod none {
     use super::Part;
 
-    /// Does something on account of a part.
+    /// Runs a closure, measured for a component.
     #[inline(always)]
     pub fn within<T>(_: Part, what: impl FnOnce() -> T) -> T {
         what()
     }
 
-    /// A future on account of a part.
+    /// Wraps a future, measured for a component.
     #[inline(always)]
     pub fn metered<F: Future>(_: Part, future: F) -> F {
         future
     }
 
-    /// Tells what was counted.
+    /// Reports the measurements.
     pub fn report() {}
 }
 
@@ -69,8 +70,9 @@
     #[derive(Default)]
     struct Meter {
         accounts: [Account; 5],
-        /// The part that is at work, and since when; none while the runtime is.
-        now: Option<(usize, Instant, usize, usize)>,
+        /// Running component with the time, allocations and bytes at its start; `None` while the runtime
+        /// runs.
+        current: Option<(usize, Instant, usize, usize)>,
     }
 
     thread_local! {
@@ -78,47 +80,47 @@
     }
 
     impl Meter {
-        /// Another part is at work from now on; the one that was before.
-        fn turn(&mut self, part: Option<usize>) -> Option<usize> {
+        /// Switches to another component, and returns the previous one.
+        fn switch(&mut self, part: Option<usize>) -> Option<usize> {
             let stats = ALLOCATOR.stats();
             let (now, count) = (Instant::now(), stats.allocations + stats.reallocations);
-            let before = self.now.map(|(part, since, allocations, bytes)| {
+            let before = self.current.map(|(part, since, allocations, bytes)| {
                 let account = &mut self.accounts[part];
                 account.nanos += (now - since).as_nanos() as u64;
                 account.allocations += count - allocations;
                 account.bytes += stats.bytes_allocated - bytes;
                 part
             });
-            self.now = part.map(|part| (part, now, count, stats.bytes_allocated));
+            self.current = part.map(|part| (part, now, count, stats.bytes_allocated));
             before
         }
     }
 
-    fn turn(part: Option<usize>) -> Option<usize> {
-        METER.with(|meter| meter.try_borrow_mut().ok().and_then(|mut meter| meter.turn(part)))
+    fn switch(part: Option<usize>) -> Option<usize> {
+        METER.with(|meter| meter.try_borrow_mut().ok().and_then(|mut meter| meter.switch(part)))
     }
 
-    /// Does something on account of a part.
+    /// Runs a closure, measured for a component.
     pub fn within<T>(part: Part, what: impl FnOnce() -> T) -> T {
-        let before = turn(Some(part as usize));
+        let before = switch(Some(part as usize));
         let done = what();
-        turn(before);
+        switch(before);
         done
     }
 
-    /// A future on account of a part.
+    /// Wraps a future, measured for a component.
     pub async fn metered<F: Future>(part: Part, future: F) -> F::Output {
         let mut future = pin!(future);
         poll_fn(move |cx| within(part, || future.as_mut().poll(cx))).await
     }
 
-    /// Tells what was counted: a JSON object of parts, each with nanoseconds, allocations and bytes.
+    /// Reports the measurements as a JSON object of components, each with nanoseconds, allocations and bytes.
     pub fn report() {
         let accounts = METER.with(|meter| meter.borrow().accounts);
-        let told = NAMES.iter().zip(accounts).map(|(name, a)| {
+        let components = NAMES.iter().zip(accounts).map(|(name, a)| {
             format!(r#""{name}":{{"ns":{},"allocations":{},"bytes":{}}}"#, a.nanos, a.allocations, a.bytes)
         });
-        eprintln!("meter {{{}}}", told.collect::<Vec<_>>().join(","));
+        eprintln!("meter {{{}}}", components.collect::<Vec<_>>().join(","));
     }
 }
 
--- a/net/src/metrics.rs
+++ b/net/src/metrics.rs
@@ -1,6 +1,7 @@
-//! Figures of a process as text, as monitoring reads them: a line each, `name value` or `name{label="value"} value`.
+//! Metrics of a process in the Prometheus text format: one line each, `name value` or `name{label="value"}
+//! value`.
 //!
-//! Invariant: a line is always whole; what a label holds can't end it early.
+//! Invariant: every line is complete; a label value cannot end it early.
 
 use std::fmt::{Display, Write};
 use std::net::SocketAddr;
@@ -12,32 +13,34 @@
 
 use crate::messaging::{Call, Limits, Reply, serve};
 
-/// The path under which a process tells them.
+/// Path under which a process serves its metrics.
 pub const PATH: &str = "/metrics";
-/// The longest text: what comes beyond is left out, whole lines at a time.
-const LONGEST: usize = 256 * 1024;
+/// Maximum length of the text in bytes; further lines are omitted.
+const MAX_BYTES: usize = 256 * 1024;
 
-/// The figures of one moment.
+/// The metrics at one moment.
 #[derive(Debug, Default)]
 pub struct Metrics(String);
 
 impl Metrics {
-    /// One figure.
+    /// Adds a metric.
     pub fn put(&mut self, name: &str, value: impl Display) {
-        if self.0.len() < LONGEST {
+        if self.0.len() < MAX_BYTES {
             let _ = writeln!(self.0, "{name} {value}");
         }
     }
 
-    /// One of several under the same name.
-    pub fn put_labelled(&mut self, name: &str, label: &str, of: &str, value: impl Display) {
-        if self.0.len() < LONGEST {
-            let of: String = of.chars().filter(|c| !c.is_control() && !matches!(c, '"' | '\\')).collect();
-            let _ = writeln!(self.0, "{name}{{{label}=\"{of}\"}} {value}");
+    /// Adds a metric with a label. Control characters, quotes and backslashes are removed from the label's
+    /// value.
+    pub fn put_labelled(&mut self, name: &str, label: &str, label_value: &str, value: impl Display) {
+        if self.0.len() < MAX_BYTES {
+            let label_value: String =
+                label_value.chars().filter(|c| !c.is_control() && !matches!(c, '"' | '\\')).collect();
+            let _ = writeln!(self.0, "{name}{{{label}=\"{label_value}\"}} {value}");
         }
     }
 
-    /// The answer to who asks for them.
+    /// Converts the metrics to an HTTP answer.
     pub fn reply(self) -> Reply {
         let mut reply = Reply::json(StatusCode::OK, self.0);
         reply.headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; version=0.0.4"));
@@ -45,8 +48,8 @@
     }
 }
 
-/// Serves figures at an address for as long as the process lives. A process whose address is taken goes on without: nobody is served
-/// worse for it.
+/// Serves metrics at an address until the process ends. If the address cannot be bound, the process continues
+/// without metrics, as clients are not affected.
 pub async fn serve_at<H, F>(address: SocketAddr, handler: H)
 where
     H: Fn(Call) -> F + Clone + Send + Sync + 'static,
@@ -63,7 +66,7 @@
         Ok(listener) => {
             tokio::spawn(serve(listener, limits, handler, std::future::pending()));
         }
-        Err(e) => log::warn!("no figures at {address}: {e}"),
+        Err(e) => log::warn!("cannot serve metrics at {address}: {e}"),
     }
 }
 
@@ -72,12 +75,12 @@
     use super::*;
 
     #[test]
-    fn a_label_ends_no_line_and_the_text_is_bounded() {
-        let mut figures = Metrics::default();
-        figures.put("a", 1);
-        figures.put_labelled("b", "of", "x\"}\n1 \\y", 2.5);
-        assert_eq!(figures.0, "a 1\nb{of=\"x}1 y\"} 2.5\n");
-        (0..100_000).for_each(|n| figures.put("c", n));
-        assert!(figures.0.len() < LONGEST + 100 && figures.0.ends_with('\n'));
+    fn label_values_cannot_end_a_line_and_the_text_is_bounded() {
+        let mut metrics = Metrics::default();
+        metrics.put("a", 1);
+        metrics.put_labelled("b", "of", "x\"}\n1 \\y", 2.5);
+        assert_eq!(metrics.0, "a 1\nb{of=\"x}1 y\"} 2.5\n");
+        (0..100_000).for_each(|n| metrics.put("c", n));
+        assert!(metrics.0.len() < MAX_BYTES + 100 && metrics.0.ends_with('\n'));
     }
 }
--- a/net/src/pack.rs
+++ b/net/src/pack.rs
@@ -1,4 +1,4 @@
-//! Long texts packed for the wire: deflated, then base64, so that they go into JSON.
+//! Compression of long texts for transport in JSON: DEFLATE, then base64.
 
 use std::borrow::Cow;
 use std::io::{Read, Write};
@@ -9,27 +9,29 @@
 use flate2::read::DeflateDecoder;
 use flate2::write::DeflateEncoder;
 
-/// Packs a text.
+/// Compresses a text. Returns `None` if compression fails.
 pub fn pack(text: &str) -> Option<String> {
     let mut out = DeflateEncoder::new(Vec::new(), Compression::fast());
     out.write_all(text.as_bytes()).ok()?;
     Some(STANDARD.encode(out.finish().ok()?))
 }
 
-/// Unpacks what [`pack`] made, up to so many bytes of text; none where it is something else.
-pub fn unpack(packed: &str, most: usize) -> Option<String> {
+/// Decompresses a text made by [`pack`]. Returns `None` if the input is invalid, or the text is longer than
+/// `max_bytes`.
+pub fn unpack(packed: &str, max_bytes: usize) -> Option<String> {
     let bytes = STANDARD.decode(packed).ok()?;
     let mut text = String::new();
-    DeflateDecoder::new(bytes.as_slice()).take(most as u64 + 1).read_to_string(&mut text).ok()?;
-    (text.len() <= most).then_some(text)
+    DeflateDecoder::new(bytes.as_slice()).take(max_bytes as u64 + 1).read_to_string(&mut text).ok()?;
+    (text.len() <= max_bytes).then_some(text)
 }
 
-/// The text of what may be packed: packed texts never begin with a brace, and those that are not do.
-pub fn plain(content: &str, most: usize) -> Option<Cow<'_, str>> {
+/// Returns the text of content that may be compressed. Uncompressed content is a JSON object and starts with
+/// `{`, which is not a base64 character.
+pub fn plain(content: &str, max_bytes: usize) -> Option<Cow<'_, str>> {
     if content.starts_with('{') {
         Some(Cow::Borrowed(content))
     } else {
-        unpack(content, most).map(Cow::Owned)
+        unpack(content, max_bytes).map(Cow::Owned)
     }
 }
 
@@ -38,7 +40,7 @@
     use super::*;
 
     #[test]
-    fn what_was_packed_comes_back_and_no_more_than_allowed() {
+    fn packed_text_unpacks_unchanged_within_the_limit_and_truncated_input_does_not() {
         let text = "{\"host\":\"a.example\"}".repeat(1_000);
         let packed = pack(&text).expect("packed");
         assert!(packed.len() < text.len() / 20);
--- a/net/src/serving.rs
+++ b/net/src/serving.rs
@@ -1,4 +1,4 @@
-//! The course of one connection that is served.
+//! Serves a single HTTP/1.1 connection.
 
 use std::convert::Infallible;
 use std::error::Error;
@@ -14,13 +14,14 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// After an error what still comes is read and dropped within these bounds. Guards the answer: a connection
-/// that is closed with bytes unread is reset, and a client that is still sending may not see what it was told.
-const DRAIN_WITHIN: Duration = Duration::from_millis(500);
-const DRAIN_MOST: usize = 4 << 20;
+/// Time limit for discarding remaining input before a connection is closed. Closing a connection with unread
+/// input resets it, and a client that is still sending might then not receive the answer.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum number of bytes that are discarded before a connection is closed.
+const MAX_DRAIN_BYTES: usize = 4 << 20;
 
-/// Serves a connection until it ends. Once `closing` is over, what has been read is answered first; an idle connection is
-/// closed at once.
+/// Serves a connection until it ends. Once `closing` completes, requests that were already read are still
+/// answered; an idle connection is closed at once.
 pub async fn serve_one<S>(
     http: &http1::Builder,
     stream: TcpStream,
@@ -49,12 +50,12 @@
     }
 }
 
-/// Ends the sending, and reads on for a while.
+/// Shuts down the sending side, then discards input until the peer closes or a limit is reached.
 async fn drain(mut stream: TcpStream) {
-    let rest = async {
+    let discard = async {
         stream.shutdown().await?;
         let (mut buffer, mut read) = ([0; 8 * 1024], 0);
-        while read < DRAIN_MOST {
+        while read < MAX_DRAIN_BYTES {
             match stream.read(&mut buffer).await? {
                 0 => break,
                 n => read += n,
@@ -62,5 +63,5 @@
         }
         Ok::<_, std::io::Error>(())
     };
-    let _ = timeout(DRAIN_WITHIN, rest).await;
+    let _ = timeout(DRAIN_TIMEOUT, discard).await;
 }
--- a/net/src/write_progress.rs
+++ b/net/src/write_progress.rs
@@ -1,8 +1,10 @@
-//! Watches what passes on a connection: whether the last byte of a request went out, whether anything came that
-//! nobody asked for, and what the first line of an answer says, also of one that can't be read any further.
+//! Monitors the data on a connection: whether the last byte of a request was written, whether input arrived
+//! before the request was sent, and the status line of the answer, even if the rest of the answer cannot be
+//! parsed.
 //!
-//! A call begins with its last byte. Where it matters that byte is held back for a moment: an endpoint that has given
-//! the connection up resets it at the bytes before, and the call is then known not to have run.
+//! An endpoint executes a request only after its last byte. On request that byte is delayed briefly: an
+//! endpoint that has closed the connection resets it in response to the earlier bytes, and the request is
+//! then known not to have been executed.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -19,32 +21,32 @@
 use tokio::time::{Sleep, sleep};
 
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
-/// The longest first line that is looked at.
-const LONGEST_LINE: usize = 256;
+/// Maximum length of a status line; longer ones are not parsed.
+const MAX_LINE_LEN: usize = 256;
 
-/// How long the last byte is held back: time for a reset to come.
-const HOLD: Duration = Duration::from_millis(2);
+/// Delay of the last byte, which gives a reset time to arrive.
+const LAST_BYTE_DELAY: Duration = Duration::from_millis(2);
 
-/// What waits to be read from a stream.
+/// What can be read from a stream without blocking.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Readable {
     /// Nothing.
     Nothing,
-    /// Bytes.
+    /// At least one byte.
     Something,
-    /// The other side has ended or reset the connection.
+    /// The peer has closed or reset the connection.
     End,
 }
 
-/// A stream that can tell what waits to be read from it.
+/// A stream whose input can be inspected without reading it.
 pub trait Peek {
-    /// What waits at this moment.
-    fn waiting(&self) -> Readable;
+    /// Returns what can be read at this moment.
+    fn readable(&self) -> Readable;
 }
 
 impl Peek for TcpStream {
-    /// Asks the socket itself: what the runtime knows of it may be older.
-    fn waiting(&self) -> Readable {
+    /// Queries the socket directly, as the readiness known to the runtime may be outdated.
+    fn readable(&self) -> Readable {
         match SockRef::from(self).peek(&mut [MaybeUninit::uninit()]) {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => Readable::Nothing,
             Ok(1..) => Readable::Something,
@@ -53,47 +55,47 @@
     }
 }
 
-/// How far the writing of one request has come.
+/// Progress of writing one request.
 #[derive(Clone, Copy, Debug, Default)]
 struct Request {
-    /// Bytes of the end of the head that were seen in a row.
+    /// Number of consecutive bytes of [`END_OF_HEAD`] at the end of the written data.
     matched: usize,
     head_done: bool,
     body_left: usize,
-    /// Its last byte is held back.
-    proof: bool,
+    /// Whether the last byte is delayed.
+    delay_last_byte: bool,
 }
 
-/// How far one exchange has come.
+/// Progress of one exchange.
 #[derive(Debug, Default)]
 struct Progress {
     request: Request,
-    /// Something of it has been written.
+    /// Whether any byte of the request has been written.
     begun: bool,
-    /// Something had come before: the connection can't carry the request.
+    /// Whether input or the end of the connection preceded the request, which therefore was not sent.
     stale: bool,
-    answer: FirstLine,
-    /// Where to count its messages once it has been written whole.
-    counted: Option<(MessageCounter, u64)>,
+    answer: StatusLine,
+    /// Counter, and number of messages to add once the request is written completely.
+    on_complete: Option<(MessageCounter, u64)>,
 }
 
-/// The first line of the answer, those of 1xx answers ahead passed over.
+/// Parser of the answer's status line; 1xx answers are skipped.
 #[derive(Debug, Default)]
-struct FirstLine {
+struct StatusLine {
     line: Vec<u8>,
-    /// In the head of a 1xx answer: how much of its end was seen in a row.
-    ahead: Option<usize>,
+    /// Within the head of a 1xx answer: the number of consecutive bytes of [`END_OF_HEAD`].
+    informational: Option<usize>,
     status: Option<u16>,
-    /// What there is to know is known.
+    /// Whether the line is complete, or too long.
     done: bool,
 }
 
-impl FirstLine {
-    /// Whether the first line is over with these bytes.
+impl StatusLine {
+    /// Processes input. Returns whether it completes the status line.
     fn read(&mut self, bytes: &[u8]) -> bool {
         let before = self.done;
         for byte in bytes {
-            match (self.done, &mut self.ahead) {
+            match (self.done, &mut self.informational) {
                 (true, _) => break,
                 (false, Some(matched)) => {
                     *matched = match *byte {
@@ -102,19 +104,19 @@
                         _ => 0,
                     };
                     if *matched == END_OF_HEAD.len() {
-                        self.ahead = None;
+                        self.informational = None;
                     }
                 }
                 (false, None) if *byte == b'\n' => {
-                    match status(&self.line) {
-                        Some(100..200) => self.ahead = Some(2),
+                    match parse_status(&self.line) {
+                        Some(100..200) => self.informational = Some(2),
                         status => (self.status, self.done) = (status, true),
                     }
                     self.line.clear();
                 }
                 (false, None) => {
                     self.line.push(*byte);
-                    self.done = self.line.len() > LONGEST_LINE;
+                    self.done = self.line.len() > MAX_LINE_LEN;
                 }
             }
         }
@@ -122,14 +124,15 @@
     }
 }
 
-/// The status that a first line tells.
-fn status(line: &[u8]) -> Option<u16> {
+/// Parses the status code of a status line.
+fn parse_status(line: &[u8]) -> Option<u16> {
     let rest = line.strip_prefix(b"HTTP/1.1 ").or(line.strip_prefix(b"HTTP/1.0 "))?;
     let number = rest.split(|b| *b == b' ' || *b == b'\r').next()?;
     std::str::from_utf8(number).ok().filter(|n| n.len() == 3)?.parse().ok()
 }
 
 impl Request {
+    /// Updates the progress after `bytes` were written.
     fn wrote(&mut self, mut bytes: &[u8]) {
         while let Some((byte, rest)) = bytes.split_first().filter(|_| !self.head_done) {
             self.matched = match *byte {
@@ -142,10 +145,11 @@
         }
         self.body_left = self.body_left.saturating_sub(bytes.len());
     }
+    /// Whether the request has been written completely.
     fn done(&self) -> bool {
         self.head_done && self.body_left == 0
     }
-    /// These bytes are its last.
+    /// Whether these bytes complete the request.
     fn ends_with(mut self, bytes: &[u8]) -> bool {
         self.wrote(bytes);
         self.done()
@@ -158,16 +162,16 @@
     answered: Notify,
 }
 
-/// Shared between a connection and its user.
+/// Write progress of a connection, shared between the connection and its user.
 #[derive(Clone, Default)]
 pub struct WriteProgress(Arc<Shared>);
 
-/// Messages that were written whole, over all connections.
+/// Counter of messages that were written completely, over all connections.
 #[derive(Clone, Debug, Default)]
 pub struct MessageCounter(Arc<AtomicU64>);
 
 impl MessageCounter {
-    /// So many so far.
+    /// Returns the current count.
     pub fn count(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
@@ -180,25 +184,26 @@
     fn progress(&self) -> MutexGuard<'_, Progress> {
         self.0.progress.lock().unwrap_or_else(PoisonError::into_inner)
     }
-    /// A request with a body of this length comes next; its last byte is held back where it is to be proven that it
-    /// never ran.
-    pub fn expect(&self, body: usize, proof: bool, counted: Option<(MessageCounter, u64)>) {
-        let request = Request { body_left: body, proof, ..Request::default() };
-        *self.progress() = Progress { request, counted, ..Progress::default() };
+    /// Prepares for a request with a body of `body` bytes. With `delay_last_byte` its last byte is delayed,
+    /// to detect that the endpoint has closed the connection. `on_complete` is a counter and the number of
+    /// messages to add to it once the request is written completely.
+    pub fn expect(&self, body: usize, delay_last_byte: bool, on_complete: Option<(MessageCounter, u64)>) {
+        let request = Request { body_left: body, delay_last_byte, ..Request::default() };
+        *self.progress() = Progress { request, on_complete, ..Progress::default() };
     }
-    /// The last byte of the request has been written.
-    pub fn all(&self) -> bool {
+    /// Whether the last byte of the request has been written.
+    pub fn all_written(&self) -> bool {
         self.progress().request.done()
     }
-    /// Nothing of the request was written, since something had come before it.
+    /// Whether the request was not sent because input or the end of the connection preceded it.
     pub fn stale(&self) -> bool {
         self.progress().stale
     }
-    /// The status in the first line of the answer, once all of that line has come.
+    /// Returns the status of the answer, once its status line is complete.
     pub fn status(&self) -> Option<u16> {
         self.progress().answer.status
     }
-    /// Waits for the first line of the answer.
+    /// Waits until the status line of the answer is complete.
     pub async fn answered(&self) {
         loop {
             let answered = self.0.answered.notified();
@@ -210,18 +215,18 @@
     }
 }
 
-/// A stream on which is watched what passes.
+/// A stream that tracks the progress of requests and answers.
 pub struct MonitoredStream<S> {
     stream: S,
     written: WriteProgress,
-    /// Runs while a last byte is held back.
-    hold: Option<Pin<Box<Sleep>>>,
+    /// Timer that runs while a last byte is delayed.
+    delay: Option<Pin<Box<Sleep>>>,
 }
 
 impl<S> MonitoredStream<S> {
-    /// Watches `stream`; `written` tells of it.
+    /// Wraps `stream`, and records the progress in `written`.
     pub fn new(stream: S, written: WriteProgress) -> Self {
-        MonitoredStream { stream, written, hold: None }
+        MonitoredStream { stream, written, delay: None }
     }
 }
 
@@ -229,38 +234,38 @@
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
-        let came = buf.filled().get(before..).unwrap_or_default();
-        if !came.is_empty() && self.written.progress().answer.read(came) {
+        let input = buf.filled().get(before..).unwrap_or_default();
+        if !input.is_empty() && self.written.progress().answer.read(input) {
             self.written.0.answered.notify_waiters();
         }
         read
     }
 }
 
-/// Vectored writes are left out: hyper then hands over one buffer.
+/// Vectored writes are not supported, so that hyper passes a single buffer.
 impl<S: AsyncWrite + Peek + Unpin> AsyncWrite for MonitoredStream<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         let (begun, request) = {
             let progress = self.written.progress();
             (progress.begun, progress.request)
         };
-        // Guards the request: what has come before it would be taken for its answer.
-        if !begun && self.stream.waiting() != Readable::Nothing {
+        // Input that arrived before the request would be taken for its answer.
+        if !begun && self.stream.readable() != Readable::Nothing {
             self.written.progress().stale = true;
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
         let mut bytes = buf;
-        if request.proof && !request.done() && request.ends_with(buf) {
+        if request.delay_last_byte && !request.done() && request.ends_with(buf) {
             match buf {
                 [_] => {
-                    let hold = self.hold.get_or_insert_with(|| Box::pin(sleep(HOLD)));
-                    ready!(hold.as_mut().poll(cx));
-                    self.hold = None;
-                    if self.stream.waiting() == Readable::End {
+                    let delay = self.delay.get_or_insert_with(|| Box::pin(sleep(LAST_BYTE_DELAY)));
+                    ready!(delay.as_mut().poll(cx));
+                    self.delay = None;
+                    if self.stream.readable() == Readable::End {
                         return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
                     }
                 }
-                [most @ .., _] => bytes = most,
+                [all_but_last @ .., _] => bytes = all_but_last,
                 [] => {}
             }
         }
@@ -270,7 +275,7 @@
             progress.begun |= n > 0;
             progress.request.wrote(&bytes[..n.min(bytes.len())]);
             if progress.request.done()
-                && let Some((sent, messages)) = progress.counted.take()
+                && let Some((sent, messages)) = progress.on_complete.take()
             {
                 sent.add(messages);
             }
@@ -290,25 +295,25 @@
     use super::*;
 
     #[test]
-    fn the_last_byte_counts_however_the_request_is_cut() {
+    fn a_request_is_complete_only_after_its_last_byte_however_the_writes_are_split() {
         let request = b"POST /hook HTTP/1.1\r\nreq-id: a\r\r\n\r\nbo\r\n\r\ndy";
-        for cut in 0..request.len() {
+        for split in 0..request.len() {
             let written = WriteProgress::default();
             written.expect(8, true, None);
-            written.progress().request.wrote(&request[..cut]);
-            assert!(!written.all(), "cut at {cut}");
-            written.progress().request.wrote(&request[cut..]);
-            assert!(written.all(), "cut at {cut}");
+            written.progress().request.wrote(&request[..split]);
+            assert!(!written.all_written(), "split at {split}");
+            written.progress().request.wrote(&request[split..]);
+            assert!(written.all_written(), "split at {split}");
         }
     }
 
     #[test]
-    fn the_first_line_is_read_however_it_is_cut_and_whatever_follows() {
-        let tells = |text: &[u8], cut: usize| {
-            let mut first = FirstLine::default();
-            let over = [first.read(&text[..cut]), first.read(&text[cut..])];
-            assert!(over != [true, true], "told once");
-            (first.status, over.contains(&true))
+    fn the_status_line_is_parsed_however_the_input_is_split_and_whatever_follows() {
+        let parse = |text: &[u8], split: usize| {
+            let mut first = StatusLine::default();
+            let completed = [first.read(&text[..split]), first.read(&text[split..])];
+            assert!(completed != [true, true], "completed once");
+            (first.status, completed.contains(&true))
         };
         let known: [(&[u8], _); 7] = [
             (b"HTTP/1.1 200 OK\r\nbad head\x00\r\n", (Some(200), true)),
@@ -323,10 +328,10 @@
             (b"HTTP/1.1 100 Continue\r\n\r\n", (None, false)),
         ];
         for (text, expected) in known {
-            for cut in 0..text.len() {
-                assert_eq!(tells(text, cut), expected, "{text:?} cut at {cut}");
+            for split in 0..text.len() {
+                assert_eq!(parse(text, split), expected, "{text:?} split at {split}");
             }
         }
-        assert_eq!(tells(&[b'x'; 1_000], 300), (None, true));
+        assert_eq!(parse(&[b'x'; 1_000], 300), (None, true));
     }
 }
--- a/protocol/src/membership.rs
+++ b/protocol/src/membership.rs
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Applies a change. Returns `None` if it starts from another version or exceeds [`MAX_ENTRIES`].
+    /// Applies a change. Returns `None` if it starts from another version or exceeds `MAX_ENTRIES`.
     pub fn apply(&self, change: &ViewChange) -> Option<MembershipView> {
         let too_large = self.peers.len() + change.came.len() > MAX_ENTRIES
             || self.leaving.len() + change.leaving.len() > MAX_ENTRIES
