--- a/net/src/messaging/tests.rs
+++ b/net/src/messaging/tests.rs
@@ -17,7 +17,8 @@
     max_connections: 8,
     ack_timeout: None,
 };
-const TERMS: StreamOptions = StreamOptions { open_timeout: LONG, max_line_bytes: 4, idle_timeout: LONG };
+const STREAM_OPTIONS: StreamOptions =
+    StreamOptions { open_timeout: LONG, max_line_bytes: 4, idle_timeout: LONG };
 
 fn wait<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -124,7 +125,8 @@
             (["a\nb", "c\n\n", "4444\n"], vec!["a", "bc", "4444"], StreamEnd::Closed),
             (["a\n", "55", "555\n"], vec!["a"], StreamEnd::TooLong),
         ] {
-            let opening = tokio::spawn(LineStream::open(server.address, "/feed", Bytes::from("{}"), TERMS));
+            let opening =
+                tokio::spawn(LineStream::open(server.address, "/feed", Bytes::from("{}"), STREAM_OPTIONS));
             let (_, reply) = server.calls.recv().await.expect("a call");
             let (sender, receiver) = mpsc::channel(8);
             reply.send(Reply::streamed(receiver)).expect("the handler waits");
@@ -138,7 +140,8 @@
             }
             assert_eq!((stream.next_line().await, stream.ended()), (None, Some(ended)));
         }
-        let opening = tokio::spawn(LineStream::open(server.address, "/feed", Bytes::from("{}"), TERMS));
+        let opening =
+            tokio::spawn(LineStream::open(server.address, "/feed", Bytes::from("{}"), STREAM_OPTIONS));
         let (_, reply) = server.calls.recv().await.expect("a call");
         let (_sender, receiver) = mpsc::channel(8);
         reply.send(Reply::streamed(receiver)).expect("the handler waits");
