--- a/dispatcher/src/book.rs
+++ b/dispatcher/src/audit_log.rs
@@ -20,7 +20,7 @@
 const MARKED: Nanos = 5_000_000_000;
 
 /// See the module.
-pub struct Book {
+pub struct AuditLog {
     recording: Recording,
     author: Author,
     log: Option<Log>,
@@ -37,10 +37,10 @@
     marked: HashMap<u16, Nanos>,
 }
 
-impl Book {
+impl AuditLog {
     /// Opens the log. A folder that can't be used costs the record, and is told.
     pub fn open(at: Moment, recording: Recording, author: Author) -> Self {
-        let mut book = Book {
+        let mut audit_log = AuditLog {
             recording,
             author,
             log: None,
@@ -52,8 +52,8 @@
             places: HashMap::new(),
             marked: HashMap::new(),
         };
-        book.resume(at);
-        book
+        audit_log.resume(at);
+        audit_log
     }
 
     /// Goes on after [`Self::end`]: another process had the folder meanwhile.
--- a/dispatcher/src/calls.rs
+++ b/dispatcher/src/calls.rs
@@ -19,15 +19,15 @@
 use crate::batch;
 
 /// An answer's body means nothing; it is read so that the connection can be used again, within these bounds.
-const LONGEST_BODY: usize = 64 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 /// A wait that is told counts from the head of its answer, so that little time may pass.
-const BODY_WITHIN: Duration = Duration::from_millis(80);
+const BODY_TIMEOUT: Duration = Duration::from_millis(80);
 /// An answer is written in one go: once its first line is there, the rest of its head comes in this time.
 /// Guards the slots against heads without end.
-const HEAD_WITHIN: Duration = Duration::from_millis(500);
+const HEAD_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The ends of several messages come in the body of an answer, which may take so long.
-const ENDS_WITHIN: Duration = Duration::from_millis(500);
+const ENDS_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What is told of calls and probes.
 pub enum Event {
@@ -43,7 +43,7 @@
 
 /// An endpoint may give connections up much sooner than it says, without a word: each is then reset at its next
 /// request. What was seen of that holds for so long.
-const SEEN_FOR: Duration = Duration::from_secs(15);
+const GIVEN_UP_TTL: Duration = Duration::from_secs(15);
 
 struct Idle {
     link: Link,
@@ -52,7 +52,7 @@
 }
 
 /// The connection of a call.
-struct Carrier {
+struct CallConnection {
     endpoint: EndpointId,
     address: SocketAddr,
     since: Instant,
@@ -62,60 +62,60 @@
     fresh: bool,
     /// How long a kept one had stood idle.
     idle_for: Duration,
-    call_off: Option<oneshot::Sender<()>>,
+    cancel: Option<oneshot::Sender<()>>,
 }
 
 /// A connection that is reset so soon after a request was lost before it, more likely than under it.
-const AT_ONCE: Duration = Duration::from_millis(10);
+const IMMEDIATE_RESET: Duration = Duration::from_millis(10);
 /// A kept connection that was used so lately has not been given up since.
 const JUST_USED: Duration = Duration::from_millis(50);
 
 /// Starts calls and keeps idle connections.
 pub struct Calls<I> {
-    carriers: HashMap<CallId, Carrier>,
+    connections: HashMap<CallId, CallConnection>,
     idle: HashMap<EndpointId, Vec<Idle>>,
     /// The idle time from which on an endpoint's connections seem to be given up, and when that was seen.
     given_up: HashMap<EndpointId, (Duration, Instant)>,
     count: usize,
     most: usize,
     reuse_within: Duration,
-    connect_within: Duration,
+    connect_timeout: Duration,
     sent: Sent,
-    told: mpsc::Sender<I>,
+    input_tx: mpsc::Sender<I>,
 }
 
 impl<I: From<Event> + Send + 'static> Calls<I> {
     /// Keeps `most` idle connections at most; endpoints close theirs after `keepalive`.
-    pub fn new(most: usize, keepalive: Nanos, connect: Nanos, told: mpsc::Sender<I>) -> Self {
+    pub fn new(most: usize, keepalive: Nanos, connect: Nanos, input_tx: mpsc::Sender<I>) -> Self {
         // An idle connection that the endpoint may be closing is not reused: a request that crosses the end
         // counts as a reset, which an unsafe message does not survive.
         let keepalive = Duration::from_nanos(keepalive);
         let reuse_within = keepalive - keepalive / 8;
-        let connect_within = Duration::from_nanos(connect);
+        let connect_timeout = Duration::from_nanos(connect);
         Calls {
-            carriers: HashMap::new(),
+            connections: HashMap::new(),
             idle: HashMap::new(),
             given_up: HashMap::new(),
             count: 0,
             most,
             reuse_within,
-            connect_within,
+            connect_timeout,
             sent: Sent::default(),
-            told,
+            input_tx,
         }
     }
 
     /// New figures: idle connections at most, the time after which endpoints close them, and the time that one may take
     /// to come up, in nanoseconds.
-    pub fn settle_on(&mut self, most: usize, keepalive: Nanos, connect: Nanos) {
+    pub fn set_limits(&mut self, most: usize, keepalive: Nanos, connect: Nanos) {
         let keepalive = Duration::from_nanos(keepalive);
         (self.most, self.reuse_within) = (most, keepalive - keepalive / 8);
-        self.connect_within = Duration::from_nanos(connect);
+        self.connect_timeout = Duration::from_nanos(connect);
     }
 
     /// Calls that were written and have no end yet.
     pub fn written(&self) -> impl Iterator<Item = CallId> + '_ {
-        self.carriers.iter().filter(|(_, carrier)| carrier.call_off.is_some()).map(|(call, _)| *call)
+        self.connections.iter().filter(|(_, connection)| connection.cancel.is_some()).map(|(call, _)| *call)
     }
 
     /// Messages that were written whole to endpoints.
@@ -130,7 +130,7 @@
     }
 
     fn reuse_within(&self, endpoint: EndpointId) -> Duration {
-        let seen = self.given_up.get(&endpoint).filter(|(_, at)| at.elapsed() < SEEN_FOR);
+        let seen = self.given_up.get(&endpoint).filter(|(_, at)| at.elapsed() < GIVEN_UP_TTL);
         seen.map_or(self.reuse_within, |(age, _)| self.reuse_within.min(*age))
     }
 
@@ -196,24 +196,24 @@
         within: Duration,
     ) -> bool {
         let kept = if fresh { None } else { self.idle(endpoint, address, sure) };
-        let carrier = self.carriers.entry(call).or_insert_with(|| Carrier {
+        let connection = self.connections.entry(call).or_insert_with(|| CallConnection {
             endpoint,
             address,
             since: Instant::now(),
             link: None,
             fresh: false,
             idle_for: Duration::ZERO,
-            call_off: None,
+            cancel: None,
         });
         if let Some((link, age)) = kept {
-            (carrier.link, carrier.idle_for) = (Some(link), age);
+            (connection.link, connection.idle_for) = (Some(link), age);
             return true;
         }
-        (carrier.fresh, carrier.address) = (true, address);
-        let (told, within) = (self.told.clone(), within.min(self.connect_within));
+        (connection.fresh, connection.address) = (true, address);
+        let (input_tx, within) = (self.input_tx.clone(), within.min(self.connect_timeout));
         tokio::spawn(metered(Part::Calls, async move {
             let link = timeout(within, Link::open(address)).await.ok().and_then(Result::ok);
-            let _ = told.send(Event::Connected { call, link }.into()).await;
+            let _ = input_tx.send(Event::Connected { call, link }.into()).await;
         }));
         false
     }
@@ -221,17 +221,18 @@
     /// The connection for a call has come up, or has not. Whether it is there.
     pub fn connected(&mut self, call: CallId, link: Option<Link>) -> bool {
         let up = link.is_some();
-        if let (true, Some(carrier)) = (up, self.carriers.get_mut(&call)) {
-            carrier.link = link;
-        } else if let Some(carrier) = self.carriers.remove(&call) {
-            self.forget(carrier.endpoint);
+        if let (true, Some(connection)) = (up, self.connections.get_mut(&call)) {
+            connection.link = link;
+        } else if let Some(connection) = self.connections.remove(&call) {
+            self.forget(connection.endpoint);
         }
         up
     }
 
     /// Nothing is written on the connection of a call: it may serve another, if any goes there.
     pub fn release(&mut self, call: CallId, ready: impl Fn(EndpointId) -> bool) {
-        if let Some(Carrier { endpoint, address, link: Some(link), .. }) = self.carriers.remove(&call)
+        if let Some(CallConnection { endpoint, address, link: Some(link), .. }) =
+            self.connections.remove(&call)
             && ready(endpoint)
         {
             self.keep(endpoint, address, link);
@@ -240,10 +241,10 @@
 
     /// The connection of a call was gone before its last byte. Whether it was a new one.
     pub fn unsent(&mut self, call: CallId) -> bool {
-        let Some(carrier) = self.carriers.get(&call) else { return true };
-        let (endpoint, idle_for, fresh) = (carrier.endpoint, carrier.idle_for, carrier.fresh);
+        let Some(connection) = self.connections.get(&call) else { return true };
+        let (endpoint, idle_for, fresh) = (connection.endpoint, connection.idle_for, connection.fresh);
         if fresh {
-            self.carriers.remove(&call);
+            self.connections.remove(&call);
         } else {
             self.was_given_up(endpoint, idle_for);
         }
@@ -251,19 +252,19 @@
     }
 
     /// A call is over; its connection is kept if it can be used again.
-    pub fn over(
+    pub fn ended(
         &mut self,
         call: CallId,
         ends: &MessageEnds,
         link: Option<Link>,
         ready: impl Fn(EndpointId) -> bool,
     ) {
-        let Some(carrier) = self.carriers.remove(&call) else { return };
-        let Carrier { endpoint, address, since, fresh, idle_for, .. } = carrier;
+        let Some(connection) = self.connections.remove(&call) else { return };
+        let CallConnection { endpoint, address, since, fresh, idle_for, .. } = connection;
         if let Some(link) = link.filter(|_| ready(endpoint)) {
             self.keep(endpoint, address, link);
         }
-        if ends.is(Outcome::Reset) && !fresh && since.elapsed() < AT_ONCE {
+        if ends.is(Outcome::Reset) && !fresh && since.elapsed() < IMMEDIATE_RESET {
             self.was_given_up(endpoint, idle_for);
         }
         // A connection that was reset says nothing of the others: each is looked at before it is used.
@@ -273,9 +274,9 @@
     }
 
     /// Calls off a call that is out.
-    pub fn call_off(&mut self, call: CallId) {
-        if let Some(call_off) = self.carriers.get_mut(&call).and_then(|c| c.call_off.take()) {
-            let _ = call_off.send(());
+    pub fn cancel(&mut self, call: CallId) {
+        if let Some(cancel) = self.connections.get_mut(&call).and_then(|c| c.cancel.take()) {
+            let _ = cancel.send(());
         }
     }
 
@@ -288,18 +289,18 @@
         until: Instant,
         within: Duration,
     ) -> bool {
-        let Some(carrier) = self.carriers.get_mut(&call) else { return false };
+        let Some(connection) = self.connections.get_mut(&call) else { return false };
         // A connection that was in use just now is not stale, and a message that may go again needs no proof that it
         // never ran where a new one breaks.
-        let proof = sure || !carrier.fresh && carrier.idle_for >= JUST_USED;
-        let (request, references) = requested(carrier.address, messages, within);
-        let (Some(request), Some(link)) = (request, carrier.link.take()) else {
-            self.carriers.remove(&call);
+        let proof = sure || !connection.fresh && connection.idle_for >= JUST_USED;
+        let (request, references) = requested(connection.address, messages, within);
+        let (Some(request), Some(link)) = (request, connection.link.take()) else {
+            self.connections.remove(&call);
             return false;
         };
-        let (call_off, called_off) = oneshot::channel();
-        carrier.call_off = Some(call_off);
-        self.send(call, link, request, until, proof, called_off, references);
+        let (cancel, cancelled) = oneshot::channel();
+        connection.cancel = Some(cancel);
+        self.send(call, link, request, until, proof, cancelled, references);
         true
     }
 
@@ -313,36 +314,36 @@
         request: Request<Full<Bytes>>,
         until: Instant,
         proof: bool,
-        called_off: oneshot::Receiver<()>,
+        cancelled: oneshot::Receiver<()>,
         // The messages in the call, where there are several.
         references: Vec<String>,
     ) {
-        let told = self.told.clone();
+        let input_tx = self.input_tx.clone();
         let counted = Some((self.sent.clone(), references.len().max(1) as u64));
         tokio::spawn(metered(Part::Calls, async move {
-            let called_off = async {
-                if called_off.await.is_err() {
+            let cancelled = async {
+                if cancelled.await.is_err() {
                     std::future::pending::<()>().await;
                 }
             };
             let written = link.written();
-            let endless = async {
+            let head_timeout = async {
                 written.answered().await;
-                sleep(HEAD_WITHIN).await;
+                sleep(HEAD_TIMEOUT).await;
             };
             let answer = tokio::select! {
                 // In this order: what is watched is that of the request before until this one has begun.
                 biased;
                 answer = timeout_at(until, link.send(request, proof, counted)) => answer.map_err(|_| Outcome::TimedOut),
-                () = called_off => Err(Outcome::Cancelled),
-                () = endless => Err(Outcome::Reset),
+                () = cancelled => Err(Outcome::Cancelled),
+                () = head_timeout => Err(Outcome::Reset),
             };
             let ended = match answer {
                 Ok(Ok(answer)) => finish(link, answer, &references).await,
                 // Whatever ended it: an endpoint begins a call with its last byte.
                 Ok(Err(Error::NotSent | Error::Cut)) => {
                     link.close().await;
-                    let _ = told.send(Event::Unsent { call }.into()).await;
+                    let _ = input_tx.send(Event::Unsent { call }.into()).await;
                     return;
                 }
                 // Whatever else is wrong with an answer, a first line of 200 is true; for several messages it is what
@@ -358,15 +359,15 @@
                     broken(link, outcome).await
                 }
             };
-            let Over { ended, link } = ended;
-            let _ = told.send(Event::Ended { call, ended, link }.into()).await;
+            let ExchangeEnd { ended, link } = ended;
+            let _ = input_tx.send(Event::Ended { call, ended, link }.into()).await;
         }));
     }
 
     /// Probes an endpoint, on a connection of its own if none is idle.
     pub fn probe(&mut self, endpoint: EndpointId, address: SocketAddr) {
-        let (told, within, idle) =
-            (self.told.clone(), self.connect_within, self.idle(endpoint, address, false));
+        let (input_tx, within, idle) =
+            (self.input_tx.clone(), self.connect_timeout, self.idle(endpoint, address, false));
         tokio::spawn(metered(Part::Calls, async move {
             let began = Instant::now();
             let exchange = async {
@@ -384,26 +385,26 @@
                 Ok(Err(outcome)) => CallEnd::without_answer(outcome).into(),
                 Err(_) => CallEnd::without_answer(Outcome::TimedOut).into(),
             };
-            let (took, Over { ended, link }) = (began.elapsed(), ended);
-            let _ = told.send(Event::Probed { endpoint, took, ended, link }.into()).await;
+            let (took, ExchangeEnd { ended, link }) = (began.elapsed(), ended);
+            let _ = input_tx.send(Event::Probed { endpoint, took, ended, link }.into()).await;
         }));
     }
 }
 
 /// How an exchange ended, and its connection, if that can be used again.
-struct Over {
+struct ExchangeEnd {
     ended: CallEnd,
     link: Option<Link>,
 }
 
-impl From<CallEnd> for Over {
+impl From<CallEnd> for ExchangeEnd {
     fn from(ended: CallEnd) -> Self {
-        Over { ended, link: None }
+        ExchangeEnd { ended, link: None }
     }
 }
 
 /// The connection is closed before the outcome is told: no other attempt may go while it is open.
-async fn broken(link: Link, outcome: Outcome) -> Over {
+async fn broken(link: Link, outcome: Outcome) -> ExchangeEnd {
     link.close().await;
     CallEnd::without_answer(outcome).into()
 }
@@ -411,19 +412,23 @@
 /// Reads the rest of an answer. A first line of 200 is true whatever follows, to a call with one message; any other
 /// answer counts only as a whole. One that breaks off or has no end is spoilt, and proves nothing: the call may have
 /// run. What comes behind a whole answer belongs to nobody, and only costs the connection.
-async fn finish(mut link: Link, answer: Response<hyper::body::Incoming>, references: &[String]) -> Over {
+async fn finish(
+    mut link: Link,
+    answer: Response<hyper::body::Incoming>,
+    references: &[String],
+) -> ExchangeEnd {
     let (head, body) = answer.into_parts();
     let told = wait(&head.headers);
     // With a wait told little time may pass; without, there is more to lose by an answer that is not read.
-    let within = if references.is_empty() || told.is_some() { BODY_WITHIN } else { ENDS_WITHIN };
-    let body = timeout(within, Limited::new(body, LONGEST_BODY).collect()).await;
+    let within = if references.is_empty() || told.is_some() { BODY_TIMEOUT } else { ENDS_TIMEOUT };
+    let body = timeout(within, Limited::new(body, MAX_BODY_BYTES).collect()).await;
     let body = body.ok().and_then(Result::ok).map(|body| body.to_bytes());
     let whole = body.is_some();
     let several = !references.is_empty();
     if !whole && (several || head.status != StatusCode::OK) {
         let wait = told.filter(|_| several);
         let broken = broken(link, Outcome::Reset).await;
-        return Over { ended: CallEnd { wait, ..broken.ended }, ..broken };
+        return ExchangeEnd { ended: CallEnd { wait, ..broken.ended }, ..broken };
     }
     let ends = match body.filter(|_| several && head.status == StatusCode::OK) {
         Some(body) => MessageEnds::Each(ends(&body, references, told)),
@@ -434,8 +439,8 @@
     let wait = told.filter(|_| matches!(ends, MessageEnds::Each(_)));
     let report = head.headers.get("Srv-Load").and_then(|v| v.to_str().ok()).and_then(report);
     let ended = CallEnd { ends, wait, report };
-    if whole && timeout(BODY_WITHIN, link.rested()).await.unwrap_or(false) {
-        return Over { ended, link: Some(link) };
+    if whole && timeout(BODY_TIMEOUT, link.rested()).await.unwrap_or(false) {
+        return ExchangeEnd { ended, link: Some(link) };
     }
     link.close().await;
     ended.into()
@@ -470,7 +475,7 @@
     match status {
         StatusCode::OK => MessageEnd { outcome: Outcome::Served, over: true },
         StatusCode::TOO_MANY_REQUESTS => Outcome::Full(wait(headers)).into(),
-        StatusCode::SERVICE_UNAVAILABLE if headers.get("X-Over-Slots").is_some_and(|v| v == "1") => {
+        StatusCode::SERVICE_UNAVAILABLE if headers.get("X-ExchangeEnd-Slots").is_some_and(|v| v == "1") => {
             Outcome::NotSent.into()
         }
         StatusCode::SERVICE_UNAVAILABLE => Outcome::Full(wait(headers)).into(),
@@ -569,7 +574,7 @@
             for mut stream in listener.incoming().flatten() {
                 std::thread::spawn(move || {
                     use std::io::{Read, Write};
-                    for pause in [Duration::ZERO, HEAD_WITHIN * 2] {
+                    for pause in [Duration::ZERO, HEAD_TIMEOUT * 2] {
                         let _ = stream.read(&mut [0; 4096]);
                         std::thread::sleep(pause);
                         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
@@ -580,18 +585,18 @@
         });
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         runtime.block_on(async {
-            let (told, mut inputs) = mpsc::channel(64);
-            let calls = Calls::new(8, 1, 1, told);
+            let (input_tx, mut inputs) = mpsc::channel(64);
+            let calls = Calls::new(8, 1, 1, input_tx);
             let until = Instant::now() + Duration::from_secs(60);
-            let mut call_offs = Vec::new();
+            let mut cancels = Vec::new();
             for call in 0..8 {
-                let request = || request(address, "r", None, Bytes::new(), HEAD_WITHIN).expect("a request");
+                let request = || request(address, "r", None, Bytes::new(), HEAD_TIMEOUT).expect("a request");
                 let mut link = Link::open(address).await.expect("a connection");
                 link.send(request(), true, None).await.expect("the first answer");
                 assert!(link.rested().await);
-                let (call_off, called_off) = oneshot::channel();
-                calls.send(call, link, request(), until, true, called_off, Vec::new());
-                call_offs.push(call_off);
+                let (cancel, cancelled) = oneshot::channel();
+                calls.send(call, link, request(), until, true, cancelled, Vec::new());
+                cancels.push(cancel);
             }
             for _ in 0..8 {
                 match inputs.recv().await {
@@ -608,9 +613,9 @@
         let address = listener.local_addr().expect("an address");
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         runtime.block_on(async {
-            let (told, _inputs) = mpsc::channel::<Event>(1);
+            let (input_tx, _inputs) = mpsc::channel::<Event>(1);
             let hour = 3_600_000_000_000;
-            let mut calls = Calls::new(8, hour, hour, told);
+            let mut calls = Calls::new(8, hour, hour, input_tx);
             for endpoint in [1, 2] {
                 let mut link = Link::open(address).await.expect("a connection");
                 assert!(link.rested().await);
--- a/dispatcher/src/console.rs
+++ b/dispatcher/src/console.rs
@@ -32,7 +32,7 @@
 const READ_WITHIN: Duration = Duration::from_secs(1);
 
 /// What the loop is asked.
-pub enum Asked {
+pub enum Query {
     /// To bring the figures up to date.
     Figures { done: oneshot::Sender<()> },
     /// What it acts on, and how it sees the others; nothing where no roll is kept.
@@ -54,16 +54,20 @@
 }
 
 /// Whom the console asks.
-pub struct Desk<I> {
+pub struct ConsoleContext<I> {
     /// This process owns the work and takes messages.
     pub ready: watch::Receiver<bool>,
     pub shared: Shared,
-    pub told: mpsc::Sender<I>,
+    pub input_tx: mpsc::Sender<I>,
 }
 
-impl<I> Clone for Desk<I> {
+impl<I> Clone for ConsoleContext<I> {
     fn clone(&self) -> Self {
-        Desk { ready: self.ready.clone(), shared: self.shared.clone(), told: self.told.clone() }
+        ConsoleContext {
+            ready: self.ready.clone(),
+            shared: self.shared.clone(),
+            input_tx: self.input_tx.clone(),
+        }
     }
 }
 
@@ -71,21 +75,24 @@
 ///
 /// # Errors
 /// Where the address can't be listened on.
-pub fn open<I: From<Asked> + Send + 'static>(address: SocketAddr, desk: Desk<I>) -> io::Result<()> {
+pub fn open<I: From<Query> + Send + 'static>(
+    address: SocketAddr,
+    context: ConsoleContext<I>,
+) -> io::Result<()> {
     let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     std::thread::Builder::new().name("console".to_owned()).spawn(move || {
-        if let Err(e) = runtime.block_on(serve(listener, desk)) {
+        if let Err(e) = runtime.block_on(serve(listener, context)) {
             eprintln!("console: {e}");
         }
     })?;
     Ok(())
 }
 
-async fn serve<I: From<Asked> + Send + 'static>(
+async fn serve<I: From<Query> + Send + 'static>(
     listener: std::net::TcpListener,
-    desk: Desk<I>,
+    context: ConsoleContext<I>,
 ) -> io::Result<()> {
     let listener = TcpListener::from_std(listener)?;
     let mut callers: Vec<Caller> = Vec::new();
@@ -93,8 +100,8 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 make_place(&mut callers).await;
-                let (desk, asked) = (desk.clone(), Arc::new(AtomicBool::new(false)));
-                let task = tokio::spawn(caller(stream, desk, asked.clone()));
+                let (context, asked) = (context.clone(), Arc::new(AtomicBool::new(false)));
+                let task = tokio::spawn(caller(stream, context, asked.clone()));
                 callers.push(Caller { since: Instant::now(), asked, task });
             }
             Err(e) => {
@@ -129,12 +136,12 @@
     }
 }
 
-async fn caller<I: From<Asked>>(mut stream: TcpStream, desk: Desk<I>, asked: Arc<AtomicBool>) {
+async fn caller<I: From<Query>>(mut stream: TcpStream, context: ConsoleContext<I>, asked: Arc<AtomicBool>) {
     let Ok(Some(line)) = timeout(LINE_WITHIN, read_line(&mut stream)).await else { return };
     asked.store(true, Ordering::Relaxed);
     let answer = match line {
         Ok(line) => match line::call(&line) {
-            Ok(call) => desk.answer(call).await,
+            Ok(call) => context.answer(call).await,
             Err(why) => line::answer(Err(why)),
         },
         Err(why) => line::answer(Err(why)),
@@ -175,7 +182,7 @@
     }
 }
 
-impl<I: From<Asked>> Desk<I> {
+impl<I: From<Query>> ConsoleContext<I> {
     async fn answer(&self, call: Call) -> String {
         match call {
             Call::Health if !*self.ready.borrow() => line::answer(Err("not ready")),
@@ -186,7 +193,7 @@
             Call::Standing => {
                 let (done, answered) = oneshot::channel();
                 let asked = async {
-                    let _ = self.told.send(Asked::Standing { done }.into()).await;
+                    let _ = self.input_tx.send(Query::Standing { done }.into()).await;
                     answered.await.ok().flatten()
                 };
                 match timeout(DONE_WITHIN, asked).await {
@@ -198,7 +205,7 @@
             Call::Counters => {
                 let (done, brought) = oneshot::channel();
                 let asked = async {
-                    let _ = self.told.send(Asked::Figures { done }.into()).await;
+                    let _ = self.input_tx.send(Query::Figures { done }.into()).await;
                     let _ = brought.await;
                 };
                 let _ = timeout(FIGURES_WITHIN, asked).await;
@@ -207,7 +214,7 @@
             Call::Maintain { id, out, .. } => {
                 let (done, answered) = oneshot::channel();
                 let asked = async {
-                    let _ = self.told.send(Asked::Maintain { id, out, done }.into()).await;
+                    let _ = self.input_tx.send(Query::Maintain { id, out, done }.into()).await;
                     answered.await.unwrap_or_else(|_| Err("nobody decides here any more".to_owned()))
                 };
                 let answer = timeout(DONE_WITHIN, asked).await;
--- a/dispatcher/src/driver.rs
+++ b/dispatcher/src/driver.rs
@@ -1,5 +1,5 @@
-//! The loop round the core: what happens goes in, and what the core wants done is carried out here, in its order.
-//! Nothing is decided here, and nothing is known of a message.
+//! The main loop around the core: feeds it events and carries out its effects in the order in which it issues them.
+//! The driver makes no delivery decisions and does not interpret messages.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -27,43 +27,45 @@
 use tokio::time::sleep_until;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::book::Book;
+use crate::audit_log::AuditLog;
 use crate::calls::{self, Calls};
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::console;
 use crate::cordons::{Change, Cordons};
 use crate::discovery::List;
-use crate::handover::{Heir, Line, WORD_WITHIN};
-use crate::hands::{Before, Done, Hands};
-use crate::input::{Input, Settle};
-use crate::intake::{Asked, Front, Phase};
+use crate::handover::{FrameStream, REPLY_TIMEOUT, TakeoverRequest};
+use crate::input::{ApplySettings, Input};
+use crate::intake::{AcceptedClasses, ClientRequest, Phase};
 use crate::notices::{self, Notice};
-use crate::opening::{self, Opening};
 use crate::options::Recording;
 use crate::peers::sharing::Sharing;
-use crate::peers::{Note, Peers};
-use crate::record::Record;
+use crate::peers::{PeerMessage, Peers};
+use crate::predecessor::{Done, FormerOwner, Predecessor};
 use crate::roster::Roster;
+use crate::store_opener::{self, StoreOpener};
+use crate::store_writer::StoreWriter;
 use crate::versions;
 
-/// The descriptors of the process.
+/// The budget of file descriptors of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct Descriptors {
-    /// For clients.
+    /// For client connections.
     pub clients: usize,
-    /// For calls and all else.
+    /// For calls and everything else.
     pub rest: usize,
 }
 
 impl Descriptors {
-    /// Half of them are for clients; the rest for calls, and a few for all else.
+    /// Reserves half of them for clients, 32 for other purposes and, with a console, its connections; the rest is for
+    /// calls.
     pub fn new(all: usize, console: bool) -> Self {
         let clients = (all / 2).max(1);
-        let staff = if console { console::MOST + 4 } else { 0 };
-        Descriptors { clients, rest: all.saturating_sub(clients + 32 + staff) }
+        let console = if console { console::MOST + 4 } else { 0 };
+        Descriptors { clients, rest: all.saturating_sub(clients + 32 + console) }
     }
-    /// Idle connections to endpoints beside this many calls, of which each may need two for a moment.
+    /// Number of idle connections to endpoints to keep next to `slots` concurrent calls, each of which may briefly need
+    /// two descriptors.
     pub fn idle(self, slots: usize) -> usize {
         self.rest.saturating_sub(2 * slots).max(8)
     }
@@ -73,148 +75,152 @@
     clock: Clock,
     tick: Nanos,
     core: Core,
-    record: Record,
+    store: StoreWriter,
     roster: Roster,
-    told: mpsc::Sender<Input>,
+    input_tx: mpsc::Sender<Input>,
     calls: Calls<Input>,
     peers: Option<Peers>,
     sharing: Option<Sharing>,
-    /// What is acted on, where no roll keeps it.
+    /// The versions that decisions are based on, when the tier does not track them.
     standing: Standing,
-    /// What is decided is recorded.
-    book: Option<Book>,
-    again: Again,
+    /// The audit log of decisions, if enabled.
+    audit_log: Option<AuditLog>,
+    refresh: RefreshTriggers,
     name: String,
     notices: mpsc::Sender<Notice>,
-    /// Notices that found no room in the queue yet.
+    /// Notices that did not fit into the queue yet.
     unsent: VecDeque<Notice>,
-    /// Clients that wait for an answer.
-    replies: HashMap<ReplyId, Waits>,
+    /// Clients that wait for a reply.
+    replies: HashMap<ReplyId, ReplyTarget>,
     next_reply: ReplyId,
-    /// The classes that messages are of.
+    /// The message classes, including retired ones that open messages still use.
     classes: Classes,
-    front: watch::Sender<Front>,
+    accepted_classes: watch::Sender<AcceptedClasses>,
     descriptors: Descriptors,
     has_console: bool,
     shared: console::Shared,
-    /// Yeses that wait for what they stand for to last.
-    granted: VecDeque<(Seq, oneshot::Sender<Result<(), String>>)>,
-    /// The configuration in force, the file as it stands, and the version of the list.
+    /// Accepted maintenance commands whose write is not durable yet; each is acknowledged once it is.
+    unacknowledged: VecDeque<(Seq, oneshot::Sender<Result<(), String>>)>,
+    /// The text of the configuration file in force.
     text: String,
+    /// The version of the endpoint list.
     index: Option<u64>,
-    /// The process before this one, while it finishes what it has.
-    before: Option<Before>,
-    heir: Option<Heir>,
-    opening: Opening,
-    station: Station,
-    room: Arc<ConnectionLimiter>,
+    /// The process that handed its work over to this one, while it finishes its calls and requests.
+    predecessor: Option<Predecessor>,
+    takeover: Option<TakeoverRequest>,
+    store_opener: StoreOpener,
+    process_state: ProcessState,
+    connection_limiter: Arc<ConnectionLimiter>,
 }
 
-/// Where an answer goes.
-enum Waits {
-    /// To a client of this process.
-    Here(oneshot::Sender<SubmitReply>),
-    /// To one of the process before it.
-    There(u64),
+/// Where a reply is sent.
+enum ReplyTarget {
+    /// To a client connected to this process.
+    Local(oneshot::Sender<SubmitReply>),
+    /// To a client connected to the predecessor, by the predecessor's request number.
+    Predecessor(u64),
 }
 
-/// What asks this dispatcher's own sources again.
+/// Triggers that make this dispatcher read its own sources again.
 #[derive(Clone, Debug, Default)]
-pub struct Again {
-    /// The agent of discovery, for the whole list.
+pub struct RefreshTriggers {
+    /// Requests a full snapshot of the list from the discovery agent.
     pub list: Arc<Notify>,
-    /// The file with the settings.
+    /// Reloads the configuration file.
     pub settings: Arc<Notify>,
 }
 
-/// How this process stands in the service, and the tasks that only an owner has.
-pub struct Station {
+/// The readiness and shutdown phase of the process, and the tasks that only the owner of the store runs.
+pub struct ProcessState {
     pub ready: watch::Sender<bool>,
     pub phase: watch::Sender<Phase>,
     pub tasks: Vec<AbortHandle>,
 }
 
-/// What was taken over from the process before this one.
-pub struct Taken {
-    pub line: Line,
+/// The work that was taken over from the predecessor.
+pub struct TakenOver {
+    pub line: FrameStream,
     pub moving: Box<Moving>,
-    /// What it knew and the settings it had in force, where they could be read.
+    /// The predecessor's core snapshot and configuration; `None` if they could not be read or do not fit.
     pub known: Option<(CoreSnapshot, Config)>,
 }
 
-/// What came of giving the work away.
-enum Given {
-    /// Nobody took it.
+/// The result of an attempt to hand the work over.
+enum HandoverOutcome {
+    /// No process took over; this one continues.
     Kept(Box<Driver>),
-    /// Another has it.
-    Away(Box<Hands>),
-    /// Neither: this process is no owner, and nobody's hands.
+    /// Another process has taken over; this one finishes its calls and requests.
+    HandedOver(Box<FormerOwner>),
+    /// The handover failed and this process no longer owns the store.
     Lost(Stopped),
 }
 
 /// Why the driver stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stopped {
-    /// It was told to, or all that it had left to do for another owner is done.
+    /// It was asked to stop, or it has finished what it had left after a handover.
     Done,
-    /// The process is to be started afresh from the store, as after a crash.
+    /// The process must restart from the store, as after a crash.
     StartAfresh,
 }
 
-/// What the driver is made of.
+/// The components and settings that a driver is built from.
 pub struct Parts {
     pub settings: Settings,
     pub shape: Shape,
     pub seed: u64,
     pub ledger: Ledger<Disk>,
     pub found: Vec<Found>,
-    /// Highest time that the store knows of, by the wall clock.
+    /// The latest wall-clock time recorded in the store.
     pub latest: Nanos,
-    pub told: mpsc::Sender<Input>,
-    /// Where the list comes from.
+    pub input_tx: mpsc::Sender<Input>,
+    /// Address of the discovery agent that provides the endpoint list.
     pub source: SocketAddr,
     pub known: List,
     pub calls: Calls<Input>,
     pub peers: Option<Peers>,
-    /// The terms on which something is shared with them, if anything is.
+    /// The settings for sharing state with the peers, if sharing is enabled.
     pub terms: Option<Terms>,
-    /// The rules on who is behind, and where decisions are recorded, if they are.
+    /// The rules that decide which dispatchers run outdated versions.
     pub rules: Rules,
+    /// Where decisions are recorded, if they are.
     pub recording: Option<Recording>,
-    /// A digest of the settings.
+    /// Digest of the settings.
     pub digest: u32,
-    /// What the dispatcher is called.
+    /// Name of the dispatcher.
     pub name: String,
-    pub again: Again,
+    pub refresh: RefreshTriggers,
     pub notices: mpsc::Sender<Notice>,
-    /// There is a console, which is told from here.
+    /// Whether a console is configured, for which the driver updates the figures.
     pub has_console: bool,
     pub shared: console::Shared,
-    /// What clients may name, for the intake.
-    pub front: watch::Sender<Front>,
+    /// Publishes the message classes that the intake accepts.
+    pub accepted_classes: watch::Sender<AcceptedClasses>,
     pub descriptors: Descriptors,
-    /// The configuration, the file as it stands.
+    /// The text of the configuration file.
     pub text: String,
-    pub taken: Option<Taken>,
-    pub opening: Opening,
-    pub station: Station,
-    pub room: Arc<ConnectionLimiter>,
+    pub taken: Option<TakenOver>,
+    pub store_opener: StoreOpener,
+    pub process_state: ProcessState,
+    pub connection_limiter: Arc<ConnectionLimiter>,
 }
 
-/// What all dispatchers know an endpoint by.
-fn place(name: &str) -> u64 {
+/// The identifier of an endpoint that is the same at all dispatchers: a hash of its name.
+fn endpoint_hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// Shortest time between two rounds. What waits a whole tick goes out in bursts, for which connections must be opened.
-const ROUND: Nanos = 1_000_000;
-/// Inputs that are taken before it is looked again whether something is due.
-const BATCH: usize = 32;
-const SWEEP: Nanos = 1_000_000_000;
-/// The console has figures that are no older than this while anything happens.
-const FIGURES: Nanos = 100_000_000;
-/// Lessons older than this are of destinations that nobody writes to.
-const FORGET_LESSON: Nanos = 30 * 86_400 * 1_000_000_000;
+/// Shortest time between two decision rounds. Messages held for a whole tick would leave in bursts, for which additional
+/// connections must be opened.
+const MIN_ROUND_INTERVAL: Nanos = 1_000_000;
+/// Maximum number of inputs processed before the loop checks again whether a decision round is due.
+const MAX_BATCH: usize = 32;
+/// Interval of periodic maintenance: closing old connections, compacting the store and saving learned state.
+const MAINTENANCE_INTERVAL: Nanos = 1_000_000_000;
+/// Maximum age of the console's figures while inputs arrive.
+const FIGURES_INTERVAL: Nanos = 100_000_000;
+/// Learned state older than this belongs to destinations that are no longer used, and is deleted.
+const LEARNED_TTL: Nanos = 30 * 86_400 * 1_000_000_000;
 
 impl Driver {
     pub fn new(parts: Parts) -> Self {
@@ -225,7 +231,7 @@
             ledger,
             found,
             latest,
-            told,
+            input_tx,
             source,
             known,
             calls,
@@ -235,25 +241,25 @@
             recording,
             digest,
             name,
-            again,
+            refresh,
             notices,
             shared,
-            front,
+            accepted_classes,
             descriptors,
             has_console,
             text,
             taken,
-            opening,
-            station,
-            room,
+            store_opener,
+            process_state,
+            connection_limiter,
         } = parts;
         let rated = settings.weights != Weights::Unknown;
         let cordons = Cordons::noted(ledger.cordons());
-        // Positions of before are those that were noted; where none were, they are the configuration's.
+        // Class positions are those stored by earlier processes; if none are stored, those of the configuration.
         let mut classes = ledger.classes().and_then(|noted| Classes::read(&noted)).unwrap_or_default();
-        let mut before = None;
+        let mut predecessor = None;
         let (mut core, mut moved, mut clock) = (None, None, Clock::new(latest));
-        if let Some(Taken { line, moving, known }) = taken {
+        if let Some(TakenOver { line, moving, known }) = taken {
             let mut written = BTreeSet::new();
             if let Some((state, config)) = known {
                 written.extend(moving.written.iter().copied());
@@ -261,11 +267,11 @@
                     found.iter().map(|found| (found.id, found.taken.body.clone())).collect();
                 let body = |id| bodies.remove(&id).unwrap_or_default();
                 core = Some(Core::from_snapshot(classes.settings(config.settings), state, &written, body));
-                clock = Clock::going_on(moving.now, moving.wall);
+                clock = Clock::continued_from(moving.now, moving.wall);
                 let digest = crate::config::digest(&config.text);
                 moved = Some((moving, config.shape, config.text.to_string(), digest));
             }
-            before = Some(Before::new(line.run(told.clone(), Input::Before), written));
+            predecessor = Some(Predecessor::new(line.run(input_tx.clone(), Input::FromPredecessor), written));
         }
         let core = core.unwrap_or_else(|| {
             let open = found.iter().map(|found| found.taken.class as usize).collect();
@@ -277,171 +283,176 @@
             moved.as_ref().map_or((shape, own_text.clone(), digest), |(_, shape, text, digest)| {
                 (shape.clone(), text.clone(), *digest)
             });
-        front.send_replace(Front::new(&classes));
+        accepted_classes.send_replace(AcceptedClasses::new(&classes));
         let mut driver = Driver {
             clock,
-            tick: own.0.tick.min(ROUND),
+            tick: own.0.tick.min(MIN_ROUND_INTERVAL),
             core,
-            record: Record::new(ledger),
+            store: StoreWriter::new(ledger),
             roster: Roster::new(shape, rated, source, cordons),
-            told,
+            input_tx,
             calls,
             peers,
             sharing: None,
             standing: Standing::default(),
-            book: None,
-            again,
+            audit_log: None,
+            refresh,
             name,
             notices,
             unsent: VecDeque::new(),
             replies: HashMap::new(),
             next_reply: 0,
             classes,
-            front,
+            accepted_classes,
             descriptors,
             has_console,
             shared,
-            granted: VecDeque::new(),
+            unacknowledged: VecDeque::new(),
             text,
             index: None,
-            before,
-            heir: None,
-            opening,
-            station,
-            room,
+            predecessor,
+            takeover: None,
+            store_opener,
+            process_state,
+            connection_limiter,
         };
         let at = driver.clock.moment();
         if let Some(terms) = terms {
             let of = &own.0;
             let (me, all) = (of.me as u16, of.dispatchers as u16);
-            let mut sharing = Sharing::begin(at, terms, me, all, seed, &mut driver.record);
-            sharing.settle_on(of.slots);
+            let mut sharing = Sharing::begin(at, terms, me, all, seed, &mut driver.store);
+            sharing.set_slots(of.slots);
             if rules.enabled {
-                let begun = versions::begin(at, in_force, &mut driver.record);
-                sharing.keep_roll(at, rules, begun, seed, &driver.record);
+                let begun = versions::begin(at, in_force, &mut driver.store);
+                sharing.keep_roll(at, rules, begun, seed, &driver.store);
             }
             driver.sharing = Some(sharing);
             driver.core.report_call_ends();
         }
         if let Some(recording) = recording {
-            driver.record_in(at, recording, &own.0, in_force);
-            let book = driver.book.as_mut();
-            book.into_iter().for_each(|book| found.iter().for_each(|f| book.found(f.id, &f.taken.reference)));
+            driver.open_audit_log(at, recording, &own.0, in_force);
+            let audit_log = driver.audit_log.as_mut();
+            audit_log
+                .into_iter()
+                .for_each(|audit_log| found.iter().for_each(|f| audit_log.found(f.id, &f.taken.reference)));
         }
         if let Some((moving, ..)) = moved {
             driver.index = moving.index;
-            // What can't be read is heard from discovery again, whole; until then nothing new has an address.
+            // An unreadable list is replaced by the next full snapshot from discovery; until then no new call has an address.
             if !driver.roster.read(&moving.roster) {
-                eprintln!("handover: the list of endpoints can't be read");
+                eprintln!(
+                    "handover: the predecessor's endpoint list cannot be read; waiting for a snapshot from discovery"
+                );
             }
-            driver.told_of(at, true, false);
-            // Its own file is in force from now on.
+            driver.on_list_changed(at, true, false);
+            // This process's own configuration file takes effect now.
             let (settings, shape) = own;
-            if let Err(why) = driver.settle(at, settings, shape, own_text, digest) {
-                eprintln!("handover: the settings of before stay: {why}");
+            if let Err(why) = driver.apply_settings(at, settings, shape, own_text, digest) {
+                eprintln!("handover: keeping the predecessor's settings: {why}");
             }
         } else {
-            // Where it can't be noted, it is as good as the configuration until that changes.
-            driver.record.note_classes(at, &driver.classes.write());
-            // Noted too: what discovery tells later are changes of it.
-            let known = driver.roster.newest(&driver.record, known);
-            driver.listed(at, known, false);
-            driver.recall(at);
+            // If this write fails, the configuration gives the same positions until it changes.
+            driver.store.save_classes(at, &driver.classes.write());
+            // The list is stored as well, because later updates from discovery are changes to it.
+            let known = driver.roster.newest(&driver.store, known);
+            driver.on_list(at, known, false);
+            driver.restore_learned(at);
             driver.core.resume(at);
             for found in found {
                 driver.core.restore(at, found);
             }
         }
-        driver.carry(at);
+        driver.run_effects(at);
         driver
     }
 
-    /// Gives the module what it had learnt before the restart.
-    fn recall(&mut self, at: Moment) {
+    /// Restores the decision module's learned state after a restart and deletes expired entries.
+    fn restore_learned(&mut self, at: Moment) {
         let mut old = Vec::new();
-        for (dest, route, noted, bytes) in self.record.ledger().learnt() {
+        for (dest, route, noted, bytes) in self.store.ledger().learnt() {
             let age = at.wall.saturating_sub(noted);
-            if age > FORGET_LESSON {
+            if age > LEARNED_TTL {
                 old.push((dest, route));
             } else {
                 self.core.restore_learned(at, &LearnedState { dest, route, bytes }, age);
             }
         }
-        self.record.forget_lessons(at, old);
+        self.store.delete_learned(at, old);
     }
 
-    /// Runs until the process is to end.
+    /// Runs until the process must end or restart, including handovers to other processes.
     pub async fn run(mut self, mut inputs: mpsc::Receiver<Input>) -> Stopped {
         loop {
-            let Some(heir) = self.serve(&mut inputs).await else {
+            let Some(takeover) = self.serve(&mut inputs).await else {
                 let at = self.clock.moment();
-                self.book.iter_mut().for_each(|book| book.end(at));
+                self.audit_log.iter_mut().for_each(|audit_log| audit_log.end(at));
                 return Stopped::Done;
             };
-            match self.give(heir).await {
-                Given::Kept(driver) => self = *driver,
-                Given::Away(hands) => {
-                    return match hands.run(&mut inputs).await {
+            match self.hand_over(takeover).await {
+                HandoverOutcome::Kept(driver) => self = *driver,
+                HandoverOutcome::HandedOver(former_owner) => {
+                    return match former_owner.run(&mut inputs).await {
                         Done::Finished => Stopped::Done,
                         Done::OwnerGone => Stopped::StartAfresh,
                     };
                 }
-                Given::Lost(stopped) => return stopped,
+                HandoverOutcome::Lost(stopped) => return stopped,
             }
         }
     }
 
-    /// Runs until the process is to end, or until another takes the work over.
-    async fn serve(&mut self, inputs: &mut mpsc::Receiver<Input>) -> Option<Heir> {
-        let (mut asked, mut news, mut swept, mut told) = (0, true, self.clock.moment().now, 0);
+    /// Runs the loop until the process may exit (`None`) or until another process requests the work.
+    async fn serve(&mut self, inputs: &mut mpsc::Receiver<Input>) -> Option<TakeoverRequest> {
+        let (mut decided_at, mut pending, mut swept_at, mut figures_at) =
+            (0, true, self.clock.moment().now, 0);
         loop {
             let at = self.clock.moment();
-            news |= self.share(at);
-            let due = news || self.core.next_wake().is_some_and(|wake| wake <= at.now);
-            if due && at.now >= asked + self.tick {
-                (asked, news) = (at.now, false);
+            pending |= self.exchange_shared(at);
+            let due = pending || self.core.next_wake().is_some_and(|wake| wake <= at.now);
+            if due && at.now >= decided_at + self.tick {
+                (decided_at, pending) = (at.now, false);
                 within(Part::Module, || self.core.decide(at));
-                self.carry(at);
+                self.run_effects(at);
                 continue;
             }
-            self.hand_on_notices();
-            self.grant();
-            if self.has_console && at.now > told + FIGURES {
-                told = at.now;
-                self.tell_figures(at);
+            self.flush_notices();
+            self.acknowledge_durable();
+            if self.has_console && at.now > figures_at + FIGURES_INTERVAL {
+                figures_at = at.now;
+                self.update_figures(at);
             }
-            if at.now > swept + SWEEP {
-                swept = at.now;
+            if at.now > swept_at + MAINTENANCE_INTERVAL {
+                swept_at = at.now;
                 self.calls.sweep();
-                self.record.tidy(at);
+                self.store.maintain(at);
                 self.core.save_learned(at, false);
             }
             self.core.retry_unwritten();
-            self.carry(at);
+            self.run_effects(at);
             self.sync(at);
             if self.core.may_exit(at.now) {
                 return None;
             }
-            if let Some(heir) = self.heir.take() {
-                return Some(heir);
+            if let Some(takeover) = self.takeover.take() {
+                return Some(takeover);
             }
             let wake = self.core.next_wake().unwrap_or(Nanos::MAX);
-            let next = if due { asked + self.tick } else { wake.max(asked + self.tick) };
+            let next = if due { decided_at + self.tick } else { wake.max(decided_at + self.tick) };
             let next = self.sharing.as_ref().map_or(next, |sharing| next.min(sharing.due()));
-            // Nothing of what was decided goes out before the loop waits.
-            self.book.iter_mut().for_each(|book| book.write(at));
-            // Never far off, so that notices, idle connections and the end are seen to.
-            let soon = self.core.needs_polling() || !self.unsent.is_empty() || self.record.waits();
-            let pause = if soon { 20_000_000 } else { SWEEP };
+            // The audit log is written first: I/O tasks do not run, so no decision takes effect, until the loop awaits.
+            self.audit_log.iter_mut().for_each(|audit_log| audit_log.write(at));
+            // The wait is bounded so that pending notices, idle connections and shutdown are handled in time.
+            let soon = self.core.needs_polling() || !self.unsent.is_empty() || self.store.has_deferred();
+            let pause = if soon { 20_000_000 } else { MAINTENANCE_INTERVAL };
             tokio::select! {
                 biased;
                 input = inputs.recv() => {
                     let input = input?;
-                    news |= self.take(input);
-                    // What has come by now is taken in one go: what follows once a round is done once for all of it.
-                    for _ in 1..BATCH {
+                    pending |= self.process(input);
+                    // Drains queued inputs in one batch, so that per-round work is done once for all of them.
+                    for _ in 1..MAX_BATCH {
                         let Ok(input) = inputs.try_recv() else { break };
-                        news |= self.take(input);
+                        pending |= self.process(input);
                     }
                 }
                 () = sleep_until(self.clock.instant(next.min(at.now + pause))) => {}
@@ -449,7 +460,7 @@
         }
     }
 
-    fn hand_on_notices(&mut self) {
+    fn flush_notices(&mut self) {
         while let Some(notice) = self.unsent.pop_front() {
             if let Err(e) = self.notices.try_send(notice) {
                 self.unsent.push_front(e.into_inner());
@@ -458,144 +469,153 @@
         }
     }
 
-    /// Takes in what happened. Whether the module is to decide on it: what others share is no reason for that, unless
-    /// something comes of it.
-    fn take(&mut self, input: Input) -> bool {
+    /// Processes one input. Returns whether a decision round is needed: frames shared by other dispatchers alone do not
+    /// need one, unless they lead to an action.
+    fn process(&mut self, input: Input) -> bool {
         let at = self.clock.moment();
-        let counts = !matches!(input, Input::Shared(_));
+        let counts = !matches!(input, Input::SharedFrame(_));
         match input {
-            Input::Client(asked) => self.asked(at, asked),
-            Input::Calls(event) => self.called(at, event),
-            Input::Listed(list) => self.listed(at, list, true),
-            Input::Noticed(notices::Taken(ids)) => {
+            Input::Client(asked) => self.on_client_request(at, asked),
+            Input::Calls(event) => self.on_call_event(at, event),
+            Input::Listed(list) => self.on_list(at, list, true),
+            Input::NoticesAccepted(notices::Accepted(ids)) => {
                 ids.into_iter().for_each(|id| self.core.notice_accepted(at, id))
             }
             Input::Synced(synced) => {
-                for behind in self.record.synced(at, synced) {
+                for behind in self.store.synced(at, synced) {
                     self.core.abandon(at, behind);
                 }
             }
-            Input::Note(Note { from, bytes }) => self.core.on_event(at, Event::PeerMessage { from, bytes }),
-            Input::Shared(frame) => {
-                let book = self.book.as_mut();
+            Input::PeerMessage(PeerMessage { from, bytes }) => {
+                self.core.on_event(at, Event::PeerMessage { from, bytes })
+            }
+            Input::SharedFrame(frame) => {
+                let audit_log = self.audit_log.as_mut();
                 if let Some(sharing) = &mut self.sharing {
-                    sharing.heard(at, &frame, book);
+                    sharing.heard(at, &frame, audit_log);
                 }
             }
-            Input::Console(asked) => self.staff(at, asked),
-            Input::Settle(Settle { settings, shape, text, digest, done }) => {
-                let _ = done.send(self.settle(at, settings, shape, text, digest));
+            Input::Console(asked) => self.answer_query(at, asked),
+            Input::ApplySettings(ApplySettings { settings, shape, text, digest, done }) => {
+                let _ = done.send(self.apply_settings(at, settings, shape, text, digest));
             }
-            Input::TurnedDown(digest) => self.sharing.iter_mut().for_each(|sharing| sharing.refused(digest)),
-            Input::Heir(heir) => self.asked_for_work(heir),
-            Input::Before(said) => self.before_said(at, said),
-            // Nobody comes after an owner.
-            Input::After(_) => {}
+            Input::SettingsRejected(digest) => {
+                self.sharing.iter_mut().for_each(|sharing| sharing.refused(digest))
+            }
+            Input::TakeoverRequest(takeover) => self.on_takeover_request(takeover),
+            Input::FromPredecessor(said) => self.from_predecessor(at, said),
+            // The owner of the store has no successor.
+            Input::FromSuccessor(_) => {}
             Input::Stop { after } => self.core.stop(at, after.as_nanos() as Nanos),
         }
-        self.carry(at);
+        self.run_effects(at);
         counts
     }
 
-    /// What is shared by now: whether the module heard something.
-    fn share(&mut self, at: Moment) -> bool {
+    /// Runs the exchange of shared state with the peers. Returns whether the decision module received new input.
+    fn exchange_shared(&mut self, at: Moment) -> bool {
         let (Some(sharing), Some(peers)) = (&mut self.sharing, &self.peers) else { return false };
-        sharing.tick(at, &self.core, self.book.as_mut());
-        let news = sharing.carry(at, &mut self.core, &mut self.record, peers, &mut self.book);
+        sharing.tick(at, &self.core, self.audit_log.as_mut());
+        let changed = sharing.carry(at, &mut self.core, &mut self.store, peers, &mut self.audit_log);
         let acts = sharing.take_acts();
         let acted = !acts.is_empty();
-        acts.into_iter().for_each(|act| self.act(at, act));
+        acts.into_iter().for_each(|act| self.run_act(at, act));
         if acted {
-            self.carry(at);
+            self.run_effects(at);
         }
-        self.stand(at);
-        news || acted
+        self.record_versions(at);
+        changed || acted
     }
 
-    /// What the roll wants done.
-    fn act(&mut self, at: Moment, act: Act) {
+    /// Carries out an action requested by the tier's version tracking.
+    fn run_act(&mut self, at: Moment, act: Act) {
         let Some(sharing) = &mut self.sharing else { return };
         match act {
             Act::Ask(Kind::List) => {
                 eprintln!(
-                    "roll: most have left the list that is acted on here; the agent is asked for all of it"
+                    "roll: most dispatchers use a different endpoint list; requesting a snapshot from the agent"
                 );
-                self.again.list.notify_one();
+                self.refresh.list.notify_one();
             }
             Act::Ask(kind) => {
                 eprintln!(
-                    "roll: most have left the {} that are acted on here; the file is read again",
+                    "roll: most dispatchers use different {}; reading the configuration file again",
                     kind.name()
                 );
-                self.again.settings.notify_one();
+                self.refresh.settings.notify_one();
             }
             Act::ShutOut(kind) => {
-                eprintln!("roll: shut out: most find this dispatcher behind on its {}", kind.name());
+                eprintln!(
+                    "roll: refusing new messages: most dispatchers report that this one has outdated {}",
+                    kind.name()
+                );
                 self.core.refuse_new(!sharing.serves());
                 self.shared.figures().shut_out = Some(kind.name());
-                self.book.iter_mut().for_each(|book| book.service(at, Some(kind)));
+                self.audit_log.iter_mut().for_each(|audit_log| audit_log.service(at, Some(kind)));
             }
             Act::Back => {
-                eprintln!("roll: it has caught up, and takes messages again");
+                eprintln!("roll: up to date again; accepting new messages");
                 self.core.refuse_new(false);
                 self.shared.figures().shut_out = None;
-                self.book.iter_mut().for_each(|book| book.service(at, None));
+                self.audit_log.iter_mut().for_each(|audit_log| audit_log.service(at, None));
             }
-            Act::Note => sharing.note(at, &mut self.record),
+            Act::Note => sharing.note(at, &mut self.store),
             Act::Hold(place, What::Cordon) => {
                 let name = sharing.endpoint(place).and_then(|e| self.roster.name(e)).map(str::to_owned);
                 let Some(name) = name else { return };
                 if self.roster.asked(&name, true) == Ok(Change::Out)
-                    && self.record.cordon(at, &name, true).is_some()
+                    && self.store.save_cordon(at, &name, true).is_some()
                 {
-                    eprintln!("roll: {name} is out: the staff took it out at another dispatcher");
+                    eprintln!(
+                        "roll: {name} is out of service: cordoned by an operator at another dispatcher"
+                    );
                     let entry = self.roster.make(&name, Change::Out);
-                    self.changed(at, entry, false);
+                    self.on_endpoint_changed(at, entry, false);
                 }
             }
             Act::Hold(place, What::Drain) => {
                 let Some(endpoint) = sharing.endpoint(place) else { return };
                 let entry = self.roster.hold(endpoint, true);
-                self.changed(at, entry, false);
+                self.on_endpoint_changed(at, entry, false);
             }
             Act::Release(place) => {
                 let Some(endpoint) = sharing.endpoint(place) else { return };
                 let entry = self.roster.hold(endpoint, false);
-                self.changed(at, entry, true);
+                self.on_endpoint_changed(at, entry, true);
             }
         }
     }
 
-    /// An endpoint is so from now on, by hand or by hearsay.
-    fn changed(&mut self, at: Moment, entry: Option<millpost::api::Entry>, back: bool) {
+    /// Applies a state change of an endpoint that an operator or another dispatcher caused.
+    fn on_endpoint_changed(&mut self, at: Moment, entry: Option<millpost::api::Entry>, back: bool) {
         self.calls.retain(|endpoint| self.roster.ready(endpoint));
         let Some(entry) = entry else { return };
         self.core.listed(at, false, vec![entry]);
         if back && entry.state == State::Ready {
             self.core.endpoint_returned(at, entry.endpoint);
         }
-        if let (Some(book), Some(state)) = (&mut self.book, self.roster.state(entry.endpoint)) {
+        if let (Some(audit_log), Some(state)) = (&mut self.audit_log, self.roster.state(entry.endpoint)) {
             let name = self.roster.name(entry.endpoint).unwrap_or_default();
-            book.state(at, place(name), entry.dest, state);
+            audit_log.state(at, endpoint_hash(name), entry.dest, state);
         }
     }
 
-    /// What is acted on by now is what the next decisions are made on.
-    fn stand(&mut self, at: Moment) {
-        if let Some(book) = &mut self.book {
+    /// Records in the audit log the versions that the next decisions are based on.
+    fn record_versions(&mut self, at: Moment) {
+        if let Some(audit_log) = &mut self.audit_log {
             let rolled = self.sharing.as_ref().and_then(Sharing::acts_on);
-            book.acts_on(at, rolled.unwrap_or(self.standing));
+            audit_log.acts_on(at, rolled.unwrap_or(self.standing));
         }
     }
 
-    /// From now on decisions are recorded.
-    fn record_in(&mut self, at: Moment, recording: Recording, settings: &Settings, digest: u32) {
+    /// Opens the audit log and starts recording decisions.
+    fn open_audit_log(&mut self, at: Moment, recording: Recording, settings: &Settings, digest: u32) {
         if self.sharing.is_none() {
-            let incarnation = self.record.ledger().incarnation().saturating_add(1);
-            self.record.live(at, incarnation);
+            let incarnation = self.store.ledger().incarnation().saturating_add(1);
+            self.store.save_incarnation(at, incarnation);
         }
-        self.standing = versions::begin(at, digest, &mut self.record).0;
-        let incarnation = self.record.ledger().incarnation();
+        self.standing = versions::begin(at, digest, &mut self.store).0;
+        let incarnation = self.store.ledger().incarnation();
         (self.standing.incarnation, self.standing.epoch) = (incarnation, incarnation);
         let author = Author {
             number: settings.me as u16,
@@ -604,57 +624,59 @@
             incarnation,
             drain_ms: (settings.rules.drain_grace / 1_000_000) as u32,
         };
-        let mut book = Book::open(at, recording, author);
+        let mut audit_log = AuditLog::open(at, recording, author);
         if let Some(sharing) = &mut self.sharing {
             sharing.trace();
         }
-        book.acts_on(at, self.sharing.as_ref().and_then(Sharing::acts_on).unwrap_or(self.standing));
-        self.book = Some(book);
+        audit_log.acts_on(at, self.sharing.as_ref().and_then(Sharing::acts_on).unwrap_or(self.standing));
+        self.audit_log = Some(audit_log);
     }
 
-    /// The list is another, or was told once more; `told` where the agent did so.
-    fn told_of(&mut self, at: Moment, whole: bool, told: bool) {
+    /// Propagates the endpoint list after it has changed or was received again. `from_agent` is true if the discovery
+    /// agent sent it, false if it comes from the store, the configuration or a predecessor.
+    fn on_list_changed(&mut self, at: Moment, whole: bool, from_agent: bool) {
         if let Some(sharing) = &mut self.sharing {
             sharing.listed(at, &self.roster);
-            sharing.numbered(at, &self.roster, self.index, told, &mut self.record);
+            sharing.numbered(at, &self.roster, self.index, from_agent, &mut self.store);
         }
-        if let Some(book) = &mut self.book {
+        if let Some(audit_log) = &mut self.audit_log {
             let roster = &self.roster;
-            let all =
-                roster.places().filter_map(|(id, name, e)| Some((place(name), e.dest, roster.state(id)?)));
-            book.listed(at, whole, all);
+            let all = roster
+                .places()
+                .filter_map(|(id, name, e)| Some((endpoint_hash(name), e.dest, roster.state(id)?)));
+            audit_log.listed(at, whole, all);
             self.standing.moves(Kind::List, roster.digest());
             self.standing.agent = millpost_tier::standing::digest(roster.source().as_bytes());
             self.standing.index = self.index.unwrap_or(0);
         }
-        self.stand(at);
+        self.record_versions(at);
     }
 
-    fn asked(&mut self, at: Moment, asked: Asked) {
-        let Asked { handed, came, reply } = asked;
-        // A client that left before its answer voids the id: it may be on its way elsewhere.
+    fn on_client_request(&mut self, at: Moment, asked: ClientRequest) {
+        let ClientRequest { handed, came, reply } = asked;
+        // A client that disconnected before its reply may already be sending the message to another dispatcher.
         if reply.is_closed() {
             return;
         }
-        self.handed(at, handed, came.elapsed(), Waits::Here(reply));
+        self.submit(at, handed, came.elapsed(), ReplyTarget::Local(reply));
     }
 
-    fn handed(&mut self, at: Moment, handed: Submission, ago: Duration, waits: Waits) {
+    fn submit(&mut self, at: Moment, handed: Submission, ago: Duration, waits: ReplyTarget) {
         let number = self.next_reply;
         self.next_reply += 1;
         self.replies.insert(number, waits);
-        self.book.iter_mut().for_each(|book| book.handed(number, &handed.reference));
+        self.audit_log.iter_mut().for_each(|audit_log| audit_log.handed(number, &handed.reference));
         let held = self.core.holds(&handed.reference);
-        let ended = if held { None } else { self.record.final_answer(&handed.reference) };
+        let ended = if held { None } else { self.store.final_answer(&handed.reference) };
         let time_left = handed.time_left.saturating_sub(ago.as_nanos() as Nanos);
-        // A copy, so that no buffer that it was read into is kept for it.
+        // Copies the body so that it does not keep the whole read buffer alive.
         let body = Bytes::copy_from_slice(&handed.body);
         let dest = handed.dest;
         self.core.submit(at, Submission { time_left, body, ..handed }, ended, number);
         self.sharing.iter_mut().for_each(|sharing| sharing.wanted(at, &self.core, dest));
     }
 
-    fn called(&mut self, at: Moment, event: calls::Event) {
+    fn on_call_event(&mut self, at: Moment, event: calls::Event) {
         match event {
             calls::Event::Connected { call, link } => {
                 if self.calls.connected(call, link) {
@@ -667,7 +689,7 @@
                 let fresh = self.calls.unsent(call);
                 self.core.connection_lost(at, call, fresh);
             }
-            calls::Event::Ended { call, ended, link } => self.ended(at, call, ended, link),
+            calls::Event::Ended { call, ended, link } => self.on_call_ended(at, call, ended, link),
             calls::Event::Probed { endpoint, took, ended, link } => {
                 let address = self.roster.address(endpoint).filter(|_| self.roster.ready(endpoint));
                 if let (Some(link), Some(address)) = (link, address) {
@@ -680,59 +702,67 @@
         }
     }
 
-    fn ended(&mut self, at: Moment, call: u64, ended: CallEnd, link: Option<millpost_net::link::Link>) {
-        self.calls.over(call, &ended.ends, link, |endpoint| self.roster.ready(endpoint));
+    fn on_call_ended(
+        &mut self,
+        at: Moment,
+        call: u64,
+        ended: CallEnd,
+        link: Option<millpost_net::link::Link>,
+    ) {
+        self.calls.ended(call, &ended.ends, link, |endpoint| self.roster.ready(endpoint));
         within(Part::Module, || self.core.ended(at, call, ended));
     }
 
-    /// Takes in what discovery says.
-    fn listed(&mut self, at: Moment, list: List, told: bool) {
-        // An agent that was started anew counts by other numbers, and is asked for its whole list at once.
+    /// Applies an update of the endpoint list.
+    fn on_list(&mut self, at: Moment, list: List, from_agent: bool) {
+        // A restarted agent numbers its lists differently, and is asked for a full snapshot immediately.
         let older = !list.snapshot && self.index.is_some_and(|index| list.index < index);
         let rolled = self.sharing.as_ref().is_some_and(|sharing| sharing.acts_on().is_some());
-        if older && rolled && !self.commits(Fault::OldList) {
+        if older && rolled && !self.has_fault(Fault::OldList) {
             return;
         }
         self.index = Some(list.index);
-        let (whole, mut entries) = self.roster.listed(at, &mut self.record, list);
-        if self.commits(Fault::CallDrained) {
+        let (whole, mut entries) = self.roster.listed(at, &mut self.store, list);
+        if self.has_fault(Fault::CallDrained) {
             entries.iter_mut().filter(|e| e.state == State::Draining).for_each(|e| e.state = State::Ready);
         }
-        // Connections to an endpoint that takes nothing more are closed. They would hold descriptors here and
-        // places there until they are too old.
+        // Closes connections to endpoints that accept no more work. They would occupy descriptors here and connection
+        // slots there until they expire.
         self.calls.retain(|endpoint| self.roster.ready(endpoint));
         self.core.listed(at, whole, entries);
-        self.told_of(at, whole, told);
+        self.on_list_changed(at, whole, from_agent);
     }
 
-    /// A fault that a test planted.
-    fn commits(&self, fault: Fault) -> bool {
+    /// Whether a test injected this fault.
+    fn has_fault(&self, fault: Fault) -> bool {
         self.sharing.as_ref().is_some_and(|sharing| sharing.has(fault))
     }
 
-    /// Somebody asks for the work. It is given away between two rounds, with nothing under way that hangs on the store,
-    /// and not while this process ends or has another before it.
-    fn asked_for_work(&mut self, mut heir: Heir) {
-        let busy =
-            self.heir.is_some() || self.before.is_some() || !self.granted.is_empty() || self.record.waits();
+    /// Handles a takeover request. The work is handed over between two rounds, only while no operation waits for the store,
+    /// and not while this process is stopping or still has a predecessor.
+    fn on_takeover_request(&mut self, mut takeover: TakeoverRequest) {
+        let busy = self.takeover.is_some()
+            || self.predecessor.is_some()
+            || !self.unacknowledged.is_empty()
+            || self.store.has_deferred();
         if busy || !self.core.is_quiescent() {
             tokio::spawn(async move {
-                let _ = heir.0.say(&Frame::No("it is busy".to_owned())).await;
+                let _ = takeover.0.say(&Frame::No("it is busy".to_owned())).await;
             });
         } else {
-            self.heir = Some(heir);
+            self.takeover = Some(takeover);
         }
     }
 
-    /// Gives the work away: the store first, then all that is known.
-    async fn give(mut self, Heir(mut line): Heir) -> Given {
+    /// Hands the work over: releases the store, then sends the complete state to the successor.
+    async fn hand_over(mut self, TakeoverRequest(mut line): TakeoverRequest) -> HandoverOutcome {
         let (mut giver, at) = (Giver::default(), self.clock.moment());
-        let mark = self.record.ledger().owner();
-        let fit = self.core.is_quiescent() && !self.record.waits();
+        let mark = self.store.ledger().owner();
+        let fit = self.core.is_quiescent() && !self.store.has_deferred();
         let core = postcard::to_stdvec(&self.core).ok().filter(|_| fit);
         let (Some(core), Does::Offer) = (core, giver.heard(Heard::Asked { fit, mark })) else {
             let _ = line.say(&Frame::No("it is busy".to_owned())).await;
-            return Given::Kept(Box::new(self));
+            return HandoverOutcome::Kept(Box::new(self));
         };
         let moving = Moving {
             layout: SNAPSHOT_VERSION,
@@ -744,95 +774,98 @@
             config: self.text.clone(),
             source: self.roster.source().to_owned(),
             index: self.index,
-            clients: self.room.taken(),
+            clients: self.connection_limiter.taken(),
             mark,
         };
-        eprintln!("handover: the work is offered");
-        // The other one records from here on.
-        self.book.iter_mut().for_each(|book| book.end(at));
-        drop(self.record);
+        eprintln!("handover: offering the work to the new process");
+        // The successor continues the audit log from here.
+        self.audit_log.iter_mut().for_each(|audit_log| audit_log.end(at));
+        drop(self.store);
         let said = line.say(&Frame::Offer(Box::new(moving))).await;
         let heard = match said {
-            Ok(()) => line.hear_within(WORD_WITHIN).await,
+            Ok(()) => line.hear_within(REPLY_TIMEOUT).await,
             Err(e) => Err(e),
         };
         if let Ok(Frame::Mine { afresh }) = heard {
             giver.heard(Heard::Mine);
-            let say = line.run(self.told.clone(), Input::After);
-            self.station.ready.send_replace(false);
-            self.station.phase.send_replace(Phase::Handed);
-            self.station.tasks.iter().for_each(AbortHandle::abort);
-            eprintln!("handover: the work is another's");
-            let mut hands = Hands::new(self.calls, say, self.room, self.shared);
+            let say = line.run(self.input_tx.clone(), Input::FromSuccessor);
+            self.process_state.ready.send_replace(false);
+            self.process_state.phase.send_replace(Phase::Handed);
+            self.process_state.tasks.iter().for_each(AbortHandle::abort);
+            eprintln!("handover: another process has taken over");
+            let mut former_owner = FormerOwner::new(self.calls, say, self.connection_limiter, self.shared);
             if afresh {
-                hands.break_off();
+                former_owner.cancel_calls();
             }
-            return Given::Away(Box::new(hands));
+            return HandoverOutcome::HandedOver(Box::new(former_owner));
         }
-        // Gone, or too slow: it must not wake up later and take what is not offered any more.
+        // The successor is gone or too slow. The connection is closed so that it cannot accept the withdrawn offer later.
         drop(line);
         giver.heard(Heard::TakerGone);
-        let reopened = self.opening.open(opening::AWHILE);
+        let reopened = self.store_opener.open(store_opener::LOCK_TIMEOUT);
         let mark = reopened.as_ref().ok().map(|(ledger, _)| ledger.owner());
         match (giver.heard(Heard::Reopened(mark)), reopened) {
             (Does::GoOn, Ok((ledger, _))) => {
-                eprintln!("handover: nobody took the work; it goes on here");
+                eprintln!("handover: no process took over; continuing here");
                 let at = self.clock.moment();
-                self.book.iter_mut().for_each(|book| book.resume(at));
-                Given::Kept(Box::new(Driver { record: Record::new(ledger), ..self }))
+                self.audit_log.iter_mut().for_each(|audit_log| audit_log.resume(at));
+                HandoverOutcome::Kept(Box::new(Driver { store: StoreWriter::new(ledger), ..self }))
             }
-            (Does::StartAfresh, _) => Given::Lost(Stopped::StartAfresh),
+            (Does::StartAfresh, _) => HandoverOutcome::Lost(Stopped::StartAfresh),
             (_, opened) => {
                 if let Err(e) = opened {
                     eprintln!("handover: {e}");
                 }
-                Given::Lost(Stopped::Done)
+                HandoverOutcome::Lost(Stopped::Done)
             }
         }
     }
 
-    /// What the process before this one says.
-    fn before_said(&mut self, at: Moment, said: Option<Frame>) {
-        let Some(before) = &mut self.before else { return };
+    /// Handles a frame from the predecessor; `None` is the end of its connection.
+    fn from_predecessor(&mut self, at: Moment, said: Option<Frame>) {
+        let Some(predecessor) = &mut self.predecessor else { return };
         match said {
             Some(Frame::Handed { number, handed, .. }) if handed.class >= self.classes.all().count() => {
-                before.verdict(number, SubmitReply::UnknownDestination, None);
+                predecessor.verdict(number, SubmitReply::UnknownDestination, None);
             }
             Some(Frame::Handed { number, ago, handed }) => {
-                self.handed(at, *handed, Duration::from_nanos(ago), Waits::There(number));
+                self.submit(at, *handed, Duration::from_nanos(ago), ReplyTarget::Predecessor(number));
             }
             Some(Frame::Heard { number, heard }) => {
-                if let Some(id) = before.unheard.remove(&number) {
+                if let Some(id) = predecessor.unheard.remove(&number) {
                     self.core.replied(at, id, heard);
                 }
             }
-            Some(Frame::Ended { call, ended }) if before.written.remove(&call) => {
+            Some(Frame::Ended { call, ended }) if predecessor.written.remove(&call) => {
                 self.core.ended(at, call, ended);
             }
-            Some(Frame::Unsent { call, fresh }) if before.written.remove(&call) => {
+            Some(Frame::Unsent { call, fresh }) if predecessor.written.remove(&call) => {
                 self.core.connection_lost(at, call, fresh);
             }
             Some(Frame::Maintain { number, id, out }) => {
                 let (done, answer) = oneshot::channel();
-                before.maintained(number, answer);
-                self.staff(at, console::Asked::Maintain { id, out, done });
+                predecessor.maintained(number, answer);
+                self.answer_query(at, console::Query::Maintain { id, out, done });
             }
             Some(_) => {}
             None => {
-                eprintln!("handover: the process of before is gone");
+                eprintln!("handover: the predecessor has ended");
                 let (written, unheard) =
-                    (std::mem::take(&mut before.written), std::mem::take(&mut before.unheard));
-                self.before = None;
+                    (std::mem::take(&mut predecessor.written), std::mem::take(&mut predecessor.unheard));
+                self.predecessor = None;
                 self.core.calls_lost(at, &written);
-                // They may have heard, and then hand nothing in again.
+                // These clients may have received their reply, in which case they do not submit again.
                 unheard.into_values().for_each(|id| self.core.replied(at, id, true));
-                self.room.set_most(self.descriptors.clients);
+                self.connection_limiter.set_most(self.descriptors.clients);
             }
         }
     }
 
-    /// Puts settings in force, all in one step or not at all. What is open keeps the class that it was taken under.
-    fn settle(
+    /// Applies settings in one step, or not at all. Open messages keep the class under which they were accepted.
+    ///
+    /// # Errors
+    /// If the store accepts no writes.
+    fn apply_settings(
         &mut self,
         at: Moment,
         settings: Settings,
@@ -842,83 +875,85 @@
     ) -> Result<(), &'static str> {
         let mut classes = self.classes.clone();
         classes.adopt(&settings, &shape, None);
-        // Before any message is of a new class.
-        if !self.record.note_classes(at, &classes.write()) {
+        // Stored before any message can use a new class.
+        if !self.store.save_classes(at, &classes.write()) {
             return Err("the store takes no writes");
         }
         let settings = classes.settings(settings);
         self.classes = classes;
-        self.front.send_replace(Front::new(&self.classes));
-        self.tick = settings.tick.min(ROUND);
+        self.accepted_classes.send_replace(AcceptedClasses::new(&self.classes));
+        self.tick = settings.tick.min(MIN_ROUND_INTERVAL);
         let idle = self.descriptors.idle(settings.slots);
-        self.calls.settle_on(idle, settings.keepalive, settings.connect_timeout);
-        self.roster.settle_on(shape);
-        self.sharing.iter_mut().for_each(|sharing| sharing.settle_on(settings.slots));
+        self.calls.set_limits(idle, settings.keepalive, settings.connect_timeout);
+        self.roster.set_shape(shape);
+        self.sharing.iter_mut().for_each(|sharing| sharing.set_slots(settings.slots));
         self.core.apply_settings(at, settings);
         self.text = text;
         if let Some(sharing) = &mut self.sharing {
             sharing.moves(at, Kind::Settings, digest);
         }
-        if self.sharing.as_ref().is_some_and(|sharing| sharing.acts_on().is_some()) || self.book.is_some() {
-            versions::settled(at, digest, &mut self.record);
+        if self.sharing.as_ref().is_some_and(|sharing| sharing.acts_on().is_some())
+            || self.audit_log.is_some()
+        {
+            versions::settled(at, digest, &mut self.store);
         }
         self.standing.moves(Kind::Settings, digest);
-        self.stand(at);
+        self.record_versions(at);
         Ok(())
     }
 
-    /// Does what the staff asks. From the yes on an endpoint drains, also after a restart.
-    fn staff(&mut self, at: Moment, asked: console::Asked) {
+    /// Answers a console query. Once a cordon is acknowledged the endpoint drains, also after a restart.
+    fn answer_query(&mut self, at: Moment, asked: console::Query) {
         let (id, out, done) = match asked {
-            console::Asked::Figures { done } => {
-                self.tell_figures(at);
+            console::Query::Figures { done } => {
+                self.update_figures(at);
                 let _ = done.send(());
                 return;
             }
-            console::Asked::Standing { done } => {
+            console::Query::Standing { done } => {
                 let name = &self.name;
                 let _ = done.send(self.sharing.as_mut().and_then(|sharing| sharing.standing(at, name)));
                 return;
             }
-            console::Asked::Maintain { id, out, done } => (id, out, done),
+            console::Query::Maintain { id, out, done } => (id, out, done),
         };
-        // Who has given up waiting was told no.
+        // A caller that has stopped waiting was already answered with a failure.
         if done.is_closed() {
             return;
         }
         let noted = match self.roster.asked(&id, out) {
             Err(why) => Err(why),
-            // An earlier call may still wait for its write to last.
-            Ok(Change::None) => Ok(self.granted.back().map_or(0, |(seq, _)| *seq)),
-            Ok(change) => match self.record.cordon(at, &id, out) {
+            // The write of an earlier command may not be durable yet.
+            Ok(Change::None) => Ok(self.unacknowledged.back().map_or(0, |(seq, _)| *seq)),
+            Ok(change) => match self.store.save_cordon(at, &id, out) {
                 None => Err("the store takes no writes"),
                 Some(seq) => {
                     let entry = self.roster.make(&id, change);
-                    self.changed(at, entry, change == Change::Back);
+                    self.on_endpoint_changed(at, entry, change == Change::Back);
                     if let Some(sharing) = &mut self.sharing {
                         sharing.cordoned(at, &id, out);
                     }
-                    eprintln!("console: {id} is {}", if out { "out" } else { "back" });
+                    eprintln!("console: {id} is {}", if out { "cordoned" } else { "back in service" });
                     Ok(seq)
                 }
             },
         };
         match noted {
-            Ok(seq) => self.granted.push_back((seq, done)),
+            Ok(seq) => self.unacknowledged.push_back((seq, done)),
             Err(why) => drop(done.send(Err(why.to_owned()))),
         }
-        self.grant();
+        self.acknowledge_durable();
     }
 
-    /// Says yes to what lasts by now.
-    fn grant(&mut self) {
-        while let Some((_, done)) = self.granted.pop_front_if(|(seq, _)| self.record.lasts(*seq)) {
+    /// Acknowledges maintenance commands whose writes are durable.
+    fn acknowledge_durable(&mut self) {
+        while let Some((_, done)) = self.unacknowledged.pop_front_if(|(seq, _)| self.store.is_durable(*seq)) {
             let _ = done.send(Ok(()));
         }
     }
 
-    /// Brings the console's figures up to date.
-    fn tell_figures(&mut self, at: Moment) {
+    /// Updates the figures shown by the console.
+    fn update_figures(&mut self, at: Moment) {
         let down = self.roster.all().filter(|endpoint| self.core.avoids(at.now, *endpoint)).count();
         let mut figures = self.shared.figures();
         figures.classes.values_mut().for_each(|count| *count = ClassCounts::default());
@@ -935,50 +970,52 @@
         if let (Some(sharing), Some(peers)) = (&self.sharing, &self.peers) {
             figures.shared = Some(sharing.figures(at, peers));
         }
-        figures.audited = self.book.as_ref().and_then(Book::figures);
+        figures.audited = self.audit_log.as_ref().and_then(AuditLog::figures);
     }
 
-    /// Has what was written made to last, where that takes a sync: one at a time, for all that waits by then.
+    /// Starts a sync of the store where durability needs one: one at a time, covering all writes so far.
     fn sync(&mut self, at: Moment) {
-        if let Some(job) = self.record.sync_job(at) {
-            let told = self.told.clone();
+        if let Some(job) = self.store.sync_job(at) {
+            let input_tx = self.input_tx.clone();
             tokio::spawn(async move {
                 if let Ok(synced) = tokio::task::spawn_blocking(|| job.run()).await {
-                    let _ = told.send(Input::Synced(synced)).await;
+                    let _ = input_tx.send(Input::Synced(synced)).await;
                 }
             });
         }
     }
 
-    /// Carries out what the core wants, and what waited for a write that lasts by now.
-    fn carry(&mut self, at: Moment) {
+    /// Carries out the core's effects, and those deferred until a write that is durable by now.
+    fn run_effects(&mut self, at: Moment) {
         loop {
             while let Some(effect) = self.core.effect() {
-                self.carry_out(at, effect);
+                self.run_effect(at, effect);
             }
-            let Some(ready) = self.record.ready() else { return };
+            let Some(ready) = self.store.next_durable() else { return };
             self.core.run_deferred(at, ready);
         }
     }
 
-    fn carry_out(&mut self, at: Moment, effect: Effect) {
+    fn run_effect(&mut self, at: Moment, effect: Effect) {
         match effect {
-            Effect::Append(change, behind) => match self.record.append(at, &change) {
+            Effect::Append(change, behind) => match self.store.append(at, &change) {
                 Some(seq) => {
-                    self.book.iter_mut().for_each(|book| book.changed(at, &change));
-                    behind.into_iter().for_each(|behind| self.record.put(Some(seq), behind));
+                    self.audit_log.iter_mut().for_each(|audit_log| audit_log.changed(at, &change));
+                    behind.into_iter().for_each(|behind| self.store.defer(Some(seq), behind));
                 }
                 None => self.core.write_failed(at, &change, behind),
             },
-            Effect::AfterWrites(behind) => self.record.put(None, behind),
+            Effect::AfterWrites(behind) => self.store.defer(None, behind),
             Effect::Reply { reply, verdict, taken } => {
-                self.book.iter_mut().for_each(|book| book.replied(at, reply, verdict, taken.is_some()));
+                self.audit_log
+                    .iter_mut()
+                    .for_each(|audit_log| audit_log.replied(at, reply, verdict, taken.is_some()));
                 let heard = match self.replies.remove(&reply) {
-                    Some(Waits::Here(reply)) => reply.send(verdict).is_ok(),
-                    Some(Waits::There(number)) => match &mut self.before {
-                        // Whether it heard is told later.
-                        Some(before) => return before.verdict(number, verdict, taken),
-                        // It may have.
+                    Some(ReplyTarget::Local(reply)) => reply.send(verdict).is_ok(),
+                    Some(ReplyTarget::Predecessor(number)) => match &mut self.predecessor {
+                        // The predecessor reports later whether the client received the reply.
+                        Some(predecessor) => return predecessor.verdict(number, verdict, taken),
+                        // The client may have received it.
                         None => true,
                     },
                     None => false,
@@ -988,7 +1025,7 @@
                 }
             }
             Effect::Connect { call, endpoint, sure, fresh, until } => {
-                self.book.iter_mut().for_each(|book| book.decided(at, call));
+                self.audit_log.iter_mut().for_each(|audit_log| audit_log.decided(at, call));
                 let left = Duration::from_nanos(until.saturating_sub(at.now));
                 let Some(address) = self.roster.address(endpoint) else {
                     return self.core.unreachable(at, call);
@@ -999,10 +1036,10 @@
             }
             Effect::Write { call, endpoint, sure, until, messages } => {
                 self.sharing.iter_mut().for_each(|sharing| sharing.sent(at, endpoint));
-                if let Some(book) = &mut self.book {
-                    let name = self.roster.name(endpoint).map_or(0, place);
+                if let Some(audit_log) = &mut self.audit_log {
+                    let name = self.roster.name(endpoint).map_or(0, endpoint_hash);
                     let dest = self.roster.dest(endpoint);
-                    book.written(at, call, (name, dest), &messages);
+                    audit_log.written(at, call, (name, dest), &messages);
                 }
                 let left = Duration::from_nanos(until.saturating_sub(at.now));
                 if !self.calls.write(call, messages, sure, self.clock.instant(until), left) {
@@ -1010,12 +1047,14 @@
                 }
             }
             Effect::Release { call } => {
-                self.book.iter_mut().for_each(|book| book.dropped(call));
+                self.audit_log.iter_mut().for_each(|audit_log| audit_log.dropped(call));
                 self.calls.release(call, |endpoint| self.roster.ready(endpoint));
             }
-            Effect::CancelCall { call } => match &self.before {
-                Some(before) if before.written.contains(&call) => before.say(Frame::CallOff { call }),
-                _ => self.calls.call_off(call),
+            Effect::CancelCall { call } => match &self.predecessor {
+                Some(predecessor) if predecessor.written.contains(&call) => {
+                    predecessor.say(Frame::CallOff { call })
+                }
+                _ => self.calls.cancel(call),
             },
             Effect::Probe { endpoint } => {
                 if let Some(address) = self.roster.address(endpoint) {
@@ -1025,9 +1064,9 @@
             Effect::Broadcast { bytes } => self.peers.iter().for_each(|peers| peers.tell(&bytes)),
             Effect::Notice { id, reference, answer } => {
                 self.unsent.push_back(Notice { id, reference, answer });
-                self.hand_on_notices();
+                self.flush_notices();
             }
-            Effect::SaveLearned(lessons) => self.record.learn(at, lessons),
+            Effect::SaveLearned(lessons) => self.store.save_learned(at, lessons),
             Effect::CallEnded { endpoint, outcome, wait } => {
                 self.sharing.iter_mut().for_each(|sharing| sharing.went(at, endpoint, outcome, wait));
             }
--- a/dispatcher/src/handover.rs
+++ b/dispatcher/src/handover.rs
@@ -16,22 +16,22 @@
 
 const NAME: &str = "handover.sock";
 /// Who asks has said so by then.
-const ASK_WITHIN: Duration = Duration::from_millis(500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 /// A word of the other side during the change comes within this time: it reads or writes its whole store meanwhile.
-pub const WORD_WITHIN: Duration = Duration::from_secs(3);
+pub const REPLY_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A connection to the other process, one frame at a time.
-pub struct Line {
-    from: Ear,
+pub struct FrameStream {
+    from: FrameReader,
     to: OwnedWriteHalf,
 }
 
-struct Ear {
+struct FrameReader {
     from: OwnedReadHalf,
     reader: Reader,
 }
 
-impl Ear {
+impl FrameReader {
     /// The next frame; an end or nonsense is an error.
     async fn hear(&mut self) -> io::Result<Frame> {
         let mut buffer = vec![0; 16 * 1024];
@@ -47,10 +47,10 @@
     }
 }
 
-impl Line {
+impl FrameStream {
     fn new(stream: UnixStream) -> Self {
         let (from, to) = stream.into_split();
-        Line { from: Ear { from, reader: Reader::default() }, to }
+        FrameStream { from: FrameReader { from, reader: Reader::default() }, to }
     }
 
     pub async fn say(&mut self, frame: &Frame) -> io::Result<()> {
@@ -65,11 +65,11 @@
     /// Says what comes through the channel, and tells what is heard; `told` hears `None` once at the end.
     pub fn run<I: Send + 'static>(
         self,
-        told: mpsc::Sender<I>,
+        input_tx: mpsc::Sender<I>,
         heard: impl Fn(Option<Frame>) -> I + Send + 'static,
     ) -> mpsc::UnboundedSender<Frame> {
         let (say, mut to_say) = mpsc::unbounded_channel::<Frame>();
-        let Line { mut from, mut to } = self;
+        let FrameStream { mut from, mut to } = self;
         tokio::spawn(async move {
             while let Some(frame) = to_say.recv().await {
                 if to.write_all(&write(&frame)).await.is_err() {
@@ -79,11 +79,11 @@
         });
         tokio::spawn(async move {
             while let Ok(frame) = from.hear().await {
-                if told.send(heard(Some(frame))).await.is_err() {
+                if input_tx.send(heard(Some(frame))).await.is_err() {
                     return;
                 }
             }
-            let _ = told.send(heard(None)).await;
+            let _ = input_tx.send(heard(None)).await;
         });
         say
     }
@@ -95,16 +95,16 @@
 }
 
 /// Somebody who asks for the work.
-pub struct Heir(pub Line);
+pub struct TakeoverRequest(pub FrameStream);
 
 /// Listens for who asks for the work, in the folder that this process owns.
 ///
 /// # Errors
 /// Where there can be no socket.
-pub fn listen<I: From<Heir> + Send + 'static>(
+pub fn listen<I: From<TakeoverRequest> + Send + 'static>(
     state: &Path,
     name: String,
-    told: mpsc::Sender<I>,
+    input_tx: mpsc::Sender<I>,
 ) -> io::Result<tokio::task::AbortHandle> {
     let folder = File::open(state)?;
     // Left by a process that was killed: who owns the folder owns the name.
@@ -124,16 +124,16 @@
                 (Ok(peer), Ok(me)) => peer.uid() == std::os::unix::fs::MetadataExt::uid(&me),
                 _ => false,
             };
-            let mut line = Line::new(stream);
+            let mut line = FrameStream::new(stream);
             // One at a time: who says nothing is waited for only so long.
-            let asked = line.hear_within(ASK_WITHIN).await;
+            let asked = line.hear_within(REQUEST_TIMEOUT).await;
             let why = match asked {
                 Ok(Frame::Ask(ask)) if ask.version != VERSION => format!("version {VERSION} is spoken here"),
                 Ok(Frame::Ask(ask)) if ask.name != name => format!("this is {name}"),
                 Ok(Frame::Ask(_)) if !same => "another user's process".to_owned(),
                 Ok(Frame::Ask(_)) => {
                     line.from.reader.trust();
-                    if told.send(Heir(line).into()).await.is_err() {
+                    if input_tx.send(TakeoverRequest(line).into()).await.is_err() {
                         return;
                     }
                     continue;
@@ -148,14 +148,14 @@
 }
 
 /// Asks whoever owns the folder for the work. `None` where nobody listens there, or who does says no for now.
-pub async fn ask(state: &Path, name: &str) -> Option<(Line, Box<millpost_handover::Moving>)> {
+pub async fn ask(state: &Path, name: &str) -> Option<(FrameStream, Box<millpost_handover::Moving>)> {
     let folder = File::open(state).ok()?;
     let stream = UnixStream::connect(path(&folder)).await.ok()?;
-    let mut line = Line::new(stream);
+    let mut line = FrameStream::new(stream);
     let ask = Ask { version: VERSION, name: name.to_owned() };
     line.say(&Frame::Ask(ask)).await.ok()?;
     line.from.reader.trust();
-    match line.hear_within(WORD_WITHIN).await {
+    match line.hear_within(REPLY_TIMEOUT).await {
         Ok(Frame::Offer(moving)) => Some((line, moving)),
         Ok(Frame::No(why)) => {
             eprintln!("handover: not now: {why}");
--- a/dispatcher/src/input.rs
+++ b/dispatcher/src/input.rs
@@ -1,4 +1,4 @@
-//! What the loop hears: each part tells its own kind of thing, and does not know who listens.
+//! The inputs of the driver. Each component sends its own kind and is generic over the input type.
 
 use std::time::Duration;
 
@@ -6,56 +6,56 @@
 use millpost_handover::Frame;
 use millpost_settings::Shape;
 use millpost_store::Synced;
-use millpost_tier::frame::Frame as Shared;
+use millpost_tier::frame::Frame as SharedFrame;
 use tokio::sync::oneshot;
 
 use crate::discovery::List;
-use crate::handover::Heir;
-use crate::intake::Asked;
-use crate::peers::Note;
+use crate::handover::TakeoverRequest;
+use crate::intake::ClientRequest;
+use crate::peers::PeerMessage;
 use crate::{calls, console, notices};
 
-/// Something that happened: each part tells its own kind.
+/// An input of the driver's main loop.
 pub enum Input {
-    /// A client hands a message in.
-    Client(Asked),
-    /// Of calls, probes and their connections.
+    /// A message submitted by a client.
+    Client(ClientRequest),
+    /// An event of a call, a probe or one of their connections.
     Calls(calls::Event),
-    /// News of the list.
+    /// An update of the endpoint list.
     Listed(List),
-    /// The platform has taken notices.
-    Noticed(notices::Taken),
-    /// A note from another dispatcher.
-    Note(Note),
-    /// What another dispatcher shares.
-    Shared(Shared),
-    /// The store's last writes last by now, or could not be made to.
+    /// The platform has accepted notices.
+    NoticesAccepted(notices::Accepted),
+    /// A message of the decision module from another dispatcher.
+    PeerMessage(PeerMessage),
+    /// A frame of shared state from another dispatcher.
+    SharedFrame(SharedFrame),
+    /// The result of a sync of the store.
     Synced(Synced),
-    /// The staff asks something of this process.
-    Console(console::Asked),
-    /// New settings are in force from now on, or not at all.
-    Settle(Settle),
-    /// Settings of this digest were turned down.
-    TurnedDown(u32),
-    /// Another process asks for the work.
-    Heir(Heir),
-    /// Said by the process before this one, which finishes what it has; `None` at its end.
-    Before(Option<Frame>),
-    /// Said by the process after this one, which owns the work; `None` at its end.
-    After(Option<Frame>),
-    /// The process ends after this time.
+    /// A query or command from the operators' console.
+    Console(console::Query),
+    /// New settings to apply as a whole or not at all.
+    ApplySettings(ApplySettings),
+    /// The settings with this digest were rejected.
+    SettingsRejected(u32),
+    /// Another process requests to take over.
+    TakeoverRequest(TakeoverRequest),
+    /// A frame from the predecessor, which finishes its calls and requests; `None` when it ends.
+    FromPredecessor(Option<Frame>),
+    /// A frame from the successor, which owns the store; `None` when it ends.
+    FromSuccessor(Option<Frame>),
+    /// Stop the process after this time.
     Stop { after: Duration },
 }
 
-/// Settings that were read whole and found good.
-pub struct Settle {
+/// Validated settings to apply.
+pub struct ApplySettings {
     pub settings: Settings,
     pub shape: Shape,
-    /// The file that they were in.
+    /// The text of the file that they were read from.
     pub text: String,
-    /// A digest of them.
+    /// Digest of the settings.
     pub digest: u32,
-    /// Why they could not be put in force, if so.
+    /// Receives the result: why they could not be applied, if so.
     pub done: oneshot::Sender<Result<(), &'static str>>,
 }
 
@@ -69,13 +69,13 @@
     };
 }
 inputs!(
-    Client(Asked),
+    Client(ClientRequest),
     Calls(calls::Event),
     Listed(List),
-    Noticed(notices::Taken),
-    Note(Note),
-    Shared(Shared),
-    Console(console::Asked),
-    Settle(Settle),
-    Heir(Heir)
+    NoticesAccepted(notices::Accepted),
+    PeerMessage(PeerMessage),
+    SharedFrame(SharedFrame),
+    Console(console::Query),
+    ApplySettings(ApplySettings),
+    TakeoverRequest(TakeoverRequest)
 );
--- a/dispatcher/src/intake.rs
+++ b/dispatcher/src/intake.rs
@@ -23,20 +23,20 @@
 use tokio::time::{Instant, sleep, timeout_at};
 use xxhash_rust::xxh3::xxh3_64;
 
-const LONGEST_BODY: usize = 64 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 /// A connection on which no whole head has come for so long is closed: it stands idle, or its client sends
 /// a head that never ends.
-const HEAD_WITHIN: Duration = Duration::from_millis(2_100);
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2_100);
 /// A request must have come in whole by then, counted from the same moment.
-const WHOLE_WITHIN: Duration = Duration::from_millis(2_500);
-const LONGEST_KEY: usize = 4096;
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
+const MAX_KEY_BYTES: usize = 4096;
 /// Headers of one request; guards the memory, with as many connections as there may be.
-const LONGEST_HEAD: usize = 32 * 1024;
+const MAX_HEAD_BYTES: usize = 32 * 1024;
 /// Deadlines are cut to this.
-const LONGEST_DEADLINE: f64 = 86_400.0;
+const MAX_DEADLINE_SECS: f64 = 86_400.0;
 
 /// A message that a client hands in, and where its answer goes.
-pub struct Asked {
+pub struct ClientRequest {
     pub handed: Submission,
     /// Its time runs from here: the deadline counts from the client's send, also while the body is on its way.
     pub came: Instant,
@@ -57,7 +57,7 @@
 
 /// The classes that clients may name, as the settings in force have them.
 #[derive(Default)]
-pub struct Front {
+pub struct AcceptedClasses {
     classes: Vec<Class>,
 }
 
@@ -67,14 +67,14 @@
     keyed: bool,
 }
 
-impl Front {
+impl AcceptedClasses {
     pub fn new(classes: &Classes) -> Self {
         let all = classes.all().enumerate().filter(|(_, (_, class))| !class.retired);
         let all = all.map(|(place, (name, class))| {
             let keyed = matches!(class.effect, Effect::Keyed { .. });
             Class { name: name.to_owned(), place, keyed }
         });
-        Front { classes: all.collect() }
+        AcceptedClasses { classes: all.collect() }
     }
     /// Where the class stands, and whether its messages need a key.
     fn class(&self, name: &str) -> Option<(usize, bool)> {
@@ -83,21 +83,21 @@
 }
 
 struct Intake<I> {
-    front: watch::Receiver<Front>,
-    told: mpsc::Sender<I>,
+    accepted_classes: watch::Receiver<AcceptedClasses>,
+    input_tx: mpsc::Sender<I>,
     phase: watch::Receiver<Phase>,
 }
 
 /// Serves clients on `listener`, as many at once as there is room for, until the phase is `Closing` and every connection has
 /// ended. A client that comes later is refused its connection, and so knows that its message is not here.
-pub async fn serve<I: From<Asked> + Send + 'static>(
+pub async fn serve<I: From<ClientRequest> + Send + 'static>(
     listener: TcpListener,
-    room: Arc<ConnectionLimiter>,
-    front: watch::Receiver<Front>,
-    told: mpsc::Sender<I>,
+    connection_limiter: Arc<ConnectionLimiter>,
+    accepted_classes: watch::Receiver<AcceptedClasses>,
+    input_tx: mpsc::Sender<I>,
     mut phase: watch::Receiver<Phase>,
 ) {
-    let intake = Arc::new(Intake { front, told, phase: phase.clone() });
+    let intake = Arc::new(Intake { accepted_classes, input_tx, phase: phase.clone() });
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -105,16 +105,16 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                let (seat, leave) = tokio::select! {
-                    entered = room.enter() => entered,
+                let (slot, leave) = tokio::select! {
+                    entered = connection_limiter.enter() => entered,
                     // One that was accepted is served here: nobody else can.
                     _ = phase.wait_for(|p| *p >= Phase::Closing) => break,
                 };
                 let intake = intake.clone();
                 tokio::spawn(metered(Part::Intake, async move {
-                    let seat = Arc::new(seat);
+                    let slot = Arc::new(slot);
                     tokio::select! {
-                        () = connection(stream, intake, seat.clone()) => {}
+                        () = connection(stream, intake, slot.clone()) => {}
                         _ = leave => {}
                     }
                 }));
@@ -127,26 +127,26 @@
         }
     }
     drop(listener);
-    room.empty().await;
+    connection_limiter.empty().await;
 }
 
-async fn connection<I: From<Asked> + Send + 'static>(
+async fn connection<I: From<ClientRequest> + Send + 'static>(
     stream: TcpStream,
     intake: Arc<Intake<I>>,
-    seat: Arc<ConnectionSlot>,
+    slot: Arc<ConnectionSlot>,
 ) {
     let _ = stream.set_nodelay(true);
     let mut phase = intake.phase.clone();
     let service = service_fn(move |request| {
-        let (intake, seat) = (intake.clone(), seat.clone());
+        let (intake, slot) = (intake.clone(), slot.clone());
         Box::pin(async move {
-            let answer = intake.answer(request, &seat).await;
-            seat.idle();
+            let answer = intake.answer(request, &slot).await;
+            slot.idle();
             Ok::<_, Infallible>(answer)
         })
     });
     let mut http = http1::Builder::new();
-    http.timer(TokioTimer::new()).header_read_timeout(HEAD_WITHIN).max_buf_size(LONGEST_HEAD);
+    http.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT).max_buf_size(MAX_HEAD_BYTES);
     let closing = async { drop(phase.wait_for(|p| *p >= Phase::Closing).await) };
     serve_one(&http, stream, service, closing).await;
 }
@@ -157,9 +157,9 @@
     response
 }
 
-impl<I: From<Asked>> Intake<I> {
-    async fn answer(&self, request: Request<Incoming>, seat: &ConnectionSlot) -> Response<Full<Bytes>> {
-        let mut response = match self.take(request, seat).await {
+impl<I: From<ClientRequest>> Intake<I> {
+    async fn answer(&self, request: Request<Incoming>, slot: &ConnectionSlot) -> Response<Full<Bytes>> {
+        let mut response = match self.take(request, slot).await {
             Ok(SubmitReply::Accepted) => plain(StatusCode::ACCEPTED),
             Ok(SubmitReply::UnknownDestination) => plain(StatusCode::NOT_FOUND),
             Ok(SubmitReply::Failed) => plain(StatusCode::GONE),
@@ -188,10 +188,10 @@
     async fn take(
         &self,
         request: Request<Incoming>,
-        seat: &ConnectionSlot,
+        slot: &ConnectionSlot,
     ) -> Result<SubmitReply, StatusCode> {
         let (came, (head, body)) = (Instant::now(), request.into_parts());
-        let whole_by = seat.reading() + WHOLE_WITHIN;
+        let deadline = slot.reading() + REQUEST_TIMEOUT;
         // Beside a Content-Length it may hide another request in the body, and the header map does not show
         // whether there was one. No client needs it: lengths are known.
         if head.headers.contains_key(TRANSFER_ENCODING) {
@@ -203,7 +203,7 @@
             return Err(if ok { StatusCode::OK } else { StatusCode::METHOD_NOT_ALLOWED });
         }
         let name = path.trim_start_matches('/').split('/').next().unwrap_or_default();
-        let (class, keyed) = self.front.borrow().class(name).ok_or(StatusCode::NOT_FOUND)?;
+        let (class, keyed) = self.accepted_classes.borrow().class(name).ok_or(StatusCode::NOT_FOUND)?;
         if head.method != Method::POST {
             return Err(StatusCode::METHOD_NOT_ALLOWED);
         }
@@ -212,21 +212,21 @@
             return Err(StatusCode::BAD_REQUEST);
         }
         // Told before any of it is read.
-        if body.size_hint().lower() > LONGEST_BODY as u64 {
+        if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
-        let body = timeout_at(whole_by, Limited::new(body, LONGEST_BODY).collect()).await;
+        let body = timeout_at(deadline, Limited::new(body, MAX_BODY_BYTES).collect()).await;
         let body = body.map_err(|_| StatusCode::REQUEST_TIMEOUT)?.map_err(|e| {
             if e.is::<LengthLimitError>() { StatusCode::PAYLOAD_TOO_LARGE } else { StatusCode::BAD_REQUEST }
         })?;
-        seat.answering();
+        slot.answering();
         let Fields { reference, dest, time_left, key, order } = fields;
         let handed = Submission { reference, class, dest, time_left, key, order, body: body.to_bytes() };
         let (reply, verdict) = oneshot::channel();
-        let asked = Asked { handed, came, reply };
+        let asked = ClientRequest { handed, came, reply };
         // No driver any more: the process is about to end, and has not taken the message.
         let gone = StatusCode::SERVICE_UNAVAILABLE;
-        self.told.send(asked.into()).await.map_err(|_| gone)?;
+        self.input_tx.send(asked.into()).await.map_err(|_| gone)?;
         verdict.await.map_err(|_| gone)
     }
 }
@@ -255,14 +255,14 @@
         if !(seconds.is_finite() && seconds >= 0.0) {
             return None;
         }
-        let time_left = (seconds.min(LONGEST_DEADLINE) * 1e9) as Nanos;
+        let time_left = (seconds.min(MAX_DEADLINE_SECS) * 1e9) as Nanos;
         let mut parts = text("X-Addressing")?.split([',', ';', ' ']);
         let dest = parts.find_map(|p| p.trim().strip_prefix("dest="))?.parse().ok()?;
         let key = one("Idempotency-Key").map(|k| Bytes::copy_from_slice(k.as_bytes()));
         if key.is_none() && headers.contains_key("Idempotency-Key") {
             return None;
         }
-        if key.as_ref().is_some_and(|k| k.is_empty() || k.len() > LONGEST_KEY) {
+        if key.as_ref().is_some_and(|k| k.is_empty() || k.len() > MAX_KEY_BYTES) {
             return None;
         }
         // Two that hash alike only wait for each other.
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -1,8 +1,8 @@
 //! The millpost dispatcher: takes messages from clients, and delivers them to partners' endpoints.
 
 mod adopt;
+mod audit_log;
 mod batch;
-mod book;
 mod calls;
 mod clock;
 mod config;
@@ -11,16 +11,16 @@
 mod discovery;
 mod driver;
 mod handover;
-mod hands;
 mod input;
 mod intake;
 mod notices;
-mod opening;
 mod options;
 mod peers;
-mod record;
+mod predecessor;
 mod retry;
 mod roster;
+mod store_opener;
+mod store_writer;
 mod versions;
 
 use std::io;
@@ -42,12 +42,12 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use config::Config;
-use driver::{Again, Descriptors, Driver, Parts, Station, Stopped, Taken};
-use input::{Input, Settle};
-use intake::{Front, Phase};
-use opening::Opening;
-use options::{Asked, Options};
-use peers::{Ear, Peers};
+use driver::{Descriptors, Driver, Parts, ProcessState, RefreshTriggers, Stopped, TakenOver};
+use input::{ApplySettings, Input};
+use intake::{AcceptedClasses, Phase};
+use options::{Command, Options};
+use peers::{DatagramReader, Peers};
+use store_opener::StoreOpener;
 
 /// After SIGTERM new connections still come for a while; so long, kept ones are answered as usual.
 const LEAVE: Duration = Duration::from_millis(700);
@@ -64,7 +64,7 @@
     #[error(transparent)]
     Options(#[from] options::Error),
     #[error(transparent)]
-    Opening(#[from] opening::Error),
+    StoreOpener(#[from] store_opener::Error),
     #[error(transparent)]
     Adopt(#[from] adopt::Error),
     #[error("console: {0}: {1}")]
@@ -89,17 +89,17 @@
 
 fn run() -> Result<(), Error> {
     let options = match options::asked()? {
-        Asked::Help => {
+        Command::Help => {
             println!("{}", options::HELP);
             return Ok(());
         }
-        Asked::Check(options) => {
+        Command::Check(options) => {
             let config = config::read()?;
             println!("the configuration is good: {} listens on {}", config.name, config.listen);
             println!("{options}");
             return Ok(());
         }
-        Asked::Run(options) => options,
+        Command::Run(options) => options,
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(serve(options))
@@ -109,7 +109,7 @@
 struct Begun {
     ledger: Ledger<Disk>,
     opened: ledger::Opened,
-    taken: Option<Taken>,
+    taken: Option<TakenOver>,
 }
 
 /// A second start is one that replaces the first, and waits for it to be ready for that no longer than this.
@@ -118,16 +118,16 @@
 
 /// Becomes the owner of the folder: nobody else is, or the one that is gives the work away. Only where there is a
 /// console does a process replace another; elsewhere a second start is a mistake.
-async fn begin(config: &Config, opening: &Opening) -> Result<Begun, Error> {
+async fn begin(config: &Config, store_opener: &StoreOpener) -> Result<Begun, Error> {
     if config.console.is_none() {
-        let (ledger, opened) = opening.open(opening::AWHILE)?;
+        let (ledger, opened) = store_opener.open(store_opener::LOCK_TIMEOUT)?;
         return Ok(Begun { ledger, opened, taken: None });
     }
     let until = Instant::now() + REPLACE_WITHIN;
     loop {
-        match opening.open(Duration::ZERO) {
+        match store_opener.open(Duration::ZERO) {
             Ok((mut ledger, opened)) => {
-                ledger.own(opening.mark()).map_err(opening::Error::Store)?;
+                ledger.own(store_opener.mark()).map_err(store_opener::Error::Store)?;
                 return Ok(Begun { ledger, opened, taken: None });
             }
             Err(e) if e.is_held() && Instant::now() < until => {}
@@ -135,14 +135,14 @@
         }
         if let Some((mut line, moving)) = handover::ask(&config.state, &config.name).await {
             // The other one waits with the store closed. Whatever goes wrong here gives it back.
-            let (mut ledger, opened) = opening.open(opening::AWHILE)?;
+            let (mut ledger, opened) = store_opener.open(store_opener::LOCK_TIMEOUT)?;
             let known = read_state(&moving, config, &opened)
                 .inspect_err(|why| eprintln!("handover: from the store alone: {why}"))
                 .ok();
-            ledger.own(opening.mark()).map_err(opening::Error::Store)?;
+            ledger.own(store_opener.mark()).map_err(store_opener::Error::Store)?;
             // Where it can't hear this any more it has ended, and this process is the owner all the same.
             let _ = line.say(&Frame::Mine { afresh: known.is_none() }).await;
-            return Ok(Begun { ledger, opened, taken: Some(Taken { line, moving, known }) });
+            return Ok(Begun { ledger, opened, taken: Some(TakenOver { line, moving, known }) });
         }
         sleep(AGAIN).await;
     }
@@ -178,17 +178,18 @@
 async fn serve(options: Options) -> Result<(), Error> {
     let config = config::read()?;
     let (mut term, hangup) = (signal(SignalKind::terminate())?, signal(SignalKind::hangup())?);
-    let (told, inputs) = mpsc::channel(1024);
+    let (input_tx, inputs) = mpsc::channel(1024);
     let shared = console::Shared::default();
     // Before anything is owned: who can't be asked in service is no start.
     let (ready, is_ready) = watch::channel(false);
     if let Some(address) = config.console {
-        let desk = console::Desk { ready: is_ready, shared: shared.clone(), told: told.clone() };
-        console::open(address, desk).map_err(|e| Error::Console(address, e))?;
+        let context =
+            console::ConsoleContext { ready: is_ready, shared: shared.clone(), input_tx: input_tx.clone() };
+        console::open(address, context).map_err(|e| Error::Console(address, e))?;
     }
     let inherited = adopt::listener(config.listen)?;
-    let opening = Opening::new(&config, options.durability);
-    let Begun { ledger, opened, taken } = begin(&config, &opening).await?;
+    let store_opener = StoreOpener::new(&config, options.durability);
+    let Begun { ledger, opened, taken } = begin(&config, &store_opener).await?;
     let settings = config.settings.clone();
     let known = Some(config.known.index).filter(|_| !config.known.endpoints.is_empty());
     let going_on = taken.as_ref().filter(|taken| taken.known.is_some()).map(|taken| &taken.moving);
@@ -197,10 +198,10 @@
 
     let descriptors = Descriptors::new(config.limits.sockets, config.console.is_some());
     let idle = descriptors.idle(settings.slots);
-    let (front, fronts) = watch::channel(Front::default());
+    let (accepted_classes, accepted_classes_rx) = watch::channel(AcceptedClasses::default());
     // The limits bind both processes together for as long as there are two.
     let theirs = taken.as_ref().map_or(0, |taken| taken.moving.clients.min(descriptors.clients / 2));
-    let room = ConnectionLimiter::new(descriptors.clients - theirs);
+    let connection_limiter = ConnectionLimiter::new(descriptors.clients - theirs);
 
     let (notices, due) = mpsc::channel(256);
     let of = u16::try_from(settings.dispatchers.max(config.peers.len())).unwrap_or(u16::MAX);
@@ -208,9 +209,9 @@
     let (peers, listening) = match (settings.allow.notes, config.peer_listen, config.peers_all) {
         // Notes are a help, no need: without them the dispatcher serves all the same.
         (true, Some(listen), Some(all)) => {
-            let frames = || Ear::Frames(Arc::new(Mutex::new(Sieve::new(of))));
-            let ear = terms.as_ref().map_or(Ear::Notes, |_| frames());
-            let (peers, task) = Peers::open(listen, config.peers.clone(), all, ear, told.clone());
+            let frames = || DatagramReader::Frames(Arc::new(Mutex::new(Sieve::new(of))));
+            let reader = terms.as_ref().map_or(DatagramReader::Notes, |_| frames());
+            let (peers, task) = Peers::open(listen, config.peers.clone(), all, reader, input_tx.clone());
             (Some(peers), Some(task))
         }
         _ => (None, None),
@@ -226,39 +227,44 @@
     let (address, addresses) = watch::channel(config.discovery);
     let (phase, phases) = watch::channel(Phase::Serving);
     let retry = retry::Retry::new(settings.dispatchers, config.seed);
-    let again = Again::default();
-    let watched =
-        discovery::watch(link::Agent::new(addresses.clone()), index, retry, again.list.clone(), told.clone());
+    let refresh = RefreshTriggers::default();
+    let watched = discovery::watch(
+        link::Agent::new(addresses.clone()),
+        index,
+        retry,
+        refresh.list.clone(),
+        input_tx.clone(),
+    );
     let mut tasks = vec![
         tokio::spawn(watched).abort_handle(),
-        tokio::spawn(notices::send(link::Agent::new(addresses), due, told.clone())).abort_handle(),
+        tokio::spawn(notices::send(link::Agent::new(addresses), due, input_tx.clone())).abort_handle(),
     ];
     tasks.extend(listening);
     if config.console.is_some() {
         // Without it nothing is lost but the way to replace this process in service.
-        match handover::listen(&config.state, config.name.clone(), told.clone()) {
+        match handover::listen(&config.state, config.name.clone(), input_tx.clone()) {
             Ok(task) => tasks.push(task),
             Err(e) => eprintln!("handover: {e}"),
         }
     }
     let let_go = taken.as_ref().map(|taken| taken.moving.wall);
     let driver = Driver::new(Parts {
-        calls: calls::Calls::new(idle, settings.keepalive, settings.connect_timeout, told.clone()),
+        calls: calls::Calls::new(idle, settings.keepalive, settings.connect_timeout, input_tx.clone()),
         settings,
         shape: config.shape.clone(),
-        front,
+        accepted_classes,
         descriptors,
         has_console: config.console.is_some(),
         text: config.text.to_string(),
         taken,
-        opening,
-        station: Station { ready: ready.clone(), phase: phase.clone(), tasks },
-        room: room.clone(),
+        store_opener,
+        process_state: ProcessState { ready: ready.clone(), phase: phase.clone(), tasks },
+        connection_limiter: connection_limiter.clone(),
         seed: config.seed,
         ledger,
         found: opened.found,
         latest: opened.latest,
-        told: told.clone(),
+        input_tx: input_tx.clone(),
         source: config.discovery,
         known: config.known.clone(),
         peers,
@@ -267,7 +273,7 @@
         recording: Some(options.audit.clone()).filter(|recording| recording.enabled),
         digest: config::digest(&config.text),
         name: config.name.clone(),
-        again: again.clone(),
+        refresh: refresh.clone(),
         notices,
         shared: shared.clone(),
     });
@@ -276,10 +282,11 @@
         eprintln!("handover: the work is taken over, {passed:.1} ms after it was let go");
     }
     let mut driver = tokio::spawn(meter::metered(meter::Part::Driver, driver.run(inputs)));
-    tokio::spawn(reload(hangup, again.settings, config, told.clone(), address, shared));
-    let told_by_clients = told.clone();
-    let intake =
-        tokio::spawn(async move { intake::serve(listener, room, fronts, told_by_clients, phases).await });
+    tokio::spawn(reload(hangup, refresh.settings, config, input_tx.clone(), address, shared));
+    let told_by_clients = input_tx.clone();
+    let intake = tokio::spawn(async move {
+        intake::serve(listener, connection_limiter, accepted_classes_rx, told_by_clients, phases).await
+    });
 
     ready.send_replace(true);
     tokio::select! {
@@ -294,7 +301,7 @@
     }
     eprintln!("told to stop");
     ready.send_replace(false);
-    let _ = told.send(Input::Stop { after: STOP }).await;
+    let _ = input_tx.send(Input::Stop { after: STOP }).await;
     if *phase.borrow() == Phase::Handed {
         // Clients' connections stay for as long as they can: one that is closed may cross a request.
         let _ = timeout(FINISH, &mut driver).await;
@@ -317,18 +324,18 @@
 /// force, in one step, and discovery and notices move to its address of discovery. With any other nothing changes.
 async fn reload(
     mut hangup: Signal,
-    again: Arc<Notify>,
+    refresh: Arc<Notify>,
     mut config: Config,
-    told: mpsc::Sender<Input>,
+    input_tx: mpsc::Sender<Input>,
     discovery: watch::Sender<SocketAddr>,
     shared: console::Shared,
 ) {
     loop {
         tokio::select! {
             came = hangup.recv() => if came.is_none() { return },
-            () = again.notified() => {}
+            () = refresh.notified() => {}
         }
-        match put_in_force(&config, &told).await {
+        match put_in_force(&config, &input_tx).await {
             Ok(new) => {
                 config = new;
                 shared.figures().reconfig_ok += 1;
@@ -338,24 +345,24 @@
             }
             Err(e) => {
                 shared.figures().reconfig_failed += 1;
-                let _ = told.send(Input::TurnedDown(config::digest_of_file())).await;
+                let _ = input_tx.send(Input::SettingsRejected(config::digest_of_file())).await;
                 eprintln!("the configuration stays as it was: {e}");
             }
         }
     }
 }
 
-async fn put_in_force(config: &Config, told: &mpsc::Sender<Input>) -> Result<Config, Error> {
+async fn put_in_force(config: &Config, input_tx: &mpsc::Sender<Input>) -> Result<Config, Error> {
     let new = config::read_again(config)?;
     let (done, settled) = oneshot::channel();
-    let settle = Settle {
+    let apply_settings = ApplySettings {
         settings: new.settings.clone(),
         shape: new.shape.clone(),
         text: new.text.to_string(),
         digest: config::digest(&new.text),
         done,
     };
-    told.send(settle.into()).await.map_err(|_| Error::Driver)?;
+    input_tx.send(apply_settings.into()).await.map_err(|_| Error::Driver)?;
     settled.await.map_err(|_| Error::Driver)?.map_err(Error::NotSettled)?;
     Ok(new)
 }
--- a/dispatcher/src/notices.rs
+++ b/dispatcher/src/notices.rs
@@ -1,4 +1,4 @@
-//! Tells the platform how messages ended that were not delivered, until it has taken every notice.
+//! Sends the platform a notice for each message that was not delivered, until it has accepted every one.
 
 use std::time::Duration;
 
@@ -11,20 +11,20 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// Lines in one request, at most.
-const LINES: usize = 64;
-const WITHIN: Duration = Duration::from_millis(1_000);
-const PAUSE: Duration = Duration::from_millis(20);
+/// Maximum number of notices in one request.
+const MAX_BATCH: usize = 64;
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_000);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The end of a message, to be told.
+/// The final answer of a message, to be reported.
 pub struct Notice {
     pub id: u64,
     pub reference: String,
     pub answer: Answer,
 }
 
-/// Messages whose notices the platform has taken.
-pub struct Taken(pub Vec<u64>);
+/// The messages whose notices the platform has accepted.
+pub struct Accepted(pub Vec<u64>);
 
 #[derive(Serialize)]
 struct Line<'a> {
@@ -48,14 +48,18 @@
     Ok(text.into())
 }
 
-/// Sends what comes, in batches, each again until it is answered 204. Then the driver hears of it.
-/// A batch that was on its way when the address changed goes to the new one: told twice does no harm.
-pub async fn send<I: From<Taken>>(mut agent: Agent, mut due: mpsc::Receiver<Notice>, told: mpsc::Sender<I>) {
+/// Sends notices in batches, each repeated until it is answered 204, and then reports them to the driver.
+/// A batch in flight when the address changes is sent again to the new address: duplicate notices are harmless.
+pub async fn send<I: From<Accepted>>(
+    mut agent: Agent,
+    mut due: mpsc::Receiver<Notice>,
+    input_tx: mpsc::Sender<I>,
+) {
     let mut batch = Vec::new();
     loop {
         if batch.is_empty() {
             tokio::select! {
-                count = due.recv_many(&mut batch, LINES) => if count == 0 { return },
+                count = due.recv_many(&mut batch, MAX_BATCH) => if count == 0 { return },
                 () = agent.moved() => continue,
             }
         }
@@ -63,20 +67,20 @@
         let request =
             Request::post("/v1/notices").header("Content-Type", "application/json").body(Full::new(body));
         let Ok(request) = request else { return };
-        match agent.ask(request, WITHIN, 4096).await {
+        match agent.ask(request, REQUEST_TIMEOUT, 4096).await {
             Ok((StatusCode::NO_CONTENT, _)) => {
-                let ids = Taken(batch.drain(..).map(|n| n.id).collect());
-                if told.send(ids.into()).await.is_err() {
+                let ids = Accepted(batch.drain(..).map(|n| n.id).collect());
+                if input_tx.send(ids.into()).await.is_err() {
                     return;
                 }
             }
             Err(Error::Moved) => {}
             other => {
                 match other {
-                    Ok((status, _)) => eprintln!("notices: {status}"),
-                    Err(e) => eprintln!("notices: {e}"),
+                    Ok((status, _)) => eprintln!("notices: the platform answered {status}; retrying"),
+                    Err(e) => eprintln!("notices: {e}; retrying"),
                 }
-                sleep(PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/dispatcher/src/options.rs
+++ b/dispatcher/src/options.rs
@@ -89,7 +89,7 @@
 
 /// What the command line asks for.
 #[derive(Debug, PartialEq)]
-pub enum Asked {
+pub enum Command {
     Run(Options),
     Check(Options),
     Help,
@@ -138,24 +138,24 @@
 }
 
 /// Reads the command line, and the files that it names.
-pub fn asked() -> Result<Asked, Error> {
+pub fn asked() -> Result<Command, Error> {
     parse(std::env::args_os().skip(1))
 }
 
-fn parse(arguments: impl IntoIterator<Item = OsString>) -> Result<Asked, Error> {
+fn parse(arguments: impl IntoIterator<Item = OsString>) -> Result<Command, Error> {
     let mut options = Options::new(Durability::Process);
     let mut check = false;
     let mut parser = lexopt::Parser::from_args(arguments);
     while let Some(argument) = parser.next()? {
         match argument {
-            Short('h') | Long("help") => return Ok(Asked::Help),
+            Short('h') | Long("help") => return Ok(Command::Help),
             Long("check-config") => check = true,
             Long("settings") => options = settings_file(Path::new(&parser.value()?))?,
             Long("store") => options.durability = store_file(Path::new(&parser.value()?))?,
             other => return Err(other.unexpected().into()),
         }
     }
-    Ok(if check { Asked::Check(options) } else { Asked::Run(options) })
+    Ok(if check { Command::Check(options) } else { Command::Run(options) })
 }
 
 fn read<T: DeserializeOwned>(path: &Path) -> Result<(T, String), Error> {
@@ -200,7 +200,7 @@
 mod tests {
     use super::*;
 
-    fn with(text: &str, more: &[&str]) -> Result<Asked, Error> {
+    fn with(text: &str, more: &[&str]) -> Result<Command, Error> {
         let dir = tempfile::tempdir().expect("a folder");
         let file = dir.path().join("store.toml");
         std::fs::write(&file, text).expect("written");
@@ -211,9 +211,9 @@
     #[test]
     fn settings_are_read_and_what_is_wrong_is_named() {
         let options = Options::new;
-        assert_eq!(with("", &[]).ok(), Some(Asked::Run(options(Durability::Process))));
+        assert_eq!(with("", &[]).ok(), Some(Command::Run(options(Durability::Process))));
         let machine = with("durability = \"machine\"", &["--check-config"]).ok();
-        assert_eq!(machine, Some(Asked::Check(options(Durability::Machine))));
+        assert_eq!(machine, Some(Command::Check(options(Durability::Machine))));
         for (text, said) in [
             ("\ndurability = \"disk\"", "line 2"),
             ("durabilty = \"machine\"", "durabilty"),
--- a/dispatcher/src/peers.rs
+++ b/dispatcher/src/peers.rs
@@ -18,24 +18,24 @@
 const AGAIN: Duration = Duration::from_millis(10);
 
 /// A note, and the number of the dispatcher that it came from.
-pub struct Note {
+pub struct PeerMessage {
     pub from: usize,
     pub bytes: Vec<u8>,
 }
 
 /// What reads the datagrams: only notes, or frames of what is shared.
 #[derive(Clone)]
-pub enum Ear {
+pub enum DatagramReader {
     Notes,
     Frames(Arc<Mutex<Sieve>>),
 }
 
-impl Ear {
+impl DatagramReader {
     /// What became of the datagrams.
     pub fn sifted(&self) -> Sifted {
         match self {
-            Ear::Notes => Sifted::default(),
-            Ear::Frames(sieve) => sieve.lock().unwrap_or_else(PoisonError::into_inner).sifted(),
+            DatagramReader::Notes => Sifted::default(),
+            DatagramReader::Frames(sieve) => sieve.lock().unwrap_or_else(PoisonError::into_inner).sifted(),
         }
     }
 }
@@ -45,21 +45,21 @@
     socket: Arc<OnceLock<UdpSocket>>,
     each: Vec<SocketAddr>,
     all: SocketAddr,
-    pub ear: Ear,
+    pub reader: DatagramReader,
 }
 
 impl Peers {
     /// Listens, and hands on what comes with the number of its sender. Where the address is held it is asked for again;
     /// until then nothing is sent or heard. The task ends with its handle, and lets go of the address.
-    pub fn open<I: From<Note> + From<Frame> + Send + 'static>(
+    pub fn open<I: From<PeerMessage> + From<Frame> + Send + 'static>(
         listen: SocketAddr,
         each: Vec<SocketAddr>,
         all: SocketAddr,
-        ear: Ear,
-        told: mpsc::Sender<I>,
+        reader: DatagramReader,
+        input_tx: mpsc::Sender<I>,
     ) -> (Self, AbortHandle) {
         let socket = Arc::new(OnceLock::new());
-        let peers = Peers { socket: socket.clone(), each: each.clone(), all, ear: ear.clone() };
+        let peers = Peers { socket: socket.clone(), each: each.clone(), all, reader: reader.clone() };
         let task = tokio::spawn(async move {
             let mut said = false;
             let bound = loop {
@@ -71,7 +71,7 @@
                 said = true;
                 sleep(AGAIN).await;
             };
-            hear(socket.get_or_init(|| bound), &each, &ear, told).await;
+            hear(socket.get_or_init(|| bound), &each, &reader, input_tx).await;
         });
         (peers, task.abort_handle())
     }
@@ -96,11 +96,11 @@
     }
 }
 
-async fn hear<I: From<Note> + From<Frame>>(
+async fn hear<I: From<PeerMessage> + From<Frame>>(
     socket: &UdpSocket,
     each: &[SocketAddr],
-    ear: &Ear,
-    told: mpsc::Sender<I>,
+    reader: &DatagramReader,
+    input_tx: mpsc::Sender<I>,
 ) {
     let (mut buffer, began) = ([0; LONGEST + 1], Instant::now());
     loop {
@@ -110,11 +110,11 @@
             continue;
         };
         let (from, bytes) = (each.iter().position(|peer| *peer == sender), &buffer[..length]);
-        let input = match ear {
-            Ear::Notes => {
-                from.filter(|_| length <= LONGEST).map(|from| Note { from, bytes: bytes.to_vec() }.into())
-            }
-            Ear::Frames(sieve) => {
+        let input = match reader {
+            DatagramReader::Notes => from
+                .filter(|_| length <= LONGEST)
+                .map(|from| PeerMessage { from, bytes: bytes.to_vec() }.into()),
+            DatagramReader::Frames(sieve) => {
                 let now = began.elapsed().as_nanos() as u64;
                 let from = from.and_then(|from| u16::try_from(from).ok());
                 let mut sieve = sieve.lock().unwrap_or_else(PoisonError::into_inner);
@@ -123,7 +123,7 @@
         };
         if let Some(input) = input {
             // It may be lost: a full queue loses it too.
-            let _ = told.try_send(input);
+            let _ = input_tx.try_send(input);
         }
     }
 }
--- a/dispatcher/src/peers/sharing.rs
+++ b/dispatcher/src/peers/sharing.rs
@@ -13,10 +13,10 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::Peers;
-use crate::book::Book;
+use crate::audit_log::AuditLog;
 use crate::console::line::Shared;
-use crate::record::Record;
 use crate::roster::Roster;
+use crate::store_writer::StoreWriter;
 use crate::versions;
 
 pub struct Sharing {
@@ -33,9 +33,9 @@
 
 impl Sharing {
     /// A life begins, numbered after all that the store knows of.
-    pub fn begin(at: Moment, terms: Terms, me: u16, of: u16, seed: u64, record: &mut Record) -> Self {
-        let incarnation = record.ledger().incarnation().saturating_add(1);
-        record.live(at, incarnation);
+    pub fn begin(at: Moment, terms: Terms, me: u16, of: u16, seed: u64, store: &mut StoreWriter) -> Self {
+        let incarnation = store.ledger().incarnation().saturating_add(1);
+        store.save_incarnation(at, incarnation);
         let tier = Tier::new(at.now, terms, me, of, incarnation, seed);
         let (endpoints, places) = (HashMap::new(), HashMap::new());
         Sharing { tier, slots: 0, endpoints, places, acts: Vec::new(), told: false }
@@ -48,9 +48,9 @@
         rules: Rules,
         (standing, held): (Standing, [Nanos; 4]),
         seed: u64,
-        record: &Record,
+        store: &StoreWriter,
     ) {
-        let begin = Begin { rules, standing, held, words: versions::words(record) };
+        let begin = Begin { rules, standing, held, words: versions::words(store) };
         self.tier.keep_roll(at.now, begin, seed);
     }
 
@@ -107,9 +107,9 @@
     }
 
     /// Cordons and drains are to last.
-    pub fn note(&mut self, at: Moment, record: &mut Record) {
+    pub fn note(&mut self, at: Moment, store: &mut StoreWriter) {
         if let Some((roll, _)) = self.tier.roll() {
-            versions::note_words(at, roll.words(), record);
+            versions::note_words(at, roll.words(), store);
         }
     }
 
@@ -120,23 +120,23 @@
         roster: &Roster,
         index: Option<u64>,
         told: bool,
-        record: &mut Record,
+        store: &mut StoreWriter,
     ) {
         let before = self.tier.acts_on().map(|on| on.list.digest);
         let Some((roll, pass_on)) = self.tier.roll() else { return };
         roll.numbered(digest(roster.source().as_bytes()), index.unwrap_or(0));
         let list = roster.digest();
         if !told {
-            roll.held(at.now, Kind::List, list, versions::list_held(at, list, record), pass_on);
+            roll.held(at.now, Kind::List, list, versions::list_held(at, list, store), pass_on);
             return;
         }
         let first = !std::mem::replace(&mut self.told, true);
         if before != Some(list) {
             roll.moves(at.now, Kind::List, list, pass_on);
-            versions::listed(at, list, record);
-        } else if first && versions::list_held(at, list, record) == Nanos::MAX {
+            versions::listed(at, list, store);
+        } else if first && versions::list_held(at, list, store) == Nanos::MAX {
             roll.confirmed(at.now, Kind::List, pass_on);
-            versions::listed(at, list, record);
+            versions::listed(at, list, store);
         }
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// Calls that may be out at once.
-    pub fn settle_on(&mut self, slots: usize) {
+    pub fn set_slots(&mut self, slots: usize) {
         self.slots = slots;
     }
 
@@ -204,20 +204,20 @@
     }
 
     /// Another dispatcher says something.
-    pub fn heard(&mut self, at: Moment, frame: &Frame, book: Option<&mut Book>) {
+    pub fn heard(&mut self, at: Moment, frame: &Frame, audit_log: Option<&mut AuditLog>) {
         let speaker = &frame.speaker;
-        if let Some(book) = book {
-            book.heard(at, speaker.who, speaker.life.incarnation, speaker.life.beat);
+        if let Some(audit_log) = audit_log {
+            audit_log.heard(at, speaker.who, speaker.life.incarnation, speaker.life.beat);
         }
         self.tier.hear(at.now, frame);
     }
 
     /// The round that is due, if it is.
-    pub fn tick(&mut self, at: Moment, core: &Core, book: Option<&mut Book>) {
+    pub fn tick(&mut self, at: Moment, core: &Core, audit_log: Option<&mut AuditLog>) {
         if at.now >= self.tier.due() {
             let life = self.tier.life();
-            if let Some(book) = book {
-                book.beat(at, life.incarnation, life.beat);
+            if let Some(audit_log) = audit_log {
+                audit_log.beat(at, life.incarnation, life.beat);
             }
             // Also of messages that were there before this process, or that nothing was sent of for a while.
             let all: BTreeSet<DestId> = self.tier.active().chain(core.destinations()).collect();
@@ -231,9 +231,9 @@
         &mut self,
         at: Moment,
         core: &mut Core,
-        record: &mut Record,
+        store: &mut StoreWriter,
         peers: &Peers,
-        book: &mut Option<Book>,
+        audit_log: &mut Option<AuditLog>,
     ) -> bool {
         let mut news = false;
         while let Some(out) = self.tier.out() {
@@ -243,7 +243,7 @@
                     continue;
                 }
                 Out::Lives(incarnation) => {
-                    record.live(at, incarnation);
+                    store.save_incarnation(at, incarnation);
                     continue;
                 }
                 Out::News(told) => told,
@@ -252,16 +252,16 @@
                     continue;
                 }
                 Out::Loan(loan) => {
-                    if let Some(book) = book {
-                        book.loan(at, &loan);
+                    if let Some(audit_log) = audit_log {
+                        audit_log.loan(at, &loan);
                     }
                     continue;
                 }
             };
             let event = match told {
                 News::Part { dest, part } => {
-                    if let Some(book) = book {
-                        book.part(at, dest, part);
+                    if let Some(audit_log) = audit_log {
+                        audit_log.part(at, dest, part);
                     }
                     let part = part.map(|p| RateShare { rate: p.rate, until: p.until, after: p.after });
                     Some(Event::RateShare { dest, part })
@@ -285,7 +285,7 @@
 
     /// For the console.
     pub fn figures(&self, at: Moment, peers: &Peers) -> Shared {
-        Shared { tier: self.tier.figures(at.now), sifted: peers.ear.sifted() }
+        Shared { tier: self.tier.figures(at.now), sifted: peers.reader.sifted() }
     }
 }
 
--- a/dispatcher/src/hands.rs
+++ b/dispatcher/src/predecessor.rs
@@ -14,10 +14,10 @@
 use crate::calls::{self, Calls};
 use crate::console;
 use crate::input::Input;
-use crate::intake::Asked;
+use crate::intake::ClientRequest;
 
 /// What the owner knows of the process before it, while that finishes what it has.
-pub struct Before {
+pub struct Predecessor {
     say: mpsc::UnboundedSender<Frame>,
     /// Calls that it wrote.
     pub written: BTreeSet<CallId>,
@@ -25,9 +25,9 @@
     pub unheard: HashMap<u64, MsgId>,
 }
 
-impl Before {
+impl Predecessor {
     pub fn new(say: mpsc::UnboundedSender<Frame>, written: BTreeSet<CallId>) -> Self {
-        Before { say, written, unheard: HashMap::new() }
+        Predecessor { say, written, unheard: HashMap::new() }
     }
 
     pub fn say(&self, frame: Frame) {
@@ -52,8 +52,8 @@
 }
 
 /// Nobody told it to end, and nobody has asked it anything for so long: its successor serves.
-const FORGOTTEN: Duration = Duration::from_secs(30);
-const LOOK: Duration = Duration::from_millis(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why a process that gave the work away stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,10 +65,10 @@
 }
 
 /// The process that gave the work away.
-pub struct Hands {
+pub struct FormerOwner {
     calls: Calls<Input>,
     say: mpsc::UnboundedSender<Frame>,
-    room: std::sync::Arc<ConnectionLimiter>,
+    connection_limiter: std::sync::Arc<ConnectionLimiter>,
     shared: console::Shared,
     replies: HashMap<u64, oneshot::Sender<SubmitReply>>,
     staff: HashMap<u64, oneshot::Sender<Result<(), String>>>,
@@ -76,22 +76,22 @@
     out: BTreeSet<CallId>,
 }
 
-impl Hands {
+impl FormerOwner {
     pub fn new(
         calls: Calls<Input>,
         say: mpsc::UnboundedSender<Frame>,
-        room: std::sync::Arc<ConnectionLimiter>,
+        connection_limiter: std::sync::Arc<ConnectionLimiter>,
         shared: console::Shared,
     ) -> Self {
         let out = calls.written().collect();
         let (replies, staff) = (HashMap::new(), HashMap::new());
-        Hands { calls, say, room, shared, replies, staff, next: 0, out }
+        FormerOwner { calls, say, connection_limiter, shared, replies, staff, next: 0, out }
     }
 
     /// The owner knows nothing of these calls: they are broken off.
-    pub fn break_off(&mut self) {
+    pub fn cancel_calls(&mut self) {
         for call in std::mem::take(&mut self.out) {
-            self.calls.call_off(call);
+            self.calls.cancel(call);
         }
     }
 
@@ -101,22 +101,22 @@
         // Nothing new goes out here, and idle connections are the owner's to open.
         self.calls.retain(|_| false);
         loop {
-            let idle = self.out.is_empty() && self.replies.is_empty() && self.room.taken() == 0;
+            let idle = self.out.is_empty() && self.replies.is_empty() && self.connection_limiter.taken() == 0;
             let over = ends.is_some_and(|at| Instant::now() >= at);
-            if over || idle && (ends.is_some() || heard.elapsed() > FORGOTTEN) {
+            if over || idle && (ends.is_some() || heard.elapsed() > IDLE_TIMEOUT) {
                 return Done::Finished;
             }
             tokio::select! {
                 input = inputs.recv() => match input {
                     None => return Done::Finished,
                     Some(Input::Stop { after }) => ends = Some(Instant::now() + after),
-                    Some(Input::After(None)) => return Done::OwnerGone,
+                    Some(Input::FromSuccessor(None)) => return Done::OwnerGone,
                     Some(input) => {
                         heard = Instant::now();
                         self.take(input);
                     }
                 },
-                () = sleep_until(Instant::now() + LOOK) => {}
+                () = sleep_until(Instant::now() + POLL_INTERVAL) => {}
             }
         }
     }
@@ -127,7 +127,7 @@
 
     fn take(&mut self, input: Input) {
         match input {
-            Input::Client(Asked { handed, came, reply }) => {
+            Input::Client(ClientRequest { handed, came, reply }) => {
                 if !reply.is_closed() {
                     self.next += 1;
                     self.replies.insert(self.next, reply);
@@ -136,29 +136,29 @@
                 }
             }
             Input::Calls(event) => self.called(event),
-            Input::Console(console::Asked::Figures { done }) => {
+            Input::Console(console::Query::Figures { done }) => {
                 let mut figures = self.shared.figures();
                 (figures.inflight, figures.calls) = (0, self.calls.sent().count());
                 let _ = done.send(());
             }
-            Input::Console(console::Asked::Standing { done }) => drop(done),
-            Input::Console(console::Asked::Maintain { id, out, done }) => {
+            Input::Console(console::Query::Standing { done }) => drop(done),
+            Input::Console(console::Query::Maintain { id, out, done }) => {
                 self.next += 1;
                 self.staff.insert(self.next, done);
                 self.tell(Frame::Maintain { number: self.next, id, out });
             }
-            Input::Settle(settle) => drop(settle.done.send(Err("another process has taken over"))),
-            Input::After(Some(frame)) => self.heard(frame),
+            Input::ApplySettings(request) => drop(request.done.send(Err("another process has taken over"))),
+            Input::FromSuccessor(Some(frame)) => self.heard(frame),
             // Of these the owner hears itself.
             Input::Listed(_)
-            | Input::Noticed(_)
-            | Input::Note(_)
-            | Input::Shared(_)
+            | Input::NoticesAccepted(_)
+            | Input::PeerMessage(_)
+            | Input::SharedFrame(_)
             | Input::Synced(_)
-            | Input::TurnedDown(_)
-            | Input::Heir(_)
-            | Input::Before(_)
-            | Input::After(None)
+            | Input::SettingsRejected(_)
+            | Input::TakeoverRequest(_)
+            | Input::FromPredecessor(_)
+            | Input::FromSuccessor(None)
             | Input::Stop { .. } => {}
         }
     }
@@ -166,7 +166,7 @@
     fn called(&mut self, event: calls::Event) {
         match event {
             calls::Event::Ended { call, ended, link: _ } => {
-                self.calls.over(call, &ended.ends, None, |_| false);
+                self.calls.ended(call, &ended.ends, None, |_| false);
                 if self.out.remove(&call) {
                     self.tell(Frame::Ended { call, ended });
                 }
@@ -189,7 +189,7 @@
                 let heard = reply.is_some_and(|reply| reply.send(verdict).is_ok());
                 self.tell(Frame::Heard { number, heard });
             }
-            Frame::CallOff { call } => self.calls.call_off(call),
+            Frame::CallOff { call } => self.calls.cancel(call),
             Frame::Maintained { number, answer } => {
                 if let Some(done) = self.staff.remove(&number) {
                     let _ = done.send(answer);
--- a/dispatcher/src/roster.rs
+++ b/dispatcher/src/roster.rs
@@ -11,7 +11,7 @@
 
 use crate::cordons::{Change, Cordons};
 use crate::discovery::{Endpoint, List, Status};
-use crate::record::Record;
+use crate::store_writer::StoreWriter;
 
 struct Known {
     name: String,
@@ -50,7 +50,7 @@
     }
 
     /// Names of zones and kinds, where the ones of before stand where they stood.
-    pub fn settle_on(&mut self, shape: Shape) {
+    pub fn set_shape(&mut self, shape: Shape) {
         self.shape = shape;
     }
 
@@ -156,9 +156,9 @@
     }
 
     /// The list of the configuration, or the one that was noted last, if that is newer.
-    pub fn newest(&mut self, record: &Record, known: List) -> List {
+    pub fn newest(&mut self, store: &StoreWriter, known: List) -> List {
         let known = List { snapshot: true, ..known };
-        let Some((source, index, noted)) = record.ledger().listed() else { return known };
+        let Some((source, index, noted)) = store.ledger().listed() else { return known };
         for e in &noted {
             // Numbers that lessons of routes go by.
             self.names.insert(e.name.clone(), e.id);
@@ -182,7 +182,7 @@
     }
 
     /// Takes in what discovery says, and notes it for the next start: what it means for the module.
-    pub fn listed(&mut self, at: Moment, record: &mut Record, list: List) -> (bool, Vec<Entry>) {
+    pub fn listed(&mut self, at: Moment, store: &mut StoreWriter, list: List) -> (bool, Vec<Entry>) {
         let (index, snapshot) = (list.index, list.snapshot);
         let mut gone = Vec::new();
         let mut told: Vec<Listed> = Vec::new();
@@ -209,7 +209,7 @@
         }
         // Looked through as a whole only where names may be missing.
         let noted =
-            Some(()).filter(|()| snapshot || !unreadable.is_empty()).and_then(|()| record.ledger().listed());
+            Some(()).filter(|()| snapshot || !unreadable.is_empty()).and_then(|()| store.ledger().listed());
         let named: HashSet<String> = told.iter().map(|e| e.name.clone()).collect();
         for e in noted.map(|(_, _, all)| all).unwrap_or_default() {
             if unreadable.contains(&e.name) {
@@ -218,7 +218,7 @@
                 gone.push(e.name);
             }
         }
-        record.list(at, &self.source, index, &told, &gone);
+        store.save_list(at, &self.source, index, &told, &gone);
         (snapshot, entries)
     }
 
--- a/dispatcher/src/opening.rs
+++ b/dispatcher/src/store_opener.rs
@@ -1,4 +1,4 @@
-//! Opening the store: what an old journal holds moves in at the first start.
+//! Opens the store, and migrates the messages of an old journal into it at the first start.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -10,8 +10,8 @@
 use crate::clock::wall_now;
 use crate::config::Config;
 
-/// Another process that is just ending holds the folder a little longer.
-pub const AWHILE: Duration = Duration::from_secs(1);
+/// How long to wait for the folder's lock, which a process that is just ending may still hold.
+pub const LOCK_TIMEOUT: Duration = Duration::from_secs(1);
 
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
@@ -22,33 +22,33 @@
 }
 
 impl Error {
-    /// Another process owns the folder.
+    /// Whether another process holds the folder's lock.
     pub fn is_held(&self) -> bool {
         matches!(self, Error::Folder(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 }
 
-/// Where the store is, and how it is opened.
+/// Location and options of the store.
 #[derive(Clone, Debug)]
-pub struct Opening {
+pub struct StoreOpener {
     state: PathBuf,
     limit: u64,
     seed: u64,
     durability: Durability,
 }
 
-impl Opening {
+impl StoreOpener {
     pub fn new(config: &Config, durability: Durability) -> Self {
         let limit = (config.limits.disk_mb * 1e6) as u64;
-        Opening { state: config.state.clone(), limit, seed: config.seed, durability }
+        StoreOpener { state: config.state.clone(), limit, seed: config.seed, durability }
     }
 
-    /// A number that no earlier process had.
+    /// An ownership mark that no earlier process used.
     pub fn mark(&self) -> u64 {
         (wall_now() ^ self.seed).max(1)
     }
 
-    /// Opens it, waiting no longer than this for another process.
+    /// Opens the store, waiting up to `within` for another process to release it.
     pub fn open(&self, within: Duration) -> Result<(Ledger<Disk>, ledger::Opened), Error> {
         let folder = Disk::open_within(&self.state, within).map_err(Error::Folder)?;
         let file = |name| self.state.join(name);
@@ -58,7 +58,7 @@
             Err(e) => return Err(Error::Folder(e)),
         };
         remove(&file(journal::NEW_FILE))?;
-        // Both are there for a while, and take room together.
+        // The old journal and the store exist side by side during the migration and share the space limit.
         let taken = old.as_ref().map_or(0, |data| data.len().next_multiple_of(512) as u64);
         let store = millpost_store::Options::new(self.limit.saturating_sub(taken), self.durability);
         let (mut ledger, opened) =
@@ -66,13 +66,13 @@
         remove(&file(journal::FILE))?;
         ledger.store_mut().set_limit(self.limit);
         if opened.moved > 0 {
-            eprintln!("store: {} messages of the old journal moved in", opened.moved);
+            eprintln!("store: migrated {} messages from the old journal", opened.moved);
         }
         for damage in &opened.recovery.damage {
-            eprintln!("store: {damage}; any message from before may have run");
+            eprintln!("store: {damage}; any earlier message may have been executed");
         }
         if !opened.found.is_empty() {
-            eprintln!("the store holds {} messages", opened.found.len());
+            eprintln!("store: {} messages found", opened.found.len());
         }
         Ok((ledger, opened))
     }
--- a/dispatcher/src/versions.rs
+++ b/dispatcher/src/versions.rs
@@ -6,7 +6,7 @@
 use millpost_tier::standing::{Kind, Stamp, Standing, digest};
 use serde::{Deserialize, Serialize};
 
-use crate::record::Record;
+use crate::store_writer::StoreWriter;
 
 /// Names in the store.
 const WORDS: &str = "words";
@@ -22,53 +22,53 @@
 }
 
 /// What a life begins with, of the settings with this digest.
-pub fn begin(at: Moment, settings: u32, record: &mut Record) -> (Standing, [Nanos; 4]) {
+pub fn begin(at: Moment, settings: u32, store: &mut StoreWriter) -> (Standing, [Nanos; 4]) {
     let mut standing = Standing::default();
     let release = concat!(env!("CARGO_PKG_VERSION"));
     standing.program = Stamp { digest: digest(release.as_bytes()), generation: SNAPSHOT_VERSION };
     standing.moves(Kind::Settings, settings);
-    let held = held(at, SETTLED, settings, record).unwrap_or_else(|| {
-        settled(at, settings, record);
+    let held = held(at, SETTLED, settings, store).unwrap_or_else(|| {
+        settled(at, settings, store);
         0
     });
     (standing, [Nanos::MAX, held, 0, 0])
 }
 
 /// For how long what has this digest has been in force, where that was noted.
-fn held(at: Moment, name: &str, digest: u32, record: &Record) -> Option<Nanos> {
-    let noted = record.ledger().kept(name).and_then(|kept| postcard::from_bytes::<Settled>(&kept).ok());
+fn held(at: Moment, name: &str, digest: u32, store: &StoreWriter) -> Option<Nanos> {
+    let noted = store.ledger().kept(name).and_then(|kept| postcard::from_bytes::<Settled>(&kept).ok());
     noted.filter(|noted| noted.digest == digest).map(|noted| at.wall.saturating_sub(noted.since))
 }
 
-fn keep(at: Moment, name: &str, digest: u32, record: &mut Record) {
+fn keep(at: Moment, name: &str, digest: u32, store: &mut StoreWriter) {
     let settled = Settled { digest, since: at.wall };
-    record.keep(at, name, &postcard::to_stdvec(&settled).unwrap_or_default());
+    store.save_value(at, name, &postcard::to_stdvec(&settled).unwrap_or_default());
 }
 
 /// These settings are in force from now on.
-pub fn settled(at: Moment, digest: u32, record: &mut Record) {
-    keep(at, SETTLED, digest, record);
+pub fn settled(at: Moment, digest: u32, store: &mut StoreWriter) {
+    keep(at, SETTLED, digest, store);
 }
 
 /// This list is, as the agent said.
-pub fn listed(at: Moment, digest: u32, record: &mut Record) {
-    keep(at, LISTED, digest, record);
+pub fn listed(at: Moment, digest: u32, store: &mut StoreWriter) {
+    keep(at, LISTED, digest, store);
 }
 
 /// For how long the list that a life begins with has been in force. Of one that no agent told to a life before, nobody knows
 /// how old it is.
-pub fn list_held(at: Moment, digest: u32, record: &Record) -> Nanos {
-    held(at, LISTED, digest, record).unwrap_or(Nanos::MAX)
+pub fn list_held(at: Moment, digest: u32, store: &StoreWriter) -> Nanos {
+    held(at, LISTED, digest, store).unwrap_or(Nanos::MAX)
 }
 
 /// Cordons and drains as they were noted.
-pub fn words(record: &Record) -> Vec<Word> {
-    let kept = record.ledger().kept(WORDS);
+pub fn words(store: &StoreWriter) -> Vec<Word> {
+    let kept = store.ledger().kept(WORDS);
     kept.and_then(|kept| postcard::from_bytes(&kept).ok()).unwrap_or_default()
 }
 
 /// Notes them.
-pub fn note_words<'a>(at: Moment, words: impl Iterator<Item = &'a Word>, record: &mut Record) {
+pub fn note_words<'a>(at: Moment, words: impl Iterator<Item = &'a Word>, store: &mut StoreWriter) {
     let words: Vec<&Word> = words.collect();
-    record.keep(at, WORDS, &postcard::to_stdvec(&words).unwrap_or_default());
+    store.save_value(at, WORDS, &postcard::to_stdvec(&words).unwrap_or_default());
 }
