--- a/dispatcher/src/calls.rs
+++ b/dispatcher/src/calls.rs
@@ -18,34 +18,35 @@
 
 use crate::batch;
 
-/// An answer's body means nothing; it is read so that the connection can be used again, within these bounds.
+/// The body of an answer to a single message is ignored. It is read, up to this size, so that the connection can be
+/// reused.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// A wait that is told counts from the head of its answer, so that little time may pass.
+/// Time limit for reading a body. A wait in the headers counts from the arrival of the head, so little time may pass.
 const BODY_TIMEOUT: Duration = Duration::from_millis(80);
-/// An answer is written in one go: once its first line is there, the rest of its head comes in this time.
-/// Guards the slots against heads without end.
+/// Time limit for the rest of a response head after its status line. Servers write a head in one go; the limit protects the
+/// call slots against endless heads.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The ends of several messages come in the body of an answer, which may take so long.
+/// Time limit for reading the body of an answer to a batch, which holds the result of each message.
 const ENDS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What is told of calls and probes.
+/// Events of calls and probes.
 pub enum Event {
-    /// The connection for a call is there, or did not come up.
+    /// The connection for a call has been established, or has failed (`None`).
     Connected { call: CallId, link: Option<Link> },
-    /// The connection of a call was gone before its last byte was written.
+    /// The connection of a call was lost before the last byte of the request was written.
     Unsent { call: CallId },
-    /// A call is over; its connection, if that can be used again.
+    /// A call has ended; `link` is its connection if it can be reused.
     Ended { call: CallId, ended: CallEnd, link: Option<Link> },
-    /// A probe is over.
+    /// A probe has ended; `link` is its connection if it can be reused.
     Probed { endpoint: EndpointId, took: Duration, ended: CallEnd, link: Option<Link> },
 }
 
-/// An endpoint may give connections up much sooner than it says, without a word: each is then reset at its next
-/// request. What was seen of that holds for so long.
-const GIVEN_UP_TTL: Duration = Duration::from_secs(15);
+/// An endpoint may drop idle connections much sooner than its keep-alive time, without closing them: each is then reset at
+/// its next request. An observed idle limit applies for this long.
+const IDLE_LIMIT_TTL: Duration = Duration::from_secs(15);
 
-struct Idle {
+struct IdleConnection {
     link: Link,
     address: SocketAddr,
     since: Instant,
@@ -56,92 +57,97 @@
     endpoint: EndpointId,
     address: SocketAddr,
     since: Instant,
-    /// Until the call is written.
+    /// Present until the call is written.
     link: Option<Link>,
-    /// It was opened for the call.
+    /// Whether it was opened for this call.
     fresh: bool,
-    /// How long a kept one had stood idle.
+    /// How long a reused connection had been idle.
     idle_for: Duration,
     cancel: Option<oneshot::Sender<()>>,
 }
 
-/// A connection that is reset so soon after a request was lost before it, more likely than under it.
+/// A connection that is reset this soon after a request was probably lost before the request.
 const IMMEDIATE_RESET: Duration = Duration::from_millis(10);
-/// A kept connection that was used so lately has not been given up since.
-const JUST_USED: Duration = Duration::from_millis(50);
+/// A kept connection that was used this recently is assumed to be alive.
+const RECENTLY_USED: Duration = Duration::from_millis(50);
 
-/// Starts calls and keeps idle connections.
+/// Runs calls and keeps a pool of idle connections.
 pub struct Calls<I> {
     connections: HashMap<CallId, CallConnection>,
-    idle: HashMap<EndpointId, Vec<Idle>>,
-    /// The idle time from which on an endpoint's connections seem to be given up, and when that was seen.
-    given_up: HashMap<EndpointId, (Duration, Instant)>,
-    count: usize,
-    most: usize,
-    reuse_within: Duration,
+    idle: HashMap<EndpointId, Vec<IdleConnection>>,
+    /// The idle time after which an endpoint appears to drop its connections, and when that was observed.
+    idle_limits: HashMap<EndpointId, (Duration, Instant)>,
+    idle_count: usize,
+    max_idle: usize,
+    reuse_limit: Duration,
     connect_timeout: Duration,
     sent: Sent,
     input_tx: mpsc::Sender<I>,
 }
 
 impl<I: From<Event> + Send + 'static> Calls<I> {
-    /// Keeps `most` idle connections at most; endpoints close theirs after `keepalive`.
-    pub fn new(most: usize, keepalive: Nanos, connect: Nanos, input_tx: mpsc::Sender<I>) -> Self {
-        // An idle connection that the endpoint may be closing is not reused: a request that crosses the end
-        // counts as a reset, which an unsafe message does not survive.
+    /// Keeps at most `max_idle` idle connections; endpoints close theirs after `keepalive`.
+    pub fn new(max_idle: usize, keepalive: Nanos, connect: Nanos, input_tx: mpsc::Sender<I>) -> Self {
+        // An idle connection that the endpoint may be closing is not reused: a request that crosses the close counts as a
+        // reset, after which an unsafe message cannot be retried.
         let keepalive = Duration::from_nanos(keepalive);
-        let reuse_within = keepalive - keepalive / 8;
+        let reuse_limit = keepalive - keepalive / 8;
         let connect_timeout = Duration::from_nanos(connect);
         Calls {
             connections: HashMap::new(),
             idle: HashMap::new(),
-            given_up: HashMap::new(),
-            count: 0,
-            most,
-            reuse_within,
+            idle_limits: HashMap::new(),
+            idle_count: 0,
+            max_idle,
+            reuse_limit,
             connect_timeout,
             sent: Sent::default(),
             input_tx,
         }
     }
 
-    /// New figures: idle connections at most, the time after which endpoints close them, and the time that one may take
-    /// to come up, in nanoseconds.
-    pub fn set_limits(&mut self, most: usize, keepalive: Nanos, connect: Nanos) {
+    /// Sets the maximum number of idle connections, the keep-alive time of the endpoints and the connect timeout, both in
+    /// nanoseconds.
+    pub fn set_limits(&mut self, max_idle: usize, keepalive: Nanos, connect: Nanos) {
         let keepalive = Duration::from_nanos(keepalive);
-        (self.most, self.reuse_within) = (most, keepalive - keepalive / 8);
+        (self.max_idle, self.reuse_limit) = (max_idle, keepalive - keepalive / 8);
         self.connect_timeout = Duration::from_nanos(connect);
     }
 
-    /// Calls that were written and have no end yet.
+    /// Calls that were written and have not ended yet.
     pub fn written(&self) -> impl Iterator<Item = CallId> + '_ {
         self.connections.iter().filter(|(_, connection)| connection.cancel.is_some()).map(|(call, _)| *call)
     }
 
-    /// Messages that were written whole to endpoints.
+    /// Counts the messages that were written completely to endpoints.
     pub fn sent(&self) -> &Sent {
         &self.sent
     }
 
-    /// A connection that had stood idle for so long was of no use at its next request.
-    fn was_given_up(&mut self, endpoint: EndpointId, age: Duration) {
-        let age = self.reuse_within(endpoint).min(age * 3 / 4);
-        self.given_up.insert(endpoint, (age, Instant::now()));
+    /// Records that a connection was dead at its next request after being idle for `age`.
+    fn record_idle_limit(&mut self, endpoint: EndpointId, age: Duration) {
+        let age = self.reuse_limit(endpoint).min(age * 3 / 4);
+        self.idle_limits.insert(endpoint, (age, Instant::now()));
     }
 
-    fn reuse_within(&self, endpoint: EndpointId) -> Duration {
-        let seen = self.given_up.get(&endpoint).filter(|(_, at)| at.elapsed() < GIVEN_UP_TTL);
-        seen.map_or(self.reuse_within, |(age, _)| self.reuse_within.min(*age))
+    fn reuse_limit(&self, endpoint: EndpointId) -> Duration {
+        let seen = self.idle_limits.get(&endpoint).filter(|(_, at)| at.elapsed() < IDLE_LIMIT_TTL);
+        seen.map_or(self.reuse_limit, |(age, _)| self.reuse_limit.min(*age))
     }
 
-    /// The idle connection that was used last, and for how long it has stood idle. For a message that does not
-    /// survive a reset none that the endpoint may have given up; any other may try it, since a new connection
-    /// costs more than a second attempt.
-    fn idle(&mut self, endpoint: EndpointId, address: SocketAddr, sure: bool) -> Option<(Link, Duration)> {
-        let within = if sure { self.reuse_within(endpoint) } else { self.reuse_within };
+    /// Takes the most recently used idle connection, and how long it has been idle. With `sure`, for a message that cannot be
+    /// retried after a reset, skips those that the endpoint may have dropped; any other message may try one, since a new
+    /// connection costs more than a second attempt.
+    fn take_idle(
+        &mut self,
+        endpoint: EndpointId,
+        address: SocketAddr,
+        sure: bool,
+    ) -> Option<(Link, Duration)> {
+        let within = if sure { self.reuse_limit(endpoint) } else { self.reuse_limit };
         let idle = self.idle.get_mut(&endpoint)?;
         while let Some(kept) = idle.pop_if(|kept| !sure || kept.since.elapsed() < within) {
-            self.count -= 1;
+            self.idle_count -= 1;
             let age = kept.since.elapsed();
             if kept.address == address && age < within && kept.link.usable() {
                 return Some((kept.link, age));
@@ -150,42 +156,46 @@
         None
     }
 
-    /// Keeps a connection for the next call.
+    /// Adds a connection to the idle pool, if there is space.
     pub fn keep(&mut self, endpoint: EndpointId, address: SocketAddr, link: Link) {
-        if self.count >= self.most {
+        if self.idle_count >= self.max_idle {
             self.sweep();
         }
-        if self.count < self.most {
-            self.count += 1;
-            self.idle.entry(endpoint).or_default().push(Idle { link, address, since: Instant::now() });
+        if self.idle_count < self.max_idle {
+            self.idle_count += 1;
+            self.idle.entry(endpoint).or_default().push(IdleConnection {
+                link,
+                address,
+                since: Instant::now(),
+            });
         }
     }
 
-    /// Closes the idle connections to an endpoint that did not answer. A machine that is cut off leaves its
-    /// connections open and silent, and a call on one may have run for all that is known; a new connection
-    /// that does not come up proves that it has not, and an unsafe message lives on.
-    fn forget(&mut self, endpoint: EndpointId) {
-        self.count -= self.idle.remove(&endpoint).map_or(0, |idle| idle.len());
+    /// Closes the idle connections to an endpoint that did not answer. The connections to an unreachable machine stay open and
+    /// silent, and a call on one of them may have been executed; a failed attempt to open a new connection proves that it was
+    /// not, so that an unsafe message can be retried.
+    fn close_idle(&mut self, endpoint: EndpointId) {
+        self.idle_count -= self.idle.remove(&endpoint).map_or(0, |idle| idle.len());
     }
 
-    /// Closes the idle connections to all endpoints but these.
+    /// Closes the idle connections to all endpoints for which `stays` is false.
     pub fn retain(&mut self, stays: impl Fn(EndpointId) -> bool) {
         self.idle.retain(|endpoint, _| stays(*endpoint));
-        self.given_up.retain(|endpoint, _| stays(*endpoint));
-        self.count = self.idle.values().map(Vec::len).sum();
+        self.idle_limits.retain(|endpoint, _| stays(*endpoint));
+        self.idle_count = self.idle.values().map(Vec::len).sum();
     }
 
-    /// Closes the connections that are too old to be used again.
+    /// Closes idle connections that are too old or unusable.
     pub fn sweep(&mut self) {
         for idle in self.idle.values_mut() {
-            idle.retain(|kept| kept.since.elapsed() < self.reuse_within && kept.link.usable());
+            idle.retain(|kept| kept.since.elapsed() < self.reuse_limit && kept.link.usable());
         }
         self.idle.retain(|_, idle| !idle.is_empty());
-        self.count = self.idle.values().map(Vec::len).sum();
+        self.idle_count = self.idle.values().map(Vec::len).sum();
     }
 
-    /// Finds a connection for a call, a kept one if there is any and it need not be `fresh`. Whether it is there
-    /// already; else [`Event::Connected`] tells.
+    /// Finds a connection for a call: an idle one, unless `fresh` is set, or else a new one. Returns whether it is available
+    /// now; otherwise [`Event::Connected`] follows.
     pub fn connect(
         &mut self,
         call: CallId,
@@ -195,7 +205,7 @@
         fresh: bool,
         within: Duration,
     ) -> bool {
-        let kept = if fresh { None } else { self.idle(endpoint, address, sure) };
+        let kept = if fresh { None } else { self.take_idle(endpoint, address, sure) };
         let connection = self.connections.entry(call).or_insert_with(|| CallConnection {
             endpoint,
             address,
@@ -218,18 +228,18 @@
         false
     }
 
-    /// The connection for a call has come up, or has not. Whether it is there.
+    /// Handles [`Event::Connected`]. Returns whether the connection was established.
     pub fn connected(&mut self, call: CallId, link: Option<Link>) -> bool {
         let up = link.is_some();
         if let (true, Some(connection)) = (up, self.connections.get_mut(&call)) {
             connection.link = link;
         } else if let Some(connection) = self.connections.remove(&call) {
-            self.forget(connection.endpoint);
+            self.close_idle(connection.endpoint);
         }
         up
     }
 
-    /// Nothing is written on the connection of a call: it may serve another, if any goes there.
+    /// Returns the unused connection of a call to the pool, if the endpoint accepts work.
     pub fn release(&mut self, call: CallId, ready: impl Fn(EndpointId) -> bool) {
         if let Some(CallConnection { endpoint, address, link: Some(link), .. }) =
             self.connections.remove(&call)
@@ -239,19 +249,19 @@
         }
     }
 
-    /// The connection of a call was gone before its last byte. Whether it was a new one.
+    /// Handles [`Event::Unsent`]. Returns whether the connection was a new one.
     pub fn unsent(&mut self, call: CallId) -> bool {
         let Some(connection) = self.connections.get(&call) else { return true };
         let (endpoint, idle_for, fresh) = (connection.endpoint, connection.idle_for, connection.fresh);
         if fresh {
             self.connections.remove(&call);
         } else {
-            self.was_given_up(endpoint, idle_for);
+            self.record_idle_limit(endpoint, idle_for);
         }
         fresh
     }
 
-    /// A call is over; its connection is kept if it can be used again.
+    /// Handles [`Event::Ended`]. Keeps the connection if it can be reused and the endpoint accepts work.
     pub fn ended(
         &mut self,
         call: CallId,
@@ -265,22 +275,22 @@
             self.keep(endpoint, address, link);
         }
         if ends.is(Outcome::Reset) && !fresh && since.elapsed() < IMMEDIATE_RESET {
-            self.was_given_up(endpoint, idle_for);
+            self.record_idle_limit(endpoint, idle_for);
         }
-        // A connection that was reset says nothing of the others: each is looked at before it is used.
+        // A reset of one connection says nothing about the others: each is checked before use.
         if ends.is(Outcome::TimedOut) {
-            self.forget(endpoint);
+            self.close_idle(endpoint);
         }
     }
 
-    /// Calls off a call that is out.
+    /// Cancels a call in progress.
     pub fn cancel(&mut self, call: CallId) {
         if let Some(cancel) = self.connections.get_mut(&call).and_then(|c| c.cancel.take()) {
             let _ = cancel.send(());
         }
     }
 
-    /// Writes a call on the connection that was found for it. Whether it can be written at all.
+    /// Writes a call on its connection. Returns whether it could be started.
     pub fn write(
         &mut self,
         call: CallId,
@@ -290,10 +300,10 @@
         within: Duration,
     ) -> bool {
         let Some(connection) = self.connections.get_mut(&call) else { return false };
-        // A connection that was in use just now is not stale, and a message that may go again needs no proof that it
-        // never ran where a new one breaks.
-        let proof = sure || !connection.fresh && connection.idle_for >= JUST_USED;
-        let (request, references) = requested(connection.address, messages, within);
+        // A recently used connection is not stale, and on a new connection a message that can be retried needs no proof
+        // that it was not executed.
+        let proof = sure || !connection.fresh && connection.idle_for >= RECENTLY_USED;
+        let (request, references) = call_request(connection.address, messages, within);
         let (Some(request), Some(link)) = (request, connection.link.take()) else {
             self.connections.remove(&call);
             return false;
@@ -304,8 +314,8 @@
         true
     }
 
-    /// Sends a call and waits for its end. Dropping the sender of `called_off` does nothing; using it ends
-    /// the call.
+    /// Sends a call and waits for its end in a task. Sending on the other end of `cancelled` cancels the call; dropping it has
+    /// no effect.
     #[expect(clippy::too_many_arguments, reason = "each is a part of one request")]
     fn send(
         &self,
@@ -315,7 +325,7 @@
         until: Instant,
         proof: bool,
         cancelled: oneshot::Receiver<()>,
-        // The messages in the call, where there are several.
+        // The references of the messages in a batch; empty for a single message.
         references: Vec<String>,
     ) {
         let input_tx = self.input_tx.clone();
@@ -332,7 +342,7 @@
                 sleep(HEAD_TIMEOUT).await;
             };
             let answer = tokio::select! {
-                // In this order: what is watched is that of the request before until this one has begun.
+                // Biased, because `head_timeout` observes the previous request's state until this one has started.
                 biased;
                 answer = timeout_at(until, link.send(request, proof, counted)) => answer.map_err(|_| Outcome::TimedOut),
                 () = cancelled => Err(Outcome::Cancelled),
@@ -340,23 +350,23 @@
             };
             let ended = match answer {
                 Ok(Ok(answer)) => finish(link, answer, &references).await,
-                // Whatever ended it: an endpoint begins a call with its last byte.
+                // Whatever the cause: an endpoint starts to execute a call only after its last byte.
                 Ok(Err(Error::NotSent | Error::Cut)) => {
                     link.close().await;
                     let _ = input_tx.send(Event::Unsent { call }.into()).await;
                     return;
                 }
-                // Whatever else is wrong with an answer, a first line of 200 is true; for several messages it is what
-                // follows that tells.
+                // A status line of 200 is conclusive for a single message even if the rest of the answer is broken; for a
+                // batch the body holds the results.
                 Ok(Err(_)) | Err(_) if link.status() == Some(200) && references.is_empty() => {
                     link.close().await;
                     let served = MessageEnds::All(MessageEnd { outcome: Outcome::Served, over: true });
                     CallEnd { ends: served, wait: None, report: None }.into()
                 }
-                Ok(Err(_)) => broken(link, Outcome::Reset).await,
+                Ok(Err(_)) => close_and_fail(link, Outcome::Reset).await,
                 Err(outcome) => {
                     let outcome = if link.all_written() { outcome } else { Outcome::ConnectFailed };
-                    broken(link, outcome).await
+                    close_and_fail(link, outcome).await
                 }
             };
             let ExchangeEnd { ended, link } = ended;
@@ -364,10 +374,10 @@
         }));
     }
 
-    /// Probes an endpoint, on a connection of its own if none is idle.
+    /// Probes an endpoint, on an idle connection or else a new one.
     pub fn probe(&mut self, endpoint: EndpointId, address: SocketAddr) {
         let (input_tx, within, idle) =
-            (self.input_tx.clone(), self.connect_timeout, self.idle(endpoint, address, false));
+            (self.input_tx.clone(), self.connect_timeout, self.take_idle(endpoint, address, false));
         tokio::spawn(metered(Part::Calls, async move {
             let began = Instant::now();
             let exchange = async {
@@ -391,7 +401,7 @@
     }
 }
 
-/// How an exchange ended, and its connection, if that can be used again.
+/// The end of an exchange, and its connection if it can be reused.
 struct ExchangeEnd {
     ended: CallEnd,
     link: Option<Link>,
@@ -403,40 +413,40 @@
     }
 }
 
-/// The connection is closed before the outcome is told: no other attempt may go while it is open.
-async fn broken(link: Link, outcome: Outcome) -> ExchangeEnd {
+/// Closes the connection before reporting the outcome: no other attempt may start while it is open.
+async fn close_and_fail(link: Link, outcome: Outcome) -> ExchangeEnd {
     link.close().await;
     CallEnd::without_answer(outcome).into()
 }
 
-/// Reads the rest of an answer. A first line of 200 is true whatever follows, to a call with one message; any other
-/// answer counts only as a whole. One that breaks off or has no end is spoilt, and proves nothing: the call may have
-/// run. What comes behind a whole answer belongs to nobody, and only costs the connection.
+/// Reads the rest of an answer. For a single message a status line of 200 is conclusive whatever follows; any other answer
+/// counts only if it is complete. A truncated or endless answer proves nothing: the call may have been executed. Data after
+/// a complete answer is ignored, but the connection is not reused.
 async fn finish(
     mut link: Link,
     answer: Response<hyper::body::Incoming>,
     references: &[String],
 ) -> ExchangeEnd {
     let (head, body) = answer.into_parts();
-    let told = wait(&head.headers);
-    // With a wait told little time may pass; without, there is more to lose by an answer that is not read.
-    let within = if references.is_empty() || told.is_some() { BODY_TIMEOUT } else { ENDS_TIMEOUT };
+    let wait_header = wait(&head.headers);
+    // If the answer names a wait, little time may pass; if not, losing the results of a batch is the greater cost.
+    let within = if references.is_empty() || wait_header.is_some() { BODY_TIMEOUT } else { ENDS_TIMEOUT };
     let body = timeout(within, Limited::new(body, MAX_BODY_BYTES).collect()).await;
     let body = body.ok().and_then(Result::ok).map(|body| body.to_bytes());
     let whole = body.is_some();
-    let several = !references.is_empty();
-    if !whole && (several || head.status != StatusCode::OK) {
-        let wait = told.filter(|_| several);
-        let broken = broken(link, Outcome::Reset).await;
-        return ExchangeEnd { ended: CallEnd { wait, ..broken.ended }, ..broken };
+    let is_batch = !references.is_empty();
+    if !whole && (is_batch || head.status != StatusCode::OK) {
+        let wait = wait_header.filter(|_| is_batch);
+        let failed = close_and_fail(link, Outcome::Reset).await;
+        return ExchangeEnd { ended: CallEnd { wait, ..failed.ended }, ..failed };
     }
-    let ends = match body.filter(|_| several && head.status == StatusCode::OK) {
-        Some(body) => MessageEnds::Each(ends(&body, references, told)),
-        None if several => MessageEnds::All(outcome_of_several(head.status, &head.headers)),
+    let ends = match body.filter(|_| is_batch && head.status == StatusCode::OK) {
+        Some(body) => MessageEnds::Each(batch_ends(&body, references, wait_header)),
+        None if is_batch => MessageEnds::All(batch_outcome(head.status, &head.headers)),
         None => MessageEnds::All(outcome(head.status, &head.headers)),
     };
-    // Whoever was refused tells of it already.
-    let wait = told.filter(|_| matches!(ends, MessageEnds::Each(_)));
+    // For any other answer the outcome already includes the wait.
+    let wait = wait_header.filter(|_| matches!(ends, MessageEnds::Each(_)));
     let report = head.headers.get("Srv-Load").and_then(|v| v.to_str().ok()).and_then(report);
     let ended = CallEnd { ends, wait, report };
     if whole && timeout(BODY_TIMEOUT, link.rested()).await.unwrap_or(false) {
@@ -446,9 +456,9 @@
     ended.into()
 }
 
-/// What the answer to a call with several messages says of each.
-fn ends(body: &[u8], references: &[String], wait: Option<Nanos>) -> Vec<MessageEnd> {
-    let end = |told: Option<batch::End>| match told {
+/// The result of each message from the body of an answer to a batch.
+fn batch_ends(body: &[u8], references: &[String], wait: Option<Nanos>) -> Vec<MessageEnd> {
+    let end = |result: Option<batch::End>| match result {
         Some(batch::End::Delivered) => MessageEnd { outcome: Outcome::Served, over: true },
         Some(batch::End::Refused) => Outcome::Full(wait).into(),
         Some(batch::End::Over) => MessageEnd { outcome: Outcome::NotSent, over: true },
@@ -459,18 +469,18 @@
     batch::ends(body, references).into_iter().map(end).collect()
 }
 
-/// What an answer to a call with several messages means that tells no end of each.
-fn outcome_of_several(status: StatusCode, headers: &HeaderMap) -> MessageEnd {
+/// The common result of all messages for an answer to a batch that does not list them.
+fn batch_outcome(status: StatusCode, headers: &HeaderMap) -> MessageEnd {
     match status {
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => outcome(status, headers),
-        // It was not understood, and none has run.
+        // The request was rejected as a whole; no message was executed.
         StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE => Outcome::NotSent.into(),
-        // That a message is over or spent is said of each; said of all, it is no answer that the protocol knows.
+        // The protocol reports finished or exhausted messages individually, so such a status for the whole batch is unknown.
         _ => Outcome::Error.into(),
     }
 }
 
-/// What an answer means, and whether the message is over with it.
+/// The outcome that a status stands for, and whether the message is finished with it.
 fn outcome(status: StatusCode, headers: &HeaderMap) -> MessageEnd {
     match status {
         StatusCode::OK => MessageEnd { outcome: Outcome::Served, over: true },
@@ -481,18 +491,18 @@
         StatusCode::SERVICE_UNAVAILABLE => Outcome::Full(wait(headers)).into(),
         StatusCode::GATEWAY_TIMEOUT => Outcome::Exhausted.into(),
         StatusCode::GONE => MessageEnd { outcome: Outcome::NotSent, over: true },
-        // An answer that the protocol does not know proves nothing: it may have run.
+        // A status unknown to the protocol proves nothing: the message may have been executed.
         _ => Outcome::Error.into(),
     }
 }
 
-/// How long to stay away, in seconds with decimals.
+/// Parses `Retry-After`, in seconds with decimals.
 fn wait(headers: &HeaderMap) -> Option<Nanos> {
     let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
     (seconds.is_finite() && seconds > 0.0).then(|| (seconds.min(86_400.0) * 1e9).ceil() as Nanos)
 }
 
-/// A report: `TEXT x0=0.4, x1=25`.
+/// Parses a load report such as `TEXT x0=0.4, x1=25`.
 fn report(text: &str) -> Option<Report> {
     let mut report = Report { share_left: 0.0, limit: 0.0 };
     let mut seen = false;
@@ -509,8 +519,8 @@
     seen.then_some(report)
 }
 
-/// The request of a call, and the messages in it, where there are several.
-fn requested(
+/// Builds the request of a call; the second value lists the references of a batch and is empty for a single message.
+fn call_request(
     address: SocketAddr,
     messages: Vec<CallMessage>,
     within: Duration,
@@ -520,12 +530,12 @@
     }
     let items: Option<Vec<String>> =
         messages.iter().map(|m| batch::item(&m.reference, m.key.as_deref(), &m.body)).collect();
-    let request = head("/hook/batch", address, within).header("Content-Type", "application/json");
+    let request = request_builder("/hook/batch", address, within).header("Content-Type", "application/json");
     let request = items.and_then(|items| request.body(Full::new(batch::body(&items))).ok());
     (request, messages.into_iter().map(|m| m.reference).collect())
 }
 
-/// The request of a call with one message.
+/// Builds the request of a call with a single message.
 fn request(
     address: SocketAddr,
     reference: &str,
@@ -533,7 +543,7 @@
     body: Bytes,
     within: Duration,
 ) -> Option<Request<Full<Bytes>>> {
-    let request = head("/hook", address, within).header("Req-Id", reference);
+    let request = request_builder("/hook", address, within).header("Req-Id", reference);
     let request = match key {
         Some(key) => request.header("Idempotency-Key", HeaderValue::from_bytes(key).ok()?),
         None => request,
@@ -541,7 +551,7 @@
     request.body(Full::new(body)).ok()
 }
 
-fn head(path: &str, address: SocketAddr, within: Duration) -> hyper::http::request::Builder {
+fn request_builder(path: &str, address: SocketAddr, within: Duration) -> hyper::http::request::Builder {
     Request::post(path)
         .header("Host", address.to_string())
         .header("Req-Deadline", format!("{:.3}", within.as_secs_f64()))
@@ -552,7 +562,7 @@
     use super::*;
 
     #[test]
-    fn reports_and_waits_are_read_and_nonsense_is_none() {
+    fn parses_reports_and_waits_and_rejects_malformed_ones() {
         assert_eq!(report("TEXT x0=0.4, x1=25"), Some(Report { share_left: 0.4, limit: 25.0 }));
         for bad in ["", "TEXT", "TEXT x0", "TEXT x0=NaN", "TEXT y=1", "x0=,"] {
             assert_eq!(report(bad), None, "{bad}");
@@ -565,9 +575,10 @@
         }
     }
 
-    /// A kept connection has seen an answer already; the next one may still take its time.
+    /// The head timeout must not start from the previous answer on a reused connection: a slow answer there would count as a
+    /// reset.
     #[test]
-    fn a_slow_answer_on_a_kept_connection_is_waited_for() {
+    fn waits_for_a_slow_answer_on_a_reused_connection() {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         std::thread::spawn(move || {
@@ -601,14 +612,14 @@
             for _ in 0..8 {
                 match inputs.recv().await {
                     Some(Event::Ended { ended, .. }) => assert_eq!(ended.ends.of(0).outcome, Outcome::Served),
-                    _ => panic!("not the end of a call"),
+                    _ => panic!("expected the end of a call"),
                 }
             }
         });
     }
 
     #[test]
-    fn connections_that_an_endpoint_gives_up_early_are_not_used_for_longer() {
+    fn does_not_reuse_connections_beyond_an_observed_idle_limit() {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -621,15 +632,15 @@
                 assert!(link.rested().await);
                 calls.keep(endpoint, address, link);
             }
-            let (link, age) = calls.idle(1, address, true).expect("it is usable");
-            calls.was_given_up(1, Duration::ZERO);
+            let (link, age) = calls.take_idle(1, address, true).expect("a usable connection");
+            calls.record_idle_limit(1, Duration::ZERO);
             calls.keep(1, address, link);
-            assert!(age < Duration::from_secs(3_600) && calls.idle(1, address, true).is_none());
-            assert!(calls.idle(1, address, false).is_some(), "a message that may go again");
-            assert!(calls.idle(2, address, true).is_some(), "another endpoint's");
-            // Its number is not used again once it is gone.
+            assert!(age < Duration::from_secs(3_600) && calls.take_idle(1, address, true).is_none());
+            assert!(calls.take_idle(1, address, false).is_some(), "a message that can be retried may use it");
+            assert!(calls.take_idle(2, address, true).is_some(), "the limit applies to one endpoint only");
+            // The limit is dropped with the endpoint, whose number is not used again.
             calls.retain(|endpoint| endpoint != 1);
-            assert!(calls.given_up.is_empty());
+            assert!(calls.idle_limits.is_empty());
         });
     }
 }
--- a/dispatcher/src/driver.rs
+++ b/dispatcher/src/driver.rs
@@ -256,7 +256,7 @@
         let rated = settings.weights != Weights::Unknown;
         let cordons = Cordons::noted(ledger.cordons());
         // Class positions are those stored by earlier processes; if none are stored, those of the configuration.
-        let mut classes = ledger.classes().and_then(|noted| Classes::read(&noted)).unwrap_or_default();
+        let mut classes = ledger.classes().and_then(|stored| Classes::read(&stored)).unwrap_or_default();
         let mut predecessor = None;
         let (mut core, mut moved, mut clock) = (None, None, Clock::new(latest));
         if let Some(TakenOver { line, moving, known }) = taken {
@@ -271,7 +271,8 @@
                 let digest = crate::config::digest(&config.text);
                 moved = Some((moving, config.shape, config.text.to_string(), digest));
             }
-            predecessor = Some(Predecessor::new(line.run(input_tx.clone(), Input::FromPredecessor), written));
+            predecessor =
+                Some(Predecessor::new(line.spawn(input_tx.clone(), Input::FromPredecessor), written));
         }
         let core = core.unwrap_or_else(|| {
             let open = found.iter().map(|found| found.taken.class as usize).collect();
@@ -473,17 +474,17 @@
     /// need one, unless they lead to an action.
     fn process(&mut self, input: Input) -> bool {
         let at = self.clock.moment();
-        let counts = !matches!(input, Input::SharedFrame(_));
+        let needs_round = !matches!(input, Input::SharedFrame(_));
         match input {
-            Input::Client(asked) => self.on_client_request(at, asked),
+            Input::Client(request) => self.on_client_request(at, request),
             Input::Calls(event) => self.on_call_event(at, event),
             Input::Listed(list) => self.on_list(at, list, true),
             Input::NoticesAccepted(notices::Accepted(ids)) => {
                 ids.into_iter().for_each(|id| self.core.notice_accepted(at, id))
             }
             Input::Synced(synced) => {
-                for behind in self.store.synced(at, synced) {
-                    self.core.abandon(at, behind);
+                for reply in self.store.synced(at, synced) {
+                    self.core.abandon(at, reply);
                 }
             }
             Input::PeerMessage(PeerMessage { from, bytes }) => {
@@ -495,7 +496,7 @@
                     sharing.heard(at, &frame, audit_log);
                 }
             }
-            Input::Console(asked) => self.answer_query(at, asked),
+            Input::Console(query) => self.answer_query(at, query),
             Input::ApplySettings(ApplySettings { settings, shape, text, digest, done }) => {
                 let _ = done.send(self.apply_settings(at, settings, shape, text, digest));
             }
@@ -503,13 +504,13 @@
                 self.sharing.iter_mut().for_each(|sharing| sharing.refused(digest))
             }
             Input::TakeoverRequest(takeover) => self.on_takeover_request(takeover),
-            Input::FromPredecessor(said) => self.from_predecessor(at, said),
+            Input::FromPredecessor(frame) => self.on_predecessor_frame(at, frame),
             // The owner of the store has no successor.
             Input::FromSuccessor(_) => {}
             Input::Stop { after } => self.core.stop(at, after.as_nanos() as Nanos),
         }
         self.run_effects(at);
-        counts
+        needs_round
     }
 
     /// Runs the exchange of shared state with the peers. Returns whether the decision module received new input.
@@ -652,27 +653,27 @@
         self.record_versions(at);
     }
 
-    fn on_client_request(&mut self, at: Moment, asked: ClientRequest) {
-        let ClientRequest { handed, came, reply } = asked;
+    fn on_client_request(&mut self, at: Moment, request: ClientRequest) {
+        let ClientRequest { submission, received_at, reply } = request;
         // A client that disconnected before its reply may already be sending the message to another dispatcher.
         if reply.is_closed() {
             return;
         }
-        self.submit(at, handed, came.elapsed(), ReplyTarget::Local(reply));
+        self.submit(at, submission, received_at.elapsed(), ReplyTarget::Local(reply));
     }
 
-    fn submit(&mut self, at: Moment, handed: Submission, ago: Duration, waits: ReplyTarget) {
+    fn submit(&mut self, at: Moment, submission: Submission, ago: Duration, target: ReplyTarget) {
         let number = self.next_reply;
         self.next_reply += 1;
-        self.replies.insert(number, waits);
-        self.audit_log.iter_mut().for_each(|audit_log| audit_log.handed(number, &handed.reference));
-        let held = self.core.holds(&handed.reference);
-        let ended = if held { None } else { self.store.final_answer(&handed.reference) };
-        let time_left = handed.time_left.saturating_sub(ago.as_nanos() as Nanos);
+        self.replies.insert(number, target);
+        self.audit_log.iter_mut().for_each(|audit_log| audit_log.handed(number, &submission.reference));
+        let held = self.core.holds(&submission.reference);
+        let ended = if held { None } else { self.store.final_answer(&submission.reference) };
+        let time_left = submission.time_left.saturating_sub(ago.as_nanos() as Nanos);
         // Copies the body so that it does not keep the whole read buffer alive.
-        let body = Bytes::copy_from_slice(&handed.body);
-        let dest = handed.dest;
-        self.core.submit(at, Submission { time_left, body, ..handed }, ended, number);
+        let body = Bytes::copy_from_slice(&submission.body);
+        let dest = submission.dest;
+        self.core.submit(at, Submission { time_left, body, ..submission }, ended, number);
         self.sharing.iter_mut().for_each(|sharing| sharing.wanted(at, &self.core, dest));
     }
 
@@ -747,7 +748,7 @@
             || self.store.has_deferred();
         if busy || !self.core.is_quiescent() {
             tokio::spawn(async move {
-                let _ = takeover.0.say(&Frame::No("it is busy".to_owned())).await;
+                let _ = takeover.0.send(&Frame::No("it is busy".to_owned())).await;
             });
         } else {
             self.takeover = Some(takeover);
@@ -761,7 +762,7 @@
         let fit = self.core.is_quiescent() && !self.store.has_deferred();
         let core = postcard::to_stdvec(&self.core).ok().filter(|_| fit);
         let (Some(core), Does::Offer) = (core, giver.heard(Heard::Asked { fit, mark })) else {
-            let _ = line.say(&Frame::No("it is busy".to_owned())).await;
+            let _ = line.send(&Frame::No("it is busy".to_owned())).await;
             return HandoverOutcome::Kept(Box::new(self));
         };
         let moving = Moving {
@@ -781,19 +782,20 @@
         // The successor continues the audit log from here.
         self.audit_log.iter_mut().for_each(|audit_log| audit_log.end(at));
         drop(self.store);
-        let said = line.say(&Frame::Offer(Box::new(moving))).await;
-        let heard = match said {
-            Ok(()) => line.hear_within(REPLY_TIMEOUT).await,
+        let sent = line.send(&Frame::Offer(Box::new(moving))).await;
+        let reply = match sent {
+            Ok(()) => line.receive_within(REPLY_TIMEOUT).await,
             Err(e) => Err(e),
         };
-        if let Ok(Frame::Mine { afresh }) = heard {
+        if let Ok(Frame::Mine { afresh }) = reply {
             giver.heard(Heard::Mine);
-            let say = line.run(self.input_tx.clone(), Input::FromSuccessor);
+            let frame_tx = line.spawn(self.input_tx.clone(), Input::FromSuccessor);
             self.process_state.ready.send_replace(false);
             self.process_state.phase.send_replace(Phase::Handed);
             self.process_state.tasks.iter().for_each(AbortHandle::abort);
             eprintln!("handover: another process has taken over");
-            let mut former_owner = FormerOwner::new(self.calls, say, self.connection_limiter, self.shared);
+            let mut former_owner =
+                FormerOwner::new(self.calls, frame_tx, self.connection_limiter, self.shared);
             if afresh {
                 former_owner.cancel_calls();
             }
@@ -822,17 +824,19 @@
     }
 
     /// Handles a frame from the predecessor; `None` is the end of its connection.
-    fn from_predecessor(&mut self, at: Moment, said: Option<Frame>) {
+    fn on_predecessor_frame(&mut self, at: Moment, frame: Option<Frame>) {
         let Some(predecessor) = &mut self.predecessor else { return };
-        match said {
-            Some(Frame::Handed { number, handed, .. }) if handed.class >= self.classes.all().count() => {
+        match frame {
+            Some(Frame::Handed { number, handed: submission, .. })
+                if submission.class >= self.classes.all().count() =>
+            {
                 predecessor.verdict(number, SubmitReply::UnknownDestination, None);
             }
-            Some(Frame::Handed { number, ago, handed }) => {
-                self.submit(at, *handed, Duration::from_nanos(ago), ReplyTarget::Predecessor(number));
+            Some(Frame::Handed { number, ago, handed: submission }) => {
+                self.submit(at, *submission, Duration::from_nanos(ago), ReplyTarget::Predecessor(number));
             }
             Some(Frame::Heard { number, heard }) => {
-                if let Some(id) = predecessor.unheard.remove(&number) {
+                if let Some(id) = predecessor.unconfirmed.remove(&number) {
                     self.core.replied(at, id, heard);
                 }
             }
@@ -850,12 +854,12 @@
             Some(_) => {}
             None => {
                 eprintln!("handover: the predecessor has ended");
-                let (written, unheard) =
-                    (std::mem::take(&mut predecessor.written), std::mem::take(&mut predecessor.unheard));
+                let (written, unconfirmed) =
+                    (std::mem::take(&mut predecessor.written), std::mem::take(&mut predecessor.unconfirmed));
                 self.predecessor = None;
                 self.core.calls_lost(at, &written);
                 // These clients may have received their reply, in which case they do not submit again.
-                unheard.into_values().for_each(|id| self.core.replied(at, id, true));
+                unconfirmed.into_values().for_each(|id| self.core.replied(at, id, true));
                 self.connection_limiter.set_most(self.descriptors.clients);
             }
         }
@@ -903,8 +907,8 @@
     }
 
     /// Answers a console query. Once a cordon is acknowledged the endpoint drains, also after a restart.
-    fn answer_query(&mut self, at: Moment, asked: console::Query) {
-        let (id, out, done) = match asked {
+    fn answer_query(&mut self, at: Moment, query: console::Query) {
+        let (id, out, done) = match query {
             console::Query::Figures { done } => {
                 self.update_figures(at);
                 let _ = done.send(());
@@ -921,7 +925,7 @@
         if done.is_closed() {
             return;
         }
-        let noted = match self.roster.asked(&id, out) {
+        let result = match self.roster.asked(&id, out) {
             Err(why) => Err(why),
             // The write of an earlier command may not be durable yet.
             Ok(Change::None) => Ok(self.unacknowledged.back().map_or(0, |(seq, _)| *seq)),
@@ -938,7 +942,7 @@
                 }
             },
         };
-        match noted {
+        match result {
             Ok(seq) => self.unacknowledged.push_back((seq, done)),
             Err(why) => drop(done.send(Err(why.to_owned()))),
         }
@@ -1001,16 +1005,16 @@
             Effect::Append(change, behind) => match self.store.append(at, &change) {
                 Some(seq) => {
                     self.audit_log.iter_mut().for_each(|audit_log| audit_log.changed(at, &change));
-                    behind.into_iter().for_each(|behind| self.store.defer(Some(seq), behind));
+                    behind.into_iter().for_each(|effect| self.store.defer(Some(seq), effect));
                 }
                 None => self.core.write_failed(at, &change, behind),
             },
-            Effect::AfterWrites(behind) => self.store.defer(None, behind),
+            Effect::AfterWrites(effect) => self.store.defer(None, effect),
             Effect::Reply { reply, verdict, taken } => {
                 self.audit_log
                     .iter_mut()
                     .for_each(|audit_log| audit_log.replied(at, reply, verdict, taken.is_some()));
-                let heard = match self.replies.remove(&reply) {
+                let delivered = match self.replies.remove(&reply) {
                     Some(ReplyTarget::Local(reply)) => reply.send(verdict).is_ok(),
                     Some(ReplyTarget::Predecessor(number)) => match &mut self.predecessor {
                         // The predecessor reports later whether the client received the reply.
@@ -1021,7 +1025,7 @@
                     None => false,
                 };
                 if let Some(id) = taken {
-                    within(Part::Module, || self.core.replied(at, id, heard));
+                    within(Part::Module, || self.core.replied(at, id, delivered));
                 }
             }
             Effect::Connect { call, endpoint, sure, fresh, until } => {
@@ -1052,7 +1056,7 @@
             }
             Effect::CancelCall { call } => match &self.predecessor {
                 Some(predecessor) if predecessor.written.contains(&call) => {
-                    predecessor.say(Frame::CallOff { call })
+                    predecessor.send(Frame::CallOff { call })
                 }
                 _ => self.calls.cancel(call),
             },
@@ -1061,12 +1065,12 @@
                     self.calls.probe(endpoint, address);
                 }
             }
-            Effect::Broadcast { bytes } => self.peers.iter().for_each(|peers| peers.tell(&bytes)),
+            Effect::Broadcast { bytes } => self.peers.iter().for_each(|peers| peers.broadcast(&bytes)),
             Effect::Notice { id, reference, answer } => {
                 self.unsent.push_back(Notice { id, reference, answer });
                 self.flush_notices();
             }
-            Effect::SaveLearned(lessons) => self.store.save_learned(at, lessons),
+            Effect::SaveLearned(learned) => self.store.save_learned(at, learned),
             Effect::CallEnded { endpoint, outcome, wait } => {
                 self.sharing.iter_mut().for_each(|sharing| sharing.went(at, endpoint, outcome, wait));
             }
--- a/dispatcher/src/handover.rs
+++ b/dispatcher/src/handover.rs
@@ -1,5 +1,5 @@
-//! Replacing the process in service, on sockets: the old process listens in the folder that lasts, the new one asks there.
-//! What is said, and what follows from it, is in `millpost-handover`.
+//! Transport for replacing a running process: the old process listens on a Unix socket in the state folder, to which the
+//! new one connects. The protocol is implemented in `millpost-handover`.
 
 use std::fs::File;
 use std::io;
@@ -14,10 +14,10 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-const NAME: &str = "handover.sock";
-/// Who asks has said so by then.
+const SOCKET_NAME: &str = "handover.sock";
+/// Time limit for receiving the request on a new connection.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
-/// A word of the other side during the change comes within this time: it reads or writes its whole store meanwhile.
+/// Time limit for a frame of the other side during the handover, while it reads or writes its whole store.
 pub const REPLY_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A connection to the other process, one frame at a time.
@@ -32,8 +32,8 @@
 }
 
 impl FrameReader {
-    /// The next frame; an end or nonsense is an error.
-    async fn hear(&mut self) -> io::Result<Frame> {
+    /// Reads the next frame. The end of the stream and malformed data are errors.
+    async fn receive(&mut self) -> io::Result<Frame> {
         let mut buffer = vec![0; 16 * 1024];
         loop {
             if let Some(frame) = self.reader.frame().map_err(io::Error::other)? {
@@ -53,62 +53,64 @@
         FrameStream { from: FrameReader { from, reader: Reader::default() }, to }
     }
 
-    pub async fn say(&mut self, frame: &Frame) -> io::Result<()> {
+    pub async fn send(&mut self, frame: &Frame) -> io::Result<()> {
         self.to.write_all(&write(frame)).await
     }
 
-    /// The next frame, if it comes in time.
-    pub async fn hear_within(&mut self, within: Duration) -> io::Result<Frame> {
-        timeout(within, self.from.hear()).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+    /// Reads the next frame, with a timeout.
+    pub async fn receive_within(&mut self, within: Duration) -> io::Result<Frame> {
+        timeout(within, self.from.receive()).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
     }
 
-    /// Says what comes through the channel, and tells what is heard; `told` hears `None` once at the end.
-    pub fn run<I: Send + 'static>(
+    /// Spawns tasks that write the frames from the returned channel and forward received frames to `input_tx`, with a final
+    /// `None` when the connection ends.
+    pub fn spawn<I: Send + 'static>(
         self,
         input_tx: mpsc::Sender<I>,
-        heard: impl Fn(Option<Frame>) -> I + Send + 'static,
+        to_input: impl Fn(Option<Frame>) -> I + Send + 'static,
     ) -> mpsc::UnboundedSender<Frame> {
-        let (say, mut to_say) = mpsc::unbounded_channel::<Frame>();
+        let (frame_tx, mut frame_rx) = mpsc::unbounded_channel::<Frame>();
         let FrameStream { mut from, mut to } = self;
         tokio::spawn(async move {
-            while let Some(frame) = to_say.recv().await {
+            while let Some(frame) = frame_rx.recv().await {
                 if to.write_all(&write(&frame)).await.is_err() {
                     return;
                 }
             }
         });
         tokio::spawn(async move {
-            while let Ok(frame) = from.hear().await {
-                if input_tx.send(heard(Some(frame))).await.is_err() {
+            while let Ok(frame) = from.receive().await {
+                if input_tx.send(to_input(Some(frame))).await.is_err() {
                     return;
                 }
             }
-            let _ = input_tx.send(heard(None)).await;
+            let _ = input_tx.send(to_input(None)).await;
         });
-        say
+        frame_tx
     }
 }
 
-/// The socket's path, through the folder's descriptor: the folder's own may be longer than a socket's may be.
+/// The path of the socket through the folder's descriptor, because the path of the folder may exceed the limit for socket
+/// addresses.
 fn path(folder: &File) -> PathBuf {
-    Path::new("/proc/self/fd").join(folder.as_raw_fd().to_string()).join(NAME)
+    Path::new("/proc/self/fd").join(folder.as_raw_fd().to_string()).join(SOCKET_NAME)
 }
 
-/// Somebody who asks for the work.
+/// Another process's request to take over, and the connection to it.
 pub struct TakeoverRequest(pub FrameStream);
 
-/// Listens for who asks for the work, in the folder that this process owns.
+/// Listens for takeover requests in the state folder, which this process owns.
 ///
 /// # Errors
-/// Where there can be no socket.
+/// If the socket cannot be created.
 pub fn listen<I: From<TakeoverRequest> + Send + 'static>(
     state: &Path,
     name: String,
     input_tx: mpsc::Sender<I>,
 ) -> io::Result<tokio::task::AbortHandle> {
     let folder = File::open(state)?;
-    // Left by a process that was killed: who owns the folder owns the name.
-    match std::fs::remove_file(state.join(NAME)) {
+    // A killed process may have left its socket; the owner of the folder may remove it.
+    match std::fs::remove_file(state.join(SOCKET_NAME)) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
         _ => {}
     }
@@ -125,8 +127,8 @@
                 _ => false,
             };
             let mut line = FrameStream::new(stream);
-            // One at a time: who says nothing is waited for only so long.
-            let asked = line.hear_within(REQUEST_TIMEOUT).await;
+            // Connections are handled one at a time, so a silent one is dropped after the timeout.
+            let asked = line.receive_within(REQUEST_TIMEOUT).await;
             let why = match asked {
                 Ok(Frame::Ask(ask)) if ask.version != VERSION => format!("version {VERSION} is spoken here"),
                 Ok(Frame::Ask(ask)) if ask.name != name => format!("this is {name}"),
@@ -140,30 +142,33 @@
                 }
                 _ => continue,
             };
-            eprintln!("handover: refused: {why}");
-            let _ = line.say(&Frame::No(why)).await;
+            eprintln!("handover: refused a takeover request: {why}");
+            let _ = line.send(&Frame::No(why)).await;
         }
     });
     Ok(task.abort_handle())
 }
 
-/// Asks whoever owns the folder for the work. `None` where nobody listens there, or who does says no for now.
-pub async fn ask(state: &Path, name: &str) -> Option<(FrameStream, Box<millpost_handover::Moving>)> {
+/// Requests the work from the owner of the folder. Returns `None` if no process listens there or it declines for now.
+pub async fn request_takeover(
+    state: &Path,
+    name: &str,
+) -> Option<(FrameStream, Box<millpost_handover::Moving>)> {
     let folder = File::open(state).ok()?;
     let stream = UnixStream::connect(path(&folder)).await.ok()?;
     let mut line = FrameStream::new(stream);
     let ask = Ask { version: VERSION, name: name.to_owned() };
-    line.say(&Frame::Ask(ask)).await.ok()?;
+    line.send(&Frame::Ask(ask)).await.ok()?;
     line.from.reader.trust();
-    match line.hear_within(REPLY_TIMEOUT).await {
+    match line.receive_within(REPLY_TIMEOUT).await {
         Ok(Frame::Offer(moving)) => Some((line, moving)),
         Ok(Frame::No(why)) => {
-            eprintln!("handover: not now: {why}");
+            eprintln!("handover: the current owner declined: {why}");
             None
         }
         Ok(_) => None,
         Err(e) => {
-            eprintln!("handover: {e}");
+            eprintln!("handover: no valid reply from the current owner: {e}");
             None
         }
     }
--- a/dispatcher/src/intake.rs
+++ b/dispatcher/src/intake.rs
@@ -1,4 +1,4 @@
-//! The side of the clients: reads what they hand in, and answers.
+//! The HTTP server for clients: reads submitted messages and replies.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -24,38 +24,38 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// A connection on which no whole head has come for so long is closed: it stands idle, or its client sends
-/// a head that never ends.
+/// A connection without a complete request head for this long is closed: it is idle, or its client sends an endless head.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_100);
-/// A request must have come in whole by then, counted from the same moment.
+/// Time limit for receiving a complete request, counted from the same moment.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
 const MAX_KEY_BYTES: usize = 4096;
-/// Headers of one request; guards the memory, with as many connections as there may be.
+/// Maximum size of a request head; bounds the memory used by the maximum number of connections.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// Deadlines are cut to this.
+/// Longer deadlines are reduced to this.
 const MAX_DEADLINE_SECS: f64 = 86_400.0;
 
-/// A message that a client hands in, and where its answer goes.
+/// A message submitted by a client, and where to send the reply.
 pub struct ClientRequest {
-    pub handed: Submission,
-    /// Its time runs from here: the deadline counts from the client's send, also while the body is on its way.
-    pub came: Instant,
+    pub submission: Submission,
+    /// When the request head arrived. The deadline counts from here, also while the body is being received.
+    pub received_at: Instant,
     pub reply: oneshot::Sender<SubmitReply>,
 }
 
-/// How far the end of the process has come.
+/// The shutdown phase of the process.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub enum Phase {
     Serving,
-    /// Every answer closes its connection.
+    /// Every response closes its connection.
     Leaving,
-    /// Another process accepts connections; what comes on these is passed on to it, and every answer closes one.
+    /// Another process accepts connections; requests on the remaining ones are forwarded to it, and every response closes its
+    /// connection.
     Handed,
-    /// Idle connections are closed, and no new ones are accepted.
+    /// Idle connections are closed and no new ones are accepted.
     Closing,
 }
 
-/// The classes that clients may name, as the settings in force have them.
+/// The message classes that clients may use, according to the settings in force.
 #[derive(Default)]
 pub struct AcceptedClasses {
     classes: Vec<Class>,
@@ -63,22 +63,23 @@
 
 struct Class {
     name: String,
-    place: usize,
-    keyed: bool,
+    position: usize,
+    needs_key: bool,
 }
 
 impl AcceptedClasses {
     pub fn new(classes: &Classes) -> Self {
         let all = classes.all().enumerate().filter(|(_, (_, class))| !class.retired);
-        let all = all.map(|(place, (name, class))| {
-            let keyed = matches!(class.effect, Effect::Keyed { .. });
-            Class { name: name.to_owned(), place, keyed }
+        let all = all.map(|(position, (name, class))| {
+            let needs_key = matches!(class.effect, Effect::Keyed { .. });
+            Class { name: name.to_owned(), position, needs_key }
         });
         AcceptedClasses { classes: all.collect() }
     }
-    /// Where the class stands, and whether its messages need a key.
+
+    /// The position of the class, and whether its messages need an idempotency key.
     fn class(&self, name: &str) -> Option<(usize, bool)> {
-        self.classes.iter().find(|class| class.name == name).map(|class| (class.place, class.keyed))
+        self.classes.iter().find(|class| class.name == name).map(|class| (class.position, class.needs_key))
     }
 }
 
@@ -88,8 +89,8 @@
     phase: watch::Receiver<Phase>,
 }
 
-/// Serves clients on `listener`, as many at once as there is room for, until the phase is `Closing` and every connection has
-/// ended. A client that comes later is refused its connection, and so knows that its message is not here.
+/// Serves clients on `listener`, up to the connection limit, until the phase is `Closing` and every connection has ended.
+/// Later connections are refused, which tells the client that its message was not accepted here.
 pub async fn serve<I: From<ClientRequest> + Send + 'static>(
     listener: TcpListener,
     connection_limiter: Arc<ConnectionLimiter>,
@@ -107,7 +108,7 @@
             Ok((stream, _)) => {
                 let (slot, leave) = tokio::select! {
                     entered = connection_limiter.enter() => entered,
-                    // One that was accepted is served here: nobody else can.
+                    // An accepted connection is served here, because no other process has its socket.
                     _ = phase.wait_for(|p| *p >= Phase::Closing) => break,
                 };
                 let intake = intake.clone();
@@ -120,8 +121,8 @@
                 }));
             }
             Err(e) => {
-                // Out of descriptors, perhaps: the next try may do better.
-                eprintln!("intake: {e}");
+                // Possibly out of descriptors; retries after a short delay.
+                eprintln!("intake: accepting a connection failed: {e}");
                 sleep(Duration::from_millis(10)).await;
             }
         }
@@ -176,24 +177,24 @@
         if response.status() == StatusCode::METHOD_NOT_ALLOWED {
             response.headers_mut().insert(ALLOW, HeaderValue::from_static("GET, POST"));
         }
-        // After an error nothing that follows on the connection can be trusted: where a body ends, say.
-        let odd = response.status().is_client_error();
-        if odd || *self.phase.borrow() >= Phase::Leaving {
+        // After a client error the framing of further requests on the connection cannot be trusted.
+        let client_error = response.status().is_client_error();
+        if client_error || *self.phase.borrow() >= Phase::Leaving {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
 
-    /// Hands a message to the driver. An error is a status of its own.
+    /// Parses a request, passes the message to the driver and waits for its reply. An error is the status to respond with.
     async fn take(
         &self,
         request: Request<Incoming>,
         slot: &ConnectionSlot,
     ) -> Result<SubmitReply, StatusCode> {
-        let (came, (head, body)) = (Instant::now(), request.into_parts());
+        let (received_at, (head, body)) = (Instant::now(), request.into_parts());
         let deadline = slot.reading() + REQUEST_TIMEOUT;
-        // Beside a Content-Length it may hide another request in the body, and the header map does not show
-        // whether there was one. No client needs it: lengths are known.
+        // Together with a Content-Length it allows request smuggling, and the header map does not show whether there was
+        // one. No client needs it, because body lengths are known.
         if head.headers.contains_key(TRANSFER_ENCODING) {
             return Err(StatusCode::BAD_REQUEST);
         }
@@ -203,15 +204,15 @@
             return Err(if ok { StatusCode::OK } else { StatusCode::METHOD_NOT_ALLOWED });
         }
         let name = path.trim_start_matches('/').split('/').next().unwrap_or_default();
-        let (class, keyed) = self.accepted_classes.borrow().class(name).ok_or(StatusCode::NOT_FOUND)?;
+        let (class, needs_key) = self.accepted_classes.borrow().class(name).ok_or(StatusCode::NOT_FOUND)?;
         if head.method != Method::POST {
             return Err(StatusCode::METHOD_NOT_ALLOWED);
         }
         let fields = Fields::read(&head.headers).ok_or(StatusCode::BAD_REQUEST)?;
-        if keyed && fields.key.is_none() {
+        if needs_key && fields.key.is_none() {
             return Err(StatusCode::BAD_REQUEST);
         }
-        // Told before any of it is read.
+        // Rejected before any of the body is read.
         if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
@@ -221,17 +222,17 @@
         })?;
         slot.answering();
         let Fields { reference, dest, time_left, key, order } = fields;
-        let handed = Submission { reference, class, dest, time_left, key, order, body: body.to_bytes() };
+        let submission = Submission { reference, class, dest, time_left, key, order, body: body.to_bytes() };
         let (reply, verdict) = oneshot::channel();
-        let asked = ClientRequest { handed, came, reply };
-        // No driver any more: the process is about to end, and has not taken the message.
-        let gone = StatusCode::SERVICE_UNAVAILABLE;
-        self.input_tx.send(asked.into()).await.map_err(|_| gone)?;
-        verdict.await.map_err(|_| gone)
+        let message = ClientRequest { submission, received_at, reply };
+        // The driver has stopped: the process is about to end and has not accepted the message.
+        let unavailable = StatusCode::SERVICE_UNAVAILABLE;
+        self.input_tx.send(message.into()).await.map_err(|_| unavailable)?;
+        verdict.await.map_err(|_| unavailable)
     }
 }
 
-/// What a message is about, in a class that keeps an order; any text. Messages without one wait for no other.
+/// Header with the ordering key, any text, for classes that preserve order. Messages without one are not ordered.
 const ORDER_KEY: &str = "Req-Order-Key";
 
 struct Fields {
@@ -244,7 +245,7 @@
 
 impl Fields {
     fn read(headers: &HeaderMap) -> Option<Self> {
-        // A field that comes twice says nothing.
+        // A repeated header is treated as missing.
         let one = |name: &str| {
             let mut all = headers.get_all(name).iter();
             all.next().filter(|_| all.next().is_none())
@@ -265,7 +266,7 @@
         if key.as_ref().is_some_and(|k| k.is_empty() || k.len() > MAX_KEY_BYTES) {
             return None;
         }
-        // Two that hash alike only wait for each other.
+        // Keys with the same hash only delay each other's messages.
         let order = one(ORDER_KEY).map(|about| xxh3_64(about.as_bytes()));
         if order.is_none() && headers.contains_key(ORDER_KEY) {
             return None;
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -133,7 +133,7 @@
             Err(e) if e.is_held() && Instant::now() < until => {}
             Err(e) => return Err(e.into()),
         }
-        if let Some((mut line, moving)) = handover::ask(&config.state, &config.name).await {
+        if let Some((mut line, moving)) = handover::request_takeover(&config.state, &config.name).await {
             // The other one waits with the store closed. Whatever goes wrong here gives it back.
             let (mut ledger, opened) = store_opener.open(store_opener::LOCK_TIMEOUT)?;
             let known = read_state(&moving, config, &opened)
@@ -141,7 +141,7 @@
                 .ok();
             ledger.own(store_opener.mark()).map_err(store_opener::Error::Store)?;
             // Where it can't hear this any more it has ended, and this process is the owner all the same.
-            let _ = line.say(&Frame::Mine { afresh: known.is_none() }).await;
+            let _ = line.send(&Frame::Mine { afresh: known.is_none() }).await;
             return Ok(Begun { ledger, opened, taken: Some(TakenOver { line, moving, known }) });
         }
         sleep(AGAIN).await;
@@ -210,7 +210,7 @@
         // Notes are a help, no need: without them the dispatcher serves all the same.
         (true, Some(listen), Some(all)) => {
             let frames = || DatagramReader::Frames(Arc::new(Mutex::new(Sieve::new(of))));
-            let reader = terms.as_ref().map_or(DatagramReader::Notes, |_| frames());
+            let reader = terms.as_ref().map_or(DatagramReader::Messages, |_| frames());
             let (peers, task) = Peers::open(listen, config.peers.clone(), all, reader, input_tx.clone());
             (Some(peers), Some(task))
         }
--- a/dispatcher/src/peers.rs
+++ b/dispatcher/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between dispatchers, of at most 256 bytes: notes of the module, or what the dispatchers share.
+//! Datagrams between dispatchers, of at most 256 bytes: messages of the decision module, or frames of shared state.
 
 pub mod sharing;
 
@@ -13,34 +13,36 @@
 use tokio::task::AbortHandle;
 use tokio::time::sleep;
 
-const LONGEST: usize = 256;
-/// The address may still be held by the process before this one.
-const AGAIN: Duration = Duration::from_millis(10);
+const MAX_DATAGRAM: usize = 256;
+/// Delay between attempts to bind the address, which the predecessor may still hold.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// A note, and the number of the dispatcher that it came from.
+/// A message of the decision module, and the number of the dispatcher that sent it.
 pub struct PeerMessage {
     pub from: usize,
     pub bytes: Vec<u8>,
 }
 
-/// What reads the datagrams: only notes, or frames of what is shared.
+/// How received datagrams are decoded.
 #[derive(Clone)]
 pub enum DatagramReader {
-    Notes,
+    /// As messages of the decision module.
+    Messages,
+    /// As frames of shared state, filtered by the sieve.
     Frames(Arc<Mutex<Sieve>>),
 }
 
 impl DatagramReader {
-    /// What became of the datagrams.
-    pub fn sifted(&self) -> Sifted {
+    /// Counts of accepted and rejected datagrams.
+    pub fn counts(&self) -> Sifted {
         match self {
-            DatagramReader::Notes => Sifted::default(),
+            DatagramReader::Messages => Sifted::default(),
             DatagramReader::Frames(sieve) => sieve.lock().unwrap_or_else(PoisonError::into_inner).sifted(),
         }
     }
 }
 
-/// The socket to all other dispatchers.
+/// The UDP socket for communication with all other dispatchers.
 pub struct Peers {
     socket: Arc<OnceLock<UdpSocket>>,
     each: Vec<SocketAddr>,
@@ -49,8 +51,8 @@
 }
 
 impl Peers {
-    /// Listens, and hands on what comes with the number of its sender. Where the address is held it is asked for again;
-    /// until then nothing is sent or heard. The task ends with its handle, and lets go of the address.
+    /// Listens for datagrams and forwards them with the number of their sender. If the address is in use, retries until it can
+    /// be bound; until then nothing is sent or received. Aborting the returned task releases the address.
     pub fn open<I: From<PeerMessage> + From<Frame> + Send + 'static>(
         listen: SocketAddr,
         each: Vec<SocketAddr>,
@@ -61,58 +63,58 @@
         let socket = Arc::new(OnceLock::new());
         let peers = Peers { socket: socket.clone(), each: each.clone(), all, reader: reader.clone() };
         let task = tokio::spawn(async move {
-            let mut said = false;
+            let mut logged = false;
             let bound = loop {
                 match UdpSocket::bind(listen).await {
                     Ok(bound) => break bound,
-                    Err(e) if !said => eprintln!("peers: {listen}: {e}; it is asked for again"),
+                    Err(e) if !logged => eprintln!("peers: cannot bind {listen}: {e}; retrying"),
                     Err(_) => {}
                 }
-                said = true;
-                sleep(AGAIN).await;
+                logged = true;
+                sleep(BIND_RETRY_DELAY).await;
             };
-            hear(socket.get_or_init(|| bound), &each, &reader, input_tx).await;
+            receive(socket.get_or_init(|| bound), &each, &reader, input_tx).await;
         });
         (peers, task.abort_handle())
     }
 
     fn send(&self, bytes: &[u8], to: SocketAddr) {
-        if let Some(socket) = self.socket.get().filter(|_| bytes.len() <= LONGEST) {
-            // A datagram may be lost.
+        if let Some(socket) = self.socket.get().filter(|_| bytes.len() <= MAX_DATAGRAM) {
+            // Datagrams are sent on a best-effort basis.
             let _ = socket.try_send_to(bytes, to);
         }
     }
 
-    /// To all others.
-    pub fn tell(&self, bytes: &[u8]) {
+    /// Sends to all other dispatchers.
+    pub fn broadcast(&self, bytes: &[u8]) {
         self.send(bytes, self.all);
     }
 
-    /// To one.
-    pub fn tell_one(&self, to: u16, bytes: &[u8]) {
+    /// Sends to one dispatcher, by its number.
+    pub fn send_to(&self, to: u16, bytes: &[u8]) {
         if let Some(address) = self.each.get(usize::from(to)) {
             self.send(bytes, *address);
         }
     }
 }
 
-async fn hear<I: From<PeerMessage> + From<Frame>>(
+async fn receive<I: From<PeerMessage> + From<Frame>>(
     socket: &UdpSocket,
     each: &[SocketAddr],
     reader: &DatagramReader,
     input_tx: mpsc::Sender<I>,
 ) {
-    let (mut buffer, began) = ([0; LONGEST + 1], Instant::now());
+    let (mut buffer, began) = ([0; MAX_DATAGRAM + 1], Instant::now());
     loop {
         let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
-            // Guards the core: an error that stays would be met again at once.
+            // Avoids a busy loop if the error persists.
             sleep(Duration::from_millis(10)).await;
             continue;
         };
         let (from, bytes) = (each.iter().position(|peer| *peer == sender), &buffer[..length]);
         let input = match reader {
-            DatagramReader::Notes => from
-                .filter(|_| length <= LONGEST)
+            DatagramReader::Messages => from
+                .filter(|_| length <= MAX_DATAGRAM)
                 .map(|from| PeerMessage { from, bytes: bytes.to_vec() }.into()),
             DatagramReader::Frames(sieve) => {
                 let now = began.elapsed().as_nanos() as u64;
@@ -122,7 +124,7 @@
             }
         };
         if let Some(input) = input {
-            // It may be lost: a full queue loses it too.
+            // Datagrams may be lost anyway, so one that does not fit into the queue is dropped.
             let _ = input_tx.try_send(input);
         }
     }
--- a/dispatcher/src/peers/sharing.rs
+++ b/dispatcher/src/peers/sharing.rs
@@ -239,7 +239,7 @@
         while let Some(out) = self.tier.out() {
             let told = match out {
                 Out::Send { to, bytes } => {
-                    peers.tell_one(to, &bytes);
+                    peers.send_to(to, &bytes);
                     continue;
                 }
                 Out::Lives(incarnation) => {
@@ -285,7 +285,7 @@
 
     /// For the console.
     pub fn figures(&self, at: Moment, peers: &Peers) -> Shared {
-        Shared { tier: self.tier.figures(at.now), sifted: peers.reader.sifted() }
+        Shared { tier: self.tier.figures(at.now), sifted: peers.reader.counts() }
     }
 }
 
--- a/dispatcher/src/predecessor.rs
+++ b/dispatcher/src/predecessor.rs
@@ -1,5 +1,5 @@
-//! A process that gave the work away: it finishes the calls and the clients' requests that are on its sockets, tells the
-//! owner what comes of them, and decides nothing. And what the owner keeps of such a process.
+//! The two sides after a handover. The former owner finishes the calls and client requests on its sockets, reports their
+//! results to the new owner, and makes no decisions. [`Predecessor`] is the new owner's view of that process.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -16,104 +16,114 @@
 use crate::input::Input;
 use crate::intake::ClientRequest;
 
-/// What the owner knows of the process before it, while that finishes what it has.
+/// The new owner's state about its predecessor, while that finishes its calls and requests.
 pub struct Predecessor {
-    say: mpsc::UnboundedSender<Frame>,
-    /// Calls that it wrote.
+    frame_tx: mpsc::UnboundedSender<Frame>,
+    /// Calls that the predecessor wrote and that have not ended.
     pub written: BTreeSet<CallId>,
-    /// Messages whose clients are being told there that they are taken on.
-    pub unheard: HashMap<u64, MsgId>,
+    /// Accepted messages whose clients the predecessor has not confirmed to have been told, by request number.
+    pub unconfirmed: HashMap<u64, MsgId>,
 }
 
 impl Predecessor {
-    pub fn new(say: mpsc::UnboundedSender<Frame>, written: BTreeSet<CallId>) -> Self {
-        Predecessor { say, written, unheard: HashMap::new() }
+    pub fn new(frame_tx: mpsc::UnboundedSender<Frame>, written: BTreeSet<CallId>) -> Self {
+        Predecessor { frame_tx, written, unconfirmed: HashMap::new() }
     }
 
-    pub fn say(&self, frame: Frame) {
-        // It may be gone, which is told otherwise.
-        let _ = self.say.send(frame);
+    pub fn send(&self, frame: Frame) {
+        // If the predecessor is gone, its end of connection is reported separately.
+        let _ = self.frame_tx.send(frame);
     }
 
-    /// Tells a client there.
+    /// Sends the reply for a client of the predecessor.
     pub fn verdict(&mut self, number: u64, verdict: SubmitReply, taken: Option<MsgId>) {
-        self.unheard.extend(taken.map(|id| (number, id)));
-        self.say(Frame::Verdict { number, verdict });
+        self.unconfirmed.extend(taken.map(|id| (number, id)));
+        self.send(Frame::Verdict { number, verdict });
     }
 
-    /// Answers the staff there, once that is decided.
+    /// Answers a maintenance command of the predecessor's console once the result is known.
     pub fn maintained(&self, number: u64, answer: oneshot::Receiver<Result<(), String>>) {
-        let say = self.say.clone();
+        let frame_tx = self.frame_tx.clone();
         tokio::spawn(async move {
             let answer = answer.await.unwrap_or_else(|_| Err("nobody decides".to_owned()));
-            let _ = say.send(Frame::Maintained { number, answer });
+            let _ = frame_tx.send(Frame::Maintained { number, answer });
         });
     }
 }
 
-/// Nobody told it to end, and nobody has asked it anything for so long: its successor serves.
+/// A former owner without work that was not told to stop ends after this long without input.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why a process that gave the work away stops.
+/// Why a former owner stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Done {
-    /// All is finished, or it was told to.
+    /// Its work is finished, or it was told to stop.
     Finished,
-    /// The owner has died.
+    /// The new owner has died.
     OwnerGone,
 }
 
-/// The process that gave the work away.
+/// The driver loop of a process that handed its work over.
 pub struct FormerOwner {
     calls: Calls<Input>,
-    say: mpsc::UnboundedSender<Frame>,
+    frame_tx: mpsc::UnboundedSender<Frame>,
     connection_limiter: std::sync::Arc<ConnectionLimiter>,
     shared: console::Shared,
     replies: HashMap<u64, oneshot::Sender<SubmitReply>>,
-    staff: HashMap<u64, oneshot::Sender<Result<(), String>>>,
-    next: u64,
-    out: BTreeSet<CallId>,
+    maintenance: HashMap<u64, oneshot::Sender<Result<(), String>>>,
+    next_number: u64,
+    written: BTreeSet<CallId>,
 }
 
 impl FormerOwner {
     pub fn new(
         calls: Calls<Input>,
-        say: mpsc::UnboundedSender<Frame>,
+        frame_tx: mpsc::UnboundedSender<Frame>,
         connection_limiter: std::sync::Arc<ConnectionLimiter>,
         shared: console::Shared,
     ) -> Self {
-        let out = calls.written().collect();
-        let (replies, staff) = (HashMap::new(), HashMap::new());
-        FormerOwner { calls, say, connection_limiter, shared, replies, staff, next: 0, out }
+        let written = calls.written().collect();
+        let (replies, maintenance) = (HashMap::new(), HashMap::new());
+        FormerOwner {
+            calls,
+            frame_tx,
+            connection_limiter,
+            shared,
+            replies,
+            maintenance,
+            next_number: 0,
+            written,
+        }
     }
 
-    /// The owner knows nothing of these calls: they are broken off.
+    /// Cancels the calls in progress, for a new owner that does not know them.
     pub fn cancel_calls(&mut self) {
-        for call in std::mem::take(&mut self.out) {
+        for call in std::mem::take(&mut self.written) {
             self.calls.cancel(call);
         }
     }
 
-    /// Runs until nothing is left, or until it is told to end.
+    /// Runs until nothing is left to do, or until it is told to stop.
     pub async fn run(mut self, inputs: &mut mpsc::Receiver<Input>) -> Done {
-        let (mut ends, mut heard) = (None, Instant::now());
-        // Nothing new goes out here, and idle connections are the owner's to open.
+        let (mut stop_at, mut last_input) = (None, Instant::now());
+        // This process sends no new calls, so it needs no idle connections.
         self.calls.retain(|_| false);
         loop {
-            let idle = self.out.is_empty() && self.replies.is_empty() && self.connection_limiter.taken() == 0;
-            let over = ends.is_some_and(|at| Instant::now() >= at);
-            if over || idle && (ends.is_some() || heard.elapsed() > IDLE_TIMEOUT) {
+            let idle =
+                self.written.is_empty() && self.replies.is_empty() && self.connection_limiter.taken() == 0;
+            let over = stop_at.is_some_and(|at| Instant::now() >= at);
+            if over || idle && (stop_at.is_some() || last_input.elapsed() > IDLE_TIMEOUT) {
                 return Done::Finished;
             }
             tokio::select! {
                 input = inputs.recv() => match input {
                     None => return Done::Finished,
-                    Some(Input::Stop { after }) => ends = Some(Instant::now() + after),
+                    Some(Input::Stop { after }) => stop_at = Some(Instant::now() + after),
                     Some(Input::FromSuccessor(None)) => return Done::OwnerGone,
                     Some(input) => {
-                        heard = Instant::now();
-                        self.take(input);
+                        last_input = Instant::now();
+                        self.process(input);
                     }
                 },
                 () = sleep_until(Instant::now() + POLL_INTERVAL) => {}
@@ -121,21 +131,21 @@
         }
     }
 
-    fn tell(&self, frame: Frame) {
-        let _ = self.say.send(frame);
+    fn send(&self, frame: Frame) {
+        let _ = self.frame_tx.send(frame);
     }
 
-    fn take(&mut self, input: Input) {
+    fn process(&mut self, input: Input) {
         match input {
-            Input::Client(ClientRequest { handed, came, reply }) => {
+            Input::Client(ClientRequest { submission, received_at, reply }) => {
                 if !reply.is_closed() {
-                    self.next += 1;
-                    self.replies.insert(self.next, reply);
-                    let ago = came.elapsed().as_nanos() as Nanos;
-                    self.tell(Frame::Handed { number: self.next, ago, handed: Box::new(handed) });
+                    self.next_number += 1;
+                    self.replies.insert(self.next_number, reply);
+                    let ago = received_at.elapsed().as_nanos() as Nanos;
+                    self.send(Frame::Handed { number: self.next_number, ago, handed: Box::new(submission) });
                 }
             }
-            Input::Calls(event) => self.called(event),
+            Input::Calls(event) => self.on_call_event(event),
             Input::Console(console::Query::Figures { done }) => {
                 let mut figures = self.shared.figures();
                 (figures.inflight, figures.calls) = (0, self.calls.sent().count());
@@ -143,13 +153,13 @@
             }
             Input::Console(console::Query::Standing { done }) => drop(done),
             Input::Console(console::Query::Maintain { id, out, done }) => {
-                self.next += 1;
-                self.staff.insert(self.next, done);
-                self.tell(Frame::Maintain { number: self.next, id, out });
+                self.next_number += 1;
+                self.maintenance.insert(self.next_number, done);
+                self.send(Frame::Maintain { number: self.next_number, id, out });
             }
             Input::ApplySettings(request) => drop(request.done.send(Err("another process has taken over"))),
-            Input::FromSuccessor(Some(frame)) => self.heard(frame),
-            // Of these the owner hears itself.
+            Input::FromSuccessor(Some(frame)) => self.on_frame(frame),
+            // The owner receives these itself.
             Input::Listed(_)
             | Input::NoticesAccepted(_)
             | Input::PeerMessage(_)
@@ -163,35 +173,35 @@
         }
     }
 
-    fn called(&mut self, event: calls::Event) {
+    fn on_call_event(&mut self, event: calls::Event) {
         match event {
             calls::Event::Ended { call, ended, link: _ } => {
                 self.calls.ended(call, &ended.ends, None, |_| false);
-                if self.out.remove(&call) {
-                    self.tell(Frame::Ended { call, ended });
+                if self.written.remove(&call) {
+                    self.send(Frame::Ended { call, ended });
                 }
             }
             calls::Event::Unsent { call } => {
                 let fresh = self.calls.unsent(call);
-                if self.out.remove(&call) {
-                    self.tell(Frame::Unsent { call, fresh });
+                if self.written.remove(&call) {
+                    self.send(Frame::Unsent { call, fresh });
                 }
             }
-            // Nothing had been written: the owner connects itself.
+            // Nothing was written on these connections; the owner opens its own.
             calls::Event::Connected { .. } | calls::Event::Probed { .. } => {}
         }
     }
 
-    fn heard(&mut self, frame: Frame) {
+    fn on_frame(&mut self, frame: Frame) {
         match frame {
             Frame::Verdict { number, verdict } => {
                 let reply = self.replies.remove(&number);
                 let heard = reply.is_some_and(|reply| reply.send(verdict).is_ok());
-                self.tell(Frame::Heard { number, heard });
+                self.send(Frame::Heard { number, heard });
             }
             Frame::CallOff { call } => self.calls.cancel(call),
             Frame::Maintained { number, answer } => {
-                if let Some(done) = self.staff.remove(&number) {
+                if let Some(done) = self.maintenance.remove(&number) {
                     let _ = done.send(answer);
                 }
             }
