--- a/dispatcher/src/batch.rs
+++ b/dispatcher/src/batch.rs
@@ -1,7 +1,6 @@
-//! Several messages in one call: how they are written, and what the answer says of each.
+//! Encoding of calls with several messages, and parsing of the result of each message from the answer.
 //!
-//! Kept invariant: an answer gives every message of its call exactly one end, and a message of which it says nothing
-//! that can be read may have run.
+//! Invariant: every message of a call gets exactly one result; a message without a readable result may have been executed.
 
 use std::collections::HashMap;
 
@@ -18,30 +17,30 @@
     body: String,
 }
 
-/// A message as it stands in the body of a call. `None` where its key is no text: it can't travel with others.
+/// Encodes a message for the body of a batch. `None` if its key is not UTF-8, in which case it cannot be batched.
 pub fn item(reference: &str, key: Option<&[u8]>, body: &[u8]) -> Option<String> {
     let key = key.map(std::str::from_utf8).transpose().ok()?;
     serde_json::to_string(&Item { id: reference, key, body: STANDARD.encode(body) }).ok()
 }
 
-/// The body of a call with these messages.
+/// The body of a batch of encoded messages.
 pub fn body(items: &[String]) -> Bytes {
     Bytes::from(format!("[{}]", items.join(",")))
 }
 
-/// What the answer to a call says of one of its messages.
+/// The result of one message of a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum End {
-    /// It ran, and is over.
+    /// It was executed and is finished.
     Delivered,
-    /// It may have run.
+    /// It may have been executed.
     Failed,
-    /// It never ran.
+    /// It was not executed.
     Refused,
-    /// It was not run, and nothing more is owed for it.
+    /// It was not executed and needs no further attempt.
     Over,
-    /// It was not run, and has had all its attempts.
+    /// It was not executed and has used up its attempts.
     Spent,
 }
 
@@ -51,21 +50,21 @@
     state: End,
 }
 
-/// The ends that an answer gives these messages, in their order: `None` for one that it leaves out, speaks of in
-/// words that are not known, or gives two different ends. An answer that is no list tells nothing of any.
+/// Parses the results of the messages `references` from an answer, in the same order: `None` for a message that is missing,
+/// has an unknown state or has contradictory results. An answer that is not a JSON list gives no results.
 pub fn ends(answer: &[u8], references: &[String]) -> Vec<Option<End>> {
     let lines: Vec<serde_json::Value> = serde_json::from_slice(answer).unwrap_or_default();
-    let mut told: HashMap<String, Option<End>> = HashMap::new();
+    let mut results: HashMap<String, Option<End>> = HashMap::new();
     for line in lines {
         let id = line.get("id").and_then(|id| id.as_str()).map(str::to_owned);
         let (Some(id), line) = (id, serde_json::from_value::<Line>(line)) else { continue };
         let end = line.ok().filter(|line| line.id == id).map(|line| line.state);
-        let before = told.entry(id).or_insert(end);
-        if *before != end {
-            *before = None;
+        let previous = results.entry(id).or_insert(end);
+        if *previous != end {
+            *previous = None;
         }
     }
-    references.iter().map(|reference| told.get(reference).copied().flatten()).collect()
+    references.iter().map(|reference| results.get(reference).copied().flatten()).collect()
 }
 
 #[cfg(test)]
@@ -74,7 +73,7 @@
     use millpost_core::CallMessage;
 
     #[test]
-    fn a_call_holds_each_message_unchanged_and_no_more_than_was_reckoned() {
+    fn batch_preserves_messages_within_the_estimated_size() {
         let odd = "a\"\\\u{1}\u{e9}";
         type Message<'a> = (&'a str, Option<&'a [u8]>, &'a [u8]);
         let messages: [Message; 3] =
@@ -82,9 +81,9 @@
         let items: Vec<String> = messages.iter().map(|(r, k, b)| item(r, *k, b).expect("text")).collect();
         for ((reference, key, body), item) in messages.iter().zip(&items) {
             let own = |bytes: &[u8]| Bytes::copy_from_slice(bytes);
-            let carried =
+            let message =
                 CallMessage { reference: (*reference).to_owned(), key: key.map(own), body: own(body) };
-            assert!(item.len() < millpost_core::bundled_size(&carried), "{item}");
+            assert!(item.len() < millpost_core::bundled_size(&message), "{item}");
         }
         let read: Vec<serde_json::Value> = serde_json::from_slice(&body(&items)).expect("a list");
         assert_eq!(read.len(), 3);
@@ -98,14 +97,14 @@
     }
 
     #[test]
-    fn a_message_has_the_end_that_the_answer_gives_it_and_none_that_it_does_not() {
+    fn results_are_taken_only_from_readable_unambiguous_entries() {
         let references = ["a", "b", "c", "d", "e", "f"].map(str::to_owned);
         let answer = br#"[{"id":"c","state":"refused"}, {"id":"a","state":"delivered","more":1}, 7,
             {"id":"b","state":"lost"}, {"id":"z","state":"failed"}, {"state":"over"},
             {"id":"d","state":"over"}, {"id":"d","state":"spent"},
             {"id":"f","state":"spent"}, {"id":"f","state":"spent"}]"#;
-        let told = ends(answer, &references);
-        assert_eq!(told, [Some(End::Delivered), None, Some(End::Refused), None, None, Some(End::Spent)]);
+        let results = ends(answer, &references);
+        assert_eq!(results, [Some(End::Delivered), None, Some(End::Refused), None, None, Some(End::Spent)]);
         for bad in [&b""[..], b"{}", b"[", b"noise", b"[{\"id\":\"a\",\"state\":\"delivered\"}] more"] {
             assert_eq!(ends(bad, &references[..1]), [None], "{bad:?}");
         }
--- a/dispatcher/src/config.rs
+++ b/dispatcher/src/config.rs
@@ -1,4 +1,4 @@
-//! `NODE_CONFIG`: what a dispatcher is told at its start.
+//! The configuration file that `NODE_CONFIG` names.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,27 +10,27 @@
 
 use crate::discovery::List;
 
-/// What is wrong with the configuration.
+/// An error in the configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A variable is missing.
+    /// An environment variable is missing.
     #[error("{0} is not set")]
     Missing(&'static str),
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{0}: {1}")]
     Unreadable(PathBuf, std::io::Error),
-    /// The file is not what it should be.
+    /// The file cannot be parsed.
     #[error("{0}: {1}")]
     Malformed(PathBuf, serde_json::Error),
-    /// A variable is not what it should be.
-    #[error("{0}: `{1}` is no address")]
-    NoAddress(&'static str, String),
-    /// The settings in it are not.
+    /// An environment variable does not hold a socket address.
+    #[error("{0}: `{1}` is not a socket address")]
+    NotAnAddress(&'static str, String),
+    /// The settings in it cannot be parsed.
     #[error("configuration: {0}")]
     Settings(String),
-    /// It can't be taken: all that is wrong with it.
+    /// It is invalid; lists all errors.
     #[error("{path}: {}", wrong.join("; "))]
-    Wrong { path: PathBuf, wrong: Vec<String> },
+    Invalid { path: PathBuf, wrong: Vec<String> },
 }
 
 #[derive(Deserialize)]
@@ -68,7 +68,7 @@
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
-    /// The second address, for the staff.
+    /// The address of the operators' console.
     pub console: Option<SocketAddr>,
     pub discovery: SocketAddr,
     pub seed: u64,
@@ -80,24 +80,24 @@
     pub settings: Settings,
     pub shape: Shape,
     pub state: PathBuf,
-    /// The file as it stands, for comparing the next one with.
+    /// The parsed file, to compare a reloaded one with.
     pub text: Value,
 }
 
-/// The seed is a number in hexadecimal; any other text is hashed to one.
+/// Parses the seed as a hexadecimal number; any other text is hashed.
 fn seed(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| u64::from(crc32fast::hash(text.as_bytes())))
 }
 
-/// The variable goes before the file: each process has its own.
+/// The console address from the environment, which takes precedence over the file because each process has its own.
 fn console() -> Result<Option<SocketAddr>, Error> {
     const NAME: &str = "NODE_CONSOLE";
     let Some(text) = std::env::var_os(NAME).filter(|text| !text.is_empty()) else { return Ok(None) };
     let text = text.to_string_lossy().into_owned();
-    text.parse().map(Some).map_err(|_| Error::NoAddress(NAME, text))
+    text.parse().map(Some).map_err(|_| Error::NotAnAddress(NAME, text))
 }
 
-/// A digest of the settings in a configuration, as far as all dispatchers have the same.
+/// The digest of the settings in a configuration, without those that differ between dispatchers.
 pub fn digest(text: &Value) -> u32 {
     let mut settings = text.get("settings").cloned().unwrap_or_default();
     if let Some(fields) = settings.as_object_mut() {
@@ -106,7 +106,7 @@
     millpost_tier::standing::digest(settings.to_string().as_bytes())
 }
 
-/// The same of the file as it stands, whatever is in it.
+/// The digest of the current configuration file: of its settings, or of its bytes if it is not valid JSON.
 pub fn digest_of_file() -> u32 {
     let bytes = std::env::var_os("NODE_CONFIG").and_then(|path| std::fs::read(path).ok()).unwrap_or_default();
     match serde_json::from_slice(&bytes) {
@@ -119,7 +119,10 @@
     read_after(None)
 }
 
-/// Reads it again: the whole file is good, and can take the place of the one before, or it is an error.
+/// Reads the configuration again.
+///
+/// # Errors
+/// If the file is invalid as a whole or cannot replace the current configuration at runtime.
 pub fn read_again(before: &Config) -> Result<Config, Error> {
     read_after(Some(before))
 }
@@ -131,15 +134,15 @@
     parse(path, state, &text, before)
 }
 
-/// A configuration that another process had in force.
-pub fn of_before(text: &str) -> Result<Config, Error> {
-    parse("the configuration of before".into(), PathBuf::new(), text.as_bytes(), None)
+/// Parses the configuration that the predecessor had in force.
+pub fn from_predecessor(text: &str) -> Result<Config, Error> {
+    parse("the predecessor's configuration".into(), PathBuf::new(), text.as_bytes(), None)
 }
 
 fn parse(path: PathBuf, state: PathBuf, text: &[u8], before: Option<&Config>) -> Result<Config, Error> {
     let text: Value = serde_json::from_slice(text).map_err(|e| Error::Malformed(path.clone(), e))?;
-    let bad = |wrong| Error::Wrong { path: path.clone(), wrong };
-    // First, so that a file that is short is told all that it lacks.
+    let bad = |wrong| Error::Invalid { path: path.clone(), wrong };
+    // Checked first, so that an incomplete file is reported with all its missing keys.
     let mut wrong = before.map_or(Vec::new(), |before| millpost_settings::short(&before.text, &text));
     if !wrong.is_empty() {
         return Err(bad(wrong));
@@ -195,7 +198,7 @@
         parse("config.json".into(), "state".into(), text, before)
     }
 
-    /// Every path to a key, through objects and lists.
+    /// Collects the paths of all keys, through objects and lists.
     fn keys(value: &Value, path: &str, all: &mut Vec<String>) {
         match value {
             Value::Object(fields) => fields.iter().for_each(|(key, value)| {
@@ -210,7 +213,7 @@
     }
 
     #[test]
-    fn a_file_cut_at_any_byte_or_short_of_any_key_is_turned_down() {
+    fn rejects_truncated_files_and_missing_or_mistyped_keys() {
         let good = file();
         let text = good.to_string().into_bytes();
         let before = read(&text, None).expect("it is good");
@@ -235,7 +238,7 @@
     }
 
     #[test]
-    fn all_that_is_wrong_is_told_with_its_key() {
+    fn reports_all_errors_with_their_keys() {
         let before = read(file().to_string().as_bytes(), None).expect("it is good");
         let mut bad = file();
         bad["settings"]["limits"]["tryLimit"] = json!(0);
--- a/dispatcher/src/console.rs
+++ b/dispatcher/src/console.rs
@@ -1,7 +1,9 @@
-//! The second address, for the staff: one call to a connection, answered in time however busy the dispatcher is.
+//! The operators' console on a separate address: one command per connection, answered in bounded time however busy the
+//! dispatcher is.
 //!
-//! It has a thread of its own. What the loop is asked for it is given a while to answer; figures are those of the last
-//! answer then. Callers are bounded in number and time: one that has not finished its line gives way to those who come.
+//! It runs on its own thread. Queries to the driver have a time limit; if the driver does not answer in time, the latest
+//! figures are returned. The number and duration of connections are limited: one that has not sent its line yet is dropped
+//! in favour of new ones.
 
 pub mod line;
 
@@ -19,43 +21,42 @@
 
 use line::{Call, Figures};
 
-/// Callers at once. Their descriptors are set aside.
-pub const MOST: usize = 24;
-/// A line has come whole by then.
-const LINE_WITHIN: Duration = Duration::from_secs(5);
-/// With all places taken, one that has not said in this time what it wants leaves.
-const PATIENCE: Duration = Duration::from_millis(20);
-/// A caller waits one second. The loop has less to answer in.
-const FIGURES_WITHIN: Duration = Duration::from_millis(300);
-const DONE_WITHIN: Duration = Duration::from_millis(800);
-/// An answer has been read by then.
-const READ_WITHIN: Duration = Duration::from_secs(1);
-
-/// What the loop is asked.
+/// Maximum number of concurrent connections, for which descriptors are reserved.
+pub const MAX_CALLERS: usize = 24;
+/// Time limit for receiving a command line.
+const LINE_TIMEOUT: Duration = Duration::from_secs(5);
+/// At the connection limit, a connection may be dropped if it has not sent its line within this time.
+const MIN_LINE_TIME: Duration = Duration::from_millis(20);
+/// Callers wait one second for an answer; the driver has less time.
+const FIGURES_TIMEOUT: Duration = Duration::from_millis(300);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time limit for writing the answer and for the caller to close the connection.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// A query or command to the driver.
 pub enum Query {
-    /// To bring the figures up to date.
+    /// Update the figures.
     Figures { done: oneshot::Sender<()> },
-    /// What it acts on, and how it sees the others; nothing where no roll is kept.
+    /// Report the versions that this dispatcher uses and its view of the others, in JSON; `None` if versions are not tracked.
     Standing { done: oneshot::Sender<Option<String>> },
-    /// To leave an endpoint out, or to use it again; the answer is a yes, or a no and why. Nobody who gave up waiting
-    /// is heeded.
+    /// Cordon (`out`) or uncordon an endpoint. Ignored if the caller has stopped waiting for the answer.
     Maintain { id: String, out: bool, done: oneshot::Sender<Result<(), String>> },
 }
 
-/// What the console and the loop share.
+/// The figures shared between the console and the other components.
 #[derive(Clone, Default)]
 pub struct Shared(Arc<Mutex<Figures>>);
 
 impl Shared {
-    /// The figures, for whoever owns one of them to set.
+    /// Locks the figures; each component sets its own.
     pub fn figures(&self) -> MutexGuard<'_, Figures> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Whom the console asks.
+/// The state and channel that the console uses to answer commands.
 pub struct ConsoleContext<I> {
-    /// This process owns the work and takes messages.
+    /// Whether this process owns the store and accepts messages.
     pub ready: watch::Receiver<bool>,
     pub shared: Shared,
     pub input_tx: mpsc::Sender<I>,
@@ -71,10 +72,10 @@
     }
 }
 
-/// Listens, and answers on a thread of its own for as long as the process lives.
+/// Starts the console on its own thread, for the lifetime of the process.
 ///
 /// # Errors
-/// Where the address can't be listened on.
+/// If it cannot listen on the address.
 pub fn open<I: From<Query> + Send + 'static>(
     address: SocketAddr,
     context: ConsoleContext<I>,
@@ -99,14 +100,14 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                make_place(&mut callers).await;
+                make_space(&mut callers).await;
                 let (context, asked) = (context.clone(), Arc::new(AtomicBool::new(false)));
-                let task = tokio::spawn(caller(stream, context, asked.clone()));
+                let task = tokio::spawn(handle_caller(stream, context, asked.clone()));
                 callers.push(Caller { since: Instant::now(), asked, task });
             }
             Err(e) => {
-                // Out of descriptors, perhaps: the next try may do better.
-                eprintln!("console: {e}");
+                // Possibly out of descriptors; retries after a short delay.
+                eprintln!("console: accepting a connection failed: {e}");
                 sleep(Duration::from_millis(10)).await;
             }
         }
@@ -115,29 +116,33 @@
 
 struct Caller {
     since: Instant,
-    /// Its line has come whole: it is owed an answer.
+    /// Its line is complete, so it must be answered.
     asked: Arc<AtomicBool>,
     task: JoinHandle<()>,
 }
 
-/// Waits until a place is free. With none, the oldest of those that have not said what they want leaves.
-async fn make_place(callers: &mut Vec<Caller>) {
+/// Waits until there is space for another connection. At the limit, drops the oldest one that has not sent its line.
+async fn make_space(callers: &mut Vec<Caller>) {
     loop {
         callers.retain(|caller| !caller.task.is_finished());
-        if callers.len() < MOST {
+        if callers.len() < MAX_CALLERS {
             return;
         }
         let silent = |caller: &Caller| !caller.asked.load(Ordering::Relaxed);
-        match callers.iter().position(silent).map(|place| (place, callers[place].since.elapsed())) {
-            Some((place, age)) if age >= PATIENCE => callers.remove(place).task.abort(),
-            Some((_, age)) => sleep(PATIENCE - age).await,
-            None => sleep(PATIENCE).await,
+        match callers.iter().position(silent).map(|index| (index, callers[index].since.elapsed())) {
+            Some((index, age)) if age >= MIN_LINE_TIME => callers.remove(index).task.abort(),
+            Some((_, age)) => sleep(MIN_LINE_TIME - age).await,
+            None => sleep(MIN_LINE_TIME).await,
         }
     }
 }
 
-async fn caller<I: From<Query>>(mut stream: TcpStream, context: ConsoleContext<I>, asked: Arc<AtomicBool>) {
-    let Ok(Some(line)) = timeout(LINE_WITHIN, read_line(&mut stream)).await else { return };
+async fn handle_caller<I: From<Query>>(
+    mut stream: TcpStream,
+    context: ConsoleContext<I>,
+    asked: Arc<AtomicBool>,
+) {
+    let Ok(Some(line)) = timeout(LINE_TIMEOUT, read_line(&mut stream)).await else { return };
     asked.store(true, Ordering::Relaxed);
     let answer = match line {
         Ok(line) => match line::call(&line) {
@@ -149,7 +154,7 @@
     let written = async {
         stream.write_all(answer.as_bytes()).await?;
         stream.shutdown().await?;
-        // What still comes is read and dropped: a connection closed with bytes unread is reset, and the answer with it.
+        // Discards further input: closing a connection with unread data resets it, and the answer could be lost.
         let (mut rest, mut read) = ([0; 512], 0);
         while read < 64 * 1024 {
             match stream.read(&mut rest).await? {
@@ -159,11 +164,10 @@
         }
         Ok::<_, io::Error>(())
     };
-    let _ = timeout(READ_WITHIN, written).await;
+    let _ = timeout(WRITE_TIMEOUT, written).await;
 }
 
-/// The first line, without its end: up to a line feed, or to where the caller ended its sending. `None` where it left
-/// without a word.
+/// Reads the first line, without its terminator: up to a line feed or the end of input. `None` if the caller sent nothing.
 async fn read_line(stream: &mut TcpStream) -> Option<Result<Vec<u8>, &'static str>> {
     let (mut line, mut buffer) = (Vec::new(), [0; 256]);
     loop {
@@ -176,7 +180,7 @@
         if n == 0 {
             return (!line.is_empty()).then_some(Ok(line));
         }
-        if line.len() > line::LONGEST {
+        if line.len() > line::MAX_LINE {
             return Some(Err("the line is too long"));
         }
     }
@@ -192,32 +196,32 @@
             },
             Call::Standing => {
                 let (done, answered) = oneshot::channel();
-                let asked = async {
+                let query = async {
                     let _ = self.input_tx.send(Query::Standing { done }.into()).await;
                     answered.await.ok().flatten()
                 };
-                match timeout(DONE_WITHIN, asked).await {
+                match timeout(QUERY_TIMEOUT, query).await {
                     Ok(Some(text)) => format!("SUCCESS\n{text}\nEOT\n"),
                     Ok(None) => line::answer(Err("no roll is kept here")),
                     Err(_) => line::answer(Err("not done in time")),
                 }
             }
             Call::Counters => {
-                let (done, brought) = oneshot::channel();
-                let asked = async {
+                let (done, updated) = oneshot::channel();
+                let query = async {
                     let _ = self.input_tx.send(Query::Figures { done }.into()).await;
-                    let _ = brought.await;
+                    let _ = updated.await;
                 };
-                let _ = timeout(FIGURES_WITHIN, asked).await;
+                let _ = timeout(FIGURES_TIMEOUT, query).await;
                 self.shared.figures().render()
             }
             Call::Maintain { id, out, .. } => {
                 let (done, answered) = oneshot::channel();
-                let asked = async {
+                let query = async {
                     let _ = self.input_tx.send(Query::Maintain { id, out, done }.into()).await;
                     answered.await.unwrap_or_else(|_| Err("nobody decides here any more".to_owned()))
                 };
-                let answer = timeout(DONE_WITHIN, asked).await;
+                let answer = timeout(QUERY_TIMEOUT, query).await;
                 let answer = answer.unwrap_or_else(|_| Err("not done in time".to_owned()));
                 line::answer(answer.as_ref().copied().map_err(String::as_str))
             }
--- a/dispatcher/src/console/line.rs
+++ b/dispatcher/src/console/line.rs
@@ -1,5 +1,4 @@
-//! The form of the console's calls and answers: one line in, one line out, or the figures and a line after them. Pure
-//! functions.
+//! The syntax of console commands and answers: one line in; one line out, or several ending with `EOT`. Pure functions.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -7,37 +6,40 @@
 use millpost_core::ClassCounts;
 use millpost_tier::sieve::Sifted;
 
-/// The longest line that is read.
-pub const LONGEST: usize = 512;
-/// The longest name of an endpoint that can be spoken of.
-const LONGEST_ID: usize = 256;
+/// Maximum length of a command line, in bytes.
+pub const MAX_LINE: usize = 512;
+/// Maximum length of an endpoint name, in bytes.
+const MAX_ID: usize = 256;
 const PREFIX: &str = "edge_node";
 
-/// What a caller asks.
+/// A console command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
     /// Whether this process is ready to serve.
     Health,
     /// The figures.
     Counters,
-    /// What it acts on, and how it sees the others.
+    /// The versions that this dispatcher uses, and its view of the others.
     Standing,
-    /// An endpoint is to be left out, or used again.
+    /// Cordons or uncordons an endpoint.
     Maintain {
-        /// The endpoint's name in the list.
+        /// The name of the endpoint in the list.
         id: String,
-        /// Left out.
+        /// True to cordon, false to uncordon.
         out: bool,
     },
 }
 
-/// A call, from its line without the end; else what is wrong with it.
+/// Parses a command line without its terminator.
+///
+/// # Errors
+/// The reason why it is not a valid command.
 pub fn call(line: &[u8]) -> Result<Call, &'static str> {
     let text = std::str::from_utf8(line).map_err(|_| "the line is not text")?;
     let mut words = text.split_ascii_whitespace();
     let (word, id, more) = (words.next(), words.next(), words.next());
     let maintain = |out| match id {
-        Some(id) if more.is_none() && id.len() <= LONGEST_ID => Ok(Call::Maintain { id: id.to_owned(), out }),
+        Some(id) if more.is_none() && id.len() <= MAX_ID => Ok(Call::Maintain { id: id.to_owned(), out }),
         Some(_) if more.is_none() => Err("the id is too long"),
         _ => Err("one id is wanted"),
     };
@@ -53,7 +55,7 @@
     }
 }
 
-/// A yes, or a no and why.
+/// Formats the answer to a command without output.
 pub fn answer(answer: Result<(), &str>) -> String {
     match answer {
         Ok(()) => "SUCCESS\n".to_owned(),
@@ -61,35 +63,35 @@
     }
 }
 
-/// What a process has counted since it began, and what it holds now.
+/// Counters since the start of the process, and gauges.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Figures {
-    /// Ends of messages, by the names of the classes.
+    /// Numbers of finished messages by outcome, by class name.
     pub classes: BTreeMap<String, ClassCounts>,
-    /// Messages written whole to endpoints.
+    /// Messages written completely to endpoints.
     pub calls: u64,
-    /// Messages taken on that have no final answer yet.
+    /// Accepted messages without a final answer.
     pub inflight: usize,
     /// Endpoints in the list.
     pub listed: usize,
-    /// Those of them that nothing is sent to now, by hand or by choice.
+    /// Endpoints in the list to which nothing is sent now, because they are cordoned or avoided.
     pub down: usize,
-    /// What is shared with other dispatchers, where anything is.
+    /// Figures of the sharing with other dispatchers, if enabled.
     pub shared: Option<Shared>,
-    /// It takes no new messages: most find it behind on this.
+    /// Set if this dispatcher refuses new messages: what most others report as outdated.
     pub shut_out: Option<&'static str>,
-    /// Records and bytes of the audit's log, where one is written.
+    /// Records and bytes written to the audit log, if enabled.
     pub audited: Option<(u64, u64)>,
-    /// Files taken at SIGHUP, and turned down.
+    /// Successful and failed configuration reloads.
     pub reconfig_ok: u64,
     pub reconfig_failed: u64,
 }
 
-/// What is shared with other dispatchers, in figures.
+/// Figures of the sharing with other dispatchers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Shared {
     pub tier: millpost_tier::Figures,
-    /// Datagrams that came.
+    /// Counts of received datagrams.
     pub sifted: Sifted,
 }
 
@@ -126,7 +128,7 @@
 }
 
 impl Figures {
-    /// One figure a line, then a line that ends them.
+    /// Formats one figure per line, followed by `EOT`.
     pub fn render(&self) -> String {
         let mut text = "SUCCESS\n".to_owned();
         let mut line = |name: &str, figure: u64| {
@@ -163,7 +165,7 @@
     use super::*;
 
     #[test]
-    fn calls_are_told_apart_and_what_is_none_is_refused() {
+    fn parses_commands_and_rejects_others() {
         let maintain = |id: &str, out| Ok(Call::Maintain { id: id.to_owned(), out });
         for (line, expected) in [
             (&b"health"[..], Ok(Call::Health)),
@@ -183,7 +185,7 @@
     }
 
     #[test]
-    fn figures_are_named_by_class_and_ended() {
+    fn renders_figures_by_class_and_ends_with_eot() {
         let count = ClassCounts { delivered: 812, refused: 3, failed: 1 };
         let classes = [("loan-report".to_owned(), count)].into();
         let text =
--- a/dispatcher/src/cordons.rs
+++ b/dispatcher/src/cordons.rs
@@ -1,51 +1,54 @@
-//! Endpoints that the staff has taken out by hand, whatever discovery lists: an overlay of the list, by names. No I/O.
+//! Endpoints that operators have cordoned, independently of discovery: an overlay of the endpoint list, by name. No I/O.
 //!
-//! Kept bound: no more names than [`MOST`]; each leaves by the call that puts it back, and by nothing else.
+//! Invariant: there are at most [`MAX_CORDONS`] names. A name is removed only by uncordoning it.
 
 use std::collections::BTreeSet;
 
-/// Names that are kept at once. Guards the disk; nobody takes out so many.
-const MOST: usize = 1_000;
+/// Maximum number of cordoned endpoints; bounds disk use and is far above practical numbers.
+const MAX_CORDONS: usize = 1_000;
 
-/// The endpoints that are out.
+/// The cordoned endpoints.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Cordons(BTreeSet<String>);
 
-/// What a call changes.
+/// The change that a command makes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing: it is so already.
+    /// None: the endpoint already has the requested state.
     None,
-    /// The endpoint is out from now on.
+    /// Cordons the endpoint.
     Out,
-    /// It may be used again.
+    /// Uncordons the endpoint.
     Back,
 }
 
 impl Cordons {
-    /// As they were noted.
-    pub fn noted(names: impl IntoIterator<Item = String>) -> Self {
+    /// Restores the stored cordons.
+    pub fn from_stored(names: impl IntoIterator<Item = String>) -> Self {
         Cordons(names.into_iter().collect())
     }
 
-    /// The endpoint is out.
+    /// Whether the endpoint is cordoned.
     pub fn has(&self, name: &str) -> bool {
         self.0.contains(name)
     }
 
-    /// What a call would change; `listed` where the list names the endpoint. Nothing is changed yet.
-    pub fn asked(&self, name: &str, out: bool, listed: bool) -> Result<Change, &'static str> {
+    /// The change that a command would make, without making it. `listed` tells whether the endpoint is in the list.
+    ///
+    /// # Errors
+    /// If the endpoint is unknown or the limit is reached.
+    pub fn check(&self, name: &str, out: bool, listed: bool) -> Result<Change, &'static str> {
         match (self.has(name), out) {
             (false, _) if !listed => Err("nobody has this id"),
-            (false, true) if self.0.len() >= MOST => Err("too many endpoints are out"),
+            (false, true) if self.0.len() >= MAX_CORDONS => Err("too many endpoints are out"),
             (false, true) => Ok(Change::Out),
             (true, false) => Ok(Change::Back),
             (true, true) | (false, false) => Ok(Change::None),
         }
     }
 
-    /// Makes a change, once it is noted.
-    pub fn make(&mut self, name: &str, change: Change) {
+    /// Makes a change, which must be stored already.
+    pub fn apply(&mut self, name: &str, change: Change) {
         match change {
             Change::None => {}
             Change::Out => drop(self.0.insert(name.to_owned())),
@@ -62,9 +65,10 @@
 
     use super::*;
 
-    /// Against a plain model: for each name, whether it is listed and whether the last call that was granted took it out.
+    /// Compares random commands with a simple model: per name, whether it is listed, and whether the last accepted command
+    /// cordoned it.
     #[test]
-    fn an_endpoint_is_out_from_the_call_that_takes_it_out_to_the_one_that_puts_it_back() {
+    fn endpoint_is_cordoned_until_it_is_uncordoned() {
         for seed in 0..50 {
             let (mut dice, mut cordons) = (RandomSource::seeded(seed), Cordons::default());
             let mut model: BTreeMap<String, (bool, bool)> = BTreeMap::new();
@@ -75,11 +79,11 @@
                     0 => *listed = !*listed,
                     n => {
                         let out = n == 1 || n == 2;
-                        let asked = cordons.asked(&name, out, *listed);
-                        assert_eq!(asked.is_ok(), *listed || *is_out, "seed {seed}: {name}");
-                        if let Ok(change) = asked {
+                        let result = cordons.check(&name, out, *listed);
+                        assert_eq!(result.is_ok(), *listed || *is_out, "seed {seed}: {name}");
+                        if let Ok(change) = result {
                             assert_eq!(change == Change::None, out == *is_out, "seed {seed}: {name}");
-                            cordons.make(&name, change);
+                            cordons.apply(&name, change);
                             *is_out = out;
                         }
                     }
@@ -92,11 +96,11 @@
     }
 
     #[test]
-    fn names_are_bounded() {
-        let mut cordons = Cordons::noted((0..MOST).map(|n| n.to_string()));
-        assert!(cordons.asked("one more", true, true).is_err());
-        assert_eq!(cordons.asked("7", false, false), Ok(Change::Back), "also one that the list has not");
-        cordons.make("7", Change::Back);
-        assert_eq!(cordons.asked("one more", true, true), Ok(Change::Out));
+    fn number_of_cordons_is_limited() {
+        let mut cordons = Cordons::from_stored((0..MAX_CORDONS).map(|n| n.to_string()));
+        assert!(cordons.check("one more", true, true).is_err());
+        assert_eq!(cordons.check("7", false, false), Ok(Change::Back), "also an endpoint that is not listed");
+        cordons.apply("7", Change::Back);
+        assert_eq!(cordons.check("one more", true, true), Ok(Change::Out));
     }
 }
--- a/dispatcher/src/discovery.rs
+++ b/dispatcher/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints: one task keeps a watch going and hands on what it tells.
+//! The endpoint list: a task that watches the discovery agent and forwards its updates.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,52 +15,53 @@
 
 use crate::retry::Retry;
 
-/// How long a watch waits for news. What a silent discovery has to tell counts as told soon after the wait
-/// is over, so it is kept short.
+/// How long a watch request waits for changes. Changes that the agent could not report count as reported soon after the
+/// wait ends, so it is kept short.
 const WAIT_MS: u64 = 3_000;
-/// How long the answer may take beyond that. A call that the agent hands on to discovery may take its 2 s; given up
-/// before, it would be work for nothing.
-const MARGIN: Duration = Duration::from_millis(2_500);
-const LONGEST: usize = 4 << 20;
+/// Additional time limit for the answer. The agent may forward a request to the discovery service, which takes up to 2 s;
+/// a shorter limit would waste that work.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Maximum size of an answer, in bytes.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// The list, or changes of it, as discovery writes them.
+/// The endpoint list, or changes of it, as received from discovery.
 #[derive(Clone, Debug, Default, Deserialize)]
-#[serde(from = "Lines")]
+#[serde(from = "RawList")]
 pub struct List {
     pub snapshot: bool,
     pub endpoints: Vec<Endpoint>,
-    /// Names of endpoints of which nothing else can be read.
+    /// Names of endpoints whose other fields cannot be parsed.
     pub unreadable: Vec<String>,
     pub index: u64,
 }
 
 #[derive(Deserialize)]
-struct Lines {
+struct RawList {
     #[serde(default)]
     index: u64,
     #[serde(default)]
     snapshot: bool,
-    endpoints: Vec<Line>,
+    endpoints: Vec<ListEntry>,
 }
 
-/// One line that can't be read costs no other.
+/// An entry of the list; one that cannot be parsed does not invalidate the others.
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum Line {
-    Whole(Endpoint),
+enum ListEntry {
+    Complete(Endpoint),
     Named { name: String },
     Other(IgnoredAny),
 }
 
-impl From<Lines> for List {
-    fn from(lines: Lines) -> Self {
-        let Lines { index, snapshot, endpoints } = lines;
+impl From<RawList> for List {
+    fn from(lines: RawList) -> Self {
+        let RawList { index, snapshot, endpoints } = lines;
         let mut list = List { index, snapshot, ..List::default() };
         for line in endpoints {
             match line {
-                Line::Whole(endpoint) => list.endpoints.push(endpoint),
-                Line::Named { name } => list.unreadable.push(name),
-                Line::Other(_) => {}
+                ListEntry::Complete(endpoint) => list.endpoints.push(endpoint),
+                ListEntry::Named { name } => list.unreadable.push(name),
+                ListEntry::Other(_) => {}
             }
         }
         list
@@ -87,43 +88,43 @@
     InService,
     Terminating,
     Terminated,
-    /// A state of a later version: nothing new goes there.
+    /// A status of a later protocol version; such an endpoint gets no new work.
     #[serde(other)]
     Unknown,
 }
 
-/// What to ask from next. An agent that is behind the version it was asked from counts by other versions, as after its
-/// own start anew: nothing newer would ever come, so the whole list is asked for.
+/// The index for the next watch request. An agent whose index is lower than the requested one has restarted its numbering
+/// and would never report anything newer, so a snapshot is requested (`None`).
 fn next_index(asked: Option<u64>, list: &List) -> Option<u64> {
     let behind = !list.snapshot && asked.is_some_and(|asked| list.index < asked);
     Some(list.index).filter(|_| !behind)
 }
 
-/// Watches for ever. Its own task and connection: nothing else holds it up. The agent at the address of the start is
-/// asked for what is newer than the list that the start came with (`index`); another one for the whole list, since its
-/// versions need not be the same. When to ask first, and again after a failure, is for [`Retry`] to say.
-/// Where `again` is notified the whole list is asked for at once.
+/// Watches the list until the receiver of `input_tx` is dropped, in its own task and on its own connection, so that nothing
+/// else delays it. The first agent is asked for changes since the initial list (`index`); after a change of address the new
+/// agent is asked for a snapshot, because its numbering may differ. [`Retry`] determines the delay of the first request and
+/// of retries. When `refresh` is notified, a snapshot is requested at once.
 pub async fn watch<I: From<List>>(
     mut agent: Agent,
     mut index: Option<u64>,
     mut retry: Retry,
-    again: Arc<Notify>,
-    told: mpsc::Sender<I>,
+    refresh: Arc<Notify>,
+    input_tx: mpsc::Sender<I>,
 ) {
     sleep(retry.first()).await;
     loop {
         let (path, within) = match index {
             Some(index) => {
-                let within = Duration::from_millis(WAIT_MS) + MARGIN;
+                let within = Duration::from_millis(WAIT_MS) + ANSWER_TIMEOUT;
                 (format!("/v1/servers?index={index}&wait={WAIT_MS}"), within)
             }
-            None => ("/v1/servers".to_owned(), MARGIN),
+            None => ("/v1/servers".to_owned(), ANSWER_TIMEOUT),
         };
         let request = Request::get(path).body(Full::<Bytes>::default());
         let Ok(request) = request else { return };
         let answer = tokio::select! {
-            answer = agent.ask(request, within, LONGEST) => answer,
-            () = again.notified() => {
+            answer = agent.ask(request, within, MAX_BODY_BYTES) => answer,
+            () = refresh.notified() => {
                 index = None;
                 continue;
             }
@@ -141,16 +142,16 @@
             Ok(list) => {
                 index = next_index(index, &list);
                 retry.answered();
-                if told.send(list.into()).await.is_err() {
+                if input_tx.send(list.into()).await.is_err() {
                     return;
                 }
             }
             Err(why) => {
                 let pause = retry.failed();
-                eprintln!("discovery: {why}; asked again in {} ms", pause.as_millis());
+                eprintln!("discovery: {why}; retrying in {} ms", pause.as_millis());
                 tokio::select! {
                     () = sleep(pause) => {}
-                    () = again.notified() => index = None,
+                    () = refresh.notified() => index = None,
                 }
             }
         }
@@ -162,17 +163,17 @@
     use super::*;
 
     #[test]
-    fn an_agent_that_is_behind_is_asked_for_the_whole_list() {
+    fn requests_a_snapshot_if_the_index_goes_back() {
         let list = |index, snapshot| List { index, snapshot, ..List::default() };
         assert_eq!(next_index(None, &list(3, true)), Some(3));
         assert_eq!(next_index(Some(41), &list(43, false)), Some(43));
         assert_eq!(next_index(Some(41), &list(41, false)), Some(41));
         assert_eq!(next_index(Some(41), &list(3, false)), None);
-        assert_eq!(next_index(Some(41), &list(3, true)), Some(3), "it was the whole list");
+        assert_eq!(next_index(Some(41), &list(3, true)), Some(3), "a snapshot may have any index");
     }
 
     #[test]
-    fn a_line_that_cannot_be_read_costs_no_other() {
+    fn skips_unreadable_entries() {
         let good = r#"{"name":"a","address":"127.0.0.1:1","group":7,"status":"in_service"}"#;
         let bad = r#"{"name":"b","address":"nowhere","group":7,"status":"in_service"}"#;
         let text = format!(r#"{{"index":3,"snapshot":true,"endpoints":[{bad},7,{{}},{good}]}}"#);
--- a/dispatcher/src/driver.rs
+++ b/dispatcher/src/driver.rs
@@ -61,7 +61,7 @@
     /// calls.
     pub fn new(all: usize, console: bool) -> Self {
         let clients = (all / 2).max(1);
-        let console = if console { console::MOST + 4 } else { 0 };
+        let console = if console { console::MAX_CALLERS + 4 } else { 0 };
         Descriptors { clients, rest: all.saturating_sub(clients + 32 + console) }
     }
     /// Number of idle connections to endpoints to keep next to `slots` concurrent calls, each of which may briefly need
@@ -254,7 +254,7 @@
             connection_limiter,
         } = parts;
         let rated = settings.weights != Weights::Unknown;
-        let cordons = Cordons::noted(ledger.cordons());
+        let cordons = Cordons::from_stored(ledger.cordons());
         // Class positions are those stored by earlier processes; if none are stored, those of the configuration.
         let mut classes = ledger.classes().and_then(|stored| Classes::read(&stored)).unwrap_or_default();
         let mut predecessor = None;
@@ -564,13 +564,13 @@
             Act::Hold(place, What::Cordon) => {
                 let name = sharing.endpoint(place).and_then(|e| self.roster.name(e)).map(str::to_owned);
                 let Some(name) = name else { return };
-                if self.roster.asked(&name, true) == Ok(Change::Out)
+                if self.roster.check_cordon(&name, true) == Ok(Change::Out)
                     && self.store.save_cordon(at, &name, true).is_some()
                 {
                     eprintln!(
                         "roll: {name} is out of service: cordoned by an operator at another dispatcher"
                     );
-                    let entry = self.roster.make(&name, Change::Out);
+                    let entry = self.roster.apply_cordon(&name, Change::Out);
                     self.on_endpoint_changed(at, entry, false);
                 }
             }
@@ -925,14 +925,14 @@
         if done.is_closed() {
             return;
         }
-        let result = match self.roster.asked(&id, out) {
+        let result = match self.roster.check_cordon(&id, out) {
             Err(why) => Err(why),
             // The write of an earlier command may not be durable yet.
             Ok(Change::None) => Ok(self.unacknowledged.back().map_or(0, |(seq, _)| *seq)),
             Ok(change) => match self.store.save_cordon(at, &id, out) {
                 None => Err("the store takes no writes"),
                 Some(seq) => {
-                    let entry = self.roster.make(&id, change);
+                    let entry = self.roster.apply_cordon(&id, change);
                     self.on_endpoint_changed(at, entry, change == Change::Back);
                     if let Some(sharing) = &mut self.sharing {
                         sharing.cordoned(at, &id, out);
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -1,4 +1,4 @@
-//! The millpost dispatcher: takes messages from clients, and delivers them to partners' endpoints.
+//! The millpost dispatcher: accepts messages from clients and delivers them to partners' endpoints.
 
 mod adopt;
 mod audit_log;
@@ -49,13 +49,14 @@
 use peers::{DatagramReader, Peers};
 use store_opener::StoreOpener;
 
-/// After SIGTERM new connections still come for a while; so long, kept ones are answered as usual.
-const LEAVE: Duration = Duration::from_millis(700);
-/// When the driver stops after SIGTERM, before a SIGKILL can come.
-const STOP: Duration = Duration::from_millis(3_300);
-/// After it a process that gave the work away closes the connections that clients still have.
-const FINISH: Duration = Duration::from_millis(2_900);
-const LAST: Duration = Duration::from_millis(200);
+/// How long requests are still served after SIGTERM, because new connections keep arriving for a while.
+const LINGER: Duration = Duration::from_millis(700);
+/// How long the driver may take to stop after SIGTERM, before a SIGKILL may follow.
+const STOP_TIMEOUT: Duration = Duration::from_millis(3_300);
+/// How long after SIGTERM a former owner keeps client connections open while its driver finishes.
+const FORMER_OWNER_TIMEOUT: Duration = Duration::from_millis(2_900);
+/// How long the last client connections may take to end.
+const INTAKE_TIMEOUT: Duration = Duration::from_millis(200);
 
 #[derive(Debug, thiserror::Error)]
 enum Error {
@@ -70,7 +71,7 @@
     #[error("console: {0}: {1}")]
     Console(SocketAddr, io::Error),
     #[error("settings: {0}")]
-    NotSettled(&'static str),
+    SettingsNotApplied(&'static str),
     #[error("the driver has ended")]
     Driver,
     #[error("{0}")]
@@ -88,14 +89,14 @@
 }
 
 fn run() -> Result<(), Error> {
-    let options = match options::asked()? {
+    let options = match options::command()? {
         Command::Help => {
             println!("{}", options::HELP);
             return Ok(());
         }
         Command::Check(options) => {
             let config = config::read()?;
-            println!("the configuration is good: {} listens on {}", config.name, config.listen);
+            println!("the configuration is valid: {} listens on {}", config.name, config.listen);
             println!("{options}");
             return Ok(());
         }
@@ -105,46 +106,46 @@
     runtime.block_on(serve(options))
 }
 
-/// What a start begins with.
-struct Begun {
+/// The state with which the process starts.
+struct Started {
     ledger: Ledger<Disk>,
     opened: ledger::Opened,
     taken: Option<TakenOver>,
 }
 
-/// A second start is one that replaces the first, and waits for it to be ready for that no longer than this.
+/// How long a new process waits for the running one to hand over.
 const REPLACE_WITHIN: Duration = Duration::from_secs(10);
-const AGAIN: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Becomes the owner of the folder: nobody else is, or the one that is gives the work away. Only where there is a
-/// console does a process replace another; elsewhere a second start is a mistake.
-async fn begin(config: &Config, store_opener: &StoreOpener) -> Result<Begun, Error> {
+/// Takes ownership of the state folder, directly or by a handover from its current owner. A process replaces another only
+/// if a console is configured; otherwise a second start is an error.
+async fn start(config: &Config, store_opener: &StoreOpener) -> Result<Started, Error> {
     if config.console.is_none() {
         let (ledger, opened) = store_opener.open(store_opener::LOCK_TIMEOUT)?;
-        return Ok(Begun { ledger, opened, taken: None });
+        return Ok(Started { ledger, opened, taken: None });
     }
     let until = Instant::now() + REPLACE_WITHIN;
     loop {
         match store_opener.open(Duration::ZERO) {
             Ok((mut ledger, opened)) => {
                 ledger.own(store_opener.mark()).map_err(store_opener::Error::Store)?;
-                return Ok(Begun { ledger, opened, taken: None });
+                return Ok(Started { ledger, opened, taken: None });
             }
             Err(e) if e.is_held() && Instant::now() < until => {}
             Err(e) => return Err(e.into()),
         }
         if let Some((mut line, moving)) = handover::request_takeover(&config.state, &config.name).await {
-            // The other one waits with the store closed. Whatever goes wrong here gives it back.
+            // The current owner waits with its store closed. On any error here the connection closes and it continues.
             let (mut ledger, opened) = store_opener.open(store_opener::LOCK_TIMEOUT)?;
             let known = read_state(&moving, config, &opened)
-                .inspect_err(|why| eprintln!("handover: from the store alone: {why}"))
+                .inspect_err(|why| eprintln!("handover: the predecessor's state cannot be used, recovering from the store alone: {why}"))
                 .ok();
             ledger.own(store_opener.mark()).map_err(store_opener::Error::Store)?;
-            // Where it can't hear this any more it has ended, and this process is the owner all the same.
+            // If this cannot be delivered the predecessor has ended, and this process is the owner regardless.
             let _ = line.send(&Frame::Mine { afresh: known.is_none() }).await;
-            return Ok(Begun { ledger, opened, taken: Some(TakenOver { line, moving, known }) });
+            return Ok(Started { ledger, opened, taken: Some(TakenOver { line, moving, known }) });
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
@@ -154,22 +155,23 @@
     opened: &ledger::Opened,
 ) -> Result<(CoreSnapshot, Config), String> {
     if moving.layout != SNAPSHOT_VERSION {
-        return Err(format!("its layout is {}, and {SNAPSHOT_VERSION} is known", moving.layout));
+        return Err(format!("snapshot version {} instead of {SNAPSHOT_VERSION}", moving.layout));
     }
     let moved = postcard::from_bytes(&moving.core).map_err(|e| e.to_string())?;
-    let before = config::of_before(&moving.config).map_err(|e| e.to_string())?;
-    // Its numbers for these would mean something else here.
-    let wrong = millpost_settings::fixed(&before.settings, &before.shape, &config.settings, &config.shape);
+    let previous = config::from_predecessor(&moving.config).map_err(|e| e.to_string())?;
+    // The snapshot refers to these by position, so the positions must match.
+    let wrong =
+        millpost_settings::fixed(&previous.settings, &previous.shape, &config.settings, &config.shape);
     if !wrong.is_empty() {
         return Err(wrong.join("; "));
     }
     if opened.found.iter().any(|found| found.body_lost) {
-        return Err("a message has lost its body".to_owned());
+        return Err("the body of a stored message is lost".to_owned());
     }
-    Ok((moved, before))
+    Ok((moved, previous))
 }
 
-/// This process begins anew, as after a crash, under its own number.
+/// Re-executes the program, keeping the process id; it recovers from the store as after a crash. Returns only on failure.
 fn start_afresh() -> Error {
     let arguments = std::env::args_os().skip(1);
     Error::Io(std::process::Command::new("/proc/self/exe").args(arguments).exec())
@@ -180,7 +182,7 @@
     let (mut term, hangup) = (signal(SignalKind::terminate())?, signal(SignalKind::hangup())?);
     let (input_tx, inputs) = mpsc::channel(1024);
     let shared = console::Shared::default();
-    // Before anything is owned: who can't be asked in service is no start.
+    // First of all: a process whose console cannot listen must not start.
     let (ready, is_ready) = watch::channel(false);
     if let Some(address) = config.console {
         let context =
@@ -189,25 +191,26 @@
     }
     let inherited = adopt::listener(config.listen)?;
     let store_opener = StoreOpener::new(&config, options.durability);
-    let Begun { ledger, opened, taken } = begin(&config, &store_opener).await?;
+    let Started { ledger, opened, taken } = start(&config, &store_opener).await?;
     let settings = config.settings.clone();
     let known = Some(config.known.index).filter(|_| !config.known.endpoints.is_empty());
-    let going_on = taken.as_ref().filter(|taken| taken.known.is_some()).map(|taken| &taken.moving);
+    let snapshot = taken.as_ref().filter(|taken| taken.known.is_some()).map(|taken| &taken.moving);
     let same_source = |moving: &Moving| moving.source == config.discovery.to_string();
-    let index = going_on.map_or(known, |moving| moving.index.filter(|_| same_source(moving)));
+    let index = snapshot.map_or(known, |moving| moving.index.filter(|_| same_source(moving)));
 
     let descriptors = Descriptors::new(config.limits.sockets, config.console.is_some());
     let idle = descriptors.idle(settings.slots);
     let (accepted_classes, accepted_classes_rx) = watch::channel(AcceptedClasses::default());
-    // The limits bind both processes together for as long as there are two.
-    let theirs = taken.as_ref().map_or(0, |taken| taken.moving.clients.min(descriptors.clients / 2));
-    let connection_limiter = ConnectionLimiter::new(descriptors.clients - theirs);
+    // During a handover the limits apply to both processes together.
+    let predecessor_clients =
+        taken.as_ref().map_or(0, |taken| taken.moving.clients.min(descriptors.clients / 2));
+    let connection_limiter = ConnectionLimiter::new(descriptors.clients - predecessor_clients);
 
     let (notices, due) = mpsc::channel(256);
     let of = u16::try_from(settings.dispatchers.max(config.peers.len())).unwrap_or(u16::MAX);
     let mut terms = Some(options.tier.clone()).filter(|terms| terms.enabled);
     let (peers, listening) = match (settings.allow.notes, config.peer_listen, config.peers_all) {
-        // Notes are a help, no need: without them the dispatcher serves all the same.
+        // Messages between dispatchers are optional: without them the dispatcher serves all the same.
         (true, Some(listen), Some(all)) => {
             let frames = || DatagramReader::Frames(Arc::new(Mutex::new(Sieve::new(of))));
             let reader = terms.as_ref().map_or(DatagramReader::Messages, |_| frames());
@@ -217,7 +220,9 @@
         _ => (None, None),
     };
     if terms.is_some() && (peers.is_none() || settings.me >= usize::from(of)) {
-        eprintln!("tier: dispatchers may not send one another notes here: nothing is shared");
+        eprintln!(
+            "tier: messages between dispatchers are not allowed or not configured; sharing is disabled"
+        );
         terms = None;
     }
     let listener = match inherited {
@@ -241,13 +246,13 @@
     ];
     tasks.extend(listening);
     if config.console.is_some() {
-        // Without it nothing is lost but the way to replace this process in service.
+        // On failure the dispatcher works, but cannot be replaced without downtime.
         match handover::listen(&config.state, config.name.clone(), input_tx.clone()) {
             Ok(task) => tasks.push(task),
-            Err(e) => eprintln!("handover: {e}"),
+            Err(e) => eprintln!("handover: cannot listen for takeover requests: {e}"),
         }
     }
-    let let_go = taken.as_ref().map(|taken| taken.moving.wall);
+    let offered_at = taken.as_ref().map(|taken| taken.moving.wall);
     let driver = Driver::new(Parts {
         calls: calls::Calls::new(idle, settings.keepalive, settings.connect_timeout, input_tx.clone()),
         settings,
@@ -277,15 +282,15 @@
         notices,
         shared: shared.clone(),
     });
-    if let Some(at) = let_go {
+    if let Some(at) = offered_at {
         let passed = clock::wall_now().saturating_sub(at) as f64 / 1e6;
-        eprintln!("handover: the work is taken over, {passed:.1} ms after it was let go");
+        eprintln!("handover: took over {passed:.1} ms after the offer");
     }
     let mut driver = tokio::spawn(meter::metered(meter::Part::Driver, driver.run(inputs)));
     tokio::spawn(reload(hangup, refresh.settings, config, input_tx.clone(), address, shared));
-    let told_by_clients = input_tx.clone();
+    let intake_tx = input_tx.clone();
     let intake = tokio::spawn(async move {
-        intake::serve(listener, connection_limiter, accepted_classes_rx, told_by_clients, phases).await
+        intake::serve(listener, connection_limiter, accepted_classes_rx, intake_tx, phases).await
     });
 
     ready.send_replace(true);
@@ -293,35 +298,35 @@
         _ = term.recv() => {}
         stopped = &mut driver => return match stopped {
             Ok(Stopped::StartAfresh) => Err(start_afresh()),
-            // Its successor serves, and nothing is left to do here.
+            // The successor serves and this process has finished its work.
             Ok(Stopped::Done) if *phase.borrow() == Phase::Handed => Ok(()),
-            // Never without being told to: better a restart than a process that answers and does nothing.
+            // The driver stopped unasked: a restart is better than a process that answers but does nothing.
             _ => Err(Error::Driver),
         },
     }
-    eprintln!("told to stop");
+    eprintln!("SIGTERM received; stopping");
     ready.send_replace(false);
-    let _ = input_tx.send(Input::Stop { after: STOP }).await;
+    let _ = input_tx.send(Input::Stop { after: STOP_TIMEOUT }).await;
     if *phase.borrow() == Phase::Handed {
-        // Clients' connections stay for as long as they can: one that is closed may cross a request.
-        let _ = timeout(FINISH, &mut driver).await;
+        // Client connections stay open as long as possible, because closing one may race with a request.
+        let _ = timeout(FORMER_OWNER_TIMEOUT, &mut driver).await;
     } else {
         let _ = phase.send(Phase::Leaving);
-        sleep(LEAVE).await;
+        sleep(LINGER).await;
     }
     let _ = phase.send(Phase::Closing);
     if !driver.is_finished() {
-        let _ = timeout(STOP, &mut driver).await;
+        let _ = timeout(STOP_TIMEOUT, &mut driver).await;
     }
-    // Whoever is still being read from is told to go elsewhere, now that nobody takes it; then the connections end.
-    let _ = timeout(LAST, intake).await;
+    // Requests still being read are answered as unavailable, since the driver has stopped; then the connections end.
+    let _ = timeout(INTAKE_TIMEOUT, intake).await;
     meter::report();
     eprintln!("stopped");
     Ok(())
 }
 
-/// At SIGHUP, or where this dispatcher is behind on it, the configuration is read again, also while the process stops: a file that is good as a whole is put in
-/// force, in one step, and discovery and notices move to its address of discovery. With any other nothing changes.
+/// Reloads the configuration on SIGHUP or when `refresh` is notified, also while the process is stopping. A valid file is
+/// applied in one step, and discovery and notices switch to its discovery address. An invalid one changes nothing.
 async fn reload(
     mut hangup: Signal,
     refresh: Arc<Notify>,
@@ -335,26 +340,26 @@
             came = hangup.recv() => if came.is_none() { return },
             () = refresh.notified() => {}
         }
-        match put_in_force(&config, &input_tx).await {
+        match apply_config(&config, &input_tx).await {
             Ok(new) => {
                 config = new;
                 shared.figures().reconfig_ok += 1;
-                eprintln!("configuration read again: discovery is at {}", config.discovery);
+                eprintln!("configuration reloaded: discovery is at {}", config.discovery);
                 let new = |old: &mut SocketAddr| std::mem::replace(old, config.discovery) != config.discovery;
                 discovery.send_if_modified(new);
             }
             Err(e) => {
                 shared.figures().reconfig_failed += 1;
                 let _ = input_tx.send(Input::SettingsRejected(config::digest_of_file())).await;
-                eprintln!("the configuration stays as it was: {e}");
+                eprintln!("configuration not reloaded, keeping the current one: {e}");
             }
         }
     }
 }
 
-async fn put_in_force(config: &Config, input_tx: &mpsc::Sender<Input>) -> Result<Config, Error> {
+async fn apply_config(config: &Config, input_tx: &mpsc::Sender<Input>) -> Result<Config, Error> {
     let new = config::read_again(config)?;
-    let (done, settled) = oneshot::channel();
+    let (done, applied) = oneshot::channel();
     let apply_settings = ApplySettings {
         settings: new.settings.clone(),
         shape: new.shape.clone(),
@@ -363,6 +368,6 @@
         done,
     };
     input_tx.send(apply_settings.into()).await.map_err(|_| Error::Driver)?;
-    settled.await.map_err(|_| Error::Driver)?.map_err(Error::NotSettled)?;
+    applied.await.map_err(|_| Error::Driver)?.map_err(Error::SettingsNotApplied)?;
     Ok(new)
 }
--- a/dispatcher/src/options.rs
+++ b/dispatcher/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line, and the settings that the operators own, apart from `NODE_CONFIG`.
+//! The command line and the operators' settings files; `NODE_CONFIG` is separate.
 
 use std::ffi::OsString;
 use std::fmt;
@@ -11,54 +11,54 @@
 use serde::de::DeserializeOwned;
 
 pub const HELP: &str = "\
-millpost-dispatcher: takes messages from clients, and delivers them to partners' endpoints
+millpost-dispatcher: accepts messages from clients and delivers them to partners' endpoints
 
 Usage: millpost-dispatcher [OPTIONS]
 
 Options:
   --settings FILE  the operators' settings (deploy/millpost.toml is an example)
   --store FILE     settings of the store alone (deploy/store.toml is an example)
-  --check-config   reads all settings, says what is wrong with them, and ends
-  -h, --help       this text
+  --check-config   checks all settings, reports errors and exits
+  -h, --help       shows this text
 
-The environment names the rest: NODE_CONFIG (a file in JSON) and NODE_STATE (the folder that lasts).
-Signals: SIGTERM ends it in order; SIGHUP has NODE_CONFIG read again.";
+Environment: NODE_CONFIG names the configuration file (JSON), NODE_STATE the persistent state folder.
+Signals: SIGTERM stops the process gracefully; SIGHUP reloads NODE_CONFIG.";
 
-/// What is wrong with the command line or the files that it names.
+/// An error in the command line or in a file that it names.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An argument makes no sense.
+    /// An argument is invalid.
     #[error("{0}; see --help")]
     Usage(#[from] lexopt::Error),
-    /// A file can't be read.
+    /// A file cannot be read.
     #[error("{0}: {1}")]
     Unreadable(PathBuf, std::io::Error),
-    /// A file is not what it should be.
+    /// A file cannot be parsed.
     #[error("{0}: {1}")]
     Malformed(PathBuf, toml::de::Error),
-    /// A setting makes no sense.
+    /// A setting has an invalid value.
     #[error("{0}: line {1}: {2}")]
-    Unsound(PathBuf, usize, String),
+    Invalid(PathBuf, usize, String),
 }
 
-/// The settings that the operators own.
+/// The operators' settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
     pub durability: Durability,
-    /// What is shared with other dispatchers.
+    /// Sharing of state with other dispatchers.
     pub tier: Terms,
-    /// Who is behind, and what follows.
+    /// Detection of dispatchers with outdated versions, and its consequences.
     pub fleet: Rules,
-    /// What was acted on is recorded.
+    /// The audit log.
     pub audit: Recording,
 }
 
-/// Where decisions are recorded, if they are.
+/// Settings of the audit log of decisions.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Recording {
     pub enabled: bool,
-    /// A folder of its own, outside that of the platform.
+    /// A dedicated folder, outside the platform's state folder.
     pub folder: PathBuf,
     pub budget_mb: u64,
 }
@@ -72,7 +72,9 @@
 impl Recording {
     fn check(&self) -> Result<(), (&'static str, &'static str)> {
         match self {
-            r if r.enabled && r.folder.as_os_str().is_empty() => Err(("folder", "it is not named")),
+            r if r.enabled && r.folder.as_os_str().is_empty() => {
+                Err(("folder", "must be set when the audit is enabled"))
+            }
             r if !(1..=1_000_000).contains(&r.budget_mb) => Err(("budget_mb", "not between 1 and 1000000")),
             _ => Ok(()),
         }
@@ -80,14 +82,14 @@
 }
 
 impl Options {
-    /// All else as it is where nothing is said.
+    /// Defaults for everything but the durability.
     fn new(durability: Durability) -> Self {
         let (tier, fleet, audit) = (Terms::default(), Rules::default(), Recording::default());
         Options { durability, tier, fleet, audit }
     }
 }
 
-/// What the command line asks for.
+/// The command selected on the command line.
 #[derive(Debug, PartialEq)]
 pub enum Command {
     Run(Options),
@@ -99,10 +101,10 @@
 #[serde(deny_unknown_fields)]
 struct StoreFile {
     #[serde(default)]
-    durability: Outlives,
+    durability: DurabilityLevel,
 }
 
-/// All settings in one file.
+/// The content of the settings file.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct SettingsFile {
@@ -114,7 +116,7 @@
 
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Outlives {
+enum DurabilityLevel {
     #[default]
     Process,
     Machine,
@@ -122,23 +124,26 @@
 
 impl fmt::Display for Options {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let outlives = match self.durability {
+        let survives = match self.durability {
             Durability::Process => "process",
             Durability::Machine => "machine",
         };
         let shared = if self.tier.enabled { "shared" } else { "not shared" };
-        let rolled = if self.fleet.enabled { "found" } else { "not looked for" };
+        let detected = if self.fleet.enabled { "detected" } else { "not detected" };
         let recorded = match &self.audit {
             audit if audit.enabled => format!("recorded in {}", audit.folder.display()),
             _ => "not recorded".to_owned(),
         };
-        write!(f, "what is taken on outlives the {outlives}; budgets and judgements are {shared}; ")?;
-        write!(f, "who is behind is {rolled}; decisions are {recorded}")
+        write!(
+            f,
+            "accepted messages survive a crash of the {survives}; budgets and judgements are {shared}; "
+        )?;
+        write!(f, "outdated dispatchers are {detected}; decisions are {recorded}")
     }
 }
 
-/// Reads the command line, and the files that it names.
-pub fn asked() -> Result<Command, Error> {
+/// Parses the command line and reads the files that it names.
+pub fn command() -> Result<Command, Error> {
     parse(std::env::args_os().skip(1))
 }
 
@@ -170,28 +175,28 @@
 
 fn settings_file(path: &Path) -> Result<Options, Error> {
     let (file, text) = read::<SettingsFile>(path)?;
-    let unsound = |section: &str, key: &str, reason: &str| {
+    let invalid = |section: &str, key: &str, reason: &str| {
         let heading = format!("[{section}]");
         let from = text.lines().position(|line| line.trim() == heading).unwrap_or(0);
         let names = |line: &str| line.split('=').next().is_some_and(|name| name.trim() == key);
         let line = text.lines().skip(from).position(names).unwrap_or(0);
-        Error::Unsound(path.to_owned(), from + line + 1, format!("{section}.{key}: {reason}"))
+        Error::Invalid(path.to_owned(), from + line + 1, format!("{section}.{key}: {reason}"))
     };
-    file.tier.check().map_err(|wrong| unsound("tier", wrong.key, wrong.reason))?;
-    file.fleet.check().map_err(|wrong| unsound("fleet", wrong.key, wrong.reason))?;
-    file.audit.check().map_err(|(key, reason)| unsound("audit", key, reason))?;
+    file.tier.check().map_err(|wrong| invalid("tier", wrong.key, wrong.reason))?;
+    file.fleet.check().map_err(|wrong| invalid("fleet", wrong.key, wrong.reason))?;
+    file.audit.check().map_err(|(key, reason)| invalid("audit", key, reason))?;
     if file.fleet.enabled && !file.tier.enabled {
-        return Err(unsound("fleet", "enabled", "it needs tier.enabled"));
+        return Err(invalid("fleet", "enabled", "requires tier.enabled"));
     }
     let SettingsFile { store, tier, fleet, audit } = file;
     Ok(Options { durability: store.durability.into(), tier, fleet, audit })
 }
 
-impl From<Outlives> for Durability {
-    fn from(outlives: Outlives) -> Self {
-        match outlives {
-            Outlives::Process => Durability::Process,
-            Outlives::Machine => Durability::Machine,
+impl From<DurabilityLevel> for Durability {
+    fn from(level: DurabilityLevel) -> Self {
+        match level {
+            DurabilityLevel::Process => Durability::Process,
+            DurabilityLevel::Machine => Durability::Machine,
         }
     }
 }
@@ -209,18 +214,18 @@
     }
 
     #[test]
-    fn settings_are_read_and_what_is_wrong_is_named() {
+    fn reads_store_settings_and_names_errors() {
         let options = Options::new;
         assert_eq!(with("", &[]).ok(), Some(Command::Run(options(Durability::Process))));
         let machine = with("durability = \"machine\"", &["--check-config"]).ok();
         assert_eq!(machine, Some(Command::Check(options(Durability::Machine))));
-        for (text, said) in [
+        for (text, expected) in [
             ("\ndurability = \"disk\"", "line 2"),
             ("durabilty = \"machine\"", "durabilty"),
             ("durability", "store.toml"),
         ] {
             let why = with(text, &[]).expect_err("refused").to_string();
-            assert!(why.contains(said) && why.contains("store.toml"), "{why}");
+            assert!(why.contains(expected) && why.contains("store.toml"), "{why}");
         }
         let why = parse(["--store".into(), "/nowhere".into()]).expect_err("refused").to_string();
         assert!(why.contains("/nowhere"), "{why}");
@@ -229,7 +234,7 @@
     }
 
     #[test]
-    fn all_settings_are_read_from_one_file_and_what_makes_no_sense_is_named_with_its_line() {
+    fn reads_all_settings_from_one_file_and_reports_errors_with_their_line() {
         let dir = tempfile::tempdir().expect("a folder");
         let file = dir.path().join("millpost.toml");
         let with = |text: &str| {
@@ -239,7 +244,7 @@
         let good =
             with("[store]\ndurability = \"machine\"\n[tier]\nenabled = true\nterm_ms = 900\n").expect("good");
         assert_eq!((good.durability, good.tier.enabled, good.tier.term_ms), (Durability::Machine, true, 900));
-        for (text, said) in [
+        for (text, expected) in [
             ("[tier]\nbeat_ms = 50\nwitnesses = 1\n", "line 3: tier.witnesses: one alone"),
             ("[tier]\nbeat_ms = \"fast\"\n", "line 2"),
             ("[tier]\nbeats = 2\n", "beats"),
@@ -248,21 +253,21 @@
                 "[tier]\nenabled = true\n[fleet]\nserve_percent = 3\n",
                 "line 4: fleet.serve_percent: not between",
             ),
-            ("[fleet]\nenabled = true\n", "line 2: fleet.enabled: it needs tier.enabled"),
-            ("[audit]\nenabled = true\n", "audit.folder: it is not named"),
+            ("[fleet]\nenabled = true\n", "line 2: fleet.enabled: requires tier.enabled"),
+            ("[audit]\nenabled = true\n", "audit.folder: must be set when the audit is enabled"),
             ("[audit]\nbudget_mb = 0\n", "line 2: audit.budget_mb: not between"),
             ("[store]\ndurability = \"disk\"\n", "line 2"),
         ] {
             let why = with(text).expect_err("refused").to_string();
-            assert!(why.contains(said) && why.contains("millpost.toml"), "{why}");
+            assert!(why.contains(expected) && why.contains("millpost.toml"), "{why}");
         }
     }
 
     #[test]
-    fn the_example_is_good() {
+    fn example_files_match_the_defaults() {
         let all = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/millpost.toml");
         let same = Options::new(Durability::Process);
-        assert_eq!(settings_file(&all).ok(), Some(same), "it shows what holds without it");
+        assert_eq!(settings_file(&all).ok(), Some(same), "the example file must show the defaults");
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/store.toml");
         assert_eq!(store_file(&path).ok(), Some(Durability::Process));
     }
--- a/dispatcher/src/retry.rs
+++ b/dispatcher/src/retry.rs
@@ -1,26 +1,26 @@
-//! When to ask discovery, first and after a failure: moments that are spread by a seed, and pauses that grow. No I/O, no
+//! Delays of discovery requests at the start and after failures: randomized by a seed, with exponential backoff. No I/O, no
 //! clock.
 //!
-//! Kept bound: the N dispatchers of a fleet that fail together ask again [`EACH`] apart in the mean, or within [`ALL`]
-//! where they are more, and half as often after the next failure; those that start together ask once at once. Discovery can take one call from every
-//! dispatcher in 2 to 8 s at any scale; asked faster, it works on calls that were given up after their 2 s, and answers
-//! none in time for as long as that goes on.
+//! Invariant: N dispatchers that fail together retry [`SPACING`] apart on average, or within [`MAX_SPAN`] if they are many,
+//! and half as often after the next failure; those that start together send their first requests almost at once. Discovery
+//! can serve one request from every dispatcher in 2 to 8 s at any scale. If requests come faster, it works on requests whose
+//! callers have given up after their 2 s, and answers none in time as long as that continues.
 
 use std::time::Duration;
 
 use millpost::RandomSource;
 
-/// How far apart the calls of a fleet are, in the mean.
-const EACH: Duration = Duration::from_millis(80);
-/// The time in which discovery can take one call from each, however many they are.
-const ALL: Duration = Duration::from_secs(8);
-/// The first call comes within this: what the agent has heard while nobody asked it counts as told, a drain too, and
-/// is to be heeded 500 ms later. Pauses come only after a failure.
-const FIRST: Duration = Duration::from_millis(300);
-/// What the mean of the pauses grows to, beside twice the first one.
-const LONGEST: Duration = Duration::from_secs(2);
+/// Average spacing of the requests of a fleet.
+const SPACING: Duration = Duration::from_millis(80);
+/// The time in which discovery can serve one request from each dispatcher, however many there are.
+const MAX_SPAN: Duration = Duration::from_secs(8);
+/// Maximum delay of the first request. Changes that the agent has received meanwhile, including drains, count as reported
+/// and must be observed within 500 ms. Longer delays occur only after failures.
+const MAX_FIRST_DELAY: Duration = Duration::from_millis(300);
+/// Limit of the mean delay, in addition to twice the mean of the first one.
+const MAX_MEAN: Duration = Duration::from_secs(2);
 
-/// The pauses of one caller among `callers` that may all start, and fail, at once.
+/// The retry delays of one of `callers` clients that may all start or fail at the same time.
 pub struct Retry {
     span: Duration,
     failures: u32,
@@ -28,25 +28,29 @@
 }
 
 impl Retry {
-    /// One of so many callers; the seed is its own.
+    /// The delays of one of `callers` clients; each must use a different seed.
     pub fn new(callers: usize, seed: u64) -> Self {
         let callers = u32::try_from(callers.max(1)).unwrap_or(u32::MAX);
-        Retry { span: EACH.saturating_mul(callers).min(ALL), failures: 0, dice: RandomSource::seeded(seed) }
+        Retry {
+            span: SPACING.saturating_mul(callers).min(MAX_SPAN),
+            failures: 0,
+            dice: RandomSource::seeded(seed),
+        }
     }
 
-    /// How long to wait before the first call, while the list from before serves.
+    /// The delay before the first request; until then the stored list is used.
     pub fn first(&mut self) -> Duration {
-        self.span.min(FIRST).mul_f64(self.dice.next_f64())
+        self.span.min(MAX_FIRST_DELAY).mul_f64(self.dice.next_f64())
     }
 
-    /// It was answered.
+    /// Resets the backoff after a successful request.
     pub fn answered(&mut self) {
         self.failures = 0;
     }
 
-    /// It failed: how long to wait before the next call, half to one and a half of the mean.
+    /// The delay before the next request after a failure: 0.5 to 1.5 times the mean.
     pub fn failed(&mut self) -> Duration {
-        let mean = self.span.saturating_mul(1 << self.failures.min(16)).min(LONGEST + 2 * self.span);
+        let mean = self.span.saturating_mul(1 << self.failures.min(16)).min(MAX_MEAN + 2 * self.span);
         self.failures += 1;
         mean.mul_f64(0.5 + self.dice.next_f64())
     }
@@ -56,8 +60,8 @@
 mod tests {
     use super::*;
 
-    /// Seconds until the last of `callers` has an answer, and how many calls that took. Discovery works on one call after
-    /// the other, for `each` seconds, and does not know who has given up after 2 s.
+    /// Simulates discovery, which serves requests one after the other, each for `each` seconds, and does not notice that
+    /// callers give up after 2 s. Returns the seconds until the last caller has an answer, and the number of requests.
     fn until_all_answered(
         callers: usize,
         each: f64,
@@ -84,7 +88,7 @@
     }
 
     #[test]
-    fn a_fleet_that_restarts_at_once_has_its_list_again_soon() {
+    fn fleet_recovers_its_list_soon_after_a_simultaneous_restart() {
         for (callers, all_calls) in [(3, 2.0), (30, 4.0), (100, 2.0), (100, 8.0), (1_000, 8.0)] {
             let retries: Vec<_> = (0..callers).map(|n| Retry::new(callers, n as u64)).collect();
             let (retries, each) = (std::cell::RefCell::new(retries), all_calls / callers as f64);
@@ -96,20 +100,21 @@
         }
     }
 
-    /// What was seen in the field: a hundred that ask again after 50 ms have no answer two minutes later.
+    /// Reproduces an overload seen in production: 100 callers with a constant retry delay of 50 ms have no answer after two
+    /// minutes.
     #[test]
-    fn a_short_pause_that_is_the_same_for_all_keeps_discovery_overbooked() {
+    fn constant_short_delay_keeps_discovery_overloaded() {
         assert!(until_all_answered(100, 0.08, &mut |_| 0.0, &mut |_| 0.05).0.is_infinite());
     }
 
     #[test]
-    fn pauses_grow_by_the_failure_and_with_the_fleet_and_begin_anew_after_an_answer() {
+    fn delays_grow_with_failures_and_fleet_size_and_reset_after_success() {
         let within = |pause: Duration, mean: u64| {
             let mean = Duration::from_millis(mean);
             assert!(pause >= mean / 2 && pause < mean * 3 / 2, "{pause:?} round {mean:?}");
         };
         let (mut few, mut many) = (Retry::new(2, 1), Retry::new(100, 1));
-        assert!(few.first() < Duration::from_millis(160) && many.first() < FIRST);
+        assert!(few.first() < Duration::from_millis(160) && many.first() < MAX_FIRST_DELAY);
         for mean in [160, 320, 640, 1_280, 2_320, 2_320] {
             within(few.failed(), mean);
         }
--- a/dispatcher/src/roster.rs
+++ b/dispatcher/src/roster.rs
@@ -145,13 +145,13 @@
     }
 
     /// What it would change to take an endpoint out by hand, or to put it back.
-    pub fn asked(&self, name: &str, out: bool) -> Result<Change, &'static str> {
-        self.cordons.asked(name, out, self.names.contains_key(name))
+    pub fn check_cordon(&self, name: &str, out: bool) -> Result<Change, &'static str> {
+        self.cordons.check(name, out, self.names.contains_key(name))
     }
 
     /// Takes an endpoint out by hand, or puts it back: what it is from now on, where the list has it.
-    pub fn make(&mut self, name: &str, change: Change) -> Option<Entry> {
-        self.cordons.make(name, change);
+    pub fn apply_cordon(&mut self, name: &str, change: Change) -> Option<Entry> {
+        self.cordons.apply(name, change);
         self.names.get(name).and_then(|endpoint| self.known.get(endpoint)).map(|known| self.entry(known))
     }
 
