--- a/dispatcher/src/audit_log.rs
+++ b/dispatcher/src/audit_log.rs
@@ -1,6 +1,7 @@
-//! The record of what this dispatcher decides, and on what: between the loop and the audit's log. Nothing is decided here.
+//! Records the decisions of this dispatcher and the versions they are based on, in the format of `millpost-audit`. Makes no
+//! decisions.
 //!
-//! Kept: what was decided is written before the loop lets anything of it go out; where nothing is recorded nothing is kept.
+//! Invariant: decisions are written before the driver lets any of them take effect.
 
 use std::collections::HashMap;
 
@@ -15,30 +16,31 @@
 
 use crate::options::Recording;
 
-/// Of one's own rounds each tenth is noted; those of one peer no more often than this.
-const BEATS: u32 = 10;
-const MARKED: Nanos = 5_000_000_000;
+/// Every tenth round of this dispatcher is recorded.
+const BEAT_INTERVAL: u32 = 10;
+/// Minimum time between two recorded rounds of the same peer.
+const PEER_BEAT_INTERVAL: Nanos = 5_000_000_000;
 
-/// See the module.
+/// The audit log of this process; see the module documentation. While the log is closed, decisions are not recorded.
 pub struct AuditLog {
     recording: Recording,
     author: Author,
     log: Option<Log>,
     standing: Standing,
     stood: Stood,
-    /// Messages that have no final answer yet, by what they are known by in logs.
+    /// Open messages, with their identifiers in the log.
     open: HashMap<MsgId, u64>,
-    /// Who is handing which message in.
-    handing: HashMap<ReplyId, u64>,
-    /// Calls that were decided on and not written yet.
+    /// Submissions that wait for a reply, with the identifiers of their messages.
+    submissions: HashMap<ReplyId, u64>,
+    /// Calls that were decided on but not written yet.
     decided: HashMap<CallId, (Stood, Nanos)>,
-    /// Endpoints that were listed, and their destinations.
-    places: HashMap<u64, u64>,
-    marked: HashMap<u16, Nanos>,
+    /// Listed endpoints and their destinations.
+    endpoints: HashMap<u64, u64>,
+    next_peer_beat: HashMap<u16, Nanos>,
 }
 
 impl AuditLog {
-    /// Opens the log. A folder that can't be used costs the record, and is told.
+    /// Opens the log. If the folder cannot be used, logs an error and records nothing.
     pub fn open(at: Moment, recording: Recording, author: Author) -> Self {
         let mut audit_log = AuditLog {
             recording,
@@ -47,30 +49,31 @@
             standing: Standing::default(),
             stood: Stood::default(),
             open: HashMap::new(),
-            handing: HashMap::new(),
+            submissions: HashMap::new(),
             decided: HashMap::new(),
-            places: HashMap::new(),
-            marked: HashMap::new(),
+            endpoints: HashMap::new(),
+            next_peer_beat: HashMap::new(),
         };
         audit_log.resume(at);
         audit_log
     }
 
-    /// Goes on after [`Self::end`]: another process had the folder meanwhile.
+    /// Opens the log again after [`Self::end`], for example after a failed handover.
     pub fn resume(&mut self, at: Moment) {
         let Recording { folder, budget_mb, .. } = &self.recording;
         let opened = Log::open(folder, budget_mb * 1_000_000, self.author.clone(), at.wall);
-        self.log =
-            opened.inspect_err(|e| eprintln!("audit: {}: {e}; nothing is recorded", folder.display())).ok();
+        self.log = opened
+            .inspect_err(|e| eprintln!("audit: {}: {e}; decisions are not recorded", folder.display()))
+            .ok();
         self.stood = Stood::default();
     }
 
-    /// What was found in the store at the start.
+    /// Registers a message that was in the store at the start.
     pub fn found(&mut self, id: MsgId, reference: &str) {
         self.open.insert(id, message(reference));
     }
 
-    /// What is acted on from now on.
+    /// Records the versions that decisions are based on from now on, if they changed.
     pub fn acts_on(&mut self, at: Moment, standing: Standing) {
         if standing != self.standing || self.stood == Stood::default() {
             self.standing = standing;
@@ -80,14 +83,14 @@
         }
     }
 
-    /// A message is being handed in.
-    pub fn handed(&mut self, reply: ReplyId, reference: &str) {
-        self.handing.insert(reply, message(reference));
+    /// A message was submitted.
+    pub fn submitted(&mut self, reply: ReplyId, reference: &str) {
+        self.submissions.insert(reply, message(reference));
     }
 
-    /// Its client is answered.
+    /// The client of a submission was answered.
     pub fn replied(&mut self, at: Moment, reply: ReplyId, verdict: SubmitReply, taken: bool) {
-        let Some(message) = self.handing.remove(&reply) else { return };
+        let Some(message) = self.submissions.remove(&reply) else { return };
         if let (SubmitReply::Refused { wait }, false, Some(log)) = (verdict, taken, &mut self.log) {
             log.refused(at.wall, message, wait, self.stood);
         }
@@ -126,62 +129,62 @@
         }
     }
 
-    /// A call was decided on.
+    /// The decision module started a call.
     pub fn decided(&mut self, at: Moment, call: CallId) {
         self.decided.entry(call).or_insert((self.stood, at.wall));
     }
 
-    /// It will not be written.
+    /// A call was dropped before it was written.
     pub fn dropped(&mut self, call: CallId) {
         self.decided.remove(&call);
     }
 
-    /// It is written, to this endpoint and destination.
+    /// A call was written to the endpoint and destination `to`.
     pub fn written(&mut self, at: Moment, call: CallId, to: (u64, u64), messages: &[CallMessage]) {
         let (on, since) = self.decided.remove(&call).unwrap_or((self.stood, at.wall));
         let Some(log) = &mut self.log else { return };
-        for carried in messages {
+        for sent in messages {
             let ago = at.wall.saturating_sub(since);
-            log.attempt(at.wall, message(&carried.reference), to, on, ago);
+            log.attempt(at.wall, message(&sent.reference), to, on, ago);
         }
     }
 
-    /// A list was taken in. `all`: endpoints, destinations, and what they are now.
+    /// The endpoint list was updated. `all` holds the endpoints with their destinations and states.
     pub fn listed(&mut self, at: Moment, whole: bool, all: impl Iterator<Item = (u64, u64, State)>) {
         let Some(log) = &mut self.log else { return };
         log.note(at.wall, &Entry::Listed { whole });
-        let mut now = HashMap::with_capacity(self.places.len());
-        // Of the first list of a process nothing was said before.
-        let first = self.places.is_empty();
-        for (place, dest, state) in all {
-            now.insert(place, dest);
-            if !first && !self.places.contains_key(&place) {
-                log.appears(at.wall, place, dest);
+        let mut now = HashMap::with_capacity(self.endpoints.len());
+        // The endpoints of the first list of a process are not recorded as new.
+        let first = self.endpoints.is_empty();
+        for (endpoint, dest, state) in all {
+            now.insert(endpoint, dest);
+            if !first && !self.endpoints.contains_key(&endpoint) {
+                log.appears(at.wall, endpoint, dest);
             }
-            log.state(at.wall, place, dest, state);
+            log.state(at.wall, endpoint, dest, state);
         }
-        for (place, dest) in std::mem::replace(&mut self.places, now) {
-            if !self.places.contains_key(&place) {
-                log.state(at.wall, place, dest, State::Gone);
+        for (endpoint, dest) in std::mem::replace(&mut self.endpoints, now) {
+            if !self.endpoints.contains_key(&endpoint) {
+                log.state(at.wall, endpoint, dest, State::Gone);
             }
         }
     }
 
-    /// An endpoint is so from now on.
-    pub fn state(&mut self, at: Moment, place: u64, dest: u64, state: State) {
+    /// The state of an endpoint changed.
+    pub fn state(&mut self, at: Moment, endpoint: u64, dest: u64, state: State) {
         if let Some(log) = &mut self.log {
-            log.state(at.wall, place, dest, state);
+            log.state(at.wall, endpoint, dest, state);
         }
     }
 
-    /// New messages are taken, or not.
+    /// New messages are refused because of an outdated version (`out`), or accepted again (`None`).
     pub fn service(&mut self, at: Moment, out: Option<Kind>) {
         if let Some(log) = &mut self.log {
             log.service(at.wall, out);
         }
     }
 
-    /// What may be sent to a destination.
+    /// The rate share of a destination changed.
     pub fn part(&mut self, at: Moment, dest: u64, part: Option<Part>) {
         let Some(log) = &mut self.log else { return };
         let entry = match part {
@@ -198,45 +201,45 @@
         log.note(at.wall, &entry);
     }
 
-    /// A part was lent or borrowed.
+    /// A share was lent or borrowed.
     pub fn loan(&mut self, at: Moment, loan: &Loan) {
         if let Some(log) = &mut self.log {
             log.loan(at.wall, loan, loan.until.saturating_sub(at.now), self.stood);
         }
     }
 
-    /// A round of one's own.
+    /// A round of this dispatcher.
     pub fn beat(&mut self, at: Moment, epoch: u32, beat: u32) {
-        if let Some(log) = self.log.as_mut().filter(|_| beat.is_multiple_of(BEATS)) {
+        if let Some(log) = self.log.as_mut().filter(|_| beat.is_multiple_of(BEAT_INTERVAL)) {
             log.note(at.wall, &Entry::Beat { epoch, beat });
         }
     }
 
-    /// A round of another's, from itself.
+    /// A round of another dispatcher, received from itself.
     pub fn heard(&mut self, at: Moment, peer: u16, epoch: u32, beat: u32) {
         let Some(log) = &mut self.log else { return };
-        let marked = self.marked.entry(peer).or_insert(0);
-        if at.now >= *marked {
-            *marked = at.now.saturating_add(MARKED);
+        let next_peer_beat = self.next_peer_beat.entry(peer).or_insert(0);
+        if at.now >= *next_peer_beat {
+            *next_peer_beat = at.now.saturating_add(PEER_BEAT_INTERVAL);
             log.note(at.wall, &Entry::Heard { peer, epoch, beat });
         }
     }
 
-    /// What was noted goes out, before anything that was decided does.
+    /// Writes the buffered entries; must precede any effect of the recorded decisions.
     pub fn write(&mut self, at: Moment) {
         if let Some(log) = &mut self.log {
             log.write(at.wall);
         }
     }
 
-    /// This process decides nothing more.
+    /// Closes the log: this process makes no further decisions.
     pub fn end(&mut self, at: Moment) {
         if let Some(mut log) = self.log.take() {
             log.end(at.wall);
         }
     }
 
-    /// Records and bytes so far; nothing where the log can't be written.
+    /// Records and bytes written so far; `None` if the log is closed or cannot be written.
     pub fn figures(&self) -> Option<(u64, u64)> {
         self.log.as_ref().map(Log::written)
     }
--- a/dispatcher/src/driver.rs
+++ b/dispatcher/src/driver.rs
@@ -493,7 +493,7 @@
             Input::SharedFrame(frame) => {
                 let audit_log = self.audit_log.as_mut();
                 if let Some(sharing) = &mut self.sharing {
-                    sharing.heard(at, &frame, audit_log);
+                    sharing.receive(at, &frame, audit_log);
                 }
             }
             Input::Console(query) => self.answer_query(at, query),
@@ -517,7 +517,7 @@
     fn exchange_shared(&mut self, at: Moment) -> bool {
         let (Some(sharing), Some(peers)) = (&mut self.sharing, &self.peers) else { return false };
         sharing.tick(at, &self.core, self.audit_log.as_mut());
-        let changed = sharing.carry(at, &mut self.core, &mut self.store, peers, &mut self.audit_log);
+        let changed = sharing.run_outputs(at, &mut self.core, &mut self.store, peers, &mut self.audit_log);
         let acts = sharing.take_acts();
         let acted = !acts.is_empty();
         acts.into_iter().for_each(|act| self.run_act(at, act));
@@ -560,7 +560,7 @@
                 self.shared.figures().shut_out = None;
                 self.audit_log.iter_mut().for_each(|audit_log| audit_log.service(at, None));
             }
-            Act::Note => sharing.note(at, &mut self.store),
+            Act::Note => sharing.save_records(at, &mut self.store),
             Act::Hold(place, What::Cordon) => {
                 let name = sharing.endpoint(place).and_then(|e| self.roster.name(e)).map(str::to_owned);
                 let Some(name) = name else { return };
@@ -576,12 +576,12 @@
             }
             Act::Hold(place, What::Drain) => {
                 let Some(endpoint) = sharing.endpoint(place) else { return };
-                let entry = self.roster.hold(endpoint, true);
+                let entry = self.roster.set_held(endpoint, true);
                 self.on_endpoint_changed(at, entry, false);
             }
             Act::Release(place) => {
                 let Some(endpoint) = sharing.endpoint(place) else { return };
-                let entry = self.roster.hold(endpoint, false);
+                let entry = self.roster.set_held(endpoint, false);
                 self.on_endpoint_changed(at, entry, true);
             }
         }
@@ -638,12 +638,12 @@
     fn on_list_changed(&mut self, at: Moment, whole: bool, from_agent: bool) {
         if let Some(sharing) = &mut self.sharing {
             sharing.listed(at, &self.roster);
-            sharing.numbered(at, &self.roster, self.index, from_agent, &mut self.store);
+            sharing.list_version(at, &self.roster, self.index, from_agent, &mut self.store);
         }
         if let Some(audit_log) = &mut self.audit_log {
             let roster = &self.roster;
             let all = roster
-                .places()
+                .entries()
                 .filter_map(|(id, name, e)| Some((endpoint_hash(name), e.dest, roster.state(id)?)));
             audit_log.listed(at, whole, all);
             self.standing.moves(Kind::List, roster.digest());
@@ -666,7 +666,7 @@
         let number = self.next_reply;
         self.next_reply += 1;
         self.replies.insert(number, target);
-        self.audit_log.iter_mut().for_each(|audit_log| audit_log.handed(number, &submission.reference));
+        self.audit_log.iter_mut().for_each(|audit_log| audit_log.submitted(number, &submission.reference));
         let held = self.core.holds(&submission.reference);
         let ended = if held { None } else { self.store.final_answer(&submission.reference) };
         let time_left = submission.time_left.saturating_sub(ago.as_nanos() as Nanos);
@@ -899,7 +899,7 @@
         if self.sharing.as_ref().is_some_and(|sharing| sharing.acts_on().is_some())
             || self.audit_log.is_some()
         {
-            versions::settled(at, digest, &mut self.store);
+            versions::save_settings(at, digest, &mut self.store);
         }
         self.standing.moves(Kind::Settings, digest);
         self.record_versions(at);
@@ -1072,7 +1072,7 @@
             }
             Effect::SaveLearned(learned) => self.store.save_learned(at, learned),
             Effect::CallEnded { endpoint, outcome, wait } => {
-                self.sharing.iter_mut().for_each(|sharing| sharing.went(at, endpoint, outcome, wait));
+                self.sharing.iter_mut().for_each(|sharing| sharing.call_ended(at, endpoint, outcome, wait));
             }
         }
     }
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -284,7 +284,7 @@
     });
     if let Some(at) = offered_at {
         let passed = clock::wall_now().saturating_sub(at) as f64 / 1e6;
-        eprintln!("handover: took over {passed:.1} ms after the offer");
+        eprintln!("handover: the work is taken over, {passed:.1} ms after it was let go");
     }
     let mut driver = tokio::spawn(meter::metered(meter::Part::Driver, driver.run(inputs)));
     tokio::spawn(reload(hangup, refresh.settings, config, input_tx.clone(), address, shared));
--- a/dispatcher/src/peers/sharing.rs
+++ b/dispatcher/src/peers/sharing.rs
@@ -1,4 +1,5 @@
-//! What the dispatchers share, between the loop and [`Tier`]: names here are numbers there. Nothing is decided here.
+//! Connects the driver to [`Tier`], the state shared between dispatchers, and translates between endpoint names or numbers
+//! and the hashes used there. Makes no decisions.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -19,29 +20,30 @@
 use crate::store_writer::StoreWriter;
 use crate::versions;
 
+/// The shared state of the dispatchers; see the module documentation.
 pub struct Sharing {
     tier: Tier,
     slots: usize,
-    /// Endpoints by what all dispatchers know them by, and the other way.
+    /// Endpoints by the hash of their name that all dispatchers share, and the reverse.
     endpoints: HashMap<Place, EndpointId>,
     places: HashMap<EndpointId, (Place, DestId)>,
-    /// What the loop is to do for the roll.
+    /// Actions of the version tracking that the driver has to carry out.
     acts: Vec<Act>,
-    /// The agent has told the list in this life.
-    told: bool,
+    /// Whether the agent has sent the list to this incarnation.
+    confirmed: bool,
 }
 
 impl Sharing {
-    /// A life begins, numbered after all that the store knows of.
+    /// Starts a new incarnation, numbered after the last one in the store.
     pub fn begin(at: Moment, terms: Terms, me: u16, of: u16, seed: u64, store: &mut StoreWriter) -> Self {
         let incarnation = store.ledger().incarnation().saturating_add(1);
         store.save_incarnation(at, incarnation);
         let tier = Tier::new(at.now, terms, me, of, incarnation, seed);
         let (endpoints, places) = (HashMap::new(), HashMap::new());
-        Sharing { tier, slots: 0, endpoints, places, acts: Vec::new(), told: false }
+        Sharing { tier, slots: 0, endpoints, places, acts: Vec::new(), confirmed: false }
     }
 
-    /// A roll is kept.
+    /// Starts tracking the versions that the dispatchers use.
     pub fn keep_roll(
         &mut self,
         at: Moment,
@@ -50,55 +52,55 @@
         seed: u64,
         store: &StoreWriter,
     ) {
-        let begin = Begin { rules, standing, held, words: versions::words(store) };
+        let begin = Begin { rules, standing, held, words: versions::records(store) };
         self.tier.keep_roll(at.now, begin, seed);
     }
 
-    /// Lendings are recorded.
+    /// Enables reporting of loans, for the audit log.
     pub fn trace(&mut self) {
         self.tier.trace();
     }
 
-    /// What is acted on, where a roll is kept.
+    /// The versions in use, if versions are tracked.
     pub fn acts_on(&self) -> Option<Standing> {
         self.tier.acts_on()
     }
 
-    /// New messages are taken.
+    /// Whether new messages are accepted.
     pub fn serves(&self) -> bool {
         self.tier.serves()
     }
 
-    /// A fault that is to be committed.
+    /// Whether a test injected this fault.
     pub fn has(&self, fault: Fault) -> bool {
         self.tier.has(fault)
     }
 
-    /// What there is to do for the roll.
+    /// Takes the actions that the driver has to carry out.
     pub fn take_acts(&mut self) -> Vec<Act> {
         std::mem::take(&mut self.acts)
     }
 
-    /// An endpoint, by what all know it by.
+    /// The endpoint with this hash.
     pub fn endpoint(&self, place: Place) -> Option<EndpointId> {
         self.endpoints.get(&place).copied()
     }
 
-    /// Another content of a kind is acted on.
+    /// A different version of `kind` is in use from now on.
     pub fn moves(&mut self, at: Moment, kind: Kind, digest: u32) {
         if let Some((roll, pass_on)) = self.tier.roll() {
             roll.moves(at.now, kind, digest, pass_on);
         }
     }
 
-    /// Settings were turned down.
+    /// The settings with this digest were rejected.
     pub fn refused(&mut self, digest: u32) {
         if let Some((roll, pass_on)) = self.tier.roll() {
             roll.refused(digest, pass_on);
         }
     }
 
-    /// The staff took an endpoint out here, or put it back.
+    /// An operator cordoned or uncordoned an endpoint at this dispatcher.
     pub fn cordoned(&mut self, at: Moment, name: &str, out: bool) {
         let place = xxh3_64(name.as_bytes());
         if let Some((roll, pass_on)) = self.tier.roll() {
@@ -106,41 +108,42 @@
         }
     }
 
-    /// Cordons and drains are to last.
-    pub fn note(&mut self, at: Moment, store: &mut StoreWriter) {
+    /// Saves the records of cordons and drains.
+    pub fn save_records(&mut self, at: Moment, store: &mut StoreWriter) {
         if let Some((roll, _)) = self.tier.roll() {
-            versions::note_words(at, roll.words(), store);
+            versions::save_records(at, roll.words(), store);
         }
     }
 
-    /// The agent has answered: what the list is by now, with its number; or what the store had, which nobody has told.
-    pub fn numbered(
+    /// Updates the version of the list. `from_agent` tells whether the agent sent it, as opposed to an unconfirmed list from the
+    /// store, the configuration or a predecessor.
+    pub fn list_version(
         &mut self,
         at: Moment,
         roster: &Roster,
         index: Option<u64>,
-        told: bool,
+        from_agent: bool,
         store: &mut StoreWriter,
     ) {
-        let before = self.tier.acts_on().map(|on| on.list.digest);
+        let previous = self.tier.acts_on().map(|on| on.list.digest);
         let Some((roll, pass_on)) = self.tier.roll() else { return };
         roll.numbered(digest(roster.source().as_bytes()), index.unwrap_or(0));
         let list = roster.digest();
-        if !told {
-            roll.held(at.now, Kind::List, list, versions::list_held(at, list, store), pass_on);
+        if !from_agent {
+            roll.held(at.now, Kind::List, list, versions::list_age(at, list, store), pass_on);
             return;
         }
-        let first = !std::mem::replace(&mut self.told, true);
-        if before != Some(list) {
+        let first = !std::mem::replace(&mut self.confirmed, true);
+        if previous != Some(list) {
             roll.moves(at.now, Kind::List, list, pass_on);
-            versions::listed(at, list, store);
-        } else if first && versions::list_held(at, list, store) == Nanos::MAX {
+            versions::save_list(at, list, store);
+        } else if first && versions::list_age(at, list, store) == Nanos::MAX {
             roll.confirmed(at.now, Kind::List, pass_on);
-            versions::listed(at, list, store);
+            versions::save_list(at, list, store);
         }
     }
 
-    /// How this one stands and sees the others, for the staff.
+    /// The versions in use and this dispatcher's view of the others, in JSON for the console.
     pub fn standing(&mut self, at: Moment, name: &str) -> Option<String> {
         let standing = self.tier.acts_on()?;
         let rows: Vec<Value> = self.tier.rows(at.now).iter().map(row).collect();
@@ -152,31 +155,31 @@
         Some(text.to_string())
     }
 
-    /// Calls that may be out at once.
+    /// Sets the maximum number of concurrent calls.
     pub fn set_slots(&mut self, slots: usize) {
         self.slots = slots;
     }
 
-    /// The next round is due then.
+    /// When the next round is due.
     pub fn due(&self) -> Nanos {
         self.tier.due()
     }
 
     /// The list of endpoints has changed.
     pub fn listed(&mut self, at: Moment, roster: &Roster) {
-        let all = roster.places();
+        let all = roster.entries();
         let all = all.map(|(endpoint, name, entry)| (endpoint, (xxh3_64(name.as_bytes()), entry.dest)));
         self.places = all.collect();
         self.endpoints = self.places.iter().map(|(endpoint, (place, _))| (*place, *endpoint)).collect();
         self.tier.listed(at.now, self.places.values().map(|(place, dest)| (*dest, *place)));
         if let Some((roll, pass_on)) = self.tier.roll() {
             let ready = |entry: &millpost::api::Entry| entry.state == millpost::api::State::Ready;
-            let all = roster.places().map(|(_, name, e)| (xxh3_64(name.as_bytes()), e.dest, ready(e)));
+            let all = roster.entries().map(|(_, name, e)| (xxh3_64(name.as_bytes()), e.dest, ready(e)));
             roll.listed(at.now, all, pass_on);
         }
     }
 
-    /// A message for a destination has come.
+    /// A message for a destination was submitted.
     pub fn wanted(&mut self, at: Moment, core: &Core, dest: DestId) {
         self.tier.wanted(at.now, need(core, self.slots, dest));
     }
@@ -189,13 +192,13 @@
     }
 
     /// A call ended.
-    pub fn went(&mut self, at: Moment, endpoint: EndpointId, outcome: Outcome, wait: Option<Nanos>) {
+    pub fn call_ended(&mut self, at: Moment, endpoint: EndpointId, outcome: Outcome, wait: Option<Nanos>) {
         let went = match outcome {
             Outcome::Served => Went::Served,
             Outcome::Full(_) => Went::Refused,
             Outcome::Error => Went::Answered,
             Outcome::TimedOut | Outcome::Reset | Outcome::ConnectFailed => Went::Failed,
-            // These say nothing of an endpoint.
+            // These outcomes say nothing about the endpoint.
             Outcome::Cancelled | Outcome::NotSent | Outcome::Exhausted => return,
         };
         if let Some((place, _)) = self.places.get(&endpoint) {
@@ -203,8 +206,8 @@
         }
     }
 
-    /// Another dispatcher says something.
-    pub fn heard(&mut self, at: Moment, frame: &Frame, audit_log: Option<&mut AuditLog>) {
+    /// Processes a frame from another dispatcher.
+    pub fn receive(&mut self, at: Moment, frame: &Frame, audit_log: Option<&mut AuditLog>) {
         let speaker = &frame.speaker;
         if let Some(audit_log) = audit_log {
             audit_log.heard(at, speaker.who, speaker.life.incarnation, speaker.life.beat);
@@ -212,22 +215,22 @@
         self.tier.hear(at.now, frame);
     }
 
-    /// The round that is due, if it is.
+    /// Runs a round if one is due.
     pub fn tick(&mut self, at: Moment, core: &Core, audit_log: Option<&mut AuditLog>) {
         if at.now >= self.tier.due() {
             let life = self.tier.life();
             if let Some(audit_log) = audit_log {
                 audit_log.beat(at, life.incarnation, life.beat);
             }
-            // Also of messages that were there before this process, or that nothing was sent of for a while.
+            // Includes destinations with messages from before this process started, or without recent traffic.
             let all: BTreeSet<DestId> = self.tier.active().chain(core.destinations()).collect();
             let needs: Vec<Need> = all.into_iter().map(|dest| need(core, self.slots, dest)).collect();
             self.tier.tick(at.now, &needs);
         }
     }
 
-    /// Carries out what came of it, in its order. Whether the module heard something.
-    pub fn carry(
+    /// Carries out the tier's outputs in order. Returns whether the decision module received an event.
+    pub fn run_outputs(
         &mut self,
         at: Moment,
         core: &mut Core,
@@ -235,9 +238,9 @@
         peers: &Peers,
         audit_log: &mut Option<AuditLog>,
     ) -> bool {
-        let mut news = false;
+        let mut received = false;
         while let Some(out) = self.tier.out() {
-            let told = match out {
+            let update = match out {
                 Out::Send { to, bytes } => {
                     peers.send_to(to, &bytes);
                     continue;
@@ -246,7 +249,7 @@
                     store.save_incarnation(at, incarnation);
                     continue;
                 }
-                Out::News(told) => told,
+                Out::News(update) => update,
                 Out::Act(act) => {
                     self.acts.push(act);
                     continue;
@@ -258,7 +261,7 @@
                     continue;
                 }
             };
-            let event = match told {
+            let event = match update {
                 News::Part { dest, part } => {
                     if let Some(audit_log) = audit_log {
                         audit_log.part(at, dest, part);
@@ -277,22 +280,22 @@
             };
             if let Some(event) = event {
                 core.on_event(at, event);
-                news = true;
+                received = true;
             }
         }
-        news
+        received
     }
 
-    /// For the console.
+    /// The figures for the console.
     pub fn figures(&self, at: Moment, peers: &Peers) -> Shared {
         Shared { tier: self.tier.figures(at.now), sifted: peers.reader.counts() }
     }
 }
 
-/// Nothing is told of longer spans.
-const LONG: Nanos = 30 * 86_400_000_000_000;
+/// Longer ages are reported as unknown.
+const MAX_REPORTED_AGE: Nanos = 30 * 86_400_000_000_000;
 
-/// One dispatcher as it is seen from here.
+/// Formats this dispatcher's view of one dispatcher.
 fn row(row: &Row) -> Value {
     let stands = &row.stands;
     let views: serde_json::Map<String, Value> = KINDS
@@ -307,8 +310,8 @@
                 View::Unknown => "unknown",
                 View::Behind(_) => "behind",
             };
-            // Of what the store or the configuration had nobody knows how old it is.
-            let held_ms = (held < LONG).then_some(held / 1_000_000);
+            // The age of versions that come from the store or the configuration is unknown.
+            let held_ms = (held < MAX_REPORTED_AGE).then_some(held / 1_000_000);
             let view = json!({"view": view, "held_ms": held_ms});
             (kind.name().to_owned(), view)
         })
@@ -319,7 +322,7 @@
     })
 }
 
-/// With all slots taken a message does not wait for a part.
+/// The demand for a destination. While all call slots are in use, messages do not wait because of the rate share.
 fn need(core: &Core, slots: usize, dest: DestId) -> Need {
     let (limit, waiting) = core.demand(dest);
     Need { dest, limit, waiting: if core.slots_in_use() < slots { waiting } else { 0 } }
--- a/dispatcher/src/roster.rs
+++ b/dispatcher/src/roster.rs
@@ -1,5 +1,4 @@
-//! Who is in the list of endpoints: their names, their numbers, and where they listen. The list is noted in the store
-//! for the next start.
+//! The endpoint list: names, numbers and addresses of the endpoints. The list is saved in the store for the next start.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -13,25 +12,25 @@
 use crate::discovery::{Endpoint, List, Status};
 use crate::store_writer::StoreWriter;
 
-struct Known {
+struct ListedEndpoint {
     name: String,
     address: SocketAddr,
-    /// As the list has it.
+    /// The entry as listed, without local overrides.
     entry: Entry,
 }
 
 pub struct Roster {
     shape: Shape,
-    /// The list's weights mean something.
+    /// Whether the weights in the list are meaningful.
     rated: bool,
-    /// Whose list it is.
+    /// Address of the discovery agent that provides the list.
     source: String,
     names: HashMap<String, EndpointId>,
-    known: HashMap<EndpointId, Known>,
+    known: HashMap<EndpointId, ListedEndpoint>,
     next: EndpointId,
-    /// What the staff has taken out, whatever the list says.
+    /// Endpoints cordoned by operators, whatever the list says.
     cordons: Cordons,
-    /// What other dispatchers were told drains.
+    /// Endpoints that other dispatchers report as draining.
     held: HashSet<EndpointId>,
 }
 
@@ -49,52 +48,52 @@
         }
     }
 
-    /// Names of zones and kinds, where the ones of before stand where they stood.
+    /// Sets new names of zones and kinds; existing ones must keep their positions.
     pub fn set_shape(&mut self, shape: Shape) {
         self.shape = shape;
     }
 
-    /// As bytes, for the process that goes on.
+    /// Encodes the list for the successor.
     pub fn write(&self) -> Vec<u8> {
         let known: Vec<_> =
             self.known.iter().map(|(id, known)| (*id, &known.name, known.address, known.entry)).collect();
         postcard::to_stdvec(&(self.next, known)).unwrap_or_default()
     }
 
-    /// Takes in what [`Self::write`] wrote; whether that could be read.
+    /// Restores a list from [`Self::write`]. Returns whether it could be decoded.
     pub fn read(&mut self, bytes: &[u8]) -> bool {
         type All = (EndpointId, Vec<(EndpointId, String, SocketAddr, Entry)>);
         let Ok((next, known)) = postcard::from_bytes::<All>(bytes) else { return false };
         self.next = next;
         for (id, name, address, entry) in known {
             self.names.insert(name.clone(), id);
-            self.known.insert(id, Known { name, address, entry });
+            self.known.insert(id, ListedEndpoint { name, address, entry });
         }
         true
     }
 
-    /// Whose list it is.
+    /// Address of the discovery agent that provides the list.
     pub fn source(&self) -> &str {
         &self.source
     }
 
-    /// Where an endpoint listens.
+    /// The address of an endpoint.
     pub fn address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
         self.known.get(&endpoint).map(|known| known.address)
     }
 
-    /// It takes new work.
+    /// Whether an endpoint accepts new work.
     pub fn ready(&self, endpoint: EndpointId) -> bool {
         self.known.get(&endpoint).is_some_and(|known| self.entry(known).state == State::Ready)
     }
 
-    /// Endpoints in the list.
+    /// The endpoints in the list.
     pub fn all(&self) -> impl ExactSizeIterator<Item = EndpointId> + '_ {
         self.known.keys().copied()
     }
 
-    /// Endpoints in the list, by number, name and entry.
-    pub fn places(&self) -> impl Iterator<Item = (EndpointId, &str, &Entry)> + '_ {
+    /// The endpoints in the list with their names and entries.
+    pub fn entries(&self) -> impl Iterator<Item = (EndpointId, &str, &Entry)> + '_ {
         self.known.iter().map(|(id, known)| (*id, known.name.as_str(), &known.entry))
     }
 
@@ -108,7 +107,7 @@
         self.known.get(&endpoint).map(|known| known.name.as_str())
     }
 
-    /// What an endpoint is, and by whose word.
+    /// The state of an endpoint, including its cause, for the audit log.
     pub fn state(&self, endpoint: EndpointId) -> Option<millpost_audit::State> {
         use millpost_audit::State as Is;
         let known = self.known.get(&endpoint)?;
@@ -121,9 +120,10 @@
         })
     }
 
-    /// A digest of the list: of all that decisions go by. Addresses may be each dispatcher's own.
+    /// The digest of everything in the list that affects decisions. Addresses are excluded, because they may differ between
+    /// dispatchers.
     pub fn digest(&self) -> u32 {
-        let piece = |known: &Known| {
+        let piece = |known: &ListedEndpoint| {
             let Entry { zone, kind, dest, state, weight, .. } = known.entry;
             let text = (known.name.as_str(), zone, kind, dest, state as u8, weight.to_bits());
             millpost_tier::standing::piece(&postcard::to_stdvec(&text).unwrap_or_default())
@@ -131,43 +131,47 @@
         millpost_tier::standing::fold(self.known.values().map(piece).fold(0, u64::wrapping_add))
     }
 
-    /// Others were told that an endpoint drains, or it is to be used again: what it is from now on.
-    pub fn hold(&mut self, endpoint: EndpointId, held: bool) -> Option<Entry> {
+    /// Marks an endpoint as draining because other dispatchers report it, or removes the mark. Returns the new entry if it
+    /// changed.
+    pub fn set_held(&mut self, endpoint: EndpointId, held: bool) -> Option<Entry> {
         let changed = if held { self.held.insert(endpoint) } else { self.held.remove(&endpoint) };
         self.known.get(&endpoint).filter(|_| changed).map(|known| self.entry(known))
     }
 
-    /// An entry as it counts here.
-    fn entry(&self, known: &Known) -> Entry {
-        let by_hand = self.cordons.has(&known.name) || self.held.contains(&known.entry.endpoint);
-        let out = known.entry.state == State::Ready && by_hand;
+    /// The entry of an endpoint with local overrides applied.
+    fn entry(&self, known: &ListedEndpoint) -> Entry {
+        let overridden = self.cordons.has(&known.name) || self.held.contains(&known.entry.endpoint);
+        let out = known.entry.state == State::Ready && overridden;
         Entry { state: if out { State::Draining } else { known.entry.state }, ..known.entry }
     }
 
-    /// What it would change to take an endpoint out by hand, or to put it back.
+    /// The change that cordoning (`out`) or uncordoning an endpoint would make.
+    ///
+    /// # Errors
+    /// If the endpoint is unknown or too many are cordoned.
     pub fn check_cordon(&self, name: &str, out: bool) -> Result<Change, &'static str> {
         self.cordons.check(name, out, self.names.contains_key(name))
     }
 
-    /// Takes an endpoint out by hand, or puts it back: what it is from now on, where the list has it.
+    /// Cordons or uncordons an endpoint. Returns its new entry if it is in the list.
     pub fn apply_cordon(&mut self, name: &str, change: Change) -> Option<Entry> {
         self.cordons.apply(name, change);
         self.names.get(name).and_then(|endpoint| self.known.get(endpoint)).map(|known| self.entry(known))
     }
 
-    /// The list of the configuration, or the one that was noted last, if that is newer.
+    /// Returns the newer of the configured list (`known`) and the stored one.
     pub fn newest(&mut self, store: &StoreWriter, known: List) -> List {
         let known = List { snapshot: true, ..known };
-        let Some((source, index, noted)) = store.ledger().listed() else { return known };
-        for e in &noted {
-            // Numbers that lessons of routes go by.
+        let Some((source, index, stored)) = store.ledger().listed() else { return known };
+        for e in &stored {
+            // Keeps the endpoint numbers, because learned state refers to them.
             self.names.insert(e.name.clone(), e.id);
             self.next = self.next.max(e.id);
         }
         if source != self.source || index < known.index {
             return known;
         }
-        let endpoints = noted.into_iter().filter_map(|e| {
+        let endpoints = stored.into_iter().filter_map(|e| {
             Some(Endpoint {
                 address: e.address.parse().ok()?,
                 name: e.name,
@@ -181,17 +185,18 @@
         List { snapshot: true, index, endpoints: endpoints.collect(), unreadable: Vec::new() }
     }
 
-    /// Takes in what discovery says, and notes it for the next start: what it means for the module.
+    /// Applies an update from discovery and saves it for the next start. Returns whether it was a snapshot, and the entries
+    /// for the decision module.
     pub fn listed(&mut self, at: Moment, store: &mut StoreWriter, list: List) -> (bool, Vec<Entry>) {
         let (index, snapshot) = (list.index, list.snapshot);
         let mut gone = Vec::new();
-        let mut told: Vec<Listed> = Vec::new();
+        let mut listed: Vec<Listed> = Vec::new();
         for e in &list.endpoints {
             if e.status == Status::Terminated {
                 gone.push(e.name.clone());
                 continue;
             }
-            told.push(Listed {
+            listed.push(Listed {
                 name: e.name.clone(),
                 id: 0,
                 address: e.address.to_string(),
@@ -203,26 +208,26 @@
             });
         }
         let unreadable = list.unreadable.clone();
-        let entries = self.take_in(list);
-        for e in &mut told {
+        let entries = self.apply(list);
+        for e in &mut listed {
             e.id = self.names.get(&e.name).copied().unwrap_or(0);
         }
-        // Looked through as a whole only where names may be missing.
-        let noted =
+        // The stored list is searched only if names may be missing from the update.
+        let stored =
             Some(()).filter(|()| snapshot || !unreadable.is_empty()).and_then(|()| store.ledger().listed());
-        let named: HashSet<String> = told.iter().map(|e| e.name.clone()).collect();
-        for e in noted.map(|(_, _, all)| all).unwrap_or_default() {
+        let named: HashSet<String> = listed.iter().map(|e| e.name.clone()).collect();
+        for e in stored.map(|(_, _, all)| all).unwrap_or_default() {
             if unreadable.contains(&e.name) {
-                told.push(Listed { in_service: false, ..e });
+                listed.push(Listed { in_service: false, ..e });
             } else if snapshot && !named.contains(&e.name) {
                 gone.push(e.name);
             }
         }
-        store.save_list(at, &self.source, index, &told, &gone);
+        store.save_list(at, &self.source, index, &listed, &gone);
         (snapshot, entries)
     }
 
-    fn take_in(&mut self, list: List) -> Vec<Entry> {
+    fn apply(&mut self, list: List) -> Vec<Entry> {
         let position = |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(0);
         let mut entries = Vec::with_capacity(list.endpoints.len());
         let mut seen = HashSet::new();
@@ -252,12 +257,12 @@
                 self.held.remove(&endpoint);
                 entries.push(entry);
             } else {
-                let known = Known { name: e.name, address: e.address, entry };
+                let known = ListedEndpoint { name: e.name, address: e.address, entry };
                 entries.push(self.entry(&known));
                 self.known.insert(endpoint, known);
             }
         }
-        // What is said of these can't be read, and may be a drain: nothing new goes there.
+        // These entries cannot be parsed and may announce a drain, so the endpoints get no new work.
         for name in list.unreadable {
             let Some(endpoint) = self.names.get(&name) else { continue };
             seen.insert(*endpoint);
--- a/dispatcher/src/versions.rs
+++ b/dispatcher/src/versions.rs
@@ -1,4 +1,4 @@
-//! What this dispatcher acts on, where no roll keeps it; and what of it lasts. Nothing is decided here.
+//! The versions of settings, list and program that this dispatcher uses, and their persistence. Makes no decisions.
 
 use millpost::api::Nanos;
 use millpost_core::{Moment, SNAPSHOT_VERSION};
@@ -8,67 +8,68 @@
 
 use crate::store_writer::StoreWriter;
 
-/// Names in the store.
-const WORDS: &str = "words";
-const SETTLED: &str = "settled";
-const LISTED: &str = "listed";
+/// Keys of values in the store.
+const RECORDS_KEY: &str = "words";
+const SETTINGS_KEY: &str = "settled";
+const LIST_KEY: &str = "listed";
 
-/// A version that was taken from its source.
+/// A version that was loaded from its source.
 #[derive(Clone, Copy, Serialize, Deserialize)]
-struct Settled {
+struct StoredVersion {
     digest: u32,
-    /// Since when, by the wall clock.
+    /// Wall-clock time since when it has been in use.
     since: Nanos,
 }
 
-/// What a life begins with, of the settings with this digest.
+/// The initial versions of an incarnation with the settings of this digest, and how long each kind has been in use.
 pub fn begin(at: Moment, settings: u32, store: &mut StoreWriter) -> (Standing, [Nanos; 4]) {
     let mut standing = Standing::default();
     let release = concat!(env!("CARGO_PKG_VERSION"));
     standing.program = Stamp { digest: digest(release.as_bytes()), generation: SNAPSHOT_VERSION };
     standing.moves(Kind::Settings, settings);
-    let held = held(at, SETTLED, settings, store).unwrap_or_else(|| {
-        settled(at, settings, store);
+    let settings_age = age(at, SETTINGS_KEY, settings, store).unwrap_or_else(|| {
+        save_settings(at, settings, store);
         0
     });
-    (standing, [Nanos::MAX, held, 0, 0])
+    (standing, [Nanos::MAX, settings_age, 0, 0])
 }
 
-/// For how long what has this digest has been in force, where that was noted.
-fn held(at: Moment, name: &str, digest: u32, store: &StoreWriter) -> Option<Nanos> {
-    let noted = store.ledger().kept(name).and_then(|kept| postcard::from_bytes::<Settled>(&kept).ok());
-    noted.filter(|noted| noted.digest == digest).map(|noted| at.wall.saturating_sub(noted.since))
+/// How long the version with this digest has been in use, if that is stored.
+fn age(at: Moment, name: &str, digest: u32, store: &StoreWriter) -> Option<Nanos> {
+    let stored =
+        store.ledger().kept(name).and_then(|value| postcard::from_bytes::<StoredVersion>(&value).ok());
+    stored.filter(|stored| stored.digest == digest).map(|stored| at.wall.saturating_sub(stored.since))
 }
 
-fn keep(at: Moment, name: &str, digest: u32, store: &mut StoreWriter) {
-    let settled = Settled { digest, since: at.wall };
-    store.save_value(at, name, &postcard::to_stdvec(&settled).unwrap_or_default());
+fn save(at: Moment, name: &str, digest: u32, store: &mut StoreWriter) {
+    let version = StoredVersion { digest, since: at.wall };
+    store.save_value(at, name, &postcard::to_stdvec(&version).unwrap_or_default());
 }
 
-/// These settings are in force from now on.
-pub fn settled(at: Moment, digest: u32, store: &mut StoreWriter) {
-    keep(at, SETTLED, digest, store);
+/// Records that the settings with this digest are in use from now on.
+pub fn save_settings(at: Moment, digest: u32, store: &mut StoreWriter) {
+    save(at, SETTINGS_KEY, digest, store);
 }
 
-/// This list is, as the agent said.
-pub fn listed(at: Moment, digest: u32, store: &mut StoreWriter) {
-    keep(at, LISTED, digest, store);
+/// Records that the list with this digest is in use from now on, as confirmed by the agent.
+pub fn save_list(at: Moment, digest: u32, store: &mut StoreWriter) {
+    save(at, LIST_KEY, digest, store);
 }
 
-/// For how long the list that a life begins with has been in force. Of one that no agent told to a life before, nobody knows
-/// how old it is.
-pub fn list_held(at: Moment, digest: u32, store: &StoreWriter) -> Nanos {
-    held(at, LISTED, digest, store).unwrap_or(Nanos::MAX)
+/// How long the initial list has been in use; [`Nanos::MAX`] if unknown because no agent confirmed it to an earlier
+/// incarnation.
+pub fn list_age(at: Moment, digest: u32, store: &StoreWriter) -> Nanos {
+    age(at, LIST_KEY, digest, store).unwrap_or(Nanos::MAX)
 }
 
-/// Cordons and drains as they were noted.
-pub fn words(store: &StoreWriter) -> Vec<Word> {
-    let kept = store.ledger().kept(WORDS);
-    kept.and_then(|kept| postcard::from_bytes(&kept).ok()).unwrap_or_default()
+/// The stored cordon and drain records.
+pub fn records(store: &StoreWriter) -> Vec<Word> {
+    let value = store.ledger().kept(RECORDS_KEY);
+    value.and_then(|value| postcard::from_bytes(&value).ok()).unwrap_or_default()
 }
 
-/// Notes them.
-pub fn note_words<'a>(at: Moment, words: impl Iterator<Item = &'a Word>, store: &mut StoreWriter) {
-    let words: Vec<&Word> = words.collect();
-    store.save_value(at, WORDS, &postcard::to_stdvec(&words).unwrap_or_default());
+/// Stores cordon and drain records.
+pub fn save_records<'a>(at: Moment, records: impl Iterator<Item = &'a Word>, store: &mut StoreWriter) {
+    let records: Vec<&Word> = records.collect();
+    store.save_value(at, RECORDS_KEY, &postcard::to_stdvec(&records).unwrap_or_default());
 }
