--- a/dispatcher/tests/batches.rs
+++ b/dispatcher/tests/batches.rs
@@ -1,5 +1,5 @@
-//! Several messages in one call, where the kind of endpoint takes that: over loopback sockets, with every end that an
-//! answer may give them and every way in which the answer may not come.
+//! Calls with several messages, for endpoint kinds that support them: every possible result of a message, and every way in
+//! which an answer can be missing or broken.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use millpost_standins::wire::Message;
 use serde_json::Value;
 
-/// The messages of a call, by their ids.
+/// The ids of the messages in a call.
 fn ids(call: &Message) -> Vec<String> {
     match call.line.as_str() {
         "POST /hook HTTP/1.1" => vec![call.header("Req-Id").expect("an id").to_owned()],
@@ -21,28 +21,28 @@
     }
 }
 
-/// An answer that gives each message of a call an end.
+/// An answer that lists a result for each message of a call.
 fn ends(head: &'static str, call: &Message, end: impl Fn(&str) -> &'static str) -> Reply {
     let lines: Vec<Value> =
         ids(call).iter().map(|id| serde_json::json!({"id": id, "state": end(id)})).collect();
     Reply::Answer(head, Value::from(lines).to_string())
 }
 
-/// One call at a time, so that what is handed in meanwhile goes in the next one.
+/// Options with one call slot, so that messages submitted during a call are batched in the next one.
 fn one_slot(bundle: usize) -> Options {
     Options { slots: 1, bundle, ..Options::default() }
 }
 
-/// A partner whose first call, of one message, is answered only when `go` says so; whatever comes meanwhile waits
-/// for the slot. The next call is answered by `second`, any other with 200.
-fn held_up(
+/// A partner that answers its first call, of one message, only after a signal on the returned channel; messages submitted
+/// meanwhile wait for the slot. The next call is answered by `second`, all others with 200.
+fn delayed_partner(
     second: impl Fn(&Message) -> Reply + Send + Sync + 'static,
 ) -> (Server, std::sync::mpsc::SyncSender<()>) {
     let (go, told) = std::sync::mpsc::sync_channel::<()>(1);
     let told = std::sync::Mutex::new(told);
     let server = Server::start(move |number, call| match number {
         0 => {
-            told.lock().expect("lock").recv().expect("the word");
+            told.lock().expect("lock").recv().expect("a signal");
             answer("200 OK")
         }
         1 => second(call),
@@ -52,7 +52,7 @@
     (server, go)
 }
 
-/// Hands in one message that takes the slot, then these, which wait and go together.
+/// Submits one message that occupies the slot, then `all`, which wait and are sent together.
 fn hand_in_together(
     node: &Node,
     partner: &Server,
@@ -64,36 +64,40 @@
     for (class, reference) in all {
         assert_eq!(node.hand_in(class, reference, 7, 50.0), 202);
     }
-    go.send(()).expect("it waits");
+    go.send(()).expect("the partner waits");
 }
 
 #[test]
-fn what_waits_for_one_endpoint_goes_in_one_call() {
-    let (partner, go) = held_up(|call| ends("200 OK", call, |_| "delivered"));
+fn waiting_messages_for_an_endpoint_are_batched() {
+    let (partner, go) = delayed_partner(|call| ends("200 OK", call, |_| "delivered"));
     let discovery = Discovery::start();
     let node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], one_slot(4));
     let all = ["r0", "r1", "r2", "r3", "r4"].map(|r| (if r == "r1" { "keyed" } else { "safe" }, r));
     hand_in_together(&node, &partner, &go, &all);
     let (call, last) = (partner.message(1), partner.message(2));
-    assert_eq!((ids(&call).len(), ids(&last).len()), (4, 1), "as many as the kind takes");
-    assert_eq!(last.line, "POST /hook HTTP/1.1", "one alone needs no list");
+    assert_eq!(
+        (ids(&call).len(), ids(&last).len()),
+        (4, 1),
+        "the batch size is limited by the endpoint kind"
+    );
+    assert_eq!(last.line, "POST /hook HTTP/1.1", "a single message is sent without a list");
     let mut came: Vec<String> = [ids(&call), ids(&last)].concat();
     came.sort();
     assert_eq!(came, ["r0", "r1", "r2", "r3", "r4"]);
     let items: Vec<Value> = serde_json::from_slice(&call.body).expect("a list");
     for item in &items {
-        assert_eq!(item["body"], "AGJvZHn/", "unchanged");
+        assert_eq!(item["body"], "AGJvZHn/", "the body must be unchanged");
         assert_eq!(item["key"], format!("key-{}", item["id"].as_str().expect("an id")));
     }
     let within: f64 = call.header("Req-Deadline").and_then(|d| d.parse().ok()).expect("a number");
     assert!(within > 0.0 && within <= 50.0);
-    node.settled(ENDED);
+    node.wait_for(ENDED);
     assert!(discovery.notices.lock().expect("lock").is_empty());
 }
 
 #[test]
-fn each_message_has_the_end_that_the_answer_gives_it() {
-    let (partner, go) = held_up(|call| {
+fn each_message_gets_its_own_result() {
+    let (partner, go) = delayed_partner(|call| {
         ends("200 OK", call, |id| match id {
             "unsafe-failed" => "failed",
             "unsafe-unknown" => "lost",
@@ -118,23 +122,26 @@
     assert_eq!(discovery.notice("unsafe-failed")["result"], "dead");
     assert_eq!(discovery.notice("unsafe-unknown")["result"], "dead");
     assert_eq!(discovery.notice("spent")["result"], "bounced");
-    // Refused, it never ran and may go again, or be given up as such.
-    until("its end", || {
+    // The refused message was not executed; it is retried or finally refused.
+    until("the refused message ends", || {
         let notices = discovery.notices.lock().expect("lock");
         let given_up =
             notices.iter().find(|n| n["ref"] == "unsafe-refused").map(|n| n["result"] == "bounced");
         given_up.or((partner.count() > 2).then_some(true)).filter(|bounced| *bounced)
     });
-    node.settled(ENDED);
+    node.wait_for(ENDED);
     let heard = partner.heard.lock().expect("lock");
     let again: Vec<String> = heard.iter().skip(2).flat_map(ids).collect();
     assert!(again.iter().all(|id| id == "unsafe-refused"), "{again:?}");
     let notices = discovery.notices.lock().expect("lock");
-    assert!(notices.iter().all(|n| n["ref"] != "over" && n["ref"] != "delivered"), "nothing more is owed");
+    assert!(
+        notices.iter().all(|n| n["ref"] != "over" && n["ref"] != "delivered"),
+        "finished messages need no notice"
+    );
 }
 
 #[test]
-fn an_answer_that_tells_no_ends_proves_nothing() {
+fn answer_without_results_counts_as_possibly_executed() {
     type Answer = (&'static str, fn(&Message) -> Reply);
     let answers: [Answer; 7] = [
         ("noise", |_| Reply::Answer("200 OK", "noise".to_owned())),
@@ -148,7 +155,7 @@
         ("error", |_| answer("500 Oops")),
     ];
     for (name, reply) in answers {
-        let (partner, go) = held_up(reply);
+        let (partner, go) = delayed_partner(reply);
         let discovery = Discovery::start();
         let node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], one_slot(20));
         hand_in_together(&node, &partner, &go, &[("unsafe", "r0"), ("unsafe", "r1")]);
@@ -160,16 +167,16 @@
 }
 
 #[test]
-fn messages_that_were_all_turned_away_never_ran() {
+fn rejected_batch_counts_as_not_executed() {
     for head in
         ["503 Full", "429 Wait\r\nRetry-After: 0.01", "413 Many", "400 What", "503 Slots\r\nX-Over-Slots: 1"]
     {
-        let (partner, go) = held_up(move |_| answer(head));
+        let (partner, go) = delayed_partner(move |_| answer(head));
         let discovery = Discovery::start();
         let node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], one_slot(20));
         hand_in_together(&node, &partner, &go, &[("unsafe", "r0"), ("unsafe", "r1")]);
         partner.message(1);
-        until("their ends", || {
+        until("the messages end", || {
             let notices = discovery.notices.lock().expect("lock");
             assert!(notices.iter().all(|n| n["result"] == "bounced"), "{head}: {notices:?}");
             let heard = partner.heard.lock().expect("lock");
@@ -181,21 +188,21 @@
 }
 
 #[test]
-fn a_wait_told_beside_deliveries_is_heeded() {
-    let (partner, go) = held_up(|call| ends("200 OK\r\nRetry-After: 1.5", call, |_| "delivered"));
+fn wait_in_a_successful_answer_is_observed() {
+    let (partner, go) = delayed_partner(|call| ends("200 OK\r\nRetry-After: 1.5", call, |_| "delivered"));
     let discovery = Discovery::start();
     let node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], one_slot(20));
     hand_in_together(&node, &partner, &go, &[("safe", "r0"), ("safe", "r1")]);
     let told = partner.message(1).at.expect("a time");
-    node.settled(ENDED);
+    node.wait_for(ENDED);
     assert_eq!(node.hand_in("safe", "later", 7, 50.0), 202);
     let next = partner.message(2).at.expect("a time");
     assert!(next - told >= Duration::from_millis(1_500), "{:?}", next - told);
 }
 
 #[test]
-fn what_is_too_much_for_one_call_goes_in_the_next_on_the_same_slot() {
-    // Nothing else may be out while the call is: the second part waits for the first one's end.
+fn batch_over_the_size_limit_is_split_and_sent_on_the_same_slot() {
+    // With one slot the second part must wait until the first one ends.
     let out = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
     let (counted, most) = (out.clone(), std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0)));
     let seen = most.clone();
@@ -214,20 +221,20 @@
         let answer = node.ask(request("unsafe", &format!("r{n}"), 7, 50.0, &[7; 20_000]));
         assert_eq!(answer.map(|a| a.status()), Some(202));
     }
-    node.settled(ENDED);
+    node.wait_for(ENDED);
     let heard = partner.heard.lock().expect("lock");
     let mut came: Vec<String> = heard.iter().skip(1).flat_map(ids).collect();
     came.sort();
-    assert_eq!(came, ["r0", "r1", "r2", "r3", "r4", "r5"], "each once");
+    assert_eq!(came, ["r0", "r1", "r2", "r3", "r4", "r5"], "each message must be sent once");
     assert!(heard.iter().all(|call| call.body.len() <= 64 * 1024));
-    assert!(heard.iter().skip(1).any(|call| ids(call).len() == 2), "two fit");
+    assert!(heard.iter().skip(1).any(|call| ids(call).len() == 2), "two messages fit into a call");
     assert_eq!(most.load(std::sync::atomic::Ordering::SeqCst), 1);
     assert!(discovery.notices.lock().expect("lock").is_empty());
 }
 
 #[test]
-fn a_call_that_was_out_at_a_kill_may_have_run_for_each_of_its_messages() {
-    let (partner, go) = held_up(|_| Reply::Silent);
+fn batch_in_flight_at_a_kill_counts_as_possibly_executed_for_each_message() {
+    let (partner, go) = delayed_partner(|_| Reply::Silent);
     let discovery = Discovery::start();
     let mut node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], one_slot(20));
     hand_in_together(&node, &partner, &go, &[("unsafe", "u0"), ("unsafe", "u1"), ("safe", "s0")]);
@@ -238,7 +245,7 @@
         assert_eq!(discovery.notice(reference)["result"], "dead", "{reference}");
     }
     let safe = partner.message(2);
-    assert_eq!(ids(&safe), ["s0"], "it goes again, alone");
-    node.settled(ENDED);
+    assert_eq!(ids(&safe), ["s0"], "the safe message is retried alone");
+    node.wait_for(ENDED);
     assert_eq!(partner.count(), 3);
 }
--- a/dispatcher/tests/clients.rs
+++ b/dispatcher/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that say nothing, half of it, too much, or what can't be read.
+//! Clients that send nothing, incomplete, oversized or malformed requests.
 
 mod common;
 
@@ -7,8 +7,8 @@
 
 use common::*;
 
-/// Reads to the end of the connection: the first line that came, if any.
-fn to_the_end(stream: &mut impl Read) -> String {
+/// Reads until the connection ends, and returns the first line received, or an empty string.
+fn read_to_end(stream: &mut impl Read) -> String {
     let mut all = Vec::new();
     let mut buffer = [0; 4096];
     loop {
@@ -16,7 +16,7 @@
             Ok(0) => break,
             Ok(n) => all.extend_from_slice(&buffer[..n]),
             Err(e) if [ErrorKind::WouldBlock, ErrorKind::TimedOut].contains(&e.kind()) => {
-                panic!("left with neither an answer nor a close")
+                panic!("neither answered nor closed")
             }
             Err(_) => break,
         }
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn silence_and_halves_are_closed_or_answered() {
+fn silent_and_incomplete_requests_time_out() {
     let discovery = Discovery::start();
     let node = Node::start(&discovery, &[], Options::default());
     let whole = request("safe", "half", 7, 50.0, b"body");
@@ -33,21 +33,25 @@
     for (sent, stream) in &mut open {
         stream.get_mut().write_all(&whole[..*sent]).expect("sent");
     }
-    // One that has been answered and then stands idle.
+    // A connection that is idle after an answer.
     let mut kept = node.connect();
     kept.get_mut().write_all(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").expect("sent");
     assert_eq!(read(&mut kept).map(|a| a.status()), Some(200));
-    assert_eq!(to_the_end(&mut kept), "");
-    let told: Vec<String> = open.iter_mut().map(|(_, stream)| to_the_end(stream)).collect();
+    assert_eq!(read_to_end(&mut kept), "");
+    let told: Vec<String> = open.iter_mut().map(|(_, stream)| read_to_end(stream)).collect();
     assert_eq!(told, ["", "", "HTTP/1.1 408 Request Timeout"]);
-    assert_eq!(node.hand_in("safe", "half", 7, 50.0), 202, "nothing of it was taken on");
+    assert_eq!(
+        node.hand_in("safe", "half", 7, 50.0),
+        202,
+        "the incomplete request must not have been accepted"
+    );
 }
 
 #[test]
-fn silent_connections_do_not_keep_others_out() {
+fn silent_connections_do_not_block_others() {
     let discovery = Discovery::start();
     let node = Node::start(&discovery, &[], Options::default());
-    // Many more than there are descriptors, and again as soon as they are closed.
+    // Opens far more connections than there are descriptors, repeatedly.
     let mut silent = Vec::new();
     for round in 0..4 {
         for _ in 0..150 {
@@ -58,7 +62,7 @@
 }
 
 #[test]
-fn a_body_that_is_too_long_is_refused_before_it_has_come() {
+fn oversized_body_is_rejected_before_it_is_received() {
     let discovery = Discovery::start();
     let node = Node::start(&discovery, &[], Options::default());
     let head = "POST /safe HTTP/1.1\r\nHost: x\r\nReq-Id: r\r\nReq-Deadline: 9\r\nX-Addressing: dest=7\r\n";
@@ -71,21 +75,21 @@
             move || {
                 let _ = writer.write_all(head.as_bytes());
                 let part = vec![7; 1 << 20];
-                // As fast as it is read, until the other side has had enough.
+                // Sends as fast as the data is read, until the connection is closed.
                 (0..60).all(|_| writer.write_all(&part).is_ok())
             }
         });
         let mut stream = stream;
-        assert!(to_the_end(&mut stream).starts_with("HTTP/1.1 4"), "{length}");
+        assert!(read_to_end(&mut stream).starts_with("HTTP/1.1 4"), "{length}");
         drop(stream);
-        sender.join().expect("it ends");
+        sender.join().expect("the sender ends");
     }
     let endless = format!("{head}X-Long: {}", "x".repeat(4 << 20));
     assert!(node.ask(endless).is_some_and(|a| a.status() == 431));
 }
 
 #[test]
-fn nothing_hides_in_the_body_of_another() {
+fn rejects_request_smuggling() {
     let (discovery, partner) = (Discovery::start(), endpoint("200 OK"));
     let node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], Options::default());
     let hidden = String::from_utf8_lossy(&request("safe", "hidden", 7, 50.0, b"")).into_owned();
@@ -104,7 +108,7 @@
         let whole = format!("{head}{lengths}\r\n\r\n0\r\n\r\n{hidden}");
         stream.get_mut().write_all(whole.as_bytes()).expect("sent");
         assert!(read(&mut stream).is_some_and(|a| a.status() == 400), "{lengths}");
-        assert_eq!(to_the_end(&mut stream), "", "{lengths}: something behind it was answered");
+        assert_eq!(read_to_end(&mut stream), "", "{lengths}: a hidden request was answered");
     }
     assert_eq!(node.hand_in("safe", "after", 7, 50.0), 202);
     assert_eq!(partner.message(0).header("Req-Id"), Some("after"));
--- a/dispatcher/tests/common/mod.rs
+++ b/dispatcher/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: the real binary among the stand-ins, and what its store tells.
+//! Shared test support: runs the real binary against the stand-ins, and reads its store.
 #![allow(dead_code, unused_imports)]
 
 use std::ops::{Deref, DerefMut};
@@ -11,18 +11,18 @@
 pub use millpost_standins::wire::{read, request};
 use millpost_store::{Disk, Store, ledger};
 
-/// What the store is waited for to tell.
+/// A state of the store that tests wait for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
-    /// Of the attempts of a message that is still owed, the last one is known never to have run.
+pub enum StoreState {
+    /// The last attempt of an open message is known not to have been executed.
     NeverRan,
-    /// Nothing is owed.
+    /// There are no open messages.
     Ended,
 }
-pub const ENDED: Told = Told::Ended;
-pub const NEVER_RAN: Told = Told::NeverRan;
+pub const ENDED: StoreState = StoreState::Ended;
+pub const NEVER_RAN: StoreState = StoreState::NeverRan;
 
-/// The dispatcher as a process, with the folder that lasts.
+/// The dispatcher as a process, with its persistent state folder.
 pub struct Node(node::Node);
 
 impl Deref for Node {
@@ -41,15 +41,15 @@
 pub struct Options {
     pub disk_mb: f64,
     pub hold: usize,
-    /// Calls that may be out at once.
+    /// Maximum number of concurrent calls.
     pub slots: usize,
-    /// Messages in one call, at most.
+    /// Maximum number of messages in one call.
     pub bundle: usize,
-    /// Settings of the store, if any.
+    /// Content of the store's settings file, if any.
     pub store: Option<&'static str>,
-    /// Writes to a file fail beyond so many bytes, until `make_room`.
+    /// Writes to a file beyond this size fail, until `make_room`.
     pub file_bytes: Option<u64>,
-    /// It listens for the staff too.
+    /// Whether it opens the operators' console.
     pub console: bool,
 }
 
@@ -68,8 +68,8 @@
 }
 
 impl Node {
-    /// Classes: `/safe`, `/keyed` (for 30 s), `/unsafe`, and `/ordered` and `/ordered-once`, which keep an order.
-    /// T1 is 50 ms, and a key rests for 300 ms.
+    /// Starts a dispatcher with the classes `/safe`, `/keyed` (keys valid for 30 s), `/unsafe`, `/ordered` and `/ordered-once`;
+    /// the last two preserve order. The tick is 50 ms, and an ordering key rests for 300 ms after a lost attempt.
     pub fn start(discovery: &Discovery, known: &[String], options: Options) -> Self {
         let class = |name: &str, effect| Class {
             name: name.to_owned(),
@@ -99,7 +99,7 @@
             ],
             ..Service::default()
         };
-        // Destinations are heard of by their endpoints; these take nothing.
+        // Destinations are known only through their endpoints; these endpoints accept nothing.
         let gone = [7, 8, 99].map(|dest| {
             format!(
                 r#"{{"name":"gone-{dest}","address":"127.0.0.1:1","group":{dest},"status":"terminating"}}"#
@@ -122,13 +122,13 @@
         }))
     }
 
-    /// How many lessons the store keeps.
-    pub fn lessons(&self) -> usize {
+    /// The number of learned-state entries in the store.
+    pub fn learned(&self) -> usize {
         let read = Store::read(Disk::read_only(self.state.path()), &ledger::IN_MEMORY);
         read.map_or(0, |(store, _)| store.len(ledger::LEARNT))
     }
 
-    /// Names of the endpoints that the store keeps.
+    /// The names of the endpoints in the store.
     pub fn listed(&self) -> Vec<String> {
         let read = Store::read(Disk::read_only(self.state.path()), &ledger::IN_MEMORY);
         let names = |store: Store<Disk>| {
@@ -138,19 +138,19 @@
         read.map_or(Vec::new(), |(store, _)| names(store))
     }
 
-    /// Waits until the store tells this.
-    pub fn settled(&self, told: Told) {
-        until("the store tells", || {
-            // A segment may go, or be half written, while it is read.
+    /// Waits until the store reaches this state.
+    pub fn wait_for(&self, state: StoreState) {
+        until("the store reaches the state", || {
+            // A segment may be deleted or partly written while it is read.
             let (store, _) = Store::read(Disk::read_only(self.state.path()), &ledger::IN_MEMORY).ok()?;
-            let known = match told {
-                Told::Ended => store.is_empty(ledger::MESSAGES),
-                Told::NeverRan => store.keys(ledger::HISTORIES, &[]).any(|(_, _, value)| {
+            let reached = match state {
+                StoreState::Ended => store.is_empty(ledger::MESSAGES),
+                StoreState::NeverRan => store.keys(ledger::HISTORIES, &[]).any(|(_, _, value)| {
                     let history = value.and_then(|v| ledger::read_history(v));
                     history.is_some_and(|h| h.attempts > 0 && h.out.is_none() && h.may_have_run.is_none())
                 }),
             };
-            known.then_some(())
+            reached.then_some(())
         });
     }
 }
--- a/dispatcher/tests/console.rs
+++ b/dispatcher/tests/console.rs
@@ -1,4 +1,4 @@
-//! The second address: what the staff asks, what it shows, and endpoints that are taken out by hand.
+//! The operators' console: its commands, its figures, and cordoned endpoints.
 
 mod common;
 
@@ -12,15 +12,16 @@
     Options { console: true, ..Options::default() }
 }
 
-/// Sends these bytes, in one piece each; what comes back until the end.
-fn say(node: &Node, pieces: &[&[u8]], ends: bool) -> String {
+/// Sends these pieces one by one, and returns everything received until the connection closes. `half_close` ends the
+/// sending direction first.
+fn exchange(node: &Node, pieces: &[&[u8]], half_close: bool) -> String {
     let mut stream = TcpStream::connect(node.console.expect("a console")).expect("it listens");
     stream.set_nodelay(true).expect("set");
     for piece in pieces {
         stream.write_all(piece).expect("sent");
         std::thread::sleep(Duration::from_millis(5));
     }
-    if ends {
+    if half_close {
         stream.shutdown(Shutdown::Write).expect("ended");
     }
     let mut answer = String::new();
@@ -29,22 +30,25 @@
 }
 
 #[test]
-fn calls_are_answered_however_they_come() {
+fn answers_commands_however_they_are_split() {
     let discovery = Discovery::start();
     let node = Node::start(&discovery, &[], with_console());
     until("it is ready", || node.staff("health").starts_with("SUCCESS").then_some(()));
     let bytes: Vec<&[u8]> = b"health\r\n".chunks(1).collect();
-    assert!(say(&node, &bytes, false).starts_with("SUCCESS"));
-    assert!(say(&node, &[b"health"], true).starts_with("SUCCESS"), "the line ends with the sending");
-    assert!(say(&node, &[b"health\ncordon nobody\n"], false).starts_with("SUCCESS"), "the first line counts");
+    assert!(exchange(&node, &bytes, false).starts_with("SUCCESS"));
+    assert!(exchange(&node, &[b"health"], true).starts_with("SUCCESS"), "the end of input ends the line");
+    assert!(
+        exchange(&node, &[b"health\ncordon nobody\n"], false).starts_with("SUCCESS"),
+        "only the first line counts"
+    );
     for bad in [&b"\n"[..], b"\xff\xfe\n", b"healthy\n", b"cordon\n", b"cordon a b\n", &[b'x'; 2_000]] {
-        assert!(say(&node, &[bad], false).starts_with("FAILURE"), "{bad:?}");
+        assert!(exchange(&node, &[bad], false).starts_with("FAILURE"), "{bad:?}");
     }
-    assert_eq!(say(&node, &[], true), "", "nothing was asked");
+    assert_eq!(exchange(&node, &[], true), "", "no command, no answer");
 }
 
 #[test]
-fn callers_that_never_finish_keep_no_one_out() {
+fn unfinished_connections_do_not_block_others() {
     let discovery = Discovery::start();
     let node = Node::start(&discovery, &[], with_console());
     let console = node.console.expect("a console");
@@ -62,7 +66,7 @@
         assert!(*took < Duration::from_secs(1), "{took:?}");
     }
     drop(silent);
-    // Nor does one that leaves before its answer.
+    // Connections closed before the answer must not block others either.
     for _ in 0..50 {
         TcpStream::connect(console).and_then(|mut s| s.write_all(b"counters\n")).expect("sent");
     }
@@ -70,7 +74,7 @@
 }
 
 #[test]
-fn figures_are_what_partners_and_clients_saw() {
+fn figures_match_what_partners_and_clients_observed() {
     let discovery = Discovery::start();
     let partner = Server::start(|number, _| answer(if number < 3 { "200 OK" } else { "500 Oops" }));
     let known = [entry("a", &partner, 7, "in_service"), entry("b", &partner, 8, "terminating")];
@@ -78,7 +82,7 @@
     for n in 0..3 {
         assert_eq!(node.hand_in("safe", &format!("r{n}"), 7, 50.0), 202);
     }
-    until("they are delivered", || (node.figure("success.safe") == 3).then_some(()));
+    until("the messages are delivered", || (node.figure("success.safe") == 3).then_some(()));
     assert_eq!(node.hand_in("unsafe", "fails", 7, 50.0), 202);
     discovery.notice("fails");
     assert_eq!(node.hand_in("keyed", "handed-back", 99, 0.05), 202);
@@ -88,13 +92,13 @@
         ["success.safe", "failure.unsafe", "busy.keyed", "inflight", "backend_calls", "failure.safe"];
     assert_eq!(figures.map(|name| node.figure(name)), [3, 1, 1, 1, 4, 0]);
     assert_eq!(partner.count(), 4);
-    // Two of this test's, three that the tests' stand-in names beside.
+    // Two endpoints of this test, and three that `Node::start` adds.
     assert_eq!(node.figure("hosts_listed"), 5);
     assert!(node.figure("hosts_down") >= 4);
 }
 
 #[test]
-fn an_endpoint_that_is_out_by_hand_gets_nothing_until_it_is_put_back() {
+fn cordoned_endpoint_gets_no_calls_until_it_is_uncordoned() {
     let (discovery, a, b) = (Discovery::start(), endpoint("200 OK"), endpoint("200 OK"));
     let known = [entry("a", &a, 7, "in_service"), entry("b", &b, 8, "in_service")];
     let mut node = Node::start(&discovery, &known, with_console());
@@ -102,16 +106,17 @@
     a.message(0);
     assert!(node.staff("cordon nobody").starts_with("FAILURE"));
     assert!(node.staff("uncordon nobody").starts_with("FAILURE"));
-    assert!(node.staff("uncordon b").starts_with("SUCCESS"), "it is in use");
+    assert!(node.staff("uncordon b").starts_with("SUCCESS"), "uncordoning an endpoint in use succeeds");
     for _ in 0..2 {
         assert!(node.staff("cordon a").starts_with("SUCCESS"));
     }
     let connection = a.message(0).connection;
-    until("its idle connection is closed", || {
+    until("the idle connection is closed", || {
         a.closed.lock().expect("lock").contains(&connection).then_some(())
     });
     assert_eq!(node.hand_in("safe", "held", 7, 50.0), 202);
-    // Whatever the list says meanwhile, also that it is gone and back, and over a kill.
+    // The cordon must hold whatever the list says meanwhile, also if the endpoint is removed and listed again, and across a
+    // kill.
     discovery.tell(&[entry("b", &b, 8, "in_service")]);
     discovery.tell(&[entry("a", &a, 7, "in_service"), entry("b", &b, 8, "in_service")]);
     node.kill();
@@ -119,15 +124,15 @@
     until("it is ready", || node.staff("health").starts_with("SUCCESS").then_some(()));
     assert_eq!(node.hand_in("safe", "other", 8, 50.0), 202);
     b.message(0);
-    until("the other one is over", || (node.figure("inflight") == 1).then_some(()));
+    until("the other message is finished", || (node.figure("inflight") == 1).then_some(()));
     assert_eq!(a.count(), 1);
     assert!(node.staff("uncordon a").starts_with("SUCCESS"));
     assert_eq!(a.message(1).header("Req-Id"), Some("held"));
-    assert!(node.staff("uncordon a").starts_with("SUCCESS"), "once is enough");
+    assert!(node.staff("uncordon a").starts_with("SUCCESS"), "uncordoning twice succeeds");
 }
 
 #[test]
-fn putting_an_endpoint_back_does_not_undo_a_drain_that_discovery_told() {
+fn uncordoning_does_not_undo_a_drain_from_discovery() {
     let (discovery, a) = (Discovery::start(), endpoint("200 OK"));
     let node = Node::start(&discovery, &[entry("a", &a, 7, "in_service")], with_console());
     assert!(node.staff("cordon a").starts_with("SUCCESS"));
@@ -139,17 +144,17 @@
 }
 
 #[test]
-fn without_the_setting_nothing_is_opened() {
+fn console_is_not_opened_unless_configured() {
     let discovery = Discovery::start();
     let node = Node::start(&discovery, &[], Options::default());
-    let fds = std::fs::read_dir(format!("/proc/{}/task", node.pid())).expect("its threads").count();
-    assert_eq!(fds, 1, "one thread");
+    let threads = std::fs::read_dir(format!("/proc/{}/task", node.pid())).expect("the threads").count();
+    assert_eq!(threads, 1, "the console thread must not exist");
 }
 
-/// Clients hand in, partners deliver, fail and refuse, the process is restarted in order in between: what the figures of
-/// both processes say together is what clients, partners and the platform counted.
+/// Messages are delivered, failed and refused, with a graceful restart in between: the figures of both processes together must
+/// match the counts of clients, partners and the platform.
 #[test]
-fn figures_of_a_busy_run_with_a_restart_add_up() {
+fn figures_of_two_processes_add_up_across_a_restart() {
     let discovery = Discovery::start();
     let partner = Server::start(|number, _| match number % 10 {
         3 => answer("500 Oops"),
@@ -166,7 +171,7 @@
     for process in 0..2 {
         for n in 0..300 {
             let class = n % 2;
-            // Some for a destination that takes nothing: they are handed back when their time is up.
+            // Some messages are for a destination without endpoints in service; they are returned at their deadline.
             let (dest, deadline) = if n % 7 == 0 { (99, 0.2) } else { (7, 20.0) };
             match node.hand_in(classes[class], &format!("p{process}-{n}"), dest, deadline) {
                 202 => taken[class] += 1,
@@ -174,8 +179,8 @@
                 other => panic!("{other}"),
             }
         }
-        until("all have ended", || (node.figure("inflight") == 0).then_some(()));
-        node.settled(ENDED);
+        until("all messages have ended", || (node.figure("inflight") == 0).then_some(()));
+        node.wait_for(ENDED);
         for (sum, name) in sums.iter_mut().zip(figures) {
             for (sum, class) in sum.iter_mut().zip(classes) {
                 *sum += node.figure(&format!("{name}.{class}"));
@@ -183,10 +188,10 @@
         }
         calls += node.figure("backend_calls");
         node.terminate();
-        until("it ends", || node.ended());
+        until("the process ends", || node.ended());
         node.start_again();
         until("it is ready", || node.staff("health").starts_with("SUCCESS").then_some(()));
-        assert_eq!(node.figure("success.safe"), 0, "each process counts from 0");
+        assert_eq!(node.figure("success.safe"), 0, "a new process counts from 0");
     }
     let notices = discovery.notices.lock().expect("lock");
     let told = |result: &str| notices.iter().filter(|n| n["result"] == result).count() as u64;
@@ -198,6 +203,6 @@
         let ended = success[class] + busy[class] + failure[class];
         assert_eq!(ended, taken[class] + refused[class], "{}", classes[class]);
     }
-    // An unsafe message whose call failed may have run; a safe one is never failed.
+    // An unsafe message fails if its call may have been executed; a safe one never fails.
     assert!(failure[1] > 0 && failure[0] == 0 && success[0] > 100, "{sums:?}");
 }
--- a/dispatcher/tests/order.rs
+++ b/dispatcher/tests/order.rs
@@ -1,4 +1,4 @@
-//! Messages that are about the same: one at a time, in the order taken, also across a kill.
+//! Messages with the same ordering key are delivered one at a time, in the order of acceptance, also across a kill.
 
 mod common;
 
@@ -9,8 +9,8 @@
 use common::*;
 use millpost_standins::wire::hand_in;
 
-fn ordered(class: &str, reference: &str, about: &str) -> Vec<u8> {
-    let more = format!("Req-Order-Key: {about}\r\n");
+fn ordered(class: &str, reference: &str, order_key: &str) -> Vec<u8> {
+    let more = format!("Req-Order-Key: {order_key}\r\n");
     hand_in(class, reference, 7, 50.0, &format!("key-{reference}"), &more, b"x")
 }
 
@@ -19,11 +19,11 @@
 }
 
 #[test]
-fn one_about_the_same_waits_and_one_about_another_does_not() {
+fn same_key_waits_and_another_key_does_not() {
     let (discovery, open) = (Discovery::start(), Arc::new(AtomicBool::new(false)));
     let door = open.clone();
     let partner = Server::start(move |_, message| {
-        // The first is answered only once the one about something else has been here.
+        // The first message is answered only after the one with the other key has arrived.
         while message.header("Req-Id") == Some("first") && !door.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -33,10 +33,10 @@
         answer("200 OK")
     });
     let node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], Options::default());
-    for (reference, about) in [("first", "account 5"), ("second", "account 5"), ("other", "account 6")] {
-        let told = node.ask(ordered("ordered", reference, about));
+    for (reference, order_key) in [("first", "account 5"), ("second", "account 5"), ("other", "account 6")] {
+        let told = node.ask(ordered("ordered", reference, order_key));
         assert_eq!(told.map(|a| a.status()), Some(202));
-        // What comes on two connections at once may be read in either order.
+        // Wait, because requests on two connections at once may be read in either order.
         partner.message(0);
     }
     assert_eq!(references(&partner, 3), ["first", "other", "second"]);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_order_outlives_a_kill() {
+fn order_is_preserved_across_a_kill() {
     let discovery = Discovery::start();
     let partner = Server::start(|number, _| if number == 0 { Reply::Silent } else { answer("200 OK") });
     let mut node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], Options::default());
@@ -57,10 +57,10 @@
     assert_eq!(references(&partner, 5), ["m0", "m0", "m1", "m2", "m3"]);
 }
 
-/// The first may still run at the partner when the process dies, and is given up at the next start. Its key rests all the
-/// same. Found by exploration.
+/// The first message may still be executing at the partner when the process is killed, and it fails at the next start. Its
+/// ordering key must rest nevertheless before the next message is sent. Found by state exploration.
 #[test]
-fn a_key_rests_across_a_kill() {
+fn ordering_key_rests_across_a_kill() {
     let discovery = Discovery::start();
     let partner = Server::start(|number, _| if number == 0 { Reply::Silent } else { answer("200 OK") });
     let mut node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], Options::default());
@@ -73,12 +73,12 @@
     node.start_again();
     assert_eq!(discovery.notice("m0")["result"], "dead");
     assert_eq!(partner.message(1).header("Req-Id"), Some("m1"));
-    // A lower bound, which no slow machine can miss.
-    assert!(killed.elapsed() >= Duration::from_millis(300), "it rested for {:?} only", killed.elapsed());
+    // A lower bound, which holds on slow machines too.
+    assert!(killed.elapsed() >= Duration::from_millis(300), "the key rested for only {:?}", killed.elapsed());
 }
 
 #[test]
-fn what_a_message_is_about_is_told_once() {
+fn rejects_a_repeated_order_key() {
     let (discovery, partner) = (Discovery::start(), endpoint("200 OK"));
     let node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], Options::default());
     let twice = "Req-Order-Key: a\r\nReq-Order-Key: b\r\n";
--- a/dispatcher/tests/reload.rs
+++ b/dispatcher/tests/reload.rs
@@ -1,64 +1,65 @@
-//! A new configuration under load: SIGHUP.
+//! Reloading the configuration by SIGHUP.
 
 mod common;
 
 use common::*;
 
-fn moved(node: &Node, from: &Discovery, to: &Discovery) {
+/// Replaces the discovery address in the configuration and sends SIGHUP.
+fn change_discovery(node: &Node, from: &Discovery, to: &Discovery) {
     let (old, new) = (from.server.address.to_string(), to.server.address.to_string());
     node.configure(|text| text.replace(&old, &new));
     node.signal("HUP");
 }
 
 #[test]
-fn discovery_and_notices_move_to_the_new_address() {
+fn discovery_and_notices_switch_to_the_new_address() {
     let (old, new, partner) = (Discovery::start(), Discovery::start(), endpoint("200 OK"));
     let node = Node::start(&old, &[], Options::default());
-    // The old one knows versions that the new one does not have, and a watch is pending there.
+    // The old agent has list versions that the new one does not have, and a watch is pending there.
     for _ in 0..5 {
         old.tell(&[]);
     }
-    // A batch of notices is on its way there for as long as it likes.
+    // A batch of notices is in flight to the old address and is never answered.
     *old.deaf.lock().expect("lock") = usize::MAX;
     assert_eq!(node.hand_in("safe", "owed", 7, 0.05), 202);
-    until("a notice is tried", || {
+    until("a notice is attempted", || {
         let heard = old.server.heard.lock().expect("lock");
         heard.iter().any(|m| m.line.starts_with("POST")).then_some(())
     });
     new.tell_later(&[entry("a", &partner, 7, "in_service")]);
-    moved(&node, &old, &new);
+    change_discovery(&node, &old, &new);
     assert_eq!(new.server.message(0).header("Host"), Some(new.server.address.to_string().as_str()));
     assert_eq!(node.hand_in("safe", "r", 7, 50.0), 202);
     assert_eq!(partner.message(0).header("Req-Id"), Some("r"));
     new.notice("owed");
     let heard = new.server.heard.lock().expect("lock");
-    let first = heard.iter().find(|m| m.line.starts_with("GET")).expect("it asks");
-    assert_eq!(first.line, "GET /v1/servers HTTP/1.1", "the whole list");
+    let first = heard.iter().find(|m| m.line.starts_with("GET")).expect("a request");
+    assert_eq!(first.line, "GET /v1/servers HTTP/1.1", "a snapshot must be requested");
     drop(heard);
     let connections = old.server.heard.lock().expect("lock").iter().map(|m| m.connection).collect::<Vec<_>>();
-    until("the old ones are closed", || {
+    until("the old connections are closed", || {
         let closed = old.server.closed.lock().expect("lock");
         connections.iter().all(|c| closed.contains(c)).then_some(())
     });
 }
 
 #[test]
-fn two_signals_in_a_row_end_at_the_newest_address() {
+fn two_reloads_in_a_row_end_at_the_newest_address() {
     let (first, second, third) = (Discovery::start(), Discovery::start(), Discovery::start());
     let partner = endpoint("200 OK");
     let node = Node::start(&first, &[], Options::default());
     third.tell_later(&[entry("a", &partner, 7, "in_service")]);
-    moved(&node, &first, &second);
-    moved(&node, &second, &third);
+    change_discovery(&node, &first, &second);
+    change_discovery(&node, &second, &third);
     assert_eq!(node.hand_in("safe", "r", 7, 50.0), 202);
     partner.message(0);
-    // The same file once more changes nothing.
+    // Reloading the same file changes nothing.
     node.signal("HUP");
     third.tell(&[entry("a", &partner, 7, "in_service")]);
 }
 
 #[test]
-fn a_file_that_cannot_be_read_changes_nothing() {
+fn unreadable_file_changes_nothing() {
     let (old, new, partner) = (Discovery::start(), Discovery::start(), endpoint("200 OK"));
     let node = Node::start(&old, &[], Options::default());
     node.configure(|text| text[..text.len() / 2].to_owned());
@@ -70,20 +71,20 @@
 }
 
 #[test]
-fn a_signal_while_it_stops_is_heeded_and_it_ends_well() {
+fn reload_while_stopping_is_applied_before_a_clean_exit() {
     let (old, new) = (Discovery::start(), Discovery::start());
-    // The old one takes no notice any more; what is owed goes to the new one before the end.
+    // The old address accepts no notices any more; the pending one must reach the new address before the process ends.
     *old.deaf.lock().expect("lock") = usize::MAX;
     let mut node = Node::start(&old, &[], Options::default());
     assert_eq!(node.hand_in("safe", "owed", 7, 0.05), 202);
     node.terminate();
-    moved(&node, &old, &new);
+    change_discovery(&node, &old, &new);
     new.notice("owed");
-    assert_eq!(until("it ends", || node.ended()).code(), Some(0));
+    assert_eq!(until("the process ends", || node.ended()).code(), Some(0));
 }
 
-/// Replaces the settings, and has them read again.
-fn settle(node: &Node, change: impl Fn(&mut serde_json::Value)) {
+/// Changes the settings in the configuration and sends SIGHUP.
+fn change_settings(node: &Node, change: impl Fn(&mut serde_json::Value)) {
     node.configure(|text| {
         let mut file: serde_json::Value = serde_json::from_str(text).expect("the configuration");
         change(&mut file["settings"]);
@@ -96,18 +97,18 @@
     Options { console: true, ..Options::default() }
 }
 
-fn taken(node: &Node, files: u64) {
-    until("the file is taken", || (node.figure("reconfig_ok") == files).then_some(()));
+fn wait_for_reloads(node: &Node, count: u64) {
+    until("the file is loaded", || (node.figure("reconfig_ok") == count).then_some(()));
 }
 
 #[test]
-fn a_class_that_is_added_binds_and_one_that_is_dropped_is_kept_for_what_is_open() {
+fn added_class_takes_effect_and_removed_class_remains_for_open_messages() {
     let (discovery, partner) = (Discovery::start(), Server::start(|_, _| answer("500 Oops")));
     let mut node = Node::start(&discovery, &[], with_console());
-    // Open under the old class, which loses its name, and under one whose effect changes.
+    // One message is open under a class that is removed, and one under a class whose effect changes.
     assert_eq!(node.hand_in("keyed", "of-before", 7, 50.0), 202);
     assert_eq!(node.hand_in("safe", "may-be-repeated", 7, 50.0), 202);
-    settle(&node, |settings| {
+    change_settings(&node, |settings| {
         let profiles = settings["profiles"].as_array_mut().expect("a list");
         profiles.retain(|p| p["name"] != "keyed");
         profiles[0]["effect"] = "side_effect".into();
@@ -116,11 +117,11 @@
         profiles.insert(0, new);
         settings["limits"]["tryLimit"] = 3.into();
     });
-    taken(&node, 1);
+    wait_for_reloads(&node, 1);
     assert_eq!(node.hand_in("keyed", "too-late", 7, 50.0), 404);
     assert_eq!(node.hand_in("new", "new", 7, 50.0), 202);
     assert_eq!(node.hand_in("safe", "once", 7, 50.0), 202);
-    // Also over a restart with the new file.
+    // This must hold across a restart with the new file.
     node.kill();
     node.start_again();
     discovery.tell(&[entry("a", &partner, 7, "in_service")]);
@@ -135,7 +136,7 @@
         let of = heard.iter().filter(|m| m.header("Req-Id") == Some(reference)).count();
         assert_eq!(of, calls, "{reference}");
     }
-    // The counts of a class that was dropped are kept under its name.
+    // The counters of a removed class remain under its name.
     assert_eq!(node.figure("busy.keyed"), 1);
     assert_eq!(
         (node.figure("failure.new"), node.figure("failure.safe"), node.figure("busy.safe")),
@@ -144,57 +145,55 @@
 }
 
 #[test]
-fn broken_settings_leave_the_old_ones_in_force_whole() {
+fn invalid_settings_leave_the_old_ones_fully_in_force() {
     let (discovery, partner) = (Discovery::start(), endpoint("200 OK"));
     let node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], with_console());
     let mut bad = 0;
-    let mut turned_down = |change: &dyn Fn(&mut serde_json::Value)| {
+    let mut rejected = |change: &dyn Fn(&mut serde_json::Value)| {
         let mut good = String::new();
         node.configure(|text| text.to_owned());
         let keep = std::cell::RefCell::new(&mut good);
         node.configure(|text| {
             **keep.borrow_mut() = text.to_owned();
             let mut file: serde_json::Value = serde_json::from_str(text).expect("the configuration");
-            // A part that is good is not taken either.
+            // A valid change in the same file must not be applied either.
             file["settings"]["profiles"][0]["name"] = "renamed".into();
             change(&mut file);
             file.to_string()
         });
         node.signal("HUP");
         bad += 1;
-        until("the file is turned down", || (node.figure("reconfig_failed") == bad).then_some(()));
+        until("the file is rejected", || (node.figure("reconfig_failed") == bad).then_some(()));
         assert_eq!(node.hand_in("safe", &format!("r{bad}"), 7, 50.0), 202);
         assert_eq!(node.hand_in("renamed", "no", 7, 50.0), 404);
         node.configure(|_| good.clone());
     };
-    turned_down(&|file| file["settings"]["limits"]["tryLimit"] = 0.into());
-    turned_down(&|file| file["settings"]["profiles"][1]["deadlineNs"] = 0.into());
-    turned_down(&|file| file["settings"]["profiles"][1]["deadlineNs"] = "soon".into());
-    turned_down(&|file| drop(file["settings"].as_object_mut().expect("an object").remove("rules")));
-    turned_down(&|file| {
-        drop(file["settings"]["profiles"][1].as_object_mut().expect("one").remove("lateWorth"))
-    });
-    turned_down(&|file| *file = serde_json::Value::Null);
+    rejected(&|file| file["settings"]["limits"]["tryLimit"] = 0.into());
+    rejected(&|file| file["settings"]["profiles"][1]["deadlineNs"] = 0.into());
+    rejected(&|file| file["settings"]["profiles"][1]["deadlineNs"] = "soon".into());
+    rejected(&|file| drop(file["settings"].as_object_mut().expect("an object").remove("rules")));
+    rejected(&|file| drop(file["settings"]["profiles"][1].as_object_mut().expect("one").remove("lateWorth")));
+    rejected(&|file| *file = serde_json::Value::Null);
     node.configure(|_| String::new());
     node.signal("HUP");
-    until("the file is turned down", || (node.figure("reconfig_failed") == 7).then_some(()));
+    until("the file is rejected", || (node.figure("reconfig_failed") == 7).then_some(()));
     assert_eq!((node.figure("reconfig_ok"), node.hand_in("safe", "last", 7, 50.0)), (0, 202));
 }
 
 #[test]
-fn fewer_attempts_bind_what_is_open_and_more_room_is_room_at_once() {
+fn changed_limits_apply_to_open_messages_at_once() {
     let (discovery, partner) = (Discovery::start(), Server::start(|_, _| answer("500 Oops")));
     let node = Node::start(&discovery, &[], Options { hold: 4, ..with_console() });
     for n in 0..3 {
         assert_eq!(node.hand_in("safe", &format!("r{n}"), 7, 50.0), 202);
     }
-    settle(&node, |settings| settings["limits"]["openCap"] = 40.into());
-    taken(&node, 1);
+    change_settings(&node, |settings| settings["limits"]["openCap"] = 40.into());
+    wait_for_reloads(&node, 1);
     for n in 3..20 {
         assert_eq!(node.hand_in("safe", &format!("r{n}"), 7, 50.0), 202);
     }
-    settle(&node, |settings| settings["limits"]["tryLimit"] = 1.into());
-    taken(&node, 2);
+    change_settings(&node, |settings| settings["limits"]["tryLimit"] = 1.into());
+    wait_for_reloads(&node, 2);
     discovery.tell(&[entry("a", &partner, 7, "in_service")]);
     for n in 0..20 {
         assert_eq!(discovery.notice(&format!("r{n}"))["result"], "bounced");
--- a/dispatcher/tests/restart.rs
+++ b/dispatcher/tests/restart.rs
@@ -1,4 +1,4 @@
-//! The dispatcher over its end and its next start: SIGKILL, SIGTERM, and what the journal keeps.
+//! Restarts of the dispatcher: SIGKILL, SIGTERM, and recovery from the store.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use common::*;
 
 #[test]
-fn what_was_taken_on_outlives_a_kill() {
+fn accepted_messages_survive_a_kill() {
     let (discovery, partner) = (Discovery::start(), endpoint("200 OK"));
     let mut node = Node::start(&discovery, &[], Options::default());
     for class in ["safe", "keyed", "unsafe"] {
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_attempt_out_at_a_kill_may_have_run() {
+fn attempts_in_flight_at_a_kill_count_as_possibly_executed() {
     let discovery = Discovery::start();
     let partner = Server::start(|number, _| if number < 3 { Reply::Silent } else { answer("200 OK") });
     let known = [
@@ -40,7 +40,7 @@
     partner.message(2);
     node.kill();
     node.start_again();
-    // The unsafe one is failed and not sent; the others go again.
+    // The unsafe message fails and is not sent again; the others are retried.
     assert_eq!(discovery.notice("unsafe")["result"], "dead");
     let mut again: Vec<String> =
         (3..5).map(|n| partner.message(n).header("Req-Id").unwrap_or_default().to_owned()).collect();
@@ -50,15 +50,15 @@
 }
 
 #[test]
-fn what_is_over_stays_over() {
+fn finished_messages_are_not_sent_again_after_a_kill() {
     let (discovery, partner) = (Discovery::start(), endpoint("200 OK"));
     let known = [entry("a", &partner, 7, "in_service")];
     let mut node = Node::start(&discovery, &known, Options::default());
     assert_eq!(node.hand_in("safe", "delivered", 7, 50.0), 202);
-    node.settled(ENDED);
+    node.wait_for(ENDED);
     assert_eq!(node.hand_in("safe", "given-up", 99, 0.1), 202);
     discovery.notice("given-up");
-    node.settled(ENDED);
+    node.wait_for(ENDED);
     node.kill();
     node.start_again();
     assert_eq!(node.hand_in("safe", "later", 7, 50.0), 202);
@@ -67,14 +67,14 @@
 }
 
 #[test]
-fn a_notice_that_is_owed_outlives_a_kill() {
+fn pending_notice_survives_a_kill() {
     let discovery = Discovery::start();
     *discovery.deaf.lock().expect("lock") = usize::MAX;
     let partner = endpoint("500 Oops");
     let known = [entry("a", &partner, 7, "in_service")];
     let mut node = Node::start(&discovery, &known, Options::default());
     assert_eq!(node.hand_in("unsafe", "r", 7, 50.0), 202);
-    until("a notice is tried", || {
+    until("a notice is attempted", || {
         let heard = discovery.server.heard.lock().expect("lock");
         heard.iter().any(|m| m.line.starts_with("POST")).then_some(())
     });
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_damaged_store_stops_no_start() {
+fn starts_with_a_damaged_store() {
     let (discovery, partner) = (Discovery::start(), endpoint("200 OK"));
     let known = [entry("a", &partner, 7, "in_service")];
     let mut node = Node::start(&discovery, &[], Options::default());
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_store_of_a_newer_format_is_refused_and_left_alone() {
+fn rejects_a_store_of_a_newer_format_without_changing_it() {
     let discovery = Discovery::start();
     let mut node = Node::start(&discovery, &[], Options::default());
     node.kill();
@@ -117,16 +117,16 @@
 }
 
 #[test]
-fn a_second_dispatcher_on_the_same_folder_is_refused() {
+fn second_dispatcher_on_the_same_folder_fails_to_start() {
     let discovery = Discovery::start();
     let mut node = Node::start(&discovery, &[], Options::default());
     let (status, said) = node.start_and_fail();
     assert!(!status.success() && said.contains("in use by another process"), "{said}");
-    assert!(node.ended().is_none(), "the first one goes on");
+    assert!(node.ended().is_none(), "the first one must keep running");
 }
 
 #[test]
-fn an_old_journal_moves_in_at_the_first_start() {
+fn migrates_an_old_journal_at_the_first_start() {
     let (discovery, partner) = (Discovery::start(), endpoint("200 OK"));
     let mut node = Node::start(&discovery, &[], Options::default());
     node.kill();
@@ -137,33 +137,33 @@
     std::fs::copy(old, node.state.path().join("journal")).expect("copied");
     std::fs::write(node.state.path().join("journal.new"), b"half").expect("a leftover");
     node.start_again();
-    // One was refused and one given up before; the notices are still owed.
+    // One message was refused and one had failed before; their notices are still pending.
     assert_eq!(discovery.notice("ref-3")["result"], "bounced");
     assert_eq!(discovery.notice("ref-4")["result"], "dead");
     assert!(!node.state.path().join("journal").exists() && !node.state.path().join("journal.new").exists());
     let known: Vec<String> = (7..15).map(|n| entry(&format!("e{n}"), &partner, n, "in_service")).collect();
     discovery.tell(&known);
-    // The clock was at the fixture's time once, and goes on from there: the key of `ref-1` still holds.
+    // The clock continues from the time of the fixture, so the key of `ref-1` is still valid.
     let mut got: Vec<String> =
         (0..5).map(|n| partner.message(n).header("Req-Id").unwrap_or_default().to_owned()).collect();
     got.sort();
     assert_eq!(got, ["ref-0", "ref-1", "ref-5", "ref-6", "ref-7"]);
-    node.settled(ENDED);
+    node.wait_for(ENDED);
 }
 
 #[test]
-fn a_message_that_comes_again_after_its_end_and_a_restart_gets_the_same_answer() {
+fn resubmission_after_the_end_and_a_restart_gets_the_same_answer() {
     let discovery = Discovery::start();
     let partner = Server::start(|number, _| answer(if number == 0 { "200 OK" } else { "500 Oops" }));
     let known = [entry("a", &partner, 7, "in_service")];
     let mut node = Node::start(&discovery, &known, Options::default());
     assert_eq!(node.hand_in("unsafe", "done", 7, 50.0), 202);
-    node.settled(ENDED);
+    node.wait_for(ENDED);
     assert_eq!(node.hand_in("unsafe", "dead", 7, 50.0), 202);
     assert_eq!(discovery.notice("dead")["result"], "dead");
     assert_eq!(node.hand_in("safe", "bounced", 99, 0.1), 202);
     assert_eq!(discovery.notice("bounced")["result"], "bounced");
-    node.settled(ENDED);
+    node.wait_for(ENDED);
     for _ in 0..2 {
         assert_eq!(node.hand_in("unsafe", "done", 7, 50.0), 202);
         assert_eq!(node.hand_in("unsafe", "dead", 7, 50.0), 410);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_wait_is_heeded_over_a_restart() {
+fn requested_wait_is_observed_across_a_restart() {
     let discovery = Discovery::start();
     let partner =
         Server::start(|number, _| answer(if number == 0 { "429 Wait\r\nRetry-After: 4" } else { "200 OK" }));
@@ -185,8 +185,8 @@
     let mut node = Node::start(&discovery, &known, Options::default());
     assert_eq!(node.hand_in("safe", "first", 7, 50.0), 202);
     let told = partner.message(0).at.expect("a time");
-    node.settled(NEVER_RAN);
-    until("the lesson is kept", || (node.lessons() > 0).then_some(()));
+    node.wait_for(NEVER_RAN);
+    until("the learned state is stored", || (node.learned() > 0).then_some(()));
     node.kill();
     node.start_again();
     assert_eq!(node.hand_in("safe", "second", 7, 50.0), 202);
@@ -195,13 +195,13 @@
 }
 
 #[test]
-fn a_list_newer_than_the_configuration_outlives_a_restart() {
+fn list_newer_than_the_configuration_survives_a_restart() {
     let (discovery, old, new) = (Discovery::start(), endpoint("200 OK"), endpoint("200 OK"));
     let mut node = Node::start(&discovery, &[entry("a", &old, 7, "in_service")], Options::default());
     discovery.tell(&[entry("a", &old, 7, "terminating"), entry("b", &new, 7, "in_service")]);
-    until("the list is kept", || (node.listed() == ["a", "b"]).then_some(()));
+    until("the list is stored", || (node.listed() == ["a", "b"]).then_some(()));
     node.kill();
-    // Silent from now on: the configuration still names the old endpoint as in service.
+    // Discovery is silent from now on, and the configuration still lists the old endpoint as in service.
     discovery.silence();
     node.start_again();
     for n in 0..3 {
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn what_is_taken_on_outlives_the_machine_where_that_is_set() {
+fn accepted_messages_survive_with_machine_durability() {
     let (discovery, partner) = (Discovery::start(), endpoint("200 OK"));
     let known = [entry("a", &partner, 7, "in_service")];
     let options = Options { store: Some("durability = \"machine\""), ..Options::default() };
@@ -221,7 +221,7 @@
         assert_eq!(node.hand_in("unsafe", &format!("r{n}"), 7, 50.0), 202);
         partner.message(n);
     }
-    node.settled(ENDED);
+    node.wait_for(ENDED);
     assert_eq!(node.hand_in("unsafe", "kept", 99, 50.0), 202);
     node.kill();
     node.start_again();
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn an_end_by_sigterm_answers_what_comes_and_loses_nothing() {
+fn sigterm_answers_open_requests_and_loses_nothing() {
     let discovery = Discovery::start();
     let partner = Server::start(|_, _| {
         // Long enough that the call is out when the signal comes.
@@ -245,10 +245,10 @@
     assert_eq!(node.hand_in("unsafe", "out", 7, 50.0), 202);
     partner.message(0);
     node.terminate();
-    // A connection that is open already, with a request half sent.
+    // An open connection with a partly sent request.
     let whole = request("safe", "kept", 99, 50.0, b"body");
     kept.get_mut().write_all(&whole[..20]).expect("sent");
-    until("it is about to end", || {
+    until("responses close their connections", || {
         let Ok(mut stream) = std::net::TcpStream::connect(node.address) else { return Some(()) };
         stream.write_all(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").ok()?;
         let health = read(&mut std::io::BufReader::new(stream))?;
@@ -259,14 +259,14 @@
     if let Some(last) = &last {
         assert_eq!((last.status(), last.header("connection")), (202, Some("close")));
     }
-    let status = until("it ends", || node.ended());
+    let status = until("the process ends", || node.ended());
     assert_eq!(status.code(), Some(0));
-    assert!(read(&mut kept).is_none(), "closed after the answer");
-    // What was not finished is taken up again, and nothing else.
+    assert!(read(&mut kept).is_none(), "the connection must be closed after the answer");
+    // Exactly the unfinished messages are resumed.
     let other = endpoint("200 OK");
     node.start_again();
     if last.is_none() {
-        // Closed before the rest had come, on a slow machine: the client sends it once more.
+        // On a slow machine the connection may close before the rest arrives; the client then submits again.
         assert_eq!(node.hand_in("safe", "kept", 99, 50.0), 202);
     }
     discovery.tell(&[known[0].clone(), entry("z", &other, 99, "in_service")]);
@@ -275,15 +275,16 @@
     assert!(discovery.notices.lock().expect("lock").is_empty());
 }
 
-/// A connection that is accepted and then closed unread leaves its client in doubt; one that is refused does not.
+/// A client whose connection is accepted and then closed unread does not know whether its message was accepted; a refused
+/// connection leaves no doubt.
 #[test]
-fn on_its_way_out_it_refuses_connections_while_it_still_works() {
+fn refuses_connections_while_stopping() {
     let discovery = Discovery::start();
     let mut node = Node::start(&discovery, &[], Options::default());
-    // Waits for an endpoint, so that the process stays for as long as it may.
+    // An open message without an endpoint keeps the process running as long as possible.
     assert_eq!(node.hand_in("safe", "held", 7, 50.0), 202);
     node.terminate();
-    until("it refuses", || std::net::TcpStream::connect(node.address).is_err().then_some(()));
-    assert!(node.ended().is_none(), "it refuses since it is gone");
-    assert_eq!(until("it ends", || node.ended()).code(), Some(0));
+    until("connections are refused", || std::net::TcpStream::connect(node.address).is_err().then_some(()));
+    assert!(node.ended().is_none(), "the process must still be running");
+    assert_eq!(until("the process ends", || node.ended()).code(), Some(0));
 }
--- a/dispatcher/tests/serving.rs
+++ b/dispatcher/tests/serving.rs
@@ -1,4 +1,4 @@
-//! The dispatcher while it runs: clients, endpoints, discovery and notices, over loopback sockets.
+//! Normal operation over loopback sockets: clients, endpoints, discovery and notices.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use common::*;
 
 #[test]
-fn a_message_goes_on_unchanged_and_connections_are_kept() {
+fn messages_are_forwarded_unchanged_on_a_reused_connection() {
     let (discovery, partner) = (Discovery::start(), endpoint("200 OK"));
     let node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], Options::default());
     for n in 0..4 {
@@ -20,15 +20,15 @@
         assert_eq!(call.body, b"\x00body\xff");
         let within: f64 = call.header("Req-Deadline").and_then(|d| d.parse().ok()).expect("a number");
         assert!(within > 0.0 && within <= 20.0);
-        // The next one comes when the answer to this one has been read.
-        node.settled(ENDED);
+        // Waits until the answer has been read before the next message.
+        node.wait_for(ENDED);
     }
-    assert!((0..4).all(|n| partner.message(n).connection == 0), "a connection was not used again");
+    assert!((0..4).all(|n| partner.message(n).connection == 0), "the connection must be reused");
     assert!(discovery.notices.lock().expect("lock").is_empty());
 }
 
 #[test]
-fn malformed_requests_are_answered_and_harm_nothing() {
+fn malformed_requests_are_rejected_without_side_effects() {
     let (discovery, partner) = (Discovery::start(), endpoint("200 OK"));
     let node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], Options::default());
     let good = String::from_utf8_lossy(&request("keyed", "r", 7, 2.0, b"x")).into_owned();
@@ -47,7 +47,7 @@
     assert_eq!(status(&good.replace("/keyed", "/unheard-of")), 404);
     assert_eq!(status(&good.replace("dest=7", "dest=12345")), 404);
     for field in ["Req-Id: r", "Req-Deadline: 2", "X-Addressing: dest=7", "Idempotency-Key: key-r"] {
-        // Another value of the same field.
+        // A second header with another value.
         let other = format!("{}8", &field[..field.len() - 1]);
         assert_eq!(status(&good.replace(field, &format!("{field}\r\n{other}"))), 400, "twice: {field}");
     }
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn an_unsafe_message_is_failed_when_its_attempt_may_have_run() {
+fn unsafe_message_fails_if_its_attempt_may_have_been_executed() {
     type Answer = (&'static str, fn() -> Reply);
     let answers: [Answer; 4] = [
         ("garbage", || Reply::Raw(b"what?\r\n\r\n")),
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn an_unsafe_message_goes_again_when_it_never_ran() {
+fn unsafe_message_is_retried_if_it_was_not_executed() {
     let discovery = Discovery::start();
     let partner = Server::start(|number, _| {
         answer(
@@ -93,8 +93,8 @@
     let node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], Options::default());
     assert_eq!(node.hand_in("unsafe", "r", 7, 50.0), 202);
     partner.message(1);
-    // It may be given up by now, since retries are thinned; if so, it is as a refusal.
-    until("its end", || {
+    // Retries are limited, so the message may be given up by now, but only as refused.
+    until("the message ends", || {
         let notices = discovery.notices.lock().expect("lock");
         assert!(notices.iter().all(|n| n["result"] == "bounced"));
         (partner.count() > 3 || !notices.is_empty()).then_some(())
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_message_that_is_over_or_spent_is_not_sent_again() {
+fn finished_or_exhausted_message_is_not_sent_again() {
     let discovery = Discovery::start();
     let (gone, spent) = (endpoint("410 Gone"), endpoint("504 Spent"));
     let list = [entry("a", &gone, 7, "in_service"), entry("b", &spent, 8, "in_service")];
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_time_out_closes_its_connection_before_the_next_attempt() {
+fn timeout_closes_the_connection_before_the_next_attempt() {
     let discovery = Discovery::start();
     let partner = Server::start(|number, _| if number == 0 { Reply::Silent } else { answer("200 OK") });
     let node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], Options::default());
@@ -130,11 +130,11 @@
 }
 
 #[test]
-fn a_silent_endpoint_costs_no_message_its_end() {
+fn every_message_ends_despite_a_silent_endpoint() {
     let discovery = Discovery::start();
     let partner = Server::start(|_, _| Reply::Silent);
     let node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], Options::default());
-    // More than there are slots, some for a destination that has no endpoint.
+    // More messages than slots, some for a destination without an endpoint.
     for n in 0..40 {
         assert_eq!(node.hand_in(["safe", "unsafe"][n % 2], &format!("r{n}"), 7 + n as u64 / 30, 0.5), 202);
     }
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_wait_is_heeded_for_every_message() {
+fn requested_wait_applies_to_every_message() {
     let discovery = Discovery::start();
     let partner = Server::start(|number, _| {
         answer(if number == 0 { "429 Wait\r\nRetry-After: 1.5" } else { "200 OK" })
@@ -152,7 +152,7 @@
     let node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], Options::default());
     assert_eq!(node.hand_in("safe", "first", 7, 50.0), 202);
     let told = partner.message(0).at.expect("a time");
-    node.settled(NEVER_RAN);
+    node.wait_for(NEVER_RAN);
     for n in 0..5 {
         assert_eq!(node.hand_in("safe", &format!("r{n}"), 7, 50.0), 202);
     }
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_drained_endpoint_gets_nothing_new() {
+fn draining_endpoint_gets_no_new_calls() {
     let (discovery, old, new) = (Discovery::start(), endpoint("200 OK"), endpoint("200 OK"));
     let node = Node::start(&discovery, &[entry("a", &old, 7, "in_service")], Options::default());
     assert_eq!(node.hand_in("safe", "before", 7, 50.0), 202);
@@ -175,17 +175,17 @@
 }
 
 #[test]
-fn connections_to_a_drained_endpoint_are_closed() {
+fn idle_connections_to_a_draining_endpoint_are_closed() {
     let (discovery, old) = (Discovery::start(), endpoint("200 OK"));
     let node = Node::start(&discovery, &[entry("a", &old, 7, "in_service")], Options::default());
     assert_eq!(node.hand_in("safe", "before", 7, 50.0), 202);
-    node.settled(ENDED);
+    node.wait_for(ENDED);
     discovery.tell(&[entry("a", &old, 7, "terminating")]);
-    until("it is closed", || old.closed.lock().expect("lock").contains(&0).then_some(()));
+    until("the connection is closed", || old.closed.lock().expect("lock").contains(&0).then_some(()));
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_costs_no_other_and_gets_nothing_new() {
+fn unreadable_list_entry_gets_no_new_calls_and_does_not_affect_others() {
     let (discovery, old, new) = (Discovery::start(), endpoint("200 OK"), endpoint("200 OK"));
     let node = Node::start(&discovery, &[entry("a", &old, 7, "in_service")], Options::default());
     let bad = r#"{"name":"a","address":"nowhere","group":7,"status":"terminating"}"#;
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_malformed_or_silent_discovery_stops_nothing() {
+fn delivers_despite_a_malformed_or_silent_discovery() {
     for reply in [|| Reply::Raw(b"what?\r\n\r\n"), || answer("200 OK"), || Reply::Silent] {
         let mut discovery = Discovery::start();
         discovery.server = Server::start(move |_, _| reply());
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn notices_are_sent_until_they_are_taken() {
+fn notices_are_repeated_until_accepted() {
     let discovery = Discovery::start();
     *discovery.deaf.lock().expect("lock") = 3;
     let node = Node::start(&discovery, &[], Options::default());
@@ -221,20 +221,20 @@
 }
 
 #[test]
-fn what_has_no_room_is_refused() {
+fn messages_beyond_the_limits_are_refused() {
     let discovery = Discovery::start();
-    // The hold: the first messages wait for an endpoint that is not there. The module makes room in time,
-    // so that what is turned away, it or an older one, is always told.
+    // The message limit: the first messages wait for an endpoint that does not exist. The module frees space in time, so that
+    // each message turned away, new or older, is answered or gets a notice.
     let options = Options { hold: 4, ..Options::default() };
     let node = Node::start(&discovery, &[], options);
     let taken = (0..10).map(|n| node.hand_in("safe", &format!("h{n}"), 7, 50.0));
     let taken: Vec<u16> = taken.collect();
     assert!(taken.iter().all(|s| [202, 503].contains(s)) && taken[0] == 202, "{taken:?}");
     let refused = taken.iter().filter(|s| **s == 503).count();
-    until("the rest is given up", || {
+    until("the excess messages are refused or given up", || {
         (refused + discovery.notices.lock().expect("lock").len() >= 6).then_some(())
     });
-    // The disk.
+    // The disk limit.
     let options = Options { disk_mb: 0.2, ..Options::default() };
     let node = Node::start(&discovery, &[], options);
     let mut statuses = Vec::new();
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn a_request_handed_in_twice_is_taken_once() {
+fn duplicate_submission_is_accepted_once() {
     let (discovery, partner) = (Discovery::start(), endpoint("200 OK"));
     let node = Node::start(&discovery, &[], Options::default());
     assert_eq!(node.hand_in("unsafe", "r", 7, 50.0), 202);
@@ -259,12 +259,12 @@
         let heard = partner.heard.lock().expect("lock");
         heard.iter().filter(|m| m.header("Req-Id") == Some(reference)).count()
     };
-    until("the later one is there", || (count("after") == 1).then_some(()));
+    until("the later message arrives", || (count("after") == 1).then_some(()));
     assert_eq!(count("r"), 1);
 }
 
 #[test]
-fn an_idle_connection_that_the_endpoint_closed_is_not_used_again() {
+fn idle_connection_closed_by_the_endpoint_is_not_reused() {
     let discovery = Discovery::start();
     let partner = Server::start(|number, _| match number {
         0 => Reply::Raw(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
@@ -272,15 +272,15 @@
     });
     let node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], Options::default());
     assert_eq!(node.hand_in("unsafe", "first", 7, 50.0), 202);
-    until("it is closed", || partner.closed.lock().expect("lock").contains(&0).then_some(()));
+    until("the connection is closed", || partner.closed.lock().expect("lock").contains(&0).then_some(()));
     assert_eq!(node.hand_in("unsafe", "second", 7, 50.0), 202);
     assert_eq!(partner.message(1).connection, 1);
-    node.settled(ENDED);
+    node.wait_for(ENDED);
     assert!(discovery.notices.lock().expect("lock").is_empty());
 }
 
 #[test]
-fn a_kept_connection_that_is_reset_at_the_next_request_costs_no_message() {
+fn reset_of_a_reused_connection_loses_no_message() {
     let (discovery, partner) = (Discovery::start(), endpoint("200 OK"));
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -290,7 +290,7 @@
                 let mut reader = std::io::BufReader::new(stream);
                 read(&mut reader).expect("a request");
                 let _ = reader.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-                // With the first byte of the next one it is closed, and reset for what is left unread.
+                // Closes the connection after the first byte of the next request; the unread rest causes a reset.
                 let _ = std::io::Read::read(reader.get_mut(), &mut [0]);
             });
         }
@@ -301,13 +301,16 @@
     for n in 0..5 {
         let answer = node.ask(request("unsafe", &format!("r{n}"), 7, 50.0, &[7; 20_000]));
         assert_eq!(answer.map(|a| a.status()), Some(202));
-        node.settled(ENDED);
+        node.wait_for(ENDED);
     }
-    assert!(discovery.notices.lock().expect("lock").is_empty(), "it never ran, and could go again");
+    assert!(
+        discovery.notices.lock().expect("lock").is_empty(),
+        "the messages were not executed and must be retried"
+    );
 }
 
 #[test]
-fn a_client_that_stalls_holds_nobody_up() {
+fn stalled_client_does_not_delay_others() {
     let (discovery, partner) = (Discovery::start(), endpoint("200 OK"));
     let node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], Options::default());
     let whole = request("safe", "slow", 7, 50.0, b"body");
@@ -319,11 +322,11 @@
 }
 
 #[test]
-fn after_a_time_out_no_idle_connection_to_that_endpoint_is_used() {
+fn no_idle_connection_to_an_endpoint_is_reused_after_a_timeout() {
     let discovery = Discovery::start();
     let came = std::sync::Arc::new(std::sync::Barrier::new(2));
     let partner = Server::start(move |number, _| match number {
-        // Both at once, so that there are two connections.
+        // Both calls are answered together, so that there are two connections.
         0 | 1 => {
             came.wait();
             answer("200 OK")
@@ -336,13 +339,16 @@
         assert_eq!(node.hand_in("safe", &format!("r{n}"), 7, 50.0), 202);
     }
     partner.message(1);
-    node.settled(ENDED);
+    node.wait_for(ENDED);
     assert_eq!(node.hand_in("safe", "silent", 7, 50.0), 202);
-    assert!(partner.message(3).connection > 1, "a machine that is cut off leaves its connections open");
+    assert!(
+        partner.message(3).connection > 1,
+        "connections to an unreachable machine stay open and must not be reused"
+    );
 }
 
 #[test]
-fn the_time_of_a_message_runs_while_its_body_is_on_its_way() {
+fn deadline_counts_while_the_body_is_received() {
     let (discovery, partner) = (Discovery::start(), endpoint("200 OK"));
     let node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], Options::default());
     let whole = request("safe", "slow", 7, 0.2, b"body");
@@ -352,5 +358,5 @@
     slow.get_mut().write_all(&whole[whole.len() - 2..]).expect("sent");
     assert_eq!(read(&mut slow).map(|a| a.status()), Some(202));
     discovery.notice("slow");
-    assert_eq!(partner.count(), 0, "its time was up");
+    assert_eq!(partner.count(), 0, "its deadline had passed");
 }
--- a/dispatcher/tests/spoilt.rs
+++ b/dispatcher/tests/spoilt.rs
@@ -1,4 +1,4 @@
-//! Answers that come spoilt, and answers that bring more than belongs to them.
+//! Malformed answers, and answers followed by extra data.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use common::*;
 
 #[test]
-fn a_first_line_of_200_is_true_whatever_follows() {
+fn status_line_of_200_is_conclusive_whatever_follows() {
     let endless =
         [b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n".as_slice(), &[7; 300_000]].concat();
     let heads: [&[u8]; 6] = [
@@ -28,17 +28,17 @@
         );
         let node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], Options::default());
         assert_eq!(node.hand_in("unsafe", "first", 7, 20.0), 202);
-        node.settled(ENDED);
-        // After anything odd the connection is closed.
+        node.wait_for(ENDED);
+        // After a malformed answer the connection must not be reused.
         assert_eq!(node.hand_in("unsafe", "second", 7, 20.0), 202);
         assert_eq!(partner.message(1).connection, 1, "{text}");
-        node.settled(ENDED);
+        node.wait_for(ENDED);
         assert!(discovery.notices.lock().expect("lock").is_empty(), "{text}");
     }
 }
 
 #[test]
-fn any_other_answer_that_is_spoilt_may_have_run() {
+fn other_malformed_answers_count_as_possibly_executed() {
     let heads: [&[u8]; 8] = [
         b"\x00\x01noise\xff\r\n\r\n",
         b"noise without an end",
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn what_comes_behind_an_answer_answers_nothing_else() {
+fn data_after_an_answer_is_not_taken_as_another_answer() {
     let refused = "HTTP/1.1 503 Full\r\nContent-Length: 2\r\n\r\nno";
     for behind in ["HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "noise"] {
         let discovery = Discovery::start();
@@ -71,16 +71,16 @@
         });
         let node = Node::start(&discovery, &[entry("a", &partner, 7, "in_service")], Options::default());
         assert_eq!(node.hand_in("unsafe", "first", 7, 20.0), 202);
-        // The answer itself is good: it never ran, and goes again, elsewhere.
+        // The answer itself is valid: the message was not executed, and is retried on another connection.
         let second = partner.message(1);
         assert_eq!((second.header("Req-Id"), second.connection), (Some("first"), 1), "{behind}");
-        node.settled(ENDED);
+        node.wait_for(ENDED);
         assert!(discovery.notices.lock().expect("lock").is_empty(), "{behind}");
     }
 }
 
 #[test]
-fn answers_ahead_are_passed_over_and_the_connection_is_kept() {
+fn informational_responses_are_skipped_and_the_connection_is_kept() {
     let ahead = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n";
     let discovery = Discovery::start();
     let partner = Server::start(move |_, _| {
@@ -91,13 +91,13 @@
     for n in 0..3 {
         assert_eq!(node.hand_in("unsafe", &format!("r{n}"), 7, 20.0), 202);
         assert_eq!(partner.message(n).connection, 0);
-        node.settled(ENDED);
+        node.wait_for(ENDED);
     }
     assert!(discovery.notices.lock().expect("lock").is_empty());
 }
 
 #[test]
-fn an_endpoint_that_closes_every_connection_is_not_connected_to_without_end() {
+fn endpoint_that_closes_every_connection_gets_a_bounded_number_of_attempts() {
     let (discovery, partner) = (Discovery::start(), endpoint("200 OK"));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (closing, came) = (listener.local_addr().expect("an address"), Arc::new(AtomicUsize::new(0)));
@@ -113,6 +113,6 @@
     let node = Node::start(&discovery, &[line], Options::default());
     assert_eq!(node.hand_in("unsafe", "r", 7, 2.0), 202);
     discovery.notice("r");
-    // One for each attempt at most.
+    // At most one connection per attempt.
     assert!((1..=6).contains(&came.load(Ordering::SeqCst)), "{came:?}");
 }
--- a/dispatcher/tests/together/mod.rs
+++ b/dispatcher/tests/together/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of the real program, for tests of what its processes do together.
+//! Shared support for tests with a fleet of real dispatcher processes.
 #![allow(dead_code, unused_imports)]
 
 use std::path::Path;
@@ -9,7 +9,7 @@
 pub use millpost_standins::scripted::until;
 use millpost_standins::service::{Class, Effect, Service};
 
-/// Calls a second that the destination takes, and the even part of one of four.
+/// Calls per second that the destination accepts, and the equal share of one of four dispatchers.
 pub const LIMIT: u64 = 40;
 pub const EVEN: u64 = LIMIT / 4;
 pub const SECOND: Duration = Duration::from_secs(1);
@@ -27,7 +27,7 @@
     Service { slots: 16, hold: 300, keepalive_ms: 60_000, classes: vec![class], ..Service::default() }
 }
 
-/// Four dispatchers or more, of so many by their configuration, with a fault of the program where one is named.
+/// Starts a fleet. `of` holds, per dispatcher, the fleet size in its configuration; `planted` names a fault to inject.
 pub fn fleet(of: &[usize], endpoints: usize, planted: Option<&str>, seed: u64) -> Fleet {
     println!("seed {seed}");
     let planted = planted.map_or(String::new(), |fault| format!("planted = \"{fault}\"\n"));
@@ -44,12 +44,14 @@
     fleet
 }
 
-/// All hear so many others.
+/// Waits until every dispatcher receives from this many others.
 pub fn met(fleet: &Fleet, others: u64) {
-    until("all hear all", || fleet.nodes.iter().all(|n| n.figure("tier_alive") == others).then_some(()));
+    until("all dispatchers hear each other", || {
+        fleet.nodes.iter().all(|n| n.figure("tier_alive") == others).then_some(())
+    });
 }
 
-/// Waits for so long, by the partners' clock.
+/// Waits for this time, measured by the partners' clock.
 pub fn pass(fleet: &Fleet, time: Duration) {
     let until = fleet.now() + time;
     while fleet.now() < until {
@@ -57,6 +59,7 @@
     }
 }
 
+/// Number of calls that a dispatcher sent in an interval.
 pub fn sent(calls: &[Call], node: usize, from: Duration, to: Duration) -> usize {
     calls.iter().filter(|c| c.node == node && c.at >= from && c.at < to).count()
 }
