--- a/dispatcher/examples/loopback.rs
+++ b/dispatcher/examples/loopback.rs
@@ -1,8 +1,8 @@
-//! The dispatcher on loopback, with a partner and a discovery that stand in for real ones: for trying it out by hand.
-//! (`cargo run --release -p millpost-rig` is the whole service under load.)
+//! Runs the dispatcher on loopback with stand-ins for a partner and the discovery agent, to try it out by
+//! hand. (`cargo run --release -p millpost-rig` runs the whole service under load.)
 //!
-//! Starts the dispatcher beside this program (`millpost-dispatcher`, built if need be), prints how to hand a message
-//! in, and ends with it (Ctrl-C).
+//! Starts the `millpost-dispatcher` binary next to this program, which is built if necessary, prints how to
+//! submit a message, and ends with the dispatcher (Ctrl-C).
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -34,14 +34,14 @@
         log: None,
         console: true,
     });
-    println!("the dispatcher listens on {}; hand a message in with\n", node.address);
+    println!("the dispatcher listens on {}; submit a message with\n", node.address);
     println!(
         "    curl -i http://{}/licence-order -H 'Req-Id: 1' -H 'Req-Deadline: 10' -H 'X-Addressing: dest=7' -d order\n",
         node.address
     );
     let console = |node: &Node| node.console.map_or(String::new(), |address| address.to_string());
     println!(
-        "the staff asks at {}; a line `upgrade` here replaces the process by a new one\n",
+        "the console is at {}; type `upgrade` here to replace the process by a new one\n",
         console(&node)
     );
     let (line, lines) = channel();
@@ -59,9 +59,10 @@
         told = notices.len();
         drop(notices);
         if lines.try_recv().is_ok_and(|text| text.trim() == "upgrade") {
-            // As a platform does: the new one beside the old, SIGTERM to the old once the new is ready.
+            // As the platform does: starts the new process next to the old one, and sends SIGTERM to the old
+            // one once the new one is ready.
             let mut old = node.upgrade();
-            println!("the new process is ready; the staff asks it at {}", console(&node));
+            println!("the new process is ready; its console is at {}", console(&node));
             old.terminate();
             until("the old process ends", || old.ended());
             println!("the old process has ended");
@@ -75,10 +76,11 @@
     Ok(())
 }
 
-/// The dispatcher's program: this one lies in a folder beside it. It is built first where it is not there.
+/// The path of the dispatcher binary, relative to this example; builds it if it does not exist.
 fn program() -> Result<PathBuf, Box<dyn std::error::Error>> {
     let me = std::env::current_exe()?;
-    let folder = me.parent().and_then(|examples| examples.parent()).ok_or("this program lies nowhere")?;
+    let folder =
+        me.parent().and_then(|examples| examples.parent()).ok_or("this program has no parent folder")?;
     let program = folder.join("millpost-dispatcher");
     if !program.exists() {
         let mut build = Command::new("cargo");
@@ -87,7 +89,7 @@
             build.arg("--release");
         }
         if !build.status()?.success() {
-            return Err("the dispatcher does not build".into());
+            return Err("building the dispatcher failed".into());
         }
     }
     Ok(program)
--- a/dispatcher/examples/service.rs
+++ b/dispatcher/examples/service.rs
@@ -1,7 +1,8 @@
-//! Measures what the staff sees: how soon the console answers, idle and under full load, and what a change of the process
-//! costs: the time without an owner, the memory of both, and the clients' connections that broke.
+//! Measures the response time of the console, idle and under full load, and the cost of replacing the
+//! process: the time without an owner, the memory of both processes, and the number of broken client
+//! connections.
 //!
-//! `cargo run --release -p millpost-dispatcher --example service`; about 20 s, on loopback alone.
+//! `cargo run --release -p millpost-dispatcher --example service`; takes about 20 s, on loopback only.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -19,35 +20,35 @@
 
 const CLIENTS: u64 = 16;
 const CALLS: usize = 300;
-const CHANGES: usize = 20;
+const REPLACEMENTS: usize = 20;
 
 #[derive(Default)]
-struct Seen {
+struct ClientCounts {
     stop: AtomicBool,
-    taken: AtomicU64,
+    accepted: AtomicU64,
     refused: AtomicU64,
-    /// Connections that were refused, reset or closed under a request.
+    /// Connections that were refused, reset, or closed during a request.
     broken: AtomicU64,
 }
 
-/// Hands messages in as fast as they are answered.
-fn client(address: SocketAddr, number: u64, seen: &Seen) {
+/// Submits messages as fast as they are answered.
+fn client(address: SocketAddr, number: u64, counts: &ClientCounts) {
     let mut n = 0;
-    while !seen.stop.load(Ordering::Relaxed) {
+    while !counts.stop.load(Ordering::Relaxed) {
         let Ok(stream) = TcpStream::connect(address) else {
-            seen.broken.fetch_add(1, Ordering::Relaxed);
+            counts.broken.fetch_add(1, Ordering::Relaxed);
             continue;
         };
         let mut stream = BufReader::new(stream);
-        while !seen.stop.load(Ordering::Relaxed) {
+        while !counts.stop.load(Ordering::Relaxed) {
             n += 1;
             let whole = request("loan-status", &format!("c{number}-{n}"), 7 + n % 4, 20.0, &[7; 300]);
             let answer = if stream.get_mut().write_all(&whole).is_ok() { read(&mut stream) } else { None };
             let Some(answer) = answer else {
-                seen.broken.fetch_add(1, Ordering::Relaxed);
+                counts.broken.fetch_add(1, Ordering::Relaxed);
                 break;
             };
-            let count = if answer.status() == 202 { &seen.taken } else { &seen.refused };
+            let count = if answer.status() == 202 { &counts.accepted } else { &counts.refused };
             count.fetch_add(1, Ordering::Relaxed);
             if answer.header("connection") == Some("close") {
                 break;
@@ -60,8 +61,8 @@
     sorted.get(((sorted.len() as f64 - 1.0) * share).round() as usize).copied().unwrap_or(0.0)
 }
 
-/// Calls the console; milliseconds to the end of each answer, in their order.
-fn console(node: &Node) -> Vec<f64> {
+/// Queries the console repeatedly. Returns the response times in milliseconds, sorted.
+fn console_latencies(node: &Node) -> Vec<f64> {
     let mut all: Vec<f64> = (0..CALLS)
         .map(|_| {
             let began = Instant::now();
@@ -104,24 +105,24 @@
         log: Some(log.clone()),
         console: true,
     });
-    let idle = console(&node);
-    let seen = Arc::new(Seen::default());
+    let idle = console_latencies(&node);
+    let counts = Arc::new(ClientCounts::default());
     let clients: Vec<_> = (0..CLIENTS)
         .map(|number| {
-            let (address, seen) = (node.address, seen.clone());
-            std::thread::spawn(move || client(address, number, &seen))
+            let (address, counts) = (node.address, counts.clone());
+            std::thread::spawn(move || client(address, number, &counts))
         })
         .collect();
     std::thread::sleep(Duration::from_secs(1));
-    let (before, began) = (seen.taken.load(Ordering::Relaxed), Instant::now());
-    let loaded = console(&node);
-    let rate = (seen.taken.load(Ordering::Relaxed) - before) as f64 / began.elapsed().as_secs_f64();
+    let (before, began) = (counts.accepted.load(Ordering::Relaxed), Instant::now());
+    let loaded = console_latencies(&node);
+    let rate = (counts.accepted.load(Ordering::Relaxed) - before) as f64 / began.elapsed().as_secs_f64();
     for (name, all) in [("idle", idle), ("loaded", loaded)] {
         println!("console, {name}: p50 {:.2} ms, p99 {:.2} ms", quantile(&all, 0.5), quantile(&all, 0.99));
     }
-    println!("load: {rate:.0} messages taken a second");
+    println!("load: {rate:.0} messages accepted per second");
     let (mut alone, mut both) = (0, 0);
-    for _ in 0..CHANGES {
+    for _ in 0..REPLACEMENTS {
         alone = alone.max(resident_kb(node.pid()));
         let mut old = node.upgrade();
         both = both.max(resident_kb(node.pid()) + resident_kb(old.pid()));
@@ -130,7 +131,7 @@
             std::thread::sleep(Duration::from_millis(10));
         }
     }
-    seen.stop.store(true, Ordering::Relaxed);
+    counts.stop.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|client| drop(client.join()));
     let text = std::fs::read_to_string(&log)?;
     let _ = std::fs::remove_file(&log);
@@ -138,31 +139,32 @@
     let mut gaps: Vec<f64> = text.lines().filter_map(gap).collect();
     gaps.sort_by(f64::total_cmp);
     println!(
-        "changes: {}; without an owner p50 {:.1} ms, longest {:.1} ms",
+        "replacements: {}; without an owner p50 {:.1} ms, maximum {:.1} ms",
         gaps.len(),
         quantile(&gaps, 0.5),
         quantile(&gaps, 1.0)
     );
-    println!("memory: one process {alone} kB at most, both together {both} kB at most");
+    println!("memory: at most {alone} kB for one process, {both} kB for both");
     println!(
-        "clients: {} taken, {} refused, {} connections broken",
-        seen.taken.load(Ordering::Relaxed),
-        seen.refused.load(Ordering::Relaxed),
-        seen.broken.load(Ordering::Relaxed)
+        "clients: {} accepted, {} refused, {} connections broken",
+        counts.accepted.load(Ordering::Relaxed),
+        counts.refused.load(Ordering::Relaxed),
+        counts.broken.load(Ordering::Relaxed)
     );
     Ok(())
 }
 
-/// The dispatcher's program: this one lies in a folder beside it. It is built first where it is not there.
+/// The path of the dispatcher binary, relative to this example; builds it if it does not exist.
 fn program() -> Result<PathBuf, Box<dyn std::error::Error>> {
     let me = std::env::current_exe()?;
-    let folder = me.parent().and_then(|examples| examples.parent()).ok_or("this program lies nowhere")?;
+    let folder =
+        me.parent().and_then(|examples| examples.parent()).ok_or("this program has no parent folder")?;
     let program = folder.join("millpost-dispatcher");
     if !program.exists() {
         let mut build = Command::new(env!("CARGO"));
         build.args(["build", "--release", "-p", "millpost-dispatcher"]);
         if !build.status()?.success() {
-            return Err("the dispatcher can't be built".into());
+            return Err("building the dispatcher failed".into());
         }
     }
     Ok(program)
--- a/dispatcher/src/adopt.rs
+++ b/dispatcher/src/adopt.rs
@@ -36,8 +36,8 @@
 
 fn adopt(number: i32, expected: SocketAddr) -> Result<TcpListener, Error> {
     let bad = |e: io::Error| Error::Descriptor(number, e);
-    // Duplicates the descriptor by number through a pidfd, which avoids the unsafe conversion of a raw number to an owned
-    // descriptor.
+    // Duplicates the descriptor by number through a pidfd, which avoids the unsafe conversion of a raw number
+    // to an owned descriptor.
     let own = pidfd_open(getpid(), PidfdFlags::empty()).map_err(|e| bad(e.into()))?;
     let copy = pidfd_getfd(&own, number, PidfdGetfdFlags::empty()).map_err(|e| bad(e.into()))?;
     let socket = Socket::from(copy);
--- a/dispatcher/src/audit_log.rs
+++ b/dispatcher/src/audit_log.rs
@@ -1,5 +1,5 @@
-//! Records the decisions of this dispatcher and the versions they are based on, in the format of `millpost-audit`. Makes no
-//! decisions.
+//! Records the decisions of this dispatcher and the versions they are based on, in the format of
+//! `millpost-audit`. Makes no decisions.
 //!
 //! Invariant: decisions are written before the driver lets any of them take effect.
 
@@ -21,7 +21,8 @@
 /// Minimum time between two recorded rounds of the same peer.
 const PEER_BEAT_INTERVAL: Nanos = 5_000_000_000;
 
-/// The audit log of this process; see the module documentation. While the log is closed, decisions are not recorded.
+/// The audit log of this process; see the module documentation. While the log is closed, decisions are not
+/// recorded.
 pub struct AuditLog {
     recording: Recording,
     author: Author,
--- a/dispatcher/src/batch.rs
+++ b/dispatcher/src/batch.rs
@@ -1,6 +1,7 @@
 //! Encoding of calls with several messages, and parsing of the result of each message from the answer.
 //!
-//! Invariant: every message of a call gets exactly one result; a message without a readable result may have been executed.
+//! Invariant: every message of a call gets exactly one result; a message without a readable result may have
+//! been executed.
 
 use std::collections::HashMap;
 
@@ -17,7 +18,8 @@
     body: String,
 }
 
-/// Encodes a message for the body of a batch. `None` if its key is not UTF-8, in which case it cannot be batched.
+/// Encodes a message for the body of a batch. `None` if its key is not UTF-8, in which case it cannot be
+/// batched.
 pub fn item(reference: &str, key: Option<&[u8]>, body: &[u8]) -> Option<String> {
     let key = key.map(std::str::from_utf8).transpose().ok()?;
     serde_json::to_string(&Item { id: reference, key, body: STANDARD.encode(body) }).ok()
@@ -50,8 +52,9 @@
     state: End,
 }
 
-/// Parses the results of the messages `references` from an answer, in the same order: `None` for a message that is missing,
-/// has an unknown state or has contradictory results. An answer that is not a JSON list gives no results.
+/// Parses the results of the messages `references` from an answer, in the same order: `None` for a message
+/// that is missing, has an unknown state or has contradictory results. An answer that is not a JSON list
+/// gives no results.
 pub fn ends(answer: &[u8], references: &[String]) -> Vec<Option<End>> {
     let lines: Vec<serde_json::Value> = serde_json::from_slice(answer).unwrap_or_default();
     let mut results: HashMap<String, Option<End>> = HashMap::new();
--- a/dispatcher/src/calls.rs
+++ b/dispatcher/src/calls.rs
@@ -18,13 +18,14 @@
 
 use crate::batch;
 
-/// The body of an answer to a single message is ignored. It is read, up to this size, so that the connection can be
-/// reused.
+/// The body of an answer to a single message is ignored. It is read, up to this size, so that the connection
+/// can be reused.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Time limit for reading a body. A wait in the headers counts from the arrival of the head, so little time may pass.
+/// Time limit for reading a body. A wait in the headers counts from the arrival of the head, so little time
+/// may pass.
 const BODY_TIMEOUT: Duration = Duration::from_millis(80);
-/// Time limit for the rest of a response head after its status line. Servers write a head in one go; the limit protects the
-/// call slots against endless heads.
+/// Time limit for the rest of a response head after its status line. Servers write a head in one go; the
+/// limit protects the call slots against endless heads.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time limit for reading the body of an answer to a batch, which holds the result of each message.
@@ -42,8 +43,8 @@
     Probed { endpoint: EndpointId, took: Duration, ended: CallEnd, link: Option<Link> },
 }
 
-/// An endpoint may drop idle connections much sooner than its keep-alive time, without closing them: each is then reset at
-/// its next request. An observed idle limit applies for this long.
+/// An endpoint may drop idle connections much sooner than its keep-alive time, without closing them: each is
+/// then reset at its next request. An observed idle limit applies for this long.
 const IDLE_LIMIT_TTL: Duration = Duration::from_secs(15);
 
 struct IdleConnection {
@@ -88,8 +89,8 @@
 impl<I: From<Event> + Send + 'static> Calls<I> {
     /// Keeps at most `max_idle` idle connections; endpoints close theirs after `keepalive`.
     pub fn new(max_idle: usize, keepalive: Nanos, connect: Nanos, input_tx: mpsc::Sender<I>) -> Self {
-        // An idle connection that the endpoint may be closing is not reused: a request that crosses the close counts as a
-        // reset, after which an unsafe message cannot be retried.
+        // An idle connection that the endpoint may be closing is not reused: a request that crosses the close
+        // counts as a reset, after which an unsafe message cannot be retried.
         let keepalive = Duration::from_nanos(keepalive);
         let reuse_limit = keepalive - keepalive / 8;
         let connect_timeout = Duration::from_nanos(connect);
@@ -106,8 +107,8 @@
         }
     }
 
-    /// Sets the maximum number of idle connections, the keep-alive time of the endpoints and the connect timeout, both in
-    /// nanoseconds.
+    /// Sets the maximum number of idle connections, the keep-alive time of the endpoints and the connect
+    /// timeout, both in nanoseconds.
     pub fn set_limits(&mut self, max_idle: usize, keepalive: Nanos, connect: Nanos) {
         let keepalive = Duration::from_nanos(keepalive);
         (self.max_idle, self.reuse_limit) = (max_idle, keepalive - keepalive / 8);
@@ -135,9 +136,9 @@
         seen.map_or(self.reuse_limit, |(age, _)| self.reuse_limit.min(*age))
     }
 
-    /// Takes the most recently used idle connection, and how long it has been idle. With `sure`, for a message that cannot be
-    /// retried after a reset, skips those that the endpoint may have dropped; any other message may try one, since a new
-    /// connection costs more than a second attempt.
+    /// Takes the most recently used idle connection, and how long it has been idle. With `sure`, for a
+    /// message that cannot be retried after a reset, skips those that the endpoint may have dropped; any
+    /// other message may try one, since a new connection costs more than a second attempt.
     fn take_idle(
         &mut self,
         endpoint: EndpointId,
@@ -171,9 +172,9 @@
         }
     }
 
-    /// Closes the idle connections to an endpoint that did not answer. The connections to an unreachable machine stay open and
-    /// silent, and a call on one of them may have been executed; a failed attempt to open a new connection proves that it was
-    /// not, so that an unsafe message can be retried.
+    /// Closes the idle connections to an endpoint that did not answer. The connections to an unreachable
+    /// machine stay open and silent, and a call on one of them may have been executed; a failed attempt to
+    /// open a new connection proves that it was not, so that an unsafe message can be retried.
     fn close_idle(&mut self, endpoint: EndpointId) {
         self.idle_count -= self.idle.remove(&endpoint).map_or(0, |idle| idle.len());
     }
@@ -194,8 +195,8 @@
         self.idle_count = self.idle.values().map(Vec::len).sum();
     }
 
-    /// Finds a connection for a call: an idle one, unless `fresh` is set, or else a new one. Returns whether it is available
-    /// now; otherwise [`Event::Connected`] follows.
+    /// Finds a connection for a call: an idle one, unless `fresh` is set, or else a new one. Returns whether
+    /// it is available now; otherwise [`Event::Connected`] follows.
     pub fn connect(
         &mut self,
         call: CallId,
@@ -300,8 +301,8 @@
         within: Duration,
     ) -> bool {
         let Some(connection) = self.connections.get_mut(&call) else { return false };
-        // A recently used connection is not stale, and on a new connection a message that can be retried needs no proof
-        // that it was not executed.
+        // A recently used connection is not stale, and on a new connection a message that can be retried
+        // needs no proof that it was not executed.
         let proof = sure || !connection.fresh && connection.idle_for >= RECENTLY_USED;
         let (request, references) = call_request(connection.address, messages, within);
         let (Some(request), Some(link)) = (request, connection.link.take()) else {
@@ -314,8 +315,8 @@
         true
     }
 
-    /// Sends a call and waits for its end in a task. Sending on the other end of `cancelled` cancels the call; dropping it has
-    /// no effect.
+    /// Sends a call and waits for its end in a task. Sending on the other end of `cancelled` cancels the
+    /// call; dropping it has no effect.
     #[expect(clippy::too_many_arguments, reason = "each is a part of one request")]
     fn send(
         &self,
@@ -342,7 +343,8 @@
                 sleep(HEAD_TIMEOUT).await;
             };
             let answer = tokio::select! {
-                // Biased, because `head_timeout` observes the previous request's state until this one has started.
+                // Biased, because `head_timeout` observes the previous request's state until this one has
+                // started.
                 biased;
                 answer = timeout_at(until, link.send(request, proof, counted)) => answer.map_err(|_| Outcome::TimedOut),
                 () = cancelled => Err(Outcome::Cancelled),
@@ -356,8 +358,8 @@
                     let _ = input_tx.send(Event::Unsent { call }.into()).await;
                     return;
                 }
-                // A status line of 200 is conclusive for a single message even if the rest of the answer is broken; for a
-                // batch the body holds the results.
+                // A status line of 200 is conclusive for a single message even if the rest of the answer is
+                // broken; for a batch the body holds the results.
                 Ok(Err(_)) | Err(_) if link.status() == Some(200) && references.is_empty() => {
                     link.close().await;
                     let served = MessageEnds::All(MessageEnd { outcome: Outcome::Served, over: true });
@@ -419,9 +421,9 @@
     CallEnd::without_answer(outcome).into()
 }
 
-/// Reads the rest of an answer. For a single message a status line of 200 is conclusive whatever follows; any other answer
-/// counts only if it is complete. A truncated or endless answer proves nothing: the call may have been executed. Data after
-/// a complete answer is ignored, but the connection is not reused.
+/// Reads the rest of an answer. For a single message a status line of 200 is conclusive whatever follows; any
+/// other answer counts only if it is complete. A truncated or endless answer proves nothing: the call may
+/// have been executed. Data after a complete answer is ignored, but the connection is not reused.
 async fn finish(
     mut link: Link,
     answer: Response<hyper::body::Incoming>,
@@ -429,7 +431,8 @@
 ) -> ExchangeEnd {
     let (head, body) = answer.into_parts();
     let wait_header = wait(&head.headers);
-    // If the answer names a wait, little time may pass; if not, losing the results of a batch is the greater cost.
+    // If the answer names a wait, little time may pass; if not, losing the results of a batch is the greater
+    // cost.
     let within = if references.is_empty() || wait_header.is_some() { BODY_TIMEOUT } else { ENDS_TIMEOUT };
     let body = timeout(within, Limited::new(body, MAX_BODY_BYTES).collect()).await;
     let body = body.ok().and_then(Result::ok).map(|body| body.to_bytes());
@@ -475,7 +478,8 @@
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => outcome(status, headers),
         // The request was rejected as a whole; no message was executed.
         StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE => Outcome::NotSent.into(),
-        // The protocol reports finished or exhausted messages individually, so such a status for the whole batch is unknown.
+        // The protocol reports finished or exhausted messages individually, so such a status for the whole
+        // batch is unknown.
         _ => Outcome::Error.into(),
     }
 }
@@ -519,7 +523,8 @@
     seen.then_some(report)
 }
 
-/// Builds the request of a call; the second value lists the references of a batch and is empty for a single message.
+/// Builds the request of a call; the second value lists the references of a batch and is empty for a single
+/// message.
 fn call_request(
     address: SocketAddr,
     messages: Vec<CallMessage>,
@@ -575,8 +580,8 @@
         }
     }
 
-    /// The head timeout must not start from the previous answer on a reused connection: a slow answer there would count as a
-    /// reset.
+    /// The head timeout must not start from the previous answer on a reused connection: a slow answer there
+    /// would count as a reset.
     #[test]
     fn waits_for_a_slow_answer_on_a_reused_connection() {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/dispatcher/src/clock.rs
+++ b/dispatcher/src/clock.rs
@@ -6,8 +6,9 @@
 use millpost_core::Moment;
 use tokio::time::Instant;
 
-/// The clock of the decision module, which never goes back. It starts at the wall-clock time of the process start, or at
-/// the latest time in the store if that is later: the wall clock may have been set back between two starts.
+/// The clock of the decision module, which never goes back. It starts at the wall-clock time of the process
+/// start, or at the latest time in the store if that is later: the wall clock may have been set back between
+/// two starts.
 pub struct Clock {
     start: Instant,
     origin: Nanos,
--- a/dispatcher/src/config.rs
+++ b/dispatcher/src/config.rs
@@ -89,7 +89,8 @@
     u64::from_str_radix(text, 16).unwrap_or_else(|_| u64::from(crc32fast::hash(text.as_bytes())))
 }
 
-/// The console address from the environment, which takes precedence over the file because each process has its own.
+/// The console address from the environment, which takes precedence over the file because each process has
+/// its own.
 fn console() -> Result<Option<SocketAddr>, Error> {
     const NAME: &str = "NODE_CONSOLE";
     let Some(text) = std::env::var_os(NAME).filter(|text| !text.is_empty()) else { return Ok(None) };
--- a/dispatcher/src/console.rs
+++ b/dispatcher/src/console.rs
@@ -1,9 +1,9 @@
-//! The operators' console on a separate address: one command per connection, answered in bounded time however busy the
-//! dispatcher is.
+//! The operators' console on a separate address: one command per connection, answered in bounded time however
+//! busy the dispatcher is.
 //!
-//! It runs on its own thread. Queries to the driver have a time limit; if the driver does not answer in time, the latest
-//! figures are returned. The number and duration of connections are limited: one that has not sent its line yet is dropped
-//! in favour of new ones.
+//! It runs on its own thread. Queries to the driver have a time limit; if the driver does not answer in time,
+//! the latest figures are returned. The number and duration of connections are limited: one that has not sent
+//! its line yet is dropped in favour of new ones.
 
 pub mod line;
 
@@ -37,7 +37,8 @@
 pub enum Query {
     /// Update the figures.
     Figures { done: oneshot::Sender<()> },
-    /// Report the versions that this dispatcher uses and its view of the others, in JSON; `None` if versions are not tracked.
+    /// Report the versions that this dispatcher uses and its view of the others, in JSON; `None` if versions
+    /// are not tracked.
     Standing { done: oneshot::Sender<Option<String>> },
     /// Cordon (`out`) or uncordon an endpoint. Ignored if the caller has stopped waiting for the answer.
     Maintain { id: String, out: bool, done: oneshot::Sender<Result<(), String>> },
@@ -121,7 +122,8 @@
     task: JoinHandle<()>,
 }
 
-/// Waits until there is space for another connection. At the limit, drops the oldest one that has not sent its line.
+/// Waits until there is space for another connection. At the limit, drops the oldest one that has not sent
+/// its line.
 async fn make_space(callers: &mut Vec<Caller>) {
     loop {
         callers.retain(|caller| !caller.task.is_finished());
@@ -154,7 +156,8 @@
     let written = async {
         stream.write_all(answer.as_bytes()).await?;
         stream.shutdown().await?;
-        // Discards further input: closing a connection with unread data resets it, and the answer could be lost.
+        // Discards further input: closing a connection with unread data resets it, and the answer could be
+        // lost.
         let (mut rest, mut read) = ([0; 512], 0);
         while read < 64 * 1024 {
             match stream.read(&mut rest).await? {
@@ -167,7 +170,8 @@
     let _ = timeout(WRITE_TIMEOUT, written).await;
 }
 
-/// Reads the first line, without its terminator: up to a line feed or the end of input. `None` if the caller sent nothing.
+/// Reads the first line, without its terminator: up to a line feed or the end of input. `None` if the caller
+/// sent nothing.
 async fn read_line(stream: &mut TcpStream) -> Option<Result<Vec<u8>, &'static str>> {
     let (mut line, mut buffer) = (Vec::new(), [0; 256]);
     loop {
--- a/dispatcher/src/console/line.rs
+++ b/dispatcher/src/console/line.rs
@@ -1,4 +1,5 @@
-//! The syntax of console commands and answers: one line in; one line out, or several ending with `EOT`. Pure functions.
+//! The syntax of console commands and answers: one line in; one line out, or several ending with `EOT`. Pure
+//! functions.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
--- a/dispatcher/src/cordons.rs
+++ b/dispatcher/src/cordons.rs
@@ -1,4 +1,5 @@
-//! Endpoints that operators have cordoned, independently of discovery: an overlay of the endpoint list, by name. No I/O.
+//! Endpoints that operators have cordoned, independently of discovery: an overlay of the endpoint list, by
+//! name. No I/O.
 //!
 //! Invariant: there are at most [`MAX_CORDONS`] names. A name is removed only by uncordoning it.
 
@@ -33,7 +34,8 @@
         self.0.contains(name)
     }
 
-    /// The change that a command would make, without making it. `listed` tells whether the endpoint is in the list.
+    /// The change that a command would make, without making it. `listed` tells whether the endpoint is in the
+    /// list.
     ///
     /// # Errors
     /// If the endpoint is unknown or the limit is reached.
@@ -65,8 +67,8 @@
 
     use super::*;
 
-    /// Compares random commands with a simple model: per name, whether it is listed, and whether the last accepted command
-    /// cordoned it.
+    /// Compares random commands with a simple model: per name, whether it is listed, and whether the last
+    /// accepted command cordoned it.
     #[test]
     fn endpoint_is_cordoned_until_it_is_uncordoned() {
         for seed in 0..50 {
--- a/dispatcher/src/discovery.rs
+++ b/dispatcher/src/discovery.rs
@@ -15,11 +15,11 @@
 
 use crate::retry::Retry;
 
-/// How long a watch request waits for changes. Changes that the agent could not report count as reported soon after the
-/// wait ends, so it is kept short.
+/// How long a watch request waits for changes. Changes that the agent could not report count as reported soon
+/// after the wait ends, so it is kept short.
 const WAIT_MS: u64 = 3_000;
-/// Additional time limit for the answer. The agent may forward a request to the discovery service, which takes up to 2 s;
-/// a shorter limit would waste that work.
+/// Additional time limit for the answer. The agent may forward a request to the discovery service, which
+/// takes up to 2 s; a shorter limit would waste that work.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Maximum size of an answer, in bytes.
 const MAX_BODY_BYTES: usize = 4 << 20;
@@ -93,17 +93,18 @@
     Unknown,
 }
 
-/// The index for the next watch request. An agent whose index is lower than the requested one has restarted its numbering
-/// and would never report anything newer, so a snapshot is requested (`None`).
+/// The index for the next watch request. An agent whose index is lower than the requested one has restarted
+/// its numbering and would never report anything newer, so a snapshot is requested (`None`).
 fn next_index(asked: Option<u64>, list: &List) -> Option<u64> {
     let behind = !list.snapshot && asked.is_some_and(|asked| list.index < asked);
     Some(list.index).filter(|_| !behind)
 }
 
-/// Watches the list until the receiver of `input_tx` is dropped, in its own task and on its own connection, so that nothing
-/// else delays it. The first agent is asked for changes since the initial list (`index`); after a change of address the new
-/// agent is asked for a snapshot, because its numbering may differ. [`Retry`] determines the delay of the first request and
-/// of retries. When `refresh` is notified, a snapshot is requested at once.
+/// Watches the list until the receiver of `input_tx` is dropped, in its own task and on its own connection,
+/// so that nothing else delays it. The first agent is asked for changes since the initial list (`index`);
+/// after a change of address the new agent is asked for a snapshot, because its numbering may differ.
+/// [`Retry`] determines the delay of the first request and of retries. When `refresh` is notified, a snapshot
+/// is requested at once.
 pub async fn watch<I: From<List>>(
     mut agent: Agent,
     mut index: Option<u64>,
--- a/dispatcher/src/driver.rs
+++ b/dispatcher/src/driver.rs
@@ -1,5 +1,5 @@
-//! The main loop around the core: feeds it events and carries out its effects in the order in which it issues them.
-//! The driver makes no delivery decisions and does not interpret messages.
+//! The main loop around the core: feeds it events and carries out its effects in the order in which it issues
+//! them. The driver makes no delivery decisions and does not interpret messages.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -57,15 +57,15 @@
 }
 
 impl Descriptors {
-    /// Reserves half of them for clients, 32 for other purposes and, with a console, its connections; the rest is for
-    /// calls.
+    /// Reserves half of them for clients, 32 for other purposes and, with a console, its connections; the
+    /// rest is for calls.
     pub fn new(all: usize, console: bool) -> Self {
         let clients = (all / 2).max(1);
         let console = if console { console::MAX_CALLERS + 4 } else { 0 };
         Descriptors { clients, rest: all.saturating_sub(clients + 32 + console) }
     }
-    /// Number of idle connections to endpoints to keep next to `slots` concurrent calls, each of which may briefly need
-    /// two descriptors.
+    /// Number of idle connections to endpoints to keep next to `slots` concurrent calls, each of which may
+    /// briefly need two descriptors.
     pub fn idle(self, slots: usize) -> usize {
         self.rest.saturating_sub(2 * slots).max(8)
     }
@@ -210,8 +210,8 @@
     xxh3_64(name.as_bytes())
 }
 
-/// Shortest time between two decision rounds. Messages held for a whole tick would leave in bursts, for which additional
-/// connections must be opened.
+/// Shortest time between two decision rounds. Messages held for a whole tick would leave in bursts, for which
+/// additional connections must be opened.
 const MIN_ROUND_INTERVAL: Nanos = 1_000_000;
 /// Maximum number of inputs processed before the loop checks again whether a decision round is due.
 const MAX_BATCH: usize = 32;
@@ -255,7 +255,8 @@
         } = parts;
         let rated = settings.weights != Weights::Unknown;
         let cordons = Cordons::from_stored(ledger.cordons());
-        // Class positions are those stored by earlier processes; if none are stored, those of the configuration.
+        // Class positions are those stored by earlier processes; if none are stored, those of the
+        // configuration.
         let mut classes = ledger.classes().and_then(|stored| Classes::read(&stored)).unwrap_or_default();
         let mut predecessor = None;
         let (mut core, mut moved, mut clock) = (None, None, Clock::new(latest));
@@ -339,11 +340,10 @@
         }
         if let Some((moving, ..)) = moved {
             driver.index = moving.index;
-            // An unreadable list is replaced by the next full snapshot from discovery; until then no new call has an address.
+            // An unreadable list is replaced by the next full snapshot from discovery; until then no new call
+            // has an address.
             if !driver.roster.read(&moving.roster) {
-                eprintln!(
-                    "handover: the predecessor's endpoint list cannot be read; waiting for a snapshot from discovery"
-                );
+                eprintln!("handover: cannot read the predecessor's endpoint list; waiting for discovery");
             }
             driver.on_list_changed(at, true, false);
             // This process's own configuration file takes effect now.
@@ -440,7 +440,8 @@
             let wake = self.core.next_wake().unwrap_or(Nanos::MAX);
             let next = if due { decided_at + self.tick } else { wake.max(decided_at + self.tick) };
             let next = self.sharing.as_ref().map_or(next, |sharing| next.min(sharing.due()));
-            // The audit log is written first: I/O tasks do not run, so no decision takes effect, until the loop awaits.
+            // The audit log is written first: I/O tasks do not run, so no decision takes effect, until the
+            // loop awaits.
             self.audit_log.iter_mut().for_each(|audit_log| audit_log.write(at));
             // The wait is bounded so that pending notices, idle connections and shutdown are handled in time.
             let soon = self.core.needs_polling() || !self.unsent.is_empty() || self.store.has_deferred();
@@ -470,8 +471,8 @@
         }
     }
 
-    /// Processes one input. Returns whether a decision round is needed: frames shared by other dispatchers alone do not
-    /// need one, unless they lead to an action.
+    /// Processes one input. Returns whether a decision round is needed: frames shared by other dispatchers
+    /// alone do not need one, unless they lead to an action.
     fn process(&mut self, input: Input) -> bool {
         let at = self.clock.moment();
         let needs_round = !matches!(input, Input::SharedFrame(_));
@@ -513,7 +514,8 @@
         needs_round
     }
 
-    /// Runs the exchange of shared state with the peers. Returns whether the decision module received new input.
+    /// Runs the exchange of shared state with the peers. Returns whether the decision module received new
+    /// input.
     fn exchange_shared(&mut self, at: Moment) -> bool {
         let (Some(sharing), Some(peers)) = (&mut self.sharing, &self.peers) else { return false };
         sharing.tick(at, &self.core, self.audit_log.as_mut());
@@ -533,21 +535,16 @@
         let Some(sharing) = &mut self.sharing else { return };
         match act {
             Act::Ask(Kind::List) => {
-                eprintln!(
-                    "roll: most dispatchers use a different endpoint list; requesting a snapshot from the agent"
-                );
+                eprintln!("roll: most dispatchers use another endpoint list; requesting a snapshot");
                 self.refresh.list.notify_one();
             }
             Act::Ask(kind) => {
-                eprintln!(
-                    "roll: most dispatchers use different {}; reading the configuration file again",
-                    kind.name()
-                );
+                eprintln!("roll: most dispatchers use other {}; reloading the configuration", kind.name());
                 self.refresh.settings.notify_one();
             }
             Act::ShutOut(kind) => {
                 eprintln!(
-                    "roll: refusing new messages: most dispatchers report that this one has outdated {}",
+                    "roll: refusing new messages: most dispatchers report outdated {} here",
                     kind.name()
                 );
                 self.core.refuse_new(!sharing.serves());
@@ -633,8 +630,8 @@
         self.audit_log = Some(audit_log);
     }
 
-    /// Propagates the endpoint list after it has changed or was received again. `from_agent` is true if the discovery
-    /// agent sent it, false if it comes from the store, the configuration or a predecessor.
+    /// Propagates the endpoint list after it has changed or was received again. `from_agent` is true if the
+    /// discovery agent sent it, false if it comes from the store, the configuration or a predecessor.
     fn on_list_changed(&mut self, at: Moment, whole: bool, from_agent: bool) {
         if let Some(sharing) = &mut self.sharing {
             sharing.listed(at, &self.roster);
@@ -655,7 +652,8 @@
 
     fn on_client_request(&mut self, at: Moment, request: ClientRequest) {
         let ClientRequest { submission, received_at, reply } = request;
-        // A client that disconnected before its reply may already be sending the message to another dispatcher.
+        // A client that disconnected before its reply may already be sending the message to another
+        // dispatcher.
         if reply.is_closed() {
             return;
         }
@@ -727,8 +725,8 @@
         if self.has_fault(Fault::CallDrained) {
             entries.iter_mut().filter(|e| e.state == State::Draining).for_each(|e| e.state = State::Ready);
         }
-        // Closes connections to endpoints that accept no more work. They would occupy descriptors here and connection
-        // slots there until they expire.
+        // Closes connections to endpoints that accept no more work. They would occupy descriptors here and
+        // connection slots there until they expire.
         self.calls.retain(|endpoint| self.roster.ready(endpoint));
         self.core.listed(at, whole, entries);
         self.on_list_changed(at, whole, from_agent);
@@ -739,8 +737,8 @@
         self.sharing.as_ref().is_some_and(|sharing| sharing.has(fault))
     }
 
-    /// Handles a takeover request. The work is handed over between two rounds, only while no operation waits for the store,
-    /// and not while this process is stopping or still has a predecessor.
+    /// Handles a takeover request. The work is handed over between two rounds, only while no operation waits
+    /// for the store, and not while this process is stopping or still has a predecessor.
     fn on_takeover_request(&mut self, mut takeover: TakeoverRequest) {
         let busy = self.takeover.is_some()
             || self.predecessor.is_some()
@@ -801,7 +799,8 @@
             }
             return HandoverOutcome::HandedOver(Box::new(former_owner));
         }
-        // The successor is gone or too slow. The connection is closed so that it cannot accept the withdrawn offer later.
+        // The successor is gone or too slow. The connection is closed so that it cannot accept the withdrawn
+        // offer later.
         drop(line);
         giver.heard(Heard::TakerGone);
         let reopened = self.store_opener.open(store_opener::LOCK_TIMEOUT);
@@ -865,7 +864,8 @@
         }
     }
 
-    /// Applies settings in one step, or not at all. Open messages keep the class under which they were accepted.
+    /// Applies settings in one step, or not at all. Open messages keep the class under which they were
+    /// accepted.
     ///
     /// # Errors
     /// If the store accepts no writes.
--- a/dispatcher/src/handover.rs
+++ b/dispatcher/src/handover.rs
@@ -1,5 +1,5 @@
-//! Transport for replacing a running process: the old process listens on a Unix socket in the state folder, to which the
-//! new one connects. The protocol is implemented in `millpost-handover`.
+//! Transport for replacing a running process: the old process listens on a Unix socket in the state folder,
+//! to which the new one connects. The protocol is implemented in `millpost-handover`.
 
 use std::fs::File;
 use std::io;
@@ -62,8 +62,8 @@
         timeout(within, self.from.receive()).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
     }
 
-    /// Spawns tasks that write the frames from the returned channel and forward received frames to `input_tx`, with a final
-    /// `None` when the connection ends.
+    /// Spawns tasks that write the frames from the returned channel and forward received frames to
+    /// `input_tx`, with a final `None` when the connection ends.
     pub fn spawn<I: Send + 'static>(
         self,
         input_tx: mpsc::Sender<I>,
@@ -90,8 +90,8 @@
     }
 }
 
-/// The path of the socket through the folder's descriptor, because the path of the folder may exceed the limit for socket
-/// addresses.
+/// The path of the socket through the folder's descriptor, because the path of the folder may exceed the
+/// limit for socket addresses.
 fn path(folder: &File) -> PathBuf {
     Path::new("/proc/self/fd").join(folder.as_raw_fd().to_string()).join(SOCKET_NAME)
 }
@@ -149,7 +149,8 @@
     Ok(task.abort_handle())
 }
 
-/// Requests the work from the owner of the folder. Returns `None` if no process listens there or it declines for now.
+/// Requests the work from the owner of the folder. Returns `None` if no process listens there or it declines
+/// for now.
 pub async fn request_takeover(
     state: &Path,
     name: &str,
--- a/dispatcher/src/intake.rs
+++ b/dispatcher/src/intake.rs
@@ -24,7 +24,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// A connection without a complete request head for this long is closed: it is idle, or its client sends an endless head.
+/// A connection without a complete request head for this long is closed: it is idle, or its client sends an
+/// endless head.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_100);
 /// Time limit for receiving a complete request, counted from the same moment.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -48,8 +49,8 @@
     Serving,
     /// Every response closes its connection.
     Leaving,
-    /// Another process accepts connections; requests on the remaining ones are forwarded to it, and every response closes its
-    /// connection.
+    /// Another process accepts connections; requests on the remaining ones are forwarded to it, and every
+    /// response closes its connection.
     Handed,
     /// Idle connections are closed and no new ones are accepted.
     Closing,
@@ -89,8 +90,9 @@
     phase: watch::Receiver<Phase>,
 }
 
-/// Serves clients on `listener`, up to the connection limit, until the phase is `Closing` and every connection has ended.
-/// Later connections are refused, which tells the client that its message was not accepted here.
+/// Serves clients on `listener`, up to the connection limit, until the phase is `Closing` and every
+/// connection has ended. Later connections are refused, which tells the client that its message was not
+/// accepted here.
 pub async fn serve<I: From<ClientRequest> + Send + 'static>(
     listener: TcpListener,
     connection_limiter: Arc<ConnectionLimiter>,
@@ -185,7 +187,8 @@
         response
     }
 
-    /// Parses a request, passes the message to the driver and waits for its reply. An error is the status to respond with.
+    /// Parses a request, passes the message to the driver and waits for its reply. An error is the status to
+    /// respond with.
     async fn take(
         &self,
         request: Request<Incoming>,
@@ -193,8 +196,8 @@
     ) -> Result<SubmitReply, StatusCode> {
         let (received_at, (head, body)) = (Instant::now(), request.into_parts());
         let deadline = slot.reading() + REQUEST_TIMEOUT;
-        // Together with a Content-Length it allows request smuggling, and the header map does not show whether there was
-        // one. No client needs it, because body lengths are known.
+        // Together with a Content-Length it allows request smuggling, and the header map does not show
+        // whether there was one. No client needs it, because body lengths are known.
         if head.headers.contains_key(TRANSFER_ENCODING) {
             return Err(StatusCode::BAD_REQUEST);
         }
@@ -232,7 +235,8 @@
     }
 }
 
-/// Header with the ordering key, any text, for classes that preserve order. Messages without one are not ordered.
+/// Header with the ordering key, any text, for classes that preserve order. Messages without one are not
+/// ordered.
 const ORDER_KEY: &str = "Req-Order-Key";
 
 struct Fields {
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -117,8 +117,8 @@
 const REPLACE_WITHIN: Duration = Duration::from_secs(10);
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Takes ownership of the state folder, directly or by a handover from its current owner. A process replaces another only
-/// if a console is configured; otherwise a second start is an error.
+/// Takes ownership of the state folder, directly or by a handover from its current owner. A process replaces
+/// another only if a console is configured; otherwise a second start is an error.
 async fn start(config: &Config, store_opener: &StoreOpener) -> Result<Started, Error> {
     if config.console.is_none() {
         let (ledger, opened) = store_opener.open(store_opener::LOCK_TIMEOUT)?;
@@ -135,13 +135,15 @@
             Err(e) => return Err(e.into()),
         }
         if let Some((mut line, moving)) = handover::request_takeover(&config.state, &config.name).await {
-            // The current owner waits with its store closed. On any error here the connection closes and it continues.
+            // The current owner waits with its store closed. On any error here the connection closes and it
+            // continues.
             let (mut ledger, opened) = store_opener.open(store_opener::LOCK_TIMEOUT)?;
             let known = read_state(&moving, config, &opened)
-                .inspect_err(|why| eprintln!("handover: the predecessor's state cannot be used, recovering from the store alone: {why}"))
+                .inspect_err(|why| eprintln!("handover: recovering from the store alone: {why}"))
                 .ok();
             ledger.own(store_opener.mark()).map_err(store_opener::Error::Store)?;
-            // If this cannot be delivered the predecessor has ended, and this process is the owner regardless.
+            // If this cannot be delivered the predecessor has ended, and this process is the owner
+            // regardless.
             let _ = line.send(&Frame::Mine { afresh: known.is_none() }).await;
             return Ok(Started { ledger, opened, taken: Some(TakenOver { line, moving, known }) });
         }
@@ -171,7 +173,8 @@
     Ok((moved, previous))
 }
 
-/// Re-executes the program, keeping the process id; it recovers from the store as after a crash. Returns only on failure.
+/// Re-executes the program, keeping the process id; it recovers from the store as after a crash. Returns only
+/// on failure.
 fn start_afresh() -> Error {
     let arguments = std::env::args_os().skip(1);
     Error::Io(std::process::Command::new("/proc/self/exe").args(arguments).exec())
@@ -318,15 +321,17 @@
     if !driver.is_finished() {
         let _ = timeout(STOP_TIMEOUT, &mut driver).await;
     }
-    // Requests still being read are answered as unavailable, since the driver has stopped; then the connections end.
+    // Requests still being read are answered as unavailable, since the driver has stopped; then the
+    // connections end.
     let _ = timeout(INTAKE_TIMEOUT, intake).await;
     meter::report();
     eprintln!("stopped");
     Ok(())
 }
 
-/// Reloads the configuration on SIGHUP or when `refresh` is notified, also while the process is stopping. A valid file is
-/// applied in one step, and discovery and notices switch to its discovery address. An invalid one changes nothing.
+/// Reloads the configuration on SIGHUP or when `refresh` is notified, also while the process is stopping. A
+/// valid file is applied in one step, and discovery and notices switch to its discovery address. An invalid
+/// one changes nothing.
 async fn reload(
     mut hangup: Signal,
     refresh: Arc<Notify>,
--- a/dispatcher/src/notices.rs
+++ b/dispatcher/src/notices.rs
@@ -48,8 +48,8 @@
     Ok(text.into())
 }
 
-/// Sends notices in batches, each repeated until it is answered 204, and then reports them to the driver.
-/// A batch in flight when the address changes is sent again to the new address: duplicate notices are harmless.
+/// Sends notices in batches, each repeated until it is answered 204, and then reports them to the driver. A
+/// batch in flight when the address changes is sent again to the new address: duplicate notices are harmless.
 pub async fn send<I: From<Accepted>>(
     mut agent: Agent,
     mut due: mpsc::Receiver<Notice>,
--- a/dispatcher/src/peers.rs
+++ b/dispatcher/src/peers.rs
@@ -1,4 +1,5 @@
-//! Datagrams between dispatchers, of at most 256 bytes: messages of the decision module, or frames of shared state.
+//! Datagrams between dispatchers, of at most 256 bytes: messages of the decision module, or frames of shared
+//! state.
 
 pub mod sharing;
 
@@ -51,8 +52,9 @@
 }
 
 impl Peers {
-    /// Listens for datagrams and forwards them with the number of their sender. If the address is in use, retries until it can
-    /// be bound; until then nothing is sent or received. Aborting the returned task releases the address.
+    /// Listens for datagrams and forwards them with the number of their sender. If the address is in use,
+    /// retries until it can be bound; until then nothing is sent or received. Aborting the returned task
+    /// releases the address.
     pub fn open<I: From<PeerMessage> + From<Frame> + Send + 'static>(
         listen: SocketAddr,
         each: Vec<SocketAddr>,
--- a/dispatcher/src/peers/sharing.rs
+++ b/dispatcher/src/peers/sharing.rs
@@ -1,5 +1,5 @@
-//! Connects the driver to [`Tier`], the state shared between dispatchers, and translates between endpoint names or numbers
-//! and the hashes used there. Makes no decisions.
+//! Connects the driver to [`Tier`], the state shared between dispatchers, and translates between endpoint
+//! names or numbers and the hashes used there. Makes no decisions.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Updates the version of the list. `from_agent` tells whether the agent sent it, as opposed to an unconfirmed list from the
-    /// store, the configuration or a predecessor.
+    /// Updates the version of the list. `from_agent` tells whether the agent sent it, as opposed to an
+    /// unconfirmed list from the store, the configuration or a predecessor.
     pub fn list_version(
         &mut self,
         at: Moment,
@@ -222,7 +222,8 @@
             if let Some(audit_log) = audit_log {
                 audit_log.beat(at, life.incarnation, life.beat);
             }
-            // Includes destinations with messages from before this process started, or without recent traffic.
+            // Includes destinations with messages from before this process started, or without recent
+            // traffic.
             let all: BTreeSet<DestId> = self.tier.active().chain(core.destinations()).collect();
             let needs: Vec<Need> = all.into_iter().map(|dest| need(core, self.slots, dest)).collect();
             self.tier.tick(at.now, &needs);
@@ -322,7 +323,8 @@
     })
 }
 
-/// The demand for a destination. While all call slots are in use, messages do not wait because of the rate share.
+/// The demand for a destination. While all call slots are in use, messages do not wait because of the rate
+/// share.
 fn need(core: &Core, slots: usize, dest: DestId) -> Need {
     let (limit, waiting) = core.demand(dest);
     Need { dest, limit, waiting: if core.slots_in_use() < slots { waiting } else { 0 } }
--- a/dispatcher/src/predecessor.rs
+++ b/dispatcher/src/predecessor.rs
@@ -1,5 +1,6 @@
-//! The two sides after a handover. The former owner finishes the calls and client requests on its sockets, reports their
-//! results to the new owner, and makes no decisions. [`Predecessor`] is the new owner's view of that process.
+//! The two sides after a handover. The former owner finishes the calls and client requests on its sockets,
+//! reports their results to the new owner, and makes no decisions. [`Predecessor`] is the new owner's view of
+//! that process.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -21,7 +22,8 @@
     frame_tx: mpsc::UnboundedSender<Frame>,
     /// Calls that the predecessor wrote and that have not ended.
     pub written: BTreeSet<CallId>,
-    /// Accepted messages whose clients the predecessor has not confirmed to have been told, by request number.
+    /// Accepted messages whose clients the predecessor has not confirmed to have been told, by request
+    /// number.
     pub unconfirmed: HashMap<u64, MsgId>,
 }
 
--- a/dispatcher/src/retry.rs
+++ b/dispatcher/src/retry.rs
@@ -1,10 +1,11 @@
-//! Delays of discovery requests at the start and after failures: randomized by a seed, with exponential backoff. No I/O, no
-//! clock.
+//! Delays of discovery requests at the start and after failures: randomized by a seed, with exponential
+//! backoff. No I/O, no clock.
 //!
-//! Invariant: N dispatchers that fail together retry [`SPACING`] apart on average, or within [`MAX_SPAN`] if they are many,
-//! and half as often after the next failure; those that start together send their first requests almost at once. Discovery
-//! can serve one request from every dispatcher in 2 to 8 s at any scale. If requests come faster, it works on requests whose
-//! callers have given up after their 2 s, and answers none in time as long as that continues.
+//! Invariant: N dispatchers that fail together retry [`SPACING`] apart on average, or within [`MAX_SPAN`] if
+//! they are many, and half as often after the next failure; those that start together send their first
+//! requests almost at once. Discovery can serve one request from every dispatcher in 2 to 8 s at any scale.
+//! If requests come faster, it works on requests whose callers have given up after their 2 s, and answers
+//! none in time as long as that continues.
 
 use std::time::Duration;
 
@@ -14,8 +15,8 @@
 const SPACING: Duration = Duration::from_millis(80);
 /// The time in which discovery can serve one request from each dispatcher, however many there are.
 const MAX_SPAN: Duration = Duration::from_secs(8);
-/// Maximum delay of the first request. Changes that the agent has received meanwhile, including drains, count as reported
-/// and must be observed within 500 ms. Longer delays occur only after failures.
+/// Maximum delay of the first request. Changes that the agent has received meanwhile, including drains, count
+/// as reported and must be observed within 500 ms. Longer delays occur only after failures.
 const MAX_FIRST_DELAY: Duration = Duration::from_millis(300);
 /// Limit of the mean delay, in addition to twice the mean of the first one.
 const MAX_MEAN: Duration = Duration::from_secs(2);
@@ -60,8 +61,9 @@
 mod tests {
     use super::*;
 
-    /// Simulates discovery, which serves requests one after the other, each for `each` seconds, and does not notice that
-    /// callers give up after 2 s. Returns the seconds until the last caller has an answer, and the number of requests.
+    /// Simulates discovery, which serves requests one after the other, each for `each` seconds, and does not
+    /// notice that callers give up after 2 s. Returns the seconds until the last caller has an answer, and
+    /// the number of requests.
     fn until_all_answered(
         callers: usize,
         each: f64,
@@ -100,8 +102,8 @@
         }
     }
 
-    /// Reproduces an overload seen in production: 100 callers with a constant retry delay of 50 ms have no answer after two
-    /// minutes.
+    /// Reproduces an overload seen in production: 100 callers with a constant retry delay of 50 ms have no
+    /// answer after two minutes.
     #[test]
     fn constant_short_delay_keeps_discovery_overloaded() {
         assert!(until_all_answered(100, 0.08, &mut |_| 0.0, &mut |_| 0.05).0.is_infinite());
--- a/dispatcher/src/roster.rs
+++ b/dispatcher/src/roster.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: names, numbers and addresses of the endpoints. The list is saved in the store for the next start.
+//! The endpoint list: names, numbers and addresses of the endpoints. The list is saved in the store for the
+//! next start.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -120,8 +121,8 @@
         })
     }
 
-    /// The digest of everything in the list that affects decisions. Addresses are excluded, because they may differ between
-    /// dispatchers.
+    /// The digest of everything in the list that affects decisions. Addresses are excluded, because they may
+    /// differ between dispatchers.
     pub fn digest(&self) -> u32 {
         let piece = |known: &ListedEndpoint| {
             let Entry { zone, kind, dest, state, weight, .. } = known.entry;
@@ -131,8 +132,8 @@
         millpost_tier::standing::fold(self.known.values().map(piece).fold(0, u64::wrapping_add))
     }
 
-    /// Marks an endpoint as draining because other dispatchers report it, or removes the mark. Returns the new entry if it
-    /// changed.
+    /// Marks an endpoint as draining because other dispatchers report it, or removes the mark. Returns the
+    /// new entry if it changed.
     pub fn set_held(&mut self, endpoint: EndpointId, held: bool) -> Option<Entry> {
         let changed = if held { self.held.insert(endpoint) } else { self.held.remove(&endpoint) };
         self.known.get(&endpoint).filter(|_| changed).map(|known| self.entry(known))
@@ -185,8 +186,8 @@
         List { snapshot: true, index, endpoints: endpoints.collect(), unreadable: Vec::new() }
     }
 
-    /// Applies an update from discovery and saves it for the next start. Returns whether it was a snapshot, and the entries
-    /// for the decision module.
+    /// Applies an update from discovery and saves it for the next start. Returns whether it was a snapshot,
+    /// and the entries for the decision module.
     pub fn listed(&mut self, at: Moment, store: &mut StoreWriter, list: List) -> (bool, Vec<Entry>) {
         let (index, snapshot) = (list.index, list.snapshot);
         let mut gone = Vec::new();
--- a/dispatcher/src/store_writer.rs
+++ b/dispatcher/src/store_writer.rs
@@ -1,5 +1,5 @@
-//! The driver's access to the store: writes changes in order, defers effects until the writes they depend on are durable,
-//! and runs at most one sync at a time for all writes made by then.
+//! The driver's access to the store: writes changes in order, defers effects until the writes they depend on
+//! are durable, and runs at most one sync at a time for all writes made by then.
 
 use millpost::LearnedState;
 use millpost::api::Nanos;
@@ -90,7 +90,8 @@
         self.check(at, done);
     }
 
-    /// Records that an operator cordoned (`out`) or uncordoned an endpoint. Returns the sequence number of the write.
+    /// Records that an operator cordoned (`out`) or uncordoned an endpoint. Returns the sequence number of
+    /// the write.
     pub fn save_cordon(&mut self, at: Moment, name: &str, out: bool) -> Option<Seq> {
         let done = self.ledger.cordon(name, out);
         self.check(at, done)
@@ -132,11 +133,12 @@
         self.check(at, done);
     }
 
-    /// Periodic maintenance, about once a second: runs a step of compaction, and reports once that writes work again.
+    /// Periodic maintenance, about once a second: runs a step of compaction, and reports once that writes
+    /// work again.
     pub fn maintain(&mut self, at: Moment) {
         within(Part::Journal, || self.ledger.tidy(at.wall));
-        // Requires that frames were written since the last failure and that the failure was a while ago: neither an idle
-        // period nor a single successful write between two failures counts as recovery.
+        // Requires that frames were written since the last failure and that the failure was a while ago:
+        // neither an idle period nor a single successful write between two failures counts as recovery.
         let next = self.ledger.store().next_seq();
         if self
             .failing
@@ -158,8 +160,8 @@
         job
     }
 
-    /// Processes the result of a sync. If it failed, returns the deferred client replies whose writes will not become
-    /// durable.
+    /// Processes the result of a sync. If it failed, returns the deferred client replies whose writes will
+    /// not become durable.
     pub fn synced(&mut self, at: Moment, synced: Synced) -> Vec<Deferred> {
         self.syncing = false;
         let done = self.ledger.synced(synced);
--- a/dispatcher/src/versions.rs
+++ b/dispatcher/src/versions.rs
@@ -1,4 +1,5 @@
-//! The versions of settings, list and program that this dispatcher uses, and their persistence. Makes no decisions.
+//! The versions of settings, list and program that this dispatcher uses, and their persistence. Makes no
+//! decisions.
 
 use millpost::api::Nanos;
 use millpost_core::{Moment, SNAPSHOT_VERSION};
@@ -21,7 +22,8 @@
     since: Nanos,
 }
 
-/// The initial versions of an incarnation with the settings of this digest, and how long each kind has been in use.
+/// The initial versions of an incarnation with the settings of this digest, and how long each kind has been
+/// in use.
 pub fn begin(at: Moment, settings: u32, store: &mut StoreWriter) -> (Standing, [Nanos; 4]) {
     let mut standing = Standing::default();
     let release = concat!(env!("CARGO_PKG_VERSION"));
@@ -56,8 +58,8 @@
     save(at, LIST_KEY, digest, store);
 }
 
-/// How long the initial list has been in use; [`Nanos::MAX`] if unknown because no agent confirmed it to an earlier
-/// incarnation.
+/// How long the initial list has been in use; [`Nanos::MAX`] if unknown because no agent confirmed it to an
+/// earlier incarnation.
 pub fn list_age(at: Moment, digest: u32, store: &StoreWriter) -> Nanos {
     age(at, LIST_KEY, digest, store).unwrap_or(Nanos::MAX)
 }
--- a/dispatcher/tests/batches.rs
+++ b/dispatcher/tests/batches.rs
@@ -1,5 +1,5 @@
-//! Calls with several messages, for endpoint kinds that support them: every possible result of a message, and every way in
-//! which an answer can be missing or broken.
+//! Calls with several messages, for endpoint kinds that support them: every possible result of a message, and
+//! every way in which an answer can be missing or broken.
 
 mod common;
 
@@ -33,8 +33,9 @@
     Options { slots: 1, bundle, ..Options::default() }
 }
 
-/// A partner that answers its first call, of one message, only after a signal on the returned channel; messages submitted
-/// meanwhile wait for the slot. The next call is answered by `second`, all others with 200.
+/// A partner that answers its first call, of one message, only after a signal on the returned channel;
+/// messages submitted meanwhile wait for the slot. The next call is answered by `second`, all others with
+/// 200.
 fn delayed_partner(
     second: impl Fn(&Message) -> Reply + Send + Sync + 'static,
 ) -> (Server, std::sync::mpsc::SyncSender<()>) {
--- a/dispatcher/tests/common/mod.rs
+++ b/dispatcher/tests/common/mod.rs
@@ -68,8 +68,9 @@
 }
 
 impl Node {
-    /// Starts a dispatcher with the classes `/safe`, `/keyed` (keys valid for 30 s), `/unsafe`, `/ordered` and `/ordered-once`;
-    /// the last two preserve order. The tick is 50 ms, and an ordering key rests for 300 ms after a lost attempt.
+    /// Starts a dispatcher with the classes `/safe`, `/keyed` (keys valid for 30 s), `/unsafe`, `/ordered`
+    /// and `/ordered-once`; the last two preserve order. `T1` is 50 ms, and an ordering key rests for 300 ms
+    /// after an attempt that may still be running.
     pub fn start(discovery: &Discovery, known: &[String], options: Options) -> Self {
         let class = |name: &str, effect| Class {
             name: name.to_owned(),
--- a/dispatcher/tests/console.rs
+++ b/dispatcher/tests/console.rs
@@ -12,8 +12,8 @@
     Options { console: true, ..Options::default() }
 }
 
-/// Sends these pieces one by one, and returns everything received until the connection closes. `half_close` ends the
-/// sending direction first.
+/// Sends these pieces one by one, and returns everything received until the connection closes. `half_close`
+/// ends the sending direction first.
 fn exchange(node: &Node, pieces: &[&[u8]], half_close: bool) -> String {
     let mut stream = TcpStream::connect(node.console.expect("a console")).expect("it listens");
     stream.set_nodelay(true).expect("set");
@@ -115,8 +115,8 @@
         a.closed.lock().expect("lock").contains(&connection).then_some(())
     });
     assert_eq!(node.hand_in("safe", "held", 7, 50.0), 202);
-    // The cordon must hold whatever the list says meanwhile, also if the endpoint is removed and listed again, and across a
-    // kill.
+    // The cordon must hold whatever the list says meanwhile, also if the endpoint is removed and listed
+    // again, and across a kill.
     discovery.tell(&[entry("b", &b, 8, "in_service")]);
     discovery.tell(&[entry("a", &a, 7, "in_service"), entry("b", &b, 8, "in_service")]);
     node.kill();
@@ -151,8 +151,8 @@
     assert_eq!(threads, 1, "the console thread must not exist");
 }
 
-/// Messages are delivered, failed and refused, with a graceful restart in between: the figures of both processes together must
-/// match the counts of clients, partners and the platform.
+/// Messages are delivered, failed and refused, with a graceful restart in between: the figures of both
+/// processes together must match the counts of clients, partners and the platform.
 #[test]
 fn figures_of_two_processes_add_up_across_a_restart() {
     let discovery = Discovery::start();
@@ -171,7 +171,8 @@
     for process in 0..2 {
         for n in 0..300 {
             let class = n % 2;
-            // Some messages are for a destination without endpoints in service; they are returned at their deadline.
+            // Some messages are for a destination without endpoints in service; they are returned at their
+            // deadline.
             let (dest, deadline) = if n % 7 == 0 { (99, 0.2) } else { (7, 20.0) };
             match node.hand_in(classes[class], &format!("p{process}-{n}"), dest, deadline) {
                 202 => taken[class] += 1,
--- a/dispatcher/tests/full.rs
+++ b/dispatcher/tests/full.rs
@@ -1,4 +1,5 @@
-//! Failing writes: new messages are refused, accepted ones still end, and service resumes once there is space.
+//! Failing writes: new messages are refused, accepted ones still end, and service resumes once there is
+//! space.
 
 mod common;
 
--- a/dispatcher/tests/hearsay.rs
+++ b/dispatcher/tests/hearsay.rs
@@ -1,5 +1,5 @@
-//! Endpoint observations shared between real dispatcher processes: requested waits, unreachable endpoints, a dispatcher that
-//! cannot reach any endpoint itself, and foreign or malformed datagrams.
+//! Endpoint observations shared between real dispatcher processes: requested waits, unreachable endpoints, a
+//! dispatcher that cannot reach any endpoint itself, and foreign or malformed datagrams.
 
 mod together;
 
@@ -40,8 +40,8 @@
     until("all dispatchers call again", || (0..4).all(after).then_some(()));
 }
 
-/// The first dispatcher cannot reach one of two endpoints, and the others have had no traffic yet. Returns how many of them
-/// call that endpoint once they have traffic, and how many endpoints they suspect before.
+/// The first dispatcher cannot reach one of two endpoints, and the others have had no traffic yet. Returns
+/// how many of them call that endpoint once they have traffic, and how many endpoints they suspect before.
 fn one_observer(planted: Option<&str>, seed: u64) -> (usize, u64) {
     let fleet = fleet(&[4; 4], 2, planted, seed);
     fleet.unreached(0, &[0]);
@@ -169,8 +169,8 @@
     met(&fleet, 3);
 }
 
-/// Only the first dispatcher has traffic while the destination is down. Afterwards its traffic must stay within its share of
-/// the reduced budget of a recovering destination, and the total within the full budget.
+/// Only the first dispatcher has traffic while the destination is down. Afterwards its traffic must stay
+/// within its share of the reduced budget of a recovering destination, and the total within the full budget.
 #[test]
 fn recovery_seen_by_one_dispatcher_limits_it_and_the_total_stays_within_budget() {
     let fleet = fleet(&[4; 4], 1, None, 27);
@@ -190,7 +190,8 @@
     let window = Duration::from_secs(4);
     pass(&fleet, window);
     let calls: Vec<Call> = fleet.calls().into_iter().filter(|c| c.at >= back).collect();
-    // 1.5 times the capacity of a destination that is at most half warmed up, of which this dispatcher's share is a quarter.
+    // 1.5 times the capacity of a destination that is at most half warmed up, of which this dispatcher's
+    // share is a quarter.
     let own = sent(&calls, 0, back, back + window);
     let cold = 1.5 * 0.5 * EVEN as f64 * window.as_secs_f64();
     assert!(own > 0 && (own as f64) <= cold + 2.0, "{own} calls, {cold} allowed");
--- a/dispatcher/tests/kills.rs
+++ b/dispatcher/tests/kills.rs
@@ -1,8 +1,8 @@
-//! Kills the real dispatcher at random moments under load, with partners that count effects. No message may be lost, and no
-//! unsafe one executed twice. Seeds are fixed; the exact moments depend on the machine.
+//! Kills the real dispatcher at random moments under load, with partners that count effects. No message may
+//! be lost, and no unsafe one executed twice. Seeds are fixed; the exact moments depend on the machine.
 //!
-//! A short form runs with the tests. `MILLPOST_KILLS=400 cargo test --release -p millpost-dispatcher --test kills` runs the
-//! long one.
+//! A short form runs with the tests. `MILLPOST_KILLS=400 cargo test --release -p millpost-dispatcher --test
+//! kills` runs the long one.
 
 mod common;
 
@@ -68,7 +68,8 @@
     })
 }
 
-/// Submits messages until stopped, and records those answered with 202, for which the dispatcher is responsible.
+/// Submits messages until stopped, and records those answered with 202, for which the dispatcher is
+/// responsible.
 fn client(
     address: std::net::SocketAddr,
     number: u64,
@@ -134,8 +135,8 @@
             thread::sleep(moment / 4);
             old.kill();
         }
-        // The new process is killed at any moment: before its request, during the handover, or as the owner. The old one
-        // continues.
+        // The new process is killed at any moment: before its request, during the handover, or as the owner.
+        // The old one continues.
         2 => {
             let mut new = node.launch_beside();
             thread::sleep(moment);
--- a/dispatcher/tests/order.rs
+++ b/dispatcher/tests/order.rs
@@ -1,4 +1,5 @@
-//! Messages with the same ordering key are delivered one at a time, in the order of acceptance, also across a kill.
+//! Messages with the same ordering key are delivered one at a time, in the order of acceptance, also across a
+//! kill.
 
 mod common;
 
@@ -57,8 +58,9 @@
     assert_eq!(references(&partner, 5), ["m0", "m0", "m1", "m2", "m3"]);
 }
 
-/// The first message may still be executing at the partner when the process is killed, and it fails at the next start. Its
-/// ordering key must rest nevertheless before the next message is sent. Found by state exploration.
+/// The first message may still be executing at the partner when the process is killed, and it fails at the
+/// next start. Its ordering key must rest nevertheless before the next message is sent. Found by state
+/// exploration.
 #[test]
 fn ordering_key_rests_across_a_kill() {
     let discovery = Discovery::start();
--- a/dispatcher/tests/reload.rs
+++ b/dispatcher/tests/reload.rs
@@ -73,7 +73,8 @@
 #[test]
 fn reload_while_stopping_is_applied_before_a_clean_exit() {
     let (old, new) = (Discovery::start(), Discovery::start());
-    // The old address accepts no notices any more; the pending one must reach the new address before the process ends.
+    // The old address accepts no notices any more; the pending one must reach the new address before the
+    // process ends.
     *old.deaf.lock().expect("lock") = usize::MAX;
     let mut node = Node::start(&old, &[], Options::default());
     assert_eq!(node.hand_in("safe", "owed", 7, 0.05), 202);
--- a/dispatcher/tests/restart.rs
+++ b/dispatcher/tests/restart.rs
@@ -275,8 +275,8 @@
     assert!(discovery.notices.lock().expect("lock").is_empty());
 }
 
-/// A client whose connection is accepted and then closed unread does not know whether its message was accepted; a refused
-/// connection leaves no doubt.
+/// A client whose connection is accepted and then closed unread does not know whether its message was
+/// accepted; a refused connection leaves no doubt.
 #[test]
 fn refuses_connections_while_stopping() {
     let discovery = Discovery::start();
--- a/dispatcher/tests/serving.rs
+++ b/dispatcher/tests/serving.rs
@@ -223,8 +223,8 @@
 #[test]
 fn messages_beyond_the_limits_are_refused() {
     let discovery = Discovery::start();
-    // The message limit: the first messages wait for an endpoint that does not exist. The module frees space in time, so that
-    // each message turned away, new or older, is answered or gets a notice.
+    // The message limit: the first messages wait for an endpoint that does not exist. The module frees space
+    // in time, so that each message turned away, new or older, is answered or gets a notice.
     let options = Options { hold: 4, ..Options::default() };
     let node = Node::start(&discovery, &[], options);
     let taken = (0..10).map(|n| node.hand_in("safe", &format!("h{n}"), 7, 50.0));
@@ -290,7 +290,8 @@
                 let mut reader = std::io::BufReader::new(stream);
                 read(&mut reader).expect("a request");
                 let _ = reader.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-                // Closes the connection after the first byte of the next request; the unread rest causes a reset.
+                // Closes the connection after the first byte of the next request; the unread rest causes a
+                // reset.
                 let _ = std::io::Read::read(reader.get_mut(), &mut [0]);
             });
         }
--- a/dispatcher/tests/together/mod.rs
+++ b/dispatcher/tests/together/mod.rs
@@ -27,7 +27,8 @@
     Service { slots: 16, hold: 300, keepalive_ms: 60_000, classes: vec![class], ..Service::default() }
 }
 
-/// Starts a fleet. `of` holds, per dispatcher, the fleet size in its configuration; `planted` names a fault to inject.
+/// Starts a fleet. `of` holds, per dispatcher, the fleet size in its configuration; `planted` names a fault
+/// to inject.
 pub fn fleet(of: &[usize], endpoints: usize, planted: Option<&str>, seed: u64) -> Fleet {
     println!("seed {seed}");
     let planted = planted.map_or(String::new(), |fault| format!("planted = \"{fault}\"\n"));
