--- a/migration/src/tests.rs
+++ b/migration/src/tests.rs
@@ -1,88 +1,98 @@
-//! Moves played by seed: holders that die at any of their words, one and two together, cuts, sleepers, late acknowledgements, operators who
-//! change their minds. What must hold is judged by `oracle`; each guard taken out is seen to break it.
+//! Simulated moves, determined by a seed: leaders that crash before or after any effect, network cuts, suspended proxies, late
+//! acknowledgements, operators who change their orders. The `oracle` checks the invariants, and each guard that is disabled
+//! has to cause a violation.
 
 mod oracle;
+mod simulation;
 mod small;
-mod town;
 
-use town::{Day, Town};
+use simulation::{Scenario, Simulation};
 
 use crate::guards::{Guard, disable};
 
-/// A day that holds, and what it was.
-fn holds(day: Day) -> Town {
-    let name = format!("{day:?}");
-    let mut town = Town::new(day);
-    town.play();
-    assert!(town.oracle.broken.is_empty(), "{name}: {:#?}\n{}", town.oracle.broken, town.trace());
-    town
+/// Runs a scenario and requires that no invariant is violated.
+fn run_checked(scenario: Scenario) -> Simulation {
+    let name = format!("{scenario:?}");
+    let mut simulation = Simulation::new(scenario);
+    simulation.run();
+    assert!(
+        simulation.oracle.violations.is_empty(),
+        "{name}: {:#?}\n{}",
+        simulation.oracle.violations,
+        simulation.trace()
+    );
+    simulation
 }
 
 #[test]
-fn a_calm_move_is_done_and_one_order_later_it_would_not_be() {
-    let town = holds(Day::calm(1));
-    assert_eq!(town.ends(), ["done"], "{}", town.trace());
-    let town = holds(Day { back_at: Some(9_000), ..Day::calm(1) });
-    assert_eq!(town.ends(), ["turned_back"]);
+fn a_move_without_faults_completes_or_rolls_back_on_order() {
+    let simulation = run_checked(Scenario::calm(1));
+    assert_eq!(simulation.ends(), ["done"], "{}", simulation.trace());
+    let simulation = run_checked(Scenario { rollback_at: Some(9_000), ..Scenario::calm(1) });
+    assert_eq!(simulation.ends(), ["turned_back"]);
 }
 
-/// Each word of each holder: it dies right before it, or right after it.
+/// Crashes the leader right before or right after each effect of the run.
 #[test]
-fn a_holder_may_die_at_each_of_its_words() {
-    for back_at in [None, Some(9_000)] {
-        let words = holds(Day { back_at, ..Day::calm(2) }).words;
-        assert!(words > 25, "{words}");
-        for word in 0..words {
+fn a_leader_may_crash_before_or_after_any_effect() {
+    for rollback_at in [None, Some(9_000)] {
+        let effects = run_checked(Scenario { rollback_at, ..Scenario::calm(2) }).effects;
+        assert!(effects > 25, "{effects}");
+        for effect in 0..effects {
             for after in [false, true] {
-                let town = holds(Day { back_at, deaths: vec![(word, after)], ..Day::calm(2) });
-                let end = if back_at.is_some() { "turned_back" } else { "done" };
-                assert_eq!(town.ends(), [end], "{word} {after}");
+                let simulation = run_checked(Scenario {
+                    rollback_at,
+                    crashes: vec![(effect, after)],
+                    ..Scenario::calm(2)
+                });
+                let end = if rollback_at.is_some() { "turned_back" } else { "done" };
+                assert_eq!(simulation.ends(), [end], "{effect} {after}");
             }
         }
     }
 }
 
 #[test]
-fn any_two_together_and_all_the_rest_by_seed() {
+fn random_scenarios_violate_no_invariant() {
     let mut ends = std::collections::BTreeMap::<&str, usize>::new();
-    // More of them by `CARTER_DAYS=20000`.
-    let days = std::env::var("CARTER_DAYS").map_or(500, |days| days.parse().expect("a number"));
-    for seed in 0..days {
-        for end in holds(Day::wild(seed)).ends() {
+    // For more scenarios set the environment variable, for example `CARTER_DAYS=20000`.
+    let seeds = std::env::var("CARTER_DAYS").map_or(500, |seeds| seeds.parse().expect("a number"));
+    for seed in 0..seeds {
+        for end in run_checked(Scenario::random(seed)).ends() {
             *ends.entry(end).or_default() += 1;
         }
     }
-    // The days are worth playing only if they end in all ways.
+    // The scenarios are only useful if moves end in all possible ways.
     for end in ["done", "turned_back", "overtaken"] {
         assert!(ends.get(end).is_some_and(|count| *count >= 20), "{ends:?}");
     }
 }
 
-/// Without any of the guards something is seen to break, and it is what that guard keeps.
+/// Disabling any guard causes a violation of the invariant that it protects.
 #[yare::parameterized(
-    hear_all = { Guard::HearAllProxies, "early" },
-    all_apply = { Guard::AllProxiesApply, "early" },
-    base = { Guard::Base, "undone" },
-    decided = { Guard::PutDecided, "after its end" },
-    durable = { Guard::Durable, "unrecorded" },
-    burned = { Guard::UniqueRevision, "twice" },
-    crossing = { Guard::DisjointRoutes, "crossing" },
-    turns = { Guard::OneActiveMove, "two out" },
-    version = { Guard::Version, "forgotten" },
-    firm = { Guard::NoUnresolvedWrite, "denied" },
-    lease = { Guard::Lease, "without the lease" },
-    overtaken = { Guard::Superseded, "fights" },
-    settle = { Guard::Settle, "early" },
-    pace = { Guard::Pace, "pushed" },
-    bounds = { Guard::Bounds, "past its bounds" },
+    hear_all_proxies = { Guard::HearAllProxies, "ended early" },
+    all_apply = { Guard::AllProxiesApply, "ended early" },
+    base = { Guard::Base, "foreign change" },
+    put_decided = { Guard::PutDecided, "put after end" },
+    durable = { Guard::Durable, "put not recorded" },
+    unique_revision = { Guard::UniqueRevision, "revision reused" },
+    disjoint_routes = { Guard::DisjointRoutes, "route in two moves" },
+    one_active_move = { Guard::OneActiveMove, "two active moves" },
+    version = { Guard::Version, "order lost" },
+    no_unresolved_write = { Guard::NoUnresolvedWrite, "refused order applied" },
+    lease = { Guard::Lease, "no lease" },
+    superseded = { Guard::Superseded, "operator overridden" },
+    settle = { Guard::Settle, "ended early" },
+    pace = { Guard::Pace, "load on slow target" },
+    bounds = { Guard::Bounds, "bounds exceeded" },
 )]
-fn a_guard_that_is_taken_out_is_missed(guard: Guard, what: &str) {
+fn disabling_a_guard_violates_its_invariant(guard: Guard, violation: &str) {
     disable(Some(guard));
     let found = (0..3_000).any(|seed| {
-        let mut town = Town::new(Day::wild(seed));
-        town.play();
-        town.oracle.broken.iter().any(|broken| broken.starts_with(what))
+        let mut simulation = Simulation::new(Scenario::random(seed));
+        simulation.run();
+        simulation.oracle.violations.iter().any(|found| found.starts_with(violation))
     });
     disable(None);
-    assert!(found, "{guard:?} is not missed");
+    assert!(found, "disabling {guard:?} caused no violation");
 }
--- a/migration/src/tests/oracle.rs
+++ b/migration/src/tests/oracle.rs
@@ -1,4 +1,5 @@
-//! What must hold of moves, judged from what stands, what is offered and what is answered; never from the inside of a machine.
+//! Checks the invariants of moves from the records, configurations and answers that a simulation produces, never from the
+//! internal state of a machine.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,66 +10,70 @@
 use crate::shift::{RouteLocation, has_loads_on_target, locate_routes};
 use crate::{MS, Nanos};
 
-/// A proxy, as the oracle sees it.
-pub(super) struct Seen {
-    pub in_touch: bool,
-    /// What it acts on, and since when what it acts on has the tenant's routes where they are now.
+/// The state of a proxy as the oracle sees it.
+pub(super) struct ProxyView {
+    pub connected: bool,
+    /// The configuration that the proxy applies.
     pub config: Option<Config>,
+    /// When the proxy started to apply each revision.
     pub since: BTreeMap<u64, Nanos>,
 }
 
 #[derive(Default)]
 pub(super) struct Oracle {
-    pub broken: Vec<String>,
-    /// Texts that were offered by moves, by their number.
+    /// Violated invariants, at most ten.
+    pub violations: Vec<String>,
+    /// Configurations that moves tried to write, by revision.
     offered: BTreeMap<u64, String>,
-    /// Puts that stood in a record: number, base, move, loads.
+    /// Puts that were part of a written record: revision and base.
     recorded: BTreeSet<(u64, u64)>,
-    /// The routes of each move, which its record forgets at its end.
+    /// Routes, loads and longest deadline of each move; the record drops the routes when the move ends.
     pub route_moves: BTreeMap<CompactString, (Vec<RouteMove>, u32, u64)>,
-    /// The highest revision that an operator put.
+    /// Revisions that operators put.
     by_operator: BTreeSet<u64>,
-    /// Orders that were answered well: planned, to turn back, paused.
+    /// Moves whose plan, rollback or pause was accepted; for a pause also the load at that time.
     planned: BTreeSet<CompactString>,
-    backs: BTreeSet<CompactString>,
+    rollbacks: BTreeSet<CompactString>,
     paused: BTreeMap<CompactString, u32>,
-    /// Moves whose plan or start was refused, and not asked for again since.
+    /// Moves whose plan or start was refused and has not been ordered again since.
     refused: BTreeSet<CompactString>,
+    /// All configurations by revision.
     pub configs: BTreeMap<u64, Config>,
 }
 
 impl Oracle {
     pub fn fail(&mut self, now: Nanos, what: &str, more: impl std::fmt::Display) {
-        if self.broken.len() < 10 {
-            self.broken.push(format!("{what}: at {} ms: {more}", now / MS));
+        if self.violations.len() < 10 {
+            self.violations.push(format!("{what}: at {} ms: {more}", now / MS));
         }
     }
 
-    pub fn offers(&mut self, now: Nanos, number: u64, text: &str) {
-        if self.offered.entry(number).or_insert_with(|| text.to_owned()) != text {
-            self.fail(now, "twice", format!("two configurations under {number}"));
+    /// A move tries to write a configuration.
+    pub fn config_offered(&mut self, now: Nanos, revision: u64, text: &str) {
+        if self.offered.entry(revision).or_insert_with(|| text.to_owned()) != text {
+            self.fail(now, "revision reused", format!("two configurations under revision {revision}"));
         }
     }
 
-    /// An operator's configuration stands.
+    /// An operator's configuration has become active.
     pub fn put_by_operator(&mut self, config: Config) {
         self.by_operator.insert(config.revision);
         self.configs.insert(config.revision, config);
     }
 
-    /// A move's configuration stands now, over this one.
+    /// A move's configuration has replaced `before`.
     pub fn put_by_move(&mut self, now: Nanos, name: &str, before: &Config, config: Config, record: &Record) {
-        let number = config.revision;
-        if !self.recorded.contains(&(number, before.revision)) {
-            self.fail(now, "unrecorded", format!("{number} over {}", before.revision));
+        let revision = config.revision;
+        if !self.recorded.contains(&(revision, before.revision)) {
+            self.fail(now, "put not recorded", format!("{revision} over {}", before.revision));
         }
-        if record.find(name).is_none_or(|of| of.state.is_ended()) {
-            self.fail(now, "after its end", format!("{number} of {name}"));
+        if record.find(name).is_none_or(|mv| mv.state.is_ended()) {
+            self.fail(now, "put after end", format!("{revision} of {name}"));
         }
         let Some((route_moves, loads, _)) = self.route_moves.get(name).cloned() else {
-            return self.fail(now, "unrecorded", format!("no move {name}"));
+            return self.fail(now, "put not recorded", format!("no move {name}"));
         };
-        // All but the tenant's services is as it was.
+        // Everything except the tenant's services has to be unchanged.
         let blank = |config: &Config| {
             let mut config = config.clone();
             config.revision = 0;
@@ -82,99 +87,116 @@
         if blank(before) != blank(&config) {
             self.fail(
                 now,
-                "undone",
-                format!("{number} over {} changes what is not its own", before.revision),
+                "foreign change",
+                format!("{revision} over {} changes more than the tenant's services", before.revision),
             );
         }
         let at = locate_routes(before, &route_moves);
         let elsewhere = at.contains(&RouteLocation::Other)
             || !(0..=loads).any(|n| has_loads_on_target(before, &route_moves, n));
         if elsewhere && self.by_operator.contains(&before.revision) {
-            self.fail(now, "fights", format!("{number} over the operator's {}", before.revision));
+            self.fail(
+                now,
+                "operator overridden",
+                format!("{revision} over the operator's {}", before.revision),
+            );
         }
-        self.configs.insert(number, config);
+        self.configs.insert(revision, config);
     }
 
-    /// A record stands now.
-    pub fn record(
+    /// A record has been written.
+    pub fn record_written(
         &mut self,
         now: Nanos,
         before: &Record,
         record: &Record,
-        stands: &Config,
-        proxies: &[Seen],
+        active: &Config,
+        proxies: &[ProxyView],
     ) {
         let mut held = BTreeSet::new();
-        for of in record.open() {
-            for route_move in &of.route_moves {
+        for mv in record.open() {
+            for route_move in &mv.route_moves {
                 if !held.insert((&route_move.host, &route_move.path_prefix)) {
-                    self.fail(now, "crossing", format!("{:?} is in two moves", route_move.path_prefix));
+                    self.fail(
+                        now,
+                        "route in two moves",
+                        format!("{:?} is in two moves", route_move.path_prefix),
+                    );
                 }
             }
         }
-        if record.moves.iter().filter(|of| of.state.is_active()).count() > 1 {
-            self.fail(now, "two out", "");
+        if record.moves.iter().filter(|mv| mv.state.is_active()).count() > 1 {
+            self.fail(now, "two active moves", "");
         }
         for name in self.planned.clone() {
             if record.find(&name).is_none() {
-                self.fail(now, "forgotten", format!("the plan of {name}"));
+                self.fail(now, "order lost", format!("plan of {name}"));
             }
         }
         for name in &self.refused.clone() {
-            let far = |record: &Record| {
-                record.find(name).map_or(0, |of| 1 + u8::from(of.state.name() != "planned"))
+            let progress = |record: &Record| {
+                record.find(name).map_or(0, |mv| 1 + u8::from(mv.state.name() != "planned"))
             };
-            if far(record) > far(before) && record.find(name).is_some_and(|of| !of.state.is_ended()) {
-                self.fail(now, "denied", format!("{name} goes on though that was refused"));
+            if progress(record) > progress(before) && record.find(name).is_some_and(|mv| !mv.state.is_ended())
+            {
+                self.fail(
+                    now,
+                    "refused order applied",
+                    format!("{name} advances although the order was refused"),
+                );
             }
         }
-        for of in &record.moves {
-            let was = before.find(&of.name).map(|was| &was.state);
-            if !of.route_moves.is_empty() {
+        for mv in &record.moves {
+            let was = before.find(&mv.name).map(|was| &was.state);
+            if !mv.route_moves.is_empty() {
                 self.route_moves
-                    .insert(of.name.clone(), (of.route_moves.clone(), of.loads, of.max_deadline_ms));
+                    .insert(mv.name.clone(), (mv.route_moves.clone(), mv.loads, mv.max_deadline_ms));
             }
-            if let State::Switching(way, put) = of.state {
+            if let State::Switching(direction, put) = mv.state {
                 self.recorded.insert((put.revision, put.base));
-                if way == Direction::ToTarget
-                    && self.paused.get(&of.name).is_some_and(|load| put.loads > *load)
+                if direction == Direction::ToTarget
+                    && self.paused.get(&mv.name).is_some_and(|load| put.loads > *load)
                 {
-                    self.fail(now, "forgotten", format!("the pause of {}", of.name));
+                    self.fail(now, "order lost", format!("pause of {}", mv.name));
                 }
             }
-            if was != Some(&of.state) && of.state.is_ended() {
-                self.ended(now, &of.name, &of.state, was, stands, proxies);
+            if was != Some(&mv.state) && mv.state.is_ended() {
+                self.move_ended(now, &mv.name, &mv.state, was, active, proxies);
             }
         }
     }
 
-    /// A record is offered while the target has been past T1 for a while, or not.
-    pub fn offered_record(&mut self, now: Nanos, stands: &Record, next: &Record, bad: bool) {
-        for of in &next.moves {
-            let load = |of: &crate::Move| match of.state {
+    /// A leader tries to write a record; `bad` if the target's delay has been past T1 for a while.
+    pub fn record_offered(&mut self, now: Nanos, current: &Record, next: &Record, bad: bool) {
+        for mv in &next.moves {
+            let load = |mv: &crate::Move| match mv.state {
                 State::Switching(Direction::ToTarget, put) => put.loads,
                 _ => 0,
             };
-            let was = stands.find(&of.name).map_or(0, load);
-            if bad && was > 0 && load(of) > was {
-                self.fail(now, "pushed", format!("load {} on a target that is past T1", load(of)));
+            let was = current.find(&mv.name).map_or(0, load);
+            if bad && was > 0 && load(mv) > was {
+                self.fail(
+                    now,
+                    "load on slow target",
+                    format!("load {} while the target's delay is past T1", load(mv)),
+                );
             }
         }
     }
 
-    fn ended(
+    fn move_ended(
         &mut self,
         now: Nanos,
         name: &CompactString,
         state: &State,
         was: Option<&State>,
-        stands: &Config,
-        proxies: &[Seen],
+        active: &Config,
+        proxies: &[ProxyView],
     ) {
-        if *state == State::Done && self.backs.contains(name) {
-            self.fail(now, "forgotten", format!("the way back of {name}"));
+        if *state == State::Done && self.rollbacks.contains(name) {
+            self.fail(now, "order lost", format!("rollback of {name}"));
         }
-        let Some((route_moves, loads, longest)) = self.route_moves.get(name).cloned() else { return };
+        let Some((route_moves, loads, max_deadline_ms)) = self.route_moves.get(name).cloned() else { return };
         let loads = match state {
             State::Done => loads,
             State::RolledBack => 0,
@@ -182,39 +204,51 @@
         };
         if !was.is_some_and(|was| matches!(was, State::Settling(..))) {
             if *state == State::Done {
-                self.fail(now, "early", format!("{name} ends without having settled"));
+                self.fail(now, "ended early", format!("{name} ends without settling"));
             }
             return;
         }
-        // An operator's own word may have come in the same moment.
-        if !has_loads_on_target(stands, &route_moves, loads) && !self.by_operator.contains(&stands.revision) {
-            self.fail(now, "apart", format!("{name} is {} and {} stands", state.name(), stands.revision));
+        // An operator's configuration may have come at the same time.
+        if !has_loads_on_target(active, &route_moves, loads) && !self.by_operator.contains(&active.revision) {
+            self.fail(
+                now,
+                "routes misplaced",
+                format!("{name} is {} and {} is active", state.name(), active.revision),
+            );
         }
-        for (n, seen) in proxies.iter().enumerate().filter(|(_, seen)| seen.in_touch) {
-            let Some(config) = &seen.config else { continue };
+        for (n, proxy) in proxies.iter().enumerate().filter(|(_, proxy)| proxy.connected) {
+            let Some(config) = &proxy.config else { continue };
             if !has_loads_on_target(config, &route_moves, loads)
                 && !self.by_operator.contains(&config.revision)
             {
-                self.fail(now, "early", format!("{name} ends, proxy {n} acts on {}", config.revision));
+                self.fail(
+                    now,
+                    "ended early",
+                    format!("{name} ends while proxy {n} applies {}", config.revision),
+                );
             }
-            // Since when it acts on what fits.
-            let fitting = seen.since.iter().rev().take_while(|(revision, _)| {
+            // Since when the proxy has applied a configuration with the final routes.
+            let matching = proxy.since.iter().rev().take_while(|(revision, _)| {
                 self.configs
                     .get(revision)
                     .is_some_and(|config| has_loads_on_target(config, &route_moves, loads))
             });
-            if let Some(since) = fitting.map(|(_, since)| *since).last()
-                && now < since + longest * MS
+            if let Some(since) = matching.map(|(_, since)| *since).last()
+                && now < since + max_deadline_ms * MS
             {
-                self.fail(now, "early", format!("{name} ends, proxy {n} had {} ms", (now - since) / MS));
+                self.fail(
+                    now,
+                    "ended early",
+                    format!("{name} ends {} ms after proxy {n} applied the final routes", (now - since) / MS),
+                );
             }
         }
     }
 
-    /// An operator's order is answered well.
-    pub fn answered(&mut self, order: &crate::Order, record: &Record) {
+    /// An operator's order was accepted.
+    pub fn order_accepted(&mut self, order: &crate::Order, record: &Record) {
         let name = order.name().clone();
-        let load = match record.find(&name).map(|of| &of.state) {
+        let load = match record.find(&name).map(|mv| &mv.state) {
             Some(State::Switching(_, put)) => put.loads,
             _ => 0,
         };
@@ -222,19 +256,19 @@
             crate::Order::Plan(_) => _ = self.planned.insert(name),
             crate::Order::Start(..) => {}
             crate::Order::Pause(_) => _ = self.paused.insert(name, load),
-            crate::Order::Rollback(..) => _ = self.backs.insert(name),
+            crate::Order::Rollback(..) => _ = self.rollbacks.insert(name),
         }
     }
 
-    /// An operator's order is refused.
-    pub fn refuses(&mut self, order: &crate::Order) {
+    /// An operator's order was refused.
+    pub fn order_refused(&mut self, order: &crate::Order) {
         if let crate::Order::Plan(_) | crate::Order::Start(..) = order {
             self.refused.insert(order.name().clone());
         }
     }
 
-    /// An operator gives an order: from now on a pause or a refusal may be over.
-    pub fn orders(&mut self, order: &crate::Order) {
+    /// An operator gives an order, which may end an earlier pause or refusal.
+    pub fn order_given(&mut self, order: &crate::Order) {
         self.refused.remove(order.name());
         if let crate::Order::Start(name, _) = order {
             self.paused.remove(name);
--- a/migration/src/tests/small.rs
+++ b/migration/src/tests/small.rs
@@ -1,4 +1,4 @@
-//! What a check says, what a step's configuration is, and what of a record reads back.
+//! Unit tests of the checks, the configurations of steps, the record and the parsing of orders.
 
 use compact_str::CompactString;
 use millpost_config::{JsonCursor, values};
@@ -22,40 +22,40 @@
     Contract::read(&JsonCursor::root(&value)).expect("a contract")
 }
 
-fn observation(room: Option<Vec<u64>>) -> (Observation, Settings) {
+fn observation(free_mb: Option<Vec<u64>>) -> (Observation, Settings) {
     let settings = Settings { contact_timeout: 4_000 * MS, duty_per_s: 10.0, prewarms: true };
     let mut observation = Observation::new(0, &settings);
     observation.set_active_config(ActiveConfig::read(BASE).expect("valid"));
-    let of = |live, peak_requests| FunctionLoad {
+    let load = |live, peak_requests| FunctionLoad {
         ready: live,
         live,
         peak_requests,
         delay: 0.0,
         refused_ratio: 0.0,
     };
-    observation.record_function(0, "s".into(), of(5, 18.0));
-    observation.record_function(0, "t".into(), of(1, 1.0));
-    if let Some(room) = room {
-        observation.set_free_memory(room);
+    observation.record_function(0, "s".into(), load(5, 18.0));
+    observation.record_function(0, "t".into(), load(1, 1.0));
+    if let Some(free_mb) = free_mb {
+        observation.set_free_memory(free_mb);
     }
     (observation, settings)
 }
 
-/// 18 slots and one of its own, with a quarter more, are six instances of the target; one is there.
+/// 18 requests of the source and one of the target, with a margin of a quarter, need six target instances; one exists.
 #[test]
-fn a_check_says_what_would_move_and_all_that_stands_against_it() {
+fn a_check_estimates_a_move_and_reports_all_reasons_against_it() {
     let (observation, settings) = observation(Some(vec![1_900, 900]));
     let plan = contract(
         r#"{"name":"m","hosts":["l.EXAMPLE","none.example"],"routes":[{"host":"o.example","path_prefix":"/z/"}],
             "services":{"s":"t","q":"t"},"loads":9,"bounds":{"warm_ms":900,"most_memory_mb":4000}}"#,
     );
-    let found = check(&plan, &Record::default(), &observation, &settings, 0);
+    let estimate = check(&plan, &Record::default(), &observation, &settings, 0);
     assert_eq!(
-        (found.route_moves.len(), found.starts, found.memory_mb, found.max_deadline_ms),
+        (estimate.route_moves.len(), estimate.starts, estimate.memory_mb, estimate.max_deadline_ms),
         (2, 5, 5_000, 1_500)
     );
-    assert_eq!(found.target_instances, [("t".into(), 6)]);
-    assert_eq!(found.route_moves[0].to, [("t".into(), 3), ("x".into(), 1)]);
+    assert_eq!(estimate.target_instances, [("t".into(), 6)]);
+    assert_eq!(estimate.route_moves[0].to, [("t".into(), 3), ("x".into(), 1)]);
     let service = CompactString::from;
     let expected = [
         Reason::UnknownRoute { host: "o.example".into(), prefix: "/z/".into() },
@@ -69,25 +69,25 @@
         Reason::WarmingTooSlow { takes_ms: 1_175, warm_ms: 900 },
         Reason::TooMuchMemory { takes_mb: 5_000, most_mb: 4_000 },
     ];
-    assert_eq!(found.reasons, expected);
+    assert_eq!(estimate.reasons, expected);
 }
 
 #[yare::parameterized(
     no_workers = { None, 0, r#""services":{"s":"x"}"#, &[Reason::FreeMemoryUnknown, Reason::NoFunctionReport { service: "x".into() }] },
-    long_ago = { Some(vec![9_000]), 5_000 * MS, r#""services":{"s":"x"}"#, &[Reason::NoFunctionReport { service: "s".into() }] },
-    circle = { Some(vec![9_000]), 0, r#""services":{"s":"x","x":"s"}"#,
+    expired_report = { Some(vec![9_000]), 5_000 * MS, r#""services":{"s":"x"}"#, &[Reason::NoFunctionReport { service: "s".into() }] },
+    chained_services = { Some(vec![9_000]), 0, r#""services":{"s":"x","x":"s"}"#,
         &[Reason::ChainedService { service: "x".into() }, Reason::ChainedService { service: "s".into() }, Reason::NoFunctionReport { service: "x".into() }] },
-    nothing = { Some(vec![9_000]), 0, r#""services":{"t":"x"},"routes":[{"host":"o.example","path_prefix":"/a/"}]"#,
+    no_mapped_service = { Some(vec![9_000]), 0, r#""services":{"t":"x"},"routes":[{"host":"o.example","path_prefix":"/a/"}]"#,
         &[Reason::UnknownHost { host: "o.example".into() },
             Reason::NoMappedService { host: "o.example".into(), prefix: "/a/".into() }] },
 )]
-fn a_check_refuses_what_it_can_not_judge(
-    room: Option<Vec<u64>>,
+fn a_check_rejects_contracts_that_it_can_not_evaluate(
+    free_mb: Option<Vec<u64>>,
     now: u64,
     services: &str,
     reasons: &[Reason],
 ) {
-    let (observation, settings) = observation(room);
+    let (observation, settings) = observation(free_mb);
     let plan = contract(&format!(r#"{{"name":"m","hosts":["o.example"],{services}}}"#));
     assert_eq!(check(&plan, &Record::default(), &observation, &settings, now).reasons, reasons);
 }
@@ -107,29 +107,29 @@
 }
 
 #[test]
-fn a_step_changes_the_tenants_services_and_nothing_else_and_there_and_back_is_the_same() {
+fn a_step_changes_only_the_tenants_services_and_a_rollback_restores_them() {
     let route_moves = route_moves();
-    let there = with_loads_on_target(BASE, &route_moves, 1, 8).expect("valid");
-    let stands = ActiveConfig::read(&there).expect("valid");
+    let switched = with_loads_on_target(BASE, &route_moves, 1, 8).expect("valid");
+    let active = ActiveConfig::read(&switched).expect("valid");
     assert!(
-        has_loads_on_target(&stands.config, &route_moves, 1)
-            && !has_loads_on_target(&stands.config, &route_moves, 0)
+        has_loads_on_target(&active.config, &route_moves, 1)
+            && !has_loads_on_target(&active.config, &route_moves, 0)
     );
-    assert_eq!(there, with_loads_on_target(BASE, &route_moves, 1, 8).expect("valid"));
-    // Fields that nobody here knows stay, of the whole and of a route that changes.
-    let value = values::parse(&there).expect("JSON");
+    assert_eq!(switched, with_loads_on_target(BASE, &route_moves, 1, 8).expect("valid"));
+    // Unknown fields are preserved, both at the top level and in a route that changes.
+    let value = values::parse(&switched).expect("JSON");
     let route = &values::get_list(&value, "routes").expect("routes")[0];
     assert!(values::get(&value, "odd").is_some() && values::get_u64(route, "odd") == Some(1));
-    let back =
-        ActiveConfig::read(&with_loads_on_target(&there, &route_moves, 0, 9).expect("valid")).expect("valid");
+    let back = ActiveConfig::read(&with_loads_on_target(&switched, &route_moves, 0, 9).expect("valid"))
+        .expect("valid");
     let base = ActiveConfig::read(BASE).expect("valid");
     assert!(has_loads_on_target(&back.config, &route_moves, 0));
     assert_eq!((back.config.routes, back.config.services), (base.config.routes, base.config.services));
 }
 
 #[test]
-fn a_record_reads_back_and_what_is_not_one_is_told_apart_from_a_newer_one() {
-    let mut of = Move {
+fn a_record_reads_back_and_newer_or_corrupt_ones_are_rejected() {
+    let mut mv = Move {
         name: "m \"1\"".into(),
         epoch: 3,
         contract_hash: 4_000_000_000,
@@ -159,19 +159,19 @@
         State::Done,
     ];
     for state in states {
-        of.enter(state, 1_700_000_000_000, 2, "é".repeat(300));
-        let record = Record { fence: 2, moves: vec![of.clone()] };
+        mv.enter(state, 1_700_000_000_000, 2, "é".repeat(300));
+        let record = Record { fence: 2, moves: vec![mv.clone()] };
         let text = record.to_text();
         assert_eq!(Record::read(&text).expect("reads"), record);
         let newer = text.replacen(r#""format":1"#, r#""format":2"#, 1);
         assert!(matches!(Record::read(&newer), Err(crate::RecordError::Newer { format: 2 })));
-        let spoilt = text.replacen("epoch", "epo", 1);
-        assert!(matches!(Record::read(&spoilt), Err(crate::RecordError::Corrupt { .. })));
+        let corrupt = text.replacen("epoch", "epo", 1);
+        assert!(matches!(Record::read(&corrupt), Err(crate::RecordError::Corrupt { .. })));
     }
-    // Steps and reasons are bounded.
-    (0..100).for_each(|_| of.enter(State::Done, 0, 2, "x".repeat(1_000)));
-    assert!(of.history.len() == 24 && of.history.iter().all(|entry| entry.reason.len() <= 400));
-    assert_eq!(of.planned_at(), 1_700_000_000_000);
+    // The number of steps and the length of reasons are bounded.
+    (0..100).for_each(|_| mv.enter(State::Done, 0, 2, "x".repeat(1_000)));
+    assert!(mv.history.len() == 24 && mv.history.iter().all(|entry| entry.reason.len() <= 400));
+    assert_eq!(mv.planned_at(), 1_700_000_000_000);
 }
 
 #[yare::parameterized(
@@ -183,18 +183,18 @@
     no_range = { r#"{"order":"back","name":"m","revisions":{"first":5,"last":4}}"#, Some("revisions: is not a range of revisions") },
     no_service = { r#"{"order":"plan","contract":{"name":"m","services":{"s":1}}}"#, Some("contract.services.s: is not a string") },
 )]
-fn an_order_is_read_or_said_what_is_wrong_with_it(text: &str, fault: Option<&str>) {
+fn an_order_parses_or_names_the_wrong_field(text: &str, error: Option<&str>) {
     let value = values::parse(text).expect("JSON");
     let read = Order::read(&JsonCursor::root(&value));
-    assert_eq!(read.as_ref().err().map(ToString::to_string).as_deref(), fault);
+    assert_eq!(read.as_ref().err().map(ToString::to_string).as_deref(), error);
     if let Ok(Order::Plan(contract)) = read {
         assert_eq!(Contract::read(&JsonCursor::root(&contract.to_value())).expect("reads back"), contract);
     }
 }
 
-/// What a machine asks of the register within a while of taking office, where no move ever was.
+/// Counts the register requests of a new leader when there has never been a move.
 #[test]
-fn without_moves_a_holder_reads_the_record_twice_and_writes_nothing() {
+fn without_moves_a_leader_reads_the_record_twice_and_writes_nothing() {
     let mut migrator =
         crate::Migrator::new(Settings { contact_timeout: 4_000 * MS, duty_per_s: 1.0, prewarms: false });
     let (mut reads, mut others) = (0, 0);
