--- a/charts/src/lib.rs
+++ b/charts/src/lib.rs
@@ -1,55 +1,56 @@
-//! Reports as one page that needs nothing beside it: plots over time and bars by row, as inline SVG, and the page round them. No I/O.
+//! Reports as a self-contained HTML page: plots over time and bar charts as inline SVG, and the page that contains them. No I/O.
 //!
-//! Invariant: a page asks for nothing from elsewhere, and whatever text is put into it stays text.
+//! Invariant: a page loads nothing from elsewhere, and all text passed in is escaped.
 
 use std::fmt::Write;
 
-/// Colours that are told apart.
+/// Distinguishable colours for lines.
 pub const COLORS: [&str; 6] = ["#2563eb", "#16a34a", "#dc2626", "#d97706", "#7c3aed", "#0891b2"];
-/// One for what the others are measured against.
+/// The colour of a baseline that other lines are compared with.
 pub const BASELINE_COLOR: &str = "#94a3b8";
 
 const WIDTH: f64 = 860.0;
 const HEIGHT: f64 = 170.0;
 const LEFT: f64 = 56.0;
-/// Left of bars stand names.
+/// Width of the row names to the left of bars.
 const NAMES: f64 = 130.0;
+/// Height of a row of bars.
 const ROW: f64 = 15.0;
 
-/// A span of time, in seconds, and what was then.
+/// A span of time in seconds, with a tooltip.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Span {
-    /// From when to when.
+    /// Start of the span.
     pub from: f64,
-    #[allow(missing_docs)]
+    /// End of the span.
     pub to: f64,
-    /// What it shows under the pointer.
+    /// Text shown under the pointer.
     pub tooltip: String,
-    /// Its colour; spans behind a plot have one of their own.
+    /// CSS colour of a bar; ignored for spans behind a plot, which are all drawn alike.
     pub color: String,
 }
 
 /// A line of a plot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line<'a> {
-    /// What it is.
+    /// The name in the legend.
     pub name: &'a str,
-    #[allow(missing_docs)]
+    /// CSS colour of the line.
     pub color: &'a str,
-    /// Seconds, and values.
+    /// Pairs of time in seconds and value.
     pub points: Vec<(f64, f64)>,
 }
 
 /// A row of bars.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// What it is of.
+    /// The name to the left of the row.
     pub name: String,
-    /// Its bars.
+    /// The bars of the row.
     pub spans: Vec<Span>,
 }
 
-/// Text as text.
+/// Escapes text for HTML and for attribute values.
 pub fn escape(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
@@ -58,13 +59,13 @@
         .replace('"', "&quot;")
 }
 
-/// A colour for one of many: neighbours are far apart.
-pub fn color(place: usize) -> String {
-    format!("hsl({}, 55%, {}%)", (place * 137) % 360, 52 + (place % 3) * 9)
+/// A CSS colour for an index; neighbouring indices get clearly different colours.
+pub fn color(index: usize) -> String {
+    format!("hsl({}, 55%, {}%)", (index * 137) % 360, 52 + (index % 3) * 9)
 }
 
-/// The next round number above.
-fn nice(top: f64) -> f64 {
+/// The smallest round number that is at least `top`; 1 if `top` is not positive.
+fn round_up(top: f64) -> f64 {
     if top <= 0.0 {
         return 1.0;
     }
@@ -72,7 +73,7 @@
     [1.0, 2.0, 2.5, 5.0, 10.0].into_iter().map(|f| f * power).find(|n| *n >= top).unwrap_or(top)
 }
 
-fn short(value: f64) -> String {
+fn format_tick(value: f64) -> String {
     match value {
         v if v >= 10_000.0 => format!("{:.0}k", v / 1e3),
         v if v >= 10.0 || v == 0.0 => format!("{v:.0}"),
@@ -80,18 +81,18 @@
     }
 }
 
-fn seconds(svg: &mut String, end: f64, x: impl Fn(f64) -> f64, y: f64) {
+fn time_axis(svg: &mut String, end: f64, x: impl Fn(f64) -> f64, y: f64) {
     for part in 0..=8 {
         let at = end * f64::from(part) / 8.0;
         let _ = write!(svg, "<text x='{:.1}' y='{y:.1}' class='x'>{:.0} s</text>", x(at), at);
     }
 }
 
-/// One plot over time from 0 to `end` seconds, with spans shaded behind it.
+/// A plot over time from 0 to `end` seconds, with the spans in `behind` shaded in the background.
 pub fn plot(title: &str, unit: &str, end: f64, behind: &[Span], lines: &[Line<'_>]) -> String {
     let end = end.max(1e-9);
     let values = lines.iter().flat_map(|l| l.points.iter().map(|(_, value)| *value));
-    let top = nice(values.filter(|value| value.is_finite()).fold(0.0, f64::max));
+    let top = round_up(values.filter(|value| value.is_finite()).fold(0.0, f64::max));
     let x = |at: f64| LEFT + at / end * (WIDTH - LEFT - 8.0);
     let y = |value: f64| 8.0 + (1.0 - value / top) * (HEIGHT - 30.0);
     let (title, unit) = (escape(title), escape(unit));
@@ -116,10 +117,10 @@
             y(value),
             LEFT - 6.0,
             y(value) + 4.0,
-            short(value)
+            format_tick(value)
         );
     }
-    seconds(&mut svg, end, x, HEIGHT - 6.0);
+    time_axis(&mut svg, end, x, HEIGHT - 6.0);
     for line in lines {
         let finite = line.points.iter().filter(|(at, value)| at.is_finite() && value.is_finite());
         let points: Vec<String> =
@@ -135,14 +136,14 @@
     svg
 }
 
-/// Bars in rows over time from 0 to `end` seconds.
-pub fn bars(title: &str, note: &str, end: f64, rows: &[Row]) -> String {
+/// A chart of bars in rows over time from 0 to `end` seconds.
+pub fn bars(title: &str, subtitle: &str, end: f64, rows: &[Row]) -> String {
     let end = end.max(1e-9);
     let x = |at: f64| NAMES + at.max(0.0) / end * (WIDTH - NAMES - 8.0);
     let height = ROW * rows.len() as f64 + 24.0;
-    let (title, note) = (escape(title), escape(note));
+    let (title, subtitle) = (escape(title), escape(subtitle));
     let mut svg = format!(
-        "<h2>{title} <small>{note}</small></h2><svg viewBox='0 0 {WIDTH} {height}' role='img' aria-label='{title}'>"
+        "<h2>{title} <small>{subtitle}</small></h2><svg viewBox='0 0 {WIDTH} {height}' role='img' aria-label='{title}'>"
     );
     for (n, row) in rows.iter().enumerate() {
         let top = n as f64 * ROW;
@@ -161,12 +162,12 @@
             );
         }
     }
-    seconds(&mut svg, end, x, height - 6.0);
+    time_axis(&mut svg, end, x, height - 6.0);
     svg.push_str("</svg>");
     svg
 }
 
-/// A table, its first row the heading.
+/// An HTML table; the first row is the heading.
 pub fn table(rows: &[Vec<String>]) -> String {
     let mut html = String::from("<table>");
     for (n, row) in rows.iter().enumerate() {
@@ -181,7 +182,7 @@
     html
 }
 
-/// The whole page: a heading, a text as it is, and what was made above.
+/// The whole page: a heading, preformatted text, and `body`, which is inserted as HTML.
 pub fn page(title: &str, text: &str, body: &str) -> String {
     format!(
         "<!doctype html><html lang='en'><meta charset='utf-8'><title>{0}</title><style>\
@@ -203,7 +204,7 @@
     use super::*;
 
     #[test]
-    fn whatever_is_put_in_stays_text_and_nothing_comes_from_elsewhere() {
+    fn all_text_is_escaped_and_nothing_is_loaded_from_elsewhere() {
         let odd = "<script src='http://x'>\"&";
         let span = || Span { from: 0.5, to: 9.0, tooltip: odd.into(), color: odd.into() };
         let line = Line { name: odd, color: odd, points: vec![(0.0, 1.0), (1.0, f64::INFINITY)] };
@@ -232,6 +233,6 @@
         above = { 251.0, 500.0 },
     )]
     fn scales_end_at_round_numbers(top: f64, end: f64) {
-        assert!((nice(top) - end).abs() < 1e-9);
+        assert!((round_up(top) - end).abs() < 1e-9);
     }
 }
