--- a/ctl/src/config.rs
+++ b/ctl/src/config.rs
@@ -11,10 +11,10 @@
 use snafu::ResultExt;
 use tinyjson::JsonValue;
 
-use crate::ask::{Controls, Given, said};
 use crate::errors::{
-    EmptySnafu, Error, FileSnafu, InvalidSnafu, LateSnafu, OvertakenSnafu, RefusedSnafu, UnclearSnafu,
+    EmptySnafu, Error, FileSnafu, InvalidSnafu, LateSnafu, RefusedSnafu, SupersededSnafu, UnclearSnafu,
 };
+use crate::http::{Controls, Reply, describe};
 use crate::status::Status;
 
 /// How often it is looked whether all act on a configuration, and how long each machine has for its word.
@@ -48,7 +48,7 @@
 }
 
 /// What stands, from a majority of the voters.
-pub async fn standing(controls: &Controls) -> Result<(Read, Given), Error> {
+pub async fn standing(controls: &Controls) -> Result<(Read, Reply), Error> {
     let what = "to a read";
     let given = controls.call(Method::GET, "/Config.Read", Bytes::new(), what).await?;
     if given.status == 503 {
@@ -56,7 +56,7 @@
     }
     let refused = |why: String| RefusedSnafu { by: given.by, status: given.status, why }.build();
     if given.status >= 300 {
-        return Err(refused(said(given.status, &given.body)));
+        return Err(refused(describe(given.status, &given.body)));
     }
     let text = String::from_utf8(given.body.to_vec()).map_err(|_| refused("it sent no text".to_owned()))?;
     let config = Config::parse(&text).map_err(|e: ConfigError| refused(format!("what it sent: {e}")))?;
@@ -103,11 +103,11 @@
     let given = controls.call(Method::POST, "/Config.Replace", body, what).await?;
     if given.status >= 300 {
         let json = millpost_net::messaging::json(&given.body);
-        if let Some(stands) = json.as_ref().and_then(conflict) {
-            return OvertakenSnafu { ours, stands, how: WON }.fail();
+        if let Some(active) = json.as_ref().and_then(conflict) {
+            return SupersededSnafu { ours, active, how: WON }.fail();
         }
         let why = json.as_ref().and_then(|json| get_str(json, "why")).map(str::to_owned);
-        let why = why.unwrap_or_else(|| said(given.status, &given.body));
+        let why = why.unwrap_or_else(|| describe(given.status, &given.body));
         return RefusedSnafu { by: given.by, status: given.status, why }.fail();
     }
     let (stands, _) = match standing(controls).await {
@@ -124,7 +124,7 @@
             true => WON,
             false => "which is newer",
         };
-        return OvertakenSnafu { ours, stands: revision, how }.fail();
+        return SupersededSnafu { ours, active: revision, how }.fail();
     }
     let acted = match wait {
         Some(wait) => Some(acted_on(controls, revision, wait, began).await?),
--- a/ctl/src/drain.rs
+++ b/ctl/src/drain.rs
@@ -7,8 +7,8 @@
 use millpost_config::values::{get_bool, get_list, get_str, get_u64, list, number, object, string, write};
 use tinyjson::JsonValue;
 
-use crate::ask::{Controls, said, seconds};
 use crate::errors::{Error, RefusedSnafu};
+use crate::http::{Controls, describe, seconds};
 use crate::moves::ask;
 use crate::status::table;
 
@@ -56,7 +56,7 @@
             _ => {
                 let why = json.as_ref().and_then(|json| get_list(json, "why")).unwrap_or_default();
                 let why: Vec<_> = why.iter().filter_map(|r| r.get::<String>()).map(String::as_str).collect();
-                let why = if why.is_empty() { said(status, &body) } else { why.join("\n") };
+                let why = if why.is_empty() { describe(status, &body) } else { why.join("\n") };
                 RefusedSnafu { by: steward, status, why }.fail()
             }
         }
--- a/ctl/src/errors.rs
+++ b/ctl/src/errors.rs
@@ -1,4 +1,4 @@
-//! What can go wrong, as one closed list, and the exit code of each.
+//! Errors of the command and their exit codes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,11 +8,11 @@
 use snafu::Snafu;
 use tinyjson::JsonValue;
 
-/// Why a command did not do what it was to do.
+/// Why a command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The command line makes no sense.
+    /// The command line is invalid.
     #[snafu(display("{}", why.trim_end()))]
     Usage {
         /// What is wrong with it.
@@ -21,112 +21,116 @@
     /// A file can't be read or written.
     #[snafu(display("{}: {source}", path.display()))]
     File {
-        /// Which.
+        /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
     /// The output can't be written.
     #[snafu(display("the output can't be written: {source}"))]
     Output {
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// Nothing can be run.
-    #[snafu(display("no runtime: {source}"))]
+    /// The asynchronous runtime can't be started.
+    #[snafu(display("can't start the runtime: {source}"))]
     Runtime {
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// What a file holds is no configuration; nothing was sent.
+    /// A file does not contain a valid configuration; nothing was sent.
     #[snafu(display("{}", source.lines().map(|l| format!("{}: {l}", path.display())).collect::<Vec<_>>().join("\n")))]
     Invalid {
-        /// Which file.
+        /// The file.
         path: PathBuf,
-        /// Each key, and what is wrong with it.
+        /// The invalid keys and what is wrong with each.
         source: millpost_config::ConfigErrors,
     },
-    /// The records on a disk can't be got at, or not made sense of.
+    /// The records on a disk can't be read.
     #[snafu(display("{source}"))]
     Disk {
-        /// Why.
+        /// The cause.
         source: millpost_quorum_store::StoreError,
     },
     /// A record can't be read.
     #[snafu(display("{}: {source}", folder.display()))]
     Record {
-        /// Where.
+        /// The folder.
         folder: PathBuf,
-        /// The record, and what is wrong with it.
+        /// The record and what is wrong with it.
         source: millpost_quorum::OpenError,
     },
-    /// There is no configuration on a disk.
-    #[snafu(display("{}: key/config: no configuration stands there", folder.display()))]
-    Bare {
-        /// Where.
+    /// A disk contains no configuration.
+    #[snafu(display("{}: key/config: contains no configuration", folder.display()))]
+    NoStoredConfig {
+        /// The folder.
         folder: PathBuf,
     },
-    /// Control has turned it down.
+    /// Control has refused a request.
     #[snafu(display("refused by {by} with {status}: {why}"))]
     Refused {
-        /// Who.
+        /// The control machine that refused it.
         by: SocketAddr,
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// The key, and what is wrong with it, where that was said.
+        /// The reason, with the invalid key if control names one.
         why: String,
     },
-    /// Nobody to ask how functions stand.
-    #[snafu(display("nobody who answers is the steward"))]
+    /// No control machine that answers is the steward.
+    #[snafu(display("no control machine that answers is the steward"))]
     NoSteward,
-    /// No such move.
+    /// The steward knows no move of this name.
     #[snafu(display("no move {name:?} is known to the steward"))]
     NoMove {
-        /// Its name.
+        /// The name that was asked for.
         name: String,
     },
-    /// Nothing has been put there yet.
+    /// Control has no configuration yet.
     #[snafu(display("no configuration has been put yet"))]
     Empty,
-    /// No clear answer.
+    /// A request got no definite answer.
     #[snafu(display("no clear answer {what}; the last of {tries} tries: {last}"))]
     Unclear {
-        /// To what, and what that means.
+        /// Which request, and what its missing answer means.
         what: &'static str,
-        /// How often it was tried.
+        /// Number of attempts.
         tries: u32,
-        /// What the last one came to.
+        /// The result of the last attempt.
         last: String,
     },
-    /// What was acknowledged is not what stands.
-    #[snafu(display("revision {ours} is acknowledged, and not in force: revision {stands} stands, {how}"))]
-    Overtaken {
-        /// What was put.
+    /// A put was acknowledged, but another configuration is active.
+    #[snafu(display(
+        "revision {ours} was acknowledged but is not in force: revision {active} is active, {how}"
+    ))]
+    Superseded {
+        /// The revision that was put.
         ours: u64,
-        /// What stands.
-        stands: u64,
-        /// How that differs.
+        /// The active revision.
+        active: u64,
+        /// How the active configuration differs.
         how: &'static str,
     },
-    /// Not all that follow act on it yet.
-    #[snafu(display("revision {revision} stands, and after {seconds} s not all act on it: {who}"))]
+    /// Not all followers apply the revision in time.
+    #[snafu(display(
+        "revision {revision} is active, but after {seconds} s not all followers apply it: {who}"
+    ))]
     Late {
-        /// What stands.
+        /// The active revision.
         revision: u64,
-        /// How long was waited.
+        /// How long the command waited.
         seconds: f64,
-        /// Who does not, and on what it acts.
+        /// The followers that do not, with the revision that each applies.
         who: String,
     },
 }
 
-/// All is well, or what was asked for is done.
-pub const WELL: u8 = 0;
-/// What was looked at is not well, or differs; the output says what.
-pub const NOT_WELL: u8 = 1;
+/// Exit code: no problem was found, or the request was carried out.
+pub const EXIT_OK: u8 = 0;
+/// Exit code: there is a problem or a difference, which the output describes.
+pub const EXIT_PROBLEM: u8 = 1;
 
 impl Error {
-    /// The word for it in JSON, and the exit code.
+    /// The name of the error in JSON, and the exit code.
     pub fn kind(&self) -> (&'static str, u8) {
         match self {
             Error::Usage { .. } => ("usage", 2),
@@ -138,33 +142,33 @@
             Error::Disk { .. } => ("store", 2),
             Error::Record { source: millpost_quorum::OpenError::Newer { .. }, .. } => ("newer", 3),
             Error::Record { .. } => ("spoilt", 3),
-            Error::Bare { .. } => ("empty", 1),
+            Error::NoStoredConfig { .. } => ("empty", 1),
             Error::Refused { .. } => ("refused", 3),
             Error::NoSteward => ("no_steward", 1),
             Error::NoMove { .. } => ("no_move", 1),
             Error::Empty => ("empty", 1),
             Error::Unclear { .. } => ("unclear", 4),
-            Error::Overtaken { .. } => ("overtaken", 5),
+            Error::Superseded { .. } => ("overtaken", 5),
             Error::Late { .. } => ("late", 6),
         }
     }
 
-    /// As JSON; `faults` where a file holds several.
+    /// Encodes the error as JSON, with `faults` for an invalid file.
     pub fn to_json(&self) -> JsonValue {
         let (kind, code) = self.kind();
         let mut parts =
             vec![("error", string(kind)), ("why", string(&self.to_string())), ("exit", number(code.into()))];
         if let Error::Invalid { source, .. } = self {
-            parts.push(("faults", list(source.list().iter().map(fault))));
+            parts.push(("faults", list(source.list().iter().map(fault_json))));
             parts.push(("more", number(source.omitted() as u64)));
         }
         JsonValue::Object(parts.into_iter().map(|(key, value)| (key.to_owned(), value)).collect())
     }
 }
 
-/// A fault as JSON.
-pub fn fault(fault: &ConfigError) -> JsonValue {
-    match fault {
+/// Encodes a configuration error as JSON.
+pub fn fault_json(error: &ConfigError) -> JsonValue {
+    match error {
         ConfigError::Field { path, reason } => object([("key", string(path)), ("reason", string(reason))]),
         other => object([("key", JsonValue::Null), ("reason", string(&other.to_string()))]),
     }
--- a/ctl/src/functions.rs
+++ b/ctl/src/functions.rs
@@ -8,8 +8,8 @@
 use percent_encoding::{NON_ALPHANUMERIC, utf8_percent_encode};
 use tinyjson::JsonValue;
 
-use crate::ask::steward_says;
 use crate::errors::{Error, NoStewardSnafu, UnclearSnafu};
+use crate::http::get_from_steward;
 use crate::status::{Status, table};
 
 /// Functions in one answer; answers that are read at most.
@@ -116,7 +116,7 @@
 
 async fn page(steward: SocketAddr, query: &str, within: Duration) -> Result<Page, Error> {
     let what = "of the steward to how functions stand";
-    let json = steward_says(steward, &format!("/core/functions?{query}"), within, what).await?;
+    let json = get_from_steward(steward, &format!("/core/functions?{query}"), within, what).await?;
     let read = |json: &JsonValue| {
         let functions = get_list(json, "functions")?.to_vec();
         Some((get_u64(json, "fence")?, functions, get_str(json, "next").map(str::to_owned)))
--- a/ctl/src/lib.rs
+++ b/ctl/src/lib.rs
@@ -3,13 +3,13 @@
 //!
 //! Exit codes: see [`errors::Error::kind`]; 0 all is well, 1 something that was looked at is not.
 
-mod ask;
 mod config;
-mod course;
 mod drain;
 mod errors;
 mod functions;
+mod http;
 mod moves;
+mod retry;
 mod status;
 mod store;
 mod why;
@@ -25,11 +25,11 @@
 use snafu::ResultExt;
 use tinyjson::JsonValue;
 
-use crate::ask::{Controls, seconds};
 use crate::config::{Difference, Read};
 use crate::drain::Drains;
-use crate::errors::{Error, NOT_WELL, OutputSnafu, RuntimeSnafu, UsageSnafu, WELL};
+use crate::errors::{EXIT_OK, EXIT_PROBLEM, Error, OutputSnafu, RuntimeSnafu, UsageSnafu};
 use crate::functions::{Functions, Which};
+use crate::http::{Controls, seconds};
 use crate::moves::Moves;
 use crate::status::Status;
 use crate::why::{About, Why};
@@ -393,11 +393,11 @@
         Err(EarlyExit { output, .. }) => (false, UsageSnafu { why: output }.fail()),
     };
     match ended {
-        Ok(true) => ExitCode::from(WELL),
-        Ok(false) => ExitCode::from(NOT_WELL),
+        Ok(true) => ExitCode::from(EXIT_OK),
+        Ok(false) => ExitCode::from(EXIT_PROBLEM),
         // Whoever reads has seen enough.
         Err(Error::Output { source }) if source.kind() == std::io::ErrorKind::BrokenPipe => {
-            ExitCode::from(WELL)
+            ExitCode::from(EXIT_OK)
         }
         Err(e) => {
             let (_, code) = e.kind();
--- a/ctl/src/moves.rs
+++ b/ctl/src/moves.rs
@@ -13,10 +13,10 @@
 use snafu::ResultExt;
 use tinyjson::JsonValue;
 
-use crate::ask::{Controls, once, said};
 use crate::errors::{
     Error, FileSnafu, InvalidSnafu, NoMoveSnafu, NoStewardSnafu, RefusedSnafu, UnclearSnafu, UsageSnafu,
 };
+use crate::http::{Controls, describe, once};
 use crate::status::{Status, table};
 
 /// An order is judged once its steward has heard of all: its time in touch, and some.
@@ -65,7 +65,7 @@
             let reasons = json.as_ref().and_then(|json| get_list(json, "why")).unwrap_or_default();
             let reasons: Vec<_> =
                 reasons.iter().filter_map(|r| r.get::<String>()).map(String::as_str).collect();
-            let why = if reasons.is_empty() { said(status, &body) } else { reasons.join("\n") };
+            let why = if reasons.is_empty() { describe(status, &body) } else { reasons.join("\n") };
             RefusedSnafu { by, status, why }.fail()
         }
     }
@@ -89,7 +89,7 @@
                 Ok((status, _, body)) if !matches!(status.as_u16(), 409 | 429 | 500..) => {
                     return Ok((to, status.as_u16(), body));
                 }
-                Ok((status, _, body)) => Some(format!("{to}: {}", said(status.as_u16(), &body))),
+                Ok((status, _, body)) => Some(format!("{to}: {}", describe(status.as_u16(), &body))),
                 Err(e) => Some(format!("{to}: {e}")),
             },
         };
@@ -119,7 +119,7 @@
         let (steward, status, body) = ask(controls, Method::GET, &path, Bytes::new(), what).await?;
         let json = millpost_net::messaging::json(&body).filter(|_| status == 200);
         let Some(all) = json.as_ref().and_then(|json| get_list(json, "moves")) else {
-            return RefusedSnafu { by: steward, status, why: said(status, &body) }.fail();
+            return RefusedSnafu { by: steward, status, why: describe(status, &body) }.fail();
         };
         if let Some(name) = name.filter(|_| all.is_empty()) {
             return NoMoveSnafu { name }.fail();
--- a/ctl/src/status.rs
+++ b/ctl/src/status.rs
@@ -11,7 +11,7 @@
 use tinyjson::JsonValue;
 use tokio::task::JoinSet;
 
-use crate::ask::{once, said};
+use crate::http::{describe, once};
 
 /// A voter that has not heard another for so long says so; they tell each other of themselves every 400 ms.
 const UNHEARD_MS: u64 = 1_500;
@@ -174,7 +174,7 @@
             let standing = millpost_net::messaging::json(&body).as_ref().and_then(Standing::read);
             standing.ok_or_else(|| "its answer is no status of control".to_owned())
         }
-        Ok((status, _, body)) => Err(said(status.as_u16(), &body)),
+        Ok((status, _, body)) => Err(describe(status.as_u16(), &body)),
         Err(e) => Err(e.to_string()),
     }
 }
--- a/ctl/src/store.rs
+++ b/ctl/src/store.rs
@@ -11,7 +11,7 @@
 use snafu::ResultExt;
 use tinyjson::JsonValue;
 
-use crate::errors::{BareSnafu, DiskSnafu, Error, InvalidSnafu, RecordSnafu, fault};
+use crate::errors::{DiskSnafu, Error, InvalidSnafu, NoStoredConfigSnafu, RecordSnafu, fault_json};
 use crate::status::table;
 
 /// What is on a disk.
@@ -162,7 +162,7 @@
             ("length", or(accepted.map(|accepted| number(accepted.value.content.len() as u64)))),
             ("copied", or(accepted.map(|accepted| JsonValue::Boolean(accepted.copied)))),
             ("holds", string(&self.holds)),
-            ("faults", list(self.faults.iter().map(fault))),
+            ("faults", list(self.faults.iter().map(fault_json))),
         ])
     }
 }
@@ -243,11 +243,11 @@
 pub fn standing(folder: &Path) -> Result<Standing, Error> {
     let (folder, records) = look(folder)?;
     let Some((key, record)) = records.iter().find(|(key, _)| key == "key/config") else {
-        return BareSnafu { folder }.fail();
+        return NoStoredConfigSnafu { folder }.fail();
     };
     let record = Record::read(key, record).with_context(|_| RecordSnafu { folder: folder.clone() })?;
     let Record::Slot(_, Slot { accepted: Some(accepted), .. }) = record else {
-        return BareSnafu { folder }.fail();
+        return NoStoredConfigSnafu { folder }.fail();
     };
     let path = folder.join(key);
     let text =
--- a/ctl/src/why.rs
+++ b/ctl/src/why.rs
@@ -7,9 +7,9 @@
 use millpost_config::values::{get, get_bool, get_list, get_str, get_u64, list, object, string};
 use tinyjson::JsonValue;
 
-use crate::ask::steward_says;
 use crate::errors::Error;
 use crate::functions::{Functions, Which};
+use crate::http::get_from_steward;
 use crate::status::{Standing, Status, Trouble};
 
 /// A stall is heard of every 450 ms.
@@ -64,7 +64,9 @@
         let status = Status::ask(first, within).await;
         let mut why = Why::default();
         let duty = match status.steward_at() {
-            Some(at) => steward_says(at, "/core/duty", within, "of the steward to how its duty stands").await,
+            Some(at) => {
+                get_from_steward(at, "/core/duty", within, "of the steward to how its duty stands").await
+            }
             None => Ok(JsonValue::Null),
         };
         // An older one does not know this call; what else is known is told all the same.
