--- a/ctl/src/config.rs
+++ b/ctl/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: read, checked, compared and put.
+//! Reading, checking, comparing and putting the configuration.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -17,124 +17,127 @@
 use crate::http::{Controls, Reply, describe};
 use crate::status::Status;
 
-/// How often it is looked whether all act on a configuration, and how long each machine has for its word.
-const LOOK: Duration = Duration::from_millis(300);
-const LOOK_WITHIN: Duration = Duration::from_secs(1);
+/// How often the followers are polled after a put, and the time-out of each machine.
+const POLL_INTERVAL: Duration = Duration::from_millis(300);
+const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A configuration, and the text that it came as.
-pub struct Read {
-    /// As it came.
+/// A configuration and its text.
+pub struct ConfigText {
+    /// The text as it was read.
     pub text: String,
-    /// What it says.
+    /// The parsed configuration.
     pub config: Config,
 }
 
-impl Read {
-    /// From a file, checked.
+impl ConfigText {
+    /// Reads and checks a file.
     pub fn file(path: &Path) -> Result<Self, Error> {
         let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
         let config = Config::parse_collecting_errors(&text).context(InvalidSnafu { path })?;
-        Ok(Read { text, config })
+        Ok(ConfigText { text, config })
     }
 
     fn value(&self) -> Option<JsonValue> {
         values::parse(&self.text).ok()
     }
 
-    /// Whether both have one content: the same values, or the same meaning in another order.
-    fn same(&self, other: &Self) -> bool {
+    /// Whether both have the same content, in any order.
+    fn same_content(&self, other: &Self) -> bool {
         self.value() == other.value() || self.config.same_content(&other.config)
     }
 }
 
-/// What stands, from a majority of the voters.
-pub async fn standing(controls: &Controls) -> Result<(Read, Reply), Error> {
-    let what = "to a read";
-    let given = controls.call(Method::GET, "/Config.Read", Bytes::new(), what).await?;
-    if given.status == 503 {
+/// Reads the active configuration from a majority of the voters.
+pub async fn read_active(controls: &Controls) -> Result<(ConfigText, Reply), Error> {
+    let what = "to a read of the configuration";
+    let reply = controls.call(Method::GET, "/Config.Read", Bytes::new(), what).await?;
+    if reply.status == 503 {
         return EmptySnafu.fail();
     }
-    let refused = |why: String| RefusedSnafu { by: given.by, status: given.status, why }.build();
-    if given.status >= 300 {
-        return Err(refused(describe(given.status, &given.body)));
+    let refused = |why: String| RefusedSnafu { by: reply.by, status: reply.status, why }.build();
+    if reply.status >= 300 {
+        return Err(refused(describe(reply.status, &reply.body)));
     }
-    let text = String::from_utf8(given.body.to_vec()).map_err(|_| refused("it sent no text".to_owned()))?;
-    let config = Config::parse(&text).map_err(|e: ConfigError| refused(format!("what it sent: {e}")))?;
-    Ok((Read { text, config }, given))
+    let text = String::from_utf8(reply.body.to_vec())
+        .map_err(|_| refused("the answer is not UTF-8 text".to_owned()))?;
+    let config = Config::parse(&text)
+        .map_err(|e: ConfigError| refused(format!("the answer is not a configuration: {e}")))?;
+    Ok((ConfigText { text, config }, reply))
 }
 
-/// Writes a file beside its name first, so that nobody reads half of it.
-pub fn keep(path: &Path, text: &str) -> Result<(), Error> {
-    let mut beside = path.as_os_str().to_owned();
-    beside.push(".new");
-    let beside = PathBuf::from(beside);
-    std::fs::write(&beside, text).context(FileSnafu { path: &beside })?;
-    std::fs::rename(&beside, path).context(FileSnafu { path })
+/// Writes a file atomically, by writing to a temporary file next to it and renaming that.
+pub fn write_file(path: &Path, text: &str) -> Result<(), Error> {
+    let mut temporary = path.as_os_str().to_owned();
+    temporary.push(".new");
+    let temporary = PathBuf::from(temporary);
+    std::fs::write(&temporary, text).context(FileSnafu { path: &temporary })?;
+    std::fs::rename(&temporary, path).context(FileSnafu { path })
 }
 
-/// How a put ended.
-pub struct Put {
-    /// What stands, which has this content.
+/// The result of a put.
+pub struct PutResult {
+    /// The active revision, which has the content of the file.
     pub revision: u64,
-    /// Who acknowledged it.
+    /// The machine that acknowledged it.
     pub by: String,
-    /// At which attempt.
+    /// The number of attempts.
     pub tries: u32,
-    /// All that follow act on it: how many, and after how many seconds. None where nobody waited for that.
-    pub acted: Option<(usize, f64)>,
+    /// Number of followers, all of which apply the revision, and after how many seconds they did; `None` without `--wait`.
+    pub applied: Option<(usize, f64)>,
 }
 
-/// What stands under the number that was put.
-const WON: &str = "with another content: two were put under one number, and the other one won";
+/// The active configuration has the revision that was put.
+const OTHER_CONTENT: &str =
+    "with another content: two configurations were put under this revision, and the other one was accepted";
 
-/// The revision that stands with another content, where control says that one does.
+/// The revision of a conflict answer: it is active with another content.
 fn conflict(answer: &JsonValue) -> Option<u64> {
     let is_conflict = get_str(answer, "error") == Some("conflict");
     let JsonValue::Number(revision) = get(get(answer, "why")?, "revision")? else { return None };
     values::to_uint(*revision).filter(|_| is_conflict)
 }
 
-/// Puts a configuration, finds out what stands then, and waits until all that follow act on it.
-pub async fn put(controls: &Controls, file: &Read, wait: Option<Duration>) -> Result<Put, Error> {
+/// Puts a configuration, reads the active one, and optionally waits until all followers apply it.
+pub async fn put(controls: &Controls, file: &ConfigText, wait: Option<Duration>) -> Result<PutResult, Error> {
     let began = Instant::now();
     let ours = file.config.revision;
     let body = Bytes::from(file.text.clone());
-    let what = "to a change: it may be in force or may still come into force; put it again as it is";
-    let given = controls.call(Method::POST, "/Config.Replace", body, what).await?;
-    if given.status >= 300 {
-        let json = millpost_net::messaging::json(&given.body);
+    let what = "to a change: it may be in force or may still come into force; repeat the same put";
+    let reply = controls.call(Method::POST, "/Config.Replace", body, what).await?;
+    if reply.status >= 300 {
+        let json = millpost_net::messaging::json(&reply.body);
         if let Some(active) = json.as_ref().and_then(conflict) {
-            return SupersededSnafu { ours, active, how: WON }.fail();
+            return SupersededSnafu { ours, active, how: OTHER_CONTENT }.fail();
         }
         let why = json.as_ref().and_then(|json| get_str(json, "why")).map(str::to_owned);
-        let why = why.unwrap_or_else(|| describe(given.status, &given.body));
-        return RefusedSnafu { by: given.by, status: given.status, why }.fail();
+        let why = why.unwrap_or_else(|| describe(reply.status, &reply.body));
+        return RefusedSnafu { by: reply.by, status: reply.status, why }.fail();
     }
-    let (stands, _) = match standing(controls).await {
-        Ok(stands) => stands,
+    let (active, _) = match read_active(controls).await {
+        Ok(active) => active,
         Err(Error::Unclear { tries, last, .. }) => {
             let what = "to the read after a change that was acknowledged";
             return UnclearSnafu { what, tries, last }.fail();
         }
         Err(e) => return Err(e),
     };
-    let revision = stands.config.revision;
-    if !stands.same(file) {
+    let revision = active.config.revision;
+    if !active.same_content(file) {
         let how = match revision == ours {
-            true => WON,
+            true => OTHER_CONTENT,
             false => "which is newer",
         };
         return SupersededSnafu { ours, active: revision, how }.fail();
     }
-    let acted = match wait {
-        Some(wait) => Some(acted_on(controls, revision, wait, began).await?),
+    let applied = match wait {
+        Some(wait) => Some(wait_for_followers(controls, revision, wait, began).await?),
         None => None,
     };
-    Ok(Put { revision, by: given.by.to_string(), tries: given.tries, acted })
+    Ok(PutResult { revision, by: reply.by.to_string(), tries: reply.tries, applied })
 }
 
-/// Waits until all that follow act on a revision, or a newer one.
-async fn acted_on(
+/// Waits until all followers apply a revision or a newer one.
+async fn wait_for_followers(
     controls: &Controls,
     revision: u64,
     wait: Duration,
@@ -142,53 +145,53 @@
 ) -> Result<(usize, f64), Error> {
     let until = Instant::now() + wait;
     loop {
-        let status = Status::ask(&controls.all, LOOK_WITHIN).await;
+        let status = Status::ask(&controls.all, POLL_TIMEOUT).await;
         let followers = status.followers();
-        let late: Vec<_> = followers.iter().filter(|(_, acts)| **acts < revision).collect();
+        let late: Vec<_> = followers.iter().filter(|(_, applied)| **applied < revision).collect();
         if late.is_empty() && !followers.is_empty() {
             return Ok((followers.len(), began.elapsed().as_secs_f64()));
         }
-        if Instant::now() + LOOK >= until {
-            let late = late.iter().map(|(name, acts)| format!("{name} on {acts}"));
+        if Instant::now() + POLL_INTERVAL >= until {
+            let late = late.iter().map(|(name, applied)| format!("{name} on {applied}"));
             let who = late.collect::<Vec<_>>().join(", ");
-            let who = if who.is_empty() { "nobody is seen to follow".to_owned() } else { who };
+            let who = if who.is_empty() { "no follower is known".to_owned() } else { who };
             return LateSnafu { revision, seconds: wait.as_secs_f64(), who }.fail();
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// What tells two configurations apart.
+/// A difference between two configurations.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Difference {
-    /// Only the second has it.
+    /// Only the second configuration has it.
     Added {
         /// `route` or `service`.
         what: &'static str,
-        /// Its name.
+        /// The name of the route or service.
         name: String,
-        /// As it is.
+        /// Its value.
         value: JsonValue,
     },
-    /// Only the first has it.
+    /// Only the first configuration has it.
     Removed {
         /// `route` or `service`.
         what: &'static str,
-        /// Its name.
+        /// The name of the route or service.
         name: String,
     },
-    /// Both have it, with these fields before and after; what is left out is null.
+    /// Both configurations have it, with different fields.
     Changed {
         /// `route`, `service`, `limits` or `revision`.
         what: &'static str,
-        /// Its name.
+        /// The name of the route or service.
         name: String,
-        /// Field, before, after.
+        /// Field, value before and value after; null for a missing field.
         fields: Vec<(String, JsonValue, JsonValue)>,
     },
 }
 
-/// All that differs, routes first.
+/// All differences: the revision, routes, services, then limits.
 pub fn between(old: &Config, new: &Config) -> Vec<Difference> {
     let (before, after) = (old.to_value(), new.to_value());
     let mut all = Vec::new();
@@ -201,11 +204,11 @@
         let part = |key| get_str(value, key).unwrap_or_default().to_owned();
         format!("{}{}", part("host"), part("path_prefix"))
     };
-    parts(&mut all, "route", get_list(&before, "routes"), get_list(&after, "routes"), route);
+    compare_items(&mut all, "route", get_list(&before, "routes"), get_list(&after, "routes"), route);
     let service = |value: &JsonValue| get_str(value, "name").unwrap_or_default().to_owned();
-    parts(&mut all, "service", get_list(&before, "services"), get_list(&after, "services"), service);
+    compare_items(&mut all, "service", get_list(&before, "services"), get_list(&after, "services"), service);
     if let (Some(before), Some(after)) = (get(&before, "limits"), get(&after, "limits")) {
-        let fields = fields(before, after);
+        let fields = changed_fields(before, after);
         if !fields.is_empty() {
             all.push(Difference::Changed { what: "limits", name: String::new(), fields });
         }
@@ -213,7 +216,7 @@
     all
 }
 
-fn parts(
+fn compare_items(
     all: &mut Vec<Difference>,
     what: &'static str,
     old: Option<&[JsonValue]>,
@@ -228,7 +231,7 @@
         let name = name.clone();
         match (old.get(&name), new.get(&name)) {
             (Some(old), Some(new)) if old != new => {
-                all.push(Difference::Changed { what, name, fields: fields(old, new) });
+                all.push(Difference::Changed { what, name, fields: changed_fields(old, new) });
             }
             (Some(_), None) => all.push(Difference::Removed { what, name }),
             (None, Some(new)) => all.push(Difference::Added { what, name, value: new.clone() }),
@@ -237,7 +240,7 @@
     }
 }
 
-fn fields(old: &JsonValue, new: &JsonValue) -> Vec<(String, JsonValue, JsonValue)> {
+fn changed_fields(old: &JsonValue, new: &JsonValue) -> Vec<(String, JsonValue, JsonValue)> {
     let keys = |value: &JsonValue| match value {
         JsonValue::Object(parts) => parts.keys().cloned().collect(),
         _ => Vec::new(),
@@ -249,7 +252,7 @@
 }
 
 impl Difference {
-    /// One line.
+    /// Formats the difference as one line.
     pub fn text(&self) -> String {
         match self {
             Difference::Added { what, name, value } => format!("+ {what} {name} {}", values::write(value)),
@@ -267,7 +270,7 @@
         }
     }
 
-    /// As JSON.
+    /// Encodes the difference as JSON.
     pub fn to_json(&self) -> JsonValue {
         let of = |how, what, name: &str, rest| {
             let mut parts = vec![("how", string(how)), ("what", string(what)), ("name", string(name))];
@@ -303,7 +306,7 @@
     }
 
     #[test]
-    fn each_difference_is_named_with_what_was_and_what_is() {
+    fn each_difference_is_listed_with_both_values() {
         let new = OLD
             .replace(r#""revision":7"#, r#""revision":9"#)
             .replace("/b/", "/c/")
@@ -311,7 +314,7 @@
             .replace(r#"{"name":"f"}"#, r#"{"name":"f"},{"name":"g"}"#)
             .replace("max_body_bytes\":1", "max_body_bytes\":2");
         let lines: Vec<_> = between(&config(OLD), &config(&new)).iter().map(Difference::text).collect();
-        let begins = [
+        let prefixes = [
             "~ revision 7 -> 9",
             "~ route h/a/: deadline_ms 4000 -> 3000, target_latency_ms 4000 -> 3000",
             "- route h/b/",
@@ -319,8 +322,8 @@
             "+ service g {",
             "~ limits: max_body_bytes 1 -> 2",
         ];
-        assert_eq!(lines.len(), begins.len(), "{lines:#?}");
-        lines.iter().zip(begins).for_each(|(line, begin)| assert!(line.starts_with(begin), "{line}"));
+        assert_eq!(lines.len(), prefixes.len(), "{lines:#?}");
+        lines.iter().zip(prefixes).for_each(|(line, prefix)| assert!(line.starts_with(prefix), "{line}"));
         assert_eq!(between(&config(OLD), &config(OLD)), []);
     }
 }
--- a/ctl/src/drain.rs
+++ b/ctl/src/drain.rs
@@ -1,4 +1,4 @@
-//! What operators take out for a while, a stall or a worker: orders, and how that stands.
+//! Drains: orders that take an edge machine's stall or a worker out of service for a while, and their status.
 
 use std::net::SocketAddr;
 
@@ -9,47 +9,47 @@
 
 use crate::errors::{Error, RefusedSnafu};
 use crate::http::{Controls, describe, seconds};
-use crate::moves::ask;
+use crate::moves::call_steward;
 use crate::status::table;
 
 const PATH: &str = "/core/drains";
 
-/// The order to take something out for so many seconds.
-pub fn out(what: &str, name: &str, lasts: f64) -> Result<JsonValue, Error> {
-    let lasts = seconds("--for", lasts)?.as_millis().min(u128::from(u32::MAX)) as u64;
+/// The order to drain something for `duration_s` seconds.
+pub fn start(what: &str, name: &str, duration_s: f64) -> Result<JsonValue, Error> {
+    let duration_ms = seconds("--for", duration_s)?.as_millis().min(u128::from(u32::MAX)) as u64;
     Ok(object([
         ("order", string("drain")),
         ("what", string(what)),
         ("name", string(name)),
-        ("for_ms", number(lasts)),
+        ("for_ms", number(duration_ms)),
     ]))
 }
 
-/// The order to let it back.
+/// The order to end a drain early.
 pub fn undo(what: &str, name: &str) -> JsonValue {
     object([("order", string("undo")), ("what", string(what)), ("name", string(name))])
 }
 
-/// What is out.
+/// The current drains.
 pub struct Drains {
     steward: SocketAddr,
     all: Vec<JsonValue>,
 }
 
 impl Drains {
-    /// Gives an order until its answer is clear; what is out then.
+    /// Sends an order until it gets a definite answer; returns the drains after it.
     pub async fn order(controls: &Controls, order: &JsonValue) -> Result<Self, Error> {
-        let what = "to an order; it may be obeyed: look at `drain status`, or give it again as it is";
-        Drains::read(ask(controls, Method::POST, PATH, Bytes::from(write(order)), what).await?)
+        let what = "to an order; it may have taken effect: see `drain status`, or repeat the same order";
+        Drains::parse(call_steward(controls, Method::POST, PATH, Bytes::from(write(order)), what).await?)
     }
 
-    /// Asks what is out.
-    pub async fn look(controls: &Controls) -> Result<Self, Error> {
-        let what = "of the steward to what is out";
-        Drains::read(ask(controls, Method::GET, PATH, Bytes::new(), what).await?)
+    /// Reads the current drains.
+    pub async fn read(controls: &Controls) -> Result<Self, Error> {
+        let what = "to a request for the drains";
+        Drains::parse(call_steward(controls, Method::GET, PATH, Bytes::new(), what).await?)
     }
 
-    fn read((steward, status, body): (SocketAddr, u16, Bytes)) -> Result<Self, Error> {
+    fn parse((steward, status, body): (SocketAddr, u16, Bytes)) -> Result<Self, Error> {
         let json = millpost_net::messaging::json(&body);
         match json.as_ref().and_then(|json| get_list(json, "drains")) {
             Some(all) if status == 200 => Ok(Drains { steward, all: all.to_vec() }),
@@ -62,15 +62,15 @@
         }
     }
 
-    /// Whether all stalls that are out know it.
+    /// Whether all drained stalls have applied their drain.
     pub fn is_well(&self) -> bool {
-        !self.all.iter().any(is_deaf)
+        !self.all.iter().any(is_not_applied)
     }
 
-    /// A line for each.
+    /// A table with a line for each drain.
     pub fn text(&self) -> String {
         if self.all.is_empty() {
-            return format!("nothing is out, says the steward {}\n", self.steward);
+            return format!("nothing is drained, by the steward {}\n", self.steward);
         }
         let mut rows = vec![["what", "name", "zone", "left", "state"].map(str::to_owned).to_vec()];
         rows.extend(self.all.iter().map(|of| {
@@ -81,7 +81,7 @@
         table(&rows) + &format!("by the steward {}\n", self.steward)
     }
 
-    /// As JSON.
+    /// Encodes the drains as JSON.
     pub fn to_json(&self) -> JsonValue {
         object([
             ("steward", string(&self.steward.to_string())),
@@ -91,19 +91,19 @@
     }
 }
 
-fn is_deaf(of: &JsonValue) -> bool {
+fn is_not_applied(of: &JsonValue) -> bool {
     get_bool(of, "undone") != Some(true) && get_bool(of, "rests") == Some(false)
 }
 
 fn state(of: &JsonValue) -> String {
     let on = |key| get_bool(of, key) == Some(true);
     match (get_str(of, "what"), get_u64(of, "instances")) {
-        _ if on("undone") && on("rests") => "undone; it has not heard of that yet".to_owned(),
+        _ if on("undone") && on("rests") => "undone; the stall has not applied that yet".to_owned(),
         _ if on("undone") => "undone".to_owned(),
         (Some("worker"), Some(0)) => "empty".to_owned(),
         (Some("worker"), Some(count)) => format!("takes no starts; {count} instances left"),
-        _ if is_deaf(of) => "NOT TOLD: its stall does not say that it rests".to_owned(),
-        _ if on("owns") => "not ready; owns functions still".to_owned(),
-        _ => "out: not ready, owns nothing".to_owned(),
+        _ if is_not_applied(of) => "NOT APPLIED: the stall does not report that it is drained".to_owned(),
+        _ if on("owns") => "not ready; still owns functions".to_owned(),
+        _ => "drained: not ready, owns no functions".to_owned(),
     }
 }
--- a/ctl/src/errors.rs
+++ b/ctl/src/errors.rs
@@ -89,7 +89,7 @@
     #[snafu(display("no configuration has been put yet"))]
     Empty,
     /// A request got no definite answer.
-    #[snafu(display("no clear answer {what}; the last of {tries} tries: {last}"))]
+    #[snafu(display("no definite answer {what}; the last of {tries} attempts: {last}"))]
     Unclear {
         /// Which request, and what its missing answer means.
         what: &'static str,
--- a/ctl/src/functions.rs
+++ b/ctl/src/functions.rs
@@ -1,4 +1,4 @@
-//! How functions stand, as the steward tells it.
+//! The state of functions as the steward reports it.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -12,120 +12,135 @@
 use crate::http::get_from_steward;
 use crate::status::{Status, table};
 
-/// Functions in one answer; answers that are read at most.
-const PAGE: usize = 200;
-const PAGES: usize = 100;
+/// Number of functions per page.
+const PAGE_SIZE: usize = 200;
+/// Limit on the pages that are read.
+const MAX_PAGES: usize = 100;
 
-/// Which functions are asked for.
+/// Selects functions.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Which<'a> {
-    /// All.
+pub enum Selection<'a> {
+    /// All functions.
     All,
-    /// The one of this name.
+    /// The function of this name.
     Name(&'a str),
-    /// The one that an instance belongs to.
+    /// The function that this instance belongs to.
     Instance(&'a str),
 }
 
-/// What the steward says.
+/// Functions as the steward reports them.
 pub struct Functions {
-    /// Who it is.
+    /// The address of the steward.
     pub steward: SocketAddr,
     fence: u64,
     all: Vec<JsonValue>,
-    /// There are more than were read.
-    cut: bool,
+    /// Whether there are more functions than were read.
+    truncated: bool,
 }
 
-/// What an answer of the steward's holds: its fence, functions, and after which the next page begins.
+/// A page: the steward's fence, functions, and the name after which the next page begins.
 type Page = (u64, Vec<JsonValue>, Option<String>);
 
 impl Functions {
-    /// Finds the steward and asks it.
-    pub async fn ask(first: &[SocketAddr], which: Which<'_>, within: Duration) -> Result<Self, Error> {
+    /// Finds the steward and reads the selected functions from it.
+    pub async fn ask(
+        first: &[SocketAddr],
+        selection: Selection<'_>,
+        within: Duration,
+    ) -> Result<Self, Error> {
         let status = Status::ask(first, within).await;
         let Some(steward) = status.steward_at() else { return NoStewardSnafu.fail() };
-        let mut found = Functions { steward, fence: 0, all: Vec::new(), cut: false };
+        let mut result = Functions { steward, fence: 0, all: Vec::new(), truncated: false };
         let encoded = |text: &str| utf8_percent_encode(text, NON_ALPHANUMERIC).to_string();
-        let mut query = match which {
-            Which::Name(name) => format!("name={}", encoded(name)),
-            Which::Instance(id) => format!("instance={}", encoded(id)),
-            Which::All => format!("most={PAGE}"),
+        let mut query = match selection {
+            Selection::Name(name) => format!("name={}", encoded(name)),
+            Selection::Instance(id) => format!("instance={}", encoded(id)),
+            Selection::All => format!("most={PAGE_SIZE}"),
         };
-        for _ in 0..PAGES {
+        for _ in 0..MAX_PAGES {
             let (fence, functions, next) = page(steward, &query, within).await?;
-            found.fence = fence;
-            found.all.extend(functions);
-            let Some(next) = next else { return Ok(found) };
-            query = format!("most={PAGE}&after={}", encoded(&next));
+            result.fence = fence;
+            result.all.extend(functions);
+            let Some(next) = next else { return Ok(result) };
+            query = format!("most={PAGE_SIZE}&after={}", encoded(&next));
         }
-        found.cut = true;
-        Ok(found)
+        result.truncated = true;
+        Ok(result)
     }
 
-    /// Each of them, as the steward says it.
+    /// The functions as JSON, unchanged.
     pub fn all(&self) -> &[JsonValue] {
         &self.all
     }
 
-    /// Those that are held back by something that people have to mend.
-    pub fn held(&self) -> impl Iterator<Item = &JsonValue> {
-        let held = |of: &&JsonValue| matches!(get_str(of, "hold"), Some("refused" | "no_room" | "no_list"));
-        self.all.iter().filter(held)
+    /// Functions whose starts are blocked by something that needs an operator.
+    pub fn blocked(&self) -> impl Iterator<Item = &JsonValue> {
+        let is_blocked =
+            |of: &&JsonValue| matches!(get_str(of, "hold"), Some("refused" | "no_room" | "no_list"));
+        self.all.iter().filter(is_blocked)
     }
 
-    /// Whether something that people have to mend holds none of them back, and there is any.
+    /// Whether there are functions and none of them is blocked by something that needs an operator.
     pub fn is_well(&self) -> bool {
-        !self.all.is_empty() && self.held().next().is_none()
+        !self.all.is_empty() && self.blocked().next().is_none()
     }
 
-    /// As text: a line for each, or all of one.
-    pub fn text(&self, which: Which<'_>) -> String {
+    /// A table with a line for each function, and the details if a single one was selected.
+    pub fn text(&self, selection: Selection<'_>) -> String {
         let (steward, fence) = (self.steward, self.fence);
         if self.all.is_empty() {
-            let what = match which {
-                Which::All => "no function".to_owned(),
-                Which::Name(name) => format!("no function {name:?}"),
-                Which::Instance(id) => format!("no instance {id:?}"),
+            let what = match selection {
+                Selection::All => "no function".to_owned(),
+                Selection::Name(name) => format!("no function {name:?}"),
+                Selection::Instance(id) => format!("no instance {id:?}"),
             };
             return format!("{what} is known to the steward {steward}, fence {fence}\n");
         }
-        let head =
-            ["function", "wanted", "said", "ready", "booting", "draining", "starting", "owner", "held by"];
+        let head = [
+            "function",
+            "wanted",
+            "reported",
+            "ready",
+            "booting",
+            "draining",
+            "starting",
+            "owner",
+            "blocked by",
+        ];
         let mut rows = vec![head.map(str::to_owned).to_vec()];
         rows.extend(self.all.iter().map(row));
         let mut text = table(&rows);
-        if which != Which::All {
+        if selection != Selection::All {
             self.all.iter().for_each(|of| details(&mut text, of));
         }
-        let cut = if self.cut { "; there are more" } else { "" };
-        let _ = writeln!(text, "by the steward {steward}, fence {fence}{cut}");
+        let truncated = if self.truncated { "; there are more" } else { "" };
+        let _ = writeln!(text, "by the steward {steward}, fence {fence}{truncated}");
         text
     }
 
-    /// As JSON.
+    /// Encodes the functions as JSON.
     pub fn to_json(&self) -> JsonValue {
         object([
             ("steward", string(&self.steward.to_string())),
             ("fence", number(self.fence)),
             ("functions", list(self.all.iter().cloned())),
-            ("more", JsonValue::Boolean(self.cut)),
+            ("more", JsonValue::Boolean(self.truncated)),
         ])
     }
 }
 
 async fn page(steward: SocketAddr, query: &str, within: Duration) -> Result<Page, Error> {
-    let what = "of the steward to how functions stand";
+    let what = "to a request for functions";
     let json = get_from_steward(steward, &format!("/core/functions?{query}"), within, what).await?;
     let read = |json: &JsonValue| {
         let functions = get_list(json, "functions")?.to_vec();
         Some((get_u64(json, "fence")?, functions, get_str(json, "next").map(str::to_owned)))
     };
-    let last = format!("{steward}: what it sent is no answer to this");
+    let last = format!("{steward}: the answer is not a list of functions");
     read(&json).ok_or_else(|| UnclearSnafu { what, tries: 1_u32, last }.build())
 }
 
-/// A count, or a dash.
+/// A count, or a dash if it is missing.
 fn count(of: &JsonValue, key: &str) -> String {
     get_u64(of, key).map_or_else(|| "-".to_owned(), |n| n.to_string())
 }
@@ -134,26 +149,26 @@
     get_str(of, key).map_or_else(|| "-".to_owned(), |text| text.escape_debug().to_string())
 }
 
-/// A span in seconds, or a dash.
-fn span(of: &JsonValue, key: &str) -> String {
+/// A duration in seconds, or a dash if it is missing.
+fn duration(of: &JsonValue, key: &str) -> String {
     get_u64(of, key).map_or_else(|| "-".to_owned(), |ms| format!("{:.1} s", ms as f64 / 1e3))
 }
 
 fn held_by(of: &JsonValue) -> String {
     match (get_str(of, "hold"), get_u64(of, "hold_ms")) {
         (Some("enough" | "unwanted") | None, _) => "-".to_owned(),
-        (Some(_), Some(_)) => format!("{}, {} more", name(of, "hold"), span(of, "hold_ms")),
+        (Some(_), Some(_)) => format!("{}, {} more", name(of, "hold"), duration(of, "hold_ms")),
         (Some(_), None) => name(of, "hold"),
     }
 }
 
 fn row(of: &JsonValue) -> Vec<String> {
     let hold = held_by(of);
-    let said = match span(of, "said_ms_ago") {
+    let reported = match duration(of, "said_ms_ago") {
         dash if dash == "-" => dash,
-        span => format!("{span} ago"),
+        duration => format!("{duration} ago"),
     };
-    let mut cells = vec![name(of, "name"), count(of, "wanted"), said];
+    let mut cells = vec![name(of, "name"), count(of, "wanted"), reported];
     cells.extend(["ready", "booting", "draining", "starting"].map(|key| count(of, key)));
     let owner = match get_list(of, "lots") {
         Some(lots) => format!("one in each of {} zones", lots.len()),
@@ -181,7 +196,7 @@
         let _ = writeln!(text, "starts refused by the platform: {refusals}");
     }
     if let Some(lots @ [_, ..]) = get_list(of, "lots") {
-        let head = ["zone", "wanted", "live", "owner", "held by"].map(str::to_owned).to_vec();
+        let head = ["zone", "wanted", "live", "owner", "blocked by"].map(str::to_owned).to_vec();
         let cells = |of: &JsonValue| {
             vec![name(of, "zone"), count(of, "wanted"), count(of, "live"), name(of, "owner"), held_by(of)]
         };
@@ -190,7 +205,7 @@
     let head = ["instance", "address", "worker", "zone", "state", "for", "stop"].map(str::to_owned).to_vec();
     let cells = |of: &JsonValue| {
         let mut cells = ["id", "address", "worker", "zone", "state"].map(|key| name(of, key)).to_vec();
-        cells.extend([span(of, "since_ms"), name(of, "stop")]);
+        cells.extend([duration(of, "since_ms"), name(of, "stop")]);
         cells
     };
     if let Some(all @ [_, ..]) = get_list(of, "instances") {
@@ -198,10 +213,10 @@
     }
     for start in get_list(of, "starts").unwrap_or_default() {
         let sent = match get_u64(start, "sent_ms_ago") {
-            Some(_) => format!("called {} ago", span(start, "sent_ms_ago")),
-            None => "to be called again".to_owned(),
+            Some(_) => format!("sent {} ago", duration(start, "sent_ms_ago")),
+            None => "to be repeated".to_owned(),
         };
         let (worker, nonce, failed) = (name(start, "worker"), name(start, "nonce"), count(start, "failed"));
-        let _ = writeln!(text, "start {nonce} on {worker}: {sent}, {failed} times in vain");
+        let _ = writeln!(text, "start {nonce} on {worker}: {sent}, failed {failed} times");
     }
 }
--- a/ctl/src/lib.rs
+++ b/ctl/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' command for control, built as `millpost-ctl` and as `beadle`. It shows how control stands and who acts on
-//! what, reads, checks, compares and puts configurations, and looks at the records on a disk.
+//! The operators' command for control, built as `millpost-ctl` and as `beadle`. It shows the status of control and of its
+//! followers, reads, checks, compares and puts configurations, and inspects the records on a disk.
 //!
-//! Exit codes: see [`errors::Error::kind`]; 0 all is well, 1 something that was looked at is not.
+//! Exit codes: 0 without problems, 1 if a problem or a difference was found; for errors see `errors::Error::kind`.
 
 mod config;
 mod drain;
@@ -25,27 +25,27 @@
 use snafu::ResultExt;
 use tinyjson::JsonValue;
 
-use crate::config::{Difference, Read};
+use crate::config::{ConfigText, Difference};
 use crate::drain::Drains;
 use crate::errors::{EXIT_OK, EXIT_PROBLEM, Error, OutputSnafu, RuntimeSnafu, UsageSnafu};
-use crate::functions::{Functions, Which};
+use crate::functions::{Functions, Selection};
 use crate::http::{Controls, seconds};
 use crate::moves::Moves;
 use crate::status::Status;
-use crate::why::{About, Why};
+use crate::why::{Topic, Why};
 
-/// The operators' command for control: how it stands, functions, moves, the configuration, and what is on a disk. Exit codes: 0
-/// all is well; 1 something is not, or differs; 2 it can't be carried out as it was given; 3 invalid, spoilt or refused; 4
-/// no clear answer; 5 another configuration stands; 6 not all act on it in time.
+/// The operators' command for control: status, functions, moves, drains, the configuration, and the records on a disk. Exit
+/// codes: 0 no problem; 1 a problem or a difference was found; 2 usage or I/O error; 3 invalid, corrupt or refused; 4 no
+/// definite answer; 5 another configuration is active; 6 not all followers apply it in time.
 #[derive(FromArgs)]
 struct Options {
     /// addresses of control machines, ADDR[,ADDR...]; other machines are found through them
     #[argh(option)]
     control: Option<String>,
-    /// JSON in place of text
+    /// print JSON instead of text
     #[argh(switch)]
     json: bool,
-    /// a call that gets no clear answer is made again for so long, in seconds (30)
+    /// how long to retry a call that gets no definite answer, in seconds (30)
     #[argh(option, default = "30.0")]
     give_up: f64,
     #[argh(subcommand)]
@@ -65,50 +65,50 @@
     Store(StoreOptions),
 }
 
-/// Control machines side by side, who follows and acts on what, and what is not well.
+/// Shows the control machines side by side, the followers with the revisions that they apply, and problems.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 struct StatusOptions {
-    /// how long each machine has for its answer, in seconds (1)
+    /// time-out for each machine, in seconds (1)
     #[argh(option, default = "1.0")]
     within: f64,
 }
 
-/// The same again and again: first all of it, then what changes.
+/// Shows the status, then each change of it.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "watch")]
 struct WatchOptions {
-    /// seconds between two looks (1)
+    /// interval in seconds (1)
     #[argh(option, default = "1.0")]
     every: f64,
-    /// ends after so many seconds; without it, when it is told to
+    /// ends after this many seconds; runs until interrupted if omitted
     #[argh(option, long = "for")]
     lasts: Option<f64>,
-    /// how long each machine has for its answer, in seconds (1)
+    /// time-out for each machine, in seconds (1)
     #[argh(option, default = "1.0")]
     within: f64,
 }
 
-/// How functions stand with the steward: what is wanted, what there is, and what holds starts back.
+/// Shows the state of functions at the steward: requested and existing instances, and what blocks starts.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "functions")]
 struct FunctionsOptions {
-    /// only this one, with its instances and starts
+    /// only this function, with its instances and starts
     #[argh(positional)]
     name: Option<String>,
-    /// only the one that this instance belongs to
+    /// only the function that this instance belongs to
     #[argh(option)]
     instance: Option<String>,
-    /// how long each machine has for its answer, in seconds (1)
+    /// time-out for each machine, in seconds (1)
     #[argh(option, default = "1.0")]
     within: f64,
 }
 
-/// Why things stand as they do: all that is not well, with its reasons; or one thing.
+/// Explains all problems, or the state of the steward, a machine or a function.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "why")]
 struct WhyOptions {
-    /// how long each machine has for its answer, in seconds (1)
+    /// time-out for each machine, in seconds (1)
     #[argh(option, default = "1.0")]
     within: f64,
     #[argh(subcommand)]
@@ -123,12 +123,12 @@
     Function(WhyFunction),
 }
 
-/// Who is the steward, or why nobody is.
+/// Explains which machine is the steward, or why none is.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "steward")]
 struct WhySteward {}
 
-/// Why a machine acts on the configuration that it acts on, and owns functions or does not.
+/// Explains which configuration a machine applies, and whether it owns functions.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "machine")]
 struct WhyMachine {
@@ -137,7 +137,7 @@
     name: String,
 }
 
-/// Why a function has the instances that it has, and what was refused lately.
+/// Explains the instances of a function, and recent refusals by the platform.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "function")]
 struct WhyFunction {
@@ -146,7 +146,7 @@
     name: String,
 }
 
-/// Takes a stall or a worker out in order, for a while.
+/// Drains a stall or a worker for a while.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "drain")]
 struct DrainOptions {
@@ -163,48 +163,48 @@
     Status(DrainStatusOptions),
 }
 
-/// An edge machine's stall: clients go elsewhere, and it owns no functions.
+/// Drains the stall of an edge machine: clients use other ones, and it owns no functions.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "edge")]
 struct EdgeOptions {
     /// the machine
     #[argh(positional)]
     name: String,
-    /// ends by itself after so many seconds (600)
+    /// the drain ends after this many seconds (600)
     #[argh(option, long = "for", default = "600.0")]
     lasts: f64,
 }
 
-/// A worker: nothing starts there, its instances are replaced and then stopped.
+/// Drains a worker: nothing starts there, and its instances are replaced, then stopped.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "worker")]
 struct WorkerOptions {
     /// the worker
     #[argh(positional)]
     name: String,
-    /// ends by itself after so many seconds (600)
+    /// the drain ends after this many seconds (600)
     #[argh(option, long = "for", default = "600.0")]
     lasts: f64,
 }
 
-/// Lets it back before its time.
+/// Ends a drain early.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "undo")]
 struct UndoOptions {
     /// edge or worker
     #[argh(positional)]
     what: String,
-    /// which
+    /// the machine or worker
     #[argh(positional)]
     name: String,
 }
 
-/// What is out, for how long, and how far that has come.
+/// Shows the current drains, their remaining time and progress.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 struct DrainStatusOptions {}
 
-/// Moves of tenants from the services of one cluster to those of another.
+/// Moves tenants from the services of one cluster to those of another.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "move")]
 struct MoveOptions {
@@ -223,7 +223,7 @@
     Explain(ExplainOptions),
 }
 
-/// Checks a contract against what the target can bear, and keeps it as a move. Nothing moves yet.
+/// Checks a contract against the capacity of the target, and records it as a move. No route is switched yet.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "plan")]
 struct PlanOptions {
@@ -232,24 +232,24 @@
     file: PathBuf,
 }
 
-/// Begins a move, or goes on with one that was paused or has no revisions left.
+/// Starts a move, or resumes one that is paused or has no revisions left.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "start")]
 struct StartOptions {
     /// the move
     #[argh(positional)]
     name: String,
-    /// revisions for the move alone, FIRST-LAST, above the one that stands
+    /// revisions to reserve for the move, FIRST-LAST, above the active one
     #[argh(option)]
     revisions: Option<String>,
 }
 
-/// How moves stand, and what they wait for.
+/// Shows the status of moves and what they wait for.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 struct MoveStatusOptions {}
 
-/// Holds a move where it is: no further load goes.
+/// Pauses a move: no further load is switched.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "pause")]
 struct PauseOptions {
@@ -258,19 +258,19 @@
     name: String,
 }
 
-/// Turns a move back: all of its routes go to where they were.
+/// Rolls a move back: all of its routes return to the source services.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "back")]
 struct BackOptions {
     /// the move
     #[argh(positional)]
     name: String,
-    /// revisions for the move alone, FIRST-LAST, where it has none left
+    /// revisions to reserve for the move, FIRST-LAST, if it has none left
     #[argh(option)]
     revisions: Option<String>,
 }
 
-/// All of one move: routes, loads, steps with their reasons, and what it waits for.
+/// Shows all details of a move: routes, loads, steps with their reasons, and what it waits for.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 struct ExplainOptions {
@@ -279,7 +279,7 @@
     name: String,
 }
 
-/// The configuration.
+/// Reads, checks, puts and compares configurations.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "config")]
 struct ConfigOptions {
@@ -296,16 +296,16 @@
     Diff(DiffOptions),
 }
 
-/// Reads what stands, as it was put.
+/// Reads the active configuration, as it was put.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "get")]
 struct GetOptions {
-    /// writes it there
+    /// write it to this file
     #[argh(option)]
     out: Option<PathBuf>,
 }
 
-/// Reads and checks a file, and names all keys that are wrong. Asks nobody.
+/// Checks a file and lists all invalid keys. Makes no calls.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct CheckOptions {
@@ -314,31 +314,31 @@
     file: PathBuf,
 }
 
-/// Puts a file in force, and says what stands then.
+/// Puts a configuration in force, and reports the active revision.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "put")]
 struct PutOptions {
     /// the file
     #[argh(positional)]
     file: PathBuf,
-    /// waits so many seconds until all that follow act on it
+    /// wait up to this many seconds until all followers apply it
     #[argh(option)]
     wait: Option<f64>,
 }
 
-/// What differs: from what stands to a file, or from one file to another.
+/// Lists the differences from the active configuration to a file, or from one file to another.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "diff")]
 struct DiffOptions {
     /// the file
     #[argh(positional)]
     file: PathBuf,
-    /// the other file, in place of what stands
+    /// the second file, to compare with instead of the active configuration
     #[argh(positional)]
     other: Option<PathBuf>,
 }
 
-/// The records on a control machine's disk. Asks nobody, writes nothing there, and works beside a running `controller`.
+/// Inspects the records on a control machine's disk. Makes no calls, writes nothing there, and can run beside a `controller`.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "store")]
 struct StoreOptions {
@@ -353,7 +353,7 @@
     Export(ExportOptions),
 }
 
-/// Each record: ballots, version, length, what it holds, and what is wrong with it.
+/// Lists each record with its ballots, version, length, content and faults.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct StoreCheckOptions {
@@ -362,14 +362,14 @@
     folder: PathBuf,
 }
 
-/// The configuration that stands on this disk, as it was put. It may not be the one that is chosen.
+/// Writes out the configuration stored on this disk, as it was put. It may differ from the chosen one.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "export")]
 struct ExportOptions {
     /// a data_dir, the folder `tally` in it, or a copy of that
     #[argh(positional)]
     folder: PathBuf,
-    /// writes it there
+    /// write it to this file
     #[argh(option)]
     out: Option<PathBuf>,
 }
@@ -389,40 +389,41 @@
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             (json, runtime.context(RuntimeSnafu).and_then(|runtime| runtime.block_on(run(options))))
         }
-        Err(EarlyExit { output, status: Ok(()) }) => (false, out(&output).map(|()| true)),
+        Err(EarlyExit { output, status: Ok(()) }) => (false, print_text(&output).map(|()| true)),
         Err(EarlyExit { output, .. }) => (false, UsageSnafu { why: output }.fail()),
     };
     match ended {
         Ok(true) => ExitCode::from(EXIT_OK),
         Ok(false) => ExitCode::from(EXIT_PROBLEM),
-        // Whoever reads has seen enough.
+        // The reader of the output has closed the pipe.
         Err(Error::Output { source }) if source.kind() == std::io::ErrorKind::BrokenPipe => {
             ExitCode::from(EXIT_OK)
         }
         Err(e) => {
             let (_, code) = e.kind();
             if json {
-                let _ = print(&e.to_json());
+                let _ = print_json(&e.to_json());
             }
-            // Standard error may be as gone as the output.
+            // Standard error may be closed as well.
             let _ = writeln!(std::io::stderr(), "beadle: {e}");
             ExitCode::from(code)
         }
     }
 }
 
-fn out(text: &str) -> Result<(), Error> {
+/// Writes text and a final newline to standard output.
+fn print_text(text: &str) -> Result<(), Error> {
     let mut out = std::io::stdout().lock();
     let end = if text.ends_with('\n') { "" } else { "\n" };
     let written = out.write_all(text.as_bytes()).and_then(|()| out.write_all(end.as_bytes()));
     written.and_then(|()| out.flush()).context(OutputSnafu)
 }
 
-fn print(value: &JsonValue) -> Result<(), Error> {
-    out(&values::write(value))
+fn print_json(value: &JsonValue) -> Result<(), Error> {
+    print_text(&values::write(value))
 }
 
-/// Whether all is well.
+/// Runs the command. Returns whether there is no problem or difference.
 async fn run(options: Options) -> Result<bool, Error> {
     let json = options.json;
     let controls = || Controls::read(options.control.as_deref(), options.give_up);
@@ -430,78 +431,78 @@
         What::Status(given) => {
             let status = Status::ask(&controls()?.all, seconds("--within", given.within)?).await;
             if json {
-                print(&status.to_json())?
+                print_json(&status.to_json())?
             } else {
-                out(&status.text())?
+                print_text(&status.text())?
             }
-            Ok(status.troubles().is_empty())
+            Ok(status.problems().is_empty())
         }
         What::Watch(given) => watch(&controls()?, &given, json).await,
         What::Functions(given) => {
             let within = seconds("--within", given.within)?;
-            let which = match (&given.name, &given.instance) {
-                (None, None) => Which::All,
-                (Some(name), None) => Which::Name(name),
-                (None, Some(id)) => Which::Instance(id),
+            let selection = match (&given.name, &given.instance) {
+                (None, None) => Selection::All,
+                (Some(name), None) => Selection::Name(name),
+                (None, Some(id)) => Selection::Instance(id),
                 (Some(_), Some(_)) => return UsageSnafu { why: "a name or --instance, not both" }.fail(),
             };
-            let functions = Functions::ask(&controls()?.all, which, within).await?;
+            let functions = Functions::ask(&controls()?.all, selection, within).await?;
             if json {
-                print(&functions.to_json())?
+                print_json(&functions.to_json())?
             } else {
-                out(&functions.text(which))?
+                print_text(&functions.text(selection))?
             }
             Ok(functions.is_well())
         }
         What::Why(given) => {
-            let about = match &given.what {
-                None => About::All,
-                Some(WhyWhat::Steward(WhySteward {})) => About::Leader,
-                Some(WhyWhat::Machine(of)) => About::Machine(&of.name),
-                Some(WhyWhat::Function(of)) => About::Function(&of.name),
+            let topic = match &given.what {
+                None => Topic::All,
+                Some(WhyWhat::Steward(WhySteward {})) => Topic::Leader,
+                Some(WhyWhat::Machine(of)) => Topic::Machine(&of.name),
+                Some(WhyWhat::Function(of)) => Topic::Function(&of.name),
             };
-            let why = Why::ask(&controls()?.all, about, seconds("--within", given.within)?).await?;
+            let why = Why::ask(&controls()?.all, topic, seconds("--within", given.within)?).await?;
             if json {
-                print(&why.to_json())?
+                print_json(&why.to_json())?
             } else {
-                out(&why.text())?
+                print_text(&why.text())?
             }
             Ok(why.is_well())
         }
         What::Drain(given) => {
             let controls = controls()?;
             let order = match given.what {
-                DrainWhat::Edge(of) => Some(drain::out("edge", &of.name, of.lasts)?),
-                DrainWhat::Worker(of) => Some(drain::out("worker", &of.name, of.lasts)?),
+                DrainWhat::Edge(of) => Some(drain::start("edge", &of.name, of.lasts)?),
+                DrainWhat::Worker(of) => Some(drain::start("worker", &of.name, of.lasts)?),
                 DrainWhat::Undo(of) => Some(drain::undo(&of.what, &of.name)),
                 DrainWhat::Status(DrainStatusOptions {}) => None,
             };
             let drains = match &order {
                 Some(order) => Drains::order(&controls, order).await?,
-                None => Drains::look(&controls).await?,
+                None => Drains::read(&controls).await?,
             };
             if json {
-                print(&drains.to_json())?
+                print_json(&drains.to_json())?
             } else {
-                out(&drains.text())?
+                print_text(&drains.text())?
             }
-            // An order is obeyed before all have heard of it.
+            // An order succeeds before all machines have applied it.
             Ok(order.is_some() || drains.is_well())
         }
-        What::Move(given) => order(&controls()?, given.what, json).await,
+        What::Move(given) => run_move(&controls()?, given.what, json).await,
         What::Config(given) => match given.what {
             ConfigWhat::Get(given) => get(&controls()?, given.out, json).await,
             ConfigWhat::Check(given) => check(&given.file, json),
             ConfigWhat::Put(given) => {
                 let wait = given.wait.map(|wait| seconds("--wait", wait)).transpose()?;
-                let file = Read::file(&given.file)?;
+                let file = ConfigText::file(&given.file)?;
                 put(&controls()?, &file, wait, json).await
             }
             ConfigWhat::Diff(given) => {
-                let file = Read::file(&given.file)?;
+                let file = ConfigText::file(&given.file)?;
                 let (old, new) = match given.other {
-                    Some(other) => (file, Read::file(&other)?),
-                    None => (config::standing(&controls()?).await?.0, file),
+                    Some(other) => (file, ConfigText::file(&other)?),
+                    None => (config::read_active(&controls()?).await?.0, file),
                 };
                 differ(&config::between(&old.config, &new.config), json)
             }
@@ -513,97 +514,97 @@
     }
 }
 
-async fn order(controls: &Controls, what: MoveWhat, json: bool) -> Result<bool, Error> {
+async fn run_move(controls: &Controls, what: MoveWhat, json: bool) -> Result<bool, Error> {
     let order = match what {
         MoveWhat::Plan(given) => moves::plan(&given.file)?,
         MoveWhat::Start(given) => moves::order("start", &given.name, given.revisions.as_deref())?,
         MoveWhat::Pause(given) => moves::order("pause", &given.name, None)?,
         MoveWhat::Back(given) => moves::order("back", &given.name, given.revisions.as_deref())?,
         MoveWhat::Status(MoveStatusOptions {}) => {
-            let moves = Moves::look(controls, None).await?;
+            let moves = Moves::read(controls, None).await?;
             if json {
-                print(&moves.to_json())?
+                print_json(&moves.to_json())?
             } else {
-                out(&moves.text())?
+                print_text(&moves.text())?
             }
             return Ok(moves.is_well());
         }
         MoveWhat::Explain(given) => {
-            let moves = Moves::look(controls, Some(&given.name)).await?;
+            let moves = Moves::read(controls, Some(&given.name)).await?;
             if json {
-                print(&moves.to_json())?
+                print_json(&moves.to_json())?
             } else {
-                out(&moves.explain())?
+                print_text(&moves.explain())?
             }
             return Ok(moves.is_well());
         }
     };
-    let (step, by) = moves::give(controls, &order).await?;
+    let (step, by) = moves::send_order(controls, &order).await?;
     if json {
-        print(&object([("step", string(&step)), ("by", string(&by.to_string()))]))?;
+        print_json(&object([("step", string(&step)), ("by", string(&by.to_string()))]))?;
     } else {
-        out(&format!("{step}, by the steward {by}"))?;
+        print_text(&format!("{step}, by the steward {by}"))?;
     }
     Ok(true)
 }
 
 fn check_store(folder: &Path, json: bool) -> Result<bool, Error> {
-    let store = store::Store::look(folder)?;
+    let store = store::Store::read(folder)?;
     if json {
-        print(&store.to_json())?
+        print_json(&store.to_json())?
     } else {
-        out(&store.text())?
+        print_text(&store.text())?
     }
     Ok(store.is_good())
 }
 
 fn export(folder: &Path, to: Option<PathBuf>, json: bool) -> Result<bool, Error> {
-    let found = store::standing(folder)?;
+    let found = store::stored_config(folder)?;
     let copied = if found.copied { ", copied from other disks" } else { "" };
-    let what = format!("revision {}, written at ballot {}{copied}", found.revision, found.ballot);
+    let what = format!("revision {}, accepted under ballot {}{copied}", found.revision, found.ballot);
     let _ = writeln!(
         std::io::stderr(),
-        "beadle: {}: {what}; another may be chosen: only a majority of disks says",
+        "beadle: {}: {what}; another one may be chosen, which only a majority of disks determines",
         found.folder.display()
     );
-    let Some(path) = to else { return out(&found.text).map(|()| true) };
-    config::keep(&path, &found.text)?;
+    let Some(path) = to else { return print_text(&found.text).map(|()| true) };
+    config::write_file(&path, &found.text)?;
     if json {
-        print(&object([
+        print_json(&object([
             ("revision", number(found.revision)),
             ("ballot", string(&found.ballot)),
             ("copied", JsonValue::Boolean(found.copied)),
             ("file", string(&path.display().to_string())),
         ]))?;
     } else {
-        out(&format!("{}: {what}", path.display()))?;
+        print_text(&format!("{}: {what}", path.display()))?;
     }
     Ok(true)
 }
 
 async fn get(controls: &Controls, to: Option<PathBuf>, json: bool) -> Result<bool, Error> {
-    let (read, given) = config::standing(controls).await?;
-    let Some(path) = to else { return out(&read.text).map(|()| true) };
-    config::keep(&path, &read.text)?;
+    let (read, given) = config::read_active(controls).await?;
+    let Some(path) = to else { return print_text(&read.text).map(|()| true) };
+    config::write_file(&path, &read.text)?;
     let (revision, routes) = (read.config.revision, read.config.routes.len());
     if json {
         let file = string(&path.display().to_string());
-        print(&object([
+        print_json(&object([
             ("revision", number(revision)),
             ("file", file),
             ("by", string(&given.by.to_string())),
         ]))?;
     } else {
-        out(&format!("{}: revision {revision}, {routes} routes, from {}", path.display(), given.by))?;
+        print_text(&format!("{}: revision {revision}, {routes} routes, from {}", path.display(), given.by))?;
     }
     Ok(true)
 }
 
 fn check(path: &Path, json: bool) -> Result<bool, Error> {
-    let config = Read::file(path)?.config;
+    let config = ConfigText::file(path)?.config;
     let (routes, services) = (config.routes.len(), config.services.len());
     if json {
-        print(&object([
+        print_json(&object([
             ("revision", number(config.revision)),
             ("routes", number(routes as u64)),
             ("services", number(services as u64)),
@@ -611,65 +612,73 @@
         ]))?;
     } else {
         let what = format!("revision {}, {routes} routes, {services} services", config.revision);
-        out(&format!("{}: good: {what}", path.display()))?;
+        print_text(&format!("{}: valid: {what}", path.display()))?;
     }
     Ok(true)
 }
 
-async fn put(controls: &Controls, file: &Read, wait: Option<Duration>, json: bool) -> Result<bool, Error> {
+async fn put(
+    controls: &Controls,
+    file: &ConfigText,
+    wait: Option<Duration>,
+    json: bool,
+) -> Result<bool, Error> {
     let put = config::put(controls, file, wait).await?;
     if json {
-        let acted = put.acted.map_or(JsonValue::Null, |(count, after)| {
+        let applied = put.applied.map_or(JsonValue::Null, |(count, after)| {
             object([("followers", number(count as u64)), ("after_s", JsonValue::Number(after))])
         });
-        print(&object([
+        print_json(&object([
             ("revision", number(put.revision)),
             ("by", string(&put.by)),
             ("tries", number(put.tries.into())),
-            ("acted_on", acted),
+            ("acted_on", applied),
         ]))?;
         return Ok(true);
     }
-    out(&format!("revision {} stands, and has this content; acknowledged by {}", put.revision, put.by))?;
-    if let Some((count, after)) = put.acted {
-        out(&format!("all {count} that follow act on it, {after:.1} s after the put began"))?;
+    print_text(&format!(
+        "revision {} is active with this content; acknowledged by {}",
+        put.revision, put.by
+    ))?;
+    if let Some((count, after)) = put.applied {
+        print_text(&format!("all {count} followers apply it, {after:.1} s after the put began"))?;
     }
     Ok(true)
 }
 
-/// Whether nothing differs.
+/// Prints the differences. Returns whether there are none.
 fn differ(all: &[Difference], json: bool) -> Result<bool, Error> {
     if json {
-        print(&list(all.iter().map(Difference::to_json)))?;
+        print_json(&list(all.iter().map(Difference::to_json)))?;
     } else if !all.is_empty() {
-        out(&all.iter().map(Difference::text).collect::<Vec<_>>().join("\n"))?;
+        print_text(&all.iter().map(Difference::text).collect::<Vec<_>>().join("\n"))?;
     }
     Ok(all.is_empty())
 }
 
-async fn watch(controls: &Controls, given: &WatchOptions, json: bool) -> Result<bool, Error> {
-    let (every, within) = (seconds("--every", given.every)?, seconds("--within", given.within)?);
-    let lasts = given.lasts.map(|lasts| seconds("--for", lasts)).transpose()?;
+async fn watch(controls: &Controls, options: &WatchOptions, json: bool) -> Result<bool, Error> {
+    let (every, within) = (seconds("--every", options.every)?, seconds("--within", options.within)?);
+    let lasts = options.lasts.map(|lasts| seconds("--for", lasts)).transpose()?;
     let (began, mut before) = (Instant::now(), None::<BTreeMap<String, String>>);
     loop {
-        let looked = Instant::now();
+        let started = Instant::now();
         let status = Status::ask(&controls.all, within).await;
         let facts = status.facts();
         match &before {
-            None if json => print(&status.to_json())?,
-            None => out(&status.text())?,
-            Some(before) => changes(before, &facts, json)?,
+            None if json => print_json(&status.to_json())?,
+            None => print_text(&status.text())?,
+            Some(before) => print_changes(before, &facts, json)?,
         }
         before = Some(facts);
         if lasts.is_some_and(|lasts| began.elapsed() + every > lasts) {
-            return Ok(status.troubles().is_empty());
+            return Ok(status.problems().is_empty());
         }
-        tokio::time::sleep(every.saturating_sub(looked.elapsed())).await;
+        tokio::time::sleep(every.saturating_sub(started.elapsed())).await;
     }
 }
 
-/// Tells what is no more, new, or another.
-fn changes(
+/// Prints each fact that has been added, removed or changed.
+fn print_changes(
     before: &BTreeMap<String, String>,
     now: &BTreeMap<String, String>,
     json: bool,
@@ -684,10 +693,10 @@
         if json {
             let of = |value: Option<&String>| value.map_or(JsonValue::Null, |value| string(value));
             let at = JsonValue::Number((unix * 1e3).round() / 1e3);
-            print(&object([("at", at), ("what", string(name)), ("was", of(was)), ("is", of(is))]))?;
+            print_json(&object([("at", at), ("what", string(name)), ("was", of(was)), ("is", of(is))]))?;
         } else {
             let of = |value: Option<&String>| value.map_or("-", |value| value).to_owned();
-            out(&format!("{unix:.3} {name}: {} -> {}", of(was), of(is)))?;
+            print_text(&format!("{unix:.3} {name}: {} -> {}", of(was), of(is)))?;
         }
     }
     Ok(())
--- a/ctl/src/moves.rs
+++ b/ctl/src/moves.rs
@@ -1,4 +1,4 @@
-//! Moves of tenants between clusters, as the steward knows them: orders, and how they stand.
+//! Moves of tenants between clusters: orders to the steward, and their status.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -19,12 +19,15 @@
 use crate::http::{Controls, describe, once};
 use crate::status::{Status, table};
 
-/// An order is judged once its steward has heard of all: its time in touch, and some.
-const SILENCE: Duration = Duration::from_secs(10);
-const PAUSE: Duration = Duration::from_millis(500);
-const LOOK: Duration = Duration::from_secs(1);
+/// Time-out of a call. The steward answers an order once it has heard from all proxies, which takes up to its contact
+/// time-out and some seconds.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause between attempts.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Time-out for finding the steward.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The order to plan what a file says.
+/// The order to plan the contract in a file.
 pub fn plan(path: &Path) -> Result<JsonValue, Error> {
     let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
     let read = || {
@@ -35,7 +38,7 @@
     Ok(object([("order", string("plan")), ("contract", contract.to_value())]))
 }
 
-/// Another order; `revisions` as FIRST-LAST.
+/// An order other than `plan`; `revisions` is FIRST-LAST.
 pub fn order(what: &str, name: &str, revisions: Option<&str>) -> Result<JsonValue, Error> {
     let read = |text: &str| {
         let (first, last) = text.split_once('-')?;
@@ -45,18 +48,18 @@
     let revisions = match revisions {
         None => JsonValue::Null,
         Some(text) => read(text).ok_or_else(|| {
-            let why = format!("--revisions: {text:?} is no range FIRST-LAST");
+            let why = format!("--revisions: {text:?} is not a range FIRST-LAST");
             UsageSnafu { why }.build()
         })?,
     };
     Ok(object([("order", string(what)), ("name", string(name)), ("revisions", revisions)]))
 }
 
-/// Gives an order until its answer is clear: how far the move is then, and who said so.
-pub async fn give(controls: &Controls, order: &JsonValue) -> Result<(String, SocketAddr), Error> {
+/// Sends an order until it gets a definite answer. Returns the state of the move and the steward that answered.
+pub async fn send_order(controls: &Controls, order: &JsonValue) -> Result<(String, SocketAddr), Error> {
     let body = Bytes::from(write(order));
-    let what = "to an order; it may be obeyed or may still be: give it again as it is";
-    let (by, status, body) = ask(controls, Method::POST, "/core/moves", body, what).await?;
+    let what = "to an order; it may have taken effect or may still do so: repeat the same order";
+    let (by, status, body) = call_steward(controls, Method::POST, "/core/moves", body, what).await?;
     let json = millpost_net::messaging::json(&body);
     let step = json.as_ref().and_then(|json| get_str(json, "step"));
     match step {
@@ -71,8 +74,8 @@
     }
 }
 
-/// Asks the steward, whoever that is, until its answer is clear.
-pub async fn ask(
+/// Finds the steward and calls it until the answer is definite.
+pub async fn call_steward(
     controls: &Controls,
     method: Method,
     path: &str,
@@ -83,9 +86,9 @@
     let mut tries = 0_u32;
     loop {
         tries += 1;
-        let last = match Status::ask(&controls.all, LOOK).await.steward_at() {
+        let last = match Status::ask(&controls.all, STATUS_TIMEOUT).await.steward_at() {
             None => None,
-            Some(to) => match once(to, method.clone(), path, body.clone(), SILENCE).await {
+            Some(to) => match once(to, method.clone(), path, body.clone(), CALL_TIMEOUT).await {
                 Ok((status, _, body)) if !matches!(status.as_u16(), 409 | 429 | 500..) => {
                     return Ok((to, status.as_u16(), body));
                 }
@@ -93,30 +96,30 @@
                 Err(e) => Some(format!("{to}: {e}")),
             },
         };
-        if began.elapsed() + PAUSE >= controls.within {
+        if began.elapsed() + RETRY_PAUSE >= controls.within {
             return match last {
                 Some(last) => UnclearSnafu { what, tries, last }.fail(),
                 None => NoStewardSnafu.fail(),
             };
         }
-        log::info!("{}; again in {} ms", last.as_deref().unwrap_or("no steward"), PAUSE.as_millis());
-        tokio::time::sleep(PAUSE).await;
+        log::info!("{}; retrying in {} ms", last.as_deref().unwrap_or("no steward"), RETRY_PAUSE.as_millis());
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
-/// How moves stand.
+/// The status of moves.
 pub struct Moves {
     steward: SocketAddr,
     all: Vec<JsonValue>,
 }
 
 impl Moves {
-    /// Of all, or of one.
-    pub async fn look(controls: &Controls, name: Option<&str>) -> Result<Self, Error> {
+    /// Reads the status of all moves, or of the named one.
+    pub async fn read(controls: &Controls, name: Option<&str>) -> Result<Self, Error> {
         let query = name.map(|name| format!("?name={}", utf8_percent_encode(name, NON_ALPHANUMERIC)));
         let path = format!("/core/moves{}", query.unwrap_or_default());
-        let what = "of the steward to how moves stand";
-        let (steward, status, body) = ask(controls, Method::GET, &path, Bytes::new(), what).await?;
+        let what = "to a request for the status of moves";
+        let (steward, status, body) = call_steward(controls, Method::GET, &path, Bytes::new(), what).await?;
         let json = millpost_net::messaging::json(&body).filter(|_| status == 200);
         let Some(all) = json.as_ref().and_then(|json| get_list(json, "moves")) else {
             return RefusedSnafu { by: steward, status, why: describe(status, &body) }.fail();
@@ -127,12 +130,12 @@
         Ok(Moves { steward, all: all.to_vec() })
     }
 
-    /// Whether none waits for an operator.
+    /// Whether no move waits for an operator.
     pub fn is_well(&self) -> bool {
         !self.all.iter().any(|of| get_bool(of, "for_operator") == Some(true))
     }
 
-    /// A line for each.
+    /// A table with a line for each move.
     pub fn text(&self) -> String {
         if self.all.is_empty() {
             return format!("no move is known to the steward {}\n", self.steward);
@@ -140,55 +143,59 @@
         let head = ["move", "step", "for", "age", "loads", "waits for"];
         let mut rows = vec![head.map(str::to_owned).to_vec()];
         rows.extend(self.all.iter().map(|of| {
-            let word = |key| get_str(of, key).unwrap_or("-").escape_debug().to_string();
+            let text = |key| get_str(of, key).unwrap_or("-").escape_debug().to_string();
             vec![
-                word("name"),
-                word("step"),
-                span(of, "since_ms"),
-                span(of, "age_ms"),
+                text("name"),
+                text("step"),
+                duration(of, "since_ms"),
+                duration(of, "age_ms"),
                 loads(of),
-                word("waits"),
+                text("waits"),
             ]
         }));
         table(&rows) + &format!("by the steward {}\n", self.steward)
     }
 
-    /// All of it.
+    /// All details of the moves: routes, steps and what each waits for.
     pub fn explain(&self) -> String {
         let mut lines = Vec::new();
         for of in &self.all {
             let paused = if get_bool(of, "paused") == Some(true) { ", paused" } else { "" };
             lines.push(format!(
                 "{}: {}{paused}, for {}",
-                word(of, "name"),
-                word(of, "step"),
-                span(of, "since_ms")
+                printable(of, "name"),
+                printable(of, "step"),
+                duration(of, "since_ms")
             ));
-            lines.push(format!("  because    {}", word(of, "why")));
+            lines.push(format!("  because    {}", printable(of, "why")));
             if get(of, "waits").is_some_and(|waits| !waits.is_null()) {
-                lines.push(format!("  waits for  {}", word(of, "waits")));
+                lines.push(format!("  waits for  {}", printable(of, "waits")));
             }
-            let whole = |of, key| get_u64(of, key).unwrap_or(0);
+            let count = |of, key| get_u64(of, key).unwrap_or(0);
             lines.push(format!("  loads      {} on the target", loads(of)));
-            let (left, needed) = (whole(of, "revisions_left"), whole(of, "revisions_needed"));
-            lines.push(format!("  revisions  {left} left; {needed} are needed for all of it"));
+            let (left, needed) = (count(of, "revisions_left"), count(of, "revisions_needed"));
+            lines.push(format!("  revisions  {left} left; {needed} are needed for the whole move"));
             for need in get_list(of, "needs").unwrap_or_default() {
-                lines.push(format!("  needs      {} of {}", whole(need, "instances"), word(need, "service")));
+                lines.push(format!(
+                    "  needs      {} of {}",
+                    count(need, "instances"),
+                    printable(need, "service")
+                ));
             }
             for route in get_list(of, "routes").unwrap_or_default() {
-                let (host, prefix) = (word(route, "host"), word(route, "path_prefix"));
-                lines.push(format!("  load {:<5} {host} {prefix}", whole(route, "load")));
+                let (host, prefix) = (printable(route, "host"), printable(route, "path_prefix"));
+                lines.push(format!("  load {:<5} {host} {prefix}", count(route, "load")));
             }
             for step in get_list(of, "steps").unwrap_or_default() {
-                let at = whole(step, "day") as f64 / 1e3;
-                let (into, why) = (word(step, "step"), word(step, "why"));
-                lines.push(format!("  {at:.3}  fence {}  {into}: {why}", whole(step, "fence")));
+                let at = count(step, "day") as f64 / 1e3;
+                let (into, why) = (printable(step, "step"), printable(step, "why"));
+                lines.push(format!("  {at:.3}  fence {}  {into}: {why}", count(step, "fence")));
             }
         }
         lines.join("\n")
     }
 
-    /// As JSON.
+    /// Encodes the moves as JSON.
     pub fn to_json(&self) -> JsonValue {
         object([
             ("steward", string(&self.steward.to_string())),
@@ -197,16 +204,17 @@
     }
 }
 
-/// A text, or a dash; what would steer a terminal is left out.
-fn word(of: &JsonValue, key: &str) -> String {
-    get_str(of, key).unwrap_or("-").chars().filter(|sign| !sign.is_control()).collect()
+/// A text without control characters, or a dash if it is missing.
+fn printable(of: &JsonValue, key: &str) -> String {
+    get_str(of, key).unwrap_or("-").chars().filter(|c| !c.is_control()).collect()
 }
 
-fn span(of: &JsonValue, key: &str) -> String {
+/// A duration in seconds, or a dash if it is missing.
+fn duration(of: &JsonValue, key: &str) -> String {
     get_u64(of, key).map_or_else(|| "-".to_owned(), |ms| format!("{:.1} s", ms as f64 / 1e3))
 }
 
-/// How many are there, of how many.
+/// The number of loads on the target, or its possible range, out of all loads.
 fn loads(of: &JsonValue) -> String {
     let all = get_u64(of, "loads").unwrap_or(0);
     let on = get_list(of, "loads_on_target").map(|on| on.iter().filter_map(|n| n.get::<f64>()).copied());
--- a/ctl/src/status.rs
+++ b/ctl/src/status.rs
@@ -1,4 +1,4 @@
-//! How control stands: what each machine says, side by side, and what of it is not well.
+//! The status of control: what each machine reports, side by side, and the problems that follow from it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -13,101 +13,101 @@
 
 use crate::http::{describe, once};
 
-/// A voter that has not heard another for so long says so; they tell each other of themselves every 400 ms.
-const UNHEARD_MS: u64 = 1_500;
-/// A machine that somebody has heard within this is asked too.
-const LATELY_MS: u64 = 10_000;
-/// Machines that are asked at most.
-const MOST: usize = 64;
+/// A voter that has not heard from another for this long is remarked on; they send each other their state every 400 ms.
+const SILENT_VOTER_MS: u64 = 1_500;
+/// A machine from which another one has heard within this time is asked too.
+const RECENT_MS: u64 = 10_000;
+/// Limit on the machines that are asked.
+const MAX_MACHINES: usize = 64;
 
-/// What one machine says of itself (`GET /core`).
+/// The state that a machine reports of itself (`GET /core`).
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Standing {
-    /// The address that the others know it by.
+pub struct MachineState {
+    /// The address by which the other machines know it.
     pub address: String,
-    /// It has a state on its disk and answers for it.
+    /// Whether it votes: it has a state on its disk.
     pub voting: bool,
-    /// Goes up with each change of the voters.
+    /// Increases with each change of the voters.
     pub epoch: u64,
-    /// Who votes.
+    /// The voters.
     pub voters: Vec<String>,
-    /// Who votes too, while the voters change.
+    /// The next set of voters, during a change of voters.
     pub next_voters: Vec<String>,
-    /// The steward that it knows; empty for none.
+    /// The address of the steward that it knows; empty if none.
     pub steward: String,
-    /// That one's fence.
+    /// The fence of that steward.
     pub fence: u64,
-    /// It holds the lease itself.
+    /// Whether it holds the lease itself.
     pub is_steward: bool,
-    /// How far it is from that; empty where it does not say.
+    /// Its progress in acquiring the lease; empty if not reported.
     pub lease: String,
-    /// The configuration that it feeds.
+    /// The revision of the configuration that it sends to followers.
     pub revision: u64,
-    /// Its followers, and the revision that each acts on.
+    /// Its followers, and the revision that each applies.
     pub followers: BTreeMap<String, u64>,
-    /// Other control machines, and how many milliseconds ago each was heard.
+    /// Other control machines, and how many milliseconds ago it heard from each.
     pub others: BTreeMap<String, u64>,
-    /// Instances that it knows, as the steward.
+    /// Number of instances that it knows as the steward.
     pub instances: u64,
 }
 
-/// One machine that was asked.
+/// A machine that was asked.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Where it was asked.
+    /// The address that was asked.
     pub at: SocketAddr,
-    /// What it said, or why there is nothing.
-    pub said: Result<Standing, String>,
+    /// Its answer, or why there is none.
+    pub answer: Result<MachineState, String>,
 }
 
-/// Something that is not well.
+/// A problem.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trouble {
-    /// Of the voters too few are seen to vote.
+pub enum Problem {
+    /// Too few voters are seen to vote.
     NoMajority {
-        /// How many do.
+        /// Number of voters that vote.
         voting: usize,
-        /// Of how many.
+        /// Number of voters.
         of: usize,
     },
-    /// Nobody holds the lease.
+    /// No machine holds the lease.
     NoLeader,
-    /// Two machines are steward under one fence, or are held to be.
+    /// Several machines are, or are reported to be, steward under the same fence.
     SeveralLeaders {
         /// The fence.
         fence: u64,
-        /// Who.
+        /// Their addresses.
         who: Vec<String>,
     },
-    /// A control machine feeds an older configuration.
+    /// A control machine sends an older configuration to its followers.
     Stale {
-        /// Which.
+        /// Its address.
         who: String,
-        /// What it feeds.
+        /// The revision that it sends.
         revision: u64,
-        /// What is the newest.
+        /// The newest known revision.
         newest: u64,
     },
-    /// A follower acts on an older configuration.
+    /// A follower applies an older configuration.
     Behind {
-        /// Who.
+        /// Its name.
         who: String,
-        /// What it acts on.
+        /// The revision that it applies.
         revision: u64,
-        /// What is the newest.
+        /// The newest known revision.
         newest: u64,
     },
 }
 
-/// All that was asked, in the order of their addresses.
+/// The status of all machines that were asked, ordered by address.
 #[derive(Clone, Debug, Default)]
 pub struct Status {
-    /// Each machine once.
+    /// The machines, each once.
     pub machines: Vec<Machine>,
 }
 
-impl Standing {
-    /// Reads an answer. What is left out counts as nothing.
+impl MachineState {
+    /// Parses an answer. Missing optional fields are empty or zero.
     pub fn read(json: &JsonValue) -> Option<Self> {
         let text = |key| get_str(json, key).unwrap_or_default().to_owned();
         let names = |key| {
@@ -121,7 +121,7 @@
             _ => BTreeMap::new(),
         };
         let whole = |key| get_u64(json, key).unwrap_or_default();
-        Some(Standing {
+        Some(MachineState {
             address: get_str(json, "address")?.to_owned(),
             voting: get_bool(json, "voting")?,
             epoch: whole("epoch"),
@@ -138,11 +138,11 @@
         })
     }
 
-    /// Machines that it speaks of, for the asking.
-    fn names(&self) -> impl Iterator<Item = SocketAddr> {
-        let lately = self.others.iter().filter(|(_, ago)| **ago < LATELY_MS).map(|(name, _)| name);
+    /// Addresses of the other machines that it names.
+    fn known_machines(&self) -> impl Iterator<Item = SocketAddr> {
+        let recent = self.others.iter().filter(|(_, ago)| **ago < RECENT_MS).map(|(name, _)| name);
         let voters = self.voters.iter().chain(&self.next_voters);
-        voters.chain([&self.steward]).chain(lately).filter_map(|name| name.parse().ok())
+        voters.chain([&self.steward]).chain(recent).filter_map(|name| name.parse().ok())
     }
 
     fn to_json(&self) -> JsonValue {
@@ -168,11 +168,11 @@
     }
 }
 
-async fn ask(to: SocketAddr, within: Duration) -> Result<Standing, String> {
+async fn ask(to: SocketAddr, within: Duration) -> Result<MachineState, String> {
     match once(to, Method::GET, "/core", Bytes::new(), within).await {
         Ok((StatusCode::OK, _, body)) => {
-            let standing = millpost_net::messaging::json(&body).as_ref().and_then(Standing::read);
-            standing.ok_or_else(|| "its answer is no status of control".to_owned())
+            let state = millpost_net::messaging::json(&body).as_ref().and_then(MachineState::read);
+            state.ok_or_else(|| "the answer is not a status of control".to_owned())
         }
         Ok((status, _, body)) => Err(describe(status.as_u16(), &body)),
         Err(e) => Err(e.to_string()),
@@ -180,156 +180,158 @@
 }
 
 impl Status {
-    /// Asks these machines, and those that they speak of.
+    /// Asks these machines, and those that they name.
     pub async fn ask(first: &[SocketAddr], within: Duration) -> Self {
         let (mut known, mut asking) = (BTreeSet::new(), JoinSet::new());
         let mut machines: Vec<Machine> = Vec::new();
         let mut more = first.to_vec();
         loop {
             for at in more.drain(..) {
-                if known.len() < MOST && known.insert(at) {
-                    asking.spawn(async move { Machine { at, said: ask(at, within).await } });
+                if known.len() < MAX_MACHINES && known.insert(at) {
+                    asking.spawn(async move { Machine { at, answer: ask(at, within).await } });
                 }
             }
             match asking.join_next().await {
                 Some(Ok(machine)) => {
-                    more.extend(machine.said.iter().flat_map(Standing::names));
+                    more.extend(machine.answer.iter().flat_map(MachineState::known_machines));
                     machines.push(machine);
                 }
                 Some(Err(e)) => log::error!("{e}"),
-                None => return Status::of(machines),
+                None => return Status::from_machines(machines),
             }
         }
     }
 
-    /// Of these. One that was reached by two addresses counts once.
-    pub fn of(mut machines: Vec<Machine>) -> Self {
+    /// Creates a status from answers. A machine that was reached by two addresses counts once.
+    pub fn from_machines(mut machines: Vec<Machine>) -> Self {
         machines.sort_by_key(|m| m.at);
         let mut own = BTreeSet::new();
-        machines.retain(|m| m.said.as_ref().map_or(true, |s| own.insert(s.address.clone())));
-        machines.retain(|m| m.said.is_ok() || !own.contains(&m.at.to_string()));
+        machines.retain(|m| m.answer.as_ref().map_or(true, |s| own.insert(s.address.clone())));
+        machines.retain(|m| m.answer.is_ok() || !own.contains(&m.at.to_string()));
         Status { machines }
     }
 
-    /// Those that answered.
-    pub fn reached(&self) -> impl Iterator<Item = &Standing> {
-        self.machines.iter().filter_map(|m| m.said.as_ref().ok())
+    /// The states of the machines that answered.
+    pub fn reached(&self) -> impl Iterator<Item = &MachineState> {
+        self.machines.iter().filter_map(|m| m.answer.as_ref().ok())
     }
 
-    /// The newest configuration that is fed or acted on.
+    /// The newest revision that any machine sends or any follower applies.
     pub fn newest(&self) -> u64 {
         self.reached().flat_map(|s| s.followers.values().chain([&s.revision])).copied().max().unwrap_or(0)
     }
 
-    /// Who follows, and the newest revision that each was heard to act on.
+    /// All followers, and the newest revision that each was reported to apply.
     pub fn followers(&self) -> BTreeMap<&str, u64> {
         let mut all = BTreeMap::new();
         for (name, revision) in self.reached().flat_map(|s| &s.followers) {
-            let acts = all.entry(name.as_str()).or_insert(0);
-            *acts = (*acts).max(*revision);
+            let applied = all.entry(name.as_str()).or_insert(0);
+            *applied = (*applied).max(*revision);
         }
         all
     }
 
-    /// The newest steward that is known, and its fence.
+    /// The steward with the highest known fence, and that fence.
     pub fn steward(&self) -> Option<(&str, u64)> {
         let known = self.reached().filter(|s| !s.steward.is_empty());
         known.max_by_key(|s| s.fence).map(|s| (s.steward.as_str(), s.fence))
     }
 
-    /// Instances that the steward knows.
+    /// Number of instances that the steward knows.
     pub fn instances(&self) -> Option<u64> {
         self.reached().filter(|s| s.is_steward).max_by_key(|s| s.fence).map(|s| s.instances)
     }
 
-    /// The voters of the newest epoch: one set, or two while they change.
+    /// The voters of the newest epoch: one set, or two during a change of voters.
     fn voters(&self) -> Vec<&[String]> {
         let newest = self.reached().filter(|s| !s.voters.is_empty()).max_by_key(|s| s.epoch);
         let sets = newest.into_iter().flat_map(|s| [s.voters.as_slice(), s.next_voters.as_slice()]);
         sets.filter(|set| !set.is_empty()).collect()
     }
 
-    /// All that is not well.
-    pub fn troubles(&self) -> Vec<Trouble> {
-        let mut troubles = Vec::new();
+    /// All problems.
+    pub fn problems(&self) -> Vec<Problem> {
+        let mut problems = Vec::new();
         let votes = |name: &String| self.reached().any(|s| s.voting && s.address == *name);
         let sets = self.voters();
         for set in &sets {
             let voting = set.iter().filter(|name| votes(name)).count();
             if voting * 2 <= set.len() {
-                troubles.push(Trouble::NoMajority { voting, of: set.len() });
+                problems.push(Problem::NoMajority { voting, of: set.len() });
             }
         }
         if sets.is_empty() {
-            troubles.push(Trouble::NoMajority { voting: 0, of: 0 });
+            problems.push(Problem::NoMajority { voting: 0, of: 0 });
         }
         if !self.reached().any(|s| s.is_steward) {
-            troubles.push(Trouble::NoLeader);
+            problems.push(Problem::NoLeader);
         }
         let mut by_fence: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
-        for said in self.reached().filter(|s| s.fence > 0) {
-            let who = by_fence.entry(said.fence).or_default();
-            who.insert(&said.steward);
-            who.extend(said.is_steward.then_some(said.address.as_str()));
+        for state in self.reached().filter(|s| s.fence > 0) {
+            let who = by_fence.entry(state.fence).or_default();
+            who.insert(&state.steward);
+            who.extend(state.is_steward.then_some(state.address.as_str()));
         }
         for (fence, who) in by_fence.into_iter().filter(|(_, who)| who.len() > 1) {
-            troubles
-                .push(Trouble::SeveralLeaders { fence, who: who.into_iter().map(str::to_owned).collect() });
+            problems
+                .push(Problem::SeveralLeaders { fence, who: who.into_iter().map(str::to_owned).collect() });
         }
         let newest = self.newest();
-        for said in self.reached().filter(|s| s.revision < newest) {
-            let (who, revision) = (said.address.clone(), said.revision);
-            troubles.push(Trouble::Stale { who, revision, newest });
+        for state in self.reached().filter(|s| s.revision < newest) {
+            let (who, revision) = (state.address.clone(), state.revision);
+            problems.push(Problem::Stale { who, revision, newest });
         }
         for (who, revision) in self.followers().into_iter().filter(|(_, revision)| *revision < newest) {
-            troubles.push(Trouble::Behind { who: who.to_owned(), revision, newest });
+            problems.push(Problem::Behind { who: who.to_owned(), revision, newest });
         }
-        troubles
+        problems
     }
 
-    /// What is worth a look, and not yet trouble.
+    /// Observations that are not problems yet.
     fn remarks(&self) -> Vec<String> {
         let mut remarks = Vec::new();
         let voters: BTreeSet<&String> = self.voters().into_iter().flatten().collect();
-        for said in self.reached() {
-            for name in voters.iter().filter(|name| ***name != said.address) {
-                match said.others.get(*name) {
-                    Some(ago) if *ago > UNHEARD_MS => {
+        for state in self.reached() {
+            for name in voters.iter().filter(|name| ***name != state.address) {
+                match state.others.get(*name) {
+                    Some(ago) if *ago > SILENT_VOTER_MS => {
                         let seconds = *ago as f64 / 1e3;
-                        remarks.push(format!("{} has not heard {name} for {seconds:.1} s", said.address));
+                        remarks
+                            .push(format!("{} has not heard from {name} for {seconds:.1} s", state.address));
                     }
                     Some(_) => {}
-                    None => remarks.push(format!("{} has never heard {name}", said.address)),
+                    None => remarks.push(format!("{} has never heard from {name}", state.address)),
                 }
             }
-            if voters.contains(&said.address) && !said.voting {
-                remarks.push(format!("{} is a voter and has no state yet: it copies", said.address));
+            if voters.contains(&state.address) && !state.voting {
+                remarks
+                    .push(format!("{} is a voter without a state: it is copying from others", state.address));
             }
         }
         remarks
     }
 
-    /// One row for each machine, one for each follower, then what is not well.
+    /// A table of the machines, one of the followers, then remarks and problems.
     pub fn text(&self) -> String {
         let newest = self.newest();
         let head = ["control", "votes", "epoch", "steward", "fence", "revision", "followers", "instances"];
         let mut rows = vec![head.map(str::to_owned).to_vec()];
         for machine in &self.machines {
-            rows.push(match &machine.said {
+            rows.push(match &machine.answer {
                 Err(why) => vec![machine.at.to_string(), format!("NO ANSWER: {why}")],
-                Ok(said) => vec![
-                    said.address.clone(),
-                    if said.voting { "yes" } else { "no" }.to_owned(),
-                    said.epoch.to_string(),
-                    match said.steward.as_str() {
-                        _ if said.is_steward => "itself".to_owned(),
+                Ok(state) => vec![
+                    state.address.clone(),
+                    if state.voting { "yes" } else { "no" }.to_owned(),
+                    state.epoch.to_string(),
+                    match state.steward.as_str() {
+                        _ if state.is_steward => "itself".to_owned(),
                         "" => "-".to_owned(),
                         other => other.to_owned(),
                     },
-                    said.fence.to_string(),
-                    said.revision.to_string(),
-                    said.followers.len().to_string(),
-                    if said.is_steward { said.instances.to_string() } else { "-".to_owned() },
+                    state.fence.to_string(),
+                    state.revision.to_string(),
+                    state.followers.len().to_string(),
+                    if state.is_steward { state.instances.to_string() } else { "-".to_owned() },
                 ],
             });
         }
@@ -340,36 +342,40 @@
         let followers = self.followers();
         if !followers.is_empty() {
             let mut rows = vec![vec!["follower".to_owned(), "acts on".to_owned()]];
-            rows.extend(followers.iter().map(|(name, acts)| {
-                let behind = newest - acts;
+            rows.extend(followers.iter().map(|(name, applied)| {
+                let behind = newest - applied;
                 let behind = if behind > 0 { format!("BEHIND by {behind}") } else { String::new() };
-                vec![(*name).to_owned(), acts.to_string(), behind]
+                vec![(*name).to_owned(), applied.to_string(), behind]
             }));
             text.push_str(&table(&rows));
         }
         self.remarks().iter().for_each(|remark| _ = writeln!(text, "{remark}"));
-        self.troubles().iter().for_each(|trouble| _ = writeln!(text, "NOT WELL: {}", trouble.text()));
+        self.problems().iter().for_each(|problem| _ = writeln!(text, "NOT WELL: {}", problem.text()));
         text
     }
 
-    /// The same as JSON.
+    /// Encodes the status as JSON.
     pub fn to_json(&self) -> JsonValue {
         let newest = self.newest();
         let machines = self.machines.iter().map(|m| {
-            let (key, value) = match &m.said {
-                Ok(said) => ("says", said.to_json()),
+            let (key, value) = match &m.answer {
+                Ok(state) => ("says", state.to_json()),
                 Err(why) => ("no_answer", string(why)),
             };
             object([("asked_at", string(&m.at.to_string())), (key, value)])
         });
-        let followers = self.followers().into_iter().map(|(name, acts)| {
-            object([("name", string(name)), ("acts_on", number(acts)), ("behind", number(newest - acts))])
+        let followers = self.followers().into_iter().map(|(name, applied)| {
+            object([
+                ("name", string(name)),
+                ("acts_on", number(applied)),
+                ("behind", number(newest - applied)),
+            ])
         });
         let (steward, fence) = self.steward().unwrap_or_default();
-        let troubles = self.troubles();
+        let problems = self.problems();
         object([
-            ("well", JsonValue::Boolean(troubles.is_empty())),
-            ("troubles", list(troubles.iter().map(Trouble::to_json))),
+            ("well", JsonValue::Boolean(problems.is_empty())),
+            ("troubles", list(problems.iter().map(Problem::to_json))),
             ("remarks", list(self.remarks().iter().map(|remark| string(remark)))),
             ("revision", number(newest)),
             ("steward", string(steward)),
@@ -381,31 +387,32 @@
         ])
     }
 
-    /// Where the one was asked that holds the lease; of several the one with the highest fence.
+    /// The address at which the steward answered; of several, the one with the highest fence.
     pub fn steward_at(&self) -> Option<SocketAddr> {
-        let said = self.machines.iter().filter_map(|machine| Some((machine.said.as_ref().ok()?, machine.at)));
-        let stewards = said.filter(|(said, _)| said.is_steward);
-        stewards.max_by_key(|(said, _)| said.fence).map(|(_, at)| at)
+        let states =
+            self.machines.iter().filter_map(|machine| Some((machine.answer.as_ref().ok()?, machine.at)));
+        let stewards = states.filter(|(state, _)| state.is_steward);
+        stewards.max_by_key(|(state, _)| state.fence).map(|(_, at)| at)
     }
 
-    /// What can change, by name: what `watch` compares.
+    /// Named values that can change, which `watch` compares.
     pub fn facts(&self) -> BTreeMap<String, String> {
         let mut facts = BTreeMap::new();
         let mut put = |name: String, value: String| drop(facts.insert(name, value));
         for machine in &self.machines {
             let at = machine.at;
-            match &machine.said {
-                // Why it does not answer varies by chance.
+            match &machine.answer {
+                // The reason is left out because it varies from call to call.
                 Err(_) => put(format!("{at} answers"), "no".to_owned()),
-                Ok(said) => {
+                Ok(state) => {
                     put(format!("{at} answers"), "yes".to_owned());
-                    put(format!("{at} votes"), if said.voting { "yes" } else { "no" }.to_owned());
-                    put(format!("{at} epoch"), said.epoch.to_string());
-                    put(format!("{at} revision"), said.revision.to_string());
-                    put(format!("{at} steward"), format!("{} at fence {}", said.steward, said.fence));
+                    put(format!("{at} votes"), if state.voting { "yes" } else { "no" }.to_owned());
+                    put(format!("{at} epoch"), state.epoch.to_string());
+                    put(format!("{at} revision"), state.revision.to_string());
+                    put(format!("{at} steward"), format!("{} at fence {}", state.steward, state.fence));
                     put(
                         format!("{at} holds the lease"),
-                        if said.is_steward { "yes" } else { "no" }.to_owned(),
+                        if state.is_steward { "yes" } else { "no" }.to_owned(),
                     );
                 }
             }
@@ -413,56 +420,58 @@
         for (n, set) in self.voters().into_iter().enumerate() {
             put(if n == 0 { "voters" } else { "next voters" }.to_owned(), set.join(" "));
         }
-        for (name, acts) in self.followers() {
-            put(format!("{name} acts on"), acts.to_string());
+        for (name, applied) in self.followers() {
+            put(format!("{name} acts on"), applied.to_string());
         }
         if let Some(instances) = self.instances() {
             put("instances".to_owned(), instances.to_string());
         }
-        for trouble in self.troubles() {
-            // Who is behind, and by how much, is told above.
-            if !matches!(trouble, Trouble::Behind { .. } | Trouble::Stale { .. }) {
-                put(format!("NOT WELL: {}", trouble.text()), "so".to_owned());
+        for problem in self.problems() {
+            // Old revisions are already part of the facts above.
+            if !matches!(problem, Problem::Behind { .. } | Problem::Stale { .. }) {
+                put(format!("NOT WELL: {}", problem.text()), "so".to_owned());
             }
         }
         facts
     }
 }
 
-impl Trouble {
-    /// In words.
+impl Problem {
+    /// Describes the problem.
     pub fn text(&self) -> String {
         match self {
-            Trouble::NoMajority { voting: 0, of: 0 } => "nobody who answers knows the voters".to_owned(),
-            Trouble::NoMajority { voting, of } => {
-                format!("no majority is seen: {voting} of {of} voters vote")
+            Problem::NoMajority { voting: 0, of: 0 } => "no machine that answers knows the voters".to_owned(),
+            Problem::NoMajority { voting, of } => {
+                format!("no majority is known to vote: {voting} of {of} voters do")
             }
-            Trouble::NoLeader => "nobody who answers is the steward: no instance starts or stops".to_owned(),
-            Trouble::SeveralLeaders { fence, who } => {
+            Problem::NoLeader => {
+                "no machine that answers is the steward: no instance starts or stops".to_owned()
+            }
+            Problem::SeveralLeaders { fence, who } => {
                 format!("several stewards at fence {fence}: {}", who.join(" "))
             }
-            Trouble::Stale { who, revision, newest } => {
-                format!("{who} feeds {revision}, and {newest} stands")
+            Problem::Stale { who, revision, newest } => {
+                format!("{who} sends revision {revision}, but {newest} is the newest")
             }
-            Trouble::Behind { who, revision, newest } => {
-                format!("{who} acts on {revision}, {} behind {newest}", newest - revision)
+            Problem::Behind { who, revision, newest } => {
+                format!("{who} applies revision {revision}, {} behind {newest}", newest - revision)
             }
         }
     }
 
     fn to_json(&self) -> JsonValue {
         let kind = match self {
-            Trouble::NoMajority { .. } => "no_majority",
-            Trouble::NoLeader => "no_steward",
-            Trouble::SeveralLeaders { .. } => "several_stewards",
-            Trouble::Stale { .. } => "control_behind",
-            Trouble::Behind { .. } => "follower_behind",
+            Problem::NoMajority { .. } => "no_majority",
+            Problem::NoLeader => "no_steward",
+            Problem::SeveralLeaders { .. } => "several_stewards",
+            Problem::Stale { .. } => "control_behind",
+            Problem::Behind { .. } => "follower_behind",
         };
         object([("kind", string(kind)), ("says", string(&self.text()))])
     }
 }
 
-/// Columns as wide as their widest cell; a row's last cell takes no part.
+/// Formats rows with aligned columns. The last cell of a row does not affect the column width.
 pub fn table(rows: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = Vec::new();
     for row in rows {
@@ -492,9 +501,9 @@
     const B: &str = "10.0.0.2:80";
     const C: &str = "10.0.0.3:80";
 
-    /// A machine of three that vote, all on revision 7.
-    fn says(address: &str, change: impl FnOnce(&mut Standing)) -> Machine {
-        let mut standing = Standing {
+    /// The answer of one of three voters, all on revision 7.
+    fn answering(address: &str, change: impl FnOnce(&mut MachineState)) -> Machine {
+        let mut standing = MachineState {
             address: address.to_owned(),
             voting: true,
             epoch: 2,
@@ -504,50 +513,52 @@
             is_steward: address == B,
             revision: 7,
             followers: BTreeMap::from([("edge-1".to_owned(), 7)]),
-            ..Standing::default()
+            ..MachineState::default()
         };
         change(&mut standing);
-        Machine { at: address.parse().expect("an address"), said: Ok(standing) }
+        Machine { at: address.parse().expect("an address"), answer: Ok(standing) }
     }
 
-    fn mute(address: &str) -> Machine {
-        Machine { at: address.parse().expect("an address"), said: Err("timed out".to_owned()) }
+    fn silent(address: &str) -> Machine {
+        Machine { at: address.parse().expect("an address"), answer: Err("timed out".to_owned()) }
     }
 
     #[yare::parameterized(
-        all = { vec![says(A, |_| ()), says(B, |_| ()), says(C, |_| ())], "" },
-        one_is_down = { vec![says(A, |_| ()), says(B, |_| ()), mute(C)], "" },
-        two_are = { vec![mute(A), says(B, |_| ()), mute(C)], "no_majority" },
-        one_down_and_one_empty = { vec![says(A, |s| s.voting = false), says(B, |_| ()), mute(C)], "no_majority" },
+        all = { vec![answering(A, |_| ()), answering(B, |_| ()), answering(C, |_| ())], "" },
+        one_is_down = { vec![answering(A, |_| ()), answering(B, |_| ()), silent(C)], "" },
+        two_are_down = { vec![silent(A), answering(B, |_| ()), silent(C)], "no_majority" },
+        one_down_and_one_empty = { vec![answering(A, |s| s.voting = false), answering(B, |_| ()), silent(C)], "no_majority" },
         next_voters_too = { vec![
-            says(A, |s| (s.epoch, s.next_voters) = (3, vec![A.into(), "10.0.0.4:80".into()])),
-            says(B, |_| ()), says(C, |_| ())], "no_majority" },
-        nobody = { vec![mute(A)], "no_majority no_steward" },
-        no_steward = { vec![says(A, |_| ()), says(C, |_| ())], "no_steward" },
-        two_stewards = { vec![says(A, |s| s.is_steward = true), says(B, |_| ()), says(C, |_| ())],
+            answering(A, |s| (s.epoch, s.next_voters) = (3, vec![A.into(), "10.0.0.4:80".into()])),
+            answering(B, |_| ()), answering(C, |_| ())], "no_majority" },
+        no_voter = { vec![silent(A)], "no_majority no_steward" },
+        no_steward = { vec![answering(A, |_| ()), answering(C, |_| ())], "no_steward" },
+        two_stewards = { vec![answering(A, |s| s.is_steward = true), answering(B, |_| ()), answering(C, |_| ())],
             "several_stewards" },
-        of_two_fences = { vec![says(A, |s| (s.is_steward, s.fence, s.steward) = (true, 3, A.into())),
-            says(B, |_| ()), says(C, |_| ())], "" },
-        follower_behind = { vec![says(A, |s| s.followers = BTreeMap::from([("edge-2".to_owned(), 5)])),
-            says(B, |_| ()), says(C, |_| ())], "follower_behind" },
-        late_word_of_one = { vec![says(A, |s| s.followers = BTreeMap::from([("edge-1".to_owned(), 5)])),
-            says(B, |_| ()), says(C, |_| ())], "" },
-        control_behind = { vec![says(A, |s| s.revision = 5), says(B, |_| ()), says(C, |_| ())],
+        stewards_of_two_fences = { vec![answering(A, |s| (s.is_steward, s.fence, s.steward) = (true, 3, A.into())),
+            answering(B, |_| ()), answering(C, |_| ())], "" },
+        follower_behind = { vec![answering(A, |s| s.followers = BTreeMap::from([("edge-2".to_owned(), 5)])),
+            answering(B, |_| ()), answering(C, |_| ())], "follower_behind" },
+        outdated_report_of_one = { vec![answering(A, |s| s.followers = BTreeMap::from([("edge-1".to_owned(), 5)])),
+            answering(B, |_| ()), answering(C, |_| ())], "" },
+        control_behind = { vec![answering(A, |s| s.revision = 5), answering(B, |_| ()), answering(C, |_| ())],
             "control_behind" },
-        reached_twice = { vec![says(A, |_| ()), says(B, |_| ()), Machine { at: C.parse().expect("an address"),
-            ..says(A, |_| ()) }], "" },
+        reached_twice = { vec![answering(A, |_| ()), answering(B, |_| ()), Machine { at: C.parse().expect("an address"),
+            ..answering(A, |_| ()) }], "" },
     )]
-    fn what_is_not_well(machines: Vec<Machine>, expected: &str) {
-        let troubles = Status::of(machines).troubles();
+    fn problems_by_answers(machines: Vec<Machine>, expected: &str) {
+        let problems = Status::from_machines(machines).problems();
         let kinds: Vec<_> =
-            troubles.iter().map(|t| get_str(&t.to_json(), "kind").unwrap_or_default().to_owned()).collect();
-        assert_eq!(kinds.join(" "), expected, "{troubles:?}");
+            problems.iter().map(|t| get_str(&t.to_json(), "kind").unwrap_or_default().to_owned()).collect();
+        assert_eq!(kinds.join(" "), expected, "{problems:?}");
     }
 
     #[test]
-    fn an_answer_reads_back_and_one_of_something_else_is_none() {
-        let Machine { said: Ok(standing), .. } = says(A, |s| s.instances = 3) else { panic!("it answers") };
-        assert_eq!(Standing::read(&standing.to_json()), Some(standing));
-        assert_eq!(Standing::read(&object([("status", string("ok"))])), None);
+    fn an_answer_reads_back_and_other_json_is_rejected() {
+        let Machine { answer: Ok(standing), .. } = answering(A, |s| s.instances = 3) else {
+            panic!("an answer")
+        };
+        assert_eq!(MachineState::read(&standing.to_json()), Some(standing));
+        assert_eq!(MachineState::read(&object([("status", string("ok"))])), None);
     }
 }
--- a/ctl/src/store.rs
+++ b/ctl/src/store.rs
@@ -1,5 +1,5 @@
-//! The records on a control machine's disk, looked at without it. What they hold may have been overtaken: only a majority of
-//! disks says what is chosen.
+//! The records on a control machine's disk, read without the machine. They may be out of date: only a majority of disks
+//! determines which value is chosen.
 
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
@@ -14,57 +14,58 @@
 use crate::errors::{DiskSnafu, Error, InvalidSnafu, NoStoredConfigSnafu, RecordSnafu, fault_json};
 use crate::status::table;
 
-/// What is on a disk.
+/// The records of a disk.
 pub struct Store {
-    /// Where.
+    /// The folder of the records.
     pub folder: PathBuf,
     records: Vec<Row>,
 }
 
-/// One record, and what is wrong with it.
+/// A record and its faults.
 struct Row {
     key: String,
     bytes: usize,
     record: Option<Record>,
-    /// What it holds, in a few words.
-    holds: String,
+    /// A short description of the content.
+    content: String,
     faults: Vec<ConfigError>,
 }
 
-/// All records as they were put, and where. What the store makes of a spoilt file may be a panic: it is told as an error.
-fn look(folder: &Path) -> Result<(PathBuf, Vec<(String, String)>), Error> {
+/// Reads all raw records and the folder that contains them. The store may panic on a corrupt file; the panic message is
+/// suppressed, and the failure is returned as an error.
+fn read_records(folder: &Path) -> Result<(PathBuf, Vec<(String, String)>), Error> {
     let hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(|_| {}));
-    let looked = millpost_quorum_store::read_copy(folder);
+    let result = millpost_quorum_store::read_copy(folder);
     std::panic::set_hook(hook);
-    let (folder, records) = looked.context(DiskSnafu)?;
+    let (folder, records) = result.context(DiskSnafu)?;
     check_format(&records).with_context(|_| RecordSnafu { folder: folder.clone() })?;
     Ok((folder, records))
 }
 
-fn wrong(path: &str, reason: impl ToString) -> Vec<ConfigError> {
+fn fault(path: &str, reason: impl ToString) -> Vec<ConfigError> {
     vec![ConfigError::Field { path: path.to_owned(), reason: reason.to_string() }]
 }
 
-/// The text of a configuration in the register.
-fn text(content: &str) -> Result<String, ConfigError> {
+/// Unpacks the text of a configuration in the register.
+fn config_text(content: &str) -> Result<String, ConfigError> {
     let reason = || "is neither JSON nor packed JSON".to_owned();
     let text = plain(content, MAX_CONTENT).ok_or_else(|| ConfigError::Text { reason: reason() })?;
     Ok(text.into_owned())
 }
 
 fn config(content: &str) -> Result<Config, ConfigErrors> {
-    Config::parse_collecting_errors(&text(content)?)
+    Config::parse_collecting_errors(&config_text(content)?)
 }
 
-/// What a slot holds, and what is wrong with that.
-fn held(key: Key, accepted: &Accepted) -> (String, Vec<ConfigError>) {
+/// Describes the value of a slot, and lists its faults.
+fn describe_value(key: Key, accepted: &Accepted) -> (String, Vec<ConfigError>) {
     let content = &accepted.value.content;
-    let (holds, version) = match key {
+    let (summary, version) = match key {
         Key::Config => match config(content) {
             Err(faults) => {
                 let more = faults.omitted();
-                let beyond = (more > 0).then(|| wrong("the whole", format!("has {more} more faults")));
+                let beyond = (more > 0).then(|| fault("the whole", format!("has {more} more faults")));
                 let all = faults.into_vec().into_iter().chain(beyond.into_iter().flatten());
                 return (String::new(), all.collect());
             }
@@ -75,48 +76,50 @@
         },
         Key::Leader => (format!("steward {}", content.escape_debug()), accepted.value.version),
         Key::Migrations => match millpost_migration::Record::read(content) {
-            Err(e) => return (String::new(), wrong("content", e)),
+            Err(e) => return (String::new(), fault("content", e)),
             Ok(record) => {
                 let (all, open) = (record.moves.len(), record.open().count());
                 (format!("moves: {all}, open: {open}"), accepted.value.version)
             }
         },
         Key::Members => match Members::parse(content) {
-            Err(e) => return (String::new(), wrong("content", e)),
-            Ok(members) => (told(&members), members.epoch),
+            Err(e) => return (String::new(), fault("content", e)),
+            Ok(members) => (describe_members(&members), members.epoch),
         },
     };
     let faults = match accepted.value.version {
         at if at == version => Vec::new(),
-        at => wrong("version", format!("is {at}, and its content says {version}")),
+        at => fault("version", format!("is {at}, but the content has {version}")),
     };
-    (holds, faults)
+    (summary, faults)
 }
 
-fn told(members: &Members) -> String {
+fn describe_members(members: &Members) -> String {
     let next = members.next.as_ref().map(|next| format!(", next {}", next.join(" ")));
     format!("epoch {}, voters {}{}", members.epoch, members.voters.join(" "), next.unwrap_or_default())
 }
 
 fn row(key: &str, text: &str) -> Row {
-    let (record, holds, faults) = match Record::read(key, text) {
+    let (record, summary, faults) = match Record::read(key, text) {
         Err(millpost_quorum::OpenError::Record { source, .. }) => {
             (None, String::new(), vec![ConfigError::Text { reason: source.to_string() }])
         }
         Err(_) => {
-            (None, String::new(), vec![ConfigError::Text { reason: "is not one of a voter".to_owned() }])
+            (None, String::new(), vec![ConfigError::Text { reason: "is not a record of a voter".to_owned() }])
         }
         Ok(record) => {
-            let (holds, faults) = match &record {
-                Record::Voter(format, members) => (format!("format {format}, {}", told(members)), vec![]),
+            let (summary, faults) = match &record {
+                Record::Voter(format, members) => {
+                    (format!("format {format}, {}", describe_members(members)), vec![])
+                }
                 Record::Slot(key, slot) => {
-                    slot.accepted.as_ref().map(|accepted| held(*key, accepted)).unwrap_or_default()
+                    slot.accepted.as_ref().map(|accepted| describe_value(*key, accepted)).unwrap_or_default()
                 }
             };
-            (Some(record), holds, faults)
+            (Some(record), summary, faults)
         }
     };
-    Row { key: key.escape_debug().to_string(), bytes: text.len(), record, holds, faults }
+    Row { key: key.escape_debug().to_string(), bytes: text.len(), record, content: summary, faults }
 }
 
 fn ballot(of: &Ballot) -> String {
@@ -145,7 +148,7 @@
             or(accepted.map(|accepted| accepted.value.version.to_string())),
             or(accepted.map(|accepted| accepted.value.content.len().to_string())),
             or(accepted.map(|accepted| if accepted.copied { "yes" } else { "no" }.to_owned())),
-            if self.faults.is_empty() { self.holds.clone() } else { "WRONG".to_owned() },
+            if self.faults.is_empty() { self.content.clone() } else { "WRONG".to_owned() },
         ]
     }
 
@@ -161,42 +164,44 @@
             ("version", or(accepted.map(|accepted| number(accepted.value.version)))),
             ("length", or(accepted.map(|accepted| number(accepted.value.content.len() as u64)))),
             ("copied", or(accepted.map(|accepted| JsonValue::Boolean(accepted.copied)))),
-            ("holds", string(&self.holds)),
+            ("holds", string(&self.content)),
             ("faults", list(self.faults.iter().map(fault_json))),
         ])
     }
 }
 
 impl Store {
-    /// Looks at a folder; it may be in use.
-    pub fn look(folder: &Path) -> Result<Self, Error> {
-        let (folder, records) = look(folder)?;
+    /// Reads the records of a folder, which may be in use.
+    pub fn read(folder: &Path) -> Result<Self, Error> {
+        let (folder, records) = read_records(folder)?;
         Ok(Store { folder, records: records.iter().map(|(key, text)| row(key, text)).collect() })
     }
 
-    /// Whether nothing is wrong with any record.
+    /// Whether no record has faults.
     pub fn is_good(&self) -> bool {
         self.records.iter().all(|row| row.faults.is_empty())
     }
 
-    /// What a voter that starts from it is up to.
+    /// The state that a voter started from these records would have.
     fn state(&self) -> &'static str {
         match () {
             () if self.records.is_empty() => "empty",
-            // One record that can't be read, and none is trusted.
+            // A single unreadable record makes all of them untrusted.
             () if self.records.iter().any(|row| row.record.is_none()) => "spoilt",
             () if self.records.iter().any(|row| matches!(row.record, Some(Record::Voter(..)))) => "votes",
             () => "copy_not_finished",
         }
     }
 
-    /// As text.
+    /// A table of the records, followed by their faults.
     pub fn text(&self) -> String {
         let state = match self.state() {
-            "empty" => "no records: whoever starts from it has no state",
-            "spoilt" => "SPOILT: whoever starts from it puts the records aside, and copies from the others",
-            "votes" => "a voter's; whoever starts from it votes",
-            _ => "a copy that was not finished: whoever starts from it has no state",
+            "empty" => "no records: a voter that starts from it has no state",
+            "spoilt" => {
+                "CORRUPT: a voter that starts from it sets the records aside and copies from the others"
+            }
+            "votes" => "the records of a voter; a voter that starts from it votes",
+            _ => "an unfinished copy: a voter that starts from it has no state",
         };
         let folder = self.folder.display();
         let mut text = format!("{folder}: {state}\n");
@@ -214,7 +219,7 @@
         text
     }
 
-    /// As JSON.
+    /// Encodes the records as JSON.
     pub fn to_json(&self) -> JsonValue {
         object([
             ("folder", string(&self.folder.display().to_string())),
@@ -225,23 +230,23 @@
     }
 }
 
-/// The configuration that stands on a disk.
-pub struct Standing {
-    /// Where.
+/// The configuration stored on a disk.
+pub struct StoredConfig {
+    /// The folder of the records.
     pub folder: PathBuf,
-    /// As it was put.
+    /// The text as it was put.
     pub text: String,
-    /// Its revision.
+    /// The revision.
     pub revision: u64,
-    /// The ballot that it was written at.
+    /// The ballot under which it was accepted.
     pub ballot: String,
-    /// It came from other disks, after this one was lost.
+    /// Whether it was copied from other disks after this one had been lost.
     pub copied: bool,
 }
 
-/// Reads the configuration that stands on a disk, chosen or not. Other records may be spoilt.
-pub fn standing(folder: &Path) -> Result<Standing, Error> {
-    let (folder, records) = look(folder)?;
+/// Reads the configuration stored on a disk, whether it is chosen or not. Other records may be corrupt.
+pub fn stored_config(folder: &Path) -> Result<StoredConfig, Error> {
+    let (folder, records) = read_records(folder)?;
     let Some((key, record)) = records.iter().find(|(key, _)| key == "key/config") else {
         return NoStoredConfigSnafu { folder }.fail();
     };
@@ -250,8 +255,9 @@
         return NoStoredConfigSnafu { folder }.fail();
     };
     let path = folder.join(key);
-    let text =
-        text(&accepted.value.content).map_err(ConfigErrors::from).context(InvalidSnafu { path: &path })?;
+    let text = config_text(&accepted.value.content)
+        .map_err(ConfigErrors::from)
+        .context(InvalidSnafu { path: &path })?;
     let revision = Config::parse_collecting_errors(&text).context(InvalidSnafu { path })?.revision;
-    Ok(Standing { folder, text, revision, ballot: ballot(&accepted.ballot), copied: accepted.copied })
+    Ok(StoredConfig { folder, text, revision, ballot: ballot(&accepted.ballot), copied: accepted.copied })
 }
--- a/ctl/src/why.rs
+++ b/ctl/src/why.rs
@@ -1,5 +1,5 @@
-//! Why something stands as it does: reasons read out of what control machines say. Nothing is asked here twice, and nothing is guessed:
-//! where the answers do not tell, that is the reason.
+//! Explains the state of the steward, a machine or a function from the answers of control. Each machine is asked once, and
+//! nothing is guessed: if the answers do not explain a state, the output text so.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,23 +8,23 @@
 use tinyjson::JsonValue;
 
 use crate::errors::Error;
-use crate::functions::{Functions, Which};
+use crate::functions::{Functions, Selection};
 use crate::http::get_from_steward;
-use crate::status::{Standing, Status, Trouble};
+use crate::status::{MachineState, Problem, Status};
 
-/// A stall is heard of every 450 ms.
+/// A machine that has not been heard from for this long counts as silent; stalls report every 450 ms.
 const SILENT_MS: u64 = 1_500;
-/// Answers of the platform that are this old explain nothing any more.
-const LATELY_MS: u64 = 60_000;
-/// Answers of the platform that are told of one function.
-const FAULTS: usize = 5;
+/// Answers of the platform that are older than this are not used as an explanation.
+const RECENT_MS: u64 = 60_000;
+/// Limit on the platform's answers that are listed for a function.
+const MAX_FAULTS: usize = 5;
 
-/// What is asked about.
+/// What to explain.
 #[derive(Clone, Copy, PartialEq)]
-pub enum About<'a> {
-    /// All that is not well.
+pub enum Topic<'a> {
+    /// All problems.
     All,
-    /// Who is the steward, or why nobody is.
+    /// Which machine is the steward, or why none is.
     Leader,
     /// An edge machine, or a control machine by its address.
     Machine(&'a str),
@@ -32,20 +32,20 @@
     Function(&'a str),
 }
 
-/// One reason.
+/// A reason for a state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reason {
-    /// What it is about.
+    /// The subject: a machine, a function or `steward`.
     about: String,
-    /// The word for it.
+    /// The kind of reason, as named in JSON.
     kind: &'static str,
-    /// In words.
-    says: String,
-    /// Something that people may have to mend.
-    bad: bool,
+    /// A description.
+    text: String,
+    /// Whether an operator may have to act.
+    needs_attention: bool,
 }
 
-/// All reasons.
+/// Reasons, grouped by subject.
 #[derive(Debug, Default)]
 pub struct Why(Vec<Reason>);
 
@@ -53,59 +53,64 @@
     format!("{:.1} s", ms as f64 / 1e3)
 }
 
-/// A count with its noun.
-fn many(count: u64, one: &str, more: &str) -> String {
+/// A count with its noun in the singular or plural.
+fn counted(count: u64, one: &str, more: &str) -> String {
     if count == 1 { format!("1 {one}") } else { format!("{count} {more}") }
 }
 
 impl Why {
-    /// Asks control.
-    pub async fn ask(first: &[SocketAddr], about: About<'_>, within: Duration) -> Result<Self, Error> {
+    /// Asks control and collects the reasons.
+    pub async fn ask(first: &[SocketAddr], about: Topic<'_>, within: Duration) -> Result<Self, Error> {
         let status = Status::ask(first, within).await;
         let mut why = Why::default();
         let duty = match status.steward_at() {
             Some(at) => {
-                get_from_steward(at, "/core/duty", within, "of the steward to how its duty stands").await
+                get_from_steward(at, "/core/duty", within, "to a request for the steward's state").await
             }
             None => Ok(JsonValue::Null),
         };
-        // An older one does not know this call; what else is known is told all the same.
+        // An older version does not know this call; the other answers still explain some of it.
         let duty = match duty {
             Err(Error::Refused { status: 404, .. }) => JsonValue::Null,
             other => other?,
         };
         match about {
-            About::Leader => why.steward(&status),
-            About::Machine(name) => why.machine(&status, &duty, name),
-            About::Function(name) => {
-                let functions = Functions::ask(first, Which::Name(name), within).await?;
+            Topic::Leader => why.steward(&status),
+            Topic::Machine(name) => why.machine(&status, &duty, name),
+            Topic::Function(name) => {
+                let functions = Functions::ask(first, Selection::Name(name), within).await?;
                 if functions.all().is_empty() {
-                    why.put(name, "unknown", "the steward knows no such function: see `config diff`", true);
+                    why.add(
+                        name,
+                        "unknown",
+                        "the steward does not know this function: see `config diff`",
+                        true,
+                    );
                 }
                 functions.all().iter().for_each(|of| why.function(of, &duty));
             }
-            About::All => {
+            Topic::All => {
                 why.steward(&status);
-                why.troubles(&status, &duty);
+                why.problems(&status, &duty);
                 if status.steward_at().is_some() {
-                    let functions = Functions::ask(first, Which::All, within).await?;
-                    functions.held().for_each(|of| why.function(of, &duty));
+                    let functions = Functions::ask(first, Selection::All, within).await?;
+                    functions.blocked().for_each(|of| why.function(of, &duty));
                 }
             }
         }
         Ok(why)
     }
 
-    fn put(&mut self, about: &str, kind: &'static str, says: impl Into<String>, bad: bool) {
-        self.0.push(Reason { about: about.to_owned(), kind, says: says.into(), bad });
+    fn add(&mut self, about: &str, kind: &'static str, text: impl Into<String>, needs_attention: bool) {
+        self.0.push(Reason { about: about.to_owned(), kind, text: text.into(), needs_attention });
     }
 
-    /// Nothing is there for people to mend.
+    /// Whether no reason needs an operator's attention.
     pub fn is_well(&self) -> bool {
-        !self.0.iter().any(|reason| reason.bad)
+        !self.0.iter().any(|reason| reason.needs_attention)
     }
 
-    /// A line for each, under what it is about.
+    /// A line for each reason, grouped by subject.
     pub fn text(&self) -> String {
         let mut text = String::new();
         let mut last = None;
@@ -114,218 +119,235 @@
                 text.push_str(&format!("{}\n", reason.about.escape_debug()));
                 last = Some(&reason.about);
             }
-            let mark = if reason.bad { "NOT WELL, " } else { "" };
-            text.push_str(&format!("  {mark}{}: {}\n", reason.kind, reason.says));
+            let mark = if reason.needs_attention { "NOT WELL, " } else { "" };
+            text.push_str(&format!("  {mark}{}: {}\n", reason.kind, reason.text));
         }
         text
     }
 
-    /// As JSON.
+    /// Encodes the reasons as JSON.
     pub fn to_json(&self) -> JsonValue {
         let reason = |of: &Reason| {
             object([
                 ("about", string(&of.about)),
                 ("kind", string(of.kind)),
-                ("says", string(&of.says)),
-                ("bad", JsonValue::Boolean(of.bad)),
+                ("says", string(&of.text)),
+                ("bad", JsonValue::Boolean(of.needs_attention)),
             ])
         };
         object([("well", JsonValue::Boolean(self.is_well())), ("reasons", list(self.0.iter().map(reason)))])
     }
 
-    /// Who is behind, and why.
-    fn troubles(&mut self, status: &Status, duty: &JsonValue) {
-        for trouble in status.troubles() {
-            match &trouble {
-                Trouble::Stale { who, .. } | Trouble::Behind { who, .. } => self.machine(status, duty, who),
-                // Told with the steward.
-                Trouble::NoMajority { .. } | Trouble::NoLeader | Trouble::SeveralLeaders { .. } => {}
+    /// Explains machines with an old configuration, and stalls without functions.
+    fn problems(&mut self, status: &Status, duty: &JsonValue) {
+        for problem in status.problems() {
+            match &problem {
+                Problem::Stale { who, .. } | Problem::Behind { who, .. } => self.machine(status, duty, who),
+                // Explained with the steward.
+                Problem::NoMajority { .. } | Problem::NoLeader | Problem::SeveralLeaders { .. } => {}
             }
         }
         for stall in get_list(duty, "stalls").unwrap_or_default() {
             if let (Some(name), Some(out)) = (get_str(stall, "name"), get_str(stall, "out")) {
-                let (kind, says, bad) = out_of(out, stall);
-                self.put(name, kind, says, bad);
+                let (kind, text, needs_attention) = exclusion_reason(out, stall);
+                self.add(name, kind, text, needs_attention);
             }
         }
     }
 
-    /// Who is the steward, or why nobody is.
+    /// Which machine is the steward, or why none is.
     fn steward(&mut self, status: &Status) {
         let about = "steward";
         let mut others = Vec::new();
-        for trouble in status.troubles() {
-            match &trouble {
-                Trouble::NoMajority { .. } | Trouble::SeveralLeaders { .. } => others.push(trouble.text()),
-                Trouble::NoLeader | Trouble::Stale { .. } | Trouble::Behind { .. } => {}
+        for problem in status.problems() {
+            match &problem {
+                Problem::NoMajority { .. } | Problem::SeveralLeaders { .. } => others.push(problem.text()),
+                Problem::NoLeader | Problem::Stale { .. } | Problem::Behind { .. } => {}
             }
         }
         let holder = status.reached().filter(|s| s.is_steward).max_by_key(|s| s.fence);
         if let Some(holder) = holder {
-            self.put(
+            self.add(
                 about,
                 "holds",
                 format!("{} holds the lease, fence {}", holder.address, holder.fence),
                 false,
             );
         } else {
-            let says = "nobody who answers holds the lease: no instance starts or stops, stalls go on with what they know";
-            self.put(about, "nobody", says, true);
+            let text = "no machine that answers holds the lease: no instance starts or stops, and stalls continue with their last state";
+            self.add(about, "nobody", text, true);
         }
-        others.into_iter().for_each(|says| self.put(about, "majority", says, true));
+        others.into_iter().for_each(|text| self.add(about, "majority", text, true));
         for machine in &status.machines {
-            match &machine.said {
-                Err(why) => self.put(&machine.at.to_string(), "no_answer", why.clone(), true),
-                Ok(said) if holder.is_none() => self.candidate(said),
+            match &machine.answer {
+                Err(why) => self.add(&machine.at.to_string(), "no_answer", why.clone(), true),
+                Ok(state) if holder.is_none() => self.candidate(state),
                 Ok(_) => {}
             }
         }
     }
 
-    /// Why a machine is not the steward.
-    fn candidate(&mut self, said: &Standing) {
-        let (says, bad) = match said.lease.as_str() {
+    /// Explains why a machine is not the steward.
+    fn candidate(&mut self, state: &MachineState) {
+        let (text, needs_attention) = match state.lease.as_str() {
             "no_platform" => ("its settings have no platform_api: it can't be the steward", true),
-            "no_vote" => (
-                "it has no state on its disk, or its voter is silent: only who votes asks for the lease",
-                true,
-            ),
-            "leaves" => ("it is told to end", false),
-            "reads" => ("it has to hear from a majority first who was the steward last", false),
-            "takes" => ("it has the lease, and writes its fence to a majority", false),
+            "no_vote" => {
+                ("it has no state on its disk, or its voter is silent: only voters request the lease", true)
+            }
+            "leaves" => ("it is shutting down", false),
+            "reads" => ("it first has to read from a majority which machine was the last steward", false),
+            "takes" => ("it has the lease and is writing its fence to a majority", false),
             "asks" => (
-                "it asks for the lease: a majority of voters has to grant it, 1.5 s after the last one's at the latest",
+                "it requests the lease: a majority of voters has to grant it, at the latest 1.5 s after the last lease",
                 false,
             ),
-            _ => ("it does not say: an older version", false),
+            _ => ("it does not report its progress: it has an older version", false),
         };
-        self.put(&said.address, "lease", says, bad);
-        let unheard = said.others.iter().filter(|(name, ago)| {
-            **ago > SILENT_MS && said.voters.iter().chain(&said.next_voters).any(|voter| voter == *name)
+        self.add(&state.address, "lease", text, needs_attention);
+        let silent = state.others.iter().filter(|(name, ago)| {
+            **ago > SILENT_MS && state.voters.iter().chain(&state.next_voters).any(|voter| voter == *name)
         });
-        for (name, ago) in unheard {
-            self.put(
-                &said.address,
+        for (name, ago) in silent {
+            self.add(
+                &state.address,
                 "unheard",
-                format!("it has not heard {name} for {}", seconds(*ago)),
+                format!("it has not heard from {name} for {}", seconds(*ago)),
                 true,
             );
         }
     }
 
-    /// Why a machine has, or has not, the newest configuration, and whether it owns functions.
+    /// Explains which configuration a machine applies, and whether it owns functions.
     fn machine(&mut self, status: &Status, duty: &JsonValue, name: &str) {
-        if let Some(said) = status.reached().find(|said| said.address == name) {
-            return self.control(status, said);
+        if let Some(state) = status.reached().find(|state| state.address == name) {
+            return self.control(status, state);
         }
         let newest = status.newest();
-        let feeders: Vec<&Standing> = status.reached().filter(|s| s.followers.contains_key(name)).collect();
+        let feeders: Vec<&MachineState> =
+            status.reached().filter(|s| s.followers.contains_key(name)).collect();
         let stall = get_list(duty, "stalls").unwrap_or_default();
         let stall = stall.iter().find(|stall| get_str(stall, "name") == Some(name));
-        let acts = feeders.iter().filter_map(|said| said.followers.get(name)).max().copied();
-        match acts {
-            None if stall.is_none() => self.put(
+        let applied = feeders.iter().filter_map(|state| state.followers.get(name)).max().copied();
+        match applied {
+            None if stall.is_none() => self.add(
                 name,
                 "unknown",
-                "no control machine that answers feeds it or has heard of it: another name, or its porter reaches none (seeds, network)",
+                "no control machine that answers sends to it or knows it: the name is wrong, or its porter reaches no control machine (seeds, network)",
                 true,
             ),
-            None => self.put(
+            None => self.add(
                 name,
                 "not_fed",
-                "no control machine that answers feeds it: its porter is down, or reaches none that answers here",
+                "no control machine that answers sends to it: its porter is down, or reaches none of the machines that answer here",
                 true,
             ),
-            Some(acts) if acts >= newest => {
-                self.put(name, "newest", format!("it acts on {acts}, and nothing newer stands"), false);
+            Some(applied) if applied >= newest => {
+                self.add(name, "newest", format!("it applies revision {applied}, and nothing newer is known"), false);
             }
-            Some(acts) => {
-                self.put(name, "behind", format!("it acts on {acts}, and {newest} stands"), true);
-                for said in &feeders {
-                    let (address, fed) = (&said.address, said.revision);
-                    let says = if fed < newest {
-                        format!("{address} feeds it, and has only {fed} itself")
+            Some(applied) => {
+                self.add(name, "behind", format!("it applies revision {applied}, but {newest} is the newest"), true);
+                for state in &feeders {
+                    let (address, fed) = (&state.address, state.revision);
+                    let text = if fed < newest {
+                        format!("{address} sends to it, but only has revision {fed} itself")
                     } else {
                         format!(
-                            "{address} has fed it {fed}: within 1.5 s it is sent again; after that its log says `configuration {fed}: ...`"
+                            "{address} has sent it revision {fed}: this is repeated within 1.5 s; after that its log has `configuration {fed}: ...`"
                         )
                     };
-                    self.put(name, "fed_by", says, fed < newest);
+                    self.add(name, "fed_by", text, fed < newest);
                 }
             }
         }
         if let Some(stall) = stall {
             match get_str(stall, "out") {
                 Some(out) => {
-                    let (kind, says, bad) = out_of(out, stall);
-                    self.put(name, kind, says, bad);
+                    let (kind, text, needs_attention) = exclusion_reason(out, stall);
+                    self.add(name, kind, text, needs_attention);
                 }
                 None if get_bool(stall, "named") == Some(true) => {
-                    self.put(name, "named", "the steward names it: it owns its part of the functions", false);
+                    self.add(
+                        name,
+                        "named",
+                        "the steward's list includes it: it owns its part of the functions",
+                        false,
+                    );
                 }
-                None => self.put(name, "coming", "it is alive, and stands in the next naming", false),
+                None => self.add(
+                    name,
+                    "coming",
+                    "it is alive, and the steward's next list will include it",
+                    false,
+                ),
             }
         }
     }
 
-    fn control(&mut self, status: &Status, said: &Standing) {
-        let (name, newest) = (said.address.as_str(), status.newest());
-        if said.revision >= newest {
-            let says = format!("it feeds {}, and nothing newer stands", said.revision);
-            self.put(name, "newest", says, false);
+    fn control(&mut self, status: &Status, state: &MachineState) {
+        let (name, newest) = (state.address.as_str(), status.newest());
+        if state.revision >= newest {
+            let text = format!("it sends revision {}, and nothing newer is known", state.revision);
+            self.add(name, "newest", text, false);
         } else {
-            let says =
-                format!("it feeds {}, and {newest} stands: others tell it every 400 ms", said.revision);
-            self.put(name, "behind", says, true);
+            let text = format!(
+                "it sends revision {}, but {newest} is the newest: the others send it every 400 ms",
+                state.revision
+            );
+            self.add(name, "behind", text, true);
         }
-        for (other, ago) in said.others.iter().filter(|(_, ago)| **ago > SILENT_MS) {
-            let voter = said.voters.contains(other);
-            self.put(name, "unheard", format!("it has not heard {other} for {}", seconds(*ago)), voter);
+        for (other, ago) in state.others.iter().filter(|(_, ago)| **ago > SILENT_MS) {
+            let voter = state.voters.contains(other);
+            self.add(name, "unheard", format!("it has not heard from {other} for {}", seconds(*ago)), voter);
         }
-        if !said.voting && said.voters.contains(&said.address) {
-            self.put(
+        if !state.voting && state.voters.contains(&state.address) {
+            self.add(
                 name,
                 "no_vote",
-                "it is a voter, and has no state yet: it copies, or its disk fails",
+                "it is a voter without a state: it is copying from others, or its disk fails",
                 true,
             );
         }
     }
 
-    /// Why a function has the instances that it has.
+    /// Explains the instances of a function.
     fn function(&mut self, of: &JsonValue, duty: &JsonValue) {
         let name = get_str(of, "name").unwrap_or_default();
         let count = |key| get_u64(of, key).unwrap_or(0);
         let (ready, booting, starting) = (count("ready"), count("booting"), count("starting"));
         if get_bool(of, "configured") == Some(false) {
-            self.put(name, "not_configured", "it is in the configuration no more: its instances end", false);
+            self.add(
+                name,
+                "not_configured",
+                "it is no longer in the configuration: its instances are stopped",
+                false,
+            );
         }
         self.wanted(name, of);
-        let says = format!(
+        let text = format!(
             "{ready} ready, {booting} booting, {starting} being started, {} draining",
             count("draining")
         );
-        self.put(name, "has", says, false);
+        self.add(name, "has", text, false);
         self.hold(name, of, duty);
         self.instances(name, of, duty);
         let faults = get_list(duty, "faults").unwrap_or_default().iter();
         let own = faults.filter(|fault| {
             let about = get_str(fault, "of").and_then(|nonce| nonce.splitn(3, '.').nth(2));
-            about == Some(name) && get_u64(fault, "ms_ago").is_some_and(|ago| ago < LATELY_MS)
+            about == Some(name) && get_u64(fault, "ms_ago").is_some_and(|ago| ago < RECENT_MS)
         });
-        for fault in own.take(FAULTS) {
+        for fault in own.take(MAX_FAULTS) {
             let ago = seconds(get_u64(fault, "ms_ago").unwrap_or(0));
             let answer = answer(fault);
             let nonce = get_str(fault, "of").unwrap_or_default();
-            self.put(name, "platform", format!("{ago} ago start {nonce} {answer}"), false);
+            self.add(name, "platform", format!("{ago} ago start {nonce} {answer}"), false);
         }
     }
 
     fn wanted(&mut self, name: &str, of: &JsonValue) {
         let Some(wanted) = get_u64(of, "wanted") else {
-            let says =
-                "no owner has asked for any within 5 s: no requests, or no stall is named that owns it";
-            return self.put(name, "unwanted", says, false);
+            let text =
+                "no owner has requested instances within 5 s: there are no requests, or no stall owns it";
+            return self.add(name, "unwanted", text, false);
         };
         let ago = seconds(get_u64(of, "said_ms_ago").unwrap_or(0));
         let zones = get_list(of, "zones").unwrap_or_default().iter().filter_map(|pair| match pair {
@@ -335,68 +357,71 @@
         let zones = zones.collect::<Vec<_>>().join(", ");
         let from = if zones.is_empty() { String::new() } else { format!(", for requests from {zones}") };
         let who = match (get_list(of, "lots"), get_str(of, "owner")) {
-            (Some(lots), _) => many(lots.len() as u64, "owner, of one zone, asks", "owners, one a zone, ask"),
-            (None, Some(owner)) => format!("its owner {owner} asks"),
-            (None, None) => "its owner asks".to_owned(),
+            (Some(lots), _) => {
+                counted(lots.len() as u64, "owner, for one zone, requests", "owners, one per zone, request")
+            }
+            (None, Some(owner)) => format!("its owner {owner} requests"),
+            (None, None) => "its owner requests".to_owned(),
         };
-        self.put(name, "wanted", format!("{who} for {wanted}, {ago} ago{from}"), false);
+        self.add(name, "wanted", format!("{who} {wanted} instances, {ago} ago{from}"), false);
         for lot in get_list(of, "lots").unwrap_or_default() {
             let part = |key| get_str(lot, key).unwrap_or("-");
             let number = |key| get_u64(lot, key).unwrap_or(0);
-            let says = format!(
-                "{} asks for {} in {}, and has {} there: {}",
+            let text = format!(
+                "{} requests {} instances in {}, and has {} there: {}",
                 part("owner"),
                 number("wanted"),
                 part("zone"),
                 number("live"),
                 part("hold")
             );
-            self.put(name, "lot", says, false);
+            self.add(name, "lot", text, false);
         }
     }
 
-    /// What holds more back.
+    /// Explains what blocks further starts.
     fn hold(&mut self, name: &str, of: &JsonValue, duty: &JsonValue) {
         let left = get_u64(of, "hold_ms").map_or(String::new(), |ms| format!(" for {} more", seconds(ms)));
         let refusals = get_u64(of, "refusals").unwrap_or(0);
-        let (kind, says, bad) = match get_str(of, "hold").unwrap_or_default() {
+        let (kind, text, needs_attention) = match get_str(of, "hold").unwrap_or_default() {
             "enough" | "unwanted" => {
                 let live: u64 = ["ready", "booting", "starting"].iter().filter_map(|k| get_u64(of, k)).sum();
                 if get_u64(of, "wanted").is_some_and(|wanted| live > wanted) {
-                    let says =
-                        "more than are wanted: its owner lets them go once it needs them no more for a while";
-                    self.put(name, "more", says, false);
+                    let text = "more than are requested: its owner releases instances once it has not needed them for a while";
+                    self.add(name, "more", text, false);
                 }
                 return;
             }
             "no_list" => (
                 "no_list",
-                "no whole list was read from the platform yet: nothing starts before".to_owned(),
+                "no complete list has been read from the platform yet: nothing starts before that".to_owned(),
                 true,
             ),
             "settling" => (
                 "settling",
-                format!("this steward is new: what the one before has started may not be listed yet{left}"),
+                format!(
+                    "this steward is new: instances started by the previous one may not be listed yet{left}"
+                ),
                 false,
             ),
             "refused" => {
-                let times = many(refusals, "time", "times");
+                let times = counted(refusals, "time", "times");
                 (
                     "refused",
                     format!(
-                        "the platform has refused a start with a 4xx {times} in a row: nothing starts{left}"
+                        "the platform has refused starts with a 4xx status {times} in a row: nothing starts{left}"
                     ),
                     true,
                 )
             }
             "no_room" => {
                 let need = get_u64(of, "memory_mb").map_or(String::new(), |mb| format!(" of {mb} MB"));
-                ("no_room", format!("no worker has room for one more{need}"), true)
+                ("no_room", format!("no worker has memory for another instance{need}"), true)
             }
             "turn" => ("turn", turn(duty), false),
-            other => ("held", format!("it is held by {other:?}{left}"), false),
+            other => ("held", format!("starts are blocked by {other:?}{left}"), false),
         };
-        self.put(name, kind, says, bad);
+        self.add(name, kind, text, needs_attention);
         if kind == "no_room" {
             self.room(name, duty);
         }
@@ -404,17 +429,18 @@
             for word in get_list(duty, "answers").unwrap_or_default() {
                 if get_str(word, "call") == Some("list") && get_str(word, "answer") != Some("ok") {
                     let count = get_u64(word, "count").unwrap_or(0);
-                    let says = format!("the list was asked for {} in vain", many(count, "time", "times"));
-                    self.put(name, "platform", says, true);
+                    let text =
+                        format!("the request for the list has failed {}", counted(count, "time", "times"));
+                    self.add(name, "platform", text, true);
                 }
             }
         }
     }
 
-    /// Why workers take nothing.
+    /// Explains why no worker accepts an instance.
     fn room(&mut self, name: &str, duty: &JsonValue) {
         let Some(workers) = get(duty, "workers") else {
-            return self.put(name, "workers", "the platform has not told of its workers yet", true);
+            return self.add(name, "workers", "the platform has not reported its workers yet", true);
         };
         let all = get_list(workers, "first").unwrap_or_default();
         let drains: Vec<&str> = all
@@ -429,15 +455,17 @@
         let most = free.max().unwrap_or(0);
         let count = get_u64(workers, "count").unwrap_or(0);
         let ago = seconds(get_u64(workers, "ms_ago").unwrap_or(0));
-        let mut says =
-            format!("{}, told {ago} ago; at most {most} MB free on one", many(count, "worker", "workers"));
+        let mut text = format!(
+            "{}, reported {ago} ago; at most {most} MB free on one",
+            counted(count, "worker", "workers")
+        );
         if !drains.is_empty() {
-            says.push_str(&format!("; draining: {}", drains.join(" ")));
+            text.push_str(&format!("; draining: {}", drains.join(" ")));
         }
-        self.put(name, "workers", says, false);
+        self.add(name, "workers", text, false);
     }
 
-    /// Instances that do not count, and why.
+    /// Lists instances that are not ready, with the reason.
     fn instances(&mut self, name: &str, of: &JsonValue, duty: &JsonValue) {
         let workers = get(duty, "workers").and_then(|w| get_list(w, "first")).unwrap_or_default();
         let drains = |worker: &str| {
@@ -447,80 +475,84 @@
         for instance in get_list(of, "instances").unwrap_or_default() {
             let part = |key| get_str(instance, key).unwrap_or("-");
             let (id, worker) = (part("id"), part("worker"));
-            let stop = get_str(instance, "stop").map_or(String::new(), |stop| format!(", its stop {stop}"));
+            let stop = get_str(instance, "stop").map_or(String::new(), |stop| format!(", stop {stop}"));
             let since = seconds(get_u64(instance, "since_ms").unwrap_or(0));
-            let says = match part("state") {
-                "booting" => format!("{id} on {worker} boots, for {since}"),
-                "draining" if drains(worker) => format!("{id} drains: its worker {worker} does{stop}"),
+            let text = match part("state") {
+                "booting" => format!("{id} on {worker} has been booting for {since}"),
+                "draining" if drains(worker) => {
+                    format!("{id} drains because its worker {worker} drains{stop}")
+                }
                 "draining" => {
-                    format!("{id} on {worker} drains: its owner let it go, or the list says so{stop}")
+                    format!(
+                        "{id} on {worker} drains: its owner released it, or the platform's list says so{stop}"
+                    )
                 }
                 "doubted" => {
                     format!(
-                        "{id} on {worker} is told as gone: its owner found it dead, or lists miss it or its worker"
+                        "{id} on {worker} is reported as gone: its owner found it dead, or the platform's lists omit it or its worker"
                     )
                 }
-                "ended" => format!("{id} on {worker} is told as gone{stop}"),
+                "ended" => format!("{id} on {worker} is reported as gone{stop}"),
                 _ => continue,
             };
-            self.put(name, "instance", says, false);
+            self.add(name, "instance", text, false);
         }
     }
 }
 
-/// What an answer of the platform came to.
+/// Describes an answer of the platform.
 fn answer(of: &JsonValue) -> String {
     match (get_str(of, "answer"), get_u64(of, "status")) {
-        (Some("no_room"), _) => "got 409: no room, or its worker drains or is down".to_owned(),
-        (Some("busy"), _) => "got 429: more starts and stops than the platform bears".to_owned(),
-        (Some("refused"), _) => "got another 4xx: not like this".to_owned(),
-        (Some("unclear"), _) => "got no clear answer: it is called again".to_owned(),
+        (Some("no_room"), _) => "got 409: no memory, or the worker drains or is down".to_owned(),
+        (Some("busy"), _) => "got 429: more starts and stops than the platform accepts".to_owned(),
+        (Some("refused"), _) => "got another 4xx: the request is not acceptable".to_owned(),
+        (Some("unclear"), _) => "got no definite answer: the call is repeated".to_owned(),
         (Some(other), Some(status)) => format!("got {status}, {other}"),
         _ => "got no answer".to_owned(),
     }
 }
 
-/// Why it waits for its turn.
+/// Explains why a start waits for its turn.
 fn turn(duty: &JsonValue) -> String {
     let answers = get_list(duty, "answers").unwrap_or_default().iter();
     let busy = answers.filter(|word| get_str(word, "answer") == Some("busy"));
-    let lately = busy.filter_map(|word| get_u64(word, "ms_ago")).min().filter(|ago| *ago < LATELY_MS);
+    let lately = busy.filter_map(|word| get_u64(word, "ms_ago")).min().filter(|ago| *ago < RECENT_MS);
     match lately {
         Some(ago) => {
             format!(
-                "it waits for its turn: the platform answered 429 {} ago, and starts pause after that",
+                "it waits for its turn: the platform answered 429 {} ago, after which starts pause",
                 seconds(ago)
             )
         }
         None => {
-            "it waits for its turn: as many starts and stops as duty_per_s allows; or it was wanted just now"
+            "it waits for its turn: duty_per_s limits starts and stops; or it was requested only just now"
                 .to_owned()
         }
     }
 }
 
-/// Why the steward does not name a stall.
-fn out_of(out: &str, stall: &JsonValue) -> (&'static str, String, bool) {
+/// Explains why the steward does not list a stall as an owner of functions.
+fn exclusion_reason(out: &str, stall: &JsonValue) -> (&'static str, String, bool) {
     let ago = seconds(get_u64(stall, "heard_ms_ago").unwrap_or(0));
     match out {
-        "silent" => {
-            ("silent", format!("the steward has not heard it for {ago}: its functions are others'"), true)
-        }
-        "leaves" => {
-            ("leaves", "it says that it is about to end: its functions are others'".to_owned(), false)
-        }
-        "drained" => ("drained", "an operator took it out: see `drain status`".to_owned(), false),
+        "silent" => (
+            "silent",
+            format!("the steward has not heard from it for {ago}: other stalls own its functions"),
+            true,
+        ),
+        "leaves" => ("leaves", "it is shutting down: other stalls own its functions".to_owned(), false),
+        "drained" => ("drained", "an operator has drained it: see `drain status`".to_owned(), false),
         "deaf" => (
             "deaf",
-            "two other stalls say that it does not answer them: its functions are others'".to_owned(),
+            "two other stalls report that it does not answer them: other stalls own its functions".to_owned(),
             true,
         ),
         "unfed" => (
             "unfed",
-            "its porter has no connection to the steward: its functions are others'".to_owned(),
+            "its porter has no connection to the steward: other stalls own its functions".to_owned(),
             true,
         ),
-        other => ("out", format!("the steward does not name it: {other}"), true),
+        other => ("out", format!("the steward's list does not include it: {other}"), true),
     }
 }
 
@@ -533,7 +565,7 @@
     }
 
     fn kinds(why: &Why) -> String {
-        let word = |r: &Reason| if r.bad { format!("{}!", r.kind) } else { r.kind.to_owned() };
+        let word = |r: &Reason| if r.needs_attention { format!("{}!", r.kind) } else { r.kind.to_owned() };
         why.0.iter().map(word).collect::<Vec<_>>().join(" ")
     }
 
@@ -559,9 +591,9 @@
         drains = { r#""wanted":1,"ready":1,"hold":"enough","instances":[{"id":"i","state":"ready"},
             {"id":"j","state":"draining","worker":"w-2"},{"id":"k","state":"doubted"}]"#,
             "wanted has instance instance platform" },
-        gone = { r#""hold":"unwanted","configured":false"#, "not_configured unwanted has platform" },
+        removed_function = { r#""hold":"unwanted","configured":false"#, "not_configured unwanted has platform" },
     )]
-    fn a_function_has_what_it_has_for_reasons(of: &str, expected: &str) {
+    fn reasons_for_the_instances_of_a_function(of: &str, expected: &str) {
         let mut why = Why::default();
         why.function(&json(&format!(r#"{{"name":"f",{of}}}"#)), &json(DUTY));
         assert_eq!(kinds(&why), expected, "{}", why.text());
@@ -577,17 +609,17 @@
         let machine = |at: &str, more: &str| {
             let text =
                 format!(r#"{{"address":"{at}","voting":true,"voters":["{A}","{B}"],"revision":7,{more}}}"#);
-            // What comes later in the text counts.
-            let said = Standing::read(&json(&text)).ok_or_else(|| "timed out".to_owned());
-            crate::status::Machine { at: at.parse().expect("an address"), said }
+            // The last value of a repeated key counts.
+            let state = MachineState::read(&json(&text)).ok_or_else(|| "timed out".to_owned());
+            crate::status::Machine { at: at.parse().expect("an address"), answer: state }
         };
-        Status::of(vec![machine(A, a), machine(B, b)])
+        Status::from_machines(vec![machine(A, a), machine(B, b)])
     }
 
     #[yare::parameterized(
         newest = { "e-1", r#""followers_act_on":{"e-1":7}"#, r#""x":0"#, "newest named" },
         behind = { "e-1", r#""followers_act_on":{"e-1":6}"#, r#""x":0"#, "behind! fed_by named" },
-        fed_by_one_behind = { "e-1", r#""revision":5,"followers_act_on":{"e-1":5}"#, r#""x":0"#,
+        sender_is_behind = { "e-1", r#""revision":5,"followers_act_on":{"e-1":5}"#, r#""x":0"#,
             "behind! fed_by! named" },
         not_fed = { "e-2", r#""x":0"#, r#""x":0"#, "not_fed! unfed!" },
         unknown = { "e-3", r#""x":0"#, r#""x":0"#, "unknown!" },
@@ -596,7 +628,7 @@
             "behind! unheard!" },
         control_copies = { A, r#""voting":false"#, r#""x":0"#, "newest no_vote!" },
     )]
-    fn a_machine_is_behind_for_a_reason(name: &str, a: &str, b: &str, expected: &str) {
+    fn reasons_for_the_configuration_of_a_machine(name: &str, a: &str, b: &str, expected: &str) {
         let mut why = Why::default();
         why.machine(&status(a, b), &json(DUTY), name);
         assert_eq!(kinds(&why), expected, "{}", why.text());
@@ -605,7 +637,7 @@
     #[yare::parameterized(
         one = { r#""is_steward":true,"fence":3,"steward":"10.0.0.1:80","lease":"steward""#, r#""lease":"asks""#,
             "holds" },
-        asked_for = { r#""lease":"asks""#, r#""lease":"takes""#, "nobody! lease lease" },
+        lease_requested = { r#""lease":"asks""#, r#""lease":"takes""#, "nobody! lease lease" },
         no_platform = { r#""lease":"no_platform""#, r#""lease":"no_platform""#, "nobody! lease! lease!" },
         old_version = { r#""x":0"#, r#""x":0"#, "nobody! lease lease" },
         no_majority = { r#""voting":false,"lease":"no_vote""#, r#""lease":"reads""#,
@@ -613,7 +645,7 @@
         unheard = { r#""lease":"asks","others_heard_ms_ago":{"10.0.0.2:80":4000}"#, r#""lease":"asks""#,
             "nobody! lease unheard! lease" },
     )]
-    fn nobody_is_the_steward_for_reasons(a: &str, b: &str, expected: &str) {
+    fn reasons_for_having_no_steward(a: &str, b: &str, expected: &str) {
         let mut why = Why::default();
         why.steward(&status(a, b));
         assert_eq!(kinds(&why), expected, "{}", why.text());
