--- a/ctl/src/config.rs
+++ b/ctl/src/config.rs
@@ -153,9 +153,9 @@
         }
         if Instant::now() + POLL_INTERVAL >= until {
             let late = late.iter().map(|(name, applied)| format!("{name} on {applied}"));
-            let who = late.collect::<Vec<_>>().join(", ");
-            let who = if who.is_empty() { "no follower is known".to_owned() } else { who };
-            return LateSnafu { revision, seconds: wait.as_secs_f64(), who }.fail();
+            let followers = late.collect::<Vec<_>>().join(", ");
+            let followers = if followers.is_empty() { "no follower is known".to_owned() } else { followers };
+            return LateSnafu { revision, seconds: wait.as_secs_f64(), followers }.fail();
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
--- a/ctl/src/errors.rs
+++ b/ctl/src/errors.rs
@@ -112,7 +112,7 @@
     },
     /// Not all followers apply the revision in time.
     #[snafu(display(
-        "revision {revision} is active, but after {seconds} s not all followers apply it: {who}"
+        "revision {revision} is active, but after {seconds} s not all followers apply it: {followers}"
     ))]
     Late {
         /// The active revision.
@@ -120,7 +120,7 @@
         /// How long the command waited.
         seconds: f64,
         /// The followers that do not, with the revision that each applies.
-        who: String,
+        followers: String,
     },
 }
 
--- a/ctl/src/status.rs
+++ b/ctl/src/status.rs
@@ -77,12 +77,12 @@
         /// The fence.
         fence: u64,
         /// Their addresses.
-        who: Vec<String>,
+        addresses: Vec<String>,
     },
     /// A control machine sends an older configuration to its followers.
     Stale {
         /// Its address.
-        who: String,
+        name: String,
         /// The revision that it sends.
         revision: u64,
         /// The newest known revision.
@@ -91,7 +91,7 @@
     /// A follower applies an older configuration.
     Behind {
         /// Its name.
-        who: String,
+        name: String,
         /// The revision that it applies.
         revision: u64,
         /// The newest known revision.
@@ -268,21 +268,23 @@
         }
         let mut by_fence: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
         for state in self.reached().filter(|s| s.fence > 0) {
-            let who = by_fence.entry(state.fence).or_default();
-            who.insert(&state.steward);
-            who.extend(state.is_steward.then_some(state.address.as_str()));
+            let addresses = by_fence.entry(state.fence).or_default();
+            addresses.insert(&state.steward);
+            addresses.extend(state.is_steward.then_some(state.address.as_str()));
         }
-        for (fence, who) in by_fence.into_iter().filter(|(_, who)| who.len() > 1) {
-            problems
-                .push(Problem::SeveralLeaders { fence, who: who.into_iter().map(str::to_owned).collect() });
+        for (fence, addresses) in by_fence.into_iter().filter(|(_, addresses)| addresses.len() > 1) {
+            problems.push(Problem::SeveralLeaders {
+                fence,
+                addresses: addresses.into_iter().map(str::to_owned).collect(),
+            });
         }
         let newest = self.newest();
         for state in self.reached().filter(|s| s.revision < newest) {
-            let (who, revision) = (state.address.clone(), state.revision);
-            problems.push(Problem::Stale { who, revision, newest });
+            let (name, revision) = (state.address.clone(), state.revision);
+            problems.push(Problem::Stale { name, revision, newest });
         }
-        for (who, revision) in self.followers().into_iter().filter(|(_, revision)| *revision < newest) {
-            problems.push(Problem::Behind { who: who.to_owned(), revision, newest });
+        for (name, revision) in self.followers().into_iter().filter(|(_, revision)| *revision < newest) {
+            problems.push(Problem::Behind { name: name.to_owned(), revision, newest });
         }
         problems
     }
@@ -447,14 +449,14 @@
             Problem::NoLeader => {
                 "no machine that answers is the steward: no instance starts or stops".to_owned()
             }
-            Problem::SeveralLeaders { fence, who } => {
-                format!("several stewards at fence {fence}: {}", who.join(" "))
+            Problem::SeveralLeaders { fence, addresses } => {
+                format!("several stewards at fence {fence}: {}", addresses.join(" "))
             }
-            Problem::Stale { who, revision, newest } => {
-                format!("{who} sends revision {revision}, but {newest} is the newest")
+            Problem::Stale { name, revision, newest } => {
+                format!("{name} sends revision {revision}, but {newest} is the newest")
             }
-            Problem::Behind { who, revision, newest } => {
-                format!("{who} applies revision {revision}, {} behind {newest}", newest - revision)
+            Problem::Behind { name, revision, newest } => {
+                format!("{name} applies revision {revision}, {} behind {newest}", newest - revision)
             }
         }
     }
--- a/ctl/src/why.rs
+++ b/ctl/src/why.rs
@@ -142,7 +142,9 @@
     fn problems(&mut self, status: &Status, duty: &JsonValue) {
         for problem in status.problems() {
             match &problem {
-                Problem::Stale { who, .. } | Problem::Behind { who, .. } => self.machine(status, duty, who),
+                Problem::Stale { name, .. } | Problem::Behind { name, .. } => {
+                    self.machine(status, duty, name)
+                }
                 // Explained with the steward.
                 Problem::NoMajority { .. } | Problem::NoLeader | Problem::SeveralLeaders { .. } => {}
             }
@@ -356,14 +358,14 @@
         });
         let zones = zones.collect::<Vec<_>>().join(", ");
         let from = if zones.is_empty() { String::new() } else { format!(", for requests from {zones}") };
-        let who = match (get_list(of, "lots"), get_str(of, "owner")) {
+        let requesters = match (get_list(of, "lots"), get_str(of, "owner")) {
             (Some(lots), _) => {
                 counted(lots.len() as u64, "owner, for one zone, requests", "owners, one per zone, request")
             }
             (None, Some(owner)) => format!("its owner {owner} requests"),
             (None, None) => "its owner requests".to_owned(),
         };
-        self.add(name, "wanted", format!("{who} {wanted} instances, {ago} ago{from}"), false);
+        self.add(name, "wanted", format!("{requesters} {wanted} instances, {ago} ago{from}"), false);
         for lot in get_list(of, "lots").unwrap_or_default() {
             let part = |key| get_str(lot, key).unwrap_or("-");
             let number = |key| get_u64(lot, key).unwrap_or(0);
@@ -426,9 +428,9 @@
             self.room(name, duty);
         }
         if kind == "no_list" {
-            for word in get_list(duty, "answers").unwrap_or_default() {
-                if get_str(word, "call") == Some("list") && get_str(word, "answer") != Some("ok") {
-                    let count = get_u64(word, "count").unwrap_or(0);
+            for entry in get_list(duty, "answers").unwrap_or_default() {
+                if get_str(entry, "call") == Some("list") && get_str(entry, "answer") != Some("ok") {
+                    let count = get_u64(entry, "count").unwrap_or(0);
                     let text =
                         format!("the request for the list has failed {}", counted(count, "time", "times"));
                     self.add(name, "platform", text, true);
@@ -515,9 +517,9 @@
 /// Explains why a start waits for its turn.
 fn turn(duty: &JsonValue) -> String {
     let answers = get_list(duty, "answers").unwrap_or_default().iter();
-    let busy = answers.filter(|word| get_str(word, "answer") == Some("busy"));
-    let lately = busy.filter_map(|word| get_u64(word, "ms_ago")).min().filter(|ago| *ago < RECENT_MS);
-    match lately {
+    let busy = answers.filter(|entry| get_str(entry, "answer") == Some("busy"));
+    let most_recent = busy.filter_map(|entry| get_u64(entry, "ms_ago")).min().filter(|ago| *ago < RECENT_MS);
+    match most_recent {
         Some(ago) => {
             format!(
                 "it waits for its turn: the platform answered 429 {} ago, after which starts pause",
@@ -565,8 +567,8 @@
     }
 
     fn kinds(why: &Why) -> String {
-        let word = |r: &Reason| if r.needs_attention { format!("{}!", r.kind) } else { r.kind.to_owned() };
-        why.0.iter().map(word).collect::<Vec<_>>().join(" ")
+        let entry = |r: &Reason| if r.needs_attention { format!("{}!", r.kind) } else { r.kind.to_owned() };
+        why.0.iter().map(entry).collect::<Vec<_>>().join(" ")
     }
 
     const DUTY: &str = r#"{"answers":[{"call":"start","answer":"busy","status":429,"count":2,"ms_ago":400},
