--- a/charts/src/lib.rs
+++ b/charts/src/lib.rs
@@ -1,4 +1,5 @@
-//! Reports as a self-contained HTML page: plots over time and bar charts as inline SVG, and the page that contains them. No I/O.
+//! Reports as a self-contained HTML page: plots over time and bar charts as inline SVG, and the page that
+//! contains them. No I/O.
 //!
 //! Invariant: a page loads nothing from elsewhere, and all text passed in is escaped.
 
--- a/ctl/src/config.rs
+++ b/ctl/src/config.rs
@@ -82,7 +82,8 @@
     pub by: String,
     /// The number of attempts.
     pub tries: u32,
-    /// Number of followers, all of which apply the revision, and after how many seconds they did; `None` without `--wait`.
+    /// Number of followers, all of which apply the revision, and after how many seconds they did; `None`
+    /// without `--wait`.
     pub applied: Option<(usize, f64)>,
 }
 
--- a/ctl/src/http.rs
+++ b/ctl/src/http.rs
@@ -1,4 +1,5 @@
-//! HTTP calls to control: a single attempt at one machine, or attempts at several until there is a definite answer.
+//! HTTP calls to control: a single attempt at one machine, or attempts at several until there is a definite
+//! answer.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -73,8 +74,8 @@
         Ok(Controls { all, within: seconds("--give-up", give_up)? })
     }
 
-    /// Repeats a call until the answer is definite or the time is up. For the latter case `what` says which request has no
-    /// answer and what that means.
+    /// Repeats a call until the answer is definite or the time is up. For the latter case `what` says which
+    /// request has no answer and what that means.
     pub async fn call(
         &self,
         method: Method,
--- a/ctl/src/lib.rs
+++ b/ctl/src/lib.rs
@@ -1,7 +1,9 @@
-//! The operators' command for control, built as `millpost-ctl` and as `beadle`. It shows the status of control and of its
-//! followers, reads, checks, compares and puts configurations, and inspects the records on a disk.
+//! The operators' command for control, built as `millpost-ctl` and as `beadle`. It shows the status of
+//! control and of its followers, reads, checks, compares and puts configurations, and inspects the records on
+//! a disk.
 //!
-//! Exit codes: 0 without problems, 1 if a problem or a difference was found; for errors see `errors::Error::kind`.
+//! Exit codes: 0 without problems, 1 if a problem or a difference was found; for errors see
+//! `errors::Error::kind`.
 
 mod config;
 mod drain;
@@ -34,9 +36,10 @@
 use crate::status::Status;
 use crate::why::{Topic, Why};
 
-/// The operators' command for control: status, functions, moves, drains, the configuration, and the records on a disk. Exit
-/// codes: 0 no problem; 1 a problem or a difference was found; 2 usage or I/O error; 3 invalid, corrupt or refused; 4 no
-/// definite answer; 5 another configuration is active; 6 not all followers apply it in time.
+/// The operators' command for control: status, functions, moves, drains, the configuration, and the records
+/// on a disk. Exit codes: 0 no problem; 1 a problem or a difference was found; 2 usage or I/O error; 3
+/// invalid, corrupt or refused; 4 no definite answer; 5 another configuration is active; 6 not all followers
+/// apply it in time.
 #[derive(FromArgs)]
 struct Options {
     /// addresses of control machines, ADDR[,ADDR...]; other machines are found through them
@@ -338,7 +341,8 @@
     other: Option<PathBuf>,
 }
 
-/// Inspects the records on a control machine's disk. Makes no calls, writes nothing there, and can run beside a `controller`.
+/// Inspects the records on a control machine's disk. Makes no calls, writes nothing there, and can run beside
+/// a `controller`.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "store")]
 struct StoreOptions {
--- a/ctl/src/moves.rs
+++ b/ctl/src/moves.rs
@@ -19,8 +19,8 @@
 use crate::http::{Controls, describe, once};
 use crate::status::{Status, table};
 
-/// Time-out of a call. The steward answers an order once it has heard from all proxies, which takes up to its contact
-/// time-out and some seconds.
+/// Time-out of a call. The steward answers an order once it has heard from all proxies, which takes up to its
+/// contact time-out and some seconds.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause between attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
@@ -55,7 +55,8 @@
     Ok(object([("order", string(what)), ("name", string(name)), ("revisions", revisions)]))
 }
 
-/// Sends an order until it gets a definite answer. Returns the state of the move and the steward that answered.
+/// Sends an order until it gets a definite answer. Returns the state of the move and the steward that
+/// answered.
 pub async fn send_order(controls: &Controls, order: &JsonValue) -> Result<(String, SocketAddr), Error> {
     let body = Bytes::from(write(order));
     let what = "to an order; it may have taken effect or may still do so: repeat the same order";
--- a/ctl/src/retry.rs
+++ b/ctl/src/retry.rs
@@ -1,6 +1,7 @@
 //! The retry policy of a call to control: which address to call next, and after what pause. No I/O, no clock.
 //!
-//! Invariant: a call ends only on a definite answer; after any other result it continues with another address.
+//! Invariant: a call ends only on a definite answer; after any other result it continues with another
+//! address.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -108,7 +109,8 @@
     }
 }
 
-/// The address and path of a `Location` header received from `at`; `None` for host names, which are not resolved.
+/// The address and path of a `Location` header received from `at`; `None` for host names, which are not
+/// resolved.
 fn redirect_target(at: SocketAddr, location: &str) -> Option<(SocketAddr, String)> {
     if location.starts_with('/') && !location.starts_with("//") {
         return Some((at, location.to_owned()));
--- a/ctl/src/status.rs
+++ b/ctl/src/status.rs
@@ -13,7 +13,8 @@
 
 use crate::http::{describe, once};
 
-/// A voter that has not heard from another for this long is remarked on; they send each other their state every 400 ms.
+/// A voter that has not heard from another for this long is remarked on; they send each other their state
+/// every 400 ms.
 const SILENT_VOTER_MS: u64 = 1_500;
 /// A machine from which another one has heard within this time is asked too.
 const RECENT_MS: u64 = 10_000;
--- a/ctl/src/store.rs
+++ b/ctl/src/store.rs
@@ -1,5 +1,5 @@
-//! The records on a control machine's disk, read without the machine. They may be out of date: only a majority of disks
-//! determines which value is chosen.
+//! The records on a control machine's disk, read without the machine. They may be out of date: only a
+//! majority of disks determines which value is chosen.
 
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
@@ -31,8 +31,8 @@
     faults: Vec<ConfigError>,
 }
 
-/// Reads all raw records and the folder that contains them. The store may panic on a corrupt file; the panic message is
-/// suppressed, and the failure is returned as an error.
+/// Reads all raw records and the folder that contains them. The store may panic on a corrupt file; the panic
+/// message is suppressed, and the failure is returned as an error.
 fn read_records(folder: &Path) -> Result<(PathBuf, Vec<(String, String)>), Error> {
     let hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(|_| {}));
--- a/ctl/tests/command.rs
+++ b/ctl/tests/command.rs
@@ -1,4 +1,5 @@
-//! Runs the command against stand-ins for control on loopback and checks its calls, its output and its exit code.
+//! Runs the command against stand-ins for control on loopback and checks its calls, its output and its exit
+//! code.
 
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader};
--- a/migration/src/check.rs
+++ b/migration/src/check.rs
@@ -239,8 +239,8 @@
     .collect()
 }
 
-/// The routes that a contract selects, each once: first those that it lists, then those of its hosts that have a source
-/// service of the contract.
+/// The routes that a contract selects, each once: first those that it lists, then those of its hosts that
+/// have a source service of the contract.
 fn select_routes<'a>(contract: &Contract, config: &'a Config, estimate: &mut Estimate) -> Vec<&'a Route> {
     let known: HashMap<_, _> = config.routes.iter().map(|route| (key(route), route)).collect();
     let mut all: Vec<&Route> = Vec::new();
@@ -343,7 +343,8 @@
     }
 }
 
-/// Computes the instances that the targets need, and checks that the workers have memory for those to be started.
+/// Computes the instances that the targets need, and checks that the workers have memory for those to be
+/// started.
 fn plan_instances(
     estimate: &mut Estimate,
     peak_load: &BTreeMap<CompactString, f64>,
@@ -367,7 +368,8 @@
         estimate.target_instances.push((name.clone(), need));
         wanted.push((service.memory_mb, name, need, need.saturating_sub(function.live)));
     }
-    // The largest instances first, each on the worker with the most free memory; this approximates the autoscaler.
+    // The largest instances first, each on the worker with the most free memory; this approximates the
+    // autoscaler.
     wanted.sort_by_key(|(memory_mb, ..)| std::cmp::Reverse(*memory_mb));
     for (memory_mb, name, need, starts) in wanted {
         estimate.starts = estimate.starts.saturating_add(starts);
--- a/migration/src/contract.rs
+++ b/migration/src/contract.rs
@@ -69,7 +69,8 @@
 pub enum Order {
     /// Check a contract and record it as a move.
     Plan(Contract),
-    /// Start the move, or resume it after a pause; optionally with the first and the last revision reserved for it.
+    /// Start the move, or resume it after a pause; optionally with the first and the last revision reserved
+    /// for it.
     Start(CompactString, Option<(u64, u64)>),
     /// Pause the move: switch no further load.
     Pause(CompactString),
--- a/migration/src/durable.rs
+++ b/migration/src/durable.rs
@@ -1,8 +1,8 @@
 //! A record that a majority has stored, and the actions that follow from it.
 //!
-//! Invariant, enforced by the types: a [`Published`] action is only made from a [`DurableRecord`], and a [`DurableRecord`]
-//! only from a value that was read from or written to the register. So each step is durable before it has any effect
-//! outside this machine.
+//! Invariant, enforced by the types: a [`Published`] action is only made from a [`DurableRecord`], and a
+//! [`DurableRecord`] only from a value that was read from or written to the register. So each step is durable
+//! before it has any effect outside this machine.
 
 use compact_str::CompactString;
 use millpost_quorum::Value;
@@ -81,7 +81,8 @@
         Ok(Self { version: value.version, record: Record::read(&value.content)? })
     }
 
-    /// A record that has not been written yet, to test that this is noticed; only with [`Guard::Durable`] disabled.
+    /// A record that has not been written yet, to test that this is noticed; only with [`Guard::Durable`]
+    /// disabled.
     #[cfg(test)]
     pub(crate) fn unwritten(version: u64, record: Record) -> Option<Self> {
         is_disabled(Guard::Durable).then_some(Self { version, record })
@@ -111,7 +112,8 @@
         Some(Published(Action::Put { name: mv.name.clone(), revision: put.revision, base, text }))
     }
 
-    /// The instances to keep warm: targets, and sources in case of a rollback. Skips moves for which `is_idle` holds.
+    /// The instances to keep warm: targets, and sources in case of a rollback. Skips moves for which
+    /// `is_idle` holds.
     pub(crate) fn warm(&self, is_idle: impl Fn(&Move) -> bool) -> Vec<Published> {
         let active = self.record.moves.iter().filter(|mv| mv.state.is_active() && !is_idle(mv));
         let all = active.flat_map(|mv| mv.target_instances.iter().chain(&mv.source_instances));
--- a/migration/src/guards.rs
+++ b/migration/src/guards.rs
@@ -1,4 +1,5 @@
-//! Safety checks that tests disable one at a time to verify that the oracle notices. All are active outside of tests.
+//! Safety checks that tests disable one at a time to verify that the oracle notices. All are active outside
+//! of tests.
 
 /// A safety check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,7 +21,8 @@
     DisjointRoutes,
     /// At most one move is active at a time.
     OneActiveMove,
-    /// A record only replaces the version it was derived from; enforced by the simulated register of the tests.
+    /// A record only replaces the version it was derived from; enforced by the simulated register of the
+    /// tests.
     #[cfg(test)]
     Version,
     /// Nothing is published while an earlier write of unknown outcome may still be applied.
--- a/migration/src/lib.rs
+++ b/migration/src/lib.rs
@@ -1,9 +1,9 @@
-//! Moves: switching a tenant (a set of routes) from the services of one cluster to those of another without downtime
-//! (`docs/design/012-moves.md`). No I/O, no clock, no randomness.
+//! Moves: switching a tenant (a set of routes) from the services of one cluster to those of another without
+//! downtime (`docs/design/012-moves.md`). No I/O, no clock, no randomness.
 //!
 //! - [`Contract`], [`Order`]: operators' requests.
-//! - [`Record`]: all moves as one value in the replicated register. A [`DurableRecord`] is one that a majority has stored;
-//!   all [`Published`] actions are made from it.
+//! - [`Record`]: all moves as one value in the replicated register. A [`DurableRecord`] is one that a
+//!   majority has stored; all [`Published`] actions are made from it.
 //! - [`check`](check::check): compares what a move needs with the capacity of the target.
 //! - [`shift`]: derives the configuration of a step from the one it replaces.
 //! - [`Migrator`]: the state machine on a control machine, which advances moves while it holds the lease.
--- a/migration/src/migrator.rs
+++ b/migration/src/migrator.rs
@@ -1,8 +1,9 @@
-//! The state machine that advances moves on a control machine. While the machine holds the lease it reads the record, takes
-//! one step at a time and publishes the resulting actions. Any other machine can continue from the record alone.
+//! The state machine that advances moves on a control machine. While the machine holds the lease it reads the
+//! record, takes one step at a time and publishes the resulting actions. Any other machine can continue from
+//! the record alone.
 //!
-//! Invariants: an order is answered exactly once; at most one write of the record is in progress; nothing is published
-//! without the lease.
+//! Invariants: an order is answered exactly once; at most one write of the record is in progress; nothing is
+//! published without the lease.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -55,13 +56,13 @@
     Record(u64, Outcome),
     /// The active configuration, as learned by this machine or in response to [`Effect::ReadConfig`].
     ActiveConfig(ActiveConfig),
-    /// A put of this revision has ended. If another configuration is active, it came as [`Input::ActiveConfig`]; the outcome
-    /// may also be unknown.
+    /// A put of this revision has ended. If another configuration is active, it came as
+    /// [`Input::ActiveConfig`]; the outcome may also be unknown.
     PutFinished(u64),
     /// The revisions that proxies report to apply.
     ProxyRevisions(Vec<(CompactString, u64)>),
-    /// The load of functions. This has to come after the other observations, because waiting orders are checked once it
-    /// arrives.
+    /// The load of functions. This has to come after the other observations, because waiting orders are
+    /// checked once it arrives.
     Functions(Vec<(CompactString, FunctionLoad)>),
     /// Free memory in MB of each worker that accepts instances.
     FreeMemory(Vec<u64>),
@@ -123,7 +124,8 @@
     observation: Observation,
     watches: BTreeMap<CompactString, Watch>,
     durable: Option<DurableRecord>,
-    /// No earlier write can be applied any more: a write of this term has succeeded, and none since has had an unknown outcome.
+    /// No earlier write can be applied any more: a write of this term has succeeded, and none since has had
+    /// an unknown outcome.
     no_unresolved_write: bool,
     /// When to read the record once more while a write may be unresolved; it may have been applied late.
     reread_at: Option<Nanos>,
@@ -383,8 +385,9 @@
         }
     }
 
-    /// Handles the outcome of a register request. After a write of unknown outcome the record is read again: the write may
-    /// have been applied, or may be applied later, which only another write over the same version rules out.
+    /// Handles the outcome of a register request. After a write of unknown outcome the record is read again:
+    /// the write may have been applied, or may be applied later, which only another write over the same
+    /// version rules out.
     fn on_record(&mut self, now: Nanos, outcome: Outcome) {
         let value = match outcome {
             Outcome::Written(value) => {
--- a/migration/src/observation.rs
+++ b/migration/src/observation.rs
@@ -1,7 +1,8 @@
-//! What the leader observes: the active configuration, the revisions that proxies apply, the load of functions. All of it is
-//! soft state of this machine.
+//! What the leader observes: the active configuration, the revisions that proxies apply, the load of
+//! functions. All of it is soft state of this machine.
 //!
-//! Invariant: no revision counts as applied by all proxies before all connected proxies have had time to report.
+//! Invariant: no revision counts as applied by all proxies before all connected proxies have had time to
+//! report.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/migration/src/record.rs
+++ b/migration/src/record.rs
@@ -1,7 +1,8 @@
-//! The record of all moves: one value in the replicated register, whose version increases with each step of any move.
+//! The record of all moves: one value in the replicated register, whose version increases with each step of
+//! any move.
 //!
-//! Invariants: a written record reads back equal; a route belongs to at most one open move; at most one move is active
-//! at a time; the size of the record is bounded.
+//! Invariants: a written record reads back equal; a route belongs to at most one open move; at most one move
+//! is active at a time; the size of the record is bounded.
 
 use compact_str::CompactString;
 use millpost_config::values::{self, list, number, object, string, write};
@@ -49,8 +50,8 @@
     ToSource,
 }
 
-/// A configuration that a move writes. Its outcome is decided once the active revision is above `base`: by then it has
-/// been applied, or it never will be.
+/// A configuration that a move writes. Its outcome is decided once the active revision is above `base`: by
+/// then it has been applied, or it never will be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Put {
     /// The revision it is written under.
@@ -75,8 +76,8 @@
     Opened,
     /// A configuration is being written.
     Switching(Direction, Put),
-    /// The last configuration is active under this revision. The move ends once all proxies apply it and the side that
-    /// lost the traffic has had time to finish its requests.
+    /// The last configuration is active under this revision. The move ends once all proxies apply it and the
+    /// side that lost the traffic has had time to finish its requests.
     Settling(Direction, u64),
     /// All routes are on the target.
     Done,
@@ -132,7 +133,8 @@
 pub struct Move {
     /// The name of the move.
     pub name: CompactString,
-    /// The version of the record that added the move; unique among all moves, including those of the same name.
+    /// The version of the record that added the move; unique among all moves, including those of the same
+    /// name.
     pub epoch: u64,
     /// Hash of the contract, which distinguishes contracts of the same name.
     pub contract_hash: u32,
@@ -150,7 +152,8 @@
     pub target_instances: Vec<(CompactString, u32)>,
     /// Instances that each source service had when the move was opened, and keeps until it ends.
     pub source_instances: Vec<(CompactString, u32)>,
-    /// The next and the last revision reserved for the move; none is left if the next is greater than the last.
+    /// The next and the last revision reserved for the move; none is left if the next is greater than the
+    /// last.
     pub revisions: (u64, u64),
     /// Whether an operator has paused the move: no further load is switched.
     pub paused: bool,
--- a/migration/src/shift.rs
+++ b/migration/src/shift.rs
@@ -1,7 +1,8 @@
-//! Derives the configuration of a step from the one it replaces, and locates a tenant's routes in a configuration.
+//! Derives the configuration of a step from the one it replaces, and locates a tenant's routes in a
+//! configuration.
 //!
-//! Invariant: the result is the same on every machine, and differs from its base only in the revision and in the services of
-//! the tenant's routes.
+//! Invariant: the result is the same on every machine, and differs from its base only in the revision and in
+//! the services of the tenant's routes.
 
 use std::collections::{HashMap, HashSet};
 
@@ -53,8 +54,8 @@
     found
 }
 
-/// Whether a configuration has the first `loads` loads on the target and the others on the source. A route that no longer
-/// exists counts as being in place.
+/// Whether a configuration has the first `loads` loads on the target and the others on the source. A route
+/// that no longer exists counts as being in place.
 #[must_use]
 pub fn has_loads_on_target(config: &Config, route_moves: &[RouteMove], loads: u32) -> bool {
     let expected = |route_move: &RouteMove| {
@@ -95,7 +96,8 @@
         }
     }
     let text = values::write(&value);
-    // Checked like an operator's configuration: a record must not rely on a configuration that can't be written.
+    // Checked like an operator's configuration: a record must not rely on a configuration that can't be
+    // written.
     Config::parse(&text)?;
     Ok(text)
 }
--- a/migration/src/status.rs
+++ b/migration/src/status.rs
@@ -1,5 +1,5 @@
-//! The status of moves for operators: state, age, loads on the target, what a move waits for, and whether that needs an
-//! operator. Read-only.
+//! The status of moves for operators: state, age, loads on the target, what a move waits for, and whether
+//! that needs an operator. Read-only.
 
 use millpost_config::values::{list, number, object, string};
 use tinyjson::JsonValue;
@@ -13,8 +13,8 @@
 use crate::{MS, Moment, Nanos};
 
 impl Migrator {
-    /// The status of all moves, or of the named one with its routes and steps. `None` if this machine does not hold the lease
-    /// or has not read the record yet.
+    /// The status of all moves, or of the named one with its routes and steps. `None` if this machine does
+    /// not hold the lease or has not read the record yet.
     #[must_use]
     pub fn status(&self, at: Moment, name: Option<&str>) -> Option<JsonValue> {
         let (durable, (observation, watches)) = (self.durable_record()?, self.observations()?);
--- a/migration/src/steps.rs
+++ b/migration/src/steps.rs
@@ -1,8 +1,8 @@
-//! Decides the next step of a move from the record and the observations, either automatically or on an operator's order. The
-//! result is the next record; nothing else is changed.
+//! Decides the next step of a move from the record and the observations, either automatically or on an
+//! operator's order. The result is the next record; nothing else is changed.
 //!
-//! Invariants: a put that may still be applied is only followed by another put over the same base; a revision is used at most
-//! once; a move that advances by itself always keeps one revision for its rollback.
+//! Invariants: a put that may still be applied is only followed by another put over the same base; a revision
+//! is used at most once; a move that advances by itself always keeps one revision for its rollback.
 
 use std::collections::BTreeMap;
 
@@ -28,8 +28,8 @@
     pub settings: &'a Settings,
     pub observation: &'a Observation,
     pub watches: &'a BTreeMap<CompactString, Watch>,
-    /// When the order arrived, or 0. Functions have to be reported after this, since earlier reports may not cover the
-    /// functions that the order names.
+    /// When the order arrived, or 0. Functions have to be reported after this, since earlier reports may not
+    /// cover the functions that the order names.
     pub since: Nanos,
 }
 
@@ -79,7 +79,8 @@
         }
     }
 
-    /// A step that writes a configuration with `loads` loads on the target, of which `previous_loads` may be there now.
+    /// A step that writes a configuration with `loads` loads on the target, of which `previous_loads` may be
+    /// there now.
     fn put(
         &self,
         direction: Direction,
@@ -259,7 +260,8 @@
     }
 }
 
-/// Starts the rollback over the active configuration, whether or not a put over the same base is still in progress.
+/// Starts the rollback over the active configuration, whether or not a put over the same base is still in
+/// progress.
 fn roll_back(mv: &Move, loads: u32, context: &StepContext<'_>, reason: String) -> Option<Step> {
     let revision = context.observation.revision();
     if let State::Switching(_, put) = mv.state
--- a/migration/src/tests.rs
+++ b/migration/src/tests.rs
@@ -1,6 +1,6 @@
-//! Simulated moves, determined by a seed: leaders that crash before or after any effect, network cuts, suspended proxies, late
-//! acknowledgements, operators who change their orders. The `oracle` checks the invariants, and each guard that is disabled
-//! has to cause a violation.
+//! Simulated moves, determined by a seed: leaders that crash before or after any effect, network cuts,
+//! suspended proxies, late acknowledgements, operators who change their orders. The `oracle` checks the
+//! invariants, and each guard that is disabled has to cause a violation.
 
 mod oracle;
 mod simulation;
--- a/migration/src/tests/oracle.rs
+++ b/migration/src/tests/oracle.rs
@@ -1,5 +1,5 @@
-//! Checks the invariants of moves from the records, configurations and answers that a simulation produces, never from the
-//! internal state of a machine.
+//! Checks the invariants of moves from the records, configurations and answers that a simulation produces,
+//! never from the internal state of a machine.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/migration/src/tests/simulation.rs
+++ b/migration/src/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! A simulation of three control machines, proxies, a target and operators, determined by a seed. It schedules the events and
-//! faults; the oracle checks the results.
+//! A simulation of three control machines, proxies, a target and operators, determined by a seed. It
+//! schedules the events and faults; the oracle checks the results.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -55,7 +55,8 @@
     pub pause_at: Option<u64>,
     /// Adds a second move; `true` if it shares routes with the first.
     pub second: Option<bool>,
-    /// Effects at which a leader crashes, counted from 0; `true` for right after the effect, `false` for right before it.
+    /// Effects at which a leader crashes, counted from 0; `true` for right after the effect, `false` for
+    /// right before it.
     pub crashes: Vec<(usize, bool)>,
     pub replacements: Vec<(u64, Replace)>,
     /// An operator's configuration becomes active right before this put, counted from 0.
@@ -742,7 +743,8 @@
         }
     }
 
-    /// Operators give the first order that has not been answered; after the faults they act on what moves wait for.
+    /// Operators give the first order that has not been answered; after the faults they act on what moves
+    /// wait for.
     fn operate(&mut self) {
         // Orders without a time are given immediately.
         let open = |(_, pending): &(usize, &PendingOrder)| pending.result.is_none();
--- a/migration/src/tests/small.rs
+++ b/migration/src/tests/small.rs
@@ -41,7 +41,8 @@
     (observation, settings)
 }
 
-/// 18 requests of the source and one of the target, with a margin of a quarter, need six target instances; one exists.
+/// 18 requests of the source and one of the target, with a margin of a quarter, need six target instances;
+/// one exists.
 #[test]
 fn a_check_estimates_a_move_and_reports_all_reasons_against_it() {
     let (observation, settings) = observation(Some(vec![1_900, 900]));
--- a/migration/src/watch.rs
+++ b/migration/src/watch.rs
@@ -1,5 +1,6 @@
-//! Soft state about an active move between its steps: how long conditions have lasted, the health of the target, and the
-//! pace that this allows. A new leader starts from scratch, so a change of leader makes a move longer, never shorter.
+//! Soft state about an active move between its steps: how long conditions have lasted, the health of the
+//! target, and the pace that this allows. A new leader starts from scratch, so a change of leader makes a
+//! move longer, never shorter.
 
 use millpost::retry_probability;
 use millpost_scheduler::first_retry_delay;
@@ -9,7 +10,8 @@
 use crate::shift::has_loads_on_target;
 use crate::{MS, Nanos};
 
-/// How often the target's admission probability is added to a move's credit; the next load is switched at a credit of 1.
+/// How often the target's admission probability is added to a move's credit; the next load is switched at a
+/// credit of 1.
 const CREDIT_INTERVAL: Nanos = 250 * MS;
 
 /// A move that has been paused for this long no longer keeps instances warm.
