--- a/ctl/src/config.rs
+++ b/ctl/src/config.rs
@@ -246,9 +246,9 @@
         JsonValue::Object(parts) => parts.keys().cloned().collect(),
         _ => Vec::new(),
     };
-    let of = |value, key: &str| get(value, key).cloned().unwrap_or(JsonValue::Null);
+    let field = |value, key: &str| get(value, key).cloned().unwrap_or(JsonValue::Null);
     let all: BTreeSet<String> = keys(old).into_iter().chain(keys(new)).collect();
-    let all = all.into_iter().map(|key| (of(old, &key), of(new, &key), key));
+    let all = all.into_iter().map(|key| (field(old, &key), field(new, &key), key));
     all.filter(|(old, new, _)| old != new).map(|(old, new, key)| (key, old, new)).collect()
 }
 
@@ -273,21 +273,21 @@
 
     /// Encodes the difference as JSON.
     pub fn to_json(&self) -> JsonValue {
-        let of = |how, what, name: &str, rest| {
+        let encode = |how, what, name: &str, rest| {
             let mut parts = vec![("how", string(how)), ("what", string(what)), ("name", string(name))];
             parts.extend(rest);
             JsonValue::Object(parts.into_iter().map(|(key, value)| (key.to_owned(), value)).collect())
         };
         match self {
             Difference::Added { what, name, value } => {
-                of("added", what, name, vec![("value", value.clone())])
+                encode("added", what, name, vec![("value", value.clone())])
             }
-            Difference::Removed { what, name } => of("removed", what, name, vec![]),
+            Difference::Removed { what, name } => encode("removed", what, name, vec![]),
             Difference::Changed { what, name, fields } => {
                 let each = fields.iter().map(|(key, old, new)| {
                     object([("field", string(key)), ("was", old.clone()), ("is", new.clone())])
                 });
-                of("changed", what, name, vec![("fields", list(each))])
+                encode("changed", what, name, vec![("fields", list(each))])
             }
         }
     }
--- a/ctl/src/drain.rs
+++ b/ctl/src/drain.rs
@@ -73,10 +73,10 @@
             return format!("nothing is drained, by the steward {}\n", self.steward);
         }
         let mut rows = vec![["what", "name", "zone", "left", "state"].map(str::to_owned).to_vec()];
-        rows.extend(self.all.iter().map(|of| {
-            let part = |key| get_str(of, key).unwrap_or("-").escape_debug().to_string();
-            let left = format!("{:.0} s", get_u64(of, "left_ms").unwrap_or(0) as f64 / 1e3);
-            vec![part("what"), part("name"), part("zone"), left, state(of)]
+        rows.extend(self.all.iter().map(|drain| {
+            let part = |key| get_str(drain, key).unwrap_or("-").escape_debug().to_string();
+            let left = format!("{:.0} s", get_u64(drain, "left_ms").unwrap_or(0) as f64 / 1e3);
+            vec![part("what"), part("name"), part("zone"), left, state(drain)]
         }));
         table(&rows) + &format!("by the steward {}\n", self.steward)
     }
@@ -91,18 +91,18 @@
     }
 }
 
-fn is_not_applied(of: &JsonValue) -> bool {
-    get_bool(of, "undone") != Some(true) && get_bool(of, "rests") == Some(false)
+fn is_not_applied(drain: &JsonValue) -> bool {
+    get_bool(drain, "undone") != Some(true) && get_bool(drain, "rests") == Some(false)
 }
 
-fn state(of: &JsonValue) -> String {
-    let on = |key| get_bool(of, key) == Some(true);
-    match (get_str(of, "what"), get_u64(of, "instances")) {
+fn state(drain: &JsonValue) -> String {
+    let on = |key| get_bool(drain, key) == Some(true);
+    match (get_str(drain, "what"), get_u64(drain, "instances")) {
         _ if on("undone") && on("rests") => "undone; the stall has not applied that yet".to_owned(),
         _ if on("undone") => "undone".to_owned(),
         (Some("worker"), Some(0)) => "empty".to_owned(),
         (Some("worker"), Some(count)) => format!("takes no starts; {count} instances left"),
-        _ if is_not_applied(of) => "NOT APPLIED: the stall does not report that it is drained".to_owned(),
+        _ if is_not_applied(drain) => "NOT APPLIED: the stall does not report that it is drained".to_owned(),
         _ if on("owns") => "not ready; still owns functions".to_owned(),
         _ => "drained: not ready, owns no functions".to_owned(),
     }
--- a/ctl/src/functions.rs
+++ b/ctl/src/functions.rs
@@ -76,7 +76,7 @@
     /// Functions whose starts are blocked by something that needs an operator.
     pub fn blocked(&self) -> impl Iterator<Item = &JsonValue> {
         let is_blocked =
-            |of: &&JsonValue| matches!(get_str(of, "hold"), Some("refused" | "no_room" | "no_list"));
+            |value: &&JsonValue| matches!(get_str(value, "hold"), Some("refused" | "no_room" | "no_list"));
         self.all.iter().filter(is_blocked)
     }
 
@@ -111,7 +111,7 @@
         rows.extend(self.all.iter().map(row));
         let mut text = table(&rows);
         if selection != Selection::All {
-            self.all.iter().for_each(|of| details(&mut text, of));
+            self.all.iter().for_each(|value| details(&mut text, value));
         }
         let truncated = if self.truncated { "; there are more" } else { "" };
         let _ = writeln!(text, "by the steward {steward}, fence {fence}{truncated}");
@@ -141,45 +141,45 @@
 }
 
 /// A count, or a dash if it is missing.
-fn count(of: &JsonValue, key: &str) -> String {
-    get_u64(of, key).map_or_else(|| "-".to_owned(), |n| n.to_string())
+fn count(value: &JsonValue, key: &str) -> String {
+    get_u64(value, key).map_or_else(|| "-".to_owned(), |n| n.to_string())
 }
 
-fn name(of: &JsonValue, key: &str) -> String {
-    get_str(of, key).map_or_else(|| "-".to_owned(), |text| text.escape_debug().to_string())
+fn name(value: &JsonValue, key: &str) -> String {
+    get_str(value, key).map_or_else(|| "-".to_owned(), |text| text.escape_debug().to_string())
 }
 
 /// A duration in seconds, or a dash if it is missing.
-fn duration(of: &JsonValue, key: &str) -> String {
-    get_u64(of, key).map_or_else(|| "-".to_owned(), |ms| format!("{:.1} s", ms as f64 / 1e3))
+fn duration(value: &JsonValue, key: &str) -> String {
+    get_u64(value, key).map_or_else(|| "-".to_owned(), |ms| format!("{:.1} s", ms as f64 / 1e3))
 }
 
-fn held_by(of: &JsonValue) -> String {
-    match (get_str(of, "hold"), get_u64(of, "hold_ms")) {
+fn held_by(value: &JsonValue) -> String {
+    match (get_str(value, "hold"), get_u64(value, "hold_ms")) {
         (Some("enough" | "unwanted") | None, _) => "-".to_owned(),
-        (Some(_), Some(_)) => format!("{}, {} more", name(of, "hold"), duration(of, "hold_ms")),
-        (Some(_), None) => name(of, "hold"),
+        (Some(_), Some(_)) => format!("{}, {} more", name(value, "hold"), duration(value, "hold_ms")),
+        (Some(_), None) => name(value, "hold"),
     }
 }
 
-fn row(of: &JsonValue) -> Vec<String> {
-    let hold = held_by(of);
-    let reported = match duration(of, "said_ms_ago") {
+fn row(value: &JsonValue) -> Vec<String> {
+    let hold = held_by(value);
+    let reported = match duration(value, "said_ms_ago") {
         dash if dash == "-" => dash,
         duration => format!("{duration} ago"),
     };
-    let mut cells = vec![name(of, "name"), count(of, "wanted"), reported];
-    cells.extend(["ready", "booting", "draining", "starting"].map(|key| count(of, key)));
-    let owner = match get_list(of, "lots") {
+    let mut cells = vec![name(value, "name"), count(value, "wanted"), reported];
+    cells.extend(["ready", "booting", "draining", "starting"].map(|key| count(value, key)));
+    let owner = match get_list(value, "lots") {
         Some(lots) => format!("one in each of {} zones", lots.len()),
-        None => name(of, "owner"),
+        None => name(value, "owner"),
     };
     cells.extend([owner, hold]);
     cells
 }
 
-fn details(text: &mut String, of: &JsonValue) {
-    let zones = get_list(of, "zones").unwrap_or_default().iter().filter_map(|pair| match pair {
+fn details(text: &mut String, value: &JsonValue) {
+    let zones = get_list(value, "zones").unwrap_or_default().iter().filter_map(|pair| match pair {
         JsonValue::Array(pair) => match &pair[..] {
             [JsonValue::String(zone), JsonValue::Number(share)] => {
                 Some(format!("{} {share}", zone.escape_debug()))
@@ -192,26 +192,32 @@
     if !zones.is_empty() {
         let _ = writeln!(text, "requests come from: {zones}");
     }
-    if let Some(refusals @ 1..) = get_u64(of, "refusals") {
+    if let Some(refusals @ 1..) = get_u64(value, "refusals") {
         let _ = writeln!(text, "starts refused by the platform: {refusals}");
     }
-    if let Some(lots @ [_, ..]) = get_list(of, "lots") {
+    if let Some(lots @ [_, ..]) = get_list(value, "lots") {
         let head = ["zone", "wanted", "live", "owner", "blocked by"].map(str::to_owned).to_vec();
-        let cells = |of: &JsonValue| {
-            vec![name(of, "zone"), count(of, "wanted"), count(of, "live"), name(of, "owner"), held_by(of)]
+        let cells = |value: &JsonValue| {
+            vec![
+                name(value, "zone"),
+                count(value, "wanted"),
+                count(value, "live"),
+                name(value, "owner"),
+                held_by(value),
+            ]
         };
         text.push_str(&table(&std::iter::once(head).chain(lots.iter().map(cells)).collect::<Vec<_>>()));
     }
     let head = ["instance", "address", "worker", "zone", "state", "for", "stop"].map(str::to_owned).to_vec();
-    let cells = |of: &JsonValue| {
-        let mut cells = ["id", "address", "worker", "zone", "state"].map(|key| name(of, key)).to_vec();
-        cells.extend([duration(of, "since_ms"), name(of, "stop")]);
+    let cells = |value: &JsonValue| {
+        let mut cells = ["id", "address", "worker", "zone", "state"].map(|key| name(value, key)).to_vec();
+        cells.extend([duration(value, "since_ms"), name(value, "stop")]);
         cells
     };
-    if let Some(all @ [_, ..]) = get_list(of, "instances") {
+    if let Some(all @ [_, ..]) = get_list(value, "instances") {
         text.push_str(&table(&std::iter::once(head).chain(all.iter().map(cells)).collect::<Vec<_>>()));
     }
-    for start in get_list(of, "starts").unwrap_or_default() {
+    for start in get_list(value, "starts").unwrap_or_default() {
         let sent = match get_u64(start, "sent_ms_ago") {
             Some(_) => format!("sent {} ago", duration(start, "sent_ms_ago")),
             None => "to be repeated".to_owned(),
--- a/ctl/src/lib.rs
+++ b/ctl/src/lib.rs
@@ -432,8 +432,8 @@
     let json = options.json;
     let controls = || Controls::read(options.control.as_deref(), options.give_up);
     match options.what {
-        What::Status(given) => {
-            let status = Status::ask(&controls()?.all, seconds("--within", given.within)?).await;
+        What::Status(options) => {
+            let status = Status::ask(&controls()?.all, seconds("--within", options.within)?).await;
             if json {
                 print_json(&status.to_json())?
             } else {
@@ -441,10 +441,10 @@
             }
             Ok(status.problems().is_empty())
         }
-        What::Watch(given) => watch(&controls()?, &given, json).await,
-        What::Functions(given) => {
-            let within = seconds("--within", given.within)?;
-            let selection = match (&given.name, &given.instance) {
+        What::Watch(options) => watch(&controls()?, &options, json).await,
+        What::Functions(options) => {
+            let within = seconds("--within", options.within)?;
+            let selection = match (&options.name, &options.instance) {
                 (None, None) => Selection::All,
                 (Some(name), None) => Selection::Name(name),
                 (None, Some(id)) => Selection::Instance(id),
@@ -458,14 +458,14 @@
             }
             Ok(functions.is_well())
         }
-        What::Why(given) => {
-            let topic = match &given.what {
+        What::Why(options) => {
+            let topic = match &options.what {
                 None => Topic::All,
                 Some(WhyWhat::Steward(WhySteward {})) => Topic::Leader,
-                Some(WhyWhat::Machine(of)) => Topic::Machine(&of.name),
-                Some(WhyWhat::Function(of)) => Topic::Function(&of.name),
+                Some(WhyWhat::Machine(machine)) => Topic::Machine(&machine.name),
+                Some(WhyWhat::Function(function)) => Topic::Function(&function.name),
             };
-            let why = Why::ask(&controls()?.all, topic, seconds("--within", given.within)?).await?;
+            let why = Why::ask(&controls()?.all, topic, seconds("--within", options.within)?).await?;
             if json {
                 print_json(&why.to_json())?
             } else {
@@ -473,12 +473,12 @@
             }
             Ok(why.is_well())
         }
-        What::Drain(given) => {
+        What::Drain(options) => {
             let controls = controls()?;
-            let order = match given.what {
-                DrainWhat::Edge(of) => Some(drain::start("edge", &of.name, of.lasts)?),
-                DrainWhat::Worker(of) => Some(drain::start("worker", &of.name, of.lasts)?),
-                DrainWhat::Undo(of) => Some(drain::undo(&of.what, &of.name)),
+            let order = match options.what {
+                DrainWhat::Edge(edge) => Some(drain::start("edge", &edge.name, edge.lasts)?),
+                DrainWhat::Worker(worker) => Some(drain::start("worker", &worker.name, worker.lasts)?),
+                DrainWhat::Undo(undo) => Some(drain::undo(&undo.what, &undo.name)),
                 DrainWhat::Status(DrainStatusOptions {}) => None,
             };
             let drains = match &order {
@@ -493,37 +493,37 @@
             // An order succeeds before all machines have applied it.
             Ok(order.is_some() || drains.is_well())
         }
-        What::Move(given) => run_move(&controls()?, given.what, json).await,
-        What::Config(given) => match given.what {
-            ConfigWhat::Get(given) => get(&controls()?, given.out, json).await,
-            ConfigWhat::Check(given) => check(&given.file, json),
-            ConfigWhat::Put(given) => {
-                let wait = given.wait.map(|wait| seconds("--wait", wait)).transpose()?;
-                let file = ConfigText::file(&given.file)?;
+        What::Move(options) => run_move(&controls()?, options.what, json).await,
+        What::Config(options) => match options.what {
+            ConfigWhat::Get(options) => get(&controls()?, options.out, json).await,
+            ConfigWhat::Check(options) => check(&options.file, json),
+            ConfigWhat::Put(options) => {
+                let wait = options.wait.map(|wait| seconds("--wait", wait)).transpose()?;
+                let file = ConfigText::file(&options.file)?;
                 put(&controls()?, &file, wait, json).await
             }
-            ConfigWhat::Diff(given) => {
-                let file = ConfigText::file(&given.file)?;
-                let (old, new) = match given.other {
+            ConfigWhat::Diff(options) => {
+                let file = ConfigText::file(&options.file)?;
+                let (old, new) = match options.other {
                     Some(other) => (file, ConfigText::file(&other)?),
                     None => (config::read_active(&controls()?).await?.0, file),
                 };
                 differ(&config::between(&old.config, &new.config), json)
             }
         },
-        What::Store(given) => match given.what {
-            StoreWhat::Check(given) => check_store(&given.folder, json),
-            StoreWhat::Export(given) => export(&given.folder, given.out, json),
+        What::Store(options) => match options.what {
+            StoreWhat::Check(options) => check_store(&options.folder, json),
+            StoreWhat::Export(options) => export(&options.folder, options.out, json),
         },
     }
 }
 
 async fn run_move(controls: &Controls, what: MoveWhat, json: bool) -> Result<bool, Error> {
     let order = match what {
-        MoveWhat::Plan(given) => moves::plan(&given.file)?,
-        MoveWhat::Start(given) => moves::order("start", &given.name, given.revisions.as_deref())?,
-        MoveWhat::Pause(given) => moves::order("pause", &given.name, None)?,
-        MoveWhat::Back(given) => moves::order("back", &given.name, given.revisions.as_deref())?,
+        MoveWhat::Plan(options) => moves::plan(&options.file)?,
+        MoveWhat::Start(options) => moves::order("start", &options.name, options.revisions.as_deref())?,
+        MoveWhat::Pause(options) => moves::order("pause", &options.name, None)?,
+        MoveWhat::Back(options) => moves::order("back", &options.name, options.revisions.as_deref())?,
         MoveWhat::Status(MoveStatusOptions {}) => {
             let moves = Moves::read(controls, None).await?;
             if json {
@@ -533,8 +533,8 @@
             }
             return Ok(moves.is_well());
         }
-        MoveWhat::Explain(given) => {
-            let moves = Moves::read(controls, Some(&given.name)).await?;
+        MoveWhat::Explain(options) => {
+            let moves = Moves::read(controls, Some(&options.name)).await?;
             if json {
                 print_json(&moves.to_json())?
             } else {
@@ -587,7 +587,7 @@
 }
 
 async fn get(controls: &Controls, to: Option<PathBuf>, json: bool) -> Result<bool, Error> {
-    let (read, given) = config::read_active(controls).await?;
+    let (read, options) = config::read_active(controls).await?;
     let Some(path) = to else { return print_text(&read.text).map(|()| true) };
     config::write_file(&path, &read.text)?;
     let (revision, routes) = (read.config.revision, read.config.routes.len());
@@ -596,10 +596,14 @@
         print_json(&object([
             ("revision", number(revision)),
             ("file", file),
-            ("by", string(&given.by.to_string())),
+            ("by", string(&options.by.to_string())),
         ]))?;
     } else {
-        print_text(&format!("{}: revision {revision}, {routes} routes, from {}", path.display(), given.by))?;
+        print_text(&format!(
+            "{}: revision {revision}, {routes} routes, from {}",
+            path.display(),
+            options.by
+        ))?;
     }
     Ok(true)
 }
@@ -695,12 +699,17 @@
             continue;
         }
         if json {
-            let of = |value: Option<&String>| value.map_or(JsonValue::Null, |value| string(value));
+            let shown = |value: Option<&String>| value.map_or(JsonValue::Null, |value| string(value));
             let at = JsonValue::Number((unix * 1e3).round() / 1e3);
-            print_json(&object([("at", at), ("what", string(name)), ("was", of(was)), ("is", of(is))]))?;
+            print_json(&object([
+                ("at", at),
+                ("what", string(name)),
+                ("was", shown(was)),
+                ("is", shown(is)),
+            ]))?;
         } else {
-            let of = |value: Option<&String>| value.map_or("-", |value| value).to_owned();
-            print_text(&format!("{unix:.3} {name}: {} -> {}", of(was), of(is)))?;
+            let shown = |value: Option<&String>| value.map_or("-", |value| value).to_owned();
+            print_text(&format!("{unix:.3} {name}: {} -> {}", shown(was), shown(is)))?;
         }
     }
     Ok(())
--- a/ctl/src/moves.rs
+++ b/ctl/src/moves.rs
@@ -133,7 +133,7 @@
 
     /// Whether no move waits for an operator.
     pub fn is_well(&self) -> bool {
-        !self.all.iter().any(|of| get_bool(of, "for_operator") == Some(true))
+        !self.all.iter().any(|value| get_bool(value, "for_operator") == Some(true))
     }
 
     /// A table with a line for each move.
@@ -143,14 +143,14 @@
         }
         let head = ["move", "step", "for", "age", "loads", "waits for"];
         let mut rows = vec![head.map(str::to_owned).to_vec()];
-        rows.extend(self.all.iter().map(|of| {
-            let text = |key| get_str(of, key).unwrap_or("-").escape_debug().to_string();
+        rows.extend(self.all.iter().map(|value| {
+            let text = |key| get_str(value, key).unwrap_or("-").escape_debug().to_string();
             vec![
                 text("name"),
                 text("step"),
-                duration(of, "since_ms"),
-                duration(of, "age_ms"),
-                loads(of),
+                duration(value, "since_ms"),
+                duration(value, "age_ms"),
+                loads(value),
                 text("waits"),
             ]
         }));
@@ -160,34 +160,34 @@
     /// All details of the moves: routes, steps and what each waits for.
     pub fn explain(&self) -> String {
         let mut lines = Vec::new();
-        for of in &self.all {
-            let paused = if get_bool(of, "paused") == Some(true) { ", paused" } else { "" };
+        for value in &self.all {
+            let paused = if get_bool(value, "paused") == Some(true) { ", paused" } else { "" };
             lines.push(format!(
                 "{}: {}{paused}, for {}",
-                printable(of, "name"),
-                printable(of, "step"),
-                duration(of, "since_ms")
+                printable(value, "name"),
+                printable(value, "step"),
+                duration(value, "since_ms")
             ));
-            lines.push(format!("  because    {}", printable(of, "why")));
-            if get(of, "waits").is_some_and(|waits| !waits.is_null()) {
-                lines.push(format!("  waits for  {}", printable(of, "waits")));
+            lines.push(format!("  because    {}", printable(value, "why")));
+            if get(value, "waits").is_some_and(|waits| !waits.is_null()) {
+                lines.push(format!("  waits for  {}", printable(value, "waits")));
             }
-            let count = |of, key| get_u64(of, key).unwrap_or(0);
-            lines.push(format!("  loads      {} on the target", loads(of)));
-            let (left, needed) = (count(of, "revisions_left"), count(of, "revisions_needed"));
+            let count = |value, key| get_u64(value, key).unwrap_or(0);
+            lines.push(format!("  loads      {} on the target", loads(value)));
+            let (left, needed) = (count(value, "revisions_left"), count(value, "revisions_needed"));
             lines.push(format!("  revisions  {left} left; {needed} are needed for the whole move"));
-            for need in get_list(of, "needs").unwrap_or_default() {
+            for need in get_list(value, "needs").unwrap_or_default() {
                 lines.push(format!(
                     "  needs      {} of {}",
                     count(need, "instances"),
                     printable(need, "service")
                 ));
             }
-            for route in get_list(of, "routes").unwrap_or_default() {
+            for route in get_list(value, "routes").unwrap_or_default() {
                 let (host, prefix) = (printable(route, "host"), printable(route, "path_prefix"));
                 lines.push(format!("  load {:<5} {host} {prefix}", count(route, "load")));
             }
-            for step in get_list(of, "steps").unwrap_or_default() {
+            for step in get_list(value, "steps").unwrap_or_default() {
                 let at = count(step, "day") as f64 / 1e3;
                 let (into, why) = (printable(step, "step"), printable(step, "why"));
                 lines.push(format!("  {at:.3}  fence {}  {into}: {why}", count(step, "fence")));
@@ -206,19 +206,19 @@
 }
 
 /// A text without control characters, or a dash if it is missing.
-fn printable(of: &JsonValue, key: &str) -> String {
-    get_str(of, key).unwrap_or("-").chars().filter(|c| !c.is_control()).collect()
+fn printable(value: &JsonValue, key: &str) -> String {
+    get_str(value, key).unwrap_or("-").chars().filter(|c| !c.is_control()).collect()
 }
 
 /// A duration in seconds, or a dash if it is missing.
-fn duration(of: &JsonValue, key: &str) -> String {
-    get_u64(of, key).map_or_else(|| "-".to_owned(), |ms| format!("{:.1} s", ms as f64 / 1e3))
+fn duration(value: &JsonValue, key: &str) -> String {
+    get_u64(value, key).map_or_else(|| "-".to_owned(), |ms| format!("{:.1} s", ms as f64 / 1e3))
 }
 
 /// The number of loads on the target, or its possible range, out of all loads.
-fn loads(of: &JsonValue) -> String {
-    let all = get_u64(of, "loads").unwrap_or(0);
-    let on = get_list(of, "loads_on_target").map(|on| on.iter().filter_map(|n| n.get::<f64>()).copied());
+fn loads(value: &JsonValue) -> String {
+    let all = get_u64(value, "loads").unwrap_or(0);
+    let on = get_list(value, "loads_on_target").map(|on| on.iter().filter_map(|n| n.get::<f64>()).copied());
     match on.map(Iterator::collect::<Vec<_>>).as_deref() {
         Some([least, most]) if least == most => format!("{least} of {all}"),
         Some([least, most]) => format!("{least} to {most} of {all}"),
--- a/ctl/src/status.rs
+++ b/ctl/src/status.rs
@@ -69,7 +69,7 @@
         /// Number of voters that vote.
         voting: usize,
         /// Number of voters.
-        of: usize,
+        total: usize,
     },
     /// No machine holds the lease.
     NoLeader,
@@ -258,11 +258,11 @@
         for set in &sets {
             let voting = set.iter().filter(|name| votes(name)).count();
             if voting * 2 <= set.len() {
-                problems.push(Problem::NoMajority { voting, of: set.len() });
+                problems.push(Problem::NoMajority { voting, total: set.len() });
             }
         }
         if sets.is_empty() {
-            problems.push(Problem::NoMajority { voting: 0, of: 0 });
+            problems.push(Problem::NoMajority { voting: 0, total: 0 });
         }
         if !self.reached().any(|s| s.is_steward) {
             problems.push(Problem::NoLeader);
@@ -443,9 +443,11 @@
     /// Describes the problem.
     pub fn text(&self) -> String {
         match self {
-            Problem::NoMajority { voting: 0, of: 0 } => "no machine that answers knows the voters".to_owned(),
-            Problem::NoMajority { voting, of } => {
-                format!("no majority is known to vote: {voting} of {of} voters do")
+            Problem::NoMajority { voting: 0, total: 0 } => {
+                "no machine that answers knows the voters".to_owned()
+            }
+            Problem::NoMajority { voting, total } => {
+                format!("no majority is known to vote: {voting} of {total} voters do")
             }
             Problem::NoLeader => {
                 "no machine that answers is the steward: no instance starts or stops".to_owned()
--- a/ctl/src/store.rs
+++ b/ctl/src/store.rs
@@ -122,8 +122,8 @@
     Row { key: key.escape_debug().to_string(), bytes: text.len(), record, content: summary, faults }
 }
 
-fn ballot(of: &Ballot) -> String {
-    format!("{}/{}/{}", of.counter, of.proposer.escape_debug(), of.incarnation)
+fn ballot(ballot: &Ballot) -> String {
+    format!("{}/{}/{}", ballot.counter, ballot.proposer.escape_debug(), ballot.incarnation)
 }
 
 impl Row {
@@ -159,7 +159,7 @@
         object([
             ("key", string(&self.key)),
             ("bytes", number(self.bytes as u64)),
-            ("promised", or(promised.map(|of| string(&ballot(of))))),
+            ("promised", or(promised.map(|promised| string(&ballot(promised))))),
             ("ballot", or(accepted.map(|accepted| string(&ballot(&accepted.ballot))))),
             ("version", or(accepted.map(|accepted| number(accepted.value.version)))),
             ("length", or(accepted.map(|accepted| number(accepted.value.content.len() as u64)))),
--- a/ctl/src/why.rs
+++ b/ctl/src/why.rs
@@ -87,14 +87,14 @@
                         true,
                     );
                 }
-                functions.all().iter().for_each(|of| why.function(of, &duty));
+                functions.all().iter().for_each(|function| why.function(function, &duty));
             }
             Topic::All => {
                 why.steward(&status);
                 why.problems(&status, &duty);
                 if status.steward_at().is_some() {
                     let functions = Functions::ask(first, Selection::All, within).await?;
-                    functions.blocked().for_each(|of| why.function(of, &duty));
+                    functions.blocked().for_each(|function| why.function(function, &duty));
                 }
             }
         }
@@ -127,15 +127,15 @@
 
     /// Encodes the reasons as JSON.
     pub fn to_json(&self) -> JsonValue {
-        let reason = |of: &Reason| {
+        let encode = |reason: &Reason| {
             object([
-                ("about", string(&of.about)),
-                ("kind", string(of.kind)),
-                ("says", string(&of.text)),
-                ("bad", JsonValue::Boolean(of.needs_attention)),
+                ("about", string(&reason.about)),
+                ("kind", string(reason.kind)),
+                ("says", string(&reason.text)),
+                ("bad", JsonValue::Boolean(reason.needs_attention)),
             ])
         };
-        object([("well", JsonValue::Boolean(self.is_well())), ("reasons", list(self.0.iter().map(reason)))])
+        object([("well", JsonValue::Boolean(self.is_well())), ("reasons", list(self.0.iter().map(encode)))])
     }
 
     /// Explains machines with an old configuration, and stalls without functions.
@@ -312,11 +312,11 @@
     }
 
     /// Explains the instances of a function.
-    fn function(&mut self, of: &JsonValue, duty: &JsonValue) {
-        let name = get_str(of, "name").unwrap_or_default();
-        let count = |key| get_u64(of, key).unwrap_or(0);
+    fn function(&mut self, function: &JsonValue, duty: &JsonValue) {
+        let name = get_str(function, "name").unwrap_or_default();
+        let count = |key| get_u64(function, key).unwrap_or(0);
         let (ready, booting, starting) = (count("ready"), count("booting"), count("starting"));
-        if get_bool(of, "configured") == Some(false) {
+        if get_bool(function, "configured") == Some(false) {
             self.add(
                 name,
                 "not_configured",
@@ -324,14 +324,14 @@
                 false,
             );
         }
-        self.wanted(name, of);
+        self.wanted(name, function);
         let text = format!(
             "{ready} ready, {booting} booting, {starting} being started, {} draining",
             count("draining")
         );
         self.add(name, "has", text, false);
-        self.hold(name, of, duty);
-        self.instances(name, of, duty);
+        self.hold(name, function, duty);
+        self.instances(name, function, duty);
         let faults = get_list(duty, "faults").unwrap_or_default().iter();
         let own = faults.filter(|fault| {
             let about = get_str(fault, "of").and_then(|nonce| nonce.splitn(3, '.').nth(2));
@@ -345,20 +345,20 @@
         }
     }
 
-    fn wanted(&mut self, name: &str, of: &JsonValue) {
-        let Some(wanted) = get_u64(of, "wanted") else {
+    fn wanted(&mut self, name: &str, function: &JsonValue) {
+        let Some(wanted) = get_u64(function, "wanted") else {
             let text =
                 "no owner has requested instances within 5 s: there are no requests, or no stall owns it";
             return self.add(name, "unwanted", text, false);
         };
-        let ago = seconds(get_u64(of, "said_ms_ago").unwrap_or(0));
-        let zones = get_list(of, "zones").unwrap_or_default().iter().filter_map(|pair| match pair {
+        let ago = seconds(get_u64(function, "said_ms_ago").unwrap_or(0));
+        let zones = get_list(function, "zones").unwrap_or_default().iter().filter_map(|pair| match pair {
             JsonValue::Array(pair) => pair.first()?.get::<String>().map(String::as_str),
             _ => None,
         });
         let zones = zones.collect::<Vec<_>>().join(", ");
         let from = if zones.is_empty() { String::new() } else { format!(", for requests from {zones}") };
-        let requesters = match (get_list(of, "lots"), get_str(of, "owner")) {
+        let requesters = match (get_list(function, "lots"), get_str(function, "owner")) {
             (Some(lots), _) => {
                 counted(lots.len() as u64, "owner, for one zone, requests", "owners, one per zone, request")
             }
@@ -366,7 +366,7 @@
             (None, None) => "its owner requests".to_owned(),
         };
         self.add(name, "wanted", format!("{requesters} {wanted} instances, {ago} ago{from}"), false);
-        for lot in get_list(of, "lots").unwrap_or_default() {
+        for lot in get_list(function, "lots").unwrap_or_default() {
             let part = |key| get_str(lot, key).unwrap_or("-");
             let number = |key| get_u64(lot, key).unwrap_or(0);
             let text = format!(
@@ -382,13 +382,15 @@
     }
 
     /// Explains what blocks further starts.
-    fn hold(&mut self, name: &str, of: &JsonValue, duty: &JsonValue) {
-        let left = get_u64(of, "hold_ms").map_or(String::new(), |ms| format!(" for {} more", seconds(ms)));
-        let refusals = get_u64(of, "refusals").unwrap_or(0);
-        let (kind, text, needs_attention) = match get_str(of, "hold").unwrap_or_default() {
+    fn hold(&mut self, name: &str, function: &JsonValue, duty: &JsonValue) {
+        let left =
+            get_u64(function, "hold_ms").map_or(String::new(), |ms| format!(" for {} more", seconds(ms)));
+        let refusals = get_u64(function, "refusals").unwrap_or(0);
+        let (kind, text, needs_attention) = match get_str(function, "hold").unwrap_or_default() {
             "enough" | "unwanted" => {
-                let live: u64 = ["ready", "booting", "starting"].iter().filter_map(|k| get_u64(of, k)).sum();
-                if get_u64(of, "wanted").is_some_and(|wanted| live > wanted) {
+                let live: u64 =
+                    ["ready", "booting", "starting"].iter().filter_map(|k| get_u64(function, k)).sum();
+                if get_u64(function, "wanted").is_some_and(|wanted| live > wanted) {
                     let text = "more than are requested: its owner releases instances once it has not needed them for a while";
                     self.add(name, "more", text, false);
                 }
@@ -417,7 +419,7 @@
                 )
             }
             "no_room" => {
-                let need = get_u64(of, "memory_mb").map_or(String::new(), |mb| format!(" of {mb} MB"));
+                let need = get_u64(function, "memory_mb").map_or(String::new(), |mb| format!(" of {mb} MB"));
                 ("no_room", format!("no worker has memory for another instance{need}"), true)
             }
             "turn" => ("turn", turn(duty), false),
@@ -468,13 +470,13 @@
     }
 
     /// Lists instances that are not ready, with the reason.
-    fn instances(&mut self, name: &str, of: &JsonValue, duty: &JsonValue) {
+    fn instances(&mut self, name: &str, function: &JsonValue, duty: &JsonValue) {
         let workers = get(duty, "workers").and_then(|w| get_list(w, "first")).unwrap_or_default();
         let drains = |worker: &str| {
             let found = workers.iter().find(|w| get_str(w, "name") == Some(worker));
             found.is_some_and(|w| get_bool(w, "draining") == Some(true))
         };
-        for instance in get_list(of, "instances").unwrap_or_default() {
+        for instance in get_list(function, "instances").unwrap_or_default() {
             let part = |key| get_str(instance, key).unwrap_or("-");
             let (id, worker) = (part("id"), part("worker"));
             let stop = get_str(instance, "stop").map_or(String::new(), |stop| format!(", stop {stop}"));
@@ -503,8 +505,8 @@
 }
 
 /// Describes an answer of the platform.
-fn answer(of: &JsonValue) -> String {
-    match (get_str(of, "answer"), get_u64(of, "status")) {
+fn answer(value: &JsonValue) -> String {
+    match (get_str(value, "answer"), get_u64(value, "status")) {
         (Some("no_room"), _) => "got 409: no memory, or the worker drains or is down".to_owned(),
         (Some("busy"), _) => "got 429: more starts and stops than the platform accepts".to_owned(),
         (Some("refused"), _) => "got another 4xx: the request is not acceptable".to_owned(),
@@ -595,9 +597,9 @@
             "wanted has instance instance platform" },
         removed_function = { r#""hold":"unwanted","configured":false"#, "not_configured unwanted has platform" },
     )]
-    fn reasons_for_the_instances_of_a_function(of: &str, expected: &str) {
+    fn reasons_for_the_instances_of_a_function(function: &str, expected: &str) {
         let mut why = Why::default();
-        why.function(&json(&format!(r#"{{"name":"f",{of}}}"#)), &json(DUTY));
+        why.function(&json(&format!(r#"{{"name":"f",{function}}}"#)), &json(DUTY));
         assert_eq!(kinds(&why), expected, "{}", why.text());
         if expected.contains("workers") {
             assert!(why.text().contains("at most 64 MB free on one; draining: w-2"), "{}", why.text());
