--- a/ctl/src/lib.rs
+++ b/ctl/src/lib.rs
@@ -587,7 +587,7 @@
 }
 
 async fn get(controls: &Controls, to: Option<PathBuf>, json: bool) -> Result<bool, Error> {
-    let (read, options) = config::read_active(controls).await?;
+    let (read, reply) = config::read_active(controls).await?;
     let Some(path) = to else { return print_text(&read.text).map(|()| true) };
     config::write_file(&path, &read.text)?;
     let (revision, routes) = (read.config.revision, read.config.routes.len());
@@ -596,14 +596,10 @@
         print_json(&object([
             ("revision", number(revision)),
             ("file", file),
-            ("by", string(&options.by.to_string())),
+            ("by", string(&reply.by.to_string())),
         ]))?;
     } else {
-        print_text(&format!(
-            "{}: revision {revision}, {routes} routes, from {}",
-            path.display(),
-            options.by
-        ))?;
+        print_text(&format!("{}: revision {revision}, {routes} routes, from {}", path.display(), reply.by))?;
     }
     Ok(true)
 }
--- a/migration/src/tests/simulation.rs
+++ b/migration/src/tests/simulation.rs
@@ -29,7 +29,7 @@
 
 /// A configuration that an operator puts during a move.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Replace {
+pub(super) enum Replacement {
     /// Changes a route of another tenant.
     OtherRoute,
     /// Assigns a route of the tenant to a third service.
@@ -49,24 +49,27 @@
     pub deadline_ms: u64,
     /// The register always answers quickly, and no proxy is slow.
     pub calm: bool,
+    /// When the rollback is ordered, in ms.
     pub rollback_at: Option<u64>,
     /// The rollback is ordered together with this put, counted from 0.
     pub rollback_with: Option<usize>,
+    /// When a pause is ordered, in ms; the move is resumed 4 s later.
     pub pause_at: Option<u64>,
     /// Adds a second move; `true` if it shares routes with the first.
     pub second: Option<bool>,
     /// Effects at which a leader crashes, counted from 0; `true` for right after the effect, `false` for
     /// right before it.
     pub crashes: Vec<(usize, bool)>,
-    pub replacements: Vec<(u64, Replace)>,
+    /// Configurations that operators put, with their time in ms.
+    pub replacements: Vec<(u64, Replacement)>,
     /// An operator's configuration becomes active right before this put, counted from 0.
     pub race: Option<usize>,
     /// Suspended proxies: index, start and end in ms.
-    pub sleeps: Vec<(usize, u64, u64)>,
+    pub suspended_proxies: Vec<(usize, u64, u64)>,
     /// Control machines without connection to the register: index, start and end in ms.
     pub cuts: Vec<(usize, u64, u64)>,
     /// Suspended control machines: index, start and end in ms.
-    pub freezes: Vec<(usize, u64, u64)>,
+    pub suspended_machines: Vec<(usize, u64, u64)>,
     /// Start and end of the time in ms in which the target's delay is past T1.
     pub slow_target: Option<(u64, u64)>,
     /// No instance starts.
@@ -91,8 +94,13 @@
         scenario.pause_at = rng.one_in(4).then(|| 6_000 + rng.below(9_000));
         scenario.second = rng.one_in(2).then(|| rng.one_in(2));
         scenario.crashes = (0..rng.below(4)).map(|_| (rng.below(120) as usize, rng.one_in(2))).collect();
-        let kinds =
-            [Replace::OtherRoute, Replace::OtherRoute, Replace::ThirdService, Replace::Source, Replace::Old];
+        let kinds = [
+            Replacement::OtherRoute,
+            Replacement::OtherRoute,
+            Replacement::ThirdService,
+            Replacement::Source,
+            Replacement::Old,
+        ];
         scenario.replacements =
             (0..rng.below(3)).map(|_| (2_000 + rng.below(22_000), kinds[rng.below(5) as usize])).collect();
         scenario.race = rng.one_in(4).then(|| rng.below(2) as usize);
@@ -100,9 +108,9 @@
             let from = 5_000 + rng.below(20_000);
             (rng.below(3) as usize, from, from + 300 + rng.below(max))
         };
-        scenario.sleeps = (0..2).map(|_| span(15_000)).collect();
+        scenario.suspended_proxies = (0..2).map(|_| span(15_000)).collect();
         scenario.cuts = (0..1).map(|_| span(6_000)).collect();
-        scenario.freezes = (0..2).map(|_| span(3_000)).collect();
+        scenario.suspended_machines = (0..2).map(|_| span(3_000)).collect();
         scenario.slow_target = rng.one_in(3).then(|| {
             let from = 6_000 + rng.below(9_000);
             (from, from + rng.below(25_000))
@@ -149,21 +157,21 @@
     PlatformReport,
     InstancesReady(CompactString, u32),
     Operator,
-    Replace(Replace),
+    Replace(Replacement),
     Wake(usize),
 }
 
 struct Machine {
     migrator: Option<Migrator>,
     incarnation: u64,
-    steady: Nanos,
+    monotonic_offset: Nanos,
     clock_offset_ms: u64,
 }
 
 struct Proxy {
     revision: u64,
     incarnation: u64,
-    woke: Nanos,
+    resumed_at: Nanos,
     since: BTreeMap<u64, Nanos>,
     slow: bool,
 }
@@ -226,14 +234,14 @@
             .map(|_| Machine {
                 migrator: None,
                 incarnation: 0,
-                steady: rng.below(1 << 40),
+                monotonic_offset: rng.below(1 << 40),
                 clock_offset_ms: rng.below(1_000),
             })
             .collect();
         let proxies = (0..3).map(|n| Proxy {
             revision: 10,
             incarnation: 0,
-            woke: 0,
+            resumed_at: 0,
             since: BTreeMap::from([(10, 0)]),
             slow: !scenario.calm && n == 1,
         });
@@ -299,10 +307,10 @@
         for event in [Event::GrantLease, Event::PlatformReport, Event::Operator] {
             simulation.at(0, event);
         }
-        for (at, replace) in simulation.scenario.replacements.clone() {
-            simulation.at(at * MS, Event::Replace(replace));
+        for (at, replacement) in simulation.scenario.replacements.clone() {
+            simulation.at(at * MS, Event::Replace(replacement));
         }
-        for (p, _, to) in simulation.scenario.sleeps.clone() {
+        for (p, _, to) in simulation.scenario.suspended_proxies.clone() {
             simulation.at(to * MS, Event::Wake(p));
         }
         simulation
@@ -340,8 +348,8 @@
         spans.iter().filter(within).map(|(_, _, to)| to * MS).max()
     }
 
-    fn asleep(&self, p: usize) -> bool {
-        self.end_of_span(&self.scenario.sleeps, p).is_some()
+    fn is_suspended(&self, p: usize) -> bool {
+        self.end_of_span(&self.scenario.suspended_proxies, p).is_some()
     }
 
     fn is_target_slow(&self) -> bool {
@@ -380,14 +388,14 @@
             Event::Start(m) => {
                 let settings = Settings { contact_timeout: CONTACT, duty_per_s: 78.0, prewarms: true };
                 self.machines[m].migrator = Some(Migrator::new(settings));
-                self.machines[m].steady = self.rng.below(1 << 40);
+                self.machines[m].monotonic_offset = self.rng.below(1 << 40);
             }
             Event::GrantLease => {
                 self.grant_lease();
                 self.after(100, 101, Event::GrantLease);
             }
             Event::ProxyReport(p) => {
-                if !self.asleep(p) {
+                if !self.is_suspended(p) {
                     let proxy = &self.proxies[p];
                     let report = Input::ProxyRevisions(vec![(format!("edge-{p}").into(), proxy.revision)]);
                     let max_delay_ms = if proxy.slow && self.now < FAULTS_END { 3_000 } else { 60 };
@@ -410,12 +418,12 @@
                 self.operate();
                 self.after(700, 900, Event::Operator);
             }
-            Event::Replace(replace) => self.replace(replace),
+            Event::Replace(replacement) => self.put_by_operator(replacement),
             Event::Wake(p) => {
                 // In half of the cases it restarts, without a configuration.
                 self.trace_event(|| format!("proxy {p} resumes"));
                 let proxy = &mut self.proxies[p];
-                proxy.woke = self.now;
+                proxy.resumed_at = self.now;
                 if self.seq.is_multiple_of(2) {
                     proxy.incarnation += 1;
                     proxy.revision = 0;
@@ -428,9 +436,9 @@
     }
 
     fn learn_config(&mut self, p: usize, incarnation: u64, revision: u64) {
-        let (asleep, now) = (self.asleep(p), self.now);
+        let (suspended, now) = (self.is_suspended(p), self.now);
         let proxy = &mut self.proxies[p];
-        if !asleep && proxy.incarnation == incarnation && revision > proxy.revision {
+        if !suspended && proxy.incarnation == incarnation && revision > proxy.revision {
             proxy.revision = revision;
             proxy.since.insert(revision, now);
             let slow = proxy.slow;
@@ -453,7 +461,7 @@
         let eligible = |simulation: &Simulation, m: usize| {
             simulation.machines[m].migrator.is_some()
                 && simulation.end_of_span(&scenario.cuts, m).is_none()
-                && simulation.end_of_span(&scenario.freezes, m).is_none()
+                && simulation.end_of_span(&scenario.suspended_machines, m).is_none()
         };
         if self.lease.is_some_and(|(_, _, _, until)| until <= now) {
             self.lease = None;
@@ -483,7 +491,7 @@
             self.trace_event(|| format!("machine {m} holds the lease, fence {fence}"));
         }
         self.lease = Some((m, incarnation, fence, now + 1_500 * MS));
-        let until = self.machines[m].steady + now + 1_400 * MS;
+        let until = self.machines[m].monotonic_offset + now + 1_400 * MS;
         self.after(1, 30, Event::Input(m, incarnation, Box::new(Input::Lease(fence, until))));
     }
 
@@ -511,18 +519,18 @@
             && let Some((leader, ..)) = self.lease
             && self
                 .scenario
-                .freezes
+                .suspended_machines
                 .iter()
                 .chain(&self.scenario.cuts)
                 .all(|(m, a, b)| *m != leader || *b < from || *a > to)
         {
             for mv in self.written.moves.clone() {
-                let there = matches!(
+                let to_target = matches!(
                     mv.state,
                     State::Switching(Direction::ToTarget, _) | State::Settling(Direction::ToTarget, _)
                 );
-                let number = mv.revisions.0.max(self.config.0 + 1) <= mv.revisions.1;
-                if there && number && mv.name == "one" && !mv.paused {
+                let has_revision = mv.revisions.0.max(self.config.0 + 1) <= mv.revisions.1;
+                if to_target && has_revision && mv.name == "one" && !mv.paused {
                     self.oracle.fail(self.now, "bounds exceeded", mv.state.name());
                 }
             }
@@ -533,7 +541,7 @@
     }
 
     fn deliver(&mut self, m: usize, incarnation: u64, input: Box<Input>) {
-        if let Some(thaws) = self.end_of_span(&self.scenario.freezes, m) {
+        if let Some(thaws) = self.end_of_span(&self.scenario.suspended_machines, m) {
             return self.at(thaws, Event::Input(m, incarnation, input));
         }
         let machine = &mut self.machines[m];
@@ -542,7 +550,7 @@
         }
         let Some(migrator) = &mut machine.migrator else { return };
         let unix_ms = 1_700_000_000_000 + machine.clock_offset_ms + self.now / MS;
-        migrator.input(Moment { now: self.now + machine.steady, unix_ms }, *input);
+        migrator.input(Moment { now: self.now + machine.monotonic_offset, unix_ms }, *input);
         for effect in migrator.take_effects() {
             let effect_index = self.effects;
             self.effects += 1;
@@ -628,7 +636,7 @@
         let Ok(next) = Record::read(&value.content) else { return };
         let starts = next.find("one").is_some_and(|mv| mv.state == State::Planned { started: true });
         if starts && std::mem::take(&mut self.scenario.changed_at_start) {
-            self.after(10, 200, Event::Replace(Replace::ThirdService));
+            self.after(10, 200, Event::Replace(Replacement::ThirdService));
         }
         self.oracle.record_offered(self.now, &self.written, &next, bad_for);
     }
@@ -638,7 +646,7 @@
         let nth = self.puts;
         self.puts += 1;
         if self.scenario.race == Some(nth) && self.config.0 + 1 < number {
-            self.replace(Replace::OtherRoute);
+            self.put_by_operator(Replacement::OtherRoute);
         }
         if self.scenario.rollback_with == Some(nth) {
             let order = Order::Rollback("one".into(), None);
@@ -689,7 +697,8 @@
         let record = Record::read(&value.content).expect("a written record parses");
         assert_eq!(record.to_text(), &*value.content);
         let view = |(p, proxy): (usize, &Proxy)| ProxyView {
-            connected: !self.asleep(p) && (proxy.woke == 0 || self.now >= proxy.woke + CONTACT),
+            connected: !self.is_suspended(p)
+                && (proxy.resumed_at == 0 || self.now >= proxy.resumed_at + CONTACT),
             config: self.oracle.configs.get(&proxy.revision).cloned(),
             since: proxy.since.clone(),
         };
@@ -715,10 +724,10 @@
     }
 
     /// An operator puts a configuration derived from the active one.
-    fn replace(&mut self, replace: Replace) {
+    fn put_by_operator(&mut self, replacement: Replacement) {
         let active = self.config.0;
-        let revision = match replace {
-            Replace::Old => 5,
+        let revision = match replacement {
+            Replacement::Old => 5,
             _ if active + 1 < FIRST_RESERVED => active + 1,
             _ => active.max(self.last_reserved) + 1,
         };
@@ -727,16 +736,16 @@
         let mut config = Config::parse(&text).expect("valid");
         let tenant = |host: &str| host == "t.example";
         for route in &mut config.routes {
-            match replace {
-                Replace::OtherRoute if route.host == "p.example" => route.deadline_ms += 1,
-                Replace::ThirdService if tenant(&route.host) && route.path_prefix == "/0/" => {
+            match replacement {
+                Replacement::OtherRoute if route.host == "p.example" => route.deadline_ms += 1,
+                Replacement::ThirdService if tenant(&route.host) && route.path_prefix == "/0/" => {
                     route.shares = vec![("u".into(), 1)];
                 }
-                Replace::Source if tenant(&route.host) => route.shares = vec![("s".into(), 1)],
+                Replacement::Source if tenant(&route.host) => route.shares = vec![("s".into(), 1)],
                 _ => {}
             }
         }
-        self.trace_event(|| format!("operator: {replace:?} as {revision}"));
+        self.trace_event(|| format!("operator: {replacement:?} as {revision}"));
         if revision > active {
             self.oracle.put_by_operator(config.clone());
             self.install(revision, config.to_json());
@@ -770,7 +779,7 @@
         }
         let waits_for = |mv: &crate::Move| {
             let (m, _, _, _) = self.lease?;
-            let at = Moment { now: self.now + self.machines[m].steady, unix_ms: 0 };
+            let at = Moment { now: self.now + self.machines[m].monotonic_offset, unix_ms: 0 };
             let status = self.machines[m].migrator.as_ref()?.status(at, Some(&mv.name))?;
             let status = millpost_config::values::get_list(&status, "moves")?.first()?;
             millpost_config::values::get_str(status, "waits").map(str::to_owned)
