--- a/quorum/src/ballot.rs
+++ b/quorum/src/ballot.rs
@@ -136,7 +136,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[cfg_attr(feature = "explore", derive(Hash))]
 pub struct Value {
-    /// Increases with each write.
+    /// Increases with each new value. A value that is written again keeps its version.
     pub version: u64,
     /// The content, which voters do not interpret except for [`Key::Members`].
     pub content: Arc<str>,
--- a/quorum/src/lease.rs
+++ b/quorum/src/lease.rs
@@ -7,10 +7,11 @@
 //!
 //! During a membership change, majorities of successive epochs share a voter, but those of other epochs may
 //! not: under epoch `e` a process may hold the lease without any majority of `e + 2` knowing of it. It was
-//! granted the lease before the joint record between them was written everywhere. A voter that adopts `e + 2`
-//! therefore grants no lease for one [`LEASE_DURATION`], except to a process that already holds it under `e +
-//! 1`: the majority of the old set granted it after it had stopped accepting requests under `e`. A membership
-//! change keeps the joint record in force long enough for the holder to renew under it.
+//! granted the lease before a majority of the old voters had adopted the joint record between them. A voter
+//! that adopts `e + 2` therefore grants no lease for one [`LEASE_DURATION`], except to a process that already
+//! holds it under `e + 1`: the majority of the old set granted it after it had stopped accepting requests
+//! under `e`. A membership change keeps the joint record in force long enough for the holder to renew under
+//! it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
