--- a/controller/src/core.rs
+++ b/controller/src/core.rs
@@ -75,7 +75,7 @@
     pub sink: Option<Box<dyn Fn() -> Sink>>,
 }
 
-/// Rates and lag that the platform guarantees.
+/// The limits of the platform: the call rates that it accepts, and the maximum lag of its lists.
 #[derive(Clone, Copy, Debug)]
 #[allow(missing_docs, reason = "the names are those of the settings file")]
 pub struct PlatformLimits {
--- a/controller/src/rounds.rs
+++ b/controller/src/rounds.rs
@@ -47,7 +47,8 @@
     HandOver(Key),
 }
 
-/// A finished round. A successful change of voters is not reported: see [`Rounds::members`].
+/// A finished round, or one that could not be started. The end of a change of voters is not reported, whether
+/// it succeeded or failed: see [`Rounds::members`].
 #[derive(Debug)]
 pub struct FinishedRound {
     /// Its purpose.
--- a/controller/tests/control.rs
+++ b/controller/tests/control.rs
@@ -163,8 +163,8 @@
     assert!(first.contains(&packed(&configuration)), "{first}");
 }
 
-/// A spare used to learn the members only half a second after its start, from the seeds, and refused agents
-/// until then.
+/// A spare requests the members from the seeds only half a second after its start. Agents that wanted to
+/// follow it used to be held up until then.
 #[test]
 fn a_spare_learns_the_members_from_the_first_gossip_reply() {
     let (mut cluster, _) = cluster_with_leader(1);
