--- a/config/src/config.rs
+++ b/config/src/config.rs
@@ -336,8 +336,8 @@
         ])
     }
 
-    /// Selects a service by weight with a uniformly random number. Returns `None` if the weights sum to 0,
-    /// which a validated route never does.
+    /// Selects a service by weight with a number drawn uniformly from the whole range of `u64`. Returns `None`
+    /// if the weights sum to 0, which a validated route never does.
     #[must_use]
     pub fn pick(&self, random: u64) -> Option<&CompactString> {
         let sum: u64 = self.shares.iter().map(|(_, weight)| u64::from(*weight)).sum();
--- a/controller/src/contact.rs
+++ b/controller/src/contact.rs
@@ -268,7 +268,7 @@
     }
 
     /// A controller that learned newer members from a peer, before its voters knew them, used to read the
-    /// register repeatedly.
+    /// register without end.
     #[test]
     fn under_newer_members_the_register_is_read_again_once() {
         let mut contact = contact_that_holds();
