--- a/core/src/call.rs
+++ b/core/src/call.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 
 use millpost::api::{EndpointId, Event, MsgId, Nanos, Outcome, Report, State};
-use millpost_store::ledger::Final;
+use millpost_store::ledger::FinalOutcome;
 use serde::{Deserialize, Serialize};
 
 use crate::durability::DeferredAction;
@@ -329,7 +329,7 @@
         let answered = self.held.get(&id).is_none_or(|held| held.answer.is_some());
         if over {
             // An endpoint may also report a message as complete that it did not receive.
-            self.close(at, id, (outcome == Outcome::Served).then_some(Final::Delivered));
+            self.close(at, id, (outcome == Outcome::Served).then_some(FinalOutcome::Delivered));
         } else if recorded && self.held.contains_key(&id) {
             let never_ran = outcome.never_ran() || self.has(Fault::NoteNeverRan);
             let change = Change::Outcome { id, never_ran };
--- a/core/src/durability.rs
+++ b/core/src/durability.rs
@@ -6,7 +6,7 @@
 
 use millpost::api::{DestId, MsgId, Nanos};
 use millpost_store::Seq;
-use millpost_store::ledger::{Answer, Final, Taken};
+use millpost_store::ledger::{AcceptedMessage, Answer, FinalOutcome};
 use serde::Serialize;
 
 use crate::{CallId, ReplyId};
@@ -19,7 +19,7 @@
         /// Its id.
         id: MsgId,
         /// The message.
-        taken: Taken,
+        taken: AcceptedMessage,
     },
     /// An attempt is about to start.
     Begin {
@@ -50,7 +50,7 @@
         id: MsgId,
         /// The reference of the message, its outcome, and until when to keep both; `None` voids the
         /// reference.
-        end: Option<(String, Final, Nanos)>,
+        end: Option<(String, FinalOutcome, Nanos)>,
     },
 }
 
--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use millpost::api::{DestId, Effect as Repeats, Event, MsgId, Nanos};
-use millpost_store::ledger::{Answer, Final, Found, History, Taken};
+use millpost_store::ledger::{AcceptedMessage, Answer, FinalOutcome, History, RecoveredMessage};
 use serde::{Deserialize, Serialize};
 
 use crate::durability::DeferredAction;
@@ -80,7 +80,13 @@
 
     /// Submits a message. `ended` is the stored outcome of an earlier message with this reference, if there
     /// is one; it is ignored while the message is held.
-    pub fn submit(&mut self, at: Moment, submission: Submission, ended: Option<Final>, reply: ReplyId) {
+    pub fn submit(
+        &mut self,
+        at: Moment,
+        submission: Submission,
+        ended: Option<FinalOutcome>,
+        reply: ReplyId,
+    ) {
         // Resubmitted, since the client's connection broke: it is already accepted.
         if self.holds(&submission.reference) && !self.has(Fault::TakeTwice) {
             let deferred = Deferred(DeferredAction::Confirm { dest: submission.dest, reply });
@@ -89,9 +95,9 @@
         // Resubmitted after its completion: it gets the same answer, and nothing is sent again.
         if let Some(end) = ended {
             let verdict = match end {
-                Final::Delivered => SubmitReply::Accepted,
-                Final::Answered(Answer::Failed) => SubmitReply::Failed,
-                Final::Answered(Answer::Refused { wait_ms }) => {
+                FinalOutcome::Delivered => SubmitReply::Accepted,
+                FinalOutcome::Answered(Answer::Failed) => SubmitReply::Failed,
+                FinalOutcome::Answered(Answer::Refused { wait_ms }) => {
                     SubmitReply::Refused { wait: wait_ms.saturating_mul(1_000_000) }
                 }
             };
@@ -127,7 +133,7 @@
         if self.has(Fault::TellBeforeTaking) {
             self.confirm_accepted(id, class, dest, order, reply);
         }
-        let taken = Taken { reference, class: class as u32, dest, deadline, key, order, body };
+        let taken = AcceptedMessage { reference, class: class as u32, dest, deadline, key, order, body };
         let deferred = Deferred(DeferredAction::Accept { id, class, dest, order, reply });
         self.effects.push_back(Effect::Append(Change::Take { id, taken }, Some(deferred)));
     }
@@ -167,9 +173,9 @@
     }
 
     /// Restores a message from the journal. `Control` decides whether it may still be sent.
-    pub fn restore(&mut self, at: Moment, found: Found) {
-        let Found { id, taken, body_lost, history, .. } = found;
-        let Taken { reference, class, dest, deadline, key, order, body } = taken;
+    pub fn restore(&mut self, at: Moment, found: RecoveredMessage) {
+        let RecoveredMessage { id, message, body_lost, history, .. } = found;
+        let AcceptedMessage { reference, class, dest, deadline, key, order, body } = message;
         self.next_message = self.next_message.max(id + 1);
         self.by_reference.insert(reference.clone(), id);
         // A message of a class that is no longer in the settings fails.
@@ -196,7 +202,7 @@
         if let Some(answer) = answer {
             return self.answer(id, answer);
         }
-        let out = history.out.filter(|_| !self.has(Fault::ForgetOut));
+        let out = history.in_flight.filter(|_| !self.has(Fault::ForgetOut));
         let since = |(when, zone): (Nanos, u32)| (at.to_monotonic(when), zone as usize);
         self.control.on_event(
             at.now,
@@ -261,20 +267,20 @@
     /// The platform has acknowledged the notice of a message.
     pub fn notice_accepted(&mut self, at: Moment, id: MsgId) {
         let answer = self.held.get(&id).and_then(|held| held.answer);
-        self.close(at, id, answer.map(Final::Answered));
+        self.close(at, id, answer.map(FinalOutcome::Answered));
     }
 
     /// Completes a message.
-    pub(crate) fn close(&mut self, at: Moment, id: MsgId, end: Option<Final>) {
+    pub(crate) fn close(&mut self, at: Moment, id: MsgId, end: Option<FinalOutcome>) {
         let Some(held) = self.held.remove(&id) else { return };
         self.by_reference.remove(&held.reference);
         // A message with an answer has been counted already.
-        if end == Some(Final::Delivered) && held.answer.is_none() {
+        if end == Some(FinalOutcome::Delivered) && held.answer.is_none() {
             self.counts.of(held.class).delivered += 1;
         }
         self.open -= usize::from(held.answer.is_none());
         let until = held.deadline.max(at.wall).saturating_add(ANSWER_RETENTION);
-        if self.has(Fault::EndUnwritten) && end == Some(Final::Delivered) {
+        if self.has(Fault::EndUnwritten) && end == Some(FinalOutcome::Delivered) {
             return;
         }
         let end = end.map(|end| (held.reference, end, until));
@@ -311,6 +317,6 @@
 
 /// The final answer of a message whose body is unreadable: a refusal if it never ran.
 fn answer_without_body(history: &History) -> Answer {
-    let may_have_run = history.may_have_run.is_some() || history.out.is_some();
+    let may_have_run = history.may_have_run.is_some() || history.in_flight.is_some();
     if may_have_run { Answer::Failed } else { Answer::Refused { wait_ms: 0 } }
 }
--- a/core/tests/lifecycle.rs
+++ b/core/tests/lifecycle.rs
@@ -8,7 +8,7 @@
     CallEnd, CallMessage, Change, Core, CoreSnapshot, Deferred, DurabilityQueue, Effect, MessageEnd,
     MessageEnds, Moment, SNAPSHOT_VERSION, Submission, SubmitReply,
 };
-use millpost_store::ledger::{Answer, Found, History, Taken};
+use millpost_store::ledger::{AcceptedMessage, Answer, History, RecoveredMessage};
 
 const MS: Nanos = 1_000_000;
 
@@ -265,7 +265,7 @@
 
 #[test]
 fn an_attempt_in_flight_when_the_process_ended_may_have_run() {
-    let taken = |class| Taken {
+    let taken = |class| AcceptedMessage {
         reference: format!("r{class}"),
         class,
         dest: 7,
@@ -274,9 +274,14 @@
         order: None,
         body: Bytes::new(),
     };
-    let history =
-        History { attempts: 1, first_sent: at(0).wall, out: Some((at(0).wall, 0)), ..History::default() };
-    let found = |id, class, history| Found { id, taken: taken(class), body_lost: false, at: 0, history };
+    let history = History {
+        attempts: 1,
+        first_sent: at(0).wall,
+        in_flight: Some((at(0).wall, 0)),
+        ..History::default()
+    };
+    let found =
+        |id, class, history| RecoveredMessage { id, message: taken(class), body_lost: false, at: 0, history };
     let mut harness = Harness::new(1);
     harness.core.restore(at(10), found(4, 1, history));
     harness.core.restore(at(10), found(5, 2, History::default()));
--- a/dispatcher/src/book.rs
+++ b/dispatcher/src/book.rs
@@ -9,7 +9,7 @@
 use millpost_audit::log::{Log, Stood};
 use millpost_audit::{End, State, message};
 use millpost_core::{CallId, CallMessage, Change, Moment, ReplyId, SubmitReply};
-use millpost_store::ledger::{Answer, Final};
+use millpost_store::ledger::{Answer, FinalOutcome};
 use millpost_tier::lend::WHOLE;
 use millpost_tier::{Kind, Loan, Part, Standing};
 
@@ -113,9 +113,9 @@
             }
             Change::End { id, end } => {
                 let end = match end {
-                    Some((_, Final::Delivered, _)) => End::Delivered,
-                    Some((_, Final::Answered(Answer::Failed), _)) => End::Failed,
-                    Some((_, Final::Answered(Answer::Refused { .. }), _)) => End::Refused,
+                    Some((_, FinalOutcome::Delivered, _)) => End::Delivered,
+                    Some((_, FinalOutcome::Answered(Answer::Failed), _)) => End::Failed,
+                    Some((_, FinalOutcome::Answered(Answer::Refused { .. }), _)) => End::Refused,
                     None => End::Void,
                 };
                 if let Some(message) = self.open.remove(id) {
--- a/dispatcher/src/driver.rs
+++ b/dispatcher/src/driver.rs
@@ -18,7 +18,7 @@
 use millpost_net::connection_limiter::ConnectionLimiter;
 use millpost_net::meter::{Part, within};
 use millpost_settings::{Classes, Shape};
-use millpost_store::ledger::Found;
+use millpost_store::ledger::RecoveredMessage;
 use millpost_store::{Disk, Ledger, Seq};
 use millpost_tier::records::What;
 use millpost_tier::{Act, Fault, Kind, Rules, Standing, Terms};
@@ -167,7 +167,7 @@
     pub shape: Shape,
     pub seed: u64,
     pub ledger: Ledger<Disk>,
-    pub found: Vec<Found>,
+    pub found: Vec<RecoveredMessage>,
     /// Highest time that the store knows of, by the wall clock.
     pub latest: Nanos,
     pub told: mpsc::Sender<Input>,
@@ -258,7 +258,7 @@
             if let Some((state, config)) = known {
                 written.extend(moving.written.iter().copied());
                 let mut bodies: HashMap<_, _> =
-                    found.iter().map(|found| (found.id, found.taken.body.clone())).collect();
+                    found.iter().map(|found| (found.id, found.message.body.clone())).collect();
                 let body = |id| bodies.remove(&id).unwrap_or_default();
                 core = Some(Core::from_snapshot(classes.settings(config.settings), state, &written, body));
                 clock = Clock::going_on(moving.now, moving.wall);
@@ -268,7 +268,7 @@
             before = Some(Before::new(line.run(told.clone(), Input::Before), written));
         }
         let core = core.unwrap_or_else(|| {
-            let open = found.iter().map(|found| found.taken.class as usize).collect();
+            let open = found.iter().map(|found| found.message.class as usize).collect();
             classes.adopt(&settings, &shape, Some(&open));
             Core::new(classes.settings(settings.clone()), seed, ledger.next_id())
         });
@@ -326,7 +326,8 @@
         if let Some(recording) = recording {
             driver.record_in(at, recording, &own.0, in_force);
             let book = driver.book.as_mut();
-            book.into_iter().for_each(|book| found.iter().for_each(|f| book.found(f.id, &f.taken.reference)));
+            book.into_iter()
+                .for_each(|book| found.iter().for_each(|f| book.found(f.id, &f.message.reference)));
         }
         if let Some((moving, ..)) = moved {
             driver.index = moving.index;
@@ -359,7 +360,7 @@
     /// Gives the module what it had learnt before the restart.
     fn recall(&mut self, at: Moment) {
         let mut old = Vec::new();
-        for (dest, route, noted, bytes) in self.record.ledger().learnt() {
+        for (dest, route, noted, bytes) in self.record.ledger().learned() {
             let age = at.wall.saturating_sub(noted);
             if age > FORGET_LESSON {
                 old.push((dest, route));
--- a/dispatcher/src/input.rs
+++ b/dispatcher/src/input.rs
@@ -5,7 +5,7 @@
 use millpost::api::Settings;
 use millpost_handover::Frame;
 use millpost_settings::Shape;
-use millpost_store::Synced;
+use millpost_store::SyncResult;
 use millpost_tier::frame::Frame as Shared;
 use tokio::sync::oneshot;
 
@@ -30,7 +30,7 @@
     /// What another dispatcher shares.
     Shared(Shared),
     /// The store's last writes last by now, or could not be made to.
-    Synced(Synced),
+    Synced(SyncResult),
     /// The staff asks something of this process.
     Console(console::Asked),
     /// New settings are in force from now on, or not at all.
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -127,7 +127,7 @@
     loop {
         match opening.open(Duration::ZERO) {
             Ok((mut ledger, opened)) => {
-                ledger.own(opening.mark()).map_err(opening::Error::Store)?;
+                ledger.set_owner(opening.mark()).map_err(opening::Error::Store)?;
                 return Ok(Begun { ledger, opened, taken: None });
             }
             Err(e) if e.is_held() && Instant::now() < until => {}
@@ -139,7 +139,7 @@
             let known = read_state(&moving, config, &opened)
                 .inspect_err(|why| eprintln!("handover: from the store alone: {why}"))
                 .ok();
-            ledger.own(opening.mark()).map_err(opening::Error::Store)?;
+            ledger.set_owner(opening.mark()).map_err(opening::Error::Store)?;
             // Where it can't hear this any more it has ended, and this process is the owner all the same.
             let _ = line.say(&Frame::Mine { afresh: known.is_none() }).await;
             return Ok(Begun { ledger, opened, taken: Some(Taken { line, moving, known }) });
@@ -163,7 +163,7 @@
     if !wrong.is_empty() {
         return Err(wrong.join("; "));
     }
-    if opened.found.iter().any(|found| found.body_lost) {
+    if opened.messages.iter().any(|found| found.body_lost) {
         return Err("a message has lost its body".to_owned());
     }
     Ok((moved, before))
@@ -261,8 +261,8 @@
         room: room.clone(),
         seed: config.seed,
         ledger,
-        found: opened.found,
-        latest: opened.latest,
+        found: opened.messages,
+        latest: opened.latest_time,
         told: told.clone(),
         source: config.discovery,
         known: config.known.clone(),
--- a/dispatcher/src/opening.rs
+++ b/dispatcher/src/opening.rs
@@ -65,14 +65,14 @@
             Ledger::open(folder, store, wall_now(), self.mark(), old.as_ref().map(journal::read))?;
         remove(&file(journal::FILE))?;
         ledger.store_mut().set_limit(self.limit);
-        if opened.moved > 0 {
-            eprintln!("store: {} messages of the old journal moved in", opened.moved);
+        if opened.migrated > 0 {
+            eprintln!("store: {} messages of the old journal moved in", opened.migrated);
         }
         for damage in &opened.recovery.damage {
             eprintln!("store: {damage}; any message from before may have run");
         }
-        if !opened.found.is_empty() {
-            eprintln!("the store holds {} messages", opened.found.len());
+        if !opened.messages.is_empty() {
+            eprintln!("the store holds {} messages", opened.messages.len());
         }
         Ok((ledger, opened))
     }
--- a/dispatcher/src/record.rs
+++ b/dispatcher/src/record.rs
@@ -5,8 +5,8 @@
 use millpost::api::Nanos;
 use millpost_core::{Change, Deferred, DurabilityQueue, Durable, Moment};
 use millpost_net::meter::{Part, within};
-use millpost_store::ledger::Final;
-use millpost_store::{Disk, Error, Folder, Ledger, Seq, SyncJob, Synced};
+use millpost_store::ledger::FinalOutcome;
+use millpost_store::{Disk, Error, Folder, Ledger, Seq, SyncJob, SyncResult};
 
 /// Writes work again once none has failed for so long.
 const QUIET: Nanos = 5_000_000_000;
@@ -37,20 +37,20 @@
     pub fn append(&mut self, at: Moment, change: &Change) -> Option<Seq> {
         let ledger = &mut self.ledger;
         let done = within(Part::Journal, || match change {
-            Change::Take { id, taken } => ledger.take_as(*id, at.wall, taken),
-            Change::Begin { id, at, zone } => ledger.begin(*id, *at, *zone),
-            Change::Outcome { id, never_ran } => ledger.outcome(*id, *never_ran),
-            Change::Answer { id, answer } => ledger.answer(*id, *answer),
+            Change::Take { id, taken } => ledger.accept_as(*id, at.wall, taken),
+            Change::Begin { id, at, zone } => ledger.begin_attempt(*id, *at, *zone),
+            Change::Outcome { id, never_ran } => ledger.end_attempt(*id, *never_ran),
+            Change::Answer { id, answer } => ledger.record_answer(*id, *answer),
             Change::End { id, end } => {
-                ledger.end(*id, end.as_ref().map(|(reference, end, until)| (&reference[..], *end, *until)))
+                ledger.finish(*id, end.as_ref().map(|(reference, end, until)| (&reference[..], *end, *until)))
             }
         });
         self.noted(at, done)
     }
 
     /// How a message of this reference ended, where that is still kept.
-    pub fn final_answer(&self, reference: &str) -> Option<Final> {
-        within(Part::Journal, || self.ledger.final_answer(reference))
+    pub fn final_answer(&self, reference: &str) -> Option<FinalOutcome> {
+        within(Part::Journal, || self.ledger.final_outcome(reference))
     }
 
     /// Keeps what stands behind the write of this number, or behind all so far.
@@ -61,7 +61,7 @@
 
     /// The next that no longer waits.
     pub fn ready(&mut self) -> Option<Durable> {
-        self.shelf.pop_durable(|seq| self.ledger.lasts(seq))
+        self.shelf.pop_durable(|seq| self.ledger.is_durable(seq))
     }
 
     /// Something waits for a write to last.
@@ -72,44 +72,44 @@
     /// Keeps lessons.
     pub fn learn(&mut self, at: Moment, lessons: Vec<LearnedState>) {
         let lessons = lessons.into_iter().map(|lesson| (lesson.dest, lesson.route, Some(lesson.bytes)));
-        let done = within(Part::Journal, || self.ledger.learn(at.wall, lessons));
+        let done = within(Part::Journal, || self.ledger.record_learned(at.wall, lessons));
         self.noted(at, done);
     }
 
     /// Drops the lessons of these destinations and routes.
     pub fn forget_lessons(&mut self, at: Moment, old: Vec<(u64, Option<u64>)>) {
         let old = old.into_iter().map(|(dest, route)| (dest, route, None));
-        let done = self.ledger.learn(at.wall, old);
+        let done = self.ledger.record_learned(at.wall, old);
         self.noted(at, done);
     }
 
     /// Notes that an endpoint is out by hand, or back: the number of the write.
     pub fn cordon(&mut self, at: Moment, name: &str, out: bool) -> Option<Seq> {
-        let done = self.ledger.cordon(name, out);
+        let done = self.ledger.set_cordon(name, out);
         self.noted(at, done)
     }
 
     /// Notes which life of the dispatcher this is.
     pub fn live(&mut self, at: Moment, incarnation: u32) {
-        let done = self.ledger.live(incarnation);
+        let done = self.ledger.set_incarnation(incarnation);
         self.noted(at, done);
     }
 
     /// Keeps a small value under a name.
     pub fn keep(&mut self, at: Moment, name: &str, value: &[u8]) {
-        let done = self.ledger.keep(name, value);
+        let done = self.ledger.set_value(name, value);
         self.noted(at, done);
     }
 
     /// Notes the classes that messages are of. Whether it could.
     pub fn note_classes(&mut self, at: Moment, classes: &[u8]) -> bool {
-        let done = self.ledger.note_classes(classes);
+        let done = self.ledger.set_classes(classes);
         self.noted(at, done).is_some()
     }
 
     /// The write of this number lasts.
     pub fn lasts(&self, seq: Seq) -> bool {
-        self.ledger.lasts(seq)
+        self.ledger.is_durable(seq)
     }
 
     /// Notes the list of endpoints, or changes of it.
@@ -118,16 +118,16 @@
         at: Moment,
         source: &str,
         index: u64,
-        now: &[millpost_store::ledger::Listed],
+        now: &[millpost_store::ledger::ListedEndpoint],
         gone: &[String],
     ) {
-        let done = self.ledger.list(source, index, now, gone);
+        let done = self.ledger.record_endpoint_list(source, index, now, gone);
         self.noted(at, done);
     }
 
     /// About once a second: compacts a little, and says once that writes work again.
     pub fn tidy(&mut self, at: Moment) {
-        within(Part::Journal, || self.ledger.tidy(at.wall));
+        within(Part::Journal, || self.ledger.maintain(at.wall));
         // Frames have been written since the last failure, which is a while ago: neither an idle call nor a write
         // that found room between two that did not ends the trouble.
         let next = self.ledger.store().next_seq();
@@ -149,14 +149,14 @@
     }
 
     /// A sync is over. What clients wait for and will not last is given back.
-    pub fn synced(&mut self, at: Moment, synced: Synced) -> Vec<Deferred> {
+    pub fn synced(&mut self, at: Moment, synced: SyncResult) -> Vec<Deferred> {
         self.syncing = false;
-        let done = self.ledger.synced(synced);
+        let done = self.ledger.finish_sync(synced);
         if self.noted(at, done).is_some() {
             return Vec::new();
         }
         self.sync_at = at.now.saturating_add(SYNC_AGAIN);
-        self.shelf.take_client_replies(|seq| self.ledger.lasts(seq))
+        self.shelf.take_client_replies(|seq| self.ledger.is_durable(seq))
     }
 
     /// What came of a write. That writes fail is said once, and once that they work again.
--- a/dispatcher/src/roster.rs
+++ b/dispatcher/src/roster.rs
@@ -7,7 +7,7 @@
 use millpost::api::{EndpointId, Entry, State};
 use millpost_core::Moment;
 use millpost_settings::Shape;
-use millpost_store::ledger::Listed;
+use millpost_store::ledger::ListedEndpoint;
 
 use crate::cordons::{Change, Cordons};
 use crate::discovery::{Endpoint, List, Status};
@@ -158,7 +158,7 @@
     /// The list of the configuration, or the one that was noted last, if that is newer.
     pub fn newest(&mut self, record: &Record, known: List) -> List {
         let known = List { snapshot: true, ..known };
-        let Some((source, index, noted)) = record.ledger().listed() else { return known };
+        let Some((source, index, noted)) = record.ledger().endpoint_list() else { return known };
         for e in &noted {
             // Numbers that lessons of routes go by.
             self.names.insert(e.name.clone(), e.id);
@@ -185,13 +185,13 @@
     pub fn listed(&mut self, at: Moment, record: &mut Record, list: List) -> (bool, Vec<Entry>) {
         let (index, snapshot) = (list.index, list.snapshot);
         let mut gone = Vec::new();
-        let mut told: Vec<Listed> = Vec::new();
+        let mut told: Vec<ListedEndpoint> = Vec::new();
         for e in &list.endpoints {
             if e.status == Status::Terminated {
                 gone.push(e.name.clone());
                 continue;
             }
-            told.push(Listed {
+            told.push(ListedEndpoint {
                 name: e.name.clone(),
                 id: 0,
                 address: e.address.to_string(),
@@ -208,12 +208,13 @@
             e.id = self.names.get(&e.name).copied().unwrap_or(0);
         }
         // Looked through as a whole only where names may be missing.
-        let noted =
-            Some(()).filter(|()| snapshot || !unreadable.is_empty()).and_then(|()| record.ledger().listed());
+        let noted = Some(())
+            .filter(|()| snapshot || !unreadable.is_empty())
+            .and_then(|()| record.ledger().endpoint_list());
         let named: HashSet<String> = told.iter().map(|e| e.name.clone()).collect();
         for e in noted.map(|(_, _, all)| all).unwrap_or_default() {
             if unreadable.contains(&e.name) {
-                told.push(Listed { in_service: false, ..e });
+                told.push(ListedEndpoint { in_service: false, ..e });
             } else if snapshot && !named.contains(&e.name) {
                 gone.push(e.name);
             }
--- a/dispatcher/src/versions.rs
+++ b/dispatcher/src/versions.rs
@@ -36,7 +36,7 @@
 
 /// For how long what has this digest has been in force, where that was noted.
 fn held(at: Moment, name: &str, digest: u32, record: &Record) -> Option<Nanos> {
-    let noted = record.ledger().kept(name).and_then(|kept| postcard::from_bytes::<Settled>(&kept).ok());
+    let noted = record.ledger().value(name).and_then(|value| postcard::from_bytes::<Settled>(&value).ok());
     noted.filter(|noted| noted.digest == digest).map(|noted| at.wall.saturating_sub(noted.since))
 }
 
@@ -63,8 +63,8 @@
 
 /// Cordons and drains as they were noted.
 pub fn words(record: &Record) -> Vec<Word> {
-    let kept = record.ledger().kept(WORDS);
-    kept.and_then(|kept| postcard::from_bytes(&kept).ok()).unwrap_or_default()
+    let kept = record.ledger().value(WORDS);
+    kept.and_then(|value| postcard::from_bytes(&value).ok()).unwrap_or_default()
 }
 
 /// Notes them.
--- a/dispatcher/tests/common/mod.rs
+++ b/dispatcher/tests/common/mod.rs
@@ -125,7 +125,7 @@
     /// How many lessons the store keeps.
     pub fn lessons(&self) -> usize {
         let read = Store::read(Disk::read_only(self.state.path()), &ledger::IN_MEMORY);
-        read.map_or(0, |(store, _)| store.len(ledger::LEARNT))
+        read.map_or(0, |(store, _)| store.len(ledger::LEARNED))
     }
 
     /// Names of the endpoints that the store keeps.
@@ -147,7 +147,8 @@
                 Told::Ended => store.is_empty(ledger::MESSAGES),
                 Told::NeverRan => store.keys(ledger::HISTORIES, &[]).any(|(_, _, value)| {
                     let history = value.and_then(|v| ledger::read_history(v));
-                    history.is_some_and(|h| h.attempts > 0 && h.out.is_none() && h.may_have_run.is_none())
+                    history
+                        .is_some_and(|h| h.attempts > 0 && h.in_flight.is_none() && h.may_have_run.is_none())
                 }),
             };
             known.then_some(())
--- a/dispatcher/tests/shared.rs
+++ b/dispatcher/tests/shared.rs
@@ -254,8 +254,8 @@
     let hour = 3_600_000_000_000;
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock");
     let later = now.as_nanos() as u64 + hour;
-    open(0).0.learn(later, [(99, None, Some(vec![0]))]).expect("written");
-    assert!(open(0).1.latest >= later);
+    open(0).0.record_learned(later, [(99, None, Some(vec![0]))]).expect("written");
+    assert!(open(0).1.latest_time >= later);
 }
 
 #[test]
--- a/explore/src/journal.rs
+++ b/explore/src/journal.rs
@@ -6,14 +6,14 @@
 use millpost::api::{DestId, EndpointId, MsgId, Nanos};
 use millpost_core::Change;
 use millpost_store::Seq;
-use millpost_store::ledger::{Final, Found, History, Taken};
+use millpost_store::ledger::{AcceptedMessage, FinalOutcome, History, RecoveredMessage};
 use serde::Serialize;
 
 /// What a start finds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 struct Tables {
-    messages: BTreeMap<MsgId, (Taken, History)>,
-    ends: BTreeMap<String, Final>,
+    messages: BTreeMap<MsgId, (AcceptedMessage, History)>,
+    ends: BTreeMap<String, FinalOutcome>,
     lessons: BTreeMap<(DestId, Option<EndpointId>), (Nanos, Vec<u8>)>,
     next: MsgId,
 }
@@ -60,8 +60,8 @@
                 tables.messages.insert(*id, (taken.clone(), History::default()));
                 tables.next = tables.next.max(id + 1);
             }
-            Change::Begin { id, at, zone } => tables.tell(*id, |history| history.begin(*at, *zone)),
-            Change::Outcome { id, never_ran } => tables.tell(*id, |history| history.over(*never_ran)),
+            Change::Begin { id, at, zone } => tables.tell(*id, |history| history.begin_attempt(*at, *zone)),
+            Change::Outcome { id, never_ran } => tables.tell(*id, |history| history.end_attempt(*never_ran)),
             Change::Answer { id, answer } => tables.tell(*id, |history| history.answer = Some(*answer)),
             Change::End { id, end } => {
                 tables.messages.remove(id);
@@ -147,7 +147,7 @@
     }
 
     /// How a message of this reference ended.
-    pub fn end(&self, reference: &str) -> Option<Final> {
+    pub fn end(&self, reference: &str) -> Option<FinalOutcome> {
         self.now.ends.get(reference).copied()
     }
 
@@ -157,10 +157,10 @@
     }
 
     /// Messages owed, as a start finds them.
-    pub fn found(&self) -> Vec<Found> {
-        let found = self.now.messages.iter().map(|(id, (taken, history))| Found {
+    pub fn found(&self) -> Vec<RecoveredMessage> {
+        let found = self.now.messages.iter().map(|(id, (taken, history))| RecoveredMessage {
             id: *id,
-            taken: taken.clone(),
+            message: taken.clone(),
             body_lost: false,
             at: 0,
             history: *history,
--- a/explore/src/world.rs
+++ b/explore/src/world.rs
@@ -16,7 +16,7 @@
     CallEnd, CallId, Core, CoreSnapshot, DurabilityQueue, Effect, Fault, MessageEnd, MessageEnds, Moment,
     Submission, SubmitReply,
 };
-use millpost_store::ledger::{Answer, Found};
+use millpost_store::ledger::{Answer, RecoveredMessage};
 use serde::Serialize;
 
 use crate::journal::Journal;
@@ -236,7 +236,7 @@
             self.core.restore_learned(at, &LearnedState { dest, route, bytes }, at.wall - wall);
         }
         self.core.resume(at);
-        let found: Vec<Found> = self.journal.found();
+        let found: Vec<RecoveredMessage> = self.journal.found();
         found.into_iter().for_each(|found| self.core.restore(at, found));
         self.news = true;
     }
@@ -643,7 +643,7 @@
         self.shelf = DurabilityQueue::default();
         self.journal.crash();
         for found in self.journal.found().into_iter().filter(|_| unsure) {
-            if let Some(message) = number(&found.taken.reference) {
+            if let Some(message) = number(&found.message.reference) {
                 self.messages[message].delivered = false;
             }
         }
--- a/store/compare/src/engines.rs
+++ b/store/compare/src/engines.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use fjall::{KeyspaceCreateOptions, PersistMode};
-use millpost_store::ledger::{Answer, Final, Taken};
+use millpost_store::ledger::{AcceptedMessage, Answer, FinalOutcome};
 use millpost_store::{Disk, Durability, Ledger, Options};
 use redb::{ReadableDatabase, ReadableTable, ReadableTableMetadata, TableDefinition};
 
@@ -47,8 +47,8 @@
 const HISTORY: [u8; 26] = [7; 26];
 const ANSWER: [u8; 9] = [1; 9];
 
-fn message(n: u64, body: &[u8]) -> Taken {
-    Taken {
+fn message(n: u64, body: &[u8]) -> AcceptedMessage {
+    AcceptedMessage {
         reference: format!("reference-{n:016}"),
         class: 1,
         dest: n % 50,
@@ -81,24 +81,24 @@
 
 impl Engine for OurStore {
     fn take(&mut self, n: u64, body: &[u8]) {
-        assert_eq!(self.ledger.take(5, &message(n, body)).expect("room").0, n + 1);
+        assert_eq!(self.ledger.accept(5, &message(n, body)).expect("room").0, n + 1);
         self.last();
     }
     fn begin(&mut self, n: u64) {
-        self.ledger.begin(n + 1, 6, 1).expect("written");
+        self.ledger.begin_attempt(n + 1, 6, 1).expect("written");
         self.last();
     }
     fn end(&mut self, n: u64, _: Option<u64>) {
         let reference = format!("reference-{n:016}");
         let until = 10 + n;
-        self.ledger.end(n + 1, Some((&reference, Final::Delivered, until))).expect("written");
+        self.ledger.finish(n + 1, Some((&reference, FinalOutcome::Delivered, until))).expect("written");
         if n.is_multiple_of(64) {
-            self.ledger.tidy(until.saturating_sub(crate::ANSWERS));
+            self.ledger.maintain(until.saturating_sub(crate::ANSWERS));
         }
         self.last();
     }
     fn count(&self) -> u64 {
-        self.ledger.owed() as u64
+        self.ledger.pending() as u64
     }
 }
 
@@ -106,7 +106,7 @@
 
 impl Engine for OldJournal {
     fn take(&mut self, n: u64, body: &[u8]) {
-        let Taken { reference, class, dest, deadline, key, body, .. } = message(n, body);
+        let AcceptedMessage { reference, class, dest, deadline, key, body, .. } = message(n, body);
         let taken = journal::Taken { reference, class, dest, deadline, key, body };
         self.0.take(5, &taken).expect("room");
     }
--- a/store/src/bin/millpost-store.rs
+++ b/store/src/bin/millpost-store.rs
@@ -6,7 +6,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use lexopt::prelude::*;
-use millpost_store::ledger::{self, Answer, Final, History, Nanos};
+use millpost_store::ledger::{self, Answer, FinalOutcome, History, Nanos};
 use millpost_store::{Disk, Durability, Error, Folder, Ledger, Options, Recovery, Store, segment_name};
 use serde_json::{Value, json};
 
@@ -120,14 +120,14 @@
     let tables: serde_json::Map<String, Value> = (0u8..)
         .zip(ledger::TABLES)
         .map(|(table, name)| {
-            (name.to_owned(), json!({"records": store.len(table), "bytes": store.weight(table)}))
+            (name.to_owned(), json!({"records": store.len(table), "bytes": store.live_bytes(table)}))
         })
         .collect();
     line(
         out,
         &json!({
             "segments": stats.segments, "bytes": stats.used, "live_bytes": stats.live,
-            "frames": recovery.frames, "next_frame": store.next_seq(), "torn_bytes": recovery.torn,
+            "frames": recovery.frames, "next_frame": store.next_seq(), "torn_bytes": recovery.torn_bytes,
             "damage": recovery.damage, "tables": tables,
         }),
     )?;
@@ -161,7 +161,7 @@
             line(out, &json!({"message": number(key), "damage": "the record is not complete"}))?;
         }
     }
-    line(out, &json!({"frames": recovery.frames, "torn_bytes": recovery.torn, "wrong": wrong}))?;
+    line(out, &json!({"frames": recovery.frames, "torn_bytes": recovery.torn_bytes, "wrong": wrong}))?;
     Ok(wrong == 0)
 }
 
@@ -169,11 +169,11 @@
     key.try_into().map_or(0, u64::from_be_bytes)
 }
 
-fn final_json(end: Final) -> Value {
+fn final_json(end: FinalOutcome) -> Value {
     match end {
-        Final::Delivered => json!("delivered"),
-        Final::Answered(Answer::Failed) => json!("failed"),
-        Final::Answered(Answer::Refused { wait_ms }) => json!({ "refused": { "wait_ms": wait_ms } }),
+        FinalOutcome::Delivered => json!("delivered"),
+        FinalOutcome::Answered(Answer::Failed) => json!("failed"),
+        FinalOutcome::Answered(Answer::Refused { wait_ms }) => json!({ "refused": { "wait_ms": wait_ms } }),
     }
 }
 
@@ -208,7 +208,7 @@
             "destination": taken.dest, "taken_ns": at, "deadline_ns": taken.deadline,
             "key": taken.key.as_deref().map(String::from_utf8_lossy), "order_key": taken.order, "body_bytes": length,
             "attempts": history.attempts, "may_have_run": attempt_json(history.may_have_run),
-            "out": attempt_json(history.out), "answer": history.answer.map(|a| final_json(Final::Answered(a))),
+            "out": attempt_json(history.in_flight), "answer": history.answer.map(|a| final_json(FinalOutcome::Answered(a))),
         });
         if let (Some(body), Some(record)) = (shown, record.as_object_mut()) {
             record.insert("body_hex".into(), json!(body));
@@ -216,7 +216,7 @@
         line(out, &record)?;
     }
     for (key, _, value) in store.keys(ledger::ANSWERS, &[]) {
-        if let Some((end, until)) = value.and_then(|v| ledger::read_final(v)) {
+        if let Some((end, until)) = value.and_then(|v| ledger::read_final_outcome(v)) {
             let reference = String::from_utf8_lossy(key);
             line(
                 out,
@@ -225,7 +225,7 @@
         }
     }
     for (key, _, value) in store.keys(ledger::ENDPOINTS, &[]) {
-        if let Some(e) = value.and_then(|v| ledger::read_listed(key, v)) {
+        if let Some(e) = value.and_then(|v| ledger::read_endpoint(key, v)) {
             line(
                 out,
                 &json!({
@@ -235,8 +235,8 @@
             )?;
         }
     }
-    for (key, _, value) in store.keys(ledger::LEARNT, &[]) {
-        if let (Some((dest, route)), Some(value)) = (ledger::read_learnt_key(key), value) {
+    for (key, _, value) in store.keys(ledger::LEARNED, &[]) {
+        if let (Some((dest, route)), Some(value)) = (ledger::read_learned_key(key), value) {
             let noted = value.get(..8).and_then(|v| v.try_into().ok()).map(u64::from_le_bytes);
             line(
                 out,
--- a/store/src/checkpoint.rs
+++ b/store/src/checkpoint.rs
@@ -4,7 +4,7 @@
 //! Invariant: a checkpoint counts only as a whole, for just the segment whose header it repeats, and only once all
 //! of that segment lasts; without it, or with a bad one, the segment itself is read.
 
-use crate::format::{Batch, HEADER, HIGHEST_SEQ, Header, Item, LONGEST_BODY, Op, Seed, Seq, ops};
+use crate::format::{Batch, HEADER_LEN, Header, Item, MAX_BODY_LEN, MAX_SEQ, Op, Seed, Seq, ops};
 
 /// Name of the checkpoint of a segment.
 pub(crate) fn name(segment: u64) -> String {
@@ -30,7 +30,7 @@
 
     /// Takes in a frame that was written. `in_memory` tells of each table whether its values are.
     pub(crate) fn add(&mut self, seq: Seq, at: u64, body: &[u8], in_memory: impl Fn(u8) -> bool) {
-        if self.parts.last().is_none_or(|part| part.bytes().len() + body.len() > LONGEST_BODY / 2) {
+        if self.parts.last().is_none_or(|part| part.bytes().len() + body.len() > MAX_BODY_LEN / 2) {
             self.parts.push(Batch::new());
         }
         let Some(part) = self.parts.last_mut() else { return };
@@ -73,7 +73,7 @@
         return None;
     }
     let seed = Seed::new(header.store, header.segment);
-    let (mut at, mut parts, mut end) = (HEADER, Vec::new(), None);
+    let (mut at, mut parts, mut end) = (HEADER_LEN, Vec::new(), None);
     while at < file.len() {
         let Item::Frame { seq, body, whole } = seed.next(&file[at..], at as u64, true) else { return None };
         if seq != parts.len() as u64 + 1 || end.is_some() {
@@ -82,11 +82,11 @@
         let mut expected = None;
         for op in ops(body) {
             match op? {
-                Op::Sealed { size: its, next } if its == size && next <= void_from.min(HIGHEST_SEQ) => {
+                Op::Sealed { size: its, next } if its == size && next <= void_from.min(MAX_SEQ) => {
                     end = Some(next)
                 }
                 Op::Sealed { .. } => return None,
-                Op::Frame { seq, .. } if seq > HIGHEST_SEQ => return None,
+                Op::Frame { seq, .. } if seq > MAX_SEQ => return None,
                 Op::Frame { seq, .. } => {
                     if expected.is_some_and(|expected| seq != expected) {
                         return None;
--- a/store/src/format.rs
+++ b/store/src/format.rs
@@ -22,16 +22,16 @@
 /// Bytes of a copy that its checksum covers, and that it follows.
 const SUMMED: usize = 52;
 /// Bytes of a segment's header, both copies.
-pub const HEADER: usize = 2 * COPY;
+pub const HEADER_LEN: usize = 2 * COPY;
 /// Bytes of a frame before its body.
-pub const FRAME_HEAD: usize = 20;
+pub const FRAME_HEADER_LEN: usize = 20;
 /// The largest body of a frame; also bounds what a reader allocates for one.
-pub const LONGEST_BODY: usize = 1 << 20;
+pub const MAX_BODY_LEN: usize = 1 << 20;
 /// The longest key.
-pub const LONGEST_KEY: usize = 1024;
+pub const MAX_KEY_LEN: usize = 1024;
 
 /// No frame has a number above this: one that is read with more is none, so that counting on never overflows.
-pub const HIGHEST_SEQ: Seq = 1 << 62;
+pub const MAX_SEQ: Seq = 1 << 62;
 
 /// Number of a frame: one more than that of the frame before it in the log.
 pub type Seq = u64;
@@ -53,7 +53,7 @@
 
 /// Why the start of a file is no header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BadHeader {
+pub enum HeaderError {
     /// The file ends within it.
     Short,
     /// There are zeros where it should be.
@@ -78,8 +78,8 @@
 
 impl Header {
     /// The header's bytes, both copies.
-    pub fn encode(&self) -> [u8; HEADER] {
-        let mut all = [0; HEADER];
+    pub fn encode(&self) -> [u8; HEADER_LEN] {
+        let mut all = [0; HEADER_LEN];
         for copy in all.chunks_exact_mut(COPY) {
             copy[..8].copy_from_slice(MAGIC);
             copy[8..12].copy_from_slice(&VERSION.to_le_bytes());
@@ -96,30 +96,34 @@
     /// Reads the header at the start of a file.
     ///
     /// # Errors
-    /// [`BadHeader`] where neither copy can be read.
-    pub fn decode(bytes: &[u8]) -> Result<Header, BadHeader> {
-        if bytes.len() < HEADER {
+    /// [`HeaderError`] where neither copy can be read.
+    pub fn decode(bytes: &[u8]) -> Result<Header, HeaderError> {
+        if bytes.len() < HEADER_LEN {
             let shown = bytes.len().min(8);
-            return Err(if bytes[..shown] == MAGIC[..shown] { BadHeader::Short } else { BadHeader::Foreign });
+            return Err(if bytes[..shown] == MAGIC[..shown] {
+                HeaderError::Short
+            } else {
+                HeaderError::Foreign
+            });
         }
-        if bytes[..HEADER].iter().all(|b| *b == 0) {
-            return Err(BadHeader::Blank);
+        if bytes[..HEADER_LEN].iter().all(|b| *b == 0) {
+            return Err(HeaderError::Blank);
         }
-        let mut worst = BadHeader::Foreign;
-        for copy in bytes[..HEADER].chunks_exact(COPY) {
+        let mut worst = HeaderError::Foreign;
+        for copy in bytes[..HEADER_LEN].chunks_exact(COPY) {
             if copy[..8] != MAGIC[..] {
                 continue;
             }
-            worst = BadHeader::Damaged;
+            worst = HeaderError::Damaged;
             let (version, sum) = (u32_at(copy, 8), u32_at(copy, SUMMED));
             if sum != Some(crc32fast::hash(&copy[..SUMMED])) {
                 continue;
             }
             if let Some(version) = version.filter(|v| *v != VERSION) {
-                return Err(BadHeader::Newer(version));
+                return Err(HeaderError::Newer(version));
             }
             let number = |n: usize| u64_at(copy, 12 + 8 * n).unwrap_or(0);
-            if (0..5).any(|n| n != 0 && number(n) > HIGHEST_SEQ) {
+            if (0..5).any(|n| n != 0 && number(n) > MAX_SEQ) {
                 continue;
             }
             return Ok(Header {
@@ -156,7 +160,7 @@
 
     /// A whole frame for this offset of the segment.
     pub fn frame(&self, at: u64, seq: Seq, body: &[u8]) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(FRAME_HEAD + body.len());
+        let mut bytes = Vec::with_capacity(FRAME_HEADER_LEN + body.len());
         bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
         bytes.extend_from_slice(&seq.to_le_bytes());
         bytes.extend_from_slice(&crc32fast::hash(body).to_le_bytes());
@@ -167,13 +171,13 @@
     }
 
     fn head(&self, at: u64, bytes: &[u8]) -> Option<(usize, Seq, u32)> {
-        let head = bytes.get(..FRAME_HEAD)?;
+        let head = bytes.get(..FRAME_HEADER_LEN)?;
         let length = u32_at(head, 0)? as usize;
         // Looked at first: most of what is no head fails here without a checksum.
-        if length > LONGEST_BODY || u32_at(head, 16)? != self.head_sum(at, &head[..16]) {
+        if length > MAX_BODY_LEN || u32_at(head, 16)? != self.head_sum(at, &head[..16]) {
             return None;
         }
-        let seq = u64_at(head, 4).filter(|seq| *seq <= HIGHEST_SEQ)?;
+        let seq = u64_at(head, 4).filter(|seq| *seq <= MAX_SEQ)?;
         Some((length, seq, u32_at(head, 12)?))
     }
 
@@ -183,12 +187,12 @@
         if bytes.is_empty() {
             return if last { Item::End } else { Item::More };
         }
-        if bytes.len() < FRAME_HEAD {
+        if bytes.len() < FRAME_HEADER_LEN {
             return if last { Item::Torn(bytes.len()) } else { Item::More };
         }
         if let Some((length, seq, sum)) = self.head(at, bytes) {
-            let whole = FRAME_HEAD + length;
-            return match bytes.get(FRAME_HEAD..whole) {
+            let whole = FRAME_HEADER_LEN + length;
+            return match bytes.get(FRAME_HEADER_LEN..whole) {
                 Some(body) if crc32fast::hash(body) == sum => Item::Frame { seq, body, whole },
                 Some(_) => Item::Spoilt(whole),
                 None if last => Item::Torn(bytes.len()),
@@ -196,7 +200,7 @@
             };
         }
         // The length can't be trusted: the next head that can be read is looked for.
-        let heads = 1..=bytes.len() - FRAME_HEAD;
+        let heads = 1..=bytes.len() - FRAME_HEADER_LEN;
         let found = heads.clone().find(|skip| self.head(at + *skip as u64, &bytes[*skip..]).is_some());
         Item::Spoilt(found.unwrap_or(if last { bytes.len() } else { *heads.end() }.max(1)))
     }
@@ -295,7 +299,7 @@
 const SEALED: u8 = 7;
 
 /// Bytes that a put takes besides key and value.
-pub const PUT_HEAD: usize = 8;
+pub const PUT_HEADER_LEN: usize = 8;
 
 /// Operations that take effect together or not at all.
 #[derive(Clone, Debug, Default)]
@@ -415,13 +419,13 @@
     fn one_damaged_copy_of_a_header_costs_nothing() {
         let header = Header { store: 1, segment: 2, first_seq: 3, floor: 4, reserved: 5 };
         let good = header.encode();
-        for at in 0..HEADER {
+        for at in 0..HEADER_LEN {
             let mut bad = good;
             bad[at] ^= 0x40;
             assert_eq!(Header::decode(&bad), Ok(header), "damage at {at}");
         }
-        assert_eq!(Header::decode(&good[..20]), Err(BadHeader::Short));
-        assert_eq!(Header::decode(&[7; 200]), Err(BadHeader::Foreign));
+        assert_eq!(Header::decode(&good[..20]), Err(HeaderError::Short));
+        assert_eq!(Header::decode(&[7; 200]), Err(HeaderError::Foreign));
     }
 
     #[test]
@@ -432,10 +436,10 @@
             let sum = crc32fast::hash(&copy[..SUMMED]);
             copy[SUMMED..SUMMED + 4].copy_from_slice(&sum.to_le_bytes());
         }
-        assert_eq!(Header::decode(&bytes), Err(BadHeader::Newer(9)));
+        assert_eq!(Header::decode(&bytes), Err(HeaderError::Newer(9)));
         bytes[9] ^= 1;
         bytes[COPY + 9] ^= 1;
-        assert_eq!(Header::decode(&bytes), Err(BadHeader::Damaged));
+        assert_eq!(Header::decode(&bytes), Err(HeaderError::Damaged));
     }
 
     #[test]
@@ -455,11 +459,11 @@
     fn after_a_damaged_frame_the_next_one_is_found() {
         let seed = Seed::new(7, 3);
         let (first, second) = (seed.frame(128, 1, b""), seed.frame(148, 2, b""));
-        for at in 0..FRAME_HEAD {
+        for at in 0..FRAME_HEADER_LEN {
             let mut both = [first.clone(), second.clone()].concat();
             both[at] ^= 0x81;
             let Item::Spoilt(skip) = seed.next(&both, 128, true) else { panic!("not found: {at}") };
-            assert_eq!(skip, FRAME_HEAD);
+            assert_eq!(skip, FRAME_HEADER_LEN);
             assert!(matches!(seed.next(&both[skip..], 148, true), Item::Frame { seq: 2, .. }));
         }
     }
--- a/store/src/journal.rs
+++ b/store/src/journal.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 
-use crate::ledger::{Answer, History, Nanos, Taken};
+use crate::ledger::{AcceptedMessage, Answer, History, Nanos};
 
 /// Name of the journal's file, and of the one that replaced it in a compaction.
 pub const FILE: &str = "journal";
@@ -23,9 +23,9 @@
 
 /// A message that an old journal still owes its end.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Owed {
+pub struct PendingMessage {
     /// The message.
-    pub taken: Taken,
+    pub message: AcceptedMessage,
     /// When it was taken on.
     pub at: Nanos,
     /// Its attempts.
@@ -34,11 +34,11 @@
 
 /// What an old journal holds.
 #[derive(Debug, Default)]
-pub struct Old {
+pub struct OldJournal {
     /// By number.
-    pub owed: BTreeMap<u64, Owed>,
+    pub pending: BTreeMap<u64, PendingMessage>,
     /// Numbers from this one on were never used.
-    pub next: u64,
+    pub next_id: u64,
     /// Something in the middle of it could not be read: any message may have run since it came.
     pub damaged: bool,
 }
@@ -75,19 +75,19 @@
             _ => None,
         })
     }
-    fn taken(&mut self) -> Option<(Taken, Nanos)> {
+    fn taken(&mut self) -> Option<(AcceptedMessage, Nanos)> {
         let (class, dest, at, deadline) = (self.u32()?, self.u64()?, self.u64()?, self.u64()?);
         let reference = String::from_utf8(self.bytes()?.to_vec()).ok()?;
         let key = if self.u32()? == 1 { Some(self.bytes()?) } else { None };
         let body = Bytes::copy_from_slice(&self.bytes()?);
         let key = key.map(|key| Bytes::copy_from_slice(&key));
-        Some((Taken { reference, class, dest, deadline, key, order: None, body }, at))
+        Some((AcceptedMessage { reference, class, dest, deadline, key, order: None, body }, at))
     }
 }
 
 /// Reads all of a journal; never fails, since an old start didn't either.
-pub fn read(data: &Bytes) -> Old {
-    let mut old = Old { next: 1, ..Old::default() };
+pub fn read(data: &Bytes) -> OldJournal {
+    let mut old = OldJournal { next_id: 1, ..OldJournal::default() };
     let mut skipped = false;
     let mut rest = Reader(data.clone());
     while let (Some(length), Some(sum)) = (rest.u32(), rest.u32()) {
@@ -106,40 +106,40 @@
     }
     old.damaged |= skipped;
     if old.damaged {
-        for owed in old.owed.values_mut() {
+        for owed in old.pending.values_mut() {
             owed.history.doubt(owed.at);
         }
     }
     old
 }
 
-fn replay(old: &mut Old, mut body: Reader) -> Option<()> {
+fn replay(old: &mut OldJournal, mut body: Reader) -> Option<()> {
     let (kind, id) = (body.u8()?, body.u64()?);
-    old.next = old.next.max(id.saturating_add(1));
+    old.next_id = old.next_id.max(id.saturating_add(1));
     if kind == TAKEN {
         let (taken, at) = body.taken()?;
-        old.owed.insert(id, Owed { taken, at, history: History::default() });
+        old.pending.insert(id, PendingMessage { message: taken, at, history: History::default() });
         return Some(());
     }
     // Records of a message that is over say nothing any more.
-    let Some(Owed { taken, history, .. }) = old.owed.get_mut(&id) else { return Some(()) };
+    let Some(PendingMessage { message, history, .. }) = old.pending.get_mut(&id) else { return Some(()) };
     match kind {
-        BEGUN => history.begin(body.u64()?, body.u32()?),
-        NEVER_RAN => history.over(true),
-        MAY_HAVE_RUN => history.over(false),
+        BEGUN => history.begin_attempt(body.u64()?, body.u32()?),
+        NEVER_RAN => history.end_attempt(true),
+        MAY_HAVE_RUN => history.end_attempt(false),
         ANSWERED => {
             history.answer = body.answer()?;
-            taken.body = Bytes::new();
+            message.body = Bytes::new();
         }
         ENDED => {
-            old.owed.remove(&id);
+            old.pending.remove(&id);
         }
         HISTORY_SO_FAR => {
             *history = History {
                 attempts: body.u32()?,
                 first_sent: body.u64()?,
                 may_have_run: body.time_and_zone()?,
-                out: body.time_and_zone()?,
+                in_flight: body.time_and_zone()?,
                 answer: body.answer()?,
             }
         }
--- a/store/src/ledger.rs
+++ b/store/src/ledger.rs
@@ -12,9 +12,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::folder::Folder;
-use crate::format::{Batch, FRAME_HEAD, PUT_HEAD, Seq};
-use crate::journal::Old;
-use crate::log::{Error, Options, Recovery, Stats, Store, SyncJob, Synced};
+use crate::format::{Batch, FRAME_HEADER_LEN, PUT_HEADER_LEN, Seq};
+use crate::journal::OldJournal;
+use crate::log::{Error, Options, Recovery, Stats, Store, SyncJob, SyncResult};
 
 /// A point in time or a span, in nanoseconds.
 pub type Nanos = u64;
@@ -30,7 +30,7 @@
 /// Endpoints as last listed, by name.
 pub const ENDPOINTS: u8 = 4;
 /// What was learnt of destinations and routes.
-pub const LEARNT: u8 = 5;
+pub const LEARNED: u8 = 5;
 /// Single values.
 pub const META: u8 = 6;
 /// Names of the tables, in their order.
@@ -61,7 +61,7 @@
 
 /// A message as it was handed in.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Taken {
+pub struct AcceptedMessage {
     /// Its id at its client.
     pub reference: String,
     /// Position of its class.
@@ -88,7 +88,8 @@
     /// Earliest attempt that may have run, with its zone.
     pub may_have_run: Option<(Nanos, u32)>,
     /// The attempt that has no outcome yet.
-    pub out: Option<(Nanos, u32)>,
+    #[serde(rename = "out")]
+    pub in_flight: Option<(Nanos, u32)>,
     /// The final answer, once there is one: it is owed until its notice has been taken.
     pub answer: Option<Answer>,
 }
@@ -107,7 +108,7 @@
 
 /// How a message ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Final {
+pub enum FinalOutcome {
     /// It was delivered.
     Delivered,
     /// Its client was told this.
@@ -116,11 +117,11 @@
 
 /// A message that was found at the start.
 #[derive(Debug)]
-pub struct Found {
+pub struct RecoveredMessage {
     /// Its number.
     pub id: u64,
     /// The message; its body is empty where it was lost.
-    pub taken: Taken,
+    pub message: AcceptedMessage,
     /// Its body can't be read any more: it can't be sent.
     pub body_lost: bool,
     /// When it was taken on.
@@ -131,7 +132,7 @@
 
 /// An endpoint as it was last listed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedEndpoint {
     /// Its name in the list.
     pub name: String,
     /// The number that this dispatcher has given it.
@@ -154,13 +155,13 @@
 #[derive(Debug, Default)]
 pub struct Opened {
     /// Messages still owed their end, by number.
-    pub found: Vec<Found>,
+    pub messages: Vec<RecoveredMessage>,
     /// How the log was found.
     pub recovery: Recovery,
     /// Messages that an old journal held and that the store has now.
-    pub moved: usize,
+    pub migrated: usize,
     /// Highest time in any record: the clock was there once, whatever it says now.
-    pub latest: Nanos,
+    pub latest_time: Nanos,
 }
 
 struct Kept {
@@ -177,21 +178,21 @@
     /// Answers by the time until which they are kept.
     ends: BTreeSet<(Nanos, Box<str>)>,
     /// Ends that could not be written yet.
-    unwritten: BTreeMap<u64, Option<(Box<str>, Final, Nanos)>>,
+    unwritten: BTreeMap<u64, Option<(Box<str>, FinalOutcome, Nanos)>>,
 }
 
 impl History {
     /// An attempt begins.
-    pub fn begin(&mut self, at: Nanos, zone: u32) {
+    pub fn begin_attempt(&mut self, at: Nanos, zone: u32) {
         if self.attempts == 0 {
             self.first_sent = at;
         }
         self.attempts += 1;
-        self.out = Some((at, zone));
+        self.in_flight = Some((at, zone));
     }
     /// The attempt that was out is over.
-    pub fn over(&mut self, never_ran: bool) {
-        let out = self.out.take();
+    pub fn end_attempt(&mut self, never_ran: bool) {
+        let out = self.in_flight.take();
         if !never_ran {
             self.may_have_run = self.may_have_run.or(out);
         }
@@ -283,7 +284,7 @@
     }
 }
 
-fn message_value(at: Nanos, taken: &Taken) -> Vec<u8> {
+fn message_value(at: Nanos, taken: &AcceptedMessage) -> Vec<u8> {
     let value = Writer::default().u32(taken.class).u64(taken.dest).u64(at).u64(taken.deadline);
     let value = value.bytes(taken.reference.as_bytes()).u32(u32::from(taken.key.is_some()));
     let value = value.bytes(taken.key.as_deref().unwrap_or_default());
@@ -292,18 +293,18 @@
 }
 
 /// The message without its body, and when it was taken on.
-pub fn read_message(value: &[u8]) -> Option<(Taken, Nanos)> {
+pub fn read_message(value: &[u8]) -> Option<(AcceptedMessage, Nanos)> {
     let mut value = Reader(value);
     let (class, dest, at, deadline) = (value.u32()?, value.u64()?, value.u64()?, value.u64()?);
     let (reference, has_key) = (value.text()?, value.u32()? > 0);
     let key = Some(Bytes::copy_from_slice(value.bytes()?)).filter(|_| has_key);
     let order = if value.0.is_empty() { None } else { Some(value.u64()?) };
-    Some((Taken { reference, class, dest, deadline, key, order, body: Bytes::new() }, at))
+    Some((AcceptedMessage { reference, class, dest, deadline, key, order, body: Bytes::new() }, at))
 }
 
 fn history_value(history: &History) -> Vec<u8> {
     let value = Writer::default().u32(history.attempts).u64(history.first_sent);
-    value.pair(history.may_have_run).pair(history.out).answer(history.answer).0
+    value.pair(history.may_have_run).pair(history.in_flight).answer(history.answer).0
 }
 
 /// What became of a message.
@@ -313,38 +314,38 @@
         attempts: value.u32()?,
         first_sent: value.u64()?,
         may_have_run: value.pair()?,
-        out: value.pair()?,
+        in_flight: value.pair()?,
         answer: value.answer()?,
     })
 }
 
-fn final_value(end: Final, until: Nanos) -> Vec<u8> {
+fn final_value(end: FinalOutcome, until: Nanos) -> Vec<u8> {
     let answer = match end {
-        Final::Delivered => None,
-        Final::Answered(answer) => Some(answer),
+        FinalOutcome::Delivered => None,
+        FinalOutcome::Answered(answer) => Some(answer),
     };
     Writer::default().u64(until).answer(answer).0
 }
 
 /// A final answer, and until when it is kept.
-pub fn read_final(value: &[u8]) -> Option<(Final, Nanos)> {
+pub fn read_final_outcome(value: &[u8]) -> Option<(FinalOutcome, Nanos)> {
     let mut value = Reader(value);
     let until = value.u64()?;
-    Some((value.answer()?.map_or(Final::Delivered, Final::Answered), until))
+    Some((value.answer()?.map_or(FinalOutcome::Delivered, FinalOutcome::Answered), until))
 }
 
-fn listed_value(e: &Listed) -> Vec<u8> {
+fn listed_value(e: &ListedEndpoint) -> Vec<u8> {
     let value = Writer::default().u64(e.id).u64(e.dest).u32(u32::from(e.in_service));
     let value = value.u32(u32::from(e.weight.is_some())).u64(e.weight.unwrap_or(0.0).to_bits());
     value.bytes(e.address.as_bytes()).bytes(e.zone.as_bytes()).bytes(e.kind.as_bytes()).0
 }
 
 /// An endpoint by its name.
-pub fn read_listed(name: &[u8], value: &[u8]) -> Option<Listed> {
+pub fn read_endpoint(name: &[u8], value: &[u8]) -> Option<ListedEndpoint> {
     let mut value = Reader(value);
     let (id, dest, in_service) = (value.u64()?, value.u64()?, value.u32()? > 0);
     let (weighed, weight) = (value.u32()? > 0, f64::from_bits(value.u64()?));
-    Some(Listed {
+    Some(ListedEndpoint {
         name: String::from_utf8(name.to_vec()).ok()?,
         id,
         address: value.text()?,
@@ -357,7 +358,7 @@
 }
 
 /// Destination, and route where it has several of its own, of a key of [`LEARNT`].
-pub fn read_learnt_key(key: &[u8]) -> Option<(u64, Option<u64>)> {
+pub fn read_learned_key(key: &[u8]) -> Option<(u64, Option<u64>)> {
     let half = |at: usize| Some(u64::from_be_bytes(key.get(at..at + 8)?.try_into().ok()?));
     Some((half(0)?, half(8)))
 }
@@ -379,7 +380,7 @@
         options: Options,
         now: Nanos,
         fresh_id: u64,
-        old: Option<Old>,
+        old: Option<OldJournal>,
     ) -> Result<(Self, Opened), Error> {
         let (store, recovery) = Store::open(folder, &IN_MEMORY, fresh_id, options)?;
         let mut ledger = Ledger {
@@ -393,7 +394,7 @@
         if let Some(old) = old
             && !ledger.store.contains(META, MOVED)
         {
-            opened.moved = ledger.move_in(old)?;
+            opened.migrated = ledger.move_in(old)?;
         }
         ledger.recover(now, &mut opened);
         Ok((ledger, opened))
@@ -401,31 +402,31 @@
 
     /// Takes an old journal over. An end in the middle is repeated at the next start: only the last record says
     /// that all of it is there.
-    fn move_in(&mut self, old: Old) -> Result<usize, Error> {
+    fn move_in(&mut self, old: OldJournal) -> Result<usize, Error> {
         let stale: Vec<Vec<u8>> = self.store.keys(MESSAGES, &[]).map(|(key, ..)| key.to_vec()).collect();
         for key in stale {
             self.store
                 .apply(Batch::new().delete(MESSAGES, &key).delete(BODIES, &key).delete(HISTORIES, &key))?;
         }
-        for (id, owed) in &old.owed {
+        for (id, owed) in &old.pending {
             let key = id.to_be_bytes();
             let mut batch = Batch::new();
-            batch.put(MESSAGES, &key, &message_value(owed.at, &owed.taken));
-            batch.put(BODIES, &key, &owed.taken.body);
+            batch.put(MESSAGES, &key, &message_value(owed.at, &owed.message));
+            batch.put(BODIES, &key, &owed.message.body);
             if owed.history != History::default() {
                 batch.put(HISTORIES, &key, &history_value(&owed.history));
             }
-            self.store.move_in(&batch)?;
+            self.store.apply_reserved(&batch)?;
         }
         let mut batch = Batch::new();
-        batch.put(META, NEXT_ID, &old.next.to_le_bytes()).put(META, MOVED, &[]);
-        self.store.move_in(&batch)?;
+        batch.put(META, NEXT_ID, &old.next_id.to_le_bytes()).put(META, MOVED, &[]);
+        self.store.apply_reserved(&batch)?;
         self.store.sync()?;
-        Ok(old.owed.len())
+        Ok(old.pending.len())
     }
 
     fn recover(&mut self, now: Nanos, opened: &mut Opened) {
-        let doubt = opened.recovery.doubt_before;
+        let doubt = opened.recovery.uncertain_before;
         let mut doubtful = Vec::new();
         let mut orphans = Vec::new();
         let mut latest = 0;
@@ -447,14 +448,14 @@
                 history.doubt(at);
                 doubtful.push((key.to_vec(), history));
             }
-            let times = [history.may_have_run, history.out].into_iter().flatten().map(|(at, _)| at);
+            let times = [history.may_have_run, history.in_flight].into_iter().flatten().map(|(at, _)| at);
             latest = times.chain([at]).fold(latest, u64::max);
             let body = if history.answer.is_some() { Ok(None) } else { self.store.get(BODIES, key) };
             // An empty one is there too; a message without any lost it.
             let body_lost = !matches!(body, Ok(Some(_))) && history.answer.is_none();
             taken.body = body.ok().flatten().unwrap_or_default();
             self.next = self.next.max(id.saturating_add(1));
-            opened.found.push(Found { id, taken, body_lost, at, history });
+            opened.messages.push(RecoveredMessage { id, message: taken, body_lost, at, history });
         }
         for table in [BODIES, HISTORIES] {
             let without = self.store.keys(table, &[]).filter(|(key, ..)| !self.store.contains(MESSAGES, key));
@@ -463,13 +464,13 @@
         let next = self.store.get(META, NEXT_ID).ok().flatten();
         let next = next.and_then(|v| v.as_ref().try_into().ok().map(u64::from_le_bytes));
         self.next = self.next.max(next.unwrap_or(1));
-        for Found { id, at, history, .. } in &opened.found {
+        for RecoveredMessage { id, at, history, .. } in &opened.messages {
             let told = *history != History::default();
             self.kept.insert(*id, Kept { at: *at, history: *history, told });
         }
         let mut past = Vec::new();
         for (key, _, value) in self.store.keys(ANSWERS, &[]) {
-            let until = value.and_then(|v| read_final(v)).map_or(0, |(_, until)| until);
+            let until = value.and_then(|v| read_final_outcome(v)).map_or(0, |(_, until)| until);
             match std::str::from_utf8(key) {
                 Ok(reference) if until > now => {
                     self.ends.insert((until, reference.into()));
@@ -477,11 +478,11 @@
                 _ => past.push(key.to_vec()),
             }
         }
-        for (_, _, value) in self.store.keys(LEARNT, &[]) {
+        for (_, _, value) in self.store.keys(LEARNED, &[]) {
             let at = value.and_then(|v| Reader(v).u64()).unwrap_or(0);
             latest = latest.max(at);
         }
-        opened.latest = latest;
+        opened.latest_time = latest;
         past.iter().for_each(|key| {
             self.store.forget(ANSWERS, key);
         });
@@ -531,9 +532,9 @@
     ///
     /// # Errors
     /// [`Error::Full`] where it would take room that is promised already; else as for [`Store::apply`].
-    pub fn take(&mut self, now: Nanos, taken: &Taken) -> Result<(u64, Seq), Error> {
+    pub fn accept(&mut self, now: Nanos, taken: &AcceptedMessage) -> Result<(u64, Seq), Error> {
         let id = self.next;
-        self.take_as(id, now, taken).map(|seq| (id, seq))
+        self.accept_as(id, now, taken).map(|seq| (id, seq))
     }
 
     /// The number of the next message.
@@ -541,11 +542,11 @@
         self.next
     }
 
-    /// As [`Self::take`], under a number of the caller's: [`Self::next_id`] or any later one.
+    /// As [`Self::accept`], under a number of the caller's: [`Self::next_id`] or any later one.
     ///
     /// # Errors
     /// As there.
-    pub fn take_as(&mut self, id: u64, now: Nanos, taken: &Taken) -> Result<Seq, Error> {
+    pub fn accept_as(&mut self, id: u64, now: Nanos, taken: &AcceptedMessage) -> Result<Seq, Error> {
         let key = id.to_be_bytes();
         let mut batch = Batch::new();
         batch.put(MESSAGES, &key, &message_value(now, taken)).put(BODIES, &key, &taken.body);
@@ -576,23 +577,23 @@
     ///
     /// # Errors
     /// As for [`Store::apply`].
-    pub fn begin(&mut self, id: u64, now: Nanos, zone: u32) -> Result<Seq, Error> {
-        self.tell(id, |history| history.begin(now, zone), false)
+    pub fn begin_attempt(&mut self, id: u64, now: Nanos, zone: u32) -> Result<Seq, Error> {
+        self.tell(id, |history| history.begin_attempt(now, zone), false)
     }
 
     /// The attempt that was out is over, without delivery.
     ///
     /// # Errors
     /// As for [`Store::apply`].
-    pub fn outcome(&mut self, id: u64, never_ran: bool) -> Result<Seq, Error> {
-        self.tell(id, |history| history.over(never_ran), false)
+    pub fn end_attempt(&mut self, id: u64, never_ran: bool) -> Result<Seq, Error> {
+        self.tell(id, |history| history.end_attempt(never_ran), false)
     }
 
     /// The final answer is decided; its notice is owed. Its body is of no use any more.
     ///
     /// # Errors
     /// As for [`Store::apply`].
-    pub fn answer(&mut self, id: u64, answer: Answer) -> Result<Seq, Error> {
+    pub fn record_answer(&mut self, id: u64, answer: Answer) -> Result<Seq, Error> {
         self.tell(id, |history| history.answer = Some(answer), true)
     }
 
@@ -600,9 +601,9 @@
     /// until that time, should it come again.
     ///
     /// # Errors
-    /// As for [`Store::apply`]; it is tried again with [`Self::tidy`] then, and until that has worked the message
+    /// As for [`Store::apply`]; it is tried again with [`Self::maintain`] then, and until that has worked the message
     /// is still owed after a restart.
-    pub fn end(&mut self, id: u64, end: Option<(&str, Final, Nanos)>) -> Result<Seq, Error> {
+    pub fn finish(&mut self, id: u64, end: Option<(&str, FinalOutcome, Nanos)>) -> Result<Seq, Error> {
         let done = self.write_end(id, end);
         if done.is_err() {
             let end = end.map(|(reference, end, until)| (reference.into(), end, until));
@@ -611,7 +612,7 @@
         done
     }
 
-    fn write_end(&mut self, id: u64, end: Option<(&str, Final, Nanos)>) -> Result<Seq, Error> {
+    fn write_end(&mut self, id: u64, end: Option<(&str, FinalOutcome, Nanos)>) -> Result<Seq, Error> {
         let Some(kept) = self.kept.get(&id) else { return Ok(0) };
         let key = id.to_be_bytes();
         let mut batch = Batch::new();
@@ -633,7 +634,7 @@
         self.kept.remove(&id);
         if let Some((reference, _, until)) = end {
             self.ends.insert((until, reference.into()));
-            while self.store.weight(ANSWERS) > self.store.limit() / SIDE_TABLE {
+            while self.store.live_bytes(ANSWERS) > self.store.limit() / SIDE_TABLE {
                 let Some((_, reference)) = self.ends.pop_first() else { break };
                 self.store.forget(ANSWERS, reference.as_bytes());
             }
@@ -642,20 +643,20 @@
     }
 
     /// How a message of this reference ended, where that is still kept.
-    pub fn final_answer(&self, reference: &str) -> Option<Final> {
+    pub fn final_outcome(&self, reference: &str) -> Option<FinalOutcome> {
         let unwritten = self.unwritten.values().flatten().find(|(its, ..)| **its == *reference);
         if let Some((_, end, _)) = unwritten {
             return Some(*end);
         }
         let value = self.store.get(ANSWERS, reference.as_bytes()).ok()??;
-        read_final(&value).map(|(end, _)| end)
+        read_final_outcome(&value).map(|(end, _)| end)
     }
 
     /// Drops the final answers whose time is over, and compacts a little. For about once a second.
-    pub fn tidy(&mut self, now: Nanos) {
+    pub fn maintain(&mut self, now: Nanos) {
         while let Some((id, end)) = self.unwritten.pop_first() {
             let end = end.as_ref().map(|(reference, end, until)| (&**reference, *end, *until));
-            if self.end(id, end).is_err() {
+            if self.finish(id, end).is_err() {
                 break;
             }
         }
@@ -663,11 +664,11 @@
             let Some((until, reference)) = self.ends.pop_first() else { break };
             let kept = self.store.get(ANSWERS, reference.as_bytes()).ok().flatten();
             // Given once more since, under a later time.
-            if kept.and_then(|v| read_final(&v)).is_some_and(|(_, its)| its <= until) {
+            if kept.and_then(|v| read_final_outcome(&v)).is_some_and(|(_, its)| its <= until) {
                 self.store.forget(ANSWERS, reference.as_bytes());
             }
         }
-        self.store.tidy();
+        self.store.maintain();
     }
 
     /// Notes what a list said: of these endpoints, that these names are gone, and whose version it is. What does
@@ -675,9 +676,16 @@
     ///
     /// # Errors
     /// As for [`Store::apply`].
-    pub fn list(&mut self, source: &str, index: u64, now: &[Listed], gone: &[String]) -> Result<(), Error> {
-        let weight = |e: &Listed| FRAME_HEAD + PUT_HEAD + e.name.len() + listed_value(e).len();
-        let changed: Vec<&Listed> = now
+    pub fn record_endpoint_list(
+        &mut self,
+        source: &str,
+        index: u64,
+        now: &[ListedEndpoint],
+        gone: &[String],
+    ) -> Result<(), Error> {
+        let weight =
+            |e: &ListedEndpoint| FRAME_HEADER_LEN + PUT_HEADER_LEN + e.name.len() + listed_value(e).len();
+        let changed: Vec<&ListedEndpoint> = now
             .iter()
             .filter(|e| {
                 let there = self.store.get(ENDPOINTS, e.name.as_bytes()).ok().flatten();
@@ -686,7 +694,7 @@
             .collect();
         let more: usize = changed.iter().map(|e| weight(e)).sum();
         let most = self.store.limit() / SIDE_TABLE;
-        let fits = self.store.weight(ENDPOINTS) + more as u64 <= most;
+        let fits = self.store.live_bytes(ENDPOINTS) + more as u64 <= most;
         if !(fits && self.store.has_room(more, self.promised(0))) {
             return self.drop_all(ENDPOINTS);
         }
@@ -716,12 +724,12 @@
 
     /// The list as last noted: whose, its version, and its endpoints. `None` where there is none that can be
     /// trusted.
-    pub fn listed(&self) -> Option<(String, u64, Vec<Listed>)> {
+    pub fn endpoint_list(&self) -> Option<(String, u64, Vec<ListedEndpoint>)> {
         let version = self.store.get(META, LIST).ok()??;
         let mut version = Reader(&version);
         let (index, source) = (version.u64()?, version.text()?);
-        let read = |(name, _, value): (&[u8], Seq, Option<&Bytes>)| read_listed(name, value?);
-        let all: Option<Vec<Listed>> = self.store.keys(ENDPOINTS, &[]).map(read).collect();
+        let read = |(name, _, value): (&[u8], Seq, Option<&Bytes>)| read_endpoint(name, value?);
+        let all: Option<Vec<ListedEndpoint>> = self.store.keys(ENDPOINTS, &[]).map(read).collect();
         Some((source, index, all?))
     }
 
@@ -735,7 +743,7 @@
     ///
     /// # Errors
     /// As for [`Store::apply`].
-    pub fn own(&mut self, mark: u64) -> Result<(), Error> {
+    pub fn set_owner(&mut self, mark: u64) -> Result<(), Error> {
         self.store.apply(Batch::new().put(META, OWNER, &mark.to_le_bytes())).map(drop)
     }
 
@@ -749,12 +757,12 @@
     ///
     /// # Errors
     /// As for [`Store::apply`].
-    pub fn live(&mut self, incarnation: u32) -> Result<(), Error> {
+    pub fn set_incarnation(&mut self, incarnation: u32) -> Result<(), Error> {
         self.store.apply(Batch::new().put(META, LIFE, &incarnation.to_le_bytes())).map(drop)
     }
 
-    /// What was last [kept](Self::keep) under a name.
-    pub fn kept(&self, name: &str) -> Option<Bytes> {
+    /// What was last [kept](Self::set_value) under a name.
+    pub fn value(&self, name: &str) -> Option<Bytes> {
         self.store.get(META, &[KEPT, name.as_bytes()].concat()).ok().flatten()
     }
 
@@ -762,7 +770,7 @@
     ///
     /// # Errors
     /// [`Error::Full`] where there is no room beside what is promised; else as for [`Store::apply`].
-    pub fn keep(&mut self, name: &str, value: &[u8]) -> Result<(), Error> {
+    pub fn set_value(&mut self, name: &str, value: &[u8]) -> Result<(), Error> {
         let mut batch = Batch::new();
         batch.put(META, &[KEPT, name.as_bytes()].concat(), value);
         if !self.store.has_room(batch.bytes().len(), self.promised(0)) {
@@ -771,7 +779,7 @@
         self.store.apply(&batch).map(drop)
     }
 
-    /// The classes that messages are of, as [`Self::note_classes`] wrote them.
+    /// The classes that messages are of, as [`Self::set_classes`] wrote them.
     pub fn classes(&self) -> Option<Bytes> {
         self.store.get(META, CLASSES).ok().flatten()
     }
@@ -780,7 +788,7 @@
     ///
     /// # Errors
     /// [`Error::Full`] where there is no room beside what is promised; else as for [`Store::apply`].
-    pub fn note_classes(&mut self, classes: &[u8]) -> Result<(), Error> {
+    pub fn set_classes(&mut self, classes: &[u8]) -> Result<(), Error> {
         if self.classes().as_deref() == Some(classes) {
             return Ok(());
         }
@@ -796,7 +804,7 @@
     ///
     /// # Errors
     /// [`Error::Full`] where there is no room beside what is promised; else as for [`Store::apply`].
-    pub fn cordon(&mut self, name: &str, out: bool) -> Result<Seq, Error> {
+    pub fn set_cordon(&mut self, name: &str, out: bool) -> Result<Seq, Error> {
         let (key, mut batch) = ([CORDON, name.as_bytes()].concat(), Batch::new());
         if out {
             batch.put(META, &key, &[])
@@ -820,7 +828,7 @@
     ///
     /// # Errors
     /// As for [`Store::apply`].
-    pub fn learn(
+    pub fn record_learned(
         &mut self,
         now: Nanos,
         learnt: impl IntoIterator<Item = (u64, Option<u64>, Option<Vec<u8>>)>,
@@ -831,10 +839,10 @@
             match bytes {
                 Some(bytes) => {
                     let value = Writer::default().u64(now).bytes(&bytes).0;
-                    batch.put(LEARNT, &key, &value);
+                    batch.put(LEARNED, &key, &value);
                 }
-                None if self.store.contains(LEARNT, &key) => {
-                    batch.delete(LEARNT, &key);
+                None if self.store.contains(LEARNED, &key) => {
+                    batch.delete(LEARNED, &key);
                 }
                 None => {}
             }
@@ -849,22 +857,22 @@
         let batch = std::mem::take(batch);
         let size = batch.bytes().len();
         let most = self.store.limit() / SIDE_TABLE;
-        if self.store.weight(LEARNT) + size as u64 > most {
+        if self.store.live_bytes(LEARNED) + size as u64 > most {
             // The older half goes: destinations that are gone, or that nobody writes to.
             let noted = |value: Option<&Bytes>| value.and_then(|v| Reader(v).u64()).unwrap_or(0);
             let mut all: Vec<(Nanos, Vec<u8>)> =
-                self.store.keys(LEARNT, &[]).map(|(key, _, value)| (noted(value), key.to_vec())).collect();
+                self.store.keys(LEARNED, &[]).map(|(key, _, value)| (noted(value), key.to_vec())).collect();
             all.sort_unstable();
             all.truncate(all.len().div_ceil(2));
             for some in all.chunks(AT_ONCE) {
                 let mut batch = Batch::new();
                 some.iter().for_each(|(_, key)| {
-                    batch.delete(LEARNT, key);
+                    batch.delete(LEARNED, key);
                 });
                 self.store.apply(&batch)?;
             }
         }
-        let fits = self.store.weight(LEARNT) + size as u64 <= most;
+        let fits = self.store.live_bytes(LEARNED) + size as u64 <= most;
         if !batch.is_empty() && fits && self.store.has_room(size, self.promised(0)) {
             self.store.apply(&batch)?;
         }
@@ -872,13 +880,13 @@
     }
 
     /// What was learnt: destination, route, when it was noted, and the bytes.
-    pub fn learnt(&self) -> Vec<(u64, Option<u64>, Nanos, Vec<u8>)> {
+    pub fn learned(&self) -> Vec<(u64, Option<u64>, Nanos, Vec<u8>)> {
         let read = |(key, _, value): (&[u8], Seq, Option<&Bytes>)| {
-            let (dest, route) = read_learnt_key(key)?;
+            let (dest, route) = read_learned_key(key)?;
             let mut value = Reader(value?);
             Some((dest, route, value.u64()?, value.bytes()?.to_vec()))
         };
-        self.store.keys(LEARNT, &[]).filter_map(read).collect()
+        self.store.keys(LEARNED, &[]).filter_map(read).collect()
     }
 
     /// What became of a message so far.
@@ -887,12 +895,12 @@
     }
 
     /// When a message was taken on.
-    pub fn taken_at(&self, id: u64) -> Option<Nanos> {
+    pub fn accepted_at(&self, id: u64) -> Option<Nanos> {
         self.kept.get(&id).map(|kept| kept.at)
     }
 
     /// How many messages are owed their end.
-    pub fn owed(&self) -> usize {
+    pub fn pending(&self) -> usize {
         self.kept.len()
     }
 
@@ -902,8 +910,8 @@
     }
 
     /// Whether the frame of this number outlives what it is meant to; 0 stands for none.
-    pub fn lasts(&self, seq: Seq) -> bool {
-        self.store.lasts(seq)
+    pub fn is_durable(&self, seq: Seq) -> bool {
+        self.store.is_durable(seq)
     }
 
     /// See [`Store::sync_job`].
@@ -914,12 +922,12 @@
         self.store.sync_job()
     }
 
-    /// See [`Store::synced`].
+    /// See [`Store::finish_sync`].
     ///
     /// # Errors
     /// As there.
-    pub fn synced(&mut self, synced: Synced) -> Result<(), Error> {
-        self.store.synced(synced)
+    pub fn finish_sync(&mut self, synced: SyncResult) -> Result<(), Error> {
+        self.store.finish_sync(synced)
     }
 
     /// Figures of the store.
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -17,5 +17,5 @@
 pub use format::{Batch, Seq};
 pub use ledger::Ledger;
 pub use log::{
-    Durability, Error, Options, Recovery, Stats, Store, SyncJob, Synced, segment_name, segment_number,
+    Durability, Error, Options, Recovery, Stats, Store, SyncJob, SyncResult, segment_name, segment_number,
 };
--- a/store/src/log.rs
+++ b/store/src/log.rs
@@ -18,8 +18,8 @@
 use crate::checkpoint::{self, Draft};
 use crate::folder::{Append, Folder, Syncer};
 use crate::format::{
-    BadHeader, Batch, FRAME_HEAD, HEADER, Header, Item, LONGEST_BODY, LONGEST_KEY, Op, PUT_HEAD, Seed, Seq,
-    ops,
+    Batch, FRAME_HEADER_LEN, HEADER_LEN, Header, HeaderError, Item, MAX_BODY_LEN, MAX_KEY_LEN, Op,
+    PUT_HEADER_LEN, Seed, Seq, ops,
 };
 
 /// Why the store refuses.
@@ -196,11 +196,11 @@
     /// Frames read.
     pub frames: u64,
     /// Bytes of a last write that was cut off, and dropped.
-    pub torn: u64,
+    pub torn_bytes: u64,
     /// Where something was damaged, in words; empty if nothing was.
     pub damage: Vec<String>,
     /// What was last written before this frame may have been changed since by one that was lost.
-    pub doubt_before: Seq,
+    pub uncertain_before: Seq,
 }
 
 /// Figures of a store.
@@ -228,15 +228,15 @@
 }
 
 impl SyncJob {
-    /// Waits until all that was appended before the job was made lasts. Hand the result to [`Store::synced`].
-    pub fn run(self) -> Synced {
+    /// Waits until all that was appended before the job was made lasts. Hand the result to [`Store::finish_sync`].
+    pub fn run(self) -> SyncResult {
         let done = self.syncers.into_iter().try_for_each(|syncer| syncer());
-        Synced { upto: self.upto, folder: self.folder, done }
+        SyncResult { upto: self.upto, folder: self.folder, done }
     }
 }
 
 /// What came of a [`SyncJob`].
-pub struct Synced {
+pub struct SyncResult {
     upto: Seq,
     folder: bool,
     done: io::Result<()>,
@@ -337,7 +337,7 @@
         let (mut headers, mut blank) = (Vec::new(), Vec::new());
         for (number, size) in &listed {
             let name = segment_name(*number);
-            let mut bytes = vec![0; HEADER.min(*size as usize)];
+            let mut bytes = vec![0; HEADER_LEN.min(*size as usize)];
             folder.read_at(&name, 0, &mut bytes).map_err(|e| io_error(&name, e))?;
             let foreign = |why: String| Err(Error::Foreign { file: folder.show(&name), why });
             headers.push(match Header::decode(&bytes) {
@@ -345,11 +345,11 @@
                     return foreign(format!("is segment {} under another name", header.segment));
                 }
                 Ok(header) => Some(header),
-                Err(BadHeader::Newer(v)) => return foreign(format!("is of the newer format {v}")),
-                Err(BadHeader::Foreign) => return foreign("is no segment of a store".into()),
-                Err(BadHeader::Damaged) => None,
+                Err(HeaderError::Newer(v)) => return foreign(format!("is of the newer format {v}")),
+                Err(HeaderError::Foreign) => return foreign("is no segment of a store".into()),
+                Err(HeaderError::Damaged) => None,
                 // Cut off when it was made, or never written by a machine that died: nothing is in it.
-                Err(BadHeader::Short | BadHeader::Blank) => {
+                Err(HeaderError::Short | HeaderError::Blank) => {
                     blank.push(*number);
                     None
                 }
@@ -450,7 +450,7 @@
                 let what =
                     if header.is_none() { "its header is damaged" } else { "what came before is missing" };
                 recovery.damage.push(format!("{name}: {what}"));
-                recovery.doubt_before = first_seq.or(expected).unwrap_or(1);
+                recovery.uncertain_before = first_seq.or(expected).unwrap_or(1);
             }
             if self.segments.is_empty() {
                 first = Some((*number, first_seq.unwrap_or(1)));
@@ -470,7 +470,7 @@
             let zeros_end = header.is_some_and(|h| h.reserved > 0);
             self.used += rounded(*size);
             let seed = Seed::new(self.id, *number);
-            let (mut at, mut good, mut spoilt) = (HEADER, HEADER, false);
+            let (mut at, mut good, mut spoilt) = (HEADER_LEN, HEADER_LEN, false);
             loop {
                 match seed.next(&bytes[at..], at as u64, true) {
                     Item::Frame { seq, body, whole } => {
@@ -479,13 +479,13 @@
                                 recovery
                                     .damage
                                     .push(format!("{name}: frames before offset {at} are missing"));
-                                recovery.doubt_before = seq;
+                                recovery.uncertain_before = seq;
                             }
                             expected = Some(seq + 1);
                             recovery.frames += 1;
                             if !self.replay_frame(*number, at, seq, body, &mut retired_to) {
                                 recovery.damage.push(format!("{name}: the frame at {at} can't be read"));
-                                recovery.doubt_before = seq + 1;
+                                recovery.uncertain_before = seq + 1;
                             }
                         }
                         at += whole;
@@ -498,7 +498,7 @@
                     }
                     Item::Torn(length) => {
                         if is_last && !(zeros_end && bytes[at..].iter().all(|b| *b == 0)) {
-                            recovery.torn = length as u64;
+                            recovery.torn_bytes = length as u64;
                         }
                         break;
                     }
@@ -509,26 +509,26 @@
                 // Whole, and wrong: no cut-off write looks like this. What it told is not known. It stays as it
                 // is, so that the next start knows as much.
                 recovery.damage.push(format!("{name}: damaged from offset {good} on"));
-                recovery.doubt_before = Seq::MAX;
+                recovery.uncertain_before = Seq::MAX;
             } else if is_last {
                 last_good = Some((*number, good as u64));
             }
         }
         if let Some((number, first_seq)) = first.filter(|(number, _)| *number > retired_to.max(1)) {
             recovery.damage.push(format!("{}: what came before is missing", segment_name(number)));
-            recovery.doubt_before = recovery.doubt_before.max(first_seq);
+            recovery.uncertain_before = recovery.uncertain_before.max(first_seq);
         }
         self.next = expected.unwrap_or(1);
-        if recovery.doubt_before == Seq::MAX {
+        if recovery.uncertain_before == Seq::MAX {
             // Its number may have been used.
             self.next += 1;
-            recovery.doubt_before = self.next;
+            recovery.uncertain_before = self.next;
         }
         Ok(last_good)
     }
 
     fn replay_frame(&mut self, segment: u64, at: usize, seq: Seq, body: &[u8], retired_to: &mut u64) -> bool {
-        self.largest = self.largest.max((FRAME_HEAD + body.len()) as u64);
+        self.largest = self.largest.max((FRAME_HEADER_LEN + body.len()) as u64);
         for op in ops(body) {
             let Some(op) = op else { return false };
             let Op::Retire { floor } = op else {
@@ -570,12 +570,12 @@
         }
         self.segments.push_back(Segment { checkpoint: length, ..Segment::found(header.segment, size) });
         self.used += rounded(size) + rounded(length);
-        let (mut seq, mut at, mut body) = (header.first_seq, HEADER, 0);
+        let (mut seq, mut at, mut body) = (header.first_seq, HEADER_LEN, 0);
         for op in parts.into_iter().flat_map(ops).flatten() {
             match op {
                 Op::Frame { seq: its, at: place, body: length } => {
                     (seq, at, body) = (its, place as usize, length as usize);
-                    self.largest = self.largest.max((FRAME_HEAD + body) as u64);
+                    self.largest = self.largest.max((FRAME_HEADER_LEN + body) as u64);
                 }
                 Op::Retire { floor } => self.retire_found(floor, header.segment, retired_to),
                 Op::Sealed { .. } => {}
@@ -652,7 +652,7 @@
     }
 
     /// Writes a batch. Once this returns its number, it outlives the process; with [`Durability::Machine`] it
-    /// outlives the machine once [`Self::lasts`] says so. Batches that keep a promise given earlier use this.
+    /// outlives the machine once [`Self::is_durable`] says so. Batches that keep a promise given earlier use this.
     ///
     /// # Errors
     /// [`Error::TooLarge`], [`Error::NoTable`]; [`Error::Full`] or [`Error::Io`] where it could not be written:
@@ -663,18 +663,18 @@
             _ => (0, 0),
         });
         for (table, key) in longest {
-            if key > LONGEST_KEY {
+            if key > MAX_KEY_LEN {
                 return Err(Error::TooLarge(key));
             }
             if usize::from(table) >= self.tables.len() {
                 return Err(Error::NoTable(table));
             }
         }
-        if batch.bytes().len() > LONGEST_BODY {
+        if batch.bytes().len() > MAX_BODY_LEN {
             return Err(Error::TooLarge(batch.bytes().len()));
         }
         let seq = self.append(batch.bytes().to_vec(), Room::Batch)?;
-        let length = batch.bytes().len() + FRAME_HEAD;
+        let length = batch.bytes().len() + FRAME_HEADER_LEN;
         self.stats.written += length as u64;
         self.compact_some(length * SCAN_RATE);
         Ok(seq)
@@ -684,8 +684,8 @@
     ///
     /// # Errors
     /// As for [`Self::apply`].
-    pub fn move_in(&mut self, batch: &Batch) -> Result<Seq, Error> {
-        if batch.bytes().len() > LONGEST_BODY {
+    pub fn apply_reserved(&mut self, batch: &Batch) -> Result<Seq, Error> {
+        if batch.bytes().len() > MAX_BODY_LEN {
             return Err(Error::TooLarge(batch.bytes().len()));
         }
         self.append(batch.bytes().to_vec(), Room::Compaction)
@@ -699,38 +699,40 @@
     /// Whether a batch of this size may be taken on where `promised` bytes of later batches have been, its own
     /// among them: then all of them will find room, whatever else is written meanwhile.
     pub fn has_room(&self, batch: usize, promised: u64) -> bool {
-        let frame = (FRAME_HEAD + batch) as u64;
+        let frame = (FRAME_HEADER_LEN + batch) as u64;
         let largest = self.largest.max(frame);
         // What compaction needs to move a segment, the segment being written, and the rounding of all of them.
-        let apart = 4 * self.target.max(largest + HEADER as u64) + SEGMENTS * (HEADER as u64 + STEP);
+        let apart = 4 * self.target.max(largest + HEADER_LEN as u64) + SEGMENTS * (HEADER_LEN as u64 + STEP);
         let most = (self.limit / 8 * LIVE_EIGHTHS).min(self.limit.saturating_sub(apart));
         self.live.saturating_add(frame).saturating_add(promised) <= most
     }
 
     fn spare(&self, room: Room) -> u64 {
         match room {
-            Room::Batch => 2 * self.target.max(self.largest + HEADER as u64) + 2 * (HEADER as u64 + STEP),
+            Room::Batch => {
+                2 * self.target.max(self.largest + HEADER_LEN as u64) + 2 * (HEADER_LEN as u64 + STEP)
+            }
             Room::Compaction => 0,
         }
     }
 
     fn must_roll(&self, frame: u64) -> bool {
         let full =
-            self.segments.back().is_none_or(|s| s.size + frame > self.target && s.size > HEADER as u64);
+            self.segments.back().is_none_or(|s| s.size + frame > self.target && s.size > HEADER_LEN as u64);
         self.active.is_none() || self.broken || full
     }
 
     fn fits(&self, frame: u64, room: Room) -> bool {
         let grows = match self.segments.back().filter(|_| !self.must_roll(frame)) {
             Some(active) => active.takes(active.size + frame) - active.takes(active.size),
-            None => rounded(HEADER as u64 + frame),
+            None => rounded(HEADER_LEN as u64 + frame),
         };
         self.used.saturating_add(grows).saturating_add(self.spare(room)) <= self.limit
     }
 
     fn append(&mut self, body: Vec<u8>, room: Room) -> Result<Seq, Error> {
         self.write_again()?;
-        let frame = (FRAME_HEAD + body.len()) as u64;
+        let frame = (FRAME_HEADER_LEN + body.len()) as u64;
         self.largest = self.largest.max(frame);
         if !self.fits(frame, room) {
             if room == Room::Batch {
@@ -882,7 +884,7 @@
         let was_broken = self.broken;
         (self.active, self.broken, self.dirty_active, self.folder_dirty) = (Some(file), false, true, true);
         self.seed = Seed::new(self.id, number);
-        let mut segment = Segment { fresh: Some(header), ..Segment::found(number, HEADER as u64) };
+        let mut segment = Segment { fresh: Some(header), ..Segment::found(number, HEADER_LEN as u64) };
         let reserve = self.active.as_mut().filter(|_| reserved > 0).map(|file| file.reserve(reserved));
         if reserve.is_some_and(|done| done.is_ok()) {
             segment.reserved = reserved;
@@ -934,7 +936,7 @@
         if let Some(value) = &entry.value {
             return Ok(value.clone());
         }
-        let mut frame = vec![0; FRAME_HEAD + place.body as usize];
+        let mut frame = vec![0; FRAME_HEADER_LEN + place.body as usize];
         let read = self.folder.read_at(&name, u64::from(place.frame), &mut frame);
         read.map_err(|source| Error::Io { file: self.folder.show(&name), source })?;
         let seed = Seed::new(self.id, place.segment);
@@ -977,7 +979,7 @@
     }
 
     /// Bytes that the live records of a table take.
-    pub fn weight(&self, table: u8) -> u64 {
+    pub fn live_bytes(&self, table: u8) -> u64 {
         self.tables.get(usize::from(table)).map_or(0, |t| t.live)
     }
 
@@ -1042,7 +1044,7 @@
     }
 
     /// Compacts for a while where that is worth it: for quiet times. Whether anything was done.
-    pub fn tidy(&mut self) -> bool {
+    pub fn maintain(&mut self) -> bool {
         let worth = self.worth_compacting();
         self.compact_some(SCAN_MOST);
         worth
@@ -1060,7 +1062,7 @@
         if live == 0 {
             return self.retire(number).map(|()| true);
         }
-        self.cursor.at = self.cursor.at.max(HEADER as u64);
+        self.cursor.at = self.cursor.at.max(HEADER_LEN as u64);
         let read_to = self.cursor.at + self.cursor.read.len() as u64;
         let more = (scan as u64).min(size.saturating_sub(read_to)) as usize;
         let had = self.cursor.read.len();
@@ -1154,7 +1156,7 @@
             return Ok(());
         }
         let body = std::mem::take(copies).bytes().to_vec();
-        self.stats.copied += (FRAME_HEAD + body.len()) as u64;
+        self.stats.copied += (FRAME_HEADER_LEN + body.len()) as u64;
         self.append(body, Room::Compaction).map(drop)
     }
 
@@ -1187,7 +1189,7 @@
         let mut batch = Batch::new();
         batch.retire(number + 1);
         let after = self.append(batch.bytes().to_vec(), Room::Compaction)?;
-        self.stats.copied += (FRAME_HEAD + batch.bytes().len()) as u64;
+        self.stats.copied += (FRAME_HEADER_LEN + batch.bytes().len()) as u64;
         self.stats.retired += 1;
         self.cursor = Cursor::default();
         if let Some(segment) = self.segments.pop_front() {
@@ -1252,7 +1254,7 @@
     // Durability.
 
     /// Whether the batch of this number outlives what it is meant to.
-    pub fn lasts(&self, seq: Seq) -> bool {
+    pub fn is_durable(&self, seq: Seq) -> bool {
         seq <= self.synced
     }
 
@@ -1285,7 +1287,7 @@
     ///
     /// # Errors
     /// [`Error::Io`] where the job failed; what was waiting for it does not last yet.
-    pub fn synced(&mut self, synced: Synced) -> Result<(), Error> {
+    pub fn finish_sync(&mut self, synced: SyncResult) -> Result<(), Error> {
         match synced.done {
             Ok(()) => {
                 while self.synced < synced.upto {
@@ -1357,7 +1359,7 @@
         match self.sync_job()? {
             Some(job) => {
                 let synced = job.run();
-                self.synced(synced)
+                self.finish_sync(synced)
             }
             None => Ok(()),
         }
@@ -1366,7 +1368,7 @@
 
 /// Bytes that a live record takes, in a frame of its own.
 fn weight(key: &[u8], value: u32) -> u64 {
-    (FRAME_HEAD + PUT_HEAD + key.len()) as u64 + u64::from(value)
+    (FRAME_HEADER_LEN + PUT_HEADER_LEN + key.len()) as u64 + u64::from(value)
 }
 
 fn lighten(segments: &mut VecDeque<Segment>, number: u64, weight: u64) {
--- a/store/tests/common/mod.rs
+++ b/store/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use millpost_store::ledger::{Answer, Final, History, Opened, Taken};
+use millpost_store::ledger::{AcceptedMessage, Answer, FinalOutcome, History, Opened};
 use millpost_store::memory::{Files, Memory};
 use millpost_store::{Durability, Error, Ledger, Options};
 
@@ -31,8 +31,8 @@
     Options { limit, durability, checkpoints: true }
 }
 
-pub fn message(n: u64, body: usize) -> Taken {
-    Taken {
+pub fn message(n: u64, body: usize) -> AcceptedMessage {
+    AcceptedMessage {
         reference: format!("r{n}"),
         class: (n % 3) as u32,
         dest: n % 5,
@@ -46,28 +46,28 @@
 /// One thing that a dispatcher tells its ledger.
 #[derive(Clone, Debug)]
 pub enum Step {
-    Take(Taken),
+    Take(AcceptedMessage),
     Begin(u64),
     Outcome(u64, bool),
     Answer(u64, Answer),
-    End(u64, Option<(String, Final)>),
+    End(u64, Option<(String, FinalOutcome)>),
 }
 
 impl Step {
     pub fn carry_out(&self, ledger: &mut Ledger<Memory>) -> Result<u64, Error> {
         match self {
-            Step::Take(taken) => ledger.take(NOW, taken).map(|(_, seq)| seq),
-            Step::Begin(id) => ledger.begin(*id, NOW + 1, 2),
-            Step::Outcome(id, never_ran) => ledger.outcome(*id, *never_ran),
-            Step::Answer(id, answer) => ledger.answer(*id, *answer),
-            Step::End(id, end) => ledger.end(*id, end.as_ref().map(|(r, f)| (&r[..], *f, LATER))),
+            Step::Take(taken) => ledger.accept(NOW, taken).map(|(_, seq)| seq),
+            Step::Begin(id) => ledger.begin_attempt(*id, NOW + 1, 2),
+            Step::Outcome(id, never_ran) => ledger.end_attempt(*id, *never_ran),
+            Step::Answer(id, answer) => ledger.record_answer(*id, *answer),
+            Step::End(id, end) => ledger.finish(*id, end.as_ref().map(|(r, f)| (&r[..], *f, LATER))),
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    pub taken: Taken,
+    pub taken: AcceptedMessage,
     pub history: History,
 }
 
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Model {
     pub owed: BTreeMap<u64, Message>,
-    pub answers: BTreeMap<String, Final>,
+    pub answers: BTreeMap<String, FinalOutcome>,
     pub next: u64,
 }
 
@@ -100,10 +100,10 @@
                     h.first_sent = NOW + 1;
                 }
                 h.attempts += 1;
-                h.out = Some((NOW + 1, 2));
+                h.in_flight = Some((NOW + 1, 2));
             }),
             Step::Outcome(id, never_ran) => history(&mut self.owed, *id, &|h| {
-                let out = h.out.take();
+                let out = h.in_flight.take();
                 if !never_ran {
                     h.may_have_run = h.may_have_run.or(out);
                 }
@@ -134,12 +134,12 @@
         let id = ids[(lot.below(ids.len() as u64)) as usize];
         let message = &self.owed[&id];
         let reference = message.taken.reference.clone();
-        match (message.history.answer, message.history.out) {
-            (Some(answer), _) => Step::End(id, Some((reference, Final::Answered(answer)))),
+        match (message.history.answer, message.history.in_flight) {
+            (Some(answer), _) => Step::End(id, Some((reference, FinalOutcome::Answered(answer)))),
             (None, Some(_)) => match lot.below(3) {
                 0 => Step::Outcome(id, true),
                 1 => Step::Outcome(id, false),
-                _ => Step::End(id, Some((reference, Final::Delivered))),
+                _ => Step::End(id, Some((reference, FinalOutcome::Delivered))),
             },
             (None, None) => match lot.below(6) {
                 0 => Step::Answer(id, Answer::Failed),
@@ -152,12 +152,12 @@
 
     /// What differs between this and a ledger just opened.
     pub fn differs(&self, ledger: &Ledger<Memory>, opened: &Opened) -> Option<String> {
-        if opened.found.len() != self.owed.len() {
-            return Some(format!("{} messages for {}", opened.found.len(), self.owed.len()));
+        if opened.messages.len() != self.owed.len() {
+            return Some(format!("{} messages for {}", opened.messages.len(), self.owed.len()));
         }
-        for (found, (id, message)) in opened.found.iter().zip(&self.owed) {
+        for (found, (id, message)) in opened.messages.iter().zip(&self.owed) {
             let same = found.id == *id
-                && found.taken == message.taken
+                && found.message == message.taken
                 && found.history == message.history
                 && !found.body_lost;
             if !same {
@@ -168,8 +168,9 @@
             return Some(format!("{} answers for {}", ledger.answers(), self.answers.len()));
         }
         let wrong =
-            self.answers.iter().find(|(reference, end)| ledger.final_answer(reference) != Some(**end));
-        wrong.map(|(reference, end)| format!("{reference}: {:?} for {end:?}", ledger.final_answer(reference)))
+            self.answers.iter().find(|(reference, end)| ledger.final_outcome(reference) != Some(**end));
+        wrong
+            .map(|(reference, end)| format!("{reference}: {:?} for {end:?}", ledger.final_outcome(reference)))
     }
 }
 
--- a/store/tests/crashes.rs
+++ b/store/tests/crashes.rs
@@ -41,11 +41,11 @@
             && let Some(job) = ledger.sync_job().expect("a handle")
         {
             let synced = job.run();
-            ledger.synced(synced).expect("it lasts");
+            ledger.finish_sync(synced).expect("it lasts");
         }
         let now = folder.changes().len();
         waiting.retain(|(step, seq)| {
-            let lasts = ledger.lasts(*seq);
+            let lasts = ledger.is_durable(*seq);
             if lasts {
                 done[*step].2 = now;
             }
@@ -165,9 +165,9 @@
         for _ in 0..3 {
             let files = after_power_failure(&life.changes[..n], &mut lot);
             let (ledger, opened) = open(files, LIMIT, Durability::Machine);
-            doubted += usize::from(opened.recovery.doubt_before > 0);
+            doubted += usize::from(opened.recovery.uncertain_before > 0);
             for (id, message) in &model.owed {
-                let found = opened.found.iter().find(|f| f.id == *id);
+                let found = opened.messages.iter().find(|f| f.id == *id);
                 let ended_since = !latest.owed.contains_key(id);
                 assert!(
                     found.is_some() || ended_since,
@@ -175,15 +175,16 @@
                     opened.recovery
                 );
                 let Some(found) = found else { continue };
-                let ran = |h: &millpost_store::ledger::History| h.may_have_run.is_some() || h.out.is_some();
+                let ran =
+                    |h: &millpost_store::ledger::History| h.may_have_run.is_some() || h.in_flight.is_some();
                 assert!(
                     !ran(&message.history) || ran(&found.history) || cleared.contains(id),
                     "change {n}: the attempt of {id} is forgotten"
                 );
-                assert!(message.taken.reference == found.taken.reference);
+                assert!(message.taken.reference == found.message.reference);
                 assert!(!found.body_lost || message.history.answer.is_some(), "change {n}: body of {id}");
             }
-            for found in &opened.found {
+            for found in &opened.messages {
                 assert!(
                     model.owed.contains_key(&found.id) || latest.next > found.id && found.id >= model.next,
                     "change {n}: message {} is over and is back",
@@ -192,7 +193,7 @@
             }
             for (reference, end) in &model.answers {
                 assert_eq!(
-                    ledger.final_answer(reference),
+                    ledger.final_outcome(reference),
                     Some(*end),
                     "change {n}: the answer of {reference}"
                 );
--- a/store/tests/cuts.rs
+++ b/store/tests/cuts.rs
@@ -126,7 +126,7 @@
             model.step(&step);
         }
         let (ledger, opened) = begin().expect("opens");
-        assert_eq!(opened.recovery.torn, 0);
+        assert_eq!(opened.recovery.torn_bytes, 0);
         assert_eq!(model.differs(&ledger, &opened), None, "cut at {cut}");
     }
 }
@@ -175,18 +175,18 @@
     opened: &millpost_store::ledger::Opened,
     place: usize,
 ) {
-    for found in &opened.found {
+    for found in &opened.messages {
         let before = model.owed.get(&found.id).map(|m| m.history);
         // One that is over, or may have run, in truth.
-        let ran = before.is_none_or(|h| h.may_have_run.is_some() || h.out.is_some());
-        let may = found.history.may_have_run.is_some() || found.history.out.is_some();
+        let ran = before.is_none_or(|h| h.may_have_run.is_some() || h.in_flight.is_some());
+        let may = found.history.may_have_run.is_some() || found.history.in_flight.is_some();
         // The only record of an answer may be the damaged one; then it is owed, with caution, once more.
         assert!(!ran || may || found.history.answer.is_some(), "flip at {place}: {found:?} for {before:?}");
     }
     for (reference, end) in &model.answers {
-        let found = ledger.final_answer(reference);
+        let found = ledger.final_outcome(reference);
         assert!(found.is_none_or(|found| found == *end), "flip at {place}: {reference} {found:?}");
     }
-    let lost = model.owed.keys().filter(|id| !opened.found.iter().any(|f| f.id == **id)).count();
+    let lost = model.owed.keys().filter(|id| !opened.messages.iter().any(|f| f.id == **id)).count();
     assert!(lost <= 1, "flip at {place}: {lost} messages lost with one frame");
 }
--- a/store/tests/disk.rs
+++ b/store/tests/disk.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use common::*;
-use millpost_store::ledger::{Answer, Final, Listed};
+use millpost_store::ledger::{Answer, FinalOutcome, ListedEndpoint};
 use millpost_store::{Disk, Durability, Error, Ledger, Options, Store, journal, ledger};
 
 const OPTIONS: Options = Options { limit: 3_000_000, durability: Durability::Process, checkpoints: true };
@@ -35,7 +35,7 @@
 fn a_foreign_or_newer_file_is_refused_and_left_as_it_is() {
     let dir = tempfile::tempdir().expect("a folder");
     let (mut ledger, _) = begin(dir.path(), OPTIONS).expect("opens");
-    ledger.take(NOW, &message(1, 10)).expect("room");
+    ledger.accept(NOW, &message(1, 10)).expect("room");
     drop(ledger);
     let file = dir.path().join("000000000001.seg");
     let good = fs::read(&file).expect("a segment");
@@ -59,7 +59,7 @@
     let other = tempfile::tempdir().expect("a folder");
     let folder = Disk::open(other.path()).expect("the folder");
     let (mut theirs, _) = Ledger::open(folder, OPTIONS, NOW, 78, None).expect("opens");
-    theirs.take(NOW, &message(1, 10)).expect("room");
+    theirs.accept(NOW, &message(1, 10)).expect("room");
     theirs.store_mut().compact(|_| ()).expect("room");
     drop(theirs);
     fs::copy(other.path().join("000000000002.seg"), dir.path().join("000000000002.seg")).expect("copied");
@@ -73,14 +73,16 @@
         let options = Options { durability, ..OPTIONS };
         let dir = tempfile::tempdir().expect("a folder");
         let (mut ledger, _) = begin(dir.path(), options).expect("opens");
-        let (id, seq) = ledger.take(NOW, &message(1, 40)).expect("room");
-        assert_eq!(ledger.lasts(seq), durability == Durability::Process);
+        let (id, seq) = ledger.accept(NOW, &message(1, 40)).expect("room");
+        assert_eq!(ledger.is_durable(seq), durability == Durability::Process);
         ledger.store_mut().sync().expect("it lasts");
-        assert!(ledger.lasts(seq));
-        ledger.begin(id, NOW + 5, 3).expect("written");
-        let (over, _) = ledger.take(NOW, &message(2, 40)).expect("room");
-        ledger.end(over, Some(("r2", Final::Answered(Answer::Failed), NOW + 9_000))).expect("written");
-        let listed = |name: &str, in_service| Listed {
+        assert!(ledger.is_durable(seq));
+        ledger.begin_attempt(id, NOW + 5, 3).expect("written");
+        let (over, _) = ledger.accept(NOW, &message(2, 40)).expect("room");
+        ledger
+            .finish(over, Some(("r2", FinalOutcome::Answered(Answer::Failed), NOW + 9_000)))
+            .expect("written");
+        let listed = |name: &str, in_service| ListedEndpoint {
             name: name.into(),
             id: 4,
             address: "127.0.0.1:80".into(),
@@ -90,23 +92,27 @@
             in_service,
             weight: Some(2.5),
         };
-        ledger.list("agent", 41, &[listed("a", true), listed("b", false)], &[]).expect("written");
-        ledger.list("agent", 42, &[listed("c", true)], &["a".into()]).expect("written");
-        ledger.learn(NOW + 50, [(7, None, Some(vec![1, 2])), (8, Some(4), Some(vec![3]))]).expect("written");
-        ledger.learn(NOW + 60, [(7, None, None)]).expect("written");
+        ledger
+            .record_endpoint_list("agent", 41, &[listed("a", true), listed("b", false)], &[])
+            .expect("written");
+        ledger.record_endpoint_list("agent", 42, &[listed("c", true)], &["a".into()]).expect("written");
+        ledger
+            .record_learned(NOW + 50, [(7, None, Some(vec![1, 2])), (8, Some(4), Some(vec![3]))])
+            .expect("written");
+        ledger.record_learned(NOW + 60, [(7, None, None)]).expect("written");
         drop(ledger);
         let (mut ledger, opened) = begin(dir.path(), options).expect("opens");
-        assert_eq!(opened.found.len(), 1);
-        assert_eq!(opened.found[0].history.out, Some((NOW + 5, 3)));
-        assert_eq!(opened.latest, NOW + 50);
-        assert_eq!(ledger.final_answer("r2"), Some(Final::Answered(Answer::Failed)));
-        let (source, index, all) = ledger.listed().expect("a list");
+        assert_eq!(opened.messages.len(), 1);
+        assert_eq!(opened.messages[0].history.in_flight, Some((NOW + 5, 3)));
+        assert_eq!(opened.latest_time, NOW + 50);
+        assert_eq!(ledger.final_outcome("r2"), Some(FinalOutcome::Answered(Answer::Failed)));
+        let (source, index, all) = ledger.endpoint_list().expect("a list");
         assert_eq!((&source[..], index), ("agent", 42));
         assert_eq!(all, [listed("b", false), listed("c", true)]);
-        assert_eq!(ledger.learnt(), [(8, Some(4), NOW + 50, vec![3])]);
+        assert_eq!(ledger.learned(), [(8, Some(4), NOW + 50, vec![3])]);
         // Its time over, an answer is dropped, now and at any later start.
-        ledger.tidy(NOW + 9_000);
-        assert_eq!((ledger.final_answer("r2"), ledger.answers()), (None, 0));
+        ledger.maintain(NOW + 9_000);
+        assert_eq!((ledger.final_outcome("r2"), ledger.answers()), (None, 0));
         drop(ledger);
         let folder = Disk::open(dir.path()).expect("the folder");
         let (ledger, _) = Ledger::open(folder, options, NOW + 10_000, 77, None).expect("opens");
@@ -118,8 +124,8 @@
 fn a_list_too_large_for_the_limit_is_not_kept_and_harms_nothing() {
     let dir = tempfile::tempdir().expect("a folder");
     let (mut ledger, _) = begin(dir.path(), OPTIONS).expect("opens");
-    let many: Vec<Listed> = (0..20_000)
-        .map(|n| Listed {
+    let many: Vec<ListedEndpoint> = (0..20_000)
+        .map(|n| ListedEndpoint {
             name: format!("endpoint-{n}"),
             id: n,
             address: "127.0.0.1:80".into(),
@@ -130,11 +136,11 @@
             weight: None,
         })
         .collect();
-    ledger.list("agent", 1, &many[..100], &[]).expect("written");
-    assert_eq!(ledger.listed().map(|(_, _, all)| all.len()), Some(100));
-    ledger.list("agent", 2, &many, &[]).expect("written");
-    assert_eq!(ledger.listed(), None);
-    ledger.take(NOW, &message(1, 1000)).expect("room");
+    ledger.record_endpoint_list("agent", 1, &many[..100], &[]).expect("written");
+    assert_eq!(ledger.endpoint_list().map(|(_, _, all)| all.len()), Some(100));
+    ledger.record_endpoint_list("agent", 2, &many, &[]).expect("written");
+    assert_eq!(ledger.endpoint_list(), None);
+    ledger.accept(NOW, &message(1, 1000)).expect("room");
 }
 
 #[test]
@@ -147,11 +153,11 @@
     for _ in 0..200 {
         let step = model.draw(&mut lot, 20, 60);
         match &step {
-            Step::Take(taken) => ledger.take(NOW, taken).map(|(_, seq)| seq),
-            Step::Begin(id) => ledger.begin(*id, NOW + 1, 2),
-            Step::Outcome(id, never_ran) => ledger.outcome(*id, *never_ran),
-            Step::Answer(id, answer) => ledger.answer(*id, *answer),
-            Step::End(id, end) => ledger.end(*id, end.as_ref().map(|(r, f)| (&r[..], *f, LATER))),
+            Step::Take(taken) => ledger.accept(NOW, taken).map(|(_, seq)| seq),
+            Step::Begin(id) => ledger.begin_attempt(*id, NOW + 1, 2),
+            Step::Outcome(id, never_ran) => ledger.end_attempt(*id, *never_ran),
+            Step::Answer(id, answer) => ledger.record_answer(*id, *answer),
+            Step::End(id, end) => ledger.finish(*id, end.as_ref().map(|(r, f)| (&r[..], *f, LATER))),
         }
         .expect("room");
         model.step(&step);
@@ -164,10 +170,10 @@
         let before = ends.partition_point(|(end, _)| *end <= cut);
         let expected = before.checked_sub(1).map_or_else(Model::new, |n| ends[n].1.clone());
         let (ledger, opened) = begin(dir.path(), OPTIONS).expect("opens");
-        assert_eq!(opened.found.len(), expected.owed.len(), "cut at {cut}");
-        for found in &opened.found {
+        assert_eq!(opened.messages.len(), expected.owed.len(), "cut at {cut}");
+        for found in &opened.messages {
             assert_eq!(found.history, expected.owed[&found.id].history, "cut at {cut}");
-            assert_eq!(found.taken, expected.owed[&found.id].taken, "cut at {cut}");
+            assert_eq!(found.message, expected.owed[&found.id].taken, "cut at {cut}");
         }
         assert_eq!(ledger.answers(), expected.answers.len(), "cut at {cut}");
     }
@@ -184,30 +190,30 @@
     const T: u64 = 1_800_000_000_000_000_000;
     for name in ["journal-appended", "journal-compacted"] {
         let old = journal::read(&fixture(name));
-        assert!(!old.damaged && old.next == 9, "{name}: {} {}", old.damaged, old.next);
+        assert!(!old.damaged && old.next_id == 9, "{name}: {} {}", old.damaged, old.next_id);
         let dir = tempfile::tempdir().expect("a folder");
         let open = |old| Ledger::open(Disk::open(dir.path()).expect("the folder"), OPTIONS, NOW, 77, old);
         let (mut ledger, opened) = open(Some(old)).expect("opens");
-        assert_eq!(opened.moved, 7);
-        let found = opened.found;
+        assert_eq!(opened.migrated, 7);
+        let found = opened.messages;
         assert_eq!(found.iter().map(|f| f.id).collect::<Vec<_>>(), [1, 2, 4, 5, 6, 7, 8]);
         let first = &found[0];
-        assert_eq!((first.taken.reference.as_str(), first.taken.dest, first.at), ("ref-0", 7, T));
-        assert_eq!((first.taken.key.as_deref(), first.taken.body.len()), (Some(&b"key-0"[..]), 0));
+        assert_eq!((first.message.reference.as_str(), first.message.dest, first.at), ("ref-0", 7, T));
+        assert_eq!((first.message.key.as_deref(), first.message.body.len()), (Some(&b"key-0"[..]), 0));
         assert_eq!((first.history.attempts, first.history.first_sent), (2, T + 100));
-        assert_eq!((first.history.may_have_run, first.history.out), (None, Some((T + 200, 3))));
+        assert_eq!((first.history.may_have_run, first.history.in_flight), (None, Some((T + 200, 3))));
         assert_eq!(found[1].history.may_have_run, Some((T + 300, 1)));
         assert_eq!(found[2].history.answer, Some(Answer::Refused { wait_ms: 40 }));
         assert_eq!(found[3].history.answer, Some(Answer::Failed));
-        assert_eq!(found[4].taken.body, vec![5u8; 200]);
-        assert_eq!(found[4].taken.deadline, 1_900_000_000_000_000_005);
+        assert_eq!(found[4].message.body, vec![5u8; 200]);
+        assert_eq!(found[4].message.deadline, 1_900_000_000_000_000_005);
         assert!(found.iter().all(|f| !f.body_lost));
         // Were the old file still there, it would say nothing any more.
-        ledger.end(1, None).expect("written");
+        ledger.finish(1, None).expect("written");
         drop(ledger);
         let (mut ledger, opened) = open(Some(journal::read(&fixture(name)))).expect("opens");
-        assert_eq!((opened.moved, opened.found.len()), (0, 6));
-        assert_eq!(ledger.take(NOW, &message(1, 1)).expect("room").0, 9, "numbers are not used twice");
+        assert_eq!((opened.migrated, opened.messages.len()), (0, 6));
+        assert_eq!(ledger.accept(NOW, &message(1, 1)).expect("room").0, 9, "numbers are not used twice");
     }
 }
 
@@ -215,10 +221,10 @@
 fn a_torn_old_journal_loses_its_tail_and_a_damaged_one_makes_cautious() {
     let torn = journal::read(&fixture("journal-torn"));
     assert!(!torn.damaged);
-    assert_eq!(torn.owed[&6].history.attempts, 0);
+    assert_eq!(torn.pending[&6].history.attempts, 0);
     let damaged = journal::read(&fixture("journal-damaged"));
     assert!(damaged.damaged);
-    assert!(damaged.owed.values().all(|owed| owed.history.may_have_run == Some((owed.at, 0))));
+    assert!(damaged.pending.values().all(|owed| owed.history.may_have_run == Some((owed.at, 0))));
     let whole = fixture("journal-appended");
     for at in 0..whole.len() {
         journal::read(&whole.slice(..at));
@@ -239,7 +245,7 @@
     for n in 0..=changes.len() {
         let again = millpost_store::memory::Memory::with(files.clone());
         let (_, opened) = Ledger::open(again, OPTIONS, NOW, 78, Some(old())).expect("opens");
-        assert_eq!(opened.found.len(), 7, "after {n} changes");
+        assert_eq!(opened.messages.len(), 7, "after {n} changes");
         if let Some(change) = changes.get(n) {
             change.apply(&mut files);
         }
@@ -264,9 +270,9 @@
     assert!(code == Some(2) && why.contains("no store"), "{why}");
     let (mut ledger, _) = begin(dir.path(), OPTIONS).expect("opens");
     for n in 0..500 {
-        let (id, _) = ledger.take(NOW, &message(n, 300)).expect("room");
+        let (id, _) = ledger.accept(NOW, &message(n, 300)).expect("room");
         if n > 3 {
-            ledger.end(id, Some((&format!("r{n}"), Final::Delivered, LATER))).expect("written");
+            ledger.finish(id, Some((&format!("r{n}"), FinalOutcome::Delivered, LATER))).expect("written");
         }
     }
     // While it runs.
@@ -285,7 +291,7 @@
     assert!(lines[0]["bytes_after"].as_u64() < lines[0]["bytes_before"].as_u64(), "{lines:?}");
     assert_eq!(run(&["verify"]).0, Some(0));
     let (_, opened) = begin(dir.path(), OPTIONS).expect("opens");
-    assert_eq!(opened.found.len(), 4);
+    assert_eq!(opened.messages.len(), 4);
     // Damage is found, and said where.
     let segment = fs::read_dir(dir.path()).expect("the folder").flatten().map(|f| f.path());
     let segment = segment.filter(|p| p.extension().is_some_and(|e| e == "seg")).min().expect("a segment");
--- a/store/tests/model.rs
+++ b/store/tests/model.rs
@@ -70,7 +70,7 @@
                         Err(Error::Full | Error::Io { .. }) if matches!(step, Step::End(..)) => {
                             // Tried again by the ledger, for as long as the process lives.
                             folder.fail(Faults::default());
-                            ledger.tidy(NOW);
+                            ledger.maintain(NOW);
                             model.step(&step);
                         }
                         Err(Error::Full | Error::Io { .. }) => {}
@@ -91,7 +91,7 @@
                     }
                     let folder_again = Memory::with(files);
                     let (_, opened) = begin(&folder_again, durability);
-                    assert!(opened.recovery.doubt_before == 0, "{:?}", opened.recovery);
+                    assert!(opened.recovery.uncertain_before == 0, "{:?}", opened.recovery);
                 }
                 let (again, opened) = begin(&folder, durability);
                 assert_eq!(opened.recovery.damage, [""; 0]);
@@ -112,7 +112,7 @@
                 let done = ledger.store_mut().sync();
                 assert!(done.is_ok() || durability == Durability::Machine);
             }
-            Act::Tidy => ledger.tidy(NOW),
+            Act::Tidy => ledger.maintain(NOW),
             Act::Compact => {
                 let _ = ledger.store_mut().compact(|_| ());
             }
@@ -150,7 +150,7 @@
             let files = [("000000000001.seg".to_owned(), [&header[..], &rest].concat())];
             let folder = Memory::with(files.into_iter().collect());
             let (ledger, opened) = begin(&folder, Durability::Process);
-            assert!(opened.found.len() <= 1 && ledger.stats().used <= 4096);
+            assert!(opened.messages.len() <= 1 && ledger.stats().used <= 4096);
         }
     }
 }
@@ -161,7 +161,7 @@
     let (mut ledger, _) = begin(&folder, Durability::Process);
     let mut taken = 0;
     loop {
-        match ledger.take(NOW, &message(taken, 900)) {
+        match ledger.accept(NOW, &message(taken, 900)) {
             Ok(_) => taken += 1,
             Err(Error::Full) => break,
             Err(e) => panic!("{e}"),
@@ -171,18 +171,18 @@
     assert!(taken > 40, "refused with room to spare: {taken}");
     for round in 0..6 {
         for id in 1..=taken {
-            ledger.begin(id, NOW + round, 0).expect("room for what follows");
-            ledger.outcome(id, true).expect("room for what follows");
+            ledger.begin_attempt(id, NOW + round, 0).expect("room for what follows");
+            ledger.end_attempt(id, true).expect("room for what follows");
             assert!(folder.size() <= LIMIT);
         }
     }
     for id in 1..=taken {
         let reference = "r".repeat(256);
-        let end = millpost_store::ledger::Final::Delivered;
-        ledger.end(id, Some((&format!("{id}{reference}"), end, LATER))).expect("room for what follows");
+        let end = millpost_store::ledger::FinalOutcome::Delivered;
+        ledger.finish(id, Some((&format!("{id}{reference}"), end, LATER))).expect("room for what follows");
         assert!(folder.size() <= LIMIT);
     }
-    let again = (0..taken).take_while(|n| ledger.take(NOW, &message(*n, 900)).is_ok()).count() as u64;
+    let again = (0..taken).take_while(|n| ledger.accept(NOW, &message(*n, 900)).is_ok()).count() as u64;
     assert!(again >= taken / 2, "service resumes: {again} of {taken}");
 }
 
@@ -210,20 +210,20 @@
 fn a_body_damaged_under_the_running_process_is_known_as_lost() {
     let folder = Memory::default();
     let (mut ledger, _) = begin(&folder, Durability::Process);
-    let (id, _) = ledger.take(NOW, &message(1, 500)).expect("room");
-    let (other, _) = ledger.take(NOW, &message(2, 500)).expect("room");
+    let (id, _) = ledger.accept(NOW, &message(1, 500)).expect("room");
+    let (other, _) = ledger.accept(NOW, &message(2, 500)).expect("room");
     let mut files = folder.files();
     files.get_mut("000000000001.seg").expect("a segment")[300] ^= 1;
     let folder = Memory::with(files);
     // The same process would go on with what it has; the files are what a compaction then reads.
     let (mut ledger, opened) = begin(&folder, Durability::Process);
     assert!(!opened.recovery.damage.is_empty());
-    assert_eq!(opened.found.iter().map(|f| f.id).collect::<Vec<_>>(), [other], "{id} is damaged");
-    assert!(opened.found[0].history.may_have_run.is_none(), "what came after the damage is sure");
+    assert_eq!(opened.messages.iter().map(|f| f.id).collect::<Vec<_>>(), [other], "{id} is damaged");
+    assert!(opened.messages[0].history.may_have_run.is_none(), "what came after the damage is sure");
     ledger.store_mut().compact(|_| ()).expect("room");
     drop(ledger);
     let (_, opened) = begin(&folder, Durability::Process);
-    assert_eq!((opened.recovery.damage.len(), opened.found.len()), (0, 1));
+    assert_eq!((opened.recovery.damage.len(), opened.messages.len()), (0, 1));
 }
 
 #[test]
@@ -232,16 +232,16 @@
     let folder = Memory::default();
     let (mut ledger, _) = begin(&folder, Durability::Process);
     for n in 0..4 {
-        ledger.take(NOW, &message(n, 700)).expect("room");
+        ledger.accept(NOW, &message(n, 700)).expect("room");
     }
     folder.clone().open("000000000001.seg").and_then(|mut file| file.truncate(1500)).expect("cut");
     ledger.store_mut().compact(|_| ()).expect("room");
     drop(ledger);
     let (_, opened) = begin(&folder, Durability::Process);
-    assert_eq!(opened.found.len(), 4, "{:?}", opened.recovery);
-    let lost: Vec<bool> = opened.found.iter().map(|f| f.body_lost).collect();
+    assert_eq!(opened.messages.len(), 4, "{:?}", opened.recovery);
+    let lost: Vec<bool> = opened.messages.iter().map(|f| f.body_lost).collect();
     assert_eq!(lost, [true; 4].map(|all| all && lost[0]), "{lost:?}");
-    assert!(opened.found.iter().all(|f| f.taken.reference.starts_with('r')));
+    assert!(opened.messages.iter().all(|f| f.message.reference.starts_with('r')));
 }
 
 /// A life with checkpoints beside its segments.
@@ -275,8 +275,8 @@
     let bodies = bad.get_mut(&newest).expect("a segment");
     bodies[128..].fill(0x55);
     let (_, opened) = open(bad, 1_000_000, Durability::Process);
-    assert_eq!((opened.recovery.damage.len(), opened.found.len()), (0, model.owed.len()));
-    assert!(opened.found.iter().any(|f| f.body_lost));
+    assert_eq!((opened.recovery.damage.len(), opened.messages.len()), (0, model.owed.len()));
+    assert!(opened.messages.iter().any(|f| f.body_lost));
 }
 
 #[test]
