--- a/audit/examples/large.rs
+++ b/audit/examples/large.rs
@@ -8,7 +8,7 @@
 use millpost_audit::entry::{Author, Entry};
 use millpost_audit::log::Log;
 use millpost_audit::{End, audit};
-use millpost_tier::standing::{Kind, Standing};
+use millpost_tier::versions::{ActiveVersions, Kind};
 
 const SECOND: u64 = 1_000_000_000;
 const START: u64 = 1_700_000_000 * SECOND;
@@ -27,11 +27,11 @@
         let name = format!("n{number}");
         let author = Author { number, of: dispatchers as u16, name, incarnation: 1, drain_ms: 500 };
         let mut log = Log::open(&folder, 1 << 30, author, START).expect("a log");
-        let mut standing = Standing { incarnation: 1, epoch: 1, ..Standing::default() };
+        let mut standing = ActiveVersions { incarnation: 1, epoch: 1, ..ActiveVersions::default() };
         let mut now = START + u64::from(number) * 1_000_000;
         for n in 0..each {
             if n % 2_000 == 0 {
-                standing.moves(Kind::List, n as u32 + 1);
+                standing.set_version(Kind::List, n as u32 + 1);
                 standing.index += 1;
             }
             let on = log.acts_on(now, standing);
--- a/audit/src/audit.rs
+++ b/audit/src/audit.rs
@@ -8,7 +8,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
-use millpost_tier::standing::{KINDS, Kind, Standing};
+use millpost_tier::versions::{ActiveVersions, KINDS, Kind};
 use serde::Serialize;
 
 use crate::Nanos;
@@ -227,7 +227,7 @@
 
 fn read(path: &Path, (part, parts): (u64, u64), found: &mut Found, progress: &Progress) {
     let mut log = Log { folder: path.to_owned(), ..Log::default() };
-    let (mut watch, mut last, first_part) = (Watch::new(KEPT), None::<Standing>, part == 0);
+    let (mut watch, mut last, first_part) = (Watch::new(KEPT), None::<ActiveVersions>, part == 0);
     let (clocks, takings) = (&mut found.clocks, &mut found.takings);
     let (head, troubles) = folder(path, |head, at, entry, names| {
         let who = head.author.number;
@@ -284,10 +284,10 @@
     found.watched.push((watch.counts, watch.breaches));
 }
 
-fn moves(moves: &mut Vec<Move>, last: Option<&Standing>, standing: &Standing, at: Nanos) {
+fn moves(moves: &mut Vec<Move>, last: Option<&ActiveVersions>, standing: &ActiveVersions, at: Nanos) {
     for kind in KINDS {
-        let digest = standing.stamp(kind).digest;
-        let moved = last.is_none_or(|last| last.stamp(kind).digest != digest);
+        let digest = standing.version(kind).digest;
+        let moved = last.is_none_or(|last| last.version(kind).digest != digest);
         if moved && moves.len() < MOVES * KINDS.len() {
             moves.push(Move { kind, digest, at, index: standing.index });
         }
@@ -334,7 +334,7 @@
         return;
     }
     let looked: BTreeSet<u64> = twice.iter().take(LOOKED_INTO).copied().collect();
-    type Lives = HashMap<u64, Vec<(u16, Nanos, Option<Standing>, Option<(End, Nanos)>)>>;
+    type Lives = HashMap<u64, Vec<(u16, Nanos, Option<ActiveVersions>, Option<(End, Nanos)>)>>;
     let found = each(folders, threads, |path, found: &mut Lives| {
         let _ = folder(path, |head, at, entry, names| match entry {
             Some(Entry::Taken { message, standing }) => {
@@ -396,7 +396,7 @@
     /// What.
     pub what: String,
     /// On which standing.
-    pub standing: Option<Standing>,
+    pub standing: Option<ActiveVersions>,
 }
 
 /// All that was decided on a message, in its order; and what the logs do not say.
--- a/audit/src/entry.rs
+++ b/audit/src/entry.rs
@@ -1,6 +1,6 @@
 //! What is recorded.
 
-use millpost_tier::standing::{Kind, Standing};
+use millpost_tier::versions::{ActiveVersions, Kind};
 use serde::{Deserialize, Serialize};
 
 /// How a message ended.
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
     /// The next standing.
-    Standing(Box<Standing>),
+    Standing(Box<ActiveVersions>),
     /// The next endpoint: what it is known by, and its destination.
     Endpoint(u64, u64),
     /// The next message, which was taken on before this segment.
@@ -94,7 +94,7 @@
     Part {
         /// The destination.
         dest: u64,
-        /// In parts of [`millpost_tier::lend::WHOLE`]; `u32::MAX` for no bound.
+        /// In parts of [`millpost_tier::lending::WHOLE`]; `u32::MAX` for no bound.
         part: u32,
         /// Until then, milliseconds from now; 0 where it has no end.
         until_ms: u32,
--- a/audit/src/judge.rs
+++ b/audit/src/judge.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use millpost_tier::lend::even;
-use millpost_tier::standing::Standing;
+use millpost_tier::lending::even_share;
+use millpost_tier::versions::ActiveVersions;
 use serde::Serialize;
 
 use crate::Nanos;
@@ -61,7 +61,7 @@
     /// What was seen.
     pub what: String,
     /// On which standing.
-    pub standing: Option<Standing>,
+    pub standing: Option<ActiveVersions>,
 }
 
 /// Nobody is blamed for less: a clock that is read before the call is written.
@@ -82,7 +82,7 @@
     lendings: BTreeMap<u64, Lendings>,
     out: bool,
     epochs: BTreeMap<u16, u32>,
-    last: Option<Standing>,
+    last: Option<ActiveVersions>,
     whole: bool,
     highest_life: u32,
     /// Breaches so far, and those of them that are kept.
@@ -110,7 +110,7 @@
         rule: Rule,
         message: Option<u64>,
         what: String,
-        on: Option<&Standing>,
+        on: Option<&ActiveVersions>,
     ) {
         let count = self.counts.entry(rule).or_default();
         *count += 1;
@@ -210,7 +210,7 @@
 
     /// A call is written to a destination: what it takes itself to have there is no more than what it has by right and what
     /// it borrowed that has not ended.
-    fn spends(&mut self, head: &Head, at: Nanos, dest: u64, message: u64, on: Option<&Standing>) {
+    fn spends(&mut self, head: &Head, at: Nanos, dest: u64, message: u64, on: Option<&ActiveVersions>) {
         let Some(lendings) = self.lendings.get(&dest) else { return };
         let Some((part, until, after)) = lendings.part else { return };
         let in_use = if at < until.saturating_add(SLACK) { part } else { after };
@@ -218,14 +218,14 @@
             return;
         }
         let live = lendings.borrowed.iter().filter(|(_, until)| at <= until.saturating_add(SLACK));
-        let has = live.fold(even(head.author.of), |sum, (part, _)| sum.saturating_add(*part));
+        let has = live.fold(even_share(head.author.of), |sum, (part, _)| sum.saturating_add(*part));
         if in_use > has {
             let what = format!("to destination {dest}, of which it used {in_use} parts and had {has}");
             self.breach(head, at, Rule::Lending, Some(message), what, on);
         }
     }
 
-    fn stands(&mut self, head: &Head, at: Nanos, standing: &Standing) {
+    fn stands(&mut self, head: &Head, at: Nanos, standing: &ActiveVersions) {
         let whole = std::mem::replace(&mut self.whole, false);
         if let Some(last) = self.last {
             let list = last.agent == standing.agent && standing.index < last.index && !whole;
--- a/audit/src/log.rs
+++ b/audit/src/log.rs
@@ -12,7 +12,7 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-use millpost_tier::standing::{Kind, Standing};
+use millpost_tier::versions::{ActiveVersions, Kind};
 
 use crate::Nanos;
 use crate::entry::{Author, End, Entry, Head, State};
@@ -67,7 +67,7 @@
     messages: HashMap<u64, u32>,
     next_message: u32,
     endpoints: HashMap<u64, u32>,
-    standing: Standing,
+    standing: ActiveVersions,
     /// The number of the standing in force; none was named in this segment yet where there is none.
     standings: u32,
     named: bool,
@@ -108,7 +108,7 @@
             messages: HashMap::new(),
             next_message: 0,
             endpoints: HashMap::new(),
-            standing: Standing::default(),
+            standing: ActiveVersions::default(),
             standings: 0,
             named: false,
             states: HashMap::new(),
@@ -266,7 +266,7 @@
     }
 
     /// What is acted on from now on; the number that decisions name it by, until it changes.
-    pub fn acts_on(&mut self, now: Nanos, standing: Standing) -> Stood {
+    pub fn acts_on(&mut self, now: Nanos, standing: ActiveVersions) -> Stood {
         if standing != self.standing {
             (self.standing, self.named) = (standing, false);
         }
@@ -376,7 +376,7 @@
 pub struct Stood {
     segment: u64,
     number: u32,
-    standing: Standing,
+    standing: ActiveVersions,
 }
 
 /// Records up to the end of a segment, in the life of its folder.
--- a/audit/src/read.rs
+++ b/audit/src/read.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-use millpost_tier::standing::Standing;
+use millpost_tier::versions::ActiveVersions;
 use serde::Serialize;
 
 use crate::Nanos;
@@ -19,7 +19,7 @@
     /// Endpoints and their destinations.
     pub endpoints: Vec<(u64, u64)>,
     /// Standings.
-    pub standings: Vec<Standing>,
+    pub standings: Vec<ActiveVersions>,
 }
 
 impl Names {
@@ -32,7 +32,7 @@
         self.endpoints.get(number as usize).copied().unwrap_or((0, 0))
     }
     /// A standing.
-    pub fn standing(&self, number: u32) -> Option<&Standing> {
+    pub fn standing(&self, number: u32) -> Option<&ActiveVersions> {
         self.standings.get(number as usize)
     }
 }
--- a/audit/tests/logs.rs
+++ b/audit/tests/logs.rs
@@ -9,8 +9,8 @@
 use millpost_audit::log::{LEAST_BUDGET, Log, Stood, segments};
 use millpost_audit::{Audit, End, State, audit, explain, message};
 use millpost_tier::Loan;
-use millpost_tier::lend::even;
-use millpost_tier::standing::{Kind, Standing};
+use millpost_tier::lending::even_share;
+use millpost_tier::versions::{ActiveVersions, Kind};
 use proptest::prelude::*;
 
 const SECOND: u64 = 1_000_000_000;
@@ -21,10 +21,10 @@
     Author { number, of: OF, name: format!("n{number}"), incarnation, drain_ms: 500 }
 }
 
-fn standing(incarnation: u32) -> Standing {
+fn standing(incarnation: u32) -> ActiveVersions {
     let mut standing =
-        Standing { incarnation, epoch: incarnation, agent: 7, index: 10, ..Standing::default() };
-    standing.moves(Kind::List, 99);
+        ActiveVersions { incarnation, epoch: incarnation, agent: 7, index: 10, ..ActiveVersions::default() };
+    standing.set_version(Kind::List, 99);
     standing
 }
 
@@ -75,7 +75,7 @@
     // On other versions from here on; a call that was decided before names those of before.
     let before = fleet.on[1];
     let mut newer = standing(4);
-    newer.moves(Kind::List, 100);
+    newer.set_version(Kind::List, 100);
     newer.index = 11;
     let now = fleet.pass(10);
     let after = fleet.logs[1].acts_on(now, newer);
@@ -138,7 +138,7 @@
     assert_eq!(plant(&again).0, []);
     let lent = |told_anew: bool| {
         move |fleet: &mut Fleet| {
-            let (now, on, right) = (fleet.pass(1), fleet.on[0], even(OF));
+            let (now, on, right) = (fleet.pass(1), fleet.on[0], even_share(OF));
             fleet.logs[0].loan(now, &loan(false, 4), 2 * SECOND, on);
             let (part, after) = (right + 1_000, right);
             let until_ms = if told_anew { 1_900 } else { 0 };
@@ -195,7 +195,7 @@
         move |fleet: &mut Fleet| {
             let now = fleet.pass(1);
             fleet.logs[0].note(now, &Entry::Listed { whole });
-            fleet.on[0] = fleet.logs[0].acts_on(now, Standing { index: 3, ..standing(4) });
+            fleet.on[0] = fleet.logs[0].acts_on(now, ActiveVersions { index: 3, ..standing(4) });
             fleet.message(0, "b");
         }
     };
--- a/dispatcher/src/book.rs
+++ b/dispatcher/src/book.rs
@@ -10,8 +10,8 @@
 use millpost_audit::{End, State, message};
 use millpost_core::{CallId, CallMessage, Change, Moment, ReplyId, SubmitReply};
 use millpost_store::ledger::{Answer, FinalOutcome};
-use millpost_tier::lend::WHOLE;
-use millpost_tier::{Kind, Loan, Part, Standing};
+use millpost_tier::lending::WHOLE;
+use millpost_tier::{ActiveVersions, Kind, Loan, RateBudget};
 
 use crate::options::Recording;
 
@@ -24,7 +24,7 @@
     recording: Recording,
     author: Author,
     log: Option<Log>,
-    standing: Standing,
+    standing: ActiveVersions,
     stood: Stood,
     /// Messages that have no final answer yet, by what they are known by in logs.
     open: HashMap<MsgId, u64>,
@@ -44,7 +44,7 @@
             recording,
             author,
             log: None,
-            standing: Standing::default(),
+            standing: ActiveVersions::default(),
             stood: Stood::default(),
             open: HashMap::new(),
             handing: HashMap::new(),
@@ -71,7 +71,7 @@
     }
 
     /// What is acted on from now on.
-    pub fn acts_on(&mut self, at: Moment, standing: Standing) {
+    pub fn acts_on(&mut self, at: Moment, standing: ActiveVersions) {
         if standing != self.standing || self.stood == Stood::default() {
             self.standing = standing;
             if let Some(log) = &mut self.log {
@@ -182,7 +182,7 @@
     }
 
     /// What may be sent to a destination.
-    pub fn part(&mut self, at: Moment, dest: u64, part: Option<Part>) {
+    pub fn part(&mut self, at: Moment, dest: u64, part: Option<RateBudget>) {
         let Some(log) = &mut self.log else { return };
         let entry = match part {
             None => Entry::Part { dest, part: u32::MAX, until_ms: 0, after: u32::MAX, limit: 0 },
--- a/dispatcher/src/config.rs
+++ b/dispatcher/src/config.rs
@@ -103,7 +103,7 @@
     if let Some(fields) = settings.as_object_mut() {
         fields.remove("slotNo");
     }
-    millpost_tier::standing::digest(settings.to_string().as_bytes())
+    millpost_tier::versions::digest(settings.to_string().as_bytes())
 }
 
 /// The same of the file as it stands, whatever is in it.
@@ -111,7 +111,7 @@
     let bytes = std::env::var_os("NODE_CONFIG").and_then(|path| std::fs::read(path).ok()).unwrap_or_default();
     match serde_json::from_slice(&bytes) {
         Ok(text) => digest(&text),
-        Err(_) => millpost_tier::standing::digest(&bytes),
+        Err(_) => millpost_tier::versions::digest(&bytes),
     }
 }
 
--- a/dispatcher/src/console/line.rs
+++ b/dispatcher/src/console/line.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write;
 
 use millpost_core::ClassCounts;
-use millpost_tier::sieve::Sifted;
+use millpost_tier::frame_filter::FilterStats;
 
 /// The longest line that is read.
 pub const LONGEST: usize = 512;
@@ -88,9 +88,9 @@
 /// What is shared with other dispatchers, in figures.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Shared {
-    pub tier: millpost_tier::Figures,
+    pub tier: millpost_tier::TierStats,
     /// Datagrams that came.
-    pub sifted: Sifted,
+    pub sifted: FilterStats,
 }
 
 impl Shared {
@@ -113,12 +113,12 @@
             ("sent_bytes", tier.bytes),
             ("read", sifted.read),
             ("unknown", sifted.unknown),
-            ("nonsense", sifted.nonsense),
+            ("nonsense", sifted.malformed),
             ("other_version", sifted.version),
             ("roll_sent", tier.roll_sent),
             ("roll_bytes", tier.roll_bytes),
             ("roll_behind", tier.behind as u64),
-            ("flood", sifted.flood),
+            ("flood", sifted.rate_limited),
         ] {
             line(&format!("tier_{name}"), figure);
         }
--- a/dispatcher/src/driver.rs
+++ b/dispatcher/src/driver.rs
@@ -20,8 +20,8 @@
 use millpost_settings::{Classes, Shape};
 use millpost_store::ledger::RecoveredMessage;
 use millpost_store::{Disk, Ledger, Seq};
-use millpost_tier::records::What;
-use millpost_tier::{Act, Fault, Kind, Rules, Standing, Terms};
+use millpost_tier::records::RecordKind;
+use millpost_tier::{ActiveVersions, Fault, Kind, RollAction, Rules, TierConfig};
 use tokio::sync::{Notify, mpsc, oneshot, watch};
 use tokio::task::AbortHandle;
 use tokio::time::sleep_until;
@@ -80,7 +80,7 @@
     peers: Option<Peers>,
     sharing: Option<Sharing>,
     /// What is acted on, where no roll keeps it.
-    standing: Standing,
+    standing: ActiveVersions,
     /// What is decided is recorded.
     book: Option<Book>,
     again: Again,
@@ -177,7 +177,7 @@
     pub calls: Calls<Input>,
     pub peers: Option<Peers>,
     /// The terms on which something is shared with them, if anything is.
-    pub terms: Option<Terms>,
+    pub terms: Option<TierConfig>,
     /// The rules on who is behind, and where decisions are recorded, if they are.
     pub rules: Rules,
     pub recording: Option<Recording>,
@@ -288,7 +288,7 @@
             calls,
             peers,
             sharing: None,
-            standing: Standing::default(),
+            standing: ActiveVersions::default(),
             book: None,
             again,
             name,
@@ -514,36 +514,36 @@
     }
 
     /// What the roll wants done.
-    fn act(&mut self, at: Moment, act: Act) {
+    fn act(&mut self, at: Moment, act: RollAction) {
         let Some(sharing) = &mut self.sharing else { return };
         match act {
-            Act::Ask(Kind::List) => {
+            RollAction::RefreshSource(Kind::List) => {
                 eprintln!(
                     "roll: most have left the list that is acted on here; the agent is asked for all of it"
                 );
                 self.again.list.notify_one();
             }
-            Act::Ask(kind) => {
+            RollAction::RefreshSource(kind) => {
                 eprintln!(
                     "roll: most have left the {} that are acted on here; the file is read again",
                     kind.name()
                 );
                 self.again.settings.notify_one();
             }
-            Act::ShutOut(kind) => {
+            RollAction::ShutOut(kind) => {
                 eprintln!("roll: shut out: most find this dispatcher behind on its {}", kind.name());
                 self.core.refuse_new(!sharing.serves());
                 self.shared.figures().shut_out = Some(kind.name());
                 self.book.iter_mut().for_each(|book| book.service(at, Some(kind)));
             }
-            Act::Back => {
+            RollAction::Readmit => {
                 eprintln!("roll: it has caught up, and takes messages again");
                 self.core.refuse_new(false);
                 self.shared.figures().shut_out = None;
                 self.book.iter_mut().for_each(|book| book.service(at, None));
             }
-            Act::Note => sharing.note(at, &mut self.record),
-            Act::Hold(place, What::Cordon) => {
+            RollAction::RecordsChanged => sharing.note(at, &mut self.record),
+            RollAction::Hold(place, RecordKind::Cordon) => {
                 let name = sharing.endpoint(place).and_then(|e| self.roster.name(e)).map(str::to_owned);
                 let Some(name) = name else { return };
                 if self.roster.asked(&name, true) == Ok(Change::Out)
@@ -554,12 +554,12 @@
                     self.changed(at, entry, false);
                 }
             }
-            Act::Hold(place, What::Drain) => {
+            RollAction::Hold(place, RecordKind::Drain) => {
                 let Some(endpoint) = sharing.endpoint(place) else { return };
                 let entry = self.roster.hold(endpoint, true);
                 self.changed(at, entry, false);
             }
-            Act::Release(place) => {
+            RollAction::Release(place) => {
                 let Some(endpoint) = sharing.endpoint(place) else { return };
                 let entry = self.roster.hold(endpoint, false);
                 self.changed(at, entry, true);
@@ -624,8 +624,8 @@
             let all =
                 roster.places().filter_map(|(id, name, e)| Some((place(name), e.dest, roster.state(id)?)));
             book.listed(at, whole, all);
-            self.standing.moves(Kind::List, roster.digest());
-            self.standing.agent = millpost_tier::standing::digest(roster.source().as_bytes());
+            self.standing.set_version(Kind::List, roster.digest());
+            self.standing.agent = millpost_tier::versions::digest(roster.source().as_bytes());
             self.standing.index = self.index.unwrap_or(0);
         }
         self.stand(at);
@@ -863,7 +863,7 @@
         if self.sharing.as_ref().is_some_and(|sharing| sharing.acts_on().is_some()) || self.book.is_some() {
             versions::settled(at, digest, &mut self.record);
         }
-        self.standing.moves(Kind::Settings, digest);
+        self.standing.set_version(Kind::Settings, digest);
         self.stand(at);
         Ok(())
     }
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -35,7 +35,7 @@
 use millpost_net::connection_limiter::ConnectionLimiter;
 use millpost_net::{link, meter};
 use millpost_store::{Disk, Ledger, ledger};
-use millpost_tier::sieve::Sieve;
+use millpost_tier::frame_filter::FrameFilter;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{Notify, mpsc, oneshot, watch};
@@ -208,7 +208,7 @@
     let (peers, listening) = match (settings.allow.notes, config.peer_listen, config.peers_all) {
         // Notes are a help, no need: without them the dispatcher serves all the same.
         (true, Some(listen), Some(all)) => {
-            let frames = || Ear::Frames(Arc::new(Mutex::new(Sieve::new(of))));
+            let frames = || Ear::Frames(Arc::new(Mutex::new(FrameFilter::new(of))));
             let ear = terms.as_ref().map_or(Ear::Notes, |_| frames());
             let (peers, task) = Peers::open(listen, config.peers.clone(), all, ear, told.clone());
             (Some(peers), Some(task))
--- a/dispatcher/src/options.rs
+++ b/dispatcher/src/options.rs
@@ -6,7 +6,7 @@
 
 use lexopt::prelude::*;
 use millpost_store::Durability;
-use millpost_tier::{Rules, Terms};
+use millpost_tier::{Rules, TierConfig};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 
@@ -46,7 +46,7 @@
 pub struct Options {
     pub durability: Durability,
     /// What is shared with other dispatchers.
-    pub tier: Terms,
+    pub tier: TierConfig,
     /// Who is behind, and what follows.
     pub fleet: Rules,
     /// What was acted on is recorded.
@@ -82,7 +82,7 @@
 impl Options {
     /// All else as it is where nothing is said.
     fn new(durability: Durability) -> Self {
-        let (tier, fleet, audit) = (Terms::default(), Rules::default(), Recording::default());
+        let (tier, fleet, audit) = (TierConfig::default(), Rules::default(), Recording::default());
         Options { durability, tier, fleet, audit }
     }
 }
@@ -107,7 +107,7 @@
 #[serde(default, deny_unknown_fields)]
 struct SettingsFile {
     store: StoreFile,
-    tier: Terms,
+    tier: TierConfig,
     fleet: Rules,
     audit: Recording,
 }
--- a/dispatcher/src/peers.rs
+++ b/dispatcher/src/peers.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use millpost_tier::frame::Frame;
-use millpost_tier::sieve::{Sieve, Sifted};
+use millpost_tier::frame_filter::{FilterStats, FrameFilter};
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
@@ -27,15 +27,15 @@
 #[derive(Clone)]
 pub enum Ear {
     Notes,
-    Frames(Arc<Mutex<Sieve>>),
+    Frames(Arc<Mutex<FrameFilter>>),
 }
 
 impl Ear {
     /// What became of the datagrams.
-    pub fn sifted(&self) -> Sifted {
+    pub fn sifted(&self) -> FilterStats {
         match self {
-            Ear::Notes => Sifted::default(),
-            Ear::Frames(sieve) => sieve.lock().unwrap_or_else(PoisonError::into_inner).sifted(),
+            Ear::Notes => FilterStats::default(),
+            Ear::Frames(sieve) => sieve.lock().unwrap_or_else(PoisonError::into_inner).stats(),
         }
     }
 }
--- a/dispatcher/src/peers/sharing.rs
+++ b/dispatcher/src/peers/sharing.rs
@@ -5,10 +5,13 @@
 use millpost::api::{DestId, EndpointId, Event, Nanos, Outcome, RateShare};
 use millpost_core::{Core, Moment};
 use millpost_tier::frame::Frame;
-use millpost_tier::judge::View;
-use millpost_tier::roll::{Begin, Row};
-use millpost_tier::standing::{KINDS, digest};
-use millpost_tier::{Act, Fault, Kind, Need, News, Out, Place, Rules, Standing, Terms, Tier, Went};
+use millpost_tier::roll::{InitialState, PeerStatus};
+use millpost_tier::staleness::View;
+use millpost_tier::versions::{KINDS, digest};
+use millpost_tier::{
+    ActiveVersions, CallResult, Demand, EndpointHash, Fault, Kind, Output, RollAction, Rules, Tier,
+    TierConfig, TierEvent,
+};
 use serde_json::{Value, json};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -23,17 +26,17 @@
     tier: Tier,
     slots: usize,
     /// Endpoints by what all dispatchers know them by, and the other way.
-    endpoints: HashMap<Place, EndpointId>,
-    places: HashMap<EndpointId, (Place, DestId)>,
+    endpoints: HashMap<EndpointHash, EndpointId>,
+    places: HashMap<EndpointId, (EndpointHash, DestId)>,
     /// What the loop is to do for the roll.
-    acts: Vec<Act>,
+    acts: Vec<RollAction>,
     /// The agent has told the list in this life.
     told: bool,
 }
 
 impl Sharing {
     /// A life begins, numbered after all that the store knows of.
-    pub fn begin(at: Moment, terms: Terms, me: u16, of: u16, seed: u64, record: &mut Record) -> Self {
+    pub fn begin(at: Moment, terms: TierConfig, me: u16, of: u16, seed: u64, record: &mut Record) -> Self {
         let incarnation = record.ledger().incarnation().saturating_add(1);
         record.live(at, incarnation);
         let tier = Tier::new(at.now, terms, me, of, incarnation, seed);
@@ -46,55 +49,55 @@
         &mut self,
         at: Moment,
         rules: Rules,
-        (standing, held): (Standing, [Nanos; 4]),
+        (standing, held): (ActiveVersions, [Nanos; 4]),
         seed: u64,
         record: &Record,
     ) {
-        let begin = Begin { rules, standing, held, words: versions::words(record) };
-        self.tier.keep_roll(at.now, begin, seed);
+        let begin = InitialState { rules, standing, held, words: versions::words(record) };
+        self.tier.enable_roll(at.now, begin, seed);
     }
 
     /// Lendings are recorded.
     pub fn trace(&mut self) {
-        self.tier.trace();
+        self.tier.trace_loans();
     }
 
     /// What is acted on, where a roll is kept.
-    pub fn acts_on(&self) -> Option<Standing> {
-        self.tier.acts_on()
+    pub fn acts_on(&self) -> Option<ActiveVersions> {
+        self.tier.active_versions()
     }
 
     /// New messages are taken.
     pub fn serves(&self) -> bool {
-        self.tier.serves()
+        self.tier.accepts_messages()
     }
 
     /// A fault that is to be committed.
     pub fn has(&self, fault: Fault) -> bool {
-        self.tier.has(fault)
+        self.tier.has_fault(fault)
     }
 
     /// What there is to do for the roll.
-    pub fn take_acts(&mut self) -> Vec<Act> {
+    pub fn take_acts(&mut self) -> Vec<RollAction> {
         std::mem::take(&mut self.acts)
     }
 
     /// An endpoint, by what all know it by.
-    pub fn endpoint(&self, place: Place) -> Option<EndpointId> {
+    pub fn endpoint(&self, place: EndpointHash) -> Option<EndpointId> {
         self.endpoints.get(&place).copied()
     }
 
     /// Another content of a kind is acted on.
     pub fn moves(&mut self, at: Moment, kind: Kind, digest: u32) {
         if let Some((roll, pass_on)) = self.tier.roll() {
-            roll.moves(at.now, kind, digest, pass_on);
+            roll.set_version(at.now, kind, digest, pass_on);
         }
     }
 
     /// Settings were turned down.
     pub fn refused(&mut self, digest: u32) {
         if let Some((roll, pass_on)) = self.tier.roll() {
-            roll.refused(digest, pass_on);
+            roll.reject_settings(digest, pass_on);
         }
     }
 
@@ -102,14 +105,14 @@
     pub fn cordoned(&mut self, at: Moment, name: &str, out: bool) {
         let place = xxh3_64(name.as_bytes());
         if let Some((roll, pass_on)) = self.tier.roll() {
-            roll.cordoned(at.now, place, out, pass_on);
+            roll.set_cordon(at.now, place, out, pass_on);
         }
     }
 
     /// Cordons and drains are to last.
     pub fn note(&mut self, at: Moment, record: &mut Record) {
         if let Some((roll, _)) = self.tier.roll() {
-            versions::note_words(at, roll.words(), record);
+            versions::note_words(at, roll.records(), record);
         }
     }
 
@@ -122,31 +125,31 @@
         told: bool,
         record: &mut Record,
     ) {
-        let before = self.tier.acts_on().map(|on| on.list.digest);
+        let before = self.tier.active_versions().map(|on| on.list.digest);
         let Some((roll, pass_on)) = self.tier.roll() else { return };
-        roll.numbered(digest(roster.source().as_bytes()), index.unwrap_or(0));
+        roll.set_list_index(digest(roster.source().as_bytes()), index.unwrap_or(0));
         let list = roster.digest();
         if !told {
-            roll.held(at.now, Kind::List, list, versions::list_held(at, list, record), pass_on);
+            roll.set_version_since(at.now, Kind::List, list, versions::list_held(at, list, record), pass_on);
             return;
         }
         let first = !std::mem::replace(&mut self.told, true);
         if before != Some(list) {
-            roll.moves(at.now, Kind::List, list, pass_on);
+            roll.set_version(at.now, Kind::List, list, pass_on);
             versions::listed(at, list, record);
         } else if first && versions::list_held(at, list, record) == Nanos::MAX {
-            roll.confirmed(at.now, Kind::List, pass_on);
+            roll.confirm(at.now, Kind::List, pass_on);
             versions::listed(at, list, record);
         }
     }
 
     /// How this one stands and sees the others, for the staff.
     pub fn standing(&mut self, at: Moment, name: &str) -> Option<String> {
-        let standing = self.tier.acts_on()?;
-        let rows: Vec<Value> = self.tier.rows(at.now).iter().map(row).collect();
-        let (life, (number, of)) = (self.tier.life(), self.tier.number());
+        let standing = self.tier.active_versions()?;
+        let rows: Vec<Value> = self.tier.peer_statuses(at.now).iter().map(row).collect();
+        let (life, (number, of)) = (self.tier.heartbeat(), self.tier.identity());
         let text = json!({
-            "name": name, "number": number, "of": of, "epoch": life.incarnation, "serves": self.tier.serves(), "standing": standing,
+            "name": name, "number": number, "of": of, "epoch": life.incarnation, "serves": self.tier.accepts_messages(), "standing": standing,
             "wall_ns": at.wall, "rows": rows,
         });
         Some(text.to_string())
@@ -159,7 +162,7 @@
 
     /// The next round is due then.
     pub fn due(&self) -> Nanos {
-        self.tier.due()
+        self.tier.next_round_at()
     }
 
     /// The list of endpoints has changed.
@@ -168,38 +171,38 @@
         let all = all.map(|(endpoint, name, entry)| (endpoint, (xxh3_64(name.as_bytes()), entry.dest)));
         self.places = all.collect();
         self.endpoints = self.places.iter().map(|(endpoint, (place, _))| (*place, *endpoint)).collect();
-        self.tier.listed(at.now, self.places.values().map(|(place, dest)| (*dest, *place)));
+        self.tier.set_endpoints(at.now, self.places.values().map(|(place, dest)| (*dest, *place)));
         if let Some((roll, pass_on)) = self.tier.roll() {
             let ready = |entry: &millpost::api::Entry| entry.state == millpost::api::State::Ready;
             let all = roster.places().map(|(_, name, e)| (xxh3_64(name.as_bytes()), e.dest, ready(e)));
-            roll.listed(at.now, all, pass_on);
+            roll.set_endpoints(at.now, all, pass_on);
         }
     }
 
     /// A message for a destination has come.
     pub fn wanted(&mut self, at: Moment, core: &Core, dest: DestId) {
-        self.tier.wanted(at.now, need(core, self.slots, dest));
+        self.tier.update_demand(at.now, need(core, self.slots, dest));
     }
 
     /// A call was written.
     pub fn sent(&mut self, at: Moment, endpoint: EndpointId) {
         if let Some((_, dest)) = self.places.get(&endpoint) {
-            self.tier.sent(at.now, *dest);
+            self.tier.record_call(at.now, *dest);
         }
     }
 
     /// A call ended.
     pub fn went(&mut self, at: Moment, endpoint: EndpointId, outcome: Outcome, wait: Option<Nanos>) {
         let went = match outcome {
-            Outcome::Served => Went::Served,
-            Outcome::Full(_) => Went::Refused,
-            Outcome::Error => Went::Answered,
-            Outcome::TimedOut | Outcome::Reset | Outcome::ConnectFailed => Went::Failed,
+            Outcome::Served => CallResult::Served,
+            Outcome::Full(_) => CallResult::Refused,
+            Outcome::Error => CallResult::Answered,
+            Outcome::TimedOut | Outcome::Reset | Outcome::ConnectFailed => CallResult::Failed,
             // These say nothing of an endpoint.
             Outcome::Cancelled | Outcome::NotSent | Outcome::Exhausted => return,
         };
         if let Some((place, _)) = self.places.get(&endpoint) {
-            self.tier.went(at.now, *place, went, wait.map(|wait| at.now.saturating_add(wait)));
+            self.tier.record_result(at.now, *place, went, wait.map(|wait| at.now.saturating_add(wait)));
         }
     }
 
@@ -209,19 +212,19 @@
         if let Some(book) = book {
             book.heard(at, speaker.who, speaker.life.incarnation, speaker.life.beat);
         }
-        self.tier.hear(at.now, frame);
+        self.tier.receive(at.now, frame);
     }
 
     /// The round that is due, if it is.
     pub fn tick(&mut self, at: Moment, core: &Core, book: Option<&mut Book>) {
-        if at.now >= self.tier.due() {
-            let life = self.tier.life();
+        if at.now >= self.tier.next_round_at() {
+            let life = self.tier.heartbeat();
             if let Some(book) = book {
                 book.beat(at, life.incarnation, life.beat);
             }
             // Also of messages that were there before this process, or that nothing was sent of for a while.
             let all: BTreeSet<DestId> = self.tier.active().chain(core.destinations()).collect();
-            let needs: Vec<Need> = all.into_iter().map(|dest| need(core, self.slots, dest)).collect();
+            let needs: Vec<Demand> = all.into_iter().map(|dest| need(core, self.slots, dest)).collect();
             self.tier.tick(at.now, &needs);
         }
     }
@@ -236,22 +239,22 @@
         book: &mut Option<Book>,
     ) -> bool {
         let mut news = false;
-        while let Some(out) = self.tier.out() {
+        while let Some(out) = self.tier.next_output() {
             let told = match out {
-                Out::Send { to, bytes } => {
+                Output::Send { to, bytes } => {
                     peers.tell_one(to, &bytes);
                     continue;
                 }
-                Out::Lives(incarnation) => {
+                Output::Incarnation(incarnation) => {
                     record.live(at, incarnation);
                     continue;
                 }
-                Out::News(told) => told,
-                Out::Act(act) => {
+                Output::Event(told) => told,
+                Output::RollAction(act) => {
                     self.acts.push(act);
                     continue;
                 }
-                Out::Loan(loan) => {
+                Output::Loan(loan) => {
                     if let Some(book) = book {
                         book.loan(at, &loan);
                     }
@@ -259,21 +262,21 @@
                 }
             };
             let event = match told {
-                News::Part { dest, part } => {
+                TierEvent::RateBudget { dest, part } => {
                     if let Some(book) = book {
                         book.part(at, dest, part);
                     }
                     let part = part.map(|p| RateShare { rate: p.rate, until: p.until, after: p.after });
                     Some(Event::RateShare { dest, part })
                 }
-                News::Wait { place, until } => self.endpoints.get(&place).map(|endpoint| {
+                TierEvent::WaitRequested { place, until } => self.endpoints.get(&place).map(|endpoint| {
                     Event::WaitRequested { endpoint: *endpoint, wait: until.saturating_sub(at.now) }
                 }),
-                News::Hearsay { place, until, hold } => self
+                TierEvent::PeersUnreachable { place, until, hold } => self
                     .endpoints
                     .get(&place)
                     .map(|endpoint| Event::PeersUnreachable { endpoint: *endpoint, until, avoid: hold }),
-                News::Cold { dest } => Some(Event::PeersSawRecovery { dest }),
+                TierEvent::PeersSawRecovery { dest } => Some(Event::PeersSawRecovery { dest }),
             };
             if let Some(event) = event {
                 core.on_event(at, event);
@@ -285,7 +288,7 @@
 
     /// For the console.
     pub fn figures(&self, at: Moment, peers: &Peers) -> Shared {
-        Shared { tier: self.tier.figures(at.now), sifted: peers.ear.sifted() }
+        Shared { tier: self.tier.stats(at.now), sifted: peers.ear.sifted() }
     }
 }
 
@@ -293,7 +296,7 @@
 const LONG: Nanos = 30 * 86_400_000_000_000;
 
 /// One dispatcher as it is seen from here.
-fn row(row: &Row) -> Value {
+fn row(row: &PeerStatus) -> Value {
     let stands = &row.stands;
     let views: serde_json::Map<String, Value> = KINDS
         .iter()
@@ -320,7 +323,7 @@
 }
 
 /// With all slots taken a message does not wait for a part.
-fn need(core: &Core, slots: usize, dest: DestId) -> Need {
+fn need(core: &Core, slots: usize, dest: DestId) -> Demand {
     let (limit, waiting) = core.demand(dest);
-    Need { dest, limit, waiting: if core.slots_in_use() < slots { waiting } else { 0 } }
+    Demand { dest, limit, waiting: if core.slots_in_use() < slots { waiting } else { 0 } }
 }
--- a/dispatcher/src/roster.rs
+++ b/dispatcher/src/roster.rs
@@ -126,9 +126,9 @@
         let piece = |known: &Known| {
             let Entry { zone, kind, dest, state, weight, .. } = known.entry;
             let text = (known.name.as_str(), zone, kind, dest, state as u8, weight.to_bits());
-            millpost_tier::standing::piece(&postcard::to_stdvec(&text).unwrap_or_default())
+            millpost_tier::versions::piece(&postcard::to_stdvec(&text).unwrap_or_default())
         };
-        millpost_tier::standing::fold(self.known.values().map(piece).fold(0, u64::wrapping_add))
+        millpost_tier::versions::fold(self.known.values().map(piece).fold(0, u64::wrapping_add))
     }
 
     /// Others were told that an endpoint drains, or it is to be used again: what it is from now on.
--- a/dispatcher/src/versions.rs
+++ b/dispatcher/src/versions.rs
@@ -2,8 +2,8 @@
 
 use millpost::api::Nanos;
 use millpost_core::{Moment, SNAPSHOT_VERSION};
-use millpost_tier::records::Word;
-use millpost_tier::standing::{Kind, Stamp, Standing, digest};
+use millpost_tier::records::EndpointRecord;
+use millpost_tier::versions::{ActiveVersions, Kind, Version, digest};
 use serde::{Deserialize, Serialize};
 
 use crate::record::Record;
@@ -22,11 +22,11 @@
 }
 
 /// What a life begins with, of the settings with this digest.
-pub fn begin(at: Moment, settings: u32, record: &mut Record) -> (Standing, [Nanos; 4]) {
-    let mut standing = Standing::default();
+pub fn begin(at: Moment, settings: u32, record: &mut Record) -> (ActiveVersions, [Nanos; 4]) {
+    let mut standing = ActiveVersions::default();
     let release = concat!(env!("CARGO_PKG_VERSION"));
-    standing.program = Stamp { digest: digest(release.as_bytes()), generation: SNAPSHOT_VERSION };
-    standing.moves(Kind::Settings, settings);
+    standing.program = Version { digest: digest(release.as_bytes()), generation: SNAPSHOT_VERSION };
+    standing.set_version(Kind::Settings, settings);
     let held = held(at, SETTLED, settings, record).unwrap_or_else(|| {
         settled(at, settings, record);
         0
@@ -62,13 +62,13 @@
 }
 
 /// Cordons and drains as they were noted.
-pub fn words(record: &Record) -> Vec<Word> {
+pub fn words(record: &Record) -> Vec<EndpointRecord> {
     let kept = record.ledger().value(WORDS);
     kept.and_then(|value| postcard::from_bytes(&value).ok()).unwrap_or_default()
 }
 
 /// Notes them.
-pub fn note_words<'a>(at: Moment, words: impl Iterator<Item = &'a Word>, record: &mut Record) {
-    let words: Vec<&Word> = words.collect();
+pub fn note_words<'a>(at: Moment, words: impl Iterator<Item = &'a EndpointRecord>, record: &mut Record) {
+    let words: Vec<&EndpointRecord> = words.collect();
     record.keep(at, WORDS, &postcard::to_stdvec(&words).unwrap_or_default());
 }
--- a/explore/src/lend.rs
+++ b/explore/src/lend.rs
@@ -5,8 +5,8 @@
 //! by its own clock: one that is paused, or that nobody tells anything, goes on with that.
 
 pub use millpost_tier::Fault;
-use millpost_tier::Terms;
-use millpost_tier::lend::{Loans, Share, WHOLE, even};
+use millpost_tier::TierConfig;
+use millpost_tier::lending::{Loans, Share, WHOLE, even_share};
 use serde::Serialize;
 
 use crate::search::{State, Way, fingerprint};
@@ -121,7 +121,7 @@
     #[serde(skip)]
     fault: Option<Fault>,
     #[serde(skip)]
-    terms: Terms,
+    terms: TierConfig,
 }
 
 /// What happens next.
@@ -147,7 +147,8 @@
     /// Nothing has happened in it yet: all are past the time in which they are not sure what they lent.
     /// With `same_numbers` each life begins its askings at one number.
     pub fn start(&self, fault: Option<Fault>, same_numbers: bool) -> Lend {
-        let terms = Terms { term_ms: 3_000, clock_rate_permille: 100, planted: fault, ..Terms::default() };
+        let terms =
+            TierConfig { term_ms: 3_000, clock_rate_permille: 100, planted: fault, ..TierConfig::default() };
         let node = |n: usize| Node {
             loans: Loans::planted(0, ALL as u16, &terms, n as u32 * 1_000, fault),
             life: 1,
@@ -183,7 +184,7 @@
     fn tell(&mut self, node: usize) {
         let now = self.clock(node);
         let n = &mut self.nodes[node];
-        let Share { part, until, after } = n.loans.share(now, DEST, even(ALL as u16), 0);
+        let Share { part, until, after } = n.loans.share(now, DEST, even_share(ALL as u16), 0);
         (n.part, n.until, n.after) = (part, until, after);
     }
 
@@ -194,12 +195,12 @@
 
     fn comes(&mut self, word: Word) {
         let (to, now) = (usize::from(word.to), self.clock(usize::from(word.to)));
-        let (terms, right) = (self.terms.clone(), even(ALL as u16));
+        let (terms, right) = (self.terms.clone(), even_share(ALL as u16));
         let node = &mut self.nodes[to];
         match word.what {
             What::Ask => {
                 let from = (u16::from(word.from), word.life);
-                let lent = node.loans.asked(now, from, DEST, word.seq, right, right, 0, &terms);
+                let lent = node.loans.handle_request(now, from, DEST, word.seq, right, right, 0, &terms);
                 if let Some(part) = lent {
                     self.busy = self.time;
                     // It does without before the word leaves.
@@ -209,7 +210,7 @@
             }
             What::Grant(part) => {
                 let mine = node.life == word.life;
-                if mine && node.loans.granted(now, u16::from(word.from), DEST, word.seq, part, &terms) {
+                if mine && node.loans.handle_grant(now, u16::from(word.from), DEST, word.seq, part, &terms) {
                     self.tell(to);
                 }
             }
@@ -232,7 +233,7 @@
                 self.left.asks -= 1;
                 let (now, terms) = (self.clock(node), self.terms.clone());
                 let n = &mut self.nodes[node];
-                let (life, seq) = (n.life, n.loans.ask(now, DEST, &terms));
+                let (life, seq) = (n.life, n.loans.new_request(now, DEST, &terms));
                 self.words.push(Word { from: node as u8, to: to as u8, life, seq, what: What::Ask });
             }
             Step::Comes(n) => {
@@ -274,7 +275,7 @@
         }
         // All that was lent is over by any clock.
         let over = passed && self.time > self.busy.max(5) + 5;
-        let short = |n: usize| !self.nodes[n].paused && self.in_use(n) < even(ALL as u16);
+        let short = |n: usize| !self.nodes[n].paused && self.in_use(n) < even_share(ALL as u16);
         if over && (0..ALL).any(short) {
             self.breach = self.breach.or(Some(property::EVEN));
         }
--- a/explore/src/roll.rs
+++ b/explore/src/roll.rs
@@ -1,11 +1,11 @@
 //! Who is behind, among three dispatchers and two lists, in the small: the real machines, with words that come or don't, or
 //! late, a path that is cut one way, and a restart with or without the folder.
 
-use millpost_tier::Terms;
-use millpost_tier::frame::{Life, Speaker};
-use millpost_tier::heard::Heard;
-use millpost_tier::judge::{Change, Finding, Judge, Service};
-use millpost_tier::standing::{Kind, Standing, Stands};
+use millpost_tier::TierConfig;
+use millpost_tier::frame::{Heartbeat, Sender};
+use millpost_tier::liveness::Liveness;
+use millpost_tier::staleness::{Decision, ServiceState, StalenessDetector, StalenessVotes};
+use millpost_tier::versions::{ActiveVersions, Kind, VersionReport};
 pub use millpost_tier::{Fault, Rules};
 use serde::Serialize;
 
@@ -97,8 +97,8 @@
 
 #[derive(Clone, Debug, Serialize)]
 struct Node {
-    judge: Judge,
-    heard: Heard,
+    judge: StalenessDetector,
+    heard: Liveness,
     list: u32,
     /// When its source told it that list, as its folder has it.
     since: Option<u8>,
@@ -109,10 +109,10 @@
 #[derive(Clone, Debug, Serialize)]
 struct Word {
     to: u8,
-    speaker: Speaker,
-    lives: Vec<(u16, Life)>,
-    stands: Vec<Stands>,
-    findings: Vec<Finding>,
+    speaker: Sender,
+    lives: Vec<(u16, Heartbeat)>,
+    stands: Vec<VersionReport>,
+    findings: Vec<StalenessVotes>,
 }
 
 /// The three.
@@ -149,8 +149,8 @@
     Restart(u8, bool),
 }
 
-fn terms() -> Terms {
-    Terms { enabled: true, ..Terms::default() }
+fn terms() -> TierConfig {
+    TierConfig { enabled: true, ..TierConfig::default() }
 }
 
 fn rules() -> Rules {
@@ -193,44 +193,45 @@
 
     /// A life begins on this list, of which nobody knows how old it is.
     fn node(&self, number: u8, list: u32, since: Option<u8>, life: u32) -> Node {
-        let mut standing = Standing { incarnation: life, epoch: life, ..Standing::default() };
-        standing.moves(Kind::List, list);
+        let mut standing = ActiveVersions { incarnation: life, epoch: life, ..ActiveVersions::default() };
+        standing.set_version(Kind::List, list);
         let (who, of, now) = (u16::from(number), ALL as u16, self.now());
         let held = since.map_or(u64::MAX, |since| u64::from(self.time - since) * QUANTUM);
-        let judge = Judge::new(now, who, of, rules(), standing, [held, 0, 0, 0], 1);
-        let heard = Heard::new(now, who, of, life);
+        let judge = StalenessDetector::new(now, who, of, rules(), standing, [held, 0, 0, 0], 1);
+        let heard = Liveness::new(now, who, of, life);
         Node { judge: judge.with_fault(self.fault), heard, list, since, life }
     }
 
     fn word(&mut self, to: u8, from: u8) -> Word {
         let now = self.now();
         let node = &mut self.nodes[usize::from(from)];
-        let speaker = node.heard.speaker();
-        let mut stands: Vec<Stands> = node.judge.say(now, speaker.life.beat).into_iter().collect();
-        stands.extend(node.judge.pass_on(now, true, ALL));
-        let lives = (0..ALL as u16).map(|who| (who, node.heard.life(who))).collect();
-        Word { to, speaker, lives, stands, findings: node.judge.findings(true, ALL) }
+        let speaker = node.heard.sender();
+        let mut stands: Vec<VersionReport> =
+            node.judge.own_report(now, speaker.life.beat).into_iter().collect();
+        stands.extend(node.judge.items_to_forward(now, true, ALL));
+        let lives = (0..ALL as u16).map(|who| (who, node.heard.heartbeat(who))).collect();
+        Word { to, speaker, lives, stands, findings: node.judge.votes_to_send(true, ALL) }
     }
 
     fn comes(&mut self, word: &Word) {
         let (now, to) = (self.now(), usize::from(word.to));
         let node = &mut self.nodes[to];
         // As the whole does: what an earlier life says is not heard, and a later one of the own name goes before.
-        let known = node.heard.life(word.speaker.who);
-        node.heard.speaks(now, &word.speaker);
+        let known = node.heard.heartbeat(word.speaker.who);
+        node.heard.observe_sender(now, &word.speaker);
         if word.speaker.life.incarnation < known.incarnation {
             return;
         }
         for (who, life) in &word.lives {
-            if let Some(incarnation) = node.heard.lives(now, *who, *life) {
-                node.judge.lives(incarnation);
+            if let Some(incarnation) = node.heard.observe(now, *who, *life) {
+                node.judge.set_incarnation(incarnation);
             }
         }
         for stands in &word.stands {
-            node.judge.hear(now, stands, PASS_ON);
+            node.judge.receive(now, stands, PASS_ON);
         }
         for finding in &word.findings {
-            node.judge.find(finding, PASS_ON);
+            node.judge.receive_votes(finding, PASS_ON);
         }
         self.look(to);
     }
@@ -240,11 +241,15 @@
         let now = self.now();
         let on_new = self.nodes.iter().filter(|node| node.list == NEW).count();
         let n = &mut self.nodes[node];
-        let out = n.judge.look(now, &n.heard, &terms(), PASS_ON).iter().any(|c| matches!(c, Change::Out(_)));
+        let out = n
+            .judge
+            .evaluate(now, &n.heard, &terms(), PASS_ON)
+            .iter()
+            .any(|c| matches!(c, Decision::ShutOut(_)));
         if out {
-            n.heard.renew();
-            let epoch = n.heard.speaker().life.incarnation;
-            n.judge.epoch(epoch);
+            n.heard.begin_epoch();
+            let epoch = n.heard.sender().life.incarnation;
+            n.judge.set_epoch(epoch);
         }
         let broken = match () {
             () if out && n.list == NEW => Some(property::CURRENT),
@@ -256,7 +261,7 @@
     }
 
     fn out(&self) -> Vec<usize> {
-        (0..ALL).filter(|n| self.nodes[*n].judge.service() != Service::In).collect()
+        (0..ALL).filter(|n| self.nodes[*n].judge.service() != ServiceState::In).collect()
     }
 
     fn all_hear_all(&mut self) {
@@ -272,7 +277,7 @@
         self.time += 1;
         self.told.clear();
         for node in 0..ALL {
-            self.nodes[node].heard.beat();
+            self.nodes[node].heard.advance_beat();
             self.look(node);
         }
     }
@@ -280,7 +285,7 @@
     fn moves(&mut self, node: u8) {
         let (now, time, node) = (self.now(), self.time, &mut self.nodes[usize::from(node)]);
         (node.list, node.since) = (NEW, Some(time));
-        node.judge.moves(now, Kind::List, NEW, 0);
+        node.judge.set_version(now, Kind::List, NEW, 0);
     }
 
     fn happen(&mut self, step: Step) {
@@ -318,8 +323,7 @@
                 self.left.restarts -= 1;
                 self.left.lost -= u8::from(lost);
                 let before = &self.nodes[usize::from(node)];
-                let life =
-                    if lost { 1 } else { before.heard.speaker().life.incarnation.max(before.life) + 1 };
+                let life = if lost { 1 } else { before.heard.sender().life.incarnation.max(before.life) + 1 };
                 let (list, since) = if lost { (OLD, None) } else { (before.list, before.since) };
                 self.nodes[usize::from(node)] = self.node(node, list, since, life);
             }
--- a/fleet/src/report.rs
+++ b/fleet/src/report.rs
@@ -6,7 +6,7 @@
 
 use millpost_audit::Audit;
 use millpost_audit::judge::RULES;
-use millpost_tier::standing::{KINDS, Kind};
+use millpost_tier::versions::{KINDS, Kind};
 
 const WIDTH: f64 = 1_000.0;
 const ROW: f64 = 14.0;
--- a/fleet/src/status.rs
+++ b/fleet/src/status.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-use millpost_tier::standing::{KINDS, Kind, Standing};
+use millpost_tier::versions::{ActiveVersions, KINDS, Kind};
 use serde::{Deserialize, Serialize};
 
 /// One dispatcher as another sees it.
@@ -30,7 +30,7 @@
     number: u16,
     of: u16,
     serves: bool,
-    standing: Standing,
+    standing: ActiveVersions,
     rows: Vec<Seen>,
 }
 
@@ -82,7 +82,7 @@
     /// On which kinds it is not current, and how, as most of the others see it.
     pub kinds: BTreeMap<&'static str, How>,
     /// What it acts on.
-    pub standing: Option<Standing>,
+    pub standing: Option<ActiveVersions>,
     /// How long it has acted on each, milliseconds; none where nobody knows.
     pub held_ms: BTreeMap<&'static str, Option<u64>>,
     /// Why there is nothing, where there is nothing.
@@ -197,7 +197,7 @@
     for kind in KINDS {
         let mut on: BTreeMap<u32, Vec<u16>> = BTreeMap::new();
         for said in all {
-            on.entry(said.standing.stamp(kind).digest).or_default().push(said.number);
+            on.entry(said.standing.version(kind).digest).or_default().push(said.number);
         }
         let mut on: Vec<_> = on.into_iter().collect();
         on.sort_by_key(|(digest, who)| (std::cmp::Reverse(who.len()), *digest));
@@ -247,7 +247,7 @@
                 continue;
             };
             let kind = |kind: Kind| {
-                let stamp = standing.stamp(kind);
+                let stamp = standing.version(kind);
                 let how = row.kinds.get(kind.name()).copied().unwrap_or(How::Unknown);
                 let mark = if how == How::Current { String::new() } else { format!(" {}", how.text()) };
                 let index = if kind == Kind::List { format!("#{} ", standing.index) } else { String::new() };
@@ -293,8 +293,8 @@
     use super::*;
 
     fn said(number: u16, digest: u32, serves: bool, views: &[&str], down: bool) -> Value {
-        let mut standing = Standing { epoch: 3, index: 7, ..Standing::default() };
-        standing.moves(Kind::Settings, digest);
+        let mut standing = ActiveVersions { epoch: 3, index: 7, ..ActiveVersions::default() };
+        standing.set_version(Kind::Settings, digest);
         let rows: Vec<Value> = (0_u16..)
             .zip(views)
             .map(|(n, view)| {
--- a/fleet/tests/command.rs
+++ b/fleet/tests/command.rs
@@ -8,7 +8,7 @@
 use millpost_audit::entry::Author;
 use millpost_audit::log::{LEAST_BUDGET, Log};
 use millpost_audit::{End, State, message};
-use millpost_tier::standing::{Kind, Standing};
+use millpost_tier::versions::{ActiveVersions, Kind};
 use serde_json::{Value, json};
 
 const SECOND: u64 = 1_000_000_000;
@@ -35,9 +35,10 @@
     address
 }
 
-fn standing(digest: u32) -> Standing {
-    let mut standing = Standing { incarnation: 2, epoch: 2, agent: 9, index: 4, ..Standing::default() };
-    standing.moves(Kind::List, digest);
+fn standing(digest: u32) -> ActiveVersions {
+    let mut standing =
+        ActiveVersions { incarnation: 2, epoch: 2, agent: 9, index: 4, ..ActiveVersions::default() };
+    standing.set_version(Kind::List, digest);
     standing
 }
 
--- a/tier/examples/fleet.rs
+++ b/tier/examples/fleet.rs
@@ -6,14 +6,14 @@
 #[path = "../tests/model/mod.rs"]
 mod model;
 
-use millpost_tier::{Terms, frame};
+use millpost_tier::{TierConfig, frame};
 use model::*;
 
 fn shape(dispatchers: u16, loss: f64) -> Shape {
     let limit = 20.0 * f64::from(dispatchers);
     Shape {
         dispatchers,
-        terms: Terms { enabled: true, ..Terms::default() },
+        terms: TierConfig { enabled: true, ..TierConfig::default() },
         seed: 20_261_201,
         limit,
         offered: uneven(dispatchers, limit, 1.2),
--- a/tier/examples/roll.rs
+++ b/tier/examples/roll.rs
@@ -6,9 +6,9 @@
 #[path = "../tests/model/mod.rs"]
 mod model;
 
-use millpost_tier::records::What;
-use millpost_tier::standing::Kind;
-use millpost_tier::{Rules, Terms, Tier};
+use millpost_tier::records::RecordKind;
+use millpost_tier::versions::Kind;
+use millpost_tier::{Rules, Tier, TierConfig};
 use model::*;
 
 const BOUND: u64 = 5 * SECOND;
@@ -17,7 +17,7 @@
     let rules = Rules { enabled: true, list_ms: BOUND / MS, ..Rules::default() };
     Shape {
         dispatchers,
-        terms: Terms { enabled: true, ..Terms::default() },
+        terms: TierConfig { enabled: true, ..TierConfig::default() },
         seed,
         limit: 100.0,
         offered: vec![0.0; dispatchers.into()],
@@ -56,7 +56,8 @@
                 let mut model = Model::new(shape(dispatchers, loss, 20_261_201 + seed));
                 model.pass(20 * SECOND);
                 let of = |model: &mut Model| {
-                    let cost = |tier: &mut Tier| tier.roll().map(|(roll, _)| roll.cost()).unwrap_or_default();
+                    let cost =
+                        |tier: &mut Tier| tier.roll().map(|(roll, _)| roll.traffic()).unwrap_or_default();
                     let all = model.nodes.iter_mut().filter_map(|node| node.tier.as_mut()).map(cost);
                     all.fold((0, 0), |sum, cost| (sum.0 + cost.0, sum.1 + cost.1))
                 };
@@ -68,7 +69,7 @@
                 bytes.push(each(after.1 - before.1));
                 model.cordon(1, PLACE, true);
                 let all = |model: &Model| {
-                    model.nodes.iter().all(|node| node.acts.held.contains(&(PLACE, What::Cordon)))
+                    model.nodes.iter().all(|node| node.acts.held.contains(&(PLACE, RecordKind::Cordon)))
                 };
                 cordons.push(until(&mut model, 60 * SECOND, all));
                 model.nodes[2].acts.mute = true;
--- a/tier/src/terms.rs
+++ b/tier/src/config.rs
@@ -8,7 +8,7 @@
 /// What is wrong with the terms.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {reason}")]
-pub struct Wrong {
+pub struct InvalidSetting {
     /// The setting.
     pub key: &'static str,
     /// Why it can't be.
@@ -18,7 +18,7 @@
 /// The terms, as operators give them.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Terms {
+pub struct TierConfig {
     /// Anything is shared at all.
     pub enabled: bool,
     /// Time between two rounds, in which what is urgent is sent: news of endpoints, and what is asked for or lent;
@@ -59,9 +59,9 @@
     pub planted: Option<crate::Fault>,
 }
 
-impl Default for Terms {
+impl Default for TierConfig {
     fn default() -> Self {
-        Terms {
+        TierConfig {
             enabled: false,
             beat_ms: 100,
             quiet_ms: 500,
@@ -85,13 +85,13 @@
     }
 }
 
-impl Terms {
+impl TierConfig {
     /// Whether they make sense.
     ///
     /// # Errors
     /// The first setting that does not.
-    pub fn check(&self) -> Result<(), Wrong> {
-        let wrong = |key, reason| Err(Wrong { key, reason });
+    pub fn check(&self) -> Result<(), InvalidSetting> {
+        let wrong = |key, reason| Err(InvalidSetting { key, reason });
         match self {
             t if !(10..=10_000).contains(&t.beat_ms) => wrong("beat_ms", "not between 10 and 10000"),
             t if !(1..=32).contains(&t.fanout) => wrong("fanout", "not between 1 and 32"),
@@ -147,7 +147,7 @@
 
     #[test]
     fn a_lender_waits_longer_than_any_borrower_by_whatever_clock() {
-        let terms = Terms::default();
+        let terms = TierConfig::default();
         assert_eq!(terms.check(), Ok(()));
         // In true time: the borrower's slow clock, the lender's fast one.
         let rate = terms.clock_rate_permille as f64 / 1e3;
@@ -158,11 +158,11 @@
     #[test]
     fn terms_that_make_no_sense_are_named() {
         for (wrong, key) in [
-            (Terms { beat_ms: 1, ..Terms::default() }, "beat_ms"),
-            (Terms { witnesses: 1, ..Terms::default() }, "witnesses"),
-            (Terms { term_ms: 100, ..Terms::default() }, "term_ms"),
-            (Terms { silent_ms: 100, ..Terms::default() }, "silent_ms"),
-            (Terms { fanout: 0, ..Terms::default() }, "fanout"),
+            (TierConfig { beat_ms: 1, ..TierConfig::default() }, "beat_ms"),
+            (TierConfig { witnesses: 1, ..TierConfig::default() }, "witnesses"),
+            (TierConfig { term_ms: 100, ..TierConfig::default() }, "term_ms"),
+            (TierConfig { silent_ms: 100, ..TierConfig::default() }, "silent_ms"),
+            (TierConfig { fanout: 0, ..TierConfig::default() }, "fanout"),
         ] {
             assert_eq!(wrong.check().map_err(|wrong| wrong.key), Err(key));
         }
--- a/tier/src/counts.rs
+++ b/tier/src/counts.rs
@@ -5,8 +5,8 @@
 
 use std::collections::BTreeMap;
 
+use crate::config::ms;
 use crate::frame::{Calls, Counted};
-use crate::terms::ms;
 use crate::{DestId, Incarnation, Nanos, Peer};
 
 impl Calls {
@@ -147,7 +147,7 @@
     }
 
     /// Others' counts that are to be passed on, from this place on round all, no more than so many.
-    pub fn pass_on(&mut self, now: Nanos, after: (DestId, Peer), most: usize) -> Vec<Counted> {
+    pub fn items_to_forward(&mut self, now: Nanos, after: (DestId, Peer), most: usize) -> Vec<Counted> {
         let hot: Vec<_> = {
             let (before, behind) = (self.rows.range(..=after), self.rows.range(after..).skip(1));
             behind.chain(before).filter(|(_, row)| row.hot > 0).map(|(key, _)| *key).take(most).collect()
--- a/tier/src/evidence.rs
+++ b/tier/src/evidence.rs
@@ -12,10 +12,10 @@
 
 use std::collections::BTreeMap;
 
-use crate::frame::{Seen, Sight};
+use crate::config::{TierConfig, ms};
+use crate::frame::{Observation, Reachability};
 use crate::planted::{Fault, Planted};
-use crate::terms::{Terms, ms};
-use crate::{Incarnation, Nanos, Peer, Place};
+use crate::{EndpointHash, Incarnation, Nanos, Peer};
 
 /// A piece of evidence is passed on no further.
 const HOPS: u8 = 8;
@@ -43,7 +43,7 @@
     ok_at: Option<Nanos>,
     wait_until: Nanos,
     /// What it told last, and when.
-    told: Sight,
+    told: Reachability,
     told_at: Option<Nanos>,
     seq: u32,
     hot: u8,
@@ -54,7 +54,7 @@
     incarnation: Incarnation,
     seq: u32,
     hops: u8,
-    sight: Sight,
+    sight: Reachability,
     /// When it was seen.
     at: Nanos,
     wait_until: Nanos,
@@ -75,14 +75,14 @@
 #[derive(Clone, Debug)]
 pub struct Evidence {
     me: Peer,
-    own: BTreeMap<Place, Own>,
-    others: BTreeMap<(Place, Peer), Piece>,
+    own: BTreeMap<EndpointHash, Own>,
+    others: BTreeMap<(EndpointHash, Peer), Piece>,
     /// Of each author: pieces up to this one are forgotten, and stay so.
     floors: Vec<(Incarnation, u32)>,
     seq: u32,
     at_fault: bool,
     /// Which piece was last told once more.
-    repeated: (Place, Peer),
+    repeated: (EndpointHash, Peer),
     pub(crate) planted: Planted,
 }
 
@@ -102,7 +102,7 @@
     }
 
     /// A call of one's own ended.
-    pub fn saw(&mut self, now: Nanos, place: Place, end: End) {
+    pub fn record_result(&mut self, now: Nanos, place: EndpointHash, end: End) {
         let own = self.own.entry(place).or_default();
         match end {
             End::Answered => {
@@ -116,7 +116,7 @@
     }
 
     /// An endpoint asked for a wait.
-    pub fn told_to_wait(&mut self, now: Nanos, place: Place, until: Nanos) {
+    pub fn record_wait(&mut self, now: Nanos, place: EndpointHash, until: Nanos) {
         let own = self.own.entry(place).or_default();
         if until > own.wait_until {
             own.wait_until = until.min(now.saturating_add(LONGEST_WAIT));
@@ -128,43 +128,48 @@
         own.fails >= FAILS && now.saturating_sub(own.failed_at) < fade
     }
 
-    fn witnesses(&self, now: Nanos, place: Place, sight: Sight, fade: Nanos) -> usize {
+    fn witnesses(&self, now: Nanos, place: EndpointHash, sight: Reachability, fade: Nanos) -> usize {
         let pieces = self.others.range((place, 0)..=(place, Peer::MAX)).map(|(_, piece)| piece);
         pieces.filter(|p| p.sight == sight && now.saturating_sub(p.at) < fade).count()
     }
 
     /// What there is to tell of one's own by now, in this life, with how often each is to be passed on. Called in each
     /// round.
-    pub fn tell(&mut self, now: Nanos, terms: &Terms, pass_on: u8) {
+    pub fn publish(&mut self, now: Nanos, terms: &TierConfig, pass_on: u8) {
         let fade = terms.fade();
         self.look_at_oneself(now, terms);
-        let places: Vec<Place> = self.own.keys().copied().collect();
+        let places: Vec<EndpointHash> = self.own.keys().copied().collect();
         for place in places {
             let own = self.own[&place];
-            let accused = self.witnesses(now, place, Sight::Failing, fade);
-            let fine = self.witnesses(now, place, Sight::Fine, fade);
+            let accused = self.witnesses(now, place, Reachability::Failing, fade);
+            let fine = self.witnesses(now, place, Reachability::Fine, fade);
             let reached = own.fails == 0 && own.ok_at.is_some_and(|at| now.saturating_sub(at) < fade / 2);
             let sight = match own {
                 // Who can't reach what others reach accuses nobody, and takes back what it said.
-                own if Self::fails(&own, now, fade) && self.at_fault => Sight::Nothing,
+                own if Self::fails(&own, now, fade) && self.at_fault => Reachability::Nothing,
                 // Enough have said so: one more says nothing new.
                 own if Self::fails(&own, now, fade)
-                    && (own.told == Sight::Failing || accused < 3 * terms.witnesses) =>
+                    && (own.told == Reachability::Failing || accused < 3 * terms.witnesses) =>
                 {
-                    Sight::Failing
+                    Reachability::Failing
                 }
-                _ if reached && (accused > 0 || own.told == Sight::Failing) && fine < 3 * terms.witnesses => {
-                    Sight::Fine
+                _ if reached
+                    && (accused > 0 || own.told == Reachability::Failing)
+                    && fine < 3 * terms.witnesses =>
+                {
+                    Reachability::Fine
+                }
+                own if own.told == Reachability::Failing && !Self::fails(&own, now, fade) => {
+                    Reachability::Nothing
                 }
-                own if own.told == Sight::Failing && !Self::fails(&own, now, fade) => Sight::Nothing,
-                own if own.told_at.is_none() => Sight::Nothing,
+                own if own.told_at.is_none() => Reachability::Nothing,
                 _ => continue,
             };
             let waits = own.wait_until > now && own.told_at.is_none();
             let due = own.told_at.is_none_or(|at| now.saturating_sub(at) >= AGAIN);
             let changed = sight != own.told;
-            let fresh = sight == Sight::Failing && own.failed_at > own.told_at.unwrap_or(0)
-                || sight == Sight::Fine && own.ok_at > own.told_at;
+            let fresh = sight == Reachability::Failing && own.failed_at > own.told_at.unwrap_or(0)
+                || sight == Reachability::Fine && own.ok_at > own.told_at;
             if waits || due && (changed || fresh) {
                 self.seq = self.seq.saturating_add(1);
                 let (seq, own) = (self.seq, self.own.entry(place).or_default());
@@ -174,15 +179,15 @@
     }
 
     /// Most of what it called fails here, and others reach it.
-    fn look_at_oneself(&mut self, now: Nanos, terms: &Terms) {
+    fn look_at_oneself(&mut self, now: Nanos, terms: &TierConfig) {
         let fade = terms.fade();
         let (mut failing, mut called, mut contradicted) = (0, 0, 0);
         for (place, own) in &self.own {
             let fails = Self::fails(own, now, fade);
             called += usize::from(fails || own.ok_at.is_some_and(|at| now.saturating_sub(at) < fade));
             failing += usize::from(fails);
-            let fine = self.witnesses(now, *place, Sight::Fine, fade);
-            let accused = self.witnesses(now, *place, Sight::Failing, fade);
+            let fine = self.witnesses(now, *place, Reachability::Fine, fade);
+            let accused = self.witnesses(now, *place, Reachability::Failing, fade);
             contradicted += usize::from(fails && fine >= terms.witnesses && fine > accused);
         }
         if failing > 0 && 2 * failing > called && 2 * contradicted >= failing {
@@ -200,7 +205,7 @@
     }
 
     /// Takes in what somebody saw. Whether it is news, and the end of a wait that is.
-    pub fn heard(&mut self, now: Nanos, seen: &Seen, pass_on: u8) -> (bool, Option<Nanos>) {
+    pub fn merge(&mut self, now: Nanos, seen: &Observation, pass_on: u8) -> (bool, Option<Nanos>) {
         let none = (false, None);
         let Some(floor) = self.floors.get(usize::from(seen.who)) else { return none };
         let version = (seen.incarnation, seen.seq);
@@ -227,41 +232,51 @@
 
     /// What is to be thought of an endpoint now. One's own eyes go first: whoever reaches it, or found out itself that it
     /// does not, needs no hearsay.
-    pub fn verdict(&self, now: Nanos, place: Place, terms: &Terms) -> Verdict {
+    pub fn verdict(&self, now: Nanos, place: EndpointHash, terms: &TierConfig) -> Verdict {
         let fade = terms.fade();
         let own = self.own.get(&place).copied().unwrap_or_default();
         if own.ok_at.is_some_and(|at| now.saturating_sub(at) < fade && own.fails < FAILS) {
             return Verdict::Open;
         }
         let needed = if self.planted.has(Fault::OneWitness) { 1 } else { terms.witnesses };
-        let (against, fine) =
-            (self.witnesses(now, place, Sight::Failing, fade), self.witnesses(now, place, Sight::Fine, fade));
+        let (against, fine) = (
+            self.witnesses(now, place, Reachability::Failing, fade),
+            self.witnesses(now, place, Reachability::Fine, fade),
+        );
         if against < needed || against <= fine {
             return Verdict::Open;
         }
         let pieces = self.others.range((place, 0)..=(place, Peer::MAX)).map(|(_, piece)| piece);
-        let last = pieces.filter(|p| p.sight == Sight::Failing).map(|p| p.at).max().unwrap_or(0);
+        let last = pieces.filter(|p| p.sight == Reachability::Failing).map(|p| p.at).max().unwrap_or(0);
         Verdict::Accused(last.saturating_add(fade))
     }
 
     /// Somebody tells of this endpoint.
-    pub fn spoken_of(&self) -> impl Iterator<Item = Place> + '_ {
+    pub fn reported_endpoints(&self) -> impl Iterator<Item = EndpointHash> + '_ {
         let mut last = None;
         self.others.keys().map(|(place, _)| *place).filter(move |place| last.replace(*place) != Some(*place))
     }
 
     /// Pieces that are to be told, one's own first and the freshest before others; no more than so many. In a quiet round
     /// what still counts is told once more, in turns: rumours die out, and a part that was cut off has heard none of them.
-    pub fn pass_on(&mut self, now: Nanos, incarnation: Incarnation, most: usize, quiet: bool) -> Vec<Seen> {
+    pub fn items_to_forward(
+        &mut self,
+        now: Nanos,
+        incarnation: Incarnation,
+        most: usize,
+        quiet: bool,
+    ) -> Vec<Observation> {
         let own = self.own.iter().filter(|(_, own)| own.hot > 0).map(|(place, _)| (*place, self.me));
-        let mut told: Vec<(Place, Peer)> = own.take(most).collect();
+        let mut told: Vec<(EndpointHash, Peer)> = own.take(most).collect();
         let others = self.others.iter().filter(|(_, p)| p.hot > 0).map(|(key, p)| (p.hot, *key));
         let mut hot: Vec<_> = others.collect();
         hot.sort_unstable_by(|a, b| b.cmp(a));
         told.extend(hot.into_iter().map(|(_, key)| key).take(most - told.len()));
         if quiet && told.len() < most {
-            let counts = |(key, piece): (&(Place, Peer), &Piece)| (piece.wait_until > now).then_some(*key);
-            let own = |(place, own): (&Place, &Own)| (own.wait_until > now).then_some((*place, self.me));
+            let counts =
+                |(key, piece): (&(EndpointHash, Peer), &Piece)| (piece.wait_until > now).then_some(*key);
+            let own =
+                |(place, own): (&EndpointHash, &Own)| (own.wait_until > now).then_some((*place, self.me));
             let mut live: Vec<_> = self.others.iter().filter_map(counts).collect();
             live.extend(self.own.iter().filter_map(own));
             live.sort_unstable();
@@ -276,7 +291,12 @@
     }
 
     /// A piece as it is told now.
-    fn said(&mut self, now: Nanos, incarnation: Incarnation, (place, who): (Place, Peer)) -> Option<Seen> {
+    fn said(
+        &mut self,
+        now: Nanos,
+        incarnation: Incarnation,
+        (place, who): (EndpointHash, Peer),
+    ) -> Option<Observation> {
         let age = |at: Nanos| (now.saturating_sub(at) / 1_000_000).min(u32::MAX.into()) as u32;
         let left = |until: Nanos| (until.saturating_sub(now).div_ceil(1_000_000)).min(u32::MAX.into()) as u32;
         if who != self.me {
@@ -285,21 +305,21 @@
             let Piece { incarnation, seq, hops, sight, at, wait_until, .. } = *piece;
             let hops = hops.saturating_add(1);
             let (age_ms, wait_ms) = (age(at), left(wait_until));
-            return Some(Seen { who, incarnation, seq, hops, place, sight, age_ms, wait_ms });
+            return Some(Observation { who, incarnation, seq, hops, place, sight, age_ms, wait_ms });
         }
         let own = self.own.get_mut(&place)?;
         own.hot = own.hot.saturating_sub(1);
         let at = match own.told {
-            Sight::Fine => own.ok_at.unwrap_or(now),
-            Sight::Failing => own.failed_at,
-            Sight::Nothing => now,
+            Reachability::Fine => own.ok_at.unwrap_or(now),
+            Reachability::Failing => own.failed_at,
+            Reachability::Nothing => now,
         };
         let (seq, sight, age_ms, wait_ms) = (own.seq, own.told, age(at), left(own.wait_until));
-        Some(Seen { who, incarnation, seq, hops: 0, place, sight, age_ms, wait_ms })
+        Some(Observation { who, incarnation, seq, hops: 0, place, sight, age_ms, wait_ms })
     }
 
     /// Forgets what has faded and what is not listed. What is forgotten of an author, and all before it, is never news again.
-    pub fn retain(&mut self, now: Nanos, terms: &Terms, listed: impl Fn(Place) -> bool) {
+    pub fn retain(&mut self, now: Nanos, terms: &TierConfig, listed: impl Fn(EndpointHash) -> bool) {
         let (fade, floors) = (terms.fade(), &mut self.floors);
         let revive = self.planted.has(Fault::ReviveOld);
         self.others.retain(|(place, who), piece| {
@@ -329,32 +349,32 @@
     use super::*;
 
     const SECOND: Nanos = 1_000_000_000;
-    const PLACE: Place = 77;
+    const PLACE: EndpointHash = 77;
 
-    fn seen(who: Peer, seq: u32, sight: Sight) -> Seen {
-        Seen { who, incarnation: 1, seq, hops: 0, place: PLACE, sight, age_ms: 0, wait_ms: 0 }
+    fn seen(who: Peer, seq: u32, sight: Reachability) -> Observation {
+        Observation { who, incarnation: 1, seq, hops: 0, place: PLACE, sight, age_ms: 0, wait_ms: 0 }
     }
 
-    fn hear(evidence: &mut Evidence, now: Nanos, all: &[Seen]) {
+    fn hear(evidence: &mut Evidence, now: Nanos, all: &[Observation]) {
         for seen in all {
-            evidence.heard(now, seen, 3);
+            evidence.merge(now, seen, 3);
         }
     }
 
     fn accused(evidence: &Evidence, now: Nanos) -> bool {
-        evidence.verdict(now, PLACE, &Terms::default()) != Verdict::Open
+        evidence.verdict(now, PLACE, &TierConfig::default()) != Verdict::Open
     }
 
     #[test]
     fn two_witnesses_are_needed_more_than_saw_it_work_and_all_of_it_fades() {
         let mut e = Evidence::new(0, 9);
-        hear(&mut e, 0, &[seen(1, 1, Sight::Failing), seen(1, 2, Sight::Failing)]);
+        hear(&mut e, 0, &[seen(1, 1, Reachability::Failing), seen(1, 2, Reachability::Failing)]);
         assert!(!accused(&e, SECOND), "one witness, twice");
-        hear(&mut e, SECOND, &[seen(2, 1, Sight::Failing)]);
+        hear(&mut e, SECOND, &[seen(2, 1, Reachability::Failing)]);
         assert!(accused(&e, 2 * SECOND));
-        hear(&mut e, 2 * SECOND, &[seen(3, 1, Sight::Fine), seen(4, 1, Sight::Fine)]);
+        hear(&mut e, 2 * SECOND, &[seen(3, 1, Reachability::Fine), seen(4, 1, Reachability::Fine)]);
         assert!(!accused(&e, 2 * SECOND), "as many reach it");
-        hear(&mut e, 2 * SECOND, &[seen(5, 1, Sight::Failing)]);
+        hear(&mut e, 2 * SECOND, &[seen(5, 1, Reachability::Failing)]);
         assert!(accused(&e, 2 * SECOND));
         assert!(!accused(&e, 6 * SECOND), "what the first ones saw has faded");
     }
@@ -362,67 +382,80 @@
     #[test]
     fn ones_own_eyes_go_before_hearsay() {
         let mut e = Evidence::new(0, 9);
-        hear(&mut e, 0, &[seen(1, 1, Sight::Failing), seen(2, 1, Sight::Failing)]);
-        e.saw(SECOND, PLACE, End::Answered);
+        hear(&mut e, 0, &[seen(1, 1, Reachability::Failing), seen(2, 1, Reachability::Failing)]);
+        e.record_result(SECOND, PLACE, End::Answered);
         assert!(!accused(&e, 2 * SECOND));
         // Whoever reaches it says so, since others can't.
-        e.tell(SECOND, &Terms::default(), 3);
-        let told = e.pass_on(SECOND, 1, 9, false);
-        assert_eq!((told[0].who, told[0].sight), (0, Sight::Fine));
+        e.publish(SECOND, &TierConfig::default(), 3);
+        let told = e.items_to_forward(SECOND, 1, 9, false);
+        assert_eq!((told[0].who, told[0].sight), (0, Reachability::Fine));
     }
 
     #[test]
     fn an_old_piece_is_never_taken_as_new() {
         let mut e = Evidence::new(0, 9);
-        let old = Seen { wait_ms: 3_000, ..seen(1, 4, Sight::Failing) };
-        assert_eq!(e.heard(0, &old, 3), (true, Some(3 * SECOND)));
-        assert_eq!(e.heard(SECOND, &old, 3), (false, None), "no wait grows by being passed on");
-        assert_eq!(e.heard(SECOND, &Seen { seq: 3, ..old }, 3), (false, None));
-        e.retain(60 * SECOND, &Terms::default(), |_| true);
+        let old = Observation { wait_ms: 3_000, ..seen(1, 4, Reachability::Failing) };
+        assert_eq!(e.merge(0, &old, 3), (true, Some(3 * SECOND)));
+        assert_eq!(e.merge(SECOND, &old, 3), (false, None), "no wait grows by being passed on");
+        assert_eq!(e.merge(SECOND, &Observation { seq: 3, ..old }, 3), (false, None));
+        e.retain(60 * SECOND, &TierConfig::default(), |_| true);
         assert_eq!(e.pieces(), 0);
-        assert_eq!(e.heard(60 * SECOND, &old, 3), (false, None), "forgotten, and still no news");
-        assert!(e.heard(60 * SECOND, &seen(1, 5, Sight::Fine), 3).0);
-        assert!(e.heard(60 * SECOND, &Seen { incarnation: 2, seq: 1, ..old }, 3).0, "a new life counts anew");
-        assert_eq!(e.heard(0, &seen(9, 1, Sight::Failing), 3), (false, None), "nobody has this number");
+        assert_eq!(e.merge(60 * SECOND, &old, 3), (false, None), "forgotten, and still no news");
+        assert!(e.merge(60 * SECOND, &seen(1, 5, Reachability::Fine), 3).0);
+        assert!(
+            e.merge(60 * SECOND, &Observation { incarnation: 2, seq: 1, ..old }, 3).0,
+            "a new life counts anew"
+        );
+        assert_eq!(
+            e.merge(0, &seen(9, 1, Reachability::Failing), 3),
+            (false, None),
+            "nobody has this number"
+        );
     }
 
     #[test]
     fn a_blind_one_finds_out_takes_back_what_it_said_and_sees_again() {
-        let (mut e, terms) = (Evidence::new(0, 9), Terms::default());
+        let (mut e, terms) = (Evidence::new(0, 9), TierConfig::default());
         for place in [PLACE, 78, 79] {
-            e.saw(0, place, End::Failed);
-            e.saw(0, place, End::Failed);
+            e.record_result(0, place, End::Failed);
+            e.record_result(0, place, End::Failed);
         }
-        e.tell(0, &terms, 3);
-        assert_eq!(e.pass_on(0, 1, 9, false).iter().filter(|s| s.sight == Sight::Failing).count(), 3);
+        e.publish(0, &terms, 3);
+        assert_eq!(
+            e.items_to_forward(0, 1, 9, false).iter().filter(|s| s.sight == Reachability::Failing).count(),
+            3
+        );
         for (who, place) in [(1, PLACE), (2, PLACE), (1, 78), (2, 78)] {
-            e.heard(SECOND, &Seen { place, seq: place as u32, ..seen(who, 0, Sight::Fine) }, 3);
+            e.merge(SECOND, &Observation { place, seq: place as u32, ..seen(who, 0, Reachability::Fine) }, 3);
         }
-        e.tell(SECOND, &terms, 3);
+        e.publish(SECOND, &terms, 3);
         assert!(e.at_fault());
-        let told: Vec<_> = e.pass_on(SECOND, 1, 9, false).into_iter().filter(|s| s.who == 0).collect();
-        assert!(told.len() == 3 && told.iter().all(|s| s.sight == Sight::Nothing), "{told:?}");
-        e.saw(2 * SECOND, 78, End::Answered);
+        let told: Vec<_> =
+            e.items_to_forward(SECOND, 1, 9, false).into_iter().filter(|s| s.who == 0).collect();
+        assert!(told.len() == 3 && told.iter().all(|s| s.sight == Reachability::Nothing), "{told:?}");
+        e.record_result(2 * SECOND, 78, End::Answered);
         assert!(!e.at_fault());
     }
 
     #[test]
     fn a_wait_binds_to_its_end_and_nothing_shortens_it() {
         let mut e = Evidence::new(0, 9);
-        let wait = |seq, wait_ms| Seen { wait_ms, ..seen(1, seq, Sight::Nothing) };
-        assert_eq!(e.heard(0, &wait(1, 5_000), 3).1, Some(5 * SECOND));
-        assert_eq!(e.heard(SECOND, &wait(2, 1_000), 3).1, None);
-        assert_eq!(e.pass_on(SECOND, 1, 9, false)[0].wait_ms, 4_000, "it is passed on as it stands");
-        assert_eq!(e.heard(2 * SECOND, &wait(3, 9_000), 3).1, Some(11 * SECOND));
+        let wait = |seq, wait_ms| Observation { wait_ms, ..seen(1, seq, Reachability::Nothing) };
+        assert_eq!(e.merge(0, &wait(1, 5_000), 3).1, Some(5 * SECOND));
+        assert_eq!(e.merge(SECOND, &wait(2, 1_000), 3).1, None);
+        assert_eq!(e.items_to_forward(SECOND, 1, 9, false)[0].wait_ms, 4_000, "it is passed on as it stands");
+        assert_eq!(e.merge(2 * SECOND, &wait(3, 9_000), 3).1, Some(11 * SECOND));
         // One's own is told, and only once for each.
-        e.told_to_wait(2 * SECOND, 5, 4 * SECOND);
-        e.tell(2 * SECOND, &Terms::default(), 1);
-        let own: Vec<_> = e.pass_on(2 * SECOND, 1, 9, false).into_iter().filter(|s| s.who == 0).collect();
+        e.record_wait(2 * SECOND, 5, 4 * SECOND);
+        e.publish(2 * SECOND, &TierConfig::default(), 1);
+        let own: Vec<_> =
+            e.items_to_forward(2 * SECOND, 1, 9, false).into_iter().filter(|s| s.who == 0).collect();
         assert_eq!((own.len(), own[0].wait_ms), (1, 2_000));
-        e.tell(2 * SECOND, &Terms::default(), 1);
-        assert_eq!(e.pass_on(2 * SECOND, 1, 9, false).iter().filter(|s| s.who == 0).count(), 0);
+        e.publish(2 * SECOND, &TierConfig::default(), 1);
+        assert_eq!(e.items_to_forward(2 * SECOND, 1, 9, false).iter().filter(|s| s.who == 0).count(), 0);
         // Once more in a quiet round, for whoever has missed it; not once it is over.
-        let again = |e: &mut Evidence, at| e.pass_on(at, 1, 9, true).iter().filter(|s| s.who == 0).count();
+        let again =
+            |e: &mut Evidence, at| e.items_to_forward(at, 1, 9, true).iter().filter(|s| s.who == 0).count();
         assert_eq!((again(&mut e, 3 * SECOND), again(&mut e, 4 * SECOND)), (1, 0));
     }
 }
--- a/tier/src/frame.rs
+++ b/tier/src/frame.rs
@@ -4,10 +4,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::judge::Finding;
-use crate::records::{BUCKETS, Word};
-use crate::standing::Stands;
-use crate::{DestId, Incarnation, Peer, Place};
+use crate::records::{BUCKETS, EndpointRecord};
+use crate::staleness::StalenessVotes;
+use crate::versions::VersionReport;
+use crate::{DestId, EndpointHash, Incarnation, Peer};
 
 /// The longest datagram, bytes.
 pub const LONGEST: usize = 256;
@@ -19,7 +19,7 @@
 
 /// How far a dispatcher has lived: its incarnation, and its rounds in it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Life {
+pub struct Heartbeat {
     /// Which life.
     pub incarnation: Incarnation,
     /// Rounds in it.
@@ -28,18 +28,18 @@
 
 /// Who speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Speaker {
+pub struct Sender {
     /// Its number.
     pub who: Peer,
     /// How many dispatchers there are by its configuration.
     pub of: u16,
     /// How far it has lived.
-    pub life: Life,
+    pub life: Heartbeat,
 }
 
 /// What a dispatcher saw of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Sight {
+pub enum Reachability {
     /// Nothing, any more.
     #[default]
     Nothing,
@@ -51,7 +51,7 @@
 
 /// A piece of evidence. Only its author makes it; the others pass it on as it is, but for its age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Observation {
     /// Its author.
     pub who: Peer,
     /// The author's life.
@@ -61,9 +61,9 @@
     /// How often it was passed on.
     pub hops: u8,
     /// The endpoint.
-    pub place: Place,
+    pub place: EndpointHash,
     /// What was seen.
-    pub sight: Sight,
+    pub sight: Reachability,
     /// How long ago, milliseconds.
     pub age_ms: u32,
     /// The endpoint asked for a wait that lasts for so long from now, milliseconds; 0 for none.
@@ -106,19 +106,19 @@
         /// Who.
         who: Peer,
         /// How far.
-        life: Life,
+        life: Heartbeat,
     },
     /// Counts.
     Counted(Counted),
     /// Evidence.
-    Seen(Seen),
+    Seen(Observation),
     /// To the one who is asked: a part of its part of a destination is wanted.
     Ask {
         /// The destination.
         dest: DestId,
         /// The asking, by the borrower's own count.
         seq: u32,
-        /// What is wanted, in parts of [`crate::lend::WHOLE`].
+        /// What is wanted, in parts of [`crate::lending::WHOLE`].
         part: u32,
     },
     /// To the one who asked.
@@ -133,20 +133,20 @@
         part: u32,
     },
     /// What somebody acts on; this and all that follow only in [`OF_STANDINGS`].
-    Stands(Stands),
+    Stands(VersionReport),
     /// Who is found behind.
-    Finding(Finding),
+    Finding(StalenessVotes),
     /// Digests of the parts of what the speaker knows of cordons and drains: whoever knows others is to send them.
     Buckets([u32; BUCKETS]),
     /// A cordon or a drain.
-    Word(Word),
+    Word(EndpointRecord),
 }
 
 /// What a datagram says.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
     /// Who speaks.
-    pub speaker: Speaker,
+    pub speaker: Sender,
     /// What is said.
     pub items: Vec<Item>,
 }
@@ -174,11 +174,11 @@
 
 impl Packing {
     /// A datagram without items.
-    pub fn new(speaker: &Speaker) -> Self {
+    pub fn new(speaker: &Sender) -> Self {
         Self::of(VERSION, speaker)
     }
     /// The same in one of the versions.
-    pub fn of(version: u8, speaker: &Speaker) -> Self {
+    pub fn of(version: u8, speaker: &Sender) -> Self {
         let mut bytes = vec![0; HEAD];
         // Into memory: it can't fail.
         bytes.extend(postcard::to_stdvec(speaker).unwrap_or_default());
@@ -237,7 +237,7 @@
     if head[1..] != sum(head[0], body) {
         return Err(Error::Unreadable);
     }
-    let (speaker, mut rest) = postcard::take_from_bytes::<Speaker>(body).map_err(|_| Error::Unreadable)?;
+    let (speaker, mut rest) = postcard::take_from_bytes::<Sender>(body).map_err(|_| Error::Unreadable)?;
     let mut items = Vec::new();
     while !rest.is_empty() {
         let (item, after) = postcard::take_from_bytes(rest).map_err(|_| Error::Unreadable)?;
--- a/tier/src/sieve.rs
+++ b/tier/src/frame_filter.rs
@@ -13,31 +13,34 @@
 
 /// Datagrams by what became of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sifted {
+pub struct FilterStats {
     /// Read.
     pub read: u64,
     /// From nobody who is configured, or in another's name.
     pub unknown: u64,
     /// Not readable.
-    pub nonsense: u64,
+    pub malformed: u64,
     /// Of another version.
     pub version: u64,
     /// More than a peer may send.
-    pub flood: u64,
+    pub rate_limited: u64,
 }
 
 /// One dispatcher's sieve.
 #[derive(Clone, Debug)]
-pub struct Sieve {
+pub struct FrameFilter {
     /// Tokens of each peer, in nanoseconds of its rate, and when they were counted.
     peers: Vec<(Nanos, Nanos)>,
-    sifted: Sifted,
+    sifted: FilterStats,
 }
 
-impl Sieve {
+impl FrameFilter {
     /// For so many dispatchers.
     pub fn new(of: u16) -> Self {
-        Sieve { peers: vec![(SECOND * BURST / RATE, 0); usize::from(of)], sifted: Sifted::default() }
+        FrameFilter {
+            peers: vec![(SECOND * BURST / RATE, 0); usize::from(of)],
+            sifted: FilterStats::default(),
+        }
     }
 
     /// A datagram from somebody who is configured, or from nobody: what it says, where that counts.
@@ -51,7 +54,7 @@
         *tokens = tokens.saturating_add(now.saturating_sub(*at)).min(most);
         *at = now.max(*at);
         if *tokens < each {
-            self.sifted.flood += 1;
+            self.sifted.rate_limited += 1;
             return None;
         }
         *tokens -= each;
@@ -62,13 +65,13 @@
             }
             Ok(_) => self.sifted.unknown += 1,
             Err(frame::Error::Version(_)) => self.sifted.version += 1,
-            Err(_) => self.sifted.nonsense += 1,
+            Err(_) => self.sifted.malformed += 1,
         }
         None
     }
 
     /// What became of all so far.
-    pub fn sifted(&self) -> Sifted {
+    pub fn stats(&self) -> FilterStats {
         self.sifted
     }
 }
@@ -76,15 +79,15 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::frame::{Life, OF_STANDINGS, Packing, Speaker, VERSION};
+    use crate::frame::{Heartbeat, OF_STANDINGS, Packing, Sender, VERSION};
 
     fn datagram(who: Peer) -> Vec<u8> {
-        Packing::new(&Speaker { who, of: 3, life: Life { incarnation: 1, beat: 1 } }).bytes()
+        Packing::new(&Sender { who, of: 3, life: Heartbeat { incarnation: 1, beat: 1 } }).bytes()
     }
 
     #[test]
     fn only_what_a_peer_says_in_its_own_name_and_at_a_pace_is_read() {
-        let mut sieve = Sieve::new(3);
+        let mut sieve = FrameFilter::new(3);
         assert!(sieve.read(0, Some(1), &datagram(1)).is_some());
         assert!(sieve.read(0, Some(1), &datagram(2)).is_none(), "in another's name");
         assert!(sieve.read(0, None, &datagram(1)).is_none());
@@ -105,7 +108,11 @@
             sieve.read(200 * SECOND, Some(1), &datagram(1)).is_some(),
             "another peer is heard all the same"
         );
-        let sifted = sieve.sifted();
-        assert_eq!((sifted.flood, sifted.unknown, sifted.version), (1_000 - BURST, 3, 2), "{sifted:?}");
+        let sifted = sieve.stats();
+        assert_eq!(
+            (sifted.rate_limited, sifted.unknown, sifted.version),
+            (1_000 - BURST, 3, 2),
+            "{sifted:?}"
+        );
     }
 }
--- a/tier/src/lend.rs
+++ b/tier/src/lending.rs
@@ -4,8 +4,8 @@
 //! are lost, late, repeated or reordered, whoever restarts, pauses or is cut off, as long as clocks run apart by no more
 //! than the stated rate and all go by one number of dispatchers. It rests on four things:
 //!
-//! - a lender does without what it lends from before the word leaves, for [`Terms::hold`] by its own clock;
-//! - a borrower uses it for [`Terms::term`] from its *asking*, which was before, by its own clock;
+//! - a lender does without what it lends from before the word leaves, for [`TierConfig::hold`] by its own clock;
+//! - a borrower uses it for [`TierConfig::term`] from its *asking*, which was before, by its own clock;
 //! - an asking is granted once by each lender, and a grant is taken once by the borrower that asked, in the life in which
 //!   it asked;
 //! - no more than half of an even part is ever lent: whoever was started anew, and does not know what it lent before,
@@ -18,8 +18,8 @@
 
 use serde::Serialize;
 
+use crate::config::TierConfig;
 use crate::planted::{Fault, Planted};
-use crate::terms::Terms;
 use crate::{DestId, Incarnation, Nanos, Peer};
 
 /// All of a destination.
@@ -32,7 +32,7 @@
 const LEAST: u32 = 32;
 
 /// The even part among so many.
-pub fn even(of: u16) -> u32 {
+pub fn even_share(of: u16) -> u32 {
     WHOLE / u32::from(of.max(1))
 }
 
@@ -90,7 +90,7 @@
 impl Loans {
     /// A life begins, of which it is not known what the one before lent. Its askings are numbered from a number that is
     /// drawn, so that an answer to another life's is no answer here.
-    pub fn new(now: Nanos, of: u16, terms: &Terms, drawn: u32) -> Self {
+    pub fn new(now: Nanos, of: u16, terms: &TierConfig, drawn: u32) -> Self {
         Loans {
             books: BTreeMap::new(),
             unsure_until: now.saturating_add(terms.hold()),
@@ -102,7 +102,7 @@
 
     /// The same with a fault in place.
     #[cfg(feature = "faults")]
-    pub fn planted(now: Nanos, of: u16, terms: &Terms, drawn: u32, fault: Option<Fault>) -> Self {
+    pub fn planted(now: Nanos, of: u16, terms: &TierConfig, drawn: u32, fault: Option<Fault>) -> Self {
         Loans { planted: Planted { fault }, ..Loans::new(now, of, terms, drawn) }
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// What is lent and what is borrowed, over all destinations.
-    pub fn out_and_in(&self, now: Nanos) -> (u64, u64) {
+    pub fn totals(&self, now: Nanos) -> (u64, u64) {
         let lent = self.books.values().flat_map(|book| &book.lent).filter(|l| l.until > now);
         let borrowed = self.books.values().flat_map(|book| &book.borrowed).filter(|b| b.until > now);
         (lent.map(|l| u64::from(l.part)).sum(), borrowed.map(|b| u64::from(b.part)).sum())
@@ -148,7 +148,7 @@
     }
 
     /// An asking goes out now: its number.
-    pub fn ask(&mut self, now: Nanos, dest: DestId, terms: &Terms) -> u32 {
+    pub fn new_request(&mut self, now: Nanos, dest: DestId, terms: &TierConfig) -> u32 {
         self.next_seq = self.next_seq.wrapping_add(1).max(1);
         let (seq, asked) = (self.next_seq, &mut self.books.entry(dest).or_default().asked);
         asked.retain(|a| a.at.saturating_add(terms.term()) > now);
@@ -161,7 +161,7 @@
 
     /// Somebody asks. What it is lent, from now on: the caller does without it before the word leaves.
     #[allow(clippy::too_many_arguments, reason = "all that a lending hangs on")]
-    pub fn asked(
+    pub fn handle_request(
         &mut self,
         now: Nanos,
         from: (Peer, Incarnation),
@@ -170,7 +170,7 @@
         wanted: u32,
         right: u32,
         used: u32,
-        terms: &Terms,
+        terms: &TierConfig,
     ) -> Option<u32> {
         let spare = self.spare(now, dest, right, used);
         let last = self.heard.get_mut(usize::from(from.0))?;
@@ -191,14 +191,14 @@
     }
 
     /// Somebody lends. Whether that is taken.
-    pub fn granted(
+    pub fn handle_grant(
         &mut self,
         now: Nanos,
         from: Peer,
         dest: DestId,
         seq: u32,
         part: u32,
-        terms: &Terms,
+        terms: &TierConfig,
     ) -> bool {
         let Some(book) = self.books.get_mut(&dest) else { return false };
         let Some(asked) = book.asked.iter_mut().find(|a| a.seq == seq) else { return false };
@@ -213,13 +213,13 @@
     }
 
     /// An asking that nobody has answered yet, and that is younger than this.
-    pub fn asks(&self, now: Nanos, dest: DestId, within: Nanos) -> bool {
+    pub fn has_recent_request(&self, now: Nanos, dest: DestId, within: Nanos) -> bool {
         let book = self.books.get(&dest);
         book.is_some_and(|b| b.asked.iter().any(|a| now.saturating_sub(a.at) < within))
     }
 
     /// Gives back all that is borrowed; what was asked for is not taken any more.
-    pub fn give_back(&mut self) {
+    pub fn return_all(&mut self) {
         for book in self.books.values_mut() {
             book.borrowed.clear();
             book.asked.clear();
@@ -245,19 +245,20 @@
     const DEST: DestId = 3;
 
     /// A pair that is past the time in which it does not know what it lent.
-    fn pair() -> (Loans, Loans, Terms, u32, Nanos) {
-        let terms = Terms::default();
+    fn pair() -> (Loans, Loans, TierConfig, u32, Nanos) {
+        let terms = TierConfig::default();
         let loans = || Loans::new(0, 4, &terms, 7);
-        (loans(), loans(), terms.clone(), even(4), terms.hold())
+        (loans(), loans(), terms.clone(), even_share(4), terms.hold())
     }
 
     #[test]
     fn a_loan_ends_at_the_borrower_before_the_lender_uses_it_again() {
         let (mut lender, mut borrower, terms, right, now) = pair();
-        let seq = borrower.ask(now, DEST, &terms);
-        let part = lender.asked(now + 20 * MS, (1, 1), DEST, seq, right, right, 0, &terms).expect("lent");
+        let seq = borrower.new_request(now, DEST, &terms);
+        let part =
+            lender.handle_request(now + 20 * MS, (1, 1), DEST, seq, right, right, 0, &terms).expect("lent");
         assert_eq!(part, right / 2, "half at most");
-        assert!(borrower.granted(now + 40 * MS, 0, DEST, seq, part, &terms));
+        assert!(borrower.handle_grant(now + 40 * MS, 0, DEST, seq, part, &terms));
         let share = |loans: &Loans, at| loans.share(at, DEST, right, 0);
         let sum = |at| share(&lender, at).part + share(&borrower, at).part;
         assert_eq!(share(&borrower, now + 50 * MS).part, right + part);
@@ -273,37 +274,41 @@
     #[test]
     fn repeated_late_and_foreign_words_lend_nothing_more() {
         let (mut lender, mut borrower, terms, right, now) = pair();
-        let seq = borrower.ask(now, DEST, &terms);
+        let seq = borrower.new_request(now, DEST, &terms);
         let small = right / 8;
-        let mut ask = |at, life, seq| lender.asked(at, (1, life), DEST, seq, small, right, 0, &terms);
+        let mut ask =
+            |at, life, seq| lender.handle_request(at, (1, life), DEST, seq, small, right, 0, &terms);
         assert_eq!(ask(now, 1, seq), Some(small));
         assert_eq!(ask(now + 1, 1, seq), None, "the same once more");
         assert_eq!(ask(now + 2, 2, 1), Some(small), "a new life counts anew");
         assert_eq!(ask(now + 3, 1, seq + 9), None, "the life before it");
-        assert!(borrower.granted(now, 0, DEST, seq, small, &terms));
-        assert!(!borrower.granted(now, 0, DEST, seq, small, &terms), "the same once more");
-        assert!(!borrower.granted(now, 0, DEST, seq + 1, small, &terms), "never asked");
-        assert!(!borrower.granted(now + terms.term(), 2, DEST, seq, small, &terms), "too late");
+        assert!(borrower.handle_grant(now, 0, DEST, seq, small, &terms));
+        assert!(!borrower.handle_grant(now, 0, DEST, seq, small, &terms), "the same once more");
+        assert!(!borrower.handle_grant(now, 0, DEST, seq + 1, small, &terms), "never asked");
+        assert!(!borrower.handle_grant(now + terms.term(), 2, DEST, seq, small, &terms), "too late");
         assert_eq!(borrower.share(now, DEST, right, 0).part, right + small);
     }
 
     #[test]
     fn who_was_started_anew_does_without_what_it_may_have_lent() {
-        let terms = Terms::default();
-        let (right, began) = (even(4), 50 * MS);
+        let terms = TierConfig::default();
+        let (right, began) = (even_share(4), 50 * MS);
         let mut anew = Loans::new(began, 4, &terms, 7);
         assert_eq!(anew.share(began, DEST, right, 0).part, right - right / 2);
-        assert_eq!(anew.asked(began, (1, 1), DEST, 1, right, right, 0, &terms), None);
+        assert_eq!(anew.handle_request(began, (1, 1), DEST, 1, right, right, 0, &terms), None);
         assert_eq!(anew.share(began + terms.hold(), DEST, right, 0).part, right);
     }
 
     #[test]
     fn one_lends_no_more_than_half_and_nothing_that_is_in_use() {
         let (mut lender, _, terms, right, now) = pair();
-        assert_eq!(lender.asked(now, (1, 1), DEST, 1, right, right, right * 3 / 4, &terms), Some(right / 4));
-        assert_eq!(lender.asked(now, (2, 1), DEST, 1, right, right, right * 3 / 4, &terms), None);
-        assert_eq!(lender.asked(now, (2, 1), DEST, 2, right, right, 0, &terms), Some(right / 4));
-        assert_eq!(lender.asked(now, (3, 1), DEST, 1, right, right, 0, &terms), None);
+        assert_eq!(
+            lender.handle_request(now, (1, 1), DEST, 1, right, right, right * 3 / 4, &terms),
+            Some(right / 4)
+        );
+        assert_eq!(lender.handle_request(now, (2, 1), DEST, 1, right, right, right * 3 / 4, &terms), None);
+        assert_eq!(lender.handle_request(now, (2, 1), DEST, 2, right, right, 0, &terms), Some(right / 4));
+        assert_eq!(lender.handle_request(now, (3, 1), DEST, 1, right, right, 0, &terms), None);
         lender.retain(now + terms.hold(), |_| false);
         assert!(lender.books.is_empty());
     }
--- a/tier/src/limit.rs
+++ b/tier/src/limit.rs
@@ -19,12 +19,12 @@
 
 /// What is known of one destination's limit.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Limit {
+pub struct LimitEstimator {
     last: Option<(Nanos, Calls)>,
     known: f64,
 }
 
-impl Limit {
+impl LimitEstimator {
     /// Calls a second; 0 until known.
     pub fn per_second(&self) -> f64 {
         self.known
@@ -60,7 +60,7 @@
     use super::*;
 
     /// Plays seconds of calls offered against a limit.
-    fn play(limit: &mut Limit, sum: &mut Calls, from: u64, offered: &[(u64, u64)]) {
+    fn play(limit: &mut LimitEstimator, sum: &mut Calls, from: u64, offered: &[(u64, u64)]) {
         for (n, (served, refused)) in offered.iter().enumerate() {
             (sum.served, sum.refused) = (sum.served + served, sum.refused + refused);
             limit.step((from + n as u64 + 1) * 1_000_000_000, *sum);
@@ -69,7 +69,7 @@
 
     #[test]
     fn a_limit_is_what_is_served_while_some_are_refused() {
-        let (mut limit, mut sum) = (Limit::default(), Calls::default());
+        let (mut limit, mut sum) = (LimitEstimator::default(), Calls::default());
         limit.step(0, sum);
         play(&mut limit, &mut sum, 0, &[(90, 0), (95, 1)]);
         assert_eq!(limit.per_second(), 0.0, "next to nobody was refused");
--- a/tier/src/heard.rs
+++ b/tier/src/liveness.rs
@@ -5,8 +5,8 @@
 
 use serde::Serialize;
 
-use crate::frame::{Life, Speaker};
-use crate::terms::{Terms, ms};
+use crate::config::{TierConfig, ms};
+use crate::frame::{Heartbeat, Sender};
 use crate::{Incarnation, Nanos, Peer};
 
 /// How a dispatcher is seen from here.
@@ -27,7 +27,7 @@
 
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 struct Known {
-    life: Life,
+    life: Heartbeat,
     /// When its life last went on, and when it last spoke here itself.
     since: Option<Nanos>,
     spoke: Option<Nanos>,
@@ -37,54 +37,54 @@
 
 /// Who is heard by one dispatcher.
 #[derive(Clone, Debug, Serialize)]
-pub struct Heard {
+pub struct Liveness {
     me: Peer,
-    own: Life,
+    own: Heartbeat,
     began: Nanos,
     peers: Vec<Known>,
 }
 
-impl Heard {
+impl Liveness {
     /// Nobody is heard yet. This is number `me` of `of`.
     pub fn new(now: Nanos, me: Peer, of: u16, incarnation: Incarnation) -> Self {
-        let own = Life { incarnation, beat: 0 };
-        Heard { me, own, began: now, peers: vec![Known::default(); usize::from(of)] }
+        let own = Heartbeat { incarnation, beat: 0 };
+        Liveness { me, own, began: now, peers: vec![Known::default(); usize::from(of)] }
     }
 
     /// Who this is, for what it says.
-    pub fn speaker(&self) -> Speaker {
-        Speaker { who: self.me, of: self.peers.len() as u16, life: self.own }
+    pub fn sender(&self) -> Sender {
+        Sender { who: self.me, of: self.peers.len() as u16, life: self.own }
     }
 
     /// A round of one's own.
-    pub fn beat(&mut self) {
+    pub fn advance_beat(&mut self) {
         self.own.beat = self.own.beat.saturating_add(1);
     }
 
     /// A new epoch of one's own: what was said before of lendings is void.
-    pub fn renew(&mut self) -> Incarnation {
-        self.own = Life { incarnation: self.own.incarnation.saturating_add(1), beat: 0 };
+    pub fn begin_epoch(&mut self) -> Incarnation {
+        self.own = Heartbeat { incarnation: self.own.incarnation.saturating_add(1), beat: 0 };
         self.own.incarnation
     }
 
     /// Somebody speaks here itself.
-    pub fn speaks(&mut self, now: Nanos, speaker: &Speaker) {
+    pub fn observe_sender(&mut self, now: Nanos, speaker: &Sender) {
         if let Some(known) = self.peers.get_mut(usize::from(speaker.who))
             && speaker.life >= known.life
         {
             (known.spoke, known.of) = (Some(now), speaker.of);
         }
-        self.lives(now, speaker.who, speaker.life);
+        self.observe(now, speaker.who, speaker.life);
     }
 
     /// Somebody is said to live. `Some` where it is this one, in a life that it has not had: it begins one beyond.
-    pub fn lives(&mut self, now: Nanos, who: Peer, life: Life) -> Option<Incarnation> {
+    pub fn observe(&mut self, now: Nanos, who: Peer, life: Heartbeat) -> Option<Incarnation> {
         if who == self.me {
             // A folder that was lost or is old, or a clock that went back: somebody knew a later life under this name.
             if life <= self.own {
                 return None;
             }
-            self.own = Life { incarnation: life.incarnation.saturating_add(1), beat: 0 };
+            self.own = Heartbeat { incarnation: life.incarnation.saturating_add(1), beat: 0 };
             return Some(self.own.incarnation);
         }
         let known = self.peers.get_mut(usize::from(who))?;
@@ -95,7 +95,7 @@
     }
 
     /// How somebody is seen from here.
-    pub fn presence(&self, now: Nanos, terms: &Terms, who: Peer) -> Presence {
+    pub fn presence(&self, now: Nanos, terms: &TierConfig, who: Peer) -> Presence {
         let since = self.peers.get(usize::from(who)).and_then(|known| known.since);
         let Some(since) = since else { return Presence::Gone };
         // Of many, each is heard of more seldom.
@@ -109,11 +109,11 @@
     }
 
     /// Somebody's life, as far as it is known.
-    pub fn life(&self, who: Peer) -> Life {
+    pub fn heartbeat(&self, who: Peer) -> Heartbeat {
         if who == self.me {
             self.own
         } else {
-            self.peers.get(usize::from(who)).map_or(Life::default(), |k| k.life)
+            self.peers.get(usize::from(who)).map_or(Heartbeat::default(), |k| k.life)
         }
     }
 
@@ -123,13 +123,13 @@
     }
 
     /// How many others are seen so.
-    pub fn count(&self, now: Nanos, terms: &Terms, presence: Presence) -> usize {
+    pub fn count(&self, now: Nanos, terms: &TierConfig, presence: Presence) -> usize {
         self.others().filter(|who| self.presence(now, terms, *who) == presence).count()
     }
 
     /// Nobody has spoken here for so long that a peer would be silent: it is this one that hears nothing, or all the
     /// others are gone. Nothing that is known of others is known of now.
-    pub fn hears_nobody(&self, now: Nanos, terms: &Terms) -> bool {
+    pub fn is_isolated(&self, now: Nanos, terms: &TierConfig) -> bool {
         let last = self.peers.iter().filter_map(|known| known.spoke).max().unwrap_or(self.began);
         self.peers.len() > 1 && now.saturating_sub(last) >= ms(terms.silent_ms)
     }
@@ -142,7 +142,7 @@
     }
 
     /// How many dispatchers are heard, this one included. For no share, but to show what goes wrong by it.
-    pub(crate) fn heard(&self, now: Nanos, terms: &Terms) -> u16 {
+    pub(crate) fn heard(&self, now: Nanos, terms: &TierConfig) -> u16 {
         1 + self.count(now, terms, Presence::Alive) as u16
     }
 }
@@ -153,16 +153,16 @@
 
     const SECOND: Nanos = 1_000_000_000;
 
-    fn life(incarnation: u32, beat: u32) -> Life {
-        Life { incarnation, beat }
+    fn life(incarnation: u32, beat: u32) -> Heartbeat {
+        Heartbeat { incarnation, beat }
     }
 
     #[test]
     fn a_peer_is_alive_suspected_silent_and_gone_as_time_passes_and_its_life_never_goes_back() {
-        let terms = Terms::default();
-        let mut heard = Heard::new(0, 0, 3, 7);
+        let terms = TierConfig::default();
+        let mut heard = Liveness::new(0, 0, 3, 7);
         assert_eq!(heard.presence(0, &terms, 1), Presence::Gone, "never heard of");
-        heard.lives(SECOND, 1, life(4, 10));
+        heard.observe(SECOND, 1, life(4, 10));
         for (at, standing) in
             [(2, Presence::Alive), (4, Presence::Suspected), (7, Presence::Silent), (62, Presence::Gone)]
         {
@@ -170,53 +170,53 @@
         }
         // What was heard before is no life; a new one is.
         for old in [life(4, 10), life(4, 9), life(3, 99)] {
-            heard.lives(70 * SECOND, 1, old);
+            heard.observe(70 * SECOND, 1, old);
             assert_eq!(heard.presence(70 * SECOND, &terms, 1), Presence::Gone);
         }
-        heard.lives(70 * SECOND, 1, life(5, 0));
+        heard.observe(70 * SECOND, 1, life(5, 0));
         assert_eq!(heard.presence(70 * SECOND, &terms, 1), Presence::Alive);
     }
 
     #[test]
     fn whoever_hears_nobody_knows_though_others_may_hear_it() {
-        let terms = Terms::default();
-        let mut heard = Heard::new(0, 0, 3, 1);
-        assert!(!heard.hears_nobody(SECOND, &terms), "too early to tell");
-        assert!(heard.hears_nobody(6 * SECOND, &terms));
-        heard.speaks(7 * SECOND, &Speaker { who: 2, of: 3, life: life(1, 1) });
-        assert!(!heard.hears_nobody(8 * SECOND, &terms));
+        let terms = TierConfig::default();
+        let mut heard = Liveness::new(0, 0, 3, 1);
+        assert!(!heard.is_isolated(SECOND, &terms), "too early to tell");
+        assert!(heard.is_isolated(6 * SECOND, &terms));
+        heard.observe_sender(7 * SECOND, &Sender { who: 2, of: 3, life: life(1, 1) });
+        assert!(!heard.is_isolated(8 * SECOND, &terms));
         // What was passed on by nobody in particular is not heard; one dispatcher alone has nobody to hear.
-        heard.lives(20 * SECOND, 1, life(1, 1));
-        assert!(heard.hears_nobody(20 * SECOND, &terms));
-        assert!(!Heard::new(0, 0, 1, 1).hears_nobody(99 * SECOND, &terms));
+        heard.observe(20 * SECOND, 1, life(1, 1));
+        assert!(heard.is_isolated(20 * SECOND, &terms));
+        assert!(!Liveness::new(0, 0, 1, 1).is_isolated(99 * SECOND, &terms));
     }
 
     #[test]
     fn a_later_life_under_ones_own_name_is_left_behind() {
-        let mut heard = Heard::new(0, 1, 3, 5);
-        heard.beat();
-        assert_eq!(heard.lives(1, 1, life(5, 1)), None, "its own");
-        assert_eq!(heard.lives(1, 1, life(4, 900)), None);
+        let mut heard = Liveness::new(0, 1, 3, 5);
+        heard.advance_beat();
+        assert_eq!(heard.observe(1, 1, life(5, 1)), None, "its own");
+        assert_eq!(heard.observe(1, 1, life(4, 900)), None);
         assert_eq!(
-            heard.lives(2, 1, life(9, 3)),
+            heard.observe(2, 1, life(9, 3)),
             Some(10),
             "its folder was lost, and peers knew a ninth life"
         );
-        assert_eq!(heard.lives(3, 1, life(10, 50)), Some(11), "two lives of one number");
-        assert_eq!(heard.speaker().life, life(11, 0));
+        assert_eq!(heard.observe(3, 1, life(10, 50)), Some(11), "two lives of one number");
+        assert_eq!(heard.sender().life, life(11, 0));
     }
 
     #[test]
     fn shares_go_by_the_largest_configured_number_of_a_peer_and_never_by_who_is_heard() {
-        let mut heard = Heard::new(0, 0, 4, 1);
+        let mut heard = Liveness::new(0, 0, 4, 1);
         assert_eq!(heard.configured(), 4);
-        heard.speaks(1, &Speaker { who: 1, of: 8, life: life(1, 1) });
-        heard.speaks(1, &Speaker { who: 2, of: 2, life: life(1, 1) });
+        heard.observe_sender(1, &Sender { who: 1, of: 8, life: life(1, 1) });
+        heard.observe_sender(1, &Sender { who: 2, of: 2, life: life(1, 1) });
         assert_eq!(heard.configured(), 8);
         // An old word of it changes nothing; silence does not either.
-        heard.speaks(2, &Speaker { who: 1, of: 4, life: life(0, 9) });
+        heard.observe_sender(2, &Sender { who: 1, of: 4, life: life(0, 9) });
         assert_eq!(heard.configured(), 8);
-        heard.speaks(3, &Speaker { who: 1, of: 4, life: life(1, 2) });
+        heard.observe_sender(3, &Sender { who: 1, of: 4, life: life(1, 2) });
         assert_eq!(heard.configured(), 4);
     }
 }
--- a/tier/src/roll.rs
+++ b/tier/src/roll.rs
@@ -7,14 +7,14 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+use crate::config::{TierConfig, ms};
 use crate::frame::{Item, OF_STANDINGS, Packing};
-use crate::heard::Heard;
-use crate::judge::{Change, Judge, Service, View};
-use crate::records::{BUCKETS, Held, Records, What, Word};
+use crate::liveness::Liveness;
+use crate::records::{BUCKETS, EndpointRecord, HoldChange, RecordKind, Records};
 use crate::rules::Rules;
-use crate::standing::{Kind, Standing, Stands};
-use crate::terms::{Terms, ms};
-use crate::{DestId, Incarnation, Nanos, Peer, Place};
+use crate::staleness::{Decision, ServiceState, StalenessDetector, View};
+use crate::versions::{ActiveVersions, Kind, VersionReport};
+use crate::{DestId, EndpointHash, Incarnation, Nanos, Peer};
 
 /// Peers that are told something in a round without news.
 const QUIET_FANOUT: usize = 2;
@@ -29,48 +29,48 @@
 
 /// Something to be done for the roll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum RollAction {
     /// This dispatcher is behind: its own source of this is asked again.
-    Ask(Kind),
+    RefreshSource(Kind),
     /// It takes no new messages from now on, since it is behind on this.
     ShutOut(Kind),
     /// It takes messages again.
-    Back,
+    Readmit,
     /// Nothing goes to an endpoint: the staff took it out at another dispatcher, or its list did.
-    Hold(Place, What),
+    Hold(EndpointHash, RecordKind),
     /// The own list has an endpoint in service that others were told drains no more.
-    Release(Place),
+    Release(EndpointHash),
     /// Words have changed: they are to be noted.
-    Note,
+    RecordsChanged,
 }
 
 /// What a roll begins with.
 #[derive(Clone, Debug, Default)]
-pub struct Begin {
+pub struct InitialState {
     /// The rules.
     pub rules: Rules,
     /// What is acted on; its incarnation and epoch are filled in.
-    pub standing: Standing,
-    /// How long each has been acted on already, by [`crate::standing::KINDS`]; long where it is not known.
+    pub standing: ActiveVersions,
+    /// How long each has been acted on already, by [`crate::versions::KINDS`]; long where it is not known.
     pub held: [Nanos; 4],
     /// Words that were noted.
-    pub words: Vec<Word>,
+    pub words: Vec<EndpointRecord>,
 }
 
 /// What a peer said of its words, and the last word that it was sent.
-type Theirs = ([u32; BUCKETS], Option<(Place, What)>);
+type Theirs = ([u32; BUCKETS], Option<(EndpointHash, RecordKind)>);
 
 /// See the module.
 pub struct Roll {
     rules: Rules,
-    judge: Judge,
+    judge: StalenessDetector,
     records: Records,
     rng: Pcg64Mcg,
-    acts: Vec<Act>,
+    acts: Vec<RollAction>,
     /// Endpoints in service by the own list, and by destination how many there are of all.
-    ready: BTreeMap<Place, DestId>,
+    ready: BTreeMap<EndpointHash, DestId>,
     listed: BTreeMap<DestId, usize>,
-    known: BTreeSet<Place>,
+    known: BTreeSet<EndpointHash>,
     begun: bool,
     look_at: Nanos,
     quiet_until: Nanos,
@@ -87,13 +87,20 @@
 
 impl Roll {
     /// Number `me` of `of` in this life.
-    pub fn new(now: Nanos, me: Peer, of: u16, incarnation: Incarnation, begin: Begin, seed: u64) -> Self {
-        let Begin { rules, mut standing, held, words } = begin;
+    pub fn new(
+        now: Nanos,
+        me: Peer,
+        of: u16,
+        incarnation: Incarnation,
+        begin: InitialState,
+        seed: u64,
+    ) -> Self {
+        let InitialState { rules, mut standing, held, words } = begin;
         let records = Records::new(me, words);
         (standing.incarnation, standing.epoch) = (incarnation, incarnation);
         standing.cordons.digest = records.digest();
         Roll {
-            judge: Judge::new(now, me, of, rules.clone(), standing, held, seed),
+            judge: StalenessDetector::new(now, me, of, rules.clone(), standing, held, seed),
             records,
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0x7011),
             acts: Vec::new(),
@@ -119,74 +126,79 @@
     }
 
     /// What there is to do.
-    pub fn acts(&mut self) -> Vec<Act> {
+    pub fn take_actions(&mut self) -> Vec<RollAction> {
         std::mem::take(&mut self.acts)
     }
 
     /// What is acted on.
-    pub fn standing(&self) -> Standing {
-        self.judge.standing()
+    pub fn active_versions(&self) -> ActiveVersions {
+        self.judge.active_versions()
     }
 
     /// How this one stands in the service.
-    pub fn service(&self) -> Service {
+    pub fn service(&self) -> ServiceState {
         self.judge.service()
     }
 
     /// One takes no part in lending.
-    pub fn is_out(&self, heard: &Heard, who: Peer) -> bool {
+    pub fn is_out(&self, heard: &Liveness, who: Peer) -> bool {
         self.judge.is_out(heard, who)
     }
 
     /// Cordons and drains, as they are to be noted.
-    pub fn words(&self) -> impl ExactSizeIterator<Item = &Word> {
+    pub fn records(&self) -> impl ExactSizeIterator<Item = &EndpointRecord> {
         self.records.all()
     }
 
     /// Another content is acted on from now on.
-    pub fn moves(&mut self, now: Nanos, kind: Kind, digest: u32, pass_on: u8) {
-        self.held(now, kind, digest, 0, pass_on);
+    pub fn set_version(&mut self, now: Nanos, kind: Kind, digest: u32, pass_on: u8) {
+        self.set_version_since(now, kind, digest, 0, pass_on);
     }
 
     /// A content is acted on, and has been for so long: what a store kept, say.
-    pub fn held(&mut self, now: Nanos, kind: Kind, digest: u32, held: Nanos, pass_on: u8) {
-        if self.judge.moves(now, kind, digest, held) {
-            self.judge.heat(pass_on);
+    pub fn set_version_since(&mut self, now: Nanos, kind: Kind, digest: u32, held: Nanos, pass_on: u8) {
+        if self.judge.set_version(now, kind, digest, held) {
+            self.judge.mark_urgent(pass_on);
             self.look_at = now;
         }
     }
 
     /// Its source has said for the first time what is in force.
-    pub fn confirmed(&mut self, now: Nanos, kind: Kind, pass_on: u8) {
-        self.judge.confirmed(now, kind);
-        self.judge.heat(pass_on);
+    pub fn confirm(&mut self, now: Nanos, kind: Kind, pass_on: u8) {
+        self.judge.confirm(now, kind);
+        self.judge.mark_urgent(pass_on);
     }
 
     /// The number of the list in force, and whose it is.
-    pub fn numbered(&mut self, agent: u32, index: u64) {
-        self.judge.listed(agent, index);
+    pub fn set_list_index(&mut self, agent: u32, index: u64) {
+        self.judge.set_list_index(agent, index);
     }
 
     /// Settings were turned down.
-    pub fn refused(&mut self, digest: u32, pass_on: u8) {
-        self.judge.refused(digest);
-        self.judge.heat(pass_on);
+    pub fn reject_settings(&mut self, digest: u32, pass_on: u8) {
+        self.judge.reject_settings(digest);
+        self.judge.mark_urgent(pass_on);
     }
 
     /// Others knew a later life under this name.
-    pub fn lives(&mut self, incarnation: Incarnation, pass_on: u8) {
-        self.judge.lives(incarnation);
-        self.judge.heat(pass_on);
+    pub fn set_incarnation(&mut self, incarnation: Incarnation, pass_on: u8) {
+        self.judge.set_incarnation(incarnation);
+        self.judge.mark_urgent(pass_on);
     }
 
     /// A new epoch.
-    pub fn epoch(&mut self, epoch: Incarnation) {
-        self.judge.epoch(epoch);
+    pub fn set_epoch(&mut self, epoch: Incarnation) {
+        self.judge.set_epoch(epoch);
     }
 
     /// The list in force: its endpoints, and whether each is in service by it. The first one is what the store or the
     /// configuration had; from then on what changed is a word of this dispatcher's.
-    pub fn listed(&mut self, now: Nanos, all: impl IntoIterator<Item = (Place, DestId, bool)>, pass_on: u8) {
+    pub fn set_endpoints(
+        &mut self,
+        now: Nanos,
+        all: impl IntoIterator<Item = (EndpointHash, DestId, bool)>,
+        pass_on: u8,
+    ) {
         let (mut ready, mut listed, mut known) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
         for (place, dest, in_service) in all {
             known.insert(place);
@@ -199,18 +211,20 @@
         self.listed = listed;
         // What the staff took out elsewhere before it was listed here.
         let new = known.iter().filter(|place| !self.known.contains(place));
-        let cordoned: Vec<Place> = new.filter(|p| self.records.is_out(**p, What::Cordon)).copied().collect();
-        self.acts.extend(cordoned.into_iter().map(|place| Act::Hold(place, What::Cordon)));
+        let cordoned: Vec<EndpointHash> =
+            new.filter(|p| self.records.is_out(**p, RecordKind::Cordon)).copied().collect();
+        self.acts.extend(cordoned.into_iter().map(|place| RollAction::Hold(place, RecordKind::Cordon)));
         if self.begun {
-            let drained: Vec<Place> =
+            let drained: Vec<EndpointHash> =
                 before.keys().filter(|p| !self.ready.contains_key(p) && known.contains(p)).copied().collect();
-            let back: Vec<Place> = self.ready.keys().filter(|p| !before.contains_key(p)).copied().collect();
+            let back: Vec<EndpointHash> =
+                self.ready.keys().filter(|p| !before.contains_key(p)).copied().collect();
             for (places, out) in [(drained, true), (back, false)] {
                 for place in places {
-                    self.say(place, What::Drain, out);
+                    self.say(place, RecordKind::Drain, out);
                 }
             }
-            let held = self.records.answered();
+            let held = self.records.source_answered();
             self.carry(held);
         } else {
             self.begun = true;
@@ -224,33 +238,33 @@
     }
 
     /// The staff takes an endpoint out here, or puts it back.
-    pub fn cordoned(&mut self, now: Nanos, place: Place, out: bool, pass_on: u8) {
-        self.say(place, What::Cordon, out);
+    pub fn set_cordon(&mut self, now: Nanos, place: EndpointHash, out: bool, pass_on: u8) {
+        self.say(place, RecordKind::Cordon, out);
         self.changed(now, pass_on);
     }
 
-    fn say(&mut self, place: Place, what: What, out: bool) {
+    fn say(&mut self, place: EndpointHash, what: RecordKind, out: bool) {
         if self.records.say(place, what, out).is_some() {
-            self.acts.push(Act::Note);
+            self.acts.push(RollAction::RecordsChanged);
         }
     }
 
-    fn carry(&mut self, held: impl IntoIterator<Item = Held>) {
+    fn carry(&mut self, held: impl IntoIterator<Item = HoldChange>) {
         for held in held {
             self.acts.push(match held {
-                Held::Out(place, what) => Act::Hold(place, what),
-                Held::Back(place) => Act::Release(place),
+                HoldChange::Hold(place, what) => RollAction::Hold(place, what),
+                HoldChange::Release(place) => RollAction::Release(place),
             });
         }
     }
 
     fn changed(&mut self, now: Nanos, pass_on: u8) {
         let digest = self.records.digest();
-        self.moves(now, Kind::Cordons, digest, pass_on);
+        self.set_version(now, Kind::Cordons, digest, pass_on);
     }
 
     /// No more of a destination's endpoints are held on hearsay than may be.
-    fn may_hold(&self, place: Place) -> bool {
+    fn may_hold(&self, place: EndpointHash) -> bool {
         let Some(dest) = self.ready.get(&place) else { return false };
         let held = self.records.held().filter(|p| self.ready.get(p) == Some(dest)).count();
         let listed = self.listed.get(dest).copied().unwrap_or(0);
@@ -258,10 +272,10 @@
     }
 
     /// Somebody says something.
-    pub fn hear(&mut self, now: Nanos, from: Peer, item: &Item, pass_on: u8) {
+    pub fn receive(&mut self, now: Nanos, from: Peer, item: &Item, pass_on: u8) {
         match item {
             Item::Stands(stands) => {
-                let news = self.judge.hear(now, stands, pass_on);
+                let news = self.judge.receive(now, stands, pass_on);
                 if stands.who == from {
                     self.compare(from, stands);
                 }
@@ -269,16 +283,16 @@
                     self.look_at = now;
                 }
             }
-            Item::Finding(finding) if self.judge.find(finding, pass_on) => self.look_at = now,
+            Item::Finding(finding) if self.judge.receive_votes(finding, pass_on) => self.look_at = now,
             Item::Buckets(buckets) if self.rules.catch_up => {
                 let after = self.theirs.get(&from).and_then(|(_, after)| *after);
                 self.theirs.insert(from, (*buckets, after));
             }
             Item::Word(word) if self.rules.catch_up => {
                 let ready = self.may_hold(word.place);
-                let (news, held) = self.records.hear(*word, ready);
+                let (news, held) = self.records.receive(*word, ready);
                 if news {
-                    self.acts.push(Act::Note);
+                    self.acts.push(RollAction::RecordsChanged);
                     self.carry(held);
                     self.changed(now, pass_on);
                 }
@@ -287,7 +301,7 @@
         }
     }
 
-    fn compare(&mut self, from: Peer, stands: &Stands) {
+    fn compare(&mut self, from: Peer, stands: &VersionReport) {
         if stands.standing.cordons.digest == self.records.digest() || !self.rules.catch_up {
             self.differ.remove(&from);
             self.theirs.remove(&from);
@@ -297,19 +311,25 @@
     }
 
     /// A round: judges, and packs datagrams. Whether this one is shut out or let back by it, with what goes out.
-    pub fn round(&mut self, now: Nanos, heard: &Heard, terms: &Terms, pass_on: u8) -> Vec<(Peer, Vec<u8>)> {
+    pub fn round(
+        &mut self,
+        now: Nanos,
+        heard: &Liveness,
+        terms: &TierConfig,
+        pass_on: u8,
+    ) -> Vec<(Peer, Vec<u8>)> {
         let passed = now.saturating_sub(std::mem::replace(&mut self.last, now)) as f64 / 1e9;
         let each_second = self.rules.sync_bytes_per_second as f64;
         self.allowed = (self.allowed + passed * each_second).min(each_second);
         if now >= self.look_at {
             self.look_at = now.saturating_add(LOOK);
-            for change in self.judge.look(now, heard, terms, pass_on) {
+            for change in self.judge.evaluate(now, heard, terms, pass_on) {
                 self.acts.push(match change {
-                    Change::Ask(kind) => Act::Ask(kind),
-                    Change::Out(kind) => Act::ShutOut(kind),
-                    Change::Back => Act::Back,
+                    Decision::RefreshSource(kind) => RollAction::RefreshSource(kind),
+                    Decision::ShutOut(kind) => RollAction::ShutOut(kind),
+                    Decision::Readmit => RollAction::Readmit,
                 });
-                self.judge.heat(pass_on);
+                self.judge.mark_urgent(pass_on);
             }
         }
         let mut out = self.bring_up(now, heard);
@@ -320,8 +340,8 @@
     }
 
     /// What differs at others, a little at a time.
-    fn bring_up(&mut self, now: Nanos, heard: &Heard) -> Vec<(Peer, Vec<u8>)> {
-        let (mut out, speaker) = (Vec::new(), heard.speaker());
+    fn bring_up(&mut self, now: Nanos, heard: &Liveness) -> Vec<(Peer, Vec<u8>)> {
+        let (mut out, speaker) = (Vec::new(), heard.sender());
         let buckets = self.records.buckets();
         for (peer, last) in &mut self.differ {
             if last.is_some_and(|last| now.saturating_sub(last) < COMPARE) || self.allowed < 128.0 {
@@ -346,7 +366,7 @@
         out
     }
 
-    fn speak(&mut self, now: Nanos, heard: &Heard, terms: &Terms) -> Vec<(Peer, Vec<u8>)> {
+    fn speak(&mut self, now: Nanos, heard: &Liveness, terms: &TierConfig) -> Vec<(Peer, Vec<u8>)> {
         let quiet = now >= self.quiet_until;
         let hot = self.judge.is_urgent();
         if !quiet && !hot {
@@ -355,17 +375,18 @@
         if quiet {
             self.quiet_until = now.saturating_add(ms(terms.quiet_ms));
         }
-        let own =
-            (self.judge.cools() || quiet).then(|| self.judge.say(now, heard.speaker().life.beat)).flatten();
-        let findings = self.judge.findings(quiet, 3);
-        let others = self.judge.pass_on(now, quiet, 3);
+        let own = (self.judge.take_urgent_round() || quiet)
+            .then(|| self.judge.own_report(now, heard.sender().life.beat))
+            .flatten();
+        let findings = self.judge.votes_to_send(quiet, 3);
+        let others = self.judge.items_to_forward(now, quiet, 3);
         let items: Vec<Item> = own
             .map(Item::Stands)
             .into_iter()
             .chain(findings.into_iter().map(Item::Finding))
             .chain(others.into_iter().map(Item::Stands))
             .collect();
-        let mut packing = Packing::of(OF_STANDINGS, &heard.speaker());
+        let mut packing = Packing::of(OF_STANDINGS, &heard.sender());
         for item in &items {
             packing.add(item);
         }
@@ -383,29 +404,29 @@
     }
 
     /// How all are seen from here.
-    pub fn view(&mut self, now: Nanos, heard: &Heard, terms: &Terms) -> Vec<Row> {
-        let all = self.judge.all(now, heard, terms);
+    pub fn peer_statuses(&mut self, now: Nanos, heard: &Liveness, terms: &TierConfig) -> Vec<PeerStatus> {
+        let all = self.judge.all_views(now, heard, terms);
         let of = all[0].0.len() as Peer;
         let row = |who: Peer| {
-            let (stands, since) = self.judge.word(who)?;
+            let (stands, since) = self.judge.report(who)?;
             let views = [0, 1, 2, 3].map(|n: usize| all[n].0[usize::from(who)]);
             let held = since.map(|since| now.saturating_sub(since));
-            Some(Row { stands: *stands, held, views, found: self.judge.found(heard, who) })
+            Some(PeerStatus { stands: *stands, held, views, found: self.judge.stale_kind(heard, who) })
         };
         (0..of).filter_map(row).collect()
     }
 
     /// Datagrams sent, and their bytes; words that found no room.
-    pub fn cost(&self) -> (u64, u64, u64) {
+    pub fn traffic(&self) -> (u64, u64, u64) {
         (self.sent, self.bytes, self.records.turned_away)
     }
 }
 
 /// One dispatcher as another sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Row {
+pub struct PeerStatus {
     /// Its last word.
-    pub stands: Stands,
+    pub stands: VersionReport,
     /// How long it has acted on each.
     pub held: [Nanos; 4],
     /// What is to be thought of it.
--- a/tier/src/rules.rs
+++ b/tier/src/rules.rs
@@ -2,8 +2,8 @@
 
 use serde::Deserialize;
 
-use crate::standing::Kind;
-use crate::terms::{Wrong, ms};
+use crate::config::{InvalidSetting, ms};
+use crate::versions::Kind;
 use crate::{Nanos, Peer};
 
 /// No more dispatchers than this can find another behind: their votes travel in one datagram.
@@ -71,8 +71,8 @@
     ///
     /// # Errors
     /// The first setting that does not.
-    pub fn check(&self) -> Result<(), Wrong> {
-        let wrong = |key, reason| Err(Wrong { key, reason });
+    pub fn check(&self) -> Result<(), InvalidSetting> {
+        let wrong = |key, reason| Err(InvalidSetting { key, reason });
         let bound = |ms: u64| ms == 0 || (1_000..=86_400_000).contains(&ms);
         match self {
             r if !bound(r.list_ms) => wrong("list_ms", "neither 0 nor between a second and a day"),
--- a/tier/src/judge.rs
+++ b/tier/src/staleness.rs
@@ -1,6 +1,6 @@
 //! Who is behind: what most of the *configured* dispatchers act on, who has stayed on what they left, and what follows.
 //!
-//! Each dispatcher judges by the words of all ([`Stands`]). One is behind on a kind once most of the configured dispatchers
+//! Each dispatcher judges by the words of all ([`VersionReport`]). One is behind on a kind once most of the configured dispatchers
 //! act on something else that they moved to after it moved to what it has, as far as its durations tell; or, for lists,
 //! which others bring, on one that the judge itself has left. Whoever hears no more than half says *unknown*.
 //!
@@ -17,11 +17,11 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
-use crate::heard::{Heard, Presence};
+use crate::config::{TierConfig, ms};
+use crate::liveness::{Liveness, Presence};
 use crate::planted::{Fault, Planted};
 use crate::rules::{Rules, Voters, most};
-use crate::standing::{KINDS, Kind, Stamp, Standing, Stands, TENTH, tenths};
-use crate::terms::{Terms, ms};
+use crate::versions::{ActiveVersions, KINDS, Kind, TENTH, Version, VersionReport, tenths};
 use crate::{Incarnation, Nanos, Peer};
 
 /// Contents that the judge itself has left, of lists.
@@ -50,7 +50,7 @@
 
 /// How a dispatcher stands in the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Service {
+pub enum ServiceState {
     /// It takes messages.
     In,
     /// It takes none: it is behind on this, as most find, or under a floor.
@@ -69,7 +69,7 @@
 
 /// Votes against one dispatcher's move.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Finding {
+pub struct StalenessVotes {
     /// Who is behind.
     pub about: Peer,
     /// Its life.
@@ -77,25 +77,25 @@
     /// On what.
     pub kind: Kind,
     /// What it acts on.
-    pub stamp: Stamp,
+    pub stamp: Version,
     /// Who says so.
     pub voters: Voters,
 }
 
 /// What comes of a look round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum Decision {
     /// The own source of this is to be asked again.
-    Ask(Kind),
+    RefreshSource(Kind),
     /// No new messages from now on.
-    Out(Kind),
+    ShutOut(Kind),
     /// New messages again.
-    Back,
+    Readmit,
 }
 
 #[derive(Clone, Copy, Debug, Serialize)]
 struct Known {
-    stands: Stands,
+    stands: VersionReport,
     /// When it moved to what it acts on, by the clock here.
     since: [Nanos; 4],
     said: Nanos,
@@ -109,18 +109,18 @@
 #[derive(Clone, Debug, Serialize)]
 struct Votes {
     incarnation: Incarnation,
-    stamp: Stamp,
+    stamp: Version,
     voters: Voters,
     hot: u8,
 }
 
 /// What is known of all, and what follows for one.
 #[derive(Clone, Debug, Serialize)]
-pub struct Judge {
+pub struct StalenessDetector {
     me: Peer,
     known: Vec<Option<Known>>,
     votes: BTreeMap<(Peer, Kind), Votes>,
-    service: Service,
+    service: ServiceState,
     /// How often it was shut out in a row, and until when that counts.
     times: (u32, Nanos),
     asked: [Option<Nanos>; 4],
@@ -136,28 +136,28 @@
     pub(crate) planted: Planted,
 }
 
-impl Judge {
+impl StalenessDetector {
     /// Number `me` of `of` begins on this, of which it has held each for so long.
     pub fn new(
         now: Nanos,
         me: Peer,
         of: u16,
         rules: Rules,
-        standing: Standing,
+        standing: ActiveVersions,
         held: [Nanos; 4],
         seed: u64,
     ) -> Self {
         let mut known = vec![None; usize::from(of)];
-        let stands = Stands { who: me, seq: 1, standing, ..Stands::default() };
+        let stands = VersionReport { who: me, seq: 1, standing, ..VersionReport::default() };
         let since = held.map(|held| now.saturating_sub(held));
         if let Some(own) = known.get_mut(usize::from(me)) {
             *own = Some(Known { stands, since, said: now, hot: 0, behind: [None; 4], before: [None; 4] });
         }
-        Judge {
+        StalenessDetector {
             me,
             known,
             votes: BTreeMap::new(),
-            service: Service::In,
+            service: ServiceState::In,
             times: (0, 0),
             asked: [None; 4],
             left: VecDeque::new(),
@@ -184,8 +184,8 @@
     }
 
     /// What this one acts on.
-    pub fn standing(&self) -> Standing {
-        self.known(self.me).map_or(Standing::default(), |known| known.stands.standing)
+    pub fn active_versions(&self) -> ActiveVersions {
+        self.known(self.me).map_or(ActiveVersions::default(), |known| known.stands.standing)
     }
 
     fn known(&self, who: Peer) -> Option<&Known> {
@@ -193,20 +193,20 @@
     }
 
     /// Somebody's word, and when it moved to what it acts on, by the clock here.
-    pub fn word(&self, who: Peer) -> Option<(&Stands, [Nanos; 4])> {
+    pub fn report(&self, who: Peer) -> Option<(&VersionReport, [Nanos; 4])> {
         self.known(who).map(|known| (&known.stands, known.since))
     }
 
     /// How this one stands in the service.
-    pub fn service(&self) -> Service {
+    pub fn service(&self) -> ServiceState {
         self.service
     }
 
     /// This one acts on another content, and has for so long: 0 from now on. Whether that is a move.
-    pub fn moves(&mut self, now: Nanos, kind: Kind, digest: u32, held: Nanos) -> bool {
-        let before = self.standing().stamp(kind).digest;
+    pub fn set_version(&mut self, now: Nanos, kind: Kind, digest: u32, held: Nanos) -> bool {
+        let before = self.active_versions().version(kind).digest;
         let Some(own) = self.own() else { return false };
-        if !own.stands.standing.moves(kind, digest) {
+        if !own.stands.standing.set_version(kind, digest) {
             return false;
         }
         (own.since[kind as usize], own.stands.seq) = (now.saturating_sub(held), own.stands.seq + 1);
@@ -226,7 +226,7 @@
 
     /// The own source has said what is in force, for the first time in this life: until then it was what the configuration
     /// or the store had, which may be of any age.
-    pub fn confirmed(&mut self, now: Nanos, kind: Kind) {
+    pub fn confirm(&mut self, now: Nanos, kind: Kind) {
         if let Some(own) = self.own() {
             own.stands.standing.confirm(kind);
             (own.since[kind as usize], own.stands.seq) = (now, own.stands.seq + 1);
@@ -234,29 +234,29 @@
     }
 
     /// The agent and its number of the list in force.
-    pub fn listed(&mut self, agent: u32, index: u64) {
+    pub fn set_list_index(&mut self, agent: u32, index: u64) {
         if let Some(own) = self.own() {
             (own.stands.standing.agent, own.stands.standing.index) = (agent, index);
         }
     }
 
     /// Settings were given and turned down.
-    pub fn refused(&mut self, digest: u32) {
+    pub fn reject_settings(&mut self, digest: u32) {
         if let Some(own) = self.own() {
             (own.stands.refused, own.stands.seq) = (digest, own.stands.seq + 1);
         }
     }
 
     /// Others knew a later life under this name: this one has a number beyond it.
-    pub fn lives(&mut self, incarnation: Incarnation) {
+    pub fn set_incarnation(&mut self, incarnation: Incarnation) {
         if let Some(own) = self.own() {
             own.stands.standing.incarnation = incarnation;
         }
-        self.epoch(incarnation);
+        self.set_epoch(incarnation);
     }
 
     /// A new epoch of what is shared.
-    pub fn epoch(&mut self, epoch: Incarnation) {
+    pub fn set_epoch(&mut self, epoch: Incarnation) {
         if let Some(own) = self.own()
             && own.stands.standing.epoch != epoch
         {
@@ -265,16 +265,16 @@
     }
 
     /// Somebody's word comes, of its own or passed on. Whether it is news.
-    pub fn hear(&mut self, now: Nanos, stands: &Stands, pass_on: u8) -> bool {
+    pub fn receive(&mut self, now: Nanos, stands: &VersionReport, pass_on: u8) -> bool {
         let said = now.saturating_sub(u64::from(stands.age) * TENTH);
         if stands.who == self.me {
             return false;
         }
         let Some(place) = self.known.get_mut(usize::from(stands.who)) else { return false };
         let before = place.as_ref();
-        if before.is_some_and(|known| known.stands.version() >= stands.version()) {
+        if before.is_some_and(|known| known.stands.order() >= stands.order()) {
             // The same once more, said later: it holds still.
-            let same = |known: &&mut Known| known.stands.version() == stands.version() && known.said < said;
+            let same = |known: &&mut Known| known.stands.order() == stands.order() && known.said < said;
             if let Some(known) = place.as_mut().filter(same) {
                 known.said = said;
                 if !self.planted.has(Fault::HeldOnce) {
@@ -289,7 +289,7 @@
             let n = kind as usize;
             let same = |known: &&Known| {
                 known.stands.standing.incarnation == stands.standing.incarnation
-                    && known.stands.standing.stamp(kind) == stands.standing.stamp(kind)
+                    && known.stands.standing.version(kind) == stands.standing.version(kind)
             };
             // What was worked out first of one move stays: what it was passed on for only adds to it.
             if let Some(known) = before.filter(same) {
@@ -307,16 +307,16 @@
     }
 
     /// Votes come. Whether there is one among them that is news.
-    pub fn find(&mut self, finding: &Finding, pass_on: u8) -> bool {
+    pub fn receive_votes(&mut self, finding: &StalenessVotes, pass_on: u8) -> bool {
         let of = self.of();
         if finding.about >= of {
             return false;
         }
-        let rank = |incarnation, stamp: Stamp| (incarnation, stamp.generation);
+        let rank = |incarnation, stamp: Version| (incarnation, stamp.generation);
         let new = rank(finding.incarnation, finding.stamp);
         if self.known(finding.about).is_some_and(|known| {
             let standing = &known.stands.standing;
-            new < rank(standing.incarnation, standing.stamp(finding.kind))
+            new < rank(standing.incarnation, standing.version(finding.kind))
         }) {
             return false;
         }
@@ -341,25 +341,31 @@
         news
     }
 
-    fn alive(&self, now: Nanos, heard: &Heard, terms: &Terms, who: Peer) -> bool {
+    fn alive(&self, now: Nanos, heard: &Liveness, terms: &TierConfig, who: Peer) -> bool {
         who == self.me
             || heard.presence(now, terms, who) <= Presence::Suspected
                 && self.known(who).is_some_and(|known| now.saturating_sub(known.said) < STALE)
     }
 
     /// Those whose words count now.
-    fn heard(&self, now: Nanos, heard: &Heard, terms: &Terms) -> Vec<Peer> {
+    fn heard(&self, now: Nanos, heard: &Liveness, terms: &TierConfig) -> Vec<Peer> {
         let all = 0..self.of();
         all.filter(|who| self.known(*who).is_some() && self.alive(now, heard, terms, *who)).collect()
     }
 
     /// Of how many more than half are most: of all that are configured, by whoever is configured with more.
-    fn whole(&self, heard: &Heard, counted: usize) -> u16 {
+    fn whole(&self, heard: &Liveness, counted: usize) -> u16 {
         if self.planted.has(Fault::MostOfHeard) { counted as u16 } else { heard.configured().max(self.of()) }
     }
 
     /// What is to be thought of all, by number, on one kind; and what most act on.
-    fn views(&mut self, now: Nanos, heard: &Heard, terms: &Terms, kind: Kind) -> (Vec<View>, Option<u32>) {
+    fn views(
+        &mut self,
+        now: Nanos,
+        heard: &Liveness,
+        terms: &TierConfig,
+        kind: Kind,
+    ) -> (Vec<View>, Option<u32>) {
         let (counted, n) = (self.heard(now, heard, terms), kind as usize);
         let of = self.whole(heard, counted.len());
         let mut views = vec![View::Unknown; self.known.len()];
@@ -367,13 +373,13 @@
             return (views, None);
         }
         let moved = |who: Peer| {
-            self.known(who).map(|k| (k.stands.standing.stamp(kind).digest, k.since[n])).unwrap_or_default()
+            self.known(who).map(|k| (k.stands.standing.version(kind).digest, k.since[n])).unwrap_or_default()
         };
         let all: Vec<(u32, Nanos)> = counted.iter().map(|who| moved(*who)).collect();
         let mut counts: BTreeMap<u32, usize> = BTreeMap::new();
         all.iter().for_each(|(digest, _)| *counts.entry(*digest).or_default() += 1);
         let common = counts.iter().find(|(_, count)| most(**count, of)).map(|(digest, _)| *digest);
-        let mine = self.standing().stamp(kind).digest;
+        let mine = self.active_versions().version(kind).digest;
         let apart = 2 * terms.clock_rate_permille;
         let mut behind = Vec::new();
         for (who, (digest, since)) in counted.iter().zip(&all) {
@@ -423,15 +429,15 @@
         let known = self.known(about);
         let stands = known.is_none_or(|known| {
             let standing = &known.stands.standing;
-            (standing.incarnation, standing.stamp(kind)) == (votes.incarnation, votes.stamp)
-                || (standing.incarnation, standing.stamp(kind).generation)
+            (standing.incarnation, standing.version(kind)) == (votes.incarnation, votes.stamp)
+                || (standing.incarnation, standing.version(kind).generation)
                     < (votes.incarnation, votes.stamp.generation)
         });
         stands.then_some(votes)
     }
 
     /// Most have found it behind, on this.
-    pub fn found(&self, heard: &Heard, about: Peer) -> Option<Kind> {
+    pub fn stale_kind(&self, heard: &Liveness, about: Peer) -> Option<Kind> {
         let of = if self.planted.has(Fault::MostOfHeard) { 1 } else { heard.configured().max(self.of()) };
         let enough = |kind: &Kind| {
             self.standing_votes(about, *kind).is_some_and(|votes| most(votes.voters.count(), of))
@@ -440,15 +446,21 @@
     }
 
     /// One takes no part in what is shared: it says so itself, or most have found it behind.
-    pub fn is_out(&self, heard: &Heard, who: Peer) -> bool {
+    pub fn is_out(&self, heard: &Liveness, who: Peer) -> bool {
         if who == self.me {
-            return self.service != Service::In;
+            return self.service != ServiceState::In;
         }
-        self.known(who).is_some_and(|known| known.stands.out) || self.found(heard, who).is_some()
+        self.known(who).is_some_and(|known| known.stands.out) || self.stale_kind(heard, who).is_some()
     }
 
     /// A look round: judges all, votes, and says what follows for this one.
-    pub fn look(&mut self, now: Nanos, heard: &Heard, terms: &Terms, pass_on: u8) -> Vec<Change> {
+    pub fn evaluate(
+        &mut self,
+        now: Nanos,
+        heard: &Liveness,
+        terms: &TierConfig,
+        pass_on: u8,
+    ) -> Vec<Decision> {
         let mut changes = Vec::new();
         let mut against: usize = {
             let me = self.me;
@@ -481,7 +493,7 @@
     }
 
     /// Its own source is asked again, at once and then at intervals: those who fall behind together not together.
-    fn ask(&mut self, now: Nanos, since: Nanos, kind: Kind, changes: &mut Vec<Change>) {
+    fn ask(&mut self, now: Nanos, since: Nanos, kind: Kind, changes: &mut Vec<Decision>) {
         let again = ms(self.rules.ask_again_ms);
         if !self.rules.catch_up || !matches!(kind, Kind::List | Kind::Settings) {
             return;
@@ -494,7 +506,7 @@
             // What was turned down is not worth asking for so often.
             let times = if turned_down { TURNED_DOWN } else { 1 };
             *next = now.saturating_add(again.saturating_mul(times));
-            changes.push(Change::Ask(kind));
+            changes.push(Decision::RefreshSource(kind));
         }
     }
 
@@ -518,9 +530,9 @@
             return;
         }
         // Whoever is under the floor itself finds nobody for that: with all under it nobody is out.
-        let above = floors && self.standing().program.generation >= self.rules.floor_layout;
-        let sound = above || common == Some(self.standing().stamp(kind).digest);
-        if !self.rules.shut_out || !sound || self.service != Service::In {
+        let above = floors && self.active_versions().program.generation >= self.rules.floor_layout;
+        let sound = above || common == Some(self.active_versions().version(kind).digest);
+        if !self.rules.shut_out || !sound || self.service != ServiceState::In {
             return;
         }
         let behind: Vec<(Peer, Nanos)> = (0..self.of())
@@ -543,7 +555,7 @@
             }
             let Some(bound) = bound.or(under.then_some(0)) else { continue };
             let bound = if under { 0 } else { bound };
-            let stamp = standing.stamp(kind);
+            let stamp = standing.version(kind);
             let voted = self.standing_votes(who, kind).is_some_and(|votes| votes.voters.has(self.me));
             let other = KINDS
                 .into_iter()
@@ -556,8 +568,9 @@
             *against += usize::from(!other);
             let mut voters = Voters::default();
             voters.add(self.me);
-            let finding = Finding { about: who, incarnation: standing.incarnation, kind, stamp, voters };
-            self.find(&finding, pass_on);
+            let finding =
+                StalenessVotes { about: who, incarnation: standing.incarnation, kind, stamp, voters };
+            self.receive_votes(&finding, pass_on);
         }
     }
 
@@ -565,40 +578,40 @@
     fn serve(
         &mut self,
         now: Nanos,
-        heard: &Heard,
+        heard: &Liveness,
         own_behind: Option<Kind>,
         own_current: &[bool; 4],
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<Decision>,
     ) {
         // Votes against what most act on by now count for nothing.
         let stale = self.planted.has(Fault::StaleVotes);
-        let found = self.found(heard, self.me).filter(|kind| stale || !own_current[*kind as usize]);
+        let found = self.stale_kind(heard, self.me).filter(|kind| stale || !own_current[*kind as usize]);
         let found = found.filter(|_| self.rules.shut_out);
         match (self.service, found) {
-            (Service::In | Service::Returns { .. }, Some(kind)) => {
-                if self.service == Service::In {
+            (ServiceState::In | ServiceState::Returns { .. }, Some(kind)) => {
+                if self.service == ServiceState::In {
                     let (times, until) = self.times;
                     let times = if now < until { (times + 1).min(TIMES) } else { 0 };
                     self.times = (times, Nanos::MAX);
-                    changes.push(Change::Out(kind));
+                    changes.push(Decision::ShutOut(kind));
                 }
-                self.service = Service::Out { since: now, kind };
+                self.service = ServiceState::Out { since: now, kind };
             }
-            (Service::Out { .. }, None) if own_behind.is_none() => {
+            (ServiceState::Out { .. }, None) if own_behind.is_none() => {
                 let longest = ms(self.rules.return_ms) << self.times.0;
                 let at = now.saturating_add(longest / 2).saturating_add(self.draw(longest / 2));
-                self.service = Service::Returns { at };
+                self.service = ServiceState::Returns { at };
             }
-            (Service::Returns { at }, None) if now >= at => {
-                self.service = Service::In;
+            (ServiceState::Returns { at }, None) if now >= at => {
+                self.service = ServiceState::In;
                 // Again soon, and it waits for longer.
                 let again = 16 * (ms(self.rules.return_ms) << self.times.0);
                 self.times.1 = now.saturating_add(again);
-                changes.push(Change::Back);
+                changes.push(Decision::Readmit);
             }
             _ => {}
         }
-        let out = self.service != Service::In;
+        let out = self.service != ServiceState::In;
         if let Some(own) = self.own()
             && own.stands.out != out
         {
@@ -608,15 +621,15 @@
 
     /// One's own word as it is said now, in this round of this life: of two lives that took themselves to be the same one,
     /// as where a folder was lost, the later is heard once it has gone on for longer.
-    pub fn say(&mut self, now: Nanos, beat: u32) -> Option<Stands> {
+    pub fn own_report(&mut self, now: Nanos, beat: u32) -> Option<VersionReport> {
         let own = self.own()?;
         own.stands.seq = own.stands.seq.max(beat);
         let held = own.since.map(|since| tenths(now.saturating_sub(since)));
-        Some(Stands { age: 0, hops: 0, held, ..own.stands })
+        Some(VersionReport { age: 0, hops: 0, held, ..own.stands })
     }
 
     /// Others' words that are to be passed on: what is news, and, where it is `quiet`, some more in turns.
-    pub fn pass_on(&mut self, now: Nanos, quiet: bool, most: usize) -> Vec<Stands> {
+    pub fn items_to_forward(&mut self, now: Nanos, quiet: bool, most: usize) -> Vec<VersionReport> {
         let of = self.of();
         let (me, next) = (self.me, self.next);
         let mut some: Vec<Peer> = Vec::new();
@@ -635,18 +648,18 @@
             let known = self.known.get_mut(usize::from(who))?.as_mut()?;
             known.hot = known.hot.saturating_sub(1);
             let age = tenths(now.saturating_sub(known.said));
-            Some(Stands { age, hops: known.stands.hops.saturating_add(1), ..known.stands })
+            Some(VersionReport { age, hops: known.stands.hops.saturating_add(1), ..known.stands })
         });
         told.collect()
     }
 
     /// Votes that are to be passed on; all where it is `quiet`.
-    pub fn findings(&mut self, quiet: bool, most: usize) -> Vec<Finding> {
+    pub fn votes_to_send(&mut self, quiet: bool, most: usize) -> Vec<StalenessVotes> {
         let hot = self.votes.iter_mut().filter(|(_, votes)| votes.hot > 0 || quiet).take(most);
         hot.map(|((about, kind), votes)| {
             votes.hot = votes.hot.saturating_sub(1);
             let (incarnation, stamp, voters) = (votes.incarnation, votes.stamp, votes.voters.clone());
-            Finding { about: *about, incarnation, kind: *kind, stamp, voters }
+            StalenessVotes { about: *about, incarnation, kind: *kind, stamp, voters }
         })
         .collect()
     }
@@ -657,14 +670,14 @@
     }
 
     /// One's own word is news: it goes round like any other.
-    pub fn heat(&mut self, pass_on: u8) {
+    pub fn mark_urgent(&mut self, pass_on: u8) {
         if let Some(own) = self.own() {
             own.hot = pass_on;
         }
     }
 
     /// The own word is still hot; once for each round.
-    pub fn cools(&mut self) -> bool {
+    pub fn take_urgent_round(&mut self) -> bool {
         let Some(own) = self.own() else { return false };
         let hot = own.hot > 0;
         own.hot = own.hot.saturating_sub(1);
@@ -672,7 +685,12 @@
     }
 
     /// What is to be thought of everybody, by kind: for the console, and for tests.
-    pub fn all(&mut self, now: Nanos, heard: &Heard, terms: &Terms) -> [(Vec<View>, Option<u32>); 4] {
+    pub fn all_views(
+        &mut self,
+        now: Nanos,
+        heard: &Liveness,
+        terms: &TierConfig,
+    ) -> [(Vec<View>, Option<u32>); 4] {
         KINDS.map(|kind| self.views(now, heard, terms, kind))
     }
 }
--- a/tier/src/tier.rs
+++ b/tier/src/tier.rs
@@ -1,7 +1,7 @@
 //! All that one dispatcher shares, put together: what happens goes in, datagrams and news for the decision module come
 //! out, in the order in which they are to be carried out.
 //!
-//! Kept invariant: a part that is lent is out of use here before the word of it leaves: its [`News::Part`] comes out
+//! Kept invariant: a part that is lent is out of use here before the word of it leaves: its [`TierEvent::RateBudget`] comes out
 //! before the datagram.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -9,18 +9,18 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+use crate::config::TierConfig;
 use crate::counts::{Counts, Sum};
 use crate::evidence::{End, Evidence, Verdict};
-use crate::frame::{Frame, Item, Life, Packing, Speaker};
-use crate::heard::{Heard, Presence};
-use crate::judge::Service;
-use crate::lend::{Loans, WHOLE, even};
-use crate::limit::Limit;
+use crate::frame::{Frame, Heartbeat, Item, Packing, Sender};
+use crate::lending::{Loans, WHOLE, even_share};
+use crate::limit::LimitEstimator;
+use crate::liveness::{Liveness, Presence};
 use crate::planted::{Fault, Planted};
-use crate::roll::{Act, Begin, Roll, Row};
-use crate::standing::Standing;
-use crate::terms::Terms;
-use crate::{DestId, Incarnation, Nanos, Peer, Place};
+use crate::roll::{InitialState, PeerStatus, Roll, RollAction};
+use crate::staleness::ServiceState;
+use crate::versions::ActiveVersions;
+use crate::{DestId, EndpointHash, Incarnation, Nanos, Peer};
 
 /// Peers beside those of the fanout that are sent something in a round, since it is for them alone.
 const DIRECT: usize = 8;
@@ -38,7 +38,7 @@
 
 /// What there is to do at a destination.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Need {
+pub struct Demand {
     /// Which.
     pub dest: DestId,
     /// Calls a second that it takes from all dispatchers together, as far as it or the list tells; 0 if unknown.
@@ -49,7 +49,7 @@
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Went {
+pub enum CallResult {
     /// Served.
     Served,
     /// Turned away as too many.
@@ -62,7 +62,7 @@
 
 /// Calls a second that this dispatcher may send to a destination.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Part {
+pub struct RateBudget {
     /// Now, until `until`.
     pub rate: f64,
     /// When the first borrowed part ends; `Nanos::MAX` without any.
@@ -75,32 +75,32 @@
 
 /// Something for the decision module.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum News {
+pub enum TierEvent {
     /// What may be sent to a destination; nobody knows a limit of it where there is none.
-    Part {
+    RateBudget {
         /// Which.
         dest: DestId,
         /// How much.
-        part: Option<Part>,
+        part: Option<RateBudget>,
     },
     /// An endpoint asked another dispatcher for a wait.
-    Wait {
+    WaitRequested {
         /// Which.
-        place: Place,
+        place: EndpointHash,
         /// Until when.
         until: Nanos,
     },
     /// Others can't reach an endpoint; nothing is against it any more where `until` has passed.
-    Hearsay {
+    PeersUnreachable {
         /// Which.
-        place: Place,
+        place: EndpointHash,
         /// Until when this counts.
         until: Nanos,
         /// Nothing goes there; otherwise one call at a time.
         hold: bool,
     },
     /// A destination that was out for others is back, as they say: it is cold.
-    Cold {
+    PeersSawRecovery {
         /// Which.
         dest: DestId,
     },
@@ -108,9 +108,9 @@
 
 /// Something to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum Output {
     /// Tell the decision module.
-    News(News),
+    Event(TierEvent),
     /// Send a datagram.
     Send {
         /// To whom.
@@ -119,9 +119,9 @@
         bytes: Vec<u8>,
     },
     /// This life has another number from now on, for the next start to go beyond.
-    Lives(Incarnation),
+    Incarnation(Incarnation),
     /// Something of the roll; only where one is [kept](Tier::keep_roll).
-    Act(Act),
+    RollAction(RollAction),
     /// A part was lent or borrowed; only where that is [traced](Tier::trace).
     Loan(Loan),
 }
@@ -145,7 +145,7 @@
 
 /// What operators are shown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct TierStats {
     /// Peers that are alive.
     pub alive: usize,
     /// Suspected.
@@ -191,18 +191,18 @@
     rate: f64,
     peak: f64,
     told_limit: f64,
-    estimate: Limit,
+    estimate: LimitEstimator,
     waiting: usize,
-    part: Option<Part>,
+    part: Option<RateBudget>,
 }
 
 impl Traffic {
-    fn limit(&self, terms: &Terms) -> f64 {
+    fn limit(&self, terms: &TierConfig) -> f64 {
         let estimate = if terms.estimate { self.estimate.per_second() } else { 0.0 };
         if self.told_limit > 0.0 { self.told_limit } else { estimate }
     }
     /// The part that is in use, with a margin.
-    fn used(&self, terms: &Terms) -> u32 {
+    fn used(&self, terms: &TierConfig) -> u32 {
         let limit = self.limit(terms);
         if limit <= 0.0 || self.waiting > 0 {
             return WHOLE;
@@ -213,19 +213,19 @@
 
 /// See the module.
 pub struct Tier {
-    terms: Terms,
+    terms: TierConfig,
     me: Peer,
-    heard: Heard,
+    heard: Liveness,
     loans: Loans,
     counts: Counts,
     evidence: Evidence,
     rng: Pcg64Mcg,
     traffic: BTreeMap<DestId, Traffic>,
     /// Listed endpoints of each destination, and the destination of each.
-    places: BTreeMap<DestId, BTreeSet<Place>>,
-    dests: BTreeMap<Place, DestId>,
+    places: BTreeMap<DestId, BTreeSet<EndpointHash>>,
+    dests: BTreeMap<EndpointHash, DestId>,
     /// What was last said of endpoints.
-    hearsay: BTreeMap<Place, (Nanos, bool)>,
+    hearsay: BTreeMap<EndpointHash, (Nanos, bool)>,
     /// Destinations of which all endpoints are accused.
     out: BTreeSet<DestId>,
     /// What is for one peer alone.
@@ -239,7 +239,7 @@
     next_own: DestId,
     next_passed: (DestId, Peer),
     next_life: Peer,
-    outs: VecDeque<Out>,
+    outs: VecDeque<Output>,
     sent: u64,
     bytes: u64,
     roll: Option<Roll>,
@@ -249,7 +249,14 @@
 
 impl Tier {
     /// A life begins: number `me` of `of`, in this incarnation, which was noted.
-    pub fn new(now: Nanos, terms: Terms, me: Peer, of: u16, incarnation: Incarnation, seed: u64) -> Self {
+    pub fn new(
+        now: Nanos,
+        terms: TierConfig,
+        me: Peer,
+        of: u16,
+        incarnation: Incarnation,
+        seed: u64,
+    ) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let planted = Planted {
             #[cfg(feature = "faults")]
@@ -259,7 +266,7 @@
         let mut evidence = Evidence::new(me, of);
         (loans.planted, evidence.planted) = (planted, planted);
         Tier {
-            heard: Heard::new(now, me, of, incarnation),
+            heard: Liveness::new(now, me, of, incarnation),
             loans,
             counts: Counts::new(me, of),
             evidence,
@@ -288,8 +295,8 @@
     }
 
     /// A roll is kept of what all act on.
-    pub fn keep_roll(&mut self, now: Nanos, begin: Begin, seed: u64) {
-        let Speaker { who, of, life } = self.heard.speaker();
+    pub fn enable_roll(&mut self, now: Nanos, begin: InitialState, seed: u64) {
+        let Sender { who, of, life } = self.heard.sender();
         #[allow(unused_mut, reason = "where faults can be planted")]
         let mut roll = Roll::new(now, who, of, life.incarnation, begin, seed);
         #[cfg(feature = "faults")]
@@ -298,13 +305,13 @@
     }
 
     /// From now on what is lent and borrowed is told.
-    pub fn trace(&mut self) {
+    pub fn trace_loans(&mut self) {
         self.traced = true;
     }
 
     /// What this one acts on, where a roll is kept.
-    pub fn acts_on(&self) -> Option<Standing> {
-        self.roll.as_ref().map(Roll::standing)
+    pub fn active_versions(&self) -> Option<ActiveVersions> {
+        self.roll.as_ref().map(Roll::active_versions)
     }
 
     /// The roll, and how many rounds a piece of its news is passed on for.
@@ -314,36 +321,36 @@
     }
 
     /// This dispatcher takes new messages: it is not shut out.
-    pub fn serves(&self) -> bool {
-        let serves = self.roll.as_ref().is_none_or(|roll| roll.service() == Service::In);
+    pub fn accepts_messages(&self) -> bool {
+        let serves = self.roll.as_ref().is_none_or(|roll| roll.service() == ServiceState::In);
         serves || self.planted.has(Fault::TakeWhileOut)
     }
 
     /// A fault is in place, which whoever carries this out is to commit; never without the feature.
-    pub fn has(&self, fault: Fault) -> bool {
+    pub fn has_fault(&self, fault: Fault) -> bool {
         self.planted.has(fault)
     }
 
     /// All dispatchers as they are seen from here, where a roll is kept.
-    pub fn rows(&mut self, now: Nanos) -> Vec<Row> {
+    pub fn peer_statuses(&mut self, now: Nanos) -> Vec<PeerStatus> {
         let Tier { roll, heard, terms, .. } = self;
-        roll.as_mut().map_or(Vec::new(), |roll| roll.view(now, heard, terms))
+        roll.as_mut().map_or(Vec::new(), |roll| roll.peer_statuses(now, heard, terms))
     }
 
     /// Its number, and of how many by its configuration.
-    pub fn number(&self) -> (Peer, u16) {
-        let speaker = self.heard.speaker();
+    pub fn identity(&self) -> (Peer, u16) {
+        let speaker = self.heard.sender();
         (speaker.who, speaker.of)
     }
 
     /// Its last beat, by which others know how far it has lived.
-    pub fn life(&self) -> Life {
-        self.heard.speaker().life
+    pub fn heartbeat(&self) -> Heartbeat {
+        self.heard.sender().life
     }
 
     /// A new epoch: what was asked for before is not taken, and what is said before it is void with others.
     fn renew(&mut self) {
-        let incarnation = self.heard.renew();
+        let incarnation = self.heard.begin_epoch();
         self.renewed(incarnation);
     }
 
@@ -351,9 +358,9 @@
         self.counts.renew();
         self.traffic.values_mut().for_each(|traffic| traffic.sent = 0);
         if let Some(roll) = &mut self.roll {
-            roll.epoch(incarnation);
+            roll.set_epoch(incarnation);
         }
-        self.outs.push_back(Out::Lives(incarnation));
+        self.outs.push_back(Output::Incarnation(incarnation));
     }
 
     /// Takes no part in lending.
@@ -363,17 +370,17 @@
     }
 
     /// The next thing to be done.
-    pub fn out(&mut self) -> Option<Out> {
+    pub fn next_output(&mut self) -> Option<Output> {
         self.outs.pop_front()
     }
 
     /// When the next round is due.
-    pub fn due(&self) -> Nanos {
+    pub fn next_round_at(&self) -> Nanos {
         self.due
     }
 
     /// The endpoints that are listed from now on.
-    pub fn listed(&mut self, now: Nanos, all: impl IntoIterator<Item = (DestId, Place)>) {
+    pub fn set_endpoints(&mut self, now: Nanos, all: impl IntoIterator<Item = (DestId, EndpointHash)>) {
         (self.places, self.dests) = (BTreeMap::new(), BTreeMap::new());
         for (dest, place) in all {
             self.places.entry(dest).or_default().insert(place);
@@ -389,7 +396,7 @@
     }
 
     /// A message for a destination has come: its budget is kept from now on.
-    pub fn wanted(&mut self, now: Nanos, need: Need) {
+    pub fn update_demand(&mut self, now: Nanos, need: Demand) {
         if !self.places.contains_key(&need.dest) {
             return;
         }
@@ -409,7 +416,7 @@
     }
 
     /// A call was written to a destination.
-    pub fn sent(&mut self, now: Nanos, dest: DestId) {
+    pub fn record_call(&mut self, now: Nanos, dest: DestId) {
         if self.places.contains_key(&dest) {
             self.counts.own(dest).sent += 1;
             self.traffic.entry(dest).or_default().active = now;
@@ -417,35 +424,45 @@
     }
 
     /// A call ended, and whether the endpoint asked for a wait.
-    pub fn went(&mut self, now: Nanos, place: Place, went: Went, wait_until: Option<Nanos>) {
+    pub fn record_result(
+        &mut self,
+        now: Nanos,
+        place: EndpointHash,
+        went: CallResult,
+        wait_until: Option<Nanos>,
+    ) {
         let Some(dest) = self.dests.get(&place) else { return };
         let calls = self.counts.own(*dest);
         match went {
-            Went::Served => calls.served += 1,
-            Went::Refused => calls.refused += 1,
-            Went::Answered | Went::Failed => {}
-        }
-        self.evidence.saw(now, place, if went == Went::Failed { End::Failed } else { End::Answered });
+            CallResult::Served => calls.served += 1,
+            CallResult::Refused => calls.refused += 1,
+            CallResult::Answered | CallResult::Failed => {}
+        }
+        self.evidence.record_result(
+            now,
+            place,
+            if went == CallResult::Failed { End::Failed } else { End::Answered },
+        );
         if let Some(until) = wait_until.filter(|until| *until > now) {
-            self.evidence.told_to_wait(now, place, until);
+            self.evidence.record_wait(now, place, until);
         }
     }
 
     /// How many rounds a piece of news is passed on for.
     fn pass_on(&self) -> u8 {
-        let of = u32::from(self.heard.speaker().of);
+        let of = u32::from(self.heard.sender().of);
         3 + of.checked_ilog2().unwrap_or(0) as u8
     }
 
     /// A datagram has come.
-    pub fn hear(&mut self, now: Nanos, frame: &Frame) {
+    pub fn receive(&mut self, now: Nanos, frame: &Frame) {
         let (speaker, pass_on) = (&frame.speaker, self.pass_on());
         let from = speaker.who;
         if from == self.me {
             return;
         }
-        let known = self.heard.life(from);
-        self.heard.speaks(now, speaker);
+        let known = self.heard.heartbeat(from);
+        self.heard.observe_sender(now, speaker);
         if speaker.life < known {
             // It does not know of a life that it had, or is late: it is told.
             self.say_to(from, Item::Lives { who: from, life: known });
@@ -456,10 +473,10 @@
         for item in &frame.items {
             match item {
                 Item::Lives { who, life } => {
-                    if let Some(incarnation) = self.heard.lives(now, *who, *life) {
+                    if let Some(incarnation) = self.heard.observe(now, *who, *life) {
                         self.renewed(incarnation);
                         if let Some(roll) = &mut self.roll {
-                            roll.lives(incarnation, pass_on);
+                            roll.set_incarnation(incarnation, pass_on);
                         }
                     }
                 }
@@ -467,18 +484,19 @@
                     self.counts.merge(now, counted, pass_on.min(3));
                 }
                 Item::Seen(seen) if self.dests.contains_key(&seen.place) => {
-                    let (_, wait) = self.evidence.heard(now, seen, pass_on);
+                    let (_, wait) = self.evidence.merge(now, seen, pass_on);
                     if let Some(until) = wait {
-                        self.outs.push_back(Out::News(News::Wait { place: seen.place, until }));
+                        self.outs
+                            .push_back(Output::Event(TierEvent::WaitRequested { place: seen.place, until }));
                     }
                 }
                 Item::Ask { dest, seq, part } => {
                     self.asked(now, (from, speaker.life.incarnation), *dest, *seq, *part)
                 }
                 Item::Grant { dest, seq, incarnation, part } => {
-                    let mine = *incarnation == self.heard.speaker().life.incarnation;
+                    let mine = *incarnation == self.heard.sender().life.incarnation;
                     let out = self.is_out(from) || self.is_out(self.me);
-                    if mine && !out && self.loans.granted(now, from, *dest, *seq, *part, &self.terms) {
+                    if mine && !out && self.loans.handle_grant(now, from, *dest, *seq, *part, &self.terms) {
                         self.tell_part(now, *dest);
                         self.loan(now, *dest, (from, speaker.life.incarnation), *part, false);
                     }
@@ -486,7 +504,7 @@
                 Item::Counted(_) | Item::Seen(_) => {}
                 Item::Stands(_) | Item::Finding(_) | Item::Buckets(_) | Item::Word(_) => {
                     if let Some(roll) = &mut self.roll {
-                        roll.hear(now, from, item, pass_on);
+                        roll.receive(now, from, item, pass_on);
                     }
                 }
             }
@@ -501,7 +519,7 @@
         let right = self.right(now);
         // Nothing was sent there of late: all of it is unused. What the limit is does not matter then.
         let used = self.traffic.get(&dest).map_or(0, |t| t.used(&self.terms));
-        let lent = self.loans.asked(now, from, dest, seq, part, right, used, &self.terms);
+        let lent = self.loans.handle_request(now, from, dest, seq, part, right, used, &self.terms);
         if let Some(part) = lent {
             self.tell_part(now, dest);
             self.say_to(from.0, Item::Grant { dest, seq, incarnation: from.1, part });
@@ -513,16 +531,16 @@
         if self.traced {
             // Of what is borrowed this is the latest that it can end.
             let until = now.saturating_add(if lent { self.terms.hold() } else { self.terms.term() });
-            self.outs.push_back(Out::Loan(Loan { dest, peer, lent, part, until, epoch }));
+            self.outs.push_back(Output::Loan(Loan { dest, peer, lent, part, until, epoch }));
         }
     }
 
     /// The even part that is this one's by right.
     fn right(&self, now: Nanos) -> u32 {
         if self.planted.has(Fault::SharesByHeard) {
-            return even(self.heard.heard(now, &self.terms));
+            return even_share(self.heard.heard(now, &self.terms));
         }
-        even(self.heard.configured())
+        even_share(self.heard.configured())
     }
 
     fn say_to(&mut self, to: Peer, item: Item) {
@@ -543,7 +561,7 @@
         let Some(traffic) = self.traffic.get_mut(&dest) else { return };
         let limit = if self.terms.budgets { traffic.limit(&self.terms) } else { 0.0 };
         let rate = |part: u32| limit * f64::from(part) / f64::from(WHOLE);
-        let part = (limit > 0.0).then(|| Part {
+        let part = (limit > 0.0).then(|| RateBudget {
             rate: rate(share.part),
             until: share.until,
             after: rate(share.after),
@@ -551,26 +569,26 @@
         });
         if part != traffic.part {
             traffic.part = part;
-            self.outs.push_back(Out::News(News::Part { dest, part }));
+            self.outs.push_back(Output::Event(TierEvent::RateBudget { dest, part }));
         }
     }
 
     /// A round: what has changed by now, and the datagrams that go out. `needs`: of the destinations that are
     /// [`Self::active`], and of all that messages are held for.
-    pub fn tick(&mut self, now: Nanos, needs: &[Need]) {
+    pub fn tick(&mut self, now: Nanos, needs: &[Demand]) {
         let passed = (now.saturating_sub(self.due) + self.terms.beat()) as f64 / SECOND;
         let each_second = self.terms.asks_per_second as f64;
         self.asks = (self.asks + passed * each_second).min(each_second);
         // No round is made up for: who was paused goes on from now.
         self.due = now.saturating_add(self.terms.beat());
-        self.heard.beat();
+        self.heard.advance_beat();
         self.loans.retain(now, |dest| self.places.contains_key(&dest));
         for need in needs {
-            self.wanted(now, *need);
+            self.update_demand(now, *need);
             self.look_at(now, need, passed);
         }
         let pass_on = self.pass_on();
-        self.evidence.tell(now, &self.terms, pass_on);
+        self.evidence.publish(now, &self.terms, pass_on);
         self.judge(now);
         let Tier { evidence, dests, terms, .. } = self;
         evidence.retain(now, terms, |place| dests.contains_key(&place));
@@ -582,25 +600,25 @@
         let pass_on = self.pass_on();
         let Tier { roll: Some(roll), heard, terms, .. } = self else { return };
         let datagrams = roll.round(now, heard, terms, pass_on);
-        let acts = roll.acts();
+        let acts = roll.take_actions();
         // Out of service before anything else is said.
         for act in acts {
             match act {
-                Act::ShutOut(_) => {
-                    self.loans.give_back();
+                RollAction::ShutOut(_) => {
+                    self.loans.return_all();
                     let dests: Vec<DestId> = self.traffic.keys().copied().collect();
                     dests.into_iter().for_each(|dest| self.tell_part(now, dest));
                     self.renew();
                 }
-                Act::Back => self.renew(),
+                RollAction::Readmit => self.renew(),
                 _ => {}
             }
-            self.outs.push_back(Out::Act(act));
+            self.outs.push_back(Output::RollAction(act));
         }
-        self.outs.extend(datagrams.into_iter().map(|(to, bytes)| Out::Send { to, bytes }));
+        self.outs.extend(datagrams.into_iter().map(|(to, bytes)| Output::Send { to, bytes }));
     }
 
-    fn look_at(&mut self, now: Nanos, need: &Need, passed: f64) {
+    fn look_at(&mut self, now: Nanos, need: &Demand, passed: f64) {
         let dest = need.dest;
         let sum = self.counts.sum(now, dest);
         let sent = self.counts.own(dest).sent;
@@ -627,7 +645,7 @@
         let have = self.loans.share(soon, dest, right, 3 * self.terms.beat() / 2).part;
         let wanted = (wants / limit * f64::from(WHOLE)).min(f64::from(WHOLE)) as u32;
         let missing = wanted.saturating_sub(have);
-        if missing < right / 16 || self.loans.asks(now, dest, 2 * self.terms.beat()) {
+        if missing < right / 16 || self.loans.has_recent_request(now, dest, 2 * self.terms.beat()) {
             return;
         }
         let lenders = self.lenders(now, dest, (self.asks as usize).min(LENDERS));
@@ -635,7 +653,7 @@
             return;
         }
         self.asks -= lenders.len() as f64;
-        let seq = self.loans.ask(now, dest, &self.terms);
+        let seq = self.loans.new_request(now, dest, &self.terms);
         let part = missing.div_ceil(lenders.len() as u32);
         lenders.into_iter().for_each(|lender| self.say_to(lender, Item::Ask { dest, seq, part }));
     }
@@ -662,9 +680,9 @@
 
     /// What is to be thought of endpoints by now.
     fn judge(&mut self, now: Nanos) {
-        let mut accused: BTreeMap<DestId, Vec<(Place, Nanos)>> = BTreeMap::new();
+        let mut accused: BTreeMap<DestId, Vec<(EndpointHash, Nanos)>> = BTreeMap::new();
         if self.terms.hearsay {
-            for place in self.evidence.spoken_of() {
+            for place in self.evidence.reported_endpoints() {
                 let Some(dest) = self.dests.get(&place) else { continue };
                 if let Verdict::Accused(until) = self.evidence.verdict(now, place, &self.terms) {
                     accused.entry(*dest).or_default().push((place, until));
@@ -682,26 +700,34 @@
             said.extend(places.into_iter().enumerate().map(|(n, (place, until))| (place, (until, n < most))));
         }
         for place in self.hearsay.keys().filter(|place| !said.contains_key(place)) {
-            self.outs.push_back(Out::News(News::Hearsay { place: *place, until: 0, hold: false }));
+            self.outs.push_back(Output::Event(TierEvent::PeersUnreachable {
+                place: *place,
+                until: 0,
+                hold: false,
+            }));
         }
         for (place, (until, hold)) in &said {
             if self.hearsay.get(place) != Some(&(*until, *hold)) {
-                self.outs.push_back(Out::News(News::Hearsay { place: *place, until: *until, hold: *hold }));
+                self.outs.push_back(Output::Event(TierEvent::PeersUnreachable {
+                    place: *place,
+                    until: *until,
+                    hold: *hold,
+                }));
             }
         }
         for dest in self.out.difference(&out) {
-            self.outs.push_back(Out::News(News::Cold { dest: *dest }));
+            self.outs.push_back(Output::Event(TierEvent::PeersSawRecovery { dest: *dest }));
         }
         (self.hearsay, self.out) = (said, out);
     }
 
     /// The datagrams of a round.
     fn speak(&mut self, now: Nanos) {
-        let speaker = self.heard.speaker();
+        let speaker = self.heard.sender();
         let mut others: Vec<Peer> = self.heard.others().collect();
         let mut to: BTreeSet<Peer> = self.direct.keys().copied().collect();
         let quiet = now >= self.quiet_until;
-        let seen = self.evidence.pass_on(now, speaker.life.incarnation, 6, quiet);
+        let seen = self.evidence.items_to_forward(now, speaker.life.incarnation, 6, quiet);
         let mut left = if seen.is_empty() && !quiet { 0 } else { self.terms.fanout };
         if quiet {
             self.quiet_until = now.saturating_add(self.terms.quiet());
@@ -714,7 +740,7 @@
             return;
         }
         let own = self.own_counts(speaker.life.incarnation, 4);
-        let passed = self.counts.pass_on(now, self.next_passed, 4);
+        let passed = self.counts.items_to_forward(now, self.next_passed, 4);
         if let Some(last) = passed.last() {
             self.next_passed = (last.dest, last.who);
         }
@@ -735,7 +761,7 @@
             lives.iter().all(|item| packing.add(item));
             let bytes = packing.bytes();
             (self.sent, self.bytes) = (self.sent + 1, self.bytes + bytes.len() as u64);
-            self.outs.push_back(Out::Send { to, bytes });
+            self.outs.push_back(Output::Send { to, bytes });
         }
         self.direct.clear();
     }
@@ -765,7 +791,7 @@
         if let Some(last) = all.last() {
             self.next_life = last + 1;
         }
-        all.into_iter().map(|who| Item::Lives { who, life: self.heard.life(who) }).collect()
+        all.into_iter().map(|who| Item::Lives { who, life: self.heard.heartbeat(who) }).collect()
     }
 
     /// What is known of all dispatchers' calls to a destination.
@@ -779,27 +805,27 @@
     }
 
     /// For the console.
-    pub fn figures(&self, now: Nanos) -> Figures {
+    pub fn stats(&self, now: Nanos) -> TierStats {
         let count = |presence| self.heard.count(now, &self.terms, presence);
         let right = u64::from(self.right(now)).max(1);
-        let mut figures = Figures {
+        let mut figures = TierStats {
             alive: count(Presence::Alive),
             suspected: count(Presence::Suspected),
             silent: count(Presence::Silent),
             gone: count(Presence::Gone),
-            hears_nobody: self.heard.hears_nobody(now, &self.terms),
+            hears_nobody: self.heard.is_isolated(now, &self.terms),
             at_fault: self.evidence.at_fault(),
             hearsay: self.hearsay.len(),
             sent: self.sent,
             bytes: self.bytes,
-            ..Figures::default()
+            ..TierStats::default()
         };
         if let Some(roll) = &self.roll {
-            (figures.roll_sent, figures.roll_bytes, _) = roll.cost();
-            let all = 0..self.heard.speaker().of;
+            (figures.roll_sent, figures.roll_bytes, _) = roll.traffic();
+            let all = 0..self.heard.sender().of;
             figures.behind = all.filter(|who| roll.is_out(&self.heard, *who)).count();
         }
-        let (lent, borrowed) = self.loans.out_and_in(now);
+        let (lent, borrowed) = self.loans.totals(now);
         (figures.lent, figures.borrowed) = (lent * 1_000 / right, borrowed * 1_000 / right);
         let share = f64::from(self.right(now)) / f64::from(WHOLE);
         for (dest, traffic) in &self.traffic {
--- a/tier/src/standing.rs
+++ b/tier/src/versions.rs
@@ -2,7 +2,7 @@
 //!
 //! No kind of version has an order that all dispatchers share: agents number lists each for itself and begin anew, a file
 //! has none, and may be put back. So a version is a digest of what it says, and what one dispatcher did first is told by
-//! *when it moved to it*: see [`crate::judge`].
+//! *when it moved to it*: see [`crate::staleness`].
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
@@ -40,7 +40,7 @@
 
 /// One version: what it says, as a digest, and which move of its dispatcher led to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct Version {
     /// Of the content: two that act on the same have the same.
     pub digest: u32,
     /// Moves to another content so far, in this life; of a program the number of its layout of state.
@@ -49,28 +49,28 @@
 
 /// What one dispatcher acts on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Standing {
+pub struct ActiveVersions {
     /// The life that this is of, as it began.
     pub incarnation: Incarnation,
     /// Its epoch in what is shared: a lending under an earlier one is void. No lower than the incarnation.
     pub epoch: Incarnation,
     /// The list.
-    pub list: Stamp,
+    pub list: Version,
     /// A digest of the address of the agent that told it, and that agent's number for it.
     pub agent: u32,
     /// See there. Another agent's, or that of the same one started anew, can't be compared with it.
     pub index: u64,
     /// The settings.
-    pub settings: Stamp,
+    pub settings: Version,
     /// Cordons and drains.
-    pub cordons: Stamp,
+    pub cordons: Version,
     /// The program.
-    pub program: Stamp,
+    pub program: Version,
 }
 
-impl Standing {
+impl ActiveVersions {
     /// The version of one kind.
-    pub fn stamp(&self, kind: Kind) -> Stamp {
+    pub fn version(&self, kind: Kind) -> Version {
         match kind {
             Kind::List => self.list,
             Kind::Settings => self.settings,
@@ -79,7 +79,7 @@
         }
     }
 
-    fn stamp_mut(&mut self, kind: Kind) -> &mut Stamp {
+    fn stamp_mut(&mut self, kind: Kind) -> &mut Version {
         match kind {
             Kind::List => &mut self.list,
             Kind::Settings => &mut self.settings,
@@ -89,7 +89,7 @@
     }
 
     /// Moves to a content. Whether it is another than before.
-    pub fn moves(&mut self, kind: Kind, digest: u32) -> bool {
+    pub fn set_version(&mut self, kind: Kind, digest: u32) -> bool {
         let stamp = self.stamp_mut(kind);
         if stamp.digest == digest {
             return false;
@@ -125,7 +125,7 @@
 
 /// A dispatcher's word on what it acts on. Only its author makes it; the others pass it on as it is, but for its age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stands {
+pub struct VersionReport {
     /// Its author.
     pub who: Peer,
     /// Of two words of one life the later has the higher number: the round in which it was said, or beyond.
@@ -135,7 +135,7 @@
     /// How long ago it was said, in tenths of a second.
     pub age: u32,
     /// What it acts on.
-    pub standing: Standing,
+    pub standing: ActiveVersions,
     /// How long it had acted on each when it said so, in tenths of a second; by [`KINDS`].
     pub held: [u32; 4],
     /// Settings that it was given and turned down since it last took any, as a digest; 0 for none.
@@ -144,14 +144,14 @@
     pub out: bool,
 }
 
-impl Stands {
+impl VersionReport {
     /// Another word of the same content.
-    pub(crate) fn says(&self, other: &Stands) -> bool {
+    pub(crate) fn says(&self, other: &VersionReport) -> bool {
         (self.standing, self.refused, self.out) == (other.standing, other.refused, other.out)
     }
 
     /// Words are ordered by this.
-    pub fn version(&self) -> (Incarnation, u32) {
+    pub fn order(&self) -> (Incarnation, u32) {
         (self.standing.incarnation, self.seq)
     }
 }
@@ -170,15 +170,15 @@
 
     #[test]
     fn a_move_to_the_same_content_is_none_and_one_back_to_it_is_one() {
-        let mut standing = Standing::default();
-        assert!(standing.moves(Kind::Settings, 7) && !standing.moves(Kind::Settings, 7));
-        assert!(standing.moves(Kind::Settings, 9) && standing.moves(Kind::Settings, 7));
-        assert_eq!(standing.stamp(Kind::Settings), Stamp { digest: 7, generation: 3 });
-        assert_eq!(standing.stamp(Kind::List), Stamp::default());
+        let mut standing = ActiveVersions::default();
+        assert!(standing.set_version(Kind::Settings, 7) && !standing.set_version(Kind::Settings, 7));
+        assert!(standing.set_version(Kind::Settings, 9) && standing.set_version(Kind::Settings, 7));
+        assert_eq!(standing.version(Kind::Settings), Version { digest: 7, generation: 3 });
+        assert_eq!(standing.version(Kind::List), Version::default());
         // A program's number is its layout's, and no count.
-        standing.program = Stamp { digest: 1, generation: 5 };
-        assert!(standing.moves(Kind::Program, 2));
-        assert_eq!(standing.program, Stamp { digest: 2, generation: 5 });
+        standing.program = Version { digest: 1, generation: 5 };
+        assert!(standing.set_version(Kind::Program, 2));
+        assert_eq!(standing.program, Version { digest: 2, generation: 5 });
     }
 
     #[test]
--- a/tier/tests/fleet.rs
+++ b/tier/tests/fleet.rs
@@ -5,7 +5,7 @@
 
 #[cfg(feature = "faults")]
 use millpost_tier::Fault;
-use millpost_tier::Terms;
+use millpost_tier::TierConfig;
 use model::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -14,7 +14,7 @@
     let limit = 20.0 * f64::from(dispatchers);
     Shape {
         dispatchers,
-        terms: Terms { enabled: true, ..Terms::default() },
+        terms: TierConfig { enabled: true, ..TierConfig::default() },
         seed,
         limit,
         offered: uneven(dispatchers, limit, 1.2),
@@ -108,7 +108,7 @@
     model.pass(90 * SECOND);
     for n in 0..300 {
         let tier = model.nodes[n].tier.as_ref().expect("it lives");
-        let f = tier.figures(model.local(n));
+        let f = tier.stats(model.local(n));
         assert!(f.silent + f.gone == 0 && !f.hears_nobody, "{n}: {f:?}");
     }
     let (datagrams, from) = (model.datagrams, model.now);
@@ -133,7 +133,7 @@
     model.pass(10 * SECOND);
     let figures = |model: &Model, n: usize| {
         let tier = model.nodes[n].tier.as_ref().expect("it lives");
-        tier.figures(model.local(n))
+        tier.stats(model.local(n))
     };
     for n in 0..30 {
         let f = figures(&model, n);
