--- a/tier/tests/model/mod.rs
+++ b/tier/tests/model/mod.rs
@@ -7,11 +7,11 @@
 use std::collections::BinaryHeap;
 
 use millpost_tier::frame::read;
-use millpost_tier::judge::View;
-use millpost_tier::records::{What, Word};
-use millpost_tier::roll::Begin;
-use millpost_tier::standing::{Kind, Standing};
-use millpost_tier::{Act, Need, News, Out, Part, Rules, Terms, Tier, Went};
+use millpost_tier::records::{EndpointRecord, RecordKind};
+use millpost_tier::roll::InitialState;
+use millpost_tier::staleness::View;
+use millpost_tier::versions::{ActiveVersions, Kind};
+use millpost_tier::{CallResult, Demand, Output, RateBudget, RollAction, Rules, Tier, TierConfig, TierEvent};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub struct Shape {
     pub dispatchers: u16,
-    pub terms: Terms,
+    pub terms: TierConfig,
     pub seed: u64,
     /// Calls a second that the destination takes from all.
     pub limit: f64,
@@ -58,19 +58,19 @@
     /// What lasts of it: the settings and since when, by its clock; and the words.
     settled: u64,
     listed: Option<u64>,
-    words: Vec<Word>,
+    words: Vec<EndpointRecord>,
     /// It takes no messages.
     pub out: bool,
     pub outs: u32,
     /// Endpoints that it does without, on the word of others.
-    pub held: std::collections::BTreeSet<(u64, What)>,
+    pub held: std::collections::BTreeSet<(u64, RecordKind)>,
 }
 
 pub struct Node {
     pub tier: Option<Tier>,
     offset: u64,
     rate: f64,
-    pub part: Option<Part>,
+    pub part: Option<RateBudget>,
     incarnation: u32,
     paused: bool,
     waiting: Vec<(u16, Vec<u8>)>,
@@ -171,15 +171,19 @@
                 (n.acts.settings, n.acts.settled) = (self.settings, now);
             }
             (n.acts.confirmed, n.acts.out) = (false, false);
-            let mut standing = Standing::default();
+            let mut standing = ActiveVersions::default();
             standing.program.generation = n.acts.layout;
-            standing.moves(Kind::Program, n.acts.layout + 1);
-            standing.moves(Kind::List, n.acts.list);
-            standing.moves(Kind::Settings, n.acts.settings);
+            standing.set_version(Kind::Program, n.acts.layout + 1);
+            standing.set_version(Kind::List, n.acts.list);
+            standing.set_version(Kind::Settings, n.acts.settings);
             let held = [n.acts.listed.map_or(u64::MAX, |at| now - at), now - n.acts.settled, 0, 0];
-            tier.keep_roll(now, Begin { rules, standing, held, words: n.acts.words.clone() }, seed ^ 1);
+            tier.enable_roll(
+                now,
+                InitialState { rules, standing, held, words: n.acts.words.clone() },
+                seed ^ 1,
+            );
         }
-        tier.listed(now, [(DEST, PLACE), (DEST, PLACE + 1)]);
+        tier.set_endpoints(now, [(DEST, PLACE), (DEST, PLACE + 1)]);
         (n.tier, n.part, n.tokens, n.paused) = (Some(tier), None, 0.0, false);
         n.waiting.clear();
     }
@@ -200,7 +204,7 @@
         let now = self.local(node);
         self.nodes[node].wait_heard = Some(self.now);
         let tier = self.nodes[node].tier.as_mut().expect("it lives");
-        tier.went(now, PLACE, Went::Refused, Some(now + lasts));
+        tier.record_result(now, PLACE, CallResult::Refused, Some(now + lasts));
     }
 
     fn hear(&mut self, node: usize, from: u16, bytes: &[u8]) {
@@ -208,23 +212,23 @@
         let frame = read(bytes).expect("nobody spoils it");
         assert_eq!(frame.speaker.who, from);
         if let Some(tier) = &mut self.nodes[node].tier {
-            tier.hear(now, &frame);
+            tier.receive(now, &frame);
         }
         self.carry(node);
     }
 
     fn carry(&mut self, node: usize) {
-        while let Some(out) = self.nodes[node].tier.as_mut().and_then(Tier::out) {
+        while let Some(out) = self.nodes[node].tier.as_mut().and_then(Tier::next_output) {
             match out {
-                Out::News(News::Part { part, .. }) => self.nodes[node].part = part,
-                Out::News(News::Wait { .. }) => {
+                Output::Event(TierEvent::RateBudget { part, .. }) => self.nodes[node].part = part,
+                Output::Event(TierEvent::WaitRequested { .. }) => {
                     self.nodes[node].wait_heard.get_or_insert(self.now);
                 }
-                Out::News(_) => {}
-                Out::Lives(incarnation) => self.nodes[node].incarnation = incarnation,
-                Out::Act(act) => self.act(node, act),
-                Out::Loan(_) => {}
-                Out::Send { to, bytes } => {
+                Output::Event(_) => {}
+                Output::Incarnation(incarnation) => self.nodes[node].incarnation = incarnation,
+                Output::RollAction(act) => self.act(node, act),
+                Output::Loan(_) => {}
+                Output::Send { to, bytes } => {
                     (self.datagrams, self.bytes) = (self.datagrams + 1, self.bytes + bytes.len() as u64);
                     self.send(node as u16, to, bytes);
                 }
@@ -232,29 +236,29 @@
         }
     }
 
-    fn act(&mut self, node: usize, act: Act) {
+    fn act(&mut self, node: usize, act: RollAction) {
         let now = self.now;
         let n = &mut self.nodes[node];
         match act {
-            Act::Ask(Kind::List) => self.ask_list(node),
-            Act::Ask(_) => {
+            RollAction::RefreshSource(Kind::List) => self.ask_list(node),
+            RollAction::RefreshSource(_) => {
                 n.acts.missed = false;
                 self.hangup(node);
             }
-            Act::ShutOut(kind) => {
+            RollAction::ShutOut(kind) => {
                 (n.acts.out, n.acts.outs) = (true, n.acts.outs + 1);
                 self.shut_out.push((now, node, kind));
             }
-            Act::Back => n.acts.out = false,
-            Act::Hold(place, what) => {
+            RollAction::Readmit => n.acts.out = false,
+            RollAction::Hold(place, what) => {
                 n.acts.held.insert((place, what));
             }
-            Act::Release(place) => {
-                n.acts.held.remove(&(place, What::Drain));
+            RollAction::Release(place) => {
+                n.acts.held.remove(&(place, RecordKind::Drain));
             }
-            Act::Note => {
+            RollAction::RecordsChanged => {
                 let words =
-                    n.tier.as_mut().and_then(Tier::roll).map(|(roll, _)| roll.words().copied().collect());
+                    n.tier.as_mut().and_then(Tier::roll).map(|(roll, _)| roll.records().copied().collect());
                 n.acts.words = words.unwrap_or_default();
             }
         }
@@ -270,11 +274,11 @@
         if n.acts.list != list {
             n.acts.listed = Some(now);
         } else if first && n.acts.listed.is_none() {
-            roll.confirmed(now, Kind::List, pass_on);
+            roll.confirm(now, Kind::List, pass_on);
             n.acts.listed = Some(now);
         }
         n.acts.list = list;
-        roll.moves(now, Kind::List, list, pass_on);
+        roll.set_version(now, Kind::List, list, pass_on);
     }
 
     /// A dispatcher reads its settings again, if it hears that it should.
@@ -284,10 +288,10 @@
         let hears = !n.acts.missed && !n.paused;
         let Some((roll, pass_on)) = n.tier.as_mut().and_then(Tier::roll).filter(|_| hears) else { return };
         if n.acts.refuses {
-            roll.refused(settings, pass_on);
+            roll.reject_settings(settings, pass_on);
         } else if n.acts.settings != settings {
             (n.acts.settings, n.acts.settled) = (settings, now);
-            roll.moves(now, Kind::Settings, settings, pass_on);
+            roll.set_version(now, Kind::Settings, settings, pass_on);
         }
     }
 
@@ -296,9 +300,9 @@
         let now = self.local(node);
         let n = &mut self.nodes[node];
         if let Some((roll, pass_on)) = n.tier.as_mut().and_then(Tier::roll) {
-            roll.cordoned(now, place, out, pass_on);
+            roll.set_cordon(now, place, out, pass_on);
         }
-        let own = (place, What::Cordon);
+        let own = (place, RecordKind::Cordon);
         if out {
             n.acts.held.insert(own)
         } else {
@@ -311,14 +315,18 @@
         let now = self.local(node);
         let n = &mut self.nodes[node];
         if let Some((roll, pass_on)) = n.tier.as_mut().and_then(Tier::roll) {
-            roll.listed(now, (0..4).map(|p| (PLACE + p, DEST, !drained.contains(&(PLACE + p)))), pass_on);
+            roll.set_endpoints(
+                now,
+                (0..4).map(|p| (PLACE + p, DEST, !drained.contains(&(PLACE + p)))),
+                pass_on,
+            );
         }
     }
 
     /// How all are seen from one, on one kind.
     pub fn views(&mut self, node: usize, kind: Kind) -> Vec<View> {
         let now = self.local(node);
-        let rows = self.nodes[node].tier.as_mut().map(|tier| tier.rows(now)).unwrap_or_default();
+        let rows = self.nodes[node].tier.as_mut().map(|tier| tier.peer_statuses(now)).unwrap_or_default();
         rows.into_iter().map(|row| row.views[kind as usize]).collect()
     }
 
@@ -378,13 +386,13 @@
         let Some(tier) = &mut n.tier else { return };
         while n.tokens >= 1.0 && n.backlog >= 1.0 {
             (n.tokens, n.backlog, n.sent) = (n.tokens - 1.0, n.backlog - 1.0, n.sent + 1.0);
-            tier.sent(now, DEST);
-            tier.went(now, PLACE, Went::Served, None);
+            tier.record_call(now, DEST);
+            tier.record_result(now, PLACE, CallResult::Served, None);
         }
-        if now >= tier.due() {
+        if now >= tier.next_round_at() {
             // Its agent has told it for the first time by now.
             let first = n.acts.mute || n.acts.confirmed || self.shape.rules.is_none();
-            tier.tick(now, &[Need { dest: DEST, limit, waiting: n.backlog as usize }]);
+            tier.tick(now, &[Demand { dest: DEST, limit, waiting: n.backlog as usize }]);
             self.carry(node);
             if !first {
                 self.ask_list(node);
--- a/tier/tests/roll.rs
+++ b/tier/tests/roll.rs
@@ -5,10 +5,10 @@
 
 #[cfg(feature = "faults")]
 use millpost_tier::Fault;
-use millpost_tier::judge::View;
-use millpost_tier::records::What;
-use millpost_tier::standing::Kind;
-use millpost_tier::{Rules, Terms};
+use millpost_tier::records::RecordKind;
+use millpost_tier::staleness::View;
+use millpost_tier::versions::Kind;
+use millpost_tier::{Rules, TierConfig};
 use model::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -28,7 +28,7 @@
     };
     Shape {
         dispatchers,
-        terms: Terms { enabled: true, ..Terms::default() },
+        terms: TierConfig { enabled: true, ..TierConfig::default() },
         seed,
         limit: 100.0,
         offered: vec![0.0; dispatchers.into()],
@@ -208,27 +208,30 @@
     model.pass(3 * SECOND);
     for node in 0..6 {
         let held = &model.nodes[node].acts.held;
-        assert!(held.contains(&(PLACE, What::Cordon)), "{node}");
-        assert_eq!(held.contains(&(PLACE + 1, What::Drain)), !(1..3).contains(&node), "{node}");
+        assert!(held.contains(&(PLACE, RecordKind::Cordon)), "{node}");
+        assert_eq!(held.contains(&(PLACE + 1, RecordKind::Drain)), !(1..3).contains(&node), "{node}");
     }
     model.cordon(0, PLACE, false);
     (1..3).for_each(|node| model.drains(node, &[]));
     model.pass(3 * SECOND);
     for node in 3..6 {
         let held = &model.nodes[node].acts.held;
-        assert!(held.contains(&(PLACE, What::Cordon)) && held.contains(&(PLACE + 1, What::Drain)), "{node}");
+        assert!(
+            held.contains(&(PLACE, RecordKind::Cordon)) && held.contains(&(PLACE + 1, RecordKind::Drain)),
+            "{node}"
+        );
     }
     // Its own agent speaks, whatever it says: others have put it back since.
     model.drains(4, &[]);
     model.pass(SECOND);
-    assert!(!model.nodes[4].acts.held.contains(&(PLACE + 1, What::Drain)));
-    assert!(model.nodes[5].acts.held.contains(&(PLACE + 1, What::Drain)));
+    assert!(!model.nodes[4].acts.held.contains(&(PLACE + 1, RecordKind::Drain)));
+    assert!(model.nodes[5].acts.held.contains(&(PLACE + 1, RecordKind::Drain)));
     assert!(model.views(0, Kind::Cordons).iter().all(|view| *view == View::Current));
     // A new life has the words of the one before, and nothing is taken for newer than it is.
     model.start(5, false);
     model.pass(3 * SECOND);
     assert!(model.views(0, Kind::Cordons).iter().all(|view| *view == View::Current));
-    assert!(!model.nodes[0].acts.held.contains(&(PLACE, What::Cordon)), "put back by hand");
+    assert!(!model.nodes[0].acts.held.contains(&(PLACE, RecordKind::Cordon)), "put back by hand");
 }
 
 #[test]
