--- a/store/fuzz/fuzz_targets/decoder.rs
+++ b/store/fuzz/fuzz_targets/decoder.rs
@@ -3,7 +3,7 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use millpost_store::format::{Header, Item, Seed, ops};
+use millpost_store::format::{Header, Item, FrameCodec, ops};
 use millpost_store::memory::Memory;
 use millpost_store::{Durability, Ledger, Options, journal};
 
@@ -11,14 +11,14 @@
     let _ = Header::decode(bytes);
     let _ = ops(bytes).count();
     journal::read(&bytes.to_vec().into());
-    let seed = Seed::new(77, 1);
-    let header = Header { store: 77, segment: 1, first_seq: 1, floor: 0, reserved: 0 }.encode();
-    let frame = seed.frame(header.len() as u64, 1, bytes);
+    let codec = FrameCodec::new(77, 1);
+    let header = Header { store: 77, segment: 1, first_seq: 1, retired_before: 0, reserved: 0 }.encode();
+    let frame = codec.encode_frame(header.len() as u64, 1, bytes);
     let mut at = 0;
-    while let Item::Spoilt(length) | Item::Frame { whole: length, .. } = seed.next(&bytes[at..], at as u64, true) {
+    while let Item::Corrupt(length) | Item::Frame { len: length, .. } = codec.read_item(&bytes[at..], at as u64, true) {
         at += length;
     }
-    let second = Header { store: 77, segment: 2, first_seq: 2, floor: 0, reserved: 0 }.encode();
+    let second = Header { store: 77, segment: 2, first_seq: 2, retired_before: 0, reserved: 0 }.encode();
     for (segment, checkpoint) in [(bytes.to_vec(), frame.clone()), (frame, bytes.to_vec())] {
         let files = [
             ("000000000001.seg", [&header[..], &segment].concat()),
--- a/store/src/checkpoint.rs
+++ b/store/src/checkpoint.rs
@@ -1,23 +1,23 @@
-//! Checkpoints: beside a segment that is full, a file of what a start must know of it, without the values that are
-//! on disk alone. A start reads it in place of the segment.
+//! Checkpoints: for each full segment, a file with its index entries and the values of tables kept in memory.
+//! Opening a store reads it in place of the segment.
 //!
-//! Invariant: a checkpoint counts only as a whole, for just the segment whose header it repeats, and only once all
-//! of that segment lasts; without it, or with a bad one, the segment itself is read.
+//! Invariant: a checkpoint is valid only if it is complete and repeats the header of its segment, and it is
+//! written only once that segment is durable. Without a valid checkpoint the segment itself is read.
 
-use crate::format::{Batch, HEADER_LEN, Header, Item, MAX_BODY_LEN, MAX_SEQ, Op, Seed, Seq, ops};
+use crate::format::{Batch, FrameCodec, HEADER_LEN, Header, Item, MAX_BODY_LEN, MAX_SEQ, Op, Seq, ops};
 
-/// Name of the checkpoint of a segment.
+/// Returns the file name of a segment's checkpoint.
 pub(crate) fn name(segment: u64) -> String {
     format!("{segment:012}.sum")
 }
 
-/// Number of the segment whose checkpoint a file of this name is.
+/// Parses a checkpoint's file name and returns the segment's number; `None` for other files.
 pub(crate) fn number(file: &str) -> Option<u64> {
     let digits = file.strip_suffix(".sum").filter(|d| d.len() == 12)?;
     digits.parse().ok().filter(|n| name(*n) == file)
 }
 
-/// A checkpoint of the segment that is being written.
+/// The checkpoint of the active segment, built up while the segment is written.
 pub(crate) struct Draft {
     header: Header,
     parts: Vec<Batch>,
@@ -28,7 +28,7 @@
         Draft { header, parts: vec![Batch::new()] }
     }
 
-    /// Takes in a frame that was written. `in_memory` tells of each table whether its values are.
+    /// Adds a frame that was written. `in_memory` returns whether a table keeps its values in memory.
     pub(crate) fn add(&mut self, seq: Seq, at: u64, body: &[u8], in_memory: impl Fn(u8) -> bool) {
         if self.parts.last().is_none_or(|part| part.bytes().len() + body.len() > MAX_BODY_LEN / 2) {
             self.parts.push(Batch::new());
@@ -40,52 +40,58 @@
                 Op::Put { table, key, value, .. } if in_memory(table) => {
                     part.put(table, key, value);
                 }
-                Op::Put { table, key, value, at } => part.placed(table, key, at as u32, value.len() as u32),
+                Op::Put { table, key, value, at } => {
+                    part.value_ref(table, key, at as u32, value.len() as u32)
+                }
                 Op::Delete { table, key } => {
                     part.delete(table, key);
                 }
                 Op::Lost { table, key } => part.lost(table, key),
-                Op::Retire { floor } => part.retire(floor),
-                Op::Frame { .. } | Op::Placed { .. } | Op::Sealed { .. } => {}
+                Op::Retire { retired_before } => part.retire(retired_before),
+                Op::Frame { .. } | Op::ValueRef { .. } | Op::CheckpointEnd { .. } => {}
             }
         }
     }
 
-    /// The file, once the segment is full.
+    /// Returns the content of the checkpoint file for the full segment of `size` bytes; `next` is the
+    /// sequence number after its last frame.
     pub(crate) fn seal(mut self, size: u64, next: Seq) -> Vec<u8> {
         if let Some(part) = self.parts.last_mut() {
-            part.sealed(size, next);
+            part.checkpoint_end(size, next);
         }
-        let seed = Seed::new(self.header.store, self.header.segment);
+        let codec = FrameCodec::new(self.header.store, self.header.segment);
         let mut file = self.header.encode().to_vec();
         for (n, part) in (1..).zip(self.parts) {
-            let frame = seed.frame(file.len() as u64, n, part.bytes());
+            let frame = codec.encode_frame(file.len() as u64, n, part.bytes());
             file.extend_from_slice(&frame);
         }
         file
     }
 }
 
-/// The operations of a checkpoint, and the number of the frame after the segment's last; `None` if it is not a whole
-/// one of the segment with this header and size, or holds a frame from `void_from` on.
+/// Returns the encoded operations of a checkpoint and the sequence number after the segment's last frame.
+/// `None` if the checkpoint is incomplete, belongs to another header or size, or includes a frame numbered
+/// `void_from` or above.
 pub(crate) fn read(file: &[u8], header: Header, size: u64, void_from: Seq) -> Option<(Vec<&[u8]>, Seq)> {
     if Header::decode(file).ok()? != header {
         return None;
     }
-    let seed = Seed::new(header.store, header.segment);
+    let codec = FrameCodec::new(header.store, header.segment);
     let (mut at, mut parts, mut end) = (HEADER_LEN, Vec::new(), None);
     while at < file.len() {
-        let Item::Frame { seq, body, whole } = seed.next(&file[at..], at as u64, true) else { return None };
+        let Item::Frame { seq, body, len } = codec.read_item(&file[at..], at as u64, true) else {
+            return None;
+        };
         if seq != parts.len() as u64 + 1 || end.is_some() {
             return None;
         }
         let mut expected = None;
         for op in ops(body) {
             match op? {
-                Op::Sealed { size: its, next } if its == size && next <= void_from.min(MAX_SEQ) => {
+                Op::CheckpointEnd { size: its, next } if its == size && next <= void_from.min(MAX_SEQ) => {
                     end = Some(next)
                 }
-                Op::Sealed { .. } => return None,
+                Op::CheckpointEnd { .. } => return None,
                 Op::Frame { seq, .. } if seq > MAX_SEQ => return None,
                 Op::Frame { seq, .. } => {
                     if expected.is_some_and(|expected| seq != expected) {
@@ -97,7 +103,7 @@
             }
         }
         parts.push(body);
-        at += whole;
+        at += len;
     }
     end.map(|end| (parts, end))
 }
--- a/store/src/format.rs
+++ b/store/src/format.rs
@@ -1,68 +1,72 @@
-//! The bytes on disk: segment headers, frames and the operations in them. No I/O.
+//! The on-disk format: segment headers, frames and the operations in them. No I/O.
 //!
-//! A segment file is a header (twice, so that one damaged copy costs nothing), then frames. A frame holds one
-//! batch of operations and stands or falls as a whole:
+//! A segment file consists of two copies of its header, so that one corrupt copy is harmless, followed by
+//! frames. A frame holds one batch of operations, which is valid only as a whole:
 //!
 //! ```text
-//! header  "MILLPOST" | version u32 | store u64 | segment u64 | first seq u64 | floor u64 | reserved u64 | crc u32 | 0 × 8
-//! frame   length u32 | seq u64 | crc of the body u32 | crc of the head u32 | body
-//! body    operations, one after the other: kind u8 | table u8 | key length u16 | key | (put) length u32 | value
+//! header  "MILLPOST" | version u32 | store u64 | segment u64 | first seq u64 | retired before u64 | reserved u64
+//!         | crc u32 | 0 × 8
+//! frame   length u32 | seq u64 | crc of the body u32 | crc of the frame header u32 | body
+//! body    operations in sequence: kind u8 | table u8 | key length u16 | key | (put) length u32 | value
 //! ```
 //!
-//! All numbers are little-endian. The invariant kept here: the checksum of a frame's head also covers the store's
-//! number, the segment's number and the frame's offset, so that bytes of another store, of a recycled segment
-//! or of another place never pass for a frame.
+//! All integers are little-endian. The checksum of a frame header also covers the store's identifier, the
+//! segment's number and the frame's offset, so that bytes from another store, a recycled segment or another
+//! offset are never accepted as a frame.
 
 use crc32fast::Hasher;
 
-/// Version that this code writes, and the newest that it reads.
+/// Format version that this code writes, and the newest that it reads.
 pub const VERSION: u32 = 1;
 const MAGIC: &[u8; 8] = b"MILLPOST";
-const COPY: usize = 64;
-/// Bytes of a copy that its checksum covers, and that it follows.
-const SUMMED: usize = 52;
-/// Bytes of a segment's header, both copies.
-pub const HEADER_LEN: usize = 2 * COPY;
-/// Bytes of a frame before its body.
+const HEADER_COPY_LEN: usize = 64;
+/// Offset of the checksum in a header copy; it covers the bytes before it.
+const CHECKSUM_OFFSET: usize = 52;
+/// Length of a segment's header in bytes, both copies included.
+pub const HEADER_LEN: usize = 2 * HEADER_COPY_LEN;
+/// Length of a frame's header in bytes.
 pub const FRAME_HEADER_LEN: usize = 20;
-/// The largest body of a frame; also bounds what a reader allocates for one.
+/// Maximum length of a frame's body in bytes; also bounds the allocation of a reader.
 pub const MAX_BODY_LEN: usize = 1 << 20;
-/// The longest key.
+/// Maximum length of a key in bytes.
 pub const MAX_KEY_LEN: usize = 1024;
 
-/// No frame has a number above this: one that is read with more is none, so that counting on never overflows.
+/// Highest sequence number of a frame. A frame with a higher one is invalid, so that incrementing never
+/// overflows.
 pub const MAX_SEQ: Seq = 1 << 62;
 
-/// Number of a frame: one more than that of the frame before it in the log.
+/// Sequence number of a frame: one more than that of the preceding frame in the log.
 pub type Seq = u64;
 
-/// What a segment says of itself.
+/// Header of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Drawn when the store was made.
+    /// Random identifier of the store, chosen when it was created.
     pub store: u64,
-    /// Place of the segment in the log, from 1.
+    /// Position of the segment in the log, starting at 1.
     pub segment: u64,
-    /// Number of its first frame; frames of earlier segments from this number on are void.
+    /// Sequence number of its first frame. Frames of earlier segments with this number or a higher one are
+    /// void.
     pub first_seq: Seq,
-    /// Segments before this one had been given up when the segment was made.
-    pub floor: u64,
-    /// Length that the file was given ahead of its frames: zeros at its end are no damage. 0 for none.
+    /// Segments before this one had been retired when the segment was created.
+    pub retired_before: u64,
+    /// Preallocated length of the file in bytes, 0 for none. Zeros at the end of a preallocated file are not
+    /// damage.
     pub reserved: u64,
 }
 
-/// Why the start of a file is no header.
+/// Why the start of a file is not a valid header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeaderError {
-    /// The file ends within it.
+    /// The file ends within the header.
     Short,
-    /// There are zeros where it should be.
+    /// All bytes are zero.
     Blank,
-    /// Neither copy is one of a store.
+    /// Neither copy belongs to a store.
     Foreign,
-    /// It is one of a store, but both copies are damaged.
+    /// It belongs to a store, but both copies are corrupt.
     Damaged,
-    /// A later version wrote it.
+    /// It was written in this newer format version.
     Newer(u32),
 }
 
@@ -77,26 +81,26 @@
 }
 
 impl Header {
-    /// The header's bytes, both copies.
+    /// Encodes both copies of the header.
     pub fn encode(&self) -> [u8; HEADER_LEN] {
         let mut all = [0; HEADER_LEN];
-        for copy in all.chunks_exact_mut(COPY) {
+        for copy in all.chunks_exact_mut(HEADER_COPY_LEN) {
             copy[..8].copy_from_slice(MAGIC);
             copy[8..12].copy_from_slice(&VERSION.to_le_bytes());
-            let numbers = [self.store, self.segment, self.first_seq, self.floor, self.reserved];
-            for (place, number) in copy[12..SUMMED].chunks_exact_mut(8).zip(numbers) {
+            let numbers = [self.store, self.segment, self.first_seq, self.retired_before, self.reserved];
+            for (place, number) in copy[12..CHECKSUM_OFFSET].chunks_exact_mut(8).zip(numbers) {
                 place.copy_from_slice(&number.to_le_bytes());
             }
-            let sum = crc32fast::hash(&copy[..SUMMED]);
-            copy[SUMMED..SUMMED + 4].copy_from_slice(&sum.to_le_bytes());
+            let sum = crc32fast::hash(&copy[..CHECKSUM_OFFSET]);
+            copy[CHECKSUM_OFFSET..CHECKSUM_OFFSET + 4].copy_from_slice(&sum.to_le_bytes());
         }
         all
     }
 
-    /// Reads the header at the start of a file.
+    /// Decodes the header at the start of a file.
     ///
     /// # Errors
-    /// [`HeaderError`] where neither copy can be read.
+    /// [`HeaderError`] if neither copy is valid.
     pub fn decode(bytes: &[u8]) -> Result<Header, HeaderError> {
         if bytes.len() < HEADER_LEN {
             let shown = bytes.len().min(8);
@@ -110,13 +114,13 @@
             return Err(HeaderError::Blank);
         }
         let mut worst = HeaderError::Foreign;
-        for copy in bytes[..HEADER_LEN].chunks_exact(COPY) {
+        for copy in bytes[..HEADER_LEN].chunks_exact(HEADER_COPY_LEN) {
             if copy[..8] != MAGIC[..] {
                 continue;
             }
             worst = HeaderError::Damaged;
-            let (version, sum) = (u32_at(copy, 8), u32_at(copy, SUMMED));
-            if sum != Some(crc32fast::hash(&copy[..SUMMED])) {
+            let (version, sum) = (u32_at(copy, 8), u32_at(copy, CHECKSUM_OFFSET));
+            if sum != Some(crc32fast::hash(&copy[..CHECKSUM_OFFSET])) {
                 continue;
             }
             if let Some(version) = version.filter(|v| *v != VERSION) {
@@ -130,7 +134,7 @@
                 store: number(0),
                 segment: number(1),
                 first_seq: number(2),
-                floor: number(3),
+                retired_before: number(3),
                 reserved: number(4),
             });
         }
@@ -138,100 +142,101 @@
     }
 }
 
-/// What the checksums of one segment's frames begin with.
+/// Encoder and decoder for the frames of one segment. It holds the common prefix of their header checksums.
 #[derive(Clone)]
-pub struct Seed(Hasher);
+pub struct FrameCodec(Hasher);
 
-impl Seed {
-    /// For the frames of this segment of this store.
+impl FrameCodec {
+    /// Creates the codec for a segment of a store.
     pub fn new(store: u64, segment: u64) -> Self {
         let mut hasher = Hasher::new();
         hasher.update(&store.to_le_bytes());
         hasher.update(&segment.to_le_bytes());
-        Seed(hasher)
+        FrameCodec(hasher)
     }
 
-    fn head_sum(&self, at: u64, head: &[u8]) -> u32 {
+    fn header_checksum(&self, at: u64, head: &[u8]) -> u32 {
         let mut hasher = self.0.clone();
         hasher.update(&at.to_le_bytes());
         hasher.update(head);
         hasher.finalize()
     }
 
-    /// A whole frame for this offset of the segment.
-    pub fn frame(&self, at: u64, seq: Seq, body: &[u8]) -> Vec<u8> {
+    /// Encodes a frame for this offset of the segment.
+    pub fn encode_frame(&self, at: u64, seq: Seq, body: &[u8]) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(FRAME_HEADER_LEN + body.len());
         bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
         bytes.extend_from_slice(&seq.to_le_bytes());
         bytes.extend_from_slice(&crc32fast::hash(body).to_le_bytes());
-        let sum = self.head_sum(at, &bytes);
+        let sum = self.header_checksum(at, &bytes);
         bytes.extend_from_slice(&sum.to_le_bytes());
         bytes.extend_from_slice(body);
         bytes
     }
 
-    fn head(&self, at: u64, bytes: &[u8]) -> Option<(usize, Seq, u32)> {
+    fn decode_header(&self, at: u64, bytes: &[u8]) -> Option<(usize, Seq, u32)> {
         let head = bytes.get(..FRAME_HEADER_LEN)?;
         let length = u32_at(head, 0)? as usize;
-        // Looked at first: most of what is no head fails here without a checksum.
-        if length > MAX_BODY_LEN || u32_at(head, 16)? != self.head_sum(at, &head[..16]) {
+        // Checked first: most invalid headers fail here without computing a checksum.
+        if length > MAX_BODY_LEN || u32_at(head, 16)? != self.header_checksum(at, &head[..16]) {
             return None;
         }
         let seq = u64_at(head, 4).filter(|seq| *seq <= MAX_SEQ)?;
         Some((length, seq, u32_at(head, 12)?))
     }
 
-    /// What stands at the start of `bytes`, which lie at offset `at` of the segment; `last` where the file ends
-    /// with them.
-    pub fn next<'a>(&self, bytes: &'a [u8], at: u64, last: bool) -> Item<'a> {
+    /// Reads the item at the start of `bytes`, which begin at offset `at` of the segment. `last` tells
+    /// whether the file ends with them.
+    pub fn read_item<'a>(&self, bytes: &'a [u8], at: u64, last: bool) -> Item<'a> {
         if bytes.is_empty() {
             return if last { Item::End } else { Item::More };
         }
         if bytes.len() < FRAME_HEADER_LEN {
             return if last { Item::Torn(bytes.len()) } else { Item::More };
         }
-        if let Some((length, seq, sum)) = self.head(at, bytes) {
-            let whole = FRAME_HEADER_LEN + length;
-            return match bytes.get(FRAME_HEADER_LEN..whole) {
-                Some(body) if crc32fast::hash(body) == sum => Item::Frame { seq, body, whole },
-                Some(_) => Item::Spoilt(whole),
+        if let Some((body_len, seq, sum)) = self.decode_header(at, bytes) {
+            let len = FRAME_HEADER_LEN + body_len;
+            return match bytes.get(FRAME_HEADER_LEN..len) {
+                Some(body) if crc32fast::hash(body) == sum => Item::Frame { seq, body, len },
+                Some(_) => Item::Corrupt(len),
                 None if last => Item::Torn(bytes.len()),
                 None => Item::More,
             };
         }
-        // The length can't be trusted: the next head that can be read is looked for.
+        // The length can't be trusted: search for the next valid frame header.
         let heads = 1..=bytes.len() - FRAME_HEADER_LEN;
-        let found = heads.clone().find(|skip| self.head(at + *skip as u64, &bytes[*skip..]).is_some());
-        Item::Spoilt(found.unwrap_or(if last { bytes.len() } else { *heads.end() }.max(1)))
+        let found =
+            heads.clone().find(|skip| self.decode_header(at + *skip as u64, &bytes[*skip..]).is_some());
+        Item::Corrupt(found.unwrap_or(if last { bytes.len() } else { *heads.end() }.max(1)))
     }
 }
 
-/// What a reader finds at a place of a segment.
+/// What [`FrameCodec::read_item`] found at an offset of a segment.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Item<'a> {
-    /// A good frame.
+    /// A valid frame.
     Frame {
         /// Its number.
         seq: Seq,
-        /// Its operations.
+        /// Its encoded operations; see [`ops`].
         body: &'a [u8],
-        /// Its length with its head.
-        whole: usize,
+        /// Its total length in bytes, header included.
+        len: usize,
     },
-    /// So many bytes are no frame though there were enough of them for one.
-    Spoilt(usize),
-    /// The file ends within a frame: its write was cut off. So many bytes.
+    /// This many bytes are not a valid frame, although the file is long enough for one.
+    Corrupt(usize),
+    /// The file ends within a frame, after this many of its bytes: the write was interrupted.
     Torn(usize),
-    /// More bytes are needed to tell.
+    /// More bytes are needed to decide.
     More,
-    /// The segment ends here.
+    /// The end of the segment.
     End,
 }
 
-/// One change.
+/// An operation of a frame or a checkpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Op<'a> {
-    /// The key has this value from now on.
+    /// Sets the value of a key.
     Put {
         /// Table.
         table: u8,
@@ -242,21 +247,21 @@
         /// Offset of the value in the body.
         at: usize,
     },
-    /// The key is no more.
+    /// Removes a key.
     Delete {
         /// Table.
         table: u8,
         /// Key.
         key: &'a [u8],
     },
-    /// The key is there, but its value was found damaged.
+    /// The key exists, but its value was found corrupt.
     Lost {
         /// Table.
         table: u8,
         /// Key.
         key: &'a [u8],
     },
-    /// In a checkpoint: what follows stood in this frame.
+    /// In a checkpoint: the following operations are from this frame.
     Frame {
         /// Its number.
         seq: Seq,
@@ -265,8 +270,8 @@
         /// Length of its body.
         body: u32,
     },
-    /// In a checkpoint: a put whose value is in the segment alone.
-    Placed {
+    /// In a checkpoint: a put whose value is stored only in the segment.
+    ValueRef {
         /// Table.
         table: u8,
         /// Key.
@@ -276,17 +281,17 @@
         /// Its length.
         length: u32,
     },
-    /// The end of a checkpoint.
-    Sealed {
-        /// Bytes of the segment.
+    /// Ends a checkpoint.
+    CheckpointEnd {
+        /// Size of the segment in bytes.
         size: u64,
-        /// Number of the frame after its last.
+        /// Sequence number of the frame after its last one.
         next: Seq,
     },
-    /// Segments before this one are given up.
+    /// Retires the segments before a given one.
     Retire {
-        /// The oldest one that is still needed.
-        floor: u64,
+        /// The oldest segment that is still needed.
+        retired_before: u64,
     },
 }
 
@@ -295,37 +300,37 @@
 const LOST: u8 = 3;
 const RETIRE: u8 = 4;
 const FRAME: u8 = 5;
-const PLACED: u8 = 6;
-const SEALED: u8 = 7;
+const VALUE_REF: u8 = 6;
+const CHECKPOINT_END: u8 = 7;
 
-/// Bytes that a put takes besides key and value.
+/// Encoded size of a put in bytes, without key and value.
 pub const PUT_HEADER_LEN: usize = 8;
 
-/// Operations that take effect together or not at all.
+/// Operations that are applied atomically.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
     bytes: Vec<u8>,
 }
 
 impl Batch {
-    /// Nothing yet.
+    /// Creates an empty batch.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// No operation is in it.
+    /// Returns whether the batch has no operations.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// The operations as they stand in a frame.
+    /// Returns the encoded operations, as in the body of a frame.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
     fn op(&mut self, kind: u8, table: u8, key: &[u8]) {
         self.bytes.extend_from_slice(&[kind, table]);
-        // A longer key is refused by the store; cut here so that the lengths always agree.
+        // The store rejects longer keys; truncated here so that the encoded length is always correct.
         let key = &key[..key.len().min(usize::from(u16::MAX))];
         self.bytes.extend_from_slice(&(key.len() as u16).to_le_bytes());
         self.bytes.extend_from_slice(key);
@@ -345,7 +350,7 @@
         self
     }
 
-    /// Takes the operations from this byte on out of the batch.
+    /// Splits off the operations from this byte offset on.
     pub(crate) fn split_off(&mut self, at: usize) -> Batch {
         Batch { bytes: self.bytes.split_off(at) }
     }
@@ -354,26 +359,27 @@
         self.op(LOST, table, key);
     }
 
-    pub(crate) fn retire(&mut self, floor: u64) {
-        self.op(RETIRE, 0, &floor.to_le_bytes());
+    pub(crate) fn retire(&mut self, retired_before: u64) {
+        self.op(RETIRE, 0, &retired_before.to_le_bytes());
     }
 
     pub(crate) fn frame(&mut self, seq: Seq, at: u32, body: u32) {
         self.op(FRAME, 0, &[&seq.to_le_bytes()[..], &at.to_le_bytes(), &body.to_le_bytes()].concat());
     }
 
-    pub(crate) fn placed(&mut self, table: u8, key: &[u8], at: u32, length: u32) {
-        self.op(PLACED, table, key);
+    pub(crate) fn value_ref(&mut self, table: u8, key: &[u8], at: u32, length: u32) {
+        self.op(VALUE_REF, table, key);
         self.bytes.extend_from_slice(&at.to_le_bytes());
         self.bytes.extend_from_slice(&length.to_le_bytes());
     }
 
-    pub(crate) fn sealed(&mut self, size: u64, next: Seq) {
-        self.op(SEALED, 0, &[size.to_le_bytes(), next.to_le_bytes()].concat());
+    pub(crate) fn checkpoint_end(&mut self, size: u64, next: Seq) {
+        self.op(CHECKPOINT_END, 0, &[size.to_le_bytes(), next.to_le_bytes()].concat());
     }
 }
 
-/// The operations of a body; `None` in place of one that can't be read, after which nothing follows.
+/// Iterates over the operations of a body. Yields `None` for an operation that can't be decoded, and ends
+/// there.
 pub fn ops(body: &[u8]) -> impl Iterator<Item = Option<Op<'_>>> {
     let mut at = 0;
     std::iter::from_fn(move || {
@@ -401,12 +407,12 @@
         FRAME => {
             Some((Op::Frame { seq: u64_at(key, 0)?, at: u32_at(key, 8)?, body: u32_at(key, 12)? }, key_end))
         }
-        PLACED => {
+        VALUE_REF => {
             let (at, length) = (u32_at(body, key_end)?, u32_at(body, key_end + 4)?);
-            Some((Op::Placed { table, key, at, length }, key_end + 8))
+            Some((Op::ValueRef { table, key, at, length }, key_end + 8))
         }
-        SEALED => Some((Op::Sealed { size: u64_at(key, 0)?, next: u64_at(key, 8)? }, key_end)),
-        RETIRE => Some((Op::Retire { floor: u64_at(key, 0)? }, key_end)),
+        CHECKPOINT_END => Some((Op::CheckpointEnd { size: u64_at(key, 0)?, next: u64_at(key, 8)? }, key_end)),
+        RETIRE => Some((Op::Retire { retired_before: u64_at(key, 0)? }, key_end)),
         _ => None,
     }
 }
@@ -416,55 +422,63 @@
     use super::*;
 
     #[test]
-    fn one_damaged_copy_of_a_header_costs_nothing() {
-        let header = Header { store: 1, segment: 2, first_seq: 3, floor: 4, reserved: 5 };
+    fn header_with_one_corrupt_copy_is_decoded() {
+        let header = Header { store: 1, segment: 2, first_seq: 3, retired_before: 4, reserved: 5 };
         let good = header.encode();
         for at in 0..HEADER_LEN {
             let mut bad = good;
             bad[at] ^= 0x40;
-            assert_eq!(Header::decode(&bad), Ok(header), "damage at {at}");
+            assert_eq!(Header::decode(&bad), Ok(header), "corrupt byte at offset {at}");
         }
         assert_eq!(Header::decode(&good[..20]), Err(HeaderError::Short));
         assert_eq!(Header::decode(&[7; 200]), Err(HeaderError::Foreign));
     }
 
     #[test]
-    fn a_newer_version_is_told_apart_from_damage() {
-        let mut bytes = Header { store: 1, segment: 2, first_seq: 3, floor: 4, reserved: 5 }.encode();
-        for copy in bytes.chunks_exact_mut(COPY) {
+    fn newer_version_is_distinguished_from_corruption() {
+        let mut bytes =
+            Header { store: 1, segment: 2, first_seq: 3, retired_before: 4, reserved: 5 }.encode();
+        for copy in bytes.chunks_exact_mut(HEADER_COPY_LEN) {
             copy[8] = 9;
-            let sum = crc32fast::hash(&copy[..SUMMED]);
-            copy[SUMMED..SUMMED + 4].copy_from_slice(&sum.to_le_bytes());
+            let sum = crc32fast::hash(&copy[..CHECKSUM_OFFSET]);
+            copy[CHECKSUM_OFFSET..CHECKSUM_OFFSET + 4].copy_from_slice(&sum.to_le_bytes());
         }
         assert_eq!(Header::decode(&bytes), Err(HeaderError::Newer(9)));
         bytes[9] ^= 1;
-        bytes[COPY + 9] ^= 1;
+        bytes[HEADER_COPY_LEN + 9] ^= 1;
         assert_eq!(Header::decode(&bytes), Err(HeaderError::Damaged));
     }
 
     #[test]
-    fn a_frame_of_another_store_segment_or_place_is_none() {
+    fn frame_of_another_store_segment_or_offset_is_rejected() {
         let mut batch = Batch::new();
         batch.put(1, b"key", b"value").delete(2, b"other");
-        let frame = Seed::new(7, 3).frame(128, 9, batch.bytes());
-        let read = |seed: Seed, at| matches!(seed.next(&frame, at, true), Item::Frame { seq: 9, .. });
-        assert!(read(Seed::new(7, 3), 128));
-        assert!(!read(Seed::new(8, 3), 128) && !read(Seed::new(7, 4), 128) && !read(Seed::new(7, 3), 129));
+        let frame = FrameCodec::new(7, 3).encode_frame(128, 9, batch.bytes());
+        let read =
+            |codec: FrameCodec, at| matches!(codec.read_item(&frame, at, true), Item::Frame { seq: 9, .. });
+        assert!(read(FrameCodec::new(7, 3), 128));
+        assert!(
+            !read(FrameCodec::new(8, 3), 128)
+                && !read(FrameCodec::new(7, 4), 128)
+                && !read(FrameCodec::new(7, 3), 129)
+        );
         let all: Vec<_> = ops(batch.bytes()).flatten().collect();
         assert_eq!(all.len(), 2);
         assert!(matches!(all[0], Op::Put { table: 1, key: b"key", value: b"value", .. }));
     }
 
     #[test]
-    fn after_a_damaged_frame_the_next_one_is_found() {
-        let seed = Seed::new(7, 3);
-        let (first, second) = (seed.frame(128, 1, b""), seed.frame(148, 2, b""));
+    fn next_frame_is_found_after_a_corrupt_one() {
+        let codec = FrameCodec::new(7, 3);
+        let (first, second) = (codec.encode_frame(128, 1, b""), codec.encode_frame(148, 2, b""));
         for at in 0..FRAME_HEADER_LEN {
             let mut both = [first.clone(), second.clone()].concat();
             both[at] ^= 0x81;
-            let Item::Spoilt(skip) = seed.next(&both, 128, true) else { panic!("not found: {at}") };
+            let Item::Corrupt(skip) = codec.read_item(&both, 128, true) else {
+                panic!("frame with a corrupt byte at offset {at} was not reported as corrupt")
+            };
             assert_eq!(skip, FRAME_HEADER_LEN);
-            assert!(matches!(seed.next(&both[skip..], 148, true), Item::Frame { seq: 2, .. }));
+            assert!(matches!(codec.read_item(&both[skip..], 148, true), Item::Frame { seq: 2, .. }));
         }
     }
 }
--- a/store/src/log.rs
+++ b/store/src/log.rs
@@ -1,13 +1,14 @@
-//! The store: tables of keys and values over one log of segments.
+//! The storage engine: key-value tables over one log of segment files.
 //!
-//! Invariants kept here:
+//! Invariants:
 //!
-//! - A batch takes effect as a whole or not at all, and the order of batches is that of their frames.
-//! - The files never take more than the limit, compaction included; an append that is promised room always finds
-//!   it, since new commitments are turned away before the live data could fill what compaction needs.
-//! - A segment is removed only after all that is live in it has been written again (and, where durability is
-//!   [`Durability::Machine`], synced), and always the oldest one first: so a deletion is needed no longer than
-//!   the segments before it are there.
+//! - A batch is applied atomically, and batches are ordered by the sequence numbers of their frames.
+//! - The files never exceed the size limit, compaction included. An append for which space was reserved
+//!   always succeeds, because new commitments are rejected before live data can fill the space that
+//!   compaction needs.
+//! - A segment is removed only after all live records in it have been rewritten (and synced, under
+//!   [`Durability::Machine`]), and always the oldest segment first. A deletion record is therefore needed
+//!   only as long as the segments before it exist.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -18,108 +19,111 @@
 use crate::checkpoint::{self, Draft};
 use crate::folder::{Append, Folder, Syncer};
 use crate::format::{
-    Batch, FRAME_HEADER_LEN, HEADER_LEN, Header, HeaderError, Item, MAX_BODY_LEN, MAX_KEY_LEN, Op,
-    PUT_HEADER_LEN, Seed, Seq, ops,
+    Batch, FRAME_HEADER_LEN, FrameCodec, HEADER_LEN, Header, HeaderError, Item, MAX_BODY_LEN, MAX_KEY_LEN,
+    Op, PUT_HEADER_LEN, Seq, ops,
 };
 
-/// Why the store refuses.
+/// Errors of the store.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The limit of the folder would be passed.
-    #[error("the store is full")]
+    /// The write would exceed the size limit of the folder.
+    #[error("the store has reached its size limit")]
     Full,
-    /// A key, or a batch, is larger than a frame may hold.
-    #[error("a batch of {0} bytes is too large")]
+    /// A key or a batch is larger than a frame can hold; its size in bytes.
+    #[error("a key or batch of {0} bytes exceeds the maximum size")]
     TooLarge(usize),
-    /// There is no such table.
-    #[error("there is no table {0}")]
+    /// The table number is out of range.
+    #[error("table {0} does not exist")]
     NoTable(u8),
-    /// A value can't be read back as it was written.
-    #[error("{file}: a value is damaged")]
+    /// A stored value fails its checksum or was lost.
+    #[error("{file}: a stored value is corrupt")]
     Damaged {
-        /// Where it was.
+        /// The segment file that holds the value.
         file: String,
     },
-    /// A file is not one of a store, or none that this version reads. It is left as it is.
+    /// A file does not belong to this store, or has a format that this version cannot read. It is left
+    /// unchanged.
     #[error("{file}: {why}")]
     Foreign {
         /// The file.
         file: String,
-        /// What is wrong with it.
+        /// Why it was rejected.
         why: String,
     },
-    /// The file system refuses.
+    /// The file system returned an error.
     #[error("{file}: {source}")]
     Io {
         /// The file or folder.
         file: String,
-        /// What it says.
+        /// The underlying error.
         source: io::Error,
     },
 }
 
-/// What a batch outlives once it is promised.
+/// The failures that an acknowledged batch survives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
-    /// The process: plain writes.
+    /// A crash of the process: plain writes without a sync.
     Process,
-    /// The machine: a batch counts once it is synced; see [`Store::sync`] and [`Store::sync_job`].
+    /// A crash of the machine: a batch is durable once synced; see [`Store::sync`] and [`Store::sync_job`].
     Machine,
 }
 
-/// How a store is kept.
+/// Settings of a store.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Bytes that its files may take together, each in whole 512 bytes.
+    /// Maximum total size of the files in bytes, each file rounded up to a multiple of 512.
     pub limit: u64,
-    /// What a batch outlives.
+    /// The failures that a batch must survive.
     pub durability: Durability,
-    /// Full segments get a checkpoint beside them, so that a start need not read them: worth its room where the
-    /// limit is large.
+    /// Whether a checkpoint is written for each full segment, so that opening the store need not read the
+    /// segment. Worth the space when the limit is large.
     pub checkpoints: bool,
 }
 
 impl Options {
-    /// With checkpoints where a start without them might have gigabytes to read.
+    /// Settings with checkpoints enabled when opening without them might have to read gigabytes.
     pub fn new(limit: u64, durability: Durability) -> Self {
-        Options { limit, durability, checkpoints: limit >= CHECKPOINTS_FROM }
+        Options { limit, durability, checkpoints: limit >= CHECKPOINT_MIN_LIMIT }
     }
 }
 
-/// Disk space counts in steps of this size.
-const STEP: u64 = 512;
-/// Segments are this part of the limit, within the bounds below.
-const SEGMENTS: u64 = 24;
-const SMALLEST_SEGMENT: u64 = 4 * 1024;
-const LARGEST_SEGMENT: u64 = 4 * 1024 * 1024;
-/// From this limit on checkpoints are worth a third more bytes written (docs/measurements.md).
-const CHECKPOINTS_FROM: u64 = 1_000_000_000;
-/// What is read of a segment in one step of compaction, at least and at most.
-const SCAN_LEAST: usize = 8 * 1024;
-const SCAN_MOST: usize = 256 * 1024;
-/// Bytes scanned by compaction for each byte appended. With live data at its most this frees more than is added.
+/// File sizes are rounded up to a multiple of this many bytes.
+const BLOCK: u64 = 512;
+/// The target size of a segment is the limit divided by this, within the bounds below.
+const SEGMENTS_PER_LIMIT: u64 = 24;
+const MIN_SEGMENT_LEN: u64 = 4 * 1024;
+const MAX_SEGMENT_LEN: u64 = 4 * 1024 * 1024;
+/// Smallest limit, in bytes, with checkpoints by default: from here on faster opening is worth writing a
+/// third more bytes (docs/measurements.md).
+const CHECKPOINT_MIN_LIMIT: u64 = 1_000_000_000;
+/// Bounds on the bytes read from a segment in one compaction step.
+const SCAN_MIN: usize = 8 * 1024;
+const SCAN_MAX: usize = 256 * 1024;
+/// Bytes scanned by compaction for each byte appended. Even with the maximum of live data, this frees more
+/// than is added.
 const SCAN_RATE: usize = 8;
-/// Share of the limit, in eighths, that live data may take.
-const LIVE_EIGHTHS: u64 = 5;
+/// Maximum share of live data in the limit, in eighths.
+const MAX_LIVE_EIGHTHS: u64 = 5;
 
-fn rounded(size: u64) -> u64 {
-    size.div_ceil(STEP) * STEP
+fn disk_size(size: u64) -> u64 {
+    size.div_ceil(BLOCK) * BLOCK
 }
 
-/// Name of a segment's file.
+/// Returns the file name of a segment.
 pub fn segment_name(number: u64) -> String {
     format!("{number:012}.seg")
 }
 
-/// Number of the segment that a file of this name is.
+/// Parses a segment's file name and returns the segment's number; `None` for other files.
 pub fn segment_number(name: &str) -> Option<u64> {
     let digits = name.strip_suffix(".seg").filter(|d| d.len() == 12)?;
     digits.parse().ok().filter(|n| segment_name(*n) == name)
 }
 
-/// Where a value lies.
+/// Location of a value on disk.
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct ValueLocation {
     segment: u64,
     frame: u32,
     body: u32,
@@ -130,181 +134,186 @@
 }
 
 struct Entry {
-    place: Place,
-    /// Held where the table keeps its values in memory.
+    location: ValueLocation,
+    /// The value, if the table keeps its values in memory.
     value: Option<Bytes>,
 }
 
 struct Table {
     in_memory: bool,
     entries: BTreeMap<Box<[u8]>, Entry>,
-    /// Bytes that its live records take.
+    /// Total size of its live records in bytes.
     live: u64,
 }
 
 struct Segment {
     number: u64,
     size: u64,
-    /// Bytes of its records that are live.
+    /// Total size of its live records in bytes.
     live: u64,
-    /// Its header, until that lasts.
-    fresh: Option<Header>,
-    /// Length of its file, where that was given ahead of what is written.
+    /// The header, until it is synced.
+    unsynced_header: Option<Header>,
+    /// Preallocated length of the file in bytes; 0 if none.
     reserved: u64,
-    /// Bytes of its checkpoint.
+    /// Size of its checkpoint file in bytes; 0 if none.
     checkpoint: u64,
 }
 
 impl Segment {
     fn found(number: u64, size: u64) -> Self {
-        Segment { number, size, live: 0, fresh: None, reserved: 0, checkpoint: 0 }
+        Segment { number, size, live: 0, unsynced_header: None, reserved: 0, checkpoint: 0 }
     }
 
-    /// What its file takes with so many bytes written.
-    fn takes(&self, size: u64) -> u64 {
-        rounded(size.max(self.reserved))
+    /// Disk space that the file uses when `size` bytes of it are written.
+    fn disk_size_at(&self, size: u64) -> u64 {
+        disk_size(size.max(self.reserved))
     }
 }
 
-/// A segment that is given up and whose file is still there.
-struct Doomed {
+/// A retired segment whose file has not been removed yet.
+struct RetiredSegment {
     number: u64,
     size: u64,
     checkpoint: u64,
-    /// It may go once this frame lasts.
-    after: Seq,
+    /// The file may be removed once this frame is durable.
+    removable_after: Seq,
 }
 
-/// A frame that does not last yet.
-struct Unsynced {
+/// A frame that is written but not synced.
+struct UnsyncedFrame {
     segment: u64,
     at: u64,
     body: Vec<u8>,
 }
 
-/// Where compaction stands in the oldest segment.
+/// Position of compaction in the oldest segment.
 #[derive(Default)]
-struct Cursor {
+struct CompactionCursor {
     at: u64,
-    /// Bytes read from `at` on.
+    /// Buffered bytes, starting at offset `at`.
     read: Vec<u8>,
 }
 
-/// What opening found.
+/// What was found while opening a store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovery {
-    /// Frames read.
+    /// Number of frames read.
     pub frames: u64,
-    /// Bytes of a last write that was cut off, and dropped.
+    /// Bytes of an incomplete last write, which were discarded.
     pub torn_bytes: u64,
-    /// Where something was damaged, in words; empty if nothing was.
+    /// Descriptions of the damage found; empty if there is none.
     pub damage: Vec<String>,
-    /// What was last written before this frame may have been changed since by one that was lost.
+    /// A record last written before this frame may have been changed by a frame that was lost; 0 if none was
+    /// lost.
     pub uncertain_before: Seq,
 }
 
-/// Figures of a store.
+/// Statistics of a store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Bytes that the files take, in whole 512 bytes each.
+    /// Total size of the files in bytes, each rounded up to a multiple of 512.
     pub used: u64,
-    /// Bytes of live records.
+    /// Total size of the live records in bytes.
     pub live: u64,
-    /// Files.
+    /// Number of segment files.
     pub segments: usize,
-    /// Bytes of frames written since opening: by batches.
+    /// Bytes of frames written by batches since opening.
     pub written: u64,
-    /// ... and by compaction.
+    /// Bytes of frames written by compaction since opening.
     pub copied: u64,
-    /// Segments that compaction has removed.
+    /// Number of segments that compaction has retired since opening.
     pub retired: u64,
 }
 
-/// Work for a thread that may wait for the disk.
+/// A pending sync, to be run on a thread that may block on the disk.
 pub struct SyncJob {
     syncers: Vec<Syncer>,
     folder: bool,
-    upto: Seq,
+    up_to: Seq,
 }
 
 impl SyncJob {
-    /// Waits until all that was appended before the job was made lasts. Hand the result to [`Store::finish_sync`].
+    /// Syncs everything that was appended before the job was created. Pass the result to
+    /// [`Store::finish_sync`].
     pub fn run(self) -> SyncResult {
         let done = self.syncers.into_iter().try_for_each(|syncer| syncer());
-        SyncResult { upto: self.upto, folder: self.folder, done }
+        SyncResult { up_to: self.up_to, folder: self.folder, done }
     }
 }
 
-/// What came of a [`SyncJob`].
+/// Result of a [`SyncJob`].
 pub struct SyncResult {
-    upto: Seq,
+    up_to: Seq,
     folder: bool,
     done: io::Result<()>,
 }
 
-/// How much of the room a batch may use.
+/// How much of the free space an append may use.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Room {
-    /// All but what compaction needs.
+    /// All except the space that compaction needs.
     Batch,
-    /// All.
+    /// All of it.
     Compaction,
 }
 
-/// An embedded store; see the module.
+/// A log-structured key-value store in one folder. [`crate::format`] describes the files.
 pub struct Store<F: Folder> {
     folder: F,
     durability: Durability,
     limit: u64,
-    target: u64,
+    segment_target: u64,
     id: u64,
     tables: Vec<Table>,
-    /// Oldest first; the last one is written to.
+    /// Segments, oldest first; the last one is the active one.
     segments: VecDeque<Segment>,
     active: Option<F::File>,
-    /// Behind the last good frame of the active segment stand bytes that could not be cut off.
-    broken: bool,
-    seed: Seed,
-    doomed: Vec<Doomed>,
-    cursor: Cursor,
+    /// Whether the active segment has stray bytes after its last good frame that could not be truncated.
+    /// Nothing may be appended to it then.
+    tail_dirty: bool,
+    codec: FrameCodec,
+    retired: Vec<RetiredSegment>,
+    cursor: CompactionCursor,
     used: u64,
     live: u64,
-    /// The largest frame of late, which compaction must be able to move.
-    largest: u64,
+    /// Size of the largest frame seen, which compaction must have space to move.
+    largest_frame: u64,
     next: Seq,
-    /// Frames up to this one last.
+    /// Frames up to and including this one are durable.
     synced: Seq,
-    /// The frames after `synced`, oldest first; kept to write them again if a sync fails.
-    unsynced: VecDeque<Unsynced>,
-    /// A sync failed, and `unsynced` could not be written again yet: nothing else is written before that.
-    broken_off: bool,
-    /// Segments written to since the last sync was asked for, and whether the folder was changed.
+    /// The frames after `synced`, oldest first, kept so that they can be rewritten if a sync fails.
+    unsynced: VecDeque<UnsyncedFrame>,
+    /// Whether a sync failed and `unsynced` has not been rewritten yet. Nothing else may be written before
+    /// that.
+    rewrite_pending: bool,
+    /// Sync handles of the non-active segments written since the last sync job.
     dirty: Vec<Syncer>,
     dirty_active: bool,
     folder_dirty: bool,
-    /// A file was removed, and its removal may not last yet.
-    removal_waits: bool,
+    /// Whether a file was removed and the removal is not synced yet.
+    removal_unsynced: bool,
     checkpoints: bool,
-    /// Those that were there at the start, with their sizes.
-    listed_checkpoints: BTreeMap<u64, u64>,
-    /// Of the active segment, where all of it was written by this process.
-    draft: Option<Draft>,
-    /// Checkpoints to be written once the segment lasts: its number, up to which frame, and the file.
-    drafted: VecDeque<(u64, Seq, Vec<u8>)>,
+    /// Checkpoint files found on opening: segment number and size.
+    found_checkpoints: BTreeMap<u64, u64>,
+    /// Checkpoint of the active segment, if this process wrote all of that segment.
+    checkpoint_draft: Option<Draft>,
+    /// Checkpoints to write once their segment is durable: segment number, its last frame, and the file's
+    /// content.
+    pending_checkpoints: VecDeque<(u64, Seq, Vec<u8>)>,
     stats: Stats,
 }
 
-/// A store as it was read, what was found, where the good frames of which last segment end, and the numbers of
-/// files without a header.
+/// A loaded store, the recovery report, the number of the last segment with the end of its good frames, and
+/// the numbers of segment files without a header.
 type Loaded<F> = (Store<F>, Recovery, Option<(u64, u64)>, Vec<u64>);
 
 impl<F: Folder> Store<F> {
-    /// Opens the store in a folder, or makes one there. `in_memory` has an entry for each table: whether its
-    /// values are held in memory too.
+    /// Opens the store in a folder, or creates one with `fresh_id` as its identifier. `in_memory` has an
+    /// entry for each table: whether its values are also kept in memory.
     ///
     /// # Errors
-    /// [`Error::Foreign`] where a segment is of a newer version or no segment at all; nothing is changed then.
-    /// [`Error::Io`] where the folder can't be read or written. Damage is no error: see [`Recovery`].
+    /// [`Error::Foreign`] if a segment file has a newer format or is not a segment; nothing is changed then.
+    /// [`Error::Io`] if the folder can't be read or written. Damage is not an error: see [`Recovery`].
     pub fn open(
         folder: F,
         in_memory: &[bool],
@@ -312,11 +321,11 @@
         options: Options,
     ) -> Result<(Self, Recovery), Error> {
         let (mut store, recovery, last_good, blank) = Self::load(folder, in_memory, fresh_id, options)?;
-        store.clean(last_good, &blank)?;
+        store.clean_up(last_good, &blank)?;
         Ok((store, recovery))
     }
 
-    /// Reads the store in a folder without changing anything there. It must not be written to.
+    /// Reads the store in a folder without changing anything there. The result must not be written to.
     ///
     /// # Errors
     /// As for [`Self::open`].
@@ -333,7 +342,7 @@
         let checkpoints = files.iter().filter_map(|(name, size)| Some((checkpoint::number(name)?, *size)));
         let mut listed: Vec<(u64, u64)> = segments.collect();
         listed.sort_unstable();
-        // All headers first: a folder that is refused is left as it is.
+        // All headers are checked first, so that a folder that is rejected stays unchanged.
         let (mut headers, mut blank) = (Vec::new(), Vec::new());
         for (number, size) in &listed {
             let name = segment_name(*number);
@@ -342,13 +351,19 @@
             let foreign = |why: String| Err(Error::Foreign { file: folder.show(&name), why });
             headers.push(match Header::decode(&bytes) {
                 Ok(header) if header.segment != *number => {
-                    return foreign(format!("is segment {} under another name", header.segment));
+                    return foreign(format!(
+                        "contains segment {}, which does not match the file name",
+                        header.segment
+                    ));
                 }
                 Ok(header) => Some(header),
-                Err(HeaderError::Newer(v)) => return foreign(format!("is of the newer format {v}")),
-                Err(HeaderError::Foreign) => return foreign("is no segment of a store".into()),
+                Err(HeaderError::Newer(v)) => {
+                    return foreign(format!("has the newer format {v}, which this version cannot read"));
+                }
+                Err(HeaderError::Foreign) => return foreign("is not a segment of a store".into()),
                 Err(HeaderError::Damaged) => None,
-                // Cut off when it was made, or never written by a machine that died: nothing is in it.
+                // The process ended while creating the file, or the machine failed before the header was
+                // written: the segment holds no frames.
                 Err(HeaderError::Short | HeaderError::Blank) => {
                     blank.push(*number);
                     None
@@ -358,47 +373,47 @@
         let known: Vec<Header> = headers.iter().flatten().copied().collect();
         let id = match known.first() {
             Some(first) => first.store,
-            // Only the first segment's header was begun: the store is a fresh one.
+            // No segment has a complete header: the store was never written to.
             None if blank.len() == listed.len() => fresh_id,
             None => {
                 let file = folder.show(&segment_name(listed[0].0));
-                return Err(Error::Foreign { file, why: "has no header that can be read".into() });
+                return Err(Error::Foreign { file, why: "has no readable header".into() });
             }
         };
         if let Some(other) = known.iter().find(|h| h.store != id) {
             let file = folder.show(&segment_name(other.segment));
             return Err(Error::Foreign { file, why: "is a segment of another store".into() });
         }
-        let target = (options.limit / SEGMENTS).clamp(SMALLEST_SEGMENT, LARGEST_SEGMENT);
+        let segment_target = (options.limit / SEGMENTS_PER_LIMIT).clamp(MIN_SEGMENT_LEN, MAX_SEGMENT_LEN);
         let table = |in_memory: &bool| Table { in_memory: *in_memory, entries: BTreeMap::new(), live: 0 };
         let mut store = Store {
-            seed: Seed::new(id, 0),
+            codec: FrameCodec::new(id, 0),
             folder,
             durability: options.durability,
             limit: options.limit,
-            target,
+            segment_target,
             id,
             tables: in_memory.iter().map(table).collect(),
             segments: VecDeque::new(),
             active: None,
-            broken: false,
-            doomed: Vec::new(),
-            cursor: Cursor::default(),
+            tail_dirty: false,
+            retired: Vec::new(),
+            cursor: CompactionCursor::default(),
             used: 0,
             live: 0,
-            largest: 0,
+            largest_frame: 0,
             next: 1,
             synced: 0,
             unsynced: VecDeque::new(),
-            broken_off: false,
+            rewrite_pending: false,
             dirty: Vec::new(),
             dirty_active: false,
             folder_dirty: false,
-            removal_waits: false,
+            removal_unsynced: false,
             checkpoints: options.checkpoints,
-            listed_checkpoints: checkpoints.collect(),
-            draft: None,
-            drafted: VecDeque::new(),
+            found_checkpoints: checkpoints.collect(),
+            checkpoint_draft: None,
+            pending_checkpoints: VecDeque::new(),
             stats: Stats::default(),
         };
         let mut recovery = Recovery::default();
@@ -407,7 +422,7 @@
         Ok((store, recovery, last_good, blank))
     }
 
-    /// Reads all segments. Returns where the good frames of the last one end, by its number.
+    /// Reads all segments. Returns the number of the last one and the offset at which its good frames end.
     fn replay(
         &mut self,
         listed: &[(u64, u64)],
@@ -415,9 +430,10 @@
         blank: &[u64],
         recovery: &mut Recovery,
     ) -> Result<Option<(u64, u64)>, Error> {
-        // All that lies before the highest of these was safe elsewhere before any of it was removed.
-        let floor = headers.iter().flatten().map(|h| h.floor).max().unwrap_or(0);
-        let mut retired_to = floor;
+        // Live records of the segments before the highest of these were rewritten before any of those was
+        // removed.
+        let retired_before = headers.iter().flatten().map(|h| h.retired_before).max().unwrap_or(0);
+        let mut retired_to = retired_before;
         let mut expected: Option<Seq> = None;
         let mut last_good = None;
         let mut previous: Option<u64> = None;
@@ -425,30 +441,40 @@
         for (n, ((number, size), header)) in listed.iter().zip(headers).enumerate() {
             let name = segment_name(*number);
             let is_last = listed[n + 1..].iter().all(|(later, _)| blank.contains(later));
-            if *number < floor {
-                // Given up before it could be removed. Deletions of what is in it may be gone already.
-                self.used += rounded(*size);
-                self.doomed.push(Doomed { number: *number, size: *size, checkpoint: 0, after: 0 });
+            if *number < retired_before {
+                // Retired, but its file was not removed. The deletions of its records may already be gone.
+                self.used += disk_size(*size);
+                self.retired.push(RetiredSegment {
+                    number: *number,
+                    size: *size,
+                    checkpoint: 0,
+                    removable_after: 0,
+                });
                 continue;
             }
             if blank.contains(number) {
-                // With none behind it, it goes at once and its number is used again; else in its turn.
+                // As the last segment it is removed at once and its number is reused; otherwise compaction
+                // removes it in order.
                 if listed[n + 1..].iter().any(|(later, _)| !blank.contains(later)) {
                     previous = Some(*number);
-                    self.used += rounded(*size);
+                    self.used += disk_size(*size);
                     self.segments.push_back(Segment::found(*number, *size));
                 }
                 continue;
             }
-            // Frames that a later segment has taken the place of: their write was told as failed.
+            // Frames from this number on were replaced by a later segment: their write was reported as
+            // failed.
             let void_from = headers[n + 1..].iter().flatten().map(|h| h.first_seq).min().unwrap_or(Seq::MAX);
             let first_seq = header.map(|h| h.first_seq).filter(|first| *first < void_from);
             let missing = previous.is_some_and(|previous| *number != previous + 1);
             previous = Some(*number);
             let gap = first_seq.zip(expected).is_some_and(|(first, expected)| first > expected);
             if missing || gap || header.is_none() {
-                let what =
-                    if header.is_none() { "its header is damaged" } else { "what came before is missing" };
+                let what = if header.is_none() {
+                    "the header is corrupt"
+                } else {
+                    "the preceding frames are missing"
+                };
                 recovery.damage.push(format!("{name}: {what}"));
                 recovery.uncertain_before = first_seq.or(expected).unwrap_or(1);
             }
@@ -468,12 +494,12 @@
             read.map_err(|source| Error::Io { file: self.folder.show(&name), source })?;
             self.segments.push_back(Segment::found(*number, *size));
             let zeros_end = header.is_some_and(|h| h.reserved > 0);
-            self.used += rounded(*size);
-            let seed = Seed::new(self.id, *number);
-            let (mut at, mut good, mut spoilt) = (HEADER_LEN, HEADER_LEN, false);
+            self.used += disk_size(*size);
+            let codec = FrameCodec::new(self.id, *number);
+            let (mut at, mut good, mut corrupt) = (HEADER_LEN, HEADER_LEN, false);
             loop {
-                match seed.next(&bytes[at..], at as u64, true) {
-                    Item::Frame { seq, body, whole } => {
+                match codec.read_item(&bytes[at..], at as u64, true) {
+                    Item::Frame { seq, body, len } => {
                         if seq < void_from {
                             if expected.is_some_and(|expected| seq != expected) {
                                 recovery
@@ -484,17 +510,19 @@
                             expected = Some(seq + 1);
                             recovery.frames += 1;
                             if !self.replay_frame(*number, at, seq, body, &mut retired_to) {
-                                recovery.damage.push(format!("{name}: the frame at {at} can't be read"));
+                                recovery
+                                    .damage
+                                    .push(format!("{name}: the frame at offset {at} cannot be decoded"));
                                 recovery.uncertain_before = seq + 1;
                             }
                         }
-                        at += whole;
-                        (good, spoilt) = (at, false);
+                        at += len;
+                        (good, corrupt) = (at, false);
                     }
-                    Item::Spoilt(_) if zeros_end && bytes[at..].iter().all(|b| *b == 0) => break,
-                    Item::Spoilt(length) => {
+                    Item::Corrupt(_) if zeros_end && bytes[at..].iter().all(|b| *b == 0) => break,
+                    Item::Corrupt(length) => {
                         at += length;
-                        spoilt = true;
+                        corrupt = true;
                     }
                     Item::Torn(length) => {
                         if is_last && !(zeros_end && bytes[at..].iter().all(|b| *b == 0)) {
@@ -505,22 +533,23 @@
                     Item::More | Item::End => break,
                 }
             }
-            if is_last && spoilt {
-                // Whole, and wrong: no cut-off write looks like this. What it told is not known. It stays as it
-                // is, so that the next start knows as much.
-                recovery.damage.push(format!("{name}: damaged from offset {good} on"));
+            if is_last && corrupt {
+                // A frame of full length with a wrong checksum is not the result of an interrupted write, so
+                // its content is unknown. It is left in place, so that the next start detects the damage as
+                // well.
+                recovery.damage.push(format!("{name}: corrupt from offset {good} on"));
                 recovery.uncertain_before = Seq::MAX;
             } else if is_last {
                 last_good = Some((*number, good as u64));
             }
         }
         if let Some((number, first_seq)) = first.filter(|(number, _)| *number > retired_to.max(1)) {
-            recovery.damage.push(format!("{}: what came before is missing", segment_name(number)));
+            recovery.damage.push(format!("{}: the preceding frames are missing", segment_name(number)));
             recovery.uncertain_before = recovery.uncertain_before.max(first_seq);
         }
         self.next = expected.unwrap_or(1);
         if recovery.uncertain_before == Seq::MAX {
-            // Its number may have been used.
+            // The damaged frame may have used this number.
             self.next += 1;
             recovery.uncertain_before = self.next;
         }
@@ -528,30 +557,31 @@
     }
 
     fn replay_frame(&mut self, segment: u64, at: usize, seq: Seq, body: &[u8], retired_to: &mut u64) -> bool {
-        self.largest = self.largest.max((FRAME_HEADER_LEN + body.len()) as u64);
+        self.largest_frame = self.largest_frame.max((FRAME_HEADER_LEN + body.len()) as u64);
         for op in ops(body) {
             let Some(op) = op else { return false };
-            let Op::Retire { floor } = op else {
+            let Op::Retire { retired_before } = op else {
                 self.index(segment, at, seq, body.len(), op);
                 continue;
             };
-            self.retire_found(floor, segment, retired_to);
+            self.retire_replayed(retired_before, segment, retired_to);
         }
         true
     }
 
-    /// Segments before `floor` were given up, as a frame of `segment` says. Where copies of what was live in one are
-    /// lost it is still needed, and still there: it is removed only after they last.
-    fn retire_found(&mut self, floor: u64, segment: u64, retired_to: &mut u64) {
-        *retired_to = (*retired_to).max(floor);
-        while self.segments.front().is_some_and(|s| s.number < floor.min(segment) && s.live == 0) {
+    /// Retires the segments before `retired_before`, as recorded by a frame of `segment`. A segment with live
+    /// records stays: the copies of those records were lost. Its file still exists, since files are removed
+    /// only after the copies are durable.
+    fn retire_replayed(&mut self, retired_before: u64, segment: u64, retired_to: &mut u64) {
+        *retired_to = (*retired_to).max(retired_before);
+        while self.segments.front().is_some_and(|s| s.number < retired_before.min(segment) && s.live == 0) {
             let Some(Segment { number, size, checkpoint, .. }) = self.segments.pop_front() else { break };
-            self.doomed.push(Doomed { number, size, checkpoint, after: 0 });
+            self.retired.push(RetiredSegment { number, size, checkpoint, removable_after: 0 });
         }
     }
 
-    /// Reads a checkpoint in place of its segment: the number of the frame after the segment's last. `None`, with
-    /// nothing changed, where there is none that is good.
+    /// Reads a checkpoint in place of its segment and returns the number of the frame after the segment's
+    /// last one. Returns `None` and changes nothing if there is no valid checkpoint.
     fn replay_checkpoint(
         &mut self,
         header: Header,
@@ -561,7 +591,7 @@
         retired_to: &mut u64,
     ) -> Option<Seq> {
         let name = checkpoint::name(header.segment);
-        let length = self.listed_checkpoints.get(&header.segment).copied()?;
+        let length = self.found_checkpoints.get(&header.segment).copied()?;
         let mut file = vec![0; length as usize];
         self.folder.read_at(&name, 0, &mut file).ok()?;
         let (parts, next) = checkpoint::read(&file, header, size, void_from)?;
@@ -569,41 +599,44 @@
             return None;
         }
         self.segments.push_back(Segment { checkpoint: length, ..Segment::found(header.segment, size) });
-        self.used += rounded(size) + rounded(length);
+        self.used += disk_size(size) + disk_size(length);
         let (mut seq, mut at, mut body) = (header.first_seq, HEADER_LEN, 0);
         for op in parts.into_iter().flat_map(ops).flatten() {
             match op {
-                Op::Frame { seq: its, at: place, body: length } => {
-                    (seq, at, body) = (its, place as usize, length as usize);
-                    self.largest = self.largest.max((FRAME_HEADER_LEN + body) as u64);
+                Op::Frame { seq: its, at: location, body: length } => {
+                    (seq, at, body) = (its, location as usize, length as usize);
+                    self.largest_frame = self.largest_frame.max((FRAME_HEADER_LEN + body) as u64);
+                }
+                Op::Retire { retired_before } => {
+                    self.retire_replayed(retired_before, header.segment, retired_to)
                 }
-                Op::Retire { floor } => self.retire_found(floor, header.segment, retired_to),
-                Op::Sealed { .. } => {}
+                Op::CheckpointEnd { .. } => {}
                 op => self.index(header.segment, at, seq, body, op),
             }
         }
         Some(next)
     }
 
-    /// Removes what is left of given-up segments and of a write that was cut off.
-    fn clean(&mut self, last_good: Option<(u64, u64)>, blank: &[u64]) -> Result<(), Error> {
+    /// Removes the remains of retired segments and of an interrupted write.
+    fn clean_up(&mut self, last_good: Option<(u64, u64)>, blank: &[u64]) -> Result<(), Error> {
         if let Some((number, good)) = last_good
             && let Some(segment) = self.segments.back_mut().filter(|s| s.number == number)
         {
             let name = segment_name(number);
             let opened = self.folder.open(&name);
             let mut file = opened.map_err(|source| Error::Io { file: self.folder.show(&name), source })?;
-            // With what is behind the last good frame still there, nothing may follow it in this file.
-            let clean = segment.size == good || file.truncate(good).is_ok();
-            if clean {
-                self.used -= rounded(segment.size) - rounded(good);
+            // If the bytes after the last good frame can't be truncated, nothing may be appended to this
+            // file.
+            let truncated = segment.size == good || file.truncate(good).is_ok();
+            if truncated {
+                self.used -= disk_size(segment.size) - disk_size(good);
                 segment.size = good;
-                (self.active, self.seed) = (Some(file), Seed::new(self.id, number));
+                (self.active, self.codec) = (Some(file), FrameCodec::new(self.id, number));
                 self.dirty_active = true;
             }
         }
         if self.durability == Durability::Machine {
-            // What a process wrote that was killed may not last yet, and is acted on from now on.
+            // Writes of a killed process may not be synced yet, and this process relies on them from now on.
             let names = self.segments.iter().map(|s| segment_name(s.number));
             for name in names.collect::<Vec<_>>() {
                 let synced = self.folder.open(&name).and_then(|file| file.syncer()?());
@@ -612,51 +645,53 @@
             let synced = self.folder.syncer().and_then(|syncer| syncer());
             synced.map_err(|source| Error::Io { file: self.folder.show(""), source })?;
         }
-        for number in std::mem::take(&mut self.listed_checkpoints).into_keys() {
+        for number in std::mem::take(&mut self.found_checkpoints).into_keys() {
             if !self.segments.iter().any(|s| s.number == number && s.checkpoint > 0) {
                 let _ = self.folder.remove(&checkpoint::name(number));
             }
         }
-        // What could not be removed is replaced when its number comes up.
+        // A file that can't be removed is replaced when its number is used again.
         blank.iter().filter(|number| self.segments.back().is_none_or(|s| s.number < **number)).for_each(
             |n| {
                 let _ = self.folder.remove(&segment_name(*n));
             },
         );
-        self.remove_doomed();
+        self.remove_retired_files();
         Ok(())
     }
 
-    /// Removes the files of given-up segments, oldest first and no further than it gets: what a later one
-    /// deletes is in an earlier one. A machine that dies may forget one removal and remember a later one: there
-    /// each must last before the next.
-    fn remove_doomed(&mut self) {
-        while !self.removal_waits
-            && let Some(doomed) = self.doomed.first().filter(|d| d.after <= self.synced)
+    /// Removes the files of retired segments, oldest first, and stops at the first failure, because a segment
+    /// may delete records of earlier segments. After a machine crash one removal may be undone while a later
+    /// one took effect, so under [`Durability::Machine`] each removal must be synced before the next.
+    fn remove_retired_files(&mut self) {
+        while !self.removal_unsynced
+            && let Some(retired) = self.retired.first().filter(|d| d.removable_after <= self.synced)
         {
-            match self.folder.remove(&segment_name(doomed.number)) {
+            match self.folder.remove(&segment_name(retired.number)) {
                 Err(e) if e.kind() != io::ErrorKind::NotFound => return,
                 _ => {
-                    self.used -= rounded(doomed.size);
-                    if doomed.checkpoint > 0 {
-                        // One that stays is removed at the next start.
-                        let _ = self.folder.remove(&checkpoint::name(doomed.number));
-                        self.used -= rounded(doomed.checkpoint);
+                    self.used -= disk_size(retired.size);
+                    if retired.checkpoint > 0 {
+                        // If this fails, the file is removed at the next start.
+                        let _ = self.folder.remove(&checkpoint::name(retired.number));
+                        self.used -= disk_size(retired.checkpoint);
                     }
                     self.folder_dirty = true;
-                    self.removal_waits = self.durability == Durability::Machine;
-                    self.doomed.remove(0);
+                    self.removal_unsynced = self.durability == Durability::Machine;
+                    self.retired.remove(0);
                 }
             }
         }
     }
 
-    /// Writes a batch. Once this returns its number, it outlives the process; with [`Durability::Machine`] it
-    /// outlives the machine once [`Self::is_durable`] says so. Batches that keep a promise given earlier use this.
+    /// Writes a batch and returns its sequence number. The batch then survives a crash of the process; under
+    /// [`Durability::Machine`] it survives a crash of the machine once [`Self::is_durable`] returns true.
+    /// This does not check [`Self::has_room`], so that batches for which space was reserved earlier can be
+    /// written.
     ///
     /// # Errors
-    /// [`Error::TooLarge`], [`Error::NoTable`]; [`Error::Full`] or [`Error::Io`] where it could not be written:
-    /// then nothing of it has taken effect, and it may be tried again.
+    /// [`Error::TooLarge`] or [`Error::NoTable`] for an invalid batch; [`Error::Full`] or [`Error::Io`] if it
+    /// could not be written. In each case nothing was applied, and the call may be repeated.
     pub fn apply(&mut self, batch: &Batch) -> Result<Seq, Error> {
         let longest = ops(batch.bytes()).flatten().map(|op| match op {
             Op::Put { table, key, .. } | Op::Delete { table, key } => (table, key.len()),
@@ -680,7 +715,7 @@
         Ok(seq)
     }
 
-    /// Writes a batch that moves in from elsewhere: it may use the room that compaction needs otherwise.
+    /// Writes a batch that is imported from elsewhere. It may use the space reserved for compaction.
     ///
     /// # Errors
     /// As for [`Self::apply`].
@@ -691,49 +726,54 @@
         self.append(batch.bytes().to_vec(), Room::Compaction)
     }
 
-    /// From now on the files may take so many bytes together.
+    /// Changes the maximum total size of the files, in bytes.
     pub fn set_limit(&mut self, limit: u64) {
         self.limit = limit;
     }
 
-    /// Whether a batch of this size may be taken on where `promised` bytes of later batches have been, its own
-    /// among them: then all of them will find room, whatever else is written meanwhile.
+    /// Returns whether a batch of `batch` bytes may be accepted when `promised` bytes are reserved for later
+    /// batches, including those that follow from this one. If so, all of them will fit, whatever else is
+    /// written meanwhile.
     pub fn has_room(&self, batch: usize, promised: u64) -> bool {
         let frame = (FRAME_HEADER_LEN + batch) as u64;
-        let largest = self.largest.max(frame);
-        // What compaction needs to move a segment, the segment being written, and the rounding of all of them.
-        let apart = 4 * self.target.max(largest + HEADER_LEN as u64) + SEGMENTS * (HEADER_LEN as u64 + STEP);
-        let most = (self.limit / 8 * LIVE_EIGHTHS).min(self.limit.saturating_sub(apart));
+        let largest_frame = self.largest_frame.max(frame);
+        // Space to copy one segment, the active segment, and the rounding of all file sizes.
+        let apart = 4 * self.segment_target.max(largest_frame + HEADER_LEN as u64)
+            + SEGMENTS_PER_LIMIT * (HEADER_LEN as u64 + BLOCK);
+        let most = (self.limit / 8 * MAX_LIVE_EIGHTHS).min(self.limit.saturating_sub(apart));
         self.live.saturating_add(frame).saturating_add(promised) <= most
     }
 
-    fn spare(&self, room: Room) -> u64 {
+    fn headroom(&self, room: Room) -> u64 {
         match room {
             Room::Batch => {
-                2 * self.target.max(self.largest + HEADER_LEN as u64) + 2 * (HEADER_LEN as u64 + STEP)
+                2 * self.segment_target.max(self.largest_frame + HEADER_LEN as u64)
+                    + 2 * (HEADER_LEN as u64 + BLOCK)
             }
             Room::Compaction => 0,
         }
     }
 
-    fn must_roll(&self, frame: u64) -> bool {
-        let full =
-            self.segments.back().is_none_or(|s| s.size + frame > self.target && s.size > HEADER_LEN as u64);
-        self.active.is_none() || self.broken || full
+    fn needs_new_segment(&self, frame: u64) -> bool {
+        let full = self
+            .segments
+            .back()
+            .is_none_or(|s| s.size + frame > self.segment_target && s.size > HEADER_LEN as u64);
+        self.active.is_none() || self.tail_dirty || full
     }
 
     fn fits(&self, frame: u64, room: Room) -> bool {
-        let grows = match self.segments.back().filter(|_| !self.must_roll(frame)) {
-            Some(active) => active.takes(active.size + frame) - active.takes(active.size),
-            None => rounded(HEADER_LEN as u64 + frame),
+        let grows = match self.segments.back().filter(|_| !self.needs_new_segment(frame)) {
+            Some(active) => active.disk_size_at(active.size + frame) - active.disk_size_at(active.size),
+            None => disk_size(HEADER_LEN as u64 + frame),
         };
-        self.used.saturating_add(grows).saturating_add(self.spare(room)) <= self.limit
+        self.used.saturating_add(grows).saturating_add(self.headroom(room)) <= self.limit
     }
 
     fn append(&mut self, body: Vec<u8>, room: Room) -> Result<Seq, Error> {
-        self.write_again()?;
+        self.rewrite_unsynced()?;
         let frame = (FRAME_HEADER_LEN + body.len()) as u64;
-        self.largest = self.largest.max(frame);
+        self.largest_frame = self.largest_frame.max(frame);
         if !self.fits(frame, room) {
             if room == Room::Batch {
                 self.reclaim(frame);
@@ -742,45 +782,47 @@
                 return Err(Error::Full);
             }
         }
-        if self.must_roll(frame) {
-            self.roll(self.next)?;
+        if self.needs_new_segment(frame) {
+            self.start_segment(self.next)?;
         }
         let seq = self.next;
         let (segment, at) = self.write(seq, &body)?;
         self.next += 1;
         match self.durability {
             Durability::Process => self.synced = seq,
-            Durability::Machine => self.unsynced.push_back(Unsynced { segment, at, body }),
+            Durability::Machine => self.unsynced.push_back(UnsyncedFrame { segment, at, body }),
         }
         Ok(seq)
     }
 
-    /// Writes a frame to the active segment, takes its operations into the index, and tells where it is.
+    /// Writes a frame to the active segment, applies its operations to the index, and returns the segment's
+    /// number and the frame's offset.
     fn write(&mut self, seq: Seq, body: &[u8]) -> Result<(u64, u64), Error> {
         let (Some(file), Some(segment)) = (&mut self.active, self.segments.back_mut()) else {
             return Err(Error::Full);
         };
         let (number, at) = (segment.number, segment.size);
-        let bytes = self.seed.frame(at, seq, body);
+        let bytes = self.codec.encode_frame(at, seq, body);
         if let Err(source) = file.append(&bytes) {
-            // Guards what follows: frames behind half a frame would be lost with it.
-            self.broken = file.truncate(at).is_err();
-            if !self.broken {
-                self.used -= segment.takes(at) - rounded(at);
+            // Frames after a partial frame could not be read back, so the partial frame is truncated.
+            self.tail_dirty = file.truncate(at).is_err();
+            if !self.tail_dirty {
+                self.used -= segment.disk_size_at(at) - disk_size(at);
                 segment.reserved = 0;
             }
             return Err(Error::Io { file: self.folder.show(&segment_name(number)), source });
         }
         self.dirty_active = true;
-        let before = segment.takes(at);
+        let before = segment.disk_size_at(at);
         segment.size += bytes.len() as u64;
-        self.used += segment.takes(segment.size) - before;
+        self.used += segment.disk_size_at(segment.size) - before;
         for op in ops(body).flatten() {
             self.index(number, at as usize, seq, body.len(), op);
         }
-        if let Some(draft) = &mut self.draft {
+        if let Some(checkpoint_draft) = &mut self.checkpoint_draft {
             let tables = &self.tables;
-            draft.add(seq, at, body, |table| tables.get(usize::from(table)).is_some_and(|t| t.in_memory));
+            checkpoint_draft
+                .add(seq, at, body, |table| tables.get(usize::from(table)).is_some_and(|t| t.in_memory));
         }
         Ok((number, at))
     }
@@ -790,19 +832,19 @@
             Op::Put { table, key, .. }
             | Op::Delete { table, key }
             | Op::Lost { table, key }
-            | Op::Placed { table, key, .. } => (table, key),
-            Op::Retire { .. } | Op::Frame { .. } | Op::Sealed { .. } => return,
+            | Op::ValueRef { table, key, .. } => (table, key),
+            Op::Retire { .. } | Op::Frame { .. } | Op::CheckpointEnd { .. } => return,
         };
         let Some(of) = self.tables.get_mut(usize::from(table)) else { return };
         let put = match op {
             Op::Put { value, at, .. } => Some((value, at, value.len() as u32, false)),
-            Op::Placed { at, length, .. } => Some((&[][..], at as usize, length, false)),
+            Op::ValueRef { at, length, .. } => Some((&[][..], at as usize, length, false)),
             Op::Lost { .. } => Some((&[][..], 0, 0, true)),
             _ => None,
         };
         let old = match put {
             Some((value, value_at, length, lost)) => {
-                let place = Place {
+                let location = ValueLocation {
                     segment,
                     frame: at as u32,
                     body: body as u32,
@@ -812,42 +854,42 @@
                     lost,
                 };
                 let value = of.in_memory.then(|| Bytes::copy_from_slice(value));
-                let entry = Entry { place, value };
+                let entry = Entry { location, value };
                 let old = match of.entries.get_mut(key) {
                     Some(there) => Some(std::mem::replace(there, entry)),
                     None => of.entries.insert(key.into(), entry),
                 };
-                let weight = weight(key, place.length);
-                self.live += weight;
-                of.live += weight;
+                let record_size = record_size(key, location.length);
+                self.live += record_size;
+                of.live += record_size;
                 if let Some(s) = self.segments.iter_mut().rev().find(|s| s.number == segment) {
-                    s.live += weight;
+                    s.live += record_size;
                 }
                 old
             }
             None => of.entries.remove(key),
         };
         if let Some(old) = old {
-            let weight = weight(key, old.place.length);
-            self.live -= weight;
-            of.live -= weight;
-            lighten(&mut self.segments, old.place.segment, weight);
+            let record_size = record_size(key, old.location.length);
+            self.live -= record_size;
+            of.live -= record_size;
+            subtract_live(&mut self.segments, old.location.segment, record_size);
         }
     }
 
-    /// Takes a key out of the index without a record: for tables whose values tell when they are over, since the
-    /// key may be there again after the next start.
+    /// Removes a key from the index without writing a deletion. The key may reappear after a restart, so this
+    /// is only for tables whose values carry an expiry time. Returns whether the key existed.
     pub fn forget(&mut self, table: u8, key: &[u8]) -> bool {
         let Some(of) = self.tables.get_mut(usize::from(table)) else { return false };
         let Some(old) = of.entries.remove(key) else { return false };
-        let weight = weight(key, old.place.length);
-        self.live -= weight;
-        of.live -= weight;
-        lighten(&mut self.segments, old.place.segment, weight);
+        let record_size = record_size(key, old.location.length);
+        self.live -= record_size;
+        of.live -= record_size;
+        subtract_live(&mut self.segments, old.location.segment, record_size);
         true
     }
 
-    fn roll(&mut self, first_seq: Seq) -> Result<(), Error> {
+    fn start_segment(&mut self, first_seq: Seq) -> Result<(), Error> {
         if self.durability == Durability::Machine
             && self.dirty_active
             && let Some(file) = &self.active
@@ -857,17 +899,17 @@
             self.dirty.push(syncer.map_err(|source| Error::Io { file: self.folder.show(&name), source })?);
         }
         let number = self.segments.back().map_or(0, |s| s.number);
-        let number = self.doomed.last().map_or(0, |d| d.number).max(number) + 1;
-        // Not beyond a segment whose file may still be needed: copies made of it may not last yet.
+        let number = self.retired.last().map_or(0, |d| d.number).max(number) + 1;
+        // Excludes retired segments whose files may still be needed because the copies are not durable yet.
         let oldest = self.segments.front().map_or(number, |s| s.number);
-        let floor = self.doomed.first().map_or(oldest, |d| d.number.min(oldest));
-        self.release();
-        let sealed = self.segments.back().map(|s| (s.number, s.size));
-        let reserved = if self.may_reserve() { self.target } else { 0 };
-        let header = Header { store: self.id, segment: number, first_seq, floor, reserved };
+        let retired_before = self.retired.first().map_or(oldest, |d| d.number.min(oldest));
+        self.trim_reserved();
+        let previous = self.segments.back().map(|s| (s.number, s.size));
+        let reserved = if self.may_reserve() { self.segment_target } else { 0 };
+        let header = Header { store: self.id, segment: number, first_seq, retired_before, reserved };
         let name = segment_name(number);
         let created = match self.folder.create(&name) {
-            // Left over by a try that failed, and failed again to clean up.
+            // Left over from a failed attempt whose clean-up failed as well.
             Err(e) if e.kind() == io::ErrorKind::AlreadyExists => {
                 self.folder.remove(&name).and_then(|()| self.folder.create(&name))
             }
@@ -881,44 +923,52 @@
             }
         });
         let file = made.map_err(|source| Error::Io { file: self.folder.show(&name), source })?;
-        let was_broken = self.broken;
-        (self.active, self.broken, self.dirty_active, self.folder_dirty) = (Some(file), false, true, true);
-        self.seed = Seed::new(self.id, number);
-        let mut segment = Segment { fresh: Some(header), ..Segment::found(number, HEADER_LEN as u64) };
+        let had_dirty_tail = self.tail_dirty;
+        (self.active, self.tail_dirty, self.dirty_active, self.folder_dirty) =
+            (Some(file), false, true, true);
+        self.codec = FrameCodec::new(self.id, number);
+        let mut segment =
+            Segment { unsynced_header: Some(header), ..Segment::found(number, HEADER_LEN as u64) };
         let reserve = self.active.as_mut().filter(|_| reserved > 0).map(|file| file.reserve(reserved));
         if reserve.is_some_and(|done| done.is_ok()) {
             segment.reserved = reserved;
         }
-        self.used += segment.takes(segment.size);
+        self.used += segment.disk_size_at(segment.size);
         self.segments.push_back(segment);
-        // After a failed write the file may hold more than what counts.
-        let whole = self.draft.take().zip(sealed).filter(|_| !was_broken);
-        if let Some((draft, (number, size))) = whole {
-            self.drafted.push_back((number, first_seq - 1, draft.seal(size, first_seq)));
+        // After a failed write the file may contain bytes that are not part of the log.
+        let whole = self.checkpoint_draft.take().zip(previous).filter(|_| !had_dirty_tail);
+        if let Some((checkpoint_draft, (number, size))) = whole {
+            self.pending_checkpoints.push_back((
+                number,
+                first_seq - 1,
+                checkpoint_draft.seal(size, first_seq),
+            ));
         }
-        self.draft = self.checkpoints.then(|| Draft::new(header));
+        self.checkpoint_draft = self.checkpoints.then(|| Draft::new(header));
         Ok(())
     }
 
-    /// Where each write is synced, a segment's file is given its length ahead, if that leaves room enough.
+    /// Whether the next segment's file is preallocated: only if writes are synced and enough space remains.
     fn may_reserve(&self) -> bool {
-        let after = self.used.saturating_add(self.target).saturating_add(self.spare(Room::Batch));
-        self.durability == Durability::Machine && after <= self.limit
+        let used_after =
+            self.used.saturating_add(self.segment_target).saturating_add(self.headroom(Room::Batch));
+        self.durability == Durability::Machine && used_after <= self.limit
     }
 
-    /// The active segment's file takes no more than what is in it, before the next one is made.
-    fn release(&mut self) {
+    /// Truncates the preallocated rest of the active segment's file before the next segment is created.
+    fn trim_reserved(&mut self) {
         let (Some(file), Some(segment)) = (&mut self.active, self.segments.back_mut()) else { return };
-        if segment.reserved > 0 && !self.broken && file.truncate(segment.size).is_ok() {
-            self.used -= segment.takes(segment.size) - rounded(segment.size);
+        if segment.reserved > 0 && !self.tail_dirty && file.truncate(segment.size).is_ok() {
+            self.used -= segment.disk_size_at(segment.size) - disk_size(segment.size);
             segment.reserved = 0;
         }
     }
 
-    /// The value of a key, read from disk where its table is not held in memory. `Ok(None)` where there is none.
+    /// Returns the value of a key, read from disk if its table is not kept in memory. `Ok(None)` if the key
+    /// does not exist.
     ///
     /// # Errors
-    /// [`Error::Damaged`] where it is not what was written; [`Error::Io`] where it can't be read.
+    /// [`Error::Damaged`] if the value fails its checksum; [`Error::Io`] if it can't be read.
     pub fn get(&self, table: u8, key: &[u8]) -> Result<Option<Bytes>, Error> {
         let Some(entry) = self.tables.get(usize::from(table)).and_then(|t| t.entries.get(key)) else {
             return Ok(None);
@@ -927,31 +977,31 @@
     }
 
     fn value(&self, entry: &Entry) -> Result<Bytes, Error> {
-        let place = entry.place;
-        let name = segment_name(place.segment);
+        let location = entry.location;
+        let name = segment_name(location.segment);
         let damaged = || Error::Damaged { file: self.folder.show(&name) };
-        if place.lost {
+        if location.lost {
             return Err(damaged());
         }
         if let Some(value) = &entry.value {
             return Ok(value.clone());
         }
-        let mut frame = vec![0; FRAME_HEADER_LEN + place.body as usize];
-        let read = self.folder.read_at(&name, u64::from(place.frame), &mut frame);
+        let mut frame = vec![0; FRAME_HEADER_LEN + location.body as usize];
+        let read = self.folder.read_at(&name, u64::from(location.frame), &mut frame);
         read.map_err(|source| Error::Io { file: self.folder.show(&name), source })?;
-        let seed = Seed::new(self.id, place.segment);
-        match seed.next(&frame, u64::from(place.frame), true) {
-            Item::Frame { seq, body, .. } if seq == place.seq => {
-                let from = place.at as usize;
-                let value = body.get(from..from + place.length as usize).ok_or_else(damaged)?;
+        let codec = FrameCodec::new(self.id, location.segment);
+        match codec.read_item(&frame, u64::from(location.frame), true) {
+            Item::Frame { seq, body, .. } if seq == location.seq => {
+                let from = location.at as usize;
+                let value = body.get(from..from + location.length as usize).ok_or_else(damaged)?;
                 Ok(Bytes::copy_from_slice(value))
             }
             _ => Err(damaged()),
         }
     }
 
-    /// The keys of a table in order, from one on (all with an empty key), each with the number of the frame that
-    /// it was last written in and its value where the table is held in memory.
+    /// Iterates over the keys of a table in order, starting at `from` (an empty key for all). Each comes with
+    /// the number of the frame that last wrote it and, if the table is kept in memory, its value.
     pub fn keys<'a>(
         &'a self,
         table: u8,
@@ -960,78 +1010,83 @@
         let entries = self.tables.get(usize::from(table)).map(|t| &t.entries);
         let bounds = (Bound::Included(from), Bound::Unbounded);
         let range = entries.map(|entries| entries.range::<[u8], _>(bounds));
-        range.into_iter().flatten().map(|(key, e)| (&key[..], e.place.seq, e.value.as_ref()))
+        range.into_iter().flatten().map(|(key, e)| (&key[..], e.location.seq, e.value.as_ref()))
     }
 
-    /// Whether a key is there.
+    /// Returns whether a key exists.
     pub fn contains(&self, table: u8, key: &[u8]) -> bool {
         self.tables.get(usize::from(table)).is_some_and(|t| t.entries.contains_key(key))
     }
 
-    /// How many keys a table has.
+    /// Returns the number of keys in a table.
     pub fn len(&self, table: u8) -> usize {
         self.tables.get(usize::from(table)).map_or(0, |t| t.entries.len())
     }
 
-    /// Whether a table has no keys.
+    /// Returns whether a table has no keys.
     pub fn is_empty(&self, table: u8) -> bool {
         self.len(table) == 0
     }
 
-    /// Bytes that the live records of a table take.
+    /// Returns the total size of a table's live records in bytes.
     pub fn live_bytes(&self, table: u8) -> u64 {
         self.tables.get(usize::from(table)).map_or(0, |t| t.live)
     }
 
-    /// Figures.
+    /// Returns the current statistics.
     pub fn stats(&self) -> Stats {
-        let segments = self.segments.len() + self.doomed.len();
+        let segments = self.segments.len() + self.retired.len();
         Stats { used: self.used, live: self.live, segments, ..self.stats }
     }
 
-    /// Number, bytes and bytes of live records of each segment that is in use, oldest first.
+    /// Iterates over the segments in use, oldest first: number, size and size of the live records, in bytes.
     pub fn segments(&self) -> impl Iterator<Item = (u64, u64, u64)> + '_ {
         self.segments.iter().map(|s| (s.number, s.size, s.live))
     }
 
-    /// The limit of the folder, bytes.
+    /// Returns the maximum total size of the files in bytes.
     pub fn limit(&self) -> u64 {
         self.limit
     }
 
-    /// The folder.
+    /// Returns the folder.
     pub fn folder(&self) -> &F {
         &self.folder
     }
 
-    /// Number of the next frame.
+    /// Returns the sequence number of the next frame.
     pub fn next_seq(&self) -> Seq {
         self.next
     }
 
     // Compaction.
 
-    /// What there is beyond live data is worth a step.
+    /// Whether there is enough dead data for a compaction step.
     fn worth_compacting(&self) -> bool {
-        // With removals that wait for the disk more copies would only take room.
-        self.used > self.live * 5 / 4 + 6 * self.target && self.segments.len() > 1 && self.doomed.len() < 4
+        // While retired files wait for a sync, further copies would only use more space.
+        self.used > self.live * 5 / 4 + 6 * self.segment_target
+            && self.segments.len() > 1
+            && self.retired.len() < 4
     }
 
     fn compact_some(&mut self, scan: usize) {
-        self.remove_doomed();
+        self.remove_retired_files();
         self.write_checkpoint();
         if self.worth_compacting() {
-            // What fails is tried again with the next batch; nothing depends on it before there is no room.
-            let _ = self.compact_step(scan.clamp(SCAN_LEAST, SCAN_MOST));
+            // A failure is retried with the next batch; nothing depends on compaction until space runs out.
+            let _ = self.compact_step(scan.clamp(SCAN_MIN, SCAN_MAX));
         }
     }
 
-    /// Writes one checkpoint that is due. Nothing depends on it.
+    /// Writes one pending checkpoint whose segment is durable. A failure is ignored: the segment is read
+    /// instead.
     fn write_checkpoint(&mut self) {
-        let Some((number, _, file)) = self.drafted.pop_front_if(|(_, upto, _)| *upto <= self.synced) else {
+        let Some((number, _, file)) =
+            self.pending_checkpoints.pop_front_if(|(_, up_to, _)| *up_to <= self.synced)
+        else {
             return;
         };
-        let fits = self.used + rounded(file.len() as u64) + self.spare(Room::Batch) <= self.limit;
+        let fits = self.used + disk_size(file.len() as u64) + self.headroom(Room::Batch) <= self.limit;
         let Some(segment) = self.segments.iter_mut().find(|s| s.number == number && fits) else { return };
         let name = checkpoint::name(number);
         let made = self.folder.create(&name).and_then(|mut to| to.append(&file));
@@ -1040,21 +1095,21 @@
             return;
         }
         segment.checkpoint = file.len() as u64;
-        self.used += rounded(segment.checkpoint);
+        self.used += disk_size(segment.checkpoint);
     }
 
-    /// Compacts for a while where that is worth it: for quiet times. Whether anything was done.
+    /// Runs one compaction step if worthwhile; for idle times. Returns whether a step was attempted.
     pub fn maintain(&mut self) -> bool {
         let worth = self.worth_compacting();
-        self.compact_some(SCAN_MOST);
+        self.compact_some(SCAN_MAX);
         worth
     }
 
-    /// Scans so many bytes of the oldest segment and writes again what is live there; gives the segment up at
-    /// its end. Whether there was anything to do.
+    /// Scans up to `scan` bytes of the oldest segment, rewrites the live records found, and retires the
+    /// segment at its end. Returns whether there was a segment to compact.
     fn compact_step(&mut self, scan: usize) -> Result<bool, Error> {
-        // Nothing is read back before it is all there.
-        self.write_again()?;
+        // Frames awaiting a rewrite must be on disk before they are read back.
+        self.rewrite_unsynced()?;
         let Some(oldest) = self.segments.front().filter(|_| self.segments.len() > 1) else {
             return Ok(false);
         };
@@ -1071,24 +1126,24 @@
         if let Err(source) = self.folder.read_at(&name, read_to, &mut self.cursor.read[had..]) {
             self.cursor.read.truncate(had);
             if matches!(source.kind(), io::ErrorKind::UnexpectedEof | io::ErrorKind::NotFound) {
-                // Somebody else has cut or removed it: it does not come back.
-                self.rescue(number)?;
+                // Another process truncated or removed the file, so its content is lost.
+                self.preserve_unreadable(number)?;
                 return self.retire(number).map(|()| true);
             }
             return Err(Error::Io { file: self.folder.show(&name), source });
         }
         let last = read_to + more as u64 >= size;
-        let seed = Seed::new(self.id, number);
+        let codec = FrameCodec::new(self.id, number);
         let buffer = std::mem::take(&mut self.cursor.read);
         let (mut done, mut at_end) = (0, false);
         let mut copies = Batch::new();
         let mut result = Ok(());
         loop {
             let at = self.cursor.at + done as u64;
-            match seed.next(&buffer[done..], at, last) {
-                Item::Frame { body, whole, .. } => {
+            match codec.read_item(&buffer[done..], at, last) {
+                Item::Frame { body, len, .. } => {
                     for op in ops(body).flatten() {
-                        let (before, most) = (copies.bytes().len(), self.longest_copies());
+                        let (before, most) = (copies.bytes().len(), self.max_copy_batch_len());
                         self.copy_live(number, at, op, &mut copies);
                         if before > 0 && copies.bytes().len() > most {
                             let rest = copies.split_off(before);
@@ -1099,12 +1154,12 @@
                             break;
                         }
                     }
-                    done += whole;
+                    done += len;
                     if result.is_err() {
                         break;
                     }
                 }
-                Item::Spoilt(length) => done += length,
+                Item::Corrupt(length) => done += length,
                 Item::More => break,
                 Item::Torn(_) | Item::End => {
                     at_end = true;
@@ -1114,32 +1169,32 @@
         }
         let result = result.and_then(|()| self.append_copies(&mut copies));
         if let Err(e) = result {
-            // From the segment's start again: what has been copied is not live there any more.
-            self.cursor = Cursor::default();
+            // Restart at the segment's beginning: records already copied are no longer live in it.
+            self.cursor = CompactionCursor::default();
             return Err(e);
         }
         self.cursor.read = buffer[done..].to_vec();
         self.cursor.at += done as u64;
         if at_end {
-            self.rescue(number)?;
+            self.preserve_unreadable(number)?;
             self.retire(number)?;
         }
         Ok(true)
     }
 
-    /// Frames of copies stay small, so that they find room where a segment's rest would not take all.
-    fn longest_copies(&self) -> usize {
-        (self.target / 4).min(64 * 1024) as usize
+    /// Maximum bytes of copied records in one frame. Small frames fit into the rest of a segment.
+    fn max_copy_batch_len(&self) -> usize {
+        (self.segment_target / 4).min(64 * 1024) as usize
     }
 
-    /// Puts what of an operation is still live into `copies`.
+    /// Appends an operation to `copies` if its record is still live in this frame.
     fn copy_live(&self, segment: u64, frame: u64, op: Op<'_>, copies: &mut Batch) {
         let (table, key) = match op {
             Op::Put { table, key, .. } | Op::Lost { table, key } => (table, key),
             _ => return,
         };
         let entry = self.tables.get(usize::from(table)).and_then(|t| t.entries.get(key));
-        let here = |e: &&Entry| e.place.segment == segment && u64::from(e.place.frame) == frame;
+        let here = |e: &&Entry| e.location.segment == segment && u64::from(e.location.frame) == frame;
         if entry.filter(here).is_none() {
             return;
         }
@@ -1160,21 +1215,22 @@
         self.append(body, Room::Compaction).map(drop)
     }
 
-    /// What is live in the segment though its frames were not found any more: the file was damaged under the
-    /// running process. Values in memory are written again; of the others it is noted that they are lost.
-    fn rescue(&mut self, segment: u64) -> Result<(), Error> {
+    /// Handles records that are still live in the segment although their frames can no longer be read: the
+    /// file was damaged while the process ran. Values in memory are rewritten; the others are recorded as
+    /// lost.
+    fn preserve_unreadable(&mut self, segment: u64) -> Result<(), Error> {
         let left = self.segments.front().is_some_and(|s| s.number == segment && s.live > 0);
         if !left {
             return Ok(());
         }
         let mut frames = vec![Batch::new()];
         for (number, table) in (0..).zip(&self.tables) {
-            for (key, entry) in table.entries.iter().filter(|(_, e)| e.place.segment == segment) {
-                if frames.last().is_some_and(|b| b.bytes().len() > self.longest_copies() / 2) {
+            for (key, entry) in table.entries.iter().filter(|(_, e)| e.location.segment == segment) {
+                if frames.last().is_some_and(|b| b.bytes().len() > self.max_copy_batch_len() / 2) {
                     frames.push(Batch::new());
                 }
                 let Some(batch) = frames.last_mut() else { continue };
-                match entry.value.as_ref().filter(|_| !entry.place.lost) {
+                match entry.value.as_ref().filter(|_| !entry.location.lost) {
                     Some(value) => {
                         batch.put(number, key, value);
                     }
@@ -1188,29 +1244,29 @@
     fn retire(&mut self, number: u64) -> Result<(), Error> {
         let mut batch = Batch::new();
         batch.retire(number + 1);
-        let after = self.append(batch.bytes().to_vec(), Room::Compaction)?;
+        let removable_after = self.append(batch.bytes().to_vec(), Room::Compaction)?;
         self.stats.copied += (FRAME_HEADER_LEN + batch.bytes().len()) as u64;
         self.stats.retired += 1;
-        self.cursor = Cursor::default();
+        self.cursor = CompactionCursor::default();
         if let Some(segment) = self.segments.pop_front() {
             let (size, checkpoint) = (segment.size.max(segment.reserved), segment.checkpoint);
-            self.doomed.push(Doomed { number, size, checkpoint, after });
+            self.retired.push(RetiredSegment { number, size, checkpoint, removable_after });
         }
-        self.remove_doomed();
+        self.remove_retired_files();
         Ok(())
     }
 
-    /// Compacts until a batch of this size fits, once round the log at most.
+    /// Compacts until a frame of this size fits, for at most one pass over the log.
     fn reclaim(&mut self, frame: u64) {
         let newest = self.segments.back().map_or(0, |s| s.number);
         while !self.fits(frame, Room::Batch) {
-            // Room that only waits for the disk comes first: further copies would need some themselves.
-            let doomed = self.doomed.len();
-            if doomed > 0 && self.durability == Durability::Machine {
+            // Space that only awaits a sync is freed first, because further copies need space themselves.
+            let retired = self.retired.len();
+            if retired > 0 && self.durability == Durability::Machine {
                 if self.sync().is_err() {
                     break;
                 }
-                if self.doomed.len() < doomed {
+                if self.retired.len() < retired {
                     continue;
                 }
             }
@@ -1218,27 +1274,30 @@
             if oldest > newest {
                 break;
             }
-            // The one that is written to is compacted too.
-            if self.segments.len() == 1 && (self.used + STEP > self.limit || self.roll(self.next).is_err()) {
+            // The active segment is compacted as well.
+            if self.segments.len() == 1
+                && (self.used + BLOCK > self.limit || self.start_segment(self.next).is_err())
+            {
                 break;
             }
-            if self.compact_step(SCAN_MOST).is_err() {
+            if self.compact_step(SCAN_MAX).is_err() {
                 break;
             }
         }
     }
 
-    /// Compacts all of it, as far as there is room: for operators, not for a running loop.
+    /// Compacts all segments, as far as there is space, and reports statistics after each step. A maintenance
+    /// operation: it blocks for long.
     ///
     /// # Errors
     /// As for [`Self::apply`].
     pub fn compact(&mut self, mut progress: impl FnMut(Stats)) -> Result<(), Error> {
         let newest = self.segments.back().map_or(0, |s| s.number);
         if self.segments.len() == 1 {
-            self.roll(self.next)?;
+            self.start_segment(self.next)?;
         }
         while self.segments.front().is_some_and(|s| s.number <= newest) {
-            self.compact_step(SCAN_MOST)?;
+            self.compact_step(SCAN_MAX)?;
             progress(self.stats());
             if self.segments.len() == 1 {
                 break;
@@ -1247,24 +1306,25 @@
         if self.durability == Durability::Machine {
             self.sync()?;
         }
-        self.remove_doomed();
+        self.remove_retired_files();
         Ok(())
     }
 
     // Durability.
 
-    /// Whether the batch of this number outlives what it is meant to.
+    /// Returns whether the batch with this sequence number is durable as configured.
     pub fn is_durable(&self, seq: Seq) -> bool {
         seq <= self.synced
     }
 
-    /// A job that makes all that was written so far last; `None` where all of it does. One at a time.
+    /// Returns a job that syncs everything written so far; `None` if it is durable already. Only one job may
+    /// be outstanding at a time.
     ///
     /// # Errors
-    /// [`Error::Io`] where a handle can't be had.
+    /// [`Error::Io`] if a sync handle can't be created.
     pub fn sync_job(&mut self) -> Result<Option<SyncJob>, Error> {
-        self.write_again()?;
-        let removing = self.removal_waits && !self.doomed.is_empty();
+        self.rewrite_unsynced()?;
+        let removing = self.removal_unsynced && !self.retired.is_empty();
         if self.durability == Durability::Process || self.synced + 1 >= self.next && !removing {
             return Ok(None);
         }
@@ -1279,58 +1339,61 @@
         }
         let folder = std::mem::take(&mut self.folder_dirty);
         self.dirty_active = false;
-        Ok(Some(SyncJob { syncers, folder, upto: self.next - 1 }))
+        Ok(Some(SyncJob { syncers, folder, up_to: self.next - 1 }))
     }
 
-    /// Takes in what came of a job. After a failed one the kernel may have dropped what it could not write and
-    /// take it for written: all that does not last yet is written again, to the same places.
+    /// Processes the result of a job. After a failed sync the kernel may have dropped dirty pages and marked
+    /// them clean, so all frames that are not durable yet are rewritten at the same offsets.
     ///
     /// # Errors
-    /// [`Error::Io`] where the job failed; what was waiting for it does not last yet.
+    /// [`Error::Io`] if the job failed; the frames it covered are not durable yet.
     pub fn finish_sync(&mut self, synced: SyncResult) -> Result<(), Error> {
         match synced.done {
             Ok(()) => {
-                while self.synced < synced.upto {
+                while self.synced < synced.up_to {
                     self.synced += 1;
                     self.unsynced.pop_front();
                 }
-                // Those with frames that the job did not cover have their header in it all the same.
+                // The headers of segments with frames beyond the job were covered by it as well.
                 let active = self.unsynced.front().map_or(u64::MAX, |u| u.segment);
-                self.segments.iter_mut().filter(|s| s.number <= active).for_each(|s| s.fresh = None);
-                self.removal_waits &= !synced.folder;
-                self.remove_doomed();
+                self.segments
+                    .iter_mut()
+                    .filter(|s| s.number <= active)
+                    .for_each(|s| s.unsynced_header = None);
+                self.removal_unsynced &= !synced.folder;
+                self.remove_retired_files();
                 Ok(())
             }
             Err(source) => {
-                // What the job took with it is asked for again.
+                // The next job must sync the folder again.
                 self.folder_dirty |= synced.folder;
                 let name = self.segments.back().map(|s| segment_name(s.number)).unwrap_or_default();
                 let failed = Error::Io { file: self.folder.show(&name), source };
-                self.broken_off = true;
-                self.write_again()?;
+                self.rewrite_pending = true;
+                self.rewrite_unsynced()?;
                 Err(failed)
             }
         }
     }
 
-    /// Writes what does not last yet again to where it was, if a failed sync asks for that.
-    fn write_again(&mut self) -> Result<(), Error> {
-        if !self.broken_off {
+    /// After a failed sync, rewrites the frames that are not durable at their offsets.
+    fn rewrite_unsynced(&mut self) -> Result<(), Error> {
+        if !self.rewrite_pending {
             return Ok(());
         }
         let first = self.unsynced.front().map_or(u64::MAX, |u| u.segment);
-        let touched = |s: &&Segment| s.number >= first || s.fresh.is_some();
+        let touched = |s: &&Segment| s.number >= first || s.unsynced_header.is_some();
         let touched: Vec<(u64, Option<Header>)> =
-            self.segments.iter().filter(touched).map(|s| (s.number, s.fresh)).collect();
+            self.segments.iter().filter(touched).map(|s| (s.number, s.unsynced_header)).collect();
         let active = self.segments.back().map(|s| s.number);
-        for (number, fresh) in touched {
+        for (number, unsynced_header) in touched {
             let mut frames =
                 (self.synced + 1..).zip(&self.unsynced).filter(|(_, u)| u.segment == number).peekable();
             let from = frames.peek().map(|(_, u)| u.at);
-            let Some(from) = fresh.map(|_| 0).or(from) else { continue };
-            let seed = Seed::new(self.id, number);
-            let mut bytes = fresh.map(|header| header.encode().to_vec()).unwrap_or_default();
-            frames.for_each(|(seq, u)| bytes.extend(seed.frame(u.at, seq, &u.body)));
+            let Some(from) = unsynced_header.map(|_| 0).or(from) else { continue };
+            let codec = FrameCodec::new(self.id, number);
+            let mut bytes = unsynced_header.map(|header| header.encode().to_vec()).unwrap_or_default();
+            frames.for_each(|(seq, u)| bytes.extend(codec.encode_frame(u.at, seq, &u.body)));
             let name = segment_name(number);
             let written = self.folder.open(&name).and_then(|mut file| {
                 file.truncate(from)?;
@@ -1342,19 +1405,19 @@
             });
             written.map_err(|source| Error::Io { file: self.folder.show(&name), source })?;
             if let Some(segment) = self.segments.iter_mut().find(|s| s.number == number) {
-                // Cutting it took back what had been reserved.
-                self.used -= segment.takes(segment.size) - rounded(segment.size);
+                // Truncating the file dropped its preallocated space.
+                self.used -= segment.disk_size_at(segment.size) - disk_size(segment.size);
                 segment.reserved = 0;
             }
         }
-        (self.dirty_active, self.folder_dirty, self.broken_off) = (true, true, false);
+        (self.dirty_active, self.folder_dirty, self.rewrite_pending) = (true, true, false);
         Ok(())
     }
 
-    /// Makes all that was written so far last, waiting for it.
+    /// Syncs everything written so far and waits for it.
     ///
     /// # Errors
-    /// [`Error::Io`] where the disk refuses.
+    /// [`Error::Io`] if the sync fails.
     pub fn sync(&mut self) -> Result<(), Error> {
         match self.sync_job()? {
             Some(job) => {
@@ -1366,18 +1429,18 @@
     }
 }
 
-/// Bytes that a live record takes, in a frame of its own.
-fn weight(key: &[u8], value: u32) -> u64 {
+/// Size in bytes of a live record in a frame of its own.
+fn record_size(key: &[u8], value: u32) -> u64 {
     (FRAME_HEADER_LEN + PUT_HEADER_LEN + key.len()) as u64 + u64::from(value)
 }
 
-fn lighten(segments: &mut VecDeque<Segment>, number: u64, weight: u64) {
+fn subtract_live(segments: &mut VecDeque<Segment>, number: u64, record_size: u64) {
     if let Some(first) = segments.front().map(|s| s.number)
         && let Some(segment) = number.checked_sub(first).and_then(|n| segments.get_mut(n as usize))
         && segment.number == number
     {
-        segment.live = segment.live.saturating_sub(weight);
+        segment.live = segment.live.saturating_sub(record_size);
     } else if let Some(segment) = segments.iter_mut().find(|s| s.number == number) {
-        segment.live = segment.live.saturating_sub(weight);
+        segment.live = segment.live.saturating_sub(record_size);
     }
 }
--- a/store/tests/model.rs
+++ b/store/tests/model.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use millpost_store::format::{Header, Item, Seed, ops};
+use millpost_store::format::{FrameCodec, Header, Item, ops};
 use millpost_store::memory::{Faults, Memory};
 use millpost_store::{Batch, Durability, Error, Ledger, Options, Store};
 use proptest::prelude::*;
@@ -86,7 +86,7 @@
                     drop(begin(&folder, durability));
                     let mut files = folder.files();
                     if let Some((_, file)) = files.iter_mut().rfind(|(_, f)| f.len() >= 128) {
-                        let frame = Seed::new(77, 1).frame(0, 0, &vec![7; usize::from(*torn)]);
+                        let frame = FrameCodec::new(77, 1).encode_frame(0, 0, &vec![7; usize::from(*torn)]);
                         file.extend_from_slice(&frame[..frame.len().min(19)]);
                     }
                     let folder_again = Memory::with(files);
@@ -135,17 +135,17 @@
 
     #[test]
     fn no_bytes_make_the_decoder_panic(bytes in prop::collection::vec(any::<u8>(), 0..600), last in any::<bool>()) {
-        let seed = Seed::new(77, 1);
+        let codec = FrameCodec::new(77, 1);
         let _ = Header::decode(&bytes);
         let _ = ops(&bytes).count();
         let mut at = 0;
-        while let Item::Spoilt(length) | Item::Frame { whole: length, .. } = seed.next(&bytes[at..], at as u64, last) {
+        while let Item::Corrupt(length) | Item::Frame { len: length, .. } = codec.read_item(&bytes[at..], at as u64, last) {
             assert!(length > 0 && at + length <= bytes.len());
             at += length;
         }
         // Behind a good header, and a good frame with any body.
-        let header = Header { store: 77, segment: 1, first_seq: 1, floor: 0, reserved: 0 }.encode();
-        let frame = seed.frame(header.len() as u64, 1, &bytes);
+        let header = Header { store: 77, segment: 1, first_seq: 1, retired_before: 0, reserved: 0 }.encode();
+        let frame = codec.encode_frame(header.len() as u64, 1, &bytes);
         for rest in [bytes.clone(), [frame, bytes].concat()] {
             let files = [("000000000001.seg".to_owned(), [&header[..], &rest].concat())];
             let folder = Memory::with(files.into_iter().collect());
@@ -306,11 +306,11 @@
     // Found by the fuzzer: a good checksum says nothing of the numbers.
     let (files, model) = with_checkpoints();
     let header = Header::decode(&files["000000000001.seg"]).expect("a header");
-    let seed = Seed::new(header.store, header.segment);
+    let codec = FrameCodec::new(header.store, header.segment);
     let mut body = vec![5, 0, 16, 0];
     body.extend_from_slice(&[0xff; 16]);
     for seq in [1, u64::MAX] {
-        let file = [&header.encode()[..], &seed.frame(128, seq, &body)].concat();
+        let file = [&header.encode()[..], &codec.encode_frame(128, seq, &body)].concat();
         let mut files = files.clone();
         files.insert("000000000001.sum".to_owned(), file);
         let (ledger, opened) = open(files, 1_000_000, Durability::Process);
