--- a/store/src/bin/millpost-store.rs
+++ b/store/src/bin/millpost-store.rs
@@ -1,4 +1,4 @@
-//! Looks after a dispatcher's store: `millpost-store inspect|verify|compact|export DIR`.
+//! Maintenance tool for a dispatcher's store: `millpost-store inspect|verify|compact|export DIR`.
 
 use std::io::{self, BufWriter, Write};
 use std::path::{Path, PathBuf};
@@ -81,7 +81,7 @@
     Ok(Some(Call { command: command.string()?, folder: folder.into(), disk_mb, bodies }))
 }
 
-/// Reads the store; again where the dispatcher removed a segment meanwhile.
+/// Reads the store. Retries if a running dispatcher removes a segment in the meantime.
 fn read(folder: &Path) -> Result<(Store<Disk>, Recovery), String> {
     let shown = folder.display();
     if !folder.is_dir() {
@@ -249,7 +249,7 @@
 }
 
 fn compact(call: &Call, out: &mut impl Write) -> Result<bool, String> {
-    // Nothing is made where there is nothing.
+    // Read first, so that no store is created in a folder without one.
     let (before, _) = read(&call.folder)?;
     let before = before.stats();
     let limit = (call.disk_mb * 1e6) as u64;
--- a/store/src/folder.rs
+++ b/store/src/folder.rs
@@ -1,5 +1,5 @@
-//! The file system as the store sees it: a folder of append-only files. Behind a trait, so that tests can cut,
-//! tear, fill and fail it.
+//! The file system interface of the store: a folder of append-only files. It is a trait, so that tests can
+//! truncate files, tear writes, exhaust the space and inject errors.
 
 use std::cell::RefCell;
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -10,101 +10,101 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Makes what was written last; may run on a thread of its own.
+/// Syncs what was written before it was created. May run on another thread.
 pub type Syncer = Box<dyn FnOnce() -> io::Result<()> + Send>;
 
-/// A folder that only this process writes to.
+/// A folder to which only this process writes.
 pub trait Folder {
-    /// A file that is open for appending.
+    /// A file opened for appending.
     type File: Append;
-    /// Names and sizes of the files.
+    /// Lists the names and sizes in bytes of the files.
     ///
     /// # Errors
-    /// As the file system says; so for all functions here.
+    /// Errors of the file system.
     fn list(&self) -> io::Result<Vec<(String, u64)>>;
-    /// Makes a file that must not exist yet.
+    /// Creates a file.
     ///
     /// # Errors
-    /// Also where the file exists.
+    /// Errors of the file system; [`io::ErrorKind::AlreadyExists`] if the file exists.
     fn create(&mut self, name: &str) -> io::Result<Self::File>;
     /// Opens a file for appending.
     ///
     /// # Errors
-    /// Also where there is none.
+    /// Errors of the file system; also if the file does not exist.
     fn open(&mut self, name: &str) -> io::Result<Self::File>;
-    /// Fills the buffer from this offset on.
+    /// Fills the buffer with the bytes from offset `at` on.
     ///
     /// # Errors
-    /// Also where the file ends before that.
+    /// Errors of the file system; also if the file ends before the buffer is full.
     fn read_at(&self, name: &str, at: u64, buffer: &mut [u8]) -> io::Result<()>;
     /// Removes a file.
     ///
     /// # Errors
-    /// As the file system says.
+    /// Errors of the file system.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes what was created and removed last.
+    /// Returns a syncer for the files created and removed so far.
     ///
     /// # Errors
-    /// As the file system says.
+    /// Errors of the file system.
     fn syncer(&self) -> io::Result<Syncer>;
-    /// How a file is named to people.
+    /// Returns the name of a file for messages; an empty name denotes the folder.
     fn show(&self, name: &str) -> String;
 }
 
-/// A file that grows at its end.
+/// An append-only file.
 pub trait Append {
-    /// Writes all of it at the end of the file.
+    /// Writes all bytes at the end of the file.
     ///
     /// # Errors
-    /// Part of it may have been written.
+    /// Errors of the file system. Part of the bytes may have been written.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Gives the file this length ahead of what will be appended, with zeros: to sync what is written within a
-    /// file's length costs less than to sync its growth. What is appended goes where it would have gone.
+    /// Preallocates the file to this length with zeros: syncing writes timeout a file's length is cheaper
+    /// than syncing its growth. The position of the next append does not change.
     ///
     /// # Errors
-    /// As the file system says.
+    /// Errors of the file system.
     fn reserve(&mut self, length: u64) -> io::Result<()>;
-    /// Cuts the file to this length.
+    /// Truncates the file to this length.
     ///
     /// # Errors
-    /// As the file system says.
+    /// Errors of the file system.
     fn truncate(&mut self, length: u64) -> io::Result<()>;
-    /// Makes what was appended so far last, once it is called.
+    /// Returns a syncer for what was appended so far.
     ///
     /// # Errors
-    /// As the file system says.
+    /// Errors of the file system.
     fn syncer(&self) -> io::Result<Syncer>;
 }
 
-/// A folder of the real file system.
+/// A folder on disk.
 pub struct Disk {
     path: PathBuf,
-    /// Held for as long as the folder is written to.
+    /// The lock file, locked while the folder is open for writing.
     _lock: Option<File>,
-    /// The file read last: who reads all values reads many from each.
+    /// The file read last, kept open because successive reads are mostly from the same file.
     last_read: RefCell<Option<(String, File)>>,
 }
 
-const LOCK: &str = "lock";
-const LOCK_WITHIN: Duration = Duration::from_millis(1_000);
-const LOCK_AGAIN: Duration = Duration::from_millis(20);
+const LOCK_FILE: &str = "lock";
+const LOCK_TIMEOUT: Duration = Duration::from_millis(1_000);
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Disk {
-    /// Makes the folder if need be and locks it for this process.
+    /// Creates the folder if necessary and locks it for this process.
     ///
     /// # Errors
-    /// [`io::ErrorKind::WouldBlock`] where another process holds it.
+    /// [`io::ErrorKind::WouldBlock`] if another process holds the lock for longer than one second.
     pub fn open(path: &Path) -> io::Result<Self> {
-        Self::open_within(path, LOCK_WITHIN)
+        Self::open_within(path, LOCK_TIMEOUT)
     }
 
-    /// The same, waiting no longer than this for another process to let go of it.
+    /// Like [`Self::open`], waiting at most `timeout` for another process to release the lock.
     ///
     /// # Errors
-    /// As there.
-    pub fn open_within(path: &Path, within: Duration) -> io::Result<Self> {
+    /// [`io::ErrorKind::WouldBlock`] if another process holds the lock for longer.
+    pub fn open_within(path: &Path, timeout: Duration) -> io::Result<Self> {
         fs::create_dir_all(path)?;
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK))?;
+        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK_FILE))?;
         let began = Instant::now();
         loop {
             match lock.try_lock() {
@@ -115,18 +115,20 @@
                         last_read: RefCell::default(),
                     });
                 }
-                // A process that is just ending, or one that is between fork and exec, holds it a little longer.
-                Err(TryLockError::WouldBlock) if began.elapsed() < within => thread::sleep(LOCK_AGAIN),
+                // A process that is exiting, or that is between fork and exec, holds the lock briefly.
+                Err(TryLockError::WouldBlock) if began.elapsed() < timeout => {
+                    thread::sleep(LOCK_RETRY_INTERVAL)
+                }
                 Err(TryLockError::WouldBlock) => {
-                    let why = format!("{} is in use by another process", path.display());
-                    return Err(io::Error::new(io::ErrorKind::WouldBlock, why));
+                    let message = format!("{} is in use by another process", path.display());
+                    return Err(io::Error::new(io::ErrorKind::WouldBlock, message));
                 }
                 Err(TryLockError::Error(e)) => return Err(e),
             }
         }
     }
 
-    /// The folder for reading alone, also while another process writes to it.
+    /// Opens the folder for reading only, which is possible while another process writes to it.
     pub fn read_only(path: &Path) -> Self {
         Disk { path: path.to_owned(), _lock: None, last_read: RefCell::default() }
     }
@@ -143,7 +145,7 @@
                 Ok(meta) if meta.is_file() => {
                     all.push((entry.file_name().to_string_lossy().into_owned(), meta.len()))
                 }
-                // Gone since it was listed.
+                // The file was removed after it was listed.
                 Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
                 _ => {}
             }
@@ -194,7 +196,7 @@
 /// A file of a [`Disk`].
 pub struct DiskFile {
     file: Arc<File>,
-    /// Where the next bytes go.
+    /// Offset of the next append.
     end: u64,
 }
 
--- a/store/src/journal.rs
+++ b/store/src/journal.rs
@@ -1,5 +1,5 @@
 //! Reads the journal of earlier versions: one append-only file of records, each with its length and checksum.
-//! Only for the move to the store.
+//! Only used to import it into the store.
 
 use std::collections::BTreeMap;
 
@@ -7,43 +7,43 @@
 
 use crate::ledger::{AcceptedMessage, Answer, History, Nanos};
 
-/// Name of the journal's file, and of the one that replaced it in a compaction.
+/// Name of the journal file.
 pub const FILE: &str = "journal";
-/// Left over by an end in the middle of a compaction.
+/// Name of the file that replaced the journal in a compaction; left over if the compaction was interrupted.
 pub const NEW_FILE: &str = "journal.new";
-const LONGEST: usize = 256 * 1024;
+const MAX_RECORD_LEN: usize = 256 * 1024;
 
-const TAKEN: u8 = 1;
-const BEGUN: u8 = 2;
+const ACCEPTED: u8 = 1;
+const ATTEMPT_STARTED: u8 = 2;
 const NEVER_RAN: u8 = 3;
 const MAY_HAVE_RUN: u8 = 4;
 const ANSWERED: u8 = 5;
-const ENDED: u8 = 6;
-const HISTORY_SO_FAR: u8 = 7;
+const FINISHED: u8 = 6;
+const HISTORY: u8 = 7;
 
-/// A message that an old journal still owes its end.
+/// A message of an old journal that is not finished.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PendingMessage {
     /// The message.
     pub message: AcceptedMessage,
-    /// When it was taken on.
+    /// When it was accepted.
     pub at: Nanos,
-    /// Its attempts.
+    /// Its delivery history.
     pub history: History,
 }
 
-/// What an old journal holds.
+/// Content of an old journal.
 #[derive(Debug, Default)]
 pub struct OldJournal {
-    /// By number.
+    /// Unfinished messages, by number.
     pub pending: BTreeMap<u64, PendingMessage>,
-    /// Numbers from this one on were never used.
+    /// The lowest message number that was never used.
     pub next_id: u64,
-    /// Something in the middle of it could not be read: any message may have run since it came.
+    /// Whether records in the middle could not be read. Any message may then have run since it was accepted.
     pub damaged: bool,
 }
 
-/// Reads the parts of a record; `None` past its end.
+/// Decodes a record; each method returns `None` past its end.
 struct Reader(Bytes);
 
 impl Reader {
@@ -75,7 +75,7 @@
             _ => None,
         })
     }
-    fn taken(&mut self) -> Option<(AcceptedMessage, Nanos)> {
+    fn message(&mut self) -> Option<(AcceptedMessage, Nanos)> {
         let (class, dest, at, deadline) = (self.u32()?, self.u64()?, self.u64()?, self.u64()?);
         let reference = String::from_utf8(self.bytes()?.to_vec()).ok()?;
         let key = if self.u32()? == 1 { Some(self.bytes()?) } else { None };
@@ -85,15 +85,15 @@
     }
 }
 
-/// Reads all of a journal; never fails, since an old start didn't either.
+/// Reads a whole journal. Never fails: earlier versions started with a damaged journal as well.
 pub fn read(data: &Bytes) -> OldJournal {
     let mut old = OldJournal { next_id: 1, ..OldJournal::default() };
     let mut skipped = false;
     let mut rest = Reader(data.clone());
     while let (Some(length), Some(sum)) = (rest.u32(), rest.u32()) {
         let length = length as usize;
-        if length > LONGEST || length == 0 {
-            // With as much behind it as a head, no cut-off write looks like this.
+        if length > MAX_RECORD_LEN || length == 0 {
+            // An invalid length, which an interrupted write does not leave behind.
             break;
         }
         let Some(body) = rest.take(length) else { break };
@@ -106,8 +106,8 @@
     }
     old.damaged |= skipped;
     if old.damaged {
-        for owed in old.pending.values_mut() {
-            owed.history.doubt(owed.at);
+        for message in old.pending.values_mut() {
+            message.history.assume_attempted(message.at);
         }
     }
     old
@@ -116,25 +116,25 @@
 fn replay(old: &mut OldJournal, mut body: Reader) -> Option<()> {
     let (kind, id) = (body.u8()?, body.u64()?);
     old.next_id = old.next_id.max(id.saturating_add(1));
-    if kind == TAKEN {
-        let (taken, at) = body.taken()?;
-        old.pending.insert(id, PendingMessage { message: taken, at, history: History::default() });
+    if kind == ACCEPTED {
+        let (message, at) = body.message()?;
+        old.pending.insert(id, PendingMessage { message, at, history: History::default() });
         return Some(());
     }
-    // Records of a message that is over say nothing any more.
+    // Records of a finished message are ignored.
     let Some(PendingMessage { message, history, .. }) = old.pending.get_mut(&id) else { return Some(()) };
     match kind {
-        BEGUN => history.begin_attempt(body.u64()?, body.u32()?),
+        ATTEMPT_STARTED => history.begin_attempt(body.u64()?, body.u32()?),
         NEVER_RAN => history.end_attempt(true),
         MAY_HAVE_RUN => history.end_attempt(false),
         ANSWERED => {
             history.answer = body.answer()?;
             message.body = Bytes::new();
         }
-        ENDED => {
+        FINISHED => {
             old.pending.remove(&id);
         }
-        HISTORY_SO_FAR => {
+        HISTORY => {
             *history = History {
                 attempts: body.u32()?,
                 first_sent: body.u64()?,
--- a/store/src/ledger.rs
+++ b/store/src/ledger.rs
@@ -1,10 +1,13 @@
-//! What a dispatcher must not forget, as tables of one store.
+//! The persistent state of a dispatcher, as tables of one store.
 //!
-//! Invariants kept here: a message is there from before its client hears that it is taken on until it is over,
-//! and its end and its final answer are written in one batch; an attempt is there before its first byte is sent;
-//! where something was damaged, an attempt that may have run never becomes one that did not.
+//! Invariants:
 //!
-//! Times are wall-clock nanoseconds since 1970, handed in by the caller.
+//! - A message is stored before its client is told that it was accepted, and until it is finished. Its end
+//!   and its final answer are written in one batch.
+//! - An attempt is stored before its first byte is sent.
+//! - After damage, an attempt that may have run is never reported as one that did not run.
+//!
+//! Times are wall-clock nanoseconds since 1970, passed in by the caller.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,173 +19,173 @@
 use crate::journal::OldJournal;
 use crate::log::{Error, Options, Recovery, Stats, Store, SyncJob, SyncResult};
 
-/// A point in time or a span, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// Messages owed, without their bodies; by number.
+/// Table of pending messages without their bodies, by message number.
 pub const MESSAGES: u8 = 0;
-/// Their bodies, on disk alone.
+/// Table of message bodies, by message number; values are not kept in memory.
 pub const BODIES: u8 = 1;
-/// Their attempts.
+/// Table of delivery histories, by message number.
 pub const HISTORIES: u8 = 2;
-/// Final answers given, by reference.
+/// Table of final outcomes, by the message's reference.
 pub const ANSWERS: u8 = 3;
-/// Endpoints as last listed, by name.
+/// Table of the endpoints in the last list, by name.
 pub const ENDPOINTS: u8 = 4;
-/// What was learnt of destinations and routes.
+/// Table of learned values, by destination and route.
 pub const LEARNED: u8 = 5;
-/// Single values.
+/// Table of single values.
 pub const META: u8 = 6;
-/// Names of the tables, in their order.
+/// Names of the tables, by table number.
 pub const TABLES: [&str; 7] = ["messages", "bodies", "histories", "answers", "endpoints", "learnt", "meta"];
-/// Whether a table's values are held in memory.
+/// Whether a table's values are kept in memory, by table number.
 pub const IN_MEMORY: [bool; 7] = [true, false, true, true, true, true, true];
 
 const NEXT_ID: &[u8] = b"next";
-const LIST: &[u8] = b"list";
-const MOVED: &[u8] = b"moved";
-/// Differs with each process that became the owner.
+const LIST_VERSION: &[u8] = b"list";
+const JOURNAL_IMPORTED: &[u8] = b"moved";
+/// A mark that differs for each process that became the owner.
 const OWNER: &[u8] = b"owner";
-/// Which life of the dispatcher this is.
-const LIFE: &[u8] = b"life";
-/// The classes that messages name by position.
+/// Incarnation number of the dispatcher.
+const INCARNATION: &[u8] = b"life";
+/// The message classes, which messages refer to by position.
 const CLASSES: &[u8] = b"classes";
-/// Begins the keys of what others than the ledger keep, under names of theirs.
-const KEPT: &[u8] = b"kept/";
-/// Begins the keys of endpoints that are out by hand.
-const CORDON: &[u8] = b"cordon/";
-
-/// Room that is kept for each message: its attempts, its answer, its end.
-const PROMISED: u64 = 512;
-/// The answers, the endpoints and what was learnt may each take this part of the limit.
-const SIDE_TABLE: u64 = 8;
-/// Changes that go into one frame at most, where there are many.
-const AT_ONCE: usize = 64;
-
-/// A message as it was handed in.
+/// Key prefix of the caller's named values.
+const VALUE_PREFIX: &[u8] = b"kept/";
+/// Key prefix of endpoints that an operator cordoned.
+const CORDON_PREFIX: &[u8] = b"cordon/";
+
+/// Bytes reserved for each pending message: its attempts, its answer and its end.
+const RESERVED_PER_MESSAGE: u64 = 512;
+/// The tables of answers, endpoints and learned values may each use the size limit divided by this.
+const SIDE_TABLE_DIVISOR: u64 = 8;
+/// Maximum number of changes in one batch when many records are written.
+const MAX_CHANGES_PER_BATCH: usize = 64;
+
+/// A message as it was accepted from a client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct AcceptedMessage {
-    /// Its id at its client.
+    /// The client's identifier of the message.
     pub reference: String,
-    /// Position of its class.
+    /// Position of its class in the configured classes.
     pub class: u32,
-    /// Number of its destination.
+    /// Identifier of its destination.
     pub dest: u64,
-    /// When its time is up.
+    /// Deadline for delivery.
     pub deadline: Nanos,
-    /// Its idempotency key.
+    /// Idempotency key, if any.
     pub key: Option<Bytes>,
-    /// What it is about, where its class keeps an order.
+    /// Ordering key, if its class preserves order.
     pub order: Option<u64>,
-    /// What is to be delivered.
+    /// The payload to deliver.
     pub body: Bytes,
 }
 
-/// What became of a message so far.
+/// Delivery history of a message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct History {
-    /// Attempts begun.
+    /// Number of attempts started.
     pub attempts: u32,
-    /// When the first was; meaningless without any.
+    /// Start of the first attempt; meaningless if there was none.
     pub first_sent: Nanos,
-    /// Earliest attempt that may have run, with its zone.
+    /// Start and zone of the earliest attempt that may have run.
     pub may_have_run: Option<(Nanos, u32)>,
-    /// The attempt that has no outcome yet.
+    /// Start and zone of the attempt that has no outcome yet.
     #[serde(rename = "out")]
     pub in_flight: Option<(Nanos, u32)>,
-    /// The final answer, once there is one: it is owed until its notice has been taken.
+    /// The final answer, once decided. The client must be notified of it until it acknowledges the notice.
     pub answer: Option<Answer>,
 }
 
-/// A final answer that ends a message without delivery.
+/// A final answer that finishes a message without delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// Given up, nothing promised.
+    /// Delivery was abandoned, without a guarantee that no attempt ran.
     Failed,
-    /// Trying again is harmless.
+    /// Refused without having run; the client may safely retry.
     Refused {
-        /// How long the client should stay away, in milliseconds.
+        /// How long the client should wait before it retries, in milliseconds.
         wait_ms: u64,
     },
 }
 
-/// How a message ended.
+/// Final outcome of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum FinalOutcome {
     /// It was delivered.
     Delivered,
-    /// Its client was told this.
+    /// Its client was sent this answer.
     Answered(Answer),
 }
 
-/// A message that was found at the start.
+/// A pending message found on opening.
 #[derive(Debug)]
 pub struct RecoveredMessage {
-    /// Its number.
+    /// Its message number.
     pub id: u64,
-    /// The message; its body is empty where it was lost.
+    /// The message; its body is empty if it was lost.
     pub message: AcceptedMessage,
-    /// Its body can't be read any more: it can't be sent.
+    /// The body can't be read any more, so the message can't be sent.
     pub body_lost: bool,
-    /// When it was taken on.
+    /// When it was accepted.
     pub at: Nanos,
-    /// Its attempts.
+    /// Its delivery history.
     pub history: History,
 }
 
-/// An endpoint as it was last listed.
+/// An endpoint of the last list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEndpoint {
-    /// Its name in the list.
+    /// Its name.
     pub name: String,
-    /// The number that this dispatcher has given it.
+    /// The identifier that this dispatcher assigned.
     pub id: u64,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: String,
-    /// Its zone's name.
+    /// Name of its zone.
     pub zone: String,
-    /// Its kind's name.
+    /// Name of its kind.
     pub kind: String,
-    /// Its destination.
+    /// Identifier of its destination.
     pub dest: u64,
-    /// It takes new work.
+    /// Whether it accepts new work.
     pub in_service: bool,
-    /// Its weight, where the list gave one.
+    /// Its weight, if the list specified one.
     pub weight: Option<f64>,
 }
 
-/// What was found at the start.
+/// What was found on opening.
 #[derive(Debug, Default)]
 pub struct Opened {
-    /// Messages still owed their end, by number.
+    /// Pending messages, ordered by number.
     pub messages: Vec<RecoveredMessage>,
-    /// How the log was found.
+    /// Recovery report of the store.
     pub recovery: Recovery,
-    /// Messages that an old journal held and that the store has now.
+    /// Number of messages imported from an old journal.
     pub migrated: usize,
-    /// Highest time in any record: the clock was there once, whatever it says now.
+    /// Highest time in any record. The wall clock has reached it before, even if it reads less now.
     pub latest_time: Nanos,
 }
 
-struct Kept {
+struct PendingEntry {
     at: Nanos,
     history: History,
-    told: bool,
+    has_record: bool,
 }
 
-/// The tables; see the module.
+/// The tables of a dispatcher; see the [module documentation](self).
 pub struct Ledger<F: Folder> {
     store: Store<F>,
-    kept: BTreeMap<u64, Kept>,
+    pending: BTreeMap<u64, PendingEntry>,
     next: u64,
-    /// Answers by the time until which they are kept.
-    ends: BTreeSet<(Nanos, Box<str>)>,
-    /// Ends that could not be written yet.
-    unwritten: BTreeMap<u64, Option<(Box<str>, FinalOutcome, Nanos)>>,
+    /// References of final outcomes, ordered by the time until which each is kept.
+    outcome_expiries: BTreeSet<(Nanos, Box<str>)>,
+    /// Ends of messages whose write failed, to be retried.
+    unwritten_ends: BTreeMap<u64, Option<(Box<str>, FinalOutcome, Nanos)>>,
 }
 
 impl History {
-    /// An attempt begins.
+    /// Records the start of an attempt.
     pub fn begin_attempt(&mut self, at: Nanos, zone: u32) {
         if self.attempts == 0 {
             self.first_sent = at;
@@ -190,22 +193,22 @@
         self.attempts += 1;
         self.in_flight = Some((at, zone));
     }
-    /// The attempt that was out is over.
+    /// Records the end of the attempt in flight.
     pub fn end_attempt(&mut self, never_ran: bool) {
         let out = self.in_flight.take();
         if !never_ran {
             self.may_have_run = self.may_have_run.or(out);
         }
     }
-    /// What is known of its attempts may not be all: one may have run as soon as it was taken on.
-    pub(crate) fn doubt(&mut self, taken: Nanos) {
+    /// Marks the history as incomplete: an attempt may have run at any time since the message was accepted.
+    pub(crate) fn assume_attempted(&mut self, accepted_at: Nanos) {
         self.attempts = self.attempts.max(1);
-        self.first_sent = taken;
-        self.may_have_run = Some((taken, 0));
+        self.first_sent = accepted_at;
+        self.may_have_run = Some((accepted_at, 0));
     }
 }
 
-/// Puts a value together.
+/// Encodes a value.
 #[derive(Default)]
 struct Writer(Vec<u8>);
 
@@ -242,7 +245,7 @@
     }
 }
 
-/// Reads the parts of a value; `None` past its end.
+/// Decodes a value; each method returns `None` past its end.
 struct Reader<'a>(&'a [u8]);
 
 impl<'a> Reader<'a> {
@@ -284,15 +287,15 @@
     }
 }
 
-fn message_value(at: Nanos, taken: &AcceptedMessage) -> Vec<u8> {
-    let value = Writer::default().u32(taken.class).u64(taken.dest).u64(at).u64(taken.deadline);
-    let value = value.bytes(taken.reference.as_bytes()).u32(u32::from(taken.key.is_some()));
-    let value = value.bytes(taken.key.as_deref().unwrap_or_default());
-    // Only where there is one: what an earlier version wrote ends here.
-    taken.order.map_or(value.0.clone(), |order| value.u64(order).0)
+fn message_value(at: Nanos, message: &AcceptedMessage) -> Vec<u8> {
+    let value = Writer::default().u32(message.class).u64(message.dest).u64(at).u64(message.deadline);
+    let value = value.bytes(message.reference.as_bytes()).u32(u32::from(message.key.is_some()));
+    let value = value.bytes(message.key.as_deref().unwrap_or_default());
+    // Appended only if present; values written by earlier versions end here.
+    message.order.map_or(value.0.clone(), |order| value.u64(order).0)
 }
 
-/// The message without its body, and when it was taken on.
+/// Decodes a value of [`MESSAGES`]: the message without its body, and when it was accepted.
 pub fn read_message(value: &[u8]) -> Option<(AcceptedMessage, Nanos)> {
     let mut value = Reader(value);
     let (class, dest, at, deadline) = (value.u32()?, value.u64()?, value.u64()?, value.u64()?);
@@ -307,7 +310,7 @@
     value.pair(history.may_have_run).pair(history.in_flight).answer(history.answer).0
 }
 
-/// What became of a message.
+/// Decodes a value of [`HISTORIES`].
 pub fn read_history(value: &[u8]) -> Option<History> {
     let mut value = Reader(value);
     Some(History {
@@ -319,7 +322,7 @@
     })
 }
 
-fn final_value(end: FinalOutcome, until: Nanos) -> Vec<u8> {
+fn outcome_value(end: FinalOutcome, until: Nanos) -> Vec<u8> {
     let answer = match end {
         FinalOutcome::Delivered => None,
         FinalOutcome::Answered(answer) => Some(answer),
@@ -327,24 +330,24 @@
     Writer::default().u64(until).answer(answer).0
 }
 
-/// A final answer, and until when it is kept.
+/// Decodes a value of [`ANSWERS`]: a final outcome, and until when it is kept.
 pub fn read_final_outcome(value: &[u8]) -> Option<(FinalOutcome, Nanos)> {
     let mut value = Reader(value);
     let until = value.u64()?;
     Some((value.answer()?.map_or(FinalOutcome::Delivered, FinalOutcome::Answered), until))
 }
 
-fn listed_value(e: &ListedEndpoint) -> Vec<u8> {
+fn endpoint_value(e: &ListedEndpoint) -> Vec<u8> {
     let value = Writer::default().u64(e.id).u64(e.dest).u32(u32::from(e.in_service));
     let value = value.u32(u32::from(e.weight.is_some())).u64(e.weight.unwrap_or(0.0).to_bits());
     value.bytes(e.address.as_bytes()).bytes(e.zone.as_bytes()).bytes(e.kind.as_bytes()).0
 }
 
-/// An endpoint by its name.
+/// Decodes a key and a value of [`ENDPOINTS`].
 pub fn read_endpoint(name: &[u8], value: &[u8]) -> Option<ListedEndpoint> {
     let mut value = Reader(value);
     let (id, dest, in_service) = (value.u64()?, value.u64()?, value.u32()? > 0);
-    let (weighed, weight) = (value.u32()? > 0, f64::from_bits(value.u64()?));
+    let (has_weight, weight) = (value.u32()? > 0, f64::from_bits(value.u64()?));
     Some(ListedEndpoint {
         name: String::from_utf8(name.to_vec()).ok()?,
         id,
@@ -353,28 +356,28 @@
         kind: value.text()?,
         dest,
         in_service,
-        weight: weighed.then_some(weight),
+        weight: has_weight.then_some(weight),
     })
 }
 
-/// Destination, and route where it has several of its own, of a key of [`LEARNT`].
+/// Decodes a key of [`LEARNED`].
 pub fn read_learned_key(key: &[u8]) -> Option<(u64, Option<u64>)> {
     let half = |at: usize| Some(u64::from_be_bytes(key.get(at..at + 8)?.try_into().ok()?));
     Some((half(0)?, half(8)))
 }
 
-fn learnt_key(dest: u64, route: Option<u64>) -> Vec<u8> {
+fn learned_key(dest: u64, route: Option<u64>) -> Vec<u8> {
     let mut key = dest.to_be_bytes().to_vec();
     key.extend(route.iter().flat_map(|route| route.to_be_bytes()));
     key
 }
 
 impl<F: Folder> Ledger<F> {
-    /// Opens the tables in a folder and tells what is owed. `old` is an old journal, where there is one: the store
-    /// takes over what it holds, once. `fresh_id` marks a store that is made anew.
+    /// Opens the tables in a folder and returns what was found there. The messages of `old`, a journal of an
+    /// earlier version, are imported once. `fresh_id` identifies the store if it is created.
     ///
     /// # Errors
-    /// As for [`Store::open`], and [`Error::Full`] where an old journal does not fit.
+    /// As for [`Store::open`]; also [`Error::Full`] if the old journal does not fit.
     pub fn open(
         folder: F,
         options: Options,
@@ -385,77 +388,77 @@
         let (store, recovery) = Store::open(folder, &IN_MEMORY, fresh_id, options)?;
         let mut ledger = Ledger {
             store,
-            kept: BTreeMap::new(),
+            pending: BTreeMap::new(),
             next: 1,
-            ends: BTreeSet::new(),
-            unwritten: BTreeMap::new(),
+            outcome_expiries: BTreeSet::new(),
+            unwritten_ends: BTreeMap::new(),
         };
         let mut opened = Opened { recovery, ..Opened::default() };
         if let Some(old) = old
-            && !ledger.store.contains(META, MOVED)
+            && !ledger.store.contains(META, JOURNAL_IMPORTED)
         {
-            opened.migrated = ledger.move_in(old)?;
+            opened.migrated = ledger.import_journal(old)?;
         }
         ledger.recover(now, &mut opened);
         Ok((ledger, opened))
     }
 
-    /// Takes an old journal over. An end in the middle is repeated at the next start: only the last record says
-    /// that all of it is there.
-    fn move_in(&mut self, old: OldJournal) -> Result<usize, Error> {
+    /// Imports an old journal and returns the number of its messages. An interrupted import is repeated at
+    /// the next start: only its last record marks it as complete.
+    fn import_journal(&mut self, old: OldJournal) -> Result<usize, Error> {
         let stale: Vec<Vec<u8>> = self.store.keys(MESSAGES, &[]).map(|(key, ..)| key.to_vec()).collect();
         for key in stale {
             self.store
                 .apply(Batch::new().delete(MESSAGES, &key).delete(BODIES, &key).delete(HISTORIES, &key))?;
         }
-        for (id, owed) in &old.pending {
+        for (id, pending) in &old.pending {
             let key = id.to_be_bytes();
             let mut batch = Batch::new();
-            batch.put(MESSAGES, &key, &message_value(owed.at, &owed.message));
-            batch.put(BODIES, &key, &owed.message.body);
-            if owed.history != History::default() {
-                batch.put(HISTORIES, &key, &history_value(&owed.history));
+            batch.put(MESSAGES, &key, &message_value(pending.at, &pending.message));
+            batch.put(BODIES, &key, &pending.message.body);
+            if pending.history != History::default() {
+                batch.put(HISTORIES, &key, &history_value(&pending.history));
             }
             self.store.apply_reserved(&batch)?;
         }
         let mut batch = Batch::new();
-        batch.put(META, NEXT_ID, &old.next_id.to_le_bytes()).put(META, MOVED, &[]);
+        batch.put(META, NEXT_ID, &old.next_id.to_le_bytes()).put(META, JOURNAL_IMPORTED, &[]);
         self.store.apply_reserved(&batch)?;
         self.store.sync()?;
         Ok(old.pending.len())
     }
 
     fn recover(&mut self, now: Nanos, opened: &mut Opened) {
-        let doubt = opened.recovery.uncertain_before;
-        let mut doubtful = Vec::new();
+        let uncertain_before = opened.recovery.uncertain_before;
+        let mut uncertain = Vec::new();
         let mut orphans = Vec::new();
         let mut latest = 0;
         for (key, seq, value) in self.store.keys(MESSAGES, &[]) {
             let id = key.try_into().map(u64::from_be_bytes);
             let read = value.and_then(|value| read_message(value));
-            let (Ok(id), Some((mut taken, at))) = (id, read) else {
+            let (Ok(id), Some((mut message, at))) = (id, read) else {
                 orphans.push((MESSAGES, key.to_vec()));
                 continue;
             };
-            let (mut history, mut last_told) = (History::default(), seq);
+            let (mut history, mut last_written) = (History::default(), seq);
             if let Some((_, seq, Some(value))) =
                 self.store.keys(HISTORIES, key).next().filter(|(k, ..)| *k == key)
             {
-                last_told = last_told.max(seq);
+                last_written = last_written.max(seq);
                 history = read_history(value).unwrap_or_default();
             }
-            if last_told < doubt {
-                history.doubt(at);
-                doubtful.push((key.to_vec(), history));
+            if last_written < uncertain_before {
+                history.assume_attempted(at);
+                uncertain.push((key.to_vec(), history));
             }
             let times = [history.may_have_run, history.in_flight].into_iter().flatten().map(|(at, _)| at);
             latest = times.chain([at]).fold(latest, u64::max);
             let body = if history.answer.is_some() { Ok(None) } else { self.store.get(BODIES, key) };
-            // An empty one is there too; a message without any lost it.
+            // Empty bodies are stored as well, so a missing body was lost.
             let body_lost = !matches!(body, Ok(Some(_))) && history.answer.is_none();
-            taken.body = body.ok().flatten().unwrap_or_default();
+            message.body = body.ok().flatten().unwrap_or_default();
             self.next = self.next.max(id.saturating_add(1));
-            opened.messages.push(RecoveredMessage { id, message: taken, body_lost, at, history });
+            opened.messages.push(RecoveredMessage { id, message, body_lost, at, history });
         }
         for table in [BODIES, HISTORIES] {
             let without = self.store.keys(table, &[]).filter(|(key, ..)| !self.store.contains(MESSAGES, key));
@@ -465,15 +468,15 @@
         let next = next.and_then(|v| v.as_ref().try_into().ok().map(u64::from_le_bytes));
         self.next = self.next.max(next.unwrap_or(1));
         for RecoveredMessage { id, at, history, .. } in &opened.messages {
-            let told = *history != History::default();
-            self.kept.insert(*id, Kept { at: *at, history: *history, told });
+            let has_record = *history != History::default();
+            self.pending.insert(*id, PendingEntry { at: *at, history: *history, has_record });
         }
         let mut past = Vec::new();
         for (key, _, value) in self.store.keys(ANSWERS, &[]) {
             let until = value.and_then(|v| read_final_outcome(v)).map_or(0, |(_, until)| until);
             match std::str::from_utf8(key) {
                 Ok(reference) if until > now => {
-                    self.ends.insert((until, reference.into()));
+                    self.outcome_expiries.insert((until, reference.into()));
                 }
                 _ => past.push(key.to_vec()),
             }
@@ -486,82 +489,88 @@
         past.iter().for_each(|key| {
             self.store.forget(ANSWERS, key);
         });
-        // Written down, so that a later start without a trace of the damage is as careful. Where that fails the
-        // damage is still there to be found.
-        for some in doubtful.chunks(AT_ONCE) {
+        // Stored, so that a later start, which may not detect the damage any more, is equally cautious. If
+        // this fails, the damage can still be detected.
+        for chunk in uncertain.chunks(MAX_CHANGES_PER_BATCH) {
             let mut batch = Batch::new();
-            for (key, history) in some {
+            for (key, history) in chunk {
                 batch.put(HISTORIES, key, &history_value(history));
             }
             let _ = self.store.apply(&batch);
         }
-        for some in orphans.chunks(AT_ONCE) {
+        for chunk in orphans.chunks(MAX_CHANGES_PER_BATCH) {
             let mut batch = Batch::new();
-            for (table, key) in some {
+            for (table, key) in chunk {
                 batch.delete(*table, key);
             }
             let _ = self.store.apply(&batch);
         }
-        if doubt > 0 {
-            // The list may lack its last change, a drain perhaps: safer without. Lessons stay: an old wait, or a
-            // cold return of before, makes nothing less careful.
-            let _ = self.drop_all(ENDPOINTS);
+        if uncertain_before > 0 {
+            // The list may lack its last change, possibly a drain, so it is dropped. Learned values stay: an
+            // outdated wait or recovery makes the dispatcher no less cautious.
+            let _ = self.clear_table(ENDPOINTS);
         }
     }
 
-    fn drop_all(&mut self, table: u8) -> Result<(), Error> {
+    fn clear_table(&mut self, table: u8) -> Result<(), Error> {
         let keys: Vec<Vec<u8>> = self.store.keys(table, &[]).map(|(key, ..)| key.to_vec()).collect();
-        for some in keys.chunks(AT_ONCE) {
+        for chunk in keys.chunks(MAX_CHANGES_PER_BATCH) {
             let mut batch = Batch::new();
-            some.iter().for_each(|key| {
+            chunk.iter().for_each(|key| {
                 batch.delete(table, key);
             });
             self.store.apply(&batch)?;
         }
-        if table == ENDPOINTS && self.store.contains(META, LIST) {
-            self.store.apply(Batch::new().delete(META, LIST))?;
+        if table == ENDPOINTS && self.store.contains(META, LIST_VERSION) {
+            self.store.apply(Batch::new().delete(META, LIST_VERSION))?;
         }
         Ok(())
     }
 
-    fn promised(&self, more: usize) -> u64 {
-        PROMISED * (self.kept.len() + more) as u64
+    fn reserved(&self, more: usize) -> u64 {
+        RESERVED_PER_MESSAGE * (self.pending.len() + more) as u64
     }
 
-    /// Takes a message on and numbers it: once the frame of that number lasts, the message is owed its end.
+    /// Stores a message and returns its message number and the sequence number of its frame. The message is
+    /// accepted once that frame is durable.
     ///
     /// # Errors
-    /// [`Error::Full`] where it would take room that is promised already; else as for [`Store::apply`].
-    pub fn accept(&mut self, now: Nanos, taken: &AcceptedMessage) -> Result<(u64, Seq), Error> {
+    /// [`Error::Full`] if it would use space that is reserved already; otherwise as for [`Store::apply`].
+    pub fn accept(&mut self, now: Nanos, message: &AcceptedMessage) -> Result<(u64, Seq), Error> {
         let id = self.next;
-        self.accept_as(id, now, taken).map(|seq| (id, seq))
+        self.accept_as(id, now, message).map(|seq| (id, seq))
     }
 
-    /// The number of the next message.
+    /// Returns the number of the next message.
     pub fn next_id(&self) -> u64 {
         self.next
     }
 
-    /// As [`Self::accept`], under a number of the caller's: [`Self::next_id`] or any later one.
+    /// Like [`Self::accept`], with a message number chosen by the caller: [`Self::next_id`] or a higher one.
     ///
     /// # Errors
-    /// As there.
-    pub fn accept_as(&mut self, id: u64, now: Nanos, taken: &AcceptedMessage) -> Result<Seq, Error> {
+    /// The same errors.
+    pub fn accept_as(&mut self, id: u64, now: Nanos, message: &AcceptedMessage) -> Result<Seq, Error> {
         let key = id.to_be_bytes();
         let mut batch = Batch::new();
-        batch.put(MESSAGES, &key, &message_value(now, taken)).put(BODIES, &key, &taken.body);
-        if !self.store.has_room(batch.bytes().len(), self.promised(1)) {
+        batch.put(MESSAGES, &key, &message_value(now, message)).put(BODIES, &key, &message.body);
+        if !self.store.has_room(batch.bytes().len(), self.reserved(1)) {
             return Err(Error::Full);
         }
         let seq = self.store.apply(&batch)?;
         self.next = self.next.max(id + 1);
-        self.kept.insert(id, Kept { at: now, history: History::default(), told: false });
+        self.pending.insert(id, PendingEntry { at: now, history: History::default(), has_record: false });
         Ok(seq)
     }
 
-    fn tell(&mut self, id: u64, change: impl FnOnce(&mut History), drop_body: bool) -> Result<Seq, Error> {
-        let Some(kept) = self.kept.get(&id) else { return Ok(0) };
-        let (mut history, key) = (kept.history, id.to_be_bytes());
+    fn update_history(
+        &mut self,
+        id: u64,
+        change: impl FnOnce(&mut History),
+        drop_body: bool,
+    ) -> Result<Seq, Error> {
+        let Some(entry) = self.pending.get(&id) else { return Ok(0) };
+        let (mut history, key) = (entry.history, id.to_be_bytes());
         change(&mut history);
         let mut batch = Batch::new();
         batch.put(HISTORIES, &key, &history_value(&history));
@@ -569,82 +578,82 @@
             batch.delete(BODIES, &key);
         }
         let seq = self.store.apply(&batch)?;
-        self.kept.entry(id).and_modify(|kept| (kept.history, kept.told) = (history, true));
+        self.pending.entry(id).and_modify(|entry| (entry.history, entry.has_record) = (history, true));
         Ok(seq)
     }
 
-    /// An attempt is about to begin. Nothing of it may be sent before this frame lasts.
+    /// Records that an attempt starts. Nothing may be sent before the returned frame is durable.
     ///
     /// # Errors
     /// As for [`Store::apply`].
     pub fn begin_attempt(&mut self, id: u64, now: Nanos, zone: u32) -> Result<Seq, Error> {
-        self.tell(id, |history| history.begin_attempt(now, zone), false)
+        self.update_history(id, |history| history.begin_attempt(now, zone), false)
     }
 
-    /// The attempt that was out is over, without delivery.
+    /// Records that the attempt in flight ended without delivery. `never_ran`: it certainly did not run.
     ///
     /// # Errors
     /// As for [`Store::apply`].
     pub fn end_attempt(&mut self, id: u64, never_ran: bool) -> Result<Seq, Error> {
-        self.tell(id, |history| history.end_attempt(never_ran), false)
+        self.update_history(id, |history| history.end_attempt(never_ran), false)
     }
 
-    /// The final answer is decided; its notice is owed. Its body is of no use any more.
+    /// Records the final answer, of which the client is still to be notified, and deletes the body.
     ///
     /// # Errors
     /// As for [`Store::apply`].
     pub fn record_answer(&mut self, id: u64, answer: Answer) -> Result<Seq, Error> {
-        self.tell(id, |history| history.answer = Some(answer), true)
+        self.update_history(id, |history| history.answer = Some(answer), true)
     }
 
-    /// The message is over, and nothing more is owed for it. With `end`, how it ended is kept under its reference
-    /// until that time, should it come again.
+    /// Removes a finished message. With `end`, the outcome is kept under the reference until the given time,
+    /// in case the client submits the message again.
     ///
     /// # Errors
-    /// As for [`Store::apply`]; it is tried again with [`Self::maintain`] then, and until that has worked the message
-    /// is still owed after a restart.
+    /// As for [`Store::apply`]. The write is then retried by [`Self::maintain`]; until it succeeds, the
+    /// message is pending again after a restart.
     pub fn finish(&mut self, id: u64, end: Option<(&str, FinalOutcome, Nanos)>) -> Result<Seq, Error> {
-        let done = self.write_end(id, end);
+        let done = self.write_finish(id, end);
         if done.is_err() {
             let end = end.map(|(reference, end, until)| (reference.into(), end, until));
-            self.unwritten.insert(id, end);
+            self.unwritten_ends.insert(id, end);
         }
         done
     }
 
-    fn write_end(&mut self, id: u64, end: Option<(&str, FinalOutcome, Nanos)>) -> Result<Seq, Error> {
-        let Some(kept) = self.kept.get(&id) else { return Ok(0) };
+    fn write_finish(&mut self, id: u64, end: Option<(&str, FinalOutcome, Nanos)>) -> Result<Seq, Error> {
+        let Some(entry) = self.pending.get(&id) else { return Ok(0) };
         let key = id.to_be_bytes();
         let mut batch = Batch::new();
         batch.delete(MESSAGES, &key);
-        if kept.history.answer.is_none() {
+        if entry.history.answer.is_none() {
             batch.delete(BODIES, &key);
         }
-        if kept.told {
+        if entry.has_record {
             batch.delete(HISTORIES, &key);
         }
         if let Some((reference, end, until)) = end {
-            batch.put(ANSWERS, reference.as_bytes(), &final_value(end, until));
+            batch.put(ANSWERS, reference.as_bytes(), &outcome_value(end, until));
         }
-        // Numbers are not used twice, also where the highest one is over and gone.
+        // Message numbers are never reused, even after the message with the highest number was removed.
         if id + 1 == self.next {
             batch.put(META, NEXT_ID, &self.next.to_le_bytes());
         }
         let seq = self.store.apply(&batch)?;
-        self.kept.remove(&id);
+        self.pending.remove(&id);
         if let Some((reference, _, until)) = end {
-            self.ends.insert((until, reference.into()));
-            while self.store.live_bytes(ANSWERS) > self.store.limit() / SIDE_TABLE {
-                let Some((_, reference)) = self.ends.pop_first() else { break };
+            self.outcome_expiries.insert((until, reference.into()));
+            while self.store.live_bytes(ANSWERS) > self.store.limit() / SIDE_TABLE_DIVISOR {
+                let Some((_, reference)) = self.outcome_expiries.pop_first() else { break };
                 self.store.forget(ANSWERS, reference.as_bytes());
             }
         }
         Ok(seq)
     }
 
-    /// How a message of this reference ended, where that is still kept.
+    /// Returns the outcome of the message with this reference, if it is still kept.
     pub fn final_outcome(&self, reference: &str) -> Option<FinalOutcome> {
-        let unwritten = self.unwritten.values().flatten().find(|(its, ..)| **its == *reference);
+        let unwritten = self.unwritten_ends.values().flatten().find(|(its, ..)| **its == *reference);
         if let Some((_, end, _)) = unwritten {
             return Some(*end);
         }
@@ -652,27 +661,28 @@
         read_final_outcome(&value).map(|(end, _)| end)
     }
 
-    /// Drops the final answers whose time is over, and compacts a little. For about once a second.
+    /// Retries failed writes, drops expired outcomes and runs a compaction step. To be called about once a
+    /// second.
     pub fn maintain(&mut self, now: Nanos) {
-        while let Some((id, end)) = self.unwritten.pop_first() {
+        while let Some((id, end)) = self.unwritten_ends.pop_first() {
             let end = end.as_ref().map(|(reference, end, until)| (&**reference, *end, *until));
             if self.finish(id, end).is_err() {
                 break;
             }
         }
-        while self.ends.first().is_some_and(|(until, _)| *until <= now) {
-            let Some((until, reference)) = self.ends.pop_first() else { break };
-            let kept = self.store.get(ANSWERS, reference.as_bytes()).ok().flatten();
-            // Given once more since, under a later time.
-            if kept.and_then(|v| read_final_outcome(&v)).is_some_and(|(_, its)| its <= until) {
+        while self.outcome_expiries.first().is_some_and(|(until, _)| *until <= now) {
+            let Some((until, reference)) = self.outcome_expiries.pop_first() else { break };
+            let stored = self.store.get(ANSWERS, reference.as_bytes()).ok().flatten();
+            // Kept if it was recorded again with a later expiry.
+            if stored.and_then(|v| read_final_outcome(&v)).is_some_and(|(_, its)| its <= until) {
                 self.store.forget(ANSWERS, reference.as_bytes());
             }
         }
         self.store.maintain();
     }
 
-    /// Notes what a list said: of these endpoints, that these names are gone, and whose version it is. What does
-    /// not fit beside the messages is not kept, and no list at all then.
+    /// Stores a change of the endpoint list: the endpoints in `now`, the removed names in `gone`, and the
+    /// list's source and version. If the list does not fit beside the messages, the whole list is dropped.
     ///
     /// # Errors
     /// As for [`Store::apply`].
@@ -684,48 +694,48 @@
         gone: &[String],
     ) -> Result<(), Error> {
         let weight =
-            |e: &ListedEndpoint| FRAME_HEADER_LEN + PUT_HEADER_LEN + e.name.len() + listed_value(e).len();
+            |e: &ListedEndpoint| FRAME_HEADER_LEN + PUT_HEADER_LEN + e.name.len() + endpoint_value(e).len();
         let changed: Vec<&ListedEndpoint> = now
             .iter()
             .filter(|e| {
                 let there = self.store.get(ENDPOINTS, e.name.as_bytes()).ok().flatten();
-                there.as_deref() != Some(&listed_value(e)[..])
+                there.as_deref() != Some(&endpoint_value(e)[..])
             })
             .collect();
         let more: usize = changed.iter().map(|e| weight(e)).sum();
-        let most = self.store.limit() / SIDE_TABLE;
-        let fits = self.store.live_bytes(ENDPOINTS) + more as u64 <= most;
-        if !(fits && self.store.has_room(more, self.promised(0))) {
-            return self.drop_all(ENDPOINTS);
+        let max_bytes = self.store.limit() / SIDE_TABLE_DIVISOR;
+        let fits = self.store.live_bytes(ENDPOINTS) + more as u64 <= max_bytes;
+        if !(fits && self.store.has_room(more, self.reserved(0))) {
+            return self.clear_table(ENDPOINTS);
         }
-        // In this order an end in the middle leaves the older version's number.
-        for some in gone.chunks(AT_ONCE) {
+        // In this order, an interruption leaves the number of the older version.
+        for chunk in gone.chunks(MAX_CHANGES_PER_BATCH) {
             let mut batch = Batch::new();
-            for name in some.iter().filter(|name| self.store.contains(ENDPOINTS, name.as_bytes())) {
+            for name in chunk.iter().filter(|name| self.store.contains(ENDPOINTS, name.as_bytes())) {
                 batch.delete(ENDPOINTS, name.as_bytes());
             }
             if !batch.is_empty() {
                 self.store.apply(&batch)?;
             }
         }
-        for some in changed.chunks(AT_ONCE) {
+        for chunk in changed.chunks(MAX_CHANGES_PER_BATCH) {
             let mut batch = Batch::new();
-            for e in some {
-                batch.put(ENDPOINTS, e.name.as_bytes(), &listed_value(e));
+            for e in chunk {
+                batch.put(ENDPOINTS, e.name.as_bytes(), &endpoint_value(e));
             }
             self.store.apply(&batch)?;
         }
         let version = Writer::default().u64(index).bytes(source.as_bytes()).0;
-        if self.store.get(META, LIST)?.as_deref() != Some(&version[..]) {
-            self.store.apply(Batch::new().put(META, LIST, &version))?;
+        if self.store.get(META, LIST_VERSION)?.as_deref() != Some(&version[..]) {
+            self.store.apply(Batch::new().put(META, LIST_VERSION, &version))?;
         }
         Ok(())
     }
 
-    /// The list as last noted: whose, its version, and its endpoints. `None` where there is none that can be
-    /// trusted.
+    /// Returns the stored list: its source, its version, and its endpoints. `None` if there is none, or if it
+    /// can't be read completely.
     pub fn endpoint_list(&self) -> Option<(String, u64, Vec<ListedEndpoint>)> {
-        let version = self.store.get(META, LIST).ok()??;
+        let version = self.store.get(META, LIST_VERSION).ok()??;
         let mut version = Reader(&version);
         let (index, source) = (version.u64()?, version.text()?);
         let read = |(name, _, value): (&[u8], Seq, Option<&Bytes>)| read_endpoint(name, value?);
@@ -733,13 +743,13 @@
         Some((source, index, all?))
     }
 
-    /// The mark of the owner, 0 where there is none.
+    /// Returns the mark of the owner, 0 if there is none.
     pub fn owner(&self) -> u64 {
         let mark = self.store.get(META, OWNER).ok().flatten();
         mark.and_then(|mark| mark.as_ref().try_into().ok().map(u64::from_le_bytes)).unwrap_or(0)
     }
 
-    /// Marks a new owner: whoever gave the store up sees from it that it was taken.
+    /// Stores the mark of a new owner, from which the previous owner can tell that the store was taken over.
     ///
     /// # Errors
     /// As for [`Store::apply`].
@@ -747,95 +757,95 @@
         self.store.apply(Batch::new().put(META, OWNER, &mark.to_le_bytes())).map(drop)
     }
 
-    /// Which life of the dispatcher was last noted, 0 where none was.
+    /// Returns the last stored incarnation of the dispatcher, 0 if there is none.
     pub fn incarnation(&self) -> u32 {
-        let noted = self.store.get(META, LIFE).ok().flatten();
-        noted.and_then(|noted| noted.as_ref().try_into().ok().map(u32::from_le_bytes)).unwrap_or(0)
+        let stored = self.store.get(META, INCARNATION).ok().flatten();
+        stored.and_then(|stored| stored.as_ref().try_into().ok().map(u32::from_le_bytes)).unwrap_or(0)
     }
 
-    /// Notes which life of the dispatcher this is: the next one goes beyond.
+    /// Stores the incarnation of the dispatcher. The next one must be higher.
     ///
     /// # Errors
     /// As for [`Store::apply`].
     pub fn set_incarnation(&mut self, incarnation: u32) -> Result<(), Error> {
-        self.store.apply(Batch::new().put(META, LIFE, &incarnation.to_le_bytes())).map(drop)
+        self.store.apply(Batch::new().put(META, INCARNATION, &incarnation.to_le_bytes())).map(drop)
     }
 
-    /// What was last [kept](Self::set_value) under a name.
+    /// Returns the value last [stored](Self::set_value) under a name.
     pub fn value(&self, name: &str) -> Option<Bytes> {
-        self.store.get(META, &[KEPT, name.as_bytes()].concat()).ok().flatten()
+        self.store.get(META, &[VALUE_PREFIX, name.as_bytes()].concat()).ok().flatten()
     }
 
-    /// Keeps a small value under a name, in place of the one before.
+    /// Stores a small value under a name, replacing the previous one.
     ///
     /// # Errors
-    /// [`Error::Full`] where there is no room beside what is promised; else as for [`Store::apply`].
+    /// [`Error::Full`] if it would use reserved space; otherwise as for [`Store::apply`].
     pub fn set_value(&mut self, name: &str, value: &[u8]) -> Result<(), Error> {
         let mut batch = Batch::new();
-        batch.put(META, &[KEPT, name.as_bytes()].concat(), value);
-        if !self.store.has_room(batch.bytes().len(), self.promised(0)) {
+        batch.put(META, &[VALUE_PREFIX, name.as_bytes()].concat(), value);
+        if !self.store.has_room(batch.bytes().len(), self.reserved(0)) {
             return Err(Error::Full);
         }
         self.store.apply(&batch).map(drop)
     }
 
-    /// The classes that messages are of, as [`Self::set_classes`] wrote them.
+    /// Returns the message classes as stored by [`Self::set_classes`].
     pub fn classes(&self) -> Option<Bytes> {
         self.store.get(META, CLASSES).ok().flatten()
     }
 
-    /// Notes the classes that messages are of, for whoever reads their positions after a restart.
+    /// Stores the message classes, so that positions in messages can be resolved after a restart.
     ///
     /// # Errors
-    /// [`Error::Full`] where there is no room beside what is promised; else as for [`Store::apply`].
+    /// [`Error::Full`] if it would use reserved space; otherwise as for [`Store::apply`].
     pub fn set_classes(&mut self, classes: &[u8]) -> Result<(), Error> {
         if self.classes().as_deref() == Some(classes) {
             return Ok(());
         }
         let mut batch = Batch::new();
         batch.put(META, CLASSES, classes);
-        if !self.store.has_room(batch.bytes().len(), self.promised(0)) {
+        if !self.store.has_room(batch.bytes().len(), self.reserved(0)) {
             return Err(Error::Full);
         }
         self.store.apply(&batch).map(drop)
     }
 
-    /// Notes that an endpoint is out by hand, or back.
+    /// Stores that an operator cordoned an endpoint (`out`) or put it back.
     ///
     /// # Errors
-    /// [`Error::Full`] where there is no room beside what is promised; else as for [`Store::apply`].
+    /// [`Error::Full`] if it would use reserved space; otherwise as for [`Store::apply`].
     pub fn set_cordon(&mut self, name: &str, out: bool) -> Result<Seq, Error> {
-        let (key, mut batch) = ([CORDON, name.as_bytes()].concat(), Batch::new());
+        let (key, mut batch) = ([CORDON_PREFIX, name.as_bytes()].concat(), Batch::new());
         if out {
             batch.put(META, &key, &[])
         } else {
             batch.delete(META, &key)
         };
-        if out && !self.store.has_room(batch.bytes().len(), self.promised(0)) {
+        if out && !self.store.has_room(batch.bytes().len(), self.reserved(0)) {
             return Err(Error::Full);
         }
         self.store.apply(&batch)
     }
 
-    /// The endpoints that are out by hand.
+    /// Returns the names of the cordoned endpoints.
     pub fn cordons(&self) -> Vec<String> {
-        let all = self.store.keys(META, CORDON).map_while(|(key, ..)| key.strip_prefix(CORDON));
+        let all = self.store.keys(META, CORDON_PREFIX).map_while(|(key, ..)| key.strip_prefix(CORDON_PREFIX));
         all.map(|name| String::from_utf8_lossy(name).into_owned()).collect()
     }
 
-    /// Notes what was learnt of destinations and routes by now; `None` in place of what is to be forgotten. What
-    /// does not fit beside the messages is not kept.
+    /// Stores learned values of destinations and routes; a value of `None` deletes the record. Values that do
+    /// not fit beside the messages are not stored.
     ///
     /// # Errors
     /// As for [`Store::apply`].
     pub fn record_learned(
         &mut self,
         now: Nanos,
-        learnt: impl IntoIterator<Item = (u64, Option<u64>, Option<Vec<u8>>)>,
+        learned: impl IntoIterator<Item = (u64, Option<u64>, Option<Vec<u8>>)>,
     ) -> Result<(), Error> {
         let mut batch = Batch::new();
-        for (dest, route, bytes) in learnt {
-            let key = learnt_key(dest, route);
+        for (dest, route, bytes) in learned {
+            let key = learned_key(dest, route);
             match bytes {
                 Some(bytes) => {
                     let value = Writer::default().u64(now).bytes(&bytes).0;
@@ -847,39 +857,42 @@
                 None => {}
             }
             if batch.bytes().len() > 16 * 1024 {
-                self.write_lessons(&mut batch)?;
+                self.write_learned(&mut batch)?;
             }
         }
-        self.write_lessons(&mut batch)
+        self.write_learned(&mut batch)
     }
 
-    fn write_lessons(&mut self, batch: &mut Batch) -> Result<(), Error> {
+    fn write_learned(&mut self, batch: &mut Batch) -> Result<(), Error> {
         let batch = std::mem::take(batch);
         let size = batch.bytes().len();
-        let most = self.store.limit() / SIDE_TABLE;
-        if self.store.live_bytes(LEARNED) + size as u64 > most {
-            // The older half goes: destinations that are gone, or that nobody writes to.
-            let noted = |value: Option<&Bytes>| value.and_then(|v| Reader(v).u64()).unwrap_or(0);
-            let mut all: Vec<(Nanos, Vec<u8>)> =
-                self.store.keys(LEARNED, &[]).map(|(key, _, value)| (noted(value), key.to_vec())).collect();
+        let max_bytes = self.store.limit() / SIDE_TABLE_DIVISOR;
+        if self.store.live_bytes(LEARNED) + size as u64 > max_bytes {
+            // Drop the older half: destinations that were removed or have no traffic.
+            let stored_at = |value: Option<&Bytes>| value.and_then(|v| Reader(v).u64()).unwrap_or(0);
+            let mut all: Vec<(Nanos, Vec<u8>)> = self
+                .store
+                .keys(LEARNED, &[])
+                .map(|(key, _, value)| (stored_at(value), key.to_vec()))
+                .collect();
             all.sort_unstable();
             all.truncate(all.len().div_ceil(2));
-            for some in all.chunks(AT_ONCE) {
+            for chunk in all.chunks(MAX_CHANGES_PER_BATCH) {
                 let mut batch = Batch::new();
-                some.iter().for_each(|(_, key)| {
+                chunk.iter().for_each(|(_, key)| {
                     batch.delete(LEARNED, key);
                 });
                 self.store.apply(&batch)?;
             }
         }
-        let fits = self.store.live_bytes(LEARNED) + size as u64 <= most;
-        if !batch.is_empty() && fits && self.store.has_room(size, self.promised(0)) {
+        let fits = self.store.live_bytes(LEARNED) + size as u64 <= max_bytes;
+        if !batch.is_empty() && fits && self.store.has_room(size, self.reserved(0)) {
             self.store.apply(&batch)?;
         }
         Ok(())
     }
 
-    /// What was learnt: destination, route, when it was noted, and the bytes.
+    /// Returns the learned values: destination, route, when it was stored, and the value.
     pub fn learned(&self) -> Vec<(u64, Option<u64>, Nanos, Vec<u8>)> {
         let read = |(key, _, value): (&[u8], Seq, Option<&Bytes>)| {
             let (dest, route) = read_learned_key(key)?;
@@ -889,27 +902,28 @@
         self.store.keys(LEARNED, &[]).filter_map(read).collect()
     }
 
-    /// What became of a message so far.
+    /// Returns the delivery history of a pending message.
     pub fn history(&self, id: u64) -> Option<History> {
-        self.kept.get(&id).map(|kept| kept.history)
+        self.pending.get(&id).map(|entry| entry.history)
     }
 
-    /// When a message was taken on.
+    /// Returns when a pending message was accepted.
     pub fn accepted_at(&self, id: u64) -> Option<Nanos> {
-        self.kept.get(&id).map(|kept| kept.at)
+        self.pending.get(&id).map(|entry| entry.at)
     }
 
-    /// How many messages are owed their end.
+    /// Returns the number of pending messages.
     pub fn pending(&self) -> usize {
-        self.kept.len()
+        self.pending.len()
     }
 
-    /// How many final answers are kept.
+    /// Returns the number of final outcomes kept.
     pub fn answers(&self) -> usize {
         self.store.len(ANSWERS)
     }
 
-    /// Whether the frame of this number outlives what it is meant to; 0 stands for none.
+    /// Returns whether the frame with this sequence number is durable as configured. True for 0, which
+    /// denotes no frame.
     pub fn is_durable(&self, seq: Seq) -> bool {
         self.store.is_durable(seq)
     }
@@ -917,7 +931,7 @@
     /// See [`Store::sync_job`].
     ///
     /// # Errors
-    /// As there.
+    /// The same errors.
     pub fn sync_job(&mut self) -> Result<Option<SyncJob>, Error> {
         self.store.sync_job()
     }
@@ -925,22 +939,22 @@
     /// See [`Store::finish_sync`].
     ///
     /// # Errors
-    /// As there.
+    /// The same errors.
     pub fn finish_sync(&mut self, synced: SyncResult) -> Result<(), Error> {
         self.store.finish_sync(synced)
     }
 
-    /// Figures of the store.
+    /// Returns the statistics of the store.
     pub fn stats(&self) -> Stats {
         self.store.stats()
     }
 
-    /// The store beneath.
+    /// Returns the underlying store.
     pub fn store(&self) -> &Store<F> {
         &self.store
     }
 
-    /// The store beneath, for work on the whole of it.
+    /// Returns the underlying store, for operations on all of it.
     pub fn store_mut(&mut self) -> &mut Store<F> {
         &mut self.store
     }
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -1,9 +1,9 @@
-//! An embedded, log-structured store: what must outlast a dispatcher's process.
+//! An embedded, log-structured store for the state of a dispatcher that must survive a restart.
 //!
-//! [`Store`] is the engine: tables of keys and values over one log of checksummed frames in segment files, an
-//! index in memory, incremental compaction, recovery. It knows neither messages nor any policy. [`Ledger`] keeps
-//! a dispatcher's tables in one: messages owed, final answers, endpoints, and what was learnt of destinations.
-//! Both do I/O only through [`Folder`].
+//! [`Store`] is the engine: key-value tables over one log of checksummed frames in segment files, with an
+//! in-memory index, incremental compaction and recovery. It is independent of messages and policies.
+//! [`Ledger`] keeps a dispatcher's tables in a store: pending messages, final outcomes, endpoints and learned
+//! values of destinations. Both perform I/O only through [`Folder`].
 
 mod checkpoint;
 mod folder;
--- a/store/src/memory.rs
+++ b/store/src/memory.rs
@@ -1,5 +1,5 @@
-//! A folder in memory for tests: it can be cut, filled and failed, and remembers every operation, so that a crash
-//! at any of them can be played with any of the unsynced ones dropped, torn or out of order.
+//! An in-memory folder for tests. It can inject errors and limit the space, and it records every operation,
+//! so that a crash after any of them can be simulated with unsynced operations dropped, torn or reordered.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -7,16 +7,16 @@
 
 use crate::folder::{Append, Folder, Syncer};
 
-/// One operation on the folder, as it took effect.
+/// An operation that changed or synced the folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A file was made.
+    /// A file was created.
     Create(String),
-    /// Bytes were written from this offset of a file on.
+    /// Bytes were written to a file at this offset.
     Write(String, u64, Vec<u8>),
-    /// A file was made this long, with zeros.
+    /// A file was extended to this length with zeros.
     Reserve(String, u64),
-    /// A file was cut.
+    /// A file was truncated to this length.
     Truncate(String, u64),
     /// A file was removed.
     Remove(String),
@@ -26,11 +26,11 @@
     SyncFolder,
 }
 
-/// The files by name.
+/// File contents by file name.
 pub type Files = BTreeMap<String, Vec<u8>>;
 
 impl Change {
-    /// Carries it out.
+    /// Applies the operation to `files`.
     pub fn apply(&self, files: &mut Files) {
         match self {
             Change::Create(name) => {
@@ -58,18 +58,18 @@
     }
 }
 
-/// What is to go wrong.
+/// Faults to inject.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Bytes that the files may hold together; an append past it writes what fits and fails.
+    /// Maximum total size of the files in bytes. An append beyond it writes what fits and fails.
     pub room: Option<u64>,
-    /// So many changes from now on succeed; the next ones fail.
+    /// Number of further operations that succeed; later ones fail.
     pub changes_left: Option<u64>,
-    /// Syncs fail.
+    /// Whether syncs fail.
     pub no_sync: bool,
-    /// Files can't be cut.
+    /// Whether truncations fail.
     pub no_truncate: bool,
-    /// Of an append that fails this many bytes are written all the same.
+    /// Number of bytes that a injects_error append writes nevertheless.
     pub torn: usize,
 }
 
@@ -81,7 +81,7 @@
 }
 
 impl Inner {
-    fn failing(&mut self) -> bool {
+    fn injects_error(&mut self) -> bool {
         match &mut self.faults.changes_left {
             Some(0) => true,
             Some(left) => {
@@ -100,12 +100,12 @@
     }
 }
 
-/// A folder in memory; its copies are the same folder.
+/// An in-memory folder. Clones refer to the same folder.
 #[derive(Clone, Default)]
 pub struct Memory(Arc<Mutex<Inner>>);
 
 impl Memory {
-    /// A folder with these files.
+    /// Creates a folder with these files.
     pub fn with(files: Files) -> Self {
         Memory(Arc::new(Mutex::new(Inner { files, ..Inner::default() })))
     }
@@ -114,37 +114,37 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The files as they are.
+    /// Returns a copy of the files.
     pub fn files(&self) -> Files {
         self.inner().files.clone()
     }
 
-    /// Remembers the changes from now on.
+    /// Starts recording operations.
     pub fn record(&self) {
         self.inner().changes = Some(Vec::new());
     }
 
-    /// The changes since [`Self::record`].
+    /// Returns the operations recorded since [`Self::record`].
     pub fn changes(&self) -> Vec<Change> {
         self.inner().changes.clone().unwrap_or_default()
     }
 
-    /// From now on this goes wrong.
+    /// Injects these faults from now on.
     pub fn fail(&self, faults: Faults) {
         self.inner().faults = faults;
     }
 
-    /// What the folder takes where each file counts in whole 512 bytes.
+    /// Returns the total size of the files in bytes, each rounded up to a multiple of 512.
     pub fn size(&self) -> u64 {
         self.inner().files.values().map(|f| (f.len() as u64).div_ceil(512) * 512).sum()
     }
 }
 
-fn eio() -> io::Error {
+fn io_error() -> io::Error {
     io::Error::from_raw_os_error(5)
 }
 
-fn enospc() -> io::Error {
+fn no_space_error() -> io::Error {
     io::Error::from_raw_os_error(28)
 }
 
@@ -157,8 +157,8 @@
 
     fn create(&mut self, name: &str) -> io::Result<MemoryFile> {
         let mut inner = self.inner();
-        if inner.failing() {
-            return Err(enospc());
+        if inner.injects_error() {
+            return Err(no_space_error());
         }
         if inner.files.contains_key(name) {
             return Err(io::ErrorKind::AlreadyExists.into());
@@ -184,8 +184,8 @@
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         let mut inner = self.inner();
-        if inner.failing() {
-            return Err(eio());
+        if inner.injects_error() {
+            return Err(io_error());
         }
         if !inner.files.contains_key(name) {
             return Err(io::ErrorKind::NotFound.into());
@@ -207,15 +207,15 @@
 impl Memory {
     fn sync(&self, change: Change) -> io::Result<()> {
         let mut inner = self.inner();
-        if inner.faults.no_sync || inner.failing() {
-            return Err(eio());
+        if inner.faults.no_sync || inner.injects_error() {
+            return Err(io_error());
         }
         inner.change(change);
         Ok(())
     }
 }
 
-/// A file of a [`Memory`].
+/// A file of a [`Memory`] folder.
 pub struct MemoryFile {
     folder: Memory,
     name: String,
@@ -227,14 +227,14 @@
         let mut inner = self.folder.inner();
         let held: u64 = inner.files.values().map(|f| f.len() as u64).sum();
         let room = inner.faults.room.map_or(usize::MAX, |room| room.saturating_sub(held) as usize);
-        let (failing, torn) = (inner.failing(), inner.faults.torn);
-        let written = if failing { torn.min(bytes.len()) } else { room.min(bytes.len()) };
+        let (injects_error, torn) = (inner.injects_error(), inner.faults.torn);
+        let written = if injects_error { torn.min(bytes.len()) } else { room.min(bytes.len()) };
         if written > 0 {
             inner.change(Change::Write(self.name.clone(), self.end, bytes[..written].to_vec()));
         }
-        match (failing, written < bytes.len()) {
-            (true, _) => Err(eio()),
-            (_, true) => Err(enospc()),
+        match (injects_error, written < bytes.len()) {
+            (true, _) => Err(io_error()),
+            (_, true) => Err(no_space_error()),
             _ => {
                 self.end += bytes.len() as u64;
                 Ok(())
@@ -244,8 +244,8 @@
 
     fn reserve(&mut self, length: u64) -> io::Result<()> {
         let mut inner = self.folder.inner();
-        if inner.failing() {
-            return Err(enospc());
+        if inner.injects_error() {
+            return Err(no_space_error());
         }
         inner.change(Change::Reserve(self.name.clone(), length));
         Ok(())
@@ -254,7 +254,7 @@
     fn truncate(&mut self, length: u64) -> io::Result<()> {
         let mut inner = self.folder.inner();
         if inner.faults.no_truncate {
-            return Err(eio());
+            return Err(io_error());
         }
         inner.change(Change::Truncate(self.name.clone(), length));
         self.end = length;
