--- a/store/compare/src/engines.rs
+++ b/store/compare/src/engines.rs
@@ -1,5 +1,5 @@
-//! The same work on each engine. What each promises stands beside its name: after a change has returned it
-//! outlives the process, or the machine (`sync`).
+//! The storage engines under comparison, behind one interface. A change that has returned survives a crash of
+//! the process, or of the machine for engines named `sync`.
 
 use std::path::Path;
 
@@ -14,7 +14,8 @@
 pub trait Engine {
     fn take(&mut self, n: u64, body: &[u8]);
     fn begin(&mut self, n: u64);
-    /// The end of a message; and of an old answer, where the engine must be told.
+    /// Removes a message and stores its answer. `old_answer` is an answer to delete, for engines without
+    /// expiry.
     fn end(&mut self, n: u64, old_answer: Option<u64>);
     fn count(&self) -> u64;
 }
@@ -27,16 +28,16 @@
 pub fn open(name: &str, folder: &Path) -> Box<dyn Engine> {
     let sync = name.ends_with("sync");
     match name.trim_end_matches(" sync") {
-        "store" => Box::new(OurStore::open(folder, sync)),
+        "store" => Box::new(MillpostStore::open(folder, sync)),
         "journal" => Box::new(OldJournal(journal::Journal::open(folder, LIMIT).expect("opens").0)),
         "fjall" => Box::new(Fjall::open(folder, sync)),
         "sqlite" => Box::new(Sqlite::open(folder, sync)),
         "redb" => Box::new(Redb::open(folder, sync)),
-        other => panic!("there is no engine {other}"),
+        other => panic!("unknown engine {other}"),
     }
 }
 
-/// What a message holds besides its body, for engines that know only bytes.
+/// The fields of a message besides its body, encoded for engines that store bytes.
 fn head(n: u64) -> Vec<u8> {
     let mut head = vec![0; 28];
     head.extend_from_slice(format!("reference-{n:016}").as_bytes());
@@ -59,34 +60,34 @@
     }
 }
 
-struct OurStore {
+struct MillpostStore {
     ledger: Ledger<Disk>,
     sync: bool,
 }
 
-impl OurStore {
+impl MillpostStore {
     fn open(folder: &Path, sync: bool) -> Self {
         let durability = if sync { Durability::Machine } else { Durability::Process };
         let options = Options::new(LIMIT, durability);
         let folder = Disk::open(folder).expect("the folder");
         let (ledger, _) = Ledger::open(folder, options, 1, 77, None).expect("opens");
-        OurStore { ledger, sync }
+        MillpostStore { ledger, sync }
     }
-    fn last(&mut self) {
+    fn sync_if_required(&mut self) {
         if self.sync {
-            self.ledger.store_mut().sync().expect("it lasts");
+            self.ledger.store_mut().sync().expect("synced");
         }
     }
 }
 
-impl Engine for OurStore {
+impl Engine for MillpostStore {
     fn take(&mut self, n: u64, body: &[u8]) {
         assert_eq!(self.ledger.accept(5, &message(n, body)).expect("room").0, n + 1);
-        self.last();
+        self.sync_if_required();
     }
     fn begin(&mut self, n: u64) {
         self.ledger.begin_attempt(n + 1, 6, 1).expect("written");
-        self.last();
+        self.sync_if_required();
     }
     fn end(&mut self, n: u64, _: Option<u64>) {
         let reference = format!("reference-{n:016}");
@@ -95,7 +96,7 @@
         if n.is_multiple_of(64) {
             self.ledger.maintain(until.saturating_sub(crate::ANSWERS));
         }
-        self.last();
+        self.sync_if_required();
     }
     fn count(&self) -> u64 {
         self.ledger.pending() as u64
@@ -114,7 +115,7 @@
         self.0.begin(n + 1, 6, 1).expect("written");
     }
     fn end(&mut self, n: u64, _: Option<u64>) {
-        // It keeps no answers.
+        // The journal keeps no answers.
         let _ = Answer::Failed;
         self.0.end(n + 1).expect("written");
     }
@@ -219,8 +220,8 @@
 const HISTORIES: TableDefinition<u64, &[u8]> = TableDefinition::new("histories");
 const ANSWERS: TableDefinition<&str, &[u8]> = TableDefinition::new("answers");
 
-/// Without a sync a commit of redb outlives nothing; so `redb` syncs every hundredth one, and promises less than
-/// the others.
+/// Without a sync, a commit of redb does not survive a crash of the process. So `redb` syncs every hundredth
+/// commit, which is a weaker guarantee than that of the other engines.
 struct Redb {
     db: redb::Database,
     sync: bool,
--- a/store/compare/src/journal.rs
+++ b/store/compare/src/journal.rs
@@ -1,8 +1,9 @@
-//! The journal that the store replaced, as it was: what was taken on, kept in the folder that outlasts the process.
+//! The journal that the store replaced, kept unchanged for comparison: accepted messages, in a folder that
+//! outlives the process.
 //!
-//! One append-only file of records, each with its length and checksum. A record is written before what it
-//! tells of is done: `taken` before the client hears of it, `begun` before the first byte of the call. Plain
-//! writes are enough, since the folder outlasts the process and is lost only with the machine.
+//! One append-only file of records, each with its length and checksum. A record is written before the action
+//! it describes: `taken` before the client is answered, `begun` before the first byte of the call. Plain
+//! writes are enough, since the folder survives the process and is lost only with the machine.
 
 #![allow(dead_code)]
 
@@ -16,31 +17,31 @@
 
 const FILE: &str = "journal";
 const NEW_FILE: &str = "journal.new";
-/// Length and checksum.
+/// Length of a record's header: its length and checksum.
 const HEAD: u64 = 8;
-/// Most that one record may hold: a message with its body, and room to spare.
+/// Maximum length of a record in bytes; more than a message with its body needs.
 const LONGEST: usize = 256 * 1024;
-/// Disk space counts in steps of this size.
+/// File sizes are rounded up to a multiple of this many bytes.
 const STEP: u64 = 512;
-/// Size of the collapsed history of one message, at most.
+/// Maximum size of a message's collapsed history in bytes.
 const HISTORY: u64 = 96;
-/// Bytes that the records after `taken` may take for each message: attempts, outcomes, its end.
+/// Bytes reserved per message for the records after `taken`: attempts, outcomes, its end.
 const LATER: u64 = 512;
-/// Records of finished messages are dropped once they outweigh the rest by this much.
+/// The file is compacted once the records of finished messages exceed the rest by this many bytes.
 const SLACK: u64 = 256 * 1024;
 
-/// Why the journal refuses.
+/// Errors of the journal.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The limit of the folder would be passed.
-    #[error("the state folder is full")]
+    /// The write would exceed the size limit of the folder.
+    #[error("the state folder has reached its size limit")]
     Full,
-    /// The file system refuses.
-    #[error("the journal can't be written: {0}")]
+    /// The file system returned an error.
+    #[error("cannot write the journal: {0}")]
     Io(#[from] io::Error),
 }
 
-/// A message as the journal keeps it. Times are wall-clock nanoseconds since 1970.
+/// A message as stored in the journal. Times are wall-clock nanoseconds since 1970.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Taken {
     pub reference: String,
@@ -51,20 +52,20 @@
     pub body: Bytes,
 }
 
-/// What became of a message so far.
+/// Delivery history of a message.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct History {
     pub attempts: u32,
     pub first_sent: Nanos,
-    /// Earliest attempt that may have run, with its zone.
+    /// Start and zone of the earliest attempt that may have run.
     pub may_have_run: Option<(Nanos, u32)>,
-    /// The attempt that has no outcome yet.
+    /// Start and zone of the attempt that has no outcome yet.
     pub out: Option<(Nanos, u32)>,
-    /// The final answer, once there is one: it is owed until its notice has been taken.
+    /// The final answer, once decided. The client must be notified of it until it acknowledges the notice.
     pub answer: Option<Answer>,
 }
 
-/// A final answer that ends a message without delivery.
+/// A final answer that finishes a message without delivery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
     Failed,
@@ -73,13 +74,13 @@
 
 #[derive(Clone)]
 struct Kept {
-    /// The `taken` record as written, head and all.
+    /// The `taken` record as written, header included.
     record: Bytes,
     at: Nanos,
     history: History,
 }
 
-/// A message that was found at the start.
+/// A message found on opening.
 pub struct Found {
     pub id: u64,
     pub taken: Taken,
@@ -92,10 +93,10 @@
     size: u64,
     limit: u64,
     kept: BTreeMap<u64, Kept>,
-    /// Bytes of the `taken` records of `kept`.
+    /// Total size of the `taken` records of `kept` in bytes.
     weight: u64,
     next: u64,
-    /// A write failed in the middle of a record: nothing may follow it before the file is made anew.
+    /// Whether a write failed within a record. Nothing may be appended before the file is rewritten.
     torn: bool,
 }
 
@@ -103,7 +104,7 @@
     size.div_ceil(STEP) * STEP
 }
 
-/// Puts a record together: the head, then the parts.
+/// Encodes a record: the header, then the fields.
 struct Record(Vec<u8>);
 
 impl Record {
@@ -142,7 +143,7 @@
 const ENDED: u8 = 6;
 const HISTORY_SO_FAR: u8 = 7;
 
-/// Reads the parts of a record; `None` past its end.
+/// Decodes a record; each method returns `None` past its end.
 struct Reader(Bytes);
 
 impl Reader {
@@ -208,7 +209,7 @@
     answer_parts(record.u64(ran_at).u32(ran_zone).u64(out_at).u32(out_zone), history.answer).sealed()
 }
 
-/// The next whole record from `at`, and where it ends. A record whose checksum is wrong gives no body.
+/// Returns the next complete record from `at` and its end. The body is `None` if the checksum is wrong.
 fn next_record(data: &Bytes, at: usize) -> Option<(Option<Bytes>, usize)> {
     let mut head = Reader(data.slice(at..));
     let (length, sum) = (head.u32()? as usize, head.u32()?);
@@ -221,11 +222,11 @@
 }
 
 impl Journal {
-    /// Opens the journal in `folder` and tells what is still owed. A torn tail is dropped; whatever else is
-    /// wrong with the file never stops the start.
+    /// Opens the journal in `folder` and returns the unfinished messages. A torn tail is dropped; damage is
+    /// never an error.
     pub fn open(folder: &Path, limit: u64) -> Result<(Self, Vec<Found>), Error> {
         fs::create_dir_all(folder)?;
-        // Left over by an end in the middle of a compaction, when the old file still held all.
+        // Left over from an interrupted compaction; the old file is still complete.
         match fs::remove_file(folder.join(NEW_FILE)) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e.into()),
             _ => {}
@@ -248,7 +249,7 @@
         };
         let (good, damaged) = journal.replay(&data);
         if damaged {
-            // What the lost records said of attempts is not known: any message may have run since it came.
+            // Lost records may have recorded attempts: any message may have run since it was accepted.
             for kept in journal.kept.values_mut() {
                 let history = &mut kept.history;
                 history.attempts = history.attempts.max(1);
@@ -257,12 +258,12 @@
             }
         }
         if good < data.len() as u64 {
-            // The tail must go before anything is appended to it; making the file anew does that too.
+            // The tail must be removed before anything is appended; rewriting the file removes it as well.
             journal.torn = journal.file.set_len(good).is_err();
             journal.size = if journal.torn { journal.size } else { good };
         }
         if damaged || journal.size > journal.snapshot_size() + SLACK {
-            // What was read is good without it; the next write tries again where it must.
+            // A failure is harmless: the next write compacts again if necessary.
             let _ = journal.compact();
         }
         let found = |(id, kept): (&u64, &Kept)| {
@@ -273,7 +274,8 @@
         Ok((journal, found))
     }
 
-    /// Takes in the records of `data`: where the good ones end, and whether any before that was damaged.
+    /// Replays the records of `data`. Returns where the good ones end, and whether any before that was
+    /// damaged.
     fn replay(&mut self, data: &Bytes) -> (u64, bool) {
         let (mut at, mut good, mut skipped, mut damaged) = (0, 0, false, false);
         while let Some((body, end)) = next_record(data, at) {
@@ -286,8 +288,8 @@
             }
             at = end;
         }
-        // A tail that was cut off in the middle of a write is not damage: nothing was done on its word. A
-        // whole record with a wrong checksum is.
+        // A tail truncated by an interrupted write is not damage, because nothing was done before the write
+        // returned. A complete record with a wrong checksum is.
         (good, damaged || skipped)
     }
 
@@ -298,12 +300,12 @@
         if kind == TAKEN {
             let (_, at) = read_taken(body)?;
             self.weight += record.len() as u64;
-            // A copy: a slice would keep all of the file in memory for as long as this message lives.
+            // Copied, because a slice would keep the whole file in memory while this message is pending.
             let record = Bytes::copy_from_slice(&record);
             self.kept.insert(id, Kept { record, at, history: History::default() });
             return Some(());
         }
-        // Records of a message that is over say nothing any more.
+        // Records of a finished message are ignored.
         let Some(kept) = self.kept.get_mut(&id) else { return Some(()) };
         let history = &mut kept.history;
         match kind {
@@ -326,7 +328,7 @@
         Some(())
     }
 
-    /// How many messages are owed.
+    /// Returns the number of unfinished messages.
     pub fn count(&self) -> usize {
         self.kept.len()
     }
@@ -341,8 +343,8 @@
         self.weight + HISTORY * self.kept.len() as u64
     }
 
-    /// Takes a message on: once this returns its number, the message outlives the process. Its body comes back
-    /// as a part of the record, so that it is held once, and no buffer that it was read into is kept for it.
+    /// Stores a message. Once this returns its number, the message survives the process. The body is returned
+    /// as a slice of the record, so that it is in memory once and the buffer it was read into can be freed.
     pub fn take(&mut self, now: Nanos, taken: &Taken) -> Result<(u64, Bytes), Error> {
         let id = self.next;
         let record = Bytes::from(taken_record(id, now, taken));
@@ -350,8 +352,8 @@
             self.compact()?;
         }
         if !self.has_room(record.len() as u64) {
-            // Guards the limit of the folder, old and new file together. With nothing to drop, a full
-            // journal is not written anew for each message that it refuses.
+            // Enforces the limit for the old and the new file together. Without anything to drop, a full
+            // journal is not rewritten for each message that it rejects.
             if self.size > self.snapshot_size() {
                 self.compact()?;
             }
@@ -367,22 +369,22 @@
         Ok((id, body))
     }
 
-    /// With one more message of this size, and with all that may still be told of the messages kept, the
-    /// file and its successor stay under the limit.
+    /// Whether the file and its successor stay under the limit with one more message of this size and all
+    /// later records of the messages kept.
     fn has_room(&self, more: u64) -> bool {
         let count = self.kept.len() as u64 + 1;
         let file = rounded(self.size + more + LATER * count);
         file + rounded(self.weight + more + HISTORY * count) <= self.limit
     }
 
-    /// An attempt is about to begin. Nothing of it may be written before this has returned.
+    /// Records that an attempt starts. Nothing may be sent before this has returned.
     pub fn begin(&mut self, id: u64, now: Nanos, zone: u32) -> Result<(), Error> {
         self.append(&Record::new(BEGUN, id).u64(now).u32(zone).sealed())?;
         self.kept.entry(id).and_modify(|k| k.history.begin(now, zone));
         Ok(())
     }
 
-    /// The attempt that was out is over, without delivery.
+    /// Records that the attempt in flight ended without delivery.
     pub fn outcome(&mut self, id: u64, never_ran: bool) -> Result<(), Error> {
         let kind = if never_ran { NEVER_RAN } else { MAY_HAVE_RUN };
         self.append(&Record::new(kind, id).sealed())?;
@@ -390,12 +392,12 @@
         Ok(())
     }
 
-    /// The final answer is decided; its notice is owed.
+    /// Records the final answer, of which the client is still to be notified.
     pub fn answer(&mut self, id: u64, answer: Answer) -> Result<(), Error> {
         self.append(&answer_parts(Record::new(ANSWERED, id), Some(answer)).sealed())?;
         let Some(kept) = self.kept.get_mut(&id) else { return Ok(()) };
         kept.history.answer = Some(answer);
-        // It is not sent again: its body is of no use any more.
+        // The message is not sent again, so its body is dropped.
         if let Some((taken, at)) = read_taken(Reader(kept.record.slice(HEAD as usize + 9..))) {
             let record = taken_record(id, at, &Taken { body: Bytes::new(), ..taken });
             self.weight -= (kept.record.len() - record.len()) as u64;
@@ -404,7 +406,7 @@
         Ok(())
     }
 
-    /// The message is over, and nothing more is owed for it.
+    /// Removes a finished message.
     pub fn end(&mut self, id: u64) -> Result<(), Error> {
         let done = self.append(&Record::new(ENDED, id).sealed());
         self.forget(id);
@@ -416,7 +418,7 @@
             self.compact()?;
         }
         if let Err(e) = self.file.write_all(record) {
-            // Guards what follows: records after half a record would be lost with it.
+            // Records after a partial record could not be read back, so the partial record is truncated.
             self.torn = self.file.set_len(self.size).is_err();
             return Err(e.into());
         }
@@ -424,10 +426,10 @@
         Ok(())
     }
 
-    /// Writes what is still owed to a new file, which then takes the old one's place in one step.
+    /// Writes the unfinished messages to a new file, which then replaces the old one atomically.
     fn compact(&mut self) -> Result<(), Error> {
-        // Added up first, and written record by record: a copy of all that is owed would be memory that is
-        // needed just when much is held.
+        // The size is computed first and the records are written one by one: a copy of all of them would need
+        // memory just when many messages are pending.
         let told = |id: &u64, kept: &Kept| {
             (kept.history != History::default()).then(|| history_record(*id, &kept.history))
         };
@@ -451,7 +453,7 @@
             let _ = fs::remove_file(&new);
             return Err(e.into());
         }
-        // The name now stands for the new file: an append to the old one would be lost.
+        // The path now names the new file: an append to the old one would be lost.
         self.torn = true;
         self.file = OpenOptions::new().append(true).open(self.folder.join(FILE))?;
         (self.size, self.torn) = (size, false);
--- a/store/compare/src/main.rs
+++ b/store/compare/src/main.rs
@@ -1,9 +1,9 @@
-//! The store beside redb, fjall and SQLite, and beside the journal that it replaced, on the same work in one run:
+//! Benchmarks the store against redb, fjall, SQLite and the journal that it replaced, on the same work:
 //! `cargo run --release -- [work|recovery|cuts|pauses|all] [RECORDS]` in this folder.
 //!
-//! Each engine runs in a process of its own, so that its memory and its bytes written are its own. The work is a
-//! dispatcher's: a message with a body is taken, an attempt is noted, and some messages later its end deletes
-//! both and keeps a final answer, of which the oldest are dropped.
+//! Each engine runs in a separate process, so that memory and bytes written are measured for it alone. The
+//! work is that of a dispatcher: a message with a body is stored, an attempt is recorded, and some messages
+//! later its end deletes both and stores a final answer, of which the oldest are dropped.
 
 mod engines;
 mod journal;
@@ -14,9 +14,9 @@
 
 use engines::{Engine, NAMES, open};
 
-/// Messages held at a time.
-const HELD: u64 = 3_000;
-/// Final answers kept.
+/// Number of messages pending at a time.
+const PENDING: u64 = 3_000;
+/// Number of final answers kept.
 const ANSWERS: u64 = 6_000;
 
 fn main() {
@@ -31,18 +31,18 @@
                 "cuts" => cuts(name),
                 "pauses" => pauses(name, records),
                 "checkpoints" => checkpoints(records),
-                _ => panic!("there is no measurement {what}"),
+                _ => panic!("unknown measurement {what}"),
             }
         }
         ["checkpoints"] => [(100_000, 600), (2_000, 40_000)].into_iter().for_each(|(n, _)| checkpoints(n)),
         [] | ["all"] => ["work", "recovery", "cuts", "pauses"].into_iter().for_each(|what| each(what, "")),
         [what] => each(what, ""),
         [what, records] => each(what, records),
-        _ => panic!("work, recovery, cuts, pauses or all, and a number of records"),
+        _ => panic!("expected work, recovery, cuts, pauses or all, and a number of records"),
     }
 }
 
-/// One process for each engine; three rounds, in which the engines take turns.
+/// Runs a measurement with one process for each engine, in three rounds over all engines.
 fn each(what: &str, records: &str) {
     let (records, rounds) = match (what, records) {
         (_, given) if !given.is_empty() => (given, 3),
@@ -52,7 +52,7 @@
     };
     println!("# {what}, {records} records");
     for _ in 0..rounds {
-        // How long a start takes, and what a pause is made of, does not depend on syncs.
+        // Recovery times and pauses do not depend on syncs.
         let names = NAMES.into_iter().filter(|name| what == "work" || !name.ends_with("sync"));
         for name in names {
             let me = std::env::current_exe().expect("this program");
@@ -68,28 +68,28 @@
     }
 }
 
-/// A generator with a fixed seed.
-struct Lot(u64);
+/// A linear congruential generator with a fixed seed.
+struct Rng(u64);
 
-impl Lot {
+impl Rng {
     fn below(&mut self, n: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % n
     }
 }
 
-fn body(lot: &mut Lot) -> Vec<u8> {
-    vec![lot.below(256) as u8; 200 + lot.below(600) as usize]
+fn body(rng: &mut Rng) -> Vec<u8> {
+    vec![rng.below(256) as u8; 200 + rng.below(600) as usize]
 }
 
-fn written() -> u64 {
+fn bytes_written() -> u64 {
     let io = std::fs::read_to_string("/proc/self/io").expect("figures of this process");
     let line = io.lines().find(|l| l.starts_with("wchar")).expect("bytes written");
     line.split(' ').nth(1).and_then(|n| n.parse().ok()).expect("a number")
 }
 
-/// Largest resident memory so far, in kB.
-fn resident() -> u64 {
+/// Peak resident memory of this process in kB.
+fn peak_resident_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").expect("figures of this process");
     let line = status.lines().find(|l| l.starts_with("VmHWM")).expect("resident memory");
     line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).expect("a number")
@@ -104,59 +104,59 @@
     sum
 }
 
-fn at(sorted: &[Duration], share: f64) -> f64 {
+fn percentile(sorted: &[Duration], share: f64) -> f64 {
     sorted[((sorted.len() - 1) as f64 * share) as usize].as_nanos() as f64 / 1e3
 }
 
 fn work(name: &str, records: u64) {
     let dir = tempfile::tempdir().expect("a folder");
-    let before = resident();
+    let before = peak_resident_kb();
     let mut engine = open(name, dir.path());
-    let (mut lot, mut takes, mut payload) = (Lot(7), Vec::new(), 0u64);
+    let (mut rng, mut takes, mut payload) = (Rng(7), Vec::new(), 0u64);
     let mut full_at = 0;
-    let (began, wrote) = (Instant::now(), written());
+    let (began, wrote) = (Instant::now(), bytes_written());
     for n in 0..records {
-        let body = body(&mut lot);
+        let body = body(&mut rng);
         payload += body.len() as u64 + 100;
         let one = Instant::now();
         engine.take(n, &body);
         takes.push(one.elapsed());
-        if n >= HELD / 2 {
-            engine.begin(n - HELD / 2);
+        if n >= PENDING / 2 {
+            engine.begin(n - PENDING / 2);
             payload += 30;
         }
-        if n >= HELD {
-            engine.end(n - HELD, n.checked_sub(HELD + ANSWERS));
+        if n >= PENDING {
+            engine.end(n - PENDING, n.checked_sub(PENDING + ANSWERS));
             payload += 30;
         }
-        if n == HELD {
+        if n == PENDING {
             full_at = size(dir.path());
         }
     }
     let took = began.elapsed();
-    let calls = records + records.saturating_sub(HELD / 2) + records.saturating_sub(HELD);
-    let amplification = (written() - wrote) as f64 / payload as f64;
+    let calls = records + records.saturating_sub(PENDING / 2) + records.saturating_sub(PENDING);
+    let amplification = (bytes_written() - wrote) as f64 / payload as f64;
     takes.sort_unstable();
     println!(
         "{name:16} take p50 {:8.1} us, p99 {:8.1} us, max {:8.0} us; {:8.0} changes/s; {:4.1} bytes written a byte; \
-         {:6} kB on disk with {HELD} held, {:6} kB at the end; {:6} kB resident",
-        at(&takes, 0.5),
-        at(&takes, 0.99),
-        at(&takes, 1.0),
+         {:6} kB on disk with {PENDING} held, {:6} kB at the end; {:6} kB resident",
+        percentile(&takes, 0.5),
+        percentile(&takes, 0.99),
+        percentile(&takes, 1.0),
         calls as f64 / took.as_secs_f64(),
         amplification,
         full_at / 1000,
         size(dir.path()) / 1000,
-        resident() - before,
+        peak_resident_kb() - before,
     );
 }
 
 fn recovery(name: &str, records: u64) {
     let dir = tempfile::tempdir().expect("a folder");
     let mut engine = open(name, dir.path());
-    let mut lot = Lot(7);
+    let mut rng = Rng(7);
     for n in 0..records {
-        engine.take(n, &body(&mut lot));
+        engine.take(n, &body(&mut rng));
     }
     let copy = as_killed(engine, dir.path());
     let began = Instant::now();
@@ -166,11 +166,11 @@
         "{name:16} {found} records in {:7.0} ms, {:7} kB on disk, {:7} kB resident",
         began.elapsed().as_secs_f64() * 1e3,
         size(dir.path()) / 1000,
-        resident()
+        peak_resident_kb()
     );
 }
 
-/// The files as a kill leaves them: nothing is closed in order.
+/// Copies the files as a killed process leaves them, without closing the engine.
 fn as_killed(engine: Box<dyn Engine>, folder: &Path) -> tempfile::TempDir {
     let mut files = Vec::new();
     list(folder, folder, &mut files);
@@ -184,13 +184,13 @@
     copy
 }
 
-/// Each file that holds records cut at 100 places in turn: what can be opened, and what is there then.
+/// Truncates the largest file at 100 offsets in turn, and counts the stores that open and the records found.
 fn cuts(name: &str) {
     let dir = tempfile::tempdir().expect("a folder");
     let mut engine = open(name, dir.path());
-    let mut lot = Lot(7);
+    let mut rng = Rng(7);
     for n in 0..400 {
-        engine.take(n, &body(&mut lot));
+        engine.take(n, &body(&mut rng));
     }
     let copy = as_killed(engine, dir.path());
     let mut files = Vec::new();
@@ -211,7 +211,7 @@
         let found = std::panic::catch_unwind(|| open(name, again.path()).count());
         if let Ok(found) = found {
             opened += 1;
-            // Of the records whose bytes were there, about.
+            // Approximate share of the records that lie before the cut.
             let share = found as f64 / (400.0 * n as f64 / 100.0).max(1.0);
             kept += share.min(1.0);
             least = least.min(if n > 2 { share } else { f64::MAX });
@@ -227,7 +227,7 @@
     );
 }
 
-/// A file's length without the zeros at its end.
+/// Length of a file without trailing zeros.
 fn used(bytes: &[u8]) -> usize {
     bytes.iter().rposition(|b| *b != 0).map_or(0, |last| last + 1)
 }
@@ -244,7 +244,7 @@
     }
 }
 
-/// A start with and without checkpoints: as many records as fill 60 to 80 MB.
+/// Measures opening with and without checkpoints, on 60 to 80 MB of records.
 fn checkpoints(records: u64) {
     use millpost_store::{Batch, Disk, Durability, Options, Store};
     let length = if records > 10_000 { 600 } else { 40_000 };
@@ -254,13 +254,13 @@
         let options = Options { limit: 400_000_000, durability: Durability::Process, checkpoints: with };
         let begin = || Store::open(Disk::open(dir.path()).expect("the folder"), &[true, false], 7, options);
         let (mut store, _) = begin().expect("opens");
-        let wrote = written();
+        let wrote = bytes_written();
         for n in 0..records {
             let mut batch = Batch::new();
             batch.put(0, &n.to_be_bytes(), &[3; 100]).put(1, &n.to_be_bytes(), &vec![n as u8; length]);
             store.apply(&batch).expect("room");
         }
-        let wrote = (written() - wrote) as f64 / (records * (length as u64 + 100)) as f64;
+        let wrote = (bytes_written() - wrote) as f64 / (records * (length as u64 + 100)) as f64;
         drop(store);
         let began = Instant::now();
         let (store, _) = begin().expect("opens");
@@ -273,31 +273,31 @@
     }
 }
 
-/// The longest that any one change held the caller up, compactions included, once the store has filled.
+/// Measures how long single changes block the caller, compaction included.
 fn pauses(name: &str, records: u64) {
     let dir = tempfile::tempdir().expect("a folder");
     let mut engine: Box<dyn Engine> = open(name, dir.path());
-    let (mut lot, mut all) = (Lot(7), Vec::new());
+    let (mut rng, mut all) = (Rng(7), Vec::new());
     for n in 0..records {
-        let body = body(&mut lot);
+        let body = body(&mut rng);
         let mut time = |change: &mut dyn FnMut()| {
             let one = Instant::now();
             change();
             all.push(one.elapsed());
         };
         time(&mut || engine.take(n, &body));
-        if n >= HELD {
-            time(&mut || engine.begin(n - HELD / 2));
-            time(&mut || engine.end(n - HELD, n.checked_sub(HELD + ANSWERS)));
+        if n >= PENDING {
+            time(&mut || engine.begin(n - PENDING / 2));
+            time(&mut || engine.end(n - PENDING, n.checked_sub(PENDING + ANSWERS)));
         }
     }
     all.sort_unstable();
     println!(
         "{name:16} {} changes: p99 {:6.0} us, p99.9 {:6.0} us, p99.99 {:6.0} us, longest {:6.2} ms",
         all.len(),
-        at(&all, 0.99),
-        at(&all, 0.999),
-        at(&all, 0.9999),
-        at(&all, 1.0) / 1e3
+        percentile(&all, 0.99),
+        percentile(&all, 0.999),
+        percentile(&all, 0.9999),
+        percentile(&all, 1.0) / 1e3
     );
 }
--- a/store/fuzz/fuzz_targets/decoder.rs
+++ b/store/fuzz/fuzz_targets/decoder.rs
@@ -1,9 +1,9 @@
-//! Any bytes as a segment, as a checkpoint and as an old journal: nothing panics, and nothing allocates more than a
-//! small multiple of what it was given. `cargo fuzz run decoder` in `store/`.
+//! Decodes arbitrary bytes as a segment, a checkpoint and an old journal: decoding must not panic, or
+//! allocate more than a small multiple of the input. Run with `cargo fuzz run decoder` in `store/`.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use millpost_store::format::{Header, Item, FrameCodec, ops};
+use millpost_store::format::{FrameCodec, Header, Item, ops};
 use millpost_store::memory::Memory;
 use millpost_store::{Durability, Ledger, Options, journal};
 
@@ -15,7 +15,9 @@
     let header = Header { store: 77, segment: 1, first_seq: 1, retired_before: 0, reserved: 0 }.encode();
     let frame = codec.encode_frame(header.len() as u64, 1, bytes);
     let mut at = 0;
-    while let Item::Corrupt(length) | Item::Frame { len: length, .. } = codec.read_item(&bytes[at..], at as u64, true) {
+    while let Item::Corrupt(length) | Item::Frame { len: length, .. } =
+        codec.read_item(&bytes[at..], at as u64, true)
+    {
         at += length;
     }
     let second = Header { store: 77, segment: 2, first_seq: 2, retired_before: 0, reserved: 0 }.encode();
--- a/store/src/bin/millpost-store.rs
+++ b/store/src/bin/millpost-store.rs
@@ -11,25 +11,25 @@
 use serde_json::{Value, json};
 
 const HELP: &str = "\
-millpost-store: looks after the store in a dispatcher's state folder
+millpost-store: maintenance of the store in a dispatcher's state folder
 
 Usage: millpost-store COMMAND [OPTIONS] DIR
 
 Commands:
-  inspect   one JSON line of figures, then one for each segment
-  verify    reads every record and body; a JSON line for each thing that is wrong; exit code 1 if any is
-  export    a JSON line for each record: messages, histories, answers, endpoints, learnt
-  compact   writes the store anew without what is over; needs the folder to itself
+  inspect   prints one JSON line of statistics, then one for each segment
+  verify    reads every record and body; prints a JSON line for each error; exit code 1 if there is any
+  export    prints a JSON line for each record: messages, histories, answers, endpoints, learnt
+  compact   rewrites the store without obsolete records; requires that no dispatcher uses the folder
 
 Options:
-  --disk-mb N   compact: the limit that the folder must keep (default: 3)
-  --bodies      export: bodies too, in hexadecimal
-  -h, --help    this text
+  --disk-mb N   compact: maximum size of the folder in megabytes (default: 3)
+  --bodies      export: include message bodies, in hexadecimal
+  -h, --help    print this text
 
-All but compact only read, also while a dispatcher runs. Progress on long work goes to standard error.
-Exit codes: 0 done, 1 damage found, 2 not done.";
+All commands except compact only read, and may be used while a dispatcher runs. Progress is printed to standard
+error. Exit codes: 0 success, 1 damage found, 2 failure.";
 
-struct Call {
+struct Arguments {
     command: String,
     folder: PathBuf,
     disk_mb: f64,
@@ -37,48 +37,48 @@
 }
 
 fn main() -> ExitCode {
-    let call = match arguments() {
-        Ok(Some(call)) => call,
+    let arguments = match parse_arguments() {
+        Ok(Some(arguments)) => arguments,
         Ok(None) => {
             println!("{HELP}");
             return ExitCode::SUCCESS;
         }
-        Err(why) => return refused(&format!("{why}; see --help")),
+        Err(message) => return fail(&format!("{message}; see --help")),
     };
     let out = &mut BufWriter::new(io::stdout().lock());
-    let done = match &call.command[..] {
-        "inspect" => inspect(&call, out),
-        "verify" => verify(&call, out),
-        "export" => export(&call, out),
-        "compact" => compact(&call, out),
-        other => return refused(&format!("there is no command {other}; see --help")),
+    let done = match &arguments.command[..] {
+        "inspect" => inspect(&arguments, out),
+        "verify" => verify(&arguments, out),
+        "export" => export(&arguments, out),
+        "compact" => compact(&arguments, out),
+        other => return fail(&format!("unknown command {other}; see --help")),
     };
     match done.and_then(|clean| out.flush().map(|()| clean).map_err(|e| e.to_string())) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(why) => refused(&why),
+        Err(message) => fail(&message),
     }
 }
 
-fn refused(why: &str) -> ExitCode {
-    eprintln!("millpost-store: {why}");
+fn fail(message: &str) -> ExitCode {
+    eprintln!("millpost-store: {message}");
     ExitCode::from(2)
 }
 
-fn arguments() -> Result<Option<Call>, lexopt::Error> {
-    let (mut words, mut disk_mb, mut bodies) = (Vec::new(), 3.0, false);
+fn parse_arguments() -> Result<Option<Arguments>, lexopt::Error> {
+    let (mut positional, mut disk_mb, mut bodies) = (Vec::new(), 3.0, false);
     let mut parser = lexopt::Parser::from_env();
     while let Some(argument) = parser.next()? {
         match argument {
             Short('h') | Long("help") => return Ok(None),
             Long("disk-mb") => disk_mb = parser.value()?.parse()?,
             Long("bodies") => bodies = true,
-            Value(word) => words.push(word),
+            Value(value) => positional.push(value),
             other => return Err(other.unexpected()),
         }
     }
-    let [command, folder] = <[_; 2]>::try_from(words).map_err(|_| "a command and a folder are needed")?;
-    Ok(Some(Call { command: command.string()?, folder: folder.into(), disk_mb, bodies }))
+    let [command, folder] = <[_; 2]>::try_from(positional).map_err(|_| "expected a command and a folder")?;
+    Ok(Some(Arguments { command: command.string()?, folder: folder.into(), disk_mb, bodies }))
 }
 
 /// Reads the store. Retries if a running dispatcher removes a segment in the meantime.
@@ -91,7 +91,7 @@
     loop {
         match Store::read(Disk::read_only(folder), &ledger::IN_MEMORY) {
             Ok((store, _)) if store.segments().next().is_none() => {
-                return Err(format!("{shown}: there is no store"));
+                return Err(format!("{shown}: no store found"));
             }
             Err(Error::Io { source, .. }) if tries < 20 && source.kind() == io::ErrorKind::NotFound => {
                 tries += 1
@@ -104,7 +104,7 @@
     }
 }
 
-fn line(out: &mut impl Write, value: &Value) -> Result<(), String> {
+fn write_line(out: &mut impl Write, value: &Value) -> Result<(), String> {
     writeln!(out, "{value}").map_err(|e| e.to_string())
 }
 
@@ -114,8 +114,8 @@
     }
 }
 
-fn inspect(call: &Call, out: &mut impl Write) -> Result<bool, String> {
-    let (store, recovery) = read(&call.folder)?;
+fn inspect(arguments: &Arguments, out: &mut impl Write) -> Result<bool, String> {
+    let (store, recovery) = read(&arguments.folder)?;
     let stats = store.stats();
     let tables: serde_json::Map<String, Value> = (0u8..)
         .zip(ledger::TABLES)
@@ -123,7 +123,7 @@
             (name.to_owned(), json!({"records": store.len(table), "bytes": store.live_bytes(table)}))
         })
         .collect();
-    line(
+    write_line(
         out,
         &json!({
             "segments": stats.segments, "bytes": stats.used, "live_bytes": stats.live,
@@ -132,23 +132,23 @@
         }),
     )?;
     for (number, size, live) in store.segments() {
-        line(out, &json!({"segment": segment_name(number), "bytes": size, "live_bytes": live}))?;
+        write_line(out, &json!({"segment": segment_name(number), "bytes": size, "live_bytes": live}))?;
     }
     Ok(true)
 }
 
-fn verify(call: &Call, out: &mut impl Write) -> Result<bool, String> {
-    let (store, recovery) = read(&call.folder)?;
-    let mut wrong = recovery.damage.len();
+fn verify(arguments: &Arguments, out: &mut impl Write) -> Result<bool, String> {
+    let (store, recovery) = read(&arguments.folder)?;
+    let mut errors = recovery.damage.len();
     for damage in &recovery.damage {
-        line(out, &json!({ "damage": damage }))?;
+        write_line(out, &json!({ "damage": damage }))?;
     }
     let bodies = store.len(ledger::BODIES);
     for (n, (key, ..)) in store.keys(ledger::BODIES, &[]).enumerate() {
         progress(n, bodies, "bodies");
         if let Err(e) = store.get(ledger::BODIES, key) {
-            wrong += 1;
-            line(out, &json!({"message": number(key), "damage": e.to_string()}))?;
+            errors += 1;
+            write_line(out, &json!({"message": message_number(key), "damage": e.to_string()}))?;
         }
     }
     for (key, _, value) in store.keys(ledger::MESSAGES, &[]) {
@@ -157,19 +157,19 @@
             && history.as_ref().is_none_or(|v| ledger::read_history(v).is_some());
         let answered = history.and_then(|v| ledger::read_history(&v)).is_some_and(|h| h.answer.is_some());
         if !readable || !(answered || store.contains(ledger::BODIES, key)) {
-            wrong += 1;
-            line(out, &json!({"message": number(key), "damage": "the record is not complete"}))?;
+            errors += 1;
+            write_line(out, &json!({"message": message_number(key), "damage": "the record is incomplete"}))?;
         }
     }
-    line(out, &json!({"frames": recovery.frames, "torn_bytes": recovery.torn_bytes, "wrong": wrong}))?;
-    Ok(wrong == 0)
+    write_line(out, &json!({"frames": recovery.frames, "torn_bytes": recovery.torn_bytes, "wrong": errors}))?;
+    Ok(errors == 0)
 }
 
-fn number(key: &[u8]) -> u64 {
+fn message_number(key: &[u8]) -> u64 {
     key.try_into().map_or(0, u64::from_be_bytes)
 }
 
-fn final_json(end: FinalOutcome) -> Value {
+fn outcome_json(end: FinalOutcome) -> Value {
     match end {
         FinalOutcome::Delivered => json!("delivered"),
         FinalOutcome::Answered(Answer::Failed) => json!("failed"),
@@ -185,48 +185,51 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-fn export(call: &Call, out: &mut impl Write) -> Result<bool, String> {
-    let (store, recovery) = read(&call.folder)?;
+fn export(arguments: &Arguments, out: &mut impl Write) -> Result<bool, String> {
+    let (store, recovery) = read(&arguments.folder)?;
     recovery.damage.iter().for_each(|damage| eprintln!("damage: {damage}"));
     let messages = store.len(ledger::MESSAGES);
     for (n, (key, _, value)) in store.keys(ledger::MESSAGES, &[]).enumerate() {
         progress(n, messages, "messages");
-        let Some((taken, at)) = value.and_then(|v| ledger::read_message(v)) else {
-            line(out, &json!({"table": "messages", "id": number(key), "damage": "it can't be read"}))?;
+        let Some((message, at)) = value.and_then(|v| ledger::read_message(v)) else {
+            write_line(
+                out,
+                &json!({"table": "messages", "id": message_number(key), "damage": "the record cannot be decoded"}),
+            )?;
             continue;
         };
         let history = store.get(ledger::HISTORIES, key).ok().flatten();
         let history: History = history.and_then(|v| ledger::read_history(&v)).unwrap_or_default();
         let body = store.get(ledger::BODIES, key);
         let (length, shown) = match &body {
-            Ok(Some(body)) => (json!(body.len()), call.bodies.then(|| hex(body))),
+            Ok(Some(body)) => (json!(body.len()), arguments.bodies.then(|| hex(body))),
             Ok(None) => (Value::Null, None),
             Err(e) => (json!(e.to_string()), None),
         };
         let mut record = json!({
-            "table": "messages", "id": number(key), "reference": taken.reference, "class": taken.class,
-            "destination": taken.dest, "taken_ns": at, "deadline_ns": taken.deadline,
-            "key": taken.key.as_deref().map(String::from_utf8_lossy), "order_key": taken.order, "body_bytes": length,
+            "table": "messages", "id": message_number(key), "reference": message.reference, "class": message.class,
+            "destination": message.dest, "taken_ns": at, "deadline_ns": message.deadline,
+            "key": message.key.as_deref().map(String::from_utf8_lossy), "order_key": message.order, "body_bytes": length,
             "attempts": history.attempts, "may_have_run": attempt_json(history.may_have_run),
-            "out": attempt_json(history.in_flight), "answer": history.answer.map(|a| final_json(FinalOutcome::Answered(a))),
+            "out": attempt_json(history.in_flight), "answer": history.answer.map(|a| outcome_json(FinalOutcome::Answered(a))),
         });
         if let (Some(body), Some(record)) = (shown, record.as_object_mut()) {
             record.insert("body_hex".into(), json!(body));
         }
-        line(out, &record)?;
+        write_line(out, &record)?;
     }
     for (key, _, value) in store.keys(ledger::ANSWERS, &[]) {
         if let Some((end, until)) = value.and_then(|v| ledger::read_final_outcome(v)) {
             let reference = String::from_utf8_lossy(key);
-            line(
+            write_line(
                 out,
-                &json!({"table": "answers", "reference": reference, "answer": final_json(end), "until_ns": until}),
+                &json!({"table": "answers", "reference": reference, "answer": outcome_json(end), "until_ns": until}),
             )?;
         }
     }
     for (key, _, value) in store.keys(ledger::ENDPOINTS, &[]) {
         if let Some(e) = value.and_then(|v| ledger::read_endpoint(key, v)) {
-            line(
+            write_line(
                 out,
                 &json!({
                     "table": "endpoints", "name": e.name, "id": e.id, "address": e.address, "zone": e.zone,
@@ -237,10 +240,10 @@
     }
     for (key, _, value) in store.keys(ledger::LEARNED, &[]) {
         if let (Some((dest, route)), Some(value)) = (ledger::read_learned_key(key), value) {
-            let noted = value.get(..8).and_then(|v| v.try_into().ok()).map(u64::from_le_bytes);
-            line(
+            let stored_at = value.get(..8).and_then(|v| v.try_into().ok()).map(u64::from_le_bytes);
+            write_line(
                 out,
-                &json!({"table": "learnt", "destination": dest, "route": route, "noted_ns": noted,
+                &json!({"table": "learnt", "destination": dest, "route": route, "noted_ns": stored_at,
                     "bytes": value.len()}),
             )?;
         }
@@ -248,15 +251,15 @@
     Ok(true)
 }
 
-fn compact(call: &Call, out: &mut impl Write) -> Result<bool, String> {
+fn compact(arguments: &Arguments, out: &mut impl Write) -> Result<bool, String> {
     // Read first, so that no store is created in a folder without one.
-    let (before, _) = read(&call.folder)?;
+    let (before, _) = read(&arguments.folder)?;
     let before = before.stats();
-    let limit = (call.disk_mb * 1e6) as u64;
+    let limit = (arguments.disk_mb * 1e6) as u64;
     if limit < before.used {
-        return Err(format!("the folder takes {} bytes already: --disk-mb must be more", before.used));
+        return Err(format!("the folder already uses {} bytes: --disk-mb must be larger", before.used));
     }
-    let folder = Disk::open(&call.folder).map_err(|e| e.to_string())?;
+    let folder = Disk::open(&arguments.folder).map_err(|e| e.to_string())?;
     let shown = folder.show("");
     let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as u64);
     let options = Options::new(limit, Durability::Machine);
@@ -266,11 +269,14 @@
     let done = ledger.store_mut().compact(|stats| {
         if stats.retired >= last + 64 {
             last = stats.retired;
-            eprintln!("{shown}: {} segments done", stats.retired);
+            eprintln!("{shown}: {} segments compacted", stats.retired);
         }
     });
     done.map_err(|e| e.to_string())?;
     let after = ledger.stats();
-    line(out, &json!({"bytes_before": before.used, "bytes_after": after.used, "live_bytes": after.live}))?;
+    write_line(
+        out,
+        &json!({"bytes_before": before.used, "bytes_after": after.used, "live_bytes": after.live}),
+    )?;
     Ok(true)
 }
--- a/store/tests/common/mod.rs
+++ b/store/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: a plain model of the ledger, and a scripted life of one.
+//! Shared by the tests: a reference model of the ledger, and random sequences of operations on one.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -11,10 +11,10 @@
 pub const NOW: u64 = 1_800_000_000_000_000_000;
 pub const LATER: u64 = NOW + 1_000_000_000_000;
 
-/// A small generator: the same numbers for the same seed everywhere.
-pub struct Lot(pub u64);
+/// A small random number generator (SplitMix64) that yields the same numbers on every platform.
+pub struct Rng(pub u64);
 
-impl Lot {
+impl Rng {
     pub fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
@@ -43,38 +43,38 @@
     }
 }
 
-/// One thing that a dispatcher tells its ledger.
+/// An operation on a ledger.
 #[derive(Clone, Debug)]
 pub enum Step {
-    Take(AcceptedMessage),
-    Begin(u64),
-    Outcome(u64, bool),
-    Answer(u64, Answer),
-    End(u64, Option<(String, FinalOutcome)>),
+    Accept(AcceptedMessage),
+    BeginAttempt(u64),
+    EndAttempt(u64, bool),
+    RecordAnswer(u64, Answer),
+    Finish(u64, Option<(String, FinalOutcome)>),
 }
 
 impl Step {
-    pub fn carry_out(&self, ledger: &mut Ledger<Memory>) -> Result<u64, Error> {
+    pub fn apply(&self, ledger: &mut Ledger<Memory>) -> Result<u64, Error> {
         match self {
-            Step::Take(taken) => ledger.accept(NOW, taken).map(|(_, seq)| seq),
-            Step::Begin(id) => ledger.begin_attempt(*id, NOW + 1, 2),
-            Step::Outcome(id, never_ran) => ledger.end_attempt(*id, *never_ran),
-            Step::Answer(id, answer) => ledger.record_answer(*id, *answer),
-            Step::End(id, end) => ledger.finish(*id, end.as_ref().map(|(r, f)| (&r[..], *f, LATER))),
+            Step::Accept(accepted) => ledger.accept(NOW, accepted).map(|(_, seq)| seq),
+            Step::BeginAttempt(id) => ledger.begin_attempt(*id, NOW + 1, 2),
+            Step::EndAttempt(id, never_ran) => ledger.end_attempt(*id, *never_ran),
+            Step::RecordAnswer(id, answer) => ledger.record_answer(*id, *answer),
+            Step::Finish(id, end) => ledger.finish(*id, end.as_ref().map(|(r, f)| (&r[..], *f, LATER))),
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Message {
-    pub taken: AcceptedMessage,
+pub struct ModelMessage {
+    pub accepted: AcceptedMessage,
     pub history: History,
 }
 
-/// What a ledger should hold.
+/// Reference model of a ledger's content.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Model {
-    pub owed: BTreeMap<u64, Message>,
+    pub pending: BTreeMap<u64, ModelMessage>,
     pub answers: BTreeMap<String, FinalOutcome>,
     pub next: u64,
 }
@@ -85,37 +85,40 @@
     }
 
     pub fn step(&mut self, step: &Step) {
-        let history = |owed: &mut BTreeMap<u64, Message>, id: u64, change: &dyn Fn(&mut History)| {
-            if let Some(message) = owed.get_mut(&id) {
+        let history = |pending: &mut BTreeMap<u64, ModelMessage>, id: u64, change: &dyn Fn(&mut History)| {
+            if let Some(message) = pending.get_mut(&id) {
                 change(&mut message.history);
             }
         };
         match step {
-            Step::Take(taken) => {
-                self.owed.insert(self.next, Message { taken: taken.clone(), history: History::default() });
+            Step::Accept(accepted) => {
+                self.pending.insert(
+                    self.next,
+                    ModelMessage { accepted: accepted.clone(), history: History::default() },
+                );
                 self.next += 1;
             }
-            Step::Begin(id) => history(&mut self.owed, *id, &|h| {
+            Step::BeginAttempt(id) => history(&mut self.pending, *id, &|h| {
                 if h.attempts == 0 {
                     h.first_sent = NOW + 1;
                 }
                 h.attempts += 1;
                 h.in_flight = Some((NOW + 1, 2));
             }),
-            Step::Outcome(id, never_ran) => history(&mut self.owed, *id, &|h| {
+            Step::EndAttempt(id, never_ran) => history(&mut self.pending, *id, &|h| {
                 let out = h.in_flight.take();
                 if !never_ran {
                     h.may_have_run = h.may_have_run.or(out);
                 }
             }),
-            Step::Answer(id, answer) => {
-                history(&mut self.owed, *id, &|h| h.answer = Some(*answer));
-                if let Some(message) = self.owed.get_mut(id) {
-                    message.taken.body = Bytes::new();
+            Step::RecordAnswer(id, answer) => {
+                history(&mut self.pending, *id, &|h| h.answer = Some(*answer));
+                if let Some(message) = self.pending.get_mut(id) {
+                    message.accepted.body = Bytes::new();
                 }
             }
-            Step::End(id, end) => {
-                if self.owed.remove(id).is_some()
+            Step::Finish(id, end) => {
+                if self.pending.remove(id).is_some()
                     && let Some((reference, end)) = end
                 {
                     self.answers.insert(reference.clone(), *end);
@@ -124,53 +127,55 @@
         }
     }
 
-    /// A next step that makes sense, drawn by lot; holds about `hold` messages.
-    pub fn draw(&self, lot: &mut Lot, hold: usize, body: u64) -> Step {
-        let ids: Vec<u64> = self.owed.keys().copied().collect();
-        if ids.is_empty() || (ids.len() < hold && lot.below(4) == 0) {
-            return Step::Take(message(self.next, lot.below(body) as usize));
+    /// Draws a valid next operation. Keeps about `max_pending` messages pending, with bodies shorter than
+    /// `body`.
+    pub fn random_step(&self, rng: &mut Rng, max_pending: usize, body: u64) -> Step {
+        let ids: Vec<u64> = self.pending.keys().copied().collect();
+        if ids.is_empty() || (ids.len() < max_pending && rng.below(4) == 0) {
+            return Step::Accept(message(self.next, rng.below(body) as usize));
         }
-        // The old ones live on for long now and then, so that compaction has something to move.
-        let id = ids[(lot.below(ids.len() as u64)) as usize];
-        let message = &self.owed[&id];
-        let reference = message.taken.reference.clone();
+        // Any message may be drawn, so that some stay pending for long and compaction has records to move.
+        let id = ids[(rng.below(ids.len() as u64)) as usize];
+        let message = &self.pending[&id];
+        let reference = message.accepted.reference.clone();
         match (message.history.answer, message.history.in_flight) {
-            (Some(answer), _) => Step::End(id, Some((reference, FinalOutcome::Answered(answer)))),
-            (None, Some(_)) => match lot.below(3) {
-                0 => Step::Outcome(id, true),
-                1 => Step::Outcome(id, false),
-                _ => Step::End(id, Some((reference, FinalOutcome::Delivered))),
+            (Some(answer), _) => Step::Finish(id, Some((reference, FinalOutcome::Answered(answer)))),
+            (None, Some(_)) => match rng.below(3) {
+                0 => Step::EndAttempt(id, true),
+                1 => Step::EndAttempt(id, false),
+                _ => Step::Finish(id, Some((reference, FinalOutcome::Delivered))),
             },
-            (None, None) => match lot.below(6) {
-                0 => Step::Answer(id, Answer::Failed),
-                1 => Step::Answer(id, Answer::Refused { wait_ms: lot.below(1000) }),
-                2 => Step::End(id, None),
-                _ => Step::Begin(id),
+            (None, None) => match rng.below(6) {
+                0 => Step::RecordAnswer(id, Answer::Failed),
+                1 => Step::RecordAnswer(id, Answer::Refused { wait_ms: rng.below(1000) }),
+                2 => Step::Finish(id, None),
+                _ => Step::BeginAttempt(id),
             },
         }
     }
 
-    /// What differs between this and a ledger just opened.
-    pub fn differs(&self, ledger: &Ledger<Memory>, opened: &Opened) -> Option<String> {
-        if opened.messages.len() != self.owed.len() {
-            return Some(format!("{} messages for {}", opened.messages.len(), self.owed.len()));
+    /// Describes the first difference from a ledger that was just opened; `None` if there is none.
+    pub fn difference(&self, ledger: &Ledger<Memory>, opened: &Opened) -> Option<String> {
+        if opened.messages.len() != self.pending.len() {
+            return Some(format!("{} messages instead of {}", opened.messages.len(), self.pending.len()));
         }
-        for (found, (id, message)) in opened.messages.iter().zip(&self.owed) {
+        for (found, (id, message)) in opened.messages.iter().zip(&self.pending) {
             let same = found.id == *id
-                && found.message == message.taken
+                && found.message == message.accepted
                 && found.history == message.history
                 && !found.body_lost;
             if !same {
-                return Some(format!("{found:?} for {id}: {message:?}"));
+                return Some(format!("{found:?} instead of {id}: {message:?}"));
             }
         }
         if ledger.answers() != self.answers.len() {
-            return Some(format!("{} answers for {}", ledger.answers(), self.answers.len()));
+            return Some(format!("{} outcomes instead of {}", ledger.answers(), self.answers.len()));
         }
         let wrong =
             self.answers.iter().find(|(reference, end)| ledger.final_outcome(reference) != Some(**end));
-        wrong
-            .map(|(reference, end)| format!("{reference}: {:?} for {end:?}", ledger.final_outcome(reference)))
+        wrong.map(|(reference, end)| {
+            format!("{reference}: {:?} instead of {end:?}", ledger.final_outcome(reference))
+        })
     }
 }
 
--- a/store/tests/cuts.rs
+++ b/store/tests/cuts.rs
@@ -1,5 +1,5 @@
-//! A store of 3,000 records cut at every byte, and with a bit flipped at every byte: each time it is opened and
-//! compared with a plain model. Seeds are fixed.
+//! Truncates a store of 3,000 records at every byte, and flips a bit in every byte of a smaller one. Each
+//! time the store is opened and compared with the reference model. Seeds are fixed.
 
 mod common;
 
@@ -13,43 +13,44 @@
 const SEED: u64 = 20_261_201;
 const LIMIT: u64 = 6_000_000;
 
-/// Without checkpoints: a start reads every byte.
-fn whole_log() -> Options {
+/// Options without checkpoints, so that opening reads every byte.
+fn options_without_checkpoints() -> Options {
     Options { checkpoints: false, ..options(LIMIT, Durability::Process) }
 }
 
-struct Life {
-    /// The segments in the order of the log.
+struct Run {
+    /// Names and contents of the segments, in log order.
     log: Vec<(String, Vec<u8>)>,
     steps: Vec<Step>,
-    /// Bytes of the whole log after each step.
+    /// Length of the log in bytes after each step.
     ends: Vec<usize>,
 }
 
-/// Lives through so many steps, each of which is one frame, with no compaction.
-fn life(records: usize) -> Life {
+/// Runs this many random steps, each of which writes one frame, without any compaction.
+fn run(records: usize) -> Run {
     println!("seed {SEED}");
     let folder = Memory::default();
-    let (mut ledger, _) = Ledger::open(folder.clone(), whole_log(), NOW, 77, None).expect("opens");
-    let (mut model, mut lot) = (Model::new(), Lot(SEED));
+    let (mut ledger, _) =
+        Ledger::open(folder.clone(), options_without_checkpoints(), NOW, 77, None).expect("opens");
+    let (mut model, mut rng) = (Model::new(), Rng(SEED));
     let (mut steps, mut ends) = (Vec::new(), Vec::new());
     for _ in 0..records {
-        let step = model.draw(&mut lot, 40, 4);
-        step.carry_out(&mut ledger).expect("room");
+        let step = model.random_step(&mut rng, 40, 4);
+        step.apply(&mut ledger).expect("room");
         model.step(&step);
         steps.push(step);
         ends.push(folder.files().values().map(Vec::len).sum());
     }
-    assert_eq!(ledger.stats().retired, 0, "all of the log is there");
-    Life { log: folder.files().into_iter().collect(), steps, ends }
+    assert_eq!(ledger.stats().retired, 0, "no segment was retired");
+    Run { log: folder.files().into_iter().collect(), steps, ends }
 }
 
-impl Life {
+impl Run {
     fn size(&self) -> usize {
         self.log.iter().map(|(_, bytes)| bytes.len()).sum()
     }
 
-    /// The files after a crash that let only so many bytes through.
+    /// The files after a crash that left only the first `at` bytes of the log.
     fn cut(&self, mut at: usize) -> Files {
         let mut files = Files::new();
         for (name, bytes) in &self.log {
@@ -69,19 +70,19 @@
     }
 }
 
-/// Calls `check` for each number below `count`, on all cores, each core taking a run of neighbours at a time.
+/// Calls `check` for consecutive ranges that cover `0..count`, on up to eight threads.
 fn on_all_cores(count: usize, check: impl Fn(std::ops::Range<usize>) + Sync) {
     let next = AtomicUsize::new(0);
-    let run = 2_000;
+    let chunk = 2_000;
     thread::scope(|scope| {
         for _ in 0..thread::available_parallelism().map_or(2, usize::from).min(8) {
             scope.spawn(|| {
                 loop {
-                    let from = next.fetch_add(run, Ordering::Relaxed);
+                    let from = next.fetch_add(chunk, Ordering::Relaxed);
                     if from >= count {
                         return;
                     }
-                    check(from..(from + run).min(count));
+                    check(from..(from + chunk).min(count));
                 }
             });
         }
@@ -89,104 +90,111 @@
 }
 
 #[test]
-fn cut_at_every_byte_it_holds_just_what_was_written_before() {
-    let life = life(3_000);
-    println!("{} bytes", life.size());
-    assert!(life.size() > 120_000, "a store of some size");
-    on_all_cores(life.size() + 1, |cuts| {
-        let mut done = life.ends.partition_point(|end| *end <= cuts.start);
-        let mut model = life.model(done);
+fn store_truncated_at_any_byte_holds_exactly_the_records_before() {
+    let run = run(3_000);
+    println!("{} bytes", run.size());
+    assert!(run.size() > 120_000, "the store is large enough");
+    on_all_cores(run.size() + 1, |cuts| {
+        let mut done = run.ends.partition_point(|end| *end <= cuts.start);
+        let mut model = run.model(done);
         for cut in cuts {
-            while life.ends.get(done).is_some_and(|end| *end <= cut) {
-                model.step(&life.steps[done]);
+            while run.ends.get(done).is_some_and(|end| *end <= cut) {
+                model.step(&run.steps[done]);
                 done += 1;
             }
-            let (ledger, opened) = open(life.cut(cut), LIMIT, Durability::Process);
+            let (ledger, opened) = open(run.cut(cut), LIMIT, Durability::Process);
             assert_eq!(opened.recovery.damage, [""; 0], "cut at {cut}");
-            if let Some(difference) = model.differs(&ledger, &opened) {
-                panic!("cut at {cut}, after {done} steps: {difference}");
+            if let Some(found) = model.difference(&ledger, &opened) {
+                panic!("cut at {cut}, after {done} steps: {found}");
             }
         }
     });
 }
 
 #[test]
-fn after_a_cut_life_goes_on_and_is_found_again() {
-    let life = life(300);
-    let mut lot = Lot(SEED + 1);
-    for cut in (0..=life.size()).step_by(7) {
-        let done = life.ends.partition_point(|end| *end <= cut);
-        let mut model = life.model(done);
-        let folder = Memory::with(life.cut(cut));
-        let begin = || Ledger::open(folder.clone(), whole_log(), NOW, 77, None);
-        let (mut ledger, _) = begin().expect("opens");
+fn truncated_store_accepts_new_records_and_reopens() {
+    let run = run(300);
+    let mut rng = Rng(SEED + 1);
+    for cut in (0..=run.size()).step_by(7) {
+        let done = run.ends.partition_point(|end| *end <= cut);
+        let mut model = run.model(done);
+        let folder = Memory::with(run.cut(cut));
+        let open_ledger = || Ledger::open(folder.clone(), options_without_checkpoints(), NOW, 77, None);
+        let (mut ledger, _) = open_ledger().expect("opens");
         for _ in 0..20 {
-            let step = model.draw(&mut lot, 40, 4);
-            step.carry_out(&mut ledger).expect("room");
+            let step = model.random_step(&mut rng, 40, 4);
+            step.apply(&mut ledger).expect("room");
             model.step(&step);
         }
-        let (ledger, opened) = begin().expect("opens");
+        let (ledger, opened) = open_ledger().expect("opens");
         assert_eq!(opened.recovery.torn_bytes, 0);
-        assert_eq!(model.differs(&ledger, &opened), None, "cut at {cut}");
+        assert_eq!(model.difference(&ledger, &opened), None, "cut at {cut}");
     }
 }
 
 #[test]
-fn a_flipped_bit_anywhere_never_makes_an_attempt_unknown_or_an_answer_another() {
-    let life = life(600);
-    let model = life.model(600);
-    let found_by_all = AtomicUsize::new(0);
-    on_all_cores(life.size(), |places| {
-        let mut lot = Lot(SEED + places.start as u64);
+fn flipped_bit_never_hides_an_attempt_or_changes_an_outcome() {
+    let run = run(600);
+    let model = run.model(600);
+    let reported = AtomicUsize::new(0);
+    on_all_cores(run.size(), |places| {
+        let mut rng = Rng(SEED + places.start as u64);
         for place in places {
-            let mut files = life.cut(life.size());
+            let mut files = run.cut(run.size());
             let mut at = place;
-            for (name, bytes) in &life.log {
+            for (name, bytes) in &run.log {
                 if at < bytes.len() {
                     if let Some(file) = files.get_mut(name) {
-                        file[at] ^= 1 << lot.below(8);
+                        file[at] ^= 1 << rng.below(8);
                     }
                     break;
                 }
                 at -= bytes.len();
             }
             let folder = Memory::with(files);
-            let begin = || Ledger::open(folder.clone(), whole_log(), NOW, 77, None);
-            let (ledger, opened) = begin().expect("damage stops no start");
-            // One of a header's two copies may be lost without any loss.
-            let known = !opened.recovery.damage.is_empty() || model.differs(&ledger, &opened).is_none();
-            assert!(known, "a flip at {place} was not found");
-            found_by_all.fetch_add(usize::from(!opened.recovery.damage.is_empty()), Ordering::Relaxed);
-            check_doubt(&model, &ledger, &opened, place);
-            // Also at the next start, and the one after that.
+            let open_ledger = || Ledger::open(folder.clone(), options_without_checkpoints(), NOW, 77, None);
+            let (ledger, opened) = open_ledger().expect("a damaged store opens");
+            // Damage to one of a header's two copies is not reported, since it loses nothing.
+            let detected = !opened.recovery.damage.is_empty() || model.difference(&ledger, &opened).is_none();
+            assert!(detected, "the bit flip at offset {place} was not detected");
+            reported.fetch_add(usize::from(!opened.recovery.damage.is_empty()), Ordering::Relaxed);
+            check_after_damage(&model, &ledger, &opened, place);
+            // The next two starts must be equally cautious.
             drop(ledger);
             for _ in 0..2 {
-                let (ledger, opened) = begin().expect("damage stops no start");
-                check_doubt(&model, &ledger, &opened, place);
+                let (ledger, opened) = open_ledger().expect("a damaged store opens");
+                check_after_damage(&model, &ledger, &opened, place);
             }
         }
     });
-    assert!(found_by_all.into_inner() > life.size() * 9 / 10);
+    assert!(reported.into_inner() > run.size() * 9 / 10);
 }
 
-fn check_doubt(
+fn check_after_damage(
     model: &Model,
     ledger: &Ledger<Memory>,
     opened: &millpost_store::ledger::Opened,
     place: usize,
 ) {
     for found in &opened.messages {
-        let before = model.owed.get(&found.id).map(|m| m.history);
-        // One that is over, or may have run, in truth.
+        let before = model.pending.get(&found.id).map(|m| m.history);
+        // Whether the message is finished, or an attempt may have run.
         let ran = before.is_none_or(|h| h.may_have_run.is_some() || h.in_flight.is_some());
         let may = found.history.may_have_run.is_some() || found.history.in_flight.is_some();
-        // The only record of an answer may be the damaged one; then it is owed, with caution, once more.
-        assert!(!ran || may || found.history.answer.is_some(), "flip at {place}: {found:?} for {before:?}");
+        // If the damaged record was the only one of an answer, the message is pending again with an attempt
+        // assumed.
+        assert!(
+            !ran || may || found.history.answer.is_some(),
+            "bit flip at offset {place}: {found:?}, was {before:?}"
+        );
     }
     for (reference, end) in &model.answers {
         let found = ledger.final_outcome(reference);
-        assert!(found.is_none_or(|found| found == *end), "flip at {place}: {reference} {found:?}");
+        assert!(
+            found.is_none_or(|found| found == *end),
+            "bit flip at offset {place}: outcome of {reference} is {found:?}"
+        );
     }
-    let lost = model.owed.keys().filter(|id| !opened.messages.iter().any(|f| f.id == **id)).count();
-    assert!(lost <= 1, "flip at {place}: {lost} messages lost with one frame");
+    let lost = model.pending.keys().filter(|id| !opened.messages.iter().any(|f| f.id == **id)).count();
+    assert!(lost <= 1, "bit flip at offset {place}: {lost} messages lost with one frame");
 }
--- a/store/tests/disk.rs
+++ b/store/tests/disk.rs
@@ -1,5 +1,5 @@
-//! The store on real files: the lock, foreign and newer formats, the move from the old journal, and samples of
-//! the tests in memory.
+//! Tests on real files: the lock, foreign and newer formats, the import of an old journal, the maintenance
+//! tool, and samples of the in-memory tests.
 
 mod common;
 
@@ -13,28 +13,28 @@
 
 const OPTIONS: Options = Options { limit: 3_000_000, durability: Durability::Process, checkpoints: true };
 
-fn begin(path: &Path, options: Options) -> Result<(Ledger<Disk>, ledger::Opened), Error> {
-    let folder = Disk::open(path).expect("the folder");
+fn open_ledger(path: &Path, options: Options) -> Result<(Ledger<Disk>, ledger::Opened), Error> {
+    let folder = Disk::open(path).expect("folder opens");
     Ledger::open(folder, options, NOW, 77, None)
 }
 
 #[test]
-fn a_second_process_is_told_that_the_folder_is_in_use() {
-    let dir = tempfile::tempdir().expect("a folder");
-    let (ledger, _) = begin(dir.path(), OPTIONS).expect("opens");
-    let why = Disk::open(dir.path()).err().expect("refused");
-    assert_eq!(why.kind(), std::io::ErrorKind::WouldBlock);
-    assert!(why.to_string().contains("in use"), "{why}");
-    // Reading goes on.
+fn second_process_gets_an_error_while_the_folder_is_locked() {
+    let dir = tempfile::tempdir().expect("temporary folder");
+    let (ledger, _) = open_ledger(dir.path(), OPTIONS).expect("opens");
+    let error = Disk::open(dir.path()).err().expect("rejected");
+    assert_eq!(error.kind(), std::io::ErrorKind::WouldBlock);
+    assert!(error.to_string().contains("in use"), "{error}");
+    // Reading is still possible.
     assert!(Store::read(Disk::read_only(dir.path()), &ledger::IN_MEMORY).is_ok());
     drop(ledger);
     assert!(Disk::open(dir.path()).is_ok());
 }
 
 #[test]
-fn a_foreign_or_newer_file_is_refused_and_left_as_it_is() {
-    let dir = tempfile::tempdir().expect("a folder");
-    let (mut ledger, _) = begin(dir.path(), OPTIONS).expect("opens");
+fn foreign_or_newer_file_is_rejected_and_left_unchanged() {
+    let dir = tempfile::tempdir().expect("temporary folder");
+    let (mut ledger, _) = open_ledger(dir.path(), OPTIONS).expect("opens");
     ledger.accept(NOW, &message(1, 10)).expect("room");
     drop(ledger);
     let file = dir.path().join("000000000001.seg");
@@ -52,32 +52,32 @@
         [(newer, "newer format 2"), (unreadable, "no readable header"), (foreign, "not a segment")]
     {
         fs::write(&file, &bytes).expect("written");
-        let e = begin(dir.path(), OPTIONS).err().expect("refused");
+        let e = open_ledger(dir.path(), OPTIONS).err().expect("rejected");
         assert!(e.to_string().contains(why) && e.to_string().contains("000000000001.seg"), "{e}");
-        assert_eq!(fs::read(&file).expect("a segment"), bytes, "left as it is");
+        assert_eq!(fs::read(&file).expect("a segment"), bytes, "left unchanged");
     }
-    // A segment of another store, as from a folder that was copied over.
+    // A segment of another store, as after copying files between folders.
     fs::write(&file, &good).expect("written");
-    let other = tempfile::tempdir().expect("a folder");
-    let folder = Disk::open(other.path()).expect("the folder");
+    let other = tempfile::tempdir().expect("temporary folder");
+    let folder = Disk::open(other.path()).expect("folder opens");
     let (mut theirs, _) = Ledger::open(folder, OPTIONS, NOW, 78, None).expect("opens");
     theirs.accept(NOW, &message(1, 10)).expect("room");
     theirs.store_mut().compact(|_| ()).expect("room");
     drop(theirs);
     fs::copy(other.path().join("000000000002.seg"), dir.path().join("000000000002.seg")).expect("copied");
-    let e = begin(dir.path(), OPTIONS).err().expect("refused");
+    let e = open_ledger(dir.path(), OPTIONS).err().expect("rejected");
     assert!(e.to_string().contains("another store"), "{e}");
 }
 
 #[test]
-fn all_tables_are_there_again() {
+fn all_tables_survive_reopening() {
     for durability in [Durability::Process, Durability::Machine] {
         let options = Options { durability, ..OPTIONS };
-        let dir = tempfile::tempdir().expect("a folder");
-        let (mut ledger, _) = begin(dir.path(), options).expect("opens");
+        let dir = tempfile::tempdir().expect("temporary folder");
+        let (mut ledger, _) = open_ledger(dir.path(), options).expect("opens");
         let (id, seq) = ledger.accept(NOW, &message(1, 40)).expect("room");
         assert_eq!(ledger.is_durable(seq), durability == Durability::Process);
-        ledger.store_mut().sync().expect("it lasts");
+        ledger.store_mut().sync().expect("sync succeeds");
         assert!(ledger.is_durable(seq));
         ledger.begin_attempt(id, NOW + 5, 3).expect("written");
         let (over, _) = ledger.accept(NOW, &message(2, 40)).expect("room");
@@ -103,7 +103,7 @@
             .expect("written");
         ledger.record_learned(NOW + 60, [(7, None, None)]).expect("written");
         drop(ledger);
-        let (mut ledger, opened) = begin(dir.path(), options).expect("opens");
+        let (mut ledger, opened) = open_ledger(dir.path(), options).expect("opens");
         assert_eq!(opened.messages.len(), 1);
         assert_eq!(opened.messages[0].history.in_flight, Some((NOW + 5, 3)));
         assert_eq!(opened.latest_time, NOW + 50);
@@ -112,20 +112,20 @@
         assert_eq!((&source[..], index), ("agent", 42));
         assert_eq!(all, [listed("b", false), listed("c", true)]);
         assert_eq!(ledger.learned(), [(8, Some(4), NOW + 50, vec![3])]);
-        // Its time over, an answer is dropped, now and at any later start.
+        // An expired outcome is dropped by maintenance, and at any later start.
         ledger.maintain(NOW + 9_000);
         assert_eq!((ledger.final_outcome("r2"), ledger.answers()), (None, 0));
         drop(ledger);
-        let folder = Disk::open(dir.path()).expect("the folder");
+        let folder = Disk::open(dir.path()).expect("folder opens");
         let (ledger, _) = Ledger::open(folder, options, NOW + 10_000, 77, None).expect("opens");
         assert_eq!(ledger.answers(), 0);
     }
 }
 
 #[test]
-fn a_list_too_large_for_the_limit_is_not_kept_and_harms_nothing() {
-    let dir = tempfile::tempdir().expect("a folder");
-    let (mut ledger, _) = begin(dir.path(), OPTIONS).expect("opens");
+fn endpoint_list_beyond_the_limit_is_dropped_without_harm() {
+    let dir = tempfile::tempdir().expect("temporary folder");
+    let (mut ledger, _) = open_ledger(dir.path(), OPTIONS).expect("opens");
     let many: Vec<ListedEndpoint> = (0..20_000)
         .map(|n| ListedEndpoint {
             name: format!("endpoint-{n}"),
@@ -146,20 +146,20 @@
 }
 
 #[test]
-fn cuts_on_real_files_find_what_was_written_before() {
-    let dir = tempfile::tempdir().expect("a folder");
-    let (mut ledger, _) = begin(dir.path(), OPTIONS).expect("opens");
-    let (mut model, mut lot) = (Model::new(), Lot(99));
+fn truncated_file_holds_the_records_before() {
+    let dir = tempfile::tempdir().expect("temporary folder");
+    let (mut ledger, _) = open_ledger(dir.path(), OPTIONS).expect("opens");
+    let (mut model, mut rng) = (Model::new(), Rng(99));
     let file = dir.path().join("000000000001.seg");
     let mut ends = Vec::new();
     for _ in 0..200 {
-        let step = model.draw(&mut lot, 20, 60);
+        let step = model.random_step(&mut rng, 20, 60);
         match &step {
-            Step::Take(taken) => ledger.accept(NOW, taken).map(|(_, seq)| seq),
-            Step::Begin(id) => ledger.begin_attempt(*id, NOW + 1, 2),
-            Step::Outcome(id, never_ran) => ledger.end_attempt(*id, *never_ran),
-            Step::Answer(id, answer) => ledger.record_answer(*id, *answer),
-            Step::End(id, end) => ledger.finish(*id, end.as_ref().map(|(r, f)| (&r[..], *f, LATER))),
+            Step::Accept(accepted) => ledger.accept(NOW, accepted).map(|(_, seq)| seq),
+            Step::BeginAttempt(id) => ledger.begin_attempt(*id, NOW + 1, 2),
+            Step::EndAttempt(id, never_ran) => ledger.end_attempt(*id, *never_ran),
+            Step::RecordAnswer(id, answer) => ledger.record_answer(*id, *answer),
+            Step::Finish(id, end) => ledger.finish(*id, end.as_ref().map(|(r, f)| (&r[..], *f, LATER))),
         }
         .expect("room");
         model.step(&step);
@@ -171,30 +171,30 @@
         fs::write(&file, &whole[..cut]).expect("written");
         let before = ends.partition_point(|(end, _)| *end <= cut);
         let expected = before.checked_sub(1).map_or_else(Model::new, |n| ends[n].1.clone());
-        let (ledger, opened) = begin(dir.path(), OPTIONS).expect("opens");
-        assert_eq!(opened.messages.len(), expected.owed.len(), "cut at {cut}");
+        let (ledger, opened) = open_ledger(dir.path(), OPTIONS).expect("opens");
+        assert_eq!(opened.messages.len(), expected.pending.len(), "cut at {cut}");
         for found in &opened.messages {
-            assert_eq!(found.history, expected.owed[&found.id].history, "cut at {cut}");
-            assert_eq!(found.message, expected.owed[&found.id].taken, "cut at {cut}");
+            assert_eq!(found.history, expected.pending[&found.id].history, "cut at {cut}");
+            assert_eq!(found.message, expected.pending[&found.id].accepted, "cut at {cut}");
         }
         assert_eq!(ledger.answers(), expected.answers.len(), "cut at {cut}");
     }
 }
 
-/// The journals were written by the version before the store, with the code that it had.
+/// Reads a fixture: a journal written by the version that preceded the store.
 fn fixture(name: &str) -> Bytes {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
     Bytes::from(fs::read(path).expect("a fixture"))
 }
 
 #[test]
-fn an_old_journal_is_taken_over_once() {
+fn old_journal_is_imported_once() {
     const T: u64 = 1_800_000_000_000_000_000;
     for name in ["journal-appended", "journal-compacted"] {
         let old = journal::read(&fixture(name));
         assert!(!old.damaged && old.next_id == 9, "{name}: {} {}", old.damaged, old.next_id);
-        let dir = tempfile::tempdir().expect("a folder");
-        let open = |old| Ledger::open(Disk::open(dir.path()).expect("the folder"), OPTIONS, NOW, 77, old);
+        let dir = tempfile::tempdir().expect("temporary folder");
+        let open = |old| Ledger::open(Disk::open(dir.path()).expect("folder opens"), OPTIONS, NOW, 77, old);
         let (mut ledger, opened) = open(Some(old)).expect("opens");
         assert_eq!(opened.migrated, 7);
         let found = opened.messages;
@@ -210,23 +210,23 @@
         assert_eq!(found[4].message.body, vec![5u8; 200]);
         assert_eq!(found[4].message.deadline, 1_900_000_000_000_000_005);
         assert!(found.iter().all(|f| !f.body_lost));
-        // Were the old file still there, it would say nothing any more.
+        // A journal that is still there at a later start is ignored.
         ledger.finish(1, None).expect("written");
         drop(ledger);
         let (mut ledger, opened) = open(Some(journal::read(&fixture(name)))).expect("opens");
         assert_eq!((opened.migrated, opened.messages.len()), (0, 6));
-        assert_eq!(ledger.accept(NOW, &message(1, 1)).expect("room").0, 9, "numbers are not used twice");
+        assert_eq!(ledger.accept(NOW, &message(1, 1)).expect("room").0, 9, "message numbers are not reused");
     }
 }
 
 #[test]
-fn a_torn_old_journal_loses_its_tail_and_a_damaged_one_makes_cautious() {
+fn torn_journal_loses_its_tail_and_damaged_journal_assumes_attempts() {
     let torn = journal::read(&fixture("journal-torn"));
     assert!(!torn.damaged);
     assert_eq!(torn.pending[&6].history.attempts, 0);
     let damaged = journal::read(&fixture("journal-damaged"));
     assert!(damaged.damaged);
-    assert!(damaged.pending.values().all(|owed| owed.history.may_have_run == Some((owed.at, 0))));
+    assert!(damaged.pending.values().all(|pending| pending.history.may_have_run == Some((pending.at, 0))));
     let whole = fixture("journal-appended");
     for at in 0..whole.len() {
         journal::read(&whole.slice(..at));
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn an_end_in_the_middle_of_the_move_is_repeated() {
+fn interrupted_import_is_repeated() {
     let old = || journal::read(&fixture("journal-appended"));
     let folder = millpost_store::memory::Memory::default();
     folder.record();
@@ -255,8 +255,8 @@
 }
 
 #[test]
-fn the_command_reads_verifies_exports_and_compacts() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn maintenance_tool_inspects_verifies_exports_and_compacts() {
+    let dir = tempfile::tempdir().expect("temporary folder");
     let run = |arguments: &[&str]| {
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_millpost-store"));
         let done = command.args(arguments).arg(dir.path()).output().expect("it runs");
@@ -270,14 +270,14 @@
     };
     let (code, _, why) = run(&["inspect"]);
     assert!(code == Some(2) && why.contains("no store"), "{why}");
-    let (mut ledger, _) = begin(dir.path(), OPTIONS).expect("opens");
+    let (mut ledger, _) = open_ledger(dir.path(), OPTIONS).expect("opens");
     for n in 0..500 {
         let (id, _) = ledger.accept(NOW, &message(n, 300)).expect("room");
         if n > 3 {
             ledger.finish(id, Some((&format!("r{n}"), FinalOutcome::Delivered, LATER))).expect("written");
         }
     }
-    // While it runs.
+    // While the ledger is open.
     let (code, lines, _) = run(&["inspect"]);
     assert_eq!((code, &lines[0]["tables"]["messages"]["records"]), (Some(0), &serde_json::json!(4)));
     let (code, _, why) = run(&["compact"]);
@@ -292,10 +292,10 @@
     assert_eq!(code, Some(0), "{why}");
     assert!(lines[0]["bytes_after"].as_u64() < lines[0]["bytes_before"].as_u64(), "{lines:?}");
     assert_eq!(run(&["verify"]).0, Some(0));
-    let (_, opened) = begin(dir.path(), OPTIONS).expect("opens");
+    let (_, opened) = open_ledger(dir.path(), OPTIONS).expect("opens");
     assert_eq!(opened.messages.len(), 4);
-    // Damage is found, and said where.
-    let segment = fs::read_dir(dir.path()).expect("the folder").flatten().map(|f| f.path());
+    // Damage is detected and described.
+    let segment = fs::read_dir(dir.path()).expect("folder opens").flatten().map(|f| f.path());
     let segment = segment.filter(|p| p.extension().is_some_and(|e| e == "seg")).min().expect("a segment");
     let mut bytes = fs::read(&segment).expect("a segment");
     bytes[400] ^= 4;
@@ -303,5 +303,5 @@
     let (code, lines, _) = run(&["verify"]);
     assert!(code == Some(1) && lines[0]["damage"].is_string(), "{lines:?}");
     let (code, _, why) = run(&["defragment"]);
-    assert!(code == Some(2) && why.contains("no command"), "{why}");
+    assert!(code == Some(2) && why.contains("unknown command"), "{why}");
 }
