--- a/tier/src/config.rs
+++ b/tier/src/config.rs
@@ -1,60 +1,61 @@
-//! The terms that a fleet shares on. All dispatchers are to have the same; what holds where they differ is in
-//! `docs/design/009-shared-state.md`.
+//! Settings of the shared state. All dispatchers should use the same; `docs/design/009-shared-state.md`
+//! describes what holds if they differ.
 
 use serde::Deserialize;
 
 use crate::Nanos;
 
-/// What is wrong with the terms.
+/// A setting with an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {reason}")]
 pub struct InvalidSetting {
-    /// The setting.
+    /// Name of the setting.
     pub key: &'static str,
-    /// Why it can't be.
+    /// Why the value is invalid.
     pub reason: &'static str,
 }
 
-/// The terms, as operators give them.
+/// Settings of the shared state, as configured by operators.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TierConfig {
-    /// Anything is shared at all.
+    /// Whether state is shared at all.
     pub enabled: bool,
-    /// Time between two rounds, in which what is urgent is sent: news of endpoints, and what is asked for or lent;
-    /// milliseconds.
+    /// Interval of rounds, in milliseconds. Urgent items are sent in each: endpoint observations, loan
+    /// requests and grants.
     pub beat_ms: u64,
-    /// With nothing urgent to say, datagrams go out this often, milliseconds.
+    /// Interval of datagrams without urgent items, in milliseconds.
     pub quiet_ms: u64,
-    /// Peers that are sent a datagram in each round.
+    /// Number of peers that are sent a datagram in each round.
     pub fanout: usize,
-    /// A peer of which nothing new was heard for so long is suspected, milliseconds.
+    /// Time without a newer heartbeat after which a peer is suspected, in milliseconds.
     pub suspected_ms: u64,
-    /// ... is silent.
+    /// Time without a newer heartbeat after which a peer is silent, in milliseconds.
     pub silent_ms: u64,
-    /// ... is gone.
+    /// Time without a newer heartbeat after which a peer is gone, in milliseconds.
     pub gone_ms: u64,
-    /// Each keeps to its part of a destination's budgets. Without it nothing is lent either.
+    /// Whether each dispatcher keeps to its share of a destination's limit. Lending requires it.
     pub budgets: bool,
-    /// Unused parts of budgets are lent.
+    /// Whether unused shares are lent.
     pub lend: bool,
-    /// Peers that are asked to lend, a second.
+    /// Maximum number of loan requests per second.
     pub asks_per_second: u64,
-    /// How long a borrowed part may be used, from the asking, milliseconds.
+    /// How long a borrowed share may be used, counted from the request, in milliseconds.
     pub term_ms: u64,
-    /// Clocks of two dispatchers may run apart by this, in parts of a thousand.
+    /// Maximum rate difference of the clocks of two dispatchers, per mille.
     pub clock_rate_permille: u64,
-    /// What others saw of endpoints is heeded.
+    /// Whether observations of other dispatchers are used.
     pub hearsay: bool,
-    /// Others that must have seen an endpoint fail.
+    /// Number of other dispatchers that must have seen an endpoint fail.
     pub witnesses: usize,
-    /// No more of a destination's endpoints are avoided on hearsay, percent.
+    /// Maximum share of a destination's endpoints that are avoided because of others' observations, in
+    /// percent.
     pub avoid_percent: u64,
-    /// What was seen counts for so long, milliseconds.
+    /// How long an observation counts, in milliseconds.
     pub fade_ms: u64,
-    /// Budgets are kept where nobody tells the limit: it is worked out from the counts of all.
+    /// Whether unknown limits are estimated from the call counts of all dispatchers.
     pub estimate: bool,
-    /// A fault that is in place.
+    /// Fault planted by a test.
     #[cfg(feature = "faults")]
     pub planted: Option<crate::Fault>,
 }
@@ -86,10 +87,10 @@
 }
 
 impl TierConfig {
-    /// Whether they make sense.
+    /// Checks that all values are valid.
     ///
     /// # Errors
-    /// The first setting that does not.
+    /// The first setting with an invalid value.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         let wrong = |key, reason| Err(InvalidSetting { key, reason });
         match self {
@@ -125,12 +126,13 @@
     pub(crate) fn fade(&self) -> Nanos {
         ms(self.fade_ms)
     }
-    /// How long a borrower may use what it borrowed, from its asking, by its own clock.
+    /// How long a borrower may use a borrowed share, counted from its request on its own clock.
     pub fn term(&self) -> Nanos {
         ms(self.term_ms)
     }
-    /// How long a lender does without what it lent, from its granting, by its own clock. The borrower asked before, and
-    /// counts a shorter time; its clock may be slow by the stated rate while the lender's is fast by it.
+    /// How long a lender does not use a lent share, counted from its grant on its own clock. It outlasts the
+    /// borrower's term, which starts earlier, even if the borrower's clock is slow and the lender's is fast
+    /// by the configured rate.
     pub fn hold(&self) -> Nanos {
         let (slow, fast) = (1_000 - self.clock_rate_permille, 1_000 + self.clock_rate_permille);
         (self.term().saturating_mul(fast)).div_ceil(slow.max(1))
@@ -146,17 +148,17 @@
     use super::*;
 
     #[test]
-    fn a_lender_waits_longer_than_any_borrower_by_whatever_clock() {
+    fn hold_outlasts_term_for_all_allowed_clock_rates() {
         let terms = TierConfig::default();
         assert_eq!(terms.check(), Ok(()));
-        // In true time: the borrower's slow clock, the lender's fast one.
+        // In real time, with a slow clock at the borrower and a fast one at the lender.
         let rate = terms.clock_rate_permille as f64 / 1e3;
         let (borrower, lender) = (terms.term() as f64 / (1.0 - rate), terms.hold() as f64 / (1.0 + rate));
         assert!(lender >= borrower, "{lender} {borrower}");
     }
 
     #[test]
-    fn terms_that_make_no_sense_are_named() {
+    fn invalid_settings_are_named() {
         for (wrong, key) in [
             (TierConfig { beat_ms: 1, ..TierConfig::default() }, "beat_ms"),
             (TierConfig { witnesses: 1, ..TierConfig::default() }, "witnesses"),
--- a/tier/src/frame_filter.rs
+++ b/tier/src/frame_filter.rs
@@ -1,78 +1,79 @@
-//! What comes in is looked at before anything else is: nonsense, other versions and floods cost no round, and are counted.
+//! Filter for incoming datagrams. Malformed datagrams, other versions and floods are dropped early and
+//! counted.
 //!
-//! Kept bound: of each peer no more than [`RATE`] datagrams a second are read, and [`BURST`] at once.
+//! At most [`RATE`] datagrams per second are read from each peer, in bursts of at most [`BURST`].
 
 use crate::frame::{self, Frame};
 use crate::{Nanos, Peer};
 
-/// Datagrams a second of one peer: many times what one that keeps to the terms sends to any other.
+/// Maximum datagrams per second from one peer: many times what a well-behaved peer sends.
 pub const RATE: u64 = 100;
-/// At once.
+/// Maximum burst of datagrams from one peer.
 pub const BURST: u64 = 100;
 const SECOND: Nanos = 1_000_000_000;
 
-/// Datagrams by what became of them.
+/// Counts of received datagrams by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FilterStats {
-    /// Read.
+    /// Accepted.
     pub read: u64,
-    /// From nobody who is configured, or in another's name.
+    /// From an unknown sender, or with another dispatcher's number as sender.
     pub unknown: u64,
-    /// Not readable.
+    /// Not decodable.
     pub malformed: u64,
     /// Of another version.
     pub version: u64,
-    /// More than a peer may send.
+    /// Above the rate limit.
     pub rate_limited: u64,
 }
 
-/// One dispatcher's sieve.
+/// The filter of one dispatcher.
 #[derive(Clone, Debug)]
 pub struct FrameFilter {
-    /// Tokens of each peer, in nanoseconds of its rate, and when they were counted.
+    /// Token bucket of each peer: tokens, in nanoseconds of its rate, and when they were last updated.
     peers: Vec<(Nanos, Nanos)>,
-    sifted: FilterStats,
+    stats: FilterStats,
 }
 
 impl FrameFilter {
-    /// For so many dispatchers.
+    /// Creates the filter for a fleet of `of` dispatchers.
     pub fn new(of: u16) -> Self {
         FrameFilter {
             peers: vec![(SECOND * BURST / RATE, 0); usize::from(of)],
-            sifted: FilterStats::default(),
+            stats: FilterStats::default(),
         }
     }
 
-    /// A datagram from somebody who is configured, or from nobody: what it says, where that counts.
+    /// Decodes a datagram from a configured peer (`None`: unknown sender). Returns `None` if it is dropped.
     pub fn read(&mut self, now: Nanos, from: Option<Peer>, bytes: &[u8]) -> Option<Frame> {
         let known = from.and_then(|from| Some((from, self.peers.get_mut(usize::from(from))?)));
         let Some((from, (tokens, at))) = known else {
-            self.sifted.unknown += 1;
+            self.stats.unknown += 1;
             return None;
         };
         let (each, most) = (SECOND / RATE, SECOND * BURST / RATE);
         *tokens = tokens.saturating_add(now.saturating_sub(*at)).min(most);
         *at = now.max(*at);
         if *tokens < each {
-            self.sifted.rate_limited += 1;
+            self.stats.rate_limited += 1;
             return None;
         }
         *tokens -= each;
         match frame::read(bytes) {
             Ok(frame) if frame.speaker.who == from => {
-                self.sifted.read += 1;
+                self.stats.read += 1;
                 return Some(frame);
             }
-            Ok(_) => self.sifted.unknown += 1,
-            Err(frame::Error::Version(_)) => self.sifted.version += 1,
-            Err(_) => self.sifted.malformed += 1,
+            Ok(_) => self.stats.unknown += 1,
+            Err(frame::Error::Version(_)) => self.stats.version += 1,
+            Err(_) => self.stats.malformed += 1,
         }
         None
     }
 
-    /// What became of all so far.
+    /// Returns the counts so far.
     pub fn stats(&self) -> FilterStats {
-        self.sifted
+        self.stats
     }
 }
 
@@ -86,33 +87,29 @@
     }
 
     #[test]
-    fn only_what_a_peer_says_in_its_own_name_and_at_a_pace_is_read() {
-        let mut sieve = FrameFilter::new(3);
-        assert!(sieve.read(0, Some(1), &datagram(1)).is_some());
-        assert!(sieve.read(0, Some(1), &datagram(2)).is_none(), "in another's name");
-        assert!(sieve.read(0, None, &datagram(1)).is_none());
-        assert!(sieve.read(0, Some(7), &datagram(7)).is_none());
+    fn only_valid_datagrams_within_the_rate_limit_are_accepted() {
+        let mut filter = FrameFilter::new(3);
+        assert!(filter.read(0, Some(1), &datagram(1)).is_some());
+        assert!(
+            filter.read(0, Some(1), &datagram(2)).is_none(),
+            "sent with the number of another dispatcher"
+        );
+        assert!(filter.read(0, None, &datagram(1)).is_none());
+        assert!(filter.read(0, Some(7), &datagram(7)).is_none());
         let mut newer = datagram(1);
         newer[0] = OF_STANDINGS + 1;
-        assert!(sieve.read(0, Some(1), &newer).is_none());
+        assert!(filter.read(0, Some(1), &newer).is_none());
         for n in 0..datagram(1).len() {
             let mut damaged = datagram(1);
             damaged[n] ^= 0x10;
-            assert!(sieve.read(n as Nanos * SECOND, Some(1), &damaged).is_none(), "byte {n}");
-            assert!(sieve.read(n as Nanos * SECOND, Some(1), &datagram(1)[..n]).is_none(), "cut at {n}");
+            assert!(filter.read(n as Nanos * SECOND, Some(1), &damaged).is_none(), "byte {n}");
+            assert!(filter.read(n as Nanos * SECOND, Some(1), &datagram(1)[..n]).is_none(), "cut at {n}");
         }
-        assert!(sieve.read(99 * SECOND, Some(1), &[VERSION; 400]).is_none());
-        let read = (0..1_000).filter(|_| sieve.read(200 * SECOND, Some(2), &datagram(2)).is_some()).count();
+        assert!(filter.read(99 * SECOND, Some(1), &[VERSION; 400]).is_none());
+        let read = (0..1_000).filter(|_| filter.read(200 * SECOND, Some(2), &datagram(2)).is_some()).count();
         assert_eq!(read as u64, BURST);
-        assert!(
-            sieve.read(200 * SECOND, Some(1), &datagram(1)).is_some(),
-            "another peer is heard all the same"
-        );
-        let sifted = sieve.stats();
-        assert_eq!(
-            (sifted.rate_limited, sifted.unknown, sifted.version),
-            (1_000 - BURST, 3, 2),
-            "{sifted:?}"
-        );
+        assert!(filter.read(200 * SECOND, Some(1), &datagram(1)).is_some(), "other peers are not affected");
+        let stats = filter.stats();
+        assert_eq!((stats.rate_limited, stats.unknown, stats.version), (1_000 - BURST, 3, 2), "{stats:?}");
     }
 }
--- a/tier/src/planted.rs
+++ b/tier/src/planted.rs
@@ -1,46 +1,46 @@
-//! Faults that can be planted: tests that pass with one of them in place prove nothing.
+//! Faults that tests can plant, to prove that the checks detect them.
 
-/// A fault.
+/// A fault in the implementation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// A borrower forgets that what it borrowed ends.
+    /// A borrower uses a borrowed share after its end.
     ForgetEnds,
-    /// Even parts go by the number of dispatchers that are heard.
+    /// Even shares are computed from the number of live dispatchers.
     SharesByHeard,
-    /// One witness is enough to avoid an endpoint.
+    /// One witness suffices to avoid an endpoint.
     OneWitness,
-    /// A lender that was started anew does not wait for what it may have lent before.
+    /// A restarted lender ignores that it may have lent shares before.
     ForgetLent,
-    /// A lender waits no longer than the borrower, whatever their clocks.
+    /// A lender waits no longer than the borrower, without a margin for clock rates.
     NoMargin,
-    /// A grant that comes twice is taken twice.
+    /// A repeated grant is accepted twice.
     LendTwice,
-    /// An old piece of evidence is taken as new.
+    /// An old observation is accepted as new.
     ReviveOld,
-    /// Most of those that are heard can find another behind.
+    /// A majority of the live dispatchers, not of the configured ones, can find another behind.
     MostOfHeard,
-    /// Votes stand against a dispatcher whatever it has moved to since.
+    /// Votes against a dispatcher remain after it has switched to another version.
     StaleVotes,
-    /// Of a word that is said again it is forgotten that its content has been held for longer by then.
+    /// A repeated report does not update how long its versions have been in use.
     HeldOnce,
-    /// As many are shut out as are behind.
+    /// All dispatchers that are behind are shut out.
     NobodyServes,
-    /// An older word takes the place of a newer one.
+    /// An older endpoint record replaces a newer one.
     OldWord,
-    /// A drain is lifted by hearsay.
+    /// A drain is lifted by another dispatcher's record.
     LiftByHearsay,
-    /// One that is shut out takes messages all the same.
+    /// A dispatcher that is shut out accepts messages.
     TakeWhileOut,
-    /// One that is shut out lends all the same, and is lent to.
+    /// A dispatcher that is shut out lends and borrows.
     LendWhileOut,
-    /// Calls go to endpoints that drain.
+    /// Calls are sent to draining endpoints.
     CallDrained,
-    /// A list that is older than the one in force is taken for a newer one.
+    /// A list that is older than the current one is accepted as newer.
     OldList,
 }
 
-/// The fault that is in place, if any; nothing at all without the feature.
+/// The planted fault, if any; zero-sized without the `faults` feature.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Planted {
     #[cfg(feature = "faults")]
--- a/tier/src/staleness.rs
+++ b/tier/src/staleness.rs
@@ -300,7 +300,7 @@
             }
         }
         // The same content, said again: that goes round in its turn.
-        let same = before.is_some_and(|known| known.stands.says(stands));
+        let same = before.is_some_and(|known| known.stands.has_same_content(stands));
         let hot = before.filter(|_| same).map_or(pass_on, |known| known.hot);
         *place = Some(Known { stands: *stands, since, said, hot, behind, before: was });
         !same
--- a/tier/src/versions.rs
+++ b/tier/src/versions.rs
@@ -1,15 +1,15 @@
-//! What a dispatcher acts on: one small value, the versions of all that changes under it.
+//! The versions of the shared inputs that a dispatcher uses: endpoint list, settings, cordons and program.
 //!
-//! No kind of version has an order that all dispatchers share: agents number lists each for itself and begin anew, a file
-//! has none, and may be put back. So a version is a digest of what it says, and what one dispatcher did first is told by
-//! *when it moved to it*: see [`crate::staleness`].
+//! No kind of input has a version order that all dispatchers share: each agent numbers lists for itself and
+//! restarts its numbering, and a file has no number and may be restored. So a version is a digest of the
+//! content, and versions are ordered by *when* dispatchers switched to them: see [`crate::staleness`].
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{Incarnation, Nanos, Peer};
 
-/// What changes under a dispatcher.
+/// A kind of shared input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
@@ -17,17 +17,17 @@
     List,
     /// The settings.
     Settings,
-    /// Endpoints that are out by hand, or drain as somebody was told.
+    /// Endpoints cordoned by an operator, or reported as draining.
     Cordons,
     /// The program.
     Program,
 }
 
-/// All kinds, in their order.
+/// All kinds, in declaration order.
 pub const KINDS: [Kind; 4] = [Kind::List, Kind::Settings, Kind::Cordons, Kind::Program];
 
 impl Kind {
-    /// Its name in figures and reports.
+    /// Returns its name in metrics and reports.
     pub fn name(self) -> &'static str {
         match self {
             Kind::List => "list",
@@ -38,27 +38,29 @@
     }
 }
 
-/// One version: what it says, as a digest, and which move of its dispatcher led to it.
+/// A version of an input: the digest of its content, and the number of the switch that led to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// Of the content: two that act on the same have the same.
+    /// Digest of the content; equal contents have equal digests.
     pub digest: u32,
-    /// Moves to another content so far, in this life; of a program the number of its layout of state.
+    /// Number of switches to another content in this incarnation. For programs, the version of the state
+    /// layout.
     pub generation: u32,
 }
 
-/// What one dispatcher acts on.
+/// The versions that one dispatcher uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ActiveVersions {
-    /// The life that this is of, as it began.
+    /// Incarnation of the dispatcher at its start.
     pub incarnation: Incarnation,
-    /// Its epoch in what is shared: a lending under an earlier one is void. No lower than the incarnation.
+    /// Epoch for shared state, at least the incarnation. Loans made in an earlier epoch are void.
     pub epoch: Incarnation,
     /// The list.
     pub list: Version,
-    /// A digest of the address of the agent that told it, and that agent's number for it.
+    /// Digest of the address of the agent that supplied the list.
     pub agent: u32,
-    /// See there. Another agent's, or that of the same one started anew, can't be compared with it.
+    /// The agent's number of the list. Numbers of other agents, or of the same agent after a restart, are not
+    /// comparable.
     pub index: u64,
     /// The settings.
     pub settings: Version,
@@ -69,7 +71,7 @@
 }
 
 impl ActiveVersions {
-    /// The version of one kind.
+    /// Returns the version of one kind.
     pub fn version(&self, kind: Kind) -> Version {
         match kind {
             Kind::List => self.list,
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Moves to a content. Whether it is another than before.
+    /// Switches to a content. Returns whether it differs from the previous one.
     pub fn set_version(&mut self, kind: Kind, digest: u32) -> bool {
         let stamp = self.stamp_mut(kind);
         if stamp.digest == digest {
@@ -101,56 +103,57 @@
         true
     }
 
-    /// The content is the same, and its source has said so: as good as a move to it.
+    /// Records that the source confirmed the current content, which counts as a switch to it.
     pub fn confirm(&mut self, kind: Kind) {
         let stamp = self.stamp_mut(kind);
         stamp.generation = stamp.generation.saturating_add(1);
     }
 }
 
-/// A digest of a text or of bytes; never 0, which stands for nothing.
+/// Returns the digest of some bytes. Never 0, which denotes no content.
 pub fn digest(bytes: &[u8]) -> u32 {
     fold(xxh3_64(bytes))
 }
 
-/// A sum of hashes as a digest, for what has no order and changes piece by piece.
+/// Folds a sum of hashes into a digest, for unordered contents that are updated piece by piece.
 pub fn fold(sum: u64) -> u32 {
     ((sum >> 32) as u32 ^ sum as u32).max(1)
 }
 
-/// The share of one piece in a sum that [`fold`] makes a digest of.
+/// Returns the hash of one piece, to be summed for [`fold`].
 pub fn piece(bytes: &[u8]) -> u64 {
     xxh3_64(bytes)
 }
 
-/// A dispatcher's word on what it acts on. Only its author makes it; the others pass it on as it is, but for its age.
+/// A dispatcher's report of the versions it uses. Only its author creates it; others forward it with an
+/// updated age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionReport {
-    /// Its author.
+    /// The author.
     pub who: Peer,
-    /// Of two words of one life the later has the higher number: the round in which it was said, or beyond.
+    /// Sequence number, increasing within an incarnation: at least the round in which the report was sent.
     pub seq: u32,
-    /// How often it was passed on.
+    /// How often it was forwarded.
     pub hops: u8,
-    /// How long ago it was said, in tenths of a second.
+    /// Age in tenths of a second.
     pub age: u32,
-    /// What it acts on.
+    /// The versions in use.
     pub standing: ActiveVersions,
-    /// How long it had acted on each when it said so, in tenths of a second; by [`KINDS`].
+    /// How long each version had been in use at that time, in tenths of a second, indexed by [`KINDS`].
     pub held: [u32; 4],
-    /// Settings that it was given and turned down since it last took any, as a digest; 0 for none.
+    /// Digest of the settings rejected since settings were last applied; 0 for none.
     pub refused: u32,
-    /// It takes no new messages, since it is behind.
+    /// Whether the dispatcher accepts no new messages because it is behind.
     pub out: bool,
 }
 
 impl VersionReport {
-    /// Another word of the same content.
-    pub(crate) fn says(&self, other: &VersionReport) -> bool {
+    /// Whether two reports have the same content.
+    pub(crate) fn has_same_content(&self, other: &VersionReport) -> bool {
         (self.standing, self.refused, self.out) == (other.standing, other.refused, other.out)
     }
 
-    /// Words are ordered by this.
+    /// Ordering key of the reports of one author.
     pub fn order(&self) -> (Incarnation, u32) {
         (self.standing.incarnation, self.seq)
     }
@@ -159,7 +162,7 @@
 /// A tenth of a second.
 pub(crate) const TENTH: Nanos = 100_000_000;
 
-/// A span, in tenths of a second.
+/// Converts a duration to tenths of a second.
 pub(crate) fn tenths(span: Nanos) -> u32 {
     (span / TENTH).min(u32::MAX.into()) as u32
 }
@@ -169,20 +172,20 @@
     use super::*;
 
     #[test]
-    fn a_move_to_the_same_content_is_none_and_one_back_to_it_is_one() {
+    fn only_a_different_content_counts_as_a_switch() {
         let mut standing = ActiveVersions::default();
         assert!(standing.set_version(Kind::Settings, 7) && !standing.set_version(Kind::Settings, 7));
         assert!(standing.set_version(Kind::Settings, 9) && standing.set_version(Kind::Settings, 7));
         assert_eq!(standing.version(Kind::Settings), Version { digest: 7, generation: 3 });
         assert_eq!(standing.version(Kind::List), Version::default());
-        // A program's number is its layout's, and no count.
+        // The number of a program is its state layout, not a count of switches.
         standing.program = Version { digest: 1, generation: 5 };
         assert!(standing.set_version(Kind::Program, 2));
         assert_eq!(standing.program, Version { digest: 2, generation: 5 });
     }
 
     #[test]
-    fn a_sum_of_pieces_hangs_on_no_order_and_no_digest_is_nothing() {
+    fn folded_sum_is_order_independent_and_never_zero() {
         let all = [piece(b"a"), piece(b"b"), piece(b"c")];
         let sum = |order: [usize; 3]| order.into_iter().map(|n| all[n]).fold(0, u64::wrapping_add);
         assert_eq!(fold(sum([0, 1, 2])), fold(sum([2, 0, 1])));
