--- a/tier/examples/fleet.rs
+++ b/tier/examples/fleet.rs
@@ -58,7 +58,7 @@
 }
 
 fn main() {
-    println!("datagrams of up to {} bytes; a wait is told to one of them", frame::LONGEST);
+    println!("datagrams of up to {} bytes; a wait is told to one of them", frame::MAX_LEN);
     println!(
         "{:<28} {:>8} {:>8} {:>8} {:>10} {:>10} {:>10}",
         "dispatchers, loss", "most sum", "served", "alone", "all know", "datagrams", "bytes/s"
--- a/tier/src/counts.rs
+++ b/tier/src/counts.rs
@@ -1,7 +1,8 @@
-//! Calls by destination, dispatcher and life. Only a dispatcher itself counts for itself, and its counts only grow in one
-//! life: merging takes the greater, so that nothing is counted twice whatever is lost, repeated or reordered.
+//! Call counts by destination, dispatcher and incarnation. A dispatcher's counts are written only by itself
+//! and only grow within an incarnation. Merging takes the maximum, so that no call is counted twice, whatever
+//! is lost, repeated or reordered.
 //!
-//! Kept bound: one row for each listed destination and configured dispatcher.
+//! Memory is bounded by one row for each listed destination and configured dispatcher.
 
 use std::collections::BTreeMap;
 
@@ -28,65 +29,65 @@
 struct Row {
     incarnation: Incarnation,
     calls: Calls,
-    /// Of earlier lives.
+    /// Counts of earlier incarnations.
     past: Calls,
     spare: u8,
-    /// When they were right.
+    /// When the counts were current.
     at: Nanos,
-    /// How often it is still to be passed on.
+    /// How many more times the counts are to be forwarded.
     hot: u8,
 }
 
-/// The sum over all dispatchers, as far as it is known.
+/// Known sum over all dispatchers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sum {
-    /// What is known to have been.
+    /// Sum of the known calls.
     pub calls: Calls,
-    /// The age of the oldest part of it.
+    /// Age of the oldest counts in the sum.
     pub oldest: Nanos,
-    /// The ages of all parts together: each of these dispatchers may have used its part for so long since, at most.
+    /// Sum of the ages of all counts: the total time in which dispatchers may have made further calls.
     pub unknown: Nanos,
-    /// Dispatchers that never told.
+    /// Number of dispatchers without known counts.
     pub never: u32,
 }
 
-/// All counts that one dispatcher knows.
+/// All counts known to one dispatcher.
 #[derive(Clone, Debug)]
 pub struct Counts {
     me: Peer,
     of: u16,
     rows: BTreeMap<(DestId, Peer), Row>,
     own: BTreeMap<DestId, (Calls, u8)>,
-    /// One's own of earlier lives.
+    /// Own counts of earlier incarnations.
     past: BTreeMap<DestId, Calls>,
 }
 
 impl Counts {
-    /// Nothing counted yet.
+    /// Creates empty counts.
     pub fn new(me: Peer, of: u16) -> Self {
         Counts { me, of, rows: BTreeMap::new(), own: BTreeMap::new(), past: BTreeMap::new() }
     }
 
-    /// One's own counts of a destination.
+    /// Returns this dispatcher's own counts of a destination.
     pub fn own(&mut self, dest: DestId) -> &mut Calls {
         &mut self.own.entry(dest).or_default().0
     }
 
-    /// This life has another number from now on, under which nothing is counted yet.
+    /// Begins a new incarnation with own counts of zero.
     pub fn renew(&mut self) {
         for (dest, (calls, _)) in &mut self.own {
             self.past.entry(*dest).or_default().add(std::mem::take(calls));
         }
     }
 
-    /// What one could lend, in 255ths of an even part.
+    /// Sets what this dispatcher could lend, in 255ths of an even share.
     pub fn set_spare(&mut self, dest: DestId, spare: u8) {
         if let Some((_, own)) = self.own.get_mut(&dest) {
             *own = spare;
         }
     }
 
-    /// Takes in what somebody counted. Whether it is news.
+    /// Merges counts of a dispatcher. Returns whether they were new.
     pub fn merge(&mut self, now: Nanos, told: &Counted, pass_on: u8) -> bool {
         if told.who == self.me || told.who >= self.of {
             return false;
@@ -117,7 +118,7 @@
         grew
     }
 
-    /// The sum of a destination.
+    /// Returns the sum of a destination.
     pub fn sum(&self, now: Nanos, dest: DestId) -> Sum {
         let mut sum =
             Sum { calls: self.own.get(&dest).map_or(Calls::default(), |own| own.0), ..Sum::default() };
@@ -134,19 +135,19 @@
         sum
     }
 
-    /// Who could lend of a destination, by what was last heard since `since`.
+    /// Iterates over the dispatchers that could lend of a destination, by reports since `since`.
     pub fn spares(&self, dest: DestId, since: Nanos) -> impl Iterator<Item = (u8, Peer)> + '_ {
         let rows = self.rows.range((dest, 0)..=(dest, Peer::MAX));
         rows.filter(move |(_, row)| row.at >= since && row.spare > 0).map(|((_, who), row)| (row.spare, *who))
     }
 
-    /// One's own counts, to be told.
+    /// Returns this dispatcher's own counts for a datagram.
     pub fn tell(&self, dest: DestId, incarnation: Incarnation) -> Option<Counted> {
         let (calls, spare) = *self.own.get(&dest)?;
         Some(Counted { who: self.me, incarnation, dest, age_ms: 0, calls, spare })
     }
 
-    /// Others' counts that are to be passed on, from this place on round all, no more than so many.
+    /// Returns up to `most` counts of others to forward, in round-robin order starting after `after`.
     pub fn items_to_forward(&mut self, now: Nanos, after: (DestId, Peer), most: usize) -> Vec<Counted> {
         let hot: Vec<_> = {
             let (before, behind) = (self.rows.range(..=after), self.rows.range(after..).skip(1));
@@ -162,14 +163,14 @@
         told.collect()
     }
 
-    /// Forgets destinations that are not listed.
+    /// Drops destinations that are not listed.
     pub fn retain(&mut self, listed: impl Fn(DestId) -> bool) {
         self.rows.retain(|(dest, _), _| listed(*dest));
         self.own.retain(|dest, _| listed(*dest));
         self.past.retain(|dest, _| listed(*dest));
     }
 
-    /// Rows that are held.
+    /// Returns the number of rows.
     pub fn rows(&self) -> usize {
         self.rows.len()
     }
@@ -187,7 +188,8 @@
     }
 
     proptest! {
-        /// Whatever is lost, repeated or reordered, what is counted is the last that came of each life, once.
+        /// With lost, repeated or reordered datagrams, the latest counts received of each incarnation are
+        /// summed once.
         #[test]
         fn nothing_is_counted_twice(
             words in prop::collection::vec((1u16..4, 1u32..4, 0u64..90), 1..60), order in any::<u64>(),
@@ -205,7 +207,8 @@
             let most = |who, life| words.iter().filter(|w| (w.0, w.1) == (who, life)).map(|w| w.2).max();
             let mut known = 0;
             for who in 1..4 {
-                // Of earlier lives some may have come too late to count; of the last one all does.
+                // Counts of earlier incarnations may arrive too late to be included; those of the last one
+                // are complete.
                 known += (1..4).rev().find_map(|life| most(who, life)).unwrap_or(0);
             }
             let all: u64 = (1..4).flat_map(|w| (1..4).filter_map(move |l| most(w, l))).sum();
@@ -215,7 +218,7 @@
     }
 
     #[test]
-    fn a_sum_tells_its_age_and_who_never_told() {
+    fn sum_includes_ages_and_missing_dispatchers() {
         let mut counts = Counts::new(0, 4);
         counts.own(1).sent = 5;
         counts.merge(4_000_000_000, &Counted { age_ms: 1_000, ..told(2, 1, 7) }, 0);
--- a/tier/src/frame.rs
+++ b/tier/src/frame.rs
@@ -1,6 +1,6 @@
-//! The datagrams between dispatchers: a version, a checksum, who speaks, then items as postcard writes them.
+//! Datagrams between dispatchers: a version, a checksum, the sender, and items in postcard encoding.
 //!
-//! Kept bound: no datagram is longer than [`LONGEST`]. What can't be read as a whole is nothing at all.
+//! No datagram is longer than [`MAX_LEN`]. A datagram that can't be decoded completely is dropped.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,163 +9,165 @@
 use crate::versions::VersionReport;
 use crate::{DestId, EndpointHash, Incarnation, Peer};
 
-/// The longest datagram, bytes.
-pub const LONGEST: usize = 256;
-/// The version that is spoken. Others are counted and not heard.
+/// Maximum length of a datagram in bytes.
+pub const MAX_LEN: usize = 256;
+/// Version of the datagrams on liveness, counts, observations and loans. Other versions are counted and
+/// dropped.
 pub const VERSION: u8 = 1;
-/// The version of datagrams on standings: programs before them count these as of another version, and hear the rest.
-pub const OF_STANDINGS: u8 = 2;
+/// Version of the datagrams on dispatcher versions. Older programs count and drop these, and read the others.
+pub const VERSIONS_VERSION: u8 = 2;
 const HEAD: usize = 5;
 
-/// How far a dispatcher has lived: its incarnation, and its rounds in it.
+/// Progress of a dispatcher: its incarnation, and the number of rounds in it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Which life.
+    /// The incarnation.
     pub incarnation: Incarnation,
-    /// Rounds in it.
+    /// Number of rounds in it.
     pub beat: u32,
 }
 
-/// Who speaks.
+/// The sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sender {
     /// Its number.
     pub who: Peer,
-    /// How many dispatchers there are by its configuration.
+    /// Number of dispatchers in its configuration.
     pub of: u16,
-    /// How far it has lived.
+    /// Its heartbeat.
     pub life: Heartbeat,
 }
 
-/// What a dispatcher saw of an endpoint.
+/// Whether a dispatcher reaches an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reachability {
-    /// Nothing, any more.
+    /// No current observation; withdraws an earlier one.
     #[default]
     Nothing,
-    /// Its calls fail there.
+    /// Its calls fail.
     Failing,
-    /// A call of its got through.
+    /// A call succeeded.
     Fine,
 }
 
-/// A piece of evidence. Only its author makes it; the others pass it on as it is, but for its age.
+/// An observation of an endpoint. Only its author creates it; others forward it with an updated age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
-    /// Its author.
+    /// The author.
     pub who: Peer,
-    /// The author's life.
+    /// The author's incarnation.
     pub incarnation: Incarnation,
-    /// Of two pieces of one life the later has the higher number.
+    /// Sequence number, increasing within an incarnation.
     pub seq: u32,
-    /// How often it was passed on.
+    /// How often it was forwarded.
     pub hops: u8,
     /// The endpoint.
     pub place: EndpointHash,
-    /// What was seen.
+    /// What was observed.
     pub sight: Reachability,
-    /// How long ago, milliseconds.
+    /// Age in milliseconds.
     pub age_ms: u32,
-    /// The endpoint asked for a wait that lasts for so long from now, milliseconds; 0 for none.
+    /// Remaining wait that the endpoint requested, in milliseconds; 0 for none.
     pub wait_ms: u32,
 }
 
-/// A dispatcher's calls to a destination in one life, so far.
+/// A dispatcher's calls to a destination in one incarnation so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Calls {
-    /// Written whole.
+    /// Calls written completely.
     pub sent: u64,
-    /// Served.
+    /// Calls served.
     pub served: u64,
-    /// Turned away as too many.
+    /// Calls rejected because of overload.
     pub refused: u64,
 }
 
-/// Counts. Only their author makes them.
+/// Call counts. Only their author creates them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counted {
-    /// Their author.
+    /// The author.
     pub who: Peer,
-    /// The author's life.
+    /// The author's incarnation.
     pub incarnation: Incarnation,
     /// The destination.
     pub dest: DestId,
-    /// How long ago they were right, milliseconds.
+    /// Age of the counts in milliseconds.
     pub age_ms: u32,
     /// The counts.
     pub calls: Calls,
-    /// What the author could lend of its part, in 255ths of an even part.
+    /// What the author could lend of its share, in 255ths of an even share.
     pub spare: u8,
 }
 
-/// What is said.
+/// The items.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Item {
-    /// Somebody lives.
+    /// A dispatcher's heartbeat.
     Lives {
-        /// Who.
+        /// The dispatcher.
         who: Peer,
-        /// How far.
+        /// Its heartbeat.
         life: Heartbeat,
     },
-    /// Counts.
+    /// Call counts.
     Counted(Counted),
-    /// Evidence.
+    /// An observation of an endpoint.
     Seen(Observation),
-    /// To the one who is asked: a part of its part of a destination is wanted.
+    /// Requests a loan from the receiver's share of a destination.
     Ask {
         /// The destination.
         dest: DestId,
-        /// The asking, by the borrower's own count.
+        /// Sequence number of the request, assigned by the borrower.
         seq: u32,
-        /// What is wanted, in parts of [`crate::lending::WHOLE`].
+        /// Requested share, in units of 1/[`crate::lending::WHOLE`].
         part: u32,
     },
-    /// To the one who asked.
+    /// Grants a loan to the receiver.
     Grant {
         /// The destination.
         dest: DestId,
-        /// Which asking.
+        /// Sequence number of the request.
         seq: u32,
-        /// The borrower's life that asked.
+        /// Incarnation of the borrower in its request.
         incarnation: Incarnation,
-        /// What is lent.
+        /// Granted share, in units of 1/[`crate::lending::WHOLE`].
         part: u32,
     },
-    /// What somebody acts on; this and all that follow only in [`OF_STANDINGS`].
+    /// The versions a dispatcher uses. This and the following variants occur only in [`VERSIONS_VERSION`]
+    /// datagrams.
     Stands(VersionReport),
-    /// Who is found behind.
+    /// Votes on a dispatcher that is behind.
     Finding(StalenessVotes),
-    /// Digests of the parts of what the speaker knows of cordons and drains: whoever knows others is to send them.
+    /// Digests of the sender's endpoint records by bucket. A receiver with other records sends those.
     Buckets([u32; BUCKETS]),
-    /// A cordon or a drain.
+    /// A cordon or a drain of an endpoint.
     Word(EndpointRecord),
 }
 
-/// What a datagram says.
+/// A decoded datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// Who speaks.
+    /// The sender.
     pub speaker: Sender,
-    /// What is said.
+    /// The items.
     pub items: Vec<Item>,
 }
 
-/// Why a datagram says nothing.
+/// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// Longer than any.
-    #[error("{0} bytes are too many")]
+    /// It is longer than [`MAX_LEN`].
+    #[error("datagram of {0} bytes exceeds the maximum length")]
     TooLong(usize),
-    /// Of another version.
-    #[error("version {0} is not spoken here")]
+    /// It has an unsupported version.
+    #[error("unsupported datagram version {0}")]
     Version(u8),
-    /// Damaged, or no datagram of ours.
-    #[error("it can't be read")]
+    /// It is corrupt, or not a datagram of this protocol.
+    #[error("malformed datagram")]
     Unreadable,
 }
 
-/// Puts a datagram together, item by item, for as long as there is room.
+/// Encodes a datagram item by item, up to its maximum length.
 pub struct Packing {
     version: u8,
     bytes: Vec<u8>,
@@ -173,40 +175,40 @@
 }
 
 impl Packing {
-    /// A datagram without items.
+    /// Creates a datagram without items.
     pub fn new(speaker: &Sender) -> Self {
         Self::of(VERSION, speaker)
     }
-    /// The same in one of the versions.
+    /// Like [`Self::new`], in the given version.
     pub fn of(version: u8, speaker: &Sender) -> Self {
         let mut bytes = vec![0; HEAD];
-        // Into memory: it can't fail.
+        // Encoding into memory can't fail.
         bytes.extend(postcard::to_stdvec(speaker).unwrap_or_default());
         Packing { version, bytes, items: 0 }
     }
-    /// Adds an item; whether there was room.
+    /// Adds an item. Returns false if it does not fit.
     pub fn add(&mut self, item: &Item) -> bool {
         let Ok(more) = postcard::to_stdvec(item) else { return false };
-        let fits = self.bytes.len() + more.len() <= LONGEST;
+        let fits = self.bytes.len() + more.len() <= MAX_LEN;
         if fits {
             self.bytes.extend(more);
             self.items += 1;
         }
         fits
     }
-    /// Nothing was added.
+    /// Returns whether no item was added.
     pub fn is_empty(&self) -> bool {
         self.items == 0
     }
-    /// Bytes so far.
+    /// Returns the current length in bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
-    /// Bytes that are left.
+    /// Returns the number of bytes left.
     pub fn room(&self) -> usize {
-        LONGEST - self.bytes.len()
+        MAX_LEN - self.bytes.len()
     }
-    /// The datagram.
+    /// Returns the encoded datagram.
     pub fn bytes(mut self) -> Vec<u8> {
         self.bytes[0] = self.version;
         let sum = sum(self.version, &self.bytes[HEAD..]);
@@ -222,16 +224,16 @@
     hasher.finalize().to_le_bytes()
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 ///
 /// # Errors
-/// For what is none, or of another version.
+/// [`Error`] if it is too long, invalid, or of another version.
 pub fn read(bytes: &[u8]) -> Result<Frame, Error> {
-    if bytes.len() > LONGEST {
+    if bytes.len() > MAX_LEN {
         return Err(Error::TooLong(bytes.len()));
     }
     let (head, body) = bytes.split_first_chunk::<HEAD>().ok_or(Error::Unreadable)?;
-    if !(VERSION..=OF_STANDINGS).contains(&head[0]) {
+    if !(VERSION..=VERSIONS_VERSION).contains(&head[0]) {
         return Err(Error::Version(head[0]));
     }
     if head[1..] != sum(head[0], body) {
--- a/tier/src/frame_filter.rs
+++ b/tier/src/frame_filter.rs
@@ -80,7 +80,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::frame::{Heartbeat, OF_STANDINGS, Packing, Sender, VERSION};
+    use crate::frame::{Heartbeat, Packing, Sender, VERSION, VERSIONS_VERSION};
 
     fn datagram(who: Peer) -> Vec<u8> {
         Packing::new(&Sender { who, of: 3, life: Heartbeat { incarnation: 1, beat: 1 } }).bytes()
@@ -97,7 +97,7 @@
         assert!(filter.read(0, None, &datagram(1)).is_none());
         assert!(filter.read(0, Some(7), &datagram(7)).is_none());
         let mut newer = datagram(1);
-        newer[0] = OF_STANDINGS + 1;
+        newer[0] = VERSIONS_VERSION + 1;
         assert!(filter.read(0, Some(1), &newer).is_none());
         for n in 0..datagram(1).len() {
             let mut damaged = datagram(1);
--- a/tier/src/records.rs
+++ b/tier/src/records.rs
@@ -1,12 +1,15 @@
-//! Cordons, and drains as somebody was told them: what one dispatcher can take over from another.
+//! Records of cordoned and draining endpoints, which dispatchers exchange.
 //!
-//! Of each endpoint the newest word holds, by a number that goes beyond every word that its author knew. Kept invariants:
-//! - merging ends in the same words whatever the order, however often each comes;
-//! - an older word never takes the place of a newer one, and of two that did not know each other the one that takes the
-//!   endpoint out holds;
-//! - a word by hearsay takes an endpoint out and never puts one back: see [`HoldChange`].
+//! The newest record of an endpoint applies; its number exceeds those of all records its author knew.
+//! Invariants:
 //!
-//! Kept bound: [`MOST`] words.
+//! - Merging converges to the same records in any order and with any repetitions.
+//! - An older record never replaces a newer one; of two concurrent ones, the one that takes the endpoint out
+//!   applies.
+//! - A record of another dispatcher takes an endpoint out of service, but never puts one back: see
+//!   [`HoldChange`].
+//!
+//! At most [`MAX_RECORDS`] records are kept.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,32 +19,32 @@
 use crate::versions::{digest, fold, piece};
 use crate::{EndpointHash, Peer};
 
-/// Words that are kept.
-pub const MOST: usize = 4_096;
-/// Parts that words are compared by.
+/// Maximum number of records.
+pub const MAX_RECORDS: usize = 4_096;
+/// Number of buckets by which records are compared.
 pub const BUCKETS: usize = 16;
 
-/// What a word is about.
+/// Kind of an endpoint record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RecordKind {
-    /// The staff takes the endpoint out.
+    /// An operator cordons the endpoint.
     Cordon,
-    /// The list takes it out.
+    /// The endpoint list drains the endpoint.
     Drain,
 }
 
-/// A word on an endpoint.
+/// A record of an endpoint that is taken out of service or put back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EndpointRecord {
     /// The endpoint.
     pub place: EndpointHash,
-    /// What it is about.
+    /// The kind.
     pub what: RecordKind,
-    /// Beyond that of every word that its author knew of.
+    /// Sequence number, higher than those of all records its author knew.
     pub number: u32,
-    /// The endpoint is out.
+    /// Whether the endpoint is out of service.
     pub out: bool,
-    /// Its author.
+    /// The author.
     pub by: Peer,
 }
 
@@ -49,12 +52,12 @@
     fn key(&self) -> (EndpointHash, RecordKind) {
         (self.place, self.what)
     }
-    /// Of two words on one thing the greater holds.
+    /// Of two records of the same endpoint and kind, the one with the higher rank applies.
     fn rank(&self) -> (u32, bool, Peer) {
         (self.number, self.out, self.by)
     }
     fn piece(&self) -> u64 {
-        // Into memory: it can't fail.
+        // Encoding into memory can't fail.
         piece(&postcard::to_stdvec(self).unwrap_or_default())
     }
     fn bucket(&self) -> usize {
@@ -62,24 +65,24 @@
     }
 }
 
-/// What changed by a word.
+/// Change of an endpoint caused by a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldChange {
-    /// Nothing goes to the endpoint, until it is put back here: by the staff, or by this dispatcher's own list.
+    /// The endpoint is not called until an operator or the dispatcher's own list puts it back here.
     Hold(EndpointHash, RecordKind),
-    /// Its own list has spoken since others put it back: it may be used.
+    /// The endpoint may be used: others put it back, and this dispatcher's own source has answered since.
     Release(EndpointHash),
 }
 
-/// All words that one dispatcher knows, and what it does without on the word of others.
+/// All records known to one dispatcher, and the endpoints held because of records of others.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Records {
     me: Peer,
     words: BTreeMap<(EndpointHash, RecordKind), EndpointRecord>,
     sums: [u64; BUCKETS],
-    /// Endpoints that are held though the own list has them in service.
+    /// Endpoints that are held although the own list has them in service.
     held: BTreeSet<EndpointHash>,
-    /// Words that found no room.
+    /// Number of records rejected because of the maximum.
     #[serde(skip)]
     pub turned_away: u64,
     #[serde(skip)]
@@ -87,7 +90,7 @@
 }
 
 impl Records {
-    /// With the words that were noted before.
+    /// Creates the state from stored records.
     pub fn new(me: Peer, noted: impl IntoIterator<Item = EndpointRecord>) -> Self {
         let mut records = Records { me, ..Records::default() };
         for word in noted {
@@ -96,7 +99,7 @@
         records
     }
 
-    /// The same with a fault in place.
+    /// The same with a planted fault.
     #[cfg(feature = "faults")]
     pub fn planted(me: Peer, noted: impl IntoIterator<Item = EndpointRecord>, fault: Option<Fault>) -> Self {
         Records { planted: Planted { fault }, ..Records::new(me, noted) }
@@ -108,7 +111,7 @@
         if old && !(self.planted.has(Fault::OldWord) && known != Some(word)) {
             return false;
         }
-        if known.is_none() && self.words.len() >= MOST {
+        if known.is_none() && self.words.len() >= MAX_RECORDS {
             self.turned_away += 1;
             return false;
         }
@@ -118,23 +121,23 @@
         true
     }
 
-    /// The newest word on an endpoint takes it out.
+    /// Returns whether the newest record takes the endpoint out of service.
     pub fn is_out(&self, place: EndpointHash, what: RecordKind) -> bool {
         self.words.get(&(place, what)).is_some_and(|word| word.out)
     }
 
-    /// Endpoints that are held on the word of others.
+    /// Iterates over the endpoints held because of records of others.
     pub fn held(&self) -> impl Iterator<Item = EndpointHash> + '_ {
         self.held.iter().copied()
     }
 
-    /// The staff, or one's own list, says something here: the word for it, where that is news.
+    /// Records a local change by an operator or the own list. Returns the new record if there is a change.
     pub fn say(&mut self, place: EndpointHash, what: RecordKind, out: bool) -> Option<EndpointRecord> {
         if what == RecordKind::Drain {
             self.held.remove(&place);
         }
         let known = self.words.get(&(place, what));
-        // To put back what nobody took out, or to say what the newest word says, is no news.
+        // Putting back an endpoint that is not out, or repeating the newest record, is not a change.
         if known.map_or(!out, |known| known.out == out) {
             return None;
         }
@@ -143,8 +146,9 @@
         self.put(word).then_some(word)
     }
 
-    /// Somebody else's word. `ready`: the endpoint is in service by the own list, and no more of its destination's
-    /// endpoints are held than may be. Whether it was news, and what comes of it.
+    /// Merges a record of another dispatcher. `ready`: the endpoint is in service by the own list, and
+    /// another endpoint of its destination may be held. Returns whether the record was new, and the resulting
+    /// change.
     pub fn receive(&mut self, word: EndpointRecord, ready: bool) -> (bool, Option<HoldChange>) {
         if !self.put(word) {
             return (false, None);
@@ -164,14 +168,16 @@
         (ready && self.held.insert(place)).then_some(HoldChange::Hold(place, RecordKind::Drain))
     }
 
-    /// The list was read at the start of a life: endpoints that it has in service though the newest word takes them out.
+    /// Handles the first list after a start: holds endpoints that it has in service but the newest record
+    /// drains.
     pub fn begin(&mut self, ready: impl Fn(EndpointHash) -> bool) -> Vec<HoldChange> {
         let drained: Vec<EndpointHash> =
             self.words.values().filter(|w| w.what == RecordKind::Drain && w.out).map(|w| w.place).collect();
         drained.into_iter().filter_map(|place| self.hold(place, ready(place))).collect()
     }
 
-    /// The own source has answered, whatever it said: what others have put back since is used again.
+    /// Handles an answer of the own source, whatever its content: releases the endpoints that others have put
+    /// back.
     pub fn source_answered(&mut self) -> Vec<HoldChange> {
         let back: Vec<EndpointHash> =
             self.held.iter().copied().filter(|p| !self.is_out(*p, RecordKind::Drain)).collect();
@@ -179,7 +185,7 @@
         back.into_iter().map(HoldChange::Release).collect()
     }
 
-    /// Forgets what is not listed, but for what takes an endpoint out.
+    /// Drops records of endpoints that are not listed, except those that take an endpoint out of service.
     pub fn retain(&mut self, listed: impl Fn(EndpointHash) -> bool) {
         let gone: Vec<_> = self.words.values().filter(|w| !w.out && !listed(w.place)).copied().collect();
         for word in gone {
@@ -189,18 +195,19 @@
         self.held.retain(|place| listed(*place));
     }
 
-    /// A digest of all words.
+    /// Returns a digest of all records.
     pub fn digest(&self) -> u32 {
         let sums: Vec<u8> = self.sums.iter().flat_map(|sum| sum.to_le_bytes()).collect();
         digest(&sums)
     }
 
-    /// Digests of their parts.
+    /// Returns the digests of the buckets.
     pub fn buckets(&self) -> [u32; BUCKETS] {
         self.sums.map(fold)
     }
 
-    /// Words of the parts that differ from these, from one on, in their order and round again.
+    /// Returns up to `most` records of buckets that differ from `theirs`, in round-robin order starting after
+    /// `after`.
     pub fn differing(
         &self,
         theirs: &[u32; BUCKETS],
@@ -214,7 +221,7 @@
         behind.chain(before).map(|(_, word)| word).filter(differs).take(most).copied().collect()
     }
 
-    /// All words, to be noted.
+    /// Iterates over all records, for storing them.
     pub fn all(&self) -> impl ExactSizeIterator<Item = &EndpointRecord> {
         self.words.values()
     }
@@ -240,7 +247,7 @@
 
     proptest! {
         #[test]
-        fn words_end_the_same_in_whatever_order_and_however_often_they_come(
+        fn records_converge_in_any_order_with_any_repetitions(
             words in prop::collection::vec(word(), 1..40),
             order in prop::collection::vec(any::<prop::sample::Index>(), 0..60),
         ) {
@@ -255,7 +262,7 @@
             prop_assert_eq!(straight.digest(), mixed.digest());
             prop_assert_eq!(straight.buckets(), mixed.buckets());
             prop_assert!(straight.differing(&mixed.buckets(), None, 99).is_empty());
-            // And so they do where only what differs is sent, a little at a time, in either direction.
+            // They also converge if only differing records are sent, a few at a time, in both directions.
             let mut late = Records::new(2, words.iter().step_by(3).copied());
             let mut after = None;
             for _ in 0..60 {
@@ -273,7 +280,7 @@
         }
 
         #[test]
-        fn no_hearsay_puts_an_endpoint_back(words in prop::collection::vec(word(), 1..40)) {
+        fn records_of_others_never_release_an_endpoint(words in prop::collection::vec(word(), 1..40)) {
             let mut records = Records::new(9, []);
             let mut out = BTreeSet::new();
             for word in words {
@@ -282,7 +289,7 @@
                         out.insert(place);
                     }
                     Some(HoldChange::Hold(..)) | None => {}
-                    Some(HoldChange::Release(place)) => prop_assert!(false, "{} is back by hearsay", place),
+                    Some(HoldChange::Release(place)) => prop_assert!(false, "{} was released by a record of another dispatcher", place),
                 }
                 prop_assert_eq!(records.held().collect::<BTreeSet<_>>(), out.clone());
             }
@@ -290,37 +297,37 @@
     }
 
     #[test]
-    fn what_others_put_back_is_used_once_the_own_list_has_spoken() {
+    fn endpoint_put_back_by_others_is_released_once_the_own_source_answered() {
         let word = |number, out| EndpointRecord { place: 7, what: RecordKind::Drain, number, out, by: 1 };
         let mut records = Records::new(0, []);
         assert_eq!(
             records.receive(word(1, true), true),
             (true, Some(HoldChange::Hold(7, RecordKind::Drain)))
         );
-        assert_eq!(records.source_answered(), [], "as far as anybody knows it drains");
+        assert_eq!(records.source_answered(), [], "the newest record still drains it");
         assert_eq!(records.receive(word(2, false), true), (true, None));
-        assert_eq!(records.receive(word(1, true), true), (false, None), "an older word");
+        assert_eq!(records.receive(word(1, true), true), (false, None), "an older record");
         assert_eq!(records.source_answered(), [HoldChange::Release(7)]);
-        // One that is noted holds from the start of the next life.
+        // A stored record holds the endpoint from the next start on.
         let noted = [word(3, true)];
         let mut next = Records::new(0, noted);
         assert_eq!(next.begin(|_| true), [HoldChange::Hold(7, RecordKind::Drain)]);
-        assert_eq!(next.say(7, RecordKind::Drain, true), None, "its own list says so now too");
+        assert_eq!(next.say(7, RecordKind::Drain, true), None, "the own list drains it as well");
         assert_eq!(next.held().count(), 0);
-        let back = next.say(7, RecordKind::Drain, false).expect("news");
+        let back = next.say(7, RecordKind::Drain, false).expect("new record");
         assert_eq!((back.number, back.out, back.by), (4, false, 0));
     }
 
     #[test]
-    fn words_are_bounded_and_those_of_what_is_gone_leave() {
+    fn number_of_records_is_bounded_and_unlisted_ones_are_dropped() {
         let word = |place, out| EndpointRecord { place, what: RecordKind::Cordon, number: 1, out, by: 1 };
         let mut records = Records::new(0, []);
-        for place in 0..MOST as EndpointHash + 10 {
+        for place in 0..MAX_RECORDS as EndpointHash + 10 {
             records.receive(word(place, place % 2 == 0), true);
         }
-        assert_eq!((records.all().len(), records.turned_away), (MOST, 10));
+        assert_eq!((records.all().len(), records.turned_away), (MAX_RECORDS, 10));
         let same = Records::new(0, records.all().copied().filter(|word| word.out).collect::<Vec<_>>());
         records.retain(|_| false);
-        assert_eq!((records.all().len(), records.digest()), (MOST / 2, same.digest()));
+        assert_eq!((records.all().len(), records.digest()), (MAX_RECORDS / 2, same.digest()));
     }
 }
--- a/tier/src/roll.rs
+++ b/tier/src/roll.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::config::{TierConfig, ms};
-use crate::frame::{Item, OF_STANDINGS, Packing};
+use crate::frame::{Item, Packing, VERSIONS_VERSION};
 use crate::liveness::Liveness;
 use crate::records::{BUCKETS, EndpointRecord, HoldChange, RecordKind, Records};
 use crate::rules::Rules;
@@ -348,7 +348,7 @@
                 continue;
             }
             *last = Some(now);
-            let mut packing = Packing::of(OF_STANDINGS, &speaker);
+            let mut packing = Packing::of(VERSIONS_VERSION, &speaker);
             packing.add(&Item::Buckets(buckets));
             self.allowed -= packing.len() as f64;
             out.push((*peer, packing.bytes()));
@@ -358,7 +358,7 @@
             let some = self.records.differing(theirs, *after, may.min(AT_ONCE));
             let Some(last) = some.last() else { continue };
             *after = Some((last.place, last.what));
-            let mut packing = Packing::of(OF_STANDINGS, &speaker);
+            let mut packing = Packing::of(VERSIONS_VERSION, &speaker);
             some.iter().all(|word| packing.add(&Item::Word(*word)));
             self.allowed -= packing.len() as f64;
             out.push((*peer, packing.bytes()));
@@ -386,7 +386,7 @@
             .chain(findings.into_iter().map(Item::Finding))
             .chain(others.into_iter().map(Item::Stands))
             .collect();
-        let mut packing = Packing::of(OF_STANDINGS, &heard.sender());
+        let mut packing = Packing::of(VERSIONS_VERSION, &heard.sender());
         for item in &items {
             packing.add(item);
         }
--- a/tier/src/rules.rs
+++ b/tier/src/rules.rs
@@ -1,4 +1,4 @@
-//! The rules on dispatchers that are behind, as operators give them.
+//! Settings for dispatchers that use outdated versions.
 
 use serde::Deserialize;
 
@@ -6,42 +6,44 @@
 use crate::versions::Kind;
 use crate::{Nanos, Peer};
 
-/// No more dispatchers than this can find another behind: their votes travel in one datagram.
-pub const MOST_DISPATCHERS: u16 = 1_024;
+/// Maximum number of dispatchers that can vote: the votes must fit into one datagram.
+pub const MAX_DISPATCHERS: u16 = 1_024;
 
-/// The rules.
+/// Settings for dispatchers that use outdated versions, as configured by operators.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// What each dispatcher acts on is told to the others.
+    /// Whether dispatchers report the versions they use.
     pub enabled: bool,
-    /// Who is behind asks its own sources again, and takes over cordons and drains that others know.
+    /// Whether a dispatcher that is behind queries its sources again and applies cordons and drains known to
+    /// others.
     pub catch_up: bool,
-    /// Who is behind for longer than its bound takes no new messages.
+    /// Whether a dispatcher that is behind for longer than allowed accepts no new messages.
     pub shut_out: bool,
-    /// A list that most have left may be acted on for so long, milliseconds; 0 for any time.
+    /// How long a list may be used that the majority has replaced, in milliseconds; 0 for no limit.
     pub list_ms: u64,
-    /// The same of settings.
+    /// The same for settings.
     pub settings_ms: u64,
-    /// The same of cordons and drains.
+    /// The same for cordons and drains.
     pub cordons_ms: u64,
-    /// The same of the program.
+    /// The same for the program.
     pub program_ms: u64,
-    /// Programs with a layout of state under this one are found behind at once, by most that are not; 0 for none.
+    /// Programs with a lower version of the state layout are found behind immediately by a majority of
+    /// others; 0 disables.
     pub floor_layout: u32,
-    /// At least so many of the configured dispatchers are never shut out, percent.
+    /// Minimum share of the configured dispatchers that are never shut out, in percent.
     pub serve_percent: u64,
-    /// With more of them than this behind on one kind, or two at least, it is a roll-out, and nobody is shut out for it;
-    /// percent.
+    /// If more dispatchers than this share (and more than one) are behind on one kind, it is a roll-out and
+    /// none is shut out; in percent.
     pub rollout_percent: u64,
-    /// Its own source is asked again no more often than this, milliseconds.
+    /// Minimum interval of repeated queries to a dispatcher's own source, in milliseconds.
     pub ask_again_ms: u64,
-    /// Who has caught up takes messages again after a time drawn up to this; twice as long each time in a row;
-    /// milliseconds.
+    /// Maximum of the random delay before a dispatcher that caught up accepts messages again, in
+    /// milliseconds. It doubles each time in a row.
     pub return_ms: u64,
-    /// Bytes a second that are sent to bring others up.
+    /// Maximum rate of datagrams that synchronise records, in bytes per second.
     pub sync_bytes_per_second: u64,
-    /// No more of a destination's endpoints are held on drains that only others were told, percent.
+    /// Maximum share of a destination's endpoints held because of drains known only from others, in percent.
     pub drained_percent: u64,
 }
 
@@ -67,10 +69,10 @@
 }
 
 impl Rules {
-    /// Whether they make sense.
+    /// Checks that all values are valid.
     ///
     /// # Errors
-    /// The first setting that does not.
+    /// The first setting with an invalid value.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         let wrong = |key, reason| Err(InvalidSetting { key, reason });
         let bound = |ms: u64| ms == 0 || (1_000..=86_400_000).contains(&ms);
@@ -93,7 +95,7 @@
         }
     }
 
-    /// For how long one may be behind; `None` for ever.
+    /// How long a dispatcher may be behind on a kind; `None` for no limit.
     pub(crate) fn bound(&self, kind: Kind) -> Option<Nanos> {
         let bound = match kind {
             Kind::List => self.list_ms,
@@ -104,38 +106,38 @@
         (bound > 0).then(|| ms(bound))
     }
 
-    /// How many of so many may be shut out at once.
+    /// Returns how many of `of` dispatchers may be shut out at once.
     pub fn may_be_out(&self, of: u16) -> usize {
         let serve = (u64::from(of) * self.serve_percent).div_ceil(100);
         usize::from(of) - serve.min(of.into()) as usize
     }
 
-    /// How many a dispatcher votes against at once. Each that is shut out has the votes of more than half, so that fewer
-    /// than twice as many are out as each votes against, whatever each of them knows.
+    /// Maximum number of dispatchers that one votes against at once. Each that is shut out has votes of more
+    /// than half, so fewer than twice this number are shut out, whatever each of them knows.
     pub(crate) fn votes(&self, of: u16) -> usize {
         self.may_be_out(of).div_ceil(2)
     }
 
-    /// So many behind on one kind are stragglers; more are a roll-out.
+    /// Maximum number of stragglers on one kind; more are a roll-out.
     pub(crate) fn stragglers(&self, of: u16) -> usize {
         (usize::from(of) * self.rollout_percent as usize / 100).max(1)
     }
 }
 
-/// More than half of the configured dispatchers.
+/// Whether `count` is more than half of the configured dispatchers.
 pub(crate) fn most(count: usize, of: u16) -> bool {
     2 * count > usize::from(of)
 }
 
-/// Dispatchers, as a set that travels.
+/// A set of dispatchers that is sent in datagrams.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Voters(Vec<u8>);
 
 impl Voters {
-    /// Adds one. Whether it is new.
+    /// Adds a dispatcher. Returns whether it is new.
     pub fn add(&mut self, who: Peer) -> bool {
         let (byte, bit) = (usize::from(who) / 8, 1 << (who % 8));
-        if who >= MOST_DISPATCHERS {
+        if who >= MAX_DISPATCHERS {
             return false;
         }
         if self.0.len() <= byte {
@@ -146,21 +148,21 @@
         new
     }
 
-    /// Adds all of these that there are. Whether one is new.
+    /// Adds all configured dispatchers of another set. Returns whether any is new.
     pub fn join(&mut self, other: &Voters, of: u16) -> bool {
         let before = self.count();
-        for who in (0..of.min(MOST_DISPATCHERS)).filter(|who| other.has(*who)) {
+        for who in (0..of.min(MAX_DISPATCHERS)).filter(|who| other.has(*who)) {
             self.add(who);
         }
         self.count() > before
     }
 
-    /// Whether one is among them.
+    /// Returns whether a dispatcher is in the set.
     pub fn has(&self, who: Peer) -> bool {
         self.0.get(usize::from(who) / 8).is_some_and(|byte| byte & (1 << (who % 8)) != 0)
     }
 
-    /// How many.
+    /// Returns the number of dispatchers in the set.
     pub fn count(&self) -> usize {
         self.0.iter().map(|byte| byte.count_ones() as usize).sum()
     }
@@ -171,12 +173,12 @@
     use super::*;
 
     #[test]
-    fn with_any_votes_a_stated_part_serves() {
+    fn minimum_share_serves_with_any_votes() {
         for of in 1..=300 {
             for serve_percent in [50, 66, 75, 90, 100] {
                 let rules = Rules { serve_percent, ..Rules::default() };
                 let (votes, may) = (rules.votes(of), rules.may_be_out(of));
-                // Each that is out took more than half of all votes that there are.
+                // Each dispatcher that is shut out needs more than half of all votes.
                 let needed = usize::from(of) / 2 + 1;
                 assert!(votes * usize::from(of) / needed <= may, "{of} at {serve_percent}");
                 assert!((usize::from(of) - may) * 100 >= usize::from(of) * serve_percent as usize);
@@ -186,16 +188,16 @@
     }
 
     #[test]
-    fn voters_are_a_set() {
+    fn voters_form_a_set() {
         let (mut a, mut b) = (Voters::default(), Voters::default());
-        assert!(a.add(3) && !a.add(3) && a.add(17) && !a.add(MOST_DISPATCHERS));
+        assert!(a.add(3) && !a.add(3) && a.add(17) && !a.add(MAX_DISPATCHERS));
         assert!(b.add(200) && b.join(&a, 18) && !b.join(&a, 18));
         assert_eq!((a.count(), b.count(), b.has(17), b.has(16)), (2, 3, true, false));
         assert!(!a.join(&b, 200), "there is no such dispatcher");
     }
 
     #[test]
-    fn rules_that_make_no_sense_are_named() {
+    fn invalid_settings_are_named() {
         assert_eq!(Rules::default().check(), Ok(()));
         for (wrong, key) in [
             (Rules { list_ms: 10, ..Rules::default() }, "list_ms"),
