--- a/tier/src/lending.rs
+++ b/tier/src/lending.rs
@@ -1,18 +1,19 @@
-//! Parts of a destination's budgets: an even part is each dispatcher's by right, unused parts are lent for a term.
+//! Shares of a destination's limit: each dispatcher owns an even share, and unused shares are lent for a
+//! term.
 //!
-//! Kept invariant: at every instant the parts in use by all dispatchers sum to no more than [`WHOLE`], whatever datagrams
-//! are lost, late, repeated or reordered, whoever restarts, pauses or is cut off, as long as clocks run apart by no more
-//! than the stated rate and all go by one number of dispatchers. It rests on four things:
+//! Invariant: at any time the shares used by all dispatchers sum to at most [`WHOLE`], with any loss, delay,
+//! repetition or reordering of datagrams and any restarts, pauses and partitions, as long as clock rates
+//! differ by no more than configured and all dispatchers use the same fleet size. It relies on four rules:
 //!
-//! - a lender does without what it lends from before the word leaves, for [`TierConfig::hold`] by its own clock;
-//! - a borrower uses it for [`TierConfig::term`] from its *asking*, which was before, by its own clock;
-//! - an asking is granted once by each lender, and a grant is taken once by the borrower that asked, in the life in which
-//!   it asked;
-//! - no more than half of an even part is ever lent: whoever was started anew, and does not know what it lent before,
-//!   does without that half for one hold.
+//! - A lender stops using a lent share before it sends the grant, for [`TierConfig::hold`] on its own clock.
+//! - A borrower uses it for [`TierConfig::term`] from its *request*, which was earlier, on its own clock.
+//! - Each lender grants a request once, and a grant is accepted once by the borrower, in the incarnation of
+//!   the request.
+//! - At most half of an even share is ever lent. A restarted dispatcher, which does not know what it lent
+//!   before, does not use that half for one hold.
 //!
-//! Parts are fractions: what they are of need not be agreed on. Where dispatchers know different limits, the sum is no
-//! more than the largest of these.
+//! Shares are fractions, so dispatchers need not agree on the limit. If they know different limits, the sum
+//! is at most the largest of these.
 
 use std::collections::BTreeMap;
 
@@ -22,16 +23,16 @@
 use crate::planted::{Fault, Planted};
 use crate::{DestId, Incarnation, Nanos, Peer};
 
-/// All of a destination.
+/// The whole limit of a destination, in the unit of shares.
 pub const WHOLE: u32 = 1 << 24;
-/// Askings of one destination whose grants may still come.
+/// Maximum number of requests per destination that can still be granted.
 const ASKED: usize = 16;
-/// Lendings of one destination at a time.
+/// Maximum number of concurrent loans per destination.
 const LENT: usize = 64;
-/// Nothing smaller than this part of an even part is lent.
+/// Shares smaller than an even share divided by this are not lent.
 const LEAST: u32 = 32;
 
-/// The even part among so many.
+/// Returns the even share among `of` dispatchers.
 pub fn even_share(of: u16) -> u32 {
     WHOLE / u32::from(of.max(1))
 }
@@ -52,7 +53,7 @@
 struct Asked {
     seq: u32,
     at: Nanos,
-    /// Who has granted it.
+    /// Peers that have granted the request.
     granted: Vec<Peer>,
 }
 
@@ -63,33 +64,33 @@
     asked: Vec<Asked>,
 }
 
-/// What one dispatcher has lent and borrowed. Books of destinations leave with [`Loans::retain`].
+/// Loans of one dispatcher. [`Loans::retain`] drops destinations.
 #[derive(Clone, Debug, Serialize)]
 pub struct Loans {
     books: BTreeMap<DestId, Book>,
-    /// Until then this life does not know what the one before lent.
+    /// Until this time, loans of the previous incarnation may be in use.
     unsure_until: Nanos,
     next_seq: u32,
-    /// The last asking of each peer, and in which life of its.
+    /// The last request of each peer, with its incarnation.
     heard: Vec<(Incarnation, u32)>,
     #[serde(skip)]
     pub(crate) planted: Planted,
 }
 
-/// What a dispatcher may use of a destination.
+/// What a dispatcher may use of a destination's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Share {
-    /// Now.
+    /// Usable share now.
     pub part: u32,
-    /// Until this time, when the first borrowed part ends.
+    /// When the first borrowed share ends.
     pub until: Nanos,
-    /// Afterwards: all that is borrowed is over.
+    /// Usable share after that, without any borrowed ones.
     pub after: u32,
 }
 
 impl Loans {
-    /// A life begins, of which it is not known what the one before lent. Its askings are numbered from a number that is
-    /// drawn, so that an answer to another life's is no answer here.
+    /// Creates the state after a start; loans of the previous incarnation are unknown. Requests are numbered
+    /// from the random number `drawn`, so that grants for another incarnation are not accepted.
     pub fn new(now: Nanos, of: u16, terms: &TierConfig, drawn: u32) -> Self {
         Loans {
             books: BTreeMap::new(),
@@ -100,7 +101,7 @@
         }
     }
 
-    /// The same with a fault in place.
+    /// The same with a planted fault.
     #[cfg(feature = "faults")]
     pub fn planted(now: Nanos, of: u16, terms: &TierConfig, drawn: u32, fault: Option<Fault>) -> Self {
         Loans { planted: Planted { fault }, ..Loans::new(now, of, terms, drawn) }
@@ -113,15 +114,15 @@
         if unsure { known.max(right / 2) } else { known }
     }
 
-    /// What is lent and what is borrowed, over all destinations.
+    /// Returns the total shares lent and borrowed, over all destinations.
     pub fn totals(&self, now: Nanos) -> (u64, u64) {
         let lent = self.books.values().flat_map(|book| &book.lent).filter(|l| l.until > now);
         let borrowed = self.books.values().flat_map(|book| &book.borrowed).filter(|b| b.until > now);
         (lent.map(|l| u64::from(l.part)).sum(), borrowed.map(|b| u64::from(b.part)).sum())
     }
 
-    /// What may be used of a destination of which `right` is this dispatcher's. What ends within `margin` is left already:
-    /// whoever comes back here before then never uses what has ended.
+    /// Returns what may be used of a destination, of which this dispatcher owns `right`. Borrowed shares that
+    /// end within `margin` are excluded, so that a caller that returns within it never uses an ended one.
     pub fn share(&self, now: Nanos, dest: DestId, right: u32, margin: Nanos) -> Share {
         let after = right.saturating_sub(self.lent(now, dest, right));
         let live = || {
@@ -137,7 +138,7 @@
         Share { part: after.saturating_add(borrowed), until, after }
     }
 
-    /// What could be lent of a destination now, with `used` in use here.
+    /// Returns what could be lent of a destination now, if `used` is in use.
     pub fn spare(&self, now: Nanos, dest: DestId, right: u32, used: u32) -> u32 {
         if now < self.unsure_until {
             return 0;
@@ -147,7 +148,7 @@
         if spare < right / LEAST { 0 } else { spare }
     }
 
-    /// An asking goes out now: its number.
+    /// Registers a new request and returns its sequence number.
     pub fn new_request(&mut self, now: Nanos, dest: DestId, terms: &TierConfig) -> u32 {
         self.next_seq = self.next_seq.wrapping_add(1).max(1);
         let (seq, asked) = (self.next_seq, &mut self.books.entry(dest).or_default().asked);
@@ -159,8 +160,9 @@
         seq
     }
 
-    /// Somebody asks. What it is lent, from now on: the caller does without it before the word leaves.
-    #[allow(clippy::too_many_arguments, reason = "all that a lending hangs on")]
+    /// Handles a request of a peer and returns the share lent, if any. The caller must stop using it before
+    /// the grant is sent.
+    #[allow(clippy::too_many_arguments, reason = "all inputs of a lending decision")]
     pub fn handle_request(
         &mut self,
         now: Nanos,
@@ -174,7 +176,7 @@
     ) -> Option<u32> {
         let spare = self.spare(now, dest, right, used);
         let last = self.heard.get_mut(usize::from(from.0))?;
-        // What came before, or twice, or in an earlier life, is granted no more.
+        // Old, repeated requests and those of an earlier incarnation are not granted.
         if (from.1, seq) <= *last {
             return None;
         }
@@ -190,7 +192,7 @@
         Some(part)
     }
 
-    /// Somebody lends. Whether that is taken.
+    /// Handles a grant. Returns whether it is accepted.
     pub fn handle_grant(
         &mut self,
         now: Nanos,
@@ -212,13 +214,13 @@
         true
     }
 
-    /// An asking that nobody has answered yet, and that is younger than this.
+    /// Returns whether a request younger than `within` has not been granted yet.
     pub fn has_recent_request(&self, now: Nanos, dest: DestId, within: Nanos) -> bool {
         let book = self.books.get(&dest);
         book.is_some_and(|b| b.asked.iter().any(|a| now.saturating_sub(a.at) < within))
     }
 
-    /// Gives back all that is borrowed; what was asked for is not taken any more.
+    /// Returns all borrowed shares; pending requests are cancelled.
     pub fn return_all(&mut self) {
         for book in self.books.values_mut() {
             book.borrowed.clear();
@@ -226,7 +228,7 @@
         }
     }
 
-    /// Forgets what is over, and destinations that are not listed. What was lent of one keeps its book.
+    /// Drops ended loans, and destinations that are not listed unless a share of them is lent.
     pub fn retain(&mut self, now: Nanos, listed: impl Fn(DestId) -> bool) {
         let ends = self.planted.has(Fault::ForgetEnds);
         self.books.retain(|dest, book| {
@@ -244,7 +246,7 @@
     const MS: Nanos = 1_000_000;
     const DEST: DestId = 3;
 
-    /// A pair that is past the time in which it does not know what it lent.
+    /// A lender and a borrower for which loans of earlier incarnations have ended.
     fn pair() -> (Loans, Loans, TierConfig, u32, Nanos) {
         let terms = TierConfig::default();
         let loans = || Loans::new(0, 4, &terms, 7);
@@ -252,45 +254,45 @@
     }
 
     #[test]
-    fn a_loan_ends_at_the_borrower_before_the_lender_uses_it_again() {
+    fn loan_ends_at_the_borrower_before_the_lender_reuses_it() {
         let (mut lender, mut borrower, terms, right, now) = pair();
         let seq = borrower.new_request(now, DEST, &terms);
         let part =
             lender.handle_request(now + 20 * MS, (1, 1), DEST, seq, right, right, 0, &terms).expect("lent");
-        assert_eq!(part, right / 2, "half at most");
+        assert_eq!(part, right / 2, "at most half");
         assert!(borrower.handle_grant(now + 40 * MS, 0, DEST, seq, part, &terms));
         let share = |loans: &Loans, at| loans.share(at, DEST, right, 0);
         let sum = |at| share(&lender, at).part + share(&borrower, at).part;
         assert_eq!(share(&borrower, now + 50 * MS).part, right + part);
         let until = share(&borrower, now + 50 * MS).until;
         assert_eq!((until, share(&borrower, until).part), (now + terms.term(), right));
-        assert_eq!(borrower.share(until - MS, DEST, right, MS).part, right, "left in time");
+        assert_eq!(borrower.share(until - MS, DEST, right, MS).part, right, "excluded within the margin");
         for at in (now + 40 * MS..now + 3 * terms.hold()).step_by(10 * MS as usize) {
             assert!(sum(at) <= 2 * right, "{at}");
         }
-        assert_eq!(sum(now + 20 * MS + terms.hold()), 2 * right, "all of it is in use again");
+        assert_eq!(sum(now + 20 * MS + terms.hold()), 2 * right, "all shares are in use again");
     }
 
     #[test]
-    fn repeated_late_and_foreign_words_lend_nothing_more() {
+    fn repeated_late_and_foreign_datagrams_create_no_loan() {
         let (mut lender, mut borrower, terms, right, now) = pair();
         let seq = borrower.new_request(now, DEST, &terms);
         let small = right / 8;
         let mut ask =
             |at, life, seq| lender.handle_request(at, (1, life), DEST, seq, small, right, 0, &terms);
         assert_eq!(ask(now, 1, seq), Some(small));
-        assert_eq!(ask(now + 1, 1, seq), None, "the same once more");
-        assert_eq!(ask(now + 2, 2, 1), Some(small), "a new life counts anew");
-        assert_eq!(ask(now + 3, 1, seq + 9), None, "the life before it");
+        assert_eq!(ask(now + 1, 1, seq), None, "repeated");
+        assert_eq!(ask(now + 2, 2, 1), Some(small), "a new incarnation restarts the numbering");
+        assert_eq!(ask(now + 3, 1, seq + 9), None, "from the previous incarnation");
         assert!(borrower.handle_grant(now, 0, DEST, seq, small, &terms));
-        assert!(!borrower.handle_grant(now, 0, DEST, seq, small, &terms), "the same once more");
-        assert!(!borrower.handle_grant(now, 0, DEST, seq + 1, small, &terms), "never asked");
+        assert!(!borrower.handle_grant(now, 0, DEST, seq, small, &terms), "repeated");
+        assert!(!borrower.handle_grant(now, 0, DEST, seq + 1, small, &terms), "never requested");
         assert!(!borrower.handle_grant(now + terms.term(), 2, DEST, seq, small, &terms), "too late");
         assert_eq!(borrower.share(now, DEST, right, 0).part, right + small);
     }
 
     #[test]
-    fn who_was_started_anew_does_without_what_it_may_have_lent() {
+    fn restarted_lender_does_not_use_possible_loans() {
         let terms = TierConfig::default();
         let (right, began) = (even_share(4), 50 * MS);
         let mut anew = Loans::new(began, 4, &terms, 7);
@@ -300,7 +302,7 @@
     }
 
     #[test]
-    fn one_lends_no_more_than_half_and_nothing_that_is_in_use() {
+    fn lender_lends_at_most_half_and_nothing_in_use() {
         let (mut lender, _, terms, right, now) = pair();
         assert_eq!(
             lender.handle_request(now, (1, 1), DEST, 1, right, right, right * 3 / 4, &terms),
--- a/tier/src/lib.rs
+++ b/tier/src/lib.rs
@@ -1,19 +1,23 @@
-//! What the dispatchers of a fleet share, within bounds that hold while a part of the fleet hears nothing.
+//! State shared by the dispatchers of a fleet, with guarantees that hold during partitions.
 //!
-//! No I/O, no clock, no randomness but a seed. A dispatcher keeps one [`Tier`]; it tells it of its own calls and of the
-//! datagrams of others, and calls [`Tier::tick`] when [`Tier::next_round_at`] says so. What comes back is datagrams to send and
-//! [`TierEvent`] for the decision module. Decisions on messages stay in the module.
+//! No I/O, no clock, and no randomness except a seed. A dispatcher has one [`Tier`], passes its own calls and
+//! the datagrams of others to it, and calls [`Tier::tick`] at [`Tier::next_round_at`]. The outputs are
+//! datagrams to send and [`TierEvent`]s for the decision module, which still makes all decisions on messages.
 //!
-//! - [`liveness`]: who is heard, by incarnation. Shares go by the configured number, never by the number heard.
-//! - [`lending`]: each owns an even part of a destination by right, and lends what it does not use, for a term.
-//! - [`counts`]: calls by destination, dispatcher and incarnation; merging them counts nothing twice.
-//! - [`limit`]: what a destination takes, where nobody tells it, from the counts of all.
-//! - [`evidence`]: what each saw of an endpoint. Evidence travels; a verdict is each one's own.
-//! - [`frame`]: the datagrams.
-//! - [`versions`]: what each acts on; [`staleness`]: who is behind, and who is shut out for it; [`records`]: cordons and drains
-//!   that are taken over from others; [`roll`]: these together.
+//! - [`liveness`]: liveness of peers by incarnation. Shares depend on the configured number of dispatchers,
+//!   never on the number of live ones.
+//! - [`lending`]: each dispatcher owns an even share of a destination, and lends what it does not use, for a
+//!   term.
+//! - [`counts`]: call counts by destination, dispatcher and incarnation, which merge without counting a call
+//!   twice.
+//! - [`limit`]: estimates of unknown rate limits, from the counts of all dispatchers.
+//! - [`evidence`]: observations of endpoints. They are exchanged; each dispatcher draws its own verdict.
+//! - [`frame`]: the datagrams; [`frame_filter`] drops invalid and excess ones.
+//! - [`versions`]: the versions each dispatcher uses; [`staleness`]: which dispatchers are behind, and are
+//!   shut out for it; [`records`]: cordons and drains learned from others; [`roll`]: combines these.
+//! - [`config`] and [`rules`]: the settings.
 //!
-//! Times are nanoseconds of one clock of the caller's that never goes back; its origin is free.
+//! Times are nanoseconds of a monotonic clock of the caller with an arbitrary origin.
 
 pub mod config;
 pub mod counts;
@@ -38,13 +42,13 @@
 pub use tier::{CallResult, Demand, Loan, Output, RateBudget, Tier, TierEvent, TierStats};
 pub use versions::{ActiveVersions, Kind};
 
-/// A point in time or a span, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 /// The configured number of a dispatcher.
 pub type Peer = u16;
-/// A destination, by the number that all dispatchers know it by.
+/// Identifier of a destination, the same at all dispatchers.
 pub type DestId = u64;
-/// An endpoint, by a hash of its name: numbers differ from one dispatcher to the next.
+/// Hash of an endpoint's name, since endpoint numbers differ between dispatchers.
 pub type EndpointHash = u64;
-/// Which life of a dispatcher this is: each start has a higher one.
+/// Incarnation of a dispatcher, which increases with each start.
 pub type Incarnation = u32;
--- a/tier/src/roll.rs
+++ b/tier/src/roll.rs
@@ -1,6 +1,7 @@
-//! The roll of the fleet: what each acts on goes round, who is behind is brought up, and who stays behind is shut out.
+//! Version tracking of the fleet: dispatchers report the versions they use, those that are behind are
+//! updated, and those that stay behind are shut out.
 //!
-//! It speaks in datagrams of its own, on the rounds of [`crate::Tier`], and knows who is heard from there.
+//! It sends its own datagrams in the rounds of [`crate::Tier`], which also provides the liveness of peers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,69 +17,70 @@
 use crate::versions::{ActiveVersions, Kind, VersionReport};
 use crate::{DestId, EndpointHash, Incarnation, Nanos, Peer};
 
-/// Peers that are told something in a round without news.
-const QUIET_FANOUT: usize = 2;
-/// Digests of parts go to one peer no more often.
-const COMPARE: Nanos = 500_000_000;
-/// Words sent to one peer in a round.
-const AT_ONCE: usize = 8;
-/// The longest that a word takes in a datagram, bytes.
-const WORD: f64 = 24.0;
-/// All that is judged is judged anew this often.
-const LOOK: Nanos = 250_000_000;
-
-/// Something to be done for the roll.
+/// Number of peers that are sent a datagram in a round without urgent items.
+const IDLE_FANOUT: usize = 2;
+/// Minimum interval at which bucket digests are sent to one peer.
+const DIGEST_INTERVAL: Nanos = 500_000_000;
+/// Maximum number of records sent to one peer in a round.
+const MAX_RECORDS_PER_PEER: usize = 8;
+/// Maximum encoded size of a record in bytes.
+const MAX_RECORD_LEN: f64 = 24.0;
+/// Interval at which staleness is evaluated.
+const EVALUATION_INTERVAL: Nanos = 250_000_000;
+
+/// An action for the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RollAction {
-    /// This dispatcher is behind: its own source of this is asked again.
+    /// This dispatcher is behind: query its own source of this kind again.
     RefreshSource(Kind),
-    /// It takes no new messages from now on, since it is behind on this.
+    /// Stop accepting new messages, because this dispatcher is behind on this kind.
     ShutOut(Kind),
-    /// It takes messages again.
+    /// Accept new messages again.
     Readmit,
-    /// Nothing goes to an endpoint: the staff took it out at another dispatcher, or its list did.
+    /// Stop calling an endpoint: it was cordoned or drained at another dispatcher.
     Hold(EndpointHash, RecordKind),
-    /// The own list has an endpoint in service that others were told drains no more.
+    /// Release an endpoint that the own list has in service and that no longer drains according to others.
     Release(EndpointHash),
-    /// Words have changed: they are to be noted.
+    /// The endpoint records changed and must be stored.
     RecordsChanged,
 }
 
-/// What a roll begins with.
+/// Initial state of a [`Roll`].
 #[derive(Clone, Debug, Default)]
 pub struct InitialState {
-    /// The rules.
+    /// The settings.
     pub rules: Rules,
-    /// What is acted on; its incarnation and epoch are filled in.
+    /// The versions in use; incarnation and epoch are filled in.
     pub standing: ActiveVersions,
-    /// How long each has been acted on already, by [`crate::versions::KINDS`]; long where it is not known.
+    /// How long each version has been in use, indexed by [`crate::versions::KINDS`]; a long time if unknown.
     pub held: [Nanos; 4],
-    /// Words that were noted.
+    /// Stored endpoint records.
     pub words: Vec<EndpointRecord>,
 }
 
-/// What a peer said of its words, and the last word that it was sent.
+/// Bucket digests of a peer's records, and the last record sent to it.
 type Theirs = ([u32; BUCKETS], Option<(EndpointHash, RecordKind)>);
 
-/// See the module.
+/// Version tracking of one dispatcher; see the [module documentation](self).
 pub struct Roll {
     rules: Rules,
     judge: StalenessDetector,
     records: Records,
     rng: Pcg64Mcg,
     acts: Vec<RollAction>,
-    /// Endpoints in service by the own list, and by destination how many there are of all.
+    /// Endpoints in service by the own list.
     ready: BTreeMap<EndpointHash, DestId>,
+    /// Number of listed endpoints of each destination.
     listed: BTreeMap<DestId, usize>,
     known: BTreeSet<EndpointHash>,
     begun: bool,
     look_at: Nanos,
     quiet_until: Nanos,
-    /// Peers whose words differ, and when they were last sent digests.
+    /// Peers whose records differ, and when they were last sent digests.
     differ: BTreeMap<Peer, Option<Nanos>>,
-    /// Who asked for what differs.
+    /// Peers that requested differing records.
     theirs: BTreeMap<Peer, Theirs>,
-    /// Bytes that may be sent now to bring others up.
+    /// Bytes that may be sent now to synchronise records.
     allowed: f64,
     last: Nanos,
     sent: u64,
@@ -86,7 +88,7 @@
 }
 
 impl Roll {
-    /// Number `me` of `of` in this life.
+    /// Creates the state of dispatcher `me` of `of` for this incarnation.
     pub fn new(
         now: Nanos,
         me: Peer,
@@ -125,37 +127,37 @@
         (self.judge.planted, self.records.planted) = (planted, planted);
     }
 
-    /// What there is to do.
+    /// Takes the pending actions.
     pub fn take_actions(&mut self) -> Vec<RollAction> {
         std::mem::take(&mut self.acts)
     }
 
-    /// What is acted on.
+    /// Returns the versions in use.
     pub fn active_versions(&self) -> ActiveVersions {
         self.judge.active_versions()
     }
 
-    /// How this one stands in the service.
+    /// Returns whether this dispatcher is in service.
     pub fn service(&self) -> ServiceState {
         self.judge.service()
     }
 
-    /// One takes no part in lending.
+    /// Returns whether a dispatcher is excluded from lending.
     pub fn is_out(&self, heard: &Liveness, who: Peer) -> bool {
         self.judge.is_out(heard, who)
     }
 
-    /// Cordons and drains, as they are to be noted.
+    /// Iterates over the endpoint records, for storing them.
     pub fn records(&self) -> impl ExactSizeIterator<Item = &EndpointRecord> {
         self.records.all()
     }
 
-    /// Another content is acted on from now on.
+    /// Records that another content is used from now on.
     pub fn set_version(&mut self, now: Nanos, kind: Kind, digest: u32, pass_on: u8) {
         self.set_version_since(now, kind, digest, 0, pass_on);
     }
 
-    /// A content is acted on, and has been for so long: what a store kept, say.
+    /// Records that a content has been in use for `held`, for example one from the store.
     pub fn set_version_since(&mut self, now: Nanos, kind: Kind, digest: u32, held: Nanos, pass_on: u8) {
         if self.judge.set_version(now, kind, digest, held) {
             self.judge.mark_urgent(pass_on);
@@ -163,36 +165,36 @@
         }
     }
 
-    /// Its source has said for the first time what is in force.
+    /// Records that the source confirmed the current content for the first time.
     pub fn confirm(&mut self, now: Nanos, kind: Kind, pass_on: u8) {
         self.judge.confirm(now, kind);
         self.judge.mark_urgent(pass_on);
     }
 
-    /// The number of the list in force, and whose it is.
+    /// Sets the agent of the current list and its number there.
     pub fn set_list_index(&mut self, agent: u32, index: u64) {
         self.judge.set_list_index(agent, index);
     }
 
-    /// Settings were turned down.
+    /// Records that settings were rejected.
     pub fn reject_settings(&mut self, digest: u32, pass_on: u8) {
         self.judge.reject_settings(digest);
         self.judge.mark_urgent(pass_on);
     }
 
-    /// Others knew a later life under this name.
+    /// Adopts a new incarnation because peers know a later one of this dispatcher.
     pub fn set_incarnation(&mut self, incarnation: Incarnation, pass_on: u8) {
         self.judge.set_incarnation(incarnation);
         self.judge.mark_urgent(pass_on);
     }
 
-    /// A new epoch.
+    /// Begins a new epoch.
     pub fn set_epoch(&mut self, epoch: Incarnation) {
         self.judge.set_epoch(epoch);
     }
 
-    /// The list in force: its endpoints, and whether each is in service by it. The first one is what the store or the
-    /// configuration had; from then on what changed is a word of this dispatcher's.
+    /// Sets the endpoints of the current list, and whether each is in service. The first list is that of the
+    /// store or the configuration; changes after it create records of this dispatcher.
     pub fn set_endpoints(
         &mut self,
         now: Nanos,
@@ -209,7 +211,7 @@
         }
         let before = std::mem::replace(&mut self.ready, ready);
         self.listed = listed;
-        // What the staff took out elsewhere before it was listed here.
+        // Endpoints that were cordoned elsewhere before they were listed here.
         let new = known.iter().filter(|place| !self.known.contains(place));
         let cordoned: Vec<EndpointHash> =
             new.filter(|p| self.records.is_out(**p, RecordKind::Cordon)).copied().collect();
@@ -225,19 +227,19 @@
                 }
             }
             let held = self.records.source_answered();
-            self.carry(held);
+            self.push_hold_actions(held);
         } else {
             self.begun = true;
             let ready = &self.ready;
             let held = self.records.begin(|place| ready.contains_key(&place));
-            self.carry(held);
+            self.push_hold_actions(held);
         }
         self.records.retain(|place| known.contains(&place));
         self.known = known;
         self.changed(now, pass_on);
     }
 
-    /// The staff takes an endpoint out here, or puts it back.
+    /// Records that an operator cordons an endpoint here, or puts it back.
     pub fn set_cordon(&mut self, now: Nanos, place: EndpointHash, out: bool, pass_on: u8) {
         self.say(place, RecordKind::Cordon, out);
         self.changed(now, pass_on);
@@ -249,7 +251,7 @@
         }
     }
 
-    fn carry(&mut self, held: impl IntoIterator<Item = HoldChange>) {
+    fn push_hold_actions(&mut self, held: impl IntoIterator<Item = HoldChange>) {
         for held in held {
             self.acts.push(match held {
                 HoldChange::Hold(place, what) => RollAction::Hold(place, what),
@@ -263,7 +265,7 @@
         self.set_version(now, Kind::Cordons, digest, pass_on);
     }
 
-    /// No more of a destination's endpoints are held on hearsay than may be.
+    /// Whether another endpoint of the same destination may be held because of records of others.
     fn may_hold(&self, place: EndpointHash) -> bool {
         let Some(dest) = self.ready.get(&place) else { return false };
         let held = self.records.held().filter(|p| self.ready.get(p) == Some(dest)).count();
@@ -271,7 +273,7 @@
         (held + 1) * 100 <= listed * self.rules.drained_percent as usize
     }
 
-    /// Somebody says something.
+    /// Handles an item of a datagram from `from`.
     pub fn receive(&mut self, now: Nanos, from: Peer, item: &Item, pass_on: u8) {
         match item {
             Item::Stands(stands) => {
@@ -293,7 +295,7 @@
                 let (news, held) = self.records.receive(*word, ready);
                 if news {
                     self.acts.push(RollAction::RecordsChanged);
-                    self.carry(held);
+                    self.push_hold_actions(held);
                     self.changed(now, pass_on);
                 }
             }
@@ -310,7 +312,7 @@
         }
     }
 
-    /// A round: judges, and packs datagrams. Whether this one is shut out or let back by it, with what goes out.
+    /// Runs a round: evaluates staleness, which may add actions, and returns the datagrams to send.
     pub fn round(
         &mut self,
         now: Nanos,
@@ -322,7 +324,7 @@
         let each_second = self.rules.sync_bytes_per_second as f64;
         self.allowed = (self.allowed + passed * each_second).min(each_second);
         if now >= self.look_at {
-            self.look_at = now.saturating_add(LOOK);
+            self.look_at = now.saturating_add(EVALUATION_INTERVAL);
             for change in self.judge.evaluate(now, heard, terms, pass_on) {
                 self.acts.push(match change {
                     Decision::RefreshSource(kind) => RollAction::RefreshSource(kind),
@@ -332,19 +334,19 @@
                 self.judge.mark_urgent(pass_on);
             }
         }
-        let mut out = self.bring_up(now, heard);
-        out.extend(self.speak(now, heard, terms));
+        let mut out = self.synchronise_records(now, heard);
+        out.extend(self.spread_reports(now, heard, terms));
         self.sent += out.len() as u64;
         self.bytes += out.iter().map(|(_, bytes)| bytes.len() as u64).sum::<u64>();
         out
     }
 
-    /// What differs at others, a little at a time.
-    fn bring_up(&mut self, now: Nanos, heard: &Liveness) -> Vec<(Peer, Vec<u8>)> {
+    /// Returns datagrams that synchronise records with peers, within the configured rate.
+    fn synchronise_records(&mut self, now: Nanos, heard: &Liveness) -> Vec<(Peer, Vec<u8>)> {
         let (mut out, speaker) = (Vec::new(), heard.sender());
         let buckets = self.records.buckets();
         for (peer, last) in &mut self.differ {
-            if last.is_some_and(|last| now.saturating_sub(last) < COMPARE) || self.allowed < 128.0 {
+            if last.is_some_and(|last| now.saturating_sub(last) < DIGEST_INTERVAL) || self.allowed < 128.0 {
                 continue;
             }
             *last = Some(now);
@@ -354,8 +356,8 @@
             out.push((*peer, packing.bytes()));
         }
         for (peer, (theirs, after)) in &mut self.theirs {
-            let may = (self.allowed / WORD) as usize;
-            let some = self.records.differing(theirs, *after, may.min(AT_ONCE));
+            let may = (self.allowed / MAX_RECORD_LEN) as usize;
+            let some = self.records.differing(theirs, *after, may.min(MAX_RECORDS_PER_PEER));
             let Some(last) = some.last() else { continue };
             *after = Some((last.place, last.what));
             let mut packing = Packing::of(VERSIONS_VERSION, &speaker);
@@ -366,7 +368,7 @@
         out
     }
 
-    fn speak(&mut self, now: Nanos, heard: &Liveness, terms: &TierConfig) -> Vec<(Peer, Vec<u8>)> {
+    fn spread_reports(&mut self, now: Nanos, heard: &Liveness, terms: &TierConfig) -> Vec<(Peer, Vec<u8>)> {
         let quiet = now >= self.quiet_until;
         let hot = self.judge.is_urgent();
         if !quiet && !hot {
@@ -396,14 +398,14 @@
         let bytes = packing.bytes();
         let mut all: Vec<Peer> = heard.others().collect();
         let mut to = Vec::new();
-        let fanout = if hot { terms.fanout } else { QUIET_FANOUT };
+        let fanout = if hot { terms.fanout } else { IDLE_FANOUT };
         while to.len() < fanout && !all.is_empty() {
             to.push(all.swap_remove(self.rng.next_u32() as usize % all.len()));
         }
         to.into_iter().map(|to| (to, bytes.clone())).collect()
     }
 
-    /// How all are seen from here.
+    /// Returns the status of all dispatchers as seen here.
     pub fn peer_statuses(&mut self, now: Nanos, heard: &Liveness, terms: &TierConfig) -> Vec<PeerStatus> {
         let all = self.judge.all_views(now, heard, terms);
         let of = all[0].0.len() as Peer;
@@ -416,21 +418,22 @@
         (0..of).filter_map(row).collect()
     }
 
-    /// Datagrams sent, and their bytes; words that found no room.
+    /// Returns the number of datagrams sent, their bytes, and the number of records rejected because of the
+    /// maximum.
     pub fn traffic(&self) -> (u64, u64, u64) {
         (self.sent, self.bytes, self.records.turned_away)
     }
 }
 
-/// One dispatcher as another sees it.
+/// Status of one dispatcher as seen by another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// Its last word.
+    /// Its last report.
     pub stands: VersionReport,
-    /// How long it has acted on each.
+    /// How long it has used each version.
     pub held: [Nanos; 4],
-    /// What is to be thought of it.
+    /// Assessment of each version.
     pub views: [View; 4],
-    /// Most have found it behind on this.
+    /// The kind on which a majority found it behind.
     pub found: Option<Kind>,
 }
