--- a/tier/src/tier.rs
+++ b/tier/src/tier.rs
@@ -1,8 +1,8 @@
-//! All that one dispatcher shares, put together: what happens goes in, datagrams and news for the decision module come
-//! out, in the order in which they are to be carried out.
+//! The shared state of one dispatcher: calls and datagrams go in; outputs come out, in the order in which
+//! they must be carried out.
 //!
-//! Kept invariant: a part that is lent is out of use here before the word of it leaves: its [`TierEvent::RateBudget`] comes out
-//! before the datagram.
+//! Invariant: a lent share is no longer used here when its grant is sent: the [`TierEvent::RateBudget`]
+//! precedes the datagram.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -22,171 +22,173 @@
 use crate::versions::ActiveVersions;
 use crate::{DestId, EndpointHash, Incarnation, Nanos, Peer};
 
-/// Peers beside those of the fanout that are sent something in a round, since it is for them alone.
-const DIRECT: usize = 8;
-/// Items for one peer alone that wait for a round.
-const FOR_ONE: usize = 6;
-/// Lenders that are asked at once.
-const LENDERS: usize = 3;
-/// A destination without traffic for so long is left alone.
-const IDLE: Nanos = 10_000_000_000;
-/// What somebody could lend is believed for so long.
-const SPARE_FOR: Nanos = 5_000_000_000;
-/// Weight of a round in the averaged use.
-const WEIGHT: f64 = 0.2;
+/// Maximum number of peers that are sent addressed items in a round, beside those of the fanout.
+const MAX_ADDRESSED_PEERS: usize = 8;
+/// Maximum number of queued items addressed to one peer.
+const MAX_ADDRESSED_ITEMS: usize = 6;
+/// Maximum number of lenders asked at once.
+const MAX_LENDERS: usize = 3;
+/// Time without traffic after which a destination is idle.
+const IDLE_AFTER: Nanos = 10_000_000_000;
+/// How long a report of lendable shares is used.
+const SPARE_TTL: Nanos = 5_000_000_000;
+/// Weight of a round in the moving average of the call rate.
+const RATE_WEIGHT: f64 = 0.2;
 const SECOND: f64 = 1e9;
 
-/// What there is to do at a destination.
+/// Current demand at a destination.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
-    /// Which.
+    /// The destination.
     pub dest: DestId,
-    /// Calls a second that it takes from all dispatchers together, as far as it or the list tells; 0 if unknown.
+    /// Limit in calls per second from all dispatchers together, as given by the destination or the list; 0 if
+    /// unknown.
     pub limit: f64,
-    /// Messages that wait for a call.
+    /// Number of messages waiting for a call.
     pub waiting: usize,
 }
 
-/// How a call ended.
+/// Result of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallResult {
     /// Served.
     Served,
-    /// Turned away as too many.
+    /// Rejected because of overload.
     Refused,
-    /// Answered otherwise.
+    /// Any other answer.
     Answered,
-    /// No connection, or none that held, or no answer in time.
+    /// No connection, a broken connection, or a time-out.
     Failed,
 }
 
-/// Calls a second that this dispatcher may send to a destination.
+/// Rate at which this dispatcher may call a destination, in calls per second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateBudget {
-    /// Now, until `until`.
+    /// Rate until `until`.
     pub rate: f64,
-    /// When the first borrowed part ends; `Nanos::MAX` without any.
+    /// When the first borrowed share ends; `Nanos::MAX` without any.
     pub until: Nanos,
-    /// From then on.
+    /// Rate from then on.
     pub after: f64,
-    /// The same two, in parts of [`WHOLE`].
+    /// The two rates as shares, in units of 1/[`WHOLE`].
     pub share: [u32; 2],
 }
 
-/// Something for the decision module.
+/// An event for the decision module.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TierEvent {
-    /// What may be sent to a destination; nobody knows a limit of it where there is none.
+    /// The rate for a destination changed.
     RateBudget {
-        /// Which.
+        /// The destination.
         dest: DestId,
-        /// How much.
+        /// The rate; `None` if no limit is known.
         part: Option<RateBudget>,
     },
-    /// An endpoint asked another dispatcher for a wait.
+    /// An endpoint requested a wait from another dispatcher.
     WaitRequested {
-        /// Which.
+        /// The endpoint.
         place: EndpointHash,
-        /// Until when.
+        /// End of the wait.
         until: Nanos,
     },
-    /// Others can't reach an endpoint; nothing is against it any more where `until` has passed.
+    /// Other dispatchers can't reach an endpoint. Withdrawn if `until` has passed.
     PeersUnreachable {
-        /// Which.
+        /// The endpoint.
         place: EndpointHash,
-        /// Until when this counts.
+        /// Until when this applies.
         until: Nanos,
-        /// Nothing goes there; otherwise one call at a time.
+        /// Whether no calls are sent there; otherwise one at a time.
         hold: bool,
     },
-    /// A destination that was out for others is back, as they say: it is cold.
+    /// Other dispatchers report that a destination recovered; it may be cold.
     PeersSawRecovery {
-        /// Which.
+        /// The destination.
         dest: DestId,
     },
 }
 
-/// Something to be done.
+/// An output, to be carried out by the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Tell the decision module.
+    /// Pass an event to the decision module.
     Event(TierEvent),
     /// Send a datagram.
     Send {
-        /// To whom.
+        /// The receiver.
         to: Peer,
         /// The datagram.
         bytes: Vec<u8>,
     },
-    /// This life has another number from now on, for the next start to go beyond.
+    /// The incarnation of this dispatcher changed; the next start must use a higher one.
     Incarnation(Incarnation),
-    /// Something of the roll; only where one is [kept](Tier::keep_roll).
+    /// An action of the roll; only if it is [enabled](Tier::enable_roll).
     RollAction(RollAction),
-    /// A part was lent or borrowed; only where that is [traced](Tier::trace).
+    /// A share was lent or borrowed; only if loans are [traced](Tier::trace_loans).
     Loan(Loan),
 }
 
-/// A part that was lent, or borrowed.
+/// A share that was lent or borrowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Loan {
-    /// Of which destination.
+    /// The destination.
     pub dest: DestId,
-    /// To whom, or from whom.
+    /// The borrower or lender.
     pub peer: Peer,
-    /// Lent; else borrowed.
+    /// Whether it was lent; otherwise borrowed.
     pub lent: bool,
-    /// How much, in parts of [`WHOLE`].
+    /// The share, in units of 1/[`WHOLE`].
     pub part: u32,
-    /// Until then.
+    /// End of the loan.
     pub until: Nanos,
-    /// The epoch in which the other one spoke.
+    /// Epoch of the peer.
     pub epoch: Incarnation,
 }
 
-/// What operators are shown.
+/// Statistics for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TierStats {
-    /// Peers that are alive.
+    /// Number of peers that are alive.
     pub alive: usize,
-    /// Suspected.
+    /// Number of suspected peers.
     pub suspected: usize,
-    /// Silent.
+    /// Number of silent peers.
     pub silent: usize,
-    /// Gone, or never heard of.
+    /// Number of peers that are gone or never heard of.
     pub gone: usize,
-    /// Nobody is heard here.
+    /// Whether this dispatcher hears no peer.
     pub hears_nobody: bool,
-    /// This dispatcher can't reach what others reach.
+    /// Whether this dispatcher can't reach what others reach.
     pub at_fault: bool,
-    /// Parts lent and borrowed now, in thousandths of an even part, over all destinations.
+    /// Shares lent now, in thousandths of an even share, over all destinations.
     pub lent: u64,
-    /// See there.
+    /// Shares borrowed now, in the same unit.
     pub borrowed: u64,
-    /// Endpoints that are avoided, or used with care, on hearsay.
+    /// Number of endpoints avoided or restricted because of observations of others.
     pub hearsay: usize,
-    /// Age of the oldest counts that are heeded, milliseconds.
+    /// Age of the oldest counts in use, in milliseconds.
     pub oldest_ms: u64,
-    /// Calls of all dispatchers, as far as they were told, to destinations with traffic here.
+    /// Known calls of all dispatchers to destinations with traffic here.
     pub calls: u64,
-    /// What the others may have sent beyond that since they last told, at most: each its even part.
+    /// Upper bound on further calls of the others since their last reports, based on their even shares.
     pub untold: u64,
-    /// Datagrams sent, and their bytes.
+    /// Number of datagrams sent.
     pub sent: u64,
-    /// See there.
+    /// Their total size in bytes.
     pub bytes: u64,
-    /// Datagrams sent for the roll, and their bytes.
+    /// Number of datagrams sent for the roll.
     pub roll_sent: u64,
-    /// See there.
+    /// Their total size in bytes.
     pub roll_bytes: u64,
-    /// Dispatchers that most have found behind, as far as is known here, this one included.
+    /// Number of dispatchers that are shut out as far as known here, this one included.
     pub behind: usize,
 }
 
-/// One destination, as far as it has traffic here.
+/// State of a destination with traffic here.
 #[derive(Clone, Debug, Default)]
 struct Traffic {
     active: Nanos,
-    /// What was sent by the last round, and calls a second since, averaged, and at most of late.
+    /// Calls sent up to the last round; `rate` is the average and `peak` the recent maximum in calls per
+    /// second.
     sent: u64,
     rate: f64,
     peak: f64,
@@ -201,7 +203,7 @@
         let estimate = if terms.estimate { self.estimate.per_second() } else { 0.0 };
         if self.told_limit > 0.0 { self.told_limit } else { estimate }
     }
-    /// The part that is in use, with a margin.
+    /// The share in use, with a margin.
     fn used(&self, terms: &TierConfig) -> u32 {
         let limit = self.limit(terms);
         if limit <= 0.0 || self.waiting > 0 {
@@ -211,7 +213,7 @@
     }
 }
 
-/// See the module.
+/// The shared state of one dispatcher.
 pub struct Tier {
     terms: TierConfig,
     me: Peer,
@@ -221,21 +223,21 @@
     evidence: Evidence,
     rng: Pcg64Mcg,
     traffic: BTreeMap<DestId, Traffic>,
-    /// Listed endpoints of each destination, and the destination of each.
+    /// Listed endpoints of each destination, and the destination of each endpoint.
     places: BTreeMap<DestId, BTreeSet<EndpointHash>>,
     dests: BTreeMap<EndpointHash, DestId>,
-    /// What was last said of endpoints.
+    /// Last reported state of endpoints that others can't reach: end, and whether to hold calls.
     hearsay: BTreeMap<EndpointHash, (Nanos, bool)>,
-    /// Destinations of which all endpoints are accused.
+    /// Destinations of which others reach no endpoint.
     out: BTreeSet<DestId>,
-    /// What is for one peer alone.
+    /// Queued items addressed to single peers.
     direct: BTreeMap<Peer, Vec<Item>>,
     due: Nanos,
-    /// When something is said though nothing is urgent.
+    /// When datagrams are sent even if nothing is urgent.
     quiet_until: Nanos,
-    /// Askings that may still go out now.
+    /// Loan requests that may be sent now.
     asks: f64,
-    /// Places in turns that go round.
+    /// Round-robin positions.
     next_own: DestId,
     next_passed: (DestId, Peer),
     next_life: Peer,
@@ -248,7 +250,7 @@
 }
 
 impl Tier {
-    /// A life begins: number `me` of `of`, in this incarnation, which was noted.
+    /// Creates the state of dispatcher `me` of `of`. The incarnation must have been stored.
     pub fn new(
         now: Nanos,
         terms: TierConfig,
@@ -294,7 +296,7 @@
         }
     }
 
-    /// A roll is kept of what all act on.
+    /// Enables tracking of the versions that dispatchers use.
     pub fn enable_roll(&mut self, now: Nanos, begin: InitialState, seed: u64) {
         let Sender { who, of, life } = self.heard.sender();
         #[allow(unused_mut, reason = "where faults can be planted")]
@@ -304,51 +306,51 @@
         self.roll = Some(roll);
     }
 
-    /// From now on what is lent and borrowed is told.
+    /// Enables [`Output::Loan`].
     pub fn trace_loans(&mut self) {
         self.traced = true;
     }
 
-    /// What this one acts on, where a roll is kept.
+    /// Returns the versions this dispatcher uses, if the roll is enabled.
     pub fn active_versions(&self) -> Option<ActiveVersions> {
         self.roll.as_ref().map(Roll::active_versions)
     }
 
-    /// The roll, and how many rounds a piece of its news is passed on for.
+    /// Returns the roll, and the number of rounds for which its items are forwarded.
     pub fn roll(&mut self) -> Option<(&mut Roll, u8)> {
         let pass_on = self.pass_on();
         self.roll.as_mut().map(|roll| (roll, pass_on))
     }
 
-    /// This dispatcher takes new messages: it is not shut out.
+    /// Returns whether this dispatcher accepts new messages, that is, is not shut out.
     pub fn accepts_messages(&self) -> bool {
         let serves = self.roll.as_ref().is_none_or(|roll| roll.service() == ServiceState::In);
         serves || self.planted.has(Fault::TakeWhileOut)
     }
 
-    /// A fault is in place, which whoever carries this out is to commit; never without the feature.
+    /// Returns whether a fault is planted that the caller must implement; false without the `faults` feature.
     pub fn has_fault(&self, fault: Fault) -> bool {
         self.planted.has(fault)
     }
 
-    /// All dispatchers as they are seen from here, where a roll is kept.
+    /// Returns the status of all dispatchers as seen here, if the roll is enabled.
     pub fn peer_statuses(&mut self, now: Nanos) -> Vec<PeerStatus> {
         let Tier { roll, heard, terms, .. } = self;
         roll.as_mut().map_or(Vec::new(), |roll| roll.peer_statuses(now, heard, terms))
     }
 
-    /// Its number, and of how many by its configuration.
+    /// Returns this dispatcher's number and the configured number of dispatchers.
     pub fn identity(&self) -> (Peer, u16) {
         let speaker = self.heard.sender();
         (speaker.who, speaker.of)
     }
 
-    /// Its last beat, by which others know how far it has lived.
+    /// Returns this dispatcher's heartbeat.
     pub fn heartbeat(&self) -> Heartbeat {
         self.heard.sender().life
     }
 
-    /// A new epoch: what was asked for before is not taken, and what is said before it is void with others.
+    /// Begins a new epoch: earlier requests are cancelled, and peers void earlier items.
     fn renew(&mut self) {
         let incarnation = self.heard.begin_epoch();
         self.renewed(incarnation);
@@ -363,23 +365,23 @@
         self.outs.push_back(Output::Incarnation(incarnation));
     }
 
-    /// Takes no part in lending.
+    /// Whether a dispatcher is excluded from lending.
     fn is_out(&self, who: Peer) -> bool {
         let out = self.roll.as_ref().is_some_and(|roll| roll.is_out(&self.heard, who));
         out && !self.planted.has(Fault::LendWhileOut)
     }
 
-    /// The next thing to be done.
+    /// Takes the next output.
     pub fn next_output(&mut self) -> Option<Output> {
         self.outs.pop_front()
     }
 
-    /// When the next round is due.
+    /// Returns when [`Self::tick`] is due.
     pub fn next_round_at(&self) -> Nanos {
         self.due
     }
 
-    /// The endpoints that are listed from now on.
+    /// Sets the listed endpoints.
     pub fn set_endpoints(&mut self, now: Nanos, all: impl IntoIterator<Item = (DestId, EndpointHash)>) {
         (self.places, self.dests) = (BTreeMap::new(), BTreeMap::new());
         for (dest, place) in all {
@@ -395,7 +397,7 @@
         self.evidence.retain(now, &self.terms, |place| dests.contains_key(&place));
     }
 
-    /// A message for a destination has come: its budget is kept from now on.
+    /// Updates the demand of a destination, from which on its rate is tracked.
     pub fn update_demand(&mut self, now: Nanos, need: Demand) {
         if !self.places.contains_key(&need.dest) {
             return;
@@ -405,17 +407,18 @@
         if need.waiting > 0 {
             traffic.active = now;
         }
-        self.tell_part(now, need.dest);
+        self.emit_rate(now, need.dest);
     }
 
-    /// Destinations whose needs are to be told in the next round.
+    /// Iterates over the destinations whose demand must be passed to the next [`Self::tick`].
     pub fn active(&self) -> impl Iterator<Item = DestId> + '_ {
-        let busy =
-            |t: &Traffic| t.active + IDLE > self.due || t.part.is_some_and(|part| part.until != Nanos::MAX);
+        let busy = |t: &Traffic| {
+            t.active + IDLE_AFTER > self.due || t.part.is_some_and(|part| part.until != Nanos::MAX)
+        };
         self.traffic.iter().filter(move |(_, t)| busy(t)).map(|(dest, _)| *dest)
     }
 
-    /// A call was written to a destination.
+    /// Records a call that was sent to a destination.
     pub fn record_call(&mut self, now: Nanos, dest: DestId) {
         if self.places.contains_key(&dest) {
             self.counts.own(dest).sent += 1;
@@ -423,7 +426,7 @@
         }
     }
 
-    /// A call ended, and whether the endpoint asked for a wait.
+    /// Records the result of a call, and the wait the endpoint requested, if any.
     pub fn record_result(
         &mut self,
         now: Nanos,
@@ -448,13 +451,13 @@
         }
     }
 
-    /// How many rounds a piece of news is passed on for.
+    /// Number of rounds for which a new item is forwarded.
     fn pass_on(&self) -> u8 {
         let of = u32::from(self.heard.sender().of);
         3 + of.checked_ilog2().unwrap_or(0) as u8
     }
 
-    /// A datagram has come.
+    /// Handles a received datagram.
     pub fn receive(&mut self, now: Nanos, frame: &Frame) {
         let (speaker, pass_on) = (&frame.speaker, self.pass_on());
         let from = speaker.who;
@@ -464,8 +467,9 @@
         let known = self.heard.heartbeat(from);
         self.heard.observe_sender(now, speaker);
         if speaker.life < known {
-            // It does not know of a life that it had, or is late: it is told.
-            self.say_to(from, Item::Lives { who: from, life: known });
+            // The sender does not know its own later heartbeat, or the datagram is late: report the
+            // heartbeat.
+            self.queue_for(from, Item::Lives { who: from, life: known });
             if speaker.life.incarnation < known.incarnation {
                 return;
             }
@@ -497,7 +501,7 @@
                     let mine = *incarnation == self.heard.sender().life.incarnation;
                     let out = self.is_out(from) || self.is_out(self.me);
                     if mine && !out && self.loans.handle_grant(now, from, *dest, *seq, *part, &self.terms) {
-                        self.tell_part(now, *dest);
+                        self.emit_rate(now, *dest);
                         self.loan(now, *dest, (from, speaker.life.incarnation), *part, false);
                     }
                 }
@@ -517,25 +521,25 @@
             return;
         }
         let right = self.right(now);
-        // Nothing was sent there of late: all of it is unused. What the limit is does not matter then.
+        // Without recent traffic the whole share is unused, whatever the limit.
         let used = self.traffic.get(&dest).map_or(0, |t| t.used(&self.terms));
         let lent = self.loans.handle_request(now, from, dest, seq, part, right, used, &self.terms);
         if let Some(part) = lent {
-            self.tell_part(now, dest);
-            self.say_to(from.0, Item::Grant { dest, seq, incarnation: from.1, part });
+            self.emit_rate(now, dest);
+            self.queue_for(from.0, Item::Grant { dest, seq, incarnation: from.1, part });
             self.loan(now, dest, from, part, true);
         }
     }
 
     fn loan(&mut self, now: Nanos, dest: DestId, (peer, epoch): (Peer, Incarnation), part: u32, lent: bool) {
         if self.traced {
-            // Of what is borrowed this is the latest that it can end.
+            // For a borrowed share this is an upper bound.
             let until = now.saturating_add(if lent { self.terms.hold() } else { self.terms.term() });
             self.outs.push_back(Output::Loan(Loan { dest, peer, lent, part, until, epoch }));
         }
     }
 
-    /// The even part that is this one's by right.
+    /// The even share that this dispatcher owns.
     fn right(&self, now: Nanos) -> u32 {
         if self.planted.has(Fault::SharesByHeard) {
             return even_share(self.heard.heard(now, &self.terms));
@@ -543,20 +547,20 @@
         even_share(self.heard.configured())
     }
 
-    fn say_to(&mut self, to: Peer, item: Item) {
-        if self.direct.len() >= DIRECT && !self.direct.contains_key(&to) {
+    fn queue_for(&mut self, to: Peer, item: Item) {
+        if self.direct.len() >= MAX_ADDRESSED_PEERS && !self.direct.contains_key(&to) {
             return;
         }
         let items = self.direct.entry(to).or_default();
-        if items.len() < FOR_ONE {
+        if items.len() < MAX_ADDRESSED_ITEMS {
             items.push(item);
         }
     }
 
-    /// Tells the module what it may send, where that has changed.
-    fn tell_part(&mut self, now: Nanos, dest: DestId) {
+    /// Emits the rate of a destination if it changed.
+    fn emit_rate(&mut self, now: Nanos, dest: DestId) {
         let right = self.right(now);
-        // A round and a half: the next one comes before what is used now ends.
+        // A margin of 1.5 rounds, so that the next round precedes the end of a share in use.
         let share = self.loans.share(now, dest, right, 3 * self.terms.beat() / 2);
         let Some(traffic) = self.traffic.get_mut(&dest) else { return };
         let limit = if self.terms.budgets { traffic.limit(&self.terms) } else { 0.0 };
@@ -573,41 +577,41 @@
         }
     }
 
-    /// A round: what has changed by now, and the datagrams that go out. `needs`: of the destinations that are
-    /// [`Self::active`], and of all that messages are held for.
+    /// Runs a round, which emits changes and datagrams. `needs`: the demand of all [`Self::active`]
+    /// destinations, and of all with waiting messages.
     pub fn tick(&mut self, now: Nanos, needs: &[Demand]) {
         let passed = (now.saturating_sub(self.due) + self.terms.beat()) as f64 / SECOND;
         let each_second = self.terms.asks_per_second as f64;
         self.asks = (self.asks + passed * each_second).min(each_second);
-        // No round is made up for: who was paused goes on from now.
+        // Missed rounds are not repeated after a pause.
         self.due = now.saturating_add(self.terms.beat());
         self.heard.advance_beat();
         self.loans.retain(now, |dest| self.places.contains_key(&dest));
         for need in needs {
             self.update_demand(now, *need);
-            self.look_at(now, need, passed);
+            self.update_traffic(now, need, passed);
         }
         let pass_on = self.pass_on();
         self.evidence.publish(now, &self.terms, pass_on);
         self.judge(now);
         let Tier { evidence, dests, terms, .. } = self;
         evidence.retain(now, terms, |place| dests.contains_key(&place));
-        self.speak(now);
-        self.call_roll(now);
+        self.send_datagrams(now);
+        self.run_roll(now);
     }
 
-    fn call_roll(&mut self, now: Nanos) {
+    fn run_roll(&mut self, now: Nanos) {
         let pass_on = self.pass_on();
         let Tier { roll: Some(roll), heard, terms, .. } = self else { return };
         let datagrams = roll.round(now, heard, terms, pass_on);
         let acts = roll.take_actions();
-        // Out of service before anything else is said.
+        // Leave service before sending anything else.
         for act in acts {
             match act {
                 RollAction::ShutOut(_) => {
                     self.loans.return_all();
                     let dests: Vec<DestId> = self.traffic.keys().copied().collect();
-                    dests.into_iter().for_each(|dest| self.tell_part(now, dest));
+                    dests.into_iter().for_each(|dest| self.emit_rate(now, dest));
                     self.renew();
                 }
                 RollAction::Readmit => self.renew(),
@@ -618,12 +622,12 @@
         self.outs.extend(datagrams.into_iter().map(|(to, bytes)| Output::Send { to, bytes }));
     }
 
-    fn look_at(&mut self, now: Nanos, need: &Demand, passed: f64) {
+    fn update_traffic(&mut self, now: Nanos, need: &Demand, passed: f64) {
         let dest = need.dest;
         let sum = self.counts.sum(now, dest);
         let sent = self.counts.own(dest).sent;
         let Some(traffic) = self.traffic.get_mut(&dest) else { return };
-        traffic.rate += WEIGHT * ((sent.saturating_sub(traffic.sent)) as f64 / passed - traffic.rate);
+        traffic.rate += RATE_WEIGHT * ((sent.saturating_sub(traffic.sent)) as f64 / passed - traffic.rate);
         traffic.peak = traffic.rate.max(traffic.peak * 0.97);
         traffic.sent = sent;
         (traffic.told_limit, traffic.waiting) = (need.limit, need.waiting);
@@ -636,11 +640,11 @@
         let right = self.right(now);
         let spare = self.loans.spare(now, dest, right, if need.waiting > 0 { right } else { used });
         self.counts.set_spare(dest, (u64::from(spare) * 255 / u64::from(right.max(1))).min(255) as u8);
-        self.tell_part(now, dest);
+        self.emit_rate(now, dest);
         if !self.terms.lends() || limit <= 0.0 || need.waiting == 0 || self.is_out(self.me) {
             return;
         }
-        // What will be in use once this round's grants are here, against what waits.
+        // Compare the share available once this round's grants arrive with the demand.
         let soon = now.saturating_add(2 * self.terms.beat());
         let have = self.loans.share(soon, dest, right, 3 * self.terms.beat() / 2).part;
         let wanted = (wants / limit * f64::from(WHOLE)).min(f64::from(WHOLE)) as u32;
@@ -648,28 +652,28 @@
         if missing < right / 16 || self.loans.has_recent_request(now, dest, 2 * self.terms.beat()) {
             return;
         }
-        let lenders = self.lenders(now, dest, (self.asks as usize).min(LENDERS));
+        let lenders = self.lenders(now, dest, (self.asks as usize).min(MAX_LENDERS));
         if lenders.is_empty() {
             return;
         }
         self.asks -= lenders.len() as f64;
         let seq = self.loans.new_request(now, dest, &self.terms);
         let part = missing.div_ceil(lenders.len() as u32);
-        lenders.into_iter().for_each(|lender| self.say_to(lender, Item::Ask { dest, seq, part }));
+        lenders.into_iter().for_each(|lender| self.queue_for(lender, Item::Ask { dest, seq, part }));
     }
 
-    /// Whom to ask: those who have most to spare as far as is known; where nobody has, some that live.
+    /// Selects lenders: those with the most to lend as far as known; otherwise random live peers.
     fn lenders(&mut self, now: Nanos, dest: DestId, most: usize) -> Vec<Peer> {
         let alive = |who: Peer| {
             self.heard.presence(now, &self.terms, who) <= Presence::Suspected && !self.is_out(who)
         };
-        let mut spares: Vec<_> = self.counts.spares(dest, now.saturating_sub(SPARE_FOR)).collect();
+        let mut spares: Vec<_> = self.counts.spares(dest, now.saturating_sub(SPARE_TTL)).collect();
         spares.retain(|(_, who)| alive(*who));
         spares.sort_unstable_by(|a, b| b.cmp(a));
         if !spares.is_empty() {
             return spares.into_iter().take(most).map(|(_, who)| who).collect();
         }
-        // Whoever never called a destination does not speak of it, and has all of its part to spare.
+        // A dispatcher that never called a destination does not report it, and can lend most of its share.
         let mut all: Vec<Peer> = self.heard.others().filter(|who| alive(*who)).collect();
         let mut some = Vec::new();
         while some.len() < most && !all.is_empty() {
@@ -678,7 +682,7 @@
         some
     }
 
-    /// What is to be thought of endpoints by now.
+    /// Evaluates the observations and emits changes of endpoints and destinations.
     fn judge(&mut self, now: Nanos) {
         let mut accused: BTreeMap<DestId, Vec<(EndpointHash, Nanos)>> = BTreeMap::new();
         if self.terms.hearsay {
@@ -721,8 +725,8 @@
         (self.hearsay, self.out) = (said, out);
     }
 
-    /// The datagrams of a round.
-    fn speak(&mut self, now: Nanos) {
+    /// Emits the datagrams of a round.
+    fn send_datagrams(&mut self, now: Nanos) {
         let speaker = self.heard.sender();
         let mut others: Vec<Peer> = self.heard.others().collect();
         let mut to: BTreeSet<Peer> = self.direct.keys().copied().collect();
@@ -753,7 +757,7 @@
             let items = seen.iter().map(|seen| Item::Seen(*seen));
             let items = items.chain(own.iter().chain(&passed).map(|counted| Item::Counted(*counted)));
             for item in items {
-                // Some room is always left for who lives.
+                // Reserve space for heartbeats.
                 if packing.room() < 72 || !packing.add(&item) {
                     break;
                 }
@@ -778,7 +782,7 @@
         dests.into_iter().filter_map(|dest| self.counts.tell(dest, incarnation)).collect()
     }
 
-    /// Who lives, in turns round all.
+    /// Heartbeats of live peers, in round-robin order.
     fn lives(&mut self, now: Nanos, most: usize) -> Vec<Item> {
         let mut all: Vec<Peer> = self
             .heard
@@ -794,17 +798,17 @@
         all.into_iter().map(|who| Item::Lives { who, life: self.heard.heartbeat(who) }).collect()
     }
 
-    /// What is known of all dispatchers' calls to a destination.
+    /// Returns the known calls of all dispatchers to a destination.
     pub fn sum(&self, now: Nanos, dest: DestId) -> Sum {
         self.counts.sum(now, dest)
     }
 
-    /// How a peer is seen.
+    /// Returns the liveness state of a peer.
     pub fn presence(&self, now: Nanos, who: Peer) -> Presence {
         self.heard.presence(now, &self.terms, who)
     }
 
-    /// For the console.
+    /// Returns statistics for the console.
     pub fn stats(&self, now: Nanos) -> TierStats {
         let count = |presence| self.heard.count(now, &self.terms, presence);
         let right = u64::from(self.right(now)).max(1);
