--- a/tier/src/staleness.rs
+++ b/tier/src/staleness.rs
@@ -1,15 +1,21 @@
-//! Who is behind: what most of the *configured* dispatchers act on, who has stayed on what they left, and what follows.
+//! Detects dispatchers that are behind: those that still use a version which most of the *configured*
+//! dispatchers have replaced. Decides by votes which of them are shut out.
 //!
-//! Each dispatcher judges by the words of all ([`VersionReport`]). One is behind on a kind once most of the configured dispatchers
-//! act on something else that they moved to after it moved to what it has, as far as its durations tell; or, for lists,
-//! which others bring, on one that the judge itself has left. Whoever hears no more than half says *unknown*.
+//! Each dispatcher evaluates the reports of all ([`VersionReport`]). One is behind on a kind if most of the
+//! configured dispatchers use another version to which they switched later than it switched to its own,
+//! according to the reported durations; or, for lists, if it uses one that the evaluating dispatcher has
+//! replaced. With reports of no more than half of the dispatchers the result is *unknown*.
 //!
-//! Kept invariants:
-//! - one is found behind only by the votes of more than half of the configured dispatchers, each of which acts on what most
-//!   act on: no side of a split finds anybody that has not the majority, and two sides don't find each other;
-//! - a vote is against one move of one life: whoever moves is found no more;
-//! - each votes against no more than [`Rules::votes`] at once, so that the stated part serves whatever each of them knows;
-//! - what many are behind on is a roll-out, and nobody is found for it.
+//! Invariants:
+//!
+//! - A dispatcher is found behind only by votes of more than half of the configured dispatchers, each of
+//!   which uses the majority's version. So a partition without the majority finds nobody behind, and two
+//!   partitions never find each other behind.
+//! - A vote is against one switch in one incarnation: a dispatcher that switches is not found behind any
+//!   more.
+//! - Each dispatcher votes against at most [`Rules::votes`] others at once, so that the configured share
+//!   stays in service whatever each of them knows.
+//! - If many are behind on a kind, it is a roll-out, and nobody is found behind for it.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -24,84 +30,85 @@
 use crate::versions::{ActiveVersions, KINDS, Kind, TENTH, Version, VersionReport, tenths};
 use crate::{Incarnation, Nanos, Peer};
 
-/// Contents that the judge itself has left, of lists.
-const LEFT: usize = 32;
-/// How often one that was shut out may be again before the wait for its return grows no longer, as a power of two.
-const TIMES: u32 = 6;
-/// A file that was turned down is read again by itself so many times less often.
-const TURNED_DOWN: u64 = 12;
-/// A word that nobody renewed for so long says nothing any more.
-const STALE: Nanos = 60_000_000_000;
+/// Number of replaced lists that are remembered.
+const MAX_REPLACED_LISTS: usize = 32;
+/// Maximum exponent of the delay before a return, which doubles each time a dispatcher is shut out in a row.
+const MAX_RETURN_EXPONENT: u32 = 6;
+/// Factor by which rejected settings are queried less often.
+const REJECTED_QUERY_FACTOR: u64 = 12;
+/// Age at which a report that was not renewed is ignored.
+const REPORT_TTL: Nanos = 60_000_000_000;
 
-/// What is to be thought of one dispatcher and one kind.
+/// Assessment of one dispatcher's version of one kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum View {
-    /// It acts on what most act on.
+    /// It uses the majority's version.
     Current,
-    /// On something else, of which it can't be said that most have left it: the first of a roll-out, say.
+    /// It uses another version, which the majority has not demonstrably replaced, for example at the start of
+    /// a roll-out.
     Apart,
-    /// On what most have left, since this time.
+    /// It uses a version that the majority replaced at this time.
     Behind(Nanos),
-    /// It turned down what most act on.
+    /// It rejected the majority's version.
     Refused,
-    /// Too few are heard, or nothing of it.
+    /// Too few dispatchers are heard, or there is no report of it.
     Unknown,
 }
 
-/// How a dispatcher stands in the service.
+/// Whether a dispatcher is in service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum ServiceState {
-    /// It takes messages.
+    /// It accepts messages.
     In,
-    /// It takes none: it is behind on this, as most find, or under a floor.
+    /// It accepts none: the majority found it behind on this kind, or its state layout is too old.
     Out {
         /// Since when.
         since: Nanos,
-        /// On what.
+        /// The kind.
         kind: Kind,
     },
-    /// It has caught up, and takes messages from this time on.
+    /// It has caught up and accepts messages from this time on.
     Returns {
-        /// When.
+        /// The time of return.
         at: Nanos,
     },
 }
 
-/// Votes against one dispatcher's move.
+/// Votes that one dispatcher's version is outdated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StalenessVotes {
-    /// Who is behind.
+    /// The dispatcher that is behind.
     pub about: Peer,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// On what.
+    /// The kind.
     pub kind: Kind,
-    /// What it acts on.
+    /// The version it uses.
     pub stamp: Version,
-    /// Who says so.
+    /// The dispatchers that voted.
     pub voters: Voters,
 }
 
-/// What comes of a look round.
+/// A decision of [`StalenessDetector::evaluate`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// The own source of this is to be asked again.
+    /// Query the own source of this kind again.
     RefreshSource(Kind),
-    /// No new messages from now on.
+    /// Accept no new messages, because of this kind.
     ShutOut(Kind),
-    /// New messages again.
+    /// Accept new messages again.
     Readmit,
 }
 
 #[derive(Clone, Copy, Debug, Serialize)]
 struct Known {
     stands: VersionReport,
-    /// When it moved to what it acts on, by the clock here.
+    /// When it switched to each version, on the local clock.
     since: [Nanos; 4],
     said: Nanos,
-    /// How often it is still to be passed on.
+    /// How many more times the report is to be forwarded.
     hot: u8,
-    /// Behind since, as seen from here, and as was seen of what it acted on before.
+    /// Since when each version is behind, and the same of the version used before.
     behind: [Option<Nanos>; 4],
     before: [Option<Nanos>; 4],
 }
@@ -114,7 +121,7 @@
     hot: u8,
 }
 
-/// What is known of all, and what follows for one.
+/// The reports of all dispatchers, the votes, and the resulting service state of this dispatcher.
 #[derive(Clone, Debug, Serialize)]
 pub struct StalenessDetector {
     me: Peer,
@@ -124,9 +131,9 @@
     /// How often it was shut out in a row, and until when that counts.
     times: (u32, Nanos),
     asked: [Option<Nanos>; 4],
-    /// Lists that this one has left.
+    /// Digests of lists that this dispatcher has replaced.
     left: VecDeque<u32>,
-    /// Whose word is said again next.
+    /// The dispatcher whose report is forwarded next in turn.
     next: Peer,
     #[serde(skip)]
     rules: Rules,
@@ -137,7 +144,7 @@
 }
 
 impl StalenessDetector {
-    /// Number `me` of `of` begins on this, of which it has held each for so long.
+    /// Creates the state of dispatcher `me` of `of`. `held`: how long each initial version has been in use.
     pub fn new(
         now: Nanos,
         me: Peer,
@@ -168,7 +175,7 @@
         }
     }
 
-    /// The same with a fault in place, and nothing drawn: times that would be are the least.
+    /// The same with a planted fault, and with all random delays at their minimum.
     #[cfg(feature = "faults")]
     pub fn with_fault(mut self, fault: Option<Fault>) -> Self {
         (self.planted, self.rng) = (Planted { fault }, None);
@@ -183,7 +190,7 @@
         self.known.get_mut(usize::from(self.me)).and_then(Option::as_mut)
     }
 
-    /// What this one acts on.
+    /// Returns the versions this dispatcher uses.
     pub fn active_versions(&self) -> ActiveVersions {
         self.known(self.me).map_or(ActiveVersions::default(), |known| known.stands.standing)
     }
@@ -192,17 +199,18 @@
         self.known.get(usize::from(who)).and_then(Option::as_ref)
     }
 
-    /// Somebody's word, and when it moved to what it acts on, by the clock here.
+    /// Returns the report of a dispatcher, and when it switched to each version, on the local clock.
     pub fn report(&self, who: Peer) -> Option<(&VersionReport, [Nanos; 4])> {
         self.known(who).map(|known| (&known.stands, known.since))
     }
 
-    /// How this one stands in the service.
+    /// Returns whether this dispatcher is in service.
     pub fn service(&self) -> ServiceState {
         self.service
     }
 
-    /// This one acts on another content, and has for so long: 0 from now on. Whether that is a move.
+    /// Records that this dispatcher has used a content for `held` (0: from now on). Returns whether it is a
+    /// switch.
     pub fn set_version(&mut self, now: Nanos, kind: Kind, digest: u32, held: Nanos) -> bool {
         let before = self.active_versions().version(kind).digest;
         let Some(own) = self.own() else { return false };
@@ -217,15 +225,15 @@
         if kind == Kind::List {
             self.left.retain(|left| *left != digest && *left != before);
             self.left.push_back(before);
-            if self.left.len() > LEFT {
+            if self.left.len() > MAX_REPLACED_LISTS {
                 self.left.pop_front();
             }
         }
         true
     }
 
-    /// The own source has said what is in force, for the first time in this life: until then it was what the configuration
-    /// or the store had, which may be of any age.
+    /// Records that the own source confirmed the current content for the first time in this incarnation.
+    /// Until then the content was that of the configuration or the store, whose age is unknown.
     pub fn confirm(&mut self, now: Nanos, kind: Kind) {
         if let Some(own) = self.own() {
             own.stands.standing.confirm(kind);
@@ -233,21 +241,21 @@
         }
     }
 
-    /// The agent and its number of the list in force.
+    /// Sets the agent of the current list and its number there.
     pub fn set_list_index(&mut self, agent: u32, index: u64) {
         if let Some(own) = self.own() {
             (own.stands.standing.agent, own.stands.standing.index) = (agent, index);
         }
     }
 
-    /// Settings were given and turned down.
+    /// Records that settings were rejected.
     pub fn reject_settings(&mut self, digest: u32) {
         if let Some(own) = self.own() {
             (own.stands.refused, own.stands.seq) = (digest, own.stands.seq + 1);
         }
     }
 
-    /// Others knew a later life under this name: this one has a number beyond it.
+    /// Adopts a new incarnation because peers know a later one of this dispatcher.
     pub fn set_incarnation(&mut self, incarnation: Incarnation) {
         if let Some(own) = self.own() {
             own.stands.standing.incarnation = incarnation;
@@ -255,7 +263,7 @@
         self.set_epoch(incarnation);
     }
 
-    /// A new epoch of what is shared.
+    /// Begins a new epoch of the shared state.
     pub fn set_epoch(&mut self, epoch: Incarnation) {
         if let Some(own) = self.own()
             && own.stands.standing.epoch != epoch
@@ -264,7 +272,7 @@
         }
     }
 
-    /// Somebody's word comes, of its own or passed on. Whether it is news.
+    /// Merges a report, received directly or forwarded. Returns whether its content is new.
     pub fn receive(&mut self, now: Nanos, stands: &VersionReport, pass_on: u8) -> bool {
         let said = now.saturating_sub(u64::from(stands.age) * TENTH);
         if stands.who == self.me {
@@ -273,7 +281,7 @@
         let Some(place) = self.known.get_mut(usize::from(stands.who)) else { return false };
         let before = place.as_ref();
         if before.is_some_and(|known| known.stands.order() >= stands.order()) {
-            // The same once more, said later: it holds still.
+            // The same report, sent later: the versions have been in use for longer.
             let same = |known: &&mut Known| known.stands.order() == stands.order() && known.said < said;
             if let Some(known) = place.as_mut().filter(same) {
                 known.said = said;
@@ -291,22 +299,22 @@
                 known.stands.standing.incarnation == stands.standing.incarnation
                     && known.stands.standing.version(kind) == stands.standing.version(kind)
             };
-            // What was worked out first of one move stays: what it was passed on for only adds to it.
+            // The time first computed for a switch is kept: forwarding delays only add to later ones.
             if let Some(known) = before.filter(same) {
                 (since[n], behind[n]) = (known.since[n], known.behind[n]);
             } else if let Some(known) = before {
-                // It moved: whether to what most act on is seen at the next look.
+                // It switched: the next evaluation shows whether to the majority's version.
                 was[n] = known.behind[n];
             }
         }
-        // The same content, said again: that goes round in its turn.
+        // Unchanged content is forwarded only in turn.
         let same = before.is_some_and(|known| known.stands.has_same_content(stands));
         let hot = before.filter(|_| same).map_or(pass_on, |known| known.hot);
         *place = Some(Known { stands: *stands, since, said, hot, behind, before: was });
         !same
     }
 
-    /// Votes come. Whether there is one among them that is news.
+    /// Merges votes. Returns whether any of them is new.
     pub fn receive_votes(&mut self, finding: &StalenessVotes, pass_on: u8) -> bool {
         let of = self.of();
         if finding.about >= of {
@@ -344,21 +352,22 @@
     fn alive(&self, now: Nanos, heard: &Liveness, terms: &TierConfig, who: Peer) -> bool {
         who == self.me
             || heard.presence(now, terms, who) <= Presence::Suspected
-                && self.known(who).is_some_and(|known| now.saturating_sub(known.said) < STALE)
+                && self.known(who).is_some_and(|known| now.saturating_sub(known.said) < REPORT_TTL)
     }
 
-    /// Those whose words count now.
+    /// Dispatchers whose reports count now.
     fn heard(&self, now: Nanos, heard: &Liveness, terms: &TierConfig) -> Vec<Peer> {
         let all = 0..self.of();
         all.filter(|who| self.known(*who).is_some() && self.alive(now, heard, terms, *who)).collect()
     }
 
-    /// Of how many more than half are most: of all that are configured, by whoever is configured with more.
-    fn whole(&self, heard: &Liveness, counted: usize) -> u16 {
+    /// Number of dispatchers of which more than half are a majority: the largest configured number known.
+    fn majority_base(&self, heard: &Liveness, counted: usize) -> u16 {
         if self.planted.has(Fault::MostOfHeard) { counted as u16 } else { heard.configured().max(self.of()) }
     }
 
-    /// What is to be thought of all, by number, on one kind; and what most act on.
+    /// Assesses all dispatchers on one kind. Returns the views by number, and the digest of the majority's
+    /// version.
     fn views(
         &mut self,
         now: Nanos,
@@ -367,7 +376,7 @@
         kind: Kind,
     ) -> (Vec<View>, Option<u32>) {
         let (counted, n) = (self.heard(now, heard, terms), kind as usize);
-        let of = self.whole(heard, counted.len());
+        let of = self.majority_base(heard, counted.len());
         let mut views = vec![View::Unknown; self.known.len()];
         if !most(counted.len(), of) {
             return (views, None);
@@ -383,13 +392,13 @@
         let apart = 2 * terms.clock_rate_permille;
         let mut behind = Vec::new();
         for (who, (digest, since)) in counted.iter().zip(&all) {
-            // Durations are by clocks that may run apart: what is no later than that makes it is not later.
+            // Clock rates may differ: a switch counts as later only beyond that uncertainty.
             let later = |at: Nanos| at > since.saturating_add(now.saturating_sub(at) / 1_000 * apart);
             let passed = all.iter().filter(|(other, at)| other != digest && later(*at));
             let mut when: Vec<Nanos> = passed.map(|(_, at)| *at).collect();
             when.sort_unstable();
             let left = kind == Kind::List && common == Some(mine) && self.left.contains(digest);
-            // Most had moved on by then.
+            // The time by which the majority had switched.
             let past = when.get(usize::from(of) / 2).copied().or(left.then_some(now));
             let known = self.known(*who);
             let refused = known.is_some_and(|k| k.stands.refused != 0 && Some(k.stands.refused) == common);
@@ -408,10 +417,10 @@
             let Some(known) = self.known.get_mut(usize::from(who)).and_then(Option::as_mut) else { continue };
             let was = known.before[n].take();
             known.behind[n] = match view {
-                // The first time that it was seen stays, also when what most act on goes on meanwhile, and where it moves
-                // from one that they left to another.
+                // The first time is kept, also if the majority switches again, or if the dispatcher switches
+                // from one outdated version to another.
                 View::Behind(at) => Some(known.behind[n].or(was).map_or(at, |first| first.min(at))),
-                // What most moved on from stays so until it moves.
+                // An outdated version stays outdated until the dispatcher switches.
                 View::Apart => known.behind[n],
                 _ => None,
             };
@@ -420,8 +429,8 @@
         (views, common)
     }
 
-    /// Votes that stand against one now: those against what it acts on, as far as that is known.
-    fn standing_votes(&self, about: Peer, kind: Kind) -> Option<&Votes> {
+    /// Valid votes against a dispatcher: those against the version it uses, as far as known.
+    fn valid_votes(&self, about: Peer, kind: Kind) -> Option<&Votes> {
         let votes = self.votes.get(&(about, kind))?;
         if self.planted.has(Fault::StaleVotes) {
             return Some(votes);
@@ -436,16 +445,16 @@
         stands.then_some(votes)
     }
 
-    /// Most have found it behind, on this.
+    /// Returns the kind on which the majority found a dispatcher behind, if any.
     pub fn stale_kind(&self, heard: &Liveness, about: Peer) -> Option<Kind> {
         let of = if self.planted.has(Fault::MostOfHeard) { 1 } else { heard.configured().max(self.of()) };
-        let enough = |kind: &Kind| {
-            self.standing_votes(about, *kind).is_some_and(|votes| most(votes.voters.count(), of))
-        };
+        let enough =
+            |kind: &Kind| self.valid_votes(about, *kind).is_some_and(|votes| most(votes.voters.count(), of));
         KINDS.into_iter().find(enough)
     }
 
-    /// One takes no part in what is shared: it says so itself, or most have found it behind.
+    /// Returns whether a dispatcher is excluded from sharing: it reports so itself, or the majority found it
+    /// behind.
     pub fn is_out(&self, heard: &Liveness, who: Peer) -> bool {
         if who == self.me {
             return self.service != ServiceState::In;
@@ -453,7 +462,7 @@
         self.known(who).is_some_and(|known| known.stands.out) || self.stale_kind(heard, who).is_some()
     }
 
-    /// A look round: judges all, votes, and says what follows for this one.
+    /// Assesses all dispatchers, votes, and returns the decisions for this dispatcher.
     pub fn evaluate(
         &mut self,
         now: Nanos,
@@ -465,7 +474,7 @@
         let mut against: usize = {
             let me = self.me;
             let mine = |about: &Peer| {
-                KINDS.into_iter().any(|k| self.standing_votes(*about, k).is_some_and(|v| v.voters.has(me)))
+                KINDS.into_iter().any(|k| self.valid_votes(*about, k).is_some_and(|v| v.voters.has(me)))
             };
             (0..self.of()).filter(mine).count()
         };
@@ -482,9 +491,9 @@
             }
             self.vote(now, kind, &views, common, &mut against, pass_on);
         }
-        self.serve(now, heard, own_behind, &own_current, &mut changes);
+        self.update_service(now, heard, own_behind, &own_current, &mut changes);
         let (mine, of) = (self.me, self.of());
-        // Of those who are gone nothing is to be found any more.
+        // Votes against dispatchers that are gone are dropped.
         let gone: Vec<Peer> = (0..of)
             .filter(|who| *who != mine && heard.presence(now, terms, *who) == Presence::Gone)
             .collect();
@@ -492,7 +501,8 @@
         changes
     }
 
-    /// Its own source is asked again, at once and then at intervals: those who fall behind together not together.
+    /// Queries the own source again after a random delay and then at intervals. The delay spreads the queries
+    /// of dispatchers that fall behind at the same time.
     fn ask(&mut self, now: Nanos, since: Nanos, kind: Kind, changes: &mut Vec<Decision>) {
         let again = ms(self.rules.ask_again_ms);
         if !self.rules.catch_up || !matches!(kind, Kind::List | Kind::Settings) {
@@ -503,8 +513,8 @@
             kind == Kind::Settings && self.known(self.me).is_some_and(|k| k.stands.refused != 0);
         let next = self.asked[kind as usize].get_or_insert(since.max(now).saturating_add(drawn));
         if now >= *next {
-            // What was turned down is not worth asking for so often.
-            let times = if turned_down { TURNED_DOWN } else { 1 };
+            // Rejected settings are queried less often.
+            let times = if turned_down { REJECTED_QUERY_FACTOR } else { 1 };
             *next = now.saturating_add(again.saturating_mul(times));
             changes.push(Decision::RefreshSource(kind));
         }
@@ -515,7 +525,8 @@
         drawn.checked_rem(below).unwrap_or(0)
     }
 
-    /// Votes against stragglers: never one's own, only from what most act on, and never against too many.
+    /// Votes against stragglers: never against itself, only while using the majority's version, and only up
+    /// to the maximum.
     fn vote(
         &mut self,
         now: Nanos,
@@ -529,7 +540,8 @@
         if bound.is_none() && !floors {
             return;
         }
-        // Whoever is under the floor itself finds nobody for that: with all under it nobody is out.
+        // A dispatcher with a too old state layout does not vote for that reason: if all have one, none is
+        // shut out.
         let above = floors && self.active_versions().program.generation >= self.rules.floor_layout;
         let sound = above || common == Some(self.active_versions().version(kind).digest);
         if !self.rules.shut_out || !sound || self.service != ServiceState::In {
@@ -556,10 +568,10 @@
             let Some(bound) = bound.or(under.then_some(0)) else { continue };
             let bound = if under { 0 } else { bound };
             let stamp = standing.version(kind);
-            let voted = self.standing_votes(who, kind).is_some_and(|votes| votes.voters.has(self.me));
+            let voted = self.valid_votes(who, kind).is_some_and(|votes| votes.voters.has(self.me));
             let other = KINDS
                 .into_iter()
-                .any(|k| self.standing_votes(who, k).is_some_and(|votes| votes.voters.has(self.me)));
+                .any(|k| self.valid_votes(who, k).is_some_and(|votes| votes.voters.has(self.me)));
             let room =
                 other || *against < self.rules.votes(self.of()) || self.planted.has(Fault::NobodyServes);
             if voted || now.saturating_sub(since) < bound || !room {
@@ -574,8 +586,8 @@
         }
     }
 
-    /// How this one stands in the service.
-    fn serve(
+    /// Updates the service state.
+    fn update_service(
         &mut self,
         now: Nanos,
         heard: &Liveness,
@@ -583,7 +595,7 @@
         own_current: &[bool; 4],
         changes: &mut Vec<Decision>,
     ) {
-        // Votes against what most act on by now count for nothing.
+        // Votes against the majority's current version are ignored.
         let stale = self.planted.has(Fault::StaleVotes);
         let found = self.stale_kind(heard, self.me).filter(|kind| stale || !own_current[*kind as usize]);
         let found = found.filter(|_| self.rules.shut_out);
@@ -591,7 +603,7 @@
             (ServiceState::In | ServiceState::Returns { .. }, Some(kind)) => {
                 if self.service == ServiceState::In {
                     let (times, until) = self.times;
-                    let times = if now < until { (times + 1).min(TIMES) } else { 0 };
+                    let times = if now < until { (times + 1).min(MAX_RETURN_EXPONENT) } else { 0 };
                     self.times = (times, Nanos::MAX);
                     changes.push(Decision::ShutOut(kind));
                 }
@@ -604,7 +616,7 @@
             }
             (ServiceState::Returns { at }, None) if now >= at => {
                 self.service = ServiceState::In;
-                // Again soon, and it waits for longer.
+                // If it is shut out again within this time, the delay doubles.
                 let again = 16 * (ms(self.rules.return_ms) << self.times.0);
                 self.times.1 = now.saturating_add(again);
                 changes.push(Decision::Readmit);
@@ -619,8 +631,8 @@
         }
     }
 
-    /// One's own word as it is said now, in this round of this life: of two lives that took themselves to be the same one,
-    /// as where a folder was lost, the later is heard once it has gone on for longer.
+    /// Returns this dispatcher's report for round `beat`. If two runs used the same incarnation, for example
+    /// after the state folder was lost, the later one prevails once it has run for more rounds.
     pub fn own_report(&mut self, now: Nanos, beat: u32) -> Option<VersionReport> {
         let own = self.own()?;
         own.stands.seq = own.stands.seq.max(beat);
@@ -628,7 +640,8 @@
         Some(VersionReport { age: 0, hops: 0, held, ..own.stands })
     }
 
-    /// Others' words that are to be passed on: what is news, and, where it is `quiet`, some more in turns.
+    /// Returns up to `most` reports of others to forward: new ones, and in a `quiet` round also others in
+    /// turn.
     pub fn items_to_forward(&mut self, now: Nanos, quiet: bool, most: usize) -> Vec<VersionReport> {
         let of = self.of();
         let (me, next) = (self.me, self.next);
@@ -653,7 +666,7 @@
         told.collect()
     }
 
-    /// Votes that are to be passed on; all where it is `quiet`.
+    /// Returns up to `most` groups of votes to send: new ones, or any in a `quiet` round.
     pub fn votes_to_send(&mut self, quiet: bool, most: usize) -> Vec<StalenessVotes> {
         let hot = self.votes.iter_mut().filter(|(_, votes)| votes.hot > 0 || quiet).take(most);
         hot.map(|((about, kind), votes)| {
@@ -664,19 +677,19 @@
         .collect()
     }
 
-    /// Something is to be said before the next quiet round.
+    /// Returns whether something must be sent before the next quiet round.
     pub fn is_urgent(&self) -> bool {
         self.votes.values().any(|votes| votes.hot > 0) || self.known.iter().flatten().any(|k| k.hot > 0)
     }
 
-    /// One's own word is news: it goes round like any other.
+    /// Marks this dispatcher's own report as new, to be sent for `pass_on` rounds.
     pub fn mark_urgent(&mut self, pass_on: u8) {
         if let Some(own) = self.own() {
             own.hot = pass_on;
         }
     }
 
-    /// The own word is still hot; once for each round.
+    /// Returns whether the own report is still urgent. To be called once per round.
     pub fn take_urgent_round(&mut self) -> bool {
         let Some(own) = self.own() else { return false };
         let hot = own.hot > 0;
@@ -684,7 +697,7 @@
         hot
     }
 
-    /// What is to be thought of everybody, by kind: for the console, and for tests.
+    /// Assesses all dispatchers on all kinds, for the console and for tests.
     pub fn all_views(
         &mut self,
         now: Nanos,
