--- a/tier/src/evidence.rs
+++ b/tier/src/evidence.rs
@@ -1,14 +1,18 @@
-//! What dispatchers saw of endpoints. Evidence travels, verdicts are each one's own.
+//! Observations of endpoints by dispatchers. Observations are exchanged; each dispatcher draws its own
+//! verdict.
 //!
-//! Kept invariants:
-//! - one's own eyes go before all hearsay, and all hearsay fades; in silence there is none;
-//! - nobody is avoided on fewer witnesses than the terms ask for, nor on as many as saw it work;
-//! - no more than the stated part of a destination's endpoints is avoided on hearsay;
-//! - a wait that was told binds until its end, and no evidence shortens one;
-//! - of one author an older piece never takes the place of a newer one, also once the newer is forgotten;
-//! - a dispatcher at which most fails that others reach tells nothing of failures: it is the one at fault.
+//! Invariants:
 //!
-//! Kept bound: one piece for each listed endpoint and configured dispatcher.
+//! - Own observations take precedence over those of others, which expire.
+//! - An endpoint is avoided only with the configured number of witnesses, and with more than those that reach
+//!   it.
+//! - At most the configured share of a destination's endpoints is avoided because of others' observations.
+//! - A requested wait applies until its end, and no observation shortens it.
+//! - An older observation of an author never replaces a newer one, even after the newer one was dropped.
+//! - A dispatcher at which most endpoints fail that others reach reports no failures, since it is itself at
+//!   fault.
+//!
+//! Memory is bounded by one observation for each listed endpoint and configured dispatcher.
 
 use std::collections::BTreeMap;
 
@@ -17,32 +21,32 @@
 use crate::planted::{Fault, Planted};
 use crate::{EndpointHash, Incarnation, Nanos, Peer};
 
-/// A piece of evidence is passed on no further.
-const HOPS: u8 = 8;
-/// Calls in a row that failed before it is told.
-const FAILS: u32 = 2;
-/// One's own evidence on an endpoint is told no more often.
-const AGAIN: Nanos = 500_000_000;
-/// A wait is passed on for no longer than this.
-const LONGEST_WAIT: Nanos = 3_600_000_000_000;
+/// Maximum number of times an observation is forwarded.
+const MAX_HOPS: u8 = 8;
+/// Number of consecutive failed calls before a failure is reported.
+const MIN_FAILED_CALLS: u32 = 2;
+/// Minimum interval of own reports on an endpoint.
+const REPORT_INTERVAL: Nanos = 500_000_000;
+/// Maximum length of a wait that is forwarded.
+const MAX_FORWARDED_WAIT: Nanos = 3_600_000_000_000;
 
-/// How a call ended, as far as it says something of its endpoint.
+/// Result of a call with respect to the reachability of its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// It was answered: the endpoint is reached.
+    /// It was answered, so the endpoint is reachable.
     Answered,
-    /// No connection, or none that held, or no answer in time.
+    /// No connection, a broken connection, or a time-out.
     Failed,
 }
 
-/// What this dispatcher saw itself.
+/// This dispatcher's own observation of an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 struct Own {
     fails: u32,
     failed_at: Nanos,
     ok_at: Option<Nanos>,
     wait_until: Nanos,
-    /// What it told last, and when.
+    /// What it reported last, and when.
     told: Reachability,
     told_at: Option<Nanos>,
     seq: u32,
@@ -55,39 +59,39 @@
     seq: u32,
     hops: u8,
     sight: Reachability,
-    /// When it was seen.
+    /// When it was observed.
     at: Nanos,
     wait_until: Nanos,
-    /// How often it is still to be passed on.
+    /// How many more times it is to be forwarded.
     hot: u8,
 }
 
-/// What is to be thought of an endpoint.
+/// Verdict on an endpoint, from the observations of others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing is against it, as far as hearsay goes.
+    /// No objection.
     Open,
-    /// Witnesses enough can't reach it, until this time at the latest.
+    /// Enough witnesses can't reach it. The verdict expires at this time at the latest.
     Accused(Nanos),
 }
 
-/// All evidence that one dispatcher has.
+/// All observations known to one dispatcher.
 #[derive(Clone, Debug)]
 pub struct Evidence {
     me: Peer,
     own: BTreeMap<EndpointHash, Own>,
     others: BTreeMap<(EndpointHash, Peer), Piece>,
-    /// Of each author: pieces up to this one are forgotten, and stay so.
+    /// For each author, the last dropped observation: this and earlier ones are not accepted again.
     floors: Vec<(Incarnation, u32)>,
     seq: u32,
     at_fault: bool,
-    /// Which piece was last told once more.
+    /// The observation that was last repeated in turn.
     repeated: (EndpointHash, Peer),
     pub(crate) planted: Planted,
 }
 
 impl Evidence {
-    /// Nothing was seen yet.
+    /// Creates an empty state.
     pub fn new(me: Peer, of: u16) -> Self {
         Evidence {
             me,
@@ -101,12 +105,12 @@
         }
     }
 
-    /// A call of one's own ended.
+    /// Records the result of an own call.
     pub fn record_result(&mut self, now: Nanos, place: EndpointHash, end: End) {
         let own = self.own.entry(place).or_default();
         match end {
             End::Answered => {
-                if own.fails >= FAILS {
+                if own.fails >= MIN_FAILED_CALLS {
                     self.at_fault = false;
                 }
                 (own.fails, own.ok_at) = (0, Some(now));
@@ -115,17 +119,17 @@
         }
     }
 
-    /// An endpoint asked for a wait.
+    /// Records a wait that an endpoint requested.
     pub fn record_wait(&mut self, now: Nanos, place: EndpointHash, until: Nanos) {
         let own = self.own.entry(place).or_default();
         if until > own.wait_until {
-            own.wait_until = until.min(now.saturating_add(LONGEST_WAIT));
+            own.wait_until = until.min(now.saturating_add(MAX_FORWARDED_WAIT));
             own.told_at = None;
         }
     }
 
     fn fails(own: &Own, now: Nanos, fade: Nanos) -> bool {
-        own.fails >= FAILS && now.saturating_sub(own.failed_at) < fade
+        own.fails >= MIN_FAILED_CALLS && now.saturating_sub(own.failed_at) < fade
     }
 
     fn witnesses(&self, now: Nanos, place: EndpointHash, sight: Reachability, fade: Nanos) -> usize {
@@ -133,11 +137,11 @@
         pieces.filter(|p| p.sight == sight && now.saturating_sub(p.at) < fade).count()
     }
 
-    /// What there is to tell of one's own by now, in this life, with how often each is to be passed on. Called in each
+    /// Updates the own observations to report, each to be forwarded `pass_on` times. To be called once per
     /// round.
     pub fn publish(&mut self, now: Nanos, terms: &TierConfig, pass_on: u8) {
         let fade = terms.fade();
-        self.look_at_oneself(now, terms);
+        self.update_at_fault(now, terms);
         let places: Vec<EndpointHash> = self.own.keys().copied().collect();
         for place in places {
             let own = self.own[&place];
@@ -145,9 +149,9 @@
             let fine = self.witnesses(now, place, Reachability::Fine, fade);
             let reached = own.fails == 0 && own.ok_at.is_some_and(|at| now.saturating_sub(at) < fade / 2);
             let sight = match own {
-                // Who can't reach what others reach accuses nobody, and takes back what it said.
+                // A dispatcher at fault withdraws its failure reports.
                 own if Self::fails(&own, now, fade) && self.at_fault => Reachability::Nothing,
-                // Enough have said so: one more says nothing new.
+                // There are enough witnesses already.
                 own if Self::fails(&own, now, fade)
                     && (own.told == Reachability::Failing || accused < 3 * terms.witnesses) =>
                 {
@@ -166,7 +170,7 @@
                 _ => continue,
             };
             let waits = own.wait_until > now && own.told_at.is_none();
-            let due = own.told_at.is_none_or(|at| now.saturating_sub(at) >= AGAIN);
+            let due = own.told_at.is_none_or(|at| now.saturating_sub(at) >= REPORT_INTERVAL);
             let changed = sight != own.told;
             let fresh = sight == Reachability::Failing && own.failed_at > own.told_at.unwrap_or(0)
                 || sight == Reachability::Fine && own.ok_at > own.told_at;
@@ -178,8 +182,8 @@
         }
     }
 
-    /// Most of what it called fails here, and others reach it.
-    fn look_at_oneself(&mut self, now: Nanos, terms: &TierConfig) {
+    /// Determines whether this dispatcher is at fault: most endpoints it called fail here but not for others.
+    fn update_at_fault(&mut self, now: Nanos, terms: &TierConfig) {
         let fade = terms.fade();
         let (mut failing, mut called, mut contradicted) = (0, 0, 0);
         for (place, own) in &self.own {
@@ -193,18 +197,18 @@
         if failing > 0 && 2 * failing > called && 2 * contradicted >= failing {
             self.at_fault = true;
         }
-        // Nothing fails any more, or nothing is called: it takes a call that gets through, or time.
+        // The state ends once no endpoint fails any more and a call has succeeded recently.
         if failing == 0 && called > 0 {
             self.at_fault = false;
         }
     }
 
-    /// This dispatcher is the one that can't reach what others reach.
+    /// Returns whether this dispatcher can't reach what others reach.
     pub fn at_fault(&self) -> bool {
         self.at_fault
     }
 
-    /// Takes in what somebody saw. Whether it is news, and the end of a wait that is.
+    /// Merges an observation of another dispatcher. Returns whether it is new, and the end of a new wait.
     pub fn merge(&mut self, now: Nanos, seen: &Observation, pass_on: u8) -> (bool, Option<Nanos>) {
         let none = (false, None);
         let Some(floor) = self.floors.get(usize::from(seen.who)) else { return none };
@@ -214,7 +218,7 @@
         if seen.who == self.me || known && !self.planted.has(Fault::ReviveOld) {
             return none;
         }
-        let wait = ms(seen.wait_ms.into()).min(LONGEST_WAIT);
+        let wait = ms(seen.wait_ms.into()).min(MAX_FORWARDED_WAIT);
         let until = if wait > 0 { now.saturating_add(wait) } else { 0 };
         let news = until > old.map_or(0, |p| p.wait_until).max(now);
         let piece = Piece {
@@ -224,18 +228,18 @@
             sight: seen.sight,
             at: now.saturating_sub(ms(seen.age_ms.into())),
             wait_until: until.max(old.map_or(0, |p| p.wait_until)),
-            hot: if seen.hops < HOPS { pass_on } else { 0 },
+            hot: if seen.hops < MAX_HOPS { pass_on } else { 0 },
         };
         self.others.insert((seen.place, seen.who), piece);
         (true, news.then_some(until))
     }
 
-    /// What is to be thought of an endpoint now. One's own eyes go first: whoever reaches it, or found out itself that it
-    /// does not, needs no hearsay.
+    /// Returns the current verdict on an endpoint. One that this dispatcher reached recently is open,
+    /// whatever others observed; own failures need no report of others.
     pub fn verdict(&self, now: Nanos, place: EndpointHash, terms: &TierConfig) -> Verdict {
         let fade = terms.fade();
         let own = self.own.get(&place).copied().unwrap_or_default();
-        if own.ok_at.is_some_and(|at| now.saturating_sub(at) < fade && own.fails < FAILS) {
+        if own.ok_at.is_some_and(|at| now.saturating_sub(at) < fade && own.fails < MIN_FAILED_CALLS) {
             return Verdict::Open;
         }
         let needed = if self.planted.has(Fault::OneWitness) { 1 } else { terms.witnesses };
@@ -251,14 +255,15 @@
         Verdict::Accused(last.saturating_add(fade))
     }
 
-    /// Somebody tells of this endpoint.
+    /// Iterates over the endpoints with observations of others.
     pub fn reported_endpoints(&self) -> impl Iterator<Item = EndpointHash> + '_ {
         let mut last = None;
         self.others.keys().map(|(place, _)| *place).filter(move |place| last.replace(*place) != Some(*place))
     }
 
-    /// Pieces that are to be told, one's own first and the freshest before others; no more than so many. In a quiet round
-    /// what still counts is told once more, in turns: rumours die out, and a part that was cut off has heard none of them.
+    /// Returns up to `most` observations to send, own ones first, then the newest. In a quiet round, valid
+    /// observations are also repeated in turn, since forwarding ends after some rounds and a partition may
+    /// have missed them.
     pub fn items_to_forward(
         &mut self,
         now: Nanos,
@@ -290,7 +295,7 @@
         told.into_iter().filter_map(|key| self.said(now, incarnation, key)).collect()
     }
 
-    /// A piece as it is told now.
+    /// An observation with its current age, as it is sent.
     fn said(
         &mut self,
         now: Nanos,
@@ -318,7 +323,8 @@
         Some(Observation { who, incarnation, seq, hops: 0, place, sight, age_ms, wait_ms })
     }
 
-    /// Forgets what has faded and what is not listed. What is forgotten of an author, and all before it, is never news again.
+    /// Drops expired observations and those of unlisted endpoints. A dropped observation of an author, and
+    /// all earlier ones, are not accepted again.
     pub fn retain(&mut self, now: Nanos, terms: &TierConfig, listed: impl Fn(EndpointHash) -> bool) {
         let (fade, floors) = (terms.fade(), &mut self.floors);
         let revive = self.planted.has(Fault::ReviveOld);
@@ -338,7 +344,7 @@
         });
     }
 
-    /// Pieces that are held of others.
+    /// Returns the number of observations of others.
     pub fn pieces(&self) -> usize {
         self.others.len()
     }
@@ -366,55 +372,51 @@
     }
 
     #[test]
-    fn two_witnesses_are_needed_more_than_saw_it_work_and_all_of_it_fades() {
+    fn two_witnesses_and_a_majority_are_needed_and_observations_expire() {
         let mut e = Evidence::new(0, 9);
         hear(&mut e, 0, &[seen(1, 1, Reachability::Failing), seen(1, 2, Reachability::Failing)]);
-        assert!(!accused(&e, SECOND), "one witness, twice");
+        assert!(!accused(&e, SECOND), "one witness, reported twice");
         hear(&mut e, SECOND, &[seen(2, 1, Reachability::Failing)]);
         assert!(accused(&e, 2 * SECOND));
         hear(&mut e, 2 * SECOND, &[seen(3, 1, Reachability::Fine), seen(4, 1, Reachability::Fine)]);
-        assert!(!accused(&e, 2 * SECOND), "as many reach it");
+        assert!(!accused(&e, 2 * SECOND), "as many dispatchers reach it");
         hear(&mut e, 2 * SECOND, &[seen(5, 1, Reachability::Failing)]);
         assert!(accused(&e, 2 * SECOND));
-        assert!(!accused(&e, 6 * SECOND), "what the first ones saw has faded");
+        assert!(!accused(&e, 6 * SECOND), "the first observations have expired");
     }
 
     #[test]
-    fn ones_own_eyes_go_before_hearsay() {
+    fn own_observations_take_precedence() {
         let mut e = Evidence::new(0, 9);
         hear(&mut e, 0, &[seen(1, 1, Reachability::Failing), seen(2, 1, Reachability::Failing)]);
         e.record_result(SECOND, PLACE, End::Answered);
         assert!(!accused(&e, 2 * SECOND));
-        // Whoever reaches it says so, since others can't.
+        // A dispatcher that reaches the endpoint reports it, since others do not.
         e.publish(SECOND, &TierConfig::default(), 3);
         let told = e.items_to_forward(SECOND, 1, 9, false);
         assert_eq!((told[0].who, told[0].sight), (0, Reachability::Fine));
     }
 
     #[test]
-    fn an_old_piece_is_never_taken_as_new() {
+    fn old_observation_is_never_accepted_as_new() {
         let mut e = Evidence::new(0, 9);
         let old = Observation { wait_ms: 3_000, ..seen(1, 4, Reachability::Failing) };
         assert_eq!(e.merge(0, &old, 3), (true, Some(3 * SECOND)));
-        assert_eq!(e.merge(SECOND, &old, 3), (false, None), "no wait grows by being passed on");
+        assert_eq!(e.merge(SECOND, &old, 3), (false, None), "forwarding does not extend a wait");
         assert_eq!(e.merge(SECOND, &Observation { seq: 3, ..old }, 3), (false, None));
         e.retain(60 * SECOND, &TierConfig::default(), |_| true);
         assert_eq!(e.pieces(), 0);
-        assert_eq!(e.merge(60 * SECOND, &old, 3), (false, None), "forgotten, and still no news");
+        assert_eq!(e.merge(60 * SECOND, &old, 3), (false, None), "dropped, and still not accepted");
         assert!(e.merge(60 * SECOND, &seen(1, 5, Reachability::Fine), 3).0);
         assert!(
             e.merge(60 * SECOND, &Observation { incarnation: 2, seq: 1, ..old }, 3).0,
-            "a new life counts anew"
-        );
-        assert_eq!(
-            e.merge(0, &seen(9, 1, Reachability::Failing), 3),
-            (false, None),
-            "nobody has this number"
+            "a new incarnation restarts the numbering"
         );
+        assert_eq!(e.merge(0, &seen(9, 1, Reachability::Failing), 3), (false, None), "unknown dispatcher");
     }
 
     #[test]
-    fn a_blind_one_finds_out_takes_back_what_it_said_and_sees_again() {
+    fn dispatcher_at_fault_withdraws_its_reports_and_recovers() {
         let (mut e, terms) = (Evidence::new(0, 9), TierConfig::default());
         for place in [PLACE, 78, 79] {
             e.record_result(0, place, End::Failed);
@@ -438,14 +440,18 @@
     }
 
     #[test]
-    fn a_wait_binds_to_its_end_and_nothing_shortens_it() {
+    fn wait_applies_until_its_end_and_is_never_shortened() {
         let mut e = Evidence::new(0, 9);
         let wait = |seq, wait_ms| Observation { wait_ms, ..seen(1, seq, Reachability::Nothing) };
         assert_eq!(e.merge(0, &wait(1, 5_000), 3).1, Some(5 * SECOND));
         assert_eq!(e.merge(SECOND, &wait(2, 1_000), 3).1, None);
-        assert_eq!(e.items_to_forward(SECOND, 1, 9, false)[0].wait_ms, 4_000, "it is passed on as it stands");
+        assert_eq!(
+            e.items_to_forward(SECOND, 1, 9, false)[0].wait_ms,
+            4_000,
+            "the wait is forwarded unchanged"
+        );
         assert_eq!(e.merge(2 * SECOND, &wait(3, 9_000), 3).1, Some(11 * SECOND));
-        // One's own is told, and only once for each.
+        // An own wait is reported, once per wait.
         e.record_wait(2 * SECOND, 5, 4 * SECOND);
         e.publish(2 * SECOND, &TierConfig::default(), 1);
         let own: Vec<_> =
@@ -453,7 +459,7 @@
         assert_eq!((own.len(), own[0].wait_ms), (1, 2_000));
         e.publish(2 * SECOND, &TierConfig::default(), 1);
         assert_eq!(e.items_to_forward(2 * SECOND, 1, 9, false).iter().filter(|s| s.who == 0).count(), 0);
-        // Once more in a quiet round, for whoever has missed it; not once it is over.
+        // It is repeated in a quiet round for peers that missed it, until it is over.
         let again =
             |e: &mut Evidence, at| e.items_to_forward(at, 1, 9, true).iter().filter(|s| s.who == 0).count();
         assert_eq!((again(&mut e, 3 * SECOND), again(&mut e, 4 * SECOND)), (1, 0));
