--- a/dispatcher/src/audit_log.rs
+++ b/dispatcher/src/audit_log.rs
@@ -10,9 +10,9 @@
 use millpost_audit::log::{Log, Stood};
 use millpost_audit::{End, State, message};
 use millpost_core::{CallId, CallMessage, Change, Moment, ReplyId, SubmitReply};
-use millpost_store::ledger::{Answer, Final};
-use millpost_tier::lend::WHOLE;
-use millpost_tier::{Kind, Loan, Part, Standing};
+use millpost_store::ledger::{Answer, FinalOutcome};
+use millpost_tier::lending::WHOLE;
+use millpost_tier::{ActiveVersions, Kind, Loan, RateBudget};
 
 use crate::options::Recording;
 
@@ -27,7 +27,7 @@
     recording: Recording,
     author: Author,
     log: Option<Log>,
-    standing: Standing,
+    standing: ActiveVersions,
     stood: Stood,
     /// Open messages, with their identifiers in the log.
     open: HashMap<MsgId, u64>,
@@ -47,7 +47,7 @@
             recording,
             author,
             log: None,
-            standing: Standing::default(),
+            standing: ActiveVersions::default(),
             stood: Stood::default(),
             open: HashMap::new(),
             submissions: HashMap::new(),
@@ -75,7 +75,7 @@
     }
 
     /// Records the versions that decisions are based on from now on, if they changed.
-    pub fn acts_on(&mut self, at: Moment, standing: Standing) {
+    pub fn acts_on(&mut self, at: Moment, standing: ActiveVersions) {
         if standing != self.standing || self.stood == Stood::default() {
             self.standing = standing;
             if let Some(log) = &mut self.log {
@@ -117,9 +117,9 @@
             }
             Change::End { id, end } => {
                 let end = match end {
-                    Some((_, Final::Delivered, _)) => End::Delivered,
-                    Some((_, Final::Answered(Answer::Failed), _)) => End::Failed,
-                    Some((_, Final::Answered(Answer::Refused { .. }), _)) => End::Refused,
+                    Some((_, FinalOutcome::Delivered, _)) => End::Delivered,
+                    Some((_, FinalOutcome::Answered(Answer::Failed), _)) => End::Failed,
+                    Some((_, FinalOutcome::Answered(Answer::Refused { .. }), _)) => End::Refused,
                     None => End::Void,
                 };
                 if let Some(message) = self.open.remove(id) {
@@ -186,7 +186,7 @@
     }
 
     /// The rate share of a destination changed.
-    pub fn part(&mut self, at: Moment, dest: u64, part: Option<Part>) {
+    pub fn part(&mut self, at: Moment, dest: u64, part: Option<RateBudget>) {
         let Some(log) = &mut self.log else { return };
         let entry = match part {
             None => Entry::Part { dest, part: u32::MAX, until_ms: 0, after: u32::MAX, limit: 0 },
--- a/dispatcher/src/config.rs
+++ b/dispatcher/src/config.rs
@@ -104,7 +104,7 @@
     if let Some(fields) = settings.as_object_mut() {
         fields.remove("slotNo");
     }
-    millpost_tier::standing::digest(settings.to_string().as_bytes())
+    millpost_tier::versions::digest(settings.to_string().as_bytes())
 }
 
 /// The digest of the current configuration file: of its settings, or of its bytes if it is not valid JSON.
@@ -112,7 +112,7 @@
     let bytes = std::env::var_os("NODE_CONFIG").and_then(|path| std::fs::read(path).ok()).unwrap_or_default();
     match serde_json::from_slice(&bytes) {
         Ok(text) => digest(&text),
-        Err(_) => millpost_tier::standing::digest(&bytes),
+        Err(_) => millpost_tier::versions::digest(&bytes),
     }
 }
 
--- a/dispatcher/src/console/line.rs
+++ b/dispatcher/src/console/line.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write;
 
 use millpost_core::ClassCounts;
-use millpost_tier::sieve::Sifted;
+use millpost_tier::frame_filter::FilterStats;
 
 /// Maximum length of a command line, in bytes.
 pub const MAX_LINE: usize = 512;
@@ -91,9 +91,9 @@
 /// Figures of the sharing with other dispatchers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Shared {
-    pub tier: millpost_tier::Figures,
+    pub tier: millpost_tier::TierStats,
     /// Counts of received datagrams.
-    pub sifted: Sifted,
+    pub sifted: FilterStats,
 }
 
 impl Shared {
@@ -116,12 +116,12 @@
             ("sent_bytes", tier.bytes),
             ("read", sifted.read),
             ("unknown", sifted.unknown),
-            ("nonsense", sifted.nonsense),
+            ("nonsense", sifted.malformed),
             ("other_version", sifted.version),
             ("roll_sent", tier.roll_sent),
             ("roll_bytes", tier.roll_bytes),
             ("roll_behind", tier.behind as u64),
-            ("flood", sifted.flood),
+            ("flood", sifted.rate_limited),
         ] {
             line(&format!("tier_{name}"), figure);
         }
--- a/dispatcher/src/driver.rs
+++ b/dispatcher/src/driver.rs
@@ -18,10 +18,10 @@
 use millpost_net::connection_limiter::ConnectionLimiter;
 use millpost_net::meter::{Part, within};
 use millpost_settings::{Classes, Shape};
-use millpost_store::ledger::Found;
+use millpost_store::ledger::RecoveredMessage;
 use millpost_store::{Disk, Ledger, Seq};
-use millpost_tier::records::What;
-use millpost_tier::{Act, Fault, Kind, Rules, Standing, Terms};
+use millpost_tier::records::RecordKind;
+use millpost_tier::{ActiveVersions, Fault, Kind, RollAction, Rules, TierConfig};
 use tokio::sync::{Notify, mpsc, oneshot, watch};
 use tokio::task::AbortHandle;
 use tokio::time::sleep_until;
@@ -82,7 +82,7 @@
     peers: Option<Peers>,
     sharing: Option<Sharing>,
     /// The versions that decisions are based on, when the tier does not track them.
-    standing: Standing,
+    standing: ActiveVersions,
     /// The audit log of decisions, if enabled.
     audit_log: Option<AuditLog>,
     refresh: RefreshTriggers,
@@ -170,7 +170,7 @@
     pub shape: Shape,
     pub seed: u64,
     pub ledger: Ledger<Disk>,
-    pub found: Vec<Found>,
+    pub found: Vec<RecoveredMessage>,
     /// The latest wall-clock time recorded in the store.
     pub latest: Nanos,
     pub input_tx: mpsc::Sender<Input>,
@@ -180,7 +180,7 @@
     pub calls: Calls<Input>,
     pub peers: Option<Peers>,
     /// The settings for sharing state with the peers, if sharing is enabled.
-    pub terms: Option<Terms>,
+    pub terms: Option<TierConfig>,
     /// The rules that decide which dispatchers run outdated versions.
     pub rules: Rules,
     /// Where decisions are recorded, if they are.
@@ -265,7 +265,7 @@
             if let Some((state, config)) = known {
                 written.extend(moving.written.iter().copied());
                 let mut bodies: HashMap<_, _> =
-                    found.iter().map(|found| (found.id, found.taken.body.clone())).collect();
+                    found.iter().map(|found| (found.id, found.message.body.clone())).collect();
                 let body = |id| bodies.remove(&id).unwrap_or_default();
                 core = Some(Core::from_snapshot(classes.settings(config.settings), state, &written, body));
                 clock = Clock::continued_from(moving.now, moving.wall);
@@ -276,7 +276,7 @@
                 Some(Predecessor::new(line.spawn(input_tx.clone(), Input::FromPredecessor), written));
         }
         let core = core.unwrap_or_else(|| {
-            let open = found.iter().map(|found| found.taken.class as usize).collect();
+            let open = found.iter().map(|found| found.message.class as usize).collect();
             classes.adopt(&settings, &shape, Some(&open));
             Core::new(classes.settings(settings.clone()), seed, ledger.next_id())
         });
@@ -296,7 +296,7 @@
             calls,
             peers,
             sharing: None,
-            standing: Standing::default(),
+            standing: ActiveVersions::default(),
             audit_log: None,
             refresh,
             name,
@@ -336,7 +336,7 @@
             let audit_log = driver.audit_log.as_mut();
             audit_log
                 .into_iter()
-                .for_each(|audit_log| found.iter().for_each(|f| audit_log.found(f.id, &f.taken.reference)));
+                .for_each(|audit_log| found.iter().for_each(|f| audit_log.found(f.id, &f.message.reference)));
         }
         if let Some((moving, ..)) = moved {
             driver.index = moving.index;
@@ -370,7 +370,7 @@
     /// Restores the decision module's learned state after a restart and deletes expired entries.
     fn restore_learned(&mut self, at: Moment) {
         let mut old = Vec::new();
-        for (dest, route, noted, bytes) in self.store.ledger().learnt() {
+        for (dest, route, noted, bytes) in self.store.ledger().learned() {
             let age = at.wall.saturating_sub(noted);
             if age > LEARNED_TTL {
                 old.push((dest, route));
@@ -531,18 +531,18 @@
     }
 
     /// Carries out an action requested by the tier's version tracking.
-    fn run_act(&mut self, at: Moment, act: Act) {
+    fn run_act(&mut self, at: Moment, act: RollAction) {
         let Some(sharing) = &mut self.sharing else { return };
         match act {
-            Act::Ask(Kind::List) => {
+            RollAction::RefreshSource(Kind::List) => {
                 eprintln!("roll: most dispatchers use another endpoint list; requesting a snapshot");
                 self.refresh.list.notify_one();
             }
-            Act::Ask(kind) => {
+            RollAction::RefreshSource(kind) => {
                 eprintln!("roll: most dispatchers use other {}; reloading the configuration", kind.name());
                 self.refresh.settings.notify_one();
             }
-            Act::ShutOut(kind) => {
+            RollAction::ShutOut(kind) => {
                 eprintln!(
                     "roll: refusing new messages: most dispatchers report outdated {} here",
                     kind.name()
@@ -551,14 +551,14 @@
                 self.shared.figures().shut_out = Some(kind.name());
                 self.audit_log.iter_mut().for_each(|audit_log| audit_log.service(at, Some(kind)));
             }
-            Act::Back => {
+            RollAction::Readmit => {
                 eprintln!("roll: up to date again; accepting new messages");
                 self.core.refuse_new(false);
                 self.shared.figures().shut_out = None;
                 self.audit_log.iter_mut().for_each(|audit_log| audit_log.service(at, None));
             }
-            Act::Note => sharing.save_records(at, &mut self.store),
-            Act::Hold(place, What::Cordon) => {
+            RollAction::RecordsChanged => sharing.save_records(at, &mut self.store),
+            RollAction::Hold(place, RecordKind::Cordon) => {
                 let name = sharing.endpoint(place).and_then(|e| self.roster.name(e)).map(str::to_owned);
                 let Some(name) = name else { return };
                 if self.roster.check_cordon(&name, true) == Ok(Change::Out)
@@ -571,12 +571,12 @@
                     self.on_endpoint_changed(at, entry, false);
                 }
             }
-            Act::Hold(place, What::Drain) => {
+            RollAction::Hold(place, RecordKind::Drain) => {
                 let Some(endpoint) = sharing.endpoint(place) else { return };
                 let entry = self.roster.set_held(endpoint, true);
                 self.on_endpoint_changed(at, entry, false);
             }
-            Act::Release(place) => {
+            RollAction::Release(place) => {
                 let Some(endpoint) = sharing.endpoint(place) else { return };
                 let entry = self.roster.set_held(endpoint, false);
                 self.on_endpoint_changed(at, entry, true);
@@ -643,8 +643,8 @@
                 .entries()
                 .filter_map(|(id, name, e)| Some((endpoint_hash(name), e.dest, roster.state(id)?)));
             audit_log.listed(at, whole, all);
-            self.standing.moves(Kind::List, roster.digest());
-            self.standing.agent = millpost_tier::standing::digest(roster.source().as_bytes());
+            self.standing.set_version(Kind::List, roster.digest());
+            self.standing.agent = millpost_tier::versions::digest(roster.source().as_bytes());
             self.standing.index = self.index.unwrap_or(0);
         }
         self.record_versions(at);
@@ -901,7 +901,7 @@
         {
             versions::save_settings(at, digest, &mut self.store);
         }
-        self.standing.moves(Kind::Settings, digest);
+        self.standing.set_version(Kind::Settings, digest);
         self.record_versions(at);
         Ok(())
     }
--- a/dispatcher/src/input.rs
+++ b/dispatcher/src/input.rs
@@ -5,7 +5,7 @@
 use millpost::api::Settings;
 use millpost_handover::Frame;
 use millpost_settings::Shape;
-use millpost_store::Synced;
+use millpost_store::SyncResult;
 use millpost_tier::frame::Frame as SharedFrame;
 use tokio::sync::oneshot;
 
@@ -29,7 +29,9 @@
     PeerMessage(PeerMessage),
     /// A frame of shared state from another dispatcher.
     SharedFrame(SharedFrame),
-    /// The result of a sync of the store.
+    /// The ⟦result⟧⟪store's last writes last by now, or could not be made to.
+    Synced(SyncResult),
+    /// The staff asks something⟫ of a sync of the store.
     Synced(Synced),
     /// A query or command from the operators' console.
     Console(console::Query),
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -35,7 +35,7 @@
 use millpost_net::connection_limiter::ConnectionLimiter;
 use millpost_net::{link, meter};
 use millpost_store::{Disk, Ledger, ledger};
-use millpost_tier::sieve::Sieve;
+use millpost_tier::frame_filter::FrameFilter;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{Notify, mpsc, oneshot, watch};
@@ -128,7 +128,7 @@
     loop {
         match store_opener.open(Duration::ZERO) {
             Ok((mut ledger, opened)) => {
-                ledger.own(store_opener.mark()).map_err(store_opener::Error::Store)?;
+                ledger.set_owner(store_opener.mark()).map_err(store_opener::Error::Store)?;
                 return Ok(Started { ledger, opened, taken: None });
             }
             Err(e) if e.is_held() && Instant::now() < until => {}
@@ -141,7 +141,7 @@
             let known = read_state(&moving, config, &opened)
                 .inspect_err(|why| eprintln!("handover: recovering from the store alone: {why}"))
                 .ok();
-            ledger.own(store_opener.mark()).map_err(store_opener::Error::Store)?;
+            ledger.set_owner(store_opener.mark()).map_err(store_opener::Error::Store)?;
             // If this cannot be delivered the predecessor has ended, and this process is the owner
             // regardless.
             let _ = line.send(&Frame::Mine { afresh: known.is_none() }).await;
@@ -167,7 +167,7 @@
     if !wrong.is_empty() {
         return Err(wrong.join("; "));
     }
-    if opened.found.iter().any(|found| found.body_lost) {
+    if opened.messages.iter().any(|found| found.body_lost) {
         return Err("the body of a stored message is lost".to_owned());
     }
     Ok((moved, previous))
@@ -215,7 +215,7 @@
     let (peers, listening) = match (settings.allow.notes, config.peer_listen, config.peers_all) {
         // Messages between dispatchers are optional: without them the dispatcher serves all the same.
         (true, Some(listen), Some(all)) => {
-            let frames = || DatagramReader::Frames(Arc::new(Mutex::new(Sieve::new(of))));
+            let frames = || DatagramReader::Frames(Arc::new(Mutex::new(FrameFilter::new(of))));
             let reader = terms.as_ref().map_or(DatagramReader::Messages, |_| frames());
             let (peers, task) = Peers::open(listen, config.peers.clone(), all, reader, input_tx.clone());
             (Some(peers), Some(task))
@@ -271,8 +271,8 @@
         connection_limiter: connection_limiter.clone(),
         seed: config.seed,
         ledger,
-        found: opened.found,
-        latest: opened.latest,
+        found: opened.messages,
+        latest: opened.latest_time,
         input_tx: input_tx.clone(),
         source: config.discovery,
         known: config.known.clone(),
--- a/dispatcher/src/peers.rs
+++ b/dispatcher/src/peers.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use millpost_tier::frame::Frame;
-use millpost_tier::sieve::{Sieve, Sifted};
+use millpost_tier::frame_filter::{FilterStats, FrameFilter};
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
@@ -30,15 +30,15 @@
     /// As messages of the decision module.
     Messages,
     /// As frames of shared state, filtered by the sieve.
-    Frames(Arc<Mutex<Sieve>>),
+    Frames(Arc<Mutex<FrameFilter>>),
 }
 
 impl DatagramReader {
     /// Counts of accepted and rejected datagrams.
-    pub fn counts(&self) -> Sifted {
+    pub fn counts(&self) -> FilterStats {
         match self {
-            DatagramReader::Messages => Sifted::default(),
-            DatagramReader::Frames(sieve) => sieve.lock().unwrap_or_else(PoisonError::into_inner).sifted(),
+            DatagramReader::Messages => FilterStats::default(),
+            DatagramReader::Frames(sieve) => sieve.lock().unwrap_or_else(PoisonError::into_inner).stats(),
         }
     }
 }
--- a/dispatcher/src/peers/sharing.rs
+++ b/dispatcher/src/peers/sharing.rs
@@ -6,10 +6,13 @@
 use millpost::api::{DestId, EndpointId, Event, Nanos, Outcome, RateShare};
 use millpost_core::{Core, Moment};
 use millpost_tier::frame::Frame;
-use millpost_tier::judge::View;
-use millpost_tier::roll::{Begin, Row};
-use millpost_tier::standing::{KINDS, digest};
-use millpost_tier::{Act, Fault, Kind, Need, News, Out, Place, Rules, Standing, Terms, Tier, Went};
+use millpost_tier::roll::{InitialState, PeerStatus};
+use millpost_tier::staleness::View;
+use millpost_tier::versions::{KINDS, digest};
+use millpost_tier::{
+    ActiveVersions, CallResult, Demand, EndpointHash, Fault, Kind, Output, RollAction, Rules, Tier,
+    TierConfig, TierEvent,
+};
 use serde_json::{Value, json};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -25,17 +28,17 @@
     tier: Tier,
     slots: usize,
     /// Endpoints by the hash of their name that all dispatchers share, and the reverse.
-    endpoints: HashMap<Place, EndpointId>,
-    places: HashMap<EndpointId, (Place, DestId)>,
+    endpoints: HashMap<EndpointHash, EndpointId>,
+    places: HashMap<EndpointId, (EndpointHash, DestId)>,
     /// Actions of the version tracking that the driver has to carry out.
-    acts: Vec<Act>,
+    acts: Vec<RollAction>,
     /// Whether the agent has sent the list to this incarnation.
     confirmed: bool,
 }
 
 impl Sharing {
     /// Starts a new incarnation, numbered after the last one in the store.
-    pub fn begin(at: Moment, terms: Terms, me: u16, of: u16, seed: u64, store: &mut StoreWriter) -> Self {
+    pub fn begin(at: Moment, terms: TierConfig, me: u16, of: u16, seed: u64, store: &mut StoreWriter) -> Self {
         let incarnation = store.ledger().incarnation().saturating_add(1);
         store.save_incarnation(at, incarnation);
         let tier = Tier::new(at.now, terms, me, of, incarnation, seed);
@@ -48,55 +51,55 @@
         &mut self,
         at: Moment,
         rules: Rules,
-        (standing, held): (Standing, [Nanos; 4]),
+        (standing, held): (ActiveVersions, [Nanos; 4]),
         seed: u64,
         store: &StoreWriter,
     ) {
-        let begin = Begin { rules, standing, held, words: versions::records(store) };
-        self.tier.keep_roll(at.now, begin, seed);
+        let begin = InitialState { rules, standing, held, words: versions::records(store) };
+        self.tier.enable_roll(at.now, begin, seed);
     }
 
     /// Enables reporting of loans, for the audit log.
     pub fn trace(&mut self) {
-        self.tier.trace();
+        self.tier.trace_loans();
     }
 
     /// The versions in use, if versions are tracked.
-    pub fn acts_on(&self) -> Option<Standing> {
-        self.tier.acts_on()
+    pub fn acts_on(&self) -> Option<ActiveVersions> {
+        self.tier.active_versions()
     }
 
     /// Whether new messages are accepted.
     pub fn serves(&self) -> bool {
-        self.tier.serves()
+        self.tier.accepts_messages()
     }
 
     /// Whether a test injected this fault.
     pub fn has(&self, fault: Fault) -> bool {
-        self.tier.has(fault)
+        self.tier.has_fault(fault)
     }
 
     /// Takes the actions that the driver has to carry out.
-    pub fn take_acts(&mut self) -> Vec<Act> {
+    pub fn take_acts(&mut self) -> Vec<RollAction> {
         std::mem::take(&mut self.acts)
     }
 
     /// The endpoint with this hash.
-    pub fn endpoint(&self, place: Place) -> Option<EndpointId> {
+    pub fn endpoint(&self, place: EndpointHash) -> Option<EndpointId> {
         self.endpoints.get(&place).copied()
     }
 
     /// A different version of `kind` is in use from now on.
     pub fn moves(&mut self, at: Moment, kind: Kind, digest: u32) {
         if let Some((roll, pass_on)) = self.tier.roll() {
-            roll.moves(at.now, kind, digest, pass_on);
+            roll.set_version(at.now, kind, digest, pass_on);
         }
     }
 
     /// The settings with this digest were rejected.
     pub fn refused(&mut self, digest: u32) {
         if let Some((roll, pass_on)) = self.tier.roll() {
-            roll.refused(digest, pass_on);
+            roll.reject_settings(digest, pass_on);
         }
     }
 
@@ -104,14 +107,14 @@
     pub fn cordoned(&mut self, at: Moment, name: &str, out: bool) {
         let place = xxh3_64(name.as_bytes());
         if let Some((roll, pass_on)) = self.tier.roll() {
-            roll.cordoned(at.now, place, out, pass_on);
+            roll.set_cordon(at.now, place, out, pass_on);
         }
     }
 
     /// Saves the records of cordons and drains.
     pub fn save_records(&mut self, at: Moment, store: &mut StoreWriter) {
         if let Some((roll, _)) = self.tier.roll() {
-            versions::save_records(at, roll.words(), store);
+            versions::save_records(at, roll.records(), store);
         }
     }
 
@@ -125,31 +128,31 @@
         from_agent: bool,
         store: &mut StoreWriter,
     ) {
-        let previous = self.tier.acts_on().map(|on| on.list.digest);
+        let previous = self.tier.active_versions().map(|on| on.list.digest);
         let Some((roll, pass_on)) = self.tier.roll() else { return };
-        roll.numbered(digest(roster.source().as_bytes()), index.unwrap_or(0));
+        roll.set_list_index(digest(roster.source().as_bytes()), index.unwrap_or(0));
         let list = roster.digest();
         if !from_agent {
-            roll.held(at.now, Kind::List, list, versions::list_age(at, list, store), pass_on);
+            roll.set_version_since(at.now, Kind::List, list, versions::list_age(at, list, store), pass_on);
             return;
         }
         let first = !std::mem::replace(&mut self.confirmed, true);
         if previous != Some(list) {
-            roll.moves(at.now, Kind::List, list, pass_on);
+            roll.set_version(at.now, Kind::List, list, pass_on);
             versions::save_list(at, list, store);
         } else if first && versions::list_age(at, list, store) == Nanos::MAX {
-            roll.confirmed(at.now, Kind::List, pass_on);
+            roll.confirm(at.now, Kind::List, pass_on);
             versions::save_list(at, list, store);
         }
     }
 
     /// The versions in use and this dispatcher's view of the others, in JSON for the console.
     pub fn standing(&mut self, at: Moment, name: &str) -> Option<String> {
-        let standing = self.tier.acts_on()?;
-        let rows: Vec<Value> = self.tier.rows(at.now).iter().map(row).collect();
-        let (life, (number, of)) = (self.tier.life(), self.tier.number());
+        let standing = self.tier.active_versions()?;
+        let rows: Vec<Value> = self.tier.peer_statuses(at.now).iter().map(row).collect();
+        let (life, (number, of)) = (self.tier.heartbeat(), self.tier.identity());
         let text = json!({
-            "name": name, "number": number, "of": of, "epoch": life.incarnation, "serves": self.tier.serves(), "standing": standing,
+            "name": name, "number": number, "of": of, "epoch": life.incarnation, "serves": self.tier.accepts_messages(), "standing": standing,
             "wall_ns": at.wall, "rows": rows,
         });
         Some(text.to_string())
@@ -162,7 +165,7 @@
 
     /// When the next round is due.
     pub fn due(&self) -> Nanos {
-        self.tier.due()
+        self.tier.next_round_at()
     }
 
     /// The list of endpoints has changed.
@@ -171,38 +174,38 @@
         let all = all.map(|(endpoint, name, entry)| (endpoint, (xxh3_64(name.as_bytes()), entry.dest)));
         self.places = all.collect();
         self.endpoints = self.places.iter().map(|(endpoint, (place, _))| (*place, *endpoint)).collect();
-        self.tier.listed(at.now, self.places.values().map(|(place, dest)| (*dest, *place)));
+        self.tier.set_endpoints(at.now, self.places.values().map(|(place, dest)| (*dest, *place)));
         if let Some((roll, pass_on)) = self.tier.roll() {
             let ready = |entry: &millpost::api::Entry| entry.state == millpost::api::State::Ready;
             let all = roster.entries().map(|(_, name, e)| (xxh3_64(name.as_bytes()), e.dest, ready(e)));
-            roll.listed(at.now, all, pass_on);
+            roll.set_endpoints(at.now, all, pass_on);
         }
     }
 
     /// A message for a destination was submitted.
     pub fn wanted(&mut self, at: Moment, core: &Core, dest: DestId) {
-        self.tier.wanted(at.now, need(core, self.slots, dest));
+        self.tier.update_demand(at.now, need(core, self.slots, dest));
     }
 
     /// A call was written.
     pub fn sent(&mut self, at: Moment, endpoint: EndpointId) {
         if let Some((_, dest)) = self.places.get(&endpoint) {
-            self.tier.sent(at.now, *dest);
+            self.tier.record_call(at.now, *dest);
         }
     }
 
     /// A call ended.
     pub fn call_ended(&mut self, at: Moment, endpoint: EndpointId, outcome: Outcome, wait: Option<Nanos>) {
         let went = match outcome {
-            Outcome::Served => Went::Served,
-            Outcome::Full(_) => Went::Refused,
-            Outcome::Error => Went::Answered,
-            Outcome::TimedOut | Outcome::Reset | Outcome::ConnectFailed => Went::Failed,
+            Outcome::Served => CallResult::Served,
+            Outcome::Full(_) => CallResult::Refused,
+            Outcome::Error => CallResult::Answered,
+            Outcome::TimedOut | Outcome::Reset | Outcome::ConnectFailed => CallResult::Failed,
             // These outcomes say nothing about the endpoint.
             Outcome::Cancelled | Outcome::NotSent | Outcome::Exhausted => return,
         };
         if let Some((place, _)) = self.places.get(&endpoint) {
-            self.tier.went(at.now, *place, went, wait.map(|wait| at.now.saturating_add(wait)));
+            self.tier.record_result(at.now, *place, went, wait.map(|wait| at.now.saturating_add(wait)));
         }
     }
 
@@ -212,20 +215,20 @@
         if let Some(audit_log) = audit_log {
             audit_log.heard(at, speaker.who, speaker.life.incarnation, speaker.life.beat);
         }
-        self.tier.hear(at.now, frame);
+        self.tier.receive(at.now, frame);
     }
 
     /// Runs a round if one is due.
     pub fn tick(&mut self, at: Moment, core: &Core, audit_log: Option<&mut AuditLog>) {
-        if at.now >= self.tier.due() {
-            let life = self.tier.life();
+        if at.now >= self.tier.next_round_at() {
+            let life = self.tier.heartbeat();
             if let Some(audit_log) = audit_log {
                 audit_log.beat(at, life.incarnation, life.beat);
             }
             // Includes destinations with messages from before this process started, or without recent
             // traffic.
             let all: BTreeSet<DestId> = self.tier.active().chain(core.destinations()).collect();
-            let needs: Vec<Need> = all.into_iter().map(|dest| need(core, self.slots, dest)).collect();
+            let needs: Vec<Demand> = all.into_iter().map(|dest| need(core, self.slots, dest)).collect();
             self.tier.tick(at.now, &needs);
         }
     }
@@ -240,22 +243,22 @@
         audit_log: &mut Option<AuditLog>,
     ) -> bool {
         let mut received = false;
-        while let Some(out) = self.tier.out() {
+        while let Some(out) = self.tier.next_output() {
             let update = match out {
-                Out::Send { to, bytes } => {
+                Output::Send { to, bytes } => {
                     peers.send_to(to, &bytes);
                     continue;
                 }
-                Out::Lives(incarnation) => {
+                Output::Incarnation(incarnation) => {
                     store.save_incarnation(at, incarnation);
                     continue;
                 }
-                Out::News(update) => update,
-                Out::Act(act) => {
+                Output::Event(update) => update,
+                Output::RollAction(act) => {
                     self.acts.push(act);
                     continue;
                 }
-                Out::Loan(loan) => {
+                Output::Loan(loan) => {
                     if let Some(audit_log) = audit_log {
                         audit_log.loan(at, &loan);
                     }
@@ -263,21 +266,21 @@
                 }
             };
             let event = match update {
-                News::Part { dest, part } => {
+                TierEvent::RateBudget { dest, part } => {
                     if let Some(audit_log) = audit_log {
                         audit_log.part(at, dest, part);
                     }
                     let part = part.map(|p| RateShare { rate: p.rate, until: p.until, after: p.after });
                     Some(Event::RateShare { dest, part })
                 }
-                News::Wait { place, until } => self.endpoints.get(&place).map(|endpoint| {
+                TierEvent::WaitRequested { place, until } => self.endpoints.get(&place).map(|endpoint| {
                     Event::WaitRequested { endpoint: *endpoint, wait: until.saturating_sub(at.now) }
                 }),
-                News::Hearsay { place, until, hold } => self
+                TierEvent::PeersUnreachable { place, until, hold } => self
                     .endpoints
                     .get(&place)
                     .map(|endpoint| Event::PeersUnreachable { endpoint: *endpoint, until, avoid: hold }),
-                News::Cold { dest } => Some(Event::PeersSawRecovery { dest }),
+                TierEvent::PeersSawRecovery { dest } => Some(Event::PeersSawRecovery { dest }),
             };
             if let Some(event) = event {
                 core.on_event(at, event);
@@ -289,7 +292,7 @@
 
     /// The figures for the console.
     pub fn figures(&self, at: Moment, peers: &Peers) -> Shared {
-        Shared { tier: self.tier.figures(at.now), sifted: peers.reader.counts() }
+        Shared { tier: self.tier.stats(at.now), sifted: peers.reader.counts() }
     }
 }
 
@@ -297,7 +300,7 @@
 const MAX_REPORTED_AGE: Nanos = 30 * 86_400_000_000_000;
 
 /// Formats this dispatcher's view of one dispatcher.
-fn row(row: &Row) -> Value {
+fn row(row: &PeerStatus) -> Value {
     let stands = &row.stands;
     let views: serde_json::Map<String, Value> = KINDS
         .iter()
@@ -325,7 +328,7 @@
 
 /// The demand for a destination. While all call slots are in use, messages do not wait because of the rate
 /// share.
-fn need(core: &Core, slots: usize, dest: DestId) -> Need {
+fn need(core: &Core, slots: usize, dest: DestId) -> Demand {
     let (limit, waiting) = core.demand(dest);
-    Need { dest, limit, waiting: if core.slots_in_use() < slots { waiting } else { 0 } }
+    Demand { dest, limit, waiting: if core.slots_in_use() < slots { waiting } else { 0 } }
 }
--- a/dispatcher/src/roster.rs
+++ b/dispatcher/src/roster.rs
@@ -7,7 +7,7 @@
 use millpost::api::{EndpointId, Entry, State};
 use millpost_core::Moment;
 use millpost_settings::Shape;
-use millpost_store::ledger::Listed;
+use millpost_store::ledger::ListedEndpoint;
 
 use crate::cordons::{Change, Cordons};
 use crate::discovery::{Endpoint, List, Status};
@@ -127,9 +127,9 @@
         let piece = |known: &ListedEndpoint| {
             let Entry { zone, kind, dest, state, weight, .. } = known.entry;
             let text = (known.name.as_str(), zone, kind, dest, state as u8, weight.to_bits());
-            millpost_tier::standing::piece(&postcard::to_stdvec(&text).unwrap_or_default())
+            millpost_tier::versions::piece(&postcard::to_stdvec(&text).unwrap_or_default())
         };
-        millpost_tier::standing::fold(self.known.values().map(piece).fold(0, u64::wrapping_add))
+        millpost_tier::versions::fold(self.known.values().map(piece).fold(0, u64::wrapping_add))
     }
 
     /// Marks an endpoint as draining because other dispatchers report it, or removes the mark. Returns the
@@ -163,7 +163,7 @@
     /// Returns the newer of the configured list (`known`) and the stored one.
     pub fn newest(&mut self, store: &StoreWriter, known: List) -> List {
         let known = List { snapshot: true, ..known };
-        let Some((source, index, stored)) = store.ledger().listed() else { return known };
+        let Some((source, index, stored)) = store.ledger().endpoint_list() else { return known };
         for e in &stored {
             // Keeps the endpoint numbers, because learned state refers to them.
             self.names.insert(e.name.clone(), e.id);
@@ -191,13 +191,13 @@
     pub fn listed(&mut self, at: Moment, store: &mut StoreWriter, list: List) -> (bool, Vec<Entry>) {
         let (index, snapshot) = (list.index, list.snapshot);
         let mut gone = Vec::new();
-        let mut listed: Vec<Listed> = Vec::new();
+        let mut listed: Vec<ListedEndpoint> = Vec::new();
         for e in &list.endpoints {
             if e.status == Status::Terminated {
                 gone.push(e.name.clone());
                 continue;
             }
-            listed.push(Listed {
+            listed.push(ListedEndpoint {
                 name: e.name.clone(),
                 id: 0,
                 address: e.address.to_string(),
@@ -214,12 +214,13 @@
             e.id = self.names.get(&e.name).copied().unwrap_or(0);
         }
         // The stored list is searched only if names may be missing from the update.
-        let stored =
-            Some(()).filter(|()| snapshot || !unreadable.is_empty()).and_then(|()| store.ledger().listed());
+        let stored = Some(())
+            .filter(|()| snapshot || !unreadable.is_empty())
+            .and_then(|()| store.ledger().endpoint_list());
         let named: HashSet<String> = listed.iter().map(|e| e.name.clone()).collect();
         for e in stored.map(|(_, _, all)| all).unwrap_or_default() {
             if unreadable.contains(&e.name) {
-                listed.push(Listed { in_service: false, ..e });
+                listed.push(ListedEndpoint { in_service: false, ..e });
             } else if snapshot && !named.contains(&e.name) {
                 gone.push(e.name);
             }
--- a/dispatcher/src/store_opener.rs
+++ b/dispatcher/src/store_opener.rs
@@ -65,14 +65,14 @@
             Ledger::open(folder, store, wall_now(), self.mark(), old.as_ref().map(journal::read))?;
         remove(&file(journal::FILE))?;
         ledger.store_mut().set_limit(self.limit);
-        if opened.moved > 0 {
-            eprintln!("store: migrated {} messages from the old journal", opened.moved);
+        if opened.migrated > 0 {
+            eprintln!("store: migrated {} messages from the old journal", opened.migrated);
         }
         for damage in &opened.recovery.damage {
             eprintln!("store: {damage}; any earlier message may have been executed");
         }
-        if !opened.found.is_empty() {
-            eprintln!("store: {} messages found", opened.found.len());
+        if !opened.messages.is_empty() {
+            eprintln!("store: {} messages found", opened.messages.len());
         }
         Ok((ledger, opened))
     }
--- a/dispatcher/src/store_writer.rs
+++ b/dispatcher/src/store_writer.rs
@@ -5,8 +5,8 @@
 use millpost::api::Nanos;
 use millpost_core::{Change, Deferred, DurabilityQueue, Durable, Moment};
 use millpost_net::meter::{Part, within};
-use millpost_store::ledger::Final;
-use millpost_store::{Disk, Error, Folder, Ledger, Seq, SyncJob, Synced};
+use millpost_store::ledger::FinalOutcome;
+use millpost_store::{Disk, Error, Folder, Ledger, Seq, SyncJob, SyncResult};
 
 /// The store is reported as working again after this long without a failed write.
 const RECOVERY_PERIOD: Nanos = 5_000_000_000;
@@ -44,20 +44,20 @@
     pub fn append(&mut self, at: Moment, change: &Change) -> Option<Seq> {
         let ledger = &mut self.ledger;
         let done = within(Part::Journal, || match change {
-            Change::Take { id, taken } => ledger.take_as(*id, at.wall, taken),
-            Change::Begin { id, at, zone } => ledger.begin(*id, *at, *zone),
-            Change::Outcome { id, never_ran } => ledger.outcome(*id, *never_ran),
-            Change::Answer { id, answer } => ledger.answer(*id, *answer),
+            Change::Take { id, taken } => ledger.accept_as(*id, at.wall, taken),
+            Change::Begin { id, at, zone } => ledger.begin_attempt(*id, *at, *zone),
+            Change::Outcome { id, never_ran } => ledger.end_attempt(*id, *never_ran),
+            Change::Answer { id, answer } => ledger.record_answer(*id, *answer),
             Change::End { id, end } => {
-                ledger.end(*id, end.as_ref().map(|(reference, end, until)| (&reference[..], *end, *until)))
+                ledger.finish(*id, end.as_ref().map(|(reference, end, until)| (&reference[..], *end, *until)))
             }
         });
         self.check(at, done)
     }
 
     /// The final answer of the message with this reference, if it is still stored.
-    pub fn final_answer(&self, reference: &str) -> Option<Final> {
-        within(Part::Journal, || self.ledger.final_answer(reference))
+    pub fn final_answer(&self, reference: &str) -> Option<FinalOutcome> {
+        within(Part::Journal, || self.ledger.final_outcome(reference))
     }
 
     /// Defers an effect until the write `seq` is durable, or all writes so far if `None`.
@@ -68,7 +68,7 @@
 
     /// Removes and returns the next deferred effect whose writes are durable.
     pub fn next_durable(&mut self) -> Option<Durable> {
-        self.deferred.pop_durable(|seq| self.ledger.lasts(seq))
+        self.deferred.pop_durable(|seq| self.ledger.is_durable(seq))
     }
 
     /// Whether any effect waits for a write to become durable.
@@ -79,45 +79,45 @@
     /// Saves learned state.
     pub fn save_learned(&mut self, at: Moment, learned: Vec<LearnedState>) {
         let learned = learned.into_iter().map(|state| (state.dest, state.route, Some(state.bytes)));
-        let done = within(Part::Journal, || self.ledger.learn(at.wall, learned));
+        let done = within(Part::Journal, || self.ledger.record_learned(at.wall, learned));
         self.check(at, done);
     }
 
     /// Deletes the learned state of these destinations and routes.
     pub fn delete_learned(&mut self, at: Moment, old: Vec<(u64, Option<u64>)>) {
         let old = old.into_iter().map(|(dest, route)| (dest, route, None));
-        let done = self.ledger.learn(at.wall, old);
+        let done = self.ledger.record_learned(at.wall, old);
         self.check(at, done);
     }
 
     /// Records that an operator cordoned (`out`) or uncordoned an endpoint. Returns the sequence number of
     /// the write.
     pub fn save_cordon(&mut self, at: Moment, name: &str, out: bool) -> Option<Seq> {
-        let done = self.ledger.cordon(name, out);
+        let done = self.ledger.set_cordon(name, out);
         self.check(at, done)
     }
 
     /// Records the incarnation of the dispatcher.
     pub fn save_incarnation(&mut self, at: Moment, incarnation: u32) {
-        let done = self.ledger.live(incarnation);
+        let done = self.ledger.set_incarnation(incarnation);
         self.check(at, done);
     }
 
     /// Saves a small value under a name.
     pub fn save_value(&mut self, at: Moment, name: &str, value: &[u8]) {
-        let done = self.ledger.keep(name, value);
+        let done = self.ledger.set_value(name, value);
         self.check(at, done);
     }
 
     /// Saves the message classes. Returns whether the write succeeded.
     pub fn save_classes(&mut self, at: Moment, classes: &[u8]) -> bool {
-        let done = self.ledger.note_classes(classes);
+        let done = self.ledger.set_classes(classes);
         self.check(at, done).is_some()
     }
 
     /// Whether the write `seq` is durable.
     pub fn is_durable(&self, seq: Seq) -> bool {
-        self.ledger.lasts(seq)
+        self.ledger.is_durable(seq)
     }
 
     /// Saves added or changed entries (`now`) of the endpoint list and deletes others (`gone`).
@@ -126,17 +126,17 @@
         at: Moment,
         source: &str,
         index: u64,
-        now: &[millpost_store::ledger::Listed],
+        now: &[millpost_store::ledger::ListedEndpoint],
         gone: &[String],
     ) {
-        let done = self.ledger.list(source, index, now, gone);
+        let done = self.ledger.record_endpoint_list(source, index, now, gone);
         self.check(at, done);
     }
 
     /// Periodic maintenance, about once a second: runs a step of compaction, and reports once that writes
     /// work again.
     pub fn maintain(&mut self, at: Moment) {
-        within(Part::Journal, || self.ledger.tidy(at.wall));
+        within(Part::Journal, || self.ledger.maintain(at.wall));
         // Requires that frames were written since the last failure and that the failure was a while ago:
         // neither an idle period nor a single successful write between two failures counts as recovery.
         let next = self.ledger.store().next_seq();
@@ -162,14 +162,14 @@
 
     /// Processes the result of a sync. If it failed, returns the deferred client replies whose writes will
     /// not become durable.
-    pub fn synced(&mut self, at: Moment, synced: Synced) -> Vec<Deferred> {
+    pub fn synced(&mut self, at: Moment, synced: SyncResult) -> Vec<Deferred> {
         self.syncing = false;
-        let done = self.ledger.synced(synced);
+        let done = self.ledger.finish_sync(synced);
         if self.check(at, done).is_some() {
             return Vec::new();
         }
         self.sync_at = at.now.saturating_add(SYNC_RETRY_DELAY);
-        self.deferred.take_client_replies(|seq| self.ledger.lasts(seq))
+        self.deferred.take_client_replies(|seq| self.ledger.is_durable(seq))
     }
 
     /// Unwraps the result of a write. Logs the first failure of a series.
--- a/dispatcher/src/versions.rs
+++ b/dispatcher/src/versions.rs
@@ -3,8 +3,8 @@
 
 use millpost::api::Nanos;
 use millpost_core::{Moment, SNAPSHOT_VERSION};
-use millpost_tier::records::Word;
-use millpost_tier::standing::{Kind, Stamp, Standing, digest};
+use millpost_tier::records::EndpointRecord;
+use millpost_tier::versions::{ActiveVersions, Kind, Version, digest};
 use serde::{Deserialize, Serialize};
 
 use crate::store_writer::StoreWriter;
@@ -24,11 +24,11 @@
 
 /// The initial versions of an incarnation with the settings of this digest, and how long each kind has been
 /// in use.
-pub fn begin(at: Moment, settings: u32, store: &mut StoreWriter) -> (Standing, [Nanos; 4]) {
-    let mut standing = Standing::default();
+pub fn begin(at: Moment, settings: u32, store: &mut StoreWriter) -> (ActiveVersions, [Nanos; 4]) {
+    let mut standing = ActiveVersions::default();
     let release = concat!(env!("CARGO_PKG_VERSION"));
-    standing.program = Stamp { digest: digest(release.as_bytes()), generation: SNAPSHOT_VERSION };
-    standing.moves(Kind::Settings, settings);
+    standing.program = Version { digest: digest(release.as_bytes()), generation: SNAPSHOT_VERSION };
+    standing.set_version(Kind::Settings, settings);
     let settings_age = age(at, SETTINGS_KEY, settings, store).unwrap_or_else(|| {
         save_settings(at, settings, store);
         0
@@ -39,7 +39,7 @@
 /// How long the version with this digest has been in use, if that is stored.
 fn age(at: Moment, name: &str, digest: u32, store: &StoreWriter) -> Option<Nanos> {
     let stored =
-        store.ledger().kept(name).and_then(|value| postcard::from_bytes::<StoredVersion>(&value).ok());
+        store.ledger().value(name).and_then(|value| postcard::from_bytes::<StoredVersion>(&value).ok());
     stored.filter(|stored| stored.digest == digest).map(|stored| at.wall.saturating_sub(stored.since))
 }
 
@@ -65,13 +65,13 @@
 }
 
 /// The stored cordon and drain records.
-pub fn records(store: &StoreWriter) -> Vec<Word> {
-    let value = store.ledger().kept(RECORDS_KEY);
+pub fn records(store: &StoreWriter) -> Vec<EndpointRecord> {
+    let value = store.ledger().value(RECORDS_KEY);
     value.and_then(|value| postcard::from_bytes(&value).ok()).unwrap_or_default()
 }
 
 /// Stores cordon and drain records.
-pub fn save_records<'a>(at: Moment, records: impl Iterator<Item = &'a Word>, store: &mut StoreWriter) {
-    let records: Vec<&Word> = records.collect();
+pub fn save_records<'a>(at: Moment, records: impl Iterator<Item = &'a EndpointRecord>, store: &mut StoreWriter) {
+    let records: Vec<&EndpointRecord> = records.collect();
     store.save_value(at, RECORDS_KEY, &postcard::to_stdvec(&records).unwrap_or_default());
 }
--- a/dispatcher/tests/common/mod.rs
+++ b/dispatcher/tests/common/mod.rs
@@ -126,7 +126,7 @@
     /// The number of learned-state entries in the store.
     pub fn learned(&self) -> usize {
         let read = Store::read(Disk::read_only(self.state.path()), &ledger::IN_MEMORY);
-        read.map_or(0, |(store, _)| store.len(ledger::LEARNT))
+        read.map_or(0, |(store, _)| store.len(ledger::LEARNED))
     }
 
     /// The names of the endpoints in the store.
@@ -148,7 +148,8 @@
                 StoreState::Ended => store.is_empty(ledger::MESSAGES),
                 StoreState::NeverRan => store.keys(ledger::HISTORIES, &[]).any(|(_, _, value)| {
                     let history = value.and_then(|v| ledger::read_history(v));
-                    history.is_some_and(|h| h.attempts > 0 && h.out.is_none() && h.may_have_run.is_none())
+                    history
+                        .is_some_and(|h| h.attempts > 0 && h.in_flight.is_none() && h.may_have_run.is_none())
                 }),
             };
             reached.then_some(())
--- a/tier/examples/fleet.rs
+++ b/tier/examples/fleet.rs
@@ -6,14 +6,14 @@
 #[path = "../tests/model/mod.rs"]
 mod model;
 
-use millpost_tier::{Terms, frame};
+use millpost_tier::{TierConfig, frame};
 use model::*;
 
 fn shape(dispatchers: u16, loss: f64) -> Shape {
     let limit = 20.0 * f64::from(dispatchers);
     Shape {
         dispatchers,
-        terms: Terms { enabled: true, ..Terms::default() },
+        terms: TierConfig { enabled: true, ..TierConfig::default() },
         seed: 20_261_201,
         limit,
         offered: uneven(dispatchers, limit, 1.2),
@@ -58,7 +58,7 @@
 }
 
 fn main() {
-    println!("datagrams of up to {} bytes; a wait is told to one of them", frame::LONGEST);
+    println!("datagrams of up to {} bytes; a wait is told to one of them", frame::MAX_LEN);
     println!(
         "{:<28} {:>8} {:>8} {:>8} {:>10} {:>10} {:>10}",
         "dispatchers, loss", "most sum", "served", "alone", "all know", "datagrams", "bytes/s"
--- a/tier/src/judge.rs
+++ b/tier/src/staleness.rs
@@ -1,15 +1,21 @@
-//! Who is behind: what most of the *configured* dispatchers act on, who has stayed on what they left, and what follows.
+//! Detects dispatchers that are behind: those that still use a version which most of the *configured*
+//! dispatchers have replaced. Decides by votes which of them are shut out.
 //!
-//! Each dispatcher judges by the words of all ([`Stands`]). One is behind on a kind once most of the configured dispatchers
-//! act on something else that they moved to after it moved to what it has, as far as its durations tell; or, for lists,
-//! which others bring, on one that the judge itself has left. Whoever hears no more than half says *unknown*.
+//! Each dispatcher evaluates the reports of all ([`VersionReport`]). One is behind on a kind if most of the
+//! configured dispatchers use another version to which they switched later than it switched to its own,
+//! according to the reported durations; or, for lists, if it uses one that the evaluating dispatcher has
+//! replaced. With reports of no more than half of the dispatchers the result is *unknown*.
 //!
-//! Kept invariants:
-//! - one is found behind only by the votes of more than half of the configured dispatchers, each of which acts on what most
-//!   act on: no side of a split finds anybody that has not the majority, and two sides don't find each other;
-//! - a vote is against one move of one life: whoever moves is found no more;
-//! - each votes against no more than [`Rules::votes`] at once, so that the stated part serves whatever each of them knows;
-//! - what many are behind on is a roll-out, and nobody is found for it.
+//! Invariants:
+//!
+//! - A dispatcher is found behind only by votes of more than half of the configured dispatchers, each of
+//!   which uses the majority's version. So a partition without the majority finds nobody behind, and two
+//!   partitions never find each other behind.
+//! - A vote is against one switch in one incarnation: a dispatcher that switches is not found behind any
+//!   more.
+//! - Each dispatcher votes against at most [`Rules::votes`] others at once, so that the configured share
+//!   stays in service whatever each of them knows.
+//! - If many are behind on a kind, it is a roll-out, and nobody is found behind for it.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -17,91 +23,92 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
-use crate::heard::{Heard, Presence};
+use crate::config::{TierConfig, ms};
+use crate::liveness::{Liveness, Presence};
 use crate::planted::{Fault, Planted};
 use crate::rules::{Rules, Voters, most};
-use crate::standing::{KINDS, Kind, Stamp, Standing, Stands, TENTH, tenths};
-use crate::terms::{Terms, ms};
+use crate::versions::{ActiveVersions, KINDS, Kind, TENTH, Version, VersionReport, tenths};
 use crate::{Incarnation, Nanos, Peer};
 
-/// Contents that the judge itself has left, of lists.
-const LEFT: usize = 32;
-/// How often one that was shut out may be again before the wait for its return grows no longer, as a power of two.
-const TIMES: u32 = 6;
-/// A file that was turned down is read again by itself so many times less often.
-const TURNED_DOWN: u64 = 12;
-/// A word that nobody renewed for so long says nothing any more.
-const STALE: Nanos = 60_000_000_000;
+/// Number of replaced lists that are remembered.
+const MAX_REPLACED_LISTS: usize = 32;
+/// Maximum exponent of the delay before a return, which doubles each time a dispatcher is shut out in a row.
+const MAX_RETURN_EXPONENT: u32 = 6;
+/// Factor by which rejected settings are queried less often.
+const REJECTED_QUERY_FACTOR: u64 = 12;
+/// Age at which a report that was not renewed is ignored.
+const REPORT_TTL: Nanos = 60_000_000_000;
 
-/// What is to be thought of one dispatcher and one kind.
+/// Assessment of one dispatcher's version of one kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum View {
-    /// It acts on what most act on.
+    /// It uses the majority's version.
     Current,
-    /// On something else, of which it can't be said that most have left it: the first of a roll-out, say.
+    /// It uses another version, which the majority has not demonstrably replaced, for example at the start of
+    /// a roll-out.
     Apart,
-    /// On what most have left, since this time.
+    /// It uses a version that the majority replaced at this time.
     Behind(Nanos),
-    /// It turned down what most act on.
+    /// It rejected the majority's version.
     Refused,
-    /// Too few are heard, or nothing of it.
+    /// Too few dispatchers are heard, or there is no report of it.
     Unknown,
 }
 
-/// How a dispatcher stands in the service.
+/// Whether a dispatcher is in service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Service {
-    /// It takes messages.
+pub enum ServiceState {
+    /// It accepts messages.
     In,
-    /// It takes none: it is behind on this, as most find, or under a floor.
+    /// It accepts none: the majority found it behind on this kind, or its state layout is too old.
     Out {
         /// Since when.
         since: Nanos,
-        /// On what.
+        /// The kind.
         kind: Kind,
     },
-    /// It has caught up, and takes messages from this time on.
+    /// It has caught up and accepts messages from this time on.
     Returns {
-        /// When.
+        /// The time of return.
         at: Nanos,
     },
 }
 
-/// Votes against one dispatcher's move.
+/// Votes that one dispatcher's version is outdated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Finding {
-    /// Who is behind.
+pub struct StalenessVotes {
+    /// The dispatcher that is behind.
     pub about: Peer,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// On what.
+    /// The kind.
     pub kind: Kind,
-    /// What it acts on.
-    pub stamp: Stamp,
-    /// Who says so.
+    /// The version it uses.
+    pub stamp: Version,
+    /// The dispatchers that voted.
     pub voters: Voters,
 }
 
-/// What comes of a look round.
+/// A decision of [`StalenessDetector::evaluate`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
-    /// The own source of this is to be asked again.
-    Ask(Kind),
-    /// No new messages from now on.
-    Out(Kind),
-    /// New messages again.
-    Back,
+pub enum Decision {
+    /// Query the own source of this kind again.
+    RefreshSource(Kind),
+    /// Accept no new messages, because of this kind.
+    ShutOut(Kind),
+    /// Accept new messages again.
+    Readmit,
 }
 
 #[derive(Clone, Copy, Debug, Serialize)]
 struct Known {
-    stands: Stands,
-    /// When it moved to what it acts on, by the clock here.
+    stands: VersionReport,
+    /// When it switched to each version, on the local clock.
     since: [Nanos; 4],
     said: Nanos,
-    /// How often it is still to be passed on.
+    /// How many more times the report is to be forwarded.
     hot: u8,
-    /// Behind since, as seen from here, and as was seen of what it acted on before.
+    /// Since when each version is behind, and the same of the version used before.
     behind: [Option<Nanos>; 4],
     before: [Option<Nanos>; 4],
 }
@@ -109,24 +116,24 @@
 #[derive(Clone, Debug, Serialize)]
 struct Votes {
     incarnation: Incarnation,
-    stamp: Stamp,
+    stamp: Version,
     voters: Voters,
     hot: u8,
 }
 
-/// What is known of all, and what follows for one.
+/// The reports of all dispatchers, the votes, and the resulting service state of this dispatcher.
 #[derive(Clone, Debug, Serialize)]
-pub struct Judge {
+pub struct StalenessDetector {
     me: Peer,
     known: Vec<Option<Known>>,
     votes: BTreeMap<(Peer, Kind), Votes>,
-    service: Service,
+    service: ServiceState,
     /// How often it was shut out in a row, and until when that counts.
     times: (u32, Nanos),
     asked: [Option<Nanos>; 4],
-    /// Lists that this one has left.
+    /// Digests of lists that this dispatcher has replaced.
     left: VecDeque<u32>,
-    /// Whose word is said again next.
+    /// The dispatcher whose report is forwarded next in turn.
     next: Peer,
     #[serde(skip)]
     rules: Rules,
@@ -136,28 +143,28 @@
     pub(crate) planted: Planted,
 }
 
-impl Judge {
-    /// Number `me` of `of` begins on this, of which it has held each for so long.
+impl StalenessDetector {
+    /// Creates the state of dispatcher `me` of `of`. `held`: how long each initial version has been in use.
     pub fn new(
         now: Nanos,
         me: Peer,
         of: u16,
         rules: Rules,
-        standing: Standing,
+        standing: ActiveVersions,
         held: [Nanos; 4],
         seed: u64,
     ) -> Self {
         let mut known = vec![None; usize::from(of)];
-        let stands = Stands { who: me, seq: 1, standing, ..Stands::default() };
+        let stands = VersionReport { who: me, seq: 1, standing, ..VersionReport::default() };
         let since = held.map(|held| now.saturating_sub(held));
         if let Some(own) = known.get_mut(usize::from(me)) {
             *own = Some(Known { stands, since, said: now, hot: 0, behind: [None; 4], before: [None; 4] });
         }
-        Judge {
+        StalenessDetector {
             me,
             known,
             votes: BTreeMap::new(),
-            service: Service::In,
+            service: ServiceState::In,
             times: (0, 0),
             asked: [None; 4],
             left: VecDeque::new(),
@@ -168,7 +175,7 @@
         }
     }
 
-    /// The same with a fault in place, and nothing drawn: times that would be are the least.
+    /// The same with a planted fault, and with all random delays at their minimum.
     #[cfg(feature = "faults")]
     pub fn with_fault(mut self, fault: Option<Fault>) -> Self {
         (self.planted, self.rng) = (Planted { fault }, None);
@@ -183,30 +190,31 @@
         self.known.get_mut(usize::from(self.me)).and_then(Option::as_mut)
     }
 
-    /// What this one acts on.
-    pub fn standing(&self) -> Standing {
-        self.known(self.me).map_or(Standing::default(), |known| known.stands.standing)
+    /// Returns the versions this dispatcher uses.
+    pub fn active_versions(&self) -> ActiveVersions {
+        self.known(self.me).map_or(ActiveVersions::default(), |known| known.stands.standing)
     }
 
     fn known(&self, who: Peer) -> Option<&Known> {
         self.known.get(usize::from(who)).and_then(Option::as_ref)
     }
 
-    /// Somebody's word, and when it moved to what it acts on, by the clock here.
-    pub fn word(&self, who: Peer) -> Option<(&Stands, [Nanos; 4])> {
+    /// Returns the report of a dispatcher, and when it switched to each version, on the local clock.
+    pub fn report(&self, who: Peer) -> Option<(&VersionReport, [Nanos; 4])> {
         self.known(who).map(|known| (&known.stands, known.since))
     }
 
-    /// How this one stands in the service.
-    pub fn service(&self) -> Service {
+    /// Returns whether this dispatcher is in service.
+    pub fn service(&self) -> ServiceState {
         self.service
     }
 
-    /// This one acts on another content, and has for so long: 0 from now on. Whether that is a move.
-    pub fn moves(&mut self, now: Nanos, kind: Kind, digest: u32, held: Nanos) -> bool {
-        let before = self.standing().stamp(kind).digest;
+    /// Records that this dispatcher has used a content for `held` (0: from now on). Returns whether it is a
+    /// switch.
+    pub fn set_version(&mut self, now: Nanos, kind: Kind, digest: u32, held: Nanos) -> bool {
+        let before = self.active_versions().version(kind).digest;
         let Some(own) = self.own() else { return false };
-        if !own.stands.standing.moves(kind, digest) {
+        if !own.stands.standing.set_version(kind, digest) {
             return false;
         }
         (own.since[kind as usize], own.stands.seq) = (now.saturating_sub(held), own.stands.seq + 1);
@@ -217,46 +225,46 @@
         if kind == Kind::List {
             self.left.retain(|left| *left != digest && *left != before);
             self.left.push_back(before);
-            if self.left.len() > LEFT {
+            if self.left.len() > MAX_REPLACED_LISTS {
                 self.left.pop_front();
             }
         }
         true
     }
 
-    /// The own source has said what is in force, for the first time in this life: until then it was what the configuration
-    /// or the store had, which may be of any age.
-    pub fn confirmed(&mut self, now: Nanos, kind: Kind) {
+    /// Records that the own source confirmed the current content for the first time in this incarnation.
+    /// Until then the content was that of the configuration or the store, whose age is unknown.
+    pub fn confirm(&mut self, now: Nanos, kind: Kind) {
         if let Some(own) = self.own() {
             own.stands.standing.confirm(kind);
             (own.since[kind as usize], own.stands.seq) = (now, own.stands.seq + 1);
         }
     }
 
-    /// The agent and its number of the list in force.
-    pub fn listed(&mut self, agent: u32, index: u64) {
+    /// Sets the agent of the current list and its number there.
+    pub fn set_list_index(&mut self, agent: u32, index: u64) {
         if let Some(own) = self.own() {
             (own.stands.standing.agent, own.stands.standing.index) = (agent, index);
         }
     }
 
-    /// Settings were given and turned down.
-    pub fn refused(&mut self, digest: u32) {
+    /// Records that settings were rejected.
+    pub fn reject_settings(&mut self, digest: u32) {
         if let Some(own) = self.own() {
             (own.stands.refused, own.stands.seq) = (digest, own.stands.seq + 1);
         }
     }
 
-    /// Others knew a later life under this name: this one has a number beyond it.
-    pub fn lives(&mut self, incarnation: Incarnation) {
+    /// Adopts a new incarnation because peers know a later one of this dispatcher.
+    pub fn set_incarnation(&mut self, incarnation: Incarnation) {
         if let Some(own) = self.own() {
             own.stands.standing.incarnation = incarnation;
         }
-        self.epoch(incarnation);
+        self.set_epoch(incarnation);
     }
 
-    /// A new epoch of what is shared.
-    pub fn epoch(&mut self, epoch: Incarnation) {
+    /// Begins a new epoch of the shared state.
+    pub fn set_epoch(&mut self, epoch: Incarnation) {
         if let Some(own) = self.own()
             && own.stands.standing.epoch != epoch
         {
@@ -264,17 +272,17 @@
         }
     }
 
-    /// Somebody's word comes, of its own or passed on. Whether it is news.
-    pub fn hear(&mut self, now: Nanos, stands: &Stands, pass_on: u8) -> bool {
+    /// Merges a report, received directly or forwarded. Returns whether its content is new.
+    pub fn receive(&mut self, now: Nanos, stands: &VersionReport, pass_on: u8) -> bool {
         let said = now.saturating_sub(u64::from(stands.age) * TENTH);
         if stands.who == self.me {
             return false;
         }
         let Some(place) = self.known.get_mut(usize::from(stands.who)) else { return false };
         let before = place.as_ref();
-        if before.is_some_and(|known| known.stands.version() >= stands.version()) {
-            // The same once more, said later: it holds still.
-            let same = |known: &&mut Known| known.stands.version() == stands.version() && known.said < said;
+        if before.is_some_and(|known| known.stands.order() >= stands.order()) {
+            // The same report, sent later: the versions have been in use for longer.
+            let same = |known: &&mut Known| known.stands.order() == stands.order() && known.said < said;
             if let Some(known) = place.as_mut().filter(same) {
                 known.said = said;
                 if !self.planted.has(Fault::HeldOnce) {
@@ -289,34 +297,34 @@
             let n = kind as usize;
             let same = |known: &&Known| {
                 known.stands.standing.incarnation == stands.standing.incarnation
-                    && known.stands.standing.stamp(kind) == stands.standing.stamp(kind)
+                    && known.stands.standing.version(kind) == stands.standing.version(kind)
             };
-            // What was worked out first of one move stays: what it was passed on for only adds to it.
+            // The time first computed for a switch is kept: forwarding delays only add to later ones.
             if let Some(known) = before.filter(same) {
                 (since[n], behind[n]) = (known.since[n], known.behind[n]);
             } else if let Some(known) = before {
-                // It moved: whether to what most act on is seen at the next look.
+                // It switched: the next evaluation shows whether to the majority's version.
                 was[n] = known.behind[n];
             }
         }
-        // The same content, said again: that goes round in its turn.
-        let same = before.is_some_and(|known| known.stands.says(stands));
+        // Unchanged content is forwarded only in turn.
+        let same = before.is_some_and(|known| known.stands.has_same_content(stands));
         let hot = before.filter(|_| same).map_or(pass_on, |known| known.hot);
         *place = Some(Known { stands: *stands, since, said, hot, behind, before: was });
         !same
     }
 
-    /// Votes come. Whether there is one among them that is news.
-    pub fn find(&mut self, finding: &Finding, pass_on: u8) -> bool {
+    /// Merges votes. Returns whether any of them is new.
+    pub fn receive_votes(&mut self, finding: &StalenessVotes, pass_on: u8) -> bool {
         let of = self.of();
         if finding.about >= of {
             return false;
         }
-        let rank = |incarnation, stamp: Stamp| (incarnation, stamp.generation);
+        let rank = |incarnation, stamp: Version| (incarnation, stamp.generation);
         let new = rank(finding.incarnation, finding.stamp);
         if self.known(finding.about).is_some_and(|known| {
             let standing = &known.stands.standing;
-            new < rank(standing.incarnation, standing.stamp(finding.kind))
+            new < rank(standing.incarnation, standing.version(finding.kind))
         }) {
             return false;
         }
@@ -341,49 +349,56 @@
         news
     }
 
-    fn alive(&self, now: Nanos, heard: &Heard, terms: &Terms, who: Peer) -> bool {
+    fn alive(&self, now: Nanos, heard: &Liveness, terms: &TierConfig, who: Peer) -> bool {
         who == self.me
             || heard.presence(now, terms, who) <= Presence::Suspected
-                && self.known(who).is_some_and(|known| now.saturating_sub(known.said) < STALE)
+                && self.known(who).is_some_and(|known| now.saturating_sub(known.said) < REPORT_TTL)
     }
 
-    /// Those whose words count now.
-    fn heard(&self, now: Nanos, heard: &Heard, terms: &Terms) -> Vec<Peer> {
+    /// Dispatchers whose reports count now.
+    fn heard(&self, now: Nanos, heard: &Liveness, terms: &TierConfig) -> Vec<Peer> {
         let all = 0..self.of();
         all.filter(|who| self.known(*who).is_some() && self.alive(now, heard, terms, *who)).collect()
     }
 
-    /// Of how many more than half are most: of all that are configured, by whoever is configured with more.
-    fn whole(&self, heard: &Heard, counted: usize) -> u16 {
+    /// Number of dispatchers of which more than half are a majority: the largest configured number known.
+    fn majority_base(&self, heard: &Liveness, counted: usize) -> u16 {
         if self.planted.has(Fault::MostOfHeard) { counted as u16 } else { heard.configured().max(self.of()) }
     }
 
-    /// What is to be thought of all, by number, on one kind; and what most act on.
-    fn views(&mut self, now: Nanos, heard: &Heard, terms: &Terms, kind: Kind) -> (Vec<View>, Option<u32>) {
+    /// Assesses all dispatchers on one kind. Returns the views by number, and the digest of the majority's
+    /// version.
+    fn views(
+        &mut self,
+        now: Nanos,
+        heard: &Liveness,
+        terms: &TierConfig,
+        kind: Kind,
+    ) -> (Vec<View>, Option<u32>) {
         let (counted, n) = (self.heard(now, heard, terms), kind as usize);
-        let of = self.whole(heard, counted.len());
+        let of = self.majority_base(heard, counted.len());
         let mut views = vec![View::Unknown; self.known.len()];
         if !most(counted.len(), of) {
             return (views, None);
         }
         let moved = |who: Peer| {
-            self.known(who).map(|k| (k.stands.standing.stamp(kind).digest, k.since[n])).unwrap_or_default()
+            self.known(who).map(|k| (k.stands.standing.version(kind).digest, k.since[n])).unwrap_or_default()
         };
         let all: Vec<(u32, Nanos)> = counted.iter().map(|who| moved(*who)).collect();
         let mut counts: BTreeMap<u32, usize> = BTreeMap::new();
         all.iter().for_each(|(digest, _)| *counts.entry(*digest).or_default() += 1);
         let common = counts.iter().find(|(_, count)| most(**count, of)).map(|(digest, _)| *digest);
-        let mine = self.standing().stamp(kind).digest;
+        let mine = self.active_versions().version(kind).digest;
         let apart = 2 * terms.clock_rate_permille;
         let mut behind = Vec::new();
         for (who, (digest, since)) in counted.iter().zip(&all) {
-            // Durations are by clocks that may run apart: what is no later than that makes it is not later.
+            // Clock rates may differ: a switch counts as later only beyond that uncertainty.
             let later = |at: Nanos| at > since.saturating_add(now.saturating_sub(at) / 1_000 * apart);
             let passed = all.iter().filter(|(other, at)| other != digest && later(*at));
             let mut when: Vec<Nanos> = passed.map(|(_, at)| *at).collect();
             when.sort_unstable();
             let left = kind == Kind::List && common == Some(mine) && self.left.contains(digest);
-            // Most had moved on by then.
+            // The time by which the majority had switched.
             let past = when.get(usize::from(of) / 2).copied().or(left.then_some(now));
             let known = self.known(*who);
             let refused = known.is_some_and(|k| k.stands.refused != 0 && Some(k.stands.refused) == common);
@@ -402,10 +417,10 @@
             let Some(known) = self.known.get_mut(usize::from(who)).and_then(Option::as_mut) else { continue };
             let was = known.before[n].take();
             known.behind[n] = match view {
-                // The first time that it was seen stays, also when what most act on goes on meanwhile, and where it moves
-                // from one that they left to another.
+                // The first time is kept, also if the majority switches again, or if the dispatcher switches
+                // from one outdated version to another.
                 View::Behind(at) => Some(known.behind[n].or(was).map_or(at, |first| first.min(at))),
-                // What most moved on from stays so until it moves.
+                // An outdated version stays outdated until the dispatcher switches.
                 View::Apart => known.behind[n],
                 _ => None,
             };
@@ -414,8 +429,8 @@
         (views, common)
     }
 
-    /// Votes that stand against one now: those against what it acts on, as far as that is known.
-    fn standing_votes(&self, about: Peer, kind: Kind) -> Option<&Votes> {
+    /// Valid votes against a dispatcher: those against the version it uses, as far as known.
+    fn valid_votes(&self, about: Peer, kind: Kind) -> Option<&Votes> {
         let votes = self.votes.get(&(about, kind))?;
         if self.planted.has(Fault::StaleVotes) {
             return Some(votes);
@@ -423,37 +438,43 @@
         let known = self.known(about);
         let stands = known.is_none_or(|known| {
             let standing = &known.stands.standing;
-            (standing.incarnation, standing.stamp(kind)) == (votes.incarnation, votes.stamp)
-                || (standing.incarnation, standing.stamp(kind).generation)
+            (standing.incarnation, standing.version(kind)) == (votes.incarnation, votes.stamp)
+                || (standing.incarnation, standing.version(kind).generation)
                     < (votes.incarnation, votes.stamp.generation)
         });
         stands.then_some(votes)
     }
 
-    /// Most have found it behind, on this.
-    pub fn found(&self, heard: &Heard, about: Peer) -> Option<Kind> {
+    /// Returns the kind on which the majority found a dispatcher behind, if any.
+    pub fn stale_kind(&self, heard: &Liveness, about: Peer) -> Option<Kind> {
         let of = if self.planted.has(Fault::MostOfHeard) { 1 } else { heard.configured().max(self.of()) };
-        let enough = |kind: &Kind| {
-            self.standing_votes(about, *kind).is_some_and(|votes| most(votes.voters.count(), of))
-        };
+        let enough =
+            |kind: &Kind| self.valid_votes(about, *kind).is_some_and(|votes| most(votes.voters.count(), of));
         KINDS.into_iter().find(enough)
     }
 
-    /// One takes no part in what is shared: it says so itself, or most have found it behind.
-    pub fn is_out(&self, heard: &Heard, who: Peer) -> bool {
+    /// Returns whether a dispatcher is excluded from sharing: it reports so itself, or the majority found it
+    /// behind.
+    pub fn is_out(&self, heard: &Liveness, who: Peer) -> bool {
         if who == self.me {
-            return self.service != Service::In;
+            return self.service != ServiceState::In;
         }
-        self.known(who).is_some_and(|known| known.stands.out) || self.found(heard, who).is_some()
+        self.known(who).is_some_and(|known| known.stands.out) || self.stale_kind(heard, who).is_some()
     }
 
-    /// A look round: judges all, votes, and says what follows for this one.
-    pub fn look(&mut self, now: Nanos, heard: &Heard, terms: &Terms, pass_on: u8) -> Vec<Change> {
+    /// Assesses all dispatchers, votes, and returns the decisions for this dispatcher.
+    pub fn evaluate(
+        &mut self,
+        now: Nanos,
+        heard: &Liveness,
+        terms: &TierConfig,
+        pass_on: u8,
+    ) -> Vec<Decision> {
         let mut changes = Vec::new();
         let mut against: usize = {
             let me = self.me;
             let mine = |about: &Peer| {
-                KINDS.into_iter().any(|k| self.standing_votes(*about, k).is_some_and(|v| v.voters.has(me)))
+                KINDS.into_iter().any(|k| self.valid_votes(*about, k).is_some_and(|v| v.voters.has(me)))
             };
             (0..self.of()).filter(mine).count()
         };
@@ -470,9 +491,9 @@
             }
             self.vote(now, kind, &views, common, &mut against, pass_on);
         }
-        self.serve(now, heard, own_behind, &own_current, &mut changes);
+        self.update_service(now, heard, own_behind, &own_current, &mut changes);
         let (mine, of) = (self.me, self.of());
-        // Of those who are gone nothing is to be found any more.
+        // Votes against dispatchers that are gone are dropped.
         let gone: Vec<Peer> = (0..of)
             .filter(|who| *who != mine && heard.presence(now, terms, *who) == Presence::Gone)
             .collect();
@@ -480,8 +501,9 @@
         changes
     }
 
-    /// Its own source is asked again, at once and then at intervals: those who fall behind together not together.
-    fn ask(&mut self, now: Nanos, since: Nanos, kind: Kind, changes: &mut Vec<Change>) {
+    /// Queries the own source again after a random delay and then at intervals. The delay spreads the queries
+    /// of dispatchers that fall behind at the same time.
+    fn ask(&mut self, now: Nanos, since: Nanos, kind: Kind, changes: &mut Vec<Decision>) {
         let again = ms(self.rules.ask_again_ms);
         if !self.rules.catch_up || !matches!(kind, Kind::List | Kind::Settings) {
             return;
@@ -491,10 +513,10 @@
             kind == Kind::Settings && self.known(self.me).is_some_and(|k| k.stands.refused != 0);
         let next = self.asked[kind as usize].get_or_insert(since.max(now).saturating_add(drawn));
         if now >= *next {
-            // What was turned down is not worth asking for so often.
-            let times = if turned_down { TURNED_DOWN } else { 1 };
+            // Rejected settings are queried less often.
+            let times = if turned_down { REJECTED_QUERY_FACTOR } else { 1 };
             *next = now.saturating_add(again.saturating_mul(times));
-            changes.push(Change::Ask(kind));
+            changes.push(Decision::RefreshSource(kind));
         }
     }
 
@@ -503,7 +525,8 @@
         drawn.checked_rem(below).unwrap_or(0)
     }
 
-    /// Votes against stragglers: never one's own, only from what most act on, and never against too many.
+    /// Votes against stragglers: never against itself, only while using the majority's version, and only up
+    /// to the maximum.
     fn vote(
         &mut self,
         now: Nanos,
@@ -517,10 +540,11 @@
         if bound.is_none() && !floors {
             return;
         }
-        // Whoever is under the floor itself finds nobody for that: with all under it nobody is out.
-        let above = floors && self.standing().program.generation >= self.rules.floor_layout;
-        let sound = above || common == Some(self.standing().stamp(kind).digest);
-        if !self.rules.shut_out || !sound || self.service != Service::In {
+        // A dispatcher with a too old state layout does not vote for that reason: if all have one, none is
+        // shut out.
+        let above = floors && self.active_versions().program.generation >= self.rules.floor_layout;
+        let sound = above || common == Some(self.active_versions().version(kind).digest);
+        if !self.rules.shut_out || !sound || self.service != ServiceState::In {
             return;
         }
         let behind: Vec<(Peer, Nanos)> = (0..self.of())
@@ -543,11 +567,11 @@
             }
             let Some(bound) = bound.or(under.then_some(0)) else { continue };
             let bound = if under { 0 } else { bound };
-            let stamp = standing.stamp(kind);
-            let voted = self.standing_votes(who, kind).is_some_and(|votes| votes.voters.has(self.me));
+            let stamp = standing.version(kind);
+            let voted = self.valid_votes(who, kind).is_some_and(|votes| votes.voters.has(self.me));
             let other = KINDS
                 .into_iter()
-                .any(|k| self.standing_votes(who, k).is_some_and(|votes| votes.voters.has(self.me)));
+                .any(|k| self.valid_votes(who, k).is_some_and(|votes| votes.voters.has(self.me)));
             let room =
                 other || *against < self.rules.votes(self.of()) || self.planted.has(Fault::NobodyServes);
             if voted || now.saturating_sub(since) < bound || !room {
@@ -556,49 +580,50 @@
             *against += usize::from(!other);
             let mut voters = Voters::default();
             voters.add(self.me);
-            let finding = Finding { about: who, incarnation: standing.incarnation, kind, stamp, voters };
-            self.find(&finding, pass_on);
+            let finding =
+                StalenessVotes { about: who, incarnation: standing.incarnation, kind, stamp, voters };
+            self.receive_votes(&finding, pass_on);
         }
     }
 
-    /// How this one stands in the service.
-    fn serve(
+    /// Updates the service state.
+    fn update_service(
         &mut self,
         now: Nanos,
-        heard: &Heard,
+        heard: &Liveness,
         own_behind: Option<Kind>,
         own_current: &[bool; 4],
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<Decision>,
     ) {
-        // Votes against what most act on by now count for nothing.
+        // Votes against the majority's current version are ignored.
         let stale = self.planted.has(Fault::StaleVotes);
-        let found = self.found(heard, self.me).filter(|kind| stale || !own_current[*kind as usize]);
+        let found = self.stale_kind(heard, self.me).filter(|kind| stale || !own_current[*kind as usize]);
         let found = found.filter(|_| self.rules.shut_out);
         match (self.service, found) {
-            (Service::In | Service::Returns { .. }, Some(kind)) => {
-                if self.service == Service::In {
+            (ServiceState::In | ServiceState::Returns { .. }, Some(kind)) => {
+                if self.service == ServiceState::In {
                     let (times, until) = self.times;
-                    let times = if now < until { (times + 1).min(TIMES) } else { 0 };
+                    let times = if now < until { (times + 1).min(MAX_RETURN_EXPONENT) } else { 0 };
                     self.times = (times, Nanos::MAX);
-                    changes.push(Change::Out(kind));
+                    changes.push(Decision::ShutOut(kind));
                 }
-                self.service = Service::Out { since: now, kind };
+                self.service = ServiceState::Out { since: now, kind };
             }
-            (Service::Out { .. }, None) if own_behind.is_none() => {
+            (ServiceState::Out { .. }, None) if own_behind.is_none() => {
                 let longest = ms(self.rules.return_ms) << self.times.0;
                 let at = now.saturating_add(longest / 2).saturating_add(self.draw(longest / 2));
-                self.service = Service::Returns { at };
+                self.service = ServiceState::Returns { at };
             }
-            (Service::Returns { at }, None) if now >= at => {
-                self.service = Service::In;
-                // Again soon, and it waits for longer.
+            (ServiceState::Returns { at }, None) if now >= at => {
+                self.service = ServiceState::In;
+                // If it is shut out again within this time, the delay doubles.
                 let again = 16 * (ms(self.rules.return_ms) << self.times.0);
                 self.times.1 = now.saturating_add(again);
-                changes.push(Change::Back);
+                changes.push(Decision::Readmit);
             }
             _ => {}
         }
-        let out = self.service != Service::In;
+        let out = self.service != ServiceState::In;
         if let Some(own) = self.own()
             && own.stands.out != out
         {
@@ -606,17 +631,18 @@
         }
     }
 
-    /// One's own word as it is said now, in this round of this life: of two lives that took themselves to be the same one,
-    /// as where a folder was lost, the later is heard once it has gone on for longer.
-    pub fn say(&mut self, now: Nanos, beat: u32) -> Option<Stands> {
+    /// Returns this dispatcher's report for round `beat`. If two runs used the same incarnation, for example
+    /// after the state folder was lost, the later one prevails once it has run for more rounds.
+    pub fn own_report(&mut self, now: Nanos, beat: u32) -> Option<VersionReport> {
         let own = self.own()?;
         own.stands.seq = own.stands.seq.max(beat);
         let held = own.since.map(|since| tenths(now.saturating_sub(since)));
-        Some(Stands { age: 0, hops: 0, held, ..own.stands })
+        Some(VersionReport { age: 0, hops: 0, held, ..own.stands })
     }
 
-    /// Others' words that are to be passed on: what is news, and, where it is `quiet`, some more in turns.
-    pub fn pass_on(&mut self, now: Nanos, quiet: bool, most: usize) -> Vec<Stands> {
+    /// Returns up to `most` reports of others to forward: new ones, and in a `quiet` round also others in
+    /// turn.
+    pub fn items_to_forward(&mut self, now: Nanos, quiet: bool, most: usize) -> Vec<VersionReport> {
         let of = self.of();
         let (me, next) = (self.me, self.next);
         let mut some: Vec<Peer> = Vec::new();
@@ -635,44 +661,49 @@
             let known = self.known.get_mut(usize::from(who))?.as_mut()?;
             known.hot = known.hot.saturating_sub(1);
             let age = tenths(now.saturating_sub(known.said));
-            Some(Stands { age, hops: known.stands.hops.saturating_add(1), ..known.stands })
+            Some(VersionReport { age, hops: known.stands.hops.saturating_add(1), ..known.stands })
         });
         told.collect()
     }
 
-    /// Votes that are to be passed on; all where it is `quiet`.
-    pub fn findings(&mut self, quiet: bool, most: usize) -> Vec<Finding> {
+    /// Returns up to `most` groups of votes to send: new ones, or any in a `quiet` round.
+    pub fn votes_to_send(&mut self, quiet: bool, most: usize) -> Vec<StalenessVotes> {
         let hot = self.votes.iter_mut().filter(|(_, votes)| votes.hot > 0 || quiet).take(most);
         hot.map(|((about, kind), votes)| {
             votes.hot = votes.hot.saturating_sub(1);
             let (incarnation, stamp, voters) = (votes.incarnation, votes.stamp, votes.voters.clone());
-            Finding { about: *about, incarnation, kind: *kind, stamp, voters }
+            StalenessVotes { about: *about, incarnation, kind: *kind, stamp, voters }
         })
         .collect()
     }
 
-    /// Something is to be said before the next quiet round.
+    /// Returns whether something must be sent before the next quiet round.
     pub fn is_urgent(&self) -> bool {
         self.votes.values().any(|votes| votes.hot > 0) || self.known.iter().flatten().any(|k| k.hot > 0)
     }
 
-    /// One's own word is news: it goes round like any other.
-    pub fn heat(&mut self, pass_on: u8) {
+    /// Marks this dispatcher's own report as new, to be sent for `pass_on` rounds.
+    pub fn mark_urgent(&mut self, pass_on: u8) {
         if let Some(own) = self.own() {
             own.hot = pass_on;
         }
     }
 
-    /// The own word is still hot; once for each round.
-    pub fn cools(&mut self) -> bool {
+    /// Returns whether the own report is still urgent. To be called once per round.
+    pub fn take_urgent_round(&mut self) -> bool {
         let Some(own) = self.own() else { return false };
         let hot = own.hot > 0;
         own.hot = own.hot.saturating_sub(1);
         hot
     }
 
-    /// What is to be thought of everybody, by kind: for the console, and for tests.
-    pub fn all(&mut self, now: Nanos, heard: &Heard, terms: &Terms) -> [(Vec<View>, Option<u32>); 4] {
+    /// Assesses all dispatchers on all kinds, for the console and for tests.
+    pub fn all_views(
+        &mut self,
+        now: Nanos,
+        heard: &Liveness,
+        terms: &TierConfig,
+    ) -> [(Vec<View>, Option<u32>); 4] {
         KINDS.map(|kind| self.views(now, heard, terms, kind))
     }
 }
