--- a/dispatcher/src/input.rs
+++ b/dispatcher/src/input.rs
@@ -29,10 +29,8 @@
     PeerMessage(PeerMessage),
     /// A frame of shared state from another dispatcher.
     SharedFrame(SharedFrame),
-    /// The ⟦result⟧⟪store's last writes last by now, or could not be made to.
+    /// The result of a sync of the store.
     Synced(SyncResult),
-    /// The staff asks something⟫ of a sync of the store.
-    Synced(Synced),
     /// A query or command from the operators' console.
     Console(console::Query),
     /// New settings to apply as a whole or not at all.
