--- a/replay/tests/stories.rs
+++ b/replay/tests/stories.rs
@@ -14,14 +14,14 @@
 use millpost_replay::survey::Day;
 use millpost_replay::version::version;
 use millpost_simulator::day::{Report, play_recorded};
-use millpost_simulator::plan::{Plan, What};
-use millpost_simulator::record::Records;
+use millpost_simulator::plan::{FaultKind, Plan};
+use millpost_simulator::record::Recordings;
 use millpost_simulator::site::Size;
 use millpost_simulator::{MS, SECOND};
 
 fn recorded(plan: &Plan) -> (Report, tempfile::TempDir) {
     let folder = tempfile::tempdir().expect("a folder");
-    let records = Records::folder(folder.path()).expect("a folder");
+    let records = Recordings::folder(folder.path()).expect("a folder");
     let report = play_recorded(plan, false, true, Some(records.clone()));
     records.end().expect("written");
     (report, folder)
@@ -29,8 +29,8 @@
 
 /// A day on which answers get lost, so that requests go again, are thinned out and spend their budget.
 fn lossy() -> Plan {
-    let lost = What::AnswerLost { share: 0.3, lasts: 6 * SECOND };
-    Plan::quiet(3, Size::Small).with(7 * SECOND, lost).with(9 * SECOND, What::ConfigChange)
+    let lost = FaultKind::AnswerLost { share: 0.3, lasts: 6 * SECOND };
+    Plan::quiet(3, Size::Small).with(7 * SECOND, lost).with(9 * SECOND, FaultKind::ConfigChange)
 }
 
 fn kinds(story: &Story) -> Vec<&'static str> {
@@ -107,7 +107,7 @@
 #[test]
 fn versions_instances_and_the_duty_are_told_as_the_day_went() {
     let (report, folder) = recorded(&lossy());
-    let changed = report.converged.last().expect("a change");
+    let changed = report.propagation.last().expect("a change");
     let (day, story) = version(folder.path(), &Which::default(), changed.0, None).expect("it plays");
     let times = |kind: &str| story.steps.iter().filter(|s| s.kind == kind).map(|s| s.at).collect::<Vec<_>>();
     let (has, acts) = (times("has"), times("acts"));
--- a/replay/tests/tool.rs
+++ b/replay/tests/tool.rs
@@ -71,9 +71,9 @@
 
 /// A folder with a simulated day.
 fn day() -> tempfile::TempDir {
-    use millpost_simulator::{day::play_recorded, plan::Plan, record::Records, site::Size};
+    use millpost_simulator::{day::play_recorded, plan::Plan, record::Recordings, site::Size};
     let folder = tempfile::tempdir().expect("a folder");
-    let records = Records::folder(folder.path()).expect("a folder");
+    let records = Recordings::folder(folder.path()).expect("a folder");
     play_recorded(&Plan::quiet(5, Size::Small), false, false, Some(records.clone()));
     records.end().expect("written");
     folder
--- a/replay/tests/whole_days.rs
+++ b/replay/tests/whole_days.rs
@@ -9,12 +9,12 @@
 use millpost_scheduler::{FlowStep, TraceEvent};
 use millpost_simulator::day::{Report, play, play_recorded};
 use millpost_simulator::plan::Plan;
-use millpost_simulator::record::Records;
+use millpost_simulator::record::Recordings;
 use millpost_simulator::site::Size;
 
 /// A day and its lines, by process.
 fn recorded(plan: &Plan) -> (Report, Vec<(String, String)>) {
-    let (records, kept) = Records::kept();
+    let (records, kept) = Recordings::in_memory();
     let report = play_recorded(plan, false, true, Some(records));
     let kept = kept.take().into_iter();
     (report, kept.map(|(of, lines)| (of, String::from_utf8(lines).expect("text"))).collect())
--- a/simulator/src/auditor.rs
+++ b/simulator/src/auditor.rs
@@ -1,6 +1,6 @@
 //! The users' rules, judged from what clients, endpoints, platform and operator saw, and nothing else.
 //!
-//! Invariant: it never asks a process of the system; what it forgives rests on [`crate::calm`] alone.
+//! Invariant: it never asks a process of the system; what it forgives rests on [`crate::disturbances`] alone.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 use compact_str::CompactString;
 use millpost_config::{Config, RouteTable};
 
-use crate::calm::Calm;
+use crate::disturbances::Disturbances;
 use crate::site::{Bounds, HOST};
 use crate::{MS, SECOND, Time};
 
@@ -25,7 +25,7 @@
 
 /// A try of a client: one request.
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct Attempt {
     /// Its path.
     pub path: CompactString,
     /// The class of its request, and its function by the base configuration.
@@ -71,11 +71,11 @@
 /// The auditor.
 pub struct Auditor {
     bounds: Bounds,
-    fronts: usize,
+    edges: usize,
     /// LIMIT counts while the core is not settled, too: more than the rules ask.
     pub strict: bool,
     /// All tries; the place is the id.
-    pub tries: Vec<Try>,
+    pub tries: Vec<Attempt>,
     versions: Vec<Version>,
     /// The newest version that a stall's life was seen to act on, and when.
     effects: HashMap<(usize, u64), (u64, Time)>,
@@ -94,10 +94,10 @@
 
 impl Auditor {
     /// With these bounds, for so many edge machines.
-    pub fn new(bounds: Bounds, fronts: usize) -> Self {
+    pub fn new(bounds: Bounds, edges: usize) -> Self {
         Auditor {
             bounds,
-            fronts,
+            edges,
             strict: false,
             tries: Vec::new(),
             versions: Vec::new(),
@@ -190,7 +190,7 @@
     }
 
     /// A client sends a try. Its id. It counts for each service that a configuration which may be in force gives it to.
-    pub fn sent(&mut self, one: Try) -> u64 {
+    pub fn sent(&mut self, one: Attempt) -> u64 {
         let newest = self.newest(one.sent);
         let current = self.versions.iter().filter(|v| v.valid && v.revision >= newest);
         let routes = current.filter_map(|v| v.table.find(HOST, &one.path));
@@ -210,7 +210,7 @@
     #[expect(clippy::too_many_arguments, reason = "what an endpoint sees")]
     pub fn arrived(
         &mut self,
-        calm: &Calm,
+        disturbances: &Disturbances,
         at: Time,
         id: u64,
         path: &str,
@@ -229,11 +229,14 @@
         if further {
             self.further.entry(service.into()).or_default().push(at);
         }
-        if over && calm.calm_outside(at, self.fronts) && (self.strict || calm.touch(machine, at)) {
+        if over
+            && disturbances.outside_undisturbed(at, self.edges)
+            && (self.strict || disturbances.touch(machine, at))
+        {
             self.refusals.entry(service.into()).or_default().push(at);
         }
         let late = drained.is_some_and(|shown| at > shown + self.bounds.drain);
-        if late && calm.touch(machine, at) && calm.touch(machine, sent) {
+        if late && disturbances.touch(machine, at) && disturbances.touch(machine, sent) {
             let why = format!(
                 "request {id} comes to an endpoint of {service} {} ms after it drains",
                 (at - drained.unwrap_or(at)) / MS
@@ -253,7 +256,7 @@
             let why = format!("request {id} runs {} ms after its {status}", (at - when) / MS);
             self.broken("REFUSED", at, why);
         }
-        self.handled(calm, at, id, Shown::Ran(service));
+        self.handled(disturbances, at, id, Shown::Ran(service));
         further
     }
 
@@ -265,7 +268,14 @@
     }
 
     /// A client gets an answer.
-    pub fn answered(&mut self, calm: &Calm, at: Time, id: u64, status: u16, seal: Option<u64>) {
+    pub fn answered(
+        &mut self,
+        disturbances: &Disturbances,
+        at: Time,
+        id: u64,
+        status: u16,
+        seal: Option<u64>,
+    ) {
         let Some(one) = self.tries.get_mut(id as usize) else { return };
         if seal_status(status) && !seal.is_some_and(|seal| one.seals.contains(&seal)) {
             self.broken("MIXED", at, format!("request {id} gets a success that no endpoint gave it"));
@@ -279,29 +289,29 @@
             }
         }
         if (300..500).contains(&status) && !matches!(status, 408 | 421 | 429 | 409) && seal.is_none() {
-            self.denies(calm, at, id);
+            self.denies(disturbances, at, id);
         }
         if status == 404 {
-            self.handled(calm, at, id, Shown::NoRoute);
+            self.handled(disturbances, at, id, Shown::NoRoute);
         }
     }
 
     /// DENIED: a request that every configuration allows which may be in force is turned down.
-    fn denies(&mut self, calm: &Calm, at: Time, id: u64) {
+    fn denies(&mut self, disturbances: &Disturbances, at: Time, id: u64) {
         let one = &self.tries[id as usize];
         let floor = self.newest(one.sent.saturating_sub(self.bounds.apply));
         let mut may =
             self.versions.iter().filter(|v| v.valid && v.sent <= at && v.revision >= floor).peekable();
         let allowed = may.peek().is_some() && may.all(|v| v.table.find(HOST, &one.path).is_some());
-        if allowed && calm.touch(one.machine, one.sent) && calm.touch(one.machine, at) {
+        if allowed && disturbances.touch(one.machine, one.sent) && disturbances.touch(one.machine, at) {
             self.denied.push(at);
         }
     }
 
     /// LOST: the connection of a request that was read ends without an answer, as its stall leaves.
-    pub fn cut(&mut self, calm: &Calm, at: Time, id: u64) {
+    pub fn cut(&mut self, disturbances: &Disturbances, at: Time, id: u64) {
         let one = &self.tries[id as usize];
-        if at > one.sent + self.bounds.loss && calm.as_planned(one.machine, one.sent, at) {
+        if at > one.sent + self.bounds.loss && disturbances.as_planned(one.machine, one.sent, at) {
             let (machine, sent) = (one.machine, one.sent / MS);
             let why =
                 format!("machine {machine} leaves without an answer to request {id}, sent at {sent} ms");
@@ -310,7 +320,7 @@
     }
 
     /// CONFIG and ROUTE, by what a handling shows.
-    fn handled(&mut self, calm: &Calm, at: Time, id: u64, shown: Shown<'_>) {
+    fn handled(&mut self, disturbances: &Disturbances, at: Time, id: u64, shown: Shown<'_>) {
         let one = &self.tries[id as usize];
         let (path, sent, key) = (one.path.clone(), one.sent, (one.machine, one.life));
         let allows = |v: &Version| {
@@ -327,7 +337,7 @@
             Shown::Ran(service) => format!("{service} runs {path}"),
             Shown::NoRoute => format!("404 for {path}"),
         };
-        let touch = calm.touch(key.0, sent);
+        let touch = disturbances.touch(key.0, sent);
         let valid = |v: &&Version| v.valid && allows(v);
         let (least, most) = known()
             .filter(valid)
@@ -363,13 +373,13 @@
         }
     }
 
-    /// At the end: what only whole windows show. `closing`: when all was down, when it was back, and whether a quarter was served
+    /// At the end: what only whole windows show. `final_fault`: when all was down, when it was back, and whether a quarter was served
     /// before.
     pub fn finish(
         &mut self,
         end: Time,
         served: impl Fn(Time, Time) -> Option<f64>,
-        closing: Option<(Time, Time)>,
+        final_fault: Option<(Time, Time)>,
     ) {
         let mut found = Vec::new();
         let (denied, most) = (self.denied.len(), 5 + self.tries.len() / 500);
@@ -410,7 +420,7 @@
                 }
             }
         }
-        if let Some((down, back)) = closing {
+        if let Some((down, back)) = final_fault {
             let before = served(down.saturating_sub(10 * SECOND), down);
             let after = served(back + self.bounds.recovery, end);
             if let (Some(before), Some(after)) = (before, after)
--- a/simulator/src/day.rs
+++ b/simulator/src/day.rs
@@ -7,7 +7,7 @@
 
 use crate::auditor::Breach;
 use crate::plan::Plan;
-use crate::record::Records;
+use crate::record::Recordings;
 use crate::world::{Traffic, World};
 use crate::{MS, SECOND, Time};
 
@@ -33,9 +33,9 @@
     /// ... and 99 of 100.
     pub p99: Time,
     /// The same for loans and holds alone, which go to functions that seldom wait for a start.
-    pub busy_p99: Time,
+    pub short_p99: Time,
     /// The share of all that was served in the time in which an answer earns its full worth.
-    pub within_aim: f64,
+    pub within_target: f64,
     /// Starts that the platform has done.
     pub starts: u64,
     /// Memory of instances by time, in GB seconds.
@@ -43,7 +43,7 @@
     /// What went between machines.
     pub traffic: Traffic,
     /// From each acknowledgement to the last stall.
-    pub converged: Vec<(u64, Option<Time>)>,
+    pub propagation: Vec<(u64, Option<Time>)>,
     /// Events that were played, and the digest of them.
     pub events: u64,
     /// The same for the same day.
@@ -64,7 +64,7 @@
 }
 
 /// The same, with recordings of all processes.
-pub fn play_recorded(plan: &Plan, first: bool, trace: bool, records: Option<Records>) -> Report {
+pub fn play_recorded(plan: &Plan, first: bool, trace: bool, records: Option<Recordings>) -> Report {
     let begun = Instant::now();
     let mut world = World::new(plan.clone(), trace);
     world.records = records;
@@ -108,12 +108,12 @@
         p50: world.served().quantile(0.5, &ALL),
         p95: world.served().quantile(0.95, &ALL),
         p99: world.served().quantile(0.99, &ALL),
-        busy_p99: world.served().quantile(0.99, &BUSY),
-        within_aim: world.served().within_aim(world.classes()),
+        short_p99: world.served().quantile(0.99, &BUSY),
+        within_target: world.served().within_target(world.classes()),
         starts,
         memory,
         traffic: world.traffic,
-        converged: world.converged(),
+        propagation: world.propagation(),
         events: world.played,
         digest: world.digest,
         length: world.now,
@@ -145,12 +145,12 @@
 
 impl Report {
     /// The longest time from an acknowledgement to the last stall, in milliseconds.
-    pub fn slowest(&self) -> Option<u64> {
-        self.converged.iter().filter_map(|(_, took)| *took).max().map(|took| took / MS)
+    pub fn slowest_propagation_ms(&self) -> Option<u64> {
+        self.propagation.iter().filter_map(|(_, took)| *took).max().map(|took| took / MS)
     }
 
     /// The share of requests that were served.
-    pub fn share(&self) -> f64 {
+    pub fn served_ratio(&self) -> f64 {
         self.served as f64 / self.requests.max(1) as f64
     }
 
@@ -161,12 +161,12 @@
             ("seed", JsonValue::String(self.seed.to_string())),
             ("broken", breaches_json(&self.breaches)),
             ("requests", number(self.requests as f64)),
-            ("served", number(self.share())),
+            ("served", number(self.served_ratio())),
             ("p50_ms", number(self.p50 as f64 / MS as f64)),
             ("p95_ms", number(self.p95 as f64 / MS as f64)),
             ("p99_ms", number(self.p99 as f64 / MS as f64)),
-            ("busy_p99_ms", number(self.busy_p99 as f64 / MS as f64)),
-            ("within_aim", number(self.within_aim)),
+            ("busy_p99_ms", number(self.short_p99 as f64 / MS as f64)),
+            ("within_aim", number(self.within_target)),
             ("starts", number(self.starts as f64)),
             ("instances_gb_s", number(self.memory)),
             ("messages", number(self.traffic.messages as f64)),
@@ -174,7 +174,10 @@
             ("zone_bytes_per_request", number(self.traffic.zone_bytes as f64 / each)),
             ("connections_per_request", number(self.traffic.handshakes as f64 / each)),
             ("platform_calls", number(self.traffic.platform as f64)),
-            ("slowest_change_ms", self.slowest().map_or(JsonValue::Null, |ms| number(ms as f64))),
+            (
+                "slowest_change_ms",
+                self.slowest_propagation_ms().map_or(JsonValue::Null, |ms| number(ms as f64)),
+            ),
             ("events", number(self.events as f64)),
             ("digest", JsonValue::String(format!("{:016x}", self.digest))),
             ("took_s", number(self.took)),
@@ -197,12 +200,12 @@
             format!(
                 "requests {}, served {:.4}, within their aim {:.4}, p50 {:.1} ms, p95 {:.1} ms, p99 {:.1} ms, loans and holds {:.1} ms",
                 self.requests,
-                self.share(),
-                self.within_aim,
+                self.served_ratio(),
+                self.within_target,
                 ms(self.p50),
                 ms(self.p95),
                 ms(self.p99),
-                ms(self.busy_p99)
+                ms(self.short_p99)
             ),
             format!(
                 "starts {}, instances {:.1} GB s, calls to the platform {}",
@@ -218,7 +221,7 @@
             ),
         ];
         let changes: Vec<_> = self
-            .converged
+            .propagation
             .iter()
             .map(|(n, took)| format!("{n}: {}", took.map_or("never".into(), |t| format!("{} ms", t / MS))))
             .collect();
--- a/simulator/src/calm.rs
+++ b/simulator/src/disturbances.rs
@@ -4,7 +4,7 @@
 
 /// Spans of trouble. What is told here widens what the auditor forgives, never what it sees.
 #[derive(Default)]
-pub struct Calm {
+pub struct Disturbances {
     machines: Vec<Vec<(Time, Time)>>,
     /// Of these, what was not planned.
     unplanned: Vec<Vec<(Time, Time)>>,
@@ -17,10 +17,10 @@
     spans.iter().any(|(begin, end)| *begin <= to && *end >= from)
 }
 
-impl Calm {
+impl Disturbances {
     /// So many machines.
     pub fn new(machines: usize, contact: Time) -> Self {
-        Calm {
+        Disturbances {
             machines: vec![Vec::new(); machines],
             unplanned: vec![Vec::new(); machines],
             contact,
@@ -64,8 +64,8 @@
     }
 
     /// Nothing outside was in trouble lately, nor any edge machine but by planned work.
-    pub fn calm_outside(&self, at: Time, fronts: usize) -> bool {
+    pub fn outside_undisturbed(&self, at: Time, edges: usize) -> bool {
         let from = at.saturating_sub(self.contact);
-        !near(&self.outside, from, at) && !self.unplanned[..fronts].iter().any(|m| near(m, from, at))
+        !near(&self.outside, from, at) && !self.unplanned[..edges].iter().any(|m| near(m, from, at))
     }
 }
--- a/simulator/src/lib.rs
+++ b/simulator/src/lib.rs
@@ -8,19 +8,19 @@
 //! - [`world`]: all that is outside, and the loop.
 //! - [`auditor`]: the rules, from what clients, endpoints, platform and operator saw.
 //! - [`day`]: one day from beginning to end, and its figures.
-//! - [`hunt`]: many days, and one that is made smaller.
+//! - [`search`]: many days, and one that is made smaller.
 //! - [`record`]: recordings of all processes of a day.
-//! - [`plant`]: guards taken out, to test the auditor.
+//! - [`mutation`]: guards taken out, to test the auditor.
 
 pub mod auditor;
-mod calm;
-mod chance;
 pub mod day;
-pub mod hunt;
+mod disturbances;
+pub mod mutation;
 pub mod plan;
-pub mod plant;
 pub mod processes;
 pub mod record;
+mod rng;
+pub mod search;
 pub mod site;
 pub mod speeds;
 pub mod world;
--- a/simulator/src/main.rs
+++ b/simulator/src/main.rs
@@ -8,25 +8,25 @@
 
 use argh::FromArgs;
 use millpost_simulator::day::{Report, play_recorded};
-use millpost_simulator::hunt::Search;
-use millpost_simulator::plan::{Days, Plan};
-use millpost_simulator::plant::Plant;
-use millpost_simulator::record::Records;
+use millpost_simulator::mutation::Mutation;
+use millpost_simulator::plan::{Plan, PlanKind};
+use millpost_simulator::record::Recordings;
+use millpost_simulator::search::SearchOptions;
 use millpost_simulator::site::Size;
 use millpost_simulator::speeds::Speeds;
-use millpost_simulator::{MS, hunt};
+use millpost_simulator::{MS, search};
 
 /// The whole system in one process, played under a seed. Ends with 0 where no rule broke, 1 where one did, 2 where the call can't
 /// be read or a file can't be written.
 #[derive(FromArgs)]
 struct Options {
     #[argh(subcommand)]
-    what: What,
+    what: Command,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum What {
+enum Command {
     Hunt(Hunt),
     Day(Day),
     Shrink(Shrink),
@@ -46,8 +46,8 @@
     #[argh(option, default = "Size::Small")]
     size: Size,
     /// a guard to take out
-    #[argh(option)]
-    plant: Option<Plant>,
+    #[argh(option, long = "plant")]
+    mutation: Option<Mutation>,
     /// days with more troubles of the control side, and longer cuts
     #[argh(switch)]
     control: bool,
@@ -85,8 +85,8 @@
     #[argh(option, default = "Size::Small")]
     size: Size,
     /// a guard to take out
-    #[argh(option)]
-    plant: Option<Plant>,
+    #[argh(option, long = "plant")]
+    mutation: Option<Mutation>,
     /// without troubles, changes and a closing fault
     #[argh(switch)]
     quiet: bool,
@@ -136,8 +136,8 @@
     #[argh(option, default = "Size::Small")]
     size: Size,
     /// a guard to take out
-    #[argh(option)]
-    plant: Option<Plant>,
+    #[argh(option, long = "plant")]
+    mutation: Option<Mutation>,
     /// days with more troubles of the control side, and longer cuts
     #[argh(switch)]
     control: bool,
@@ -172,16 +172,19 @@
 
 fn hunt(of: &Hunt) -> ExitCode {
     let begun = Instant::now();
-    let Hunt { days, seed, size, plant, strict, strained, speeds, .. } = *of;
+    let Hunt { days, seed, size, mutation, strict, strained, speeds, .. } = *of;
     let kind = kind(of.control, of.planned);
-    let hunted = hunt::hunt(&Search { days, seed, size, plant, strict, strained, speeds, kind }, |report| {
-        log::info!("day {} of {} requests", report.seed, report.requests);
-        let broke = !report.breaches.is_empty();
-        if broke {
-            show(report, of.json);
-        }
-        !(broke && of.first) && of.seconds.is_none_or(|most| begun.elapsed().as_secs() < most)
-    });
+    let hunted = search::search(
+        &SearchOptions { days, seed, size, mutation, strict, strained, speeds, kind },
+        |report| {
+            log::info!("day {} of {} requests", report.seed, report.requests);
+            let broke = !report.breaches.is_empty();
+            if broke {
+                show(report, of.json);
+            }
+            !(broke && of.first) && of.seconds.is_none_or(|most| begun.elapsed().as_secs() < most)
+        },
+    );
     let per_minute = hunted.days as f64 / begun.elapsed().as_secs_f64().max(1e-9) * 60.0;
     let (days, events, requests, broken) = (hunted.days, hunted.events, hunted.requests, hunted.broken);
     if of.json {
@@ -205,11 +208,11 @@
 }
 
 /// Which days are meant.
-fn kind(control: bool, planned: bool) -> Days {
+fn kind(control: bool, planned: bool) -> PlanKind {
     match (control, planned) {
-        (_, true) => Days::Planned,
-        (true, false) => Days::Control,
-        (false, false) => Days::Usual,
+        (_, true) => PlanKind::Planned,
+        (true, false) => PlanKind::Control,
+        (false, false) => PlanKind::Usual,
     }
 }
 
@@ -217,29 +220,29 @@
     let mut plan = if of.quiet {
         Plan::quiet(of.seed, of.size)
     } else {
-        kind(of.control, of.planned).draw(of.seed, of.size, of.plant)
+        kind(of.control, of.planned).draw(of.seed, of.size, of.mutation)
     };
-    (plan.plant, plan.strict, plan.part) = (of.plant, of.strict, of.part);
+    (plan.mutation, plan.strict, plan.part) = (of.mutation, of.strict, of.part);
     (plan.strained, plan.speeds) = (of.strained, of.speeds);
     if of.open {
-        plan.closing = None;
+        plan.final_fault = None;
     }
     let mut out = Vec::new();
     for part in of.without.split(',').filter(|p| !p.is_empty()) {
         match part.trim().parse::<usize>() {
-            Ok(n) if n < plan.troubles.len() => out.push(n),
+            Ok(n) if n < plan.faults.len() => out.push(n),
             _ => {
-                eprintln!("without: {part:?} is no trouble of this day, which has {}", plan.troubles.len());
+                eprintln!("without: {part:?} is no trouble of this day, which has {}", plan.faults.len());
                 return ExitCode::from(2);
             }
         }
     }
     let mut number = 0;
-    plan.troubles.retain(|_| {
+    plan.faults.retain(|_| {
         number += 1;
         !out.contains(&(number - 1))
     });
-    let records = match of.record.as_deref().map(Records::folder).transpose() {
+    let records = match of.record.as_deref().map(Recordings::folder).transpose() {
         Ok(records) => records,
         Err(e) => return unwritten(of.record.as_deref(), &e),
     };
@@ -263,9 +266,9 @@
         strict: of.strict,
         strained: of.strained,
         speeds: of.speeds,
-        ..kind(of.control, of.planned).draw(of.seed, of.size, of.plant)
+        ..kind(of.control, of.planned).draw(of.seed, of.size, of.mutation)
     };
-    match hunt::shrink(&whole, |line| log::info!("{line}")) {
+    match search::shrink(&whole, |line| log::info!("{line}")) {
         None => {
             println!("no rule breaks on day {}", of.seed);
             ExitCode::SUCCESS
@@ -273,17 +276,18 @@
         Some((plan, report)) => {
             show(&report, of.json);
             if !of.json {
-                for trouble in &plan.troubles {
-                    println!("needs {} at {} ms: {:?}", trouble.what.name(), trouble.at / MS, trouble.what);
+                for fault in &plan.faults {
+                    println!("needs {} at {} ms: {:?}", fault.kind.name(), fault.at / MS, fault.kind);
                 }
                 let out: Vec<_> = whole
-                    .troubles
+                    .faults
                     .iter()
                     .enumerate()
-                    .filter(|(_, t)| !plan.troubles.contains(t))
+                    .filter(|(_, t)| !plan.faults.contains(t))
                     .map(|(n, _)| n.to_string())
                     .collect();
-                let open = if whole.closing.is_some() && plan.closing.is_none() { " --open" } else { "" };
+                let open =
+                    if whole.final_fault.is_some() && plan.final_fault.is_none() { " --open" } else { "" };
                 println!(
                     "again: arcade day --seed {} --size {} --without {:?}{open}",
                     of.seed,
@@ -314,8 +318,8 @@
     };
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("warn")).init();
     match options.what {
-        What::Hunt(of) => hunt(&of),
-        What::Day(of) => day(&of),
-        What::Shrink(of) => shrink(&of),
+        Command::Hunt(of) => hunt(&of),
+        Command::Day(of) => day(&of),
+        Command::Shrink(of) => shrink(&of),
     }
 }
--- a/simulator/src/plant.rs
+++ b/simulator/src/mutation.rs
@@ -6,7 +6,7 @@
 
 /// A guard that is taken out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum Mutation {
     /// A request that may run once goes again after an outcome that proves nothing.
     Repeated,
     /// A request that may have run is refused with a promise.
@@ -46,25 +46,25 @@
 }
 
 /// Every one, by its name.
-pub const ALL: [(&str, Plant); 18] = [
-    ("repeated", Plant::Repeated),
-    ("promised", Plant::Promised),
-    ("crowded", Plant::Crowded),
-    ("unbudgeted", Plant::Unbudgeted),
-    ("deaf", Plant::Deaf),
-    ("stale", Plant::Stale),
-    ("hasty", Plant::Hasty),
-    ("unsynced", Plant::Unsynced),
-    ("forgetful", Plant::Forgetful),
-    ("unexpected", Plant::Unexpected),
-    ("blind", Plant::Blind),
-    ("renamed", Plant::Renamed),
-    ("unsealed", Plant::Unsealed),
-    ("hurried", Plant::Hurried),
-    ("surly", Plant::Surly),
-    ("lenient", Plant::Lenient),
-    ("mute", Plant::Mute),
-    ("forsaken", Plant::Forsaken),
+pub const ALL: [(&str, Mutation); 18] = [
+    ("repeated", Mutation::Repeated),
+    ("promised", Mutation::Promised),
+    ("crowded", Mutation::Crowded),
+    ("unbudgeted", Mutation::Unbudgeted),
+    ("deaf", Mutation::Deaf),
+    ("stale", Mutation::Stale),
+    ("hasty", Mutation::Hasty),
+    ("unsynced", Mutation::Unsynced),
+    ("forgetful", Mutation::Forgetful),
+    ("unexpected", Mutation::Unexpected),
+    ("blind", Mutation::Blind),
+    ("renamed", Mutation::Renamed),
+    ("unsealed", Mutation::Unsealed),
+    ("hurried", Mutation::Hurried),
+    ("surly", Mutation::Surly),
+    ("lenient", Mutation::Lenient),
+    ("mute", Mutation::Mute),
+    ("forsaken", Mutation::Forsaken),
 ];
 
 /// No such guard.
@@ -74,11 +74,11 @@
     name: String,
 }
 
-impl FromStr for Plant {
+impl FromStr for Mutation {
     type Err = Unknown;
 
     fn from_str(name: &str) -> Result<Self, Unknown> {
-        let found = ALL.iter().find(|(known, _)| *known == name).map(|(_, plant)| *plant);
+        let found = ALL.iter().find(|(known, _)| *known == name).map(|(_, mutation)| *mutation);
         found.ok_or_else(|| Unknown { name: name.to_owned() })
     }
 }
--- a/simulator/src/plan.rs
+++ b/simulator/src/plan.rs
@@ -1,14 +1,14 @@
 //! A day as it is drawn from its seed: troubles, changes of the configuration, how it ends.
 
-use crate::chance::Chance;
-use crate::plant::Plant;
+use crate::mutation::Mutation;
+use crate::rng::Rng;
 use crate::site::{Site, Size};
 use crate::speeds::Speeds;
 use crate::{MS, SECOND, Time};
 
 /// From whom a machine is cut off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum From {
+pub enum CutScope {
     /// All others.
     All,
     /// Other core machines; stalls and the platform reach it.
@@ -19,7 +19,7 @@
 
 /// Which machine of the core is replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Whom {
+pub enum ReplaceTarget {
     /// One that the settings files name.
     Seed,
     /// The steward.
@@ -31,7 +31,7 @@
 /// What happens, named as in the users' site files.
 #[allow(missing_docs, reason = "the fields are what the variants say")]
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum FaultKind {
     /// More requests of one class, by this factor.
     Burst { class: usize, times: f64, lasts: Time },
     /// One machine's processes are killed; with `power` what was not synced may be gone.
@@ -39,7 +39,7 @@
     /// A part of the edge machines is killed in one moment.
     HerdKill { share: f64, power: bool, lasts: Time },
     /// Core machines are cut off.
-    CoreCut { count: usize, from: From, lasts: Time },
+    CoreCut { count: usize, from: CutScope, lasts: Time },
     /// A part of the workers crashes with their endpoints; `reset`: their hosts still answer.
     WorkerCrash { share: f64, reset: bool, lasts: Time },
     /// A part of the workers is emptied.
@@ -69,7 +69,7 @@
     /// A disk takes nothing.
     DiskFull { lasts: Time },
     /// A core machine goes for good, and an empty one comes at another address so long after.
-    ReplaceCore { whom: Whom, after: Time },
+    ReplaceCore { whom: ReplaceTarget, after: Time },
     /// Other core machines become the seeds.
     SeedTurnover,
     /// The processes of a machine get SIGTERM and are started again.
@@ -110,64 +110,64 @@
     ClockStep { share: f64, by_ms: i64, lasts: Time },
 }
 
-impl What {
+impl FaultKind {
     /// The users' word for it.
     pub fn name(&self) -> &'static str {
         match self {
-            What::Burst { .. } => "burst",
-            What::NodeKill { .. } => "node_kill",
-            What::HerdKill { .. } => "herd_kill",
-            What::CoreCut { .. } => "core_cut",
-            What::WorkerCrash { .. } => "worker_crash",
-            What::WorkerDrain { .. } => "worker_drain",
-            What::AfterAckWipe { .. } => "after_ack_wipe",
-            What::ConfigRace => "config_race",
-            What::ConfigChange => "config_change",
-            What::BadConfig => "bad_config",
-            What::AnswerLost { .. } => "answer_lost",
-            What::Garble { .. } => "garble",
-            What::SrvSlow { .. } => "srv_slow",
-            What::ResetConns { .. } => "reset_conns",
-            What::NodeFreeze { .. } => "node_freeze",
-            What::DiskStall { .. } => "disk_stall",
-            What::DiskSlow { .. } => "disk_slow",
-            What::DiskFull { .. } => "disk_full",
-            What::ReplaceCore { .. } => "replace_core",
-            What::SeedTurnover => "seed_turnover",
-            What::NodeTerm { .. } => "node_term",
-            What::BigConfig { .. } => "big_config",
-            What::Drain { .. } => "drain",
-            What::ServiceDrop => "service_drop",
-            What::ConfigStorm { .. } => "config_storm",
-            What::AckLost { .. } => "ack_lost",
-            What::ConfigRaceOf { .. } => "config_race",
-            What::SentAgain => "sent_again",
-            What::SameRevision => "bad_config same_version",
-            What::AfterAckKill { .. } => "after_ack_kill",
-            What::CoreSplit { .. } => "core_cut split",
-            What::NodeCut { .. } => "node_cut",
-            What::ClockStep { .. } => "clock_step",
-            What::RollTerm { .. } | What::EdgeRoll { .. } => "roll_term",
-            What::CoreBehind { .. } | What::BehindStrikes { .. } => "core_cut behind",
-            What::HangUp { .. } => "hup",
+            FaultKind::Burst { .. } => "burst",
+            FaultKind::NodeKill { .. } => "node_kill",
+            FaultKind::HerdKill { .. } => "herd_kill",
+            FaultKind::CoreCut { .. } => "core_cut",
+            FaultKind::WorkerCrash { .. } => "worker_crash",
+            FaultKind::WorkerDrain { .. } => "worker_drain",
+            FaultKind::AfterAckWipe { .. } => "after_ack_wipe",
+            FaultKind::ConfigRace => "config_race",
+            FaultKind::ConfigChange => "config_change",
+            FaultKind::BadConfig => "bad_config",
+            FaultKind::AnswerLost { .. } => "answer_lost",
+            FaultKind::Garble { .. } => "garble",
+            FaultKind::SrvSlow { .. } => "srv_slow",
+            FaultKind::ResetConns { .. } => "reset_conns",
+            FaultKind::NodeFreeze { .. } => "node_freeze",
+            FaultKind::DiskStall { .. } => "disk_stall",
+            FaultKind::DiskSlow { .. } => "disk_slow",
+            FaultKind::DiskFull { .. } => "disk_full",
+            FaultKind::ReplaceCore { .. } => "replace_core",
+            FaultKind::SeedTurnover => "seed_turnover",
+            FaultKind::NodeTerm { .. } => "node_term",
+            FaultKind::BigConfig { .. } => "big_config",
+            FaultKind::Drain { .. } => "drain",
+            FaultKind::ServiceDrop => "service_drop",
+            FaultKind::ConfigStorm { .. } => "config_storm",
+            FaultKind::AckLost { .. } => "ack_lost",
+            FaultKind::ConfigRaceOf { .. } => "config_race",
+            FaultKind::SentAgain => "sent_again",
+            FaultKind::SameRevision => "bad_config same_version",
+            FaultKind::AfterAckKill { .. } => "after_ack_kill",
+            FaultKind::CoreSplit { .. } => "core_cut split",
+            FaultKind::NodeCut { .. } => "node_cut",
+            FaultKind::ClockStep { .. } => "clock_step",
+            FaultKind::RollTerm { .. } | FaultKind::EdgeRoll { .. } => "roll_term",
+            FaultKind::CoreBehind { .. } | FaultKind::BehindStrikes { .. } => "core_cut behind",
+            FaultKind::HangUp { .. } => "hup",
         }
     }
 }
 
 /// One trouble or change.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Trouble {
+pub struct InjectedFault {
     /// When.
     pub at: Time,
     /// What.
-    pub what: What,
+    pub kind: FaultKind,
     /// Whom it hits, where that is drawn.
-    pub dice: u64,
+    pub target_seed: u64,
 }
 
 /// How a day ends, right after a change was acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Closing {
+pub enum FinalFault {
     /// Every machine loses power.
     PowerOffAll,
     /// Every process is killed.
@@ -184,11 +184,11 @@
     /// The size of the site.
     pub size: Size,
     /// Troubles and changes.
-    pub troubles: Vec<Trouble>,
+    pub faults: Vec<InjectedFault>,
     /// How it ends, and when.
-    pub closing: Option<(Time, Closing)>,
+    pub final_fault: Option<(Time, FinalFault)>,
     /// A guard that is taken out.
-    pub plant: Option<Plant>,
+    pub mutation: Option<Mutation>,
     /// LIMIT is judged while the core is not settled, too.
     pub strict: bool,
     /// Asks take of their owner's processor.
@@ -205,7 +205,7 @@
 
 /// How days are drawn.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Days {
+pub enum PlanKind {
     /// Up to four troubles of any kind.
     #[default]
     Usual,
@@ -215,13 +215,13 @@
     Planned,
 }
 
-impl Days {
+impl PlanKind {
     /// The day of this seed.
-    pub fn draw(self, seed: u64, size: Size, plant: Option<Plant>) -> Plan {
+    pub fn draw(self, seed: u64, size: Size, mutation: Option<Mutation>) -> Plan {
         match self {
-            Days::Usual => Plan::draw(seed, size, plant),
-            Days::Control => Plan::draw_control(seed, size, plant),
-            Days::Planned => Plan::draw_planned(seed, size, plant),
+            PlanKind::Usual => Plan::draw(seed, size, mutation),
+            PlanKind::Control => Plan::draw_control(seed, size, mutation),
+            PlanKind::Planned => Plan::draw_planned(seed, size, mutation),
         }
     }
 }
@@ -231,44 +231,44 @@
 
 impl Plan {
     /// The day of this seed.
-    pub fn draw(seed: u64, size: Size, plant: Option<Plant>) -> Self {
+    pub fn draw(seed: u64, size: Size, mutation: Option<Mutation>) -> Self {
         let site = Site::new(size);
-        let mut chance = Chance::new(seed ^ 0x5eed);
+        let mut rng = Rng::new(seed ^ 0x5eed);
         let (begin, end) = (site.lead, site.lead + site.length);
-        let mut troubles = Vec::new();
-        let changes = 1 + chance.below(4);
+        let mut faults = Vec::new();
+        let changes = 1 + rng.below(4);
         for _ in 0..changes {
-            let at = chance.between(3 * SECOND, end - 2 * SECOND);
-            let what = match chance.below(6) {
-                0 | 1 => What::ConfigRace,
-                2 => What::BadConfig,
-                _ => What::ConfigChange,
+            let at = rng.between(3 * SECOND, end - 2 * SECOND);
+            let what = match rng.below(6) {
+                0 | 1 => FaultKind::ConfigRace,
+                2 => FaultKind::BadConfig,
+                _ => FaultKind::ConfigChange,
             };
-            troubles.push(Trouble { at, what, dice: chance.seed() });
+            faults.push(InjectedFault { at, kind: what, target_seed: rng.seed() });
         }
-        for _ in 0..chance.below(5) {
-            let at = chance.between(begin, end - SECOND);
-            let lasts = chance.between(800 * MS, 5_500 * MS);
-            let what = drawn(&mut chance, lasts);
-            troubles.push(Trouble { at, what, dice: chance.seed() });
+        for _ in 0..rng.below(5) {
+            let at = rng.between(begin, end - SECOND);
+            let lasts = rng.between(800 * MS, 5_500 * MS);
+            let what = drawn(&mut rng, lasts);
+            faults.push(InjectedFault { at, kind: what, target_seed: rng.seed() });
         }
-        troubles.sort_by_key(|t| t.at);
-        let closing = match chance.below(5) {
-            0 => Some(Closing::PowerOffAll),
-            1 => Some(Closing::KillAll),
-            2 => Some(Closing::WipeAfterAck),
+        faults.sort_by_key(|t| t.at);
+        let final_fault = match rng.below(5) {
+            0 => Some(FinalFault::PowerOffAll),
+            1 => Some(FinalFault::KillAll),
+            2 => Some(FinalFault::WipeAfterAck),
             _ => None,
         };
-        let closing = closing.filter(|_| size != Size::Large).map(|how| (end, how));
+        let final_fault = final_fault.filter(|_| size != Size::Large).map(|how| (end, how));
         if size == Size::Large {
-            troubles.retain(|t| matches!(t.what, What::ConfigChange));
+            faults.retain(|t| matches!(t.kind, FaultKind::ConfigChange));
         }
         Plan {
             seed,
             size,
-            troubles,
-            closing,
-            plant,
+            faults,
+            final_fault,
+            mutation,
             strict: false,
             strained: false,
             speeds: Speeds::Even,
@@ -279,36 +279,36 @@
     }
 
     /// The same day with four to nine further troubles of its control side, and cuts that last for up to 20 s.
-    pub fn draw_control(seed: u64, size: Size, plant: Option<Plant>) -> Self {
-        let mut plan = Self::draw(seed, size, plant);
+    pub fn draw_control(seed: u64, size: Size, mutation: Option<Mutation>) -> Self {
+        let mut plan = Self::draw(seed, size, mutation);
         let site = Site::new(size);
-        let mut chance = Chance::new(seed ^ 0x0c04_7801);
+        let mut rng = Rng::new(seed ^ 0x0c04_7801);
         // All is over a while before the end: what comes then finds no more machines lost than may be at once.
         let over = site.lead + site.length - 6 * SECOND;
-        for _ in 0..4 + chance.below(6) {
-            let at = chance.between(site.lead / 2, over - SECOND);
-            let lasts = chance.between(800 * MS, 8_000 * MS).min(over - at);
-            let what = drawn_control(&mut chance, lasts, over - at);
-            plan.troubles.push(Trouble { at, what, dice: chance.seed() });
+        for _ in 0..4 + rng.below(6) {
+            let at = rng.between(site.lead / 2, over - SECOND);
+            let lasts = rng.between(800 * MS, 8_000 * MS).min(over - at);
+            let what = drawn_control(&mut rng, lasts, over - at);
+            plan.faults.push(InjectedFault { at, kind: what, target_seed: rng.seed() });
         }
-        plan.troubles.sort_by_key(|t| t.at);
+        plan.faults.sort_by_key(|t| t.at);
         plan
     }
 
     /// A long day without unplanned trouble: rolls, single machines that are told to end, signals, changes of the configuration and
     /// workers that are emptied, in series that overlap.
-    pub fn draw_planned(seed: u64, size: Size, plant: Option<Plant>) -> Self {
+    pub fn draw_planned(seed: u64, size: Size, mutation: Option<Mutation>) -> Self {
         let site = Site::new(size);
-        let mut chance = Chance::new(seed ^ 0x501a_4b1e);
-        let homework = Some(chance.between(500, 6_000) as f64 / 1_000.0);
-        let mut plan = Plan { plant, times: PLANNED_TIMES, homework, ..Self::quiet(seed, size) };
+        let mut rng = Rng::new(seed ^ 0x501a_4b1e);
+        let homework = Some(rng.between(500, 6_000) as f64 / 1_000.0);
+        let mut plan = Plan { mutation, times: PLANNED_TIMES, homework, ..Self::quiet(seed, size) };
         let end = site.lead + site.length * PLANNED_TIMES - 8 * SECOND;
-        let mut at = site.lead + chance.between(0, SECOND);
+        let mut at = site.lead + rng.between(0, SECOND);
         while at < end {
-            let what = drawn_planned(&mut chance);
-            plan.troubles.push(Trouble { at, what, dice: chance.seed() });
+            let what = drawn_planned(&mut rng);
+            plan.faults.push(InjectedFault { at, kind: what, target_seed: rng.seed() });
             // Most come before what the one before them does is over.
-            at += chance.between(100 * MS, 6 * SECOND);
+            at += rng.between(100 * MS, 6 * SECOND);
         }
         plan
     }
@@ -318,9 +318,9 @@
         Plan {
             seed,
             size,
-            troubles: Vec::new(),
-            closing: None,
-            plant: None,
+            faults: Vec::new(),
+            final_fault: None,
+            mutation: None,
             strict: false,
             strained: false,
             speeds: Speeds::Even,
@@ -331,82 +331,85 @@
     }
 
     /// The same with this as well.
-    pub fn with(mut self, at: Time, what: What) -> Self {
-        self.troubles.push(Trouble { at, what, dice: self.seed });
-        self.troubles.sort_by_key(|t| t.at);
+    pub fn with(mut self, at: Time, what: FaultKind) -> Self {
+        self.faults.push(InjectedFault { at, kind: what, target_seed: self.seed });
+        self.faults.sort_by_key(|t| t.at);
         self
     }
 }
 
-fn drawn(chance: &mut Chance, lasts: Time) -> What {
-    let share = chance.share();
-    let flag = chance.one(0.5);
-    match chance.below(24) {
-        0 | 1 => What::Burst { class: chance.below(3), times: 1.5 + 2.0 * share, lasts },
-        2 | 3 => What::NodeKill { core: flag, power: chance.one(0.5), lasts },
-        4 => What::HerdKill { share: 0.3 + 0.3 * share, power: flag, lasts: lasts / 2 },
+fn drawn(rng: &mut Rng, lasts: Time) -> FaultKind {
+    let share = rng.share();
+    let flag = rng.one(0.5);
+    match rng.below(24) {
+        0 | 1 => FaultKind::Burst { class: rng.below(3), times: 1.5 + 2.0 * share, lasts },
+        2 | 3 => FaultKind::NodeKill { core: flag, power: rng.one(0.5), lasts },
+        4 => FaultKind::HerdKill { share: 0.3 + 0.3 * share, power: flag, lasts: lasts / 2 },
         5 | 6 => {
-            let from = [From::All, From::Core, From::OneWay][chance.below(3)];
-            What::CoreCut { count: 1 + usize::from(flag && share < 0.3), from, lasts }
+            let from = [CutScope::All, CutScope::Core, CutScope::OneWay][rng.below(3)];
+            FaultKind::CoreCut { count: 1 + usize::from(flag && share < 0.3), from, lasts }
         }
-        7 => What::WorkerCrash { share: 0.08 + 0.08 * share, reset: flag, lasts },
-        8 => What::WorkerDrain { share: 0.11 },
-        9 => What::AfterAckWipe { lasts },
-        10 if flag => What::AnswerLost { share: 0.2 + 0.7 * share, lasts },
-        10 => What::AnswerLost { share: 0.01 + 0.03 * share, lasts },
-        11 => What::Garble { share: 0.01 + 0.03 * share, lasts },
-        12 => What::SrvSlow { share: 0.1 + 0.3 * share, times: 2.0 + 4.0 * share, lasts },
-        13 => What::ResetConns { core: flag },
-        14 => What::NodeFreeze { core: flag, lasts },
-        15 => What::DiskStall { lasts },
-        16 => What::DiskSlow { times: 5.0 + 20.0 * share, lasts },
-        17 => What::DiskFull { lasts },
+        7 => FaultKind::WorkerCrash { share: 0.08 + 0.08 * share, reset: flag, lasts },
+        8 => FaultKind::WorkerDrain { share: 0.11 },
+        9 => FaultKind::AfterAckWipe { lasts },
+        10 if flag => FaultKind::AnswerLost { share: 0.2 + 0.7 * share, lasts },
+        10 => FaultKind::AnswerLost { share: 0.01 + 0.03 * share, lasts },
+        11 => FaultKind::Garble { share: 0.01 + 0.03 * share, lasts },
+        12 => FaultKind::SrvSlow { share: 0.1 + 0.3 * share, times: 2.0 + 4.0 * share, lasts },
+        13 => FaultKind::ResetConns { core: flag },
+        14 => FaultKind::NodeFreeze { core: flag, lasts },
+        15 => FaultKind::DiskStall { lasts },
+        16 => FaultKind::DiskSlow { times: 5.0 + 20.0 * share, lasts },
+        17 => FaultKind::DiskFull { lasts },
         18 | 19 => {
-            let whom = [Whom::Seed, Whom::Leader, Whom::Planned][chance.below(3)];
-            What::ReplaceCore { whom, after: SECOND + lasts / 5 }
+            let whom = [ReplaceTarget::Seed, ReplaceTarget::Leader, ReplaceTarget::Planned][rng.below(3)];
+            FaultKind::ReplaceCore { whom, after: SECOND + lasts / 5 }
+        }
+        20 => FaultKind::SeedTurnover,
+        21 => FaultKind::NodeTerm { core: flag },
+        22 => FaultKind::BigConfig { count: 100 + (share * 250.0) as usize },
+        _ => {
+            FaultKind::ConfigStorm { count: 4 + (share * 8.0) as usize, every: rng.between(5 * MS, 250 * MS) }
         }
-        20 => What::SeedTurnover,
-        21 => What::NodeTerm { core: flag },
-        22 => What::BigConfig { count: 100 + (share * 250.0) as usize },
-        _ => What::ConfigStorm { count: 4 + (share * 8.0) as usize, every: chance.between(5 * MS, 250 * MS) },
     }
 }
 
 /// Planned work.
-fn drawn_planned(chance: &mut Chance) -> What {
-    let share = chance.share();
-    match chance.below(10) {
-        0..=2 => What::EdgeRoll { share: 0.3 + 0.7 * share, every: chance.between(0, 2_500 * MS) },
-        3 | 4 => What::NodeTerm { core: false },
-        5 => What::RollTerm { every: 200 * MS + chance.between(0, 2 * SECOND) },
-        6 => What::HangUp { share: 0.3 + 0.7 * share },
-        7 => What::WorkerDrain { share: 0.11 },
-        8 => What::ConfigChange,
-        _ => {
-            What::ConfigStorm { count: 4 + (share * 20.0) as usize, every: chance.between(5 * MS, 400 * MS) }
-        }
+fn drawn_planned(rng: &mut Rng) -> FaultKind {
+    let share = rng.share();
+    match rng.below(10) {
+        0..=2 => FaultKind::EdgeRoll { share: 0.3 + 0.7 * share, every: rng.between(0, 2_500 * MS) },
+        3 | 4 => FaultKind::NodeTerm { core: false },
+        5 => FaultKind::RollTerm { every: 200 * MS + rng.between(0, 2 * SECOND) },
+        6 => FaultKind::HangUp { share: 0.3 + 0.7 * share },
+        7 => FaultKind::WorkerDrain { share: 0.11 },
+        8 => FaultKind::ConfigChange,
+        _ => FaultKind::ConfigStorm {
+            count: 4 + (share * 20.0) as usize,
+            every: rng.between(5 * MS, 400 * MS),
+        },
     }
 }
 
 /// Troubles of the control side, as they meet there on its worst days.
-fn drawn_control(chance: &mut Chance, lasts: Time, longest: Time) -> What {
-    let flag = chance.one(0.5);
-    match chance.below(16) {
-        0 | 1 => What::AckLost { share: 0.7, lasts },
-        2 | 3 => What::ConfigRaceOf { count: 2 + chance.below(7) },
-        4 => What::SentAgain,
-        5 => What::SameRevision,
-        6 | 7 => What::AfterAckKill { power: flag, lasts: lasts / 3 },
-        8 => What::CoreSplit { lasts },
-        9 => What::NodeCut { lasts },
-        10 => What::CoreCut { count: 1, from: From::All, lasts: longest.min(20 * SECOND) },
-        11 => What::RollTerm { every: 200 * MS + lasts / 4 },
-        12 => What::CoreBehind { lasts: lasts / 2 },
-        13 => What::HangUp { share: 0.3 },
+fn drawn_control(rng: &mut Rng, lasts: Time, longest: Time) -> FaultKind {
+    let flag = rng.one(0.5);
+    match rng.below(16) {
+        0 | 1 => FaultKind::AckLost { share: 0.7, lasts },
+        2 | 3 => FaultKind::ConfigRaceOf { count: 2 + rng.below(7) },
+        4 => FaultKind::SentAgain,
+        5 => FaultKind::SameRevision,
+        6 | 7 => FaultKind::AfterAckKill { power: flag, lasts: lasts / 3 },
+        8 => FaultKind::CoreSplit { lasts },
+        9 => FaultKind::NodeCut { lasts },
+        10 => FaultKind::CoreCut { count: 1, from: CutScope::All, lasts: longest.min(20 * SECOND) },
+        11 => FaultKind::RollTerm { every: 200 * MS + lasts / 4 },
+        12 => FaultKind::CoreBehind { lasts: lasts / 2 },
+        13 => FaultKind::HangUp { share: 0.3 },
         14 => {
-            let by_ms = if flag { 2_000 } else { -2_000 } * (1 + chance.below(10) as i64);
-            What::ClockStep { share: 0.3, by_ms, lasts }
+            let by_ms = if flag { 2_000 } else { -2_000 } * (1 + rng.below(10) as i64);
+            FaultKind::ClockStep { share: 0.3, by_ms, lasts }
         }
-        _ => What::NodeTerm { core: true },
+        _ => FaultKind::NodeTerm { core: true },
     }
 }
--- a/simulator/src/processes/agent.rs
+++ b/simulator/src/processes/agent.rs
@@ -6,8 +6,8 @@
 use millpost_agent::{AgentConfig, Effect, Input, Recorded as Round};
 
 use super::outbox::{Landed, Outbox};
-use super::{In, Out, Place, Said, letter};
-use crate::plant::Plant;
+use super::{Payload, ProcessContext, ProcessInput, ProcessOutput, letter};
+use crate::mutation::Mutation;
 use crate::{MS, Time};
 
 /// A feed that has not begun by then is given up, and one on which nothing comes for so long.
@@ -25,20 +25,20 @@
 
 /// One porter.
 pub struct AgentProcess {
-    place: Place,
+    place: ProcessContext,
     stall_address: CompactString,
     round: Round,
     open: BTreeMap<u64, Open>,
     stall: Outbox,
     next: u64,
     over: bool,
-    outs: Vec<Out>,
+    outs: Vec<ProcessOutput>,
 }
 
 impl AgentProcess {
     /// One that starts now, for the stall at this address.
-    pub fn new(now: Time, place: Place, stall_address: CompactString) -> Self {
-        let blind = place.plant == Some(Plant::Blind) && place.restarted;
+    pub fn new(now: Time, place: ProcessContext, stall_address: CompactString) -> Self {
+        let blind = place.mutation == Some(Mutation::Blind) && place.restarted;
         let seeds = if blind { Vec::new() } else { place.seed_addresses() };
         let terms = AgentConfig { name: place.name.clone(), life: place.life, seeds, grace: place.grace };
         let sink = place.records.as_ref().map(|r| r.life(&place.name, "porter", place.life));
@@ -60,7 +60,7 @@
         self.over
     }
 
-    /// When [`In::Tick`] is due.
+    /// When [`ProcessInput::Tick`] is due.
     pub fn wake(&self) -> Time {
         let posts = self.open.values().filter_map(|o| o.post.due()).chain(self.stall.due());
         let feeds = self.open.values().map(|o| o.until);
@@ -68,9 +68,9 @@
     }
 
     /// What it does with this.
-    pub fn input(&mut self, now: Time, input: In) -> Vec<Out> {
+    pub fn input(&mut self, now: Time, input: ProcessInput) -> Vec<ProcessOutput> {
         match input {
-            In::Line { feed, line } => {
+            ProcessInput::Line { feed, line } => {
                 if let Some(open) = self.open.get_mut(&feed) {
                     open.until = now + SILENCE;
                     let line = line.strip_suffix(b"\n").map_or(line.clone(), |text| line.slice_ref(text));
@@ -79,21 +79,23 @@
                     }
                 }
             }
-            In::Ended { feed } => self.ended(now, feed),
-            In::Call { call, said: Said::Mail { from, life, notes } } => {
+            ProcessInput::Ended { feed } => self.ended(now, feed),
+            ProcessInput::Call { call, said: Payload::Mail { from, life, notes } } => {
                 let body = letter(&from, life, &notes);
                 self.give(now, Input::ProxyMessages(body), Some(call));
             }
-            In::Call { call, .. } => self.outs.push(Out::Reply { call, said: Said::Refused(404) }),
-            In::Answer { id, said } => self.landed(now, id, matches!(said, Some(Said::Taken))),
-            In::Seeds(seeds) => self.place.seeds = seeds,
-            In::Leave => self.give(now, Input::Shutdown, None),
+            ProcessInput::Call { call, .. } => {
+                self.outs.push(ProcessOutput::Reply { call, said: Payload::Refused(404) })
+            }
+            ProcessInput::Answer { id, said } => self.landed(now, id, matches!(said, Some(Payload::Taken))),
+            ProcessInput::Seeds(seeds) => self.place.seeds = seeds,
+            ProcessInput::Leave => self.give(now, Input::Shutdown, None),
             _ => {}
         }
         let silent: Vec<_> =
             self.open.iter().filter(|(_, o)| now >= o.until).map(|(feed, _)| *feed).collect();
         for feed in silent {
-            self.outs.push(Out::Close { feed });
+            self.outs.push(ProcessOutput::Close { feed });
             self.ended(now, feed);
         }
         if now >= self.round.due() {
@@ -130,13 +132,13 @@
                 Effect::Open { feed, address, path, messages: notes } => {
                     let to = CompactString::from(address.to_string());
                     let (from, whole) = (self.place.name.clone(), !path.ends_with("whole=0"));
-                    let said = Said::Follow { from, life: self.place.life, notes, whole };
-                    self.outs.push(Out::Follow { feed, to: to.clone(), said });
+                    let said = Payload::Follow { from, life: self.place.life, notes, whole };
+                    self.outs.push(ProcessOutput::Follow { feed, to: to.clone(), said });
                     self.open.insert(feed, Open { to, post: Outbox::new(1), until: now + BEGINS });
                 }
                 Effect::Close { feed } => {
                     if self.open.remove(&feed).is_some() {
-                        self.outs.push(Out::Close { feed });
+                        self.outs.push(ProcessOutput::Close { feed });
                     }
                 }
                 Effect::SendToControl { feed, message: note, .. } => {
@@ -146,8 +148,8 @@
                 }
                 Effect::SendToProxy(note) => full |= !self.stall.push(note),
                 Effect::AnswerProxy { read } => {
-                    let said = if read { Said::Taken } else { Said::Refused(400) };
-                    self.outs.extend(call.map(|call| Out::Reply { call, said }));
+                    let said = if read { Payload::Taken } else { Payload::Refused(400) };
+                    self.outs.extend(call.map(|call| ProcessOutput::Reply { call, said }));
                 }
                 Effect::ReadSettings => settings = true,
                 Effect::Log(level, text) => log::log!(level, "{}: {text}", self.place.name),
@@ -158,24 +160,24 @@
             self.give(now, Input::ProxyQueueFull, None);
         }
         // A blind one never hears of seeds.
-        if settings && !(self.place.plant == Some(Plant::Blind) && self.place.restarted) {
+        if settings && !(self.place.mutation == Some(Mutation::Blind) && self.place.restarted) {
             self.give(now, Input::Seeds(self.place.seed_addresses()), None);
         }
     }
 
     fn post(&mut self, now: Time) {
         let (from, life) = (self.place.name.clone(), self.place.life);
-        let mail = |notes| Said::Mail { from: from.clone(), life, notes };
+        let mail = |notes| Payload::Mail { from: from.clone(), life, notes };
         while let Some(notes) = self.stall.take(now, self.next + 1) {
             self.next += 1;
             let to = self.stall_address.clone();
-            self.outs.push(Out::Call { id: self.next, to, said: mail(notes), within: DOWN });
+            self.outs.push(ProcessOutput::Call { id: self.next, to, said: mail(notes), within: DOWN });
         }
         for open in self.open.values_mut() {
             while let Some(notes) = open.post.take(now, self.next + 1) {
                 self.next += 1;
                 let to = open.to.clone();
-                self.outs.push(Out::Call { id: self.next, to, said: mail(notes), within: UP });
+                self.outs.push(ProcessOutput::Call { id: self.next, to, said: mail(notes), within: UP });
             }
         }
     }
--- a/simulator/src/processes/controller.rs
+++ b/simulator/src/processes/controller.rs
@@ -16,8 +16,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::voter::Disk;
-use super::{In, Out, Place, Said, VoterProcess, letter};
-use crate::plant::Plant;
+use super::{Payload, ProcessContext, ProcessInput, ProcessOutput, VoterProcess, letter};
+use crate::mutation::Mutation;
 use crate::{MS, Time};
 
 const VOTE: Time = 900 * MS;
@@ -60,7 +60,7 @@
 
 /// Control on one core machine.
 pub struct ControllerProcess {
-    place: Place,
+    place: ProcessContext,
     core: Core,
     keeper: VoterProcess,
     standing: Option<(bool, Option<Members>)>,
@@ -71,7 +71,7 @@
     /// Answers of the own voter that wait for the disk.
     later: Vec<(Time, ReplyTarget, Message)>,
     next: u64,
-    outs: Vec<Out>,
+    outs: Vec<ProcessOutput>,
 }
 
 fn call(method: Method, path: &str, query: Option<&str>, body: Bytes) -> messaging::Call {
@@ -80,22 +80,22 @@
     messaging::Call { method, path: path.to_owned(), query, headers: HeaderMap::new(), body, peer }
 }
 
-fn said(reply: Reply) -> Said {
+fn said(reply: Reply) -> Payload {
     match reply.content {
-        Content::Whole(body) if reply.status == StatusCode::OK && !body.is_empty() => Said::Body(body),
-        _ if reply.status == StatusCode::OK => Said::Taken,
-        _ => Said::Refused(reply.status.as_u16()),
+        Content::Whole(body) if reply.status == StatusCode::OK && !body.is_empty() => Payload::Body(body),
+        _ if reply.status == StatusCode::OK => Payload::Taken,
+        _ => Payload::Refused(reply.status.as_u16()),
     }
 }
 
 impl ControllerProcess {
     /// One that starts now. `bootstrap`: the whole system starts on empty disks.
-    pub fn new(now: Time, place: Place, rates: Rates, disk: &mut Disk, bootstrap: bool) -> Self {
+    pub fn new(now: Time, place: ProcessContext, rates: Rates, disk: &mut Disk, bootstrap: bool) -> Self {
         let mut seeds = place.seeds.clone();
         seeds.sort();
         seeds.dedup();
         let uid = format!("{:016x}", xxh3_64(seeds.join(" ").as_bytes()));
-        let forgetful = place.plant == Some(Plant::Forgetful);
+        let forgetful = place.mutation == Some(Mutation::Forgetful);
         let first = (bootstrap || forgetful).then(|| Members::initial(&uid, seeds));
         let keeper = VoterProcess::open(now, &place, disk, first);
         let start = CoreOptions {
@@ -141,33 +141,33 @@
         self.core.can_exit(now)
     }
 
-    /// When [`In::Tick`] is due.
+    /// When [`ProcessInput::Tick`] is due.
     pub fn wake(&self, now: Time, disk: &Disk) -> Time {
         let later = self.later.iter().map(|l| l.0).min().unwrap_or(Time::MAX);
         self.core.next_wake(now).min(later).min(self.keeper.wake(disk)).max(now + MS / 10)
     }
 
     /// What it does with this.
-    pub fn input(&mut self, now: Time, input: In, disk: &mut Disk) -> Vec<Out> {
+    pub fn input(&mut self, now: Time, input: ProcessInput, disk: &mut Disk) -> Vec<ProcessOutput> {
         match input {
-            In::Call { call, said } => self.call(now, call, said),
-            In::Answer { id, said } => {
+            ProcessInput::Call { call, said } => self.call(now, call, said),
+            ProcessInput::Answer { id, said } => {
                 if let Some(called) = self.calls.remove(&id) {
                     self.answered(now, called, said);
                 }
             }
-            In::Ended { feed } => {
+            ProcessInput::Ended { feed } => {
                 if let Some(seat) = self.seats.iter().find(|(_, call)| **call == feed).map(|(seat, _)| *seat)
                 {
                     self.seats.remove(&seat);
                     self.core.handle(now, Input::FeedClosed(seat));
                 }
             }
-            In::Seeds(seeds) => {
+            ProcessInput::Seeds(seeds) => {
                 self.place.seeds.clone_from(&seeds);
                 self.core.handle(now, Input::Seeds(seeds));
             }
-            In::Leave => self.core.handle(now, Input::Shutdown),
+            ProcessInput::Leave => self.core.handle(now, Input::Shutdown),
             _ => {}
         }
         self.settle(now, disk);
@@ -190,48 +190,53 @@
         }
     }
 
-    fn call(&mut self, now: Time, id: u64, said: Said) {
+    fn call(&mut self, now: Time, id: u64, said: Payload) {
         let call = match said {
-            Said::Replace(text) => {
+            Payload::Replace(text) => {
                 let body = Bytes::copy_from_slice(text.as_bytes());
                 // Acknowledged before a majority has it: a test of the auditor.
-                if self.place.plant == Some(Plant::Hasty) && self.place.memo.read(&text).is_some() {
-                    self.outs.push(Out::Reply { call: id, said: Said::Body(Bytes::from_static(b"{}")) });
+                if self.place.mutation == Some(Mutation::Hasty)
+                    && self.place.parse_cache.read(&text).is_some()
+                {
+                    self.outs.push(ProcessOutput::Reply {
+                        call: id,
+                        said: Payload::Body(Bytes::from_static(b"{}")),
+                    });
                 }
                 call(Method::POST, "/Config.Replace", None, body)
             }
-            Said::Drain(text) => {
+            Payload::Drain(text) => {
                 call(Method::POST, "/core/drains", None, Bytes::copy_from_slice(text.as_bytes()))
             }
-            Said::Read => call(Method::GET, "/Config.Read", None, Bytes::new()),
-            Said::Vote { from, message } => {
+            Payload::Read => call(Method::GET, "/Config.Read", None, Bytes::new()),
+            Payload::Vote { from, message } => {
                 let body = object([("from", text(&from)), ("m", message.to_json())]);
                 let body = Bytes::from(body.stringify().unwrap_or_default());
                 call(Method::POST, "/core/vote", None, body)
             }
-            Said::News(body) => call(Method::POST, "/core/news", None, body),
-            Said::Chosen => call(Method::GET, "/core/chosen", None, Bytes::new()),
-            Said::Follow { from, life, notes, whole } => {
+            Payload::News(body) => call(Method::POST, "/core/news", None, body),
+            Payload::Chosen => call(Method::GET, "/core/chosen", None, Bytes::new()),
+            Payload::Follow { from, life, notes, whole } => {
                 let query = (!whole).then_some("whole=0");
                 call(Method::POST, "/follow", query, letter(&from, life, &notes))
             }
-            Said::Mail { from, life, notes } => {
+            Payload::Mail { from, life, notes } => {
                 call(Method::POST, "/mail", None, letter(&from, life, &notes))
             }
-            _ => return self.outs.push(Out::Reply { call: id, said: Said::Refused(404) }),
+            _ => return self.outs.push(ProcessOutput::Reply { call: id, said: Payload::Refused(404) }),
         };
         self.core.handle(now, Input::Call(id, call));
     }
 
-    fn answered(&mut self, now: Time, called: Called, said: Option<Said>) {
+    fn answered(&mut self, now: Time, called: Called, said: Option<Payload>) {
         match called {
             Called::Vote(from, back) => {
-                if let Some(Said::Voted(Some(message))) = said {
+                if let Some(Payload::Voted(Some(message))) = said {
                     self.voted(now, from, back, message);
                 }
             }
             Called::News(to, sent) => {
-                if let Some(Said::Body(body)) = said
+                if let Some(Payload::Body(body)) = said
                     && let Some(answered) = GossipReply::decode(sent, &body)
                 {
                     self.core.handle(now, Input::GossipReply(to, answered));
@@ -239,14 +244,14 @@
             }
             Called::Fetch(number) => {
                 let text = match said {
-                    Some(Said::Body(body)) => String::from_utf8(body.to_vec()).ok(),
+                    Some(Payload::Body(body)) => String::from_utf8(body.to_vec()).ok(),
                     _ => None,
                 };
                 self.core.handle(now, Input::FetchedConfig(number, text));
             }
             Called::PlatformCall { fence, asked, call } => {
                 let mut heard = heard(call, said);
-                if self.place.plant == Some(Plant::Deaf) {
+                if self.place.mutation == Some(Mutation::Deaf) {
                     match &mut heard {
                         PlatformReply::Listed(Some((all, _))) => {
                             all.iter_mut().for_each(|e| e.draining = false)
@@ -278,7 +283,7 @@
         for (id, answer, at) in answers {
             match (self.handed.remove(&id), answer) {
                 (Some(Handed::Other(call)), answer) => {
-                    self.outs.push(Out::ReplyAt { call, said: Said::Voted(answer), at });
+                    self.outs.push(ProcessOutput::ReplyAt { call, said: Payload::Voted(answer), at });
                 }
                 (Some(Handed::Own(back)), Some(message)) => self.later.push((at, back, message)),
                 _ => {}
@@ -294,10 +299,10 @@
         }
     }
 
-    fn call_out(&mut self, to: Address, said: Said, within: Time, called: Called) {
+    fn call_out(&mut self, to: Address, said: Payload, within: Time, called: Called) {
         self.next += 1;
         self.calls.insert(self.next, called);
-        self.outs.push(Out::Call { id: self.next, to, said, within });
+        self.outs.push(ProcessOutput::Call { id: self.next, to, said, within });
     }
 
     fn hand(&mut self, from: Address, message: Message, handed: Handed) {
@@ -317,41 +322,47 @@
                     self.hand(to, message, Handed::Own(back))
                 }
                 Effect::SendToVoter(to, message, back) => {
-                    let said = Said::Vote { from: me.clone(), message };
+                    let said = Payload::Vote { from: me.clone(), message };
                     self.call_out(to.clone(), said, VOTE, Called::Vote(to, back));
                 }
                 Effect::AskLocalVoter(call, from, message) => self.hand(from, message, Handed::Other(call)),
                 // A test of the auditor.
                 Effect::Reply(call, reply)
-                    if self.place.plant == Some(Plant::Lenient) && reply.status == StatusCode::CONFLICT =>
+                    if self.place.mutation == Some(Mutation::Lenient)
+                        && reply.status == StatusCode::CONFLICT =>
                 {
-                    self.outs.push(Out::Reply { call, said: Said::Body(Bytes::from_static(b"{}")) });
+                    self.outs
+                        .push(ProcessOutput::Reply { call, said: Payload::Body(Bytes::from_static(b"{}")) });
+                }
+                Effect::Reply(call, reply) => {
+                    self.outs.push(ProcessOutput::Reply { call, said: said(reply) })
                 }
-                Effect::Reply(call, reply) => self.outs.push(Out::Reply { call, said: said(reply) }),
                 Effect::OpenFeed(call, seat, line) => {
                     self.seats.insert(seat, call);
-                    self.outs.push(Out::Line { feed: call, line });
+                    self.outs.push(ProcessOutput::Line { feed: call, line });
                 }
                 Effect::FeedLine(seat, line) => {
-                    self.outs.extend(self.seats.get(&seat).map(|feed| Out::Line { feed: *feed, line }));
+                    self.outs
+                        .extend(self.seats.get(&seat).map(|feed| ProcessOutput::Line { feed: *feed, line }));
                 }
                 Effect::CloseFeed(seat) => {
-                    self.outs.extend(self.seats.remove(&seat).map(|feed| Out::Close { feed }));
+                    self.outs.extend(self.seats.remove(&seat).map(|feed| ProcessOutput::Close { feed }));
                 }
                 Effect::Heartbeat => {
-                    let beat = |feed: &u64| Out::Line { feed: *feed, line: Bytes::from_static(b"\n") };
+                    let beat =
+                        |feed: &u64| ProcessOutput::Line { feed: *feed, line: Bytes::from_static(b"\n") };
                     self.outs.extend(self.seats.values().map(beat));
                 }
                 Effect::Gossip(to, body) => {
                     let called = Called::News(to.clone(), now);
-                    self.call_out(to, Said::News(body), VOTE, called);
+                    self.call_out(to, Payload::News(body), VOTE, called);
                 }
                 Effect::ReadLocalConfig(number) => {
                     let here = self.keeper.peek();
                     self.core.handle(now, Input::LocalConfig(number, here));
                 }
                 Effect::FetchConfig(number, from) => {
-                    self.call_out(from, Said::Chosen, VOTE, Called::Fetch(number));
+                    self.call_out(from, Payload::Chosen, VOTE, Called::Fetch(number));
                 }
                 Effect::PlatformCall(errand) => self.errand(now, errand),
             }
@@ -368,36 +379,36 @@
         let (said, within) = match &call {
             Call::List { token } => {
                 let from = token.as_ref().and_then(|t| t.parse().ok()).unwrap_or(0);
-                (Said::List { from }, LISTS)
+                (Payload::List { from }, LISTS)
             }
-            Call::Workers => (Said::Workers, LISTS),
+            Call::Workers => (Payload::Workers, LISTS),
             Call::Start { service, worker, nonce } => {
                 let (service, worker, nonce) = (service.clone(), worker.clone(), nonce.clone());
-                (Said::Start { service, worker, nonce }, STARTS)
+                (Payload::Start { service, worker, nonce }, STARTS)
             }
-            Call::Stop { id } => (Said::Stop { id: id.clone() }, STARTS),
+            Call::Stop { id } => (Payload::Stop { id: id.clone() }, STARTS),
         };
         self.call_out(PLATFORM.into(), said, within, Called::PlatformCall { fence, asked, call });
     }
 }
 
 /// What the platform answered to a call.
-fn heard(call: Call, said: Option<Said>) -> PlatformReply {
+fn heard(call: Call, said: Option<Payload>) -> PlatformReply {
     match (call, said) {
-        (Call::List { .. }, Some(Said::Listed { entries, next })) => {
+        (Call::List { .. }, Some(Payload::Listed { entries, next })) => {
             PlatformReply::Listed(Some((entries, next.map(|n| CompactString::from(n.to_string())))))
         }
-        (Call::Workers, Some(Said::Staff(all))) => PlatformReply::Workers(Some(all)),
+        (Call::Workers, Some(Payload::Staff(all))) => PlatformReply::Workers(Some(all)),
         (Call::Start { nonce, .. }, said) => {
             let answer = match said {
-                Some(Said::Started(answer)) => answer,
+                Some(Payload::Started(answer)) => answer,
                 _ => Err(StartFault::Unclear),
             };
             PlatformReply::Started { nonce, answer }
         }
         (Call::Stop { id }, said) => {
             let answer = match said {
-                Some(Said::Stopped(answer)) => answer,
+                Some(Payload::Stopped(answer)) => answer,
                 _ => Err(StopFault::Unclear),
             };
             PlatformReply::Stopped { id, answer }
--- a/simulator/src/processes/mod.rs
+++ b/simulator/src/processes/mod.rs
@@ -1,7 +1,7 @@
 //! What stands between the state machines and the outside in each daemon, on the played network: one room for each program. It
 //! carries out; what decides is the daemons' own.
 //!
-//! Invariant: a process takes a [`In`] at a time of its own clock and says what is to be done as [`Out`]; no I/O, no clock.
+//! Invariant: a process takes a [`ProcessInput`] at a time of its own clock and says what is to be done as [`ProcessOutput`]; no I/O, no clock.
 
 mod agent;
 mod controller;
@@ -29,13 +29,13 @@
 use tinyjson::JsonValue;
 
 use crate::Time;
-use crate::plant::Plant;
-use crate::record::Records;
+use crate::mutation::Mutation;
+use crate::record::Recordings;
 
 /// What one process says to another, or to the platform, and what is answered.
 #[allow(missing_docs, reason = "the fields are what the variants say")]
 #[derive(Clone, Debug)]
-pub enum Said {
+pub enum Payload {
     /// `POST /mail`, and an answer with notes.
     Mail { from: CompactString, life: u64, notes: Vec<PeerMessage> },
     /// Taken, with nothing to say.
@@ -107,13 +107,13 @@
 /// What comes in.
 #[allow(missing_docs, reason = "the fields are what the variants say")]
 #[derive(Debug)]
-pub enum In {
+pub enum ProcessInput {
     /// It is the time that was asked for.
     Tick,
-    /// Somebody calls; answered by [`Out::Reply`].
-    Call { call: u64, said: Said },
+    /// Somebody calls; answered by [`ProcessOutput::Reply`].
+    Call { call: u64, said: Payload },
     /// What came of one's own call; nothing where it failed.
-    Answer { id: u64, said: Option<Said> },
+    Answer { id: u64, said: Option<Payload> },
     /// A line of a feed that is followed.
     Line { feed: u64, line: Bytes },
     /// A feed has ended, on whichever side.
@@ -135,15 +135,15 @@
 /// What is to be done.
 #[allow(missing_docs, reason = "the fields are what the variants say")]
 #[derive(Debug)]
-pub enum Out {
+pub enum ProcessOutput {
     /// Call another process.
-    Call { id: u64, to: CompactString, said: Said, within: Time },
+    Call { id: u64, to: CompactString, said: Payload, within: Time },
     /// Answer a call.
-    Reply { call: u64, said: Said },
+    Reply { call: u64, said: Payload },
     /// Answer a call, but not before then: it rests on a write.
-    ReplyAt { call: u64, said: Said, at: Time },
+    ReplyAt { call: u64, said: Payload, at: Time },
     /// Open a feed.
-    Follow { feed: u64, to: CompactString, said: Said },
+    Follow { feed: u64, to: CompactString, said: Payload },
     /// Down a feed that was asked for.
     Line { feed: u64, line: Bytes },
     /// Close a feed, from either side.
@@ -160,7 +160,7 @@
 
 /// What a process is told of itself at its start.
 #[derive(Clone)]
-pub struct Place {
+pub struct ProcessContext {
     /// The machine's name.
     pub name: CompactString,
     /// Its zone.
@@ -176,14 +176,14 @@
     /// Its machine was up before.
     pub restarted: bool,
     /// The guard that is taken out, for a test.
-    pub plant: Option<Plant>,
+    pub mutation: Option<Mutation>,
     /// Configurations that were read already.
-    pub memo: Rc<ParseCache>,
+    pub parse_cache: Rc<ParseCache>,
     /// Where what decides is recorded, if it is.
-    pub records: Option<Records>,
+    pub records: Option<Recordings>,
 }
 
-impl Place {
+impl ProcessContext {
     /// The seeds as addresses.
     pub fn seed_addresses(&self) -> Vec<SocketAddr> {
         self.seeds.iter().filter_map(|seed| seed.parse().ok()).collect()
--- a/simulator/src/processes/proxy.rs
+++ b/simulator/src/processes/proxy.rs
@@ -17,8 +17,8 @@
 
 use super::outbox::{Landed, Outbox};
 use super::parse_cache::Known;
-use super::{Exchanged, In, Out, Place, Request, Said};
-use crate::plant::Plant;
+use super::{Exchanged, Payload, ProcessContext, ProcessInput, ProcessOutput, Request};
+use crate::mutation::Mutation;
 use crate::{MS, SECOND, Time};
 
 const TICK: Time = 25 * MS;
@@ -97,7 +97,7 @@
 
 /// One stall.
 pub struct ProxyProcess {
-    place: Place,
+    place: ProcessContext,
     porter: CompactString,
     desk: Coordinator,
     force: Option<Force>,
@@ -131,15 +131,15 @@
     incarnations: HashMap<CompactString, Incarnation>,
     /// Where a function was found first: kept only where a guard is out.
     stale: HashMap<CompactString, SocketAddr>,
-    outs: Vec<Out>,
+    outs: Vec<ProcessOutput>,
 }
 
 impl ProxyProcess {
     /// One that starts now; `porter` takes its words.
-    pub fn new(place: Place, porter: CompactString, mut terms: SchedulerLimits) -> Self {
+    pub fn new(place: ProcessContext, porter: CompactString, mut terms: SchedulerLimits) -> Self {
         let me = Peer { name: place.name.clone(), address: place.address.clone(), zone: place.zone.clone() };
         let seed = place.life ^ xxh3_64(place.name.as_bytes());
-        if place.plant == Some(Plant::Unbudgeted) {
+        if place.mutation == Some(Mutation::Unbudgeted) {
             (terms.retry_ratio, terms.retry_slack) = (1e6, 1e6);
         }
         let sink = place.records.as_ref().map(|r| r.life(&place.name, "stall", place.life));
@@ -191,7 +191,7 @@
 
     /// Its process ends.
     pub fn over(&self, now: Time) -> bool {
-        let hurried = self.place.plant == Some(Plant::Hurried) && self.leaving.is_some();
+        let hurried = self.place.mutation == Some(Mutation::Hurried) && self.leaving.is_some();
         hurried || self.phase(now) == ShutdownPhase::Finished
     }
 
@@ -201,27 +201,29 @@
     }
 
     /// What it does with this.
-    pub fn input(&mut self, now: Time, input: In) -> Vec<Out> {
+    pub fn input(&mut self, now: Time, input: ProcessInput) -> Vec<ProcessOutput> {
         match input {
-            In::Tick => {}
-            In::Call { call, said: Said::Mail { from, life, notes } } => {
+            ProcessInput::Tick => {}
+            ProcessInput::Call { call, said: Payload::Mail { from, life, notes } } => {
                 let said = self.mail(now, &from, life, notes);
-                self.outs.push(Out::Reply { call, said });
+                self.outs.push(ProcessOutput::Reply { call, said });
             }
-            In::Call { call, .. } => self.outs.push(Out::Reply { call, said: Said::Refused(404) }),
-            In::Answer { id, said } => self.landed(now, id, said),
-            In::Request { client, request } => self.request(now, client, request),
-            In::Gone { client } => self.gone(now, client),
-            In::Exchanged { id, done } => self.exchanged(now, id, done),
-            In::Scouted { id, up } => self.scouted(now, &id, up),
-            In::Leave => {
+            ProcessInput::Call { call, .. } => {
+                self.outs.push(ProcessOutput::Reply { call, said: Payload::Refused(404) })
+            }
+            ProcessInput::Answer { id, said } => self.landed(now, id, said),
+            ProcessInput::Request { client, request } => self.request(now, client, request),
+            ProcessInput::Gone { client } => self.gone(now, client),
+            ProcessInput::Exchanged { id, done } => self.exchanged(now, id, done),
+            ProcessInput::Scouted { id, up } => self.scouted(now, &id, up),
+            ProcessInput::Leave => {
                 if self.leaving.is_none() {
                     self.leaving = Some(now);
                     self.ends_at =
                         ShutdownPhase::schedule(self.place.grace).map(|(_, after)| now + after).to_vec();
                 }
             }
-            In::Line { .. } | In::Ended { .. } | In::Seeds(_) => {}
+            ProcessInput::Line { .. } | ProcessInput::Ended { .. } | ProcessInput::Seeds(_) => {}
         }
         self.due(now);
         self.carry_out(now);
@@ -229,7 +231,7 @@
         std::mem::take(&mut self.outs)
     }
 
-    /// When [`In::Tick`] is due.
+    /// When [`ProcessInput::Tick`] is due.
     pub fn wake(&self) -> Time {
         let posts = self.ready.iter().filter_map(|to| self.posts.get(to)?.due()).min();
         let scouts = self.scouting.values().filter_map(|s| s.next).min();
@@ -292,7 +294,7 @@
                 continue;
             }
             scouting.next = None;
-            self.outs.push(Out::Scout { id, address: scouting.address });
+            self.outs.push(ProcessOutput::Scout { id, address: scouting.address });
         }
     }
 
@@ -321,8 +323,8 @@
                 let life = incarnation_for(&mut self.incarnations, self.place.life, &to).get();
                 self.next += 1;
                 self.flights.insert(self.next, to.clone());
-                let said = Said::Mail { from: self.place.name.clone(), life, notes };
-                self.outs.push(Out::Call { id: self.next, to: to.clone(), said, within: MAIL });
+                let said = Payload::Mail { from: self.place.name.clone(), life, notes };
+                self.outs.push(ProcessOutput::Call { id: self.next, to: to.clone(), said, within: MAIL });
             }
             if post.is_empty() {
                 self.ready.remove(&to);
@@ -330,10 +332,10 @@
         }
     }
 
-    fn landed(&mut self, now: Time, id: u64, said: Option<Said>) {
+    fn landed(&mut self, now: Time, id: u64, said: Option<Payload>) {
         let Some(to) = self.flights.remove(&id) else { return };
         let Some(post) = self.posts.get_mut(&to) else { return };
-        let taken = matches!(said, Some(Said::Taken | Said::Mail { .. }));
+        let taken = matches!(said, Some(Payload::Taken | Payload::Mail { .. }));
         match post.landed(now, id, taken) {
             Landed::Lost(_) if to == self.porter => {
                 self.hurry = Some(now + HURRY);
@@ -342,15 +344,15 @@
             Landed::Lost(notes) => self.desk.undelivered(now, &to, notes),
             Landed::Up | Landed::Well => {}
         }
-        if let Some(Said::Mail { from, life, notes }) = said {
+        if let Some(Payload::Mail { from, life, notes }) = said {
             self.told(now, &from, life, notes);
         }
     }
 
-    fn mail(&mut self, now: Time, from: &str, life: u64, notes: Vec<PeerMessage>) -> Said {
+    fn mail(&mut self, now: Time, from: &str, life: u64, notes: Vec<PeerMessage>) -> Payload {
         let mut between = Vec::new();
         for mut note in notes {
-            if matches!(self.place.plant, Some(Plant::Forsaken | Plant::Mute)) {
+            if matches!(self.place.mutation, Some(Mutation::Forsaken | Mutation::Mute)) {
                 match &mut note {
                     PeerMessage::FullView { leaving, .. } => leaving.clear(),
                     PeerMessage::ViewChange(shift) => shift.leaving.clear(),
@@ -359,25 +361,25 @@
             }
             match note {
                 PeerMessage::PackedConfig { revision, packed } if revision > self.acts() => {
-                    if let Some(known) = self.place.memo.read(&packed) {
+                    if let Some(known) = self.place.parse_cache.read(&packed) {
                         self.put_in_force(now, known);
                     }
                 }
                 PeerMessage::Config { revision, body } if revision > self.acts() => {
-                    let known = body.stringify().ok().and_then(|text| self.place.memo.read(&text));
+                    let known = body.stringify().ok().and_then(|text| self.place.parse_cache.read(&text));
                     if let Some(known) = known {
                         self.put_in_force(now, known);
                     }
                 }
                 PeerMessage::Patch { revision, change } if revision > self.acts() => {
                     let old = self.force.as_ref().map(|f| Rc::clone(&f.known));
-                    if let Some(known) = old.and_then(|old| self.place.memo.change(&old, &change)) {
+                    if let Some(known) = old.and_then(|old| self.place.parse_cache.change(&old, &change)) {
                         self.put_in_force(now, known);
                     }
                 }
                 PeerMessage::PackedPatch { revision, packed } if revision > self.acts() => {
                     let old = self.force.as_ref().map(|f| Rc::clone(&f.known));
-                    let known = old.and_then(|old| self.place.memo.folded(&old, &packed));
+                    let known = old.and_then(|old| self.place.parse_cache.folded(&old, &packed));
                     if let Some(known) = known {
                         self.put_in_force(now, known);
                     }
@@ -396,7 +398,7 @@
             }
         }
         if between.is_empty() {
-            return Said::Taken;
+            return Payload::Taken;
         }
         let address = self.desk.address_of(from).cloned();
         self.told(now, from, life, between);
@@ -405,9 +407,9 @@
         match self.replying.take() {
             Some((address, notes)) if !notes.is_empty() => {
                 let life = incarnation_for(&mut self.incarnations, self.place.life, &address).get();
-                Said::Mail { from: self.place.name.clone(), life, notes }
+                Payload::Mail { from: self.place.name.clone(), life, notes }
             }
-            _ => Said::Taken,
+            _ => Payload::Taken,
         }
     }
 
@@ -424,12 +426,15 @@
 
     fn put_in_force(&mut self, now: Time, known: Rc<Known>) {
         // The last stall of a site never hears of a change: a test of the auditor.
-        if self.place.plant == Some(Plant::Stale) && self.place.name.ends_with("-0") && self.force.is_some() {
+        if self.place.mutation == Some(Mutation::Stale)
+            && self.place.name.ends_with("-0")
+            && self.force.is_some()
+        {
             return;
         }
         let same = |f: &Force| f.known.config.services == known.config.services;
         let unchanged = self.force.as_ref().is_some_and(same);
-        let more = if self.place.plant == Some(Plant::Crowded) { 3 } else { 0 };
+        let more = if self.place.mutation == Some(Mutation::Crowded) { 3 } else { 0 };
         let specs = known.config.services.iter().map(|s| FunctionSpec {
             name: s.name.clone(),
             concurrency: s.concurrency.max(1) + more,
@@ -439,7 +444,7 @@
         if !unchanged {
             self.desk.configure(now, specs);
         }
-        let table = self.place.memo.table(&known);
+        let table = self.place.parse_cache.table(&known);
         self.desk.trace(now, &TraceEvent::ConfigInForce { revision: known.config.revision });
         self.patience.retain(|name| table.routes().iter().any(|r| r.name == *name));
         self.margins.retain(|name| known.config.services.iter().any(|s| s.name == *name));
@@ -458,7 +463,7 @@
 
     fn answer(&mut self, client: u64, status: u16, again: Option<Time>, seal: Option<u64>) {
         self.asked.remove(&client);
-        self.outs.push(Out::Answer { client, status, again, seal });
+        self.outs.push(ProcessOutput::Answer { client, status, again, seal });
     }
 
     fn request(&mut self, now: Time, client: u64, request: Request) {
@@ -468,7 +473,7 @@
         let Some(route) = force.table.find(&request.host, &request.path).cloned() else {
             return self.turn(now, client, &request, (404, None));
         };
-        if self.place.plant == Some(Plant::Surly) && request.attempt.is_multiple_of(50) {
+        if self.place.mutation == Some(Mutation::Surly) && request.attempt.is_multiple_of(50) {
             return self.turn(now, client, &request, (403, None));
         }
         let returned = self.patience.is_returning(&route.name, request.left as f64 / MS as f64);
@@ -476,10 +481,11 @@
         let Some(service) = route.pick(xxh3_64(&request.attempt.to_le_bytes())).cloned() else {
             return self.turn(now, client, &request, (404, None));
         };
-        let repeatable = route.traffic == Traffic::Idempotent || self.place.plant == Some(Plant::Repeated);
-        let most = match self.place.plant {
-            Some(Plant::Unbudgeted) => 20,
-            Some(Plant::Repeated) => route.max_tries + 1,
+        let repeatable =
+            route.traffic == Traffic::Idempotent || self.place.mutation == Some(Mutation::Repeated);
+        let most = match self.place.mutation {
+            Some(Mutation::Unbudgeted) => 20,
+            Some(Mutation::Repeated) => route.max_tries + 1,
             _ => route.max_tries,
         };
         let wish = RequestInfo {
@@ -546,7 +552,7 @@
     }
 
     fn refuse(&mut self, client: u64, refusal: Refusal) {
-        let promised = self.place.plant == Some(Plant::Promised);
+        let promised = self.place.mutation == Some(Mutation::Promised);
         let (status, again) = match refusal {
             Refusal::TimedOut | Refusal::NoAnswer if promised => Refusal::NotSent.answer(),
             refusal => refusal.answer(),
@@ -558,7 +564,7 @@
     fn end(&mut self, now: Time) {
         self.ends_at.retain(|at| *at > now);
         let phase = self.phase(now);
-        if phase < ShutdownPhase::Refusing || self.place.plant == Some(Plant::Mute) {
+        if phase < ShutdownPhase::Refusing || self.place.mutation == Some(Mutation::Mute) {
             return;
         }
         let runs = |waits: Waits| matches!(waits, Waits::Exchange { .. });
@@ -589,7 +595,7 @@
         let Some(asked) = self.asked.get_mut(&client) else { return };
         let Waits::Exchange { ask, exchange, since, .. } = asked.waits else { return };
         self.exchanges.remove(&exchange);
-        self.outs.push(Out::Abort { id: exchange });
+        self.outs.push(ProcessOutput::Abort { id: exchange });
         self.margins.timed_out(&asked.service, now - since);
         self.desk.finish(now, ask, Outcome::TimedOut, now - since);
         asked.over(&mut self.desk, now, since, Outcome::TimedOut, true, None);
@@ -609,7 +615,7 @@
             }
             Waits::Exchange { ask, exchange, since, .. } => {
                 self.exchanges.remove(&exchange);
-                self.outs.push(Out::Abort { id: exchange });
+                self.outs.push(ProcessOutput::Abort { id: exchange });
                 self.desk.finish(now, ask, Outcome::Abandoned, now - since);
                 asked.over(&mut self.desk, now, since, Outcome::Abandoned, true, None);
                 asked.passage.attempt_ended(now, asked.instance.clone(), Outcome::Abandoned, true, None)
@@ -631,7 +637,7 @@
             }
             Waits::Exchange { ask, exchange, since, .. } => {
                 self.exchanges.remove(&exchange);
-                self.outs.push(Out::Abort { id: exchange });
+                self.outs.push(ProcessOutput::Abort { id: exchange });
                 self.desk.finish(now, ask, Outcome::Abandoned, now - since);
             }
             Waits::Pause(_) => {}
@@ -659,16 +665,16 @@
                 self.exchanges.insert(id, client);
                 let mut request =
                     Request { left: asked.deadline.saturating_sub(now), ..asked.request.clone() };
-                if self.place.plant == Some(Plant::Renamed) {
+                if self.place.mutation == Some(Mutation::Renamed) {
                     request.attempt += 1 << 40;
                 }
-                let address = match self.place.plant {
-                    Some(Plant::Unexpected) => *self.stale.entry(asked.service.clone()).or_insert(address),
+                let address = match self.place.mutation {
+                    Some(Mutation::Unexpected) => *self.stale.entry(asked.service.clone()).or_insert(address),
                     _ => address,
                 };
-                let expect = (self.place.plant != Some(Plant::Unexpected)).then_some(instance);
+                let expect = (self.place.mutation != Some(Mutation::Unexpected)).then_some(instance);
                 let deadline = asked.deadline;
-                self.outs.push(Out::Exchange { id, address, expect, request, deadline });
+                self.outs.push(ProcessOutput::Exchange { id, address, expect, request, deadline });
             }
             // The desk has forgotten an ask that it refused.
             Err(no) => {
@@ -691,7 +697,7 @@
         if done.refused {
             self.desk.connection_refused(now, &instance);
         }
-        let garbled = done.outcome == Outcome::NoAnswer && self.place.plant == Some(Plant::Unsealed);
+        let garbled = done.outcome == Outcome::NoAnswer && self.place.mutation == Some(Mutation::Unsealed);
         if let Some((status, seal)) = done.answer.filter(|_| garbled) {
             return self.answer(client, status, None, Some(seal));
         }
--- a/simulator/src/processes/voter.rs
+++ b/simulator/src/processes/voter.rs
@@ -5,9 +5,9 @@
 use compact_str::CompactString;
 use millpost_quorum::{Key, Members, Message, State, Value, Voter, Write};
 
-use super::Place;
-use crate::chance::Chance;
-use crate::plant::Plant;
+use super::ProcessContext;
+use crate::mutation::Mutation;
+use crate::rng::Rng;
 use crate::{MS, Time};
 
 /// Messages that may wait for the disk.
@@ -63,11 +63,11 @@
     }
 
     /// The machine loses power: of what was not synced some is there, at times nothing.
-    pub fn cut(&mut self, now: Time, chance: &mut Chance) {
+    pub fn cut(&mut self, now: Time, rng: &mut Rng) {
         self.settle(now);
-        let none = chance.one(0.3);
+        let none = rng.one(0.3);
         for (_, write) in std::mem::take(&mut self.loose) {
-            if !none && chance.one(0.5) {
+            if !none && rng.one(0.5) {
                 self.lasting.insert(write.key, write.text);
             }
         }
@@ -106,16 +106,16 @@
 
 impl VoterProcess {
     /// Opens what is on the disk. `first`: the whole system starts on empty disks.
-    pub fn open(now: Time, place: &Place, disk: &mut Disk, first: Option<Members>) -> Self {
+    pub fn open(now: Time, place: &ProcessContext, disk: &mut Disk, first: Option<Members>) -> Self {
         let mut voter = Self::read(now, place, disk);
         if let Some(first) = first {
             let put = |batch: &[Write]| disk.put(now, batch, true).map(drop);
             let _ = voter.bootstrap(first).commit(put);
         }
-        VoterProcess { voter, waiting: VecDeque::new(), careless: place.plant == Some(Plant::Unsynced) }
+        VoterProcess { voter, waiting: VecDeque::new(), careless: place.mutation == Some(Mutation::Unsynced) }
     }
 
-    fn read(now: Time, place: &Place, disk: &mut Disk) -> Voter {
+    fn read(now: Time, place: &ProcessContext, disk: &mut Disk) -> Voter {
         let (me, seeds) = (place.address.clone(), place.seeds.clone());
         let open = |records: BTreeMap<String, String>| {
             Voter::open(me.clone(), records, seeds.clone(), place.life, now)
@@ -148,7 +148,7 @@
     pub fn work(
         &mut self,
         now: Time,
-        place: &Place,
+        place: &ProcessContext,
         disk: &mut Disk,
     ) -> (Vec<Answer>, Vec<(CompactString, Message)>) {
         let mut answers = Vec::new();
--- a/simulator/src/record.rs
+++ b/simulator/src/record.rs
@@ -21,16 +21,16 @@
 
 /// Where the lines of all go.
 #[derive(Clone)]
-pub struct Records {
+pub struct Recordings {
     open: Rc<Open>,
     outs: Rc<RefCell<BTreeMap<String, Out>>>,
     failed: Rc<RefCell<Option<std::io::Error>>>,
 }
 
 /// Lines in memory, by process.
-pub type Kept = Rc<RefCell<BTreeMap<String, Vec<u8>>>>;
+pub type InMemory = Rc<RefCell<BTreeMap<String, Vec<u8>>>>;
 
-struct Keep(Kept, String);
+struct Keep(InMemory, String);
 
 impl Write for Keep {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
@@ -42,27 +42,27 @@
     }
 }
 
-impl Records {
+impl Recordings {
     fn to(open: Open) -> Self {
-        Records { open: Rc::new(open), outs: Rc::default(), failed: Rc::default() }
+        Recordings { open: Rc::new(open), outs: Rc::default(), failed: Rc::default() }
     }
 
     /// Files in this folder: `edge-0-0.stall.jsonl` and so on. What stood in them is gone.
     pub fn folder(path: &Path) -> std::io::Result<Self> {
         std::fs::create_dir_all(path)?;
         let folder = PathBuf::from(path);
-        Ok(Records::to(Box::new(move |of| {
+        Ok(Recordings::to(Box::new(move |of| {
             let file = std::fs::File::create(folder.join(format!("{}.jsonl", of.replace('/', "."))))?;
             Ok(Box::new(std::io::BufWriter::with_capacity(1 << 18, file)) as Box<dyn Write>)
         })))
     }
 
     /// Lines that stay here.
-    pub fn kept() -> (Self, Kept) {
-        let kept = Kept::default();
+    pub fn in_memory() -> (Self, InMemory) {
+        let kept = InMemory::default();
         let of = Rc::clone(&kept);
         let open = move |name: &str| Ok(Box::new(Keep(Rc::clone(&of), name.to_owned())) as Box<dyn Write>);
-        (Records::to(Box::new(open)), kept)
+        (Recordings::to(Box::new(open)), kept)
     }
 
     fn out(&self, of: &str) -> std::io::Result<Out> {
--- a/simulator/src/chance.rs
+++ b/simulator/src/rng.rs
@@ -5,12 +5,12 @@
 use crate::{MS, Time};
 
 /// A stream of chance.
-pub struct Chance(RandomSource);
+pub struct Rng(RandomSource);
 
-impl Chance {
+impl Rng {
     /// The stream of this seed.
     pub fn new(seed: u64) -> Self {
-        Chance(RandomSource::seeded(seed))
+        Rng(RandomSource::seeded(seed))
     }
 
     /// From 0 on and under 1.
--- a/simulator/src/hunt.rs
+++ b/simulator/src/search.rs
@@ -1,13 +1,13 @@
 //! Many days in a row, and one day made smaller while its rule still breaks.
 
 use crate::day::{Report, play};
-use crate::plan::{Days, Plan};
-use crate::plant::Plant;
+use crate::mutation::Mutation;
+use crate::plan::{Plan, PlanKind};
 use crate::site::Size;
 use crate::speeds::Speeds;
 
 /// Days that were played, and those that broke a rule.
-pub struct Hunted {
+pub struct SearchSummary {
     /// Days that were played to the end, the broken one counted in.
     pub days: u64,
     /// Events of all.
@@ -19,7 +19,7 @@
 }
 
 /// Which days are played.
-pub struct Search {
+pub struct SearchOptions {
     /// How many at most.
     pub days: u64,
     /// The seed of the first.
@@ -27,7 +27,7 @@
     /// The size of the site.
     pub size: Size,
     /// A guard that is taken out.
-    pub plant: Option<Plant>,
+    pub mutation: Option<Mutation>,
     /// LIMIT is judged while the core is not settled, too.
     pub strict: bool,
     /// Asks take of their owner's processor.
@@ -35,25 +35,25 @@
     /// How fast workers are.
     pub speeds: Speeds,
     /// How days are drawn.
-    pub kind: Days,
+    pub kind: PlanKind,
 }
 
 /// Plays days, each to its first broken rule; `told` of each as it ends, says whether the search goes on.
-pub fn hunt(of: &Search, mut told: impl FnMut(&Report) -> bool) -> Hunted {
-    let mut hunted = Hunted { days: 0, events: 0, requests: 0, broken: 0 };
+pub fn search(of: &SearchOptions, mut told: impl FnMut(&Report) -> bool) -> SearchSummary {
+    let mut summary = SearchSummary { days: 0, events: 0, requests: 0, broken: 0 };
     for day in 0..of.days {
-        let drawn = of.kind.draw(of.seed.wrapping_add(day), of.size, of.plant);
+        let drawn = of.kind.draw(of.seed.wrapping_add(day), of.size, of.mutation);
         let plan = Plan { strict: of.strict, strained: of.strained, speeds: of.speeds, ..drawn };
         let report = play(&plan, true, false);
-        hunted.days += 1;
-        hunted.events += report.events;
-        hunted.requests += report.requests;
-        hunted.broken += u64::from(!report.breaches.is_empty());
+        summary.days += 1;
+        summary.events += report.events;
+        summary.requests += report.requests;
+        summary.broken += u64::from(!report.breaches.is_empty());
         if !told(&report) {
             break;
         }
     }
-    hunted
+    summary
 }
 
 /// Leaves troubles out one by one, and the end of the day, as long as the same rule breaks. None where no rule breaks.
@@ -70,18 +70,18 @@
         }
         same
     };
-    if plan.closing.is_some() {
-        let smaller = Plan { closing: None, ..plan.clone() };
+    if plan.final_fault.is_some() {
+        let smaller = Plan { final_fault: None, ..plan.clone() };
         try_one(smaller, &mut plan, "its end");
     }
     let mut at = 0;
-    while at < plan.troubles.len() {
+    while at < plan.faults.len() {
         let mut smaller = plan.clone();
-        let left_out = smaller.troubles.remove(at);
+        let left_out = smaller.faults.remove(at);
         if !try_one(
             smaller,
             &mut plan,
-            &format!("{} at {} ms", left_out.what.name(), left_out.at / crate::MS),
+            &format!("{} at {} ms", left_out.kind.name(), left_out.at / crate::MS),
         ) {
             at += 1;
         }
--- a/simulator/src/site.rs
+++ b/simulator/src/site.rs
@@ -186,7 +186,7 @@
     /// Zones.
     pub zones: usize,
     /// The zone of each edge machine.
-    pub fronts: Vec<usize>,
+    pub edges: Vec<usize>,
     /// The zone of each core machine.
     pub cores: Vec<usize>,
     /// The zone of each worker, and its memory.
@@ -240,7 +240,7 @@
             classes: &LENDING,
             specs: [(512, 450, 4), (128, 300, 1)],
             zones: 4,
-            fronts: spread([2, 2, 1, 1]),
+            edges: spread([2, 2, 1, 1]),
             cores: spread([1; 4]),
             workers: workers(3, 5_628),
             busy: 8,
@@ -262,7 +262,7 @@
         match size {
             Size::Small => base,
             Size::Grown => Site {
-                fronts: spread([19, 19, 20, 18]),
+                edges: spread([19, 19, 20, 18]),
                 cores: spread([2; 4]),
                 workers: workers(10, 6_664),
                 busy: 30,
@@ -274,7 +274,7 @@
                 ..base
             },
             Size::Large => Site {
-                fronts: spread([190, 190, 200, 180]),
+                edges: spread([190, 190, 200, 180]),
                 cores: spread([2; 4]),
                 workers: workers(100, 6_664),
                 busy: 300,
@@ -294,7 +294,7 @@
     pub fn part(mut self, part: usize) -> Self {
         let part = part.max(1);
         let every = |at: &usize| at.is_multiple_of(part);
-        self.fronts = self.fronts.iter().enumerate().filter(|(at, _)| every(at)).map(|(_, z)| *z).collect();
+        self.edges = self.edges.iter().enumerate().filter(|(at, _)| every(at)).map(|(_, z)| *z).collect();
         self.workers = self.workers.iter().enumerate().filter(|(at, _)| every(at)).map(|(_, w)| *w).collect();
         (self.busy, self.rare) = ((self.busy / part).max(1), (self.rare / part).max(1));
         self.per_s /= part as f64;
--- a/simulator/src/speeds.rs
+++ b/simulator/src/speeds.rs
@@ -7,7 +7,7 @@
 
 use snafu::Snafu;
 
-use crate::chance::Chance;
+use crate::rng::Rng;
 use crate::site::Site;
 use crate::{SECOND, Time};
 
@@ -66,25 +66,25 @@
 impl Speeds {
     /// One speed for each worker of the site.
     pub fn draw(self, site: &Site, seed: u64) -> Vec<Speed> {
-        let mut chance = Chance::new(seed ^ 0x9eed5);
+        let mut rng = Rng::new(seed ^ 0x9eed5);
         let count = site.workers.len();
         // Any order is as likely as any other.
         let mut order: Vec<usize> = (0..count).collect();
         for at in (1..count).rev() {
-            order.swap(at, chance.below(at + 1));
+            order.swap(at, rng.below(at + 1));
         }
         let turns = site.lead + site.length / 3 / SECOND * SECOND;
-        let one = |place: usize, chance: &mut Chance| match self {
+        let one = |place: usize, rng: &mut Rng| match self {
             Speeds::Even => (1.0, None),
             Speeds::Half => (if place < count / 2 { 0.5 } else { 1.5 }, None),
             Speeds::Tenth => (if place < (count / 10).max(1) { 0.25 } else { 1.0 }, None),
-            Speeds::Spread => (0.4 * 5f64.powf(chance.share()), None),
+            Speeds::Spread => (0.4 * 5f64.powf(rng.share()), None),
             Speeds::Turning => (1.0, (place < count / 4).then_some((turns, 0.35))),
         };
         order
             .into_iter()
             .map(|place| {
-                let (first, later) = one(place, &mut chance);
+                let (first, later) = one(place, &mut rng);
                 Speed { first, later }
             })
             .collect()
--- a/simulator/src/world/client.rs
+++ b/simulator/src/world/client.rs
@@ -3,8 +3,8 @@
 use compact_str::{CompactString, format_compact};
 
 use super::{Event, Role, World};
-use crate::auditor::Try;
-use crate::processes::{In, Request};
+use crate::auditor::Attempt;
+use crate::processes::{ProcessInput, Request};
 use crate::site::{Classes, HOST};
 use crate::{MS, SECOND, Time};
 
@@ -53,7 +53,7 @@
     }
 
     /// The share of all that was served in the time in which an answer earns its full worth.
-    pub fn within_aim(&self, classes: &Classes) -> f64 {
+    pub fn within_target(&self, classes: &Classes) -> f64 {
         let within = self.all.iter().filter(|one| one.2 && one.1 <= classes[one.3].aim).count();
         within as f64 / self.all.len().max(1) as f64
     }
@@ -71,7 +71,7 @@
 impl World {
     pub(super) fn arrive(&mut self, zone: usize) {
         let now = self.now;
-        let end = if self.plan.closing.is_some() { self.end } else { self.site.lead + self.site.length };
+        let end = if self.plan.final_fault.is_some() { self.end } else { self.site.lead + self.site.length };
         if now >= end.saturating_sub(SECOND) {
             return;
         }
@@ -82,9 +82,9 @@
         }
         let sum: f64 = mix.iter().sum();
         let per_s = self.site.per_s / self.site.zones as f64 * sum;
-        let next = now + self.chance.pause(per_s);
+        let next = now + self.rng.pause(per_s);
         self.at(next, Event::Arrive { zone });
-        let mut drawn = self.chance.share() * sum;
+        let mut drawn = self.rng.share() * sum;
         let class = mix.iter().position(|part| {
             drawn -= part;
             drawn < 0.0
@@ -92,7 +92,7 @@
         let class = class.unwrap_or(0);
         let kind = usize::from(class == 2);
         let weights = &self.weights[kind];
-        let place = self.chance.share() * weights.last().copied().unwrap_or(1.0);
+        let place = self.rng.share() * weights.last().copied().unwrap_or(1.0);
         let number = weights.partition_point(|w| *w <= place).min(weights.len() - 1);
         let path = format_compact!("/{}{number}/x", self.site.classes[class].letter);
         self.customer(class, path, zone, now + self.site.classes[class].deadline, None, None);
@@ -134,8 +134,7 @@
     /// The dispatchers that get new connections of a zone.
     fn choices(&self, zone: usize) -> Vec<usize> {
         let of = |zone: usize| -> Vec<usize> {
-            let all: Vec<_> =
-                (0..self.site.fronts.len()).filter(|at| self.site.fronts[*at] == zone).collect();
+            let all: Vec<_> = (0..self.site.edges.len()).filter(|at| self.site.edges[*at] == zone).collect();
             let serving: Vec<_> = all.iter().copied().filter(|at| self.machines[*at].serving).collect();
             if serving.is_empty() || serving.len() * 2 >= all.len() { serving } else { all }
         };
@@ -144,7 +143,7 @@
             return mine;
         }
         let others: Vec<_> = (0..self.site.zones).filter(|z| *z != zone).flat_map(of).collect();
-        if others.is_empty() { (0..self.site.fronts.len()).collect() } else { others }
+        if others.is_empty() { (0..self.site.edges.len()).collect() } else { others }
     }
 
     pub(super) fn attempt(&mut self, place: usize) {
@@ -161,13 +160,13 @@
                 if choices.len() > 1 {
                     choices.retain(|at| Some(*at) != last);
                 }
-                choices[self.chance.below(choices.len())]
+                choices[self.rng.below(choices.len())]
             }
         };
         let customer = &mut self.customers[place];
         customer.last_machine = Some(machine);
         let class = &self.site.classes[customer.class];
-        let one = Try {
+        let one = Attempt {
             path: customer.path.clone(),
             class: customer.class,
             sent: now,
@@ -185,7 +184,7 @@
         self.attempts.push(place);
         self.traffic.clients += class.bytes.0;
         let left = self.customers[place].deadline - now;
-        let there = now + self.site.client + self.chance.between(0, 300_000);
+        let there = now + self.site.client + self.rng.between(0, 300_000);
         self.at(there, Event::AtStall { attempt: id });
         if class.repeatable {
             // A dispatcher that does not read it in time is given up.
@@ -226,7 +225,7 @@
             self.ever_read.insert(attempt);
         }
         let request = Request { attempt, host: HOST.into(), path, left: deadline.saturating_sub(sent) };
-        self.give(at, Role::ProxyProcess, In::Request { client: attempt, request });
+        self.give(at, Role::Proxy, ProcessInput::Request { client: attempt, request });
     }
 
     pub(super) fn impatient(&mut self, place: usize, attempt: u64) {
@@ -256,7 +255,7 @@
         self.read.remove(&attempt);
         let place = self.attempts[attempt as usize];
         if status > 0 {
-            self.auditor.answered(&self.calm, now, attempt, status, seal);
+            self.auditor.answered(&self.disturbances, now, attempt, status, seal);
             self.note(|| format!("request {attempt} is answered with {status}"));
         }
         // A dispatcher that has read the request and closes promises nothing.
@@ -313,7 +312,7 @@
         if let Some(attempt) = customer.current.take() {
             let at = self.auditor.tries[attempt as usize].machine;
             if self.machines[at].tries.remove(&attempt) && self.machines[at].frozen <= self.now {
-                self.give(at, Role::ProxyProcess, In::Gone { client: attempt });
+                self.give(at, Role::Proxy, ProcessInput::Gone { client: attempt });
             }
         }
         self.settle(place, false, 1);
@@ -322,7 +321,7 @@
     /// The entry asks every dispatcher whether clients may be sent there.
     pub(super) fn entry(&mut self) {
         let now = self.now;
-        for machine in &mut self.machines[..self.site.fronts.len()] {
+        for machine in &mut self.machines[..self.site.edges.len()] {
             let well = machine.powered
                 && machine.frozen <= now
                 && machine.stall.as_ref().is_some_and(|stall| stall.ready(now));
--- a/simulator/src/world/endpoint.rs
+++ b/simulator/src/world/endpoint.rs
@@ -7,7 +7,7 @@
 use millpost_scheduler::Outcome;
 
 use super::{Event, Role, World};
-use crate::processes::{Exchanged, In, Request};
+use crate::processes::{Exchanged, ProcessInput, Request};
 use crate::{MS, SECOND, Time};
 
 /// An idle connection is used again for so long.
@@ -76,7 +76,7 @@
     fn way(&mut self, machine: usize, worker: usize) -> Time {
         let same = self.machines[machine].zone == self.platform.hosts[worker].zone;
         let base = if same { self.site.near } else { self.site.far };
-        base + self.chance.between(0, base / 4)
+        base + self.rng.between(0, base / 4)
     }
 
     pub(super) fn exchange(
@@ -138,7 +138,8 @@
         let lag = self.site.lag_ms * MS;
         let drained = endpoint.draining.map(|from| from + lag);
         let service = self.site.service(endpoint.service);
-        let repeat = self.auditor.arrived(&self.calm, now, attempt, &path, &service, !over, over, drained);
+        let repeat =
+            self.auditor.arrived(&self.disturbances, now, attempt, &path, &service, !over, over, drained);
         if over {
             self.note(|| {
                 format!("request {attempt} is turned away at {service}, on machine {machine}'s word")
@@ -149,8 +150,8 @@
         let class = &self.site.classes[class.min(self.site.classes.len() - 1)];
         let slow = if endpoint.slow.1 > now { endpoint.slow.0 } else { 1.0 };
         let factor = endpoint.speed * slow / host.speed.at(now);
-        let work = (self.chance.around(class.work_ms, 0.5) as f64 * factor) as Time;
-        let calls = self.chance.one(class.calls);
+        let work = (self.rng.around(class.work_ms, 0.5) as f64 * factor) as Time;
+        let calls = self.rng.one(class.calls);
         self.next += 1;
         let run = self.next;
         let until = (now + left).min(deadline + way);
@@ -202,9 +203,9 @@
         let done = if of.failed || late {
             let status = if late { 504 } else { 500 };
             Exchanged { answer: Some((status, seal)), ..ended(Outcome::Failed, true) }
-        } else if self.lost_share.1 > now && self.chance.one(self.lost_share.0) {
+        } else if self.lost_share.1 > now && self.rng.one(self.lost_share.0) {
             ended(Outcome::NoAnswer, true)
-        } else if self.garbled_share.1 > now && self.chance.one(self.garbled_share.0) {
+        } else if self.garbled_share.1 > now && self.rng.one(self.garbled_share.0) {
             Exchanged { answer: Some((200, seal ^ 1)), ..ended(Outcome::NoAnswer, true) }
         } else {
             self.auditor.sealed(of.attempt, seal);
@@ -224,7 +225,7 @@
         m.exchanges.remove(&number);
         self.out.remove(&(machine, life, id));
         if m.life == life && m.powered {
-            self.give(machine, Role::ProxyProcess, In::Exchanged { id, done });
+            self.give(machine, Role::Proxy, ProcessInput::Exchanged { id, done });
         }
     }
 
@@ -239,7 +240,7 @@
 
     pub(super) fn drop_exchange(&mut self, number: u64) {
         let Some(exchange) = self.exchanges.remove(&number) else { return };
-        let drops = self.chance.one(0.8);
+        let drops = self.rng.one(0.8);
         if let Some(run) = exchange.run.filter(|_| drops) {
             let soon = self.now + self.site.near;
             // It ends as if its work were done; nobody hears of it.
@@ -287,6 +288,6 @@
         if m.frozen > self.now {
             return m.held.push(Event::Scout { machine, life, id, up });
         }
-        self.give(machine, Role::ProxyProcess, In::Scouted { id, up });
+        self.give(machine, Role::Proxy, ProcessInput::Scouted { id, up });
     }
 }
--- a/simulator/src/world/trouble.rs
+++ b/simulator/src/world/faults.rs
@@ -1,9 +1,9 @@
-//! Troubles as they strike, and how the day closes. What was in trouble is told to [`crate::calm::Calm`].
+//! Troubles as they strike, and how the day closes. What was in trouble is told to [`crate::disturbances::Disturbances`].
 
 use super::planned::RESTART;
 use super::{Event, World};
-use crate::chance::Chance;
-use crate::plan::{Closing, From, Trouble, What};
+use crate::plan::{CutScope, FaultKind, FinalFault, InjectedFault};
+use crate::rng::Rng;
 use crate::{MS, SECOND, Time};
 
 /// A machine that came back counts as lost for so long.
@@ -14,54 +14,56 @@
 impl World {
     pub(super) fn hit(&mut self, at: usize, until: Time) {
         let now = self.now;
-        self.calm.machine(at, now, until);
+        self.disturbances.machine(at, now, until);
         if self.machines[at].core {
-            self.calm.core(now, until);
+            self.disturbances.core(now, until);
         }
     }
 
-    pub(super) fn trouble(&mut self, at: usize) {
-        let trouble = self.plan.troubles[at].clone();
-        let mut dice = Chance::new(trouble.dice);
+    pub(super) fn fault(&mut self, at: usize) {
+        let fault = self.plan.faults[at].clone();
+        let mut target_rng = Rng::new(fault.target_seed);
         let now = self.now;
-        let (fronts, cores) = (self.site.fronts.len(), self.cores.clone());
-        self.note(|| format!("trouble {at}: {:?}", trouble.what));
-        let one = |dice: &mut Chance, core: bool| {
-            if core { cores[dice.below(cores.len())] } else { dice.below(fronts) }
+        let (edges, cores) = (self.site.edges.len(), self.cores.clone());
+        self.note(|| format!("trouble {at}: {:?}", fault.kind));
+        let one = |target_rng: &mut Rng, core: bool| {
+            if core { cores[target_rng.below(cores.len())] } else { target_rng.below(edges) }
         };
-        match trouble.what {
-            What::Burst { class, times, lasts } => {
+        match fault.kind {
+            FaultKind::Burst { class, times, lasts } => {
                 self.bursts.push((class, times, now + lasts));
-                self.calm.outside(now, now + lasts);
+                self.disturbances.outside(now, now + lasts);
             }
-            What::NodeKill { core, power, lasts } => {
-                let machine = one(&mut dice, core);
+            FaultKind::NodeKill { core, power, lasts } => {
+                let machine = one(&mut target_rng, core);
                 self.kill(machine, power, if power { lasts } else { RESTART });
             }
-            What::HerdKill { share, power, lasts } => {
-                for machine in 0..fronts {
-                    if dice.one(share) {
+            FaultKind::HerdKill { share, power, lasts } => {
+                for machine in 0..edges {
+                    if target_rng.one(share) {
                         self.kill(machine, power, lasts);
                     }
                 }
             }
-            What::CoreCut { count, from, lasts } => {
+            FaultKind::CoreCut { count, from, lasts } => {
                 for _ in 0..count {
-                    let machine = one(&mut dice, true);
+                    let machine = one(&mut target_rng, true);
                     let m = &mut self.machines[machine];
                     match from {
-                        From::All => m.cut = now + lasts,
-                        From::Core => m.cut_core = now + lasts,
-                        From::OneWay => m.cut_out = now + lasts,
+                        CutScope::All => m.cut = now + lasts,
+                        CutScope::Core => m.cut_core = now + lasts,
+                        CutScope::OneWay => m.cut_out = now + lasts,
                     }
                     self.hit(machine, now + lasts);
                 }
             }
-            What::WorkerCrash { share, reset, lasts } => self.crash_workers(&mut dice, share, reset, lasts),
-            What::WorkerDrain { share } => {
+            FaultKind::WorkerCrash { share, reset, lasts } => {
+                self.crash_workers(&mut target_rng, share, reset, lasts)
+            }
+            FaultKind::WorkerDrain { share } => {
                 let count = ((self.platform.hosts.len() as f64 * share).round() as usize).max(1);
                 for _ in 0..count {
-                    let host = dice.below(self.platform.hosts.len());
+                    let host = target_rng.below(self.platform.hosts.len());
                     self.platform.hosts[host].draining = Some(now);
                     for at in 0..self.endpoints.len() {
                         if self.endpoints[at].worker == host && self.endpoints[at].ready.is_some() {
@@ -70,95 +72,95 @@
                     }
                 }
             }
-            What::AfterAckWipe { lasts } => {
+            FaultKind::AfterAckWipe { lasts } => {
                 self.wipe_next = Some(lasts);
                 self.lag_one();
                 self.config_change(false);
             }
-            What::ConfigRace => self.config_race(),
-            What::ConfigRaceOf { count } => self.config_race_of(count),
-            What::SentAgain => self.send_again(false),
-            What::SameRevision => self.send_again(true),
-            What::AckLost { share, lasts } => self.lost_acks = (share, now + lasts),
-            What::AfterAckKill { power, lasts } => {
+            FaultKind::ConfigRace => self.config_race(),
+            FaultKind::ConfigRaceOf { count } => self.config_race_of(count),
+            FaultKind::SentAgain => self.send_again(false),
+            FaultKind::SameRevision => self.send_again(true),
+            FaultKind::AckLost { share, lasts } => self.lost_acks = (share, now + lasts),
+            FaultKind::AfterAckKill { power, lasts } => {
                 self.kill_next = Some((power, lasts));
                 self.config_change(false);
             }
-            What::CoreSplit { lasts } => {
+            FaultKind::CoreSplit { lasts } => {
                 for (place, at) in cores.iter().enumerate() {
                     self.machines[*at].half = (place * 2 / cores.len(), now + lasts);
                     self.hit(*at, now + lasts);
                 }
             }
-            What::NodeCut { lasts } => {
-                let machine = one(&mut dice, false);
+            FaultKind::NodeCut { lasts } => {
+                let machine = one(&mut target_rng, false);
                 self.machines[machine].cut_core = now + lasts;
                 self.hit(machine, now + lasts);
             }
-            What::ClockStep { share, by_ms, lasts } => {
+            FaultKind::ClockStep { share, by_ms, lasts } => {
                 for at in 0..self.machines.len() {
-                    if dice.one(share) {
+                    if target_rng.one(share) {
                         self.machines[at].clock = (by_ms, now + lasts);
                         self.hit(at, now + lasts);
                     }
                 }
             }
-            What::RollTerm { every } => {
+            FaultKind::RollTerm { every } => {
                 for (place, at) in cores.iter().enumerate() {
                     self.at(now + place as Time * every, Event::Term(*at));
                 }
             }
-            What::EdgeRoll { share, every } => {
-                let count = ((fronts as f64 * share).ceil() as usize).clamp(1, fronts);
-                let first = dice.below(fronts);
+            FaultKind::EdgeRoll { share, every } => {
+                let count = ((edges as f64 * share).ceil() as usize).clamp(1, edges);
+                let first = target_rng.below(edges);
                 for place in 0..count {
-                    self.at(now + place as Time * every, Event::Term((first + place) % fronts));
+                    self.at(now + place as Time * every, Event::Term((first + place) % edges));
                 }
             }
-            What::CoreBehind { lasts } => {
-                let missed = dice.below(cores.len());
+            FaultKind::CoreBehind { lasts } => {
+                let missed = target_rng.below(cores.len());
                 let machine = cores[missed];
                 self.machines[machine].cut_core = now + BEHIND;
                 self.hit(machine, now + BEHIND);
                 for after in [200 * MS, BEHIND / 2] {
-                    self.later(now + after, What::ConfigChange, trouble.dice);
+                    self.later(now + after, FaultKind::ConfigChange, fault.target_seed);
                 }
-                self.later(now + BEHIND, What::BehindStrikes { missed, lasts }, trouble.dice);
+                self.later(now + BEHIND, FaultKind::BehindStrikes { missed, lasts }, fault.target_seed);
             }
-            What::BehindStrikes { missed, lasts } => self.strike_behind(&mut dice, missed, lasts),
-            What::HangUp { share } => {
+            FaultKind::BehindStrikes { missed, lasts } => self.strike_behind(&mut target_rng, missed, lasts),
+            FaultKind::HangUp { share } => {
                 for at in 0..self.machines.len() {
-                    if dice.one(share) {
+                    if target_rng.one(share) {
                         self.hang_up(at);
                     }
                 }
             }
-            What::ConfigChange => self.config_change(false),
-            What::BadConfig => self.bad_config(),
-            What::AnswerLost { share, lasts } => {
+            FaultKind::ConfigChange => self.config_change(false),
+            FaultKind::BadConfig => self.bad_config(),
+            FaultKind::AnswerLost { share, lasts } => {
                 self.lost_share = (share, now + lasts);
-                self.calm.outside(now, now + lasts);
+                self.disturbances.outside(now, now + lasts);
             }
-            What::Garble { share, lasts } => {
+            FaultKind::Garble { share, lasts } => {
                 self.garbled_share = (share, now + lasts);
-                self.calm.outside(now, now + lasts);
+                self.disturbances.outside(now, now + lasts);
             }
-            What::SrvSlow { share, times, lasts } => {
+            FaultKind::SrvSlow { share, times, lasts } => {
                 for endpoint in self.endpoints.iter_mut().filter(|e| e.ended.is_none()) {
-                    if dice.one(share) {
+                    if target_rng.one(share) {
                         endpoint.slow = (times, now + lasts);
                     }
                 }
-                self.calm.outside(now, now + lasts);
+                self.disturbances.outside(now, now + lasts);
             }
-            What::ResetConns { core } => {
-                let machine = one(&mut dice, core);
+            FaultKind::ResetConns { core } => {
+                let machine = one(&mut target_rng, core);
                 self.hit(machine, now);
                 self.break_all(machine, true);
                 self.break_clients(machine, true);
             }
-            What::NodeFreeze { core, lasts } => {
-                let machine = one(&mut dice, core);
+            FaultKind::NodeFreeze { core, lasts } => {
+                let machine = one(&mut target_rng, core);
                 let m = &mut self.machines[machine];
                 if m.powered && m.frozen <= now {
                     m.frozen = now + lasts;
@@ -166,65 +168,65 @@
                     self.at(now + lasts, Event::Thaw(machine));
                 }
             }
-            What::DiskStall { lasts } => {
-                let machine = one(&mut dice, true);
+            FaultKind::DiskStall { lasts } => {
+                let machine = one(&mut target_rng, true);
                 self.machines[machine].disk.hangs_until = now + lasts;
                 self.hit(machine, now + lasts);
             }
-            What::DiskSlow { times, lasts } => {
-                let machine = one(&mut dice, true);
+            FaultKind::DiskSlow { times, lasts } => {
+                let machine = one(&mut target_rng, true);
                 self.machines[machine].disk.slow = (times, now + lasts);
                 self.hit(machine, now + lasts);
             }
-            What::DiskFull { lasts } => {
-                let machine = one(&mut dice, true);
+            FaultKind::DiskFull { lasts } => {
+                let machine = one(&mut target_rng, true);
                 self.machines[machine].disk.full_until = now + lasts;
                 self.hit(machine, now + lasts);
             }
-            What::ReplaceCore { whom, after } => self.replace_core(&mut dice, whom, after),
-            What::SeedTurnover => self.seed_turnover(&mut dice),
-            What::NodeTerm { core } => {
-                let machine = one(&mut dice, core);
+            FaultKind::ReplaceCore { whom, after } => self.replace_core(&mut target_rng, whom, after),
+            FaultKind::SeedTurnover => self.seed_turnover(&mut target_rng),
+            FaultKind::NodeTerm { core } => {
+                let machine = one(&mut target_rng, core);
                 self.term(machine);
             }
-            What::Drain { worker, lasts } => {
+            FaultKind::Drain { worker, lasts } => {
                 let (what, name) = if worker {
-                    ("worker", format!("w-{}", dice.below(self.platform.hosts.len())))
+                    ("worker", format!("w-{}", target_rng.below(self.platform.hosts.len())))
                 } else {
                     // One that is not alone in its zone: others are not let go.
                     let zone = |at: usize| self.machines[at].zone;
-                    let two = |at: &usize| (0..fronts).any(|other| other != *at && zone(other) == zone(*at));
-                    let may: Vec<_> = (0..fronts).filter(two).collect();
-                    let Some(at) = may.get(dice.below(may.len().max(1))) else { return };
+                    let two = |at: &usize| (0..edges).any(|other| other != *at && zone(other) == zone(*at));
+                    let may: Vec<_> = (0..edges).filter(two).collect();
+                    let Some(at) = may.get(target_rng.below(may.len().max(1))) else { return };
                     ("edge", self.machines[*at].name.to_string())
                 };
                 self.drain(what, &name, lasts);
             }
-            What::BigConfig { count } => self.big_config(count),
-            What::ServiceDrop => self.drop_service(),
-            What::ConfigStorm { count, every } => {
+            FaultKind::BigConfig { count } => self.big_config(count),
+            FaultKind::ServiceDrop => self.drop_service(),
+            FaultKind::ConfigStorm { count, every } => {
                 self.config_change(false);
                 if count > 1 {
-                    let what = What::ConfigStorm { count: count - 1, every };
-                    self.later(now + every, what, trouble.dice);
+                    let what = FaultKind::ConfigStorm { count: count - 1, every };
+                    self.later(now + every, what, fault.target_seed);
                 }
             }
         }
     }
 
     /// A trouble that follows from another.
-    fn later(&mut self, at: Time, what: What, dice: u64) {
-        self.plan.troubles.push(Trouble { at, what, dice });
-        self.at(at, Event::Trouble(self.plan.troubles.len() - 1));
+    fn later(&mut self, at: Time, what: FaultKind, target_rng: u64) {
+        self.plan.faults.push(InjectedFault { at, kind: what, target_seed: target_rng });
+        self.at(at, Event::Fault(self.plan.faults.len() - 1));
     }
 
     /// All of the core lose power but the machine that missed changes, and one of them its disk; that one is back at once.
-    fn strike_behind(&mut self, dice: &mut Chance, missed: usize, lasts: Time) {
+    fn strike_behind(&mut self, target_rng: &mut Rng, missed: usize, lasts: Time) {
         let now = self.now;
         let others: Vec<_> =
             self.cores.iter().enumerate().filter(|(place, _)| *place != missed).map(|(_, at)| *at).collect();
         let recent = self.wiped_at.is_some_and(|at| at + CATCH_UP + 6 * SECOND > now);
-        let wiped = others[dice.below(others.len())];
+        let wiped = others[target_rng.below(others.len())];
         for at in others {
             self.kill(at, true, if at == wiped { 400 * MS } else { lasts });
         }
@@ -235,12 +237,12 @@
         }
     }
 
-    fn crash_workers(&mut self, dice: &mut Chance, share: f64, reset: bool, lasts: Time) {
+    fn crash_workers(&mut self, target_rng: &mut Rng, share: f64, reset: bool, lasts: Time) {
         let now = self.now;
         let count = ((self.platform.hosts.len() as f64 * share).round() as usize).max(1);
-        self.calm.outside(now, now + lasts);
+        self.disturbances.outside(now, now + lasts);
         for _ in 0..count {
-            let at = dice.below(self.platform.hosts.len());
+            let at = target_rng.below(self.platform.hosts.len());
             let host = &mut self.platform.hosts[at];
             (host.down, host.silent) = (now + lasts, !reset);
             host.was_down.push((now, now + lasts));
@@ -262,7 +264,7 @@
         let soon = now + self.site.client;
         for attempt in tries {
             if kept {
-                self.give(at, super::Role::ProxyProcess, crate::processes::In::Gone { client: attempt });
+                self.give(at, super::Role::Proxy, crate::processes::ProcessInput::Gone { client: attempt });
             }
             self.at(soon, Event::ToClient { attempt, status: 0, again: None, seal: None });
         }
@@ -284,7 +286,7 @@
 
     /// They end as it was planned.
     pub(super) fn kill_planned(&mut self, at: usize, lasts: Time) {
-        self.calm.planned(at, self.now, self.now + lasts);
+        self.disturbances.planned(at, self.now, self.now + lasts);
         self.end(at, false, lasts);
     }
 
@@ -300,7 +302,7 @@
         machine.powered = !power;
         machine.serving &= !power;
         if power {
-            machine.disk.cut(now, &mut self.chance);
+            machine.disk.cut(now, &mut self.rng);
         } else {
             machine.disk.left();
         }
@@ -337,7 +339,7 @@
         self.up_at.retain(|(when, _)| *when > now);
         for at in due {
             self.machines[at].powered = true;
-            self.calm.machine(at, now, now);
+            self.disturbances.machine(at, now, now);
             self.start(at);
         }
     }
@@ -363,7 +365,8 @@
         let now = self.now;
         // No more disks at once than may be lost.
         let recent = self.wiped_at.is_some_and(|at| at + CATCH_UP + 6 * SECOND > now);
-        let others = self.cores.iter().filter(|at| **at != machine).all(|at| self.calm.touch(*at, now));
+        let others =
+            self.cores.iter().filter(|at| **at != machine).all(|at| self.disturbances.touch(*at, now));
         if recent || !others || !self.machines[machine].powered {
             return;
         }
@@ -375,12 +378,12 @@
 
     /// A control machine hears a little later than the others: what was acknowledged may stand on a bare majority.
     fn lag_one(&mut self) {
-        let at = self.cores[self.chance.below(3)];
-        self.machines[at].lag = (self.now + 300 * MS, self.chance.between(5 * MS, 80 * MS));
+        let at = self.cores[self.rng.below(3)];
+        self.machines[at].lag = (self.now + 300 * MS, self.rng.between(5 * MS, 80 * MS));
     }
 
     /// A last change; once it is acknowledged all strikes.
-    pub(super) fn closing(&mut self) {
+    pub(super) fn final_fault(&mut self) {
         self.lag_one();
         self.config_change(true);
     }
@@ -388,17 +391,17 @@
     /// The closing fault.
     pub(super) fn strike(&mut self, acknowledged: usize) {
         let now = self.now;
-        let Some((_, how)) = self.plan.closing.filter(|_| self.closed.is_none()) else { return };
+        let Some((_, how)) = self.plan.final_fault.filter(|_| self.closed.is_none()) else { return };
         let lasts = 1_200 * MS;
         let recent = self.wiped_at.is_some_and(|at| at + CATCH_UP + 6 * SECOND > now);
-        let wiped = (how == Closing::WipeAfterAck && !recent).then_some(acknowledged);
+        let wiped = (how == FinalFault::WipeAfterAck && !recent).then_some(acknowledged);
         for at in 0..self.machines.len() {
             let power = match how {
-                Closing::PowerOffAll => true,
-                Closing::KillAll => false,
-                Closing::WipeAfterAck => self.machines[at].core,
+                FinalFault::PowerOffAll => true,
+                FinalFault::KillAll => false,
+                FinalFault::WipeAfterAck => self.machines[at].core,
             };
-            if how != Closing::WipeAfterAck || power {
+            if how != FinalFault::WipeAfterAck || power {
                 self.kill(at, power, lasts);
             }
         }
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -2,11 +2,11 @@
 
 mod client;
 mod endpoint;
+mod faults;
 mod net;
 mod operator;
 mod planned;
 mod platform;
-mod trouble;
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
@@ -16,13 +16,14 @@
 use compact_str::{CompactString, format_compact};
 
 use crate::auditor::Auditor;
-use crate::calm::Calm;
-use crate::chance::Chance;
+use crate::disturbances::Disturbances;
 use crate::plan::Plan;
 use crate::processes::{
-    AgentProcess, ControllerProcess, Exchanged, In, Out, ParseCache, Place, ProxyProcess, Said,
+    AgentProcess, ControllerProcess, Exchanged, ParseCache, Payload, ProcessContext, ProcessInput,
+    ProcessOutput, ProxyProcess,
 };
-use crate::record::Records;
+use crate::record::Recordings;
+use crate::rng::Rng;
 use crate::site::{Classes, Site};
 use crate::speeds::Speeds;
 use crate::{MS, SECOND, Time};
@@ -45,11 +46,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Role {
     /// On the edge.
-    ProxyProcess,
+    Proxy,
     /// Beside it.
-    AgentProcess,
+    Agent,
     /// On the core.
-    ControllerProcess,
+    Controller,
 }
 
 /// Who calls, and who is called.
@@ -70,7 +71,7 @@
     /// A call comes to whom it is for.
     Call(u64),
     /// An answer comes back; none where the connection broke.
-    Answer(u64, Option<Said>),
+    Answer(u64, Option<Payload>),
     /// Nobody has answered in time.
     Expire(u64),
     Line {
@@ -111,12 +112,12 @@
     Back(u64, Exchanged),
     Booted(usize),
     Entry,
-    Trouble(usize),
+    Fault(usize),
     Thaw(usize),
     Start(usize),
     Order(usize),
     Over(operator::Over),
-    Closing,
+    FinalFault,
     Reopen,
     /// A machine is gone for good.
     Retire(usize),
@@ -204,9 +205,9 @@
 
     fn up(&self, role: Role) -> bool {
         match role {
-            Role::ProxyProcess => self.stall.is_some(),
-            Role::AgentProcess => self.porter.is_some(),
-            Role::ControllerProcess => self.hall.is_some(),
+            Role::Proxy => self.stall.is_some(),
+            Role::Agent => self.porter.is_some(),
+            Role::Controller => self.hall.is_some(),
         }
     }
 }
@@ -226,14 +227,14 @@
     /// What was played, in one number: the same for the same day.
     pub digest: u64,
     queue: BinaryHeap<Queued>,
-    chance: Chance,
+    rng: Rng,
     machines: Vec<Machine>,
     names: HashMap<CompactString, Who>,
     /// The machines that make up the core, those that may take a place in it, and the seeds of the settings files.
     cores: Vec<usize>,
     spares: Vec<usize>,
     seeds: Vec<CompactString>,
-    memo: Rc<ParseCache>,
+    parse_cache: Rc<ParseCache>,
     lives: u64,
     calls: HashMap<u64, Call>,
     streams: BTreeMap<u64, Stream>,
@@ -271,13 +272,13 @@
     last_acked: Option<millpost_config::Config>,
     wiped_at: Option<Time>,
     closed: Option<(Time, Time)>,
-    calm: Calm,
+    disturbances: Disturbances,
     /// The auditor.
     pub auditor: Auditor,
     /// Lines of what happened, where somebody wants them.
     pub trace: Option<Vec<String>>,
     /// Where what decides is recorded, if it is.
-    pub records: Option<Records>,
+    pub records: Option<Recordings>,
 }
 
 impl World {
@@ -289,9 +290,9 @@
             None => site,
         };
         let site = site.part(plan.part).lasting(plan.times);
-        let mut chance = Chance::new(plan.seed);
-        let fronts = site.fronts.len();
-        let count = fronts + site.cores.len() + SPARES;
+        let mut rng = Rng::new(plan.seed);
+        let edges = site.edges.len();
+        let count = edges + site.cores.len() + SPARES;
         let machine = |at: usize, zone: usize, core: bool| Machine {
             name: if core {
                 format_compact!("core-{zone}-{at}")
@@ -324,13 +325,13 @@
             serving: false,
             held: Vec::new(),
         };
-        let edge = site.fronts.iter().enumerate().map(|(at, zone)| machine(at, *zone, false));
+        let edge = site.edges.iter().enumerate().map(|(at, zone)| machine(at, *zone, false));
         let core =
             site.cores.iter().chain([&0; SPARES]).enumerate().map(|(at, zone)| machine(at, *zone, true));
         let mut machines: Vec<_> = edge.collect();
         machines.extend(core);
-        let platform = Platform::new(&site, plan.speeds, chance.seed());
-        let end = match plan.closing {
+        let platform = Platform::new(&site, plan.speeds, rng.seed());
+        let end = match plan.final_fault {
             Some((at, _)) => at + site.bounds.recovery + 6 * SECOND,
             None => site.lead + site.length,
         };
@@ -345,8 +346,8 @@
         };
         let weights = [skew(site.busy), skew(site.rare)];
         let mut world = World {
-            auditor: Auditor::new(Default::default(), site.fronts.len()),
-            calm: Calm::new(count, site.bounds.contact),
+            auditor: Auditor::new(Default::default(), site.edges.len()),
+            disturbances: Disturbances::new(count, site.bounds.contact),
             plan,
             now: 0,
             end,
@@ -354,13 +355,13 @@
             played: 0,
             digest: 0,
             queue: BinaryHeap::new(),
-            chance,
+            rng,
             machines,
             names: HashMap::new(),
-            cores: (fronts..fronts + site.cores.len()).collect(),
-            spares: (fronts + site.cores.len()..count).collect(),
+            cores: (edges..edges + site.cores.len()).collect(),
+            spares: (edges + site.cores.len()..count).collect(),
             seeds: Vec::new(),
-            memo: Rc::default(),
+            parse_cache: Rc::default(),
             lives: 0,
             calls: HashMap::new(),
             streams: BTreeMap::new(),
@@ -400,30 +401,30 @@
         world.names.insert("platform".into(), Who::Platform);
         for at in 0..count {
             let (who, address) = if world.machines[at].core {
-                (Role::ControllerProcess, world.address(at))
+                (Role::Controller, world.address(at))
             } else {
-                (Role::ProxyProcess, world.address(at))
+                (Role::Proxy, world.address(at))
             };
             world.names.insert(address, Who::Process(at, who));
-            world.names.insert(format_compact!("porter-{at}"), Who::Process(at, Role::AgentProcess));
-            world.names.insert(format_compact!("stall-{at}"), Who::Process(at, Role::ProxyProcess));
+            world.names.insert(format_compact!("porter-{at}"), Who::Process(at, Role::Agent));
+            world.names.insert(format_compact!("stall-{at}"), Who::Process(at, Role::Proxy));
             if !world.spares.contains(&at) {
-                let start = world.chance.between(0, 20 * MS);
+                let start = world.rng.between(0, 20 * MS);
                 world.at(start, Event::Start(at));
             }
         }
         world.seeds = world.cores.iter().take(3).map(|at| world.address(*at)).collect();
         world.at(500 * MS, Event::Entry);
         for zone in 0..world.site.zones {
-            let first = world.site.lead + world.chance.between(0, 20 * MS);
+            let first = world.site.lead + world.rng.between(0, 20 * MS);
             world.at(first, Event::Arrive { zone });
         }
-        for at in 0..world.plan.troubles.len() {
-            world.at(world.plan.troubles[at].at, Event::Trouble(at));
+        for at in 0..world.plan.faults.len() {
+            world.at(world.plan.faults[at].at, Event::Fault(at));
         }
         world.first_order();
-        if let Some((at, _)) = world.plan.closing {
-            world.at(at, Event::Closing);
+        if let Some((at, _)) = world.plan.final_fault {
+            world.at(at, Event::FinalFault);
         }
         world
     }
@@ -475,7 +476,7 @@
                 if m.frozen > self.now {
                     return m.held.push(Event::Wake { machine, role, life });
                 }
-                self.give(machine, role, In::Tick);
+                self.give(machine, role, ProcessInput::Tick);
             }
             Event::Call(id) => self.called(id),
             Event::Answer(id, said) => self.answer(id, said),
@@ -496,12 +497,12 @@
             Event::Back(id, done) => self.back(id, done),
             Event::Booted(endpoint) => self.booted(endpoint),
             Event::Entry => self.entry(),
-            Event::Trouble(at) => self.trouble(at),
+            Event::Fault(at) => self.fault(at),
             Event::Thaw(machine) => self.thaw(machine),
             Event::Start(machine) => self.start(machine),
             Event::Order(at) => self.order(at),
             Event::Over(what) => self.over(what),
-            Event::Closing => self.closing(),
+            Event::FinalFault => self.final_fault(),
             Event::Reopen => self.reopen(),
             Event::Retire(machine) => self.retire(machine),
             Event::Term(machine) => self.term(machine),
@@ -525,7 +526,7 @@
         let (site, machine) = (&self.site, &mut self.machines[at]);
         (machine.life, machine.starts, machine.due) = (life, machine.starts + 1, [Time::MAX; 3]);
         let restarted = machine.starts > 1;
-        let place = Place {
+        let place = ProcessContext {
             name: machine.name.clone(),
             zone: format_compact!("z{}", machine.zone),
             address: CompactString::default(),
@@ -533,11 +534,11 @@
             life: machine.time_of_day(self.now),
             grace: site.bounds.grace,
             restarted,
-            plant: self.plan.plant,
-            memo: Rc::clone(&self.memo),
+            mutation: self.plan.mutation,
+            parse_cache: Rc::clone(&self.parse_cache),
             records: self.records.clone(),
         };
-        let place = Place { address: self.address(at), ..place };
+        let place = ProcessContext { address: self.address(at), ..place };
         if core {
             let rates = crate::processes::Rates {
                 rate_per_s: site.rates.0,
@@ -546,9 +547,9 @@
                 losses: 1,
             };
             let machine = &mut self.machines[at];
-            let bootstrap = !restarted && at < site.fronts.len() + site.cores.len();
+            let bootstrap = !restarted && at < site.edges.len() + site.cores.len();
             machine.hall = Some(ControllerProcess::new(self.now, place, rates, &mut machine.disk, bootstrap));
-            self.give(at, Role::ControllerProcess, In::Tick);
+            self.give(at, Role::Controller, ProcessInput::Tick);
         } else {
             let (bounds, speeds) = (&site.bounds, self.plan.speeds != Speeds::Even);
             let terms = millpost_scheduler::SchedulerLimits {
@@ -561,25 +562,25 @@
             let machine = &mut self.machines[at];
             machine.porter = Some(AgentProcess::new(self.now, place.clone(), format_compact!("stall-{at}")));
             machine.stall = Some(ProxyProcess::new(place, format_compact!("porter-{at}"), terms));
-            self.give(at, Role::AgentProcess, In::Tick);
-            self.give(at, Role::ProxyProcess, In::Tick);
+            self.give(at, Role::Agent, ProcessInput::Tick);
+            self.give(at, Role::Proxy, ProcessInput::Tick);
         }
     }
 
     /// A process takes something in, and what it says is done.
-    fn give(&mut self, at: usize, role: Role, input: In) {
+    fn give(&mut self, at: usize, role: Role, input: ProcessInput) {
         let now = self.now;
         let machine = &mut self.machines[at];
         let (outs, wake) = match role {
-            Role::ProxyProcess => {
+            Role::Proxy => {
                 let Some(stall) = &mut machine.stall else { return };
                 (stall.input(now, input), stall.wake())
             }
-            Role::AgentProcess => {
+            Role::Agent => {
                 let Some(porter) = &mut machine.porter else { return };
                 (porter.input(now, input), porter.wake())
             }
-            Role::ControllerProcess => {
+            Role::Controller => {
                 let Some(hall) = &mut machine.hall else { return };
                 let outs = hall.input(now, input, &mut machine.disk);
                 (outs, hall.wake(now, &machine.disk))
@@ -602,25 +603,25 @@
         }
     }
 
-    fn out(&mut self, at: usize, role: Role, out: Out) {
+    fn out(&mut self, at: usize, role: Role, out: ProcessOutput) {
         let who = Who::Process(at, role);
         match out {
-            Out::Call { id, to, said, within } => {
+            ProcessOutput::Call { id, to, said, within } => {
                 self.call(who, self.machines[at].life, id, &to, said, within)
             }
-            Out::Reply { call, said } => self.reply(call, said, self.now),
-            Out::ReplyAt { call, said, at } => self.reply(call, said, at),
-            Out::Follow { feed, to, said } => self.follow(at, feed, &to, said),
-            Out::Line { feed, line } => self.send_line(feed, line),
-            Out::Close { feed } => self.close(at, role, feed),
-            Out::Answer { client, status, again, seal } => {
+            ProcessOutput::Reply { call, said } => self.reply(call, said, self.now),
+            ProcessOutput::ReplyAt { call, said, at } => self.reply(call, said, at),
+            ProcessOutput::Follow { feed, to, said } => self.follow(at, feed, &to, said),
+            ProcessOutput::Line { feed, line } => self.send_line(feed, line),
+            ProcessOutput::Close { feed } => self.close(at, role, feed),
+            ProcessOutput::Answer { client, status, again, seal } => {
                 self.stall_answers(at, client, status, again, seal)
             }
-            Out::Exchange { id, address, expect, request, deadline } => {
+            ProcessOutput::Exchange { id, address, expect, request, deadline } => {
                 self.exchange(at, id, address, expect, request, deadline);
             }
-            Out::Abort { id } => self.abort(at, id),
-            Out::Scout { id, address } => self.scout(at, id, address),
+            ProcessOutput::Abort { id } => self.abort(at, id),
+            ProcessOutput::Scout { id, address } => self.scout(at, id, address),
         }
     }
 
@@ -652,8 +653,8 @@
     }
 
     /// How long each configuration took from its acknowledgement until the last stall acted on it.
-    pub fn converged(&self) -> Vec<(u64, Option<Time>)> {
-        self.orders.iter().filter_map(Order::converged).collect()
+    pub fn propagation(&self) -> Vec<(u64, Option<Time>)> {
+        self.orders.iter().filter_map(Order::propagation).collect()
     }
 
     /// For stalls that are up, the lowest revision that one acts on.
--- a/simulator/src/world/net.rs
+++ b/simulator/src/world/net.rs
@@ -7,7 +7,7 @@
 use tinyjson::JsonValue;
 
 use super::{Event, Role, Who, World};
-use crate::processes::{In, Said};
+use crate::processes::{Payload, ProcessInput};
 use crate::{MS, SECOND, Time};
 
 /// What HTTP adds to a request and to its answer.
@@ -22,7 +22,7 @@
     pub life: u64,
     pub id: u64,
     pub to: Who,
-    pub said: Option<Said>,
+    pub said: Option<Payload>,
 }
 
 /// A feed.
@@ -140,16 +140,16 @@
 }
 
 /// About how long it is as JSON.
-fn size(said: &Said) -> u64 {
+fn size(said: &Payload) -> u64 {
     match said {
-        Said::Mail { notes, .. } | Said::Follow { notes, .. } => 50 + notes_size(notes),
-        Said::Vote { message, .. } | Said::Voted(Some(message)) => 40 + message_size(message),
-        Said::News(body) | Said::Body(body) => body.len() as u64,
-        Said::Replace(text) | Said::Drain(text) => text.len() as u64,
-        Said::Listed { entries, .. } => 30 + entries.len() as u64 * 165,
-        Said::Staff(workers) => 20 + workers.len() as u64 * 90,
-        Said::Start { .. } | Said::Stop { .. } => 90,
-        Said::Started(_) => 60,
+        Payload::Mail { notes, .. } | Payload::Follow { notes, .. } => 50 + notes_size(notes),
+        Payload::Vote { message, .. } | Payload::Voted(Some(message)) => 40 + message_size(message),
+        Payload::News(body) | Payload::Body(body) => body.len() as u64,
+        Payload::Replace(text) | Payload::Drain(text) => text.len() as u64,
+        Payload::Listed { entries, .. } => 30 + entries.len() as u64 * 165,
+        Payload::Staff(workers) => 20 + workers.len() as u64 * 90,
+        Payload::Start { .. } | Payload::Stop { .. } => 90,
+        Payload::Started(_) => 60,
         _ => 10,
     }
 }
@@ -198,7 +198,7 @@
     fn transit(&mut self, from: Who, to: Who, bytes: u64, now: Time) -> Time {
         let (from, to) = (Self::machine_of(from), Self::machine_of(to));
         if from.is_some() && from == to {
-            return now + self.chance.between(40_000, 90_000);
+            return now + self.rng.between(40_000, 90_000);
         }
         let zone = |world: &World, at: Option<usize>| at.map_or(0, |at| world.machines[at].zone);
         let apart = zone(self, from) != zone(self, to);
@@ -210,9 +210,9 @@
                 self.traffic.zone_bytes += bytes;
             }
         }
-        let mut there = now + base + self.chance.between(0, base / 3);
+        let mut there = now + base + self.rng.between(0, base / 3);
         // A lost packet comes again; what goes on other connections does not wait for it.
-        let again = if self.chance.one(0.0003) { self.chance.between(200 * MS, 400 * MS) } else { 0 };
+        let again = if self.rng.one(0.0003) { self.rng.between(200 * MS, 400 * MS) } else { 0 };
         let span = |world: &World, at: usize| {
             let mbps = if world.machines[at].core { world.site.mbps.1 } else { world.site.mbps.0 };
             (bytes as f64 * 8_000.0 / mbps) as Time
@@ -251,9 +251,9 @@
         if cut > now && !operator { cut + base + there - now } else { there }
     }
 
-    pub(super) fn call(&mut self, from: Who, life: u64, id: u64, to: &str, said: Said, within: Time) {
+    pub(super) fn call(&mut self, from: Who, life: u64, id: u64, to: &str, said: Payload, within: Time) {
         if self.trace.is_some()
-            && let Said::Mail { from, notes, .. } = &said
+            && let Payload::Mail { from, notes, .. } = &said
         {
             for note in notes {
                 if let PeerMessage::PeerUnreachable { peer, .. } = note {
@@ -272,8 +272,8 @@
     }
 
     /// Asks take of their owner's processor, one after the other.
-    fn asked(&mut self, to: Who, said: &Said, there: Time) -> Time {
-        let (Who::Process(at, Role::ProxyProcess), Said::Mail { notes, .. }) = (to, said) else {
+    fn asked(&mut self, to: Who, said: &Payload, there: Time) -> Time {
+        let (Who::Process(at, Role::Proxy), Payload::Mail { notes, .. }) = (to, said) else {
             return there;
         };
         let asks = notes.iter().filter(|n| matches!(n, PeerMessage::RequestPermit { .. })).count();
@@ -301,7 +301,7 @@
                     return machine.held.push(Event::Call(number));
                 }
                 if !machine.up(role) {
-                    if let Some(Said::Follow { .. }) = call.said {
+                    if let Some(Payload::Follow { .. }) = call.said {
                         let porter = number;
                         return self.at(self.now + MS, Event::Ended { stream: porter, at_hall: false });
                     }
@@ -313,13 +313,13 @@
                     (stream.open_at_hall, stream.hall_life) = (true, self.machines[at].life);
                     self.calls.remove(&number);
                 }
-                self.give(at, role, In::Call { call: number, said });
+                self.give(at, role, ProcessInput::Call { call: number, said });
             }
             Who::Platform => {
                 let Some(said) = call.said.take() else { return };
                 self.traffic.platform += 1;
                 let answer = self.platform_answers(said);
-                let took = self.chance.between(3 * MS, 15 * MS);
+                let took = self.rng.between(3 * MS, 15 * MS);
                 let back = self.transit(to, from, ANSWER + size(&answer), self.now) + took;
                 self.at(back, Event::Answer(number, Some(answer)));
             }
@@ -327,7 +327,7 @@
         }
     }
 
-    pub(super) fn reply(&mut self, number: u64, said: Said, at: Time) {
+    pub(super) fn reply(&mut self, number: u64, said: Payload, at: Time) {
         if self.streams.contains_key(&number) {
             // A feed that is turned down.
             return self.at(self.now + MS, Event::Ended { stream: number, at_hall: false });
@@ -345,11 +345,11 @@
         self.at(back, Event::Answer(number, Some(said)));
     }
 
-    pub(super) fn answer(&mut self, number: u64, said: Option<Said>) {
+    pub(super) fn answer(&mut self, number: u64, said: Option<Payload>) {
         let Some(call) = self.calls.get_mut(&number) else { return };
         if said.is_none()
             && let Some(waits) = call.said.take()
-            && let Said::Voted(_) = waits
+            && let Payload::Voted(_) = waits
         {
             let (from, to) = (call.from, call.to);
             let back = self.transit(to, from, ANSWER + size(&waits), self.now);
@@ -367,7 +367,7 @@
                     return machine.held.push(Event::Answer(number, said));
                 }
                 self.calls.remove(&number);
-                self.give(at, role, In::Answer { id, said });
+                self.give(at, role, ProcessInput::Answer { id, said });
             }
             Who::Operator(order) => {
                 self.calls.remove(&number);
@@ -384,11 +384,11 @@
         }
     }
 
-    pub(super) fn follow(&mut self, at: usize, feed: u64, to: &str, said: Said) {
+    pub(super) fn follow(&mut self, at: usize, feed: u64, to: &str, said: Payload) {
         let Some(Who::Process(hall, _)) = self.names.get(to).copied() else { return };
         self.next += 1;
         let number = self.next;
-        let (from, to) = (Who::Process(at, Role::AgentProcess), Who::Process(hall, Role::ControllerProcess));
+        let (from, to) = (Who::Process(at, Role::Agent), Who::Process(hall, Role::Controller));
         let there = self.transit(from, to, REQUEST + size(&said), self.now);
         let porter_life = self.machines[at].life;
         let stream =
@@ -401,8 +401,7 @@
     pub(super) fn send_line(&mut self, number: u64, line: Bytes) {
         let Some(stream) = self.streams.get(&number) else { return };
         let (porter, hall) = (stream.porter, stream.hall);
-        let (from, to) =
-            (Who::Process(hall, Role::ControllerProcess), Who::Process(porter, Role::AgentProcess));
+        let (from, to) = (Who::Process(hall, Role::Controller), Who::Process(porter, Role::Agent));
         let there = self.transit(from, to, 6 + line.len() as u64, self.now);
         if self.trace.is_some()
             && let Some(named) = named(&line)
@@ -429,11 +428,11 @@
         if machine.frozen > self.now {
             return machine.held.push(Event::Line { stream: number, line });
         }
-        self.give(at, Role::AgentProcess, In::Line { feed, line });
+        self.give(at, Role::Agent, ProcessInput::Line { feed, line });
     }
 
     pub(super) fn close(&mut self, at: usize, role: Role, feed: u64) {
-        if role == Role::ControllerProcess {
+        if role == Role::Controller {
             return self.at(self.now + MS, Event::Ended { stream: feed, at_hall: false });
         }
         let life = self.machines[at].life;
@@ -457,7 +456,7 @@
         let Some(stream) = self.streams.get(&number) else { return };
         let (porter, life, feed) = (stream.porter, stream.porter_life, stream.feed);
         let (hall, hall_life, open) = (stream.hall, stream.hall_life, stream.open_at_hall);
-        let (at, role) = if at_hall { (hall, Role::ControllerProcess) } else { (porter, Role::AgentProcess) };
+        let (at, role) = if at_hall { (hall, Role::Controller) } else { (porter, Role::Agent) };
         let machine = &mut self.machines[at];
         if machine.frozen > self.now {
             return machine.held.push(Event::Ended { stream: number, at_hall });
@@ -465,13 +464,13 @@
         if at_hall {
             self.streams.remove(&number);
             if self.machines[hall].life == hall_life && open {
-                self.give(hall, Role::ControllerProcess, In::Ended { feed: number });
+                self.give(hall, Role::Controller, ProcessInput::Ended { feed: number });
             }
         } else {
             self.streams.remove(&number);
             self.calls.remove(&number);
             if self.machines[porter].life == life && self.machines[porter].powered {
-                self.give(porter, role, In::Ended { feed });
+                self.give(porter, role, ProcessInput::Ended { feed });
             }
         }
     }
--- a/simulator/src/world/operator.rs
+++ b/simulator/src/world/operator.rs
@@ -6,7 +6,7 @@
 use millpost_config::Config;
 
 use super::{Event, Who, World};
-use crate::processes::Said;
+use crate::processes::Payload;
 use crate::{MS, SECOND, Time};
 
 /// Silence after which an operator moves on.
@@ -38,7 +38,7 @@
 }
 
 impl Order {
-    pub(super) fn converged(&self) -> Option<(u64, Option<Time>)> {
+    pub(super) fn propagation(&self) -> Option<(u64, Option<Time>)> {
         match &self.what {
             Task::Put { config, .. } if self.valid => {
                 Some((config.revision, Some(self.last?.saturating_sub(self.acked?))))
@@ -84,7 +84,7 @@
     }
 
     fn core(&mut self) -> usize {
-        self.cores[self.chance.below(self.cores.len())]
+        self.cores[self.rng.below(self.cores.len())]
     }
 
     pub(super) fn first_order(&mut self) {
@@ -95,14 +95,14 @@
     /// A configuration that follows the last one, and the paths that tell them apart.
     pub(super) fn change(&mut self) -> (Config, Vec<compact_str::CompactString>) {
         let mut config = self.model.clone();
-        config.revision += 1 + self.chance.below(3) as u64;
+        config.revision += 1 + self.rng.below(3) as u64;
         let number = config.revision;
         let mut probes = Vec::new();
-        let pick = self.chance.below(self.site.rare);
-        let other = self.chance.below(self.site.rare);
+        let pick = self.rng.below(self.site.rare);
+        let other = self.rng.below(self.site.rare);
         let to = self.site.service(self.site.busy + other);
         let rare = self.site.busy * 3 + pick;
-        match self.chance.below(4) {
+        match self.rng.below(4) {
             0 => {
                 if let Some(route) = config.routes.get_mut(rare) {
                     route.shares = vec![(to, 1)];
@@ -147,7 +147,7 @@
                 self.model = config.clone();
             }
             let machine = self.core();
-            let at = self.now + self.chance.between(0, 30 * MS);
+            let at = self.now + self.rng.between(0, 30 * MS);
             self.put(config, true, if place == 0 { probes } else { Vec::new() }, false, at, machine);
         }
     }
@@ -171,7 +171,7 @@
         let now = self.now;
         self.model = one.clone();
         self.put(one, true, probes, false, now, first);
-        let later = now + self.chance.between(0, 4 * MS);
+        let later = now + self.rng.between(0, 4 * MS);
         self.put(two, true, Vec::new(), false, later, second);
     }
 
@@ -253,28 +253,28 @@
         let (number, machine) = (order.tries, order.machine);
         let said = match &order.what {
             Task::Put { config, text, .. } => {
-                let (config, said) = (config.clone(), Said::Replace(Arc::clone(text)));
+                let (config, said) = (config.clone(), Payload::Replace(Arc::clone(text)));
                 let valid = order.valid;
                 if number == 1 {
                     self.auditor.offered(self.now, &config, valid);
                 }
                 said
             }
-            Task::Read => Said::Read,
-            Task::Drain(text) => Said::Drain(Arc::clone(text)),
+            Task::Read => Payload::Read,
+            Task::Drain(text) => Payload::Drain(Arc::clone(text)),
         };
         let to = self.address(machine);
-        let big = if let Said::Replace(text) = &said { text.len() as u64 / 1_000 * MS } else { 0 };
+        let big = if let Payload::Replace(text) = &said { text.len() as u64 / 1_000 * MS } else { 0 };
         self.call(Who::Operator(at), number, number, &to, said, SILENCE + big);
     }
 
-    pub(super) fn operator_hears(&mut self, at: usize, said: Option<Said>) {
+    pub(super) fn operator_hears(&mut self, at: usize, said: Option<Payload>) {
         let now = self.now;
         let said = self.answer_arrives(at, said);
         let Some(order) = self.orders.get_mut(at).filter(|o| !o.done) else { return };
         let (machine, tries) = (order.machine, order.tries);
         match (&order.what, said) {
-            (Task::Put { config, digest, probes, .. }, Some(Said::Body(_))) => {
+            (Task::Put { config, digest, probes, .. }, Some(Payload::Body(_))) => {
                 (order.done, order.acked) = (true, Some(now));
                 let (revision, digest, closes) = (config.revision, *digest, order.closes);
                 let probed = !probes.is_empty();
@@ -295,27 +295,27 @@
                 }
                 return;
             }
-            (Task::Put { .. }, Some(Said::Refused(400))) => {
+            (Task::Put { .. }, Some(Payload::Refused(400))) => {
                 order.done = true;
                 return;
             }
-            (Task::Put { config, digest, .. }, Some(Said::Refused(409))) => {
+            (Task::Put { config, digest, .. }, Some(Payload::Refused(409))) => {
                 order.done = true;
                 let (revision, digest) = (config.revision, *digest);
                 self.note(|| format!("revision {revision} is refused by machine {machine}"));
                 self.auditor.refused(now, revision, digest);
                 return;
             }
-            (Task::Drain(text), Some(answer @ (Said::Body(_) | Said::Refused(422)))) => {
+            (Task::Drain(text), Some(answer @ (Payload::Body(_) | Payload::Refused(422)))) => {
                 order.done = true;
-                let (text, done) = (Arc::clone(text), matches!(answer, Said::Body(_)));
+                let (text, done) = (Arc::clone(text), matches!(answer, Payload::Body(_)));
                 let word = if done { "obeyed" } else { "refused" };
                 self.note(|| format!("{text} is {word} by machine {machine}"));
                 return;
             }
-            (Task::Read, Some(Said::Body(body))) => {
+            (Task::Read, Some(Payload::Body(body))) => {
                 order.done = true;
-                let known = std::str::from_utf8(&body).ok().and_then(|text| self.memo.read(text));
+                let known = std::str::from_utf8(&body).ok().and_then(|text| self.parse_cache.read(text));
                 let closed = self.closed.is_some();
                 self.auditor.read_back(now, known.as_ref().map(|k| &k.config), closed);
                 return;
@@ -330,15 +330,15 @@
     }
 
     /// What control has said, and whether it arrives: on some days confirmations are lost on their way.
-    fn answer_arrives(&mut self, at: usize, said: Option<Said>) -> Option<Said> {
+    fn answer_arrives(&mut self, at: usize, said: Option<Payload>) -> Option<Payload> {
         let now = self.now;
         let order = self.orders.get(at).filter(|o| !o.done)?;
-        let (Task::Put { config, digest, .. }, Some(Said::Body(_))) = (&order.what, &said) else {
+        let (Task::Put { config, digest, .. }, Some(Payload::Body(_))) = (&order.what, &said) else {
             return said;
         };
         self.auditor.confirmed(now, config.revision, *digest);
         let (share, until) = self.lost_acks;
-        if until <= now || !self.chance.one(share) {
+        if until <= now || !self.rng.one(share) {
             return said;
         }
         let (revision, machine) = (config.revision, order.machine);
@@ -362,7 +362,7 @@
             Over::Probe(at) => {
                 let Task::Put { probes, .. } = &self.orders[at].what else { return };
                 let probes = probes.clone();
-                for machine in 0..self.site.fronts.len().min(80) {
+                for machine in 0..self.site.edges.len().min(80) {
                     if !self.machines[machine].serving {
                         continue;
                     }
--- a/simulator/src/world/planned.rs
+++ b/simulator/src/world/planned.rs
@@ -1,9 +1,9 @@
 //! Planned work: machines of the core that are replaced, seeds that change, processes that are told to leave.
 
 use super::{Event, Role, World};
-use crate::chance::Chance;
-use crate::plan::Whom;
-use crate::processes::In;
+use crate::plan::ReplaceTarget;
+use crate::processes::ProcessInput;
+use crate::rng::Rng;
 use crate::{MS, SECOND, Time};
 
 /// A process that has left is started again after this.
@@ -11,28 +11,30 @@
 
 impl World {
     /// A machine of the core that is in use.
-    pub(super) fn a_core(&self, dice: &mut Chance) -> usize {
-        self.cores[dice.below(self.cores.len())]
+    pub(super) fn a_core(&self, target_rng: &mut Rng) -> usize {
+        self.cores[target_rng.below(self.cores.len())]
     }
 
     /// A machine of the core goes for good, and an empty one takes its place at another address.
-    pub(super) fn replace_core(&mut self, dice: &mut Chance, whom: Whom, after: Time) {
+    pub(super) fn replace_core(&mut self, target_rng: &mut Rng, whom: ReplaceTarget, after: Time) {
         let now = self.now;
         let recent = self.wiped_at.is_some_and(|at| at + 10 * SECOND > now);
-        let calm = self.cores.iter().all(|at| self.calm.touch(*at, now));
-        let Some(new) = self.spares.pop().filter(|_| !recent && calm) else { return };
+        let disturbances = self.cores.iter().all(|at| self.disturbances.touch(*at, now));
+        let Some(new) = self.spares.pop().filter(|_| !recent && disturbances) else { return };
         let leader = |at: &&usize| self.machines[**at].hall.as_ref().is_some_and(|h| h.is_steward());
         let old = match whom {
-            Whom::Leader => self.cores.iter().find(leader).copied(),
-            Whom::Seed => self.cores.iter().find(|at| self.seeds.contains(&self.address(**at))).copied(),
-            Whom::Planned => None,
+            ReplaceTarget::Leader => self.cores.iter().find(leader).copied(),
+            ReplaceTarget::Seed => {
+                self.cores.iter().find(|at| self.seeds.contains(&self.address(**at))).copied()
+            }
+            ReplaceTarget::Planned => None,
         };
-        let old = old.unwrap_or_else(|| self.a_core(dice));
+        let old = old.unwrap_or_else(|| self.a_core(target_rng));
         self.wiped_at = Some(now);
         self.cores.iter_mut().filter(|at| **at == old).for_each(|at| *at = new);
         self.machines[new].zone = self.machines[old].zone;
         self.note(|| format!("machine {new} takes the place of machine {old}"));
-        if whom == Whom::Planned {
+        if whom == ReplaceTarget::Planned {
             // The new one first, then the word to end, and the old one goes for good once it has left.
             self.machines[old].retires = true;
             self.at(now, Event::Start(new));
@@ -53,10 +55,10 @@
     }
 
     /// Other machines that serve control become the seeds, for all that run and all that start.
-    pub(super) fn seed_turnover(&mut self, dice: &mut Chance) {
+    pub(super) fn seed_turnover(&mut self, target_rng: &mut Rng) {
         let mut of = self.cores.clone();
         while of.len() > 3 {
-            of.remove(dice.below(of.len()));
+            of.remove(target_rng.below(of.len()));
         }
         self.seeds = of.into_iter().map(|at| self.address(at)).collect();
         let seeds = self.seeds.clone();
@@ -66,9 +68,9 @@
 
     /// The processes of a machine read their settings again.
     pub(super) fn hang_up(&mut self, at: usize) {
-        for role in [Role::AgentProcess, Role::ControllerProcess] {
+        for role in [Role::Agent, Role::Controller] {
             if self.machines[at].powered && self.machines[at].up(role) {
-                self.give(at, role, In::Seeds(self.seeds.clone()));
+                self.give(at, role, ProcessInput::Seeds(self.seeds.clone()));
             }
         }
     }
@@ -92,12 +94,12 @@
         }
         let (end, life) = (now + self.site.bounds.grace, machine.life);
         self.note(|| format!("machine {at} is told to leave"));
-        self.calm.planned(at, now, end);
+        self.disturbances.planned(at, now, end);
         if self.machines[at].core {
-            self.calm.core(now, now + SECOND);
+            self.disturbances.core(now, now + SECOND);
         }
-        for role in [Role::ProxyProcess, Role::AgentProcess, Role::ControllerProcess] {
-            self.give(at, role, In::Leave);
+        for role in [Role::Proxy, Role::Agent, Role::Controller] {
+            self.give(at, role, ProcessInput::Leave);
         }
         self.at(end, Event::Killed(at, life));
     }
@@ -110,11 +112,11 @@
             // What an endpoint has worked on through the second half of the grace is no fault of who leaves.
             let out = self.exchanges.values().any(|e| e.is_of(attempt) && e.run().is_some());
             if !out {
-                self.auditor.cut(&self.calm, now, attempt);
+                self.auditor.cut(&self.disturbances, now, attempt);
             }
         }
         if self.machines[at].core {
-            self.calm.core(now, now + RESTART);
+            self.disturbances.core(now, now + RESTART);
         }
         if self.machines[at].retires {
             self.retire(at);
--- a/simulator/src/world/platform.rs
+++ b/simulator/src/world/platform.rs
@@ -8,8 +8,8 @@
 
 use super::endpoint::Endpoint;
 use super::{Event, World};
-use crate::chance::Chance;
-use crate::processes::Said;
+use crate::processes::Payload;
+use crate::rng::Rng;
 use crate::site::Site;
 use crate::speeds::{Speed, Speeds};
 use crate::{MS, SECOND, Time};
@@ -40,7 +40,7 @@
     free: VecDeque<(Time, SocketAddr)>,
     addresses: u32,
     view: Time,
-    chance: Chance,
+    rng: Rng,
 }
 
 impl Platform {
@@ -63,7 +63,7 @@
             free: VecDeque::new(),
             addresses: 0,
             view: 0,
-            chance: Chance::new(seed),
+            rng: Rng::new(seed),
         }
     }
 
@@ -96,30 +96,30 @@
 }
 
 impl World {
-    pub(super) fn platform_answers(&mut self, said: Said) -> Said {
+    pub(super) fn platform_answers(&mut self, said: Payload) -> Payload {
         let now = self.now;
         match said {
-            Said::List { .. } | Said::Workers => {
+            Payload::List { .. } | Payload::Workers => {
                 if !Platform::allow(&mut self.platform.calls, now, self.site.rates.0) {
-                    return Said::Refused(429);
+                    return Payload::Refused(429);
                 }
-                let lag = self.platform.chance.between(100 * MS, self.site.lag_ms * MS);
+                let lag = self.platform.rng.between(100 * MS, self.site.lag_ms * MS);
                 self.platform.view = self.platform.view.max(now.saturating_sub(lag));
                 let view = self.platform.view;
                 match said {
-                    Said::List { from } => self.list(view, from),
+                    Payload::List { from } => self.list(view, from),
                     _ => self.staff(view),
                 }
             }
-            Said::Start { service, worker, nonce } => {
-                Said::Started(self.start_endpoint(&service, &worker, &nonce))
+            Payload::Start { service, worker, nonce } => {
+                Payload::Started(self.start_endpoint(&service, &worker, &nonce))
             }
-            Said::Stop { id } => Said::Stopped(self.stop_endpoint(&id)),
-            _ => Said::Refused(404),
+            Payload::Stop { id } => Payload::Stopped(self.stop_endpoint(&id)),
+            _ => Payload::Refused(404),
         }
     }
 
-    fn list(&self, view: Time, from: usize) -> Said {
+    fn list(&self, view: Time, from: usize) -> Payload {
         let shown = |e: &&Endpoint| {
             let over = match (e.crashed, e.ended) {
                 (Some(at), _) => at + LINGERS <= view,
@@ -144,10 +144,10 @@
                 draining: e.draining.is_some_and(|at| at <= view),
             });
         }
-        Said::Listed { entries, next }
+        Payload::Listed { entries, next }
     }
 
-    fn staff(&self, view: Time) -> Said {
+    fn staff(&self, view: Time) -> Payload {
         let hosts = self.platform.hosts.iter().enumerate();
         let up = hosts.filter(|(_, h)| !h.was_down.iter().any(|(from, to)| *from <= view && view < *to));
         let workers = up.map(|(at, h)| Worker {
@@ -157,7 +157,7 @@
             free_memory_mb: h.memory - h.used,
             draining: h.draining.is_some_and(|at| at <= view),
         });
-        Said::Staff(workers.collect())
+        Payload::Staff(workers.collect())
     }
 
     fn start_endpoint(
@@ -192,8 +192,8 @@
         let address = self.platform.address(now, self.site.bounds.reuse);
         let place = self.endpoints.len();
         let id = format_compact!("i-{place}");
-        let boot = self.platform.chance.around(boot_ms as f64, 0.3);
-        let speed = 0.8 + 0.4 * self.platform.chance.share();
+        let boot = self.platform.rng.around(boot_ms as f64, 0.3);
+        let speed = 0.8 + 0.4 * self.platform.rng.share();
         self.endpoints.push(Endpoint {
             id: id.clone(),
             service: number,
--- a/simulator/tests/drops.rs
+++ b/simulator/tests/drops.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use millpost_simulator::day::play_recorded;
-use millpost_simulator::plan::{Plan, What};
-use millpost_simulator::record::Records;
+use millpost_simulator::plan::{FaultKind, Plan};
+use millpost_simulator::record::Recordings;
 use millpost_simulator::site::Size;
 use millpost_simulator::{MS, SECOND};
 use tinyjson::JsonValue;
@@ -67,9 +67,9 @@
     let mut moved = 0;
     for seed in 1..=4 {
         let plan = Plan::quiet(seed, Size::Small)
-            .with(12 * SECOND - 100 * MS, What::Burst { class: 0, times: 4.0, lasts: SECOND })
-            .with(12 * SECOND, What::ServiceDrop);
-        let (records, kept) = Records::kept();
+            .with(12 * SECOND - 100 * MS, FaultKind::Burst { class: 0, times: 4.0, lasts: SECOND })
+            .with(12 * SECOND, FaultKind::ServiceDrop);
+        let (records, kept) = Recordings::in_memory();
         let day = play_recorded(&plan, false, false, Some(records));
         let told = Told::read(&kept.borrow());
         moved += told.moved;
--- a/simulator/tests/rules.rs
+++ b/simulator/tests/rules.rs
@@ -1,74 +1,74 @@
 //! Each rule breaks where its guard is taken out, none breaks as the program is, and a day is the same day twice.
 
 use millpost_simulator::day::play;
-use millpost_simulator::plan::{Closing, Plan, What, Whom};
-use millpost_simulator::plant::Plant;
+use millpost_simulator::mutation::Mutation;
+use millpost_simulator::plan::{FaultKind, FinalFault, Plan, ReplaceTarget};
 use millpost_simulator::site::Size;
 use millpost_simulator::{MS, SECOND};
 
 /// The edge machines of a homework site are told to end one after the other, and once more, under this load.
 fn rolled(seed: u64, load: f64) -> Plan {
-    let roll = What::EdgeRoll { share: 1.0, every: 1_300 * MS };
+    let roll = FaultKind::EdgeRoll { share: 1.0, every: 1_300 * MS };
     let plan = Plan { homework: Some(load), strict: true, ..Plan::quiet(seed, Size::Small) };
     plan.with(8 * SECOND, roll.clone()).with(17 * SECOND, roll)
 }
 
 /// A day on which a guard has something to keep.
-fn day(seed: u64, plant: Plant) -> Plan {
+fn day(seed: u64, mutation: Mutation) -> Plan {
     let quiet = Plan::quiet(seed, Size::Small);
-    let plan = match plant {
-        Plant::Repeated | Plant::Promised | Plant::Unbudgeted => {
-            quiet.with(8 * SECOND, What::AnswerLost { share: 0.9, lasts: 8 * SECOND })
+    let plan = match mutation {
+        Mutation::Repeated | Mutation::Promised | Mutation::Unbudgeted => {
+            quiet.with(8 * SECOND, FaultKind::AnswerLost { share: 0.9, lasts: 8 * SECOND })
         }
-        Plant::Unsealed => quiet.with(8 * SECOND, What::Garble { share: 0.1, lasts: 4 * SECOND }),
-        Plant::Deaf => quiet.with(9 * SECOND, What::WorkerDrain { share: 0.2 }),
-        Plant::Stale => {
-            let change = |plan: Plan, at| plan.with(at * SECOND, What::ConfigChange);
+        Mutation::Unsealed => quiet.with(8 * SECOND, FaultKind::Garble { share: 0.1, lasts: 4 * SECOND }),
+        Mutation::Deaf => quiet.with(9 * SECOND, FaultKind::WorkerDrain { share: 0.2 }),
+        Mutation::Stale => {
+            let change = |plan: Plan, at| plan.with(at * SECOND, FaultKind::ConfigChange);
             (2..6).fold(quiet, |plan, n| change(plan, 4 * n))
         }
-        Plant::Unsynced | Plant::Hasty => {
-            Plan { closing: Some((12 * SECOND, Closing::PowerOffAll)), ..quiet }
+        Mutation::Unsynced | Mutation::Hasty => {
+            Plan { final_fault: Some((12 * SECOND, FinalFault::PowerOffAll)), ..quiet }
         }
-        Plant::Forgetful => Plan { closing: Some((8 * SECOND, Closing::WipeAfterAck)), ..quiet },
-        Plant::Blind => Plan { closing: Some((14 * SECOND, Closing::KillAll)), ..quiet },
-        Plant::Hurried => {
-            (8..24).fold(quiet, |plan, at| plan.with(at * SECOND, What::NodeTerm { core: false }))
+        Mutation::Forgetful => Plan { final_fault: Some((8 * SECOND, FinalFault::WipeAfterAck)), ..quiet },
+        Mutation::Blind => Plan { final_fault: Some((14 * SECOND, FinalFault::KillAll)), ..quiet },
+        Mutation::Hurried => {
+            (8..24).fold(quiet, |plan, at| plan.with(at * SECOND, FaultKind::NodeTerm { core: false }))
         }
-        Plant::Lenient => {
-            (8..20).fold(quiet, |plan, at| plan.with(at * SECOND, What::ConfigRaceOf { count: 8 }))
+        Mutation::Lenient => {
+            (8..20).fold(quiet, |plan, at| plan.with(at * SECOND, FaultKind::ConfigRaceOf { count: 8 }))
         }
-        Plant::Forsaken => rolled(seed, 4.0),
-        Plant::Mute => rolled(seed, 1.0),
-        Plant::Surly | Plant::Crowded | Plant::Unexpected | Plant::Renamed => quiet,
+        Mutation::Forsaken => rolled(seed, 4.0),
+        Mutation::Mute => rolled(seed, 1.0),
+        Mutation::Surly | Mutation::Crowded | Mutation::Unexpected | Mutation::Renamed => quiet,
     };
-    Plan { plant: Some(plant), ..plan }
+    Plan { mutation: Some(mutation), ..plan }
 }
 
 #[yare::parameterized(
-    twice = { Plant::Repeated, "TWICE" },
-    refused = { Plant::Promised, "REFUSED" },
-    limit = { Plant::Crowded, "LIMIT" },
-    budget = { Plant::Unbudgeted, "BUDGET" },
-    drain = { Plant::Deaf, "DRAIN" },
-    config = { Plant::Stale, "CONFIG" },
-    lost_unsynced = { Plant::Unsynced, "LOST" },
-    lost_forgetful = { Plant::Forgetful, "LOST" },
-    route = { Plant::Unexpected, "ROUTE" },
-    recover = { Plant::Blind, "RECOVER" },
-    unasked = { Plant::Renamed, "UNASKED" },
-    mixed = { Plant::Unsealed, "MIXED" },
-    lost_request = { Plant::Hurried, "LOST" },
-    denied = { Plant::Surly, "DENIED" },
-    two_contents = { Plant::Lenient, "CONFIG" },
-    given_twice = { Plant::Forsaken, "LIMIT" },
-    lost_at_the_end = { Plant::Mute, "LOST" },
+    twice = { Mutation::Repeated, "TWICE" },
+    refused = { Mutation::Promised, "REFUSED" },
+    limit = { Mutation::Crowded, "LIMIT" },
+    budget = { Mutation::Unbudgeted, "BUDGET" },
+    drain = { Mutation::Deaf, "DRAIN" },
+    config = { Mutation::Stale, "CONFIG" },
+    lost_unsynced = { Mutation::Unsynced, "LOST" },
+    lost_forgetful = { Mutation::Forgetful, "LOST" },
+    route = { Mutation::Unexpected, "ROUTE" },
+    recover = { Mutation::Blind, "RECOVER" },
+    unasked = { Mutation::Renamed, "UNASKED" },
+    mixed = { Mutation::Unsealed, "MIXED" },
+    lost_request = { Mutation::Hurried, "LOST" },
+    denied = { Mutation::Surly, "DENIED" },
+    two_contents = { Mutation::Lenient, "CONFIG" },
+    given_twice = { Mutation::Forsaken, "LIMIT" },
+    lost_at_the_end = { Mutation::Mute, "LOST" },
 )]
-fn a_rule_breaks_without_its_guard_and_holds_with_it(plant: Plant, rule: &str) {
+fn a_rule_breaks_without_its_guard_and_holds_with_it(mutation: Mutation, rule: &str) {
     let mut seeds = 1..40;
     let broken =
-        seeds.find(|seed| play(&day(*seed, plant), false, false).breaches.iter().any(|b| b.rule == rule));
+        seeds.find(|seed| play(&day(*seed, mutation), false, false).breaches.iter().any(|b| b.rule == rule));
     let seed = broken.unwrap_or_else(|| panic!("{rule} holds without its guard"));
-    let whole = Plan { plant: None, ..day(seed, plant) };
+    let whole = Plan { mutation: None, ..day(seed, mutation) };
     assert_eq!(play(&whole, false, false).breaches, [], "seed {seed}");
 }
 
@@ -77,20 +77,21 @@
     for seed in 900..906 {
         let report = play(&Plan::draw(seed, Size::Small, None), false, false);
         assert_eq!(report.breaches, [], "seed {seed}");
-        assert!(report.share() > 0.85, "seed {seed}: {}", report.share());
+        assert!(report.served_ratio() > 0.85, "seed {seed}: {}", report.served_ratio());
     }
 }
 
 /// One misses two changes, another loses its disk, and the rest are dark: the two that are there may not decide by what they hold.
 #[test]
 fn who_missed_changes_and_who_lost_its_disk_make_no_majority() {
-    let behind = |seed, plant| {
-        let plan = Plan::quiet(seed, Size::Small).with(9 * SECOND, What::CoreBehind { lasts: 6 * SECOND });
-        Plan { plant, ..plan }
+    let behind = |seed, mutation| {
+        let plan =
+            Plan::quiet(seed, Size::Small).with(9 * SECOND, FaultKind::CoreBehind { lasts: 6 * SECOND });
+        Plan { mutation, ..plan }
     };
     let mut seeds = 1..40;
     let broken =
-        seeds.find(|seed| !play(&behind(*seed, Some(Plant::Forgetful)), false, false).breaches.is_empty());
+        seeds.find(|seed| !play(&behind(*seed, Some(Mutation::Forgetful)), false, false).breaches.is_empty());
     assert!(broken.is_some(), "an empty machine that votes at once is not found");
     for seed in 1..=6 {
         assert_eq!(play(&behind(seed, None), false, false).breaches, [], "seed {seed}");
@@ -102,14 +103,14 @@
 fn a_core_that_is_rolled_keeps_what_was_acknowledged() {
     for seed in 1..=6 {
         let plan = Plan::quiet(seed, Size::Small)
-            .with(8 * SECOND, What::ReplaceCore { whom: Whom::Planned, after: SECOND })
-            .with(9 * SECOND, What::RollTerm { every: 700 * MS })
-            .with(10 * SECOND, What::ConfigStorm { count: 12, every: 250 * MS })
-            .with(16 * SECOND, What::RollTerm { every: 0 });
+            .with(8 * SECOND, FaultKind::ReplaceCore { whom: ReplaceTarget::Planned, after: SECOND })
+            .with(9 * SECOND, FaultKind::RollTerm { every: 700 * MS })
+            .with(10 * SECOND, FaultKind::ConfigStorm { count: 12, every: 250 * MS })
+            .with(16 * SECOND, FaultKind::RollTerm { every: 0 });
         let day = play(&plan, false, false);
         assert_eq!(day.breaches, [], "seed {seed}");
-        assert!(day.converged.iter().all(|(_, last)| last.is_some()), "{}", day.to_text());
-        assert!(day.share() > 0.99, "{}", day.to_text());
+        assert!(day.propagation.iter().all(|(_, last)| last.is_some()), "{}", day.to_text());
+        assert!(day.served_ratio() > 0.99, "{}", day.to_text());
     }
 }
 
@@ -128,12 +129,12 @@
     let mut refused = 0;
     for seed in 1..6 {
         let day = Plan::quiet(seed, Size::Small)
-            .with(7 * SECOND, What::ConfigChange)
-            .with(9 * SECOND, What::SameRevision)
-            .with(10 * SECOND, What::SentAgain)
-            .with(11 * SECOND, What::AckLost { share: 0.7, lasts: 8 * SECOND })
-            .with(12 * SECOND, What::ConfigChange)
-            .with(15 * SECOND, What::AfterAckKill { power: true, lasts: SECOND });
+            .with(7 * SECOND, FaultKind::ConfigChange)
+            .with(9 * SECOND, FaultKind::SameRevision)
+            .with(10 * SECOND, FaultKind::SentAgain)
+            .with(11 * SECOND, FaultKind::AckLost { share: 0.7, lasts: 8 * SECOND })
+            .with(12 * SECOND, FaultKind::ConfigChange)
+            .with(15 * SECOND, FaultKind::AfterAckKill { power: true, lasts: SECOND });
         let report = play(&day, false, true);
         assert_eq!(report.breaches, [], "seed {seed}");
         refused += report.trace.iter().filter(|line| line.contains("is refused by machine")).count();
@@ -154,7 +155,11 @@
 fn a_quiet_day_is_fast_and_costs_what_the_users_bench_shows() {
     let report = play(&Plan::quiet(5, Size::Small), false, false);
     assert_eq!(report.served, report.requests);
-    assert!(report.p50 < 90 * MS && report.slowest().is_some_and(|ms| ms < 100), "{}", report.to_text());
+    assert!(
+        report.p50 < 90 * MS && report.slowest_propagation_ms().is_some_and(|ms| ms < 100),
+        "{}",
+        report.to_text()
+    );
     assert!((250..600).contains(&report.starts), "{}", report.to_text());
 }
 
@@ -166,10 +171,10 @@
 fn what_operators_take_out_is_emptied_and_nobody_notices(worker: bool) {
     for seed in 3..6 {
         let plan = Plan::quiet(seed, Size::Small);
-        let plan = plan.with(10 * SECOND, What::Drain { worker, lasts: 8 * SECOND });
+        let plan = plan.with(10 * SECOND, FaultKind::Drain { worker, lasts: 8 * SECOND });
         let report = play(&plan, false, true);
         assert_eq!(report.breaches, [], "seed {seed}");
-        assert!(report.share() > 0.99, "seed {seed}: {}", report.share());
+        assert!(report.served_ratio() > 0.99, "seed {seed}: {}", report.served_ratio());
         let says = |what: &str| report.trace.iter().filter(|line| line.contains(what)).count();
         assert_eq!(says("is obeyed by machine"), 1, "seed {seed}");
         // All six hear of a naming by which it leaves, and then of one with it again; it lives all the while.
@@ -183,7 +188,7 @@
 #[test]
 fn a_change_whose_acknowledger_is_wiped_is_in_force_in_time() {
     let mut plan = Plan::draw(91_756, Size::Small, None);
-    plan.troubles.remove(5);
-    plan.closing = None;
+    plan.faults.remove(5);
+    plan.final_fault = None;
     assert_eq!(play(&plan, false, false).breaches, []);
 }
