--- a/simulator/src/auditor.rs
+++ b/simulator/src/auditor.rs
@@ -63,7 +63,7 @@
 
 /// What a handling shows: a service that ran a request, or that no route was there.
 #[derive(Clone, Copy)]
-enum Shown<'a> {
+enum Observation<'a> {
     Ran(&'a str),
     NoRoute,
 }
@@ -75,12 +75,12 @@
     /// LIMIT counts while the core is not settled, too: more than the rules ask.
     pub strict: bool,
     /// All tries; the place is the id.
-    pub tries: Vec<Attempt>,
+    pub attempts: Vec<Attempt>,
     versions: Vec<Version>,
     /// The newest version that a stall's life was seen to act on, and when.
     effects: HashMap<(usize, u64), (u64, Time)>,
     refusals: BTreeMap<CompactString, Vec<Time>>,
-    further: BTreeMap<CompactString, Vec<Time>>,
+    retry_arrivals: BTreeMap<CompactString, Vec<Time>>,
     requests: BTreeMap<CompactString, Vec<Time>>,
     /// Proper requests that were turned down with a status of the program's own.
     denied: Vec<Time>,
@@ -88,7 +88,7 @@
     pub breaches: Vec<Breach>,
 }
 
-fn seal_status(status: u16) -> bool {
+fn is_success(status: u16) -> bool {
     (200..300).contains(&status)
 }
 
@@ -99,23 +99,23 @@
             bounds,
             edges,
             strict: false,
-            tries: Vec::new(),
+            attempts: Vec::new(),
             versions: Vec::new(),
             effects: HashMap::new(),
             refusals: BTreeMap::new(),
-            further: BTreeMap::new(),
+            retry_arrivals: BTreeMap::new(),
             requests: BTreeMap::new(),
             denied: Vec::new(),
             breaches: Vec::new(),
         }
     }
 
-    fn broken(&mut self, rule: &'static str, at: Time, why: String) {
+    fn report(&mut self, rule: &'static str, at: Time, why: String) {
         self.breaches.push(Breach { rule, at, why });
     }
 
     /// An operator sends a version for the first time.
-    pub fn offered(&mut self, at: Time, config: &Config, valid: bool) {
+    pub fn config_submitted(&mut self, at: Time, config: &Config, valid: bool) {
         let (revision, digest, table) = (config.revision, config.digest(), Rc::new(RouteTable::new(config)));
         self.versions.push(Version {
             revision,
@@ -130,26 +130,26 @@
 
     /// Control confirms it, whether its operator hears that or not. Where nothing newer can stand, another content under its revision
     /// was not confirmed before.
-    pub fn confirmed(&mut self, at: Time, revision: u64, digest: u64) {
+    pub fn config_confirmed(&mut self, at: Time, revision: u64, digest: u64) {
         let newer = self.versions.iter().any(|v| v.valid && v.revision > revision && v.sent <= at);
         let other = |v: &Version| v.valid && v.confirmed && v.revision == revision && v.digest != digest;
         if !newer && self.versions.iter().any(other) {
-            self.broken("CONFIG", at, format!("two contents are confirmed as revision {revision}"));
+            self.report("CONFIG", at, format!("two contents are confirmed as revision {revision}"));
         }
         let same = |v: &&mut Version| v.revision == revision && v.digest == digest;
         self.versions.iter_mut().filter(same).for_each(|v| v.confirmed = true);
     }
 
     /// Control refuses it for good.
-    pub fn refused(&mut self, at: Time, revision: u64, digest: u64) {
+    pub fn config_refused(&mut self, at: Time, revision: u64, digest: u64) {
         let confirmed = |v: &Version| v.confirmed && v.revision == revision && v.digest == digest;
         if self.versions.iter().any(confirmed) {
-            self.broken("CONFIG", at, format!("revision {revision} is refused after it was confirmed"));
+            self.report("CONFIG", at, format!("revision {revision} is refused after it was confirmed"));
         }
     }
 
     /// An operator got an answer for it.
-    pub fn acknowledged(&mut self, at: Time, revision: u64, digest: u64) {
+    pub fn config_acknowledged(&mut self, at: Time, revision: u64, digest: u64) {
         let Some(version) = self.versions.iter_mut().find(|v| v.revision == revision && v.digest == digest)
         else {
             return;
@@ -157,32 +157,32 @@
         version.acked.get_or_insert(at);
         if !version.valid {
             let why = format!("something invalid was acknowledged as revision {revision}");
-            self.broken("CONFIG", at, why);
+            self.report("CONFIG", at, why);
         }
     }
 
     /// The newest version that was acknowledged before this time.
-    pub fn newest(&self, before: Time) -> u64 {
+    pub fn newest_acknowledged(&self, before: Time) -> u64 {
         let acked = |v: &&Version| v.acked.is_some_and(|at| at <= before);
         self.versions.iter().filter(acked).map(|v| v.revision).max().unwrap_or(0)
     }
 
     /// What the operator read back at the end; nothing where no answer came.
     pub fn read_back(&mut self, at: Time, content: Option<&Config>, closed: bool) {
-        let newest = self.newest(at);
+        let newest = self.newest_acknowledged(at);
         let rule = if closed { "LOST" } else { "CONFIG" };
         match content {
-            None if newest > 0 => self.broken(rule, at, format!("nothing is read back of revision {newest}")),
+            None if newest > 0 => self.report(rule, at, format!("nothing is read back of revision {newest}")),
             Some(config) if config.revision < newest => {
                 let why = format!("revision {} is read back, {newest} was acknowledged", config.revision);
-                self.broken(rule, at, why);
+                self.report(rule, at, why);
             }
             Some(config) => {
                 let digest = config.digest();
                 let sent = |v: &Version| v.valid && v.revision == config.revision && v.digest == digest;
                 if !self.versions.iter().any(sent) {
                     let why = format!("revision {} is read back as it was never sent", config.revision);
-                    self.broken("CONFIG", at, why);
+                    self.report("CONFIG", at, why);
                 }
             }
             None => {}
@@ -190,8 +190,8 @@
     }
 
     /// A client sends a try. Its id. It counts for each service that a configuration which may be in force gives it to.
-    pub fn sent(&mut self, one: Attempt) -> u64 {
-        let newest = self.newest(one.sent);
+    pub fn attempt_sent(&mut self, one: Attempt) -> u64 {
+        let newest = self.newest_acknowledged(one.sent);
         let current = self.versions.iter().filter(|v| v.valid && v.revision >= newest);
         let routes = current.filter_map(|v| v.table.find(HOST, &one.path));
         let mut services: Vec<_> =
@@ -201,14 +201,14 @@
         for service in services {
             self.requests.entry(service).or_default().push(one.sent);
         }
-        self.tries.push(one);
-        self.tries.len() as u64 - 1
+        self.attempts.push(one);
+        self.attempts.len() as u64 - 1
     }
 
     /// A request comes to an endpoint of a service, which runs it or turns it away; `over`: since its slots are taken. Whether what it
     /// does is a repeat.
     #[expect(clippy::too_many_arguments, reason = "what an endpoint sees")]
-    pub fn arrived(
+    pub fn request_arrived(
         &mut self,
         disturbances: &Disturbances,
         at: Time,
@@ -219,56 +219,56 @@
         over: bool,
         drained: Option<Time>,
     ) -> bool {
-        let Some(one) = self.tries.get_mut(id as usize).filter(|one| one.path == path) else {
-            self.broken("UNASKED", at, format!("{service} gets request {id} for {path}, which nobody sent"));
+        let Some(one) = self.attempts.get_mut(id as usize).filter(|one| one.path == path) else {
+            self.report("UNASKED", at, format!("{service} gets request {id} for {path}, which nobody sent"));
             return false;
         };
         one.arrivals += 1;
         let further = one.arrivals > 1 || one.repeat;
         let (machine, sent) = (one.machine, one.sent);
         if further {
-            self.further.entry(service.into()).or_default().push(at);
+            self.retry_arrivals.entry(service.into()).or_default().push(at);
         }
         if over
             && disturbances.outside_undisturbed(at, self.edges)
-            && (self.strict || disturbances.touch(machine, at))
+            && (self.strict || disturbances.in_contact(machine, at))
         {
             self.refusals.entry(service.into()).or_default().push(at);
         }
         let late = drained.is_some_and(|shown| at > shown + self.bounds.drain);
-        if late && disturbances.touch(machine, at) && disturbances.touch(machine, sent) {
+        if late && disturbances.in_contact(machine, at) && disturbances.in_contact(machine, sent) {
             let why = format!(
                 "request {id} comes to an endpoint of {service} {} ms after it drains",
                 (at - drained.unwrap_or(at)) / MS
             );
-            self.broken("DRAIN", at, why);
+            self.report("DRAIN", at, why);
         }
         if !runs {
             return further;
         }
-        let one = &mut self.tries[id as usize];
+        let one = &mut self.attempts[id as usize];
         one.runs += 1;
         let (once, count, promised) = (one.once, one.runs, one.promised);
         if once && count > 1 {
-            self.broken("TWICE", at, format!("request {id} for {path} runs {count} times"));
+            self.report("TWICE", at, format!("request {id} for {path} runs {count} times"));
         }
         if let Some((status, when)) = promised.filter(|_| once) {
             let why = format!("request {id} runs {} ms after its {status}", (at - when) / MS);
-            self.broken("REFUSED", at, why);
+            self.report("REFUSED", at, why);
         }
-        self.handled(disturbances, at, id, Shown::Ran(service));
+        self.check_config(disturbances, at, id, Observation::Ran(service));
         further
     }
 
     /// A run has ended with this seal.
-    pub fn sealed(&mut self, id: u64, seal: u64) {
-        if let Some(one) = self.tries.get_mut(id as usize) {
+    pub fn run_completed(&mut self, id: u64, seal: u64) {
+        if let Some(one) = self.attempts.get_mut(id as usize) {
             one.seals.push(seal);
         }
     }
 
     /// A client gets an answer.
-    pub fn answered(
+    pub fn client_answered(
         &mut self,
         disturbances: &Disturbances,
         at: Time,
@@ -276,86 +276,89 @@
         status: u16,
         seal: Option<u64>,
     ) {
-        let Some(one) = self.tries.get_mut(id as usize) else { return };
-        if seal_status(status) && !seal.is_some_and(|seal| one.seals.contains(&seal)) {
-            self.broken("MIXED", at, format!("request {id} gets a success that no endpoint gave it"));
+        let Some(one) = self.attempts.get_mut(id as usize) else { return };
+        if is_success(status) && !seal.is_some_and(|seal| one.seals.contains(&seal)) {
+            self.report("MIXED", at, format!("request {id} gets a success that no endpoint gave it"));
             return;
         }
         if matches!(status, 429 | 503 | 408 | 421) {
             one.promised = Some((status, at));
             let (once, ran) = (one.once, one.runs);
             if once && ran > 0 {
-                self.broken("REFUSED", at, format!("request {id} gets {status} and has run"));
+                self.report("REFUSED", at, format!("request {id} gets {status} and has run"));
             }
         }
         if (300..500).contains(&status) && !matches!(status, 408 | 421 | 429 | 409) && seal.is_none() {
-            self.denies(disturbances, at, id);
+            self.record_denial(disturbances, at, id);
         }
         if status == 404 {
-            self.handled(disturbances, at, id, Shown::NoRoute);
+            self.check_config(disturbances, at, id, Observation::NoRoute);
         }
     }
 
     /// DENIED: a request that every configuration allows which may be in force is turned down.
-    fn denies(&mut self, disturbances: &Disturbances, at: Time, id: u64) {
-        let one = &self.tries[id as usize];
-        let floor = self.newest(one.sent.saturating_sub(self.bounds.apply));
+    fn record_denial(&mut self, disturbances: &Disturbances, at: Time, id: u64) {
+        let one = &self.attempts[id as usize];
+        let floor = self.newest_acknowledged(one.sent.saturating_sub(self.bounds.apply));
         let mut may =
             self.versions.iter().filter(|v| v.valid && v.sent <= at && v.revision >= floor).peekable();
         let allowed = may.peek().is_some() && may.all(|v| v.table.find(HOST, &one.path).is_some());
-        if allowed && disturbances.touch(one.machine, one.sent) && disturbances.touch(one.machine, at) {
+        if allowed
+            && disturbances.in_contact(one.machine, one.sent)
+            && disturbances.in_contact(one.machine, at)
+        {
             self.denied.push(at);
         }
     }
 
     /// LOST: the connection of a request that was read ends without an answer, as its stall leaves.
-    pub fn cut(&mut self, disturbances: &Disturbances, at: Time, id: u64) {
-        let one = &self.tries[id as usize];
-        if at > one.sent + self.bounds.loss && disturbances.as_planned(one.machine, one.sent, at) {
+    pub fn connection_lost(&mut self, disturbances: &Disturbances, at: Time, id: u64) {
+        let one = &self.attempts[id as usize];
+        if at > one.sent + self.bounds.loss && disturbances.only_planned_work(one.machine, one.sent, at) {
             let (machine, sent) = (one.machine, one.sent / MS);
             let why =
                 format!("machine {machine} leaves without an answer to request {id}, sent at {sent} ms");
-            self.broken("LOST", at, why);
+            self.report("LOST", at, why);
         }
     }
 
     /// CONFIG and ROUTE, by what a handling shows.
-    fn handled(&mut self, disturbances: &Disturbances, at: Time, id: u64, shown: Shown<'_>) {
-        let one = &self.tries[id as usize];
+    fn check_config(&mut self, disturbances: &Disturbances, at: Time, id: u64, observed: Observation<'_>) {
+        let one = &self.attempts[id as usize];
         let (path, sent, key) = (one.path.clone(), one.sent, (one.machine, one.life));
         let allows = |v: &Version| {
             let route = v.table.find(HOST, &path);
-            match shown {
-                Shown::Ran(service) => {
+            match observed {
+                Observation::Ran(service) => {
                     route.is_some_and(|r| r.shares.iter().any(|(name, _)| name == service))
                 }
-                Shown::NoRoute => route.is_none(),
+                Observation::NoRoute => route.is_none(),
             }
         };
         let known = || self.versions.iter().filter(|v| v.sent <= at);
-        let what = match shown {
-            Shown::Ran(service) => format!("{service} runs {path}"),
-            Shown::NoRoute => format!("404 for {path}"),
+        let what = match observed {
+            Observation::Ran(service) => format!("{service} runs {path}"),
+            Observation::NoRoute => format!("404 for {path}"),
         };
-        let touch = disturbances.touch(key.0, sent);
+        let touch = disturbances.in_contact(key.0, sent);
         let valid = |v: &&Version| v.valid && allows(v);
         let (least, most) = known()
             .filter(valid)
             .fold((u64::MAX, 0), |(least, most), v| (least.min(v.revision), most.max(v.revision)));
         if most == 0 {
-            if matches!(shown, Shown::Ran(_)) {
+            if matches!(observed, Observation::Ran(_)) {
                 let rule = if known().any(|v| !v.valid && allows(v)) { "CONFIG" } else { "ROUTE" };
-                self.broken(rule, at, format!("{what}, which no configuration allows"));
+                self.report(rule, at, format!("{what}, which no configuration allows"));
             }
             return;
         }
-        let floor = self.newest(sent.saturating_sub(self.bounds.apply));
+        let floor = self.newest_acknowledged(sent.saturating_sub(self.bounds.apply));
         if most < floor && touch {
             let why = format!(
                 "{what} (request {id}, sent at {} ms), which only {most} and older allow; {floor} was acknowledged before",
                 sent / MS
             );
-            self.broken("CONFIG", at, why);
+            self.report("CONFIG", at, why);
         }
         let seen = self.effects.get(&key).copied();
         if let Some((revision, when)) = seen
@@ -366,7 +369,7 @@
                 "machine {} goes back: {what} as only {most} allows, after it acted on {revision}",
                 key.0
             );
-            self.broken("CONFIG", at, why);
+            self.report("CONFIG", at, why);
         }
         if seen.is_none_or(|(revision, _)| least > revision) {
             self.effects.insert(key, (least, at));
@@ -382,9 +385,9 @@
         final_fault: Option<(Time, Time)>,
     ) {
         let mut found = Vec::new();
-        let (denied, most) = (self.denied.len(), 5 + self.tries.len() / 500);
+        let (denied, most) = (self.denied.len(), 5 + self.attempts.len() / 500);
         if denied > most {
-            let why = format!("{denied} proper requests of {} are turned down", self.tries.len());
+            let why = format!("{denied} proper requests of {} are turned down", self.attempts.len());
             found.push(("DENIED", self.denied[most], why));
         }
         for (service, times) in &self.refusals {
@@ -398,7 +401,7 @@
         let count = |times: &[Time], from: Time, to: Time| {
             times.partition_point(|t| *t <= to) - times.partition_point(|t| *t < from)
         };
-        for (service, times) in &self.further {
+        for (service, times) in &self.retry_arrivals {
             if times.len() as f64 <= self.bounds.slack {
                 continue;
             }
@@ -435,7 +438,7 @@
             }
         }
         for (rule, at, why) in found {
-            self.broken(rule, at, why);
+            self.report(rule, at, why);
         }
         self.breaches.sort_by_key(|b| b.at);
     }
--- a/simulator/src/day.rs
+++ b/simulator/src/day.rs
@@ -65,10 +65,10 @@
 
 /// The same, with recordings of all processes.
 pub fn play_recorded(plan: &Plan, first: bool, trace: bool, records: Option<Recordings>) -> Report {
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut world = World::new(plan.clone(), trace);
     world.records = records;
-    let mut asked = false;
+    let mut read_back_started = false;
     loop {
         // The end moves once the closing fault has struck.
         let end = world.end;
@@ -81,21 +81,24 @@
             let next = (world.now + SECOND).min(read);
             world.play(next, first);
         } else {
-            if !asked {
-                asked = true;
-                world.ask_back();
+            if !read_back_started {
+                read_back_started = true;
+                world.start_read_back();
             }
             world.play(end, first);
         }
     }
     // The core may be in trouble as the day ends: the operator goes on asking for a while.
-    let patience = world.now + 10 * SECOND;
-    while world.unread() && world.now < patience && (!first || world.auditor.breaches.is_empty()) {
+    let read_back_deadline = world.now + 10 * SECOND;
+    while world.read_back_pending()
+        && world.now < read_back_deadline
+        && (!first || world.auditor.breaches.is_empty())
+    {
         world.play(world.now + 500 * MS, first);
     }
     let stopped = first && !world.auditor.breaches.is_empty();
     if !stopped {
-        world.last_word();
+        world.finish_read_back();
         world.finish();
     }
     let (requests, served) = world.served().counts();
@@ -117,7 +120,7 @@
         events: world.played,
         digest: world.digest,
         length: world.now,
-        took: begun.elapsed().as_secs_f64(),
+        took: started.elapsed().as_secs_f64(),
         statuses: world.served().statuses.iter().map(|(s, n)| (*s, *n)).collect(),
         trace: world.trace.take().unwrap_or_default(),
     }
--- a/simulator/src/disturbances.rs
+++ b/simulator/src/disturbances.rs
@@ -13,7 +13,7 @@
     contact: Time,
 }
 
-fn near(spans: &[(Time, Time)], from: Time, to: Time) -> bool {
+fn overlaps(spans: &[(Time, Time)], from: Time, to: Time) -> bool {
     spans.iter().any(|(begin, end)| *begin <= to && *end >= from)
 }
 
@@ -29,43 +29,43 @@
     }
 
     /// A machine was in trouble.
-    pub fn machine(&mut self, machine: usize, from: Time, to: Time) {
+    pub fn record_machine(&mut self, machine: usize, from: Time, to: Time) {
         self.machines[machine].push((from, to));
         self.unplanned[machine].push((from, to));
     }
 
     /// A machine was told to leave.
-    pub fn planned(&mut self, machine: usize, from: Time, to: Time) {
+    pub fn record_planned(&mut self, machine: usize, from: Time, to: Time) {
         self.machines[machine].push((from, to));
     }
 
     /// Nothing unplanned has happened to it, to the core or outside from a while before the one time to the other.
-    pub fn as_planned(&self, machine: usize, from: Time, to: Time) -> bool {
+    pub fn only_planned_work(&self, machine: usize, from: Time, to: Time) -> bool {
         let from = from.saturating_sub(self.contact);
-        !near(&self.unplanned[machine], from, to)
-            && !near(&self.core, from, to)
-            && !near(&self.outside, from, to)
+        !overlaps(&self.unplanned[machine], from, to)
+            && !overlaps(&self.core, from, to)
+            && !overlaps(&self.outside, from, to)
     }
 
     /// The core was.
-    pub fn core(&mut self, from: Time, to: Time) {
+    pub fn record_core(&mut self, from: Time, to: Time) {
         self.core.push((from, to));
     }
 
     /// Endpoints, clients, links or edge machines were.
-    pub fn outside(&mut self, from: Time, to: Time) {
+    pub fn record_outside(&mut self, from: Time, to: Time) {
         self.outside.push((from, to));
     }
 
     /// The machine is in touch.
-    pub fn touch(&self, machine: usize, at: Time) -> bool {
+    pub fn in_contact(&self, machine: usize, at: Time) -> bool {
         let from = at.saturating_sub(self.contact);
-        at >= self.contact && !near(&self.machines[machine], from, at) && !near(&self.core, from, at)
+        at >= self.contact && !overlaps(&self.machines[machine], from, at) && !overlaps(&self.core, from, at)
     }
 
     /// Nothing outside was in trouble lately, nor any edge machine but by planned work.
     pub fn outside_undisturbed(&self, at: Time, edges: usize) -> bool {
         let from = at.saturating_sub(self.contact);
-        !near(&self.outside, from, at) && !self.unplanned[..edges].iter().any(|m| near(m, from, at))
+        !overlaps(&self.outside, from, at) && !self.unplanned[..edges].iter().any(|m| overlaps(m, from, at))
     }
 }
--- a/simulator/src/main.rs
+++ b/simulator/src/main.rs
@@ -175,7 +175,7 @@
     let Hunt { days, seed, size, mutation, strict, strained, speeds, .. } = *of;
     let kind = kind(of.control, of.planned);
     let hunted = search::search(
-        &SearchOptions { days, seed, size, mutation, strict, strained, speeds, kind },
+        &SearchOptions { days, seed, size, mutation, strict, charge_request_cpu: strained, speeds, kind },
         |report| {
             log::info!("day {} of {} requests", report.seed, report.requests);
             let broke = !report.breaches.is_empty();
@@ -222,8 +222,8 @@
     } else {
         kind(of.control, of.planned).draw(of.seed, of.size, of.mutation)
     };
-    (plan.mutation, plan.strict, plan.part) = (of.mutation, of.strict, of.part);
-    (plan.strained, plan.speeds) = (of.strained, of.speeds);
+    (plan.mutation, plan.strict, plan.site_divisor) = (of.mutation, of.strict, of.part);
+    (plan.charge_request_cpu, plan.speeds) = (of.strained, of.speeds);
     if of.open {
         plan.final_fault = None;
     }
@@ -264,7 +264,7 @@
 fn shrink(of: &Shrink) -> ExitCode {
     let whole = Plan {
         strict: of.strict,
-        strained: of.strained,
+        charge_request_cpu: of.strained,
         speeds: of.speeds,
         ..kind(of.control, of.planned).draw(of.seed, of.size, of.mutation)
     };
--- a/simulator/src/mutation.rs
+++ b/simulator/src/mutation.rs
@@ -8,63 +8,63 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
     /// A request that may run once goes again after an outcome that proves nothing.
-    Repeated,
+    RetryUnsafe,
     /// A request that may have run is refused with a promise.
-    Promised,
+    FalseRefusal,
     /// Owners count more slots than instances have.
-    Crowded,
+    OverSlots,
     /// Further tries draw on no budget.
-    Unbudgeted,
+    UnlimitedRetries,
     /// The steward does not hear that endpoints drain.
-    Deaf,
+    IgnoreDraining,
     /// One stall takes no change of the configuration.
-    Stale,
+    StaleConfig,
     /// Control acknowledges before a majority has written.
-    Hasty,
+    EarlyAcknowledge,
     /// Voters answer before their writes are synced.
-    Unsynced,
+    UnsyncedVotes,
     /// A voter with an empty disk begins anew instead of copying.
-    Forgetful,
+    EmptyDiskVotes,
     /// Stalls go on with the first address of a function, and endpoints are not told which of them is meant.
-    Unexpected,
+    StaleAddress,
     /// Porters that were restarted follow nobody.
-    Blind,
+    AgentWithoutSeeds,
     /// Requests go out under another id.
-    Renamed,
+    ChangedRequestId,
     /// Answers are passed on without a look at their seal.
-    Unsealed,
+    UnverifiedAnswer,
     /// A stall that is told to leave leaves at once.
-    Hurried,
+    ImmediateExit,
     /// A stall turns some proper requests down.
-    Surly,
+    SpuriousDenial,
     /// Control confirms whatever comes under a revision that stands.
-    Lenient,
+    ConfirmConflicts,
     /// A stall that ends answers nothing that is open, and is taken to be gone before.
-    Mute,
+    SilentShutdown,
     /// Stalls that leave are taken to be gone by the others.
-    Forsaken,
+    IgnoreLeaving,
 }
 
 /// Every one, by its name.
 pub const ALL: [(&str, Mutation); 18] = [
-    ("repeated", Mutation::Repeated),
-    ("promised", Mutation::Promised),
-    ("crowded", Mutation::Crowded),
-    ("unbudgeted", Mutation::Unbudgeted),
-    ("deaf", Mutation::Deaf),
-    ("stale", Mutation::Stale),
-    ("hasty", Mutation::Hasty),
-    ("unsynced", Mutation::Unsynced),
-    ("forgetful", Mutation::Forgetful),
-    ("unexpected", Mutation::Unexpected),
-    ("blind", Mutation::Blind),
-    ("renamed", Mutation::Renamed),
-    ("unsealed", Mutation::Unsealed),
-    ("hurried", Mutation::Hurried),
-    ("surly", Mutation::Surly),
-    ("lenient", Mutation::Lenient),
-    ("mute", Mutation::Mute),
-    ("forsaken", Mutation::Forsaken),
+    ("repeated", Mutation::RetryUnsafe),
+    ("promised", Mutation::FalseRefusal),
+    ("crowded", Mutation::OverSlots),
+    ("unbudgeted", Mutation::UnlimitedRetries),
+    ("deaf", Mutation::IgnoreDraining),
+    ("stale", Mutation::StaleConfig),
+    ("hasty", Mutation::EarlyAcknowledge),
+    ("unsynced", Mutation::UnsyncedVotes),
+    ("forgetful", Mutation::EmptyDiskVotes),
+    ("unexpected", Mutation::StaleAddress),
+    ("blind", Mutation::AgentWithoutSeeds),
+    ("renamed", Mutation::ChangedRequestId),
+    ("unsealed", Mutation::UnverifiedAnswer),
+    ("hurried", Mutation::ImmediateExit),
+    ("surly", Mutation::SpuriousDenial),
+    ("lenient", Mutation::ConfirmConflicts),
+    ("mute", Mutation::SilentShutdown),
+    ("forsaken", Mutation::IgnoreLeaving),
 ];
 
 /// No such guard.
--- a/simulator/src/plan.rs
+++ b/simulator/src/plan.rs
@@ -192,13 +192,13 @@
     /// LIMIT is judged while the core is not settled, too.
     pub strict: bool,
     /// Asks take of their owner's processor.
-    pub strained: bool,
+    pub charge_request_cpu: bool,
     /// How fast workers are.
     pub speeds: Speeds,
     /// The site is smaller by this factor.
-    pub part: usize,
+    pub site_divisor: usize,
     /// The day is longer by this factor.
-    pub times: u64,
+    pub length_factor: u64,
     /// The site has the functions and requests of the users' homework sites, under so many times the usual load.
     pub homework: Option<f64>,
 }
@@ -227,7 +227,7 @@
 }
 
 /// A day of planned work is so many times as long as others.
-const PLANNED_TIMES: u64 = 3;
+const PLANNED_LENGTH_FACTOR: u64 = 3;
 
 impl Plan {
     /// The day of this seed.
@@ -249,7 +249,7 @@
         for _ in 0..rng.below(5) {
             let at = rng.between(begin, end - SECOND);
             let lasts = rng.between(800 * MS, 5_500 * MS);
-            let what = drawn(&mut rng, lasts);
+            let what = draw_fault(&mut rng, lasts);
             faults.push(InjectedFault { at, kind: what, target_seed: rng.seed() });
         }
         faults.sort_by_key(|t| t.at);
@@ -270,10 +270,10 @@
             final_fault,
             mutation,
             strict: false,
-            strained: false,
+            charge_request_cpu: false,
             speeds: Speeds::Even,
-            part: 1,
-            times: 1,
+            site_divisor: 1,
+            length_factor: 1,
             homework: None,
         }
     }
@@ -288,7 +288,7 @@
         for _ in 0..4 + rng.below(6) {
             let at = rng.between(site.lead / 2, over - SECOND);
             let lasts = rng.between(800 * MS, 8_000 * MS).min(over - at);
-            let what = drawn_control(&mut rng, lasts, over - at);
+            let what = draw_control_fault(&mut rng, lasts, over - at);
             plan.faults.push(InjectedFault { at, kind: what, target_seed: rng.seed() });
         }
         plan.faults.sort_by_key(|t| t.at);
@@ -301,11 +301,12 @@
         let site = Site::new(size);
         let mut rng = Rng::new(seed ^ 0x501a_4b1e);
         let homework = Some(rng.between(500, 6_000) as f64 / 1_000.0);
-        let mut plan = Plan { mutation, times: PLANNED_TIMES, homework, ..Self::quiet(seed, size) };
-        let end = site.lead + site.length * PLANNED_TIMES - 8 * SECOND;
+        let mut plan =
+            Plan { mutation, length_factor: PLANNED_LENGTH_FACTOR, homework, ..Self::quiet(seed, size) };
+        let end = site.lead + site.length * PLANNED_LENGTH_FACTOR - 8 * SECOND;
         let mut at = site.lead + rng.between(0, SECOND);
         while at < end {
-            let what = drawn_planned(&mut rng);
+            let what = draw_planned_fault(&mut rng);
             plan.faults.push(InjectedFault { at, kind: what, target_seed: rng.seed() });
             // Most come before what the one before them does is over.
             at += rng.between(100 * MS, 6 * SECOND);
@@ -322,10 +323,10 @@
             final_fault: None,
             mutation: None,
             strict: false,
-            strained: false,
+            charge_request_cpu: false,
             speeds: Speeds::Even,
-            part: 1,
-            times: 1,
+            site_divisor: 1,
+            length_factor: 1,
             homework: None,
         }
     }
@@ -338,12 +339,12 @@
     }
 }
 
-fn drawn(rng: &mut Rng, lasts: Time) -> FaultKind {
-    let share = rng.share();
-    let flag = rng.one(0.5);
+fn draw_fault(rng: &mut Rng, lasts: Time) -> FaultKind {
+    let share = rng.unit();
+    let flag = rng.chance(0.5);
     match rng.below(24) {
         0 | 1 => FaultKind::Burst { class: rng.below(3), times: 1.5 + 2.0 * share, lasts },
-        2 | 3 => FaultKind::NodeKill { core: flag, power: rng.one(0.5), lasts },
+        2 | 3 => FaultKind::NodeKill { core: flag, power: rng.chance(0.5), lasts },
         4 => FaultKind::HerdKill { share: 0.3 + 0.3 * share, power: flag, lasts: lasts / 2 },
         5 | 6 => {
             let from = [CutScope::All, CutScope::Core, CutScope::OneWay][rng.below(3)];
@@ -375,8 +376,8 @@
 }
 
 /// Planned work.
-fn drawn_planned(rng: &mut Rng) -> FaultKind {
-    let share = rng.share();
+fn draw_planned_fault(rng: &mut Rng) -> FaultKind {
+    let share = rng.unit();
     match rng.below(10) {
         0..=2 => FaultKind::EdgeRoll { share: 0.3 + 0.7 * share, every: rng.between(0, 2_500 * MS) },
         3 | 4 => FaultKind::NodeTerm { core: false },
@@ -392,8 +393,8 @@
 }
 
 /// Troubles of the control side, as they meet there on its worst days.
-fn drawn_control(rng: &mut Rng, lasts: Time, longest: Time) -> FaultKind {
-    let flag = rng.one(0.5);
+fn draw_control_fault(rng: &mut Rng, lasts: Time, longest: Time) -> FaultKind {
+    let flag = rng.chance(0.5);
     match rng.below(16) {
         0 | 1 => FaultKind::AckLost { share: 0.7, lasts },
         2 | 3 => FaultKind::ConfigRaceOf { count: 2 + rng.below(7) },
--- a/simulator/src/processes/agent.rs
+++ b/simulator/src/processes/agent.rs
@@ -5,8 +5,8 @@
 use compact_str::CompactString;
 use millpost_agent::{AgentConfig, Effect, Input, Recorded as Round};
 
-use super::outbox::{Landed, Outbox};
-use super::{Payload, ProcessContext, ProcessInput, ProcessOutput, letter};
+use super::outbox::{BatchOutcome, Outbox};
+use super::{Payload, ProcessContext, ProcessInput, ProcessOutput, encode_messages};
 use crate::mutation::Mutation;
 use crate::{MS, Time};
 
@@ -18,18 +18,18 @@
 
 struct Open {
     to: CompactString,
-    post: Outbox,
+    outbox: Outbox,
     /// It is given up then.
     until: Time,
 }
 
 /// One porter.
 pub struct AgentProcess {
-    place: ProcessContext,
-    stall_address: CompactString,
+    context: ProcessContext,
+    proxy_address: CompactString,
     round: Round,
     open: BTreeMap<u64, Open>,
-    stall: Outbox,
+    proxy: Outbox,
     next: u64,
     over: bool,
     outs: Vec<ProcessOutput>,
@@ -37,18 +37,19 @@
 
 impl AgentProcess {
     /// One that starts now, for the stall at this address.
-    pub fn new(now: Time, place: ProcessContext, stall_address: CompactString) -> Self {
-        let blind = place.mutation == Some(Mutation::Blind) && place.restarted;
-        let seeds = if blind { Vec::new() } else { place.seed_addresses() };
-        let terms = AgentConfig { name: place.name.clone(), life: place.life, seeds, grace: place.grace };
-        let sink = place.records.as_ref().map(|r| r.life(&place.name, "porter", place.life));
+    pub fn new(now: Time, context: ProcessContext, proxy_address: CompactString) -> Self {
+        let blind = context.mutation == Some(Mutation::AgentWithoutSeeds) && context.restarted;
+        let seeds = if blind { Vec::new() } else { context.seed_addresses() };
+        let terms =
+            AgentConfig { name: context.name.clone(), life: context.life, seeds, grace: context.grace };
+        let sink = context.records.as_ref().map(|r| r.life(&context.name, "porter", context.life));
         AgentProcess {
             round: Round::new(terms, now, sink),
-            place,
-            stall_address,
+            context,
+            proxy_address,
             open: BTreeMap::new(),
             // What is told of instances counts in its order.
-            stall: Outbox::new(1),
+            proxy: Outbox::new(1),
             next: 0,
             over: false,
             outs: Vec::new(),
@@ -62,9 +63,9 @@
 
     /// When [`ProcessInput::Tick`] is due.
     pub fn wake(&self) -> Time {
-        let posts = self.open.values().filter_map(|o| o.post.due()).chain(self.stall.due());
+        let outboxes = self.open.values().filter_map(|o| o.outbox.due()).chain(self.proxy.due());
         let feeds = self.open.values().map(|o| o.until);
-        posts.chain(feeds).min().unwrap_or(Time::MAX).min(self.round.due())
+        outboxes.chain(feeds).min().unwrap_or(Time::MAX).min(self.round.due())
     }
 
     /// What it does with this.
@@ -80,15 +81,17 @@
                 }
             }
             ProcessInput::Ended { feed } => self.ended(now, feed),
-            ProcessInput::Call { call, said: Payload::Mail { from, life, notes } } => {
-                let body = letter(&from, life, &notes);
+            ProcessInput::Call { call, said: Payload::Messages { from, life, notes } } => {
+                let body = encode_messages(&from, life, &notes);
                 self.give(now, Input::ProxyMessages(body), Some(call));
             }
             ProcessInput::Call { call, .. } => {
                 self.outs.push(ProcessOutput::Reply { call, said: Payload::Refused(404) })
             }
-            ProcessInput::Answer { id, said } => self.landed(now, id, matches!(said, Some(Payload::Taken))),
-            ProcessInput::Seeds(seeds) => self.place.seeds = seeds,
+            ProcessInput::Answer { id, said } => {
+                self.batch_done(now, id, matches!(said, Some(Payload::Taken)))
+            }
+            ProcessInput::Seeds(seeds) => self.context.seeds = seeds,
             ProcessInput::Leave => self.give(now, Input::Shutdown, None),
             _ => {}
         }
@@ -101,7 +104,7 @@
         if now >= self.round.due() {
             self.give(now, Input::Tick, None);
         }
-        self.post(now);
+        self.send_batches(now);
         std::mem::take(&mut self.outs)
     }
 
@@ -110,15 +113,15 @@
         self.give(now, Input::FeedEnded { feed }, None);
     }
 
-    fn landed(&mut self, now: Time, id: u64, taken: bool) {
-        if self.stall.has(id) {
-            if matches!(self.stall.landed(now, id, taken), Landed::Up) {
+    fn batch_done(&mut self, now: Time, id: u64, taken: bool) {
+        if self.proxy.has(id) {
+            if matches!(self.proxy.batch_done(now, id, taken), BatchOutcome::Up) {
                 self.give(now, Input::ProxyUp, None);
             }
             return;
         }
-        let Some((feed, open)) = self.open.iter_mut().find(|(_, o)| o.post.has(id)) else { return };
-        if let Landed::Lost(notes) = open.post.landed(now, id, taken) {
+        let Some((feed, open)) = self.open.iter_mut().find(|(_, o)| o.outbox.has(id)) else { return };
+        if let BatchOutcome::Lost(notes) = open.outbox.batch_done(now, id, taken) {
             let (feed, notes) = (*feed, notes.len() as u64);
             self.give(now, Input::MessagesLost { feed, messages: notes }, None);
         }
@@ -131,10 +134,10 @@
             match effect {
                 Effect::Open { feed, address, path, messages: notes } => {
                     let to = CompactString::from(address.to_string());
-                    let (from, whole) = (self.place.name.clone(), !path.ends_with("whole=0"));
-                    let said = Payload::Follow { from, life: self.place.life, notes, whole };
+                    let (from, whole) = (self.context.name.clone(), !path.ends_with("whole=0"));
+                    let said = Payload::Follow { from, life: self.context.life, notes, whole };
                     self.outs.push(ProcessOutput::Follow { feed, to: to.clone(), said });
-                    self.open.insert(feed, Open { to, post: Outbox::new(1), until: now + BEGINS });
+                    self.open.insert(feed, Open { to, outbox: Outbox::new(1), until: now + BEGINS });
                 }
                 Effect::Close { feed } => {
                     if self.open.remove(&feed).is_some() {
@@ -143,16 +146,16 @@
                 }
                 Effect::SendToControl { feed, message: note, .. } => {
                     if let Some(open) = self.open.get_mut(&feed) {
-                        open.post.push(note);
+                        open.outbox.push(note);
                     }
                 }
-                Effect::SendToProxy(note) => full |= !self.stall.push(note),
+                Effect::SendToProxy(note) => full |= !self.proxy.push(note),
                 Effect::AnswerProxy { read } => {
                     let said = if read { Payload::Taken } else { Payload::Refused(400) };
                     self.outs.extend(call.map(|call| ProcessOutput::Reply { call, said }));
                 }
                 Effect::ReadSettings => settings = true,
-                Effect::Log(level, text) => log::log!(level, "{}: {text}", self.place.name),
+                Effect::Log(level, text) => log::log!(level, "{}: {text}", self.context.name),
                 Effect::Exit => self.over = true,
             }
         }
@@ -160,21 +163,22 @@
             self.give(now, Input::ProxyQueueFull, None);
         }
         // A blind one never hears of seeds.
-        if settings && !(self.place.mutation == Some(Mutation::Blind) && self.place.restarted) {
-            self.give(now, Input::Seeds(self.place.seed_addresses()), None);
+        if settings && !(self.context.mutation == Some(Mutation::AgentWithoutSeeds) && self.context.restarted)
+        {
+            self.give(now, Input::Seeds(self.context.seed_addresses()), None);
         }
     }
 
-    fn post(&mut self, now: Time) {
-        let (from, life) = (self.place.name.clone(), self.place.life);
-        let mail = |notes| Payload::Mail { from: from.clone(), life, notes };
-        while let Some(notes) = self.stall.take(now, self.next + 1) {
+    fn send_batches(&mut self, now: Time) {
+        let (from, life) = (self.context.name.clone(), self.context.life);
+        let mail = |notes| Payload::Messages { from: from.clone(), life, notes };
+        while let Some(notes) = self.proxy.take(now, self.next + 1) {
             self.next += 1;
-            let to = self.stall_address.clone();
+            let to = self.proxy_address.clone();
             self.outs.push(ProcessOutput::Call { id: self.next, to, said: mail(notes), within: DOWN });
         }
         for open in self.open.values_mut() {
-            while let Some(notes) = open.post.take(now, self.next + 1) {
+            while let Some(notes) = open.outbox.take(now, self.next + 1) {
                 self.next += 1;
                 let to = open.to.clone();
                 self.outs.push(ProcessOutput::Call { id: self.next, to, said: mail(notes), within: UP });
--- a/simulator/src/processes/controller.rs
+++ b/simulator/src/processes/controller.rs
@@ -16,31 +16,31 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::voter::Disk;
-use super::{Payload, ProcessContext, ProcessInput, ProcessOutput, VoterProcess, letter};
+use super::{Payload, ProcessContext, ProcessInput, ProcessOutput, VoterProcess, encode_messages};
 use crate::mutation::Mutation;
 use crate::{MS, Time};
 
-const VOTE: Time = 900 * MS;
-const LISTS: Time = 1_500 * MS;
-const STARTS: Time = 2_500 * MS;
+const PEER_TIMEOUT: Time = 900 * MS;
+const LIST_TIMEOUT: Time = 1_500 * MS;
+const START_TIMEOUT: Time = 2_500 * MS;
 /// Where the platform is.
 pub const PLATFORM: &str = "platform";
 
 /// What a call of one's own was for.
-enum Called {
+enum OutgoingCall {
     Vote(Address, ReplyTarget),
     /// To whom, and when.
-    News(Address, Time),
+    Gossip(Address, Time),
     Fetch(u64),
     PlatformCall {
         fence: u64,
-        asked: Time,
+        pending: Time,
         call: Call,
     },
 }
 
 /// Who handed a message to the voter.
-enum Handed {
+enum VoterCaller {
     Other(u64),
     Own(ReplyTarget),
 }
@@ -60,14 +60,14 @@
 
 /// Control on one core machine.
 pub struct ControllerProcess {
-    place: ProcessContext,
+    context: ProcessContext,
     core: Core,
-    keeper: VoterProcess,
-    standing: Option<(bool, Option<Members>)>,
-    handed: BTreeMap<u64, Handed>,
-    calls: BTreeMap<u64, Called>,
+    voter: VoterProcess,
+    voter_status: Option<(bool, Option<Members>)>,
+    voter_callers: BTreeMap<u64, VoterCaller>,
+    calls: BTreeMap<u64, OutgoingCall>,
     /// Which call is answered by the lines of a seat.
-    seats: BTreeMap<ConnectionId, u64>,
+    feeds: BTreeMap<ConnectionId, u64>,
     /// Answers of the own voter that wait for the disk.
     later: Vec<(Time, ReplyTarget, Message)>,
     next: u64,
@@ -90,44 +90,44 @@
 
 impl ControllerProcess {
     /// One that starts now. `bootstrap`: the whole system starts on empty disks.
-    pub fn new(now: Time, place: ProcessContext, rates: Rates, disk: &mut Disk, bootstrap: bool) -> Self {
-        let mut seeds = place.seeds.clone();
+    pub fn new(now: Time, context: ProcessContext, rates: Rates, disk: &mut Disk, bootstrap: bool) -> Self {
+        let mut seeds = context.seeds.clone();
         seeds.sort();
         seeds.dedup();
         let uid = format!("{:016x}", xxh3_64(seeds.join(" ").as_bytes()));
-        let forgetful = place.mutation == Some(Mutation::Forgetful);
+        let forgetful = context.mutation == Some(Mutation::EmptyDiskVotes);
         let first = (bootstrap || forgetful).then(|| Members::initial(&uid, seeds));
-        let keeper = VoterProcess::open(now, &place, disk, first);
+        let voter = VoterProcess::open(now, &context, disk, first);
         let start = CoreOptions {
-            me: place.address.clone(),
-            life: place.life,
-            seeds: place.seeds.clone(),
+            me: context.address.clone(),
+            life: context.life,
+            seeds: context.seeds.clone(),
             tolerated_losses: rates.losses,
             contact_timeout: 4_000 * MS,
             config_apply_time: 3_000 * MS,
-            shutdown_grace: place.grace,
+            shutdown_grace: context.grace,
             platform: Some(PlatformLimits {
                 duty_per_s: rates.duty_per_s,
                 max_lag_ms: rates.max_lag_ms,
                 rate_per_s: rates.rate_per_s,
             }),
-            sink: place.records.clone().map(|records| {
-                drop(records.life(&place.name, "bourse", place.life));
-                let name = place.name.clone();
+            sink: context.records.clone().map(|records| {
+                drop(records.life(&context.name, "bourse", context.life));
+                let name = context.name.clone();
                 Box::new(move || records.sink(&name, "bourse")) as Box<dyn Fn() -> Sink>
             }),
         };
         ControllerProcess {
             core: Core::new(start),
-            keeper,
-            standing: None,
-            handed: BTreeMap::new(),
+            voter,
+            voter_status: None,
+            voter_callers: BTreeMap::new(),
             calls: BTreeMap::new(),
-            seats: BTreeMap::new(),
+            feeds: BTreeMap::new(),
             later: Vec::new(),
             next: 0,
             outs: Vec::new(),
-            place,
+            context,
         }
     }
 
@@ -144,7 +144,7 @@
     /// When [`ProcessInput::Tick`] is due.
     pub fn wake(&self, now: Time, disk: &Disk) -> Time {
         let later = self.later.iter().map(|l| l.0).min().unwrap_or(Time::MAX);
-        self.core.next_wake(now).min(later).min(self.keeper.wake(disk)).max(now + MS / 10)
+        self.core.next_wake(now).min(later).min(self.voter.wake(disk)).max(now + MS / 10)
     }
 
     /// What it does with this.
@@ -152,19 +152,20 @@
         match input {
             ProcessInput::Call { call, said } => self.call(now, call, said),
             ProcessInput::Answer { id, said } => {
-                if let Some(called) = self.calls.remove(&id) {
-                    self.answered(now, called, said);
+                if let Some(outgoing) = self.calls.remove(&id) {
+                    self.answered(now, outgoing, said);
                 }
             }
             ProcessInput::Ended { feed } => {
-                if let Some(seat) = self.seats.iter().find(|(_, call)| **call == feed).map(|(seat, _)| *seat)
+                if let Some(connection) =
+                    self.feeds.iter().find(|(_, call)| **call == feed).map(|(connection, _)| *connection)
                 {
-                    self.seats.remove(&seat);
-                    self.core.handle(now, Input::FeedClosed(seat));
+                    self.feeds.remove(&connection);
+                    self.core.handle(now, Input::FeedClosed(connection));
                 }
             }
             ProcessInput::Seeds(seeds) => {
-                self.place.seeds.clone_from(&seeds);
+                self.context.seeds.clone_from(&seeds);
                 self.core.handle(now, Input::Seeds(seeds));
             }
             ProcessInput::Leave => self.core.handle(now, Input::Shutdown),
@@ -183,7 +184,7 @@
             self.vote_here(now, disk);
             if let Some(at) = self.later.iter().position(|l| l.0 <= now) {
                 let (_, back, message) = self.later.remove(at);
-                self.voted(now, self.place.address.clone(), back, message);
+                self.voted(now, self.context.address.clone(), back, message);
             } else if !self.carry_out(now) {
                 return;
             }
@@ -195,8 +196,8 @@
             Payload::Replace(text) => {
                 let body = Bytes::copy_from_slice(text.as_bytes());
                 // Acknowledged before a majority has it: a test of the auditor.
-                if self.place.mutation == Some(Mutation::Hasty)
-                    && self.place.parse_cache.read(&text).is_some()
+                if self.context.mutation == Some(Mutation::EarlyAcknowledge)
+                    && self.context.parse_cache.read(&text).is_some()
                 {
                     self.outs.push(ProcessOutput::Reply {
                         call: id,
@@ -214,44 +215,44 @@
                 let body = Bytes::from(body.stringify().unwrap_or_default());
                 call(Method::POST, "/core/vote", None, body)
             }
-            Payload::News(body) => call(Method::POST, "/core/news", None, body),
-            Payload::Chosen => call(Method::GET, "/core/chosen", None, Bytes::new()),
+            Payload::Gossip(body) => call(Method::POST, "/core/news", None, body),
+            Payload::StoredConfig => call(Method::GET, "/core/chosen", None, Bytes::new()),
             Payload::Follow { from, life, notes, whole } => {
                 let query = (!whole).then_some("whole=0");
-                call(Method::POST, "/follow", query, letter(&from, life, &notes))
+                call(Method::POST, "/follow", query, encode_messages(&from, life, &notes))
             }
-            Payload::Mail { from, life, notes } => {
-                call(Method::POST, "/mail", None, letter(&from, life, &notes))
+            Payload::Messages { from, life, notes } => {
+                call(Method::POST, "/mail", None, encode_messages(&from, life, &notes))
             }
             _ => return self.outs.push(ProcessOutput::Reply { call: id, said: Payload::Refused(404) }),
         };
         self.core.handle(now, Input::Call(id, call));
     }
 
-    fn answered(&mut self, now: Time, called: Called, said: Option<Payload>) {
-        match called {
-            Called::Vote(from, back) => {
+    fn answered(&mut self, now: Time, outgoing: OutgoingCall, said: Option<Payload>) {
+        match outgoing {
+            OutgoingCall::Vote(from, back) => {
                 if let Some(Payload::Voted(Some(message))) = said {
                     self.voted(now, from, back, message);
                 }
             }
-            Called::News(to, sent) => {
+            OutgoingCall::Gossip(to, sent) => {
                 if let Some(Payload::Body(body)) = said
                     && let Some(answered) = GossipReply::decode(sent, &body)
                 {
                     self.core.handle(now, Input::GossipReply(to, answered));
                 }
             }
-            Called::Fetch(number) => {
+            OutgoingCall::Fetch(number) => {
                 let text = match said {
                     Some(Payload::Body(body)) => String::from_utf8(body.to_vec()).ok(),
                     _ => None,
                 };
                 self.core.handle(now, Input::FetchedConfig(number, text));
             }
-            Called::PlatformCall { fence, asked, call } => {
+            OutgoingCall::PlatformCall { fence, pending, call } => {
                 let mut heard = heard(call, said);
-                if self.place.mutation == Some(Mutation::Deaf) {
+                if self.context.mutation == Some(Mutation::IgnoreDraining) {
                     match &mut heard {
                         PlatformReply::Listed(Some((all, _))) => {
                             all.iter_mut().for_each(|e| e.draining = false)
@@ -260,7 +261,7 @@
                         _ => {}
                     }
                 }
-                self.core.handle(now, Input::PlatformReply(fence, asked, heard));
+                self.core.handle(now, Input::PlatformReply(fence, pending, heard));
             }
         }
     }
@@ -272,63 +273,65 @@
             ReplyTarget::Lease => self.core.handle(now, Input::LeaseReply(from, message)),
             ReplyTarget::Voter => {
                 self.next += 1;
-                self.keeper.hand(self.next, from, message);
+                self.voter.hand(self.next, from, message);
             }
         }
     }
 
     /// What the own voter has worked off.
     fn vote_here(&mut self, now: Time, disk: &mut Disk) {
-        let (answers, asks) = self.keeper.work(now, &self.place, disk);
+        let (answers, asks) = self.voter.work(now, &self.context, disk);
         for (id, answer, at) in answers {
-            match (self.handed.remove(&id), answer) {
-                (Some(Handed::Other(call)), answer) => {
+            match (self.voter_callers.remove(&id), answer) {
+                (Some(VoterCaller::Other(call)), answer) => {
                     self.outs.push(ProcessOutput::ReplyAt { call, said: Payload::Voted(answer), at });
                 }
-                (Some(Handed::Own(back)), Some(message)) => self.later.push((at, back, message)),
+                (Some(VoterCaller::Own(back)), Some(message)) => self.later.push((at, back, message)),
                 _ => {}
             }
         }
         if !asks.is_empty() {
             self.core.handle(now, Input::VoterRequests(asks));
         }
-        let standing = self.keeper.standing();
-        if self.standing.as_ref() != Some(&standing) {
-            self.standing = Some(standing.clone());
-            self.core.handle(now, Input::VoterStatus(standing.0, standing.1));
+        let voter_status = self.voter.voter_status();
+        if self.voter_status.as_ref() != Some(&voter_status) {
+            self.voter_status = Some(voter_status.clone());
+            self.core.handle(now, Input::VoterStatus(voter_status.0, voter_status.1));
         }
     }
 
-    fn call_out(&mut self, to: Address, said: Payload, within: Time, called: Called) {
+    fn call_out(&mut self, to: Address, said: Payload, within: Time, outgoing: OutgoingCall) {
         self.next += 1;
-        self.calls.insert(self.next, called);
+        self.calls.insert(self.next, outgoing);
         self.outs.push(ProcessOutput::Call { id: self.next, to, said, within });
     }
 
-    fn hand(&mut self, from: Address, message: Message, handed: Handed) {
+    fn hand(&mut self, from: Address, message: Message, voter_callers: VoterCaller) {
         self.next += 1;
-        self.handed.insert(self.next, handed);
-        self.keeper.hand(self.next, from, message);
+        self.voter_callers.insert(self.next, voter_callers);
+        self.voter.hand(self.next, from, message);
     }
 
     /// Whether there was anything.
     fn carry_out(&mut self, now: Time) -> bool {
         let effects = self.core.take_effects();
         let any = !effects.is_empty();
-        let me = self.place.address.clone();
+        let me = self.context.address.clone();
         for effect in effects {
             match effect {
                 Effect::SendToVoter(to, message, back) if to == me => {
-                    self.hand(to, message, Handed::Own(back))
+                    self.hand(to, message, VoterCaller::Own(back))
                 }
                 Effect::SendToVoter(to, message, back) => {
                     let said = Payload::Vote { from: me.clone(), message };
-                    self.call_out(to.clone(), said, VOTE, Called::Vote(to, back));
+                    self.call_out(to.clone(), said, PEER_TIMEOUT, OutgoingCall::Vote(to, back));
+                }
+                Effect::AskLocalVoter(call, from, message) => {
+                    self.hand(from, message, VoterCaller::Other(call))
                 }
-                Effect::AskLocalVoter(call, from, message) => self.hand(from, message, Handed::Other(call)),
                 // A test of the auditor.
                 Effect::Reply(call, reply)
-                    if self.place.mutation == Some(Mutation::Lenient)
+                    if self.context.mutation == Some(Mutation::ConfirmConflicts)
                         && reply.status == StatusCode::CONFLICT =>
                 {
                     self.outs
@@ -337,58 +340,60 @@
                 Effect::Reply(call, reply) => {
                     self.outs.push(ProcessOutput::Reply { call, said: said(reply) })
                 }
-                Effect::OpenFeed(call, seat, line) => {
-                    self.seats.insert(seat, call);
+                Effect::OpenFeed(call, connection, line) => {
+                    self.feeds.insert(connection, call);
                     self.outs.push(ProcessOutput::Line { feed: call, line });
                 }
-                Effect::FeedLine(seat, line) => {
-                    self.outs
-                        .extend(self.seats.get(&seat).map(|feed| ProcessOutput::Line { feed: *feed, line }));
+                Effect::FeedLine(connection, line) => {
+                    self.outs.extend(
+                        self.feeds.get(&connection).map(|feed| ProcessOutput::Line { feed: *feed, line }),
+                    );
                 }
-                Effect::CloseFeed(seat) => {
-                    self.outs.extend(self.seats.remove(&seat).map(|feed| ProcessOutput::Close { feed }));
+                Effect::CloseFeed(connection) => {
+                    self.outs
+                        .extend(self.feeds.remove(&connection).map(|feed| ProcessOutput::Close { feed }));
                 }
                 Effect::Heartbeat => {
                     let beat =
                         |feed: &u64| ProcessOutput::Line { feed: *feed, line: Bytes::from_static(b"\n") };
-                    self.outs.extend(self.seats.values().map(beat));
+                    self.outs.extend(self.feeds.values().map(beat));
                 }
                 Effect::Gossip(to, body) => {
-                    let called = Called::News(to.clone(), now);
-                    self.call_out(to, Payload::News(body), VOTE, called);
+                    let outgoing = OutgoingCall::Gossip(to.clone(), now);
+                    self.call_out(to, Payload::Gossip(body), PEER_TIMEOUT, outgoing);
                 }
                 Effect::ReadLocalConfig(number) => {
-                    let here = self.keeper.peek();
+                    let here = self.voter.peek();
                     self.core.handle(now, Input::LocalConfig(number, here));
                 }
                 Effect::FetchConfig(number, from) => {
-                    self.call_out(from, Payload::Chosen, VOTE, Called::Fetch(number));
+                    self.call_out(from, Payload::StoredConfig, PEER_TIMEOUT, OutgoingCall::Fetch(number));
                 }
-                Effect::PlatformCall(errand) => self.errand(now, errand),
+                Effect::PlatformCall(platform_call) => self.platform_call(now, platform_call),
             }
         }
         any
     }
 
-    fn errand(&mut self, now: Time, errand: PlatformCall) {
-        let (fence, asked) = (errand.fence, errand.decided_at);
-        let call = match errand.begin(now) {
+    fn platform_call(&mut self, now: Time, platform_call: PlatformCall) {
+        let (fence, pending) = (platform_call.fence, platform_call.decided_at);
+        let call = match platform_call.begin(now) {
             Ok(call) => call,
-            Err(kept_back) => return self.core.handle(now, Input::PlatformReply(fence, asked, kept_back)),
+            Err(kept_back) => return self.core.handle(now, Input::PlatformReply(fence, pending, kept_back)),
         };
         let (said, within) = match &call {
             Call::List { token } => {
                 let from = token.as_ref().and_then(|t| t.parse().ok()).unwrap_or(0);
-                (Payload::List { from }, LISTS)
+                (Payload::List { from }, LIST_TIMEOUT)
             }
-            Call::Workers => (Payload::Workers, LISTS),
+            Call::Workers => (Payload::Workers, LIST_TIMEOUT),
             Call::Start { service, worker, nonce } => {
                 let (service, worker, nonce) = (service.clone(), worker.clone(), nonce.clone());
-                (Payload::Start { service, worker, nonce }, STARTS)
+                (Payload::Start { service, worker, nonce }, START_TIMEOUT)
             }
-            Call::Stop { id } => (Payload::Stop { id: id.clone() }, STARTS),
+            Call::Stop { id } => (Payload::Stop { id: id.clone() }, START_TIMEOUT),
         };
-        self.call_out(PLATFORM.into(), said, within, Called::PlatformCall { fence, asked, call });
+        self.call_out(PLATFORM.into(), said, within, OutgoingCall::PlatformCall { fence, pending, call });
     }
 }
 
@@ -398,7 +403,7 @@
         (Call::List { .. }, Some(Payload::Listed { entries, next })) => {
             PlatformReply::Listed(Some((entries, next.map(|n| CompactString::from(n.to_string())))))
         }
-        (Call::Workers, Some(Payload::Staff(all))) => PlatformReply::Workers(Some(all)),
+        (Call::Workers, Some(Payload::WorkerList(all))) => PlatformReply::Workers(Some(all)),
         (Call::Start { nonce, .. }, said) => {
             let answer = match said {
                 Some(Payload::Started(answer)) => answer,
--- a/simulator/src/processes/mod.rs
+++ b/simulator/src/processes/mod.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub enum Payload {
     /// `POST /mail`, and an answer with notes.
-    Mail { from: CompactString, life: u64, notes: Vec<PeerMessage> },
+    Messages { from: CompactString, life: u64, notes: Vec<PeerMessage> },
     /// Taken, with nothing to say.
     Taken,
     /// A status that is no success.
@@ -47,9 +47,9 @@
     /// What a voter answers; nothing where it says nothing.
     Voted(Option<Message>),
     /// `POST /core/news`.
-    News(Bytes),
+    Gossip(Bytes),
     /// `GET /core/chosen`.
-    Chosen,
+    StoredConfig,
     /// A success with a body.
     Body(Bytes),
     /// `POST /Config.Replace`.
@@ -67,7 +67,7 @@
     /// `GET /workers`.
     Workers,
     /// Its answer.
-    Staff(Vec<Worker>),
+    WorkerList(Vec<Worker>),
     /// `POST /start`.
     Start { service: CompactString, worker: CompactString, nonce: CompactString },
     /// Its answer.
@@ -125,7 +125,7 @@
     /// An exchange is over.
     Exchanged { id: u64, done: Exchanged },
     /// Whether an instance accepts connections.
-    Scouted { id: CompactString, up: bool },
+    ReadinessProbed { id: CompactString, up: bool },
     /// The settings file names these seeds now.
     Seeds(Vec<CompactString>),
     /// SIGTERM.
@@ -155,7 +155,7 @@
     /// Give an exchange up.
     Abort { id: u64 },
     /// Try whether an instance accepts connections.
-    Scout { id: CompactString, address: SocketAddr },
+    ProbeReadiness { id: CompactString, address: SocketAddr },
 }
 
 /// What a process is told of itself at its start.
@@ -191,7 +191,7 @@
 }
 
 /// A letter as it is written.
-fn letter(from: &str, life: u64, notes: &[PeerMessage]) -> Bytes {
+fn encode_messages(from: &str, life: u64, notes: &[PeerMessage]) -> Bytes {
     let notes = JsonValue::Array(notes.iter().map(PeerMessage::to_json).collect());
     let body = object([("from", text(from)), ("life", JsonValue::Number(life as f64)), ("notes", notes)]);
     Bytes::from(body.stringify().unwrap_or_default())
--- a/simulator/src/processes/outbox.rs
+++ b/simulator/src/processes/outbox.rs
@@ -7,20 +7,20 @@
 
 const FIRST_PAUSE: Time = 20 * MS;
 const LONGEST_PAUSE: Time = 500 * MS;
-const MOST: usize = 8_000;
+const MAX_WAITING: usize = 8_000;
 
 /// What waits for a peer, and what is on its way.
 pub struct Outbox {
     at_once: usize,
     waiting: Vec<PeerMessage>,
-    flying: Vec<(u64, Vec<PeerMessage>)>,
+    in_flight: Vec<(u64, Vec<PeerMessage>)>,
     up: Option<bool>,
     pause: Time,
     not_before: Time,
 }
 
 /// What came of a batch.
-pub enum Landed {
+pub enum BatchOutcome {
     /// The peer is there, for the first time or again.
     Up,
     /// Nothing new.
@@ -32,12 +32,12 @@
 impl Outbox {
     /// So many batches at once.
     pub fn new(at_once: usize) -> Self {
-        Outbox { at_once, waiting: Vec::new(), flying: Vec::new(), up: None, pause: 0, not_before: 0 }
+        Outbox { at_once, waiting: Vec::new(), in_flight: Vec::new(), up: None, pause: 0, not_before: 0 }
     }
 
     /// One more note, where there is room.
     pub fn push(&mut self, note: PeerMessage) -> bool {
-        let room = self.waiting.len() < MOST;
+        let room = self.waiting.len() < MAX_WAITING;
         if room {
             self.waiting.push(note);
         }
@@ -47,32 +47,32 @@
     /// A batch to be sent now under this number.
     pub fn take(&mut self, now: Time, id: u64) -> Option<Vec<PeerMessage>> {
         let most = if self.up == Some(false) { 1 } else { self.at_once };
-        if self.waiting.is_empty() || now < self.not_before || self.flying.len() >= most {
+        if self.waiting.is_empty() || now < self.not_before || self.in_flight.len() >= most {
             return None;
         }
         let notes = std::mem::take(&mut self.waiting);
-        self.flying.push((id, notes.clone()));
+        self.in_flight.push((id, notes.clone()));
         Some(notes)
     }
 
     /// When [`Outbox::take`] may have something next.
     pub fn due(&self) -> Option<Time> {
         let most = if self.up == Some(false) { 1 } else { self.at_once };
-        (!self.waiting.is_empty() && self.flying.len() < most).then_some(self.not_before)
+        (!self.waiting.is_empty() && self.in_flight.len() < most).then_some(self.not_before)
     }
 
     /// A batch was answered, or was not.
-    pub fn landed(&mut self, now: Time, id: u64, taken: bool) -> Landed {
-        let Some(at) = self.flying.iter().position(|(n, _)| *n == id) else { return Landed::Well };
-        let (_, notes) = self.flying.remove(at);
+    pub fn batch_done(&mut self, now: Time, id: u64, taken: bool) -> BatchOutcome {
+        let Some(at) = self.in_flight.iter().position(|(n, _)| *n == id) else { return BatchOutcome::Well };
+        let (_, notes) = self.in_flight.remove(at);
         if taken {
             self.pause = 0;
-            return if self.up.replace(true) == Some(true) { Landed::Well } else { Landed::Up };
+            return if self.up.replace(true) == Some(true) { BatchOutcome::Well } else { BatchOutcome::Up };
         }
         self.pause = if self.pause == 0 { FIRST_PAUSE } else { (self.pause * 2).min(LONGEST_PAUSE) };
         self.not_before = now + self.pause;
         self.up = Some(false);
-        Landed::Lost(notes)
+        BatchOutcome::Lost(notes)
     }
 
     /// Nothing waits.
@@ -82,6 +82,6 @@
 
     /// The batch of this number is on its way here.
     pub fn has(&self, id: u64) -> bool {
-        self.flying.iter().any(|(n, _)| *n == id)
+        self.in_flight.iter().any(|(n, _)| *n == id)
     }
 }
--- a/simulator/src/processes/parse_cache.rs
+++ b/simulator/src/processes/parse_cache.rs
@@ -12,7 +12,7 @@
 
 /// A configuration, and the digest of it.
 #[derive(Debug)]
-pub struct Known {
+pub struct ParsedConfig {
     /// The configuration.
     pub config: Config,
     /// Its digest.
@@ -20,7 +20,7 @@
 }
 
 /// What was read by key; nothing where it could not be.
-type Found<K> = RefCell<HashMap<K, Option<Rc<Known>>>>;
+type Found<K> = RefCell<HashMap<K, Option<Rc<ParsedConfig>>>>;
 
 /// What was read, by the digest of its text.
 #[derive(Default)]
@@ -34,7 +34,7 @@
 
 impl ParseCache {
     /// A configuration out of its content: JSON, or packed.
-    pub fn read(&self, content: &str) -> Option<Rc<Known>> {
+    pub fn read(&self, content: &str) -> Option<Rc<ParsedConfig>> {
         let key = xxh3_64(content.as_bytes());
         if let Some(known) = self.texts.borrow().get(&key) {
             return known.clone();
@@ -44,26 +44,26 @@
         } else {
             unpack(content, LONGEST).and_then(|text| Config::parse(&text).ok())
         };
-        let known = config.map(|config| Rc::new(Known { digest: config.digest(), config }));
+        let known = config.map(|config| Rc::new(ParsedConfig { digest: config.digest(), config }));
         self.texts.borrow_mut().insert(key, known.clone());
         known
     }
 
     /// A configuration that follows from another by a change.
-    pub fn change(&self, old: &Known, difference: &JsonValue) -> Option<Rc<Known>> {
+    pub fn change(&self, old: &ParsedConfig, difference: &JsonValue) -> Option<Rc<ParsedConfig>> {
         let text = difference.stringify().unwrap_or_default();
         let key = (old.digest, xxh3_64(text.as_bytes()));
         if let Some(known) = self.changed.borrow().get(&key) {
             return known.clone();
         }
         let config = change::apply(&old.config, difference).ok();
-        let known = config.map(|config| Rc::new(Known { digest: config.digest(), config }));
+        let known = config.map(|config| Rc::new(ParsedConfig { digest: config.digest(), config }));
         self.changed.borrow_mut().insert(key, known.clone());
         known
     }
 
     /// A configuration that follows from another by a change that is packed.
-    pub fn folded(&self, old: &Known, packed: &str) -> Option<Rc<Known>> {
+    pub fn packed_change(&self, old: &ParsedConfig, packed: &str) -> Option<Rc<ParsedConfig>> {
         let key = (old.digest, xxh3_64(packed.as_bytes()));
         if let Some(known) = self.changed.borrow().get(&key) {
             return known.clone();
@@ -75,7 +75,7 @@
     }
 
     /// Its routes, ready to be asked for.
-    pub fn table(&self, of: &Known) -> Rc<RouteTable> {
+    pub fn table(&self, of: &ParsedConfig) -> Rc<RouteTable> {
         Rc::clone(
             self.tables.borrow_mut().entry(of.digest).or_insert_with(|| Rc::new(RouteTable::new(&of.config))),
         )
--- a/simulator/src/processes/voter.rs
+++ b/simulator/src/processes/voter.rs
@@ -16,9 +16,9 @@
 /// The disk of a machine. It outlasts processes.
 #[derive(Default)]
 pub struct Disk {
-    lasting: BTreeMap<String, String>,
+    synced: BTreeMap<String, String>,
     /// Written, and not synced before that time.
-    loose: Vec<(Time, Write)>,
+    unsynced_writes: Vec<(Time, Write)>,
     /// How long a write with its sync takes.
     sync: Time,
     /// Slower by a factor, until then.
@@ -46,17 +46,17 @@
         let done = start + (self.sync as f64 * times) as Time;
         self.free = done;
         let lasts = if synced { done } else { done + 60_000 * MS };
-        self.loose.extend(batch.iter().map(|write| (lasts, write.clone())));
+        self.unsynced_writes.extend(batch.iter().map(|write| (lasts, write.clone())));
         self.settle(now);
         Ok(done)
     }
 
     fn settle(&mut self, now: Time) {
-        let lasting = &mut self.lasting;
-        self.loose.retain(|(at, write)| {
+        let synced = &mut self.synced;
+        self.unsynced_writes.retain(|(at, write)| {
             let lasts = *at <= now;
             if lasts {
-                lasting.insert(write.key.clone(), write.text.clone());
+                synced.insert(write.key.clone(), write.text.clone());
             }
             !lasts
         });
@@ -65,10 +65,10 @@
     /// The machine loses power: of what was not synced some is there, at times nothing.
     pub fn cut(&mut self, now: Time, rng: &mut Rng) {
         self.settle(now);
-        let none = rng.one(0.3);
-        for (_, write) in std::mem::take(&mut self.loose) {
-            if !none && rng.one(0.5) {
-                self.lasting.insert(write.key, write.text);
+        let none = rng.chance(0.3);
+        for (_, write) in std::mem::take(&mut self.unsynced_writes) {
+            if !none && rng.chance(0.5) {
+                self.synced.insert(write.key, write.text);
             }
         }
         (self.free, self.hangs_until) = (0, 0);
@@ -76,20 +76,20 @@
 
     /// A process has ended: what it wrote is there.
     pub fn left(&mut self) {
-        for (_, write) in std::mem::take(&mut self.loose) {
-            self.lasting.insert(write.key, write.text);
+        for (_, write) in std::mem::take(&mut self.unsynced_writes) {
+            self.synced.insert(write.key, write.text);
         }
     }
 
     /// It is empty.
     pub fn wipe(&mut self) {
-        self.lasting.clear();
-        self.loose.clear();
+        self.synced.clear();
+        self.unsynced_writes.clear();
     }
 
     fn records(&self) -> BTreeMap<String, String> {
-        let mut all = self.lasting.clone();
-        all.extend(self.loose.iter().map(|(_, w)| (w.key.clone(), w.text.clone())));
+        let mut all = self.synced.clone();
+        all.extend(self.unsynced_writes.iter().map(|(_, w)| (w.key.clone(), w.text.clone())));
         all
     }
 }
@@ -98,7 +98,7 @@
 pub struct VoterProcess {
     voter: Voter,
     waiting: VecDeque<(u64, CompactString, Message)>,
-    careless: bool,
+    skip_sync: bool,
 }
 
 /// An answer: of which message, what, and when it may go.
@@ -106,19 +106,23 @@
 
 impl VoterProcess {
     /// Opens what is on the disk. `first`: the whole system starts on empty disks.
-    pub fn open(now: Time, place: &ProcessContext, disk: &mut Disk, first: Option<Members>) -> Self {
-        let mut voter = Self::read(now, place, disk);
+    pub fn open(now: Time, context: &ProcessContext, disk: &mut Disk, first: Option<Members>) -> Self {
+        let mut voter = Self::read(now, context, disk);
         if let Some(first) = first {
             let put = |batch: &[Write]| disk.put(now, batch, true).map(drop);
             let _ = voter.bootstrap(first).commit(put);
         }
-        VoterProcess { voter, waiting: VecDeque::new(), careless: place.mutation == Some(Mutation::Unsynced) }
+        VoterProcess {
+            voter,
+            waiting: VecDeque::new(),
+            skip_sync: context.mutation == Some(Mutation::UnsyncedVotes),
+        }
     }
 
-    fn read(now: Time, place: &ProcessContext, disk: &mut Disk) -> Voter {
-        let (me, seeds) = (place.address.clone(), place.seeds.clone());
+    fn read(now: Time, context: &ProcessContext, disk: &mut Disk) -> Voter {
+        let (me, seeds) = (context.address.clone(), context.seeds.clone());
         let open = |records: BTreeMap<String, String>| {
-            Voter::open(me.clone(), records, seeds.clone(), place.life, now)
+            Voter::open(me.clone(), records, seeds.clone(), context.life, now)
         };
         open(disk.records()).unwrap_or_else(|_| {
             // What can't be read counts as wiped.
@@ -128,7 +132,7 @@
     }
 
     /// Whether it votes, and the members it knows.
-    pub fn standing(&self) -> (bool, Option<Members>) {
+    pub fn voter_status(&self) -> (bool, Option<Members>) {
         (self.voter.state() == State::Voting, self.voter.members().cloned())
     }
 
@@ -148,21 +152,21 @@
     pub fn work(
         &mut self,
         now: Time,
-        place: &ProcessContext,
+        context: &ProcessContext,
         disk: &mut Disk,
     ) -> (Vec<Answer>, Vec<(CompactString, Message)>) {
         let mut answers = Vec::new();
         while now >= disk.free.max(disk.hangs_until) {
             let Some((id, from, message)) = self.waiting.pop_front() else { break };
-            let (mut done, careless) = (now, self.careless);
+            let (mut done, skip_sync) = (now, self.skip_sync);
             let put = |batch: &[Write]| -> Result<(), ()> {
-                done = disk.put(done, batch, !careless)?;
+                done = disk.put(done, batch, !skip_sync)?;
                 Ok(())
             };
             match self.voter.handle(now, &from, message).commit(put) {
                 Ok(answer) => answers.push((id, answer, done)),
                 // What could not be written is not: the records are read anew.
-                Err(()) => self.voter = Self::read(now, place, disk),
+                Err(()) => self.voter = Self::read(now, context, disk),
             }
         }
         let due = self.voter.next_wake().is_some_and(|at| at <= now);
--- a/simulator/src/search.rs
+++ b/simulator/src/search.rs
@@ -31,7 +31,7 @@
     /// LIMIT is judged while the core is not settled, too.
     pub strict: bool,
     /// Asks take of their owner's processor.
-    pub strained: bool,
+    pub charge_request_cpu: bool,
     /// How fast workers are.
     pub speeds: Speeds,
     /// How days are drawn.
@@ -43,7 +43,8 @@
     let mut summary = SearchSummary { days: 0, events: 0, requests: 0, broken: 0 };
     for day in 0..of.days {
         let drawn = of.kind.draw(of.seed.wrapping_add(day), of.size, of.mutation);
-        let plan = Plan { strict: of.strict, strained: of.strained, speeds: of.speeds, ..drawn };
+        let plan =
+            Plan { strict: of.strict, charge_request_cpu: of.charge_request_cpu, speeds: of.speeds, ..drawn };
         let report = play(&plan, true, false);
         summary.days += 1;
         summary.events += report.events;
--- a/simulator/src/site.rs
+++ b/simulator/src/site.rs
@@ -206,7 +206,7 @@
     /// Processors of an edge machine, as a share of one.
     pub processors: f64,
     /// Asks take of their owner's processor.
-    pub strained: bool,
+    pub charge_request_cpu: bool,
     /// Calls for lists that the platform takes a second, and starts and stops.
     pub rates: (f64, f64),
     /// How far the list lags.
@@ -250,7 +250,7 @@
             length: 24 * SECOND,
             mbps: (1_000.0, 700.0),
             processors: 0.25,
-            strained: false,
+            charge_request_cpu: false,
             rates: (26.0, 78.0),
             lag_ms: 800,
             page: 200,
--- a/simulator/src/speeds.rs
+++ b/simulator/src/speeds.rs
@@ -78,7 +78,7 @@
             Speeds::Even => (1.0, None),
             Speeds::Half => (if place < count / 2 { 0.5 } else { 1.5 }, None),
             Speeds::Tenth => (if place < (count / 10).max(1) { 0.25 } else { 1.0 }, None),
-            Speeds::Spread => (0.4 * 5f64.powf(rng.share()), None),
+            Speeds::Spread => (0.4 * 5f64.powf(rng.unit()), None),
             Speeds::Turning => (1.0, (place < count / 4).then_some((turns, 0.35))),
         };
         order
--- a/simulator/src/world/client.rs
+++ b/simulator/src/world/client.rs
@@ -14,7 +14,7 @@
 const PAUSE: Time = 30 * MS;
 
 /// A request of a client, over all its tries.
-pub(super) struct Customer {
+pub(super) struct ClientRequest {
     class: usize,
     path: CompactString,
     zone: usize,
@@ -82,9 +82,9 @@
         }
         let sum: f64 = mix.iter().sum();
         let per_s = self.site.per_s / self.site.zones as f64 * sum;
-        let next = now + self.rng.pause(per_s);
+        let next = now + self.rng.exponential_gap(per_s);
         self.at(next, Event::Arrive { zone });
-        let mut drawn = self.rng.share() * sum;
+        let mut drawn = self.rng.unit() * sum;
         let class = mix.iter().position(|part| {
             drawn -= part;
             drawn < 0.0
@@ -92,13 +92,13 @@
         let class = class.unwrap_or(0);
         let kind = usize::from(class == 2);
         let weights = &self.weights[kind];
-        let place = self.rng.share() * weights.last().copied().unwrap_or(1.0);
+        let place = self.rng.unit() * weights.last().copied().unwrap_or(1.0);
         let number = weights.partition_point(|w| *w <= place).min(weights.len() - 1);
         let path = format_compact!("/{}{number}/x", self.site.classes[class].letter);
-        self.customer(class, path, zone, now + self.site.classes[class].deadline, None, None);
+        self.client_request(class, path, zone, now + self.site.classes[class].deadline, None, None);
     }
 
-    pub(super) fn customer(
+    pub(super) fn client_request(
         &mut self,
         class: usize,
         path: CompactString,
@@ -107,8 +107,8 @@
         parent: Option<(u64, bool)>,
         direct: Option<usize>,
     ) {
-        let place = self.customers.len();
-        self.customers.push(Customer {
+        let place = self.client_requests.len();
+        self.client_requests.push(ClientRequest {
             class,
             path,
             zone,
@@ -121,14 +121,21 @@
             last_machine: None,
             done: false,
         });
-        self.at(deadline, Event::GiveUp(place));
+        self.at(deadline, Event::ClientDeadline(place));
         self.attempt(place);
     }
 
     /// A run calls another route of its function.
-    pub(super) fn inner(&mut self, zone: usize, service: usize, run: u64, deadline: Time, repeat: bool) {
+    pub(super) fn nested_call(
+        &mut self,
+        zone: usize,
+        service: usize,
+        run: u64,
+        deadline: Time,
+        repeat: bool,
+    ) {
         let path = format_compact!("/c{service}/x");
-        self.customer(3, path, zone, deadline, Some((run, repeat)), None);
+        self.client_request(3, path, zone, deadline, Some((run, repeat)), None);
     }
 
     /// The dispatchers that get new connections of a zone.
@@ -148,11 +155,11 @@
 
     pub(super) fn attempt(&mut self, place: usize) {
         let now = self.now;
-        let customer = &self.customers[place];
-        if customer.done || now >= customer.deadline {
+        let client_request = &self.client_requests[place];
+        if client_request.done || now >= client_request.deadline {
             return;
         }
-        let (zone, last, direct) = (customer.zone, customer.last_machine, customer.direct);
+        let (zone, last, direct) = (client_request.zone, client_request.last_machine, client_request.direct);
         let machine = match direct {
             Some(machine) => machine,
             None => {
@@ -163,79 +170,80 @@
                 choices[self.rng.below(choices.len())]
             }
         };
-        let customer = &mut self.customers[place];
-        customer.last_machine = Some(machine);
-        let class = &self.site.classes[customer.class];
+        let client_request = &mut self.client_requests[place];
+        client_request.last_machine = Some(machine);
+        let class = &self.site.classes[client_request.class];
         let one = Attempt {
-            path: customer.path.clone(),
-            class: customer.class,
+            path: client_request.path.clone(),
+            class: client_request.class,
             sent: now,
             machine,
             life: self.machines[machine].life,
             once: !class.repeatable,
-            repeat: customer.parent.is_some_and(|(_, repeat)| repeat),
+            repeat: client_request.parent.is_some_and(|(_, repeat)| repeat),
             runs: 0,
             promised: None,
             arrivals: 0,
             seals: Vec::new(),
         };
-        let id = self.auditor.sent(one);
-        customer.current = Some(id);
+        let id = self.auditor.attempt_sent(one);
+        client_request.current = Some(id);
         self.attempts.push(place);
         self.traffic.clients += class.bytes.0;
-        let left = self.customers[place].deadline - now;
+        let left = self.client_requests[place].deadline - now;
         let there = now + self.site.client + self.rng.between(0, 300_000);
-        self.at(there, Event::AtStall { attempt: id });
+        self.at(there, Event::ReachProxy { attempt: id });
         if class.repeatable {
             // A dispatcher that does not read it in time is given up.
             let patience = SECOND.min(left / 3).max(5 * MS);
-            self.at(now + patience, Event::Impatient { customer: place, attempt: id });
+            self.at(now + patience, Event::ReadTimeout { client_request: place, attempt: id });
         }
     }
 
-    pub(super) fn at_stall(&mut self, attempt: u64) {
+    pub(super) fn reach_proxy(&mut self, attempt: u64) {
         let now = self.now;
         let place = self.attempts[attempt as usize];
-        let customer = &self.customers[place];
-        if customer.current != Some(attempt) || customer.done {
+        let client_request = &self.client_requests[place];
+        if client_request.current != Some(attempt) || client_request.done {
             return;
         }
-        let (deadline, path) = (customer.deadline, customer.path.clone());
-        let one = &self.auditor.tries[attempt as usize];
+        let (deadline, path) = (client_request.deadline, client_request.path.clone());
+        let one = &self.auditor.attempts[attempt as usize];
         let (at, sent) = (one.machine, one.sent);
         let client = self.site.client;
         let machine = &mut self.machines[at];
         if !machine.powered {
-            return self.at(sent + CONNECT, Event::ToClient { attempt, status: 0, again: None, seal: None });
+            return self
+                .at(sent + CONNECT, Event::ReachClient { attempt, status: 0, again: None, seal: None });
         }
         if machine.frozen > now {
-            return machine.held.push(Event::AtStall { attempt });
+            return machine.held.push(Event::ReachProxy { attempt });
         }
         // Who takes no connections any more has not read it.
-        if machine.stall.as_ref().is_none_or(|stall| stall.closes(now)) {
-            return self.at(now + client, Event::ToClient { attempt, status: 0, again: None, seal: None });
+        if machine.proxy.as_ref().is_none_or(|proxy| proxy.closes(now)) {
+            return self.at(now + client, Event::ReachClient { attempt, status: 0, again: None, seal: None });
         }
         machine.tries.insert(attempt);
         let life = machine.life;
-        if let Some(one) = self.auditor.tries.get_mut(attempt as usize) {
+        if let Some(one) = self.auditor.attempts.get_mut(attempt as usize) {
             one.life = life;
         }
         self.read.insert(attempt);
-        if self.auditor.tries[attempt as usize].once {
+        if self.auditor.attempts[attempt as usize].once {
             self.ever_read.insert(attempt);
         }
         let request = Request { attempt, host: HOST.into(), path, left: deadline.saturating_sub(sent) };
         self.give(at, Role::Proxy, ProcessInput::Request { client: attempt, request });
     }
 
-    pub(super) fn impatient(&mut self, place: usize, attempt: u64) {
-        let customer = &self.customers[place];
-        if customer.current == Some(attempt) && !customer.done && !self.read.contains(&attempt) {
-            self.client_hears(attempt, 0, None, None);
+    pub(super) fn read_timeout(&mut self, place: usize, attempt: u64) {
+        let client_request = &self.client_requests[place];
+        if client_request.current == Some(attempt) && !client_request.done && !self.read.contains(&attempt) {
+            self.deliver_to_client(attempt, 0, None, None);
         }
     }
 
-    pub(super) fn stall_answers(
+    pub(super) fn proxy_answers(
         &mut self,
         at: usize,
         attempt: u64,
@@ -245,55 +253,61 @@
     ) {
         if self.machines[at].tries.remove(&attempt) {
             let there = self.now + self.site.client;
-            self.at(there, Event::ToClient { attempt, status, again, seal });
+            self.at(there, Event::ReachClient { attempt, status, again, seal });
         }
     }
 
     /// An answer, or a connection that broke: status 0.
-    pub(super) fn client_hears(&mut self, attempt: u64, status: u16, again: Option<Time>, seal: Option<u64>) {
+    pub(super) fn deliver_to_client(
+        &mut self,
+        attempt: u64,
+        status: u16,
+        again: Option<Time>,
+        seal: Option<u64>,
+    ) {
         let now = self.now;
         self.read.remove(&attempt);
         let place = self.attempts[attempt as usize];
         if status > 0 {
-            self.auditor.answered(&self.disturbances, now, attempt, status, seal);
-            self.note(|| format!("request {attempt} is answered with {status}"));
+            self.auditor.client_answered(&self.disturbances, now, attempt, status, seal);
+            self.trace_line(|| format!("request {attempt} is answered with {status}"));
         }
         // A dispatcher that has read the request and closes promises nothing.
-        let unread = status == 0 && !self.ever_read.contains(&attempt);
-        let customer = &mut self.customers[place];
-        if customer.current != Some(attempt) || customer.done {
+        let read_back_pending = status == 0 && !self.ever_read.contains(&attempt);
+        let client_request = &mut self.client_requests[place];
+        if client_request.current != Some(attempt) || client_request.done {
             return;
         }
-        customer.current = None;
-        let class = &self.site.classes[customer.class];
+        client_request.current = None;
+        let class = &self.site.classes[client_request.class];
         self.traffic.clients += class.bytes.1;
         if (200..300).contains(&status) {
-            return self.settle(place, true, status);
+            return self.finish_request(place, true, status);
         }
         let promise = matches!(status, 429 | 503 | 408 | 421);
         let may = match status {
             400 | 401 | 404 | 413 | 431 => false,
-            _ => class.repeatable || promise || unread,
+            _ => class.repeatable || promise || read_back_pending,
         };
-        let left = customer.deadline.saturating_sub(now);
-        if !may || customer.retries == 0 || left < 10 * MS {
-            return self.settle(place, false, status);
+        let left = client_request.deadline.saturating_sub(now);
+        if !may || client_request.retries == 0 || left < 10 * MS {
+            return self.finish_request(place, false, status);
         }
-        customer.retries -= 1;
+        client_request.retries -= 1;
         let wait = again.unwrap_or(PAUSE).min(left / 3).max(MS);
         self.at(now + wait, Event::Attempt(place));
     }
 
-    fn settle(&mut self, place: usize, good: bool, status: u16) {
-        let customer = &mut self.customers[place];
-        if customer.done {
+    fn finish_request(&mut self, place: usize, good: bool, status: u16) {
+        let client_request = &mut self.client_requests[place];
+        if client_request.done {
             return;
         }
-        customer.done = true;
-        let (born, parent, direct) = (customer.born, customer.parent, customer.direct);
-        let class = customer.class;
+        client_request.done = true;
+        let (born, parent, direct) = (client_request.born, client_request.parent, client_request.direct);
+        let class = client_request.class;
         if let Some((run, _)) = parent {
-            return self.inner_done(run, good);
+            return self.nested_call_done(run, good);
         }
         if direct.is_none() {
             self.served.all.push((born, self.now - born, good, class));
@@ -304,30 +318,30 @@
     }
 
     /// The client's time has ended.
-    pub(super) fn give_up(&mut self, place: usize) {
-        let customer = &mut self.customers[place];
-        if customer.done {
+    pub(super) fn client_deadline(&mut self, place: usize) {
+        let client_request = &mut self.client_requests[place];
+        if client_request.done {
             return;
         }
-        if let Some(attempt) = customer.current.take() {
-            let at = self.auditor.tries[attempt as usize].machine;
+        if let Some(attempt) = client_request.current.take() {
+            let at = self.auditor.attempts[attempt as usize].machine;
             if self.machines[at].tries.remove(&attempt) && self.machines[at].frozen <= self.now {
                 self.give(at, Role::Proxy, ProcessInput::Gone { client: attempt });
             }
         }
-        self.settle(place, false, 1);
+        self.finish_request(place, false, 1);
     }
 
     /// The entry asks every dispatcher whether clients may be sent there.
-    pub(super) fn entry(&mut self) {
+    pub(super) fn health_check(&mut self) {
         let now = self.now;
         for machine in &mut self.machines[..self.site.edges.len()] {
             let well = machine.powered
                 && machine.frozen <= now
-                && machine.stall.as_ref().is_some_and(|stall| stall.ready(now));
+                && machine.proxy.as_ref().is_some_and(|proxy| proxy.ready(now));
             machine.misses = if well { 0 } else { machine.misses + 1 };
             machine.serving = machine.misses < 2;
         }
-        self.at(now + SECOND, Event::Entry);
+        self.at(now + SECOND, Event::HealthCheck);
     }
 }
--- a/simulator/src/world/endpoint.rs
+++ b/simulator/src/world/endpoint.rs
@@ -11,7 +11,7 @@
 use crate::{MS, SECOND, Time};
 
 /// An idle connection is used again for so long.
-const KEPT: Time = 4 * SECOND;
+const IDLE_REUSE: Time = 4 * SECOND;
 const CONNECT: Time = 300 * MS;
 
 pub(super) struct Endpoint {
@@ -73,7 +73,7 @@
 }
 
 impl World {
-    fn way(&mut self, machine: usize, worker: usize) -> Time {
+    fn one_way_delay(&mut self, machine: usize, worker: usize) -> Time {
         let same = self.machines[machine].zone == self.platform.hosts[worker].zone;
         let base = if same { self.site.near } else { self.site.far };
         base + self.rng.between(0, base / 4)
@@ -92,23 +92,23 @@
         let number = self.next;
         let at = self.listening.get(&address).copied();
         let worker = at.map_or(0, |at| self.endpoints[at].worker);
-        let way = self.way(machine, worker);
+        let one_way_delay = self.one_way_delay(machine, worker);
         let key = (machine, at.unwrap_or(usize::MAX));
-        let fresh = self.kept.get(&key).is_none_or(|last| last + KEPT < self.now);
+        let fresh = self.idle_connections.get(&key).is_none_or(|last| last + IDLE_REUSE < self.now);
         if fresh {
             self.traffic.handshakes += 1;
         }
-        self.kept.insert(key, self.now);
-        let there = self.now + if fresh { 3 * way } else { way };
+        self.idle_connections.insert(key, self.now);
+        let there = self.now + if fresh { 3 * one_way_delay } else { one_way_delay };
         let life = self.machines[machine].life;
         self.out.insert((machine, life, id), number);
         self.machines[machine].exchanges.insert(number);
         let exchange = Exchange { machine, life, id, address, expect, request, deadline, fresh, run: None };
         self.exchanges.insert(number, exchange);
-        self.at(there, Event::AtEndpoint(number));
+        self.at(there, Event::ReachEndpoint(number));
     }
 
-    pub(super) fn at_endpoint(&mut self, number: u64) {
+    pub(super) fn reach_endpoint(&mut self, number: u64) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get(&number) else { return };
         let (machine, fresh, deadline) = (exchange.machine, exchange.fresh, exchange.deadline);
@@ -116,73 +116,82 @@
         let at = self.listening.get(&exchange.address).copied();
         let worker = at.map_or(0, |at| self.endpoints[at].worker);
         let (path, expect) = (exchange.request.path.clone(), exchange.expect.clone());
-        let way = self.way(machine, worker);
+        let one_way_delay = self.one_way_delay(machine, worker);
         let refuse = Exchanged { refused: true, ..ended(Outcome::Unreachable, false) };
-        let Some(at) = at else { return self.at(now + way, Event::Back(number, refuse)) };
+        let Some(at) = at else { return self.at(now + one_way_delay, Event::ExchangeDone(number, refuse)) };
         let host = &self.platform.hosts[worker];
         if host.down > now && host.silent {
             // Nobody is there to say no: a new connection is given up, on one that was kept nothing comes.
             if fresh {
-                self.at(now + CONNECT, Event::Back(number, ended(Outcome::Unreachable, false)));
+                self.at(now + CONNECT, Event::ExchangeDone(number, ended(Outcome::Unreachable, false)));
             }
             return;
         }
         let endpoint = &self.endpoints[at];
         if !endpoint.listening || endpoint.ready.is_none() {
-            return self.at(now + way, Event::Back(number, refuse));
+            return self.at(now + one_way_delay, Event::ExchangeDone(number, refuse));
         }
         if expect.is_some_and(|id| *id != endpoint.id) {
-            return self.at(now + way, Event::Back(number, ended(Outcome::AddressReused, true)));
+            return self
+                .at(now + one_way_delay, Event::ExchangeDone(number, ended(Outcome::AddressReused, true)));
         }
         let over = endpoint.runs.len() >= endpoint.slots as usize;
         let lag = self.site.lag_ms * MS;
         let drained = endpoint.draining.map(|from| from + lag);
         let service = self.site.service(endpoint.service);
-        let repeat =
-            self.auditor.arrived(&self.disturbances, now, attempt, &path, &service, !over, over, drained);
+        let repeat = self.auditor.request_arrived(
+            &self.disturbances,
+            now,
+            attempt,
+            &path,
+            &service,
+            !over,
+            over,
+            drained,
+        );
         if over {
-            self.note(|| {
+            self.trace_line(|| {
                 format!("request {attempt} is turned away at {service}, on machine {machine}'s word")
             });
-            return self.at(now + way, Event::Back(number, ended(Outcome::Full, true)));
+            return self.at(now + one_way_delay, Event::ExchangeDone(number, ended(Outcome::Full, true)));
         }
-        let class = self.auditor.tries.get(attempt as usize).map_or(2, |t| t.class);
+        let class = self.auditor.attempts.get(attempt as usize).map_or(2, |t| t.class);
         let class = &self.site.classes[class.min(self.site.classes.len() - 1)];
         let slow = if endpoint.slow.1 > now { endpoint.slow.0 } else { 1.0 };
         let factor = endpoint.speed * slow / host.speed.at(now);
-        let work = (self.rng.around(class.work_ms, 0.5) as f64 * factor) as Time;
-        let calls = self.rng.one(class.calls);
+        let work = (self.rng.log_normal_ms(class.work_ms, 0.5) as f64 * factor) as Time;
+        let calls = self.rng.chance(class.calls);
         self.next += 1;
         let run = self.next;
-        let until = (now + left).min(deadline + way);
+        let until = (now + left).min(deadline + one_way_delay);
         self.endpoints[at].runs.insert(run);
         if let Some(exchange) = self.exchanges.get_mut(&number) {
             exchange.run = Some(run);
         }
         let of = Run { endpoint: at, exchange: number, attempt, deadline: until, work, calls, failed: false };
         self.runs.insert(run, of);
-        self.note(|| {
+        self.trace_line(|| {
             format!("run {run} of request {attempt} {path} at {service} on machine {machine}'s word")
         });
         if calls {
             let zone = self.platform.hosts[worker].zone;
             let service = self.endpoints[at].service;
-            self.inner(zone, service, run, until, repeat);
+            self.nested_call(zone, service, run, until, repeat);
         } else {
-            self.at((now + work).min(until), Event::Worked(run));
+            self.at((now + work).min(until), Event::RunDone(run));
         }
     }
 
     /// The call that a run has made is answered.
-    pub(super) fn inner_done(&mut self, run: u64, good: bool) {
+    pub(super) fn nested_call_done(&mut self, run: u64, good: bool) {
         let now = self.now;
         let Some(of) = self.runs.get_mut(&run) else { return };
         (of.calls, of.failed) = (false, !good);
         let at = (now + if good { of.work } else { 0 }).min(of.deadline.max(now));
-        self.at(at, Event::Worked(run));
+        self.at(at, Event::RunDone(run));
     }
 
-    pub(super) fn worked(&mut self, run: u64) {
+    pub(super) fn run_done(&mut self, run: u64) {
         let now = self.now;
         if run > u64::MAX / 2 {
             // The time of one that drains is over.
@@ -197,29 +206,29 @@
             self.end_endpoint(of.endpoint);
         }
         let Some(exchange) = self.exchanges.get(&of.exchange) else { return };
-        let way = self.way(exchange.machine, worker);
+        let one_way_delay = self.one_way_delay(exchange.machine, worker);
         let seal = of.attempt.wrapping_mul(31) ^ run;
         let late = now >= of.deadline;
         let done = if of.failed || late {
             let status = if late { 504 } else { 500 };
             Exchanged { answer: Some((status, seal)), ..ended(Outcome::Failed, true) }
-        } else if self.lost_share.1 > now && self.rng.one(self.lost_share.0) {
+        } else if self.lost_share.1 > now && self.rng.chance(self.lost_share.0) {
             ended(Outcome::NoAnswer, true)
-        } else if self.garbled_share.1 > now && self.rng.one(self.garbled_share.0) {
+        } else if self.garbled_share.1 > now && self.rng.chance(self.garbled_share.0) {
             Exchanged { answer: Some((200, seal ^ 1)), ..ended(Outcome::NoAnswer, true) }
         } else {
-            self.auditor.sealed(of.attempt, seal);
+            self.auditor.run_completed(of.attempt, seal);
             Exchanged { answer: Some((200, seal)), ..ended(Outcome::Answered, true) }
         };
-        self.at(now + way, Event::Back(of.exchange, done));
+        self.at(now + one_way_delay, Event::ExchangeDone(of.exchange, done));
     }
 
-    pub(super) fn back(&mut self, number: u64, done: Exchanged) {
+    pub(super) fn exchange_done(&mut self, number: u64, done: Exchanged) {
         let Some(exchange) = self.exchanges.get(&number) else { return };
         let (machine, life, id) = (exchange.machine, exchange.life, exchange.id);
         let m = &mut self.machines[machine];
         if m.life == life && m.frozen > self.now {
-            return m.held.push(Event::Back(number, done));
+            return m.held.push(Event::ExchangeDone(number, done));
         }
         self.exchanges.remove(&number);
         m.exchanges.remove(&number);
@@ -240,12 +249,12 @@
 
     pub(super) fn drop_exchange(&mut self, number: u64) {
         let Some(exchange) = self.exchanges.remove(&number) else { return };
-        let drops = self.rng.one(0.8);
+        let drops = self.rng.chance(0.8);
         if let Some(run) = exchange.run.filter(|_| drops) {
             let soon = self.now + self.site.near;
             // It ends as if its work were done; nobody hears of it.
             if self.runs.get(&run).is_some_and(|r| !r.calls) {
-                self.at(soon, Event::Worked(run));
+                self.at(soon, Event::RunDone(run));
             }
         }
     }
@@ -258,7 +267,7 @@
             let Some(of) = self.runs.remove(&run) else { continue };
             if !silent {
                 let done = ended(Outcome::NoAnswer, true);
-                self.at(now + self.site.near, Event::Back(of.exchange, done));
+                self.at(now + self.site.near, Event::ExchangeDone(of.exchange, done));
             }
         }
         self.end_endpoint(at);
@@ -267,17 +276,17 @@
     pub(super) fn scout(&mut self, machine: usize, id: CompactString, address: SocketAddr) {
         let at = self.listening.get(&address).copied();
         let worker = at.map_or(0, |at| self.endpoints[at].worker);
-        let way = self.way(machine, worker);
+        let one_way_delay = self.one_way_delay(machine, worker);
         self.traffic.handshakes += 1;
         let host = &self.platform.hosts[worker];
         let up = at.is_some_and(|at| self.endpoints[at].listening && self.endpoints[at].id == id);
         let silent = host.down > self.now && host.silent;
-        let back = self.now + if silent { CONNECT } else { 2 * way };
+        let back = self.now + if silent { CONNECT } else { 2 * one_way_delay };
         if up && let Some(at) = at {
-            self.kept.insert((machine, at), self.now);
+            self.idle_connections.insert((machine, at), self.now);
         }
         let life = self.machines[machine].life;
-        self.at(back, Event::Scout { machine, life, id, up: up && !silent });
+        self.at(back, Event::Probed { machine, life, id, up: up && !silent });
     }
 
     pub(super) fn scouted(&mut self, machine: usize, life: u64, id: CompactString, up: bool) {
@@ -286,8 +295,8 @@
             return;
         }
         if m.frozen > self.now {
-            return m.held.push(Event::Scout { machine, life, id, up });
+            return m.held.push(Event::Probed { machine, life, id, up });
         }
-        self.give(machine, Role::Proxy, ProcessInput::Scouted { id, up });
+        self.give(machine, Role::Proxy, ProcessInput::ReadinessProbed { id, up });
     }
 }
--- a/simulator/src/world/faults.rs
+++ b/simulator/src/world/faults.rs
@@ -12,11 +12,11 @@
 const BEHIND: Time = 2 * SECOND;
 
 impl World {
-    pub(super) fn hit(&mut self, at: usize, until: Time) {
+    pub(super) fn record_disturbance(&mut self, at: usize, until: Time) {
         let now = self.now;
-        self.disturbances.machine(at, now, until);
+        self.disturbances.record_machine(at, now, until);
         if self.machines[at].core {
-            self.disturbances.core(now, until);
+            self.disturbances.record_core(now, until);
         }
     }
 
@@ -25,14 +25,14 @@
         let mut target_rng = Rng::new(fault.target_seed);
         let now = self.now;
         let (edges, cores) = (self.site.edges.len(), self.cores.clone());
-        self.note(|| format!("trouble {at}: {:?}", fault.kind));
+        self.trace_line(|| format!("trouble {at}: {:?}", fault.kind));
         let one = |target_rng: &mut Rng, core: bool| {
             if core { cores[target_rng.below(cores.len())] } else { target_rng.below(edges) }
         };
         match fault.kind {
             FaultKind::Burst { class, times, lasts } => {
                 self.bursts.push((class, times, now + lasts));
-                self.disturbances.outside(now, now + lasts);
+                self.disturbances.record_outside(now, now + lasts);
             }
             FaultKind::NodeKill { core, power, lasts } => {
                 let machine = one(&mut target_rng, core);
@@ -40,7 +40,7 @@
             }
             FaultKind::HerdKill { share, power, lasts } => {
                 for machine in 0..edges {
-                    if target_rng.one(share) {
+                    if target_rng.chance(share) {
                         self.kill(machine, power, lasts);
                     }
                 }
@@ -54,7 +54,7 @@
                         CutScope::Core => m.cut_core = now + lasts,
                         CutScope::OneWay => m.cut_out = now + lasts,
                     }
-                    self.hit(machine, now + lasts);
+                    self.record_disturbance(machine, now + lasts);
                 }
             }
             FaultKind::WorkerCrash { share, reset, lasts } => {
@@ -74,7 +74,7 @@
             }
             FaultKind::AfterAckWipe { lasts } => {
                 self.wipe_next = Some(lasts);
-                self.lag_one();
+                self.delay_one_controller();
                 self.config_change(false);
             }
             FaultKind::ConfigRace => self.config_race(),
@@ -89,19 +89,19 @@
             FaultKind::CoreSplit { lasts } => {
                 for (place, at) in cores.iter().enumerate() {
                     self.machines[*at].half = (place * 2 / cores.len(), now + lasts);
-                    self.hit(*at, now + lasts);
+                    self.record_disturbance(*at, now + lasts);
                 }
             }
             FaultKind::NodeCut { lasts } => {
                 let machine = one(&mut target_rng, false);
                 self.machines[machine].cut_core = now + lasts;
-                self.hit(machine, now + lasts);
+                self.record_disturbance(machine, now + lasts);
             }
             FaultKind::ClockStep { share, by_ms, lasts } => {
                 for at in 0..self.machines.len() {
-                    if target_rng.one(share) {
+                    if target_rng.chance(share) {
                         self.machines[at].clock = (by_ms, now + lasts);
-                        self.hit(at, now + lasts);
+                        self.record_disturbance(at, now + lasts);
                     }
                 }
             }
@@ -121,7 +121,7 @@
                 let missed = target_rng.below(cores.len());
                 let machine = cores[missed];
                 self.machines[machine].cut_core = now + BEHIND;
-                self.hit(machine, now + BEHIND);
+                self.record_disturbance(machine, now + BEHIND);
                 for after in [200 * MS, BEHIND / 2] {
                     self.later(now + after, FaultKind::ConfigChange, fault.target_seed);
                 }
@@ -130,7 +130,7 @@
             FaultKind::BehindStrikes { missed, lasts } => self.strike_behind(&mut target_rng, missed, lasts),
             FaultKind::HangUp { share } => {
                 for at in 0..self.machines.len() {
-                    if target_rng.one(share) {
+                    if target_rng.chance(share) {
                         self.hang_up(at);
                     }
                 }
@@ -139,23 +139,23 @@
             FaultKind::BadConfig => self.bad_config(),
             FaultKind::AnswerLost { share, lasts } => {
                 self.lost_share = (share, now + lasts);
-                self.disturbances.outside(now, now + lasts);
+                self.disturbances.record_outside(now, now + lasts);
             }
             FaultKind::Garble { share, lasts } => {
                 self.garbled_share = (share, now + lasts);
-                self.disturbances.outside(now, now + lasts);
+                self.disturbances.record_outside(now, now + lasts);
             }
             FaultKind::SrvSlow { share, times, lasts } => {
                 for endpoint in self.endpoints.iter_mut().filter(|e| e.ended.is_none()) {
-                    if target_rng.one(share) {
+                    if target_rng.chance(share) {
                         endpoint.slow = (times, now + lasts);
                     }
                 }
-                self.disturbances.outside(now, now + lasts);
+                self.disturbances.record_outside(now, now + lasts);
             }
             FaultKind::ResetConns { core } => {
                 let machine = one(&mut target_rng, core);
-                self.hit(machine, now);
+                self.record_disturbance(machine, now);
                 self.break_all(machine, true);
                 self.break_clients(machine, true);
             }
@@ -164,24 +164,24 @@
                 let m = &mut self.machines[machine];
                 if m.powered && m.frozen <= now {
                     m.frozen = now + lasts;
-                    self.hit(machine, now + lasts);
-                    self.at(now + lasts, Event::Thaw(machine));
+                    self.record_disturbance(machine, now + lasts);
+                    self.at(now + lasts, Event::Unfreeze(machine));
                 }
             }
             FaultKind::DiskStall { lasts } => {
                 let machine = one(&mut target_rng, true);
                 self.machines[machine].disk.hangs_until = now + lasts;
-                self.hit(machine, now + lasts);
+                self.record_disturbance(machine, now + lasts);
             }
             FaultKind::DiskSlow { times, lasts } => {
                 let machine = one(&mut target_rng, true);
                 self.machines[machine].disk.slow = (times, now + lasts);
-                self.hit(machine, now + lasts);
+                self.record_disturbance(machine, now + lasts);
             }
             FaultKind::DiskFull { lasts } => {
                 let machine = one(&mut target_rng, true);
                 self.machines[machine].disk.full_until = now + lasts;
-                self.hit(machine, now + lasts);
+                self.record_disturbance(machine, now + lasts);
             }
             FaultKind::ReplaceCore { whom, after } => self.replace_core(&mut target_rng, whom, after),
             FaultKind::SeedTurnover => self.seed_turnover(&mut target_rng),
@@ -233,14 +233,14 @@
         if !recent {
             self.machines[wiped].disk.wipe();
             self.wiped_at = Some(now);
-            self.note(|| format!("machine {wiped} loses its disk"));
+            self.trace_line(|| format!("machine {wiped} loses its disk"));
         }
     }
 
     fn crash_workers(&mut self, target_rng: &mut Rng, share: f64, reset: bool, lasts: Time) {
         let now = self.now;
         let count = ((self.platform.hosts.len() as f64 * share).round() as usize).max(1);
-        self.disturbances.outside(now, now + lasts);
+        self.disturbances.record_outside(now, now + lasts);
         for _ in 0..count {
             let at = target_rng.below(self.platform.hosts.len());
             let host = &mut self.platform.hosts[at];
@@ -257,36 +257,36 @@
         }
     }
 
-    /// The connections of clients and to endpoints break; `kept`: the process goes on.
-    fn break_clients(&mut self, at: usize, kept: bool) {
+    /// The connections of clients and to endpoints break; `idle_connections`: the process goes on.
+    fn break_clients(&mut self, at: usize, idle_connections: bool) {
         let now = self.now;
         let tries = std::mem::take(&mut self.machines[at].tries);
         let soon = now + self.site.client;
         for attempt in tries {
-            if kept {
+            if idle_connections {
                 self.give(at, super::Role::Proxy, crate::processes::ProcessInput::Gone { client: attempt });
             }
-            self.at(soon, Event::ToClient { attempt, status: 0, again: None, seal: None });
+            self.at(soon, Event::ReachClient { attempt, status: 0, again: None, seal: None });
         }
-        if kept {
+        if idle_connections {
             let exchanges: Vec<_> = self.machines[at].exchanges.iter().copied().collect();
             for number in exchanges {
                 let outcome = millpost_scheduler::Outcome::NoAnswer;
                 let done = crate::processes::Exchanged { outcome, sent: true, refused: false, answer: None };
-                self.at(soon, Event::Back(number, done));
+                self.at(soon, Event::ExchangeDone(number, done));
             }
         }
     }
 
     /// The processes of a machine end; with `power` the machine is off for as long.
     pub(super) fn kill(&mut self, at: usize, power: bool, lasts: Time) {
-        self.hit(at, self.now + lasts);
+        self.record_disturbance(at, self.now + lasts);
         self.end(at, power, lasts);
     }
 
     /// They end as it was planned.
     pub(super) fn kill_planned(&mut self, at: usize, lasts: Time) {
-        self.disturbances.planned(at, self.now, self.now + lasts);
+        self.disturbances.record_planned(at, self.now, self.now + lasts);
         self.end(at, false, lasts);
     }
 
@@ -296,7 +296,7 @@
             return;
         }
         let machine = &mut self.machines[at];
-        (machine.stall, machine.porter, machine.hall) = (None, None, None);
+        (machine.proxy, machine.agent, machine.controller) = (None, None, None);
         (machine.life, machine.frozen) = (0, 0);
         machine.held.clear();
         machine.powered = !power;
@@ -306,7 +306,7 @@
         } else {
             machine.disk.left();
         }
-        self.note(|| {
+        self.trace_line(|| {
             format!(
                 "machine {at} is down for {} ms{}",
                 lasts / MS,
@@ -330,21 +330,21 @@
         }
         self.out.retain(|(machine, _, _), _| *machine != at);
         self.up_at.push((now + lasts, at));
-        self.at(now + lasts, Event::Reopen);
+        self.at(now + lasts, Event::PowerOn);
     }
 
-    pub(super) fn reopen(&mut self) {
+    pub(super) fn power_on(&mut self) {
         let now = self.now;
         let due: Vec<_> = self.up_at.iter().filter(|(when, _)| *when <= now).map(|(_, at)| *at).collect();
         self.up_at.retain(|(when, _)| *when > now);
         for at in due {
             self.machines[at].powered = true;
-            self.disturbances.machine(at, now, now);
+            self.disturbances.record_machine(at, now, now);
             self.start(at);
         }
     }
 
-    pub(super) fn thaw(&mut self, at: usize) {
+    pub(super) fn unfreeze(&mut self, at: usize) {
         if self.machines[at].frozen > self.now {
             return;
         }
@@ -366,25 +366,25 @@
         // No more disks at once than may be lost.
         let recent = self.wiped_at.is_some_and(|at| at + CATCH_UP + 6 * SECOND > now);
         let others =
-            self.cores.iter().filter(|at| **at != machine).all(|at| self.disturbances.touch(*at, now));
+            self.cores.iter().filter(|at| **at != machine).all(|at| self.disturbances.in_contact(*at, now));
         if recent || !others || !self.machines[machine].powered {
             return;
         }
         self.wiped_at = Some(now);
         self.kill(machine, true, lasts);
         self.machines[machine].disk.wipe();
-        self.note(|| format!("machine {machine} loses its disk"));
+        self.trace_line(|| format!("machine {machine} loses its disk"));
     }
 
     /// A control machine hears a little later than the others: what was acknowledged may stand on a bare majority.
-    fn lag_one(&mut self) {
+    fn delay_one_controller(&mut self) {
         let at = self.cores[self.rng.below(3)];
         self.machines[at].lag = (self.now + 300 * MS, self.rng.between(5 * MS, 80 * MS));
     }
 
     /// A last change; once it is acknowledged all strikes.
     pub(super) fn final_fault(&mut self) {
-        self.lag_one();
+        self.delay_one_controller();
         self.config_change(true);
     }
 
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -31,7 +31,7 @@
 pub use client::Served;
 pub use net::Traffic;
 
-use client::Customer;
+use client::ClientRequest;
 use endpoint::{Endpoint, Exchange, Run};
 use net::{Call, Link, Stream};
 use operator::Order;
@@ -40,7 +40,7 @@
 /// Machines that may take a place in the core.
 const SPARES: usize = 2;
 /// The time of day as the day begins, in milliseconds.
-const MORNING_MS: u64 = 1_700_000_000_000;
+const START_UNIX_MS: u64 = 1_700_000_000_000;
 
 /// A process of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -81,52 +81,52 @@
     /// One side of a stream hears that it has ended.
     Ended {
         stream: u64,
-        at_hall: bool,
+        at_controller: bool,
     },
     Arrive {
         zone: usize,
     },
     Attempt(usize),
-    AtStall {
+    ReachProxy {
         attempt: u64,
     },
-    Impatient {
-        customer: usize,
+    ReadTimeout {
+        client_request: usize,
         attempt: u64,
     },
-    ToClient {
+    ReachClient {
         attempt: u64,
         status: u16,
         again: Option<Time>,
         seal: Option<u64>,
     },
-    GiveUp(usize),
-    AtEndpoint(u64),
-    Scout {
+    ClientDeadline(usize),
+    ReachEndpoint(u64),
+    Probed {
         machine: usize,
         life: u64,
         id: CompactString,
         up: bool,
     },
-    Worked(u64),
-    Back(u64, Exchanged),
-    Booted(usize),
-    Entry,
+    RunDone(u64),
+    ExchangeDone(u64, Exchanged),
+    EndpointReady(usize),
+    HealthCheck,
     Fault(usize),
-    Thaw(usize),
+    Unfreeze(usize),
     Start(usize),
-    Order(usize),
-    Over(operator::Over),
+    OperatorStep(usize),
+    OperatorPoll(operator::Poll),
     FinalFault,
-    Reopen,
+    PowerOn,
     /// A machine is gone for good.
     Retire(usize),
     /// The processes of a machine are told to end, and start again.
     Term(usize),
     /// The processes of a machine that goes for good are told to end.
-    Leave(usize),
+    TermForGood(usize),
     /// The grace of this life is over.
-    Killed(usize, u64),
+    GraceExpired(usize, u64),
 }
 
 struct Queued {
@@ -171,9 +171,9 @@
     clock: (i64, Time),
     /// It goes for good once its processes have left.
     retires: bool,
-    stall: Option<ProxyProcess>,
-    porter: Option<AgentProcess>,
-    hall: Option<ControllerProcess>,
+    proxy: Option<ProxyProcess>,
+    agent: Option<AgentProcess>,
+    controller: Option<ControllerProcess>,
     disk: crate::processes::Disk,
     life: u64,
     starts: u64,
@@ -196,7 +196,7 @@
     fn time_of_day(&self, now: Time) -> u64 {
         let (off, until) = self.clock;
         let off = if now < until { off } else { 0 };
-        (MORNING_MS + now / MS).saturating_add_signed(off)
+        (START_UNIX_MS + now / MS).saturating_add_signed(off)
     }
 
     fn reachable(&self, now: Time) -> bool {
@@ -205,9 +205,9 @@
 
     fn up(&self, role: Role) -> bool {
         match role {
-            Role::Proxy => self.stall.is_some(),
-            Role::Agent => self.porter.is_some(),
-            Role::Controller => self.hall.is_some(),
+            Role::Proxy => self.proxy.is_some(),
+            Role::Agent => self.agent.is_some(),
+            Role::Controller => self.controller.is_some(),
         }
     }
 }
@@ -248,8 +248,8 @@
     exchanges: HashMap<u64, Exchange>,
     out: HashMap<(usize, u64, u64), u64>,
     runs: HashMap<u64, Run>,
-    kept: HashMap<(usize, usize), Time>,
-    customers: Vec<Customer>,
+    idle_connections: HashMap<(usize, usize), Time>,
+    client_requests: Vec<ClientRequest>,
     /// Whose try each is.
     attempts: Vec<usize>,
     /// Tries that a dispatcher has read and not answered, and all that were read.
@@ -284,12 +284,12 @@
 impl World {
     /// A day before it begins.
     pub fn new(plan: Plan, trace: bool) -> Self {
-        let site = Site { strained: plan.strained, ..Site::new(plan.size) };
+        let site = Site { charge_request_cpu: plan.charge_request_cpu, ..Site::new(plan.size) };
         let site = match plan.homework {
             Some(load) => site.homework(load),
             None => site,
         };
-        let site = site.part(plan.part).lasting(plan.times);
+        let site = site.part(plan.site_divisor).lasting(plan.length_factor);
         let mut rng = Rng::new(plan.seed);
         let edges = site.edges.len();
         let count = edges + site.cores.len() + SPARES;
@@ -310,9 +310,9 @@
             lag: (0, 0),
             clock: (0, 0),
             retires: false,
-            stall: None,
-            porter: None,
-            hall: None,
+            proxy: None,
+            agent: None,
+            controller: None,
             disk: crate::processes::Disk::new(500_000),
             life: 0,
             starts: 0,
@@ -374,8 +374,8 @@
             exchanges: HashMap::new(),
             out: HashMap::new(),
             runs: HashMap::new(),
-            kept: HashMap::new(),
-            customers: Vec::new(),
+            idle_connections: HashMap::new(),
+            client_requests: Vec::new(),
             attempts: Vec::new(),
             read: BTreeSet::new(),
             ever_read: BTreeSet::new(),
@@ -414,7 +414,7 @@
             }
         }
         world.seeds = world.cores.iter().take(3).map(|at| world.address(*at)).collect();
-        world.at(500 * MS, Event::Entry);
+        world.at(500 * MS, Event::HealthCheck);
         for zone in 0..world.site.zones {
             let first = world.site.lead + world.rng.between(0, 20 * MS);
             world.at(first, Event::Arrive { zone });
@@ -442,7 +442,7 @@
         self.queue.push(Queued { at: at.max(self.now), number: self.number, event });
     }
 
-    fn note(&mut self, what: impl FnOnce() -> String) {
+    fn trace_line(&mut self, what: impl FnOnce() -> String) {
         if let Some(trace) = &mut self.trace {
             trace.push(format!("{:>10.3} {}", self.now as f64 / MS as f64, what()));
         }
@@ -482,32 +482,32 @@
             Event::Answer(id, said) => self.answer(id, said),
             Event::Expire(id) => self.expire(id),
             Event::Line { stream, line } => self.line(stream, line),
-            Event::Ended { stream, at_hall } => self.stream_ended(stream, at_hall),
+            Event::Ended { stream, at_controller } => self.stream_ended(stream, at_controller),
             Event::Arrive { zone } => self.arrive(zone),
-            Event::Attempt(customer) => self.attempt(customer),
-            Event::AtStall { attempt } => self.at_stall(attempt),
-            Event::Impatient { customer, attempt } => self.impatient(customer, attempt),
-            Event::ToClient { attempt, status, again, seal } => {
-                self.client_hears(attempt, status, again, seal)
+            Event::Attempt(client_request) => self.attempt(client_request),
+            Event::ReachProxy { attempt } => self.reach_proxy(attempt),
+            Event::ReadTimeout { client_request, attempt } => self.read_timeout(client_request, attempt),
+            Event::ReachClient { attempt, status, again, seal } => {
+                self.deliver_to_client(attempt, status, again, seal)
             }
-            Event::GiveUp(customer) => self.give_up(customer),
-            Event::AtEndpoint(id) => self.at_endpoint(id),
-            Event::Scout { machine, life, id, up } => self.scouted(machine, life, id, up),
-            Event::Worked(run) => self.worked(run),
-            Event::Back(id, done) => self.back(id, done),
-            Event::Booted(endpoint) => self.booted(endpoint),
-            Event::Entry => self.entry(),
+            Event::ClientDeadline(client_request) => self.client_deadline(client_request),
+            Event::ReachEndpoint(id) => self.reach_endpoint(id),
+            Event::Probed { machine, life, id, up } => self.scouted(machine, life, id, up),
+            Event::RunDone(run) => self.run_done(run),
+            Event::ExchangeDone(id, done) => self.exchange_done(id, done),
+            Event::EndpointReady(endpoint) => self.endpoint_ready(endpoint),
+            Event::HealthCheck => self.health_check(),
             Event::Fault(at) => self.fault(at),
-            Event::Thaw(machine) => self.thaw(machine),
+            Event::Unfreeze(machine) => self.unfreeze(machine),
             Event::Start(machine) => self.start(machine),
-            Event::Order(at) => self.order(at),
-            Event::Over(what) => self.over(what),
+            Event::OperatorStep(at) => self.order(at),
+            Event::OperatorPoll(what) => self.poll(what),
             Event::FinalFault => self.final_fault(),
-            Event::Reopen => self.reopen(),
+            Event::PowerOn => self.power_on(),
             Event::Retire(machine) => self.retire(machine),
             Event::Term(machine) => self.term(machine),
-            Event::Leave(machine) => self.leave_for_good(machine),
-            Event::Killed(machine, life) => {
+            Event::TermForGood(machine) => self.term_for_good(machine),
+            Event::GraceExpired(machine, life) => {
                 if self.machines[machine].life == life {
                     self.left(machine);
                 }
@@ -548,7 +548,8 @@
             };
             let machine = &mut self.machines[at];
             let bootstrap = !restarted && at < site.edges.len() + site.cores.len();
-            machine.hall = Some(ControllerProcess::new(self.now, place, rates, &mut machine.disk, bootstrap));
+            machine.controller =
+                Some(ControllerProcess::new(self.now, place, rates, &mut machine.disk, bootstrap));
             self.give(at, Role::Controller, ProcessInput::Tick);
         } else {
             let (bounds, speeds) = (&site.bounds, self.plan.speeds != Speeds::Even);
@@ -560,8 +561,8 @@
                 rank_by_latency: speeds,
             };
             let machine = &mut self.machines[at];
-            machine.porter = Some(AgentProcess::new(self.now, place.clone(), format_compact!("stall-{at}")));
-            machine.stall = Some(ProxyProcess::new(place, format_compact!("porter-{at}"), terms));
+            machine.agent = Some(AgentProcess::new(self.now, place.clone(), format_compact!("stall-{at}")));
+            machine.proxy = Some(ProxyProcess::new(place, format_compact!("porter-{at}"), terms));
             self.give(at, Role::Agent, ProcessInput::Tick);
             self.give(at, Role::Proxy, ProcessInput::Tick);
         }
@@ -573,17 +574,17 @@
         let machine = &mut self.machines[at];
         let (outs, wake) = match role {
             Role::Proxy => {
-                let Some(stall) = &mut machine.stall else { return };
-                (stall.input(now, input), stall.wake())
+                let Some(proxy) = &mut machine.proxy else { return };
+                (proxy.input(now, input), proxy.wake())
             }
             Role::Agent => {
-                let Some(porter) = &mut machine.porter else { return };
-                (porter.input(now, input), porter.wake())
+                let Some(agent) = &mut machine.agent else { return };
+                (agent.input(now, input), agent.wake())
             }
             Role::Controller => {
-                let Some(hall) = &mut machine.hall else { return };
-                let outs = hall.input(now, input, &mut machine.disk);
-                (outs, hall.wake(now, &machine.disk))
+                let Some(controller) = &mut machine.controller else { return };
+                let outs = controller.input(now, input, &mut machine.disk);
+                (outs, controller.wake(now, &machine.disk))
             }
         };
         let wake = wake.max(now + 10_000);
@@ -596,8 +597,8 @@
             self.out(at, role, out);
         }
         let machine = &self.machines[at];
-        let over = machine.stall.as_ref().is_some_and(|s| s.over(now))
-            || machine.hall.as_ref().is_some_and(|h| h.over(now));
+        let over = machine.proxy.as_ref().is_some_and(|s| s.over(now))
+            || machine.controller.as_ref().is_some_and(|h| h.over(now));
         if over {
             self.left(at);
         }
@@ -615,13 +616,13 @@
             ProcessOutput::Line { feed, line } => self.send_line(feed, line),
             ProcessOutput::Close { feed } => self.close(at, role, feed),
             ProcessOutput::Answer { client, status, again, seal } => {
-                self.stall_answers(at, client, status, again, seal)
+                self.proxy_answers(at, client, status, again, seal)
             }
             ProcessOutput::Exchange { id, address, expect, request, deadline } => {
                 self.exchange(at, id, address, expect, request, deadline);
             }
             ProcessOutput::Abort { id } => self.abort(at, id),
-            ProcessOutput::Scout { id, address } => self.scout(at, id, address),
+            ProcessOutput::ProbeReadiness { id, address } => self.scout(at, id, address),
         }
     }
 
@@ -659,7 +660,7 @@
 
     /// For stalls that are up, the lowest revision that one acts on.
     fn lowest(&self) -> u64 {
-        let stalls = self.machines.iter().filter(|m| m.powered).filter_map(|m| m.stall.as_ref());
-        stalls.map(ProxyProcess::acts).min().unwrap_or(0)
+        let proxies = self.machines.iter().filter(|m| m.powered).filter_map(|m| m.proxy.as_ref());
+        proxies.map(ProxyProcess::acts).min().unwrap_or(0)
     }
 }
--- a/simulator/src/world/net.rs
+++ b/simulator/src/world/net.rs
@@ -14,7 +14,7 @@
 const REQUEST: u64 = 150;
 const ANSWER: u64 = 80;
 /// Silence after which a control machine gives up a feed that nobody acknowledges.
-const UNHEARD: Time = 2 * SECOND;
+const FEED_TIMEOUT: Time = 2 * SECOND;
 
 /// A call that is open.
 pub(super) struct Call {
@@ -27,13 +27,13 @@
 
 /// A feed.
 pub(super) struct Stream {
-    porter: usize,
-    porter_life: u64,
+    agent: usize,
+    agent_incarnation: u64,
     feed: u64,
-    hall: usize,
-    hall_life: u64,
+    controller: usize,
+    controller_incarnation: u64,
     last: Time,
-    open_at_hall: bool,
+    open_at_controller: bool,
 }
 
 /// When a machine's link is free.
@@ -60,7 +60,7 @@
     pub clients: u64,
 }
 
-fn note_size(note: &PeerMessage) -> u64 {
+fn message_json_size(note: &PeerMessage) -> u64 {
     let text = match note {
         PeerMessage::PackedConfig { packed, .. } | PeerMessage::PackedPatch { packed, .. } => {
             return packed.len() as u64 + 40;
@@ -119,8 +119,8 @@
     text as u64
 }
 
-fn notes_size(notes: &[PeerMessage]) -> u64 {
-    notes.iter().map(|n| note_size(n) + 1).sum()
+fn messages_json_size(notes: &[PeerMessage]) -> u64 {
+    notes.iter().map(|n| message_json_size(n) + 1).sum()
 }
 
 fn message_size(message: &Message) -> u64 {
@@ -142,12 +142,12 @@
 /// About how long it is as JSON.
 fn size(said: &Payload) -> u64 {
     match said {
-        Payload::Mail { notes, .. } | Payload::Follow { notes, .. } => 50 + notes_size(notes),
+        Payload::Messages { notes, .. } | Payload::Follow { notes, .. } => 50 + messages_json_size(notes),
         Payload::Vote { message, .. } | Payload::Voted(Some(message)) => 40 + message_size(message),
-        Payload::News(body) | Payload::Body(body) => body.len() as u64,
+        Payload::Gossip(body) | Payload::Body(body) => body.len() as u64,
         Payload::Replace(text) | Payload::Drain(text) => text.len() as u64,
         Payload::Listed { entries, .. } => 30 + entries.len() as u64 * 165,
-        Payload::Staff(workers) => 20 + workers.len() as u64 * 90,
+        Payload::WorkerList(workers) => 20 + workers.len() as u64 * 90,
         Payload::Start { .. } | Payload::Stop { .. } => 90,
         Payload::Started(_) => 60,
         _ => 10,
@@ -212,7 +212,7 @@
         }
         let mut there = now + base + self.rng.between(0, base / 3);
         // A lost packet comes again; what goes on other connections does not wait for it.
-        let again = if self.rng.one(0.0003) { self.rng.between(200 * MS, 400 * MS) } else { 0 };
+        let again = if self.rng.chance(0.0003) { self.rng.between(200 * MS, 400 * MS) } else { 0 };
         let span = |world: &World, at: usize| {
             let mbps = if world.machines[at].core { world.site.mbps.1 } else { world.site.mbps.0 };
             (bytes as f64 * 8_000.0 / mbps) as Time
@@ -253,11 +253,11 @@
 
     pub(super) fn call(&mut self, from: Who, life: u64, id: u64, to: &str, said: Payload, within: Time) {
         if self.trace.is_some()
-            && let Payload::Mail { from, notes, .. } = &said
+            && let Payload::Messages { from, notes, .. } = &said
         {
             for note in notes {
                 if let PeerMessage::PeerUnreachable { peer, .. } = note {
-                    self.note(|| format!("{from} tells {to} that {peer} does not answer"));
+                    self.trace_line(|| format!("{from} tells {to} that {peer} does not answer"));
                 }
             }
         }
@@ -273,11 +273,11 @@
 
     /// Asks take of their owner's processor, one after the other.
     fn asked(&mut self, to: Who, said: &Payload, there: Time) -> Time {
-        let (Who::Process(at, Role::Proxy), Payload::Mail { notes, .. }) = (to, said) else {
+        let (Who::Process(at, Role::Proxy), Payload::Messages { notes, .. }) = (to, said) else {
             return there;
         };
         let asks = notes.iter().filter(|n| matches!(n, PeerMessage::RequestPermit { .. })).count();
-        if !self.site.strained || asks == 0 {
+        if !self.site.charge_request_cpu || asks == 0 {
             return there;
         }
         // As many a second as would take all of its processors.
@@ -302,15 +302,16 @@
                 }
                 if !machine.up(role) {
                     if let Some(Payload::Follow { .. }) = call.said {
-                        let porter = number;
-                        return self.at(self.now + MS, Event::Ended { stream: porter, at_hall: false });
+                        let agent = number;
+                        return self.at(self.now + MS, Event::Ended { stream: agent, at_controller: false });
                     }
                     let back = self.transit(to, from, ANSWER, self.now);
                     return self.at(back, Event::Answer(number, None));
                 }
                 let Some(said) = call.said.take() else { return };
                 if let Some(stream) = self.streams.get_mut(&number) {
-                    (stream.open_at_hall, stream.hall_life) = (true, self.machines[at].life);
+                    (stream.open_at_controller, stream.controller_incarnation) =
+                        (true, self.machines[at].life);
                     self.calls.remove(&number);
                 }
                 self.give(at, role, ProcessInput::Call { call: number, said });
@@ -330,7 +331,7 @@
     pub(super) fn reply(&mut self, number: u64, said: Payload, at: Time) {
         if self.streams.contains_key(&number) {
             // A feed that is turned down.
-            return self.at(self.now + MS, Event::Ended { stream: number, at_hall: false });
+            return self.at(self.now + MS, Event::Ended { stream: number, at_controller: false });
         }
         let Some(call) = self.calls.get(&number) else { return };
         let (from, to) = (call.from, call.to);
@@ -371,7 +372,7 @@
             }
             Who::Operator(order) => {
                 self.calls.remove(&number);
-                self.operator_hears(order, said);
+                self.deliver_to_operator(order, said);
             }
             Who::Platform => {}
         }
@@ -385,42 +386,49 @@
     }
 
     pub(super) fn follow(&mut self, at: usize, feed: u64, to: &str, said: Payload) {
-        let Some(Who::Process(hall, _)) = self.names.get(to).copied() else { return };
+        let Some(Who::Process(controller, _)) = self.names.get(to).copied() else { return };
         self.next += 1;
         let number = self.next;
-        let (from, to) = (Who::Process(at, Role::Agent), Who::Process(hall, Role::Controller));
+        let (from, to) = (Who::Process(at, Role::Agent), Who::Process(controller, Role::Controller));
         let there = self.transit(from, to, REQUEST + size(&said), self.now);
-        let porter_life = self.machines[at].life;
-        let stream =
-            Stream { porter: at, porter_life, feed, hall, hall_life: 0, last: 0, open_at_hall: false };
+        let agent_incarnation = self.machines[at].life;
+        let stream = Stream {
+            agent: at,
+            agent_incarnation,
+            feed,
+            controller,
+            controller_incarnation: 0,
+            last: 0,
+            open_at_controller: false,
+        };
         self.streams.insert(number, stream);
-        self.calls.insert(number, Call { from, life: porter_life, id: feed, to, said: Some(said) });
+        self.calls.insert(number, Call { from, life: agent_incarnation, id: feed, to, said: Some(said) });
         self.at(there, Event::Call(number));
     }
 
     pub(super) fn send_line(&mut self, number: u64, line: Bytes) {
         let Some(stream) = self.streams.get(&number) else { return };
-        let (porter, hall) = (stream.porter, stream.hall);
-        let (from, to) = (Who::Process(hall, Role::Controller), Who::Process(porter, Role::Agent));
+        let (agent, controller) = (stream.agent, stream.controller);
+        let (from, to) = (Who::Process(controller, Role::Controller), Who::Process(agent, Role::Agent));
         let there = self.transit(from, to, 6 + line.len() as u64, self.now);
         if self.trace.is_some()
             && let Some(named) = named(&line)
         {
-            self.note(|| format!("machine {hall} {named}, to machine {porter}"));
+            self.trace_line(|| format!("machine {controller} {named}, to machine {agent}"));
         }
         let Some(stream) = self.streams.get_mut(&number) else { return };
         stream.last = stream.last.max(there);
         let there = stream.last;
         // What nobody acknowledges for long enough ends the feed at its sender.
-        if there > self.now + UNHEARD {
-            self.at(self.now + UNHEARD, Event::Ended { stream: number, at_hall: true });
+        if there > self.now + FEED_TIMEOUT {
+            self.at(self.now + FEED_TIMEOUT, Event::Ended { stream: number, at_controller: true });
         }
         self.at(there, Event::Line { stream: number, line });
     }
 
     pub(super) fn line(&mut self, number: u64, line: Bytes) {
         let Some(stream) = self.streams.get(&number) else { return };
-        let (at, life, feed) = (stream.porter, stream.porter_life, stream.feed);
+        let (at, life, feed) = (stream.agent, stream.agent_incarnation, stream.feed);
         let machine = &mut self.machines[at];
         if machine.life != life || !machine.powered {
             return;
@@ -433,44 +441,46 @@
 
     pub(super) fn close(&mut self, at: usize, role: Role, feed: u64) {
         if role == Role::Controller {
-            return self.at(self.now + MS, Event::Ended { stream: feed, at_hall: false });
+            return self.at(self.now + MS, Event::Ended { stream: feed, at_controller: false });
         }
         let life = self.machines[at].life;
-        let found = self.streams.iter().find(|(_, s)| (s.porter, s.porter_life, s.feed) == (at, life, feed));
+        let found =
+            self.streams.iter().find(|(_, s)| (s.agent, s.agent_incarnation, s.feed) == (at, life, feed));
         if let Some(number) = found.map(|(number, _)| *number) {
             self.calls.remove(&number);
-            self.end_at_hall(number, self.now);
+            self.end_at_controller(number, self.now);
         }
     }
 
     /// The hall hears that a feed has ended, unless a cut or a loss of power keeps it from that.
-    fn end_at_hall(&mut self, number: u64, now: Time) {
+    fn end_at_controller(&mut self, number: u64, now: Time) {
         let Some(stream) = self.streams.get(&number) else { return };
-        let (porter, hall) = (stream.porter, stream.hall);
-        let silent = !self.machines[porter].reachable(now) || !self.machines[hall].reachable(now);
-        let at = if silent { now + UNHEARD } else { now + self.site.far };
-        self.at(at, Event::Ended { stream: number, at_hall: true });
+        let (agent, controller) = (stream.agent, stream.controller);
+        let silent = !self.machines[agent].reachable(now) || !self.machines[controller].reachable(now);
+        let at = if silent { now + FEED_TIMEOUT } else { now + self.site.far };
+        self.at(at, Event::Ended { stream: number, at_controller: true });
     }
 
-    pub(super) fn stream_ended(&mut self, number: u64, at_hall: bool) {
+    pub(super) fn stream_ended(&mut self, number: u64, at_controller: bool) {
         let Some(stream) = self.streams.get(&number) else { return };
-        let (porter, life, feed) = (stream.porter, stream.porter_life, stream.feed);
-        let (hall, hall_life, open) = (stream.hall, stream.hall_life, stream.open_at_hall);
-        let (at, role) = if at_hall { (hall, Role::Controller) } else { (porter, Role::Agent) };
+        let (agent, life, feed) = (stream.agent, stream.agent_incarnation, stream.feed);
+        let (controller, controller_incarnation, open) =
+            (stream.controller, stream.controller_incarnation, stream.open_at_controller);
+        let (at, role) = if at_controller { (controller, Role::Controller) } else { (agent, Role::Agent) };
         let machine = &mut self.machines[at];
         if machine.frozen > self.now {
-            return machine.held.push(Event::Ended { stream: number, at_hall });
+            return machine.held.push(Event::Ended { stream: number, at_controller });
         }
-        if at_hall {
+        if at_controller {
             self.streams.remove(&number);
-            if self.machines[hall].life == hall_life && open {
-                self.give(hall, Role::Controller, ProcessInput::Ended { feed: number });
+            if self.machines[controller].life == controller_incarnation && open {
+                self.give(controller, Role::Controller, ProcessInput::Ended { feed: number });
             }
         } else {
             self.streams.remove(&number);
             self.calls.remove(&number);
-            if self.machines[porter].life == life && self.machines[porter].powered {
-                self.give(porter, role, ProcessInput::Ended { feed });
+            if self.machines[agent].life == life && self.machines[agent].powered {
+                self.give(agent, role, ProcessInput::Ended { feed });
             }
         }
     }
@@ -494,12 +504,12 @@
         let streams: Vec<_> = self
             .streams
             .iter()
-            .filter(|(_, s)| s.porter == at || s.hall == at)
-            .map(|(n, s)| (*n, s.porter == at))
+            .filter(|(_, s)| s.agent == at || s.controller == at)
+            .map(|(n, s)| (*n, s.agent == at))
             .collect();
-        for (number, porter_gone) in streams {
-            let wait = if told { self.site.far } else { UNHEARD };
-            self.at(self.now + wait, Event::Ended { stream: number, at_hall: porter_gone });
+        for (number, agent_gone) in streams {
+            let wait = if told { self.site.far } else { FEED_TIMEOUT };
+            self.at(self.now + wait, Event::Ended { stream: number, at_controller: agent_gone });
         }
     }
 }
@@ -530,7 +540,8 @@
         };
         let done = PeerMessage::ReleasePermit { id: 1 << 33, outcome: "ok".into(), took: 45.25 };
         for note in [ask, grant, done, PeerMessage::RetireInstance { instance: "i-4".into() }] {
-            let (guess, truth) = (note_size(&note) as f64 + 1.0, exact(std::slice::from_ref(&note)) as f64);
+            let (guess, truth) =
+                (message_json_size(&note) as f64 + 1.0, exact(std::slice::from_ref(&note)) as f64);
             assert!((guess / truth - 1.0).abs() < 0.25, "{note:?}: {guess} {truth}");
         }
     }
--- a/simulator/src/world/operator.rs
+++ b/simulator/src/world/operator.rs
@@ -50,9 +50,9 @@
 
 /// What an operator waits for besides.
 #[derive(Debug)]
-pub(super) enum Over {
+pub(super) enum Poll {
     /// Whether every stall acts on an order's revision.
-    Force(usize),
+    InForce(usize),
     /// Requests that show which configuration is in force.
     Probe(usize),
 }
@@ -80,7 +80,7 @@
             closes,
             valid,
         });
-        self.at(at, Event::Order(self.orders.len() - 1));
+        self.at(at, Event::OperatorStep(self.orders.len() - 1));
     }
 
     fn core(&mut self) -> usize {
@@ -218,7 +218,7 @@
     }
 
     /// The operator asks for the configuration again until it gets one.
-    pub fn ask_back(&mut self) {
+    pub fn start_read_back(&mut self) {
         self.task(Task::Read);
     }
 
@@ -241,7 +241,7 @@
             closes: false,
             valid: true,
         });
-        self.at(self.now, Event::Order(self.orders.len() - 1));
+        self.at(self.now, Event::OperatorStep(self.orders.len() - 1));
     }
 
     pub(super) fn order(&mut self, at: usize) {
@@ -256,7 +256,7 @@
                 let (config, said) = (config.clone(), Payload::Replace(Arc::clone(text)));
                 let valid = order.valid;
                 if number == 1 {
-                    self.auditor.offered(self.now, &config, valid);
+                    self.auditor.config_submitted(self.now, &config, valid);
                 }
                 said
             }
@@ -268,7 +268,7 @@
         self.call(Who::Operator(at), number, number, &to, said, SILENCE + big);
     }
 
-    pub(super) fn operator_hears(&mut self, at: usize, said: Option<Payload>) {
+    pub(super) fn deliver_to_operator(&mut self, at: usize, said: Option<Payload>) {
         let now = self.now;
         let said = self.answer_arrives(at, said);
         let Some(order) = self.orders.get_mut(at).filter(|o| !o.done) else { return };
@@ -278,16 +278,16 @@
                 (order.done, order.acked) = (true, Some(now));
                 let (revision, digest, closes) = (config.revision, *digest, order.closes);
                 let probed = !probes.is_empty();
-                self.auditor.acknowledged(now, revision, digest);
+                self.auditor.config_acknowledged(now, revision, digest);
                 if order_is_newest(&self.last_acked, config_of(&self.orders[at])) {
                     self.last_acked = config_of(&self.orders[at]).cloned();
                 }
-                self.note(|| format!("revision {revision} is acknowledged by machine {machine}"));
+                self.trace_line(|| format!("revision {revision} is acknowledged by machine {machine}"));
                 self.acknowledged_by(machine);
-                self.at(now + MS, Event::Over(Over::Force(at)));
+                self.at(now + MS, Event::OperatorPoll(Poll::InForce(at)));
                 if probed {
                     for after in [50, 1_000, 3_050, 3_500] {
-                        self.at(now + after * MS, Event::Over(Over::Probe(at)));
+                        self.at(now + after * MS, Event::OperatorPoll(Poll::Probe(at)));
                     }
                 }
                 if closes {
@@ -302,15 +302,15 @@
             (Task::Put { config, digest, .. }, Some(Payload::Refused(409))) => {
                 order.done = true;
                 let (revision, digest) = (config.revision, *digest);
-                self.note(|| format!("revision {revision} is refused by machine {machine}"));
-                self.auditor.refused(now, revision, digest);
+                self.trace_line(|| format!("revision {revision} is refused by machine {machine}"));
+                self.auditor.config_refused(now, revision, digest);
                 return;
             }
             (Task::Drain(text), Some(answer @ (Payload::Body(_) | Payload::Refused(422)))) => {
                 order.done = true;
                 let (text, done) = (Arc::clone(text), matches!(answer, Payload::Body(_)));
                 let word = if done { "obeyed" } else { "refused" };
-                self.note(|| format!("{text} is {word} by machine {machine}"));
+                self.trace_line(|| format!("{text} is {word} by machine {machine}"));
                 return;
             }
             (Task::Read, Some(Payload::Body(body))) => {
@@ -326,7 +326,7 @@
         let place = self.cores.iter().position(|at| *at == machine).map_or(0, |place| place + 1);
         order.machine = self.cores[place % self.cores.len()];
         let pause = 50 * MS * tries.min(10);
-        self.at(now + pause, Event::Order(at));
+        self.at(now + pause, Event::OperatorStep(at));
     }
 
     /// What control has said, and whether it arrives: on some days confirmations are lost on their way.
@@ -336,30 +336,30 @@
         let (Task::Put { config, digest, .. }, Some(Payload::Body(_))) = (&order.what, &said) else {
             return said;
         };
-        self.auditor.confirmed(now, config.revision, *digest);
+        self.auditor.config_confirmed(now, config.revision, *digest);
         let (share, until) = self.lost_acks;
-        if until <= now || !self.rng.one(share) {
+        if until <= now || !self.rng.chance(share) {
             return said;
         }
         let (revision, machine) = (config.revision, order.machine);
-        self.note(|| format!("machine {machine} confirms revision {revision}, and nobody hears it"));
+        self.trace_line(|| format!("machine {machine} confirms revision {revision}, and nobody hears it"));
         self.acknowledged_by(machine);
         None
     }
 
-    pub(super) fn over(&mut self, what: Over) {
+    pub(super) fn poll(&mut self, what: Poll) {
         let now = self.now;
         match what {
-            Over::Force(at) => {
+            Poll::InForce(at) => {
                 let Task::Put { config, .. } = &self.orders[at].what else { return };
                 let revision = config.revision;
                 if self.lowest() >= revision {
                     self.orders[at].last = Some(now);
                 } else if self.orders[at].acked.is_some_and(|acked| now < acked + 20 * SECOND) {
-                    self.at(now + 5 * MS, Event::Over(Over::Force(at)));
+                    self.at(now + 5 * MS, Event::OperatorPoll(Poll::InForce(at)));
                 }
             }
-            Over::Probe(at) => {
+            Poll::Probe(at) => {
                 let Task::Put { probes, .. } = &self.orders[at].what else { return };
                 let probes = probes.clone();
                 for machine in 0..self.site.edges.len().min(80) {
@@ -368,7 +368,7 @@
                     }
                     for path in &probes {
                         let zone = self.machines[machine].zone;
-                        self.customer(2, path.clone(), zone, now + 3 * SECOND, None, Some(machine));
+                        self.client_request(2, path.clone(), zone, now + 3 * SECOND, None, Some(machine));
                     }
                 }
             }
@@ -376,13 +376,13 @@
     }
 
     /// Whether nothing was read back by the end.
-    pub fn unread(&self) -> bool {
+    pub fn read_back_pending(&self) -> bool {
         self.orders.iter().any(|o| matches!(o.what, Task::Read) && !o.done)
     }
 
     /// What is said where the end has come and no answer.
-    pub fn last_word(&mut self) {
-        if self.unread() {
+    pub fn finish_read_back(&mut self) {
+        if self.read_back_pending() {
             let (now, closed) = (self.now, self.closed.is_some());
             self.auditor.read_back(now, None, closed);
         }
--- a/simulator/src/world/planned.rs
+++ b/simulator/src/world/planned.rs
@@ -19,9 +19,9 @@
     pub(super) fn replace_core(&mut self, target_rng: &mut Rng, whom: ReplaceTarget, after: Time) {
         let now = self.now;
         let recent = self.wiped_at.is_some_and(|at| at + 10 * SECOND > now);
-        let disturbances = self.cores.iter().all(|at| self.disturbances.touch(*at, now));
+        let disturbances = self.cores.iter().all(|at| self.disturbances.in_contact(*at, now));
         let Some(new) = self.spares.pop().filter(|_| !recent && disturbances) else { return };
-        let leader = |at: &&usize| self.machines[**at].hall.as_ref().is_some_and(|h| h.is_steward());
+        let leader = |at: &&usize| self.machines[**at].controller.as_ref().is_some_and(|h| h.is_steward());
         let old = match whom {
             ReplaceTarget::Leader => self.cores.iter().find(leader).copied(),
             ReplaceTarget::Seed => {
@@ -33,17 +33,17 @@
         self.wiped_at = Some(now);
         self.cores.iter_mut().filter(|at| **at == old).for_each(|at| *at = new);
         self.machines[new].zone = self.machines[old].zone;
-        self.note(|| format!("machine {new} takes the place of machine {old}"));
+        self.trace_line(|| format!("machine {new} takes the place of machine {old}"));
         if whom == ReplaceTarget::Planned {
             // The new one first, then the word to end, and the old one goes for good once it has left.
             self.machines[old].retires = true;
             self.at(now, Event::Start(new));
-            self.at(now + after, Event::Leave(old));
+            self.at(now + after, Event::TermForGood(old));
         } else {
             self.at(now, Event::Retire(old));
             self.at(now + after, Event::Start(new));
         }
-        self.hit(new, now + after);
+        self.record_disturbance(new, now + after);
     }
 
     /// A machine is gone for good.
@@ -62,7 +62,7 @@
         }
         self.seeds = of.into_iter().map(|at| self.address(at)).collect();
         let seeds = self.seeds.clone();
-        self.note(|| format!("seeds are now {seeds:?}"));
+        self.trace_line(|| format!("seeds are now {seeds:?}"));
         (0..self.machines.len()).for_each(|at| self.hang_up(at));
     }
 
@@ -76,7 +76,7 @@
     }
 
     /// The processes of a machine that goes for good get SIGTERM, if there are any.
-    pub(super) fn leave_for_good(&mut self, at: usize) {
+    pub(super) fn term_for_good(&mut self, at: usize) {
         let machine = &self.machines[at];
         if machine.powered && machine.life != 0 && machine.frozen <= self.now {
             self.term(at);
@@ -93,15 +93,15 @@
             return;
         }
         let (end, life) = (now + self.site.bounds.grace, machine.life);
-        self.note(|| format!("machine {at} is told to leave"));
-        self.disturbances.planned(at, now, end);
+        self.trace_line(|| format!("machine {at} is told to leave"));
+        self.disturbances.record_planned(at, now, end);
         if self.machines[at].core {
-            self.disturbances.core(now, now + SECOND);
+            self.disturbances.record_core(now, now + SECOND);
         }
         for role in [Role::Proxy, Role::Agent, Role::Controller] {
             self.give(at, role, ProcessInput::Leave);
         }
-        self.at(end, Event::Killed(at, life));
+        self.at(end, Event::GraceExpired(at, life));
     }
 
     /// One that is told to leave has left, or is killed at the end of its grace.
@@ -112,11 +112,11 @@
             // What an endpoint has worked on through the second half of the grace is no fault of who leaves.
             let out = self.exchanges.values().any(|e| e.is_of(attempt) && e.run().is_some());
             if !out {
-                self.auditor.cut(&self.disturbances, now, attempt);
+                self.auditor.connection_lost(&self.disturbances, now, attempt);
             }
         }
         if self.machines[at].core {
-            self.disturbances.core(now, now + RESTART);
+            self.disturbances.record_core(now, now + RESTART);
         }
         if self.machines[at].retires {
             self.retire(at);
--- a/simulator/src/world/platform.rs
+++ b/simulator/src/world/platform.rs
@@ -15,9 +15,9 @@
 use crate::{MS, SECOND, Time};
 
 /// How long a crashed endpoint stays on the list.
-const LINGERS: Time = 3 * SECOND;
+const CRASHED_LISTED: Time = 3 * SECOND;
 /// An endpoint that leaves serves a little longer than it must.
-const LITTLE: Time = 700 * MS;
+const DRAIN_MARGIN: Time = 700 * MS;
 
 pub(super) struct Host {
     pub zone: usize,
@@ -122,7 +122,7 @@
     fn list(&self, view: Time, from: usize) -> Payload {
         let shown = |e: &&Endpoint| {
             let over = match (e.crashed, e.ended) {
-                (Some(at), _) => at + LINGERS <= view,
+                (Some(at), _) => at + CRASHED_LISTED <= view,
                 (None, Some(at)) => at <= view,
                 _ => false,
             };
@@ -157,7 +157,7 @@
             free_memory_mb: h.memory - h.used,
             draining: h.draining.is_some_and(|at| at <= view),
         });
-        Payload::Staff(workers.collect())
+        Payload::WorkerList(workers.collect())
     }
 
     fn start_endpoint(
@@ -192,8 +192,8 @@
         let address = self.platform.address(now, self.site.bounds.reuse);
         let place = self.endpoints.len();
         let id = format_compact!("i-{place}");
-        let boot = self.platform.rng.around(boot_ms as f64, 0.3);
-        let speed = 0.8 + 0.4 * self.platform.rng.share();
+        let boot = self.platform.rng.log_normal_ms(boot_ms as f64, 0.3);
+        let speed = 0.8 + 0.4 * self.platform.rng.unit();
         self.endpoints.push(Endpoint {
             id: id.clone(),
             service: number,
@@ -213,7 +213,7 @@
         self.by_id.insert(id.clone(), place);
         self.listening.insert(address, place);
         self.platform.nonces.insert(key, place);
-        self.at(now + boot, Event::Booted(place));
+        self.at(now + boot, Event::EndpointReady(place));
         Ok((id, address))
     }
 
@@ -230,7 +230,7 @@
         Ok(())
     }
 
-    pub(super) fn booted(&mut self, at: usize) {
+    pub(super) fn endpoint_ready(&mut self, at: usize) {
         let now = self.now;
         let endpoint = &mut self.endpoints[at];
         if endpoint.ended.is_some() || endpoint.ready.is_some() {
@@ -265,7 +265,7 @@
             return;
         }
         endpoint.draining = Some(from);
-        let end = from + self.site.lag_ms * MS + self.site.bounds.drain + LITTLE;
-        self.at(end, Event::Worked(u64::MAX - at as u64));
+        let end = from + self.site.lag_ms * MS + self.site.bounds.drain + DRAIN_MARGIN;
+        self.at(end, Event::RunDone(u64::MAX - at as u64));
     }
 }
--- a/simulator/tests/rules.rs
+++ b/simulator/tests/rules.rs
@@ -17,51 +17,60 @@
 fn day(seed: u64, mutation: Mutation) -> Plan {
     let quiet = Plan::quiet(seed, Size::Small);
     let plan = match mutation {
-        Mutation::Repeated | Mutation::Promised | Mutation::Unbudgeted => {
+        Mutation::RetryUnsafe | Mutation::FalseRefusal | Mutation::UnlimitedRetries => {
             quiet.with(8 * SECOND, FaultKind::AnswerLost { share: 0.9, lasts: 8 * SECOND })
         }
-        Mutation::Unsealed => quiet.with(8 * SECOND, FaultKind::Garble { share: 0.1, lasts: 4 * SECOND }),
-        Mutation::Deaf => quiet.with(9 * SECOND, FaultKind::WorkerDrain { share: 0.2 }),
-        Mutation::Stale => {
+        Mutation::UnverifiedAnswer => {
+            quiet.with(8 * SECOND, FaultKind::Garble { share: 0.1, lasts: 4 * SECOND })
+        }
+        Mutation::IgnoreDraining => quiet.with(9 * SECOND, FaultKind::WorkerDrain { share: 0.2 }),
+        Mutation::StaleConfig => {
             let change = |plan: Plan, at| plan.with(at * SECOND, FaultKind::ConfigChange);
             (2..6).fold(quiet, |plan, n| change(plan, 4 * n))
         }
-        Mutation::Unsynced | Mutation::Hasty => {
+        Mutation::UnsyncedVotes | Mutation::EarlyAcknowledge => {
             Plan { final_fault: Some((12 * SECOND, FinalFault::PowerOffAll)), ..quiet }
         }
-        Mutation::Forgetful => Plan { final_fault: Some((8 * SECOND, FinalFault::WipeAfterAck)), ..quiet },
-        Mutation::Blind => Plan { final_fault: Some((14 * SECOND, FinalFault::KillAll)), ..quiet },
-        Mutation::Hurried => {
+        Mutation::EmptyDiskVotes => {
+            Plan { final_fault: Some((8 * SECOND, FinalFault::WipeAfterAck)), ..quiet }
+        }
+        Mutation::AgentWithoutSeeds => {
+            Plan { final_fault: Some((14 * SECOND, FinalFault::KillAll)), ..quiet }
+        }
+        Mutation::ImmediateExit => {
             (8..24).fold(quiet, |plan, at| plan.with(at * SECOND, FaultKind::NodeTerm { core: false }))
         }
-        Mutation::Lenient => {
+        Mutation::ConfirmConflicts => {
             (8..20).fold(quiet, |plan, at| plan.with(at * SECOND, FaultKind::ConfigRaceOf { count: 8 }))
         }
-        Mutation::Forsaken => rolled(seed, 4.0),
-        Mutation::Mute => rolled(seed, 1.0),
-        Mutation::Surly | Mutation::Crowded | Mutation::Unexpected | Mutation::Renamed => quiet,
+        Mutation::IgnoreLeaving => rolled(seed, 4.0),
+        Mutation::SilentShutdown => rolled(seed, 1.0),
+        Mutation::SpuriousDenial
+        | Mutation::OverSlots
+        | Mutation::StaleAddress
+        | Mutation::ChangedRequestId => quiet,
     };
     Plan { mutation: Some(mutation), ..plan }
 }
 
 #[yare::parameterized(
-    twice = { Mutation::Repeated, "TWICE" },
-    refused = { Mutation::Promised, "REFUSED" },
-    limit = { Mutation::Crowded, "LIMIT" },
-    budget = { Mutation::Unbudgeted, "BUDGET" },
-    drain = { Mutation::Deaf, "DRAIN" },
-    config = { Mutation::Stale, "CONFIG" },
-    lost_unsynced = { Mutation::Unsynced, "LOST" },
-    lost_forgetful = { Mutation::Forgetful, "LOST" },
-    route = { Mutation::Unexpected, "ROUTE" },
-    recover = { Mutation::Blind, "RECOVER" },
-    unasked = { Mutation::Renamed, "UNASKED" },
-    mixed = { Mutation::Unsealed, "MIXED" },
-    lost_request = { Mutation::Hurried, "LOST" },
-    denied = { Mutation::Surly, "DENIED" },
-    two_contents = { Mutation::Lenient, "CONFIG" },
-    given_twice = { Mutation::Forsaken, "LIMIT" },
-    lost_at_the_end = { Mutation::Mute, "LOST" },
+    twice = { Mutation::RetryUnsafe, "TWICE" },
+    refused = { Mutation::FalseRefusal, "REFUSED" },
+    limit = { Mutation::OverSlots, "LIMIT" },
+    budget = { Mutation::UnlimitedRetries, "BUDGET" },
+    drain = { Mutation::IgnoreDraining, "DRAIN" },
+    config = { Mutation::StaleConfig, "CONFIG" },
+    lost_unsynced = { Mutation::UnsyncedVotes, "LOST" },
+    lost_forgetful = { Mutation::EmptyDiskVotes, "LOST" },
+    route = { Mutation::StaleAddress, "ROUTE" },
+    recover = { Mutation::AgentWithoutSeeds, "RECOVER" },
+    unasked = { Mutation::ChangedRequestId, "UNASKED" },
+    mixed = { Mutation::UnverifiedAnswer, "MIXED" },
+    lost_request = { Mutation::ImmediateExit, "LOST" },
+    denied = { Mutation::SpuriousDenial, "DENIED" },
+    two_contents = { Mutation::ConfirmConflicts, "CONFIG" },
+    given_twice = { Mutation::IgnoreLeaving, "LIMIT" },
+    lost_at_the_end = { Mutation::SilentShutdown, "LOST" },
 )]
 fn a_rule_breaks_without_its_guard_and_holds_with_it(mutation: Mutation, rule: &str) {
     let mut seeds = 1..40;
@@ -90,8 +99,8 @@
         Plan { mutation, ..plan }
     };
     let mut seeds = 1..40;
-    let broken =
-        seeds.find(|seed| !play(&behind(*seed, Some(Mutation::Forgetful)), false, false).breaches.is_empty());
+    let broken = seeds
+        .find(|seed| !play(&behind(*seed, Some(Mutation::EmptyDiskVotes)), false, false).breaches.is_empty());
     assert!(broken.is_some(), "an empty machine that votes at once is not found");
     for seed in 1..=6 {
         assert_eq!(play(&behind(seed, None), false, false).breaches, [], "seed {seed}");
