--- a/simulator/src/auditor.rs
+++ b/simulator/src/auditor.rs
@@ -1,6 +1,6 @@
-//! The users' rules, judged from what clients, endpoints, platform and operator saw, and nothing else.
+//! Checks the users' rules against what clients, endpoints, platform and operator observe.
 //!
-//! Invariant: it never asks a process of the system; what it forgives rests on [`crate::disturbances`] alone.
+//! Invariant: it never queries a process of the system. All tolerance comes from [`crate::disturbances`].
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -12,41 +12,41 @@
 use crate::site::{Bounds, HOST};
 use crate::{MS, SECOND, Time};
 
-/// A broken rule.
+/// A rule violation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Breach {
-    /// Its name, as on the users' page.
+    /// Name of the rule in the users' documentation.
     pub rule: &'static str,
-    /// When.
+    /// Time of the violation.
     pub at: Time,
-    /// What was seen.
+    /// What was observed.
     pub why: String,
 }
 
-/// A try of a client: one request.
+/// One attempt of a client request.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Its path.
+    /// Request path.
     pub path: CompactString,
-    /// The class of its request, and its function by the base configuration.
+    /// Index of the request class.
     pub class: usize,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub sent: Time,
-    /// The machine it was sent to, and the life of the stall there.
+    /// The edge machine it was sent to.
     pub machine: usize,
-    /// The life of the stall there.
+    /// Incarnation of the proxy on that machine.
     pub life: u64,
-    /// It may run once only.
+    /// Whether it must run at most once.
     pub once: bool,
-    /// The run that made it, where one did, was itself a repeat.
+    /// Whether the run that made this nested call was itself a repeat.
     pub repeat: bool,
-    /// How often it has run.
+    /// Number of runs.
     pub runs: u32,
-    /// What it was promised: that it never runs.
+    /// Status and time of a response that promises it never runs.
     pub promised: Option<(u16, Time)>,
-    /// How often it came to an endpoint.
+    /// Number of arrivals at endpoints.
     pub arrivals: u32,
-    /// The seals of its runs, where they ended with success.
+    /// Seals of its successful runs.
     pub seals: Vec<u64>,
 }
 
@@ -56,35 +56,35 @@
     table: Rc<RouteTable>,
     sent: Time,
     acked: Option<Time>,
-    /// Control has confirmed it, though its operator may not have heard that.
+    /// The controller has confirmed it, even if the operator did not receive the response.
     confirmed: bool,
     valid: bool,
 }
 
-/// What a handling shows: a service that ran a request, or that no route was there.
+/// What the handling of a request reveals about the configuration in use.
 #[derive(Clone, Copy)]
 enum Observation<'a> {
     Ran(&'a str),
     NoRoute,
 }
 
-/// The auditor.
+/// Collects observations and reports rule violations.
 pub struct Auditor {
     bounds: Bounds,
     edges: usize,
-    /// LIMIT counts while the core is not settled, too: more than the rules ask.
+    /// Checks LIMIT also while the core is disturbed, which is stricter than the rule.
     pub strict: bool,
-    /// All tries; the place is the id.
+    /// All attempts, indexed by id.
     pub attempts: Vec<Attempt>,
     versions: Vec<Version>,
-    /// The newest version that a stall's life was seen to act on, and when.
+    /// The newest revision that a proxy incarnation was seen to act on, and when.
     effects: HashMap<(usize, u64), (u64, Time)>,
     refusals: BTreeMap<CompactString, Vec<Time>>,
     retry_arrivals: BTreeMap<CompactString, Vec<Time>>,
     requests: BTreeMap<CompactString, Vec<Time>>,
-    /// Proper requests that were turned down with a status of the program's own.
+    /// Times at which valid requests were rejected by a status of the system's own.
     denied: Vec<Time>,
-    /// What is broken.
+    /// Violations found so far.
     pub breaches: Vec<Breach>,
 }
 
@@ -93,7 +93,7 @@
 }
 
 impl Auditor {
-    /// With these bounds, for so many edge machines.
+    /// An auditor with these bounds for `edges` edge machines.
     pub fn new(bounds: Bounds, edges: usize) -> Self {
         Auditor {
             bounds,
@@ -114,7 +114,7 @@
         self.breaches.push(Breach { rule, at, why });
     }
 
-    /// An operator sends a version for the first time.
+    /// An operator submits a configuration for the first time.
     pub fn config_submitted(&mut self, at: Time, config: &Config, valid: bool) {
         let (revision, digest, table) = (config.revision, config.digest(), Rc::new(RouteTable::new(config)));
         self.versions.push(Version {
@@ -128,8 +128,8 @@
         });
     }
 
-    /// Control confirms it, whether its operator hears that or not. Where nothing newer can stand, another content under its revision
-    /// was not confirmed before.
+    /// The controller confirms a configuration, whether or not the operator receives the response. Unless a
+    /// newer revision may be active, no other content may have been confirmed under the same revision.
     pub fn config_confirmed(&mut self, at: Time, revision: u64, digest: u64) {
         let newer = self.versions.iter().any(|v| v.valid && v.revision > revision && v.sent <= at);
         let other = |v: &Version| v.valid && v.confirmed && v.revision == revision && v.digest != digest;
@@ -140,7 +140,7 @@
         self.versions.iter_mut().filter(same).for_each(|v| v.confirmed = true);
     }
 
-    /// Control refuses it for good.
+    /// The controller permanently refuses a configuration.
     pub fn config_refused(&mut self, at: Time, revision: u64, digest: u64) {
         let confirmed = |v: &Version| v.confirmed && v.revision == revision && v.digest == digest;
         if self.versions.iter().any(confirmed) {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// An operator got an answer for it.
+    /// An operator receives the acknowledgement of a configuration.
     pub fn config_acknowledged(&mut self, at: Time, revision: u64, digest: u64) {
         let Some(version) = self.versions.iter_mut().find(|v| v.revision == revision && v.digest == digest)
         else {
@@ -161,13 +161,14 @@
         }
     }
 
-    /// The newest version that was acknowledged before this time.
+    /// The newest revision acknowledged no later than `before`; 0 if none.
     pub fn newest_acknowledged(&self, before: Time) -> u64 {
         let acked = |v: &&Version| v.acked.is_some_and(|at| at <= before);
         self.versions.iter().filter(acked).map(|v| v.revision).max().unwrap_or(0)
     }
 
-    /// What the operator read back at the end; nothing where no answer came.
+    /// The configuration that the operator read back at the end; `None` if there was no response. `closed`: a
+    /// final fault was injected.
     pub fn read_back(&mut self, at: Time, content: Option<&Config>, closed: bool) {
         let newest = self.newest_acknowledged(at);
         let rule = if closed { "LOST" } else { "CONFIG" };
@@ -189,7 +190,8 @@
         }
     }
 
-    /// A client sends a try. Its id. It counts for each service that a configuration which may be in force gives it to.
+    /// A client sends an attempt. Returns its id. It counts as a request for each service that an allowed
+    /// configuration routes it to.
     pub fn attempt_sent(&mut self, one: Attempt) -> u64 {
         let newest = self.newest_acknowledged(one.sent);
         let current = self.versions.iter().filter(|v| v.valid && v.revision >= newest);
@@ -205,8 +207,9 @@
         self.attempts.len() as u64 - 1
     }
 
-    /// A request comes to an endpoint of a service, which runs it or turns it away; `over`: since its slots are taken. Whether what it
-    /// does is a repeat.
+    /// A request reaches an endpoint of a service, which runs it or turns it away; `over`: because all slots
+    /// are taken. `drained`: when the platform listed the endpoint as draining. Returns whether the arrival
+    /// is a repeat.
     #[expect(clippy::too_many_arguments, reason = "what an endpoint sees")]
     pub fn request_arrived(
         &mut self,
@@ -260,14 +263,14 @@
         further
     }
 
-    /// A run has ended with this seal.
+    /// A run completed with this seal.
     pub fn run_completed(&mut self, id: u64, seal: u64) {
         if let Some(one) = self.attempts.get_mut(id as usize) {
             one.seals.push(seal);
         }
     }
 
-    /// A client gets an answer.
+    /// A client receives a response.
     pub fn client_answered(
         &mut self,
         disturbances: &Disturbances,
@@ -296,7 +299,7 @@
         }
     }
 
-    /// DENIED: a request that every configuration allows which may be in force is turned down.
+    /// DENIED: a request that every allowed configuration routes is rejected.
     fn record_denial(&mut self, disturbances: &Disturbances, at: Time, id: u64) {
         let one = &self.attempts[id as usize];
         let floor = self.newest_acknowledged(one.sent.saturating_sub(self.bounds.apply));
@@ -311,7 +314,7 @@
         }
     }
 
-    /// LOST: the connection of a request that was read ends without an answer, as its stall leaves.
+    /// LOST: the connection of a request that was read closes without a response when its proxy shuts down.
     pub fn connection_lost(&mut self, disturbances: &Disturbances, at: Time, id: u64) {
         let one = &self.attempts[id as usize];
         if at > one.sent + self.bounds.loss && disturbances.only_planned_work(one.machine, one.sent, at) {
@@ -322,7 +325,7 @@
         }
     }
 
-    /// CONFIG and ROUTE, by what a handling shows.
+    /// CONFIG and ROUTE: checks the configuration that the handling of a request reveals.
     fn check_config(&mut self, disturbances: &Disturbances, at: Time, id: u64, observed: Observation<'_>) {
         let one = &self.attempts[id as usize];
         let (path, sent, key) = (one.path.clone(), one.sent, (one.machine, one.life));
@@ -376,8 +379,8 @@
         }
     }
 
-    /// At the end: what only whole windows show. `final_fault`: when all was down, when it was back, and whether a quarter was served
-    /// before.
+    /// Checks the rules that need whole time windows. `final_fault`: when the final fault struck and when the
+    /// machines were back. RECOVER applies if at least a quarter of the requests was served before.
     pub fn finish(
         &mut self,
         end: Time,
--- a/simulator/src/day.rs
+++ b/simulator/src/day.rs
@@ -1,4 +1,4 @@
-//! One day from beginning to end, and its figures.
+//! Runs one simulated day and reports its figures.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -11,66 +11,67 @@
 use crate::world::{Traffic, World};
 use crate::{MS, SECOND, Time};
 
-/// All classes of clients' requests, and loans and holds.
+/// Indexes of all classes of client requests, and of those that go to busy functions.
 const ALL: [usize; 3] = [0, 1, 2];
 const BUSY: [usize; 2] = [0, 1];
 
-/// What a day has shown.
+/// Results of a simulated day.
 #[derive(Debug)]
 pub struct Report {
-    /// Its seed.
+    /// Seed of the day.
     pub seed: u64,
-    /// Broken rules, in the order of time.
+    /// Rule violations, ordered by time.
     pub breaches: Vec<Breach>,
-    /// Requests of clients, and how many were served.
+    /// Number of client requests.
     pub requests: usize,
-    /// Served ones.
+    /// Number of client requests that succeeded.
     pub served: usize,
-    /// Half of the served ones took no longer,
+    /// Median latency of successful requests.
     pub p50: Time,
-    /// ... 95 of 100,
+    /// 95th percentile.
     pub p95: Time,
-    /// ... and 99 of 100.
+    /// 99th percentile.
     pub p99: Time,
-    /// The same for loans and holds alone, which go to functions that seldom wait for a start.
+    /// 99th percentile for requests to busy functions, which rarely wait for an instance start.
     pub short_p99: Time,
-    /// The share of all that was served in the time in which an answer earns its full worth.
+    /// Share of all requests served within the target latency of their class.
     pub within_target: f64,
-    /// Starts that the platform has done.
+    /// Number of instance starts.
     pub starts: u64,
-    /// Memory of instances by time, in GB seconds.
+    /// Instance memory over time, in GB seconds.
     pub memory: f64,
-    /// What went between machines.
+    /// Network traffic.
     pub traffic: Traffic,
-    /// From each acknowledgement to the last stall.
+    /// For each revision, the time from its acknowledgement until the last proxy applied it; `None` if that
+    /// never happened.
     pub propagation: Vec<(u64, Option<Time>)>,
-    /// Events that were played, and the digest of them.
+    /// Number of simulated events.
     pub events: u64,
-    /// The same for the same day.
+    /// Digest of all events; equal for equal plans.
     pub digest: u64,
-    /// The length of the day.
+    /// Simulated time at the end of the day.
     pub length: Time,
-    /// What playing it took, in seconds.
+    /// Wall-clock duration of the simulation, in seconds.
     pub took: f64,
-    /// How requests ended that were not served.
+    /// Unsuccessful requests by final status: 0 for a broken connection, 1 for a client deadline.
     pub statuses: Vec<(u16, u64)>,
-    /// Lines of what happened.
+    /// Trace lines, if a trace was requested.
     pub trace: Vec<String>,
 }
 
-/// Plays a day. `first`: no further than to the first broken rule.
+/// Simulates a day. With `first` it stops at the first rule violation.
 pub fn play(plan: &Plan, first: bool, trace: bool) -> Report {
     play_recorded(plan, first, trace, None)
 }
 
-/// The same, with recordings of all processes.
+/// Like [`play`], and records all processes.
 pub fn play_recorded(plan: &Plan, first: bool, trace: bool, records: Option<Recordings>) -> Report {
     let started = Instant::now();
     let mut world = World::new(plan.clone(), trace);
     world.records = records;
     let mut read_back_started = false;
     loop {
-        // The end moves once the closing fault has struck.
+        // The final fault moves the end of the day.
         let end = world.end;
         let read = end.saturating_sub(2 * SECOND);
         let stop = first && !world.auditor.breaches.is_empty();
@@ -88,7 +89,7 @@
             world.play(end, first);
         }
     }
-    // The core may be in trouble as the day ends: the operator goes on asking for a while.
+    // The core may still be recovering: the operator keeps reading for up to 10 s.
     let read_back_deadline = world.now + 10 * SECOND;
     while world.read_back_pending()
         && world.now < read_back_deadline
@@ -134,7 +135,7 @@
     JsonValue::Object(fields.into_iter().map(|(k, v)| (k.to_owned(), v)).collect::<HashMap<_, _>>())
 }
 
-/// Broken rules as JSON.
+/// Rule violations as JSON.
 pub fn breaches_json(breaches: &[Breach]) -> JsonValue {
     let one = |b: &Breach| {
         object(vec![
@@ -147,17 +148,17 @@
 }
 
 impl Report {
-    /// The longest time from an acknowledgement to the last stall, in milliseconds.
+    /// The longest propagation time of a configuration change, in milliseconds.
     pub fn slowest_propagation_ms(&self) -> Option<u64> {
         self.propagation.iter().filter_map(|(_, took)| *took).max().map(|took| took / MS)
     }
 
-    /// The share of requests that were served.
+    /// The share of requests that succeeded, from 0 to 1.
     pub fn served_ratio(&self) -> f64 {
         self.served as f64 / self.requests.max(1) as f64
     }
 
-    /// As JSON.
+    /// The report as a JSON object.
     pub fn to_json(&self) -> JsonValue {
         let each = self.requests.max(1) as f64;
         object(vec![
@@ -187,7 +188,7 @@
         ])
     }
 
-    /// As text.
+    /// A summary for people.
     pub fn to_text(&self) -> String {
         let each = self.requests.max(1) as f64;
         let ms = |t: Time| t as f64 / MS as f64;
--- a/simulator/src/disturbances.rs
+++ b/simulator/src/disturbances.rs
@@ -1,12 +1,13 @@
-//! When which machine was in trouble: time bounds of rules hold only for machines in touch.
+//! Time spans in which machines were disturbed. Time-bound rules apply only to machines that have been in
+//! contact for long enough.
 
 use crate::Time;
 
-/// Spans of trouble. What is told here widens what the auditor forgives, never what it sees.
+/// Recorded disturbances. They only widen what the auditor tolerates and do not affect what it observes.
 #[derive(Default)]
 pub struct Disturbances {
     machines: Vec<Vec<(Time, Time)>>,
-    /// Of these, what was not planned.
+    /// The subset of `machines` that was not planned work.
     unplanned: Vec<Vec<(Time, Time)>>,
     core: Vec<(Time, Time)>,
     outside: Vec<(Time, Time)>,
@@ -18,7 +19,7 @@
 }
 
 impl Disturbances {
-    /// So many machines.
+    /// For `machines` machines. A machine is in contact once it was undisturbed for `contact`.
     pub fn new(machines: usize, contact: Time) -> Self {
         Disturbances {
             machines: vec![Vec::new(); machines],
@@ -28,18 +29,19 @@
         }
     }
 
-    /// A machine was in trouble.
+    /// Records an unplanned disturbance of a machine.
     pub fn record_machine(&mut self, machine: usize, from: Time, to: Time) {
         self.machines[machine].push((from, to));
         self.unplanned[machine].push((from, to));
     }
 
-    /// A machine was told to leave.
+    /// Records a planned shutdown of a machine.
     pub fn record_planned(&mut self, machine: usize, from: Time, to: Time) {
         self.machines[machine].push((from, to));
     }
 
-    /// Nothing unplanned has happened to it, to the core or outside from a while before the one time to the other.
+    /// Whether nothing unplanned disturbed the machine, the core or the environment from `contact` before
+    /// `from` until `to`.
     pub fn only_planned_work(&self, machine: usize, from: Time, to: Time) -> bool {
         let from = from.saturating_sub(self.contact);
         !overlaps(&self.unplanned[machine], from, to)
@@ -47,23 +49,24 @@
             && !overlaps(&self.outside, from, to)
     }
 
-    /// The core was.
+    /// Records a disturbance of the core.
     pub fn record_core(&mut self, from: Time, to: Time) {
         self.core.push((from, to));
     }
 
-    /// Endpoints, clients, links or edge machines were.
+    /// Records a disturbance of endpoints, clients, links or edge machines.
     pub fn record_outside(&mut self, from: Time, to: Time) {
         self.outside.push((from, to));
     }
 
-    /// The machine is in touch.
+    /// Whether neither the machine nor the core was disturbed for the contact time before `at`.
     pub fn in_contact(&self, machine: usize, at: Time) -> bool {
         let from = at.saturating_sub(self.contact);
         at >= self.contact && !overlaps(&self.machines[machine], from, at) && !overlaps(&self.core, from, at)
     }
 
-    /// Nothing outside was in trouble lately, nor any edge machine but by planned work.
+    /// Whether the environment had no disturbance, and the edge machines none but planned work, for the
+    /// contact time before `at`.
     pub fn outside_undisturbed(&self, at: Time, edges: usize) -> bool {
         let from = at.saturating_sub(self.contact);
         !overlaps(&self.outside, from, at) && !self.unplanned[..edges].iter().any(|m| overlaps(m, from, at))
--- a/simulator/src/lib.rs
+++ b/simulator/src/lib.rs
@@ -1,16 +1,19 @@
-//! The whole system in one process, the same under the same seed: the daemons' own state machines on a played clock, network, disks,
-//! platform, endpoints and clients, and an auditor of the users' rules.
+//! Deterministic simulation of the whole system in one process.
 //!
-//! - [`site`]: machines, functions and bounds of a size.
-//! - [`speeds`]: how fast its workers are.
-//! - [`plan`]: a day as it is drawn from its seed: troubles and changes of the configuration.
-//! - [`processes`]: what daemons put round their state machines.
-//! - [`world`]: all that is outside, and the loop.
-//! - [`auditor`]: the rules, from what clients, endpoints, platform and operator saw.
-//! - [`day`]: one day from beginning to end, and its figures.
-//! - [`search`]: many days, and one that is made smaller.
+//! The proxies, agents and controllers run the production state machines. Clock, network, disks, platform,
+//! endpoints and clients are simulated, and an auditor checks the users' rules. The same seed always gives
+//! the same run.
+//!
+//! - [`site`]: machines, functions, load and rule bounds for each site size.
+//! - [`speeds`]: distribution of worker speeds.
+//! - [`plan`]: faults and configuration changes of one simulated day, drawn from its seed.
+//! - [`processes`]: the I/O layer of each daemon, reimplemented on the simulated network.
+//! - [`world`]: the environment of the processes and the event loop.
+//! - [`auditor`]: rule checks, based on what clients, endpoints, platform and operator observe.
+//! - [`day`]: runs one day and reports its figures.
+//! - [`search`]: runs many days, and minimizes a failing one.
 //! - [`record`]: recordings of all processes of a day.
-//! - [`mutation`]: guards taken out, to test the auditor.
+//! - [`mutation`]: safeguards that can be disabled to test the auditor.
 
 pub mod auditor;
 pub mod day;
@@ -25,9 +28,9 @@
 pub mod speeds;
 pub mod world;
 
-/// Nanoseconds since the day began.
+/// Nanoseconds of simulated time since the start of the day.
 pub type Time = u64;
-/// A millisecond.
+/// One millisecond.
 pub const MS: Time = 1_000_000;
-/// A second.
+/// One second.
 pub const SECOND: Time = 1_000 * MS;
--- a/simulator/src/mutation.rs
+++ b/simulator/src/mutation.rs
@@ -1,51 +1,52 @@
-//! Guards that can be taken out, one at a time, to show that the auditor sees what they keep.
+//! Safeguards that can be disabled one at a time, to show that the auditor detects what they prevent.
 
 use std::str::FromStr;
 
 use snafu::Snafu;
 
-/// A guard that is taken out.
+/// A disabled safeguard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// A request that may run once goes again after an outcome that proves nothing.
+    /// Non-idempotent requests are retried after an outcome that does not prove they never ran.
     RetryUnsafe,
-    /// A request that may have run is refused with a promise.
+    /// A request that may have run is refused with a status that promises it did not.
     FalseRefusal,
-    /// Owners count more slots than instances have.
+    /// Owners assume more slots per instance than there are.
     OverSlots,
-    /// Further tries draw on no budget.
+    /// Retries are not limited by a budget.
     UnlimitedRetries,
-    /// The steward does not hear that endpoints drain.
+    /// The leader ignores that endpoints and workers are draining.
     IgnoreDraining,
-    /// One stall takes no change of the configuration.
+    /// One proxy applies no configuration change.
     StaleConfig,
-    /// Control acknowledges before a majority has written.
+    /// The controller acknowledges a configuration before a majority has written it.
     EarlyAcknowledge,
-    /// Voters answer before their writes are synced.
+    /// Voters reply before their writes are synced.
     UnsyncedVotes,
-    /// A voter with an empty disk begins anew instead of copying.
+    /// A voter with an empty disk bootstraps instead of copying state from its peers.
     EmptyDiskVotes,
-    /// Stalls go on with the first address of a function, and endpoints are not told which of them is meant.
+    /// Proxies keep using the first address of a function and do not tell endpoints which instance they
+    /// expect.
     StaleAddress,
-    /// Porters that were restarted follow nobody.
+    /// Restarted agents have no seeds and follow no controller.
     AgentWithoutSeeds,
-    /// Requests go out under another id.
+    /// Requests are forwarded under another id.
     ChangedRequestId,
-    /// Answers are passed on without a look at their seal.
+    /// Responses are forwarded without verifying their seal.
     UnverifiedAnswer,
-    /// A stall that is told to leave leaves at once.
+    /// A proxy exits immediately on SIGTERM.
     ImmediateExit,
-    /// A stall turns some proper requests down.
+    /// A proxy denies some valid requests.
     SpuriousDenial,
-    /// Control confirms whatever comes under a revision that stands.
+    /// The controller confirms conflicting content under an existing revision.
     ConfirmConflicts,
-    /// A stall that ends answers nothing that is open, and is taken to be gone before.
+    /// A proxy that shuts down answers no open request, and other proxies treat leaving ones as gone.
     SilentShutdown,
-    /// Stalls that leave are taken to be gone by the others.
+    /// Proxies treat leaving peers as gone.
     IgnoreLeaving,
 }
 
-/// Every one, by its name.
+/// All mutations with their names on the command line.
 pub const ALL: [(&str, Mutation); 18] = [
     ("repeated", Mutation::RetryUnsafe),
     ("promised", Mutation::FalseRefusal),
@@ -67,7 +68,7 @@
     ("forsaken", Mutation::IgnoreLeaving),
 ];
 
-/// No such guard.
+/// The name matches no mutation.
 #[derive(Debug, Snafu)]
 #[snafu(display("plant: {name:?} is none of {}", ALL.map(|(name, _)| name).join(", ")))]
 pub struct Unknown {
--- a/simulator/src/plan.rs
+++ b/simulator/src/plan.rs
@@ -1,4 +1,5 @@
-//! A day as it is drawn from its seed: troubles, changes of the configuration, how it ends.
+//! The plan of a simulated day, drawn from its seed: injected faults, configuration changes and the final
+//! fault.
 
 use crate::mutation::Mutation;
 use crate::rng::Rng;
@@ -6,112 +7,118 @@
 use crate::speeds::Speeds;
 use crate::{MS, SECOND, Time};
 
-/// From whom a machine is cut off.
+/// Which traffic of a machine a network partition blocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CutScope {
-    /// All others.
+    /// All traffic.
     All,
-    /// Other core machines; stalls and the platform reach it.
+    /// Traffic with other core machines; edge machines and the platform still reach it.
     Core,
-    /// All others hear nothing of it, and it hears them.
+    /// Outgoing traffic only; the machine still receives.
     OneWay,
 }
 
-/// Which machine of the core is replaced.
+/// Which core machine a replacement targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplaceTarget {
-    /// One that the settings files name.
+    /// A machine named as a seed in the settings files.
     Seed,
-    /// The steward.
+    /// The current leader.
     Leader,
-    /// Any, with SIGTERM first.
+    /// Any machine, as planned work: it gets SIGTERM first.
     Planned,
 }
 
-/// What happens, named as in the users' site files.
+/// The kind of an injected fault or operation, named as in the users' site files. Variants and fields appear
+/// in traces through `Debug`.
 #[allow(missing_docs, reason = "the fields are what the variants say")]
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
-    /// More requests of one class, by this factor.
+    /// Request rate of one class multiplied by `times`.
     Burst { class: usize, times: f64, lasts: Time },
-    /// One machine's processes are killed; with `power` what was not synced may be gone.
+    /// The processes of one machine are killed. With `power` the machine also loses power, and unsynced
+    /// writes may be lost.
     NodeKill { core: bool, power: bool, lasts: Time },
-    /// A part of the edge machines is killed in one moment.
+    /// A share of the edge machines is killed at the same instant.
     HerdKill { share: f64, power: bool, lasts: Time },
-    /// Core machines are cut off.
+    /// Core machines are partitioned.
     CoreCut { count: usize, from: CutScope, lasts: Time },
-    /// A part of the workers crashes with their endpoints; `reset`: their hosts still answer.
+    /// A share of the workers crashes with their endpoints. With `reset` their hosts still answer with
+    /// connection resets.
     WorkerCrash { share: f64, reset: bool, lasts: Time },
-    /// A part of the workers is emptied.
+    /// A share of the workers is drained.
     WorkerDrain { share: f64 },
-    /// A core machine loses its disk right after it has acknowledged.
+    /// A core machine loses its disk right after it has acknowledged a configuration.
     AfterAckWipe { lasts: Time },
-    /// Two operators send one revision with two contents at once.
+    /// Two operators concurrently submit different contents under the same revision.
     ConfigRace,
-    /// The configuration changes.
+    /// An operator submits a changed configuration.
     ConfigChange,
-    /// Something invalid is sent.
+    /// An operator submits an invalid configuration.
     BadConfig,
-    /// Endpoints run requests and this part of their answers is lost.
+    /// Endpoints run requests, and this share of their responses is lost.
     AnswerLost { share: f64, lasts: Time },
-    /// Endpoints hand out wrong bytes.
+    /// This share of the responses of endpoints is corrupted.
     Garble { share: f64, lasts: Time },
-    /// A part of the endpoints works slower by this factor.
+    /// A share of the endpoints runs slower by the factor `times`.
     SrvSlow { share: f64, times: f64, lasts: Time },
-    /// Connections of a machine are reset.
+    /// All connections of a machine are reset.
     ResetConns { core: bool },
-    /// A machine freezes, and wakes.
+    /// All processes of a machine are suspended, then resumed.
     NodeFreeze { core: bool, lasts: Time },
-    /// A disk hangs.
+    /// A disk of a core machine hangs.
     DiskStall { lasts: Time },
-    /// A disk is slower by this factor.
+    /// A disk of a core machine is slower by the factor `times`.
     DiskSlow { times: f64, lasts: Time },
-    /// A disk takes nothing.
+    /// A disk of a core machine is full.
     DiskFull { lasts: Time },
-    /// A core machine goes for good, and an empty one comes at another address so long after.
+    /// A core machine is removed permanently. An empty one starts at another address after the delay `after`.
     ReplaceCore { whom: ReplaceTarget, after: Time },
-    /// Other core machines become the seeds.
+    /// Other core machines become the seeds in the settings files.
     SeedTurnover,
-    /// The processes of a machine get SIGTERM and are started again.
+    /// The processes of a machine get SIGTERM and are restarted.
     NodeTerm { core: bool },
-    /// The configuration grows by so many routes.
+    /// The configuration grows by `count` routes.
     BigConfig { count: usize },
-    /// An operator takes out a worker, or a stall. Not drawn.
+    /// An operator drains a worker or an edge machine. Never drawn at random.
     Drain { worker: bool, lasts: Time },
-    /// The routes of the first busy service go to the second, and the configuration names the first no more.
+    /// The routes of the first busy service move to the second, and the configuration no longer contains the
+    /// first.
     ServiceDrop,
-    /// So many changes of the configuration in a row.
+    /// `count` configuration changes, one per `every`.
     ConfigStorm { count: usize, every: Time },
-    /// This part of the answers to operators is lost; they send the same again, to other machines first.
+    /// This share of the responses to operators is lost. Operators retry, on other machines first.
     AckLost { share: f64, lasts: Time },
-    /// So many operators send as many contents under one revision at once.
+    /// `count` operators concurrently submit different contents under the same revision.
     ConfigRaceOf { count: usize },
-    /// The configuration that was acknowledged last is sent once more.
+    /// The configuration acknowledged last is submitted again.
     SentAgain,
-    /// Another content is sent under the revision that was acknowledged last.
+    /// Different content is submitted under the revision acknowledged last.
     SameRevision,
-    /// The core machine that acknowledges next is gone right after it: killed, or without power.
+    /// The core machine that acknowledges the next configuration is killed right after it, or loses power.
     AfterAckKill { power: bool, lasts: Time },
-    /// The core is cut in two halves; all others reach both.
+    /// The core is partitioned into two halves; all other machines reach both.
     CoreSplit { lasts: Time },
-    /// An edge machine is cut off from the core.
+    /// An edge machine is partitioned from the core.
     NodeCut { lasts: Time },
-    /// The processes of all core machines get SIGTERM, one after the other.
+    /// Rolling restart of the core: the processes of each core machine get SIGTERM in turn.
     RollTerm { every: Time },
-    /// Those of a part of the edge machines do.
+    /// Rolling restart of a share of the edge machines.
     EdgeRoll { share: f64, every: Time },
-    /// One core machine misses changes; then another loses its disk, the rest are without power for as long, and the cut is over.
+    /// One core machine is partitioned and misses changes. Then another loses its disk, all remaining ones
+    /// lose power for `lasts`, and the partition heals.
     CoreBehind { lasts: Time },
-    /// The second part of that, by the place in the core of the one that missed the changes.
+    /// The second step of [`FaultKind::CoreBehind`]. `missed` is the index in the core of the machine that
+    /// missed the changes.
     BehindStrikes { missed: usize, lasts: Time },
-    /// The processes of a part of the machines are told to read their settings again.
+    /// The processes of a share of the machines get SIGHUP and reload their settings.
     HangUp { share: f64 },
-    /// The time of day of some machines is off by so many milliseconds, and right again afterwards.
+    /// The wall clocks of a share of the machines are off by `by_ms` milliseconds for the duration `lasts`.
     ClockStep { share: f64, by_ms: i64, lasts: Time },
 }
 
 impl FaultKind {
-    /// The users' word for it.
+    /// The name used in the users' site files.
     pub fn name(&self) -> &'static str {
         match self {
             FaultKind::Burst { .. } => "burst",
@@ -154,69 +161,70 @@
     }
 }
 
-/// One trouble or change.
+/// One scheduled fault or operation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InjectedFault {
-    /// When.
+    /// Time at which it takes effect.
     pub at: Time,
-    /// What.
+    /// What is injected.
     pub kind: FaultKind,
-    /// Whom it hits, where that is drawn.
+    /// Seed for the random choice of the targets.
     pub target_seed: u64,
 }
 
-/// How a day ends, right after a change was acknowledged.
+/// The fault injected at the end of a day, right after a configuration change was acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalFault {
     /// Every machine loses power.
     PowerOffAll,
     /// Every process is killed.
     KillAll,
-    /// As many disks as may be lost are lost while all others lose power.
+    /// The disk of the acknowledging core machine is lost, the tolerated number of losses, while all other
+    /// core machines lose power.
     WipeAfterAck,
 }
 
-/// A day.
+/// The plan of one simulated day.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its seed.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// The size of the site.
+    /// Size of the site.
     pub size: Size,
-    /// Troubles and changes.
+    /// Faults and configuration changes, ordered by time.
     pub faults: Vec<InjectedFault>,
-    /// How it ends, and when.
+    /// The final fault and its time, if there is one.
     pub final_fault: Option<(Time, FinalFault)>,
-    /// A guard that is taken out.
+    /// The safeguard that is disabled, if any.
     pub mutation: Option<Mutation>,
-    /// LIMIT is judged while the core is not settled, too.
+    /// Checks the LIMIT rule also while the core is disturbed.
     pub strict: bool,
-    /// Asks take of their owner's processor.
+    /// Charges permit requests to the CPU of the owning proxy.
     pub charge_request_cpu: bool,
-    /// How fast workers are.
+    /// Distribution of worker speeds.
     pub speeds: Speeds,
-    /// The site is smaller by this factor.
+    /// Divisor for the number of edge machines, workers, functions and client requests.
     pub site_divisor: usize,
-    /// The day is longer by this factor.
+    /// Multiplier for the length of the day.
     pub length_factor: u64,
-    /// The site has the functions and requests of the users' homework sites, under so many times the usual load.
+    /// Uses the functions and requests of the users' homework sites, with this multiple of the usual load.
     pub homework: Option<f64>,
 }
 
-/// How days are drawn.
+/// Which kinds of faults a random day contains.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PlanKind {
-    /// Up to four troubles of any kind.
+    /// Up to four faults of any kind.
     #[default]
     Usual,
-    /// Those with more troubles of the control side, and longer cuts.
+    /// Additional controller faults and longer partitions.
     Control,
-    /// Longer days with planned work only, which comes in series and overlaps.
+    /// Longer days with planned operations only, in overlapping series.
     Planned,
 }
 
 impl PlanKind {
-    /// The day of this seed.
+    /// Draws the plan for a seed.
     pub fn draw(self, seed: u64, size: Size, mutation: Option<Mutation>) -> Plan {
         match self {
             PlanKind::Usual => Plan::draw(seed, size, mutation),
@@ -226,11 +234,11 @@
     }
 }
 
-/// A day of planned work is so many times as long as others.
+/// Length of a day of planned operations relative to other days.
 const PLANNED_LENGTH_FACTOR: u64 = 3;
 
 impl Plan {
-    /// The day of this seed.
+    /// Draws the plan for a seed.
     pub fn draw(seed: u64, size: Size, mutation: Option<Mutation>) -> Self {
         let site = Site::new(size);
         let mut rng = Rng::new(seed ^ 0x5eed);
@@ -278,12 +286,14 @@
         }
     }
 
-    /// The same day with four to nine further troubles of its control side, and cuts that last for up to 20 s.
+    /// Draws the plan of [`Plan::draw`] with four to nine additional controller faults, including partitions
+    /// of up to 20 s.
     pub fn draw_control(seed: u64, size: Size, mutation: Option<Mutation>) -> Self {
         let mut plan = Self::draw(seed, size, mutation);
         let site = Site::new(size);
         let mut rng = Rng::new(seed ^ 0x0c04_7801);
-        // All is over a while before the end: what comes then finds no more machines lost than may be at once.
+        // All additional faults end before the final fault, so that it does not exceed the tolerated number
+        // of lost machines.
         let over = site.lead + site.length - 6 * SECOND;
         for _ in 0..4 + rng.below(6) {
             let at = rng.between(site.lead / 2, over - SECOND);
@@ -295,8 +305,8 @@
         plan
     }
 
-    /// A long day without unplanned trouble: rolls, single machines that are told to end, signals, changes of the configuration and
-    /// workers that are emptied, in series that overlap.
+    /// Draws a long day without failures: rolling restarts, single SIGTERMs, reloads, configuration changes
+    /// and worker drains in overlapping series.
     pub fn draw_planned(seed: u64, size: Size, mutation: Option<Mutation>) -> Self {
         let site = Site::new(size);
         let mut rng = Rng::new(seed ^ 0x501a_4b1e);
@@ -308,13 +318,13 @@
         while at < end {
             let what = draw_planned_fault(&mut rng);
             plan.faults.push(InjectedFault { at, kind: what, target_seed: rng.seed() });
-            // Most come before what the one before them does is over.
+            // Most operations start before the effects of the previous one have ended.
             at += rng.between(100 * MS, 6 * SECOND);
         }
         plan
     }
 
-    /// A day without any trouble.
+    /// A day without faults.
     pub fn quiet(seed: u64, size: Size) -> Self {
         Plan {
             seed,
@@ -331,7 +341,7 @@
         }
     }
 
-    /// The same with this as well.
+    /// Adds a fault; its targets are drawn from the seed of the day.
     pub fn with(mut self, at: Time, what: FaultKind) -> Self {
         self.faults.push(InjectedFault { at, kind: what, target_seed: self.seed });
         self.faults.sort_by_key(|t| t.at);
@@ -375,7 +385,7 @@
     }
 }
 
-/// Planned work.
+/// Draws a planned operation.
 fn draw_planned_fault(rng: &mut Rng) -> FaultKind {
     let share = rng.unit();
     match rng.below(10) {
@@ -392,7 +402,7 @@
     }
 }
 
-/// Troubles of the control side, as they meet there on its worst days.
+/// Draws a controller fault. `longest` is the time left for faults on this day.
 fn draw_control_fault(rng: &mut Rng, lasts: Time, longest: Time) -> FaultKind {
     let flag = rng.chance(0.5);
     match rng.below(16) {
--- a/simulator/src/record.rs
+++ b/simulator/src/record.rs
@@ -1,6 +1,7 @@
-//! Recordings of all processes of a day, in the daemons' own form: one for each process, all its lives in it.
+//! Recordings of all processes of a day in the format of the daemons: one file per process, with all its
+//! incarnations.
 //!
-//! Invariant: a day that is recorded is the same day.
+//! Invariant: recording does not change the run.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,15 +12,15 @@
 use millpost_protocol::frame::Head;
 use millpost_protocol::line::Sink;
 
-/// The day begins at this time of everybody's clock, in milliseconds of Unix time.
+/// Wall-clock time at the start of the day, in milliseconds of Unix time.
 const BEGINS_MS: u64 = 1_700_000_000_000;
 
-/// Where one process's lines go.
+/// Output of one process.
 type Out = Rc<RefCell<Box<dyn Write>>>;
-/// Opens that for `machine/process`.
+/// Opens the output for `machine/process`.
 type Open = Box<dyn Fn(&str) -> std::io::Result<Box<dyn Write>>>;
 
-/// Where the lines of all go.
+/// Destination of the recordings of all processes.
 #[derive(Clone)]
 pub struct Recordings {
     open: Rc<Open>,
@@ -27,7 +28,7 @@
     failed: Rc<RefCell<Option<std::io::Error>>>,
 }
 
-/// Lines in memory, by process.
+/// Recordings in memory, by process.
 pub type InMemory = Rc<RefCell<BTreeMap<String, Vec<u8>>>>;
 
 struct Keep(InMemory, String);
@@ -47,7 +48,8 @@
         Recordings { open: Rc::new(open), outs: Rc::default(), failed: Rc::default() }
     }
 
-    /// Files in this folder: `edge-0-0.stall.jsonl` and so on. What stood in them is gone.
+    /// Writes to files in this folder, named like `edge-0-0.stall.jsonl`. Truncates existing files. Fails if
+    /// the folder cannot be created.
     pub fn folder(path: &Path) -> std::io::Result<Self> {
         std::fs::create_dir_all(path)?;
         let folder = PathBuf::from(path);
@@ -57,7 +59,7 @@
         })))
     }
 
-    /// Lines that stay here.
+    /// Keeps the recordings in memory.
     pub fn in_memory() -> (Self, InMemory) {
         let kept = InMemory::default();
         let of = Rc::clone(&kept);
@@ -74,14 +76,14 @@
         Ok(out)
     }
 
-    /// The lines of a process's life, which begins now.
+    /// Starts the recording of a new incarnation of a process, with its header line.
     pub fn life(&self, machine: &str, process: &str, life: u64) -> Sink {
         let mut sink = self.sink(machine, process);
         sink(&Head::new(machine, process, life, BEGINS_MS).line());
         sink
     }
 
-    /// More lines of that life.
+    /// Appends to the recording of the current incarnation.
     pub fn sink(&self, machine: &str, process: &str) -> Sink {
         let failed = Rc::clone(&self.failed);
         match self.out(&format!("{machine}/{process}")) {
@@ -97,7 +99,7 @@
         }
     }
 
-    /// All is written, or why not.
+    /// Flushes all outputs; returns the first error of any write.
     pub fn end(&self) -> std::io::Result<()> {
         for out in self.outs.borrow().values() {
             out.borrow_mut().flush()?;
--- a/simulator/src/search.rs
+++ b/simulator/src/search.rs
@@ -1,4 +1,4 @@
-//! Many days in a row, and one day made smaller while its rule still breaks.
+//! Runs many random days, and minimizes the plan of a day that violates a rule.
 
 use crate::day::{Report, play};
 use crate::mutation::Mutation;
@@ -6,40 +6,41 @@
 use crate::site::Size;
 use crate::speeds::Speeds;
 
-/// Days that were played, and those that broke a rule.
+/// Totals over all simulated days.
 pub struct SearchSummary {
-    /// Days that were played to the end, the broken one counted in.
+    /// Days simulated, including those with a violation.
     pub days: u64,
-    /// Events of all.
+    /// Events of all days.
     pub events: u64,
-    /// Requests of all.
+    /// Client requests of all days.
     pub requests: usize,
-    /// Days on which a rule broke.
+    /// Days with a rule violation.
     pub broken: u64,
 }
 
-/// Which days are played.
+/// Which days to simulate.
 pub struct SearchOptions {
-    /// How many at most.
+    /// Maximum number of days.
     pub days: u64,
-    /// The seed of the first.
+    /// Seed of the first day; each following day uses the next seed.
     pub seed: u64,
-    /// The size of the site.
+    /// Size of the site.
     pub size: Size,
-    /// A guard that is taken out.
+    /// The safeguard that is disabled, if any.
     pub mutation: Option<Mutation>,
-    /// LIMIT is judged while the core is not settled, too.
+    /// Checks the LIMIT rule also while the core is disturbed.
     pub strict: bool,
-    /// Asks take of their owner's processor.
+    /// Charges permit requests to the CPU of the owning proxy.
     pub charge_request_cpu: bool,
-    /// How fast workers are.
+    /// Distribution of worker speeds.
     pub speeds: Speeds,
-    /// How days are drawn.
+    /// Which kinds of faults the days contain.
     pub kind: PlanKind,
 }
 
-/// Plays days, each to its first broken rule; `told` of each as it ends, says whether the search goes on.
-pub fn search(of: &SearchOptions, mut told: impl FnMut(&Report) -> bool) -> SearchSummary {
+/// Simulates days, each up to its first rule violation. `on_report` receives each report and returns whether
+/// to continue.
+pub fn search(of: &SearchOptions, mut on_report: impl FnMut(&Report) -> bool) -> SearchSummary {
     let mut summary = SearchSummary { days: 0, events: 0, requests: 0, broken: 0 };
     for day in 0..of.days {
         let drawn = of.kind.draw(of.seed.wrapping_add(day), of.size, of.mutation);
@@ -50,22 +51,23 @@
         summary.events += report.events;
         summary.requests += report.requests;
         summary.broken += u64::from(!report.breaches.is_empty());
-        if !told(&report) {
+        if !on_report(&report) {
             break;
         }
     }
     summary
 }
 
-/// Leaves troubles out one by one, and the end of the day, as long as the same rule breaks. None where no rule breaks.
-pub fn shrink(plan: &Plan, mut told: impl FnMut(&str)) -> Option<(Plan, Report)> {
+/// Minimizes a plan: removes the final fault and then single faults as long as the same rule is violated.
+/// Returns `None` if the plan violates no rule.
+pub fn shrink(plan: &Plan, mut on_step: impl FnMut(&str)) -> Option<(Plan, Report)> {
     let mut last = play(plan, true, false);
     let rule = last.breaches.first()?.rule;
     let mut plan = plan.clone();
     let mut try_one = |smaller: Plan, plan: &mut Plan, what: &str| {
         let report = play(&smaller, true, false);
         let same = report.breaches.first().is_some_and(|b| b.rule == rule);
-        told(&format!("without {what}: {}", if same { "breaks still" } else { "holds" }));
+        on_step(&format!("without {what}: {}", if same { "breaks still" } else { "holds" }));
         if same {
             (*plan, last) = (smaller, report);
         }
--- a/simulator/src/site.rs
+++ b/simulator/src/site.rs
@@ -1,4 +1,5 @@
-//! Machines, functions, loads and bounds by size. The small and grown ones have the proportions of the users' lending sites.
+//! Machines, functions, load and rule bounds by site size. The small and grown sizes have the proportions of
+//! the users' lending sites.
 
 use std::str::FromStr;
 
@@ -8,18 +9,18 @@
 
 use crate::{MS, SECOND, Time};
 
-/// How large the site is.
+/// Size of the simulated site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Size {
-    /// 6 stalls, 158 functions.
+    /// 6 edge machines, 158 functions.
     Small,
-    /// 76 stalls, 1,030 functions.
+    /// 76 edge machines, 1,030 functions.
     Grown,
-    /// 760 stalls, 10,300 functions, a short day.
+    /// 760 edge machines, 10,300 functions, a short day.
     Large,
 }
 
-/// No such size.
+/// The name matches no size.
 #[derive(Debug, Snafu)]
 #[snafu(display("size: {name:?} is none of small, grown, large"))]
 pub struct UnknownSize {
@@ -40,7 +41,7 @@
 }
 
 impl Size {
-    /// Its name.
+    /// Name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Size::Small => "small",
@@ -50,31 +51,31 @@
     }
 }
 
-/// Bounds of the rules, as the users' site files give them.
+/// Bounds of the rules, from the users' site files.
 pub struct Bounds {
-    /// In touch: without trouble for so long.
+    /// A machine counts as in contact after this time without disturbance.
     pub contact: Time,
-    /// An address may be used again after.
+    /// Minimum time before an address is reused.
     pub reuse: Time,
-    /// A request may come to a draining endpoint for so long.
+    /// Time for which requests may still reach a draining endpoint.
     pub drain: Time,
-    /// A configuration is in force everywhere after.
+    /// Time within which a configuration must be applied everywhere.
     pub apply: Time,
-    /// A machine may look as if it went back for so long.
+    /// Time for which a machine may appear to act on an older configuration again.
     pub revert: Time,
-    /// Further tries.
+    /// Allowed retries per request,
     pub ratio: f64,
-    /// ... within.
+    /// ... within this window,
     pub window: Time,
-    /// ... and beyond the ratio.
+    /// ... plus this many.
     pub slack: f64,
-    /// Traffic flows again so long after the machines are back.
+    /// Time within which traffic must recover once the machines are back.
     pub recovery: Time,
-    /// Refusals within 5 s that are forgiven.
+    /// Tolerated refusals within 5 s per service.
     pub rejects: usize,
-    /// From SIGTERM to the last moment.
+    /// Grace period from SIGTERM to the forced end.
     pub grace: Time,
-    /// A request may be cut off so soon after it was sent.
+    /// Requests sent within this time before a shutdown may lose their connection.
     pub loss: Time,
 }
 
@@ -97,30 +98,30 @@
     }
 }
 
-/// A kind of request.
+/// A class of requests.
 pub struct Class {
-    /// Begins its paths.
+    /// First letter of its paths.
     pub letter: char,
-    /// It may run more than once.
+    /// Whether it is idempotent.
     pub repeatable: bool,
-    /// The time in which an answer earns its full worth.
+    /// Target latency.
     pub aim: Time,
-    /// For how long its client waits.
+    /// Client timeout.
     pub deadline: Time,
-    /// Work of an endpoint, on average, in milliseconds.
+    /// Mean processing time at an endpoint, in milliseconds.
     pub work_ms: f64,
-    /// Tries after the first.
+    /// Maximum retries by the client.
     pub retries: u32,
-    /// Bytes of request and answer.
+    /// Sizes of request and response in bytes.
     pub bytes: (u64, u64),
-    /// How often a run makes a call of its own.
+    /// Probability that a run makes a nested call.
     pub calls: f64,
 }
 
-/// Kinds of requests of a site: two to busy functions, one to rare ones, and the calls that the first makes.
+/// Request classes of a site: two for busy functions, one for rare ones, and the nested calls of the first.
 pub type Classes = [Class; 4];
 
-/// Loans, holds, searches, and the calls that loans make.
+/// Loans, holds, searches, and the nested calls of loans.
 pub const LENDING: Classes = [
     Class {
         letter: 'l',
@@ -164,7 +165,7 @@
     },
 ];
 
-/// Answers, marks, reports, and the calls that answers make: work and deadlines are longer.
+/// Answers, marks, reports, and the nested calls of answers, with longer processing times and deadlines.
 pub const HOMEWORK: Classes = [
     Class { aim: 300 * MS, deadline: 4_000 * MS, work_ms: 60.0, ..LENDING[0] },
     Class { aim: 400 * MS, deadline: 4_000 * MS, work_ms: 90.0, ..LENDING[1] },
@@ -172,62 +173,63 @@
     Class { aim: 300 * MS, deadline: 12_000 * MS, work_ms: 60.0, ..LENDING[3] },
 ];
 
-/// What a function takes: megabytes of an instance, the mean time of its start in milliseconds, and slots.
+/// Resources of a function: instance memory in MB, mean start-up time in milliseconds, and slots per
+/// instance.
 pub type Spec = (u64, u64, u32);
 
-/// Where everything stands and how much there is of it.
+/// Topology and parameters of a site.
 pub struct Site {
-    /// Its size.
+    /// Size the site was built for.
     pub size: Size,
-    /// Its kinds of requests.
+    /// Request classes.
     pub classes: &'static Classes,
-    /// What a busy function takes, and a rare one.
+    /// Resources of a busy function and of a rare one.
     pub specs: [Spec; 2],
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
     /// The zone of each edge machine.
     pub edges: Vec<usize>,
     /// The zone of each core machine.
     pub cores: Vec<usize>,
-    /// The zone of each worker, and its memory.
+    /// Zone and memory in MB of each worker.
     pub workers: Vec<(usize, u64)>,
-    /// Busy functions, with 4 slots,
+    /// Number of busy functions, with 4 slots per instance,
     pub busy: usize,
-    /// ... and rare ones, with 1.
+    /// ... and of rare ones, with 1 slot.
     pub rare: usize,
-    /// Requests a second.
+    /// Client requests per second.
     pub per_s: f64,
-    /// When clients begin,
+    /// Time at which client traffic starts,
     pub lead: Time,
-    /// ... and for how long they come.
+    /// ... and its duration.
     pub length: Time,
-    /// Megabits a second of an edge machine's link, and of a core machine's.
+    /// Link bandwidth of an edge machine and of a core machine, in Mbit/s.
     pub mbps: (f64, f64),
-    /// Processors of an edge machine, as a share of one.
+    /// CPU share of an edge machine, as a fraction of one processor.
     pub processors: f64,
-    /// Asks take of their owner's processor.
+    /// Charges permit requests to the CPU of the owning proxy.
     pub charge_request_cpu: bool,
-    /// Calls for lists that the platform takes a second, and starts and stops.
+    /// Rate limits of the platform per second: list calls, and starts and stops.
     pub rates: (f64, f64),
-    /// How far the list lags.
+    /// Maximum staleness of the platform's list, in milliseconds.
     pub lag_ms: u64,
-    /// Entries on a page of the list.
+    /// Entries per page of the list.
     pub page: usize,
-    /// One way between zones,
+    /// One-way latency between zones,
     pub far: Time,
-    /// ... inside one,
+    /// ... within a zone,
     pub near: Time,
-    /// ... and from clients.
+    /// ... and between clients and proxies.
     pub client: Time,
-    /// The bounds of the rules.
+    /// Bounds of the rules.
     pub bounds: Bounds,
 }
 
-/// The host of all routes.
+/// Host name of all routes.
 pub const HOST: &str = "h.example";
 
 impl Site {
-    /// A site of this size.
+    /// The site of this size.
     pub fn new(size: Size) -> Self {
         let spread = |counts: [usize; 4]| -> Vec<usize> {
             counts.iter().enumerate().flat_map(|(zone, n)| std::iter::repeat_n(zone, *n)).collect()
@@ -290,7 +292,7 @@
         }
     }
 
-    /// The same site with a part of its stalls, workers, functions and clients.
+    /// Divides the number of edge machines, workers, functions and the request rate by `part`.
     pub fn part(mut self, part: usize) -> Self {
         let part = part.max(1);
         let every = |at: &usize| at.is_multiple_of(part);
@@ -301,25 +303,25 @@
         self
     }
 
-    /// The same for so many times as long.
+    /// Multiplies the duration of client traffic.
     #[must_use]
     pub fn lasting(mut self, times: u64) -> Self {
         self.length *= times.max(1);
         self
     }
 
-    /// The name of a function: the busy ones come first.
+    /// Name of the function with this index; busy functions come first.
     pub fn service(&self, at: usize) -> CompactString {
         if at < self.busy { format_compact!("b{at}") } else { format_compact!("f{}", at - self.busy) }
     }
 
-    /// Which function this is.
+    /// Index of the function with this name.
     pub fn number(&self, name: &str) -> Option<usize> {
         let at: usize = name.get(1..)?.parse().ok()?;
         if name.starts_with('b') { Some(at) } else { Some(self.busy + at) }
     }
 
-    /// The same machines with the functions and requests of the users' homework sites, and so many times the load.
+    /// Uses the functions and request classes of the users' homework sites, and multiplies the load.
     #[must_use]
     pub fn homework(mut self, load: f64) -> Self {
         self.classes = &HOMEWORK;
@@ -329,12 +331,12 @@
         self
     }
 
-    /// What a function takes.
+    /// Resources of the function with this index.
     pub fn spec(&self, at: usize) -> Spec {
         self.specs[usize::from(at >= self.busy)]
     }
 
-    /// A route for a class of requests to a function, under a path of its own.
+    /// A route for a request class to a function, under its own path prefix.
     pub fn route(&self, letter: char, number: usize, class: &Class, service: CompactString) -> Route {
         Route {
             name: format_compact!("{letter}{number}"),
@@ -349,7 +351,7 @@
         }
     }
 
-    /// The first configuration.
+    /// The initial configuration, revision 1.
     pub fn config(&self) -> Config {
         let mut routes = Vec::new();
         for at in 0..self.busy {
--- a/simulator/src/speeds.rs
+++ b/simulator/src/speeds.rs
@@ -1,7 +1,7 @@
-//! How fast workers are: all alike, or mixes of slower and faster ones.
+//! Distributions of worker speeds.
 //!
-//! What is drawn has a stream of its own, so that a day differs by the speeds of its workers alone. Work takes a slow worker longer; a
-//! start takes it as long as any.
+//! Speeds are drawn from a separate generator, so days that differ only in this setting are otherwise equal.
+//! A slow worker takes longer to run requests, but not to start instances.
 
 use std::str::FromStr;
 
@@ -11,23 +11,23 @@
 use crate::site::Site;
 use crate::{SECOND, Time};
 
-/// A mix of workers.
+/// A distribution of worker speeds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Speeds {
-    /// All as the functions were sized for.
+    /// All workers at speed 1, which the functions are sized for.
     #[default]
     Even,
-    /// Half of them at 0.5, half at 1.5.
+    /// Half of the workers at 0.5, half at 1.5.
     Half,
-    /// One in ten at 0.25.
+    /// One worker in ten at 0.25.
     Tenth,
-    /// Each anywhere from 0.4 to 2, as likely below 0.9 as above.
+    /// Log-uniform from 0.4 to 2, with the median at 0.9.
     Spread,
-    /// One in four turns to 0.35 after a third of the day.
+    /// One worker in four slows down to 0.35 after a third of the day.
     Turning,
 }
 
-/// No such mix.
+/// The name matches no distribution.
 #[derive(Debug, Snafu)]
 #[snafu(display("speeds: {name:?} is none of even, half, tenth, spread, turning"))]
 pub struct UnknownSpeeds {
@@ -49,7 +49,7 @@
     }
 }
 
-/// How fast one worker is, and from some time on.
+/// The speed of one worker over time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Speed {
     first: f64,
@@ -57,18 +57,18 @@
 }
 
 impl Speed {
-    /// Its speed at this time.
+    /// The speed at this time.
     pub fn at(&self, now: Time) -> f64 {
         self.later.filter(|(from, _)| *from <= now).map_or(self.first, |(_, speed)| speed)
     }
 }
 
 impl Speeds {
-    /// One speed for each worker of the site.
+    /// Draws one speed for each worker of the site.
     pub fn draw(self, site: &Site, seed: u64) -> Vec<Speed> {
         let mut rng = Rng::new(seed ^ 0x9eed5);
         let count = site.workers.len();
-        // Any order is as likely as any other.
+        // Uniform random permutation (Fisher-Yates).
         let mut order: Vec<usize> = (0..count).collect();
         for at in (1..count).rev() {
             order.swap(at, rng.below(at + 1));
