--- a/simulator/src/processes/agent.rs
+++ b/simulator/src/processes/agent.rs
@@ -1,4 +1,4 @@
-//! A porter: what `agent/src/run.rs` carries out for its round, on the played network.
+//! An agent: the I/O layer of `agent/src/run.rs` on the simulated network.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::mutation::Mutation;
 use crate::{MS, Time};
 
-/// A feed that has not begun by then is given up, and one on which nothing comes for so long.
+/// Time-out for the first line of a feed, and for silence on an open feed.
 const BEGINS: Time = 700 * MS;
 const SILENCE: Time = 1_200 * MS;
 const UP: Time = 900 * MS;
@@ -19,11 +19,11 @@
 struct Open {
     to: CompactString,
     outbox: Outbox,
-    /// It is given up then.
+    /// When the feed times out.
     until: Time,
 }
 
-/// One porter.
+/// One agent process.
 pub struct AgentProcess {
     context: ProcessContext,
     proxy_address: CompactString,
@@ -36,7 +36,7 @@
 }
 
 impl AgentProcess {
-    /// One that starts now, for the stall at this address.
+    /// Starts an agent for the proxy at this address.
     pub fn new(now: Time, context: ProcessContext, proxy_address: CompactString) -> Self {
         let blind = context.mutation == Some(Mutation::AgentWithoutSeeds) && context.restarted;
         let seeds = if blind { Vec::new() } else { context.seed_addresses() };
@@ -48,7 +48,7 @@
             context,
             proxy_address,
             open: BTreeMap::new(),
-            // What is told of instances counts in its order.
+            // Messages about instances are order-dependent.
             proxy: Outbox::new(1),
             next: 0,
             over: false,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Its process ends.
+    /// Whether the process has exited.
     pub fn over(&self) -> bool {
         self.over
     }
@@ -68,7 +68,7 @@
         outboxes.chain(feeds).min().unwrap_or(Time::MAX).min(self.round.due())
     }
 
-    /// What it does with this.
+    /// Handles an input and returns the resulting outputs.
     pub fn input(&mut self, now: Time, input: ProcessInput) -> Vec<ProcessOutput> {
         match input {
             ProcessInput::Line { feed, line } => {
@@ -162,7 +162,7 @@
         if full {
             self.give(now, Input::ProxyQueueFull, None);
         }
-        // A blind one never hears of seeds.
+        // With this mutation a restarted agent never learns the seeds.
         if settings && !(self.context.mutation == Some(Mutation::AgentWithoutSeeds) && self.context.restarted)
         {
             self.give(now, Input::Seeds(self.context.seed_addresses()), None);
--- a/simulator/src/processes/controller.rs
+++ b/simulator/src/processes/controller.rs
@@ -1,4 +1,5 @@
-//! A control machine: what `controller/src/runtime.rs` carries out for its [`Core`], on the played network, disk and platform.
+//! A controller: the I/O layer of `controller/src/runtime.rs` for its [`Core`], on the simulated network,
+//! disk and platform.
 
 use std::collections::BTreeMap;
 
@@ -23,13 +24,13 @@
 const PEER_TIMEOUT: Time = 900 * MS;
 const LIST_TIMEOUT: Time = 1_500 * MS;
 const START_TIMEOUT: Time = 2_500 * MS;
-/// Where the platform is.
+/// Address of the platform.
 pub const PLATFORM: &str = "platform";
 
-/// What a call of one's own was for.
+/// Purpose of an outgoing call.
 enum OutgoingCall {
     Vote(Address, ReplyTarget),
-    /// To whom, and when.
+    /// Recipient and time of sending.
     Gossip(Address, Time),
     Fetch(u64),
     PlatformCall {
@@ -39,26 +40,26 @@
     },
 }
 
-/// Who handed a message to the voter.
+/// Origin of a message to the local voter.
 enum VoterCaller {
     Other(u64),
     Own(ReplyTarget),
 }
 
-/// What the platform allows, and how many machines may be lost.
+/// Rate limits of the platform, and the number of tolerated machine losses.
 #[derive(Clone, Copy)]
 pub struct Rates {
-    /// Calls for lists a second.
+    /// List calls per second.
     pub rate_per_s: f64,
-    /// Starts and stops a second.
+    /// Starts and stops per second.
     pub duty_per_s: f64,
-    /// How far the list lags.
+    /// Maximum staleness of the list, in milliseconds.
     pub max_lag_ms: u64,
-    /// Machines that may be lost at once.
+    /// Number of machines that may be lost at once.
     pub losses: u32,
 }
 
-/// Control on one core machine.
+/// The controller process of one core machine.
 pub struct ControllerProcess {
     context: ProcessContext,
     core: Core,
@@ -66,9 +67,9 @@
     voter_status: Option<(bool, Option<Members>)>,
     voter_callers: BTreeMap<u64, VoterCaller>,
     calls: BTreeMap<u64, OutgoingCall>,
-    /// Which call is answered by the lines of a seat.
+    /// The call that is answered by the lines of a connection.
     feeds: BTreeMap<ConnectionId, u64>,
-    /// Answers of the own voter that wait for the disk.
+    /// Responses of the local voter that wait for the disk.
     later: Vec<(Time, ReplyTarget, Message)>,
     next: u64,
     outs: Vec<ProcessOutput>,
@@ -89,7 +90,7 @@
 }
 
 impl ControllerProcess {
-    /// One that starts now. `bootstrap`: the whole system starts on empty disks.
+    /// Starts a controller. `bootstrap`: the whole system starts on empty disks.
     pub fn new(now: Time, context: ProcessContext, rates: Rates, disk: &mut Disk, bootstrap: bool) -> Self {
         let mut seeds = context.seeds.clone();
         seeds.sort();
@@ -131,12 +132,12 @@
         }
     }
 
-    /// It acts as the steward.
+    /// Whether it acts as the leader.
     pub fn is_steward(&self) -> bool {
         self.core.is_leader()
     }
 
-    /// Its process ends.
+    /// Whether the process may exit.
     pub fn over(&self, now: Time) -> bool {
         self.core.can_exit(now)
     }
@@ -147,7 +148,7 @@
         self.core.next_wake(now).min(later).min(self.voter.wake(disk)).max(now + MS / 10)
     }
 
-    /// What it does with this.
+    /// Handles an input and returns the resulting outputs.
     pub fn input(&mut self, now: Time, input: ProcessInput, disk: &mut Disk) -> Vec<ProcessOutput> {
         match input {
             ProcessInput::Call { call, said } => self.call(now, call, said),
@@ -177,7 +178,7 @@
         std::mem::take(&mut self.outs)
     }
 
-    /// Carries out until nothing is left that can be done now.
+    /// Carries out effects until none is left that can be done now.
     fn settle(&mut self, now: Time, disk: &mut Disk) {
         loop {
             self.carry_out(now);
@@ -195,7 +196,7 @@
         let call = match said {
             Payload::Replace(text) => {
                 let body = Bytes::copy_from_slice(text.as_bytes());
-                // Acknowledged before a majority has it: a test of the auditor.
+                // Mutation: acknowledges before a majority has written the configuration.
                 if self.context.mutation == Some(Mutation::EarlyAcknowledge)
                     && self.context.parse_cache.read(&text).is_some()
                 {
@@ -266,7 +267,7 @@
         }
     }
 
-    /// A voter's answer goes where it is wanted.
+    /// Passes a voter's response to its recipient.
     fn voted(&mut self, now: Time, from: Address, back: ReplyTarget, message: Message) {
         match back {
             ReplyTarget::Round(id) => self.core.handle(now, Input::RoundReply(id, from, message)),
@@ -278,7 +279,7 @@
         }
     }
 
-    /// What the own voter has worked off.
+    /// Collects the responses of the local voter.
     fn vote_here(&mut self, now: Time, disk: &mut Disk) {
         let (answers, asks) = self.voter.work(now, &self.context, disk);
         for (id, answer, at) in answers {
@@ -312,7 +313,7 @@
         self.voter.hand(self.next, from, message);
     }
 
-    /// Whether there was anything.
+    /// Carries out the pending effects. Returns whether there were any.
     fn carry_out(&mut self, now: Time) -> bool {
         let effects = self.core.take_effects();
         let any = !effects.is_empty();
@@ -329,7 +330,7 @@
                 Effect::AskLocalVoter(call, from, message) => {
                     self.hand(from, message, VoterCaller::Other(call))
                 }
-                // A test of the auditor.
+                // Mutation: confirms conflicting content.
                 Effect::Reply(call, reply)
                     if self.context.mutation == Some(Mutation::ConfirmConflicts)
                         && reply.status == StatusCode::CONFLICT =>
@@ -397,7 +398,7 @@
     }
 }
 
-/// What the platform answered to a call.
+/// Translates the platform's response to a call.
 fn heard(call: Call, said: Option<Payload>) -> PlatformReply {
     match (call, said) {
         (Call::List { .. }, Some(Payload::Listed { entries, next })) => {
--- a/simulator/src/processes/mod.rs
+++ b/simulator/src/processes/mod.rs
@@ -1,7 +1,8 @@
-//! What stands between the state machines and the outside in each daemon, on the played network: one room for each program. It
-//! carries out; what decides is the daemons' own.
+//! The I/O layer of each daemon, reimplemented on the simulated network, with one type per program. Decisions
+//! are left to the production state machines.
 //!
-//! Invariant: a process takes a [`ProcessInput`] at a time of its own clock and says what is to be done as [`ProcessOutput`]; no I/O, no clock.
+//! Invariant: a process handles a [`ProcessInput`] at a given time and returns [`ProcessOutput`]s. It does no
+//! I/O and reads no clock.
 
 mod agent;
 mod controller;
@@ -32,25 +33,25 @@
 use crate::mutation::Mutation;
 use crate::record::Recordings;
 
-/// What one process says to another, or to the platform, and what is answered.
+/// Payload of a request to a process or to the platform, or of the response.
 #[allow(missing_docs, reason = "the fields are what the variants say")]
 #[derive(Clone, Debug)]
 pub enum Payload {
-    /// `POST /mail`, and an answer with notes.
+    /// `POST /mail`, or a response that carries messages.
     Messages { from: CompactString, life: u64, notes: Vec<PeerMessage> },
-    /// Taken, with nothing to say.
+    /// Success without a body.
     Taken,
-    /// A status that is no success.
+    /// An error status.
     Refused(u16),
     /// `POST /core/vote`.
     Vote { from: CompactString, message: Message },
-    /// What a voter answers; nothing where it says nothing.
+    /// Response of a voter; `None` if it does not respond.
     Voted(Option<Message>),
     /// `POST /core/news`.
     Gossip(Bytes),
     /// `GET /core/chosen`.
     StoredConfig,
-    /// A success with a body.
+    /// Success with a body.
     Body(Bytes),
     /// `POST /Config.Replace`.
     Replace(Arc<str>),
@@ -60,137 +61,138 @@
     Read,
     /// `POST /follow`.
     Follow { from: CompactString, life: u64, notes: Vec<PeerMessage>, whole: bool },
-    /// `GET /endpoints`, from this entry on.
+    /// `GET /endpoints`, starting at this entry.
     List { from: usize },
-    /// One page of the list, and where the next begins.
+    /// One page of the list, and where the next page starts.
     Listed { entries: Vec<Endpoint>, next: Option<usize> },
     /// `GET /workers`.
     Workers,
-    /// Its answer.
+    /// Its response.
     WorkerList(Vec<Worker>),
     /// `POST /start`.
     Start { service: CompactString, worker: CompactString, nonce: CompactString },
-    /// Its answer.
+    /// Its response.
     Started(Result<(CompactString, SocketAddr), StartFault>),
     /// `POST /stop`.
     Stop { id: CompactString },
-    /// Its answer.
+    /// Its response.
     Stopped(Result<(), StopFault>),
 }
 
-/// A request of a client as a stall reads it.
+/// A client request as a proxy reads it.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The client's id of this try.
+    /// The client's id of this attempt.
     pub attempt: u64,
-    /// Its host.
+    /// Host name.
     pub host: CompactString,
-    /// Its path.
+    /// Request path.
     pub path: CompactString,
-    /// For how long its client waits.
+    /// Remaining time until the client's deadline.
     pub left: Time,
 }
 
-/// How an exchange with an endpoint ended, as the connection shows it.
+/// Result of an exchange with an endpoint, as seen on the connection.
 #[derive(Clone, Debug)]
 pub struct Exchanged {
     /// The outcome.
     pub outcome: Outcome,
-    /// Something may have reached the endpoint.
+    /// Whether any part of the request may have reached the endpoint.
     pub sent: bool,
-    /// A connection was refused outright.
+    /// Whether the connection was refused.
     pub refused: bool,
-    /// The endpoint's answer: status and seal.
+    /// Status and seal of the endpoint's response.
     pub answer: Option<(u16, u64)>,
 }
 
-/// What comes in.
+/// Input of a process.
 #[allow(missing_docs, reason = "the fields are what the variants say")]
 #[derive(Debug)]
 pub enum ProcessInput {
-    /// It is the time that was asked for.
+    /// The requested wake-up time has come.
     Tick,
-    /// Somebody calls; answered by [`ProcessOutput::Reply`].
+    /// An incoming call, answered by [`ProcessOutput::Reply`].
     Call { call: u64, said: Payload },
-    /// What came of one's own call; nothing where it failed.
+    /// Response to an outgoing call; `None` if it failed.
     Answer { id: u64, said: Option<Payload> },
-    /// A line of a feed that is followed.
+    /// A line of a feed that this process follows.
     Line { feed: u64, line: Bytes },
-    /// A feed has ended, on whichever side.
+    /// A feed was closed by either side.
     Ended { feed: u64 },
-    /// A client's request.
+    /// A client request.
     Request { client: u64, request: Request },
-    /// A client has gone.
+    /// A client closed its connection.
     Gone { client: u64 },
-    /// An exchange is over.
+    /// An exchange with an endpoint ended.
     Exchanged { id: u64, done: Exchanged },
     /// Whether an instance accepts connections.
     ReadinessProbed { id: CompactString, up: bool },
-    /// The settings file names these seeds now.
+    /// The settings file was reloaded and names these seeds.
     Seeds(Vec<CompactString>),
     /// SIGTERM.
     Leave,
 }
 
-/// What is to be done.
+/// Output of a process.
 #[allow(missing_docs, reason = "the fields are what the variants say")]
 #[derive(Debug)]
 pub enum ProcessOutput {
-    /// Call another process.
+    /// Call another process, with the time-out `within`.
     Call { id: u64, to: CompactString, said: Payload, within: Time },
-    /// Answer a call.
+    /// Respond to a call.
     Reply { call: u64, said: Payload },
-    /// Answer a call, but not before then: it rests on a write.
+    /// Respond to a call at the time `at`, once the write it depends on is synced.
     ReplyAt { call: u64, said: Payload, at: Time },
-    /// Open a feed.
+    /// Open a feed from a controller.
     Follow { feed: u64, to: CompactString, said: Payload },
-    /// Down a feed that was asked for.
+    /// Send a line on an open feed.
     Line { feed: u64, line: Bytes },
     /// Close a feed, from either side.
     Close { feed: u64 },
-    /// Answer a client: status, when to come back, the endpoint's seal.
+    /// Respond to a client: status, retry delay, and the endpoint's seal.
     Answer { client: u64, status: u16, again: Option<Time>, seal: Option<u64> },
     /// Send a request to an endpoint.
     Exchange { id: u64, address: SocketAddr, expect: Option<CompactString>, request: Request, deadline: Time },
-    /// Give an exchange up.
+    /// Abort an exchange.
     Abort { id: u64 },
-    /// Try whether an instance accepts connections.
+    /// Check whether an instance accepts connections.
     ProbeReadiness { id: CompactString, address: SocketAddr },
 }
 
-/// What a process is told of itself at its start.
+/// Configuration of a process at its start.
 #[derive(Clone)]
 pub struct ProcessContext {
-    /// The machine's name.
+    /// Name of the machine.
     pub name: CompactString,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: CompactString,
-    /// Where it takes calls.
+    /// Address of the process.
     pub address: CompactString,
-    /// The control addresses that its settings name.
+    /// Controller addresses from the settings file.
     pub seeds: Vec<CompactString>,
-    /// The process's life: the time of day at its start, by its machine's clock. It may be lower than that of an earlier life.
+    /// Incarnation of the process: the wall-clock time at its start in milliseconds. It may be lower than
+    /// that of an earlier incarnation.
     pub life: u64,
-    /// The time from SIGTERM to the last moment.
+    /// Grace period from SIGTERM to the forced end.
     pub grace: Time,
-    /// Its machine was up before.
+    /// Whether the machine was started before.
     pub restarted: bool,
-    /// The guard that is taken out, for a test.
+    /// The safeguard that is disabled, if any.
     pub mutation: Option<Mutation>,
-    /// Configurations that were read already.
+    /// Cache of parsed configurations.
     pub parse_cache: Rc<ParseCache>,
-    /// Where what decides is recorded, if it is.
+    /// Where the process is recorded, if it is.
     pub records: Option<Recordings>,
 }
 
 impl ProcessContext {
-    /// The seeds as addresses.
+    /// The seeds as socket addresses; invalid ones are skipped.
     pub fn seed_addresses(&self) -> Vec<SocketAddr> {
         self.seeds.iter().filter_map(|seed| seed.parse().ok()).collect()
     }
 }
 
-/// A letter as it is written.
+/// Encodes a batch of messages as the JSON body of a request.
 fn encode_messages(from: &str, life: u64, notes: &[PeerMessage]) -> Bytes {
     let notes = JsonValue::Array(notes.iter().map(PeerMessage::to_json).collect());
     let body = object([("from", text(from)), ("life", JsonValue::Number(life as f64)), ("notes", notes)]);
--- a/simulator/src/processes/outbox.rs
+++ b/simulator/src/processes/outbox.rs
@@ -1,5 +1,5 @@
-//! Notes to one peer, in batches: `millpost_net`'s post as a machine. While the peer is down one batch at a time finds out whether it
-//! still is.
+//! Batched delivery of messages to one peer: `millpost_net`'s delivery as a state machine. While the peer is
+//! down, one batch at a time probes whether it is back.
 
 use millpost_protocol::PeerMessage;
 
@@ -9,7 +9,7 @@
 const LONGEST_PAUSE: Time = 500 * MS;
 const MAX_WAITING: usize = 8_000;
 
-/// What waits for a peer, and what is on its way.
+/// Messages that wait for a peer, and batches in flight.
 pub struct Outbox {
     at_once: usize,
     waiting: Vec<PeerMessage>,
@@ -19,23 +19,23 @@
     not_before: Time,
 }
 
-/// What came of a batch.
+/// Result of a batch.
 pub enum BatchOutcome {
-    /// The peer is there, for the first time or again.
+    /// The peer is reachable for the first time or again.
     Up,
-    /// Nothing new.
+    /// Delivered, or the batch is unknown.
     Well,
-    /// These may not have been taken.
+    /// These messages may not have been delivered.
     Lost(Vec<PeerMessage>),
 }
 
 impl Outbox {
-    /// So many batches at once.
+    /// An empty outbox that sends up to `at_once` batches concurrently.
     pub fn new(at_once: usize) -> Self {
         Outbox { at_once, waiting: Vec::new(), in_flight: Vec::new(), up: None, pause: 0, not_before: 0 }
     }
 
-    /// One more note, where there is room.
+    /// Queues a message. Returns false if the queue is full.
     pub fn push(&mut self, note: PeerMessage) -> bool {
         let room = self.waiting.len() < MAX_WAITING;
         if room {
@@ -44,7 +44,7 @@
         room
     }
 
-    /// A batch to be sent now under this number.
+    /// Takes the next batch to send, under the id `id`.
     pub fn take(&mut self, now: Time, id: u64) -> Option<Vec<PeerMessage>> {
         let most = if self.up == Some(false) { 1 } else { self.at_once };
         if self.waiting.is_empty() || now < self.not_before || self.in_flight.len() >= most {
@@ -55,13 +55,13 @@
         Some(notes)
     }
 
-    /// When [`Outbox::take`] may have something next.
+    /// When [`Outbox::take`] may next return a batch.
     pub fn due(&self) -> Option<Time> {
         let most = if self.up == Some(false) { 1 } else { self.at_once };
         (!self.waiting.is_empty() && self.in_flight.len() < most).then_some(self.not_before)
     }
 
-    /// A batch was answered, or was not.
+    /// Handles the end of a batch; `taken`: whether the peer accepted it.
     pub fn batch_done(&mut self, now: Time, id: u64, taken: bool) -> BatchOutcome {
         let Some(at) = self.in_flight.iter().position(|(n, _)| *n == id) else { return BatchOutcome::Well };
         let (_, notes) = self.in_flight.remove(at);
@@ -75,12 +75,12 @@
         BatchOutcome::Lost(notes)
     }
 
-    /// Nothing waits.
+    /// Whether no messages wait.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// The batch of this number is on its way here.
+    /// Whether the batch with this id is in flight.
     pub fn has(&self, id: u64) -> bool {
         self.in_flight.iter().any(|(n, _)| *n == id)
     }
--- a/simulator/src/processes/parse_cache.rs
+++ b/simulator/src/processes/parse_cache.rs
@@ -1,4 +1,4 @@
-//! Configurations that were read once: hundreds of processes in one need not read the same text again.
+//! Cache of parsed configurations: the hundreds of simulated processes need not parse the same text again.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -10,19 +10,19 @@
 use tinyjson::JsonValue;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A configuration, and the digest of it.
+/// A parsed configuration with its digest.
 #[derive(Debug)]
 pub struct ParsedConfig {
     /// The configuration.
     pub config: Config,
-    /// Its digest.
+    /// Digest of the configuration.
     pub digest: u64,
 }
 
-/// What was read by key; nothing where it could not be.
+/// Parsed configurations by key; `None` for invalid input.
 type Found<K> = RefCell<HashMap<K, Option<Rc<ParsedConfig>>>>;
 
-/// What was read, by the digest of its text.
+/// Parsed configurations by the digest of their text, and route tables.
 #[derive(Default)]
 pub struct ParseCache {
     texts: Found<u64>,
@@ -33,7 +33,7 @@
 const LONGEST: usize = 8 << 20;
 
 impl ParseCache {
-    /// A configuration out of its content: JSON, or packed.
+    /// Parses a configuration from JSON or from packed text.
     pub fn read(&self, content: &str) -> Option<Rc<ParsedConfig>> {
         let key = xxh3_64(content.as_bytes());
         if let Some(known) = self.texts.borrow().get(&key) {
@@ -49,7 +49,7 @@
         known
     }
 
-    /// A configuration that follows from another by a change.
+    /// Applies a change to a configuration.
     pub fn change(&self, old: &ParsedConfig, difference: &JsonValue) -> Option<Rc<ParsedConfig>> {
         let text = difference.stringify().unwrap_or_default();
         let key = (old.digest, xxh3_64(text.as_bytes()));
@@ -62,7 +62,7 @@
         known
     }
 
-    /// A configuration that follows from another by a change that is packed.
+    /// Applies a packed change to a configuration.
     pub fn packed_change(&self, old: &ParsedConfig, packed: &str) -> Option<Rc<ParsedConfig>> {
         let key = (old.digest, xxh3_64(packed.as_bytes()));
         if let Some(known) = self.changed.borrow().get(&key) {
@@ -74,7 +74,7 @@
         known
     }
 
-    /// Its routes, ready to be asked for.
+    /// The route table of a configuration.
     pub fn table(&self, of: &ParsedConfig) -> Rc<RouteTable> {
         Rc::clone(
             self.tables.borrow_mut().entry(of.digest).or_insert_with(|| Rc::new(RouteTable::new(&of.config))),
--- a/simulator/src/processes/proxy.rs
+++ b/simulator/src/processes/proxy.rs
@@ -1,4 +1,5 @@
-//! A stall: its desk, its clients' requests through their tries, its mail. After `proxy/src/front.rs` and `shop.rs`.
+//! A proxy: its coordinator, client requests with their attempts, and messages to peers. Corresponds to
+//! `proxy/src/front.rs` and `shop.rs`.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -25,7 +26,7 @@
 const HEARTBEAT_INTERVAL: Time = 450 * MS;
 const REPORT_RETRY_DELAY: Time = 100 * MS;
 const MESSAGE_TIMEOUT: Time = 700 * MS;
-/// Letters to one stall at once.
+/// Maximum number of concurrent batches to one proxy.
 const MAX_BATCHES: usize = 2;
 const PROBE_INTERVAL: Time = 12 * MS;
 const PROBE_DURATION: Time = 20 * SECOND;
@@ -38,7 +39,7 @@
     Pause(Time),
 }
 
-/// An endpoint's answer: status and seal.
+/// Status and seal of an endpoint's response.
 type Answer = (u16, u64);
 
 struct PendingRequest {
@@ -46,21 +47,21 @@
     service: CompactString,
     deadline: Time,
     flow: RequestFlow<Answer>,
-    /// Its number, where its trail is recorded.
+    /// Number of the request, if it is recorded.
     number: Option<u64>,
     instance: CompactString,
     waits: WaitState,
 }
 
 impl PendingRequest {
-    /// A step of its trail.
+    /// Records a trace event of the request.
     fn follow(&self, coordinator: &mut Coordinator, now: Time, step: impl FnOnce(u64) -> TraceEvent) {
         if let Some(p) = self.number {
             coordinator.trace(now, &step(p));
         }
     }
 
-    /// A try of it is over.
+    /// Records the end of an attempt.
     fn over(
         &self,
         coordinator: &mut Coordinator,
@@ -86,7 +87,7 @@
     next: Option<Time>,
 }
 
-/// What the stall at this address is told of which life this is.
+/// The incarnation reported to the proxy at this address.
 fn incarnation_for(
     incarnations: &mut HashMap<CompactString, Incarnation>,
     own: u64,
@@ -95,7 +96,7 @@
     incarnations.entry(address.clone()).or_insert_with(|| Incarnation::new(own)).clone()
 }
 
-/// One stall.
+/// One proxy process.
 pub struct ProxyProcess {
     context: ProcessContext,
     agent: CompactString,
@@ -104,38 +105,38 @@
     client_timeouts: ClientTimeouts,
     attempt_timeouts: AttemptTimeouts,
     outboxes: BTreeMap<CompactString, Outbox>,
-    /// Posts with notes that wait.
+    /// Peers whose outboxes hold waiting messages.
     ready: BTreeSet<CompactString>,
-    /// To whom a batch is on its way.
+    /// Recipient of each batch in flight.
     in_flight: HashMap<u64, CompactString>,
     probes: BTreeMap<CompactString, Probe>,
     pending: HashMap<u64, PendingRequest>,
-    /// Which client an ask is for,
+    /// Client of each permit request,
     permit_requests: HashMap<u64, u64>,
-    /// ... and an exchange.
+    /// ... and of each exchange.
     exchanges: HashMap<u64, u64>,
-    /// Deadlines and pauses, by client.
+    /// Deadlines and pauses, by time and client.
     due: BTreeSet<(Time, u64)>,
     next: u64,
     tick_at: Time,
     beat_at: Time,
     hurry: Option<Time>,
-    /// When it was told to leave.
+    /// When SIGTERM came.
     leaving: Option<Time>,
-    /// When the phases of its end begin that are still to come.
+    /// Start times of the remaining shutdown phases.
     ends_at: Vec<Time>,
-    /// Until when operators have taken it out.
+    /// Drained by an operator until this time.
     drained_until: Time,
     replying: Option<(CompactString, Vec<PeerMessage>)>,
-    /// What other stalls are told of its life, by their addresses.
+    /// The incarnation reported to other proxies, by their addresses.
     incarnations: HashMap<CompactString, Incarnation>,
-    /// Where a function was found first: kept only where a guard is out.
+    /// First known address of each function; used by [`Mutation::StaleAddress`] only.
     stale: HashMap<CompactString, SocketAddr>,
     outs: Vec<ProcessOutput>,
 }
 
 impl ProxyProcess {
-    /// One that starts now; `agent` takes its words.
+    /// Starts a proxy; `agent` is the address of the local agent.
     pub fn new(context: ProcessContext, agent: CompactString, mut terms: SchedulerLimits) -> Self {
         let me =
             Peer { name: context.name.clone(), address: context.address.clone(), zone: context.zone.clone() };
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Clients may be sent here.
+    /// Whether the proxy is ready for client traffic.
     pub fn ready(&self, now: Time) -> bool {
         self.active_config.is_some()
             && self.coordinator.has_view()
@@ -182,29 +183,29 @@
             && now >= self.drained_until
     }
 
-    /// How far its end has come.
+    /// The current shutdown phase.
     fn phase(&self, now: Time) -> ShutdownPhase {
         let after = |at: Time| ShutdownPhase::after(self.context.grace, now.saturating_sub(at));
         self.leaving.map_or(ShutdownPhase::Serving, after)
     }
 
-    /// It takes no connections any more.
+    /// Whether it no longer accepts connections.
     pub fn closes(&self, now: Time) -> bool {
         self.phase(now) >= ShutdownPhase::Closing
     }
 
-    /// Its process ends.
+    /// Whether the process has exited.
     pub fn over(&self, now: Time) -> bool {
         let hurried = self.context.mutation == Some(Mutation::ImmediateExit) && self.leaving.is_some();
         hurried || self.phase(now) == ShutdownPhase::Finished
     }
 
-    /// The revision that it acts on.
+    /// Revision of the active configuration; 0 if there is none.
     pub fn acts(&self) -> u64 {
         self.active_config.as_ref().map_or(0, |f| f.known.config.revision)
     }
 
-    /// What it does with this.
+    /// Handles an input and returns the resulting outputs.
     pub fn input(&mut self, now: Time, input: ProcessInput) -> Vec<ProcessOutput> {
         match input {
             ProcessInput::Tick => {}
@@ -422,7 +423,7 @@
         }
     }
 
-    /// Mail from another stall.
+    /// Handles messages from another proxy.
     fn told(&mut self, now: Time, from: &str, life: u64, mut notes: Vec<PeerMessage>) {
         for note in notes.extract_if(.., |note| matches!(note, PeerMessage::StaleIncarnation { .. })) {
             let address = self.coordinator.address_of(from).cloned();
@@ -434,7 +435,7 @@
     }
 
     fn activate(&mut self, now: Time, known: Rc<ParsedConfig>) {
-        // The last stall of a site never hears of a change: a test of the auditor.
+        // With this mutation one proxy ignores all changes after its first configuration.
         if self.context.mutation == Some(Mutation::StaleConfig)
             && self.context.name.ends_with("-0")
             && self.active_config.is_some()
@@ -461,7 +462,7 @@
         self.up(PeerMessage::ConfigApplied { revision: self.acts(), number: 0 });
     }
 
-    /// A request is answered without any try.
+    /// Responds to a request without any attempt.
     fn turn(&mut self, now: Time, client: u64, request: &Request, (status, again): (u16, Option<Time>)) {
         if self.coordinator.is_recording() {
             let attempt = request.attempt.to_string().into();
@@ -523,7 +524,7 @@
         self.step(now, client, step);
     }
 
-    /// What its passage has decided is done.
+    /// Carries out the next step of a request.
     fn step(&mut self, now: Time, client: u64, step: FlowStep<Answer>) {
         let Some(pending) = self.pending.get_mut(&client) else { return };
         match step {
@@ -549,7 +550,7 @@
         }
     }
 
-    /// What a request was for is gone.
+    /// The service of a request was removed: resolves its route again.
     fn find(&mut self, now: Time, client: u64) {
         let Some(pending) = self.pending.get_mut(&client) else { return };
         let of = &pending.request;
@@ -573,7 +574,7 @@
         self.answer(client, status, again, None);
     }
 
-    /// The process ends: what waits is refused, and later what still runs is told that there is no answer.
+    /// Shutdown: refuses waiting requests, and in a later phase ends running ones without a response.
     fn end(&mut self, now: Time) {
         self.ends_at.retain(|at| *at > now);
         let phase = self.phase(now);
@@ -604,7 +605,7 @@
         }
     }
 
-    /// Nothing has come for longer than it ever takes.
+    /// The attempt timed out.
     fn silent(&mut self, now: Time, client: u64) {
         let Some(pending) = self.pending.get_mut(&client) else { return };
         let WaitState::Exchange { ask, exchange, since, .. } = pending.waits else { return };
@@ -617,7 +618,7 @@
         self.step(now, client, step);
     }
 
-    /// Its deadline has come.
+    /// The deadline of the request has passed.
     fn late(&mut self, now: Time, client: u64) {
         let Some(pending) = self.pending.get_mut(&client) else { return };
         let step = match pending.waits {
@@ -698,7 +699,7 @@
                 let deadline = pending.deadline;
                 self.outs.push(ProcessOutput::Exchange { id, address, expect, request, deadline });
             }
-            // The desk has forgotten an ask that it refused.
+            // The coordinator has already dropped a request that it refused.
             Err(no) => {
                 pending.follow(&mut self.coordinator, now, |p| TraceEvent::Denied { p, reason: no });
                 let step = pending.flow.denied(now, no);
--- a/simulator/src/processes/voter.rs
+++ b/simulator/src/processes/voter.rs
@@ -1,4 +1,5 @@
-//! A voter with its disk: one message at a time, and its answer only once what it rests on lasts. After `controller/src/voter_thread.rs`.
+//! A voter with its simulated disk. It handles one message at a time and responds only once the writes behind
+//! the response are synced, like `controller/src/voter_thread.rs`.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,33 +11,33 @@
 use crate::rng::Rng;
 use crate::{MS, Time};
 
-/// Messages that may wait for the disk.
+/// Maximum number of messages that wait for the disk; further ones are dropped.
 const WAITING: usize = 500;
 
-/// The disk of a machine. It outlasts processes.
+/// The disk of a machine. Its content survives process restarts.
 #[derive(Default)]
 pub struct Disk {
     synced: BTreeMap<String, String>,
-    /// Written, and not synced before that time.
+    /// Writes that are synced at the given time.
     unsynced_writes: Vec<(Time, Write)>,
-    /// How long a write with its sync takes.
+    /// Duration of a write with its sync.
     sync: Time,
-    /// Slower by a factor, until then.
+    /// Slowdown factor, and until when it applies.
     pub slow: (f64, Time),
-    /// It takes nothing until then.
+    /// Writes fail before this time.
     pub full_until: Time,
-    /// Nothing comes back before.
+    /// No operation completes before this time.
     pub hangs_until: Time,
     free: Time,
 }
 
 impl Disk {
-    /// An empty one.
+    /// An empty disk with this duration of a write.
     pub fn new(sync: Time) -> Self {
         Disk { sync, ..Disk::default() }
     }
 
-    /// Writes a batch; when it lasts, where there is room for it.
+    /// Writes a batch. Returns when it is complete, or an error if the disk is full.
     fn put(&mut self, now: Time, batch: &[Write], synced: bool) -> Result<Time, ()> {
         if now < self.full_until {
             return Err(());
@@ -62,7 +63,8 @@
         });
     }
 
-    /// The machine loses power: of what was not synced some is there, at times nothing.
+    /// Power loss: each unsynced write survives with probability one half, and in three of ten cases none
+    /// does.
     pub fn cut(&mut self, now: Time, rng: &mut Rng) {
         self.settle(now);
         let none = rng.chance(0.3);
@@ -74,14 +76,14 @@
         (self.free, self.hangs_until) = (0, 0);
     }
 
-    /// A process has ended: what it wrote is there.
+    /// The process ended, but the operating system did not: all writes survive.
     pub fn left(&mut self) {
         for (_, write) in std::mem::take(&mut self.unsynced_writes) {
             self.synced.insert(write.key, write.text);
         }
     }
 
-    /// It is empty.
+    /// Erases the disk.
     pub fn wipe(&mut self) {
         self.synced.clear();
         self.unsynced_writes.clear();
@@ -94,18 +96,19 @@
     }
 }
 
-/// A voter, and what waits for it.
+/// A voter and its queue of messages.
 pub struct VoterProcess {
     voter: Voter,
     waiting: VecDeque<(u64, CompactString, Message)>,
     skip_sync: bool,
 }
 
-/// An answer: of which message, what, and when it may go.
+/// A response: id of the message, content, and when it may be sent.
 pub type Answer = (u64, Option<Message>, Time);
 
 impl VoterProcess {
-    /// Opens what is on the disk. `first`: the whole system starts on empty disks.
+    /// Opens the records on the disk. `first`: members to bootstrap with if the whole system starts on empty
+    /// disks.
     pub fn open(now: Time, context: &ProcessContext, disk: &mut Disk, first: Option<Members>) -> Self {
         let mut voter = Self::read(now, context, disk);
         if let Some(first) = first {
@@ -125,7 +128,7 @@
             Voter::open(me.clone(), records, seeds.clone(), context.life, now)
         };
         open(disk.records()).unwrap_or_else(|_| {
-            // What can't be read counts as wiped.
+            // Unreadable records are treated as a wiped disk.
             disk.wipe();
             open(BTreeMap::new()).unwrap_or_else(|e| unreachable!("an empty disk opens: {e}"))
         })
@@ -136,19 +139,20 @@
         (self.voter.state() == State::Voting, self.voter.members().cloned())
     }
 
-    /// The configuration that stands on this disk, chosen or not.
+    /// The configuration accepted on this disk, chosen or not.
     pub fn peek(&self) -> Option<Value> {
         self.voter.slot(Key::Config).and_then(|slot| slot.accepted.as_ref()).map(|a| a.value.clone())
     }
 
-    /// A message under the caller's number.
+    /// Queues a message under the caller's id.
     pub fn hand(&mut self, id: u64, from: CompactString, message: Message) {
         if self.waiting.len() < WAITING {
             self.waiting.push_back((id, from, message));
         }
     }
 
-    /// Works off what waits, as far as the disk allows; and what the voter asks of others.
+    /// Handles queued messages as far as the disk allows. Returns the responses, and the voter's own requests
+    /// to other voters.
     pub fn work(
         &mut self,
         now: Time,
@@ -165,7 +169,7 @@
             };
             match self.voter.handle(now, &from, message).commit(put) {
                 Ok(answer) => answers.push((id, answer, done)),
-                // What could not be written is not: the records are read anew.
+                // The write failed: discard the state in memory and reload the records.
                 Err(()) => self.voter = Self::read(now, context, disk),
             }
         }
--- a/simulator/src/world/client.rs
+++ b/simulator/src/world/client.rs
@@ -1,4 +1,5 @@
-//! Clients: arrivals by zone, the entry that passes them to stalls, deadlines, tries again as the protocol says, calls of runs.
+//! Simulated clients: arrivals by zone, load balancing to proxies, deadlines, retries as the protocol
+//! specifies, and nested calls of runs.
 
 use compact_str::{CompactString, format_compact};
 
@@ -8,12 +9,12 @@
 use crate::site::{Classes, HOST};
 use crate::{MS, SECOND, Time};
 
-/// A new connection gets so long to come up.
+/// Time-out for a new connection.
 const CONNECT: Time = SECOND;
-/// Before a client that was not told when to come back comes again.
+/// Retry delay of a client that got none from the response.
 const PAUSE: Time = 30 * MS;
 
-/// A request of a client, over all its tries.
+/// A client request with all its attempts.
 pub(super) struct ClientRequest {
     class: usize,
     path: CompactString,
@@ -21,44 +22,44 @@
     born: Time,
     deadline: Time,
     retries: u32,
-    /// The run that makes it, and whether that was a repeat.
+    /// The run that makes this nested call, and whether that run was a repeat.
     parent: Option<(u64, bool)>,
-    /// It goes to this machine: it shows which configuration is in force there.
+    /// Sent to this machine only, to reveal its active configuration.
     direct: Option<usize>,
     current: Option<u64>,
     last_machine: Option<usize>,
     done: bool,
 }
 
-/// How requests of clients fared.
+/// Statistics of client requests.
 #[derive(Default)]
 pub struct Served {
-    /// When each was sent first, how long it took, whether it was served; and its class.
+    /// First send time, latency, success and class of each request.
     all: Vec<(Time, Time, bool, usize)>,
-    /// Refused or failed in the end, by the last status.
+    /// Number of unsuccessful requests by last status.
     pub statuses: std::collections::BTreeMap<u16, u64>,
 }
 
 impl Served {
-    /// The share that was served of those that were sent between two times.
+    /// Success ratio of the requests first sent in `from..to`; `None` for fewer than 20.
     pub fn share(&self, from: Time, to: Time) -> Option<f64> {
         let of = self.all.iter().filter(|(sent, ..)| (from..to).contains(sent));
         let (all, good) = of.fold((0u64, 0u64), |(all, good), one| (all + 1, good + u64::from(one.2)));
         (all >= 20).then(|| good as f64 / all as f64)
     }
 
-    /// How many there were, and how many were served.
+    /// Number of requests, and of successful ones.
     pub fn counts(&self) -> (usize, usize) {
         (self.all.len(), self.all.iter().filter(|one| one.2).count())
     }
 
-    /// The share of all that was served in the time in which an answer earns its full worth.
+    /// Share of all requests served within the target latency of their class.
     pub fn within_target(&self, classes: &Classes) -> f64 {
         let within = self.all.iter().filter(|one| one.2 && one.1 <= classes[one.3].aim).count();
         within as f64 / self.all.len().max(1) as f64
     }
 
-    /// A part of the served ones of these classes took no longer.
+    /// Latency quantile of successful requests of these classes.
     pub fn quantile(&self, part: f64, classes: &[usize]) -> Time {
         let of = self.all.iter().filter(|one| one.2 && classes.contains(&one.3));
         let mut took: Vec<_> = of.map(|one| one.1).collect();
@@ -125,7 +126,7 @@
         self.attempt(place);
     }
 
-    /// A run calls another route of its function.
+    /// A run makes a nested call to another route of its function.
     pub(super) fn nested_call(
         &mut self,
         zone: usize,
@@ -138,7 +139,7 @@
         self.client_request(3, path, zone, deadline, Some((run, repeat)), None);
     }
 
-    /// The dispatchers that get new connections of a zone.
+    /// The proxies that get new connections of a zone.
     fn choices(&self, zone: usize) -> Vec<usize> {
         let of = |zone: usize| -> Vec<usize> {
             let all: Vec<_> = (0..self.site.edges.len()).filter(|at| self.site.edges[*at] == zone).collect();
@@ -194,7 +195,7 @@
         let there = now + self.site.client + self.rng.between(0, 300_000);
         self.at(there, Event::ReachProxy { attempt: id });
         if class.repeatable {
-            // A dispatcher that does not read it in time is given up.
+            // The client gives up an attempt that the proxy does not read in time.
             let patience = SECOND.min(left / 3).max(5 * MS);
             self.at(now + patience, Event::ReadTimeout { client_request: place, attempt: id });
         }
@@ -219,7 +220,7 @@
         if machine.frozen > now {
             return machine.held.push(Event::ReachProxy { attempt });
         }
-        // Who takes no connections any more has not read it.
+        // A proxy that accepts no connections has not read the request.
         if machine.proxy.as_ref().is_none_or(|proxy| proxy.closes(now)) {
             return self.at(now + client, Event::ReachClient { attempt, status: 0, again: None, seal: None });
         }
@@ -257,7 +258,7 @@
         }
     }
 
-    /// An answer, or a connection that broke: status 0.
+    /// Delivers a response to the client; status 0 stands for a broken connection.
     pub(super) fn deliver_to_client(
         &mut self,
         attempt: u64,
@@ -272,7 +273,7 @@
             self.auditor.client_answered(&self.disturbances, now, attempt, status, seal);
             self.trace_line(|| format!("request {attempt} is answered with {status}"));
         }
-        // A dispatcher that has read the request and closes promises nothing.
+        // A proxy that has read a request and closes the connection promises nothing about it.
         let read_back_pending = status == 0 && !self.ever_read.contains(&attempt);
         let client_request = &mut self.client_requests[place];
         if client_request.current != Some(attempt) || client_request.done {
@@ -317,7 +318,7 @@
         }
     }
 
-    /// The client's time has ended.
+    /// The client's deadline has passed.
     pub(super) fn client_deadline(&mut self, place: usize) {
         let client_request = &mut self.client_requests[place];
         if client_request.done {
@@ -332,7 +333,7 @@
         self.finish_request(place, false, 1);
     }
 
-    /// The entry asks every dispatcher whether clients may be sent there.
+    /// The load balancer checks the readiness of every proxy.
     pub(super) fn health_check(&mut self) {
         let now = self.now;
         for machine in &mut self.machines[..self.site.edges.len()] {
--- a/simulator/src/world/endpoint.rs
+++ b/simulator/src/world/endpoint.rs
@@ -1,4 +1,5 @@
-//! Endpoints: slots without a queue, work, answers that are lost or wrong; and the connections of stalls to them.
+//! Simulated endpoints: slots without a queue, processing times, lost or corrupted responses, and the
+//! connections of proxies to them.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,7 +11,7 @@
 use crate::processes::{Exchanged, ProcessInput, Request};
 use crate::{MS, SECOND, Time};
 
-/// An idle connection is used again for so long.
+/// Time for which an idle connection is reused.
 const IDLE_REUSE: Time = 4 * SECOND;
 const CONNECT: Time = 300 * MS;
 
@@ -21,19 +22,19 @@
     pub address: SocketAddr,
     pub slots: u32,
     pub speed: f64,
-    /// Slower by a factor, until then.
+    /// Slowdown factor, and until when it applies.
     pub slow: (f64, Time),
     pub called: Time,
     pub ready: Option<Time>,
     pub listening: bool,
-    /// From when the platform knows that it drains.
+    /// When the platform started to drain it.
     pub draining: Option<Time>,
     pub crashed: Option<Time>,
     pub ended: Option<Time>,
     pub runs: BTreeSet<u64>,
 }
 
-/// A request on its way to an endpoint and back.
+/// An exchange between a proxy and an endpoint.
 pub(super) struct Exchange {
     machine: usize,
     life: u64,
@@ -46,14 +47,14 @@
     run: Option<u64>,
 }
 
-/// A request at work.
+/// A request that an endpoint is running.
 pub(super) struct Run {
     endpoint: usize,
     exchange: u64,
     attempt: u64,
     pub deadline: Time,
     work: Time,
-    /// A call of its own that it waits for.
+    /// Whether it waits for a nested call.
     pub calls: bool,
     failed: bool,
 }
@@ -121,7 +122,7 @@
         let Some(at) = at else { return self.at(now + one_way_delay, Event::ExchangeDone(number, refuse)) };
         let host = &self.platform.hosts[worker];
         if host.down > now && host.silent {
-            // Nobody is there to say no: a new connection is given up, on one that was kept nothing comes.
+            // The host does not respond: a new connection times out, and on an idle one nothing arrives.
             if fresh {
                 self.at(now + CONNECT, Event::ExchangeDone(number, ended(Outcome::Unreachable, false)));
             }
@@ -182,7 +183,7 @@
         }
     }
 
-    /// The call that a run has made is answered.
+    /// The nested call of a run has ended.
     pub(super) fn nested_call_done(&mut self, run: u64, good: bool) {
         let now = self.now;
         let Some(of) = self.runs.get_mut(&run) else { return };
@@ -194,7 +195,7 @@
     pub(super) fn run_done(&mut self, run: u64) {
         let now = self.now;
         if run > u64::MAX / 2 {
-            // The time of one that drains is over.
+            // The drain time of an endpoint is over.
             let at = (u64::MAX - run) as usize;
             return self.crash(at, false);
         }
@@ -238,7 +239,7 @@
         }
     }
 
-    /// The stall closes the connection: most endpoints drop what they do.
+    /// The proxy closes the connection; most endpoints then abort the run.
     pub(super) fn abort(&mut self, machine: usize, id: u64) {
         let life = self.machines[machine].life;
         if let Some(number) = self.out.remove(&(machine, life, id)) {
@@ -252,14 +253,14 @@
         let drops = self.rng.chance(0.8);
         if let Some(run) = exchange.run.filter(|_| drops) {
             let soon = self.now + self.site.near;
-            // It ends as if its work were done; nobody hears of it.
+            // The run ends as if completed, without a recipient for the response.
             if self.runs.get(&run).is_some_and(|r| !r.calls) {
                 self.at(soon, Event::RunDone(run));
             }
         }
     }
 
-    /// An endpoint is gone at once; `told`: connections to it break, rather than fall silent.
+    /// An endpoint crashes. With `silent` connections to it do not break but go silent.
     pub(super) fn crash(&mut self, at: usize, silent: bool) {
         let now = self.now;
         let runs = std::mem::take(&mut self.endpoints[at].runs);
--- a/simulator/src/world/faults.rs
+++ b/simulator/src/world/faults.rs
@@ -1,4 +1,5 @@
-//! Troubles as they strike, and how the day closes. What was in trouble is told to [`crate::disturbances::Disturbances`].
+//! Applies the faults of the plan and the final fault, and records them in
+//! [`crate::disturbances::Disturbances`].
 
 use super::planned::RESTART;
 use super::{Event, World};
@@ -6,9 +7,9 @@
 use crate::rng::Rng;
 use crate::{MS, SECOND, Time};
 
-/// A machine that came back counts as lost for so long.
+/// Time for which a machine still counts as lost after it came back.
 const CATCH_UP: Time = 4 * SECOND;
-/// A machine misses changes for so long.
+/// Duration for which a partitioned machine misses changes.
 const BEHIND: Time = 2 * SECOND;
 
 impl World {
@@ -193,7 +194,7 @@
                 let (what, name) = if worker {
                     ("worker", format!("w-{}", target_rng.below(self.platform.hosts.len())))
                 } else {
-                    // One that is not alone in its zone: others are not let go.
+                    // Only proxies that are not alone in their zone: the controller refuses to drain others.
                     let zone = |at: usize| self.machines[at].zone;
                     let two = |at: &usize| (0..edges).any(|other| other != *at && zone(other) == zone(*at));
                     let may: Vec<_> = (0..edges).filter(two).collect();
@@ -214,13 +215,14 @@
         }
     }
 
-    /// A trouble that follows from another.
+    /// Schedules a follow-up fault.
     fn later(&mut self, at: Time, what: FaultKind, target_rng: u64) {
         self.plan.faults.push(InjectedFault { at, kind: what, target_seed: target_rng });
         self.at(at, Event::Fault(self.plan.faults.len() - 1));
     }
 
-    /// All of the core lose power but the machine that missed changes, and one of them its disk; that one is back at once.
+    /// All core machines except the one that missed changes lose power. One of them also loses its disk and
+    /// is back after 400 ms, unless another disk was lost recently.
     fn strike_behind(&mut self, target_rng: &mut Rng, missed: usize, lasts: Time) {
         let now = self.now;
         let others: Vec<_> =
@@ -257,7 +259,7 @@
         }
     }
 
-    /// The connections of clients and to endpoints break; `idle_connections`: the process goes on.
+    /// Breaks the connections to clients and endpoints; `idle_connections`: the process keeps running.
     fn break_clients(&mut self, at: usize, idle_connections: bool) {
         let now = self.now;
         let tries = std::mem::take(&mut self.machines[at].tries);
@@ -278,13 +280,13 @@
         }
     }
 
-    /// The processes of a machine end; with `power` the machine is off for as long.
+    /// Ends the processes of a machine; with `power` the machine is off for `lasts`.
     pub(super) fn kill(&mut self, at: usize, power: bool, lasts: Time) {
         self.record_disturbance(at, self.now + lasts);
         self.end(at, power, lasts);
     }
 
-    /// They end as it was planned.
+    /// Ends the processes as planned work.
     pub(super) fn kill_planned(&mut self, at: usize, lasts: Time) {
         self.disturbances.record_planned(at, self.now, self.now + lasts);
         self.end(at, false, lasts);
@@ -315,7 +317,7 @@
         });
         self.break_all(at, !power);
         if power {
-            // Who is asked says nothing: clients wait for their time, endpoints work on.
+            // A machine without power sends nothing: clients wait for their time-out, endpoints continue.
             self.machines[at].tries.clear();
         } else {
             self.break_clients(at, false);
@@ -354,7 +356,7 @@
         }
     }
 
-    /// A control machine has just acknowledged: some days it loses its disk now.
+    /// A core machine has just acknowledged a configuration: injects the fault scheduled for this moment.
     pub(super) fn acknowledged_by(&mut self, machine: usize) {
         if let Some((power, lasts)) = self.kill_next.take()
             && self.machines[machine].powered
@@ -363,7 +365,7 @@
         }
         let Some(lasts) = self.wipe_next.take() else { return };
         let now = self.now;
-        // No more disks at once than may be lost.
+        // Lose no more disks at once than tolerated.
         let recent = self.wiped_at.is_some_and(|at| at + CATCH_UP + 6 * SECOND > now);
         let others =
             self.cores.iter().filter(|at| **at != machine).all(|at| self.disturbances.in_contact(*at, now));
@@ -376,19 +378,20 @@
         self.trace_line(|| format!("machine {machine} loses its disk"));
     }
 
-    /// A control machine hears a little later than the others: what was acknowledged may stand on a bare majority.
+    /// Delays the messages to one core machine, so that an acknowledged value may be held by a bare majority
+    /// only.
     fn delay_one_controller(&mut self) {
         let at = self.cores[self.rng.below(3)];
         self.machines[at].lag = (self.now + 300 * MS, self.rng.between(5 * MS, 80 * MS));
     }
 
-    /// A last change; once it is acknowledged all strikes.
+    /// Submits a last change; the final fault strikes once it is acknowledged.
     pub(super) fn final_fault(&mut self) {
         self.delay_one_controller();
         self.config_change(true);
     }
 
-    /// The closing fault.
+    /// Injects the final fault.
     pub(super) fn strike(&mut self, acknowledged: usize) {
         let now = self.now;
         let Some((_, how)) = self.plan.final_fault.filter(|_| self.closed.is_none()) else { return };
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! All that is outside of the processes, and the loop that plays it: one queue of events in the order of their times.
+//! The environment of the processes, and the event loop: one queue of events ordered by time.
 
 mod client;
 mod endpoint;
@@ -37,23 +37,23 @@
 use operator::Order;
 use platform::Platform;
 
-/// Machines that may take a place in the core.
+/// Spare machines that can replace core machines.
 const SPARES: usize = 2;
-/// The time of day as the day begins, in milliseconds.
+/// Wall-clock time at the start of the day, in milliseconds of Unix time.
 const START_UNIX_MS: u64 = 1_700_000_000_000;
 
-/// A process of a machine.
+/// The process types.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Role {
-    /// On the edge.
+    /// The proxy on an edge machine.
     Proxy,
-    /// Beside it.
+    /// The agent on an edge machine.
     Agent,
-    /// On the core.
+    /// The controller on a core machine.
     Controller,
 }
 
-/// Who calls, and who is called.
+/// Caller or callee of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum Who {
     Process(usize, Role),
@@ -68,17 +68,17 @@
         role: Role,
         life: u64,
     },
-    /// A call comes to whom it is for.
+    /// A call reaches its callee.
     Call(u64),
-    /// An answer comes back; none where the connection broke.
+    /// A response reaches the caller; `None` if the connection broke.
     Answer(u64, Option<Payload>),
-    /// Nobody has answered in time.
+    /// A call timed out.
     Expire(u64),
     Line {
         stream: u64,
         line: Bytes,
     },
-    /// One side of a stream hears that it has ended.
+    /// One side of a feed notices that it has ended.
     Ended {
         stream: u64,
         at_controller: bool,
@@ -119,13 +119,13 @@
     OperatorPoll(operator::Poll),
     FinalFault,
     PowerOn,
-    /// A machine is gone for good.
+    /// A machine is removed permanently.
     Retire(usize),
-    /// The processes of a machine are told to end, and start again.
+    /// The processes of a machine get SIGTERM and are restarted afterwards.
     Term(usize),
-    /// The processes of a machine that goes for good are told to end.
+    /// The processes of a machine get SIGTERM before the machine is removed.
     TermForGood(usize),
-    /// The grace of this life is over.
+    /// The grace period of this incarnation has ended.
     GraceExpired(usize, u64),
 }
 
@@ -160,16 +160,16 @@
     powered: bool,
     frozen: Time,
     cut: Time,
-    /// Cut off from other core machines, and what it sends, until then.
+    /// Partitioned from other core machines, and unable to send, until these times.
     cut_core: Time,
     cut_out: Time,
-    /// Its half of the core, and until when the halves don't reach each other.
+    /// Its half in a split core, and when the split ends.
     half: (usize, Time),
-    /// Until then what is sent to it takes so much longer.
+    /// End of a delay, and the additional latency of what is sent to it until then.
     lag: (Time, Time),
-    /// Its time of day is off by so many milliseconds, until then.
+    /// Clock offset in milliseconds, and until when it applies.
     clock: (i64, Time),
-    /// It goes for good once its processes have left.
+    /// The machine is removed once its processes have shut down.
     retires: bool,
     proxy: Option<ProxyProcess>,
     agent: Option<AgentProcess>,
@@ -177,22 +177,22 @@
     disk: crate::processes::Disk,
     life: u64,
     starts: u64,
-    /// When each process is due, as queued.
+    /// Next queued wake-up time of each process.
     due: [Time; 3],
     link: Link,
-    /// When it has worked off the asks that came, where that is played.
+    /// When the CPU has handled the received permit requests, if that is simulated.
     busy: Time,
-    /// Tries of clients that it has, and exchanges that it has out.
+    /// Open client attempts and exchanges.
     tries: BTreeSet<u64>,
     exchanges: BTreeSet<u64>,
     misses: u32,
     serving: bool,
-    /// What came while it was frozen.
+    /// Events held back while the machine is frozen.
     held: Vec<Event>,
 }
 
 impl Machine {
-    /// The time of day by its clock, in milliseconds.
+    /// Wall-clock time of the machine, in milliseconds of Unix time.
     fn time_of_day(&self, now: Time) -> u64 {
         let (off, until) = self.clock;
         let off = if now < until { off } else { 0 };
@@ -212,25 +212,25 @@
     }
 }
 
-/// Everything.
+/// State of the simulation.
 pub struct World {
-    /// The site.
+    /// Topology and parameters.
     pub site: Site,
     plan: Plan,
-    /// Now.
+    /// Current simulated time.
     pub now: Time,
-    /// When the day ends.
+    /// End of the day.
     pub end: Time,
     number: u64,
-    /// Events that were played.
+    /// Number of events handled.
     pub played: u64,
-    /// What was played, in one number: the same for the same day.
+    /// Digest of all events; equal for equal plans.
     pub digest: u64,
     queue: BinaryHeap<Queued>,
     rng: Rng,
     machines: Vec<Machine>,
     names: HashMap<CompactString, Who>,
-    /// The machines that make up the core, those that may take a place in it, and the seeds of the settings files.
+    /// Machines that form the core, spare machines, and the seeds in the settings files.
     cores: Vec<usize>,
     spares: Vec<usize>,
     seeds: Vec<CompactString>,
@@ -239,7 +239,7 @@
     calls: HashMap<u64, Call>,
     streams: BTreeMap<u64, Stream>,
     next: u64,
-    /// What went between machines.
+    /// Network traffic.
     pub traffic: Traffic,
     platform: Platform,
     endpoints: Vec<Endpoint>,
@@ -250,9 +250,9 @@
     runs: HashMap<u64, Run>,
     idle_connections: HashMap<(usize, usize), Time>,
     client_requests: Vec<ClientRequest>,
-    /// Whose try each is.
+    /// The client request of each attempt.
     attempts: Vec<usize>,
-    /// Tries that a dispatcher has read and not answered, and all that were read.
+    /// Attempts that a proxy has read and not answered, and at-most-once attempts that were ever read.
     read: BTreeSet<u64>,
     ever_read: BTreeSet<u64>,
     up_at: Vec<(Time, usize)>,
@@ -264,25 +264,25 @@
     lost_share: (f64, Time),
     garbled_share: (f64, Time),
     wipe_next: Option<Time>,
-    /// The core machine that acknowledges next is gone, without power or not, for so long.
+    /// The core machine that acknowledges next goes down, with or without power loss, for this long.
     kill_next: Option<(bool, Time)>,
-    /// This part of the answers to operators is lost, until then.
+    /// Share of the responses to operators that is lost, and until when.
     lost_acks: (f64, Time),
-    /// The newest configuration that an operator knows to be acknowledged.
+    /// The newest configuration whose acknowledgement reached an operator.
     last_acked: Option<millpost_config::Config>,
     wiped_at: Option<Time>,
     closed: Option<(Time, Time)>,
     disturbances: Disturbances,
-    /// The auditor.
+    /// The rule checks.
     pub auditor: Auditor,
-    /// Lines of what happened, where somebody wants them.
+    /// Trace lines, if a trace was requested.
     pub trace: Option<Vec<String>>,
-    /// Where what decides is recorded, if it is.
+    /// Recordings of the processes, if requested.
     pub records: Option<Recordings>,
 }
 
 impl World {
-    /// A day before it begins.
+    /// The initial state of a day.
     pub fn new(plan: Plan, trace: bool) -> Self {
         let site = Site { charge_request_cpu: plan.charge_request_cpu, ..Site::new(plan.size) };
         let site = match plan.homework {
@@ -448,7 +448,7 @@
         }
     }
 
-    /// Plays up to a time, or to the first broken rule where that is all that is asked.
+    /// Handles events up to the time `until`, or up to the first rule violation.
     pub fn play(&mut self, until: Time, stop_at_first: bool) {
         while let Some(queued) = self.queue.peek()
             && queued.at <= until
@@ -515,7 +515,7 @@
         }
     }
 
-    /// The processes of a machine start.
+    /// Starts the processes of a machine.
     fn start(&mut self, at: usize) {
         if self.machines[at].life != 0 || !self.machines[at].powered {
             return;
@@ -568,7 +568,7 @@
         }
     }
 
-    /// A process takes something in, and what it says is done.
+    /// Passes an input to a process and carries out its outputs.
     fn give(&mut self, at: usize, role: Role, input: ProcessInput) {
         let now = self.now;
         let machine = &mut self.machines[at];
@@ -626,17 +626,17 @@
         }
     }
 
-    /// The kinds of requests.
+    /// Request classes of the site.
     pub fn classes(&self) -> &'static Classes {
         self.site.classes
     }
 
-    /// The share of requests served among those that were sent between two times.
+    /// Statistics of client requests.
     pub fn served(&self) -> &Served {
         &self.served
     }
 
-    /// Ends the day: what only whole windows show.
+    /// Checks the rules that need the whole day.
     pub fn finish(&mut self) {
         let served = std::mem::take(&mut self.served);
         let share = |from, to| served.share(from, to);
@@ -644,7 +644,7 @@
         self.served = served;
     }
 
-    /// Starts that the platform has done, and the memory of instances by time, in GB seconds.
+    /// Number of instance starts, and instance memory over time in GB seconds.
     pub fn starts(&self) -> (u64, f64) {
         let memory = self.endpoints.iter().map(|e| {
             let span = e.ended.unwrap_or(self.now).saturating_sub(e.called) as f64 / SECOND as f64;
@@ -653,12 +653,12 @@
         (self.endpoints.len() as u64, memory.sum())
     }
 
-    /// How long each configuration took from its acknowledgement until the last stall acted on it.
+    /// For each revision, the time from its acknowledgement until the last proxy applied it.
     pub fn propagation(&self) -> Vec<(u64, Option<Time>)> {
         self.orders.iter().filter_map(Order::propagation).collect()
     }
 
-    /// For stalls that are up, the lowest revision that one acts on.
+    /// The lowest revision active on any running proxy.
     fn lowest(&self) -> u64 {
         let proxies = self.machines.iter().filter(|m| m.powered).filter_map(|m| m.proxy.as_ref());
         proxies.map(ProxyProcess::acts).min().unwrap_or(0)
--- a/simulator/src/world/net.rs
+++ b/simulator/src/world/net.rs
@@ -1,4 +1,5 @@
-//! The network between processes: calls with their answers, feeds, delays, links, what is cut and what breaks.
+//! The simulated network between processes: calls and responses, feeds, latency, link bandwidth, partitions
+//! and broken connections.
 
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -10,13 +11,13 @@
 use crate::processes::{Payload, ProcessInput};
 use crate::{MS, SECOND, Time};
 
-/// What HTTP adds to a request and to its answer.
+/// Size of the HTTP headers of a request and of a response, in bytes.
 const REQUEST: u64 = 150;
 const ANSWER: u64 = 80;
-/// Silence after which a control machine gives up a feed that nobody acknowledges.
+/// Time after which a controller closes a feed whose lines are not acknowledged.
 const FEED_TIMEOUT: Time = 2 * SECOND;
 
-/// A call that is open.
+/// An open call.
 pub(super) struct Call {
     pub from: Who,
     pub life: u64,
@@ -25,7 +26,7 @@
     pub said: Option<Payload>,
 }
 
-/// A feed.
+/// A feed from a controller to an agent.
 pub(super) struct Stream {
     agent: usize,
     agent_incarnation: u64,
@@ -36,27 +37,27 @@
     open_at_controller: bool,
 }
 
-/// When a machine's link is free.
+/// When the outgoing and incoming link of a machine are free.
 #[derive(Default)]
 pub(super) struct Link {
     out: Time,
     into: Time,
 }
 
-/// What went between machines.
+/// Traffic counters.
 #[derive(Default, Clone, Copy, Debug)]
 pub struct Traffic {
-    /// Requests, answers and lines between machines of the system.
+    /// Requests, responses and feed lines between machines.
     pub messages: u64,
-    /// Their bytes, heads counted in,
+    /// Bytes of these, including headers,
     pub bytes: u64,
-    /// ... and between zones.
+    /// ... and the part that crossed zones.
     pub zone_bytes: u64,
     /// New connections to endpoints.
     pub handshakes: u64,
     /// Calls to the platform.
     pub platform: u64,
-    /// Bytes of clients' requests and answers.
+    /// Bytes of client requests and responses.
     pub clients: u64,
 }
 
@@ -139,7 +140,7 @@
     }
 }
 
-/// About how long it is as JSON.
+/// Estimated size as JSON, in bytes.
 fn size(said: &Payload) -> u64 {
     match said {
         Payload::Messages { notes, .. } | Payload::Follow { notes, .. } => 50 + messages_json_size(notes),
@@ -154,13 +155,13 @@
     }
 }
 
-/// The notes as JSON, for a check of the sizes that are guessed.
+/// Exact size as JSON, to check the estimates.
 #[cfg(test)]
 fn exact(notes: &[PeerMessage]) -> u64 {
     notes.iter().map(|n| n.to_json().stringify().map_or(0, |s| s.len() as u64) + 1).sum()
 }
 
-/// What a line of a feed says of stalls that are alive.
+/// Describes the proxies that a feed line adds or removes, for the trace.
 fn named(line: &[u8]) -> Option<String> {
     let JsonValue::Object(parts) = millpost_net::messaging::json(line)? else { return None };
     let Some(JsonValue::Array(notes)) = parts.get("notes") else { return None };
@@ -194,7 +195,7 @@
         }
     }
 
-    /// When so many bytes that are sent now are there.
+    /// Arrival time of `bytes` bytes sent at `now`.
     fn transit(&mut self, from: Who, to: Who, bytes: u64, now: Time) -> Time {
         let (from, to) = (Self::machine_of(from), Self::machine_of(to));
         if from.is_some() && from == to {
@@ -211,7 +212,7 @@
             }
         }
         let mut there = now + base + self.rng.between(0, base / 3);
-        // A lost packet comes again; what goes on other connections does not wait for it.
+        // A lost packet is retransmitted; other connections do not wait for it.
         let again = if self.rng.chance(0.0003) { self.rng.between(200 * MS, 400 * MS) } else { 0 };
         let span = |world: &World, at: usize| {
             let mbps = if world.machines[at].core { world.site.mbps.1 } else { world.site.mbps.0 };
@@ -243,11 +244,11 @@
             [(one, until), (other, _)] if one != other => cut.max(*until),
             _ => cut,
         };
-        // An edge machine that is cut off from the core reaches its kind and its clients.
+        // An edge machine partitioned from the core still reaches other edge machines and its clients.
         let edge_cut = ends().filter(|m| !m.core).map(|m| m.cut_core).max().unwrap_or(0);
         let cut = if ends().any(|m| m.core) { cut.max(edge_cut) } else { cut };
         let operator = from.is_none() && to.is_some() || to.is_none() && from.is_some();
-        // What is sent into a cut waits for its end; the operator reaches both sides.
+        // Traffic into a partition is delivered after its end; operators reach both sides.
         if cut > now && !operator { cut + base + there - now } else { there }
     }
 
@@ -271,7 +272,7 @@
         self.at(self.now + within, Event::Expire(number));
     }
 
-    /// Asks take of their owner's processor, one after the other.
+    /// Charges permit requests to the CPU of the owning proxy, one after the other.
     fn asked(&mut self, to: Who, said: &Payload, there: Time) -> Time {
         let (Who::Process(at, Role::Proxy), Payload::Messages { notes, .. }) = (to, said) else {
             return there;
@@ -280,7 +281,7 @@
         if !self.site.charge_request_cpu || asks == 0 {
             return there;
         }
-        // As many a second as would take all of its processors.
+        // The rate at which permit requests would use all of its CPU.
         let each =
             SECOND as f64 / millpost_scheduler::max_requests_per_s(f64::INFINITY, self.site.processors);
         let machine = &mut self.machines[at];
@@ -330,13 +331,14 @@
 
     pub(super) fn reply(&mut self, number: u64, said: Payload, at: Time) {
         if self.streams.contains_key(&number) {
-            // A feed that is turned down.
+            // The feed was rejected.
             return self.at(self.now + MS, Event::Ended { stream: number, at_controller: false });
         }
         let Some(call) = self.calls.get(&number) else { return };
         let (from, to) = (call.from, call.to);
         let back = self.transit(to, from, ANSWER + size(&said), self.now);
-        // An answer that rests on a write goes when that lasts; if its process is gone by then, it does not go.
+        // A response that depends on a write is sent once the write is synced; if its process has ended by
+        // then, it is not sent.
         if at > self.now
             && let Some(call) = self.calls.get_mut(&number)
         {
@@ -419,7 +421,7 @@
         let Some(stream) = self.streams.get_mut(&number) else { return };
         stream.last = stream.last.max(there);
         let there = stream.last;
-        // What nobody acknowledges for long enough ends the feed at its sender.
+        // If a line is not acknowledged in time, the sender closes the feed.
         if there > self.now + FEED_TIMEOUT {
             self.at(self.now + FEED_TIMEOUT, Event::Ended { stream: number, at_controller: true });
         }
@@ -452,7 +454,7 @@
         }
     }
 
-    /// The hall hears that a feed has ended, unless a cut or a loss of power keeps it from that.
+    /// The controller notices that a feed has ended; after a partition or power loss only by a time-out.
     fn end_at_controller(&mut self, number: u64, now: Time) {
         let Some(stream) = self.streams.get(&number) else { return };
         let (agent, controller) = (stream.agent, stream.controller);
@@ -485,7 +487,7 @@
         }
     }
 
-    /// All connections of a machine break: `told` says whether the other sides hear of it at once.
+    /// Breaks all connections of a machine; `told`: the other sides notice at once.
     pub(super) fn break_all(&mut self, at: usize, told: bool) {
         let here = |who: Who| Self::machine_of(who) == Some(at);
         let mut broken: Vec<_> =
--- a/simulator/src/world/operator.rs
+++ b/simulator/src/world/operator.rs
@@ -1,4 +1,5 @@
-//! Operators: configurations sent to any control machine until one gives a clear answer, and what is read back at the end.
+//! Operators: submit each configuration to one core machine after another until a definite response arrives,
+//! and read the configuration back at the end.
 
 use std::sync::Arc;
 
@@ -9,16 +10,16 @@
 use crate::processes::Payload;
 use crate::{MS, SECOND, Time};
 
-/// Silence after which an operator moves on.
+/// Time-out after which an operator tries another machine.
 const SILENCE: Time = SECOND;
 
-/// One thing an operator does until it is done.
+/// One task of an operator, retried until done.
 pub(super) struct Order {
     what: Task,
     tries: u64,
     done: bool,
     machine: usize,
-    /// Acknowledged at, and in force on the last stall at.
+    /// When it was acknowledged, and when the last proxy applied it.
     acked: Option<Time>,
     last: Option<Time>,
     closes: bool,
@@ -33,7 +34,7 @@
         probes: Vec<compact_str::CompactString>,
     },
     Read,
-    /// An order about a drain.
+    /// A drain order.
     Drain(Arc<str>),
 }
 
@@ -48,12 +49,12 @@
     }
 }
 
-/// What an operator waits for besides.
+/// Conditions that an operator polls.
 #[derive(Debug)]
 pub(super) enum Poll {
-    /// Whether every stall acts on an order's revision.
+    /// Whether every proxy has applied the revision of an order.
     InForce(usize),
-    /// Requests that show which configuration is in force.
+    /// Sends requests that reveal the active configuration.
     Probe(usize),
 }
 
@@ -92,7 +93,7 @@
         self.put(config, true, Vec::new(), false, SECOND, machine);
     }
 
-    /// A configuration that follows the last one, and the paths that tell them apart.
+    /// A random change to the latest configuration, and paths that tell the two apart.
     pub(super) fn change(&mut self) -> (Config, Vec<compact_str::CompactString>) {
         let mut config = self.model.clone();
         config.revision += 1 + self.rng.below(3) as u64;
@@ -137,7 +138,7 @@
         self.put(config, true, probes, closes, now, machine);
     }
 
-    /// So many contents under one revision, each from an operator of its own.
+    /// `count` operators submit different contents under one revision.
     pub(super) fn config_race_of(&mut self, count: usize) {
         let changes: Vec<_> = (0..count).map(|_| self.change()).collect();
         let number = changes.iter().map(|(config, _)| config.revision).max().unwrap_or(0);
@@ -152,7 +153,7 @@
         }
     }
 
-    /// What was acknowledged last is sent once more; with `other` another content under its revision.
+    /// Submits the configuration acknowledged last again; with `other`, different content under its revision.
     pub(super) fn send_again(&mut self, other: bool) {
         let Some(mut config) = self.last_acked.clone() else { return };
         if other && let Some(route) = config.routes.first_mut() {
@@ -175,7 +176,7 @@
         self.put(two, true, Vec::new(), false, later, second);
     }
 
-    /// The configuration grows by so many routes.
+    /// Adds `count` routes to the configuration.
     pub(super) fn big_config(&mut self, count: usize) {
         let (mut config, _) = self.change();
         let number = config.revision;
@@ -192,7 +193,7 @@
         self.put(config, true, probes, false, now, machine);
     }
 
-    /// One service takes the place of another, which the configuration names no more.
+    /// Moves all routes of one service to another and removes the first from the configuration.
     pub(super) fn drop_service(&mut self) {
         let (gone, to) = (self.site.service(0), self.site.service(1));
         let mut config = self.model.clone();
@@ -217,12 +218,12 @@
         self.put(config, false, Vec::new(), false, now, machine);
     }
 
-    /// The operator asks for the configuration again until it gets one.
+    /// Starts reading the configuration back, retried until there is a response.
     pub fn start_read_back(&mut self) {
         self.task(Task::Read);
     }
 
-    /// The operator takes something out.
+    /// An operator orders a drain.
     pub(super) fn drain(&mut self, what: &str, name: &str, lasts: Time) {
         let ms = lasts / MS;
         let text = format!(r#"{{"order":"drain","what":"{what}","name":"{name}","for_ms":{ms}}}"#);
@@ -322,14 +323,14 @@
             }
             _ => {}
         }
-        // One that is replaced meanwhile is passed by.
+        // Continues with the next machine; one that was replaced meanwhile is skipped.
         let place = self.cores.iter().position(|at| *at == machine).map_or(0, |place| place + 1);
         order.machine = self.cores[place % self.cores.len()];
         let pause = 50 * MS * tries.min(10);
         self.at(now + pause, Event::OperatorStep(at));
     }
 
-    /// What control has said, and whether it arrives: on some days confirmations are lost on their way.
+    /// The response of the controller as it reaches the operator; `None` if it is lost on the way.
     fn answer_arrives(&mut self, at: usize, said: Option<Payload>) -> Option<Payload> {
         let now = self.now;
         let order = self.orders.get(at).filter(|o| !o.done)?;
@@ -375,12 +376,12 @@
         }
     }
 
-    /// Whether nothing was read back by the end.
+    /// Whether the configuration has not been read back yet.
     pub fn read_back_pending(&self) -> bool {
         self.orders.iter().any(|o| matches!(o.what, Task::Read) && !o.done)
     }
 
-    /// What is said where the end has come and no answer.
+    /// Reports to the auditor that the read-back got no response.
     pub fn finish_read_back(&mut self) {
         if self.read_back_pending() {
             let (now, closed) = (self.now, self.closed.is_some());
--- a/simulator/src/world/planned.rs
+++ b/simulator/src/world/planned.rs
@@ -1,4 +1,4 @@
-//! Planned work: machines of the core that are replaced, seeds that change, processes that are told to leave.
+//! Planned operations: replacement of core machines, seed changes, SIGTERM and reloads.
 
 use super::{Event, Role, World};
 use crate::plan::ReplaceTarget;
@@ -6,16 +6,16 @@
 use crate::rng::Rng;
 use crate::{MS, SECOND, Time};
 
-/// A process that has left is started again after this.
+/// Delay between the exit of a process and its restart.
 pub(super) const RESTART: Time = 400 * MS;
 
 impl World {
-    /// A machine of the core that is in use.
+    /// A random machine of the core.
     pub(super) fn a_core(&self, target_rng: &mut Rng) -> usize {
         self.cores[target_rng.below(self.cores.len())]
     }
 
-    /// A machine of the core goes for good, and an empty one takes its place at another address.
+    /// Removes a core machine permanently; an empty one takes its place at another address.
     pub(super) fn replace_core(&mut self, target_rng: &mut Rng, whom: ReplaceTarget, after: Time) {
         let now = self.now;
         let recent = self.wiped_at.is_some_and(|at| at + 10 * SECOND > now);
@@ -35,7 +35,7 @@
         self.machines[new].zone = self.machines[old].zone;
         self.trace_line(|| format!("machine {new} takes the place of machine {old}"));
         if whom == ReplaceTarget::Planned {
-            // The new one first, then the word to end, and the old one goes for good once it has left.
+            // Start the new machine, send SIGTERM to the old one, and remove it once it has shut down.
             self.machines[old].retires = true;
             self.at(now, Event::Start(new));
             self.at(now + after, Event::TermForGood(old));
@@ -46,7 +46,7 @@
         self.record_disturbance(new, now + after);
     }
 
-    /// A machine is gone for good.
+    /// Removes a machine permanently.
     pub(super) fn retire(&mut self, at: usize) {
         self.kill(at, true, 0);
         self.machines[at].powered = false;
@@ -54,7 +54,7 @@
         self.up_at.retain(|(_, machine)| *machine != at);
     }
 
-    /// Other machines that serve control become the seeds, for all that run and all that start.
+    /// Makes other core machines the seeds, and reloads the settings of all processes.
     pub(super) fn seed_turnover(&mut self, target_rng: &mut Rng) {
         let mut of = self.cores.clone();
         while of.len() > 3 {
@@ -66,7 +66,7 @@
         (0..self.machines.len()).for_each(|at| self.hang_up(at));
     }
 
-    /// The processes of a machine read their settings again.
+    /// Sends SIGHUP to the processes of a machine.
     pub(super) fn hang_up(&mut self, at: usize) {
         for role in [Role::Agent, Role::Controller] {
             if self.machines[at].powered && self.machines[at].up(role) {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The processes of a machine that goes for good get SIGTERM, if there are any.
+    /// Sends SIGTERM to the processes of a machine that is to be removed.
     pub(super) fn term_for_good(&mut self, at: usize) {
         let machine = &self.machines[at];
         if machine.powered && machine.life != 0 && machine.frozen <= self.now {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The processes of a machine get SIGTERM, and are started again once they have left.
+    /// Sends SIGTERM to the processes of a machine; they are restarted after they exit.
     pub(super) fn term(&mut self, at: usize) {
         let now = self.now;
         let machine = &self.machines[at];
@@ -104,12 +104,12 @@
         self.at(end, Event::GraceExpired(at, life));
     }
 
-    /// One that is told to leave has left, or is killed at the end of its grace.
+    /// The processes have exited, or are killed at the end of the grace period.
     pub(super) fn left(&mut self, at: usize) {
         let now = self.now;
         let tries: Vec<_> = self.machines[at].tries.iter().copied().collect();
         for attempt in tries {
-            // What an endpoint has worked on through the second half of the grace is no fault of who leaves.
+            // A request that its endpoint is still running is not the fault of the proxy that shuts down.
             let out = self.exchanges.values().any(|e| e.is_of(attempt) && e.run().is_some());
             if !out {
                 self.auditor.connection_lost(&self.disturbances, now, attempt);
--- a/simulator/src/world/platform.rs
+++ b/simulator/src/world/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: the list that lags, the workers, starts and stops, its rates.
+//! The simulated platform: stale lists of endpoints and workers, starts and stops, rate limits.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -14,9 +14,9 @@
 use crate::speeds::{Speed, Speeds};
 use crate::{MS, SECOND, Time};
 
-/// How long a crashed endpoint stays on the list.
+/// Time for which a crashed endpoint stays on the list.
 const CRASHED_LISTED: Time = 3 * SECOND;
-/// An endpoint that leaves serves a little longer than it must.
+/// A draining endpoint serves for this time beyond the minimum.
 const DRAIN_MARGIN: Time = 700 * MS;
 
 pub(super) struct Host {
@@ -25,10 +25,10 @@
     pub used: u64,
     pub speed: Speed,
     pub draining: Option<Time>,
-    /// Down until then; `silent`: its host says nothing either.
+    /// Down until this time; `silent`: the host does not answer with resets either.
     pub down: Time,
     pub silent: bool,
-    /// Went down, and came back.
+    /// Past and current down times.
     pub was_down: Vec<(Time, Time)>,
 }
 
@@ -79,7 +79,7 @@
     }
 
     fn address(&mut self, now: Time, reuse: Time) -> SocketAddr {
-        // The one that has only just become free: whoever still goes by an old list meets another endpoint there.
+        // Reuses the address freed most recently, so that outdated lists lead to another endpoint.
         let free = self.free.partition_point(|(at, _)| *at + reuse <= now);
         if free > 0
             && let Some((_, address)) = self.free.remove(free - 1)
@@ -243,7 +243,7 @@
         }
     }
 
-    /// An endpoint has ended: its memory is free, its address some time later.
+    /// Ends an endpoint: frees its memory at once, and its address after the reuse delay.
     pub(super) fn end_endpoint(&mut self, at: usize) {
         let now = self.now;
         let endpoint = &mut self.endpoints[at];
@@ -258,7 +258,7 @@
         self.platform.release(now, address);
     }
 
-    /// It shows as draining from then on, and ends when it may.
+    /// Marks an endpoint as draining from then on, and schedules its end.
     pub(super) fn drain_endpoint(&mut self, at: usize, from: Time) {
         let endpoint = &mut self.endpoints[at];
         if endpoint.ended.is_some() || endpoint.draining.is_some() {
