--- a/simulator/src/auditor.rs
+++ b/simulator/src/auditor.rs
@@ -35,7 +35,7 @@
     /// The edge machine it was sent to.
     pub machine: usize,
     /// Incarnation of the proxy on that machine.
-    pub life: u64,
+    pub incarnation: u64,
     /// Whether it must run at most once.
     pub once: bool,
     /// Whether the run that made this nested call was itself a repeat.
@@ -328,7 +328,7 @@
     /// CONFIG and ROUTE: checks the configuration that the handling of a request reveals.
     fn check_config(&mut self, disturbances: &Disturbances, at: Time, id: u64, observed: Observation<'_>) {
         let one = &self.attempts[id as usize];
-        let (path, sent, key) = (one.path.clone(), one.sent, (one.machine, one.life));
+        let (path, sent, key) = (one.path.clone(), one.sent, (one.machine, one.incarnation));
         let allows = |v: &Version| {
             let route = v.table.find(HOST, &path);
             match observed {
--- a/simulator/src/processes/controller.rs
+++ b/simulator/src/processes/controller.rs
@@ -35,7 +35,7 @@
     Fetch(u64),
     PlatformCall {
         fence: u64,
-        pending: Time,
+        requested_at: Time,
         call: Call,
     },
 }
@@ -70,7 +70,7 @@
     /// The call that is answered by the lines of a connection.
     feeds: BTreeMap<ConnectionId, u64>,
     /// Responses of the local voter that wait for the disk.
-    later: Vec<(Time, ReplyTarget, Message)>,
+    delayed_replies: Vec<(Time, ReplyTarget, Message)>,
     next: u64,
     outs: Vec<ProcessOutput>,
 }
@@ -81,7 +81,7 @@
     messaging::Call { method, path: path.to_owned(), query, headers: HeaderMap::new(), body, peer }
 }
 
-fn said(reply: Reply) -> Payload {
+fn reply_payload(reply: Reply) -> Payload {
     match reply.content {
         Content::Whole(body) if reply.status == StatusCode::OK && !body.is_empty() => Payload::Body(body),
         _ if reply.status == StatusCode::OK => Payload::Taken,
@@ -96,12 +96,12 @@
         seeds.sort();
         seeds.dedup();
         let uid = format!("{:016x}", xxh3_64(seeds.join(" ").as_bytes()));
-        let forgetful = context.mutation == Some(Mutation::EmptyDiskVotes);
-        let first = (bootstrap || forgetful).then(|| Members::initial(&uid, seeds));
+        let empty_disk_votes = context.mutation == Some(Mutation::EmptyDiskVotes);
+        let first = (bootstrap || empty_disk_votes).then(|| Members::initial(&uid, seeds));
         let voter = VoterProcess::open(now, &context, disk, first);
         let start = CoreOptions {
             me: context.address.clone(),
-            life: context.life,
+            life: context.incarnation,
             seeds: context.seeds.clone(),
             tolerated_losses: rates.losses,
             contact_timeout: 4_000 * MS,
@@ -113,7 +113,7 @@
                 rate_per_s: rates.rate_per_s,
             }),
             sink: context.records.clone().map(|records| {
-                drop(records.life(&context.name, "bourse", context.life));
+                drop(records.begin_incarnation(&context.name, "bourse", context.incarnation));
                 let name = context.name.clone();
                 Box::new(move || records.sink(&name, "bourse")) as Box<dyn Fn() -> Sink>
             }),
@@ -125,7 +125,7 @@
             voter_callers: BTreeMap::new(),
             calls: BTreeMap::new(),
             feeds: BTreeMap::new(),
-            later: Vec::new(),
+            delayed_replies: Vec::new(),
             next: 0,
             outs: Vec::new(),
             context,
@@ -144,17 +144,17 @@
 
     /// When [`ProcessInput::Tick`] is due.
     pub fn wake(&self, now: Time, disk: &Disk) -> Time {
-        let later = self.later.iter().map(|l| l.0).min().unwrap_or(Time::MAX);
-        self.core.next_wake(now).min(later).min(self.voter.wake(disk)).max(now + MS / 10)
+        let delayed_replies = self.delayed_replies.iter().map(|l| l.0).min().unwrap_or(Time::MAX);
+        self.core.next_wake(now).min(delayed_replies).min(self.voter.wake(disk)).max(now + MS / 10)
     }
 
     /// Handles an input and returns the resulting outputs.
     pub fn input(&mut self, now: Time, input: ProcessInput, disk: &mut Disk) -> Vec<ProcessOutput> {
         match input {
-            ProcessInput::Call { call, said } => self.call(now, call, said),
-            ProcessInput::Answer { id, said } => {
+            ProcessInput::Call { call, payload } => self.call(now, call, payload),
+            ProcessInput::Answer { id, payload } => {
                 if let Some(outgoing) = self.calls.remove(&id) {
-                    self.answered(now, outgoing, said);
+                    self.answered(now, outgoing, payload);
                 }
             }
             ProcessInput::Ended { feed } => {
@@ -182,9 +182,9 @@
     fn settle(&mut self, now: Time, disk: &mut Disk) {
         loop {
             self.carry_out(now);
-            self.vote_here(now, disk);
-            if let Some(at) = self.later.iter().position(|l| l.0 <= now) {
-                let (_, back, message) = self.later.remove(at);
+            self.run_local_voter(now, disk);
+            if let Some(at) = self.delayed_replies.iter().position(|l| l.0 <= now) {
+                let (_, back, message) = self.delayed_replies.remove(at);
                 self.voted(now, self.context.address.clone(), back, message);
             } else if !self.carry_out(now) {
                 return;
@@ -192,8 +192,8 @@
         }
     }
 
-    fn call(&mut self, now: Time, id: u64, said: Payload) {
-        let call = match said {
+    fn call(&mut self, now: Time, id: u64, payload: Payload) {
+        let call = match payload {
             Payload::Replace(text) => {
                 let body = Bytes::copy_from_slice(text.as_bytes());
                 // Mutation: acknowledges before a majority has written the configuration.
@@ -202,7 +202,7 @@
                 {
                     self.outs.push(ProcessOutput::Reply {
                         call: id,
-                        said: Payload::Body(Bytes::from_static(b"{}")),
+                        payload: Payload::Body(Bytes::from_static(b"{}")),
                     });
                 }
                 call(Method::POST, "/Config.Replace", None, body)
@@ -218,43 +218,43 @@
             }
             Payload::Gossip(body) => call(Method::POST, "/core/news", None, body),
             Payload::StoredConfig => call(Method::GET, "/core/chosen", None, Bytes::new()),
-            Payload::Follow { from, life, notes, whole } => {
+            Payload::Follow { from, incarnation, messages, whole } => {
                 let query = (!whole).then_some("whole=0");
-                call(Method::POST, "/follow", query, encode_messages(&from, life, &notes))
+                call(Method::POST, "/follow", query, encode_messages(&from, incarnation, &messages))
             }
-            Payload::Messages { from, life, notes } => {
-                call(Method::POST, "/mail", None, encode_messages(&from, life, &notes))
+            Payload::Messages { from, incarnation, messages } => {
+                call(Method::POST, "/mail", None, encode_messages(&from, incarnation, &messages))
             }
-            _ => return self.outs.push(ProcessOutput::Reply { call: id, said: Payload::Refused(404) }),
+            _ => return self.outs.push(ProcessOutput::Reply { call: id, payload: Payload::Refused(404) }),
         };
         self.core.handle(now, Input::Call(id, call));
     }
 
-    fn answered(&mut self, now: Time, outgoing: OutgoingCall, said: Option<Payload>) {
+    fn answered(&mut self, now: Time, outgoing: OutgoingCall, payload: Option<Payload>) {
         match outgoing {
             OutgoingCall::Vote(from, back) => {
-                if let Some(Payload::Voted(Some(message))) = said {
+                if let Some(Payload::Voted(Some(message))) = payload {
                     self.voted(now, from, back, message);
                 }
             }
             OutgoingCall::Gossip(to, sent) => {
-                if let Some(Payload::Body(body)) = said
+                if let Some(Payload::Body(body)) = payload
                     && let Some(answered) = GossipReply::decode(sent, &body)
                 {
                     self.core.handle(now, Input::GossipReply(to, answered));
                 }
             }
             OutgoingCall::Fetch(number) => {
-                let text = match said {
+                let text = match payload {
                     Some(Payload::Body(body)) => String::from_utf8(body.to_vec()).ok(),
                     _ => None,
                 };
                 self.core.handle(now, Input::FetchedConfig(number, text));
             }
-            OutgoingCall::PlatformCall { fence, pending, call } => {
-                let mut heard = heard(call, said);
+            OutgoingCall::PlatformCall { fence, requested_at, call } => {
+                let mut platform_reply = to_platform_reply(call, payload);
                 if self.context.mutation == Some(Mutation::IgnoreDraining) {
-                    match &mut heard {
+                    match &mut platform_reply {
                         PlatformReply::Listed(Some((all, _))) => {
                             all.iter_mut().for_each(|e| e.draining = false)
                         }
@@ -262,7 +262,7 @@
                         _ => {}
                     }
                 }
-                self.core.handle(now, Input::PlatformReply(fence, pending, heard));
+                self.core.handle(now, Input::PlatformReply(fence, requested_at, platform_reply));
             }
         }
     }
@@ -274,20 +274,22 @@
             ReplyTarget::Lease => self.core.handle(now, Input::LeaseReply(from, message)),
             ReplyTarget::Voter => {
                 self.next += 1;
-                self.voter.hand(self.next, from, message);
+                self.voter.enqueue(self.next, from, message);
             }
         }
     }
 
     /// Collects the responses of the local voter.
-    fn vote_here(&mut self, now: Time, disk: &mut Disk) {
+    fn run_local_voter(&mut self, now: Time, disk: &mut Disk) {
         let (answers, asks) = self.voter.work(now, &self.context, disk);
         for (id, answer, at) in answers {
             match (self.voter_callers.remove(&id), answer) {
                 (Some(VoterCaller::Other(call)), answer) => {
-                    self.outs.push(ProcessOutput::ReplyAt { call, said: Payload::Voted(answer), at });
+                    self.outs.push(ProcessOutput::ReplyAt { call, payload: Payload::Voted(answer), at });
+                }
+                (Some(VoterCaller::Own(back)), Some(message)) => {
+                    self.delayed_replies.push((at, back, message))
                 }
-                (Some(VoterCaller::Own(back)), Some(message)) => self.later.push((at, back, message)),
                 _ => {}
             }
         }
@@ -301,16 +303,16 @@
         }
     }
 
-    fn call_out(&mut self, to: Address, said: Payload, within: Time, outgoing: OutgoingCall) {
+    fn start_call(&mut self, to: Address, payload: Payload, within: Time, outgoing: OutgoingCall) {
         self.next += 1;
         self.calls.insert(self.next, outgoing);
-        self.outs.push(ProcessOutput::Call { id: self.next, to, said, within });
+        self.outs.push(ProcessOutput::Call { id: self.next, to, payload, within });
     }
 
-    fn hand(&mut self, from: Address, message: Message, voter_callers: VoterCaller) {
+    fn enqueue(&mut self, from: Address, message: Message, voter_callers: VoterCaller) {
         self.next += 1;
         self.voter_callers.insert(self.next, voter_callers);
-        self.voter.hand(self.next, from, message);
+        self.voter.enqueue(self.next, from, message);
     }
 
     /// Carries out the pending effects. Returns whether there were any.
@@ -321,25 +323,27 @@
         for effect in effects {
             match effect {
                 Effect::SendToVoter(to, message, back) if to == me => {
-                    self.hand(to, message, VoterCaller::Own(back))
+                    self.enqueue(to, message, VoterCaller::Own(back))
                 }
                 Effect::SendToVoter(to, message, back) => {
-                    let said = Payload::Vote { from: me.clone(), message };
-                    self.call_out(to.clone(), said, PEER_TIMEOUT, OutgoingCall::Vote(to, back));
+                    let payload = Payload::Vote { from: me.clone(), message };
+                    self.start_call(to.clone(), payload, PEER_TIMEOUT, OutgoingCall::Vote(to, back));
                 }
                 Effect::AskLocalVoter(call, from, message) => {
-                    self.hand(from, message, VoterCaller::Other(call))
+                    self.enqueue(from, message, VoterCaller::Other(call))
                 }
                 // Mutation: confirms conflicting content.
                 Effect::Reply(call, reply)
                     if self.context.mutation == Some(Mutation::ConfirmConflicts)
                         && reply.status == StatusCode::CONFLICT =>
                 {
-                    self.outs
-                        .push(ProcessOutput::Reply { call, said: Payload::Body(Bytes::from_static(b"{}")) });
+                    self.outs.push(ProcessOutput::Reply {
+                        call,
+                        payload: Payload::Body(Bytes::from_static(b"{}")),
+                    });
                 }
                 Effect::Reply(call, reply) => {
-                    self.outs.push(ProcessOutput::Reply { call, said: said(reply) })
+                    self.outs.push(ProcessOutput::Reply { call, payload: reply_payload(reply) })
                 }
                 Effect::OpenFeed(call, connection, line) => {
                     self.feeds.insert(connection, call);
@@ -361,14 +365,14 @@
                 }
                 Effect::Gossip(to, body) => {
                     let outgoing = OutgoingCall::Gossip(to.clone(), now);
-                    self.call_out(to, Payload::Gossip(body), PEER_TIMEOUT, outgoing);
+                    self.start_call(to, Payload::Gossip(body), PEER_TIMEOUT, outgoing);
                 }
                 Effect::ReadLocalConfig(number) => {
-                    let here = self.voter.peek();
+                    let here = self.voter.accepted_config();
                     self.core.handle(now, Input::LocalConfig(number, here));
                 }
                 Effect::FetchConfig(number, from) => {
-                    self.call_out(from, Payload::StoredConfig, PEER_TIMEOUT, OutgoingCall::Fetch(number));
+                    self.start_call(from, Payload::StoredConfig, PEER_TIMEOUT, OutgoingCall::Fetch(number));
                 }
                 Effect::PlatformCall(platform_call) => self.platform_call(now, platform_call),
             }
@@ -377,12 +381,12 @@
     }
 
     fn platform_call(&mut self, now: Time, platform_call: PlatformCall) {
-        let (fence, pending) = (platform_call.fence, platform_call.decided_at);
+        let (fence, requested_at) = (platform_call.fence, platform_call.decided_at);
         let call = match platform_call.begin(now) {
             Ok(call) => call,
-            Err(kept_back) => return self.core.handle(now, Input::PlatformReply(fence, pending, kept_back)),
+            Err(reply) => return self.core.handle(now, Input::PlatformReply(fence, requested_at, reply)),
         };
-        let (said, within) = match &call {
+        let (payload, within) = match &call {
             Call::List { token } => {
                 let from = token.as_ref().and_then(|t| t.parse().ok()).unwrap_or(0);
                 (Payload::List { from }, LIST_TIMEOUT)
@@ -394,26 +398,31 @@
             }
             Call::Stop { id } => (Payload::Stop { id: id.clone() }, START_TIMEOUT),
         };
-        self.call_out(PLATFORM.into(), said, within, OutgoingCall::PlatformCall { fence, pending, call });
+        self.start_call(
+            PLATFORM.into(),
+            payload,
+            within,
+            OutgoingCall::PlatformCall { fence, requested_at, call },
+        );
     }
 }
 
 /// Translates the platform's response to a call.
-fn heard(call: Call, said: Option<Payload>) -> PlatformReply {
-    match (call, said) {
+fn to_platform_reply(call: Call, payload: Option<Payload>) -> PlatformReply {
+    match (call, payload) {
         (Call::List { .. }, Some(Payload::Listed { entries, next })) => {
             PlatformReply::Listed(Some((entries, next.map(|n| CompactString::from(n.to_string())))))
         }
         (Call::Workers, Some(Payload::WorkerList(all))) => PlatformReply::Workers(Some(all)),
-        (Call::Start { nonce, .. }, said) => {
-            let answer = match said {
+        (Call::Start { nonce, .. }, payload) => {
+            let answer = match payload {
                 Some(Payload::Started(answer)) => answer,
                 _ => Err(StartFault::Unclear),
             };
             PlatformReply::Started { nonce, answer }
         }
-        (Call::Stop { id }, said) => {
-            let answer = match said {
+        (Call::Stop { id }, payload) => {
+            let answer = match payload {
                 Some(Payload::Stopped(answer)) => answer,
                 _ => Err(StopFault::Unclear),
             };
--- a/simulator/src/processes/mod.rs
+++ b/simulator/src/processes/mod.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub enum Payload {
     /// `POST /mail`, or a response that carries messages.
-    Messages { from: CompactString, life: u64, notes: Vec<PeerMessage> },
+    Messages { from: CompactString, incarnation: u64, messages: Vec<PeerMessage> },
     /// Success without a body.
     Taken,
     /// An error status.
@@ -60,7 +60,7 @@
     /// `GET /Config.Read`.
     Read,
     /// `POST /follow`.
-    Follow { from: CompactString, life: u64, notes: Vec<PeerMessage>, whole: bool },
+    Follow { from: CompactString, incarnation: u64, messages: Vec<PeerMessage>, whole: bool },
     /// `GET /endpoints`, starting at this entry.
     List { from: usize },
     /// One page of the list, and where the next page starts.
@@ -112,9 +112,9 @@
     /// The requested wake-up time has come.
     Tick,
     /// An incoming call, answered by [`ProcessOutput::Reply`].
-    Call { call: u64, said: Payload },
+    Call { call: u64, payload: Payload },
     /// Response to an outgoing call; `None` if it failed.
-    Answer { id: u64, said: Option<Payload> },
+    Answer { id: u64, payload: Option<Payload> },
     /// A line of a feed that this process follows.
     Line { feed: u64, line: Bytes },
     /// A feed was closed by either side.
@@ -138,13 +138,13 @@
 #[derive(Debug)]
 pub enum ProcessOutput {
     /// Call another process, with the time-out `within`.
-    Call { id: u64, to: CompactString, said: Payload, within: Time },
+    Call { id: u64, to: CompactString, payload: Payload, within: Time },
     /// Respond to a call.
-    Reply { call: u64, said: Payload },
+    Reply { call: u64, payload: Payload },
     /// Respond to a call at the time `at`, once the write it depends on is synced.
-    ReplyAt { call: u64, said: Payload, at: Time },
+    ReplyAt { call: u64, payload: Payload, at: Time },
     /// Open a feed from a controller.
-    Follow { feed: u64, to: CompactString, said: Payload },
+    Follow { feed: u64, to: CompactString, payload: Payload },
     /// Send a line on an open feed.
     Line { feed: u64, line: Bytes },
     /// Close a feed, from either side.
@@ -172,7 +172,7 @@
     pub seeds: Vec<CompactString>,
     /// Incarnation of the process: the wall-clock time at its start in milliseconds. It may be lower than
     /// that of an earlier incarnation.
-    pub life: u64,
+    pub incarnation: u64,
     /// Grace period from SIGTERM to the forced end.
     pub grace: Time,
     /// Whether the machine was started before.
@@ -193,8 +193,9 @@
 }
 
 /// Encodes a batch of messages as the JSON body of a request.
-fn encode_messages(from: &str, life: u64, notes: &[PeerMessage]) -> Bytes {
-    let notes = JsonValue::Array(notes.iter().map(PeerMessage::to_json).collect());
-    let body = object([("from", text(from)), ("life", JsonValue::Number(life as f64)), ("notes", notes)]);
+fn encode_messages(from: &str, incarnation: u64, messages: &[PeerMessage]) -> Bytes {
+    let messages = JsonValue::Array(messages.iter().map(PeerMessage::to_json).collect());
+    let body =
+        object([("from", text(from)), ("life", JsonValue::Number(incarnation as f64)), ("notes", messages)]);
     Bytes::from(body.stringify().unwrap_or_default())
 }
--- a/simulator/src/processes/outbox.rs
+++ b/simulator/src/processes/outbox.rs
@@ -36,10 +36,10 @@
     }
 
     /// Queues a message. Returns false if the queue is full.
-    pub fn push(&mut self, note: PeerMessage) -> bool {
+    pub fn push(&mut self, message: PeerMessage) -> bool {
         let room = self.waiting.len() < MAX_WAITING;
         if room {
-            self.waiting.push(note);
+            self.waiting.push(message);
         }
         room
     }
@@ -50,9 +50,9 @@
         if self.waiting.is_empty() || now < self.not_before || self.in_flight.len() >= most {
             return None;
         }
-        let notes = std::mem::take(&mut self.waiting);
-        self.in_flight.push((id, notes.clone()));
-        Some(notes)
+        let messages = std::mem::take(&mut self.waiting);
+        self.in_flight.push((id, messages.clone()));
+        Some(messages)
     }
 
     /// When [`Outbox::take`] may next return a batch.
@@ -64,7 +64,7 @@
     /// Handles the end of a batch; `taken`: whether the peer accepted it.
     pub fn batch_done(&mut self, now: Time, id: u64, taken: bool) -> BatchOutcome {
         let Some(at) = self.in_flight.iter().position(|(n, _)| *n == id) else { return BatchOutcome::Well };
-        let (_, notes) = self.in_flight.remove(at);
+        let (_, messages) = self.in_flight.remove(at);
         if taken {
             self.pause = 0;
             return if self.up.replace(true) == Some(true) { BatchOutcome::Well } else { BatchOutcome::Up };
@@ -72,7 +72,7 @@
         self.pause = if self.pause == 0 { FIRST_PAUSE } else { (self.pause * 2).min(LONGEST_PAUSE) };
         self.not_before = now + self.pause;
         self.up = Some(false);
-        BatchOutcome::Lost(notes)
+        BatchOutcome::Lost(messages)
     }
 
     /// Whether no messages wait.
--- a/simulator/src/processes/proxy.rs
+++ b/simulator/src/processes/proxy.rs
@@ -50,19 +50,19 @@
     /// Number of the request, if it is recorded.
     number: Option<u64>,
     instance: CompactString,
-    waits: WaitState,
+    state: WaitState,
 }
 
 impl PendingRequest {
     /// Records a trace event of the request.
-    fn follow(&self, coordinator: &mut Coordinator, now: Time, step: impl FnOnce(u64) -> TraceEvent) {
+    fn trace(&self, coordinator: &mut Coordinator, now: Time, step: impl FnOnce(u64) -> TraceEvent) {
         if let Some(p) = self.number {
             coordinator.trace(now, &step(p));
         }
     }
 
     /// Records the end of an attempt.
-    fn over(
+    fn trace_attempt_end(
         &self,
         coordinator: &mut Coordinator,
         now: Time,
@@ -72,7 +72,7 @@
         status: Option<u16>,
     ) {
         let instance = self.instance.clone();
-        self.follow(coordinator, now, |p| TraceEvent::Ended { p, begun, instance, outcome, sent, status });
+        self.trace(coordinator, now, |p| TraceEvent::Ended { p, begun, instance, outcome, sent, status });
     }
 }
 
@@ -120,7 +120,7 @@
     next: u64,
     tick_at: Time,
     beat_at: Time,
-    hurry: Option<Time>,
+    retry_report_at: Option<Time>,
     /// When SIGTERM came.
     leaving: Option<Time>,
     /// Start times of the remaining shutdown phases.
@@ -137,15 +137,18 @@
 
 impl ProxyProcess {
     /// Starts a proxy; `agent` is the address of the local agent.
-    pub fn new(context: ProcessContext, agent: CompactString, mut terms: SchedulerLimits) -> Self {
+    pub fn new(context: ProcessContext, agent: CompactString, mut limits: SchedulerLimits) -> Self {
         let me =
             Peer { name: context.name.clone(), address: context.address.clone(), zone: context.zone.clone() };
-        let seed = context.life ^ xxh3_64(context.name.as_bytes());
+        let seed = context.incarnation ^ xxh3_64(context.name.as_bytes());
         if context.mutation == Some(Mutation::UnlimitedRetries) {
-            (terms.retry_ratio, terms.retry_slack) = (1e6, 1e6);
+            (limits.retry_ratio, limits.retry_slack) = (1e6, 1e6);
         }
-        let sink = context.records.as_ref().map(|r| r.life(&context.name, "stall", context.life));
-        let coordinator = Coordinator::new(me, terms, seed, (context.life & 0xffff_ffff) << 20, sink);
+        let sink = context
+            .records
+            .as_ref()
+            .map(|r| r.begin_incarnation(&context.name, "stall", context.incarnation));
+        let coordinator = Coordinator::new(me, limits, seed, (context.incarnation & 0xffff_ffff) << 20, sink);
         ProxyProcess {
             context,
             agent,
@@ -164,7 +167,7 @@
             next: 0,
             tick_at: 0,
             beat_at: 0,
-            hurry: None,
+            retry_report_at: None,
             leaving: None,
             ends_at: Vec::new(),
             drained_until: 0,
@@ -201,7 +204,7 @@
     }
 
     /// Revision of the active configuration; 0 if there is none.
-    pub fn acts(&self) -> u64 {
+    pub fn active_revision(&self) -> u64 {
         self.active_config.as_ref().map_or(0, |f| f.known.config.revision)
     }
 
@@ -209,18 +212,18 @@
     pub fn input(&mut self, now: Time, input: ProcessInput) -> Vec<ProcessOutput> {
         match input {
             ProcessInput::Tick => {}
-            ProcessInput::Call { call, said: Payload::Messages { from, life, notes } } => {
-                let said = self.mail(now, &from, life, notes);
-                self.outs.push(ProcessOutput::Reply { call, said });
+            ProcessInput::Call { call, payload: Payload::Messages { from, incarnation, messages } } => {
+                let payload = self.receive_messages(now, &from, incarnation, messages);
+                self.outs.push(ProcessOutput::Reply { call, payload });
             }
             ProcessInput::Call { call, .. } => {
-                self.outs.push(ProcessOutput::Reply { call, said: Payload::Refused(404) })
+                self.outs.push(ProcessOutput::Reply { call, payload: Payload::Refused(404) })
             }
-            ProcessInput::Answer { id, said } => self.batch_done(now, id, said),
+            ProcessInput::Answer { id, payload } => self.batch_done(now, id, payload),
             ProcessInput::Request { client, request } => self.request(now, client, request),
-            ProcessInput::Gone { client } => self.gone(now, client),
+            ProcessInput::Gone { client } => self.client_gone(now, client),
             ProcessInput::Exchanged { id, done } => self.exchanged(now, id, done),
-            ProcessInput::ReadinessProbed { id, up } => self.scouted(now, &id, up),
+            ProcessInput::ReadinessProbed { id, up } => self.readiness_probed(now, &id, up),
             ProcessInput::Leave => {
                 if self.leaving.is_none() {
                     self.leaving = Some(now);
@@ -230,7 +233,7 @@
             }
             ProcessInput::Line { .. } | ProcessInput::Ended { .. } | ProcessInput::Seeds(_) => {}
         }
-        self.due(now);
+        self.run_due(now);
         self.carry_out(now);
         self.send_batches(now);
         std::mem::take(&mut self.outs)
@@ -239,37 +242,39 @@
     /// When [`ProcessInput::Tick`] is due.
     pub fn wake(&self) -> Time {
         let outboxes = self.ready.iter().filter_map(|to| self.outboxes.get(to)?.due()).min();
-        let scouts = self.probes.values().filter_map(|s| s.next).min();
+        let probes_due = self.probes.values().filter_map(|s| s.next).min();
         let due = self.due.first().map(|d| d.0);
-        let beat = self.hurry.unwrap_or(Time::MAX).min(self.beat_at);
+        let beat = self.retry_report_at.unwrap_or(Time::MAX).min(self.beat_at);
         let ends = self.ends_at.first().copied().unwrap_or(Time::MAX);
         self.tick_at
             .min(beat)
             .min(ends)
-            .min(outboxes.into_iter().chain(scouts).chain(due).min().unwrap_or(Time::MAX))
+            .min(outboxes.into_iter().chain(probes_due).chain(due).min().unwrap_or(Time::MAX))
     }
 
-    fn due(&mut self, now: Time) {
+    fn run_due(&mut self, now: Time) {
         while let Some((at, client)) = self.due.first().copied().filter(|d| d.0 <= now) {
             self.due.pop_first();
             let Some(pending) = self.pending.get_mut(&client) else { continue };
-            match pending.waits {
+            match pending.state {
                 WaitState::Pause(until) if until <= now => {
                     let step = pending.flow.request_permit();
                     self.step(now, client, step);
                 }
-                _ if at >= pending.deadline => self.late(now, client),
-                WaitState::Exchange { until: Some(until), .. } if until <= now => self.silent(now, client),
+                _ if at >= pending.deadline => self.deadline_passed(now, client),
+                WaitState::Exchange { until: Some(until), .. } if until <= now => {
+                    self.attempt_timed_out(now, client)
+                }
                 _ => {}
             }
         }
-        self.end(now);
+        self.advance_shutdown(now);
         if now >= self.tick_at {
             self.tick_at = now + TICK_INTERVAL;
             self.coordinator.tick(now);
         }
-        if now >= self.beat_at || self.hurry.is_some_and(|at| now >= at) {
-            self.hurry = None;
+        if now >= self.beat_at || self.retry_report_at.is_some_and(|at| now >= at) {
+            self.retry_report_at = None;
             self.beat_at = now + HEARTBEAT_INTERVAL;
             let peer = millpost_protocol::Peer {
                 name: self.context.name.clone(),
@@ -278,20 +283,20 @@
             };
             let split = self.coordinator.view_split();
             let digest = self.coordinator.view_digest();
-            self.up(PeerMessage::Heartbeat { peer, serving: !self.closes(now), split, digest });
+            self.send_to_agent(PeerMessage::Heartbeat { peer, serving: !self.closes(now), split, digest });
             if now < self.drained_until {
                 let left = (self.drained_until - now) as f64 / MS as f64;
-                self.up(PeerMessage::Drain { name: self.context.name.clone(), left });
+                self.send_to_agent(PeerMessage::Drain { name: self.context.name.clone(), left });
             }
-            self.up(PeerMessage::ConfigApplied { revision: self.acts(), number: 0 });
+            self.send_to_agent(PeerMessage::ConfigApplied { revision: self.active_revision(), number: 0 });
         }
-        let scouts: Vec<_> = self
+        let probes_due: Vec<_> = self
             .probes
             .iter()
             .filter(|(_, s)| s.next.is_some_and(|at| at <= now))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in scouts {
+        for id in probes_due {
             let boots = self.coordinator.is_booting(&id);
             let Some(probes) = self.probes.get_mut(&id) else { continue };
             if now >= probes.until || !boots {
@@ -303,7 +308,7 @@
         }
     }
 
-    fn scouted(&mut self, now: Time, id: &CompactString, up: bool) {
+    fn readiness_probed(&mut self, now: Time, id: &CompactString, up: bool) {
         if up {
             self.probes.remove(id);
             self.coordinator.instance_up(now, id);
@@ -312,27 +317,28 @@
         }
     }
 
-    fn up(&mut self, note: PeerMessage) {
-        self.push(self.agent.clone(), note);
+    fn send_to_agent(&mut self, message: PeerMessage) {
+        self.push(self.agent.clone(), message);
     }
 
-    fn push(&mut self, to: CompactString, note: PeerMessage) {
-        self.outboxes.entry(to.clone()).or_insert_with(|| Outbox::new(MAX_BATCHES)).push(note);
+    fn push(&mut self, to: CompactString, message: PeerMessage) {
+        self.outboxes.entry(to.clone()).or_insert_with(|| Outbox::new(MAX_BATCHES)).push(message);
         self.ready.insert(to);
     }
 
     fn send_batches(&mut self, now: Time) {
         for to in self.ready.clone() {
             let Some(outbox) = self.outboxes.get_mut(&to) else { continue };
-            while let Some(notes) = outbox.take(now, self.next + 1) {
-                let life = incarnation_for(&mut self.incarnations, self.context.life, &to).get();
+            while let Some(messages) = outbox.take(now, self.next + 1) {
+                let incarnation =
+                    incarnation_for(&mut self.incarnations, self.context.incarnation, &to).get();
                 self.next += 1;
                 self.in_flight.insert(self.next, to.clone());
-                let said = Payload::Messages { from: self.context.name.clone(), life, notes };
+                let payload = Payload::Messages { from: self.context.name.clone(), incarnation, messages };
                 self.outs.push(ProcessOutput::Call {
                     id: self.next,
                     to: to.clone(),
-                    said,
+                    payload,
                     within: MESSAGE_TIMEOUT,
                 });
             }
@@ -342,52 +348,58 @@
         }
     }
 
-    fn batch_done(&mut self, now: Time, id: u64, said: Option<Payload>) {
+    fn batch_done(&mut self, now: Time, id: u64, payload: Option<Payload>) {
         let Some(to) = self.in_flight.remove(&id) else { return };
         let Some(outbox) = self.outboxes.get_mut(&to) else { return };
-        let taken = matches!(said, Some(Payload::Taken | Payload::Messages { .. }));
+        let taken = matches!(payload, Some(Payload::Taken | Payload::Messages { .. }));
         match outbox.batch_done(now, id, taken) {
             BatchOutcome::Lost(_) if to == self.agent => {
-                self.hurry = Some(now + REPORT_RETRY_DELAY);
+                self.retry_report_at = Some(now + REPORT_RETRY_DELAY);
                 self.coordinator.controller_unreachable(now);
             }
-            BatchOutcome::Lost(notes) => self.coordinator.undelivered(now, &to, notes),
+            BatchOutcome::Lost(messages) => self.coordinator.undelivered(now, &to, messages),
             BatchOutcome::Up | BatchOutcome::Well => {}
         }
-        if let Some(Payload::Messages { from, life, notes }) = said {
-            self.told(now, &from, life, notes);
+        if let Some(Payload::Messages { from, incarnation, messages }) = payload {
+            self.receive_from_peer(now, &from, incarnation, messages);
         }
     }
 
-    fn mail(&mut self, now: Time, from: &str, life: u64, notes: Vec<PeerMessage>) -> Payload {
+    fn receive_messages(
+        &mut self,
+        now: Time,
+        from: &str,
+        incarnation: u64,
+        messages: Vec<PeerMessage>,
+    ) -> Payload {
         let mut between = Vec::new();
-        for mut note in notes {
+        for mut message in messages {
             if matches!(self.context.mutation, Some(Mutation::IgnoreLeaving | Mutation::SilentShutdown)) {
-                match &mut note {
+                match &mut message {
                     PeerMessage::FullView { leaving, .. } => leaving.clear(),
                     PeerMessage::ViewChange(shift) => shift.leaving.clear(),
                     _ => {}
                 }
             }
-            match note {
-                PeerMessage::PackedConfig { revision, packed } if revision > self.acts() => {
+            match message {
+                PeerMessage::PackedConfig { revision, packed } if revision > self.active_revision() => {
                     if let Some(known) = self.context.parse_cache.read(&packed) {
                         self.activate(now, known);
                     }
                 }
-                PeerMessage::Config { revision, body } if revision > self.acts() => {
+                PeerMessage::Config { revision, body } if revision > self.active_revision() => {
                     let known = body.stringify().ok().and_then(|text| self.context.parse_cache.read(&text));
                     if let Some(known) = known {
                         self.activate(now, known);
                     }
                 }
-                PeerMessage::Patch { revision, change } if revision > self.acts() => {
+                PeerMessage::Patch { revision, change } if revision > self.active_revision() => {
                     let old = self.active_config.as_ref().map(|f| Rc::clone(&f.known));
                     if let Some(known) = old.and_then(|old| self.context.parse_cache.change(&old, &change)) {
                         self.activate(now, known);
                     }
                 }
-                PeerMessage::PackedPatch { revision, packed } if revision > self.acts() => {
+                PeerMessage::PackedPatch { revision, packed } if revision > self.active_revision() => {
                     let old = self.active_config.as_ref().map(|f| Rc::clone(&f.known));
                     let known = old.and_then(|old| self.context.parse_cache.packed_change(&old, &packed));
                     if let Some(known) = known {
@@ -402,36 +414,40 @@
                 | PeerMessage::ViewChange(_)
                 | PeerMessage::Instances { .. }
                 | PeerMessage::MinInstances { .. }
-                | PeerMessage::Leader { .. } => self.coordinator.receive_from_controller(now, note),
+                | PeerMessage::Leader { .. } => self.coordinator.receive_from_controller(now, message),
                 PeerMessage::Drain { left, .. } => self.drained_until = now + (left * MS as f64) as Time,
-                note => between.push(note),
+                message => between.push(message),
             }
         }
         if between.is_empty() {
             return Payload::Taken;
         }
         let address = self.coordinator.address_of(from).cloned();
-        self.told(now, from, life, between);
+        self.receive_from_peer(now, from, incarnation, between);
         self.replying = address.map(|address| (address, Vec::new()));
         self.carry_out(now);
         match self.replying.take() {
-            Some((address, notes)) if !notes.is_empty() => {
-                let life = incarnation_for(&mut self.incarnations, self.context.life, &address).get();
-                Payload::Messages { from: self.context.name.clone(), life, notes }
+            Some((address, messages)) if !messages.is_empty() => {
+                let incarnation =
+                    incarnation_for(&mut self.incarnations, self.context.incarnation, &address).get();
+                Payload::Messages { from: self.context.name.clone(), incarnation, messages }
             }
             _ => Payload::Taken,
         }
     }
 
     /// Handles messages from another proxy.
-    fn told(&mut self, now: Time, from: &str, life: u64, mut notes: Vec<PeerMessage>) {
-        for note in notes.extract_if(.., |note| matches!(note, PeerMessage::StaleIncarnation { .. })) {
+    fn receive_from_peer(&mut self, now: Time, from: &str, incarnation: u64, mut messages: Vec<PeerMessage>) {
+        for message in
+            messages.extract_if(.., |message| matches!(message, PeerMessage::StaleIncarnation { .. }))
+        {
             let address = self.coordinator.address_of(from).cloned();
-            if let (PeerMessage::StaleIncarnation { known }, Some(address)) = (note, address) {
-                incarnation_for(&mut self.incarnations, self.context.life, &address).raise_above(known);
+            if let (PeerMessage::StaleIncarnation { known }, Some(address)) = (message, address) {
+                incarnation_for(&mut self.incarnations, self.context.incarnation, &address)
+                    .raise_above(known);
             }
         }
-        self.coordinator.receive(now, from, life, notes);
+        self.coordinator.receive(now, from, incarnation, messages);
     }
 
     fn activate(&mut self, now: Time, known: Rc<ParsedConfig>) {
@@ -459,11 +475,11 @@
         self.client_timeouts.retain(|name| table.routes().iter().any(|r| r.name == *name));
         self.attempt_timeouts.retain(|name| known.config.services.iter().any(|s| s.name == *name));
         self.active_config = Some(ActiveConfig { known, table });
-        self.up(PeerMessage::ConfigApplied { revision: self.acts(), number: 0 });
+        self.send_to_agent(PeerMessage::ConfigApplied { revision: self.active_revision(), number: 0 });
     }
 
     /// Responds to a request without any attempt.
-    fn turn(&mut self, now: Time, client: u64, request: &Request, (status, again): (u16, Option<Time>)) {
+    fn reject(&mut self, now: Time, client: u64, request: &Request, (status, again): (u16, Option<Time>)) {
         if self.coordinator.is_recording() {
             let attempt = request.attempt.to_string().into();
             self.coordinator.trace(now, &TraceEvent::Rejected { attempt, status });
@@ -478,18 +494,18 @@
 
     fn request(&mut self, now: Time, client: u64, request: Request) {
         let Some(active_config) = &self.active_config else {
-            return self.turn(now, client, &request, Refusal::NotReady.answer());
+            return self.reject(now, client, &request, Refusal::NotReady.answer());
         };
         let Some(route) = active_config.table.find(&request.host, &request.path).cloned() else {
-            return self.turn(now, client, &request, (404, None));
+            return self.reject(now, client, &request, (404, None));
         };
         if self.context.mutation == Some(Mutation::SpuriousDenial) && request.attempt.is_multiple_of(50) {
-            return self.turn(now, client, &request, (403, None));
+            return self.reject(now, client, &request, (403, None));
         }
         let returned = self.client_timeouts.is_returning(&route.name, request.left as f64 / MS as f64);
         let deadline = now + request.left.min(route.deadline_ms * MS);
         let Some(service) = route.pick(xxh3_64(&request.attempt.to_le_bytes())).cloned() else {
-            return self.turn(now, client, &request, (404, None));
+            return self.reject(now, client, &request, (404, None));
         };
         let repeatable =
             route.traffic == Traffic::Idempotent || self.context.mutation == Some(Mutation::RetryUnsafe);
@@ -498,7 +514,7 @@
             Some(Mutation::RetryUnsafe) => route.max_tries + 1,
             _ => route.max_tries,
         };
-        let wish = RequestInfo {
+        let info = RequestInfo {
             service: service.clone(),
             zone: self.context.zone.clone(),
             target: route.target_latency_ms * MS,
@@ -510,15 +526,15 @@
         };
         let number = self.coordinator.next_request_number();
         if let Some(p) = number {
-            let (attempt, wish) = (request.attempt.to_string().into(), wish.clone());
+            let (attempt, info) = (request.attempt.to_string().into(), info.clone());
             self.coordinator
-                .trace(now, &TraceEvent::Received { p, attempt, route: route.name.clone(), info: wish });
+                .trace(now, &TraceEvent::Received { p, attempt, route: route.name.clone(), info });
         }
-        let mut flow = RequestFlow::new(wish);
+        let mut flow = RequestFlow::new(info);
         let step = flow.begin(self.coordinator.has_view());
         let instance = CompactString::default();
-        let waits = WaitState::Pause(now);
-        let pending = PendingRequest { request, service, deadline, flow, number, instance, waits };
+        let state = WaitState::Pause(now);
+        let pending = PendingRequest { request, service, deadline, flow, number, instance, state };
         self.pending.insert(client, pending);
         self.due.insert((deadline, client));
         self.step(now, client, step);
@@ -530,15 +546,15 @@
         match step {
             FlowStep::Respond(Ok((status, seal))) => self.answer(client, status, None, Some(seal)),
             FlowStep::Respond(Err(refusal)) => self.refuse(client, refusal),
-            FlowStep::ResolveRoute => self.find(now, client),
+            FlowStep::ResolveRoute => self.resolve_route(now, client),
             FlowStep::Wait(at) => {
-                pending.waits = WaitState::Pause(at.max(now));
+                pending.state = WaitState::Pause(at.max(now));
                 self.due.insert((at.max(now), client));
             }
             FlowStep::RequestPermit(ask, first) => {
                 match self.coordinator.request_permit(now, ask, first, pending.number) {
                     Some(id) => {
-                        pending.waits = WaitState::Permit(id);
+                        pending.state = WaitState::Permit(id);
                         self.permit_requests.insert(id, client);
                     }
                     None => {
@@ -551,7 +567,7 @@
     }
 
     /// The service of a request was removed: resolves its route again.
-    fn find(&mut self, now: Time, client: u64) {
+    fn resolve_route(&mut self, now: Time, client: u64) {
         let Some(pending) = self.pending.get_mut(&client) else { return };
         let of = &pending.request;
         let route = self
@@ -559,7 +575,7 @@
             .as_ref()
             .and_then(|active_config| active_config.table.find(&of.host, &of.path));
         let to = route.and_then(|route| route.pick(xxh3_64(&of.attempt.to_le_bytes()))).cloned();
-        pending.follow(&mut self.coordinator, now, |p| TraceEvent::Moved { p, to: to.clone() });
+        pending.trace(&mut self.coordinator, now, |p| TraceEvent::Moved { p, to: to.clone() });
         pending.service = to.clone().unwrap_or_default();
         let step = pending.flow.route_resolved(now, to);
         self.step(now, client, step);
@@ -575,29 +591,29 @@
     }
 
     /// Shutdown: refuses waiting requests, and in a later phase ends running ones without a response.
-    fn end(&mut self, now: Time) {
+    fn advance_shutdown(&mut self, now: Time) {
         self.ends_at.retain(|at| *at > now);
         let phase = self.phase(now);
         if phase < ShutdownPhase::Refusing || self.context.mutation == Some(Mutation::SilentShutdown) {
             return;
         }
-        let runs = |waits: WaitState| matches!(waits, WaitState::Exchange { .. });
+        let runs = |state: WaitState| matches!(state, WaitState::Exchange { .. });
         let due =
-            self.pending.iter().filter(|(_, pending)| phase >= ShutdownPhase::Ending || !runs(pending.waits));
+            self.pending.iter().filter(|(_, pending)| phase >= ShutdownPhase::Ending || !runs(pending.state));
         let mut due: Vec<_> = due.map(|(client, _)| *client).collect();
         due.sort_unstable();
         for client in due {
             let Some(pending) = self.pending.get_mut(&client) else { continue };
-            let step = match pending.waits {
+            let step = match pending.state {
                 WaitState::Permit(ask) => {
                     self.permit_requests.remove(&ask);
                     self.coordinator.finish(now, ask, Outcome::Unused, 0);
-                    pending.follow(&mut self.coordinator, now, |p| TraceEvent::DeadlinePassed { p });
+                    pending.trace(&mut self.coordinator, now, |p| TraceEvent::DeadlinePassed { p });
                     pending.flow.shutdown()
                 }
                 WaitState::Pause(_) => pending.flow.shutdown(),
                 WaitState::Exchange { .. } => {
-                    self.late(now, client);
+                    self.deadline_passed(now, client);
                     continue;
                 }
             };
@@ -606,46 +622,46 @@
     }
 
     /// The attempt timed out.
-    fn silent(&mut self, now: Time, client: u64) {
+    fn attempt_timed_out(&mut self, now: Time, client: u64) {
         let Some(pending) = self.pending.get_mut(&client) else { return };
-        let WaitState::Exchange { ask, exchange, since, .. } = pending.waits else { return };
+        let WaitState::Exchange { ask, exchange, since, .. } = pending.state else { return };
         self.exchanges.remove(&exchange);
         self.outs.push(ProcessOutput::Abort { id: exchange });
         self.attempt_timeouts.timed_out(&pending.service, now - since);
         self.coordinator.finish(now, ask, Outcome::TimedOut, now - since);
-        pending.over(&mut self.coordinator, now, since, Outcome::TimedOut, true, None);
+        pending.trace_attempt_end(&mut self.coordinator, now, since, Outcome::TimedOut, true, None);
         let step = pending.flow.attempt_ended(now, pending.instance.clone(), Outcome::TimedOut, true, None);
         self.step(now, client, step);
     }
 
     /// The deadline of the request has passed.
-    fn late(&mut self, now: Time, client: u64) {
+    fn deadline_passed(&mut self, now: Time, client: u64) {
         let Some(pending) = self.pending.get_mut(&client) else { return };
-        let step = match pending.waits {
+        let step = match pending.state {
             WaitState::Permit(ask) => {
                 self.permit_requests.remove(&ask);
                 self.coordinator.finish(now, ask, Outcome::Unused, 0);
-                pending.follow(&mut self.coordinator, now, |p| TraceEvent::DeadlinePassed { p });
+                pending.trace(&mut self.coordinator, now, |p| TraceEvent::DeadlinePassed { p });
                 pending.flow.deadline_passed()
             }
             WaitState::Exchange { ask, exchange, since, .. } => {
                 self.exchanges.remove(&exchange);
                 self.outs.push(ProcessOutput::Abort { id: exchange });
                 self.coordinator.finish(now, ask, Outcome::Abandoned, now - since);
-                pending.over(&mut self.coordinator, now, since, Outcome::Abandoned, true, None);
+                pending.trace_attempt_end(&mut self.coordinator, now, since, Outcome::Abandoned, true, None);
                 pending.flow.attempt_ended(now, pending.instance.clone(), Outcome::Abandoned, true, None)
             }
             WaitState::Pause(_) => {
-                pending.follow(&mut self.coordinator, now, |p| TraceEvent::DeadlinePassed { p });
+                pending.trace(&mut self.coordinator, now, |p| TraceEvent::DeadlinePassed { p });
                 pending.flow.deadline_passed()
             }
         };
         self.step(now, client, step);
     }
 
-    fn gone(&mut self, now: Time, client: u64) {
+    fn client_gone(&mut self, now: Time, client: u64) {
         let Some(pending) = self.pending.remove(&client) else { return };
-        match pending.waits {
+        match pending.state {
             WaitState::Permit(ask) => {
                 self.permit_requests.remove(&ask);
                 self.coordinator.finish(now, ask, Outcome::Unused, 0);
@@ -657,30 +673,30 @@
             }
             WaitState::Pause(_) => {}
         }
-        pending.follow(&mut self.coordinator, now, |p| TraceEvent::ClientLeft { p });
+        pending.trace(&mut self.coordinator, now, |p| TraceEvent::ClientLeft { p });
     }
 
     fn permit_decided(
         &mut self,
         now: Time,
         ask: u64,
-        word: Result<(CompactString, SocketAddr), DenialReason>,
+        decision: Result<(CompactString, SocketAddr), DenialReason>,
     ) {
         let Some(client) = self.permit_requests.remove(&ask) else {
-            if word.is_ok() {
+            if decision.is_ok() {
                 self.coordinator.finish(now, ask, Outcome::Unused, 0);
             }
             return;
         };
         let Some(pending) = self.pending.get_mut(&client) else { return };
-        match word {
+        match decision {
             Ok((instance, address)) => {
                 pending.flow.granted(now);
                 self.next += 1;
                 let id = self.next;
                 let until =
                     pending.flow.attempt_deadline(now, self.attempt_timeouts.timeout(&pending.service));
-                pending.waits = WaitState::Exchange { ask, exchange: id, since: now, until };
+                pending.state = WaitState::Exchange { ask, exchange: id, since: now, until };
                 self.due.extend(until.map(|until| (until, client)));
                 pending.instance = instance.clone();
                 self.exchanges.insert(id, client);
@@ -701,7 +717,7 @@
             }
             // The coordinator has already dropped a request that it refused.
             Err(no) => {
-                pending.follow(&mut self.coordinator, now, |p| TraceEvent::Denied { p, reason: no });
+                pending.trace(&mut self.coordinator, now, |p| TraceEvent::Denied { p, reason: no });
                 let step = pending.flow.denied(now, no);
                 self.step(now, client, step);
             }
@@ -711,7 +727,7 @@
     fn exchanged(&mut self, now: Time, id: u64, done: Exchanged) {
         let Some(client) = self.exchanges.remove(&id) else { return };
         let Some(pending) = self.pending.get_mut(&client) else { return };
-        let WaitState::Exchange { ask, since, .. } = pending.waits else { return };
+        let WaitState::Exchange { ask, since, .. } = pending.state else { return };
         let instance = pending.instance.clone();
         self.coordinator.finish(now, ask, done.outcome, now - since);
         if done.outcome == Outcome::Answered {
@@ -726,7 +742,7 @@
             return self.answer(client, status, None, Some(seal));
         }
         let status = done.answer.map(|(status, _)| status);
-        pending.over(&mut self.coordinator, now, since, done.outcome, done.sent, status);
+        pending.trace_attempt_end(&mut self.coordinator, now, since, done.outcome, done.sent, status);
         let step = pending.flow.attempt_ended(now, instance, done.outcome, done.sent, done.answer);
         self.step(now, client, step);
     }
@@ -739,16 +755,16 @@
             }
             for one in decided {
                 match one {
-                    Decided::Send { to, note } => match &mut self.replying {
-                        Some((address, notes)) if *address == to => notes.push(note),
-                        _ => self.push(to, note),
+                    Decided::Send { to, note: message } => match &mut self.replying {
+                        Some((address, messages)) if *address == to => messages.push(message),
+                        _ => self.push(to, message),
                     },
                     Decided::Granted { ask, instance, address } => match address.parse() {
                         Ok(address) => self.permit_decided(now, ask, Ok((instance, address))),
                         Err(_) => self.coordinator.finish(now, ask, Outcome::Unused, 0),
                     },
                     Decided::Refused { ask, reason: no } => self.permit_decided(now, ask, Err(no)),
-                    Decided::NotifyController(note) => self.up(note),
+                    Decided::NotifyController(message) => self.send_to_agent(message),
                     Decided::ProbeReadiness { instance, from } => {
                         let Ok(address) = instance.address.parse() else { continue };
                         self.probes.entry(instance.id).or_insert(Probe {
--- a/simulator/src/processes/voter.rs
+++ b/simulator/src/processes/voter.rs
@@ -27,8 +27,8 @@
     /// Writes fail before this time.
     pub full_until: Time,
     /// No operation completes before this time.
-    pub hangs_until: Time,
-    free: Time,
+    pub stalled_until: Time,
+    busy_until: Time,
 }
 
 impl Disk {
@@ -38,14 +38,14 @@
     }
 
     /// Writes a batch. Returns when it is complete, or an error if the disk is full.
-    fn put(&mut self, now: Time, batch: &[Write], synced: bool) -> Result<Time, ()> {
+    fn write(&mut self, now: Time, batch: &[Write], synced: bool) -> Result<Time, ()> {
         if now < self.full_until {
             return Err(());
         }
-        let start = now.max(self.free).max(self.hangs_until);
+        let start = now.max(self.busy_until).max(self.stalled_until);
         let times = if start < self.slow.1 { self.slow.0 } else { 1.0 };
         let done = start + (self.sync as f64 * times) as Time;
-        self.free = done;
+        self.busy_until = done;
         let lasts = if synced { done } else { done + 60_000 * MS };
         self.unsynced_writes.extend(batch.iter().map(|write| (lasts, write.clone())));
         self.settle(now);
@@ -65,7 +65,7 @@
 
     /// Power loss: each unsynced write survives with probability one half, and in three of ten cases none
     /// does.
-    pub fn cut(&mut self, now: Time, rng: &mut Rng) {
+    pub fn power_loss(&mut self, now: Time, rng: &mut Rng) {
         self.settle(now);
         let none = rng.chance(0.3);
         for (_, write) in std::mem::take(&mut self.unsynced_writes) {
@@ -73,11 +73,11 @@
                 self.synced.insert(write.key, write.text);
             }
         }
-        (self.free, self.hangs_until) = (0, 0);
+        (self.busy_until, self.stalled_until) = (0, 0);
     }
 
     /// The process ended, but the operating system did not: all writes survive.
-    pub fn left(&mut self) {
+    pub fn process_exited(&mut self) {
         for (_, write) in std::mem::take(&mut self.unsynced_writes) {
             self.synced.insert(write.key, write.text);
         }
@@ -112,7 +112,7 @@
     pub fn open(now: Time, context: &ProcessContext, disk: &mut Disk, first: Option<Members>) -> Self {
         let mut voter = Self::read(now, context, disk);
         if let Some(first) = first {
-            let put = |batch: &[Write]| disk.put(now, batch, true).map(drop);
+            let put = |batch: &[Write]| disk.write(now, batch, true).map(drop);
             let _ = voter.bootstrap(first).commit(put);
         }
         VoterProcess {
@@ -125,7 +125,7 @@
     fn read(now: Time, context: &ProcessContext, disk: &mut Disk) -> Voter {
         let (me, seeds) = (context.address.clone(), context.seeds.clone());
         let open = |records: BTreeMap<String, String>| {
-            Voter::open(me.clone(), records, seeds.clone(), context.life, now)
+            Voter::open(me.clone(), records, seeds.clone(), context.incarnation, now)
         };
         open(disk.records()).unwrap_or_else(|_| {
             // Unreadable records are treated as a wiped disk.
@@ -140,12 +140,12 @@
     }
 
     /// The configuration accepted on this disk, chosen or not.
-    pub fn peek(&self) -> Option<Value> {
+    pub fn accepted_config(&self) -> Option<Value> {
         self.voter.slot(Key::Config).and_then(|slot| slot.accepted.as_ref()).map(|a| a.value.clone())
     }
 
     /// Queues a message under the caller's id.
-    pub fn hand(&mut self, id: u64, from: CompactString, message: Message) {
+    pub fn enqueue(&mut self, id: u64, from: CompactString, message: Message) {
         if self.waiting.len() < WAITING {
             self.waiting.push_back((id, from, message));
         }
@@ -160,11 +160,11 @@
         disk: &mut Disk,
     ) -> (Vec<Answer>, Vec<(CompactString, Message)>) {
         let mut answers = Vec::new();
-        while now >= disk.free.max(disk.hangs_until) {
+        while now >= disk.busy_until.max(disk.stalled_until) {
             let Some((id, from, message)) = self.waiting.pop_front() else { break };
             let (mut done, skip_sync) = (now, self.skip_sync);
             let put = |batch: &[Write]| -> Result<(), ()> {
-                done = disk.put(done, batch, !skip_sync)?;
+                done = disk.write(done, batch, !skip_sync)?;
                 Ok(())
             };
             match self.voter.handle(now, &from, message).commit(put) {
@@ -179,7 +179,7 @@
 
     /// When [`VoterProcess::work`] is due.
     pub fn wake(&self, disk: &Disk) -> Time {
-        let queue = if self.waiting.is_empty() { Time::MAX } else { disk.free.max(disk.hangs_until) };
+        let queue = if self.waiting.is_empty() { Time::MAX } else { disk.busy_until.max(disk.stalled_until) };
         queue.min(self.voter.next_wake().unwrap_or(Time::MAX))
     }
 }
--- a/simulator/src/record.rs
+++ b/simulator/src/record.rs
@@ -31,9 +31,9 @@
 /// Recordings in memory, by process.
 pub type InMemory = Rc<RefCell<BTreeMap<String, Vec<u8>>>>;
 
-struct Keep(InMemory, String);
+struct MemoryWriter(InMemory, String);
 
-impl Write for Keep {
+impl Write for MemoryWriter {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.borrow_mut().entry(self.1.clone()).or_default().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -63,7 +63,8 @@
     pub fn in_memory() -> (Self, InMemory) {
         let kept = InMemory::default();
         let of = Rc::clone(&kept);
-        let open = move |name: &str| Ok(Box::new(Keep(Rc::clone(&of), name.to_owned())) as Box<dyn Write>);
+        let open =
+            move |name: &str| Ok(Box::new(MemoryWriter(Rc::clone(&of), name.to_owned())) as Box<dyn Write>);
         (Recordings::to(Box::new(open)), kept)
     }
 
@@ -77,9 +78,9 @@
     }
 
     /// Starts the recording of a new incarnation of a process, with its header line.
-    pub fn life(&self, machine: &str, process: &str, life: u64) -> Sink {
+    pub fn begin_incarnation(&self, machine: &str, process: &str, incarnation: u64) -> Sink {
         let mut sink = self.sink(machine, process);
-        sink(&Head::new(machine, process, life, BEGINS_MS).line());
+        sink(&Head::new(machine, process, incarnation, BEGINS_MS).line());
         sink
     }
 
--- a/simulator/src/world/client.rs
+++ b/simulator/src/world/client.rs
@@ -179,7 +179,7 @@
             class: client_request.class,
             sent: now,
             machine,
-            life: self.machines[machine].life,
+            incarnation: self.machines[machine].incarnation,
             once: !class.repeatable,
             repeat: client_request.parent.is_some_and(|(_, repeat)| repeat),
             runs: 0,
@@ -224,17 +224,17 @@
         if machine.proxy.as_ref().is_none_or(|proxy| proxy.closes(now)) {
             return self.at(now + client, Event::ReachClient { attempt, status: 0, again: None, seal: None });
         }
-        machine.tries.insert(attempt);
-        let life = machine.life;
+        machine.open_attempts.insert(attempt);
+        let incarnation = machine.incarnation;
         if let Some(one) = self.auditor.attempts.get_mut(attempt as usize) {
-            one.life = life;
+            one.incarnation = incarnation;
         }
         self.read.insert(attempt);
         if self.auditor.attempts[attempt as usize].once {
             self.ever_read.insert(attempt);
         }
         let request = Request { attempt, host: HOST.into(), path, left: deadline.saturating_sub(sent) };
-        self.give(at, Role::Proxy, ProcessInput::Request { client: attempt, request });
+        self.deliver(at, Role::Proxy, ProcessInput::Request { client: attempt, request });
     }
 
     pub(super) fn read_timeout(&mut self, place: usize, attempt: u64) {
@@ -252,7 +252,7 @@
         again: Option<Time>,
         seal: Option<u64>,
     ) {
-        if self.machines[at].tries.remove(&attempt) {
+        if self.machines[at].open_attempts.remove(&attempt) {
             let there = self.now + self.site.client;
             self.at(there, Event::ReachClient { attempt, status, again, seal });
         }
@@ -326,8 +326,8 @@
         }
         if let Some(attempt) = client_request.current.take() {
             let at = self.auditor.attempts[attempt as usize].machine;
-            if self.machines[at].tries.remove(&attempt) && self.machines[at].frozen <= self.now {
-                self.give(at, Role::Proxy, ProcessInput::Gone { client: attempt });
+            if self.machines[at].open_attempts.remove(&attempt) && self.machines[at].frozen <= self.now {
+                self.deliver(at, Role::Proxy, ProcessInput::Gone { client: attempt });
             }
         }
         self.finish_request(place, false, 1);
--- a/simulator/src/world/endpoint.rs
+++ b/simulator/src/world/endpoint.rs
@@ -37,7 +37,7 @@
 /// An exchange between a proxy and an endpoint.
 pub(super) struct Exchange {
     machine: usize,
-    life: u64,
+    incarnation: u64,
     id: u64,
     address: SocketAddr,
     expect: Option<CompactString>,
@@ -101,10 +101,11 @@
         }
         self.idle_connections.insert(key, self.now);
         let there = self.now + if fresh { 3 * one_way_delay } else { one_way_delay };
-        let life = self.machines[machine].life;
-        self.out.insert((machine, life, id), number);
+        let incarnation = self.machines[machine].incarnation;
+        self.out.insert((machine, incarnation, id), number);
         self.machines[machine].exchanges.insert(number);
-        let exchange = Exchange { machine, life, id, address, expect, request, deadline, fresh, run: None };
+        let exchange =
+            Exchange { machine, incarnation, id, address, expect, request, deadline, fresh, run: None };
         self.exchanges.insert(number, exchange);
         self.at(there, Event::ReachEndpoint(number));
     }
@@ -226,23 +227,23 @@
 
     pub(super) fn exchange_done(&mut self, number: u64, done: Exchanged) {
         let Some(exchange) = self.exchanges.get(&number) else { return };
-        let (machine, life, id) = (exchange.machine, exchange.life, exchange.id);
+        let (machine, incarnation, id) = (exchange.machine, exchange.incarnation, exchange.id);
         let m = &mut self.machines[machine];
-        if m.life == life && m.frozen > self.now {
+        if m.incarnation == incarnation && m.frozen > self.now {
             return m.held.push(Event::ExchangeDone(number, done));
         }
         self.exchanges.remove(&number);
         m.exchanges.remove(&number);
-        self.out.remove(&(machine, life, id));
-        if m.life == life && m.powered {
-            self.give(machine, Role::Proxy, ProcessInput::Exchanged { id, done });
+        self.out.remove(&(machine, incarnation, id));
+        if m.incarnation == incarnation && m.powered {
+            self.deliver(machine, Role::Proxy, ProcessInput::Exchanged { id, done });
         }
     }
 
     /// The proxy closes the connection; most endpoints then abort the run.
     pub(super) fn abort(&mut self, machine: usize, id: u64) {
-        let life = self.machines[machine].life;
-        if let Some(number) = self.out.remove(&(machine, life, id)) {
+        let incarnation = self.machines[machine].incarnation;
+        if let Some(number) = self.out.remove(&(machine, incarnation, id)) {
             self.machines[machine].exchanges.remove(&number);
             self.drop_exchange(number);
         }
@@ -274,7 +275,7 @@
         self.end_endpoint(at);
     }
 
-    pub(super) fn scout(&mut self, machine: usize, id: CompactString, address: SocketAddr) {
+    pub(super) fn probe_readiness(&mut self, machine: usize, id: CompactString, address: SocketAddr) {
         let at = self.listening.get(&address).copied();
         let worker = at.map_or(0, |at| self.endpoints[at].worker);
         let one_way_delay = self.one_way_delay(machine, worker);
@@ -286,18 +287,18 @@
         if up && let Some(at) = at {
             self.idle_connections.insert((machine, at), self.now);
         }
-        let life = self.machines[machine].life;
-        self.at(back, Event::Probed { machine, life, id, up: up && !silent });
+        let incarnation = self.machines[machine].incarnation;
+        self.at(back, Event::Probed { machine, incarnation, id, up: up && !silent });
     }
 
-    pub(super) fn scouted(&mut self, machine: usize, life: u64, id: CompactString, up: bool) {
+    pub(super) fn readiness_probed(&mut self, machine: usize, incarnation: u64, id: CompactString, up: bool) {
         let m = &mut self.machines[machine];
-        if m.life != life {
+        if m.incarnation != incarnation {
             return;
         }
         if m.frozen > self.now {
-            return m.held.push(Event::Probed { machine, life, id, up });
+            return m.held.push(Event::Probed { machine, incarnation, id, up });
         }
-        self.give(machine, Role::Proxy, ProcessInput::ReadinessProbed { id, up });
+        self.deliver(machine, Role::Proxy, ProcessInput::ReadinessProbed { id, up });
     }
 }
--- a/simulator/src/world/faults.rs
+++ b/simulator/src/world/faults.rs
@@ -128,7 +128,9 @@
                 }
                 self.later(now + BEHIND, FaultKind::BehindStrikes { missed, lasts }, fault.target_seed);
             }
-            FaultKind::BehindStrikes { missed, lasts } => self.strike_behind(&mut target_rng, missed, lasts),
+            FaultKind::BehindStrikes { missed, lasts } => {
+                self.strike_around_lagging(&mut target_rng, missed, lasts)
+            }
             FaultKind::HangUp { share } => {
                 for at in 0..self.machines.len() {
                     if target_rng.chance(share) {
@@ -171,7 +173,7 @@
             }
             FaultKind::DiskStall { lasts } => {
                 let machine = one(&mut target_rng, true);
-                self.machines[machine].disk.hangs_until = now + lasts;
+                self.machines[machine].disk.stalled_until = now + lasts;
                 self.record_disturbance(machine, now + lasts);
             }
             FaultKind::DiskSlow { times, lasts } => {
@@ -223,7 +225,7 @@
 
     /// All core machines except the one that missed changes lose power. One of them also loses its disk and
     /// is back after 400 ms, unless another disk was lost recently.
-    fn strike_behind(&mut self, target_rng: &mut Rng, missed: usize, lasts: Time) {
+    fn strike_around_lagging(&mut self, target_rng: &mut Rng, missed: usize, lasts: Time) {
         let now = self.now;
         let others: Vec<_> =
             self.cores.iter().enumerate().filter(|(place, _)| *place != missed).map(|(_, at)| *at).collect();
@@ -259,18 +261,22 @@
         }
     }
 
-    /// Breaks the connections to clients and endpoints; `idle_connections`: the process keeps running.
-    fn break_clients(&mut self, at: usize, idle_connections: bool) {
+    /// Breaks the connections to clients and endpoints; `process_alive`: the process keeps running.
+    fn break_clients(&mut self, at: usize, process_alive: bool) {
         let now = self.now;
-        let tries = std::mem::take(&mut self.machines[at].tries);
+        let tries = std::mem::take(&mut self.machines[at].open_attempts);
         let soon = now + self.site.client;
         for attempt in tries {
-            if idle_connections {
-                self.give(at, super::Role::Proxy, crate::processes::ProcessInput::Gone { client: attempt });
+            if process_alive {
+                self.deliver(
+                    at,
+                    super::Role::Proxy,
+                    crate::processes::ProcessInput::Gone { client: attempt },
+                );
             }
             self.at(soon, Event::ReachClient { attempt, status: 0, again: None, seal: None });
         }
-        if idle_connections {
+        if process_alive {
             let exchanges: Vec<_> = self.machines[at].exchanges.iter().copied().collect();
             for number in exchanges {
                 let outcome = millpost_scheduler::Outcome::NoAnswer;
@@ -287,26 +293,26 @@
     }
 
     /// Ends the processes as planned work.
-    pub(super) fn kill_planned(&mut self, at: usize, lasts: Time) {
+    pub(super) fn stop_planned(&mut self, at: usize, lasts: Time) {
         self.disturbances.record_planned(at, self.now, self.now + lasts);
         self.end(at, false, lasts);
     }
 
     fn end(&mut self, at: usize, power: bool, lasts: Time) {
         let now = self.now;
-        if !self.machines[at].powered || self.machines[at].life == 0 {
+        if !self.machines[at].powered || self.machines[at].incarnation == 0 {
             return;
         }
         let machine = &mut self.machines[at];
         (machine.proxy, machine.agent, machine.controller) = (None, None, None);
-        (machine.life, machine.frozen) = (0, 0);
+        (machine.incarnation, machine.frozen) = (0, 0);
         machine.held.clear();
         machine.powered = !power;
         machine.serving &= !power;
         if power {
-            machine.disk.cut(now, &mut self.rng);
+            machine.disk.power_loss(now, &mut self.rng);
         } else {
-            machine.disk.left();
+            machine.disk.process_exited();
         }
         self.trace_line(|| {
             format!(
@@ -318,7 +324,7 @@
         self.break_all(at, !power);
         if power {
             // A machine without power sends nothing: clients wait for their time-out, endpoints continue.
-            self.machines[at].tries.clear();
+            self.machines[at].open_attempts.clear();
         } else {
             self.break_clients(at, false);
         }
@@ -392,7 +398,7 @@
     }
 
     /// Injects the final fault.
-    pub(super) fn strike(&mut self, acknowledged: usize) {
+    pub(super) fn inject_final_fault(&mut self, acknowledged: usize) {
         let now = self.now;
         let Some((_, how)) = self.plan.final_fault.filter(|_| self.closed.is_none()) else { return };
         let lasts = 1_200 * MS;
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -66,7 +66,7 @@
     Wake {
         machine: usize,
         role: Role,
-        life: u64,
+        incarnation: u64,
     },
     /// A call reaches its callee.
     Call(u64),
@@ -104,7 +104,7 @@
     ReachEndpoint(u64),
     Probed {
         machine: usize,
-        life: u64,
+        incarnation: u64,
         id: CompactString,
         up: bool,
     },
@@ -175,7 +175,7 @@
     agent: Option<AgentProcess>,
     controller: Option<ControllerProcess>,
     disk: crate::processes::Disk,
-    life: u64,
+    incarnation: u64,
     starts: u64,
     /// Next queued wake-up time of each process.
     due: [Time; 3],
@@ -183,7 +183,7 @@
     /// When the CPU has handled the received permit requests, if that is simulated.
     busy: Time,
     /// Open client attempts and exchanges.
-    tries: BTreeSet<u64>,
+    open_attempts: BTreeSet<u64>,
     exchanges: BTreeSet<u64>,
     misses: u32,
     serving: bool,
@@ -235,7 +235,7 @@
     spares: Vec<usize>,
     seeds: Vec<CompactString>,
     parse_cache: Rc<ParseCache>,
-    lives: u64,
+    incarnations: u64,
     calls: HashMap<u64, Call>,
     streams: BTreeMap<u64, Stream>,
     next: u64,
@@ -314,12 +314,12 @@
             agent: None,
             controller: None,
             disk: crate::processes::Disk::new(500_000),
-            life: 0,
+            incarnation: 0,
             starts: 0,
             due: [Time::MAX; 3],
             link: Link::default(),
             busy: 0,
-            tries: BTreeSet::new(),
+            open_attempts: BTreeSet::new(),
             exchanges: BTreeSet::new(),
             misses: 2,
             serving: false,
@@ -362,7 +362,7 @@
             spares: (edges + site.cores.len()..count).collect(),
             seeds: Vec::new(),
             parse_cache: Rc::default(),
-            lives: 0,
+            incarnations: 0,
             calls: HashMap::new(),
             streams: BTreeMap::new(),
             next: 0,
@@ -467,19 +467,21 @@
     fn event(&mut self, event: Event) {
         self.digest = (self.digest ^ self.now).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(17);
         match event {
-            Event::Wake { machine, role, life } => {
-                let Some(m) = self.machines.get_mut(machine).filter(|m| m.life == life) else { return };
+            Event::Wake { machine, role, incarnation } => {
+                let Some(m) = self.machines.get_mut(machine).filter(|m| m.incarnation == incarnation) else {
+                    return;
+                };
                 if m.due[role as usize] > self.now {
                     return;
                 }
                 m.due[role as usize] = Time::MAX;
                 if m.frozen > self.now {
-                    return m.held.push(Event::Wake { machine, role, life });
+                    return m.held.push(Event::Wake { machine, role, incarnation });
                 }
-                self.give(machine, role, ProcessInput::Tick);
+                self.deliver(machine, role, ProcessInput::Tick);
             }
             Event::Call(id) => self.called(id),
-            Event::Answer(id, said) => self.answer(id, said),
+            Event::Answer(id, payload) => self.answer(id, payload),
             Event::Expire(id) => self.expire(id),
             Event::Line { stream, line } => self.line(stream, line),
             Event::Ended { stream, at_controller } => self.stream_ended(stream, at_controller),
@@ -492,7 +494,9 @@
             }
             Event::ClientDeadline(client_request) => self.client_deadline(client_request),
             Event::ReachEndpoint(id) => self.reach_endpoint(id),
-            Event::Probed { machine, life, id, up } => self.scouted(machine, life, id, up),
+            Event::Probed { machine, incarnation, id, up } => {
+                self.readiness_probed(machine, incarnation, id, up)
+            }
             Event::RunDone(run) => self.run_done(run),
             Event::ExchangeDone(id, done) => self.exchange_done(id, done),
             Event::EndpointReady(endpoint) => self.endpoint_ready(endpoint),
@@ -507,9 +511,9 @@
             Event::Retire(machine) => self.retire(machine),
             Event::Term(machine) => self.term(machine),
             Event::TermForGood(machine) => self.term_for_good(machine),
-            Event::GraceExpired(machine, life) => {
-                if self.machines[machine].life == life {
-                    self.left(machine);
+            Event::GraceExpired(machine, incarnation) => {
+                if self.machines[machine].incarnation == incarnation {
+                    self.processes_exited(machine);
                 }
             }
         }
@@ -517,21 +521,22 @@
 
     /// Starts the processes of a machine.
     fn start(&mut self, at: usize) {
-        if self.machines[at].life != 0 || !self.machines[at].powered {
+        if self.machines[at].incarnation != 0 || !self.machines[at].powered {
             return;
         }
-        self.lives += 1;
-        let life = self.lives;
+        self.incarnations += 1;
+        let incarnation = self.incarnations;
         let (core, seeds) = (self.machines[at].core, self.seeds.clone());
         let (site, machine) = (&self.site, &mut self.machines[at]);
-        (machine.life, machine.starts, machine.due) = (life, machine.starts + 1, [Time::MAX; 3]);
+        (machine.incarnation, machine.starts, machine.due) =
+            (incarnation, machine.starts + 1, [Time::MAX; 3]);
         let restarted = machine.starts > 1;
         let place = ProcessContext {
             name: machine.name.clone(),
             zone: format_compact!("z{}", machine.zone),
             address: CompactString::default(),
             seeds,
-            life: machine.time_of_day(self.now),
+            incarnation: machine.time_of_day(self.now),
             grace: site.bounds.grace,
             restarted,
             mutation: self.plan.mutation,
@@ -550,7 +555,7 @@
             let bootstrap = !restarted && at < site.edges.len() + site.cores.len();
             machine.controller =
                 Some(ControllerProcess::new(self.now, place, rates, &mut machine.disk, bootstrap));
-            self.give(at, Role::Controller, ProcessInput::Tick);
+            self.deliver(at, Role::Controller, ProcessInput::Tick);
         } else {
             let (bounds, speeds) = (&site.bounds, self.plan.speeds != Speeds::Even);
             let terms = millpost_scheduler::SchedulerLimits {
@@ -563,13 +568,13 @@
             let machine = &mut self.machines[at];
             machine.agent = Some(AgentProcess::new(self.now, place.clone(), format_compact!("stall-{at}")));
             machine.proxy = Some(ProxyProcess::new(place, format_compact!("porter-{at}"), terms));
-            self.give(at, Role::Agent, ProcessInput::Tick);
-            self.give(at, Role::Proxy, ProcessInput::Tick);
+            self.deliver(at, Role::Agent, ProcessInput::Tick);
+            self.deliver(at, Role::Proxy, ProcessInput::Tick);
         }
     }
 
     /// Passes an input to a process and carries out its outputs.
-    fn give(&mut self, at: usize, role: Role, input: ProcessInput) {
+    fn deliver(&mut self, at: usize, role: Role, input: ProcessInput) {
         let now = self.now;
         let machine = &mut self.machines[at];
         let (outs, wake) = match role {
@@ -590,8 +595,8 @@
         let wake = wake.max(now + 10_000);
         if wake < machine.due[role as usize] {
             machine.due[role as usize] = wake;
-            let life = machine.life;
-            self.at(wake, Event::Wake { machine: at, role, life });
+            let incarnation = machine.incarnation;
+            self.at(wake, Event::Wake { machine: at, role, incarnation });
         }
         for out in outs {
             self.out(at, role, out);
@@ -600,19 +605,19 @@
         let over = machine.proxy.as_ref().is_some_and(|s| s.over(now))
             || machine.controller.as_ref().is_some_and(|h| h.over(now));
         if over {
-            self.left(at);
+            self.processes_exited(at);
         }
     }
 
     fn out(&mut self, at: usize, role: Role, out: ProcessOutput) {
         let who = Who::Process(at, role);
         match out {
-            ProcessOutput::Call { id, to, said, within } => {
-                self.call(who, self.machines[at].life, id, &to, said, within)
+            ProcessOutput::Call { id, to, payload, within } => {
+                self.call(who, self.machines[at].incarnation, id, &to, payload, within)
             }
-            ProcessOutput::Reply { call, said } => self.reply(call, said, self.now),
-            ProcessOutput::ReplyAt { call, said, at } => self.reply(call, said, at),
-            ProcessOutput::Follow { feed, to, said } => self.follow(at, feed, &to, said),
+            ProcessOutput::Reply { call, payload } => self.reply(call, payload, self.now),
+            ProcessOutput::ReplyAt { call, payload, at } => self.reply(call, payload, at),
+            ProcessOutput::Follow { feed, to, payload } => self.follow(at, feed, &to, payload),
             ProcessOutput::Line { feed, line } => self.send_line(feed, line),
             ProcessOutput::Close { feed } => self.close(at, role, feed),
             ProcessOutput::Answer { client, status, again, seal } => {
@@ -622,7 +627,7 @@
                 self.exchange(at, id, address, expect, request, deadline);
             }
             ProcessOutput::Abort { id } => self.abort(at, id),
-            ProcessOutput::ProbeReadiness { id, address } => self.scout(at, id, address),
+            ProcessOutput::ProbeReadiness { id, address } => self.probe_readiness(at, id, address),
         }
     }
 
@@ -661,6 +666,6 @@
     /// The lowest revision active on any running proxy.
     fn lowest(&self) -> u64 {
         let proxies = self.machines.iter().filter(|m| m.powered).filter_map(|m| m.proxy.as_ref());
-        proxies.map(ProxyProcess::acts).min().unwrap_or(0)
+        proxies.map(ProxyProcess::active_revision).min().unwrap_or(0)
     }
 }
--- a/simulator/src/world/net.rs
+++ b/simulator/src/world/net.rs
@@ -20,10 +20,10 @@
 /// An open call.
 pub(super) struct Call {
     pub from: Who,
-    pub life: u64,
+    pub incarnation: u64,
     pub id: u64,
     pub to: Who,
-    pub said: Option<Payload>,
+    pub payload: Option<Payload>,
 }
 
 /// A feed from a controller to an agent.
@@ -61,13 +61,13 @@
     pub clients: u64,
 }
 
-fn message_json_size(note: &PeerMessage) -> u64 {
-    let text = match note {
+fn message_json_size(message: &PeerMessage) -> u64 {
+    let text = match message {
         PeerMessage::PackedConfig { packed, .. } | PeerMessage::PackedPatch { packed, .. } => {
             return packed.len() as u64 + 40;
         }
         PeerMessage::Config { .. } | PeerMessage::Patch { .. } => {
-            note.to_json().stringify().map_or(0, |s| s.len())
+            message.to_json().stringify().map_or(0, |s| s.len())
         }
         PeerMessage::RequestPermit { service, avoid, zone, .. } => {
             77 + service.len() + zone.len() + avoid.iter().map(|a| a.len() + 8).sum::<usize>()
@@ -120,8 +120,8 @@
     text as u64
 }
 
-fn messages_json_size(notes: &[PeerMessage]) -> u64 {
-    notes.iter().map(|n| message_json_size(n) + 1).sum()
+fn messages_json_size(messages: &[PeerMessage]) -> u64 {
+    messages.iter().map(|n| message_json_size(n) + 1).sum()
 }
 
 fn message_size(message: &Message) -> u64 {
@@ -141,9 +141,11 @@
 }
 
 /// Estimated size as JSON, in bytes.
-fn size(said: &Payload) -> u64 {
-    match said {
-        Payload::Messages { notes, .. } | Payload::Follow { notes, .. } => 50 + messages_json_size(notes),
+fn size(payload: &Payload) -> u64 {
+    match payload {
+        Payload::Messages { messages, .. } | Payload::Follow { messages, .. } => {
+            50 + messages_json_size(messages)
+        }
         Payload::Vote { message, .. } | Payload::Voted(Some(message)) => 40 + message_size(message),
         Payload::Gossip(body) | Payload::Body(body) => body.len() as u64,
         Payload::Replace(text) | Payload::Drain(text) => text.len() as u64,
@@ -157,18 +159,18 @@
 
 /// Exact size as JSON, to check the estimates.
 #[cfg(test)]
-fn exact(notes: &[PeerMessage]) -> u64 {
-    notes.iter().map(|n| n.to_json().stringify().map_or(0, |s| s.len() as u64) + 1).sum()
+fn exact(messages: &[PeerMessage]) -> u64 {
+    messages.iter().map(|n| n.to_json().stringify().map_or(0, |s| s.len() as u64) + 1).sum()
 }
 
 /// Describes the proxies that a feed line adds or removes, for the trace.
 fn named(line: &[u8]) -> Option<String> {
     let JsonValue::Object(parts) = millpost_net::messaging::json(line)? else { return None };
-    let Some(JsonValue::Array(notes)) = parts.get("notes") else { return None };
+    let Some(JsonValue::Array(messages)) = parts.get("notes") else { return None };
     let list = |what: &str, names: &[CompactString]| {
         if names.is_empty() { String::new() } else { format!(", {what} {}", names.join(" ")) }
     };
-    notes.iter().filter_map(|note| PeerMessage::read(note).ok()).find_map(|note| match note {
+    messages.iter().filter_map(|message| PeerMessage::read(message).ok()).find_map(|message| match message {
         PeerMessage::FullView { version, peers, leaving, split } => {
             let leaving = list("leaving", &leaving.into_iter().map(|p| p.name).collect::<Vec<_>>());
             let (count, split) = (peers.len(), list("split", &split));
@@ -252,12 +254,20 @@
         if cut > now && !operator { cut + base + there - now } else { there }
     }
 
-    pub(super) fn call(&mut self, from: Who, life: u64, id: u64, to: &str, said: Payload, within: Time) {
+    pub(super) fn call(
+        &mut self,
+        from: Who,
+        incarnation: u64,
+        id: u64,
+        to: &str,
+        payload: Payload,
+        within: Time,
+    ) {
         if self.trace.is_some()
-            && let Payload::Messages { from, notes, .. } = &said
+            && let Payload::Messages { from, messages, .. } = &payload
         {
-            for note in notes {
-                if let PeerMessage::PeerUnreachable { peer, .. } = note {
+            for message in messages {
+                if let PeerMessage::PeerUnreachable { peer, .. } = message {
                     self.trace_line(|| format!("{from} tells {to} that {peer} does not answer"));
                 }
             }
@@ -265,19 +275,19 @@
         let Some(to) = self.names.get(to).copied() else { return };
         self.next += 1;
         let number = self.next;
-        let there = self.transit(from, to, REQUEST + size(&said), self.now);
-        let there = self.asked(to, &said, there);
-        self.calls.insert(number, Call { from, life, id, to, said: Some(said) });
+        let there = self.transit(from, to, REQUEST + size(&payload), self.now);
+        let there = self.asked(to, &payload, there);
+        self.calls.insert(number, Call { from, incarnation, id, to, payload: Some(payload) });
         self.at(there, Event::Call(number));
         self.at(self.now + within, Event::Expire(number));
     }
 
     /// Charges permit requests to the CPU of the owning proxy, one after the other.
-    fn asked(&mut self, to: Who, said: &Payload, there: Time) -> Time {
-        let (Who::Process(at, Role::Proxy), Payload::Messages { notes, .. }) = (to, said) else {
+    fn asked(&mut self, to: Who, payload: &Payload, there: Time) -> Time {
+        let (Who::Process(at, Role::Proxy), Payload::Messages { messages, .. }) = (to, payload) else {
             return there;
         };
-        let asks = notes.iter().filter(|n| matches!(n, PeerMessage::RequestPermit { .. })).count();
+        let asks = messages.iter().filter(|n| matches!(n, PeerMessage::RequestPermit { .. })).count();
         if !self.site.charge_request_cpu || asks == 0 {
             return there;
         }
@@ -302,25 +312,25 @@
                     return machine.held.push(Event::Call(number));
                 }
                 if !machine.up(role) {
-                    if let Some(Payload::Follow { .. }) = call.said {
+                    if let Some(Payload::Follow { .. }) = call.payload {
                         let agent = number;
                         return self.at(self.now + MS, Event::Ended { stream: agent, at_controller: false });
                     }
                     let back = self.transit(to, from, ANSWER, self.now);
                     return self.at(back, Event::Answer(number, None));
                 }
-                let Some(said) = call.said.take() else { return };
+                let Some(payload) = call.payload.take() else { return };
                 if let Some(stream) = self.streams.get_mut(&number) {
                     (stream.open_at_controller, stream.controller_incarnation) =
-                        (true, self.machines[at].life);
+                        (true, self.machines[at].incarnation);
                     self.calls.remove(&number);
                 }
-                self.give(at, role, ProcessInput::Call { call: number, said });
+                self.deliver(at, role, ProcessInput::Call { call: number, payload });
             }
             Who::Platform => {
-                let Some(said) = call.said.take() else { return };
+                let Some(payload) = call.payload.take() else { return };
                 self.traffic.platform += 1;
-                let answer = self.platform_answers(said);
+                let answer = self.platform_answers(payload);
                 let took = self.rng.between(3 * MS, 15 * MS);
                 let back = self.transit(to, from, ANSWER + size(&answer), self.now) + took;
                 self.at(back, Event::Answer(number, Some(answer)));
@@ -329,52 +339,52 @@
         }
     }
 
-    pub(super) fn reply(&mut self, number: u64, said: Payload, at: Time) {
+    pub(super) fn reply(&mut self, number: u64, payload: Payload, at: Time) {
         if self.streams.contains_key(&number) {
             // The feed was rejected.
             return self.at(self.now + MS, Event::Ended { stream: number, at_controller: false });
         }
         let Some(call) = self.calls.get(&number) else { return };
         let (from, to) = (call.from, call.to);
-        let back = self.transit(to, from, ANSWER + size(&said), self.now);
+        let back = self.transit(to, from, ANSWER + size(&payload), self.now);
         // A response that depends on a write is sent once the write is synced; if its process has ended by
         // then, it is not sent.
         if at > self.now
             && let Some(call) = self.calls.get_mut(&number)
         {
-            call.said = Some(said);
+            call.payload = Some(payload);
             return self.at(at, Event::Answer(number, None));
         }
-        self.at(back, Event::Answer(number, Some(said)));
+        self.at(back, Event::Answer(number, Some(payload)));
     }
 
-    pub(super) fn answer(&mut self, number: u64, said: Option<Payload>) {
+    pub(super) fn answer(&mut self, number: u64, payload: Option<Payload>) {
         let Some(call) = self.calls.get_mut(&number) else { return };
-        if said.is_none()
-            && let Some(waits) = call.said.take()
+        if payload.is_none()
+            && let Some(waits) = call.payload.take()
             && let Payload::Voted(_) = waits
         {
             let (from, to) = (call.from, call.to);
             let back = self.transit(to, from, ANSWER + size(&waits), self.now);
             return self.at(back, Event::Answer(number, Some(waits)));
         }
-        let (from, life, id) = (call.from, call.life, call.id);
+        let (from, incarnation, id) = (call.from, call.incarnation, call.id);
         match from {
             Who::Process(at, role) => {
                 let machine = &mut self.machines[at];
-                if machine.life != life || !machine.powered {
+                if machine.incarnation != incarnation || !machine.powered {
                     self.calls.remove(&number);
                     return;
                 }
                 if machine.frozen > self.now {
-                    return machine.held.push(Event::Answer(number, said));
+                    return machine.held.push(Event::Answer(number, payload));
                 }
                 self.calls.remove(&number);
-                self.give(at, role, ProcessInput::Answer { id, said });
+                self.deliver(at, role, ProcessInput::Answer { id, payload });
             }
             Who::Operator(order) => {
                 self.calls.remove(&number);
-                self.deliver_to_operator(order, said);
+                self.deliver_to_operator(order, payload);
             }
             Who::Platform => {}
         }
@@ -382,18 +392,18 @@
 
     pub(super) fn expire(&mut self, number: u64) {
         if let Some(call) = self.calls.get_mut(&number) {
-            call.said = None;
+            call.payload = None;
             self.answer(number, None);
         }
     }
 
-    pub(super) fn follow(&mut self, at: usize, feed: u64, to: &str, said: Payload) {
+    pub(super) fn follow(&mut self, at: usize, feed: u64, to: &str, payload: Payload) {
         let Some(Who::Process(controller, _)) = self.names.get(to).copied() else { return };
         self.next += 1;
         let number = self.next;
         let (from, to) = (Who::Process(at, Role::Agent), Who::Process(controller, Role::Controller));
-        let there = self.transit(from, to, REQUEST + size(&said), self.now);
-        let agent_incarnation = self.machines[at].life;
+        let there = self.transit(from, to, REQUEST + size(&payload), self.now);
+        let agent_incarnation = self.machines[at].incarnation;
         let stream = Stream {
             agent: at,
             agent_incarnation,
@@ -404,7 +414,10 @@
             open_at_controller: false,
         };
         self.streams.insert(number, stream);
-        self.calls.insert(number, Call { from, life: agent_incarnation, id: feed, to, said: Some(said) });
+        self.calls.insert(
+            number,
+            Call { from, incarnation: agent_incarnation, id: feed, to, payload: Some(payload) },
+        );
         self.at(there, Event::Call(number));
     }
 
@@ -430,24 +443,26 @@
 
     pub(super) fn line(&mut self, number: u64, line: Bytes) {
         let Some(stream) = self.streams.get(&number) else { return };
-        let (at, life, feed) = (stream.agent, stream.agent_incarnation, stream.feed);
+        let (at, incarnation, feed) = (stream.agent, stream.agent_incarnation, stream.feed);
         let machine = &mut self.machines[at];
-        if machine.life != life || !machine.powered {
+        if machine.incarnation != incarnation || !machine.powered {
             return;
         }
         if machine.frozen > self.now {
             return machine.held.push(Event::Line { stream: number, line });
         }
-        self.give(at, Role::Agent, ProcessInput::Line { feed, line });
+        self.deliver(at, Role::Agent, ProcessInput::Line { feed, line });
     }
 
     pub(super) fn close(&mut self, at: usize, role: Role, feed: u64) {
         if role == Role::Controller {
             return self.at(self.now + MS, Event::Ended { stream: feed, at_controller: false });
         }
-        let life = self.machines[at].life;
-        let found =
-            self.streams.iter().find(|(_, s)| (s.agent, s.agent_incarnation, s.feed) == (at, life, feed));
+        let incarnation = self.machines[at].incarnation;
+        let found = self
+            .streams
+            .iter()
+            .find(|(_, s)| (s.agent, s.agent_incarnation, s.feed) == (at, incarnation, feed));
         if let Some(number) = found.map(|(number, _)| *number) {
             self.calls.remove(&number);
             self.end_at_controller(number, self.now);
@@ -465,7 +480,7 @@
 
     pub(super) fn stream_ended(&mut self, number: u64, at_controller: bool) {
         let Some(stream) = self.streams.get(&number) else { return };
-        let (agent, life, feed) = (stream.agent, stream.agent_incarnation, stream.feed);
+        let (agent, incarnation, feed) = (stream.agent, stream.agent_incarnation, stream.feed);
         let (controller, controller_incarnation, open) =
             (stream.controller, stream.controller_incarnation, stream.open_at_controller);
         let (at, role) = if at_controller { (controller, Role::Controller) } else { (agent, Role::Agent) };
@@ -475,14 +490,14 @@
         }
         if at_controller {
             self.streams.remove(&number);
-            if self.machines[controller].life == controller_incarnation && open {
-                self.give(controller, Role::Controller, ProcessInput::Ended { feed: number });
+            if self.machines[controller].incarnation == controller_incarnation && open {
+                self.deliver(controller, Role::Controller, ProcessInput::Ended { feed: number });
             }
         } else {
             self.streams.remove(&number);
             self.calls.remove(&number);
-            if self.machines[agent].life == life && self.machines[agent].powered {
-                self.give(agent, role, ProcessInput::Ended { feed });
+            if self.machines[agent].incarnation == incarnation && self.machines[agent].powered {
+                self.deliver(agent, role, ProcessInput::Ended { feed });
             }
         }
     }
@@ -499,7 +514,7 @@
                 continue;
             }
             if told || here(call.from) {
-                call.said = None;
+                call.payload = None;
                 self.at(self.now + self.site.far, Event::Answer(number, None));
             }
         }
@@ -541,10 +556,10 @@
             zone: None,
         };
         let done = PeerMessage::ReleasePermit { id: 1 << 33, outcome: "ok".into(), took: 45.25 };
-        for note in [ask, grant, done, PeerMessage::RetireInstance { instance: "i-4".into() }] {
+        for message in [ask, grant, done, PeerMessage::RetireInstance { instance: "i-4".into() }] {
             let (guess, truth) =
-                (message_json_size(&note) as f64 + 1.0, exact(std::slice::from_ref(&note)) as f64);
-            assert!((guess / truth - 1.0).abs() < 0.25, "{note:?}: {guess} {truth}");
+                (message_json_size(&message) as f64 + 1.0, exact(std::slice::from_ref(&message)) as f64);
+            assert!((guess / truth - 1.0).abs() < 0.25, "{message:?}: {guess} {truth}");
         }
     }
 }
--- a/simulator/src/world/operator.rs
+++ b/simulator/src/world/operator.rs
@@ -252,29 +252,29 @@
         }
         order.tries += 1;
         let (number, machine) = (order.tries, order.machine);
-        let said = match &order.what {
+        let payload = match &order.what {
             Task::Put { config, text, .. } => {
-                let (config, said) = (config.clone(), Payload::Replace(Arc::clone(text)));
+                let (config, payload) = (config.clone(), Payload::Replace(Arc::clone(text)));
                 let valid = order.valid;
                 if number == 1 {
                     self.auditor.config_submitted(self.now, &config, valid);
                 }
-                said
+                payload
             }
             Task::Read => Payload::Read,
             Task::Drain(text) => Payload::Drain(Arc::clone(text)),
         };
         let to = self.address(machine);
-        let big = if let Payload::Replace(text) = &said { text.len() as u64 / 1_000 * MS } else { 0 };
-        self.call(Who::Operator(at), number, number, &to, said, SILENCE + big);
+        let big = if let Payload::Replace(text) = &payload { text.len() as u64 / 1_000 * MS } else { 0 };
+        self.call(Who::Operator(at), number, number, &to, payload, SILENCE + big);
     }
 
-    pub(super) fn deliver_to_operator(&mut self, at: usize, said: Option<Payload>) {
+    pub(super) fn deliver_to_operator(&mut self, at: usize, payload: Option<Payload>) {
         let now = self.now;
-        let said = self.answer_arrives(at, said);
+        let payload = self.answer_arrives(at, payload);
         let Some(order) = self.orders.get_mut(at).filter(|o| !o.done) else { return };
         let (machine, tries) = (order.machine, order.tries);
-        match (&order.what, said) {
+        match (&order.what, payload) {
             (Task::Put { config, digest, probes, .. }, Some(Payload::Body(_))) => {
                 (order.done, order.acked) = (true, Some(now));
                 let (revision, digest, closes) = (config.revision, *digest, order.closes);
@@ -292,7 +292,7 @@
                     }
                 }
                 if closes {
-                    self.strike(machine);
+                    self.inject_final_fault(machine);
                 }
                 return;
             }
@@ -331,16 +331,16 @@
     }
 
     /// The response of the controller as it reaches the operator; `None` if it is lost on the way.
-    fn answer_arrives(&mut self, at: usize, said: Option<Payload>) -> Option<Payload> {
+    fn answer_arrives(&mut self, at: usize, payload: Option<Payload>) -> Option<Payload> {
         let now = self.now;
         let order = self.orders.get(at).filter(|o| !o.done)?;
-        let (Task::Put { config, digest, .. }, Some(Payload::Body(_))) = (&order.what, &said) else {
-            return said;
+        let (Task::Put { config, digest, .. }, Some(Payload::Body(_))) = (&order.what, &payload) else {
+            return payload;
         };
         self.auditor.config_confirmed(now, config.revision, *digest);
         let (share, until) = self.lost_acks;
         if until <= now || !self.rng.chance(share) {
-            return said;
+            return payload;
         }
         let (revision, machine) = (config.revision, order.machine);
         self.trace_line(|| format!("machine {machine} confirms revision {revision}, and nobody hears it"));
--- a/simulator/src/world/planned.rs
+++ b/simulator/src/world/planned.rs
@@ -11,7 +11,7 @@
 
 impl World {
     /// A random machine of the core.
-    pub(super) fn a_core(&self, target_rng: &mut Rng) -> usize {
+    pub(super) fn random_core(&self, target_rng: &mut Rng) -> usize {
         self.cores[target_rng.below(self.cores.len())]
     }
 
@@ -29,7 +29,7 @@
             }
             ReplaceTarget::Planned => None,
         };
-        let old = old.unwrap_or_else(|| self.a_core(target_rng));
+        let old = old.unwrap_or_else(|| self.random_core(target_rng));
         self.wiped_at = Some(now);
         self.cores.iter_mut().filter(|at| **at == old).for_each(|at| *at = new);
         self.machines[new].zone = self.machines[old].zone;
@@ -70,7 +70,7 @@
     pub(super) fn hang_up(&mut self, at: usize) {
         for role in [Role::Agent, Role::Controller] {
             if self.machines[at].powered && self.machines[at].up(role) {
-                self.give(at, role, ProcessInput::Seeds(self.seeds.clone()));
+                self.deliver(at, role, ProcessInput::Seeds(self.seeds.clone()));
             }
         }
     }
@@ -78,7 +78,7 @@
     /// Sends SIGTERM to the processes of a machine that is to be removed.
     pub(super) fn term_for_good(&mut self, at: usize) {
         let machine = &self.machines[at];
-        if machine.powered && machine.life != 0 && machine.frozen <= self.now {
+        if machine.powered && machine.incarnation != 0 && machine.frozen <= self.now {
             self.term(at);
         } else {
             self.retire(at);
@@ -89,25 +89,25 @@
     pub(super) fn term(&mut self, at: usize) {
         let now = self.now;
         let machine = &self.machines[at];
-        if !machine.powered || machine.life == 0 || machine.frozen > now {
+        if !machine.powered || machine.incarnation == 0 || machine.frozen > now {
             return;
         }
-        let (end, life) = (now + self.site.bounds.grace, machine.life);
+        let (end, incarnation) = (now + self.site.bounds.grace, machine.incarnation);
         self.trace_line(|| format!("machine {at} is told to leave"));
         self.disturbances.record_planned(at, now, end);
         if self.machines[at].core {
             self.disturbances.record_core(now, now + SECOND);
         }
         for role in [Role::Proxy, Role::Agent, Role::Controller] {
-            self.give(at, role, ProcessInput::Leave);
+            self.deliver(at, role, ProcessInput::Leave);
         }
-        self.at(end, Event::GraceExpired(at, life));
+        self.at(end, Event::GraceExpired(at, incarnation));
     }
 
     /// The processes have exited, or are killed at the end of the grace period.
-    pub(super) fn left(&mut self, at: usize) {
+    pub(super) fn processes_exited(&mut self, at: usize) {
         let now = self.now;
-        let tries: Vec<_> = self.machines[at].tries.iter().copied().collect();
+        let tries: Vec<_> = self.machines[at].open_attempts.iter().copied().collect();
         for attempt in tries {
             // A request that its endpoint is still running is not the fault of the proxy that shuts down.
             let out = self.exchanges.values().any(|e| e.is_of(attempt) && e.run().is_some());
@@ -121,7 +121,7 @@
         if self.machines[at].retires {
             self.retire(at);
         } else {
-            self.kill_planned(at, RESTART);
+            self.stop_planned(at, RESTART);
         }
     }
 }
--- a/simulator/src/world/platform.rs
+++ b/simulator/src/world/platform.rs
@@ -96,9 +96,9 @@
 }
 
 impl World {
-    pub(super) fn platform_answers(&mut self, said: Payload) -> Payload {
+    pub(super) fn platform_answers(&mut self, payload: Payload) -> Payload {
         let now = self.now;
-        match said {
+        match payload {
             Payload::List { .. } | Payload::Workers => {
                 if !Platform::allow(&mut self.platform.calls, now, self.site.rates.0) {
                     return Payload::Refused(429);
@@ -106,7 +106,7 @@
                 let lag = self.platform.rng.between(100 * MS, self.site.lag_ms * MS);
                 self.platform.view = self.platform.view.max(now.saturating_sub(lag));
                 let view = self.platform.view;
-                match said {
+                match payload {
                     Payload::List { from } => self.list(view, from),
                     _ => self.staff(view),
                 }
