--- a/simulator/src/auditor.rs
+++ b/simulator/src/auditor.rs
@@ -156,7 +156,7 @@
         };
         version.acked.get_or_insert(at);
         if !version.valid {
-            let why = format!("something invalid was acknowledged as revision {revision}");
+            let why = format!("an invalid configuration was acknowledged as revision {revision}");
             self.report("CONFIG", at, why);
         }
     }
@@ -173,7 +173,11 @@
         let newest = self.newest_acknowledged(at);
         let rule = if closed { "LOST" } else { "CONFIG" };
         match content {
-            None if newest > 0 => self.report(rule, at, format!("nothing is read back of revision {newest}")),
+            None if newest > 0 => self.report(
+                rule,
+                at,
+                format!("the read-back got no response; revision {newest} was acknowledged"),
+            ),
             Some(config) if config.revision < newest => {
                 let why = format!("revision {} is read back, {newest} was acknowledged", config.revision);
                 self.report(rule, at, why);
@@ -182,7 +186,10 @@
                 let digest = config.digest();
                 let sent = |v: &Version| v.valid && v.revision == config.revision && v.digest == digest;
                 if !self.versions.iter().any(sent) {
-                    let why = format!("revision {} is read back as it was never sent", config.revision);
+                    let why = format!(
+                        "revision {} is read back with content that was never submitted",
+                        config.revision
+                    );
                     self.report("CONFIG", at, why);
                 }
             }
@@ -223,7 +230,11 @@
         drained: Option<Time>,
     ) -> bool {
         let Some(one) = self.attempts.get_mut(id as usize).filter(|one| one.path == path) else {
-            self.report("UNASKED", at, format!("{service} gets request {id} for {path}, which nobody sent"));
+            self.report(
+                "UNASKED",
+                at,
+                format!("{service} gets request {id} for {path}, which no client sent"),
+            );
             return false;
         };
         one.arrivals += 1;
@@ -241,7 +252,7 @@
         let late = drained.is_some_and(|shown| at > shown + self.bounds.drain);
         if late && disturbances.in_contact(machine, at) && disturbances.in_contact(machine, sent) {
             let why = format!(
-                "request {id} comes to an endpoint of {service} {} ms after it drains",
+                "request {id} reaches an endpoint of {service} {} ms after it was listed as draining",
                 (at - drained.unwrap_or(at)) / MS
             );
             self.report("DRAIN", at, why);
@@ -256,7 +267,7 @@
             self.report("TWICE", at, format!("request {id} for {path} runs {count} times"));
         }
         if let Some((status, when)) = promised.filter(|_| once) {
-            let why = format!("request {id} runs {} ms after its {status}", (at - when) / MS);
+            let why = format!("request {id} runs {} ms after its response {status}", (at - when) / MS);
             self.report("REFUSED", at, why);
         }
         self.check_config(disturbances, at, id, Observation::Ran(service));
@@ -281,14 +292,14 @@
     ) {
         let Some(one) = self.attempts.get_mut(id as usize) else { return };
         if is_success(status) && !seal.is_some_and(|seal| one.seals.contains(&seal)) {
-            self.report("MIXED", at, format!("request {id} gets a success that no endpoint gave it"));
+            self.report("MIXED", at, format!("request {id} gets a success that no endpoint returned"));
             return;
         }
         if matches!(status, 429 | 503 | 408 | 421) {
             one.promised = Some((status, at));
             let (once, ran) = (one.once, one.runs);
             if once && ran > 0 {
-                self.report("REFUSED", at, format!("request {id} gets {status} and has run"));
+                self.report("REFUSED", at, format!("request {id} gets {status} although it has run"));
             }
         }
         if (300..500).contains(&status) && !matches!(status, 408 | 421 | 429 | 409) && seal.is_none() {
@@ -320,7 +331,7 @@
         if at > one.sent + self.bounds.loss && disturbances.only_planned_work(one.machine, one.sent, at) {
             let (machine, sent) = (one.machine, one.sent / MS);
             let why =
-                format!("machine {machine} leaves without an answer to request {id}, sent at {sent} ms");
+                format!("machine {machine} shuts down without answering request {id}, sent at {sent} ms");
             self.report("LOST", at, why);
         }
     }
@@ -369,7 +380,7 @@
             && sent > when + self.bounds.revert
         {
             let why = format!(
-                "machine {} goes back: {what} as only {most} allows, after it acted on {revision}",
+                "machine {} reverts: {what}, which only revision {most} allows, after it acted on {revision}",
                 key.0
             );
             self.report("CONFIG", at, why);
@@ -390,13 +401,13 @@
         let mut found = Vec::new();
         let (denied, most) = (self.denied.len(), 5 + self.attempts.len() / 500);
         if denied > most {
-            let why = format!("{denied} proper requests of {} are turned down", self.attempts.len());
+            let why = format!("{denied} of {} valid requests are rejected", self.attempts.len());
             found.push(("DENIED", self.denied[most], why));
         }
         for (service, times) in &self.refusals {
             let most = self.bounds.rejects;
             if let Some(at) = times.windows(most + 1).find(|w| w[most] - w[0] <= 5 * SECOND) {
-                let why = format!("{service} turns away {} requests within 5 s", most + 1);
+                let why = format!("endpoints of {service} turn away {} requests within 5 s", most + 1);
                 found.push(("LIMIT", at[most], why));
             }
         }
@@ -418,7 +429,7 @@
                 let asked = asked.into_iter().max().unwrap_or(0);
                 if within as f64 > asked as f64 * self.bounds.ratio + self.bounds.slack {
                     let why = format!(
-                        "{service}: {within} further arrivals for {asked} requests within {} s",
+                        "{service}: {within} repeated arrivals for {asked} requests within {} s",
                         window / SECOND
                     );
                     found.push(("BUDGET", to, why));
@@ -436,7 +447,7 @@
                 found.push((
                     "RECOVER",
                     end,
-                    format!("{before:.2} was served before the end, {after:.2} after"),
+                    format!("success ratio {before:.2} before the final fault, {after:.2} after recovery"),
                 ));
             }
         }
--- a/simulator/src/day.rs
+++ b/simulator/src/day.rs
@@ -202,7 +202,7 @@
                 self.digest
             ),
             format!(
-                "requests {}, served {:.4}, within their aim {:.4}, p50 {:.1} ms, p95 {:.1} ms, p99 {:.1} ms, loans and holds {:.1} ms",
+                "requests {}, served {:.4}, within their target latency {:.4}, p50 {:.1} ms, p95 {:.1} ms, p99 {:.1} ms, loans and holds {:.1} ms",
                 self.requests,
                 self.served_ratio(),
                 self.within_target,
@@ -229,18 +229,18 @@
             .iter()
             .map(|(n, took)| format!("{n}: {}", took.map_or("never".into(), |t| format!("{} ms", t / MS))))
             .collect();
-        lines.push(format!("from acknowledged to the last stall: {}", changes.join(", ")));
+        lines.push(format!("from acknowledgement to the last proxy: {}", changes.join(", ")));
         if !self.statuses.is_empty() {
             let of: Vec<_> = self
                 .statuses
                 .iter()
                 .map(|(status, n)| match status {
-                    0 => format!("broken off {n}"),
-                    1 => format!("out of time {n}"),
+                    0 => format!("connection broken {n}"),
+                    1 => format!("deadline passed {n}"),
                     status => format!("{status} {n}"),
                 })
                 .collect();
-            lines.push(format!("not served: {}", of.join(", ")));
+            lines.push(format!("unsuccessful: {}", of.join(", ")));
         }
         lines.extend(
             self.breaches.iter().map(|b| format!("{} at {:.3} s: {}", b.rule, ms(b.at) / 1e3, b.why)),
--- a/simulator/src/main.rs
+++ b/simulator/src/main.rs
@@ -1,6 +1,7 @@
-//! `simulator`: the whole system in one process, the same under the same seed.
+//! `simulator`: deterministic simulation of the whole system.
 //!
-//! Ends with 0 where no rule broke, 1 where one did, 2 where the call can't be read or a file can't be written.
+//! Exits with 0 if no rule was violated, 1 if one was, and 2 if the arguments are invalid or a file cannot be
+//! written.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -16,8 +17,8 @@
 use millpost_simulator::speeds::Speeds;
 use millpost_simulator::{MS, search};
 
-/// The whole system in one process, played under a seed. Ends with 0 where no rule broke, 1 where one did, 2 where the call can't
-/// be read or a file can't be written.
+/// Deterministic simulation of the whole system. Exits with 0 if no rule was violated, 1 if one was, and 2 if
+/// the arguments are invalid or a file cannot be written.
 #[derive(FromArgs)]
 struct Options {
     #[argh(subcommand)]
@@ -32,128 +33,131 @@
     Shrink(Shrink),
 }
 
-/// Play days, and show each on which a rule breaks as it comes.
+/// Simulate random days, and print each one that violates a rule.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "hunt")]
 struct Hunt {
-    /// how many days at most
+    /// maximum number of days
     #[argh(option)]
     days: u64,
-    /// the seed of the first; each next day has the next one
+    /// seed of the first day; each following day uses the next seed
     #[argh(option)]
     seed: u64,
     /// small, grown or large
     #[argh(option, default = "Size::Small")]
     size: Size,
-    /// a guard to take out
+    /// safeguard to disable
     #[argh(option, long = "plant")]
     mutation: Option<Mutation>,
-    /// days with more troubles of the control side, and longer cuts
+    /// add controller faults and longer partitions
     #[argh(switch)]
     control: bool,
-    /// longer days with planned work only, in series that overlap
+    /// longer days with planned operations only, in overlapping series
     #[argh(switch)]
     planned: bool,
-    /// judge LIMIT while the core is not settled, too
+    /// check the LIMIT rule also while the core is disturbed
     #[argh(switch)]
     strict: bool,
-    /// play what asks take of their owner's processor
+    /// charge permit requests to the CPU of the owning proxy
     #[argh(switch)]
     strained: bool,
-    /// how fast workers are: even, half (0.5 and 1.5), tenth (one in ten at 0.25), spread (0.4 to 2), turning (one in four to 0.35)
+    /// distribution of worker speeds: even, half (0.5 and 1.5), tenth (one in ten at 0.25), spread (0.4 to
+    /// 2), turning (one in four to 0.35)
     #[argh(option, default = "Speeds::Even")]
     speeds: Speeds,
-    /// JSON, one object a line: each day that breaks, and the sum
+    /// print JSON, one object per line: each day with a violation, and the totals
     #[argh(switch)]
     json: bool,
-    /// begin no day after so many seconds
+    /// start no further day after this many seconds
     #[argh(option)]
     seconds: Option<u64>,
-    /// end with the first day that breaks
+    /// stop at the first day with a violation
     #[argh(switch)]
     first: bool,
 }
 
-/// Play one day and show its figures.
+/// Simulate one day and print its figures.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "day")]
 struct Day {
-    /// its seed
+    /// seed of the day
     #[argh(option)]
     seed: u64,
     /// small, grown or large
     #[argh(option, default = "Size::Small")]
     size: Size,
-    /// a guard to take out
+    /// safeguard to disable
     #[argh(option, long = "plant")]
     mutation: Option<Mutation>,
-    /// without troubles, changes and a closing fault
+    /// without faults, configuration changes and final fault
     #[argh(switch)]
     quiet: bool,
-    /// a site smaller by this factor: stalls, workers, functions, clients
+    /// divide the number of edge machines, workers, functions and client requests by this
     #[argh(option, default = "1")]
     part: usize,
-    /// troubles to leave out, by their numbers as the trace tells them: 0,3
+    /// faults to leave out, by their numbers in the trace, for example 0,3
     #[argh(option, default = "String::new()")]
     without: String,
-    /// without the closing fault
+    /// without the final fault
     #[argh(switch)]
     open: bool,
-    /// where to write what happened, one line each
+    /// file for the trace, one event per line
     #[argh(option)]
     trace: Option<PathBuf>,
-    /// a folder for the recordings of all processes, for replay
+    /// folder for the recordings of all processes, for replay
     #[argh(option)]
     record: Option<PathBuf>,
-    /// days with more troubles of the control side, and longer cuts
+    /// add controller faults and longer partitions
     #[argh(switch)]
     control: bool,
-    /// longer days with planned work only, in series that overlap
+    /// longer days with planned operations only, in overlapping series
     #[argh(switch)]
     planned: bool,
-    /// judge LIMIT while the core is not settled, too
+    /// check the LIMIT rule also while the core is disturbed
     #[argh(switch)]
     strict: bool,
-    /// play what asks take of their owner's processor
+    /// charge permit requests to the CPU of the owning proxy
     #[argh(switch)]
     strained: bool,
-    /// how fast workers are: even, half (0.5 and 1.5), tenth (one in ten at 0.25), spread (0.4 to 2), turning (one in four to 0.35)
+    /// distribution of worker speeds: even, half (0.5 and 1.5), tenth (one in ten at 0.25), spread (0.4 to
+    /// 2), turning (one in four to 0.35)
     #[argh(option, default = "Speeds::Even")]
     speeds: Speeds,
-    /// JSON, one object
+    /// print one JSON object
     #[argh(switch)]
     json: bool,
 }
 
-/// Leave troubles out of a day, one by one, while the same rule breaks.
+/// Minimize a day: leave out faults one by one while the same rule is violated.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "shrink")]
 struct Shrink {
-    /// the seed of the day
+    /// seed of the day
     #[argh(option)]
     seed: u64,
     /// small, grown or large
     #[argh(option, default = "Size::Small")]
     size: Size,
-    /// a guard to take out
+    /// safeguard to disable
     #[argh(option, long = "plant")]
     mutation: Option<Mutation>,
-    /// days with more troubles of the control side, and longer cuts
+    /// add controller faults and longer partitions
     #[argh(switch)]
     control: bool,
-    /// longer days with planned work only, in series that overlap
+    /// longer days with planned operations only, in overlapping series
     #[argh(switch)]
     planned: bool,
-    /// judge LIMIT while the core is not settled, too
+    /// check the LIMIT rule also while the core is disturbed
     #[argh(switch)]
     strict: bool,
-    /// play what asks take of their owner's processor
+    /// charge permit requests to the CPU of the owning proxy
     #[argh(switch)]
     strained: bool,
-    /// how fast workers are: even, half (0.5 and 1.5), tenth (one in ten at 0.25), spread (0.4 to 2), turning (one in four to 0.35)
+    /// distribution of worker speeds: even, half (0.5 and 1.5), tenth (one in ten at 0.25), spread (0.4 to
+    /// 2), turning (one in four to 0.35)
     #[argh(option, default = "Speeds::Even")]
     speeds: Speeds,
-    /// JSON, one object
+    /// print one JSON object
     #[argh(switch)]
     json: bool,
 }
@@ -170,44 +174,44 @@
     if broken { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
 
-fn hunt(of: &Hunt) -> ExitCode {
+fn hunt(options: &Hunt) -> ExitCode {
     let begun = Instant::now();
-    let Hunt { days, seed, size, mutation, strict, strained, speeds, .. } = *of;
-    let kind = kind(of.control, of.planned);
+    let Hunt { days, seed, size, mutation, strict, strained, speeds, .. } = *options;
+    let kind = kind(options.control, options.planned);
     let hunted = search::search(
         &SearchOptions { days, seed, size, mutation, strict, charge_request_cpu: strained, speeds, kind },
         |report| {
             log::info!("day {} of {} requests", report.seed, report.requests);
             let broke = !report.breaches.is_empty();
             if broke {
-                show(report, of.json);
+                show(report, options.json);
             }
-            !(broke && of.first) && of.seconds.is_none_or(|most| begun.elapsed().as_secs() < most)
+            !(broke && options.first) && options.seconds.is_none_or(|most| begun.elapsed().as_secs() < most)
         },
     );
     let per_minute = hunted.days as f64 / begun.elapsed().as_secs_f64().max(1e-9) * 60.0;
     let (days, events, requests, broken) = (hunted.days, hunted.events, hunted.requests, hunted.broken);
-    if of.json {
+    if options.json {
         println!(
             r#"{{"days":{days},"broken_days":{broken},"days_per_minute":{per_minute:.1},"events":{events},"requests":{requests}}}"#
         );
     } else {
-        let size = of.size.name();
+        let size = options.size.name();
         let broke =
-            if broken > 0 { format!("a rule broken on {broken}") } else { "no rule broken".to_owned() };
+            if broken > 0 { format!("a rule violated on {broken}") } else { "no rule violated".to_owned() };
         println!(
-            "{days} {size} days, {requests} requests, {events} events, {per_minute:.1} days a minute, {broke}"
+            "{days} {size} days, {requests} requests, {events} events, {per_minute:.1} days per minute, {broke}"
         );
     }
     verdict(broken > 0)
 }
 
-fn unwritten(path: Option<&Path>, why: &std::io::Error) -> ExitCode {
+fn write_error(path: Option<&Path>, why: &std::io::Error) -> ExitCode {
     eprintln!("{}: {why}", path.unwrap_or(Path::new("")).display());
     ExitCode::from(2)
 }
 
-/// Which days are meant.
+/// Selects the kind of days from the switches.
 fn kind(control: bool, planned: bool) -> PlanKind {
     match (control, planned) {
         (_, true) => PlanKind::Planned,
@@ -216,23 +220,26 @@
     }
 }
 
-fn day(of: &Day) -> ExitCode {
-    let mut plan = if of.quiet {
-        Plan::quiet(of.seed, of.size)
+fn day(options: &Day) -> ExitCode {
+    let mut plan = if options.quiet {
+        Plan::quiet(options.seed, options.size)
     } else {
-        kind(of.control, of.planned).draw(of.seed, of.size, of.mutation)
+        kind(options.control, options.planned).draw(options.seed, options.size, options.mutation)
     };
-    (plan.mutation, plan.strict, plan.site_divisor) = (of.mutation, of.strict, of.part);
-    (plan.charge_request_cpu, plan.speeds) = (of.strained, of.speeds);
-    if of.open {
+    (plan.mutation, plan.strict, plan.site_divisor) = (options.mutation, options.strict, options.part);
+    (plan.charge_request_cpu, plan.speeds) = (options.strained, options.speeds);
+    if options.open {
         plan.final_fault = None;
     }
     let mut out = Vec::new();
-    for part in of.without.split(',').filter(|p| !p.is_empty()) {
+    for part in options.without.split(',').filter(|p| !p.is_empty()) {
         match part.trim().parse::<usize>() {
             Ok(n) if n < plan.faults.len() => out.push(n),
             _ => {
-                eprintln!("without: {part:?} is no trouble of this day, which has {}", plan.faults.len());
+                eprintln!(
+                    "--without: {part:?} is not the number of a fault of this day, which has {} faults",
+                    plan.faults.len()
+                );
                 return ExitCode::from(2);
             }
         }
@@ -242,42 +249,42 @@
         number += 1;
         !out.contains(&(number - 1))
     });
-    let records = match of.record.as_deref().map(Recordings::folder).transpose() {
+    let records = match options.record.as_deref().map(Recordings::folder).transpose() {
         Ok(records) => records,
-        Err(e) => return unwritten(of.record.as_deref(), &e),
+        Err(e) => return write_error(options.record.as_deref(), &e),
     };
-    let report = play_recorded(&plan, false, of.trace.is_some(), records.clone());
+    let report = play_recorded(&plan, false, options.trace.is_some(), records.clone());
     if let Some(Err(e)) = records.map(|records| records.end()) {
-        return unwritten(of.record.as_deref(), &e);
+        return write_error(options.record.as_deref(), &e);
     }
-    if let Some(path) = &of.trace {
+    if let Some(path) = &options.trace {
         let mut text = report.trace.join("\n");
         text.push('\n');
         if let Err(e) = std::fs::write(path, text) {
-            return unwritten(of.trace.as_deref(), &e);
+            return write_error(options.trace.as_deref(), &e);
         }
     }
-    show(&report, of.json);
+    show(&report, options.json);
     verdict(!report.breaches.is_empty())
 }
 
-fn shrink(of: &Shrink) -> ExitCode {
+fn shrink(options: &Shrink) -> ExitCode {
     let whole = Plan {
-        strict: of.strict,
-        charge_request_cpu: of.strained,
-        speeds: of.speeds,
-        ..kind(of.control, of.planned).draw(of.seed, of.size, of.mutation)
+        strict: options.strict,
+        charge_request_cpu: options.strained,
+        speeds: options.speeds,
+        ..kind(options.control, options.planned).draw(options.seed, options.size, options.mutation)
     };
     match search::shrink(&whole, |line| log::info!("{line}")) {
         None => {
-            println!("no rule breaks on day {}", of.seed);
+            println!("no rule is violated on day {}", options.seed);
             ExitCode::SUCCESS
         }
         Some((plan, report)) => {
-            show(&report, of.json);
-            if !of.json {
+            show(&report, options.json);
+            if !options.json {
                 for fault in &plan.faults {
-                    println!("needs {} at {} ms: {:?}", fault.kind.name(), fault.at / MS, fault.kind);
+                    println!("required: {} at {} ms: {:?}", fault.kind.name(), fault.at / MS, fault.kind);
                 }
                 let out: Vec<_> = whole
                     .faults
@@ -289,9 +296,9 @@
                 let open =
                     if whole.final_fault.is_some() && plan.final_fault.is_none() { " --open" } else { "" };
                 println!(
-                    "again: arcade day --seed {} --size {} --without {:?}{open}",
-                    of.seed,
-                    of.size.name(),
+                    "run again: simulator day --seed {} --size {} --without {:?}{open}",
+                    options.seed,
+                    options.size.name(),
                     out.join(",")
                 );
             }
@@ -302,7 +309,7 @@
 
 fn main() -> ExitCode {
     let options: Options = match Options::from_args(
-        &["arcade"],
+        &["simulator"],
         &std::env::args().skip(1).collect::<Vec<_>>().iter().map(String::as_str).collect::<Vec<_>>(),
     ) {
         Ok(options) => options,
@@ -318,8 +325,8 @@
     };
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("warn")).init();
     match options.what {
-        Command::Hunt(of) => hunt(&of),
-        Command::Day(of) => day(&of),
-        Command::Shrink(of) => shrink(&of),
+        Command::Hunt(options) => hunt(&options),
+        Command::Day(options) => day(&options),
+        Command::Shrink(options) => shrink(&options),
     }
 }
--- a/simulator/src/search.rs
+++ b/simulator/src/search.rs
@@ -67,7 +67,7 @@
     let mut try_one = |smaller: Plan, plan: &mut Plan, what: &str| {
         let report = play(&smaller, true, false);
         let same = report.breaches.first().is_some_and(|b| b.rule == rule);
-        on_step(&format!("without {what}: {}", if same { "breaks still" } else { "holds" }));
+        on_step(&format!("without {what}: {}", if same { "still violated" } else { "not violated" }));
         if same {
             (*plan, last) = (smaller, report);
         }
@@ -75,7 +75,7 @@
     };
     if plan.final_fault.is_some() {
         let smaller = Plan { final_fault: None, ..plan.clone() };
-        try_one(smaller, &mut plan, "its end");
+        try_one(smaller, &mut plan, "the final fault");
     }
     let mut at = 0;
     while at < plan.faults.len() {
--- a/simulator/src/world/net.rs
+++ b/simulator/src/world/net.rs
@@ -141,7 +141,7 @@
 }
 
 /// Estimated size as JSON, in bytes.
-fn size(payload: &Payload) -> u64 {
+fn estimated_size(payload: &Payload) -> u64 {
     match payload {
         Payload::Messages { messages, .. } | Payload::Follow { messages, .. } => {
             50 + messages_json_size(messages)
@@ -159,12 +159,12 @@
 
 /// Exact size as JSON, to check the estimates.
 #[cfg(test)]
-fn exact(messages: &[PeerMessage]) -> u64 {
+fn exact_json_size(messages: &[PeerMessage]) -> u64 {
     messages.iter().map(|n| n.to_json().stringify().map_or(0, |s| s.len() as u64) + 1).sum()
 }
 
 /// Describes the proxies that a feed line adds or removes, for the trace.
-fn named(line: &[u8]) -> Option<String> {
+fn describe_view(line: &[u8]) -> Option<String> {
     let JsonValue::Object(parts) = millpost_net::messaging::json(line)? else { return None };
     let Some(JsonValue::Array(messages)) = parts.get("notes") else { return None };
     let list = |what: &str, names: &[CompactString]| {
@@ -275,7 +275,7 @@
         let Some(to) = self.names.get(to).copied() else { return };
         self.next += 1;
         let number = self.next;
-        let there = self.transit(from, to, REQUEST + size(&payload), self.now);
+        let there = self.transit(from, to, REQUEST + estimated_size(&payload), self.now);
         let there = self.asked(to, &payload, there);
         self.calls.insert(number, Call { from, incarnation, id, to, payload: Some(payload) });
         self.at(there, Event::Call(number));
@@ -332,7 +332,7 @@
                 self.traffic.platform += 1;
                 let answer = self.platform_answers(payload);
                 let took = self.rng.between(3 * MS, 15 * MS);
-                let back = self.transit(to, from, ANSWER + size(&answer), self.now) + took;
+                let back = self.transit(to, from, ANSWER + estimated_size(&answer), self.now) + took;
                 self.at(back, Event::Answer(number, Some(answer)));
             }
             Who::Operator(_) => {}
@@ -346,7 +346,7 @@
         }
         let Some(call) = self.calls.get(&number) else { return };
         let (from, to) = (call.from, call.to);
-        let back = self.transit(to, from, ANSWER + size(&payload), self.now);
+        let back = self.transit(to, from, ANSWER + estimated_size(&payload), self.now);
         // A response that depends on a write is sent once the write is synced; if its process has ended by
         // then, it is not sent.
         if at > self.now
@@ -365,7 +365,7 @@
             && let Payload::Voted(_) = waits
         {
             let (from, to) = (call.from, call.to);
-            let back = self.transit(to, from, ANSWER + size(&waits), self.now);
+            let back = self.transit(to, from, ANSWER + estimated_size(&waits), self.now);
             return self.at(back, Event::Answer(number, Some(waits)));
         }
         let (from, incarnation, id) = (call.from, call.incarnation, call.id);
@@ -402,7 +402,7 @@
         self.next += 1;
         let number = self.next;
         let (from, to) = (Who::Process(at, Role::Agent), Who::Process(controller, Role::Controller));
-        let there = self.transit(from, to, REQUEST + size(&payload), self.now);
+        let there = self.transit(from, to, REQUEST + estimated_size(&payload), self.now);
         let agent_incarnation = self.machines[at].incarnation;
         let stream = Stream {
             agent: at,
@@ -427,9 +427,9 @@
         let (from, to) = (Who::Process(controller, Role::Controller), Who::Process(agent, Role::Agent));
         let there = self.transit(from, to, 6 + line.len() as u64, self.now);
         if self.trace.is_some()
-            && let Some(named) = named(&line)
+            && let Some(describe_view) = describe_view(&line)
         {
-            self.trace_line(|| format!("machine {controller} {named}, to machine {agent}"));
+            self.trace_line(|| format!("machine {controller} {describe_view}, to machine {agent}"));
         }
         let Some(stream) = self.streams.get_mut(&number) else { return };
         stream.last = stream.last.max(there);
@@ -536,7 +536,7 @@
     use super::*;
 
     #[test]
-    fn guessed_sizes_are_near_what_is_written() {
+    fn estimated_sizes_are_close_to_exact() {
         let ask = PeerMessage::RequestPermit {
             id: 1 << 33,
             service: "b17".into(),
@@ -557,9 +557,11 @@
         };
         let done = PeerMessage::ReleasePermit { id: 1 << 33, outcome: "ok".into(), took: 45.25 };
         for message in [ask, grant, done, PeerMessage::RetireInstance { instance: "i-4".into() }] {
-            let (guess, truth) =
-                (message_json_size(&message) as f64 + 1.0, exact(std::slice::from_ref(&message)) as f64);
-            assert!((guess / truth - 1.0).abs() < 0.25, "{message:?}: {guess} {truth}");
+            let (estimate, actual) = (
+                message_json_size(&message) as f64 + 1.0,
+                exact_json_size(std::slice::from_ref(&message)) as f64,
+            );
+            assert!((estimate / actual - 1.0).abs() < 0.25, "{message:?}: {estimate} {actual}");
         }
     }
 }
--- a/simulator/tests/drops.rs
+++ b/simulator/tests/drops.rs
@@ -1,4 +1,5 @@
-//! A change that shifts routes off a service and drops it, while requests wait for it: they go on where their route leads.
+//! A configuration change moves routes off a service and removes it while requests wait for it. The requests
+//! must follow their route.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -9,27 +10,27 @@
 use millpost_simulator::{MS, SECOND};
 use tinyjson::JsonValue;
 
-/// What the stalls' recordings tell of requests that were to go elsewhere.
+/// Requests whose route was resolved again, from the recordings of the proxies.
 #[derive(Default)]
-struct Told {
+struct Rerouted {
     moved: usize,
-    /// Turned down after that, for whatever reason.
-    turned_down: Vec<String>,
-    /// Turned down because nobody knew the function that they asked for.
+    /// Denied after that, for any reason.
+    denied: Vec<String>,
+    /// Denied because their function was unknown.
     unknown: Vec<String>,
 }
 
-impl Told {
-    fn read(recordings: &BTreeMap<String, Vec<u8>>) -> Told {
-        let mut told = Told::default();
+impl Rerouted {
+    fn read(recordings: &BTreeMap<String, Vec<u8>>) -> Rerouted {
+        let mut rerouted = Rerouted::default();
         for (process, lines) in recordings.iter().filter(|(process, _)| process.ends_with("/stall")) {
             let mut moved = BTreeSet::new();
             let lines = String::from_utf8_lossy(lines);
             for line in lines.lines().map(|line| line.parse::<JsonValue>().expect("a line of JSON")) {
-                told.line(process, &line, &mut moved);
+                rerouted.line(process, &line, &mut moved);
             }
         }
-        told
+        rerouted
     }
 
     fn line(&mut self, process: &str, line: &JsonValue, moved: &mut BTreeSet<u64>) {
@@ -52,7 +53,7 @@
                     self.unknown.push(format!("{process}: {line:?}"));
                 }
                 if moved.contains(&request) {
-                    self.turned_down.push(format!("{process}: {line:?}"));
+                    self.denied.push(format!("{process}: {line:?}"));
                 }
             }
             _ => {}
@@ -60,23 +61,24 @@
     }
 }
 
-/// The change comes in the midst of a rush, and stalls act on it within 10 ms. What waited for a slot then, and who asked right after, was
-/// turned down at once: 5 to 14 requests on each of these days. That the rush turns others away is its own.
+/// The change comes during a burst, and proxies apply it within 10 ms. Requests that waited for a slot then,
+/// and those that arrived right after, were refused at once: 5 to 14 on each of these days. Refusals caused
+/// by the burst itself do not count.
 #[test]
-fn what_waits_for_a_service_that_is_dropped_is_not_refused_and_nothing_runs_twice() {
+fn requests_waiting_for_a_removed_service_are_neither_refused_nor_run_twice() {
     let mut moved = 0;
     for seed in 1..=4 {
         let plan = Plan::quiet(seed, Size::Small)
             .with(12 * SECOND - 100 * MS, FaultKind::Burst { class: 0, times: 4.0, lasts: SECOND })
             .with(12 * SECOND, FaultKind::ServiceDrop);
-        let (records, kept) = Recordings::in_memory();
+        let (records, recordings_by_process) = Recordings::in_memory();
         let day = play_recorded(&plan, false, false, Some(records));
-        let told = Told::read(&kept.borrow());
-        moved += told.moved;
-        assert_eq!(told.turned_down, Vec::<String>::new(), "seed {seed}");
-        assert_eq!(told.unknown, Vec::<String>::new(), "seed {seed}");
+        let rerouted = Rerouted::read(&recordings_by_process.borrow());
+        moved += rerouted.moved;
+        assert_eq!(rerouted.denied, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(rerouted.unknown, Vec::<String>::new(), "seed {seed}");
         assert_eq!(day.breaches, []);
         assert_eq!(day.served, day.requests, "{}", day.to_text());
     }
-    assert!(moved >= 10, "hardly anything waited: {moved}");
+    assert!(moved >= 10, "too few requests were rerouted: {moved}");
 }
--- a/simulator/tests/rules.rs
+++ b/simulator/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Each rule breaks where its guard is taken out, none breaks as the program is, and a day is the same day twice.
+//! Each rule is violated when its safeguard is disabled and holds otherwise, and runs are deterministic.
 
 use millpost_simulator::day::play;
 use millpost_simulator::mutation::Mutation;
@@ -6,14 +6,14 @@
 use millpost_simulator::site::Size;
 use millpost_simulator::{MS, SECOND};
 
-/// The edge machines of a homework site are told to end one after the other, and once more, under this load.
-fn rolled(seed: u64, load: f64) -> Plan {
+/// Two rolling restarts of the edge machines of a homework site under this load.
+fn rolling_restarts(seed: u64, load: f64) -> Plan {
     let roll = FaultKind::EdgeRoll { share: 1.0, every: 1_300 * MS };
     let plan = Plan { homework: Some(load), strict: true, ..Plan::quiet(seed, Size::Small) };
     plan.with(8 * SECOND, roll.clone()).with(17 * SECOND, roll)
 }
 
-/// A day on which a guard has something to keep.
+/// A day on which the disabled safeguard matters.
 fn day(seed: u64, mutation: Mutation) -> Plan {
     let quiet = Plan::quiet(seed, Size::Small);
     let plan = match mutation {
@@ -43,8 +43,8 @@
         Mutation::ConfirmConflicts => {
             (8..20).fold(quiet, |plan, at| plan.with(at * SECOND, FaultKind::ConfigRaceOf { count: 8 }))
         }
-        Mutation::IgnoreLeaving => rolled(seed, 4.0),
-        Mutation::SilentShutdown => rolled(seed, 1.0),
+        Mutation::IgnoreLeaving => rolling_restarts(seed, 4.0),
+        Mutation::SilentShutdown => rolling_restarts(seed, 1.0),
         Mutation::SpuriousDenial
         | Mutation::OverSlots
         | Mutation::StaleAddress
@@ -68,21 +68,21 @@
     mixed = { Mutation::UnverifiedAnswer, "MIXED" },
     lost_request = { Mutation::ImmediateExit, "LOST" },
     denied = { Mutation::SpuriousDenial, "DENIED" },
-    two_contents = { Mutation::ConfirmConflicts, "CONFIG" },
-    given_twice = { Mutation::IgnoreLeaving, "LIMIT" },
-    lost_at_the_end = { Mutation::SilentShutdown, "LOST" },
+    conflicting_contents = { Mutation::ConfirmConflicts, "CONFIG" },
+    slots_granted_twice = { Mutation::IgnoreLeaving, "LIMIT" },
+    lost_at_shutdown = { Mutation::SilentShutdown, "LOST" },
 )]
-fn a_rule_breaks_without_its_guard_and_holds_with_it(mutation: Mutation, rule: &str) {
+fn rule_is_violated_only_without_its_safeguard(mutation: Mutation, rule: &str) {
     let mut seeds = 1..40;
-    let broken =
+    let violating =
         seeds.find(|seed| play(&day(*seed, mutation), false, false).breaches.iter().any(|b| b.rule == rule));
-    let seed = broken.unwrap_or_else(|| panic!("{rule} holds without its guard"));
-    let whole = Plan { mutation: None, ..day(seed, mutation) };
-    assert_eq!(play(&whole, false, false).breaches, [], "seed {seed}");
+    let seed = violating.unwrap_or_else(|| panic!("{rule} holds without its safeguard"));
+    let unmutated = Plan { mutation: None, ..day(seed, mutation) };
+    assert_eq!(play(&unmutated, false, false).breaches, [], "seed {seed}");
 }
 
 #[test]
-fn the_program_as_it_is_breaks_none_and_serves() {
+fn random_days_violate_no_rule_and_serve_requests() {
     for seed in 900..906 {
         let report = play(&Plan::draw(seed, Size::Small, None), false, false);
         assert_eq!(report.breaches, [], "seed {seed}");
@@ -90,26 +90,28 @@
     }
 }
 
-/// One misses two changes, another loses its disk, and the rest are dark: the two that are there may not decide by what they hold.
+/// One machine misses two changes, another loses its disk, and the rest are without power: the two that are
+/// up must not form a majority.
 #[test]
-fn who_missed_changes_and_who_lost_its_disk_make_no_majority() {
-    let behind = |seed, mutation| {
+fn lagging_and_wiped_voters_form_no_majority() {
+    let lagging_day = |seed, mutation| {
         let plan =
             Plan::quiet(seed, Size::Small).with(9 * SECOND, FaultKind::CoreBehind { lasts: 6 * SECOND });
         Plan { mutation, ..plan }
     };
     let mut seeds = 1..40;
-    let broken = seeds
-        .find(|seed| !play(&behind(*seed, Some(Mutation::EmptyDiskVotes)), false, false).breaches.is_empty());
-    assert!(broken.is_some(), "an empty machine that votes at once is not found");
+    let violating = seeds.find(|seed| {
+        !play(&lagging_day(*seed, Some(Mutation::EmptyDiskVotes)), false, false).breaches.is_empty()
+    });
+    assert!(violating.is_some(), "an empty voter that votes at once is not detected");
     for seed in 1..=6 {
-        assert_eq!(play(&behind(seed, None), false, false).breaches, [], "seed {seed}");
+        assert_eq!(play(&lagging_day(seed, None), false, false).breaches, [], "seed {seed}");
     }
 }
 
-/// All control machines are told to end one after the other, while orders come and one of them is replaced.
+/// Rolling restarts of the core while configurations are submitted and one core machine is replaced.
 #[test]
-fn a_core_that_is_rolled_keeps_what_was_acknowledged() {
+fn rolling_core_restart_keeps_acknowledged_configurations() {
     for seed in 1..=6 {
         let plan = Plan::quiet(seed, Size::Small)
             .with(8 * SECOND, FaultKind::ReplaceCore { whom: ReplaceTarget::Planned, after: SECOND })
@@ -123,18 +125,20 @@
     }
 }
 
-/// Confirmations that nobody hears, races of many, cuts of 20 s, halves, who acknowledged is gone.
+/// Lost acknowledgements, concurrent submissions, partitions of 20 s, split cores, and crashes right after an
+/// acknowledgement.
 #[test]
-fn the_worst_days_of_control_break_none() {
+fn controller_fault_days_violate_no_rule() {
     for seed in 1_300..1_312 {
         let report = play(&Plan::draw_control(seed, Size::Small, None), false, false);
         assert_eq!(report.breaches, [], "seed {seed}");
     }
 }
 
-/// What was confirmed is confirmed again, another content under its revision is refused, and what no operator heard is sent again.
+/// A confirmed configuration is confirmed again, different content under its revision is refused, and an
+/// operator that got no response submits again.
 #[test]
-fn orders_that_come_again_are_answered_by_what_stands() {
+fn repeated_submissions_are_answered_from_committed_state() {
     let mut refused = 0;
     for seed in 1..6 {
         let day = Plan::quiet(seed, Size::Small)
@@ -152,7 +156,7 @@
 }
 
 #[test]
-fn the_same_seed_is_the_same_day() {
+fn equal_seeds_give_equal_runs() {
     let plan = Plan::draw(17, Size::Small, None);
     let (one, two) = (play(&plan, false, true), play(&plan, false, true));
     assert_eq!((one.digest, one.events, one.requests), (two.digest, two.events, two.requests));
@@ -161,7 +165,7 @@
 }
 
 #[test]
-fn a_quiet_day_is_fast_and_costs_what_the_users_bench_shows() {
+fn day_without_faults_matches_measured_latency_and_starts() {
     let report = play(&Plan::quiet(5, Size::Small), false, false);
     assert_eq!(report.served, report.requests);
     assert!(
@@ -172,30 +176,33 @@
     assert!((250..600).contains(&report.starts), "{}", report.to_text());
 }
 
-/// A stall, then a worker, is taken out for some seconds in the midst of the day.
+/// A proxy or a worker is drained for some seconds during the day.
 #[yare::parameterized(
     stall = { false },
     worker = { true },
 )]
-fn what_operators_take_out_is_emptied_and_nobody_notices(worker: bool) {
+fn operator_drain_is_invisible_to_clients(worker: bool) {
     for seed in 3..6 {
         let plan = Plan::quiet(seed, Size::Small);
         let plan = plan.with(10 * SECOND, FaultKind::Drain { worker, lasts: 8 * SECOND });
         let report = play(&plan, false, true);
         assert_eq!(report.breaches, [], "seed {seed}");
         assert!(report.served_ratio() > 0.99, "seed {seed}: {}", report.served_ratio());
-        let says = |what: &str| report.trace.iter().filter(|line| line.contains(what)).count();
-        assert_eq!(says("is obeyed by machine"), 1, "seed {seed}");
-        // All six hear of a naming by which it leaves, and then of one with it again; it lives all the while.
-        let (leaves, gone, new) = (says("leaving edge"), says("gone edge"), says("new edge"));
+        let trace_count = |what: &str| report.trace.iter().filter(|line| line.contains(what)).count();
+        assert_eq!(trace_count("is obeyed by machine"), 1, "seed {seed}");
+        // All six agents receive a view in which the proxy is leaving, and then one with it again; it runs
+        // all the while.
+        let (leaves, gone, new) =
+            (trace_count("leaving edge"), trace_count("gone edge"), trace_count("new edge"));
         assert_eq!(gone, 0, "seed {seed}");
         assert!(if worker { leaves == 0 } else { leaves == 6 && new >= 6 }, "seed {seed}: {leaves}, {new}");
     }
 }
 
-/// Who acknowledged a change lost its disk before anybody else had heard that it stands: two stalls stayed on the one before for 19 s.
+/// The core machine that acknowledged a change lost its disk before any other had learned that it was
+/// committed: two proxies stayed on the previous configuration for 19 s.
 #[test]
-fn a_change_whose_acknowledger_is_wiped_is_in_force_in_time() {
+fn change_is_applied_in_time_after_its_acknowledger_is_wiped() {
     let mut plan = Plan::draw(91_756, Size::Small, None);
     plan.faults.remove(5);
     plan.final_fault = None;
