--- a/simulator/src/auditor.rs
+++ b/simulator/src/auditor.rs
@@ -37,7 +37,7 @@
     /// Incarnation of the proxy on that machine.
     pub incarnation: u64,
     /// Whether it must run at most once.
-    pub once: bool,
+    pub at_most_once: bool,
     /// Whether the run that made this nested call was itself a repeat.
     pub repeat: bool,
     /// Number of runs.
@@ -262,7 +262,7 @@
         }
         let one = &mut self.attempts[id as usize];
         one.runs += 1;
-        let (once, count, promised) = (one.once, one.runs, one.promised);
+        let (once, count, promised) = (one.at_most_once, one.runs, one.promised);
         if once && count > 1 {
             self.report("TWICE", at, format!("request {id} for {path} runs {count} times"));
         }
@@ -297,7 +297,7 @@
         }
         if matches!(status, 429 | 503 | 408 | 421) {
             one.promised = Some((status, at));
-            let (once, ran) = (one.once, one.runs);
+            let (once, ran) = (one.at_most_once, one.runs);
             if once && ran > 0 {
                 self.report("REFUSED", at, format!("request {id} gets {status} although it has run"));
             }
--- a/simulator/src/processes/agent.rs
+++ b/simulator/src/processes/agent.rs
@@ -10,8 +10,9 @@
 use crate::mutation::Mutation;
 use crate::{MS, Time};
 
-/// Time-out for the first line of a feed, and for silence on an open feed.
+/// Time-out for the first line of a feed.
 const FIRST_LINE_TIMEOUT: Time = 700 * MS;
+/// Time-out for silence on an open feed.
 const FEED_TIMEOUT: Time = 1_200 * MS;
 const CONTROLLER_TIMEOUT: Time = 900 * MS;
 const PROXY_TIMEOUT: Time = 800 * MS;
@@ -31,7 +32,7 @@
     feeds: BTreeMap<u64, Feed>,
     proxy: Outbox,
     next: u64,
-    over: bool,
+    exited: bool,
     outs: Vec<ProcessOutput>,
 }
 
@@ -58,14 +59,14 @@
             // Messages about instances are order-dependent.
             proxy: Outbox::new(1),
             next: 0,
-            over: false,
+            exited: false,
             outs: Vec::new(),
         }
     }
 
     /// Whether the process has exited.
-    pub fn over(&self) -> bool {
-        self.over
+    pub fn has_exited(&self) -> bool {
+        self.exited
     }
 
     /// When [`ProcessInput::Tick`] is due.
@@ -165,7 +166,7 @@
                 }
                 Effect::ReadSettings => settings = true,
                 Effect::Log(level, text) => log::log!(level, "{}: {text}", self.context.name),
-                Effect::Exit => self.over = true,
+                Effect::Exit => self.exited = true,
             }
         }
         if full {
--- a/simulator/src/processes/controller.rs
+++ b/simulator/src/processes/controller.rs
@@ -138,7 +138,7 @@
     }
 
     /// Whether the process may exit.
-    pub fn over(&self, now: Time) -> bool {
+    pub fn has_exited(&self, now: Time) -> bool {
         self.core.can_exit(now)
     }
 
--- a/simulator/src/processes/proxy.rs
+++ b/simulator/src/processes/proxy.rs
@@ -193,12 +193,12 @@
     }
 
     /// Whether it no longer accepts connections.
-    pub fn closes(&self, now: Time) -> bool {
+    pub fn refuses_connections(&self, now: Time) -> bool {
         self.phase(now) >= ShutdownPhase::Closing
     }
 
     /// Whether the process has exited.
-    pub fn over(&self, now: Time) -> bool {
+    pub fn has_exited(&self, now: Time) -> bool {
         let hurried = self.context.mutation == Some(Mutation::ImmediateExit) && self.leaving.is_some();
         hurried || self.phase(now) == ShutdownPhase::Finished
     }
@@ -283,7 +283,12 @@
             };
             let split = self.coordinator.view_split();
             let digest = self.coordinator.view_digest();
-            self.send_to_agent(PeerMessage::Heartbeat { peer, serving: !self.closes(now), split, digest });
+            self.send_to_agent(PeerMessage::Heartbeat {
+                peer,
+                serving: !self.refuses_connections(now),
+                split,
+                digest,
+            });
             if now < self.drained_until {
                 let left = (self.drained_until - now) as f64 / MS as f64;
                 self.send_to_agent(PeerMessage::Drain { name: self.context.name.clone(), left });
--- a/simulator/src/site.rs
+++ b/simulator/src/site.rs
@@ -105,7 +105,7 @@
     /// Whether it is idempotent.
     pub repeatable: bool,
     /// Target latency.
-    pub aim: Time,
+    pub target_latency: Time,
     /// Client timeout.
     pub deadline: Time,
     /// Mean processing time at an endpoint, in milliseconds.
@@ -115,7 +115,7 @@
     /// Sizes of request and response in bytes.
     pub bytes: (u64, u64),
     /// Probability that a run makes a nested call.
-    pub calls: f64,
+    pub nested_call_probability: f64,
 }
 
 /// Request classes of a site: two for busy functions, one for rare ones, and the nested calls of the first.
@@ -126,51 +126,51 @@
     Class {
         letter: 'l',
         repeatable: true,
-        aim: 200 * MS,
+        target_latency: 200 * MS,
         deadline: 1_500 * MS,
         work_ms: 45.0,
         retries: 2,
         bytes: (300, 600),
-        calls: 0.3,
+        nested_call_probability: 0.3,
     },
     Class {
         letter: 'h',
         repeatable: false,
-        aim: 300 * MS,
+        target_latency: 300 * MS,
         deadline: 1_500 * MS,
         work_ms: 68.0,
         retries: 2,
         bytes: (1_100, 600),
-        calls: 0.0,
+        nested_call_probability: 0.0,
     },
     Class {
         letter: 's',
         repeatable: true,
-        aim: 600 * MS,
+        target_latency: 600 * MS,
         deadline: 3_000 * MS,
         work_ms: 45.0,
         retries: 2,
         bytes: (300, 600),
-        calls: 0.0,
+        nested_call_probability: 0.0,
     },
     Class {
         letter: 'c',
         repeatable: true,
-        aim: 200 * MS,
+        target_latency: 200 * MS,
         deadline: 3_000 * MS,
         work_ms: 45.0,
         retries: 0,
         bytes: (300, 600),
-        calls: 0.0,
+        nested_call_probability: 0.0,
     },
 ];
 
 /// Answers, marks, reports, and the nested calls of answers, with longer processing times and deadlines.
 pub const HOMEWORK: Classes = [
-    Class { aim: 300 * MS, deadline: 4_000 * MS, work_ms: 60.0, ..LENDING[0] },
-    Class { aim: 400 * MS, deadline: 4_000 * MS, work_ms: 90.0, ..LENDING[1] },
-    Class { aim: 1_500 * MS, deadline: 12_000 * MS, work_ms: 60.0, ..LENDING[2] },
-    Class { aim: 300 * MS, deadline: 12_000 * MS, work_ms: 60.0, ..LENDING[3] },
+    Class { target_latency: 300 * MS, deadline: 4_000 * MS, work_ms: 60.0, ..LENDING[0] },
+    Class { target_latency: 400 * MS, deadline: 4_000 * MS, work_ms: 90.0, ..LENDING[1] },
+    Class { target_latency: 1_500 * MS, deadline: 12_000 * MS, work_ms: 60.0, ..LENDING[2] },
+    Class { target_latency: 300 * MS, deadline: 12_000 * MS, work_ms: 60.0, ..LENDING[3] },
 ];
 
 /// Resources of a function: instance memory in MB, mean start-up time in milliseconds, and slots per
@@ -344,7 +344,7 @@
             path_prefix: format_compact!("/{letter}{number}/"),
             traffic: if class.repeatable { Traffic::Idempotent } else { Traffic::Mutating },
             deadline_ms: class.deadline / MS,
-            target_latency_ms: class.aim / MS,
+            target_latency_ms: class.target_latency / MS,
             priority: 2,
             max_tries: if class.repeatable { 2 } else { 1 },
             shares: vec![(service, 1)],
--- a/simulator/src/world/client.rs
+++ b/simulator/src/world/client.rs
@@ -19,13 +19,13 @@
     class: usize,
     path: CompactString,
     zone: usize,
-    born: Time,
+    first_sent: Time,
     deadline: Time,
     retries: u32,
     /// The run that makes this nested call, and whether that run was a repeat.
     parent: Option<(u64, bool)>,
     /// Sent to this machine only, to reveal its active configuration.
-    direct: Option<usize>,
+    target_machine: Option<usize>,
     current: Option<u64>,
     last_machine: Option<usize>,
     done: bool,
@@ -33,14 +33,14 @@
 
 /// Statistics of client requests.
 #[derive(Default)]
-pub struct Served {
+pub struct RequestStats {
     /// First send time, latency, success and class of each request.
     all: Vec<(Time, Time, bool, usize)>,
     /// Number of unsuccessful requests by last status.
     pub statuses: std::collections::BTreeMap<u16, u64>,
 }
 
-impl Served {
+impl RequestStats {
     /// Success ratio of the requests first sent in `from..to`; `None` for fewer than 20.
     pub fn share(&self, from: Time, to: Time) -> Option<f64> {
         let of = self.all.iter().filter(|(sent, ..)| (from..to).contains(sent));
@@ -55,7 +55,7 @@
 
     /// Share of all requests served within the target latency of their class.
     pub fn within_target(&self, classes: &Classes) -> f64 {
-        let within = self.all.iter().filter(|one| one.2 && one.1 <= classes[one.3].aim).count();
+        let within = self.all.iter().filter(|one| one.2 && one.1 <= classes[one.3].target_latency).count();
         within as f64 / self.all.len().max(1) as f64
     }
 
@@ -106,18 +106,22 @@
         zone: usize,
         deadline: Time,
         parent: Option<(u64, bool)>,
-        direct: Option<usize>,
+        target_machine: Option<usize>,
     ) {
         let place = self.client_requests.len();
         self.client_requests.push(ClientRequest {
             class,
             path,
             zone,
-            born: self.now,
+            first_sent: self.now,
             deadline,
-            retries: if parent.is_some() || direct.is_some() { 0 } else { self.site.classes[class].retries },
+            retries: if parent.is_some() || target_machine.is_some() {
+                0
+            } else {
+                self.site.classes[class].retries
+            },
             parent,
-            direct,
+            target_machine,
             current: None,
             last_machine: None,
             done: false,
@@ -160,8 +164,9 @@
         if client_request.done || now >= client_request.deadline {
             return;
         }
-        let (zone, last, direct) = (client_request.zone, client_request.last_machine, client_request.direct);
-        let machine = match direct {
+        let (zone, last, target_machine) =
+            (client_request.zone, client_request.last_machine, client_request.target_machine);
+        let machine = match target_machine {
             Some(machine) => machine,
             None => {
                 let mut choices = self.choices(zone);
@@ -180,7 +185,7 @@
             sent: now,
             machine,
             incarnation: self.machines[machine].incarnation,
-            once: !class.repeatable,
+            at_most_once: !class.repeatable,
             repeat: client_request.parent.is_some_and(|(_, repeat)| repeat),
             runs: 0,
             promised: None,
@@ -217,11 +222,11 @@
             return self
                 .at(sent + CONNECT, Event::ReachClient { attempt, status: 0, again: None, seal: None });
         }
-        if machine.frozen > now {
-            return machine.held.push(Event::ReachProxy { attempt });
+        if machine.frozen_until > now {
+            return machine.held_events.push(Event::ReachProxy { attempt });
         }
         // A proxy that accepts no connections has not read the request.
-        if machine.proxy.as_ref().is_none_or(|proxy| proxy.closes(now)) {
+        if machine.proxy.as_ref().is_none_or(|proxy| proxy.refuses_connections(now)) {
             return self.at(now + client, Event::ReachClient { attempt, status: 0, again: None, seal: None });
         }
         machine.open_attempts.insert(attempt);
@@ -230,7 +235,7 @@
             one.incarnation = incarnation;
         }
         self.read.insert(attempt);
-        if self.auditor.attempts[attempt as usize].once {
+        if self.auditor.attempts[attempt as usize].at_most_once {
             self.ever_read.insert(attempt);
         }
         let request = Request { attempt, host: HOST.into(), path, left: deadline.saturating_sub(sent) };
@@ -305,13 +310,14 @@
             return;
         }
         client_request.done = true;
-        let (born, parent, direct) = (client_request.born, client_request.parent, client_request.direct);
+        let (first_sent, parent, target_machine) =
+            (client_request.first_sent, client_request.parent, client_request.target_machine);
         let class = client_request.class;
         if let Some((run, _)) = parent {
             return self.nested_call_done(run, good);
         }
-        if direct.is_none() {
-            self.served.all.push((born, self.now - born, good, class));
+        if target_machine.is_none() {
+            self.served.all.push((first_sent, self.now - first_sent, good, class));
             if !good {
                 *self.served.statuses.entry(status).or_default() += 1;
             }
@@ -326,7 +332,8 @@
         }
         if let Some(attempt) = client_request.current.take() {
             let at = self.auditor.attempts[attempt as usize].machine;
-            if self.machines[at].open_attempts.remove(&attempt) && self.machines[at].frozen <= self.now {
+            if self.machines[at].open_attempts.remove(&attempt) && self.machines[at].frozen_until <= self.now
+            {
                 self.deliver(at, Role::Proxy, ProcessInput::Gone { client: attempt });
             }
         }
@@ -338,10 +345,10 @@
         let now = self.now;
         for machine in &mut self.machines[..self.site.edges.len()] {
             let well = machine.powered
-                && machine.frozen <= now
+                && machine.frozen_until <= now
                 && machine.proxy.as_ref().is_some_and(|proxy| proxy.ready(now));
-            machine.misses = if well { 0 } else { machine.misses + 1 };
-            machine.serving = machine.misses < 2;
+            machine.failed_checks = if well { 0 } else { machine.failed_checks + 1 };
+            machine.serving = machine.failed_checks < 2;
         }
         self.at(now + SECOND, Event::HealthCheck);
     }
--- a/simulator/src/world/endpoint.rs
+++ b/simulator/src/world/endpoint.rs
@@ -162,7 +162,7 @@
         let slow = if endpoint.slow.1 > now { endpoint.slow.0 } else { 1.0 };
         let factor = endpoint.speed * slow / host.speed.at(now);
         let work = (self.rng.log_normal_ms(class.work_ms, 0.5) as f64 * factor) as Time;
-        let calls = self.rng.chance(class.calls);
+        let calls = self.rng.chance(class.nested_call_probability);
         self.next += 1;
         let run = self.next;
         let until = (now + left).min(deadline + one_way_delay);
@@ -229,8 +229,8 @@
         let Some(exchange) = self.exchanges.get(&number) else { return };
         let (machine, incarnation, id) = (exchange.machine, exchange.incarnation, exchange.id);
         let m = &mut self.machines[machine];
-        if m.incarnation == incarnation && m.frozen > self.now {
-            return m.held.push(Event::ExchangeDone(number, done));
+        if m.incarnation == incarnation && m.frozen_until > self.now {
+            return m.held_events.push(Event::ExchangeDone(number, done));
         }
         self.exchanges.remove(&number);
         m.exchanges.remove(&number);
@@ -296,8 +296,8 @@
         if m.incarnation != incarnation {
             return;
         }
-        if m.frozen > self.now {
-            return m.held.push(Event::Probed { machine, incarnation, id, up });
+        if m.frozen_until > self.now {
+            return m.held_events.push(Event::Probed { machine, incarnation, id, up });
         }
         self.deliver(machine, Role::Proxy, ProcessInput::ReadinessProbed { id, up });
     }
--- a/simulator/src/world/faults.rs
+++ b/simulator/src/world/faults.rs
@@ -51,9 +51,9 @@
                     let machine = one(&mut target_rng, true);
                     let m = &mut self.machines[machine];
                     match from {
-                        CutScope::All => m.cut = now + lasts,
-                        CutScope::Core => m.cut_core = now + lasts,
-                        CutScope::OneWay => m.cut_out = now + lasts,
+                        CutScope::All => m.partition_until = now + lasts,
+                        CutScope::Core => m.core_partition_until = now + lasts,
+                        CutScope::OneWay => m.outgoing_blocked_until = now + lasts,
                     }
                     self.record_disturbance(machine, now + lasts);
                 }
@@ -89,13 +89,13 @@
             }
             FaultKind::CoreSplit { lasts } => {
                 for (place, at) in cores.iter().enumerate() {
-                    self.machines[*at].half = (place * 2 / cores.len(), now + lasts);
+                    self.machines[*at].core_half = (place * 2 / cores.len(), now + lasts);
                     self.record_disturbance(*at, now + lasts);
                 }
             }
             FaultKind::NodeCut { lasts } => {
                 let machine = one(&mut target_rng, false);
-                self.machines[machine].cut_core = now + lasts;
+                self.machines[machine].core_partition_until = now + lasts;
                 self.record_disturbance(machine, now + lasts);
             }
             FaultKind::ClockStep { share, by_ms, lasts } => {
@@ -121,7 +121,7 @@
             FaultKind::CoreBehind { lasts } => {
                 let missed = target_rng.below(cores.len());
                 let machine = cores[missed];
-                self.machines[machine].cut_core = now + BEHIND;
+                self.machines[machine].core_partition_until = now + BEHIND;
                 self.record_disturbance(machine, now + BEHIND);
                 for after in [200 * MS, BEHIND / 2] {
                     self.later(now + after, FaultKind::ConfigChange, fault.target_seed);
@@ -134,7 +134,7 @@
             FaultKind::HangUp { share } => {
                 for at in 0..self.machines.len() {
                     if target_rng.chance(share) {
-                        self.hang_up(at);
+                        self.reload_settings(at);
                     }
                 }
             }
@@ -165,8 +165,8 @@
             FaultKind::NodeFreeze { core, lasts } => {
                 let machine = one(&mut target_rng, core);
                 let m = &mut self.machines[machine];
-                if m.powered && m.frozen <= now {
-                    m.frozen = now + lasts;
+                if m.powered && m.frozen_until <= now {
+                    m.frozen_until = now + lasts;
                     self.record_disturbance(machine, now + lasts);
                     self.at(now + lasts, Event::Unfreeze(machine));
                 }
@@ -305,8 +305,8 @@
         }
         let machine = &mut self.machines[at];
         (machine.proxy, machine.agent, machine.controller) = (None, None, None);
-        (machine.incarnation, machine.frozen) = (0, 0);
-        machine.held.clear();
+        (machine.incarnation, machine.frozen_until) = (0, 0);
+        machine.held_events.clear();
         machine.powered = !power;
         machine.serving &= !power;
         if power {
@@ -337,14 +337,15 @@
             }
         }
         self.out.retain(|(machine, _, _), _| *machine != at);
-        self.up_at.push((now + lasts, at));
+        self.pending_restarts.push((now + lasts, at));
         self.at(now + lasts, Event::PowerOn);
     }
 
     pub(super) fn power_on(&mut self) {
         let now = self.now;
-        let due: Vec<_> = self.up_at.iter().filter(|(when, _)| *when <= now).map(|(_, at)| *at).collect();
-        self.up_at.retain(|(when, _)| *when > now);
+        let due: Vec<_> =
+            self.pending_restarts.iter().filter(|(when, _)| *when <= now).map(|(_, at)| *at).collect();
+        self.pending_restarts.retain(|(when, _)| *when > now);
         for at in due {
             self.machines[at].powered = true;
             self.disturbances.record_machine(at, now, now);
@@ -353,10 +354,10 @@
     }
 
     pub(super) fn unfreeze(&mut self, at: usize) {
-        if self.machines[at].frozen > self.now {
+        if self.machines[at].frozen_until > self.now {
             return;
         }
-        let held = std::mem::take(&mut self.machines[at].held);
+        let held = std::mem::take(&mut self.machines[at].held_events);
         for event in held {
             self.event(event);
         }
@@ -388,7 +389,7 @@
     /// only.
     fn delay_one_controller(&mut self) {
         let at = self.cores[self.rng.below(3)];
-        self.machines[at].lag = (self.now + 300 * MS, self.rng.between(5 * MS, 80 * MS));
+        self.machines[at].delay = (self.now + 300 * MS, self.rng.between(5 * MS, 80 * MS));
     }
 
     /// Submits a last change; the final fault strikes once it is acknowledged.
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -28,7 +28,7 @@
 use crate::speeds::Speeds;
 use crate::{MS, SECOND, Time};
 
-pub use client::Served;
+pub use client::RequestStats;
 pub use net::Traffic;
 
 use client::ClientRequest;
@@ -55,7 +55,7 @@
 
 /// Caller or callee of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) enum Who {
+pub(crate) enum Party {
     Process(usize, Role),
     Platform,
     Operator(usize),
@@ -158,15 +158,15 @@
     zone: usize,
     core: bool,
     powered: bool,
-    frozen: Time,
-    cut: Time,
+    frozen_until: Time,
+    partition_until: Time,
     /// Partitioned from other core machines, and unable to send, until these times.
-    cut_core: Time,
-    cut_out: Time,
+    core_partition_until: Time,
+    outgoing_blocked_until: Time,
     /// Its half in a split core, and when the split ends.
-    half: (usize, Time),
+    core_half: (usize, Time),
     /// End of a delay, and the additional latency of what is sent to it until then.
-    lag: (Time, Time),
+    delay: (Time, Time),
     /// Clock offset in milliseconds, and until when it applies.
     clock: (i64, Time),
     /// The machine is removed once its processes have shut down.
@@ -185,10 +185,10 @@
     /// Open client attempts and exchanges.
     open_attempts: BTreeSet<u64>,
     exchanges: BTreeSet<u64>,
-    misses: u32,
+    failed_checks: u32,
     serving: bool,
     /// Events held back while the machine is frozen.
-    held: Vec<Event>,
+    held_events: Vec<Event>,
 }
 
 impl Machine {
@@ -200,7 +200,7 @@
     }
 
     fn reachable(&self, now: Time) -> bool {
-        self.powered && self.cut <= now
+        self.powered && self.partition_until <= now
     }
 
     fn up(&self, role: Role) -> bool {
@@ -229,7 +229,7 @@
     queue: BinaryHeap<Queued>,
     rng: Rng,
     machines: Vec<Machine>,
-    names: HashMap<CompactString, Who>,
+    names: HashMap<CompactString, Party>,
     /// Machines that form the core, spare machines, and the seeds in the settings files.
     cores: Vec<usize>,
     spares: Vec<usize>,
@@ -255,10 +255,10 @@
     /// Attempts that a proxy has read and not answered, and at-most-once attempts that were ever read.
     read: BTreeSet<u64>,
     ever_read: BTreeSet<u64>,
-    up_at: Vec<(Time, usize)>,
-    served: Served,
+    pending_restarts: Vec<(Time, usize)>,
+    served: RequestStats,
     orders: Vec<Order>,
-    model: millpost_config::Config,
+    latest_config: millpost_config::Config,
     bursts: Vec<(usize, f64, Time)>,
     weights: [Vec<f64>; 2],
     lost_share: (f64, Time),
@@ -302,12 +302,12 @@
             zone,
             core,
             powered: true,
-            frozen: 0,
-            cut: 0,
-            cut_core: 0,
-            cut_out: 0,
-            half: (0, 0),
-            lag: (0, 0),
+            frozen_until: 0,
+            partition_until: 0,
+            core_partition_until: 0,
+            outgoing_blocked_until: 0,
+            core_half: (0, 0),
+            delay: (0, 0),
             clock: (0, 0),
             retires: false,
             proxy: None,
@@ -321,9 +321,9 @@
             busy: 0,
             open_attempts: BTreeSet::new(),
             exchanges: BTreeSet::new(),
-            misses: 2,
+            failed_checks: 2,
             serving: false,
-            held: Vec::new(),
+            held_events: Vec::new(),
         };
         let edge = site.edges.iter().enumerate().map(|(at, zone)| machine(at, *zone, false));
         let core =
@@ -335,7 +335,7 @@
             Some((at, _)) => at + site.bounds.recovery + 6 * SECOND,
             None => site.lead + site.length,
         };
-        let model = site.config();
+        let latest_config = site.config();
         let skew = |n: usize| {
             let mut sum = 0.0;
             let each = (0..n).map(|at| {
@@ -379,10 +379,10 @@
             attempts: Vec::new(),
             read: BTreeSet::new(),
             ever_read: BTreeSet::new(),
-            up_at: Vec::new(),
-            served: Served::default(),
+            pending_restarts: Vec::new(),
+            served: RequestStats::default(),
             orders: Vec::new(),
-            model,
+            latest_config,
             bursts: Vec::new(),
             weights,
             lost_share: (0.0, 0),
@@ -398,16 +398,16 @@
             site,
         };
         world.auditor.strict = world.plan.strict;
-        world.names.insert("platform".into(), Who::Platform);
+        world.names.insert("platform".into(), Party::Platform);
         for at in 0..count {
             let (who, address) = if world.machines[at].core {
                 (Role::Controller, world.address(at))
             } else {
                 (Role::Proxy, world.address(at))
             };
-            world.names.insert(address, Who::Process(at, who));
-            world.names.insert(format_compact!("porter-{at}"), Who::Process(at, Role::Agent));
-            world.names.insert(format_compact!("stall-{at}"), Who::Process(at, Role::Proxy));
+            world.names.insert(address, Party::Process(at, who));
+            world.names.insert(format_compact!("porter-{at}"), Party::Process(at, Role::Agent));
+            world.names.insert(format_compact!("stall-{at}"), Party::Process(at, Role::Proxy));
             if !world.spares.contains(&at) {
                 let start = world.rng.between(0, 20 * MS);
                 world.at(start, Event::Start(at));
@@ -475,8 +475,8 @@
                     return;
                 }
                 m.due[role as usize] = Time::MAX;
-                if m.frozen > self.now {
-                    return m.held.push(Event::Wake { machine, role, incarnation });
+                if m.frozen_until > self.now {
+                    return m.held_events.push(Event::Wake { machine, role, incarnation });
                 }
                 self.deliver(machine, role, ProcessInput::Tick);
             }
@@ -602,15 +602,15 @@
             self.out(at, role, out);
         }
         let machine = &self.machines[at];
-        let over = machine.proxy.as_ref().is_some_and(|s| s.over(now))
-            || machine.controller.as_ref().is_some_and(|h| h.over(now));
+        let over = machine.proxy.as_ref().is_some_and(|s| s.has_exited(now))
+            || machine.controller.as_ref().is_some_and(|h| h.has_exited(now));
         if over {
             self.processes_exited(at);
         }
     }
 
     fn out(&mut self, at: usize, role: Role, out: ProcessOutput) {
-        let who = Who::Process(at, role);
+        let who = Party::Process(at, role);
         match out {
             ProcessOutput::Call { id, to, payload, within } => {
                 self.call(who, self.machines[at].incarnation, id, &to, payload, within)
@@ -637,7 +637,7 @@
     }
 
     /// Statistics of client requests.
-    pub fn served(&self) -> &Served {
+    pub fn served(&self) -> &RequestStats {
         &self.served
     }
 
@@ -664,7 +664,7 @@
     }
 
     /// The lowest revision active on any running proxy.
-    fn lowest(&self) -> u64 {
+    fn lowest_active_revision(&self) -> u64 {
         let proxies = self.machines.iter().filter(|m| m.powered).filter_map(|m| m.proxy.as_ref());
         proxies.map(ProxyProcess::active_revision).min().unwrap_or(0)
     }
--- a/simulator/src/world/net.rs
+++ b/simulator/src/world/net.rs
@@ -7,7 +7,7 @@
 use millpost_quorum::Message;
 use tinyjson::JsonValue;
 
-use super::{Event, Role, Who, World};
+use super::{Event, Party, Role, World};
 use crate::processes::{Payload, ProcessInput};
 use crate::{MS, SECOND, Time};
 
@@ -19,10 +19,10 @@
 
 /// An open call.
 pub(super) struct Call {
-    pub from: Who,
+    pub from: Party,
     pub incarnation: u64,
     pub id: u64,
-    pub to: Who,
+    pub to: Party,
     pub payload: Option<Payload>,
 }
 
@@ -190,15 +190,15 @@
 }
 
 impl World {
-    fn machine_of(who: Who) -> Option<usize> {
+    fn machine_of(who: Party) -> Option<usize> {
         match who {
-            Who::Process(machine, _) => Some(machine),
-            Who::Platform | Who::Operator(_) => None,
+            Party::Process(machine, _) => Some(machine),
+            Party::Platform | Party::Operator(_) => None,
         }
     }
 
     /// Arrival time of `bytes` bytes sent at `now`.
-    fn transit(&mut self, from: Who, to: Who, bytes: u64, now: Time) -> Time {
+    fn transit(&mut self, from: Party, to: Party, bytes: u64, now: Time) -> Time {
         let (from, to) = (Self::machine_of(from), Self::machine_of(to));
         if from.is_some() && from == to {
             return now + self.rng.between(40_000, 90_000);
@@ -227,7 +227,7 @@
             there += link.out - now;
         }
         if let Some(at) = to {
-            let (until, longer) = self.machines[at].lag;
+            let (until, longer) = self.machines[at].delay;
             if until > now {
                 there += longer;
             }
@@ -239,15 +239,18 @@
         there += again;
         let ends = || from.iter().chain(&to).map(|at| &self.machines[*at]);
         let core = ends().filter(|m| m.core).count() == 2;
-        let cut = ends().map(|m| if core { m.cut.max(m.cut_core) } else { m.cut }).max().unwrap_or(0);
-        let cut = cut.max(from.map_or(0, |at| self.machines[at].cut_out));
-        let halves: Vec<_> = ends().filter(|m| m.core).map(|m| m.half).collect();
+        let cut = ends()
+            .map(|m| if core { m.partition_until.max(m.core_partition_until) } else { m.partition_until })
+            .max()
+            .unwrap_or(0);
+        let cut = cut.max(from.map_or(0, |at| self.machines[at].outgoing_blocked_until));
+        let halves: Vec<_> = ends().filter(|m| m.core).map(|m| m.core_half).collect();
         let cut = match halves.as_slice() {
             [(one, until), (other, _)] if one != other => cut.max(*until),
             _ => cut,
         };
         // An edge machine partitioned from the core still reaches other edge machines and its clients.
-        let edge_cut = ends().filter(|m| !m.core).map(|m| m.cut_core).max().unwrap_or(0);
+        let edge_cut = ends().filter(|m| !m.core).map(|m| m.core_partition_until).max().unwrap_or(0);
         let cut = if ends().any(|m| m.core) { cut.max(edge_cut) } else { cut };
         let operator = from.is_none() && to.is_some() || to.is_none() && from.is_some();
         // Traffic into a partition is delivered after its end; operators reach both sides.
@@ -256,7 +259,7 @@
 
     pub(super) fn call(
         &mut self,
-        from: Who,
+        from: Party,
         incarnation: u64,
         id: u64,
         to: &str,
@@ -283,8 +286,8 @@
     }
 
     /// Charges permit requests to the CPU of the owning proxy, one after the other.
-    fn asked(&mut self, to: Who, payload: &Payload, there: Time) -> Time {
-        let (Who::Process(at, Role::Proxy), Payload::Messages { messages, .. }) = (to, payload) else {
+    fn asked(&mut self, to: Party, payload: &Payload, there: Time) -> Time {
+        let (Party::Process(at, Role::Proxy), Payload::Messages { messages, .. }) = (to, payload) else {
             return there;
         };
         let asks = messages.iter().filter(|n| matches!(n, PeerMessage::RequestPermit { .. })).count();
@@ -303,13 +306,13 @@
         let Some(call) = self.calls.get_mut(&number) else { return };
         let (from, to) = (call.from, call.to);
         match to {
-            Who::Process(at, role) => {
+            Party::Process(at, role) => {
                 let machine = &mut self.machines[at];
                 if !machine.powered {
                     return;
                 }
-                if machine.frozen > self.now {
-                    return machine.held.push(Event::Call(number));
+                if machine.frozen_until > self.now {
+                    return machine.held_events.push(Event::Call(number));
                 }
                 if !machine.up(role) {
                     if let Some(Payload::Follow { .. }) = call.payload {
@@ -327,7 +330,7 @@
                 }
                 self.deliver(at, role, ProcessInput::Call { call: number, payload });
             }
-            Who::Platform => {
+            Party::Platform => {
                 let Some(payload) = call.payload.take() else { return };
                 self.traffic.platform += 1;
                 let answer = self.platform_answers(payload);
@@ -335,7 +338,7 @@
                 let back = self.transit(to, from, ANSWER + estimated_size(&answer), self.now) + took;
                 self.at(back, Event::Answer(number, Some(answer)));
             }
-            Who::Operator(_) => {}
+            Party::Operator(_) => {}
         }
     }
 
@@ -370,23 +373,23 @@
         }
         let (from, incarnation, id) = (call.from, call.incarnation, call.id);
         match from {
-            Who::Process(at, role) => {
+            Party::Process(at, role) => {
                 let machine = &mut self.machines[at];
                 if machine.incarnation != incarnation || !machine.powered {
                     self.calls.remove(&number);
                     return;
                 }
-                if machine.frozen > self.now {
-                    return machine.held.push(Event::Answer(number, payload));
+                if machine.frozen_until > self.now {
+                    return machine.held_events.push(Event::Answer(number, payload));
                 }
                 self.calls.remove(&number);
                 self.deliver(at, role, ProcessInput::Answer { id, payload });
             }
-            Who::Operator(order) => {
+            Party::Operator(order) => {
                 self.calls.remove(&number);
                 self.deliver_to_operator(order, payload);
             }
-            Who::Platform => {}
+            Party::Platform => {}
         }
     }
 
@@ -398,10 +401,10 @@
     }
 
     pub(super) fn follow(&mut self, at: usize, feed: u64, to: &str, payload: Payload) {
-        let Some(Who::Process(controller, _)) = self.names.get(to).copied() else { return };
+        let Some(Party::Process(controller, _)) = self.names.get(to).copied() else { return };
         self.next += 1;
         let number = self.next;
-        let (from, to) = (Who::Process(at, Role::Agent), Who::Process(controller, Role::Controller));
+        let (from, to) = (Party::Process(at, Role::Agent), Party::Process(controller, Role::Controller));
         let there = self.transit(from, to, REQUEST + estimated_size(&payload), self.now);
         let agent_incarnation = self.machines[at].incarnation;
         let stream = Stream {
@@ -424,7 +427,7 @@
     pub(super) fn send_line(&mut self, number: u64, line: Bytes) {
         let Some(stream) = self.streams.get(&number) else { return };
         let (agent, controller) = (stream.agent, stream.controller);
-        let (from, to) = (Who::Process(controller, Role::Controller), Who::Process(agent, Role::Agent));
+        let (from, to) = (Party::Process(controller, Role::Controller), Party::Process(agent, Role::Agent));
         let there = self.transit(from, to, 6 + line.len() as u64, self.now);
         if self.trace.is_some()
             && let Some(describe_view) = describe_view(&line)
@@ -448,8 +451,8 @@
         if machine.incarnation != incarnation || !machine.powered {
             return;
         }
-        if machine.frozen > self.now {
-            return machine.held.push(Event::Line { stream: number, line });
+        if machine.frozen_until > self.now {
+            return machine.held_events.push(Event::Line { stream: number, line });
         }
         self.deliver(at, Role::Agent, ProcessInput::Line { feed, line });
     }
@@ -485,8 +488,8 @@
             (stream.controller, stream.controller_incarnation, stream.open_at_controller);
         let (at, role) = if at_controller { (controller, Role::Controller) } else { (agent, Role::Agent) };
         let machine = &mut self.machines[at];
-        if machine.frozen > self.now {
-            return machine.held.push(Event::Ended { stream: number, at_controller });
+        if machine.frozen_until > self.now {
+            return machine.held_events.push(Event::Ended { stream: number, at_controller });
         }
         if at_controller {
             self.streams.remove(&number);
@@ -502,9 +505,9 @@
         }
     }
 
-    /// Breaks all connections of a machine; `told`: the other sides notice at once.
-    pub(super) fn break_all(&mut self, at: usize, told: bool) {
-        let here = |who: Who| Self::machine_of(who) == Some(at);
+    /// Breaks all connections of a machine; `notify_peers`: the other sides notice at once.
+    pub(super) fn break_all(&mut self, at: usize, notify_peers: bool) {
+        let here = |who: Party| Self::machine_of(who) == Some(at);
         let mut broken: Vec<_> =
             self.calls.iter().filter(|(_, c)| here(c.from) || here(c.to)).map(|(n, _)| *n).collect();
         broken.sort_unstable();
@@ -513,7 +516,7 @@
             if here(call.from) && here(call.to) {
                 continue;
             }
-            if told || here(call.from) {
+            if notify_peers || here(call.from) {
                 call.payload = None;
                 self.at(self.now + self.site.far, Event::Answer(number, None));
             }
@@ -525,7 +528,7 @@
             .map(|(n, s)| (*n, s.agent == at))
             .collect();
         for (number, agent_gone) in streams {
-            let wait = if told { self.site.far } else { FEED_TIMEOUT };
+            let wait = if notify_peers { self.site.far } else { FEED_TIMEOUT };
             self.at(self.now + wait, Event::Ended { stream: number, at_controller: agent_gone });
         }
     }
--- a/simulator/src/world/operator.rs
+++ b/simulator/src/world/operator.rs
@@ -6,7 +6,7 @@
 use compact_str::format_compact;
 use millpost_config::Config;
 
-use super::{Event, Who, World};
+use super::{Event, Party, World};
 use crate::processes::Payload;
 use crate::{MS, SECOND, Time};
 
@@ -89,13 +89,13 @@
     }
 
     pub(super) fn first_order(&mut self) {
-        let (config, machine) = (self.model.clone(), self.core());
+        let (config, machine) = (self.latest_config.clone(), self.core());
         self.put(config, true, Vec::new(), false, SECOND, machine);
     }
 
     /// A random change to the latest configuration, and paths that tell the two apart.
     pub(super) fn change(&mut self) -> (Config, Vec<compact_str::CompactString>) {
-        let mut config = self.model.clone();
+        let mut config = self.latest_config.clone();
         config.revision += 1 + self.rng.below(3) as u64;
         let number = config.revision;
         let mut probes = Vec::new();
@@ -133,7 +133,7 @@
 
     pub(super) fn config_change(&mut self, closes: bool) {
         let (config, probes) = self.change();
-        self.model = config.clone();
+        self.latest_config = config.clone();
         let (machine, now) = (self.core(), self.now);
         self.put(config, true, probes, closes, now, machine);
     }
@@ -145,7 +145,7 @@
         for (place, (mut config, probes)) in changes.into_iter().enumerate() {
             config.revision = number;
             if place == 0 {
-                self.model = config.clone();
+                self.latest_config = config.clone();
             }
             let machine = self.core();
             let at = self.now + self.rng.between(0, 30 * MS);
@@ -170,7 +170,7 @@
         (one.revision, two.revision) = (number, number);
         let (first, second) = (self.core(), self.core());
         let now = self.now;
-        self.model = one.clone();
+        self.latest_config = one.clone();
         self.put(one, true, probes, false, now, first);
         let later = now + self.rng.between(0, 4 * MS);
         self.put(two, true, Vec::new(), false, later, second);
@@ -187,7 +187,7 @@
             route.name = format_compact!("big{number}-{at}");
             config.routes.push(route);
         }
-        self.model = config.clone();
+        self.latest_config = config.clone();
         let (machine, now) = (self.core(), self.now);
         let probes = vec![format_compact!("/big{number}-0/x")];
         self.put(config, true, probes, false, now, machine);
@@ -196,7 +196,7 @@
     /// Moves all routes of one service to another and removes the first from the configuration.
     pub(super) fn drop_service(&mut self) {
         let (gone, to) = (self.site.service(0), self.site.service(1));
-        let mut config = self.model.clone();
+        let mut config = self.latest_config.clone();
         config.revision += 1;
         for (service, _) in config.routes.iter_mut().flat_map(|route| &mut route.shares) {
             if *service == gone {
@@ -204,7 +204,7 @@
             }
         }
         config.services.retain(|service| service.name != gone);
-        self.model = config.clone();
+        self.latest_config = config.clone();
         let (machine, now) = (self.core(), self.now);
         self.put(config, true, Vec::new(), false, now, machine);
     }
@@ -266,7 +266,7 @@
         };
         let to = self.address(machine);
         let big = if let Payload::Replace(text) = &payload { text.len() as u64 / 1_000 * MS } else { 0 };
-        self.call(Who::Operator(at), number, number, &to, payload, SILENCE + big);
+        self.call(Party::Operator(at), number, number, &to, payload, SILENCE + big);
     }
 
     pub(super) fn deliver_to_operator(&mut self, at: usize, payload: Option<Payload>) {
@@ -354,7 +354,7 @@
             Poll::InForce(at) => {
                 let Task::Put { config, .. } = &self.orders[at].what else { return };
                 let revision = config.revision;
-                if self.lowest() >= revision {
+                if self.lowest_active_revision() >= revision {
                     self.orders[at].last = Some(now);
                 } else if self.orders[at].acked.is_some_and(|acked| now < acked + 20 * SECOND) {
                     self.at(now + 5 * MS, Event::OperatorPoll(Poll::InForce(at)));
--- a/simulator/src/world/planned.rs
+++ b/simulator/src/world/planned.rs
@@ -51,7 +51,7 @@
         self.kill(at, true, 0);
         self.machines[at].powered = false;
         self.machines[at].disk.wipe();
-        self.up_at.retain(|(_, machine)| *machine != at);
+        self.pending_restarts.retain(|(_, machine)| *machine != at);
     }
 
     /// Makes other core machines the seeds, and reloads the settings of all processes.
@@ -63,11 +63,11 @@
         self.seeds = of.into_iter().map(|at| self.address(at)).collect();
         let seeds = self.seeds.clone();
         self.trace_line(|| format!("seeds are now {seeds:?}"));
-        (0..self.machines.len()).for_each(|at| self.hang_up(at));
+        (0..self.machines.len()).for_each(|at| self.reload_settings(at));
     }
 
     /// Sends SIGHUP to the processes of a machine.
-    pub(super) fn hang_up(&mut self, at: usize) {
+    pub(super) fn reload_settings(&mut self, at: usize) {
         for role in [Role::Agent, Role::Controller] {
             if self.machines[at].powered && self.machines[at].up(role) {
                 self.deliver(at, role, ProcessInput::Seeds(self.seeds.clone()));
@@ -78,7 +78,7 @@
     /// Sends SIGTERM to the processes of a machine that is to be removed.
     pub(super) fn term_for_good(&mut self, at: usize) {
         let machine = &self.machines[at];
-        if machine.powered && machine.incarnation != 0 && machine.frozen <= self.now {
+        if machine.powered && machine.incarnation != 0 && machine.frozen_until <= self.now {
             self.term(at);
         } else {
             self.retire(at);
@@ -89,7 +89,7 @@
     pub(super) fn term(&mut self, at: usize) {
         let now = self.now;
         let machine = &self.machines[at];
-        if !machine.powered || machine.incarnation == 0 || machine.frozen > now {
+        if !machine.powered || machine.incarnation == 0 || machine.frozen_until > now {
             return;
         }
         let (end, incarnation) = (now + self.site.bounds.grace, machine.incarnation);
