--- a/simulator/src/processes/controller.rs
+++ b/simulator/src/processes/controller.rs
@@ -133,7 +133,7 @@
     }
 
     /// Whether it acts as the leader.
-    pub fn is_steward(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.core.is_leader()
     }
 
--- a/simulator/src/world/faults.rs
+++ b/simulator/src/world/faults.rs
@@ -124,9 +124,13 @@
                 self.machines[machine].core_partition_until = now + BEHIND;
                 self.record_disturbance(machine, now + BEHIND);
                 for after in [200 * MS, BEHIND / 2] {
-                    self.later(now + after, FaultKind::ConfigChange, fault.target_seed);
+                    self.schedule_fault(now + after, FaultKind::ConfigChange, fault.target_seed);
                 }
-                self.later(now + BEHIND, FaultKind::BehindStrikes { missed, lasts }, fault.target_seed);
+                self.schedule_fault(
+                    now + BEHIND,
+                    FaultKind::BehindStrikes { missed, lasts },
+                    fault.target_seed,
+                );
             }
             FaultKind::BehindStrikes { missed, lasts } => {
                 self.strike_around_lagging(&mut target_rng, missed, lasts)
@@ -211,14 +215,14 @@
                 self.config_change(false);
                 if count > 1 {
                     let what = FaultKind::ConfigStorm { count: count - 1, every };
-                    self.later(now + every, what, fault.target_seed);
+                    self.schedule_fault(now + every, what, fault.target_seed);
                 }
             }
         }
     }
 
     /// Schedules a follow-up fault.
-    fn later(&mut self, at: Time, what: FaultKind, target_rng: u64) {
+    fn schedule_fault(&mut self, at: Time, what: FaultKind, target_rng: u64) {
         self.plan.faults.push(InjectedFault { at, kind: what, target_seed: target_rng });
         self.at(at, Event::Fault(self.plan.faults.len() - 1));
     }
@@ -289,16 +293,16 @@
     /// Ends the processes of a machine; with `power` the machine is off for `lasts`.
     pub(super) fn kill(&mut self, at: usize, power: bool, lasts: Time) {
         self.record_disturbance(at, self.now + lasts);
-        self.end(at, power, lasts);
+        self.stop_processes(at, power, lasts);
     }
 
     /// Ends the processes as planned work.
     pub(super) fn stop_planned(&mut self, at: usize, lasts: Time) {
         self.disturbances.record_planned(at, self.now, self.now + lasts);
-        self.end(at, false, lasts);
+        self.stop_processes(at, false, lasts);
     }
 
-    fn end(&mut self, at: usize, power: bool, lasts: Time) {
+    fn stop_processes(&mut self, at: usize, power: bool, lasts: Time) {
         let now = self.now;
         if !self.machines[at].powered || self.machines[at].incarnation == 0 {
             return;
--- a/simulator/src/world/net.rs
+++ b/simulator/src/world/net.rs
@@ -279,14 +279,14 @@
         self.next += 1;
         let number = self.next;
         let there = self.transit(from, to, REQUEST + estimated_size(&payload), self.now);
-        let there = self.asked(to, &payload, there);
+        let there = self.charge_permit_requests(to, &payload, there);
         self.calls.insert(number, Call { from, incarnation, id, to, payload: Some(payload) });
         self.at(there, Event::Call(number));
         self.at(self.now + within, Event::Expire(number));
     }
 
     /// Charges permit requests to the CPU of the owning proxy, one after the other.
-    fn asked(&mut self, to: Party, payload: &Payload, there: Time) -> Time {
+    fn charge_permit_requests(&mut self, to: Party, payload: &Payload, there: Time) -> Time {
         let (Party::Process(at, Role::Proxy), Payload::Messages { messages, .. }) = (to, payload) else {
             return there;
         };
--- a/simulator/src/world/platform.rs
+++ b/simulator/src/world/platform.rs
@@ -108,7 +108,7 @@
                 let view = self.platform.view;
                 match payload {
                     Payload::List { from } => self.list(view, from),
-                    _ => self.staff(view),
+                    _ => self.list_workers(view),
                 }
             }
             Payload::Start { service, worker, nonce } => {
@@ -147,7 +147,7 @@
         Payload::Listed { entries, next }
     }
 
-    fn staff(&self, view: Time) -> Payload {
+    fn list_workers(&self, view: Time) -> Payload {
         let hosts = self.platform.hosts.iter().enumerate();
         let up = hosts.filter(|(_, h)| !h.was_down.iter().any(|(from, to)| *from <= view && view < *to));
         let workers = up.map(|(at, h)| Worker {
