--- a/simulator/src/auditor.rs
+++ b/simulator/src/auditor.rs
@@ -1,6 +1,6 @@
-//! The users' rules, judged from what clients, endpoints, platform and operator saw, and nothing else.
+//! Checks the users' rules against what clients, endpoints, platform and operator observe.
 //!
-//! Invariant: it never asks a process of the system; what it forgives rests on [`crate::calm`] alone.
+//! Invariant: it never queries a process of the system. All tolerance comes from [`crate::disturbances`].
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -8,45 +8,45 @@
 use compact_str::CompactString;
 use millpost_config::{Config, RouteTable};
 
-use crate::calm::Calm;
+use crate::disturbances::Disturbances;
 use crate::site::{Bounds, HOST};
 use crate::{MS, SECOND, Time};
 
-/// A broken rule.
+/// A rule violation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Breach {
-    /// Its name, as on the users' page.
+    /// Name of the rule in the users' documentation.
     pub rule: &'static str,
-    /// When.
+    /// Time of the violation.
     pub at: Time,
-    /// What was seen.
+    /// What was observed.
     pub why: String,
 }
 
-/// A try of a client: one request.
+/// One attempt of a client request.
 #[derive(Clone, Debug)]
-pub struct Try {
-    /// Its path.
+pub struct Attempt {
+    /// Request path.
     pub path: CompactString,
-    /// The class of its request, and its function by the base configuration.
+    /// Index of the request class.
     pub class: usize,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub sent: Time,
-    /// The machine it was sent to, and the life of the stall there.
+    /// The edge machine it was sent to.
     pub machine: usize,
-    /// The life of the stall there.
-    pub life: u64,
-    /// It may run once only.
-    pub once: bool,
-    /// The run that made it, where one did, was itself a repeat.
+    /// Incarnation of the proxy on that machine.
+    pub incarnation: u64,
+    /// Whether it must run at most once.
+    pub at_most_once: bool,
+    /// Whether the run that made this nested call was itself a repeat.
     pub repeat: bool,
-    /// How often it has run.
+    /// Number of runs.
     pub runs: u32,
-    /// What it was promised: that it never runs.
+    /// Status and time of a response that promises it never runs.
     pub promised: Option<(u16, Time)>,
-    /// How often it came to an endpoint.
+    /// Number of arrivals at endpoints.
     pub arrivals: u32,
-    /// The seals of its runs, where they ended with success.
+    /// Seals of its successful runs.
     pub seals: Vec<u64>,
 }
 
@@ -56,66 +56,66 @@
     table: Rc<RouteTable>,
     sent: Time,
     acked: Option<Time>,
-    /// Control has confirmed it, though its operator may not have heard that.
+    /// The controller has confirmed it, even if the operator did not receive the response.
     confirmed: bool,
     valid: bool,
 }
 
-/// What a handling shows: a service that ran a request, or that no route was there.
+/// What the handling of a request reveals about the configuration in use.
 #[derive(Clone, Copy)]
-enum Shown<'a> {
+enum Observation<'a> {
     Ran(&'a str),
     NoRoute,
 }
 
-/// The auditor.
+/// Collects observations and reports rule violations.
 pub struct Auditor {
     bounds: Bounds,
-    fronts: usize,
-    /// LIMIT counts while the core is not settled, too: more than the rules ask.
+    edges: usize,
+    /// Checks LIMIT also while the core is disturbed, which is stricter than the rule.
     pub strict: bool,
-    /// All tries; the place is the id.
-    pub tries: Vec<Try>,
+    /// All attempts, indexed by id.
+    pub attempts: Vec<Attempt>,
     versions: Vec<Version>,
-    /// The newest version that a stall's life was seen to act on, and when.
+    /// The newest revision that a proxy incarnation was seen to act on, and when.
     effects: HashMap<(usize, u64), (u64, Time)>,
     refusals: BTreeMap<CompactString, Vec<Time>>,
-    further: BTreeMap<CompactString, Vec<Time>>,
+    retry_arrivals: BTreeMap<CompactString, Vec<Time>>,
     requests: BTreeMap<CompactString, Vec<Time>>,
-    /// Proper requests that were turned down with a status of the program's own.
+    /// Times at which valid requests were rejected by a status of the system's own.
     denied: Vec<Time>,
-    /// What is broken.
+    /// Violations found so far.
     pub breaches: Vec<Breach>,
 }
 
-fn seal_status(status: u16) -> bool {
+fn is_success(status: u16) -> bool {
     (200..300).contains(&status)
 }
 
 impl Auditor {
-    /// With these bounds, for so many edge machines.
-    pub fn new(bounds: Bounds, fronts: usize) -> Self {
+    /// An auditor with these bounds for `edges` edge machines.
+    pub fn new(bounds: Bounds, edges: usize) -> Self {
         Auditor {
             bounds,
-            fronts,
+            edges,
             strict: false,
-            tries: Vec::new(),
+            attempts: Vec::new(),
             versions: Vec::new(),
             effects: HashMap::new(),
             refusals: BTreeMap::new(),
-            further: BTreeMap::new(),
+            retry_arrivals: BTreeMap::new(),
             requests: BTreeMap::new(),
             denied: Vec::new(),
             breaches: Vec::new(),
         }
     }
 
-    fn broken(&mut self, rule: &'static str, at: Time, why: String) {
+    fn report(&mut self, rule: &'static str, at: Time, why: String) {
         self.breaches.push(Breach { rule, at, why });
     }
 
-    /// An operator sends a version for the first time.
-    pub fn offered(&mut self, at: Time, config: &Config, valid: bool) {
+    /// An operator submits a configuration for the first time.
+    pub fn config_submitted(&mut self, at: Time, config: &Config, valid: bool) {
         let (revision, digest, table) = (config.revision, config.digest(), Rc::new(RouteTable::new(config)));
         self.versions.push(Version {
             revision,
@@ -128,70 +128,79 @@
         });
     }
 
-    /// Control confirms it, whether its operator hears that or not. Where nothing newer can stand, another content under its revision
-    /// was not confirmed before.
-    pub fn confirmed(&mut self, at: Time, revision: u64, digest: u64) {
+    /// The controller confirms a configuration, whether or not the operator receives the response. Unless a
+    /// newer revision may be active, no other content may have been confirmed under the same revision.
+    pub fn config_confirmed(&mut self, at: Time, revision: u64, digest: u64) {
         let newer = self.versions.iter().any(|v| v.valid && v.revision > revision && v.sent <= at);
         let other = |v: &Version| v.valid && v.confirmed && v.revision == revision && v.digest != digest;
         if !newer && self.versions.iter().any(other) {
-            self.broken("CONFIG", at, format!("two contents are confirmed as revision {revision}"));
+            self.report("CONFIG", at, format!("two contents are confirmed as revision {revision}"));
         }
         let same = |v: &&mut Version| v.revision == revision && v.digest == digest;
         self.versions.iter_mut().filter(same).for_each(|v| v.confirmed = true);
     }
 
-    /// Control refuses it for good.
-    pub fn refused(&mut self, at: Time, revision: u64, digest: u64) {
+    /// The controller permanently refuses a configuration.
+    pub fn config_refused(&mut self, at: Time, revision: u64, digest: u64) {
         let confirmed = |v: &Version| v.confirmed && v.revision == revision && v.digest == digest;
         if self.versions.iter().any(confirmed) {
-            self.broken("CONFIG", at, format!("revision {revision} is refused after it was confirmed"));
+            self.report("CONFIG", at, format!("revision {revision} is refused after it was confirmed"));
         }
     }
 
-    /// An operator got an answer for it.
-    pub fn acknowledged(&mut self, at: Time, revision: u64, digest: u64) {
+    /// An operator receives the acknowledgement of a configuration.
+    pub fn config_acknowledged(&mut self, at: Time, revision: u64, digest: u64) {
         let Some(version) = self.versions.iter_mut().find(|v| v.revision == revision && v.digest == digest)
         else {
             return;
         };
         version.acked.get_or_insert(at);
         if !version.valid {
-            let why = format!("something invalid was acknowledged as revision {revision}");
-            self.broken("CONFIG", at, why);
+            let why = format!("an invalid configuration was acknowledged as revision {revision}");
+            self.report("CONFIG", at, why);
         }
     }
 
-    /// The newest version that was acknowledged before this time.
-    pub fn newest(&self, before: Time) -> u64 {
+    /// The newest revision acknowledged no later than `before`; 0 if none.
+    pub fn newest_acknowledged(&self, before: Time) -> u64 {
         let acked = |v: &&Version| v.acked.is_some_and(|at| at <= before);
         self.versions.iter().filter(acked).map(|v| v.revision).max().unwrap_or(0)
     }
 
-    /// What the operator read back at the end; nothing where no answer came.
+    /// The configuration that the operator read back at the end; `None` if there was no response. `closed`: a
+    /// final fault was injected.
     pub fn read_back(&mut self, at: Time, content: Option<&Config>, closed: bool) {
-        let newest = self.newest(at);
+        let newest = self.newest_acknowledged(at);
         let rule = if closed { "LOST" } else { "CONFIG" };
         match content {
-            None if newest > 0 => self.broken(rule, at, format!("nothing is read back of revision {newest}")),
+            None if newest > 0 => self.report(
+                rule,
+                at,
+                format!("the read-back got no response; revision {newest} was acknowledged"),
+            ),
             Some(config) if config.revision < newest => {
                 let why = format!("revision {} is read back, {newest} was acknowledged", config.revision);
-                self.broken(rule, at, why);
+                self.report(rule, at, why);
             }
             Some(config) => {
                 let digest = config.digest();
                 let sent = |v: &Version| v.valid && v.revision == config.revision && v.digest == digest;
                 if !self.versions.iter().any(sent) {
-                    let why = format!("revision {} is read back as it was never sent", config.revision);
-                    self.broken("CONFIG", at, why);
+                    let why = format!(
+                        "revision {} is read back with content that was never submitted",
+                        config.revision
+                    );
+                    self.report("CONFIG", at, why);
                 }
             }
             None => {}
         }
     }
 
-    /// A client sends a try. Its id. It counts for each service that a configuration which may be in force gives it to.
-    pub fn sent(&mut self, one: Try) -> u64 {
-        let newest = self.newest(one.sent);
+    /// A client sends an attempt. Returns its id. It counts as a request for each service that an allowed
+    /// configuration routes it to.
+    pub fn attempt_sent(&mut self, one: Attempt) -> u64 {
+        let newest = self.newest_acknowledged(one.sent);
         let current = self.versions.iter().filter(|v| v.valid && v.revision >= newest);
         let routes = current.filter_map(|v| v.table.find(HOST, &one.path));
         let mut services: Vec<_> =
@@ -201,16 +210,17 @@
         for service in services {
             self.requests.entry(service).or_default().push(one.sent);
         }
-        self.tries.push(one);
-        self.tries.len() as u64 - 1
+        self.attempts.push(one);
+        self.attempts.len() as u64 - 1
     }
 
-    /// A request comes to an endpoint of a service, which runs it or turns it away; `over`: since its slots are taken. Whether what it
-    /// does is a repeat.
+    /// A request reaches an endpoint of a service, which runs it or turns it away; `over`: because all slots
+    /// are taken. `drained`: when the platform listed the endpoint as draining. Returns whether the arrival
+    /// is a repeat.
     #[expect(clippy::too_many_arguments, reason = "what an endpoint sees")]
-    pub fn arrived(
+    pub fn request_arrived(
         &mut self,
-        calm: &Calm,
+        disturbances: &Disturbances,
         at: Time,
         id: u64,
         path: &str,
@@ -219,133 +229,150 @@
         over: bool,
         drained: Option<Time>,
     ) -> bool {
-        let Some(one) = self.tries.get_mut(id as usize).filter(|one| one.path == path) else {
-            self.broken("UNASKED", at, format!("{service} gets request {id} for {path}, which nobody sent"));
+        let Some(one) = self.attempts.get_mut(id as usize).filter(|one| one.path == path) else {
+            self.report(
+                "UNASKED",
+                at,
+                format!("{service} gets request {id} for {path}, which no client sent"),
+            );
             return false;
         };
         one.arrivals += 1;
         let further = one.arrivals > 1 || one.repeat;
         let (machine, sent) = (one.machine, one.sent);
         if further {
-            self.further.entry(service.into()).or_default().push(at);
+            self.retry_arrivals.entry(service.into()).or_default().push(at);
         }
-        if over && calm.calm_outside(at, self.fronts) && (self.strict || calm.touch(machine, at)) {
+        if over
+            && disturbances.outside_undisturbed(at, self.edges)
+            && (self.strict || disturbances.in_contact(machine, at))
+        {
             self.refusals.entry(service.into()).or_default().push(at);
         }
         let late = drained.is_some_and(|shown| at > shown + self.bounds.drain);
-        if late && calm.touch(machine, at) && calm.touch(machine, sent) {
+        if late && disturbances.in_contact(machine, at) && disturbances.in_contact(machine, sent) {
             let why = format!(
-                "request {id} comes to an endpoint of {service} {} ms after it drains",
+                "request {id} reaches an endpoint of {service} {} ms after it was listed as draining",
                 (at - drained.unwrap_or(at)) / MS
             );
-            self.broken("DRAIN", at, why);
+            self.report("DRAIN", at, why);
         }
         if !runs {
             return further;
         }
-        let one = &mut self.tries[id as usize];
+        let one = &mut self.attempts[id as usize];
         one.runs += 1;
-        let (once, count, promised) = (one.once, one.runs, one.promised);
+        let (once, count, promised) = (one.at_most_once, one.runs, one.promised);
         if once && count > 1 {
-            self.broken("TWICE", at, format!("request {id} for {path} runs {count} times"));
+            self.report("TWICE", at, format!("request {id} for {path} runs {count} times"));
         }
         if let Some((status, when)) = promised.filter(|_| once) {
-            let why = format!("request {id} runs {} ms after its {status}", (at - when) / MS);
-            self.broken("REFUSED", at, why);
+            let why = format!("request {id} runs {} ms after its response {status}", (at - when) / MS);
+            self.report("REFUSED", at, why);
         }
-        self.handled(calm, at, id, Shown::Ran(service));
+        self.check_config(disturbances, at, id, Observation::Ran(service));
         further
     }
 
-    /// A run has ended with this seal.
-    pub fn sealed(&mut self, id: u64, seal: u64) {
-        if let Some(one) = self.tries.get_mut(id as usize) {
+    /// A run completed with this seal.
+    pub fn run_completed(&mut self, id: u64, seal: u64) {
+        if let Some(one) = self.attempts.get_mut(id as usize) {
             one.seals.push(seal);
         }
     }
 
-    /// A client gets an answer.
-    pub fn answered(&mut self, calm: &Calm, at: Time, id: u64, status: u16, seal: Option<u64>) {
-        let Some(one) = self.tries.get_mut(id as usize) else { return };
-        if seal_status(status) && !seal.is_some_and(|seal| one.seals.contains(&seal)) {
-            self.broken("MIXED", at, format!("request {id} gets a success that no endpoint gave it"));
+    /// A client receives a response.
+    pub fn client_answered(
+        &mut self,
+        disturbances: &Disturbances,
+        at: Time,
+        id: u64,
+        status: u16,
+        seal: Option<u64>,
+    ) {
+        let Some(one) = self.attempts.get_mut(id as usize) else { return };
+        if is_success(status) && !seal.is_some_and(|seal| one.seals.contains(&seal)) {
+            self.report("MIXED", at, format!("request {id} gets a success that no endpoint returned"));
             return;
         }
         if matches!(status, 429 | 503 | 408 | 421) {
             one.promised = Some((status, at));
-            let (once, ran) = (one.once, one.runs);
+            let (once, ran) = (one.at_most_once, one.runs);
             if once && ran > 0 {
-                self.broken("REFUSED", at, format!("request {id} gets {status} and has run"));
+                self.report("REFUSED", at, format!("request {id} gets {status} although it has run"));
             }
         }
         if (300..500).contains(&status) && !matches!(status, 408 | 421 | 429 | 409) && seal.is_none() {
-            self.denies(calm, at, id);
+            self.record_denial(disturbances, at, id);
         }
         if status == 404 {
-            self.handled(calm, at, id, Shown::NoRoute);
+            self.check_config(disturbances, at, id, Observation::NoRoute);
         }
     }
 
-    /// DENIED: a request that every configuration allows which may be in force is turned down.
-    fn denies(&mut self, calm: &Calm, at: Time, id: u64) {
-        let one = &self.tries[id as usize];
-        let floor = self.newest(one.sent.saturating_sub(self.bounds.apply));
+    /// DENIED: a request that every allowed configuration routes is rejected.
+    fn record_denial(&mut self, disturbances: &Disturbances, at: Time, id: u64) {
+        let one = &self.attempts[id as usize];
+        let floor = self.newest_acknowledged(one.sent.saturating_sub(self.bounds.apply));
         let mut may =
             self.versions.iter().filter(|v| v.valid && v.sent <= at && v.revision >= floor).peekable();
         let allowed = may.peek().is_some() && may.all(|v| v.table.find(HOST, &one.path).is_some());
-        if allowed && calm.touch(one.machine, one.sent) && calm.touch(one.machine, at) {
+        if allowed
+            && disturbances.in_contact(one.machine, one.sent)
+            && disturbances.in_contact(one.machine, at)
+        {
             self.denied.push(at);
         }
     }
 
-    /// LOST: the connection of a request that was read ends without an answer, as its stall leaves.
-    pub fn cut(&mut self, calm: &Calm, at: Time, id: u64) {
-        let one = &self.tries[id as usize];
-        if at > one.sent + self.bounds.loss && calm.as_planned(one.machine, one.sent, at) {
+    /// LOST: the connection of a request that was read closes without a response when its proxy shuts down.
+    pub fn connection_lost(&mut self, disturbances: &Disturbances, at: Time, id: u64) {
+        let one = &self.attempts[id as usize];
+        if at > one.sent + self.bounds.loss && disturbances.only_planned_work(one.machine, one.sent, at) {
             let (machine, sent) = (one.machine, one.sent / MS);
             let why =
-                format!("machine {machine} leaves without an answer to request {id}, sent at {sent} ms");
-            self.broken("LOST", at, why);
+                format!("machine {machine} shuts down without answering request {id}, sent at {sent} ms");
+            self.report("LOST", at, why);
         }
     }
 
-    /// CONFIG and ROUTE, by what a handling shows.
-    fn handled(&mut self, calm: &Calm, at: Time, id: u64, shown: Shown<'_>) {
-        let one = &self.tries[id as usize];
-        let (path, sent, key) = (one.path.clone(), one.sent, (one.machine, one.life));
+    /// CONFIG and ROUTE: checks the configuration that the handling of a request reveals.
+    fn check_config(&mut self, disturbances: &Disturbances, at: Time, id: u64, observed: Observation<'_>) {
+        let one = &self.attempts[id as usize];
+        let (path, sent, key) = (one.path.clone(), one.sent, (one.machine, one.incarnation));
         let allows = |v: &Version| {
             let route = v.table.find(HOST, &path);
-            match shown {
-                Shown::Ran(service) => {
+            match observed {
+                Observation::Ran(service) => {
                     route.is_some_and(|r| r.shares.iter().any(|(name, _)| name == service))
                 }
-                Shown::NoRoute => route.is_none(),
+                Observation::NoRoute => route.is_none(),
             }
         };
         let known = || self.versions.iter().filter(|v| v.sent <= at);
-        let what = match shown {
-            Shown::Ran(service) => format!("{service} runs {path}"),
-            Shown::NoRoute => format!("404 for {path}"),
+        let what = match observed {
+            Observation::Ran(service) => format!("{service} runs {path}"),
+            Observation::NoRoute => format!("404 for {path}"),
         };
-        let touch = calm.touch(key.0, sent);
+        let touch = disturbances.in_contact(key.0, sent);
         let valid = |v: &&Version| v.valid && allows(v);
         let (least, most) = known()
             .filter(valid)
             .fold((u64::MAX, 0), |(least, most), v| (least.min(v.revision), most.max(v.revision)));
         if most == 0 {
-            if matches!(shown, Shown::Ran(_)) {
+            if matches!(observed, Observation::Ran(_)) {
                 let rule = if known().any(|v| !v.valid && allows(v)) { "CONFIG" } else { "ROUTE" };
-                self.broken(rule, at, format!("{what}, which no configuration allows"));
+                self.report(rule, at, format!("{what}, which no configuration allows"));
             }
             return;
         }
-        let floor = self.newest(sent.saturating_sub(self.bounds.apply));
+        let floor = self.newest_acknowledged(sent.saturating_sub(self.bounds.apply));
         if most < floor && touch {
             let why = format!(
                 "{what} (request {id}, sent at {} ms), which only {most} and older allow; {floor} was acknowledged before",
                 sent / MS
             );
-            self.broken("CONFIG", at, why);
+            self.report("CONFIG", at, why);
         }
         let seen = self.effects.get(&key).copied();
         if let Some((revision, when)) = seen
@@ -353,34 +380,34 @@
             && sent > when + self.bounds.revert
         {
             let why = format!(
-                "machine {} goes back: {what} as only {most} allows, after it acted on {revision}",
+                "machine {} reverts: {what}, which only revision {most} allows, after it acted on {revision}",
                 key.0
             );
-            self.broken("CONFIG", at, why);
+            self.report("CONFIG", at, why);
         }
         if seen.is_none_or(|(revision, _)| least > revision) {
             self.effects.insert(key, (least, at));
         }
     }
 
-    /// At the end: what only whole windows show. `closing`: when all was down, when it was back, and whether a quarter was served
-    /// before.
+    /// Checks the rules that need whole time windows. `final_fault`: when the final fault struck and when the
+    /// machines were back. RECOVER applies if at least a quarter of the requests was served before.
     pub fn finish(
         &mut self,
         end: Time,
         served: impl Fn(Time, Time) -> Option<f64>,
-        closing: Option<(Time, Time)>,
+        final_fault: Option<(Time, Time)>,
     ) {
         let mut found = Vec::new();
-        let (denied, most) = (self.denied.len(), 5 + self.tries.len() / 500);
+        let (denied, most) = (self.denied.len(), 5 + self.attempts.len() / 500);
         if denied > most {
-            let why = format!("{denied} proper requests of {} are turned down", self.tries.len());
+            let why = format!("{denied} of {} valid requests are rejected", self.attempts.len());
             found.push(("DENIED", self.denied[most], why));
         }
         for (service, times) in &self.refusals {
             let most = self.bounds.rejects;
             if let Some(at) = times.windows(most + 1).find(|w| w[most] - w[0] <= 5 * SECOND) {
-                let why = format!("{service} turns away {} requests within 5 s", most + 1);
+                let why = format!("endpoints of {service} turn away {} requests within 5 s", most + 1);
                 found.push(("LIMIT", at[most], why));
             }
         }
@@ -388,7 +415,7 @@
         let count = |times: &[Time], from: Time, to: Time| {
             times.partition_point(|t| *t <= to) - times.partition_point(|t| *t < from)
         };
-        for (service, times) in &self.further {
+        for (service, times) in &self.retry_arrivals {
             if times.len() as f64 <= self.bounds.slack {
                 continue;
             }
@@ -402,7 +429,7 @@
                 let asked = asked.into_iter().max().unwrap_or(0);
                 if within as f64 > asked as f64 * self.bounds.ratio + self.bounds.slack {
                     let why = format!(
-                        "{service}: {within} further arrivals for {asked} requests within {} s",
+                        "{service}: {within} repeated arrivals for {asked} requests within {} s",
                         window / SECOND
                     );
                     found.push(("BUDGET", to, why));
@@ -410,7 +437,7 @@
                 }
             }
         }
-        if let Some((down, back)) = closing {
+        if let Some((down, back)) = final_fault {
             let before = served(down.saturating_sub(10 * SECOND), down);
             let after = served(back + self.bounds.recovery, end);
             if let (Some(before), Some(after)) = (before, after)
@@ -420,12 +447,12 @@
                 found.push((
                     "RECOVER",
                     end,
-                    format!("{before:.2} was served before the end, {after:.2} after"),
+                    format!("success ratio {before:.2} before the final fault, {after:.2} after recovery"),
                 ));
             }
         }
         for (rule, at, why) in found {
-            self.broken(rule, at, why);
+            self.report(rule, at, why);
         }
         self.breaches.sort_by_key(|b| b.at);
     }
--- a/simulator/src/day.rs
+++ b/simulator/src/day.rs
@@ -1,4 +1,4 @@
-//! One day from beginning to end, and its figures.
+//! Runs one simulated day and reports its figures.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -7,70 +7,71 @@
 
 use crate::auditor::Breach;
 use crate::plan::Plan;
-use crate::record::Records;
+use crate::record::Recordings;
 use crate::world::{Traffic, World};
 use crate::{MS, SECOND, Time};
 
-/// All classes of clients' requests, and loans and holds.
+/// Indexes of all classes of client requests, and of those that go to busy functions.
 const ALL: [usize; 3] = [0, 1, 2];
 const BUSY: [usize; 2] = [0, 1];
 
-/// What a day has shown.
+/// Results of a simulated day.
 #[derive(Debug)]
 pub struct Report {
-    /// Its seed.
+    /// Seed of the day.
     pub seed: u64,
-    /// Broken rules, in the order of time.
+    /// Rule violations, ordered by time.
     pub breaches: Vec<Breach>,
-    /// Requests of clients, and how many were served.
+    /// Number of client requests.
     pub requests: usize,
-    /// Served ones.
+    /// Number of client requests that succeeded.
     pub served: usize,
-    /// Half of the served ones took no longer,
+    /// Median latency of successful requests.
     pub p50: Time,
-    /// ... 95 of 100,
+    /// 95th percentile.
     pub p95: Time,
-    /// ... and 99 of 100.
+    /// 99th percentile.
     pub p99: Time,
-    /// The same for loans and holds alone, which go to functions that seldom wait for a start.
-    pub busy_p99: Time,
-    /// The share of all that was served in the time in which an answer earns its full worth.
-    pub within_aim: f64,
-    /// Starts that the platform has done.
+    /// 99th percentile for requests to busy functions, which rarely wait for an instance start.
+    pub short_p99: Time,
+    /// Share of all requests served within the target latency of their class.
+    pub within_target: f64,
+    /// Number of instance starts.
     pub starts: u64,
-    /// Memory of instances by time, in GB seconds.
+    /// Instance memory over time, in GB seconds.
     pub memory: f64,
-    /// What went between machines.
+    /// Network traffic.
     pub traffic: Traffic,
-    /// From each acknowledgement to the last stall.
-    pub converged: Vec<(u64, Option<Time>)>,
-    /// Events that were played, and the digest of them.
+    /// For each revision, the time from its acknowledgement until the last proxy applied it; `None` if that
+    /// never happened.
+    pub propagation: Vec<(u64, Option<Time>)>,
+    /// Number of simulated events.
     pub events: u64,
-    /// The same for the same day.
+    /// Digest of all events; equal for equal plans.
     pub digest: u64,
-    /// The length of the day.
+    /// Simulated time at the end of the day.
     pub length: Time,
-    /// What playing it took, in seconds.
+    /// Wall-clock duration of the simulation, in seconds.
     pub took: f64,
-    /// How requests ended that were not served.
+    /// Unsuccessful requests by final status: 0 for a broken connection, 1 for a client deadline.
     pub statuses: Vec<(u16, u64)>,
-    /// Lines of what happened.
+    /// Trace lines, if a trace was requested.
     pub trace: Vec<String>,
 }
 
-/// Plays a day. `first`: no further than to the first broken rule.
+/// Simulates a day. With `first` it stops at the first rule violation.
 pub fn play(plan: &Plan, first: bool, trace: bool) -> Report {
     play_recorded(plan, first, trace, None)
 }
 
-/// The same, with recordings of all processes.
-pub fn play_recorded(plan: &Plan, first: bool, trace: bool, records: Option<Records>) -> Report {
-    let begun = Instant::now();
+/// Like [`play`], and records all processes.
+pub fn play_recorded(plan: &Plan, first: bool, trace: bool, records: Option<Recordings>) -> Report {
+    let started = Instant::now();
     let mut world = World::new(plan.clone(), trace);
     world.records = records;
-    let mut asked = false;
+    let mut read_back_started = false;
     loop {
-        // The end moves once the closing fault has struck.
+        // The final fault moves the end of the day.
         let end = world.end;
         let read = end.saturating_sub(2 * SECOND);
         let stop = first && !world.auditor.breaches.is_empty();
@@ -81,21 +82,24 @@
             let next = (world.now + SECOND).min(read);
             world.play(next, first);
         } else {
-            if !asked {
-                asked = true;
-                world.ask_back();
+            if !read_back_started {
+                read_back_started = true;
+                world.start_read_back();
             }
             world.play(end, first);
         }
     }
-    // The core may be in trouble as the day ends: the operator goes on asking for a while.
-    let patience = world.now + 10 * SECOND;
-    while world.unread() && world.now < patience && (!first || world.auditor.breaches.is_empty()) {
+    // The core may still be recovering: the operator keeps reading for up to 10 s.
+    let read_back_deadline = world.now + 10 * SECOND;
+    while world.read_back_pending()
+        && world.now < read_back_deadline
+        && (!first || world.auditor.breaches.is_empty())
+    {
         world.play(world.now + 500 * MS, first);
     }
     let stopped = first && !world.auditor.breaches.is_empty();
     if !stopped {
-        world.last_word();
+        world.finish_read_back();
         world.finish();
     }
     let (requests, served) = world.served().counts();
@@ -108,16 +112,16 @@
         p50: world.served().quantile(0.5, &ALL),
         p95: world.served().quantile(0.95, &ALL),
         p99: world.served().quantile(0.99, &ALL),
-        busy_p99: world.served().quantile(0.99, &BUSY),
-        within_aim: world.served().within_aim(world.classes()),
+        short_p99: world.served().quantile(0.99, &BUSY),
+        within_target: world.served().within_target(world.classes()),
         starts,
         memory,
         traffic: world.traffic,
-        converged: world.converged(),
+        propagation: world.propagation(),
         events: world.played,
         digest: world.digest,
         length: world.now,
-        took: begun.elapsed().as_secs_f64(),
+        took: started.elapsed().as_secs_f64(),
         statuses: world.served().statuses.iter().map(|(s, n)| (*s, *n)).collect(),
         trace: world.trace.take().unwrap_or_default(),
     }
@@ -131,7 +135,7 @@
     JsonValue::Object(fields.into_iter().map(|(k, v)| (k.to_owned(), v)).collect::<HashMap<_, _>>())
 }
 
-/// Broken rules as JSON.
+/// Rule violations as JSON.
 pub fn breaches_json(breaches: &[Breach]) -> JsonValue {
     let one = |b: &Breach| {
         object(vec![
@@ -144,29 +148,29 @@
 }
 
 impl Report {
-    /// The longest time from an acknowledgement to the last stall, in milliseconds.
-    pub fn slowest(&self) -> Option<u64> {
-        self.converged.iter().filter_map(|(_, took)| *took).max().map(|took| took / MS)
+    /// The longest propagation time of a configuration change, in milliseconds.
+    pub fn slowest_propagation_ms(&self) -> Option<u64> {
+        self.propagation.iter().filter_map(|(_, took)| *took).max().map(|took| took / MS)
     }
 
-    /// The share of requests that were served.
-    pub fn share(&self) -> f64 {
+    /// The share of requests that succeeded, from 0 to 1.
+    pub fn served_ratio(&self) -> f64 {
         self.served as f64 / self.requests.max(1) as f64
     }
 
-    /// As JSON.
+    /// The report as a JSON object.
     pub fn to_json(&self) -> JsonValue {
         let each = self.requests.max(1) as f64;
         object(vec![
             ("seed", JsonValue::String(self.seed.to_string())),
             ("broken", breaches_json(&self.breaches)),
             ("requests", number(self.requests as f64)),
-            ("served", number(self.share())),
+            ("served", number(self.served_ratio())),
             ("p50_ms", number(self.p50 as f64 / MS as f64)),
             ("p95_ms", number(self.p95 as f64 / MS as f64)),
             ("p99_ms", number(self.p99 as f64 / MS as f64)),
-            ("busy_p99_ms", number(self.busy_p99 as f64 / MS as f64)),
-            ("within_aim", number(self.within_aim)),
+            ("busy_p99_ms", number(self.short_p99 as f64 / MS as f64)),
+            ("within_aim", number(self.within_target)),
             ("starts", number(self.starts as f64)),
             ("instances_gb_s", number(self.memory)),
             ("messages", number(self.traffic.messages as f64)),
@@ -174,14 +178,17 @@
             ("zone_bytes_per_request", number(self.traffic.zone_bytes as f64 / each)),
             ("connections_per_request", number(self.traffic.handshakes as f64 / each)),
             ("platform_calls", number(self.traffic.platform as f64)),
-            ("slowest_change_ms", self.slowest().map_or(JsonValue::Null, |ms| number(ms as f64))),
+            (
+                "slowest_change_ms",
+                self.slowest_propagation_ms().map_or(JsonValue::Null, |ms| number(ms as f64)),
+            ),
             ("events", number(self.events as f64)),
             ("digest", JsonValue::String(format!("{:016x}", self.digest))),
             ("took_s", number(self.took)),
         ])
     }
 
-    /// As text.
+    /// A summary for people.
     pub fn to_text(&self) -> String {
         let each = self.requests.max(1) as f64;
         let ms = |t: Time| t as f64 / MS as f64;
@@ -195,14 +202,14 @@
                 self.digest
             ),
             format!(
-                "requests {}, served {:.4}, within their aim {:.4}, p50 {:.1} ms, p95 {:.1} ms, p99 {:.1} ms, loans and holds {:.1} ms",
+                "requests {}, served {:.4}, within their target latency {:.4}, p50 {:.1} ms, p95 {:.1} ms, p99 {:.1} ms, loans and holds {:.1} ms",
                 self.requests,
-                self.share(),
-                self.within_aim,
+                self.served_ratio(),
+                self.within_target,
                 ms(self.p50),
                 ms(self.p95),
                 ms(self.p99),
-                ms(self.busy_p99)
+                ms(self.short_p99)
             ),
             format!(
                 "starts {}, instances {:.1} GB s, calls to the platform {}",
@@ -218,22 +225,22 @@
             ),
         ];
         let changes: Vec<_> = self
-            .converged
+            .propagation
             .iter()
             .map(|(n, took)| format!("{n}: {}", took.map_or("never".into(), |t| format!("{} ms", t / MS))))
             .collect();
-        lines.push(format!("from acknowledged to the last stall: {}", changes.join(", ")));
+        lines.push(format!("from acknowledgement to the last proxy: {}", changes.join(", ")));
         if !self.statuses.is_empty() {
             let of: Vec<_> = self
                 .statuses
                 .iter()
                 .map(|(status, n)| match status {
-                    0 => format!("broken off {n}"),
-                    1 => format!("out of time {n}"),
+                    0 => format!("connection broken {n}"),
+                    1 => format!("deadline passed {n}"),
                     status => format!("{status} {n}"),
                 })
                 .collect();
-            lines.push(format!("not served: {}", of.join(", ")));
+            lines.push(format!("unsuccessful: {}", of.join(", ")));
         }
         lines.extend(
             self.breaches.iter().map(|b| format!("{} at {:.3} s: {}", b.rule, ms(b.at) / 1e3, b.why)),
--- a/simulator/src/plan.rs
+++ b/simulator/src/plan.rs
@@ -1,412 +1,426 @@
-//! A day as it is drawn from its seed: troubles, changes of the configuration, how it ends.
+//! The plan of a simulated day, drawn from its seed: injected faults, configuration changes and the final
+//! fault.
 
-use crate::chance::Chance;
-use crate::plant::Plant;
+use crate::mutation::Mutation;
+use crate::rng::Rng;
 use crate::site::{Site, Size};
 use crate::speeds::Speeds;
 use crate::{MS, SECOND, Time};
 
-/// From whom a machine is cut off.
+/// Which traffic of a machine a network partition blocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum From {
-    /// All others.
+pub enum CutScope {
+    /// All traffic.
     All,
-    /// Other core machines; stalls and the platform reach it.
+    /// Traffic with other core machines; edge machines and the platform still reach it.
     Core,
-    /// All others hear nothing of it, and it hears them.
+    /// Outgoing traffic only; the machine still receives.
     OneWay,
 }
 
-/// Which machine of the core is replaced.
+/// Which core machine a replacement targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Whom {
-    /// One that the settings files name.
+pub enum ReplaceTarget {
+    /// A machine named as a seed in the settings files.
     Seed,
-    /// The steward.
+    /// The current leader.
     Leader,
-    /// Any, with SIGTERM first.
+    /// Any machine, as planned work: it gets SIGTERM first.
     Planned,
 }
 
-/// What happens, named as in the users' site files.
+/// The kind of an injected fault or operation, named as in the users' site files. Variants and fields appear
+/// in traces through `Debug`.
 #[allow(missing_docs, reason = "the fields are what the variants say")]
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
-    /// More requests of one class, by this factor.
+pub enum FaultKind {
+    /// Request rate of one class multiplied by `times`.
     Burst { class: usize, times: f64, lasts: Time },
-    /// One machine's processes are killed; with `power` what was not synced may be gone.
+    /// The processes of one machine are killed. With `power` the machine also loses power, and unsynced
+    /// writes may be lost.
     NodeKill { core: bool, power: bool, lasts: Time },
-    /// A part of the edge machines is killed in one moment.
+    /// A share of the edge machines is killed at the same instant.
     HerdKill { share: f64, power: bool, lasts: Time },
-    /// Core machines are cut off.
-    CoreCut { count: usize, from: From, lasts: Time },
-    /// A part of the workers crashes with their endpoints; `reset`: their hosts still answer.
+    /// Core machines are partitioned.
+    CoreCut { count: usize, from: CutScope, lasts: Time },
+    /// A share of the workers crashes with their endpoints. With `reset` their hosts still answer with
+    /// connection resets.
     WorkerCrash { share: f64, reset: bool, lasts: Time },
-    /// A part of the workers is emptied.
+    /// A share of the workers is drained.
     WorkerDrain { share: f64 },
-    /// A core machine loses its disk right after it has acknowledged.
+    /// A core machine loses its disk right after it has acknowledged a configuration.
     AfterAckWipe { lasts: Time },
-    /// Two operators send one revision with two contents at once.
+    /// Two operators concurrently submit different contents under the same revision.
     ConfigRace,
-    /// The configuration changes.
+    /// An operator submits a changed configuration.
     ConfigChange,
-    /// Something invalid is sent.
+    /// An operator submits an invalid configuration.
     BadConfig,
-    /// Endpoints run requests and this part of their answers is lost.
+    /// Endpoints run requests, and this share of their responses is lost.
     AnswerLost { share: f64, lasts: Time },
-    /// Endpoints hand out wrong bytes.
+    /// This share of the responses of endpoints is corrupted.
     Garble { share: f64, lasts: Time },
-    /// A part of the endpoints works slower by this factor.
+    /// A share of the endpoints runs slower by the factor `times`.
     SrvSlow { share: f64, times: f64, lasts: Time },
-    /// Connections of a machine are reset.
+    /// All connections of a machine are reset.
     ResetConns { core: bool },
-    /// A machine freezes, and wakes.
+    /// All processes of a machine are suspended, then resumed.
     NodeFreeze { core: bool, lasts: Time },
-    /// A disk hangs.
+    /// A disk of a core machine hangs.
     DiskStall { lasts: Time },
-    /// A disk is slower by this factor.
+    /// A disk of a core machine is slower by the factor `times`.
     DiskSlow { times: f64, lasts: Time },
-    /// A disk takes nothing.
+    /// A disk of a core machine is full.
     DiskFull { lasts: Time },
-    /// A core machine goes for good, and an empty one comes at another address so long after.
-    ReplaceCore { whom: Whom, after: Time },
-    /// Other core machines become the seeds.
+    /// A core machine is removed permanently. An empty one starts at another address after the delay `after`.
+    ReplaceCore { whom: ReplaceTarget, after: Time },
+    /// Other core machines become the seeds in the settings files.
     SeedTurnover,
-    /// The processes of a machine get SIGTERM and are started again.
+    /// The processes of a machine get SIGTERM and are restarted.
     NodeTerm { core: bool },
-    /// The configuration grows by so many routes.
+    /// The configuration grows by `count` routes.
     BigConfig { count: usize },
-    /// An operator takes out a worker, or a stall. Not drawn.
+    /// An operator drains a worker or an edge machine. Never drawn at random.
     Drain { worker: bool, lasts: Time },
-    /// The routes of the first busy service go to the second, and the configuration names the first no more.
+    /// The routes of the first busy service move to the second, and the configuration no longer contains the
+    /// first.
     ServiceDrop,
-    /// So many changes of the configuration in a row.
+    /// `count` configuration changes, one per `every`.
     ConfigStorm { count: usize, every: Time },
-    /// This part of the answers to operators is lost; they send the same again, to other machines first.
+    /// This share of the responses to operators is lost. Operators retry, on other machines first.
     AckLost { share: f64, lasts: Time },
-    /// So many operators send as many contents under one revision at once.
+    /// `count` operators concurrently submit different contents under the same revision.
     ConfigRaceOf { count: usize },
-    /// The configuration that was acknowledged last is sent once more.
+    /// The configuration acknowledged last is submitted again.
     SentAgain,
-    /// Another content is sent under the revision that was acknowledged last.
+    /// Different content is submitted under the revision acknowledged last.
     SameRevision,
-    /// The core machine that acknowledges next is gone right after it: killed, or without power.
+    /// The core machine that acknowledges the next configuration is killed right after it, or loses power.
     AfterAckKill { power: bool, lasts: Time },
-    /// The core is cut in two halves; all others reach both.
+    /// The core is partitioned into two halves; all other machines reach both.
     CoreSplit { lasts: Time },
-    /// An edge machine is cut off from the core.
+    /// An edge machine is partitioned from the core.
     NodeCut { lasts: Time },
-    /// The processes of all core machines get SIGTERM, one after the other.
+    /// Rolling restart of the core: the processes of each core machine get SIGTERM in turn.
     RollTerm { every: Time },
-    /// Those of a part of the edge machines do.
+    /// Rolling restart of a share of the edge machines.
     EdgeRoll { share: f64, every: Time },
-    /// One core machine misses changes; then another loses its disk, the rest are without power for as long, and the cut is over.
+    /// One core machine is partitioned and misses changes. Then another loses its disk, all remaining ones
+    /// lose power for `lasts`, and the partition heals.
     CoreBehind { lasts: Time },
-    /// The second part of that, by the place in the core of the one that missed the changes.
+    /// The second step of [`FaultKind::CoreBehind`]. `missed` is the index in the core of the machine that
+    /// missed the changes.
     BehindStrikes { missed: usize, lasts: Time },
-    /// The processes of a part of the machines are told to read their settings again.
+    /// The processes of a share of the machines get SIGHUP and reload their settings.
     HangUp { share: f64 },
-    /// The time of day of some machines is off by so many milliseconds, and right again afterwards.
+    /// The wall clocks of a share of the machines are off by `by_ms` milliseconds for the duration `lasts`.
     ClockStep { share: f64, by_ms: i64, lasts: Time },
 }
 
-impl What {
-    /// The users' word for it.
+impl FaultKind {
+    /// The name used in the users' site files.
     pub fn name(&self) -> &'static str {
         match self {
-            What::Burst { .. } => "burst",
-            What::NodeKill { .. } => "node_kill",
-            What::HerdKill { .. } => "herd_kill",
-            What::CoreCut { .. } => "core_cut",
-            What::WorkerCrash { .. } => "worker_crash",
-            What::WorkerDrain { .. } => "worker_drain",
-            What::AfterAckWipe { .. } => "after_ack_wipe",
-            What::ConfigRace => "config_race",
-            What::ConfigChange => "config_change",
-            What::BadConfig => "bad_config",
-            What::AnswerLost { .. } => "answer_lost",
-            What::Garble { .. } => "garble",
-            What::SrvSlow { .. } => "srv_slow",
-            What::ResetConns { .. } => "reset_conns",
-            What::NodeFreeze { .. } => "node_freeze",
-            What::DiskStall { .. } => "disk_stall",
-            What::DiskSlow { .. } => "disk_slow",
-            What::DiskFull { .. } => "disk_full",
-            What::ReplaceCore { .. } => "replace_core",
-            What::SeedTurnover => "seed_turnover",
-            What::NodeTerm { .. } => "node_term",
-            What::BigConfig { .. } => "big_config",
-            What::Drain { .. } => "drain",
-            What::ServiceDrop => "service_drop",
-            What::ConfigStorm { .. } => "config_storm",
-            What::AckLost { .. } => "ack_lost",
-            What::ConfigRaceOf { .. } => "config_race",
-            What::SentAgain => "sent_again",
-            What::SameRevision => "bad_config same_version",
-            What::AfterAckKill { .. } => "after_ack_kill",
-            What::CoreSplit { .. } => "core_cut split",
-            What::NodeCut { .. } => "node_cut",
-            What::ClockStep { .. } => "clock_step",
-            What::RollTerm { .. } | What::EdgeRoll { .. } => "roll_term",
-            What::CoreBehind { .. } | What::BehindStrikes { .. } => "core_cut behind",
-            What::HangUp { .. } => "hup",
+            FaultKind::Burst { .. } => "burst",
+            FaultKind::NodeKill { .. } => "node_kill",
+            FaultKind::HerdKill { .. } => "herd_kill",
+            FaultKind::CoreCut { .. } => "core_cut",
+            FaultKind::WorkerCrash { .. } => "worker_crash",
+            FaultKind::WorkerDrain { .. } => "worker_drain",
+            FaultKind::AfterAckWipe { .. } => "after_ack_wipe",
+            FaultKind::ConfigRace => "config_race",
+            FaultKind::ConfigChange => "config_change",
+            FaultKind::BadConfig => "bad_config",
+            FaultKind::AnswerLost { .. } => "answer_lost",
+            FaultKind::Garble { .. } => "garble",
+            FaultKind::SrvSlow { .. } => "srv_slow",
+            FaultKind::ResetConns { .. } => "reset_conns",
+            FaultKind::NodeFreeze { .. } => "node_freeze",
+            FaultKind::DiskStall { .. } => "disk_stall",
+            FaultKind::DiskSlow { .. } => "disk_slow",
+            FaultKind::DiskFull { .. } => "disk_full",
+            FaultKind::ReplaceCore { .. } => "replace_core",
+            FaultKind::SeedTurnover => "seed_turnover",
+            FaultKind::NodeTerm { .. } => "node_term",
+            FaultKind::BigConfig { .. } => "big_config",
+            FaultKind::Drain { .. } => "drain",
+            FaultKind::ServiceDrop => "service_drop",
+            FaultKind::ConfigStorm { .. } => "config_storm",
+            FaultKind::AckLost { .. } => "ack_lost",
+            FaultKind::ConfigRaceOf { .. } => "config_race",
+            FaultKind::SentAgain => "sent_again",
+            FaultKind::SameRevision => "bad_config same_version",
+            FaultKind::AfterAckKill { .. } => "after_ack_kill",
+            FaultKind::CoreSplit { .. } => "core_cut split",
+            FaultKind::NodeCut { .. } => "node_cut",
+            FaultKind::ClockStep { .. } => "clock_step",
+            FaultKind::RollTerm { .. } | FaultKind::EdgeRoll { .. } => "roll_term",
+            FaultKind::CoreBehind { .. } | FaultKind::BehindStrikes { .. } => "core_cut behind",
+            FaultKind::HangUp { .. } => "hup",
         }
     }
 }
 
-/// One trouble or change.
+/// One scheduled fault or operation.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Trouble {
-    /// When.
+pub struct InjectedFault {
+    /// Time at which it takes effect.
     pub at: Time,
-    /// What.
-    pub what: What,
-    /// Whom it hits, where that is drawn.
-    pub dice: u64,
+    /// What is injected.
+    pub kind: FaultKind,
+    /// Seed for the random choice of the targets.
+    pub target_seed: u64,
 }
 
-/// How a day ends, right after a change was acknowledged.
+/// The fault injected at the end of a day, right after a configuration change was acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Closing {
+pub enum FinalFault {
     /// Every machine loses power.
     PowerOffAll,
     /// Every process is killed.
     KillAll,
-    /// As many disks as may be lost are lost while all others lose power.
+    /// The disk of the acknowledging core machine is lost, the tolerated number of losses, while all other
+    /// core machines lose power.
     WipeAfterAck,
 }
 
-/// A day.
+/// The plan of one simulated day.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its seed.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// The size of the site.
+    /// Size of the site.
     pub size: Size,
-    /// Troubles and changes.
-    pub troubles: Vec<Trouble>,
-    /// How it ends, and when.
-    pub closing: Option<(Time, Closing)>,
-    /// A guard that is taken out.
-    pub plant: Option<Plant>,
-    /// LIMIT is judged while the core is not settled, too.
+    /// Faults and configuration changes, ordered by time.
+    pub faults: Vec<InjectedFault>,
+    /// The final fault and its time, if there is one.
+    pub final_fault: Option<(Time, FinalFault)>,
+    /// The safeguard that is disabled, if any.
+    pub mutation: Option<Mutation>,
+    /// Checks the LIMIT rule also while the core is disturbed.
     pub strict: bool,
-    /// Asks take of their owner's processor.
-    pub strained: bool,
-    /// How fast workers are.
+    /// Charges permit requests to the CPU of the owning proxy.
+    pub charge_request_cpu: bool,
+    /// Distribution of worker speeds.
     pub speeds: Speeds,
-    /// The site is smaller by this factor.
-    pub part: usize,
-    /// The day is longer by this factor.
-    pub times: u64,
-    /// The site has the functions and requests of the users' homework sites, under so many times the usual load.
+    /// Divisor for the number of edge machines, workers, functions and client requests.
+    pub site_divisor: usize,
+    /// Multiplier for the length of the day.
+    pub length_factor: u64,
+    /// Uses the functions and requests of the users' homework sites, with this multiple of the usual load.
     pub homework: Option<f64>,
 }
 
-/// How days are drawn.
+/// Which kinds of faults a random day contains.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Days {
-    /// Up to four troubles of any kind.
+pub enum PlanKind {
+    /// Up to four faults of any kind.
     #[default]
     Usual,
-    /// Those with more troubles of the control side, and longer cuts.
+    /// Additional controller faults and longer partitions.
     Control,
-    /// Longer days with planned work only, which comes in series and overlaps.
+    /// Longer days with planned operations only, in overlapping series.
     Planned,
 }
 
-impl Days {
-    /// The day of this seed.
-    pub fn draw(self, seed: u64, size: Size, plant: Option<Plant>) -> Plan {
+impl PlanKind {
+    /// Draws the plan for a seed.
+    pub fn draw(self, seed: u64, size: Size, mutation: Option<Mutation>) -> Plan {
         match self {
-            Days::Usual => Plan::draw(seed, size, plant),
-            Days::Control => Plan::draw_control(seed, size, plant),
-            Days::Planned => Plan::draw_planned(seed, size, plant),
+            PlanKind::Usual => Plan::draw(seed, size, mutation),
+            PlanKind::Control => Plan::draw_control(seed, size, mutation),
+            PlanKind::Planned => Plan::draw_planned(seed, size, mutation),
         }
     }
 }
 
-/// A day of planned work is so many times as long as others.
-const PLANNED_TIMES: u64 = 3;
+/// Length of a day of planned operations relative to other days.
+const PLANNED_LENGTH_FACTOR: u64 = 3;
 
 impl Plan {
-    /// The day of this seed.
-    pub fn draw(seed: u64, size: Size, plant: Option<Plant>) -> Self {
+    /// Draws the plan for a seed.
+    pub fn draw(seed: u64, size: Size, mutation: Option<Mutation>) -> Self {
         let site = Site::new(size);
-        let mut chance = Chance::new(seed ^ 0x5eed);
+        let mut rng = Rng::new(seed ^ 0x5eed);
         let (begin, end) = (site.lead, site.lead + site.length);
-        let mut troubles = Vec::new();
-        let changes = 1 + chance.below(4);
+        let mut faults = Vec::new();
+        let changes = 1 + rng.below(4);
         for _ in 0..changes {
-            let at = chance.between(3 * SECOND, end - 2 * SECOND);
-            let what = match chance.below(6) {
-                0 | 1 => What::ConfigRace,
-                2 => What::BadConfig,
-                _ => What::ConfigChange,
+            let at = rng.between(3 * SECOND, end - 2 * SECOND);
+            let what = match rng.below(6) {
+                0 | 1 => FaultKind::ConfigRace,
+                2 => FaultKind::BadConfig,
+                _ => FaultKind::ConfigChange,
             };
-            troubles.push(Trouble { at, what, dice: chance.seed() });
+            faults.push(InjectedFault { at, kind: what, target_seed: rng.seed() });
         }
-        for _ in 0..chance.below(5) {
-            let at = chance.between(begin, end - SECOND);
-            let lasts = chance.between(800 * MS, 5_500 * MS);
-            let what = drawn(&mut chance, lasts);
-            troubles.push(Trouble { at, what, dice: chance.seed() });
+        for _ in 0..rng.below(5) {
+            let at = rng.between(begin, end - SECOND);
+            let lasts = rng.between(800 * MS, 5_500 * MS);
+            let what = draw_fault(&mut rng, lasts);
+            faults.push(InjectedFault { at, kind: what, target_seed: rng.seed() });
         }
-        troubles.sort_by_key(|t| t.at);
-        let closing = match chance.below(5) {
-            0 => Some(Closing::PowerOffAll),
-            1 => Some(Closing::KillAll),
-            2 => Some(Closing::WipeAfterAck),
+        faults.sort_by_key(|t| t.at);
+        let final_fault = match rng.below(5) {
+            0 => Some(FinalFault::PowerOffAll),
+            1 => Some(FinalFault::KillAll),
+            2 => Some(FinalFault::WipeAfterAck),
             _ => None,
         };
-        let closing = closing.filter(|_| size != Size::Large).map(|how| (end, how));
+        let final_fault = final_fault.filter(|_| size != Size::Large).map(|how| (end, how));
         if size == Size::Large {
-            troubles.retain(|t| matches!(t.what, What::ConfigChange));
+            faults.retain(|t| matches!(t.kind, FaultKind::ConfigChange));
         }
         Plan {
             seed,
             size,
-            troubles,
-            closing,
-            plant,
+            faults,
+            final_fault,
+            mutation,
             strict: false,
-            strained: false,
+            charge_request_cpu: false,
             speeds: Speeds::Even,
-            part: 1,
-            times: 1,
+            site_divisor: 1,
+            length_factor: 1,
             homework: None,
         }
     }
 
-    /// The same day with four to nine further troubles of its control side, and cuts that last for up to 20 s.
-    pub fn draw_control(seed: u64, size: Size, plant: Option<Plant>) -> Self {
-        let mut plan = Self::draw(seed, size, plant);
+    /// Draws the plan of [`Plan::draw`] with four to nine additional controller faults, including partitions
+    /// of up to 20 s.
+    pub fn draw_control(seed: u64, size: Size, mutation: Option<Mutation>) -> Self {
+        let mut plan = Self::draw(seed, size, mutation);
         let site = Site::new(size);
-        let mut chance = Chance::new(seed ^ 0x0c04_7801);
-        // All is over a while before the end: what comes then finds no more machines lost than may be at once.
+        let mut rng = Rng::new(seed ^ 0x0c04_7801);
+        // All additional faults end before the final fault, so that it does not exceed the tolerated number
+        // of lost machines.
         let over = site.lead + site.length - 6 * SECOND;
-        for _ in 0..4 + chance.below(6) {
-            let at = chance.between(site.lead / 2, over - SECOND);
-            let lasts = chance.between(800 * MS, 8_000 * MS).min(over - at);
-            let what = drawn_control(&mut chance, lasts, over - at);
-            plan.troubles.push(Trouble { at, what, dice: chance.seed() });
+        for _ in 0..4 + rng.below(6) {
+            let at = rng.between(site.lead / 2, over - SECOND);
+            let lasts = rng.between(800 * MS, 8_000 * MS).min(over - at);
+            let what = draw_control_fault(&mut rng, lasts, over - at);
+            plan.faults.push(InjectedFault { at, kind: what, target_seed: rng.seed() });
         }
-        plan.troubles.sort_by_key(|t| t.at);
+        plan.faults.sort_by_key(|t| t.at);
         plan
     }
 
-    /// A long day without unplanned trouble: rolls, single machines that are told to end, signals, changes of the configuration and
-    /// workers that are emptied, in series that overlap.
-    pub fn draw_planned(seed: u64, size: Size, plant: Option<Plant>) -> Self {
+    /// Draws a long day without failures: rolling restarts, single SIGTERMs, reloads, configuration changes
+    /// and worker drains in overlapping series.
+    pub fn draw_planned(seed: u64, size: Size, mutation: Option<Mutation>) -> Self {
         let site = Site::new(size);
-        let mut chance = Chance::new(seed ^ 0x501a_4b1e);
-        let homework = Some(chance.between(500, 6_000) as f64 / 1_000.0);
-        let mut plan = Plan { plant, times: PLANNED_TIMES, homework, ..Self::quiet(seed, size) };
-        let end = site.lead + site.length * PLANNED_TIMES - 8 * SECOND;
-        let mut at = site.lead + chance.between(0, SECOND);
+        let mut rng = Rng::new(seed ^ 0x501a_4b1e);
+        let homework = Some(rng.between(500, 6_000) as f64 / 1_000.0);
+        let mut plan =
+            Plan { mutation, length_factor: PLANNED_LENGTH_FACTOR, homework, ..Self::quiet(seed, size) };
+        let end = site.lead + site.length * PLANNED_LENGTH_FACTOR - 8 * SECOND;
+        let mut at = site.lead + rng.between(0, SECOND);
         while at < end {
-            let what = drawn_planned(&mut chance);
-            plan.troubles.push(Trouble { at, what, dice: chance.seed() });
-            // Most come before what the one before them does is over.
-            at += chance.between(100 * MS, 6 * SECOND);
+            let what = draw_planned_fault(&mut rng);
+            plan.faults.push(InjectedFault { at, kind: what, target_seed: rng.seed() });
+            // Most operations start before the effects of the previous one have ended.
+            at += rng.between(100 * MS, 6 * SECOND);
         }
         plan
     }
 
-    /// A day without any trouble.
+    /// A day without faults.
     pub fn quiet(seed: u64, size: Size) -> Self {
         Plan {
             seed,
             size,
-            troubles: Vec::new(),
-            closing: None,
-            plant: None,
+            faults: Vec::new(),
+            final_fault: None,
+            mutation: None,
             strict: false,
-            strained: false,
+            charge_request_cpu: false,
             speeds: Speeds::Even,
-            part: 1,
-            times: 1,
+            site_divisor: 1,
+            length_factor: 1,
             homework: None,
         }
     }
 
-    /// The same with this as well.
-    pub fn with(mut self, at: Time, what: What) -> Self {
-        self.troubles.push(Trouble { at, what, dice: self.seed });
-        self.troubles.sort_by_key(|t| t.at);
+    /// Adds a fault; its targets are drawn from the seed of the day.
+    pub fn with(mut self, at: Time, what: FaultKind) -> Self {
+        self.faults.push(InjectedFault { at, kind: what, target_seed: self.seed });
+        self.faults.sort_by_key(|t| t.at);
         self
     }
 }
 
-fn drawn(chance: &mut Chance, lasts: Time) -> What {
-    let share = chance.share();
-    let flag = chance.one(0.5);
-    match chance.below(24) {
-        0 | 1 => What::Burst { class: chance.below(3), times: 1.5 + 2.0 * share, lasts },
-        2 | 3 => What::NodeKill { core: flag, power: chance.one(0.5), lasts },
-        4 => What::HerdKill { share: 0.3 + 0.3 * share, power: flag, lasts: lasts / 2 },
+fn draw_fault(rng: &mut Rng, lasts: Time) -> FaultKind {
+    let share = rng.unit();
+    let flag = rng.chance(0.5);
+    match rng.below(24) {
+        0 | 1 => FaultKind::Burst { class: rng.below(3), times: 1.5 + 2.0 * share, lasts },
+        2 | 3 => FaultKind::NodeKill { core: flag, power: rng.chance(0.5), lasts },
+        4 => FaultKind::HerdKill { share: 0.3 + 0.3 * share, power: flag, lasts: lasts / 2 },
         5 | 6 => {
-            let from = [From::All, From::Core, From::OneWay][chance.below(3)];
-            What::CoreCut { count: 1 + usize::from(flag && share < 0.3), from, lasts }
+            let from = [CutScope::All, CutScope::Core, CutScope::OneWay][rng.below(3)];
+            FaultKind::CoreCut { count: 1 + usize::from(flag && share < 0.3), from, lasts }
         }
-        7 => What::WorkerCrash { share: 0.08 + 0.08 * share, reset: flag, lasts },
-        8 => What::WorkerDrain { share: 0.11 },
-        9 => What::AfterAckWipe { lasts },
-        10 if flag => What::AnswerLost { share: 0.2 + 0.7 * share, lasts },
-        10 => What::AnswerLost { share: 0.01 + 0.03 * share, lasts },
-        11 => What::Garble { share: 0.01 + 0.03 * share, lasts },
-        12 => What::SrvSlow { share: 0.1 + 0.3 * share, times: 2.0 + 4.0 * share, lasts },
-        13 => What::ResetConns { core: flag },
-        14 => What::NodeFreeze { core: flag, lasts },
-        15 => What::DiskStall { lasts },
-        16 => What::DiskSlow { times: 5.0 + 20.0 * share, lasts },
-        17 => What::DiskFull { lasts },
+        7 => FaultKind::WorkerCrash { share: 0.08 + 0.08 * share, reset: flag, lasts },
+        8 => FaultKind::WorkerDrain { share: 0.11 },
+        9 => FaultKind::AfterAckWipe { lasts },
+        10 if flag => FaultKind::AnswerLost { share: 0.2 + 0.7 * share, lasts },
+        10 => FaultKind::AnswerLost { share: 0.01 + 0.03 * share, lasts },
+        11 => FaultKind::Garble { share: 0.01 + 0.03 * share, lasts },
+        12 => FaultKind::SrvSlow { share: 0.1 + 0.3 * share, times: 2.0 + 4.0 * share, lasts },
+        13 => FaultKind::ResetConns { core: flag },
+        14 => FaultKind::NodeFreeze { core: flag, lasts },
+        15 => FaultKind::DiskStall { lasts },
+        16 => FaultKind::DiskSlow { times: 5.0 + 20.0 * share, lasts },
+        17 => FaultKind::DiskFull { lasts },
         18 | 19 => {
-            let whom = [Whom::Seed, Whom::Leader, Whom::Planned][chance.below(3)];
-            What::ReplaceCore { whom, after: SECOND + lasts / 5 }
+            let whom = [ReplaceTarget::Seed, ReplaceTarget::Leader, ReplaceTarget::Planned][rng.below(3)];
+            FaultKind::ReplaceCore { whom, after: SECOND + lasts / 5 }
+        }
+        20 => FaultKind::SeedTurnover,
+        21 => FaultKind::NodeTerm { core: flag },
+        22 => FaultKind::BigConfig { count: 100 + (share * 250.0) as usize },
+        _ => {
+            FaultKind::ConfigStorm { count: 4 + (share * 8.0) as usize, every: rng.between(5 * MS, 250 * MS) }
         }
-        20 => What::SeedTurnover,
-        21 => What::NodeTerm { core: flag },
-        22 => What::BigConfig { count: 100 + (share * 250.0) as usize },
-        _ => What::ConfigStorm { count: 4 + (share * 8.0) as usize, every: chance.between(5 * MS, 250 * MS) },
     }
 }
 
-/// Planned work.
-fn drawn_planned(chance: &mut Chance) -> What {
-    let share = chance.share();
-    match chance.below(10) {
-        0..=2 => What::EdgeRoll { share: 0.3 + 0.7 * share, every: chance.between(0, 2_500 * MS) },
-        3 | 4 => What::NodeTerm { core: false },
-        5 => What::RollTerm { every: 200 * MS + chance.between(0, 2 * SECOND) },
-        6 => What::HangUp { share: 0.3 + 0.7 * share },
-        7 => What::WorkerDrain { share: 0.11 },
-        8 => What::ConfigChange,
-        _ => {
-            What::ConfigStorm { count: 4 + (share * 20.0) as usize, every: chance.between(5 * MS, 400 * MS) }
-        }
+/// Draws a planned operation.
+fn draw_planned_fault(rng: &mut Rng) -> FaultKind {
+    let share = rng.unit();
+    match rng.below(10) {
+        0..=2 => FaultKind::EdgeRoll { share: 0.3 + 0.7 * share, every: rng.between(0, 2_500 * MS) },
+        3 | 4 => FaultKind::NodeTerm { core: false },
+        5 => FaultKind::RollTerm { every: 200 * MS + rng.between(0, 2 * SECOND) },
+        6 => FaultKind::HangUp { share: 0.3 + 0.7 * share },
+        7 => FaultKind::WorkerDrain { share: 0.11 },
+        8 => FaultKind::ConfigChange,
+        _ => FaultKind::ConfigStorm {
+            count: 4 + (share * 20.0) as usize,
+            every: rng.between(5 * MS, 400 * MS),
+        },
     }
 }
 
-/// Troubles of the control side, as they meet there on its worst days.
-fn drawn_control(chance: &mut Chance, lasts: Time, longest: Time) -> What {
-    let flag = chance.one(0.5);
-    match chance.below(16) {
-        0 | 1 => What::AckLost { share: 0.7, lasts },
-        2 | 3 => What::ConfigRaceOf { count: 2 + chance.below(7) },
-        4 => What::SentAgain,
-        5 => What::SameRevision,
-        6 | 7 => What::AfterAckKill { power: flag, lasts: lasts / 3 },
-        8 => What::CoreSplit { lasts },
-        9 => What::NodeCut { lasts },
-        10 => What::CoreCut { count: 1, from: From::All, lasts: longest.min(20 * SECOND) },
-        11 => What::RollTerm { every: 200 * MS + lasts / 4 },
-        12 => What::CoreBehind { lasts: lasts / 2 },
-        13 => What::HangUp { share: 0.3 },
+/// Draws a controller fault. `longest` is the time left for faults on this day.
+fn draw_control_fault(rng: &mut Rng, lasts: Time, longest: Time) -> FaultKind {
+    let flag = rng.chance(0.5);
+    match rng.below(16) {
+        0 | 1 => FaultKind::AckLost { share: 0.7, lasts },
+        2 | 3 => FaultKind::ConfigRaceOf { count: 2 + rng.below(7) },
+        4 => FaultKind::SentAgain,
+        5 => FaultKind::SameRevision,
+        6 | 7 => FaultKind::AfterAckKill { power: flag, lasts: lasts / 3 },
+        8 => FaultKind::CoreSplit { lasts },
+        9 => FaultKind::NodeCut { lasts },
+        10 => FaultKind::CoreCut { count: 1, from: CutScope::All, lasts: longest.min(20 * SECOND) },
+        11 => FaultKind::RollTerm { every: 200 * MS + lasts / 4 },
+        12 => FaultKind::CoreBehind { lasts: lasts / 2 },
+        13 => FaultKind::HangUp { share: 0.3 },
         14 => {
-            let by_ms = if flag { 2_000 } else { -2_000 } * (1 + chance.below(10) as i64);
-            What::ClockStep { share: 0.3, by_ms, lasts }
+            let by_ms = if flag { 2_000 } else { -2_000 } * (1 + rng.below(10) as i64);
+            FaultKind::ClockStep { share: 0.3, by_ms, lasts }
         }
-        _ => What::NodeTerm { core: true },
+        _ => FaultKind::NodeTerm { core: true },
     }
 }
--- a/simulator/src/processes/controller.rs
+++ b/simulator/src/processes/controller.rs
@@ -1,4 +1,5 @@
-//! A control machine: what `controller/src/runtime.rs` carries out for its [`Core`], on the played network, disk and platform.
+//! A controller: the I/O layer of `controller/src/runtime.rs` for its [`Core`], on the simulated network,
+//! disk and platform.
 
 use std::collections::BTreeMap;
 
@@ -16,62 +17,62 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::voter::Disk;
-use super::{In, Out, Place, Said, VoterProcess, letter};
-use crate::plant::Plant;
+use super::{Payload, ProcessContext, ProcessInput, ProcessOutput, VoterProcess, encode_messages};
+use crate::mutation::Mutation;
 use crate::{MS, Time};
 
-const VOTE: Time = 900 * MS;
-const LISTS: Time = 1_500 * MS;
-const STARTS: Time = 2_500 * MS;
-/// Where the platform is.
+const PEER_TIMEOUT: Time = 900 * MS;
+const LIST_TIMEOUT: Time = 1_500 * MS;
+const START_TIMEOUT: Time = 2_500 * MS;
+/// Address of the platform.
 pub const PLATFORM: &str = "platform";
 
-/// What a call of one's own was for.
-enum Called {
+/// Purpose of an outgoing call.
+enum OutgoingCall {
     Vote(Address, ReplyTarget),
-    /// To whom, and when.
-    News(Address, Time),
+    /// Recipient and time of sending.
+    Gossip(Address, Time),
     Fetch(u64),
     PlatformCall {
         fence: u64,
-        asked: Time,
+        requested_at: Time,
         call: Call,
     },
 }
 
-/// Who handed a message to the voter.
-enum Handed {
+/// Origin of a message to the local voter.
+enum VoterCaller {
     Other(u64),
     Own(ReplyTarget),
 }
 
-/// What the platform allows, and how many machines may be lost.
+/// Rate limits of the platform, and the number of tolerated machine losses.
 #[derive(Clone, Copy)]
 pub struct Rates {
-    /// Calls for lists a second.
+    /// List calls per second.
     pub rate_per_s: f64,
-    /// Starts and stops a second.
+    /// Starts and stops per second.
     pub duty_per_s: f64,
-    /// How far the list lags.
+    /// Maximum staleness of the list, in milliseconds.
     pub max_lag_ms: u64,
-    /// Machines that may be lost at once.
+    /// Number of machines that may be lost at once.
     pub losses: u32,
 }
 
-/// Control on one core machine.
+/// The controller process of one core machine.
 pub struct ControllerProcess {
-    place: Place,
+    context: ProcessContext,
     core: Core,
-    keeper: VoterProcess,
-    standing: Option<(bool, Option<Members>)>,
-    handed: BTreeMap<u64, Handed>,
-    calls: BTreeMap<u64, Called>,
-    /// Which call is answered by the lines of a seat.
-    seats: BTreeMap<ConnectionId, u64>,
-    /// Answers of the own voter that wait for the disk.
-    later: Vec<(Time, ReplyTarget, Message)>,
+    voter: VoterProcess,
+    voter_status: Option<(bool, Option<Members>)>,
+    voter_callers: BTreeMap<u64, VoterCaller>,
+    calls: BTreeMap<u64, OutgoingCall>,
+    /// The call that is answered by the lines of a connection.
+    feeds: BTreeMap<ConnectionId, u64>,
+    /// Responses of the local voter that wait for the disk.
+    delayed_replies: Vec<(Time, ReplyTarget, Message)>,
     next: u64,
-    outs: Vec<Out>,
+    outs: Vec<ProcessOutput>,
 }
 
 fn call(method: Method, path: &str, query: Option<&str>, body: Bytes) -> messaging::Call {
@@ -80,94 +81,95 @@
     messaging::Call { method, path: path.to_owned(), query, headers: HeaderMap::new(), body, peer }
 }
 
-fn said(reply: Reply) -> Said {
+fn reply_payload(reply: Reply) -> Payload {
     match reply.content {
-        Content::Whole(body) if reply.status == StatusCode::OK && !body.is_empty() => Said::Body(body),
-        _ if reply.status == StatusCode::OK => Said::Taken,
-        _ => Said::Refused(reply.status.as_u16()),
+        Content::Whole(body) if reply.status == StatusCode::OK && !body.is_empty() => Payload::Body(body),
+        _ if reply.status == StatusCode::OK => Payload::Taken,
+        _ => Payload::Refused(reply.status.as_u16()),
     }
 }
 
 impl ControllerProcess {
-    /// One that starts now. `bootstrap`: the whole system starts on empty disks.
-    pub fn new(now: Time, place: Place, rates: Rates, disk: &mut Disk, bootstrap: bool) -> Self {
-        let mut seeds = place.seeds.clone();
+    /// Starts a controller. `bootstrap`: the whole system starts on empty disks.
+    pub fn new(now: Time, context: ProcessContext, rates: Rates, disk: &mut Disk, bootstrap: bool) -> Self {
+        let mut seeds = context.seeds.clone();
         seeds.sort();
         seeds.dedup();
         let uid = format!("{:016x}", xxh3_64(seeds.join(" ").as_bytes()));
-        let forgetful = place.plant == Some(Plant::Forgetful);
-        let first = (bootstrap || forgetful).then(|| Members::initial(&uid, seeds));
-        let keeper = VoterProcess::open(now, &place, disk, first);
+        let empty_disk_votes = context.mutation == Some(Mutation::EmptyDiskVotes);
+        let first = (bootstrap || empty_disk_votes).then(|| Members::initial(&uid, seeds));
+        let voter = VoterProcess::open(now, &context, disk, first);
         let start = CoreOptions {
-            me: place.address.clone(),
-            life: place.life,
-            seeds: place.seeds.clone(),
+            me: context.address.clone(),
+            life: context.incarnation,
+            seeds: context.seeds.clone(),
             tolerated_losses: rates.losses,
             contact_timeout: 4_000 * MS,
             config_apply_time: 3_000 * MS,
-            shutdown_grace: place.grace,
+            shutdown_grace: context.grace,
             platform: Some(PlatformLimits {
                 duty_per_s: rates.duty_per_s,
                 max_lag_ms: rates.max_lag_ms,
                 rate_per_s: rates.rate_per_s,
             }),
-            sink: place.records.clone().map(|records| {
-                drop(records.life(&place.name, "bourse", place.life));
-                let name = place.name.clone();
+            sink: context.records.clone().map(|records| {
+                drop(records.begin_incarnation(&context.name, "bourse", context.incarnation));
+                let name = context.name.clone();
                 Box::new(move || records.sink(&name, "bourse")) as Box<dyn Fn() -> Sink>
             }),
         };
         ControllerProcess {
             core: Core::new(start),
-            keeper,
-            standing: None,
-            handed: BTreeMap::new(),
+            voter,
+            voter_status: None,
+            voter_callers: BTreeMap::new(),
             calls: BTreeMap::new(),
-            seats: BTreeMap::new(),
-            later: Vec::new(),
+            feeds: BTreeMap::new(),
+            delayed_replies: Vec::new(),
             next: 0,
             outs: Vec::new(),
-            place,
+            context,
         }
     }
 
-    /// It acts as the steward.
-    pub fn is_steward(&self) -> bool {
+    /// Whether it acts as the leader.
+    pub fn is_leader(&self) -> bool {
         self.core.is_leader()
     }
 
-    /// Its process ends.
-    pub fn over(&self, now: Time) -> bool {
+    /// Whether the process may exit.
+    pub fn has_exited(&self, now: Time) -> bool {
         self.core.can_exit(now)
     }
 
-    /// When [`In::Tick`] is due.
+    /// When [`ProcessInput::Tick`] is due.
     pub fn wake(&self, now: Time, disk: &Disk) -> Time {
-        let later = self.later.iter().map(|l| l.0).min().unwrap_or(Time::MAX);
-        self.core.next_wake(now).min(later).min(self.keeper.wake(disk)).max(now + MS / 10)
+        let delayed_replies = self.delayed_replies.iter().map(|l| l.0).min().unwrap_or(Time::MAX);
+        self.core.next_wake(now).min(delayed_replies).min(self.voter.wake(disk)).max(now + MS / 10)
     }
 
-    /// What it does with this.
-    pub fn input(&mut self, now: Time, input: In, disk: &mut Disk) -> Vec<Out> {
+    /// Handles an input and returns the resulting outputs.
+    pub fn input(&mut self, now: Time, input: ProcessInput, disk: &mut Disk) -> Vec<ProcessOutput> {
         match input {
-            In::Call { call, said } => self.call(now, call, said),
-            In::Answer { id, said } => {
-                if let Some(called) = self.calls.remove(&id) {
-                    self.answered(now, called, said);
+            ProcessInput::Call { call, payload } => self.call(now, call, payload),
+            ProcessInput::Answer { id, payload } => {
+                if let Some(outgoing) = self.calls.remove(&id) {
+                    self.answered(now, outgoing, payload);
                 }
             }
-            In::Ended { feed } => {
-                if let Some(seat) = self.seats.iter().find(|(_, call)| **call == feed).map(|(seat, _)| *seat)
+            ProcessInput::Ended { feed } => {
+                if let Some(connection) =
+                    self.feeds.iter().find(|(_, call)| **call == feed).map(|(connection, _)| *connection)
                 {
-                    self.seats.remove(&seat);
-                    self.core.handle(now, Input::FeedClosed(seat));
+                    self.feeds.remove(&connection);
+                    self.core.handle(now, Input::FeedClosed(connection));
                 }
             }
-            In::Seeds(seeds) => {
-                self.place.seeds.clone_from(&seeds);
+            ProcessInput::Seeds(seeds) => {
+                self.context.seeds.clone_from(&seeds);
                 self.core.handle(now, Input::Seeds(seeds));
             }
-            In::Leave => self.core.handle(now, Input::Shutdown),
+            ProcessInput::Leave => self.core.handle(now, Input::Shutdown),
             _ => {}
         }
         self.settle(now, disk);
@@ -176,78 +178,83 @@
         std::mem::take(&mut self.outs)
     }
 
-    /// Carries out until nothing is left that can be done now.
+    /// Carries out effects until none is left that can be done now.
     fn settle(&mut self, now: Time, disk: &mut Disk) {
         loop {
             self.carry_out(now);
-            self.vote_here(now, disk);
-            if let Some(at) = self.later.iter().position(|l| l.0 <= now) {
-                let (_, back, message) = self.later.remove(at);
-                self.voted(now, self.place.address.clone(), back, message);
+            self.run_local_voter(now, disk);
+            if let Some(at) = self.delayed_replies.iter().position(|l| l.0 <= now) {
+                let (_, back, message) = self.delayed_replies.remove(at);
+                self.voted(now, self.context.address.clone(), back, message);
             } else if !self.carry_out(now) {
                 return;
             }
         }
     }
 
-    fn call(&mut self, now: Time, id: u64, said: Said) {
-        let call = match said {
-            Said::Replace(text) => {
+    fn call(&mut self, now: Time, id: u64, payload: Payload) {
+        let call = match payload {
+            Payload::Replace(text) => {
                 let body = Bytes::copy_from_slice(text.as_bytes());
-                // Acknowledged before a majority has it: a test of the auditor.
-                if self.place.plant == Some(Plant::Hasty) && self.place.memo.read(&text).is_some() {
-                    self.outs.push(Out::Reply { call: id, said: Said::Body(Bytes::from_static(b"{}")) });
+                // Mutation: acknowledges before a majority has written the configuration.
+                if self.context.mutation == Some(Mutation::EarlyAcknowledge)
+                    && self.context.parse_cache.read(&text).is_some()
+                {
+                    self.outs.push(ProcessOutput::Reply {
+                        call: id,
+                        payload: Payload::Body(Bytes::from_static(b"{}")),
+                    });
                 }
                 call(Method::POST, "/Config.Replace", None, body)
             }
-            Said::Drain(text) => {
+            Payload::Drain(text) => {
                 call(Method::POST, "/core/drains", None, Bytes::copy_from_slice(text.as_bytes()))
             }
-            Said::Read => call(Method::GET, "/Config.Read", None, Bytes::new()),
-            Said::Vote { from, message } => {
+            Payload::Read => call(Method::GET, "/Config.Read", None, Bytes::new()),
+            Payload::Vote { from, message } => {
                 let body = object([("from", text(&from)), ("m", message.to_json())]);
                 let body = Bytes::from(body.stringify().unwrap_or_default());
                 call(Method::POST, "/core/vote", None, body)
             }
-            Said::News(body) => call(Method::POST, "/core/news", None, body),
-            Said::Chosen => call(Method::GET, "/core/chosen", None, Bytes::new()),
-            Said::Follow { from, life, notes, whole } => {
+            Payload::Gossip(body) => call(Method::POST, "/core/news", None, body),
+            Payload::StoredConfig => call(Method::GET, "/core/chosen", None, Bytes::new()),
+            Payload::Follow { from, incarnation, messages, whole } => {
                 let query = (!whole).then_some("whole=0");
-                call(Method::POST, "/follow", query, letter(&from, life, &notes))
+                call(Method::POST, "/follow", query, encode_messages(&from, incarnation, &messages))
             }
-            Said::Mail { from, life, notes } => {
-                call(Method::POST, "/mail", None, letter(&from, life, &notes))
+            Payload::Messages { from, incarnation, messages } => {
+                call(Method::POST, "/mail", None, encode_messages(&from, incarnation, &messages))
             }
-            _ => return self.outs.push(Out::Reply { call: id, said: Said::Refused(404) }),
+            _ => return self.outs.push(ProcessOutput::Reply { call: id, payload: Payload::Refused(404) }),
         };
         self.core.handle(now, Input::Call(id, call));
     }
 
-    fn answered(&mut self, now: Time, called: Called, said: Option<Said>) {
-        match called {
-            Called::Vote(from, back) => {
-                if let Some(Said::Voted(Some(message))) = said {
+    fn answered(&mut self, now: Time, outgoing: OutgoingCall, payload: Option<Payload>) {
+        match outgoing {
+            OutgoingCall::Vote(from, back) => {
+                if let Some(Payload::Voted(Some(message))) = payload {
                     self.voted(now, from, back, message);
                 }
             }
-            Called::News(to, sent) => {
-                if let Some(Said::Body(body)) = said
+            OutgoingCall::Gossip(to, sent) => {
+                if let Some(Payload::Body(body)) = payload
                     && let Some(answered) = GossipReply::decode(sent, &body)
                 {
                     self.core.handle(now, Input::GossipReply(to, answered));
                 }
             }
-            Called::Fetch(number) => {
-                let text = match said {
-                    Some(Said::Body(body)) => String::from_utf8(body.to_vec()).ok(),
+            OutgoingCall::Fetch(number) => {
+                let text = match payload {
+                    Some(Payload::Body(body)) => String::from_utf8(body.to_vec()).ok(),
                     _ => None,
                 };
                 self.core.handle(now, Input::FetchedConfig(number, text));
             }
-            Called::PlatformCall { fence, asked, call } => {
-                let mut heard = heard(call, said);
-                if self.place.plant == Some(Plant::Deaf) {
-                    match &mut heard {
+            OutgoingCall::PlatformCall { fence, requested_at, call } => {
+                let mut platform_reply = to_platform_reply(call, payload);
+                if self.context.mutation == Some(Mutation::IgnoreDraining) {
+                    match &mut platform_reply {
                         PlatformReply::Listed(Some((all, _))) => {
                             all.iter_mut().for_each(|e| e.draining = false)
                         }
@@ -255,149 +262,168 @@
                         _ => {}
                     }
                 }
-                self.core.handle(now, Input::PlatformReply(fence, asked, heard));
+                self.core.handle(now, Input::PlatformReply(fence, requested_at, platform_reply));
             }
         }
     }
 
-    /// A voter's answer goes where it is wanted.
+    /// Passes a voter's response to its recipient.
     fn voted(&mut self, now: Time, from: Address, back: ReplyTarget, message: Message) {
         match back {
             ReplyTarget::Round(id) => self.core.handle(now, Input::RoundReply(id, from, message)),
             ReplyTarget::Lease => self.core.handle(now, Input::LeaseReply(from, message)),
             ReplyTarget::Voter => {
                 self.next += 1;
-                self.keeper.hand(self.next, from, message);
+                self.voter.enqueue(self.next, from, message);
             }
         }
     }
 
-    /// What the own voter has worked off.
-    fn vote_here(&mut self, now: Time, disk: &mut Disk) {
-        let (answers, asks) = self.keeper.work(now, &self.place, disk);
+    /// Collects the responses of the local voter.
+    fn run_local_voter(&mut self, now: Time, disk: &mut Disk) {
+        let (answers, asks) = self.voter.work(now, &self.context, disk);
         for (id, answer, at) in answers {
-            match (self.handed.remove(&id), answer) {
-                (Some(Handed::Other(call)), answer) => {
-                    self.outs.push(Out::ReplyAt { call, said: Said::Voted(answer), at });
+            match (self.voter_callers.remove(&id), answer) {
+                (Some(VoterCaller::Other(call)), answer) => {
+                    self.outs.push(ProcessOutput::ReplyAt { call, payload: Payload::Voted(answer), at });
+                }
+                (Some(VoterCaller::Own(back)), Some(message)) => {
+                    self.delayed_replies.push((at, back, message))
                 }
-                (Some(Handed::Own(back)), Some(message)) => self.later.push((at, back, message)),
                 _ => {}
             }
         }
         if !asks.is_empty() {
             self.core.handle(now, Input::VoterRequests(asks));
         }
-        let standing = self.keeper.standing();
-        if self.standing.as_ref() != Some(&standing) {
-            self.standing = Some(standing.clone());
-            self.core.handle(now, Input::VoterStatus(standing.0, standing.1));
+        let voter_status = self.voter.voter_status();
+        if self.voter_status.as_ref() != Some(&voter_status) {
+            self.voter_status = Some(voter_status.clone());
+            self.core.handle(now, Input::VoterStatus(voter_status.0, voter_status.1));
         }
     }
 
-    fn call_out(&mut self, to: Address, said: Said, within: Time, called: Called) {
+    fn start_call(&mut self, to: Address, payload: Payload, within: Time, outgoing: OutgoingCall) {
         self.next += 1;
-        self.calls.insert(self.next, called);
-        self.outs.push(Out::Call { id: self.next, to, said, within });
+        self.calls.insert(self.next, outgoing);
+        self.outs.push(ProcessOutput::Call { id: self.next, to, payload, within });
     }
 
-    fn hand(&mut self, from: Address, message: Message, handed: Handed) {
+    fn enqueue(&mut self, from: Address, message: Message, voter_callers: VoterCaller) {
         self.next += 1;
-        self.handed.insert(self.next, handed);
-        self.keeper.hand(self.next, from, message);
+        self.voter_callers.insert(self.next, voter_callers);
+        self.voter.enqueue(self.next, from, message);
     }
 
-    /// Whether there was anything.
+    /// Carries out the pending effects. Returns whether there were any.
     fn carry_out(&mut self, now: Time) -> bool {
         let effects = self.core.take_effects();
         let any = !effects.is_empty();
-        let me = self.place.address.clone();
+        let me = self.context.address.clone();
         for effect in effects {
             match effect {
                 Effect::SendToVoter(to, message, back) if to == me => {
-                    self.hand(to, message, Handed::Own(back))
+                    self.enqueue(to, message, VoterCaller::Own(back))
                 }
                 Effect::SendToVoter(to, message, back) => {
-                    let said = Said::Vote { from: me.clone(), message };
-                    self.call_out(to.clone(), said, VOTE, Called::Vote(to, back));
+                    let payload = Payload::Vote { from: me.clone(), message };
+                    self.start_call(to.clone(), payload, PEER_TIMEOUT, OutgoingCall::Vote(to, back));
                 }
-                Effect::AskLocalVoter(call, from, message) => self.hand(from, message, Handed::Other(call)),
-                // A test of the auditor.
+                Effect::AskLocalVoter(call, from, message) => {
+                    self.enqueue(from, message, VoterCaller::Other(call))
+                }
+                // Mutation: confirms conflicting content.
                 Effect::Reply(call, reply)
-                    if self.place.plant == Some(Plant::Lenient) && reply.status == StatusCode::CONFLICT =>
+                    if self.context.mutation == Some(Mutation::ConfirmConflicts)
+                        && reply.status == StatusCode::CONFLICT =>
                 {
-                    self.outs.push(Out::Reply { call, said: Said::Body(Bytes::from_static(b"{}")) });
+                    self.outs.push(ProcessOutput::Reply {
+                        call,
+                        payload: Payload::Body(Bytes::from_static(b"{}")),
+                    });
+                }
+                Effect::Reply(call, reply) => {
+                    self.outs.push(ProcessOutput::Reply { call, payload: reply_payload(reply) })
                 }
-                Effect::Reply(call, reply) => self.outs.push(Out::Reply { call, said: said(reply) }),
-                Effect::OpenFeed(call, seat, line) => {
-                    self.seats.insert(seat, call);
-                    self.outs.push(Out::Line { feed: call, line });
+                Effect::OpenFeed(call, connection, line) => {
+                    self.feeds.insert(connection, call);
+                    self.outs.push(ProcessOutput::Line { feed: call, line });
                 }
-                Effect::FeedLine(seat, line) => {
-                    self.outs.extend(self.seats.get(&seat).map(|feed| Out::Line { feed: *feed, line }));
+                Effect::FeedLine(connection, line) => {
+                    self.outs.extend(
+                        self.feeds.get(&connection).map(|feed| ProcessOutput::Line { feed: *feed, line }),
+                    );
                 }
-                Effect::CloseFeed(seat) => {
-                    self.outs.extend(self.seats.remove(&seat).map(|feed| Out::Close { feed }));
+                Effect::CloseFeed(connection) => {
+                    self.outs
+                        .extend(self.feeds.remove(&connection).map(|feed| ProcessOutput::Close { feed }));
                 }
                 Effect::Heartbeat => {
-                    let beat = |feed: &u64| Out::Line { feed: *feed, line: Bytes::from_static(b"\n") };
-                    self.outs.extend(self.seats.values().map(beat));
+                    let beat =
+                        |feed: &u64| ProcessOutput::Line { feed: *feed, line: Bytes::from_static(b"\n") };
+                    self.outs.extend(self.feeds.values().map(beat));
                 }
                 Effect::Gossip(to, body) => {
-                    let called = Called::News(to.clone(), now);
-                    self.call_out(to, Said::News(body), VOTE, called);
+                    let outgoing = OutgoingCall::Gossip(to.clone(), now);
+                    self.start_call(to, Payload::Gossip(body), PEER_TIMEOUT, outgoing);
                 }
                 Effect::ReadLocalConfig(number) => {
-                    let here = self.keeper.peek();
+                    let here = self.voter.accepted_config();
                     self.core.handle(now, Input::LocalConfig(number, here));
                 }
                 Effect::FetchConfig(number, from) => {
-                    self.call_out(from, Said::Chosen, VOTE, Called::Fetch(number));
+                    self.start_call(from, Payload::StoredConfig, PEER_TIMEOUT, OutgoingCall::Fetch(number));
                 }
-                Effect::PlatformCall(errand) => self.errand(now, errand),
+                Effect::PlatformCall(platform_call) => self.platform_call(now, platform_call),
             }
         }
         any
     }
 
-    fn errand(&mut self, now: Time, errand: PlatformCall) {
-        let (fence, asked) = (errand.fence, errand.decided_at);
-        let call = match errand.begin(now) {
+    fn platform_call(&mut self, now: Time, platform_call: PlatformCall) {
+        let (fence, requested_at) = (platform_call.fence, platform_call.decided_at);
+        let call = match platform_call.begin(now) {
             Ok(call) => call,
-            Err(kept_back) => return self.core.handle(now, Input::PlatformReply(fence, asked, kept_back)),
+            Err(reply) => return self.core.handle(now, Input::PlatformReply(fence, requested_at, reply)),
         };
-        let (said, within) = match &call {
+        let (payload, within) = match &call {
             Call::List { token } => {
                 let from = token.as_ref().and_then(|t| t.parse().ok()).unwrap_or(0);
-                (Said::List { from }, LISTS)
+                (Payload::List { from }, LIST_TIMEOUT)
             }
-            Call::Workers => (Said::Workers, LISTS),
+            Call::Workers => (Payload::Workers, LIST_TIMEOUT),
             Call::Start { service, worker, nonce } => {
                 let (service, worker, nonce) = (service.clone(), worker.clone(), nonce.clone());
-                (Said::Start { service, worker, nonce }, STARTS)
+                (Payload::Start { service, worker, nonce }, START_TIMEOUT)
             }
-            Call::Stop { id } => (Said::Stop { id: id.clone() }, STARTS),
+            Call::Stop { id } => (Payload::Stop { id: id.clone() }, START_TIMEOUT),
         };
-        self.call_out(PLATFORM.into(), said, within, Called::PlatformCall { fence, asked, call });
+        self.start_call(
+            PLATFORM.into(),
+            payload,
+            within,
+            OutgoingCall::PlatformCall { fence, requested_at, call },
+        );
     }
 }
 
-/// What the platform answered to a call.
-fn heard(call: Call, said: Option<Said>) -> PlatformReply {
-    match (call, said) {
-        (Call::List { .. }, Some(Said::Listed { entries, next })) => {
+/// Translates the platform's response to a call.
+fn to_platform_reply(call: Call, payload: Option<Payload>) -> PlatformReply {
+    match (call, payload) {
+        (Call::List { .. }, Some(Payload::Listed { entries, next })) => {
             PlatformReply::Listed(Some((entries, next.map(|n| CompactString::from(n.to_string())))))
         }
-        (Call::Workers, Some(Said::Staff(all))) => PlatformReply::Workers(Some(all)),
-        (Call::Start { nonce, .. }, said) => {
-            let answer = match said {
-                Some(Said::Started(answer)) => answer,
+        (Call::Workers, Some(Payload::WorkerList(all))) => PlatformReply::Workers(Some(all)),
+        (Call::Start { nonce, .. }, payload) => {
+            let answer = match payload {
+                Some(Payload::Started(answer)) => answer,
                 _ => Err(StartFault::Unclear),
             };
             PlatformReply::Started { nonce, answer }
         }
-        (Call::Stop { id }, said) => {
-            let answer = match said {
-                Some(Said::Stopped(answer)) => answer,
+        (Call::Stop { id }, payload) => {
+            let answer = match payload {
+                Some(Payload::Stopped(answer)) => answer,
                 _ => Err(StopFault::Unclear),
             };
             PlatformReply::Stopped { id, answer }
--- a/simulator/src/processes/outbox.rs
+++ b/simulator/src/processes/outbox.rs
@@ -1,5 +1,5 @@
-//! Notes to one peer, in batches: `millpost_net`'s post as a machine. While the peer is down one batch at a time finds out whether it
-//! still is.
+//! Batched delivery of messages to one peer: `millpost_net`'s delivery as a state machine. While the peer is
+//! down, one batch at a time probes whether it is back.
 
 use millpost_protocol::PeerMessage;
 
@@ -7,81 +7,81 @@
 
 const FIRST_PAUSE: Time = 20 * MS;
 const LONGEST_PAUSE: Time = 500 * MS;
-const MOST: usize = 8_000;
+const MAX_WAITING: usize = 8_000;
 
-/// What waits for a peer, and what is on its way.
+/// Messages that wait for a peer, and batches in flight.
 pub struct Outbox {
     at_once: usize,
     waiting: Vec<PeerMessage>,
-    flying: Vec<(u64, Vec<PeerMessage>)>,
+    in_flight: Vec<(u64, Vec<PeerMessage>)>,
     up: Option<bool>,
     pause: Time,
     not_before: Time,
 }
 
-/// What came of a batch.
-pub enum Landed {
-    /// The peer is there, for the first time or again.
+/// Result of a batch.
+pub enum BatchOutcome {
+    /// The peer is reachable for the first time or again.
     Up,
-    /// Nothing new.
+    /// Delivered, or the batch is unknown.
     Well,
-    /// These may not have been taken.
+    /// These messages may not have been delivered.
     Lost(Vec<PeerMessage>),
 }
 
 impl Outbox {
-    /// So many batches at once.
+    /// An empty outbox that sends up to `at_once` batches concurrently.
     pub fn new(at_once: usize) -> Self {
-        Outbox { at_once, waiting: Vec::new(), flying: Vec::new(), up: None, pause: 0, not_before: 0 }
+        Outbox { at_once, waiting: Vec::new(), in_flight: Vec::new(), up: None, pause: 0, not_before: 0 }
     }
 
-    /// One more note, where there is room.
-    pub fn push(&mut self, note: PeerMessage) -> bool {
-        let room = self.waiting.len() < MOST;
+    /// Queues a message. Returns false if the queue is full.
+    pub fn push(&mut self, message: PeerMessage) -> bool {
+        let room = self.waiting.len() < MAX_WAITING;
         if room {
-            self.waiting.push(note);
+            self.waiting.push(message);
         }
         room
     }
 
-    /// A batch to be sent now under this number.
+    /// Takes the next batch to send, under the id `id`.
     pub fn take(&mut self, now: Time, id: u64) -> Option<Vec<PeerMessage>> {
         let most = if self.up == Some(false) { 1 } else { self.at_once };
-        if self.waiting.is_empty() || now < self.not_before || self.flying.len() >= most {
+        if self.waiting.is_empty() || now < self.not_before || self.in_flight.len() >= most {
             return None;
         }
-        let notes = std::mem::take(&mut self.waiting);
-        self.flying.push((id, notes.clone()));
-        Some(notes)
+        let messages = std::mem::take(&mut self.waiting);
+        self.in_flight.push((id, messages.clone()));
+        Some(messages)
     }
 
-    /// When [`Outbox::take`] may have something next.
+    /// When [`Outbox::take`] may next return a batch.
     pub fn due(&self) -> Option<Time> {
         let most = if self.up == Some(false) { 1 } else { self.at_once };
-        (!self.waiting.is_empty() && self.flying.len() < most).then_some(self.not_before)
+        (!self.waiting.is_empty() && self.in_flight.len() < most).then_some(self.not_before)
     }
 
-    /// A batch was answered, or was not.
-    pub fn landed(&mut self, now: Time, id: u64, taken: bool) -> Landed {
-        let Some(at) = self.flying.iter().position(|(n, _)| *n == id) else { return Landed::Well };
-        let (_, notes) = self.flying.remove(at);
+    /// Handles the end of a batch; `taken`: whether the peer accepted it.
+    pub fn batch_done(&mut self, now: Time, id: u64, taken: bool) -> BatchOutcome {
+        let Some(at) = self.in_flight.iter().position(|(n, _)| *n == id) else { return BatchOutcome::Well };
+        let (_, messages) = self.in_flight.remove(at);
         if taken {
             self.pause = 0;
-            return if self.up.replace(true) == Some(true) { Landed::Well } else { Landed::Up };
+            return if self.up.replace(true) == Some(true) { BatchOutcome::Well } else { BatchOutcome::Up };
         }
         self.pause = if self.pause == 0 { FIRST_PAUSE } else { (self.pause * 2).min(LONGEST_PAUSE) };
         self.not_before = now + self.pause;
         self.up = Some(false);
-        Landed::Lost(notes)
+        BatchOutcome::Lost(messages)
     }
 
-    /// Nothing waits.
+    /// Whether no messages wait.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// The batch of this number is on its way here.
+    /// Whether the batch with this id is in flight.
     pub fn has(&self, id: u64) -> bool {
-        self.flying.iter().any(|(n, _)| *n == id)
+        self.in_flight.iter().any(|(n, _)| *n == id)
     }
 }
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -1,12 +1,12 @@
-//! All that is outside of the processes, and the loop that plays it: one queue of events in the order of their times.
+//! The environment of the processes, and the event loop: one queue of events ordered by time.
 
 mod client;
 mod endpoint;
+mod faults;
 mod net;
 mod operator;
 mod planned;
 mod platform;
-mod trouble;
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
@@ -16,45 +16,46 @@
 use compact_str::{CompactString, format_compact};
 
 use crate::auditor::Auditor;
-use crate::calm::Calm;
-use crate::chance::Chance;
+use crate::disturbances::Disturbances;
 use crate::plan::Plan;
 use crate::processes::{
-    AgentProcess, ControllerProcess, Exchanged, In, Out, ParseCache, Place, ProxyProcess, Said,
+    AgentProcess, ControllerProcess, Exchanged, ParseCache, Payload, ProcessContext, ProcessInput,
+    ProcessOutput, ProxyProcess,
 };
-use crate::record::Records;
+use crate::record::Recordings;
+use crate::rng::Rng;
 use crate::site::{Classes, Site};
 use crate::speeds::Speeds;
 use crate::{MS, SECOND, Time};
 
-pub use client::Served;
+pub use client::RequestStats;
 pub use net::Traffic;
 
-use client::Customer;
+use client::ClientRequest;
 use endpoint::{Endpoint, Exchange, Run};
 use net::{Call, Link, Stream};
 use operator::Order;
 use platform::Platform;
 
-/// Machines that may take a place in the core.
+/// Spare machines that can replace core machines.
 const SPARES: usize = 2;
-/// The time of day as the day begins, in milliseconds.
-const MORNING_MS: u64 = 1_700_000_000_000;
+/// Wall-clock time at the start of the day, in milliseconds of Unix time.
+const START_UNIX_MS: u64 = 1_700_000_000_000;
 
-/// A process of a machine.
+/// The process types.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Role {
-    /// On the edge.
-    ProxyProcess,
-    /// Beside it.
-    AgentProcess,
-    /// On the core.
-    ControllerProcess,
+    /// The proxy on an edge machine.
+    Proxy,
+    /// The agent on an edge machine.
+    Agent,
+    /// The controller on a core machine.
+    Controller,
 }
 
-/// Who calls, and who is called.
+/// Caller or callee of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) enum Who {
+pub(crate) enum Party {
     Process(usize, Role),
     Platform,
     Operator(usize),
@@ -65,67 +66,67 @@
     Wake {
         machine: usize,
         role: Role,
-        life: u64,
+        incarnation: u64,
     },
-    /// A call comes to whom it is for.
+    /// A call reaches its callee.
     Call(u64),
-    /// An answer comes back; none where the connection broke.
-    Answer(u64, Option<Said>),
-    /// Nobody has answered in time.
+    /// A response reaches the caller; `None` if the connection broke.
+    Answer(u64, Option<Payload>),
+    /// A call timed out.
     Expire(u64),
     Line {
         stream: u64,
         line: Bytes,
     },
-    /// One side of a stream hears that it has ended.
+    /// One side of a feed notices that it has ended.
     Ended {
         stream: u64,
-        at_hall: bool,
+        at_controller: bool,
     },
     Arrive {
         zone: usize,
     },
     Attempt(usize),
-    AtStall {
+    ReachProxy {
         attempt: u64,
     },
-    Impatient {
-        customer: usize,
+    ReadTimeout {
+        client_request: usize,
         attempt: u64,
     },
-    ToClient {
+    ReachClient {
         attempt: u64,
         status: u16,
         again: Option<Time>,
         seal: Option<u64>,
     },
-    GiveUp(usize),
-    AtEndpoint(u64),
-    Scout {
+    ClientDeadline(usize),
+    ReachEndpoint(u64),
+    Probed {
         machine: usize,
-        life: u64,
+        incarnation: u64,
         id: CompactString,
         up: bool,
     },
-    Worked(u64),
-    Back(u64, Exchanged),
-    Booted(usize),
-    Entry,
-    Trouble(usize),
-    Thaw(usize),
+    RunDone(u64),
+    ExchangeDone(u64, Exchanged),
+    EndpointReady(usize),
+    HealthCheck,
+    Fault(usize),
+    Unfreeze(usize),
     Start(usize),
-    Order(usize),
-    Over(operator::Over),
-    Closing,
-    Reopen,
-    /// A machine is gone for good.
+    OperatorStep(usize),
+    OperatorPoll(operator::Poll),
+    FinalFault,
+    PowerOn,
+    /// A machine is removed permanently.
     Retire(usize),
-    /// The processes of a machine are told to end, and start again.
+    /// The processes of a machine get SIGTERM and are restarted afterwards.
     Term(usize),
-    /// The processes of a machine that goes for good are told to end.
-    Leave(usize),
-    /// The grace of this life is over.
-    Killed(usize, u64),
+    /// The processes of a machine get SIGTERM before the machine is removed.
+    TermForGood(usize),
+    /// The grace period of this incarnation has ended.
+    GraceExpired(usize, u64),
 }
 
 struct Queued {
@@ -157,88 +158,88 @@
     zone: usize,
     core: bool,
     powered: bool,
-    frozen: Time,
-    cut: Time,
-    /// Cut off from other core machines, and what it sends, until then.
-    cut_core: Time,
-    cut_out: Time,
-    /// Its half of the core, and until when the halves don't reach each other.
-    half: (usize, Time),
-    /// Until then what is sent to it takes so much longer.
-    lag: (Time, Time),
-    /// Its time of day is off by so many milliseconds, until then.
+    frozen_until: Time,
+    partition_until: Time,
+    /// Partitioned from other core machines, and unable to send, until these times.
+    core_partition_until: Time,
+    outgoing_blocked_until: Time,
+    /// Its half in a split core, and when the split ends.
+    core_half: (usize, Time),
+    /// End of a delay, and the additional latency of what is sent to it until then.
+    delay: (Time, Time),
+    /// Clock offset in milliseconds, and until when it applies.
     clock: (i64, Time),
-    /// It goes for good once its processes have left.
+    /// The machine is removed once its processes have shut down.
     retires: bool,
-    stall: Option<ProxyProcess>,
-    porter: Option<AgentProcess>,
-    hall: Option<ControllerProcess>,
+    proxy: Option<ProxyProcess>,
+    agent: Option<AgentProcess>,
+    controller: Option<ControllerProcess>,
     disk: crate::processes::Disk,
-    life: u64,
+    incarnation: u64,
     starts: u64,
-    /// When each process is due, as queued.
+    /// Next queued wake-up time of each process.
     due: [Time; 3],
     link: Link,
-    /// When it has worked off the asks that came, where that is played.
+    /// When the CPU has handled the received permit requests, if that is simulated.
     busy: Time,
-    /// Tries of clients that it has, and exchanges that it has out.
-    tries: BTreeSet<u64>,
+    /// Open client attempts and exchanges.
+    open_attempts: BTreeSet<u64>,
     exchanges: BTreeSet<u64>,
-    misses: u32,
+    failed_checks: u32,
     serving: bool,
-    /// What came while it was frozen.
-    held: Vec<Event>,
+    /// Events held back while the machine is frozen.
+    held_events: Vec<Event>,
 }
 
 impl Machine {
-    /// The time of day by its clock, in milliseconds.
+    /// Wall-clock time of the machine, in milliseconds of Unix time.
     fn time_of_day(&self, now: Time) -> u64 {
         let (off, until) = self.clock;
         let off = if now < until { off } else { 0 };
-        (MORNING_MS + now / MS).saturating_add_signed(off)
+        (START_UNIX_MS + now / MS).saturating_add_signed(off)
     }
 
     fn reachable(&self, now: Time) -> bool {
-        self.powered && self.cut <= now
+        self.powered && self.partition_until <= now
     }
 
     fn up(&self, role: Role) -> bool {
         match role {
-            Role::ProxyProcess => self.stall.is_some(),
-            Role::AgentProcess => self.porter.is_some(),
-            Role::ControllerProcess => self.hall.is_some(),
+            Role::Proxy => self.proxy.is_some(),
+            Role::Agent => self.agent.is_some(),
+            Role::Controller => self.controller.is_some(),
         }
     }
 }
 
-/// Everything.
+/// State of the simulation.
 pub struct World {
-    /// The site.
+    /// Topology and parameters.
     pub site: Site,
     plan: Plan,
-    /// Now.
+    /// Current simulated time.
     pub now: Time,
-    /// When the day ends.
+    /// End of the day.
     pub end: Time,
     number: u64,
-    /// Events that were played.
+    /// Number of events handled.
     pub played: u64,
-    /// What was played, in one number: the same for the same day.
+    /// Digest of all events; equal for equal plans.
     pub digest: u64,
     queue: BinaryHeap<Queued>,
-    chance: Chance,
+    rng: Rng,
     machines: Vec<Machine>,
-    names: HashMap<CompactString, Who>,
-    /// The machines that make up the core, those that may take a place in it, and the seeds of the settings files.
+    names: HashMap<CompactString, Party>,
+    /// Machines that form the core, spare machines, and the seeds in the settings files.
     cores: Vec<usize>,
     spares: Vec<usize>,
     seeds: Vec<CompactString>,
-    memo: Rc<ParseCache>,
-    lives: u64,
+    parse_cache: Rc<ParseCache>,
+    incarnations: u64,
     calls: HashMap<u64, Call>,
     streams: BTreeMap<u64, Stream>,
     next: u64,
-    /// What went between machines.
+    /// Network traffic.
     pub traffic: Traffic,
     platform: Platform,
     endpoints: Vec<Endpoint>,
@@ -247,51 +248,51 @@
     exchanges: HashMap<u64, Exchange>,
     out: HashMap<(usize, u64, u64), u64>,
     runs: HashMap<u64, Run>,
-    kept: HashMap<(usize, usize), Time>,
-    customers: Vec<Customer>,
-    /// Whose try each is.
+    idle_connections: HashMap<(usize, usize), Time>,
+    client_requests: Vec<ClientRequest>,
+    /// The client request of each attempt.
     attempts: Vec<usize>,
-    /// Tries that a dispatcher has read and not answered, and all that were read.
+    /// Attempts that a proxy has read and not answered, and at-most-once attempts that were ever read.
     read: BTreeSet<u64>,
     ever_read: BTreeSet<u64>,
-    up_at: Vec<(Time, usize)>,
-    served: Served,
+    pending_restarts: Vec<(Time, usize)>,
+    served: RequestStats,
     orders: Vec<Order>,
-    model: millpost_config::Config,
+    latest_config: millpost_config::Config,
     bursts: Vec<(usize, f64, Time)>,
     weights: [Vec<f64>; 2],
     lost_share: (f64, Time),
     garbled_share: (f64, Time),
     wipe_next: Option<Time>,
-    /// The core machine that acknowledges next is gone, without power or not, for so long.
+    /// The core machine that acknowledges next goes down, with or without power loss, for this long.
     kill_next: Option<(bool, Time)>,
-    /// This part of the answers to operators is lost, until then.
+    /// Share of the responses to operators that is lost, and until when.
     lost_acks: (f64, Time),
-    /// The newest configuration that an operator knows to be acknowledged.
+    /// The newest configuration whose acknowledgement reached an operator.
     last_acked: Option<millpost_config::Config>,
     wiped_at: Option<Time>,
     closed: Option<(Time, Time)>,
-    calm: Calm,
-    /// The auditor.
+    disturbances: Disturbances,
+    /// The rule checks.
     pub auditor: Auditor,
-    /// Lines of what happened, where somebody wants them.
+    /// Trace lines, if a trace was requested.
     pub trace: Option<Vec<String>>,
-    /// Where what decides is recorded, if it is.
-    pub records: Option<Records>,
+    /// Recordings of the processes, if requested.
+    pub records: Option<Recordings>,
 }
 
 impl World {
-    /// A day before it begins.
+    /// The initial state of a day.
     pub fn new(plan: Plan, trace: bool) -> Self {
-        let site = Site { strained: plan.strained, ..Site::new(plan.size) };
+        let site = Site { charge_request_cpu: plan.charge_request_cpu, ..Site::new(plan.size) };
         let site = match plan.homework {
             Some(load) => site.homework(load),
             None => site,
         };
-        let site = site.part(plan.part).lasting(plan.times);
-        let mut chance = Chance::new(plan.seed);
-        let fronts = site.fronts.len();
-        let count = fronts + site.cores.len() + SPARES;
+        let site = site.part(plan.site_divisor).lasting(plan.length_factor);
+        let mut rng = Rng::new(plan.seed);
+        let edges = site.edges.len();
+        let count = edges + site.cores.len() + SPARES;
         let machine = |at: usize, zone: usize, core: bool| Machine {
             name: if core {
                 format_compact!("core-{zone}-{at}")
@@ -301,40 +302,40 @@
             zone,
             core,
             powered: true,
-            frozen: 0,
-            cut: 0,
-            cut_core: 0,
-            cut_out: 0,
-            half: (0, 0),
-            lag: (0, 0),
+            frozen_until: 0,
+            partition_until: 0,
+            core_partition_until: 0,
+            outgoing_blocked_until: 0,
+            core_half: (0, 0),
+            delay: (0, 0),
             clock: (0, 0),
             retires: false,
-            stall: None,
-            porter: None,
-            hall: None,
+            proxy: None,
+            agent: None,
+            controller: None,
             disk: crate::processes::Disk::new(500_000),
-            life: 0,
+            incarnation: 0,
             starts: 0,
             due: [Time::MAX; 3],
             link: Link::default(),
             busy: 0,
-            tries: BTreeSet::new(),
+            open_attempts: BTreeSet::new(),
             exchanges: BTreeSet::new(),
-            misses: 2,
+            failed_checks: 2,
             serving: false,
-            held: Vec::new(),
+            held_events: Vec::new(),
         };
-        let edge = site.fronts.iter().enumerate().map(|(at, zone)| machine(at, *zone, false));
+        let edge = site.edges.iter().enumerate().map(|(at, zone)| machine(at, *zone, false));
         let core =
             site.cores.iter().chain([&0; SPARES]).enumerate().map(|(at, zone)| machine(at, *zone, true));
         let mut machines: Vec<_> = edge.collect();
         machines.extend(core);
-        let platform = Platform::new(&site, plan.speeds, chance.seed());
-        let end = match plan.closing {
+        let platform = Platform::new(&site, plan.speeds, rng.seed());
+        let end = match plan.final_fault {
             Some((at, _)) => at + site.bounds.recovery + 6 * SECOND,
             None => site.lead + site.length,
         };
-        let model = site.config();
+        let latest_config = site.config();
         let skew = |n: usize| {
             let mut sum = 0.0;
             let each = (0..n).map(|at| {
@@ -345,8 +346,8 @@
         };
         let weights = [skew(site.busy), skew(site.rare)];
         let mut world = World {
-            auditor: Auditor::new(Default::default(), site.fronts.len()),
-            calm: Calm::new(count, site.bounds.contact),
+            auditor: Auditor::new(Default::default(), site.edges.len()),
+            disturbances: Disturbances::new(count, site.bounds.contact),
             plan,
             now: 0,
             end,
@@ -354,14 +355,14 @@
             played: 0,
             digest: 0,
             queue: BinaryHeap::new(),
-            chance,
+            rng,
             machines,
             names: HashMap::new(),
-            cores: (fronts..fronts + site.cores.len()).collect(),
-            spares: (fronts + site.cores.len()..count).collect(),
+            cores: (edges..edges + site.cores.len()).collect(),
+            spares: (edges + site.cores.len()..count).collect(),
             seeds: Vec::new(),
-            memo: Rc::default(),
-            lives: 0,
+            parse_cache: Rc::default(),
+            incarnations: 0,
             calls: HashMap::new(),
             streams: BTreeMap::new(),
             next: 0,
@@ -373,15 +374,15 @@
             exchanges: HashMap::new(),
             out: HashMap::new(),
             runs: HashMap::new(),
-            kept: HashMap::new(),
-            customers: Vec::new(),
+            idle_connections: HashMap::new(),
+            client_requests: Vec::new(),
             attempts: Vec::new(),
             read: BTreeSet::new(),
             ever_read: BTreeSet::new(),
-            up_at: Vec::new(),
-            served: Served::default(),
+            pending_restarts: Vec::new(),
+            served: RequestStats::default(),
             orders: Vec::new(),
-            model,
+            latest_config,
             bursts: Vec::new(),
             weights,
             lost_share: (0.0, 0),
@@ -397,33 +398,33 @@
             site,
         };
         world.auditor.strict = world.plan.strict;
-        world.names.insert("platform".into(), Who::Platform);
+        world.names.insert("platform".into(), Party::Platform);
         for at in 0..count {
             let (who, address) = if world.machines[at].core {
-                (Role::ControllerProcess, world.address(at))
+                (Role::Controller, world.address(at))
             } else {
-                (Role::ProxyProcess, world.address(at))
+                (Role::Proxy, world.address(at))
             };
-            world.names.insert(address, Who::Process(at, who));
-            world.names.insert(format_compact!("porter-{at}"), Who::Process(at, Role::AgentProcess));
-            world.names.insert(format_compact!("stall-{at}"), Who::Process(at, Role::ProxyProcess));
+            world.names.insert(address, Party::Process(at, who));
+            world.names.insert(format_compact!("porter-{at}"), Party::Process(at, Role::Agent));
+            world.names.insert(format_compact!("stall-{at}"), Party::Process(at, Role::Proxy));
             if !world.spares.contains(&at) {
-                let start = world.chance.between(0, 20 * MS);
+                let start = world.rng.between(0, 20 * MS);
                 world.at(start, Event::Start(at));
             }
         }
         world.seeds = world.cores.iter().take(3).map(|at| world.address(*at)).collect();
-        world.at(500 * MS, Event::Entry);
+        world.at(500 * MS, Event::HealthCheck);
         for zone in 0..world.site.zones {
-            let first = world.site.lead + world.chance.between(0, 20 * MS);
+            let first = world.site.lead + world.rng.between(0, 20 * MS);
             world.at(first, Event::Arrive { zone });
         }
-        for at in 0..world.plan.troubles.len() {
-            world.at(world.plan.troubles[at].at, Event::Trouble(at));
+        for at in 0..world.plan.faults.len() {
+            world.at(world.plan.faults[at].at, Event::Fault(at));
         }
         world.first_order();
-        if let Some((at, _)) = world.plan.closing {
-            world.at(at, Event::Closing);
+        if let Some((at, _)) = world.plan.final_fault {
+            world.at(at, Event::FinalFault);
         }
         world
     }
@@ -441,13 +442,13 @@
         self.queue.push(Queued { at: at.max(self.now), number: self.number, event });
     }
 
-    fn note(&mut self, what: impl FnOnce() -> String) {
+    fn trace_line(&mut self, what: impl FnOnce() -> String) {
         if let Some(trace) = &mut self.trace {
             trace.push(format!("{:>10.3} {}", self.now as f64 / MS as f64, what()));
         }
     }
 
-    /// Plays up to a time, or to the first broken rule where that is all that is asked.
+    /// Handles events up to the time `until`, or up to the first rule violation.
     pub fn play(&mut self, until: Time, stop_at_first: bool) {
         while let Some(queued) = self.queue.peek()
             && queued.at <= until
@@ -466,78 +467,83 @@
     fn event(&mut self, event: Event) {
         self.digest = (self.digest ^ self.now).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(17);
         match event {
-            Event::Wake { machine, role, life } => {
-                let Some(m) = self.machines.get_mut(machine).filter(|m| m.life == life) else { return };
+            Event::Wake { machine, role, incarnation } => {
+                let Some(m) = self.machines.get_mut(machine).filter(|m| m.incarnation == incarnation) else {
+                    return;
+                };
                 if m.due[role as usize] > self.now {
                     return;
                 }
                 m.due[role as usize] = Time::MAX;
-                if m.frozen > self.now {
-                    return m.held.push(Event::Wake { machine, role, life });
+                if m.frozen_until > self.now {
+                    return m.held_events.push(Event::Wake { machine, role, incarnation });
                 }
-                self.give(machine, role, In::Tick);
+                self.deliver(machine, role, ProcessInput::Tick);
             }
             Event::Call(id) => self.called(id),
-            Event::Answer(id, said) => self.answer(id, said),
+            Event::Answer(id, payload) => self.answer(id, payload),
             Event::Expire(id) => self.expire(id),
             Event::Line { stream, line } => self.line(stream, line),
-            Event::Ended { stream, at_hall } => self.stream_ended(stream, at_hall),
+            Event::Ended { stream, at_controller } => self.stream_ended(stream, at_controller),
             Event::Arrive { zone } => self.arrive(zone),
-            Event::Attempt(customer) => self.attempt(customer),
-            Event::AtStall { attempt } => self.at_stall(attempt),
-            Event::Impatient { customer, attempt } => self.impatient(customer, attempt),
-            Event::ToClient { attempt, status, again, seal } => {
-                self.client_hears(attempt, status, again, seal)
+            Event::Attempt(client_request) => self.attempt(client_request),
+            Event::ReachProxy { attempt } => self.reach_proxy(attempt),
+            Event::ReadTimeout { client_request, attempt } => self.read_timeout(client_request, attempt),
+            Event::ReachClient { attempt, status, again, seal } => {
+                self.deliver_to_client(attempt, status, again, seal)
+            }
+            Event::ClientDeadline(client_request) => self.client_deadline(client_request),
+            Event::ReachEndpoint(id) => self.reach_endpoint(id),
+            Event::Probed { machine, incarnation, id, up } => {
+                self.readiness_probed(machine, incarnation, id, up)
             }
-            Event::GiveUp(customer) => self.give_up(customer),
-            Event::AtEndpoint(id) => self.at_endpoint(id),
-            Event::Scout { machine, life, id, up } => self.scouted(machine, life, id, up),
-            Event::Worked(run) => self.worked(run),
-            Event::Back(id, done) => self.back(id, done),
-            Event::Booted(endpoint) => self.booted(endpoint),
-            Event::Entry => self.entry(),
-            Event::Trouble(at) => self.trouble(at),
-            Event::Thaw(machine) => self.thaw(machine),
+            Event::RunDone(run) => self.run_done(run),
+            Event::ExchangeDone(id, done) => self.exchange_done(id, done),
+            Event::EndpointReady(endpoint) => self.endpoint_ready(endpoint),
+            Event::HealthCheck => self.health_check(),
+            Event::Fault(at) => self.fault(at),
+            Event::Unfreeze(machine) => self.unfreeze(machine),
             Event::Start(machine) => self.start(machine),
-            Event::Order(at) => self.order(at),
-            Event::Over(what) => self.over(what),
-            Event::Closing => self.closing(),
-            Event::Reopen => self.reopen(),
+            Event::OperatorStep(at) => self.order(at),
+            Event::OperatorPoll(what) => self.poll(what),
+            Event::FinalFault => self.final_fault(),
+            Event::PowerOn => self.power_on(),
             Event::Retire(machine) => self.retire(machine),
             Event::Term(machine) => self.term(machine),
-            Event::Leave(machine) => self.leave_for_good(machine),
-            Event::Killed(machine, life) => {
-                if self.machines[machine].life == life {
-                    self.left(machine);
+            Event::TermForGood(machine) => self.term_for_good(machine),
+            Event::GraceExpired(machine, incarnation) => {
+                if self.machines[machine].incarnation == incarnation {
+                    self.processes_exited(machine);
                 }
             }
         }
     }
 
-    /// The processes of a machine start.
+    /// Starts the processes of a machine.
     fn start(&mut self, at: usize) {
-        if self.machines[at].life != 0 || !self.machines[at].powered {
+        if self.machines[at].incarnation != 0 || !self.machines[at].powered {
             return;
         }
-        self.lives += 1;
-        let life = self.lives;
+        self.incarnations += 1;
+        let incarnation = self.incarnations;
         let (core, seeds) = (self.machines[at].core, self.seeds.clone());
         let (site, machine) = (&self.site, &mut self.machines[at]);
-        (machine.life, machine.starts, machine.due) = (life, machine.starts + 1, [Time::MAX; 3]);
+        (machine.incarnation, machine.starts, machine.due) =
+            (incarnation, machine.starts + 1, [Time::MAX; 3]);
         let restarted = machine.starts > 1;
-        let place = Place {
+        let place = ProcessContext {
             name: machine.name.clone(),
             zone: format_compact!("z{}", machine.zone),
             address: CompactString::default(),
             seeds,
-            life: machine.time_of_day(self.now),
+            incarnation: machine.time_of_day(self.now),
             grace: site.bounds.grace,
             restarted,
-            plant: self.plan.plant,
-            memo: Rc::clone(&self.memo),
+            mutation: self.plan.mutation,
+            parse_cache: Rc::clone(&self.parse_cache),
             records: self.records.clone(),
         };
-        let place = Place { address: self.address(at), ..place };
+        let place = ProcessContext { address: self.address(at), ..place };
         if core {
             let rates = crate::processes::Rates {
                 rate_per_s: site.rates.0,
@@ -546,9 +552,10 @@
                 losses: 1,
             };
             let machine = &mut self.machines[at];
-            let bootstrap = !restarted && at < site.fronts.len() + site.cores.len();
-            machine.hall = Some(ControllerProcess::new(self.now, place, rates, &mut machine.disk, bootstrap));
-            self.give(at, Role::ControllerProcess, In::Tick);
+            let bootstrap = !restarted && at < site.edges.len() + site.cores.len();
+            machine.controller =
+                Some(ControllerProcess::new(self.now, place, rates, &mut machine.disk, bootstrap));
+            self.deliver(at, Role::Controller, ProcessInput::Tick);
         } else {
             let (bounds, speeds) = (&site.bounds, self.plan.speeds != Speeds::Even);
             let terms = millpost_scheduler::SchedulerLimits {
@@ -559,82 +566,82 @@
                 rank_by_latency: speeds,
             };
             let machine = &mut self.machines[at];
-            machine.porter = Some(AgentProcess::new(self.now, place.clone(), format_compact!("stall-{at}")));
-            machine.stall = Some(ProxyProcess::new(place, format_compact!("porter-{at}"), terms));
-            self.give(at, Role::AgentProcess, In::Tick);
-            self.give(at, Role::ProxyProcess, In::Tick);
+            machine.agent = Some(AgentProcess::new(self.now, place.clone(), format_compact!("stall-{at}")));
+            machine.proxy = Some(ProxyProcess::new(place, format_compact!("porter-{at}"), terms));
+            self.deliver(at, Role::Agent, ProcessInput::Tick);
+            self.deliver(at, Role::Proxy, ProcessInput::Tick);
         }
     }
 
-    /// A process takes something in, and what it says is done.
-    fn give(&mut self, at: usize, role: Role, input: In) {
+    /// Passes an input to a process and carries out its outputs.
+    fn deliver(&mut self, at: usize, role: Role, input: ProcessInput) {
         let now = self.now;
         let machine = &mut self.machines[at];
         let (outs, wake) = match role {
-            Role::ProxyProcess => {
-                let Some(stall) = &mut machine.stall else { return };
-                (stall.input(now, input), stall.wake())
+            Role::Proxy => {
+                let Some(proxy) = &mut machine.proxy else { return };
+                (proxy.input(now, input), proxy.wake())
             }
-            Role::AgentProcess => {
-                let Some(porter) = &mut machine.porter else { return };
-                (porter.input(now, input), porter.wake())
+            Role::Agent => {
+                let Some(agent) = &mut machine.agent else { return };
+                (agent.input(now, input), agent.wake())
             }
-            Role::ControllerProcess => {
-                let Some(hall) = &mut machine.hall else { return };
-                let outs = hall.input(now, input, &mut machine.disk);
-                (outs, hall.wake(now, &machine.disk))
+            Role::Controller => {
+                let Some(controller) = &mut machine.controller else { return };
+                let outs = controller.input(now, input, &mut machine.disk);
+                (outs, controller.wake(now, &machine.disk))
             }
         };
         let wake = wake.max(now + 10_000);
         if wake < machine.due[role as usize] {
             machine.due[role as usize] = wake;
-            let life = machine.life;
-            self.at(wake, Event::Wake { machine: at, role, life });
+            let incarnation = machine.incarnation;
+            self.at(wake, Event::Wake { machine: at, role, incarnation });
         }
         for out in outs {
             self.out(at, role, out);
         }
         let machine = &self.machines[at];
-        let over = machine.stall.as_ref().is_some_and(|s| s.over(now))
-            || machine.hall.as_ref().is_some_and(|h| h.over(now));
+        let over = machine.proxy.as_ref().is_some_and(|s| s.has_exited(now))
+            || machine.controller.as_ref().is_some_and(|h| h.has_exited(now));
         if over {
-            self.left(at);
+            self.processes_exited(at);
         }
     }
 
-    fn out(&mut self, at: usize, role: Role, out: Out) {
-        let who = Who::Process(at, role);
+    fn out(&mut self, at: usize, role: Role, out: ProcessOutput) {
+        let who = Party::Process(at, role);
         match out {
-            Out::Call { id, to, said, within } => {
-                self.call(who, self.machines[at].life, id, &to, said, within)
+            ProcessOutput::Call { id, to, payload, within } => {
+                self.call(who, self.machines[at].incarnation, id, &to, payload, within)
             }
-            Out::Reply { call, said } => self.reply(call, said, self.now),
-            Out::ReplyAt { call, said, at } => self.reply(call, said, at),
-            Out::Follow { feed, to, said } => self.follow(at, feed, &to, said),
-            Out::Line { feed, line } => self.send_line(feed, line),
-            Out::Close { feed } => self.close(at, role, feed),
-            Out::Answer { client, status, again, seal } => {
-                self.stall_answers(at, client, status, again, seal)
+            ProcessOutput::Reply { call, payload } => self.reply(call, payload, self.now),
+            ProcessOutput::ReplyAt { call, payload, at } => self.reply(call, payload, at),
+            ProcessOutput::Follow { feed, to, payload } => self.follow(at, feed, &to, payload),
+            ProcessOutput::Line { feed, line } => self.send_line(feed, line),
+            ProcessOutput::Close { feed } => self.close(at, role, feed),
+            ProcessOutput::Answer { client, status, again, seal } => {
+                self.proxy_answers(at, client, status, again, seal)
             }
-            Out::Exchange { id, address, expect, request, deadline } => {
+            ProcessOutput::Exchange { id, address, expect, request, deadline } => {
                 self.exchange(at, id, address, expect, request, deadline);
             }
-            Out::Abort { id } => self.abort(at, id),
-            Out::Scout { id, address } => self.scout(at, id, address),
+            ProcessOutput::Abort { id } => self.abort(at, id),
+            ProcessOutput::ProbeReadiness { id, address } => self.probe_readiness(at, id, address),
         }
     }
 
-    /// The kinds of requests.
+    /// Request classes of the site.
     pub fn classes(&self) -> &'static Classes {
         self.site.classes
     }
 
-    /// The share of requests served among those that were sent between two times.
-    pub fn served(&self) -> &Served {
+    /// Statistics of client requests.
+    pub fn served(&self) -> &RequestStats {
         &self.served
     }
 
-    /// Ends the day: what only whole windows show.
+    /// Checks the rules that need the whole day.
     pub fn finish(&mut self) {
         let served = std::mem::take(&mut self.served);
         let share = |from, to| served.share(from, to);
@@ -642,7 +649,7 @@
         self.served = served;
     }
 
-    /// Starts that the platform has done, and the memory of instances by time, in GB seconds.
+    /// Number of instance starts, and instance memory over time in GB seconds.
     pub fn starts(&self) -> (u64, f64) {
         let memory = self.endpoints.iter().map(|e| {
             let span = e.ended.unwrap_or(self.now).saturating_sub(e.called) as f64 / SECOND as f64;
@@ -651,14 +658,14 @@
         (self.endpoints.len() as u64, memory.sum())
     }
 
-    /// How long each configuration took from its acknowledgement until the last stall acted on it.
-    pub fn converged(&self) -> Vec<(u64, Option<Time>)> {
-        self.orders.iter().filter_map(Order::converged).collect()
+    /// For each revision, the time from its acknowledgement until the last proxy applied it.
+    pub fn propagation(&self) -> Vec<(u64, Option<Time>)> {
+        self.orders.iter().filter_map(Order::propagation).collect()
     }
 
-    /// For stalls that are up, the lowest revision that one acts on.
-    fn lowest(&self) -> u64 {
-        let stalls = self.machines.iter().filter(|m| m.powered).filter_map(|m| m.stall.as_ref());
-        stalls.map(ProxyProcess::acts).min().unwrap_or(0)
+    /// The lowest revision active on any running proxy.
+    fn lowest_active_revision(&self) -> u64 {
+        let proxies = self.machines.iter().filter(|m| m.powered).filter_map(|m| m.proxy.as_ref());
+        proxies.map(ProxyProcess::active_revision).min().unwrap_or(0)
     }
 }
--- a/simulator/src/world/net.rs
+++ b/simulator/src/world/net.rs
@@ -1,4 +1,5 @@
-//! The network between processes: calls with their answers, feeds, delays, links, what is cut and what breaks.
+//! The simulated network between processes: calls and responses, feeds, latency, link bandwidth, partitions
+//! and broken connections.
 
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -6,67 +7,67 @@
 use millpost_quorum::Message;
 use tinyjson::JsonValue;
 
-use super::{Event, Role, Who, World};
-use crate::processes::{In, Said};
+use super::{Event, Party, Role, World};
+use crate::processes::{Payload, ProcessInput};
 use crate::{MS, SECOND, Time};
 
-/// What HTTP adds to a request and to its answer.
+/// Size of the HTTP headers of a request and of a response, in bytes.
 const REQUEST: u64 = 150;
 const ANSWER: u64 = 80;
-/// Silence after which a control machine gives up a feed that nobody acknowledges.
-const UNHEARD: Time = 2 * SECOND;
+/// Time after which a controller closes a feed whose lines are not acknowledged.
+const FEED_TIMEOUT: Time = 2 * SECOND;
 
-/// A call that is open.
+/// An open call.
 pub(super) struct Call {
-    pub from: Who,
-    pub life: u64,
+    pub from: Party,
+    pub incarnation: u64,
     pub id: u64,
-    pub to: Who,
-    pub said: Option<Said>,
+    pub to: Party,
+    pub payload: Option<Payload>,
 }
 
-/// A feed.
+/// A feed from a controller to an agent.
 pub(super) struct Stream {
-    porter: usize,
-    porter_life: u64,
+    agent: usize,
+    agent_incarnation: u64,
     feed: u64,
-    hall: usize,
-    hall_life: u64,
+    controller: usize,
+    controller_incarnation: u64,
     last: Time,
-    open_at_hall: bool,
+    open_at_controller: bool,
 }
 
-/// When a machine's link is free.
+/// When the outgoing and incoming link of a machine are free.
 #[derive(Default)]
 pub(super) struct Link {
     out: Time,
     into: Time,
 }
 
-/// What went between machines.
+/// Traffic counters.
 #[derive(Default, Clone, Copy, Debug)]
 pub struct Traffic {
-    /// Requests, answers and lines between machines of the system.
+    /// Requests, responses and feed lines between machines.
     pub messages: u64,
-    /// Their bytes, heads counted in,
+    /// Bytes of these, including headers,
     pub bytes: u64,
-    /// ... and between zones.
+    /// ... and the part that crossed zones.
     pub zone_bytes: u64,
     /// New connections to endpoints.
     pub handshakes: u64,
     /// Calls to the platform.
     pub platform: u64,
-    /// Bytes of clients' requests and answers.
+    /// Bytes of client requests and responses.
     pub clients: u64,
 }
 
-fn note_size(note: &PeerMessage) -> u64 {
-    let text = match note {
+fn message_json_size(message: &PeerMessage) -> u64 {
+    let text = match message {
         PeerMessage::PackedConfig { packed, .. } | PeerMessage::PackedPatch { packed, .. } => {
             return packed.len() as u64 + 40;
         }
         PeerMessage::Config { .. } | PeerMessage::Patch { .. } => {
-            note.to_json().stringify().map_or(0, |s| s.len())
+            message.to_json().stringify().map_or(0, |s| s.len())
         }
         PeerMessage::RequestPermit { service, avoid, zone, .. } => {
             77 + service.len() + zone.len() + avoid.iter().map(|a| a.len() + 8).sum::<usize>()
@@ -119,8 +120,8 @@
     text as u64
 }
 
-fn notes_size(notes: &[PeerMessage]) -> u64 {
-    notes.iter().map(|n| note_size(n) + 1).sum()
+fn messages_json_size(messages: &[PeerMessage]) -> u64 {
+    messages.iter().map(|n| message_json_size(n) + 1).sum()
 }
 
 fn message_size(message: &Message) -> u64 {
@@ -139,35 +140,37 @@
     }
 }
 
-/// About how long it is as JSON.
-fn size(said: &Said) -> u64 {
-    match said {
-        Said::Mail { notes, .. } | Said::Follow { notes, .. } => 50 + notes_size(notes),
-        Said::Vote { message, .. } | Said::Voted(Some(message)) => 40 + message_size(message),
-        Said::News(body) | Said::Body(body) => body.len() as u64,
-        Said::Replace(text) | Said::Drain(text) => text.len() as u64,
-        Said::Listed { entries, .. } => 30 + entries.len() as u64 * 165,
-        Said::Staff(workers) => 20 + workers.len() as u64 * 90,
-        Said::Start { .. } | Said::Stop { .. } => 90,
-        Said::Started(_) => 60,
+/// Estimated size as JSON, in bytes.
+fn estimated_size(payload: &Payload) -> u64 {
+    match payload {
+        Payload::Messages { messages, .. } | Payload::Follow { messages, .. } => {
+            50 + messages_json_size(messages)
+        }
+        Payload::Vote { message, .. } | Payload::Voted(Some(message)) => 40 + message_size(message),
+        Payload::Gossip(body) | Payload::Body(body) => body.len() as u64,
+        Payload::Replace(text) | Payload::Drain(text) => text.len() as u64,
+        Payload::Listed { entries, .. } => 30 + entries.len() as u64 * 165,
+        Payload::WorkerList(workers) => 20 + workers.len() as u64 * 90,
+        Payload::Start { .. } | Payload::Stop { .. } => 90,
+        Payload::Started(_) => 60,
         _ => 10,
     }
 }
 
-/// The notes as JSON, for a check of the sizes that are guessed.
+/// Exact size as JSON, to check the estimates.
 #[cfg(test)]
-fn exact(notes: &[PeerMessage]) -> u64 {
-    notes.iter().map(|n| n.to_json().stringify().map_or(0, |s| s.len() as u64) + 1).sum()
+fn exact_json_size(messages: &[PeerMessage]) -> u64 {
+    messages.iter().map(|n| n.to_json().stringify().map_or(0, |s| s.len() as u64) + 1).sum()
 }
 
-/// What a line of a feed says of stalls that are alive.
-fn named(line: &[u8]) -> Option<String> {
+/// Describes the proxies that a feed line adds or removes, for the trace.
+fn describe_view(line: &[u8]) -> Option<String> {
     let JsonValue::Object(parts) = millpost_net::messaging::json(line)? else { return None };
-    let Some(JsonValue::Array(notes)) = parts.get("notes") else { return None };
+    let Some(JsonValue::Array(messages)) = parts.get("notes") else { return None };
     let list = |what: &str, names: &[CompactString]| {
         if names.is_empty() { String::new() } else { format!(", {what} {}", names.join(" ")) }
     };
-    notes.iter().filter_map(|note| PeerMessage::read(note).ok()).find_map(|note| match note {
+    messages.iter().filter_map(|message| PeerMessage::read(message).ok()).find_map(|message| match message {
         PeerMessage::FullView { version, peers, leaving, split } => {
             let leaving = list("leaving", &leaving.into_iter().map(|p| p.name).collect::<Vec<_>>());
             let (count, split) = (peers.len(), list("split", &split));
@@ -187,18 +190,18 @@
 }
 
 impl World {
-    fn machine_of(who: Who) -> Option<usize> {
+    fn machine_of(who: Party) -> Option<usize> {
         match who {
-            Who::Process(machine, _) => Some(machine),
-            Who::Platform | Who::Operator(_) => None,
+            Party::Process(machine, _) => Some(machine),
+            Party::Platform | Party::Operator(_) => None,
         }
     }
 
-    /// When so many bytes that are sent now are there.
-    fn transit(&mut self, from: Who, to: Who, bytes: u64, now: Time) -> Time {
+    /// Arrival time of `bytes` bytes sent at `now`.
+    fn transit(&mut self, from: Party, to: Party, bytes: u64, now: Time) -> Time {
         let (from, to) = (Self::machine_of(from), Self::machine_of(to));
         if from.is_some() && from == to {
-            return now + self.chance.between(40_000, 90_000);
+            return now + self.rng.between(40_000, 90_000);
         }
         let zone = |world: &World, at: Option<usize>| at.map_or(0, |at| world.machines[at].zone);
         let apart = zone(self, from) != zone(self, to);
@@ -210,9 +213,9 @@
                 self.traffic.zone_bytes += bytes;
             }
         }
-        let mut there = now + base + self.chance.between(0, base / 3);
-        // A lost packet comes again; what goes on other connections does not wait for it.
-        let again = if self.chance.one(0.0003) { self.chance.between(200 * MS, 400 * MS) } else { 0 };
+        let mut there = now + base + self.rng.between(0, base / 3);
+        // A lost packet is retransmitted; other connections do not wait for it.
+        let again = if self.rng.chance(0.0003) { self.rng.between(200 * MS, 400 * MS) } else { 0 };
         let span = |world: &World, at: usize| {
             let mbps = if world.machines[at].core { world.site.mbps.1 } else { world.site.mbps.0 };
             (bytes as f64 * 8_000.0 / mbps) as Time
@@ -224,7 +227,7 @@
             there += link.out - now;
         }
         if let Some(at) = to {
-            let (until, longer) = self.machines[at].lag;
+            let (until, longer) = self.machines[at].delay;
             if until > now {
                 there += longer;
             }
@@ -236,51 +239,62 @@
         there += again;
         let ends = || from.iter().chain(&to).map(|at| &self.machines[*at]);
         let core = ends().filter(|m| m.core).count() == 2;
-        let cut = ends().map(|m| if core { m.cut.max(m.cut_core) } else { m.cut }).max().unwrap_or(0);
-        let cut = cut.max(from.map_or(0, |at| self.machines[at].cut_out));
-        let halves: Vec<_> = ends().filter(|m| m.core).map(|m| m.half).collect();
+        let cut = ends()
+            .map(|m| if core { m.partition_until.max(m.core_partition_until) } else { m.partition_until })
+            .max()
+            .unwrap_or(0);
+        let cut = cut.max(from.map_or(0, |at| self.machines[at].outgoing_blocked_until));
+        let halves: Vec<_> = ends().filter(|m| m.core).map(|m| m.core_half).collect();
         let cut = match halves.as_slice() {
             [(one, until), (other, _)] if one != other => cut.max(*until),
             _ => cut,
         };
-        // An edge machine that is cut off from the core reaches its kind and its clients.
-        let edge_cut = ends().filter(|m| !m.core).map(|m| m.cut_core).max().unwrap_or(0);
+        // An edge machine partitioned from the core still reaches other edge machines and its clients.
+        let edge_cut = ends().filter(|m| !m.core).map(|m| m.core_partition_until).max().unwrap_or(0);
         let cut = if ends().any(|m| m.core) { cut.max(edge_cut) } else { cut };
         let operator = from.is_none() && to.is_some() || to.is_none() && from.is_some();
-        // What is sent into a cut waits for its end; the operator reaches both sides.
+        // Traffic into a partition is delivered after its end; operators reach both sides.
         if cut > now && !operator { cut + base + there - now } else { there }
     }
 
-    pub(super) fn call(&mut self, from: Who, life: u64, id: u64, to: &str, said: Said, within: Time) {
+    pub(super) fn call(
+        &mut self,
+        from: Party,
+        incarnation: u64,
+        id: u64,
+        to: &str,
+        payload: Payload,
+        within: Time,
+    ) {
         if self.trace.is_some()
-            && let Said::Mail { from, notes, .. } = &said
+            && let Payload::Messages { from, messages, .. } = &payload
         {
-            for note in notes {
-                if let PeerMessage::PeerUnreachable { peer, .. } = note {
-                    self.note(|| format!("{from} tells {to} that {peer} does not answer"));
+            for message in messages {
+                if let PeerMessage::PeerUnreachable { peer, .. } = message {
+                    self.trace_line(|| format!("{from} tells {to} that {peer} does not answer"));
                 }
             }
         }
         let Some(to) = self.names.get(to).copied() else { return };
         self.next += 1;
         let number = self.next;
-        let there = self.transit(from, to, REQUEST + size(&said), self.now);
-        let there = self.asked(to, &said, there);
-        self.calls.insert(number, Call { from, life, id, to, said: Some(said) });
+        let there = self.transit(from, to, REQUEST + estimated_size(&payload), self.now);
+        let there = self.charge_permit_requests(to, &payload, there);
+        self.calls.insert(number, Call { from, incarnation, id, to, payload: Some(payload) });
         self.at(there, Event::Call(number));
         self.at(self.now + within, Event::Expire(number));
     }
 
-    /// Asks take of their owner's processor, one after the other.
-    fn asked(&mut self, to: Who, said: &Said, there: Time) -> Time {
-        let (Who::Process(at, Role::ProxyProcess), Said::Mail { notes, .. }) = (to, said) else {
+    /// Charges permit requests to the CPU of the owning proxy, one after the other.
+    fn charge_permit_requests(&mut self, to: Party, payload: &Payload, there: Time) -> Time {
+        let (Party::Process(at, Role::Proxy), Payload::Messages { messages, .. }) = (to, payload) else {
             return there;
         };
-        let asks = notes.iter().filter(|n| matches!(n, PeerMessage::RequestPermit { .. })).count();
-        if !self.site.strained || asks == 0 {
+        let asks = messages.iter().filter(|n| matches!(n, PeerMessage::RequestPermit { .. })).count();
+        if !self.site.charge_request_cpu || asks == 0 {
             return there;
         }
-        // As many a second as would take all of its processors.
+        // The rate at which permit requests would use all of its CPU.
         let each =
             SECOND as f64 / millpost_scheduler::max_requests_per_s(f64::INFINITY, self.site.processors);
         let machine = &mut self.machines[at];
@@ -292,193 +306,208 @@
         let Some(call) = self.calls.get_mut(&number) else { return };
         let (from, to) = (call.from, call.to);
         match to {
-            Who::Process(at, role) => {
+            Party::Process(at, role) => {
                 let machine = &mut self.machines[at];
                 if !machine.powered {
                     return;
                 }
-                if machine.frozen > self.now {
-                    return machine.held.push(Event::Call(number));
+                if machine.frozen_until > self.now {
+                    return machine.held_events.push(Event::Call(number));
                 }
                 if !machine.up(role) {
-                    if let Some(Said::Follow { .. }) = call.said {
-                        let porter = number;
-                        return self.at(self.now + MS, Event::Ended { stream: porter, at_hall: false });
+                    if let Some(Payload::Follow { .. }) = call.payload {
+                        let agent = number;
+                        return self.at(self.now + MS, Event::Ended { stream: agent, at_controller: false });
                     }
                     let back = self.transit(to, from, ANSWER, self.now);
                     return self.at(back, Event::Answer(number, None));
                 }
-                let Some(said) = call.said.take() else { return };
+                let Some(payload) = call.payload.take() else { return };
                 if let Some(stream) = self.streams.get_mut(&number) {
-                    (stream.open_at_hall, stream.hall_life) = (true, self.machines[at].life);
+                    (stream.open_at_controller, stream.controller_incarnation) =
+                        (true, self.machines[at].incarnation);
                     self.calls.remove(&number);
                 }
-                self.give(at, role, In::Call { call: number, said });
+                self.deliver(at, role, ProcessInput::Call { call: number, payload });
             }
-            Who::Platform => {
-                let Some(said) = call.said.take() else { return };
+            Party::Platform => {
+                let Some(payload) = call.payload.take() else { return };
                 self.traffic.platform += 1;
-                let answer = self.platform_answers(said);
-                let took = self.chance.between(3 * MS, 15 * MS);
-                let back = self.transit(to, from, ANSWER + size(&answer), self.now) + took;
+                let answer = self.platform_answers(payload);
+                let took = self.rng.between(3 * MS, 15 * MS);
+                let back = self.transit(to, from, ANSWER + estimated_size(&answer), self.now) + took;
                 self.at(back, Event::Answer(number, Some(answer)));
             }
-            Who::Operator(_) => {}
+            Party::Operator(_) => {}
         }
     }
 
-    pub(super) fn reply(&mut self, number: u64, said: Said, at: Time) {
+    pub(super) fn reply(&mut self, number: u64, payload: Payload, at: Time) {
         if self.streams.contains_key(&number) {
-            // A feed that is turned down.
-            return self.at(self.now + MS, Event::Ended { stream: number, at_hall: false });
+            // The feed was rejected.
+            return self.at(self.now + MS, Event::Ended { stream: number, at_controller: false });
         }
         let Some(call) = self.calls.get(&number) else { return };
         let (from, to) = (call.from, call.to);
-        let back = self.transit(to, from, ANSWER + size(&said), self.now);
-        // An answer that rests on a write goes when that lasts; if its process is gone by then, it does not go.
+        let back = self.transit(to, from, ANSWER + estimated_size(&payload), self.now);
+        // A response that depends on a write is sent once the write is synced; if its process has ended by
+        // then, it is not sent.
         if at > self.now
             && let Some(call) = self.calls.get_mut(&number)
         {
-            call.said = Some(said);
+            call.payload = Some(payload);
             return self.at(at, Event::Answer(number, None));
         }
-        self.at(back, Event::Answer(number, Some(said)));
+        self.at(back, Event::Answer(number, Some(payload)));
     }
 
-    pub(super) fn answer(&mut self, number: u64, said: Option<Said>) {
+    pub(super) fn answer(&mut self, number: u64, payload: Option<Payload>) {
         let Some(call) = self.calls.get_mut(&number) else { return };
-        if said.is_none()
-            && let Some(waits) = call.said.take()
-            && let Said::Voted(_) = waits
+        if payload.is_none()
+            && let Some(waits) = call.payload.take()
+            && let Payload::Voted(_) = waits
         {
             let (from, to) = (call.from, call.to);
-            let back = self.transit(to, from, ANSWER + size(&waits), self.now);
+            let back = self.transit(to, from, ANSWER + estimated_size(&waits), self.now);
             return self.at(back, Event::Answer(number, Some(waits)));
         }
-        let (from, life, id) = (call.from, call.life, call.id);
+        let (from, incarnation, id) = (call.from, call.incarnation, call.id);
         match from {
-            Who::Process(at, role) => {
+            Party::Process(at, role) => {
                 let machine = &mut self.machines[at];
-                if machine.life != life || !machine.powered {
+                if machine.incarnation != incarnation || !machine.powered {
                     self.calls.remove(&number);
                     return;
                 }
-                if machine.frozen > self.now {
-                    return machine.held.push(Event::Answer(number, said));
+                if machine.frozen_until > self.now {
+                    return machine.held_events.push(Event::Answer(number, payload));
                 }
                 self.calls.remove(&number);
-                self.give(at, role, In::Answer { id, said });
+                self.deliver(at, role, ProcessInput::Answer { id, payload });
             }
-            Who::Operator(order) => {
+            Party::Operator(order) => {
                 self.calls.remove(&number);
-                self.operator_hears(order, said);
+                self.deliver_to_operator(order, payload);
             }
-            Who::Platform => {}
+            Party::Platform => {}
         }
     }
 
     pub(super) fn expire(&mut self, number: u64) {
         if let Some(call) = self.calls.get_mut(&number) {
-            call.said = None;
+            call.payload = None;
             self.answer(number, None);
         }
     }
 
-    pub(super) fn follow(&mut self, at: usize, feed: u64, to: &str, said: Said) {
-        let Some(Who::Process(hall, _)) = self.names.get(to).copied() else { return };
+    pub(super) fn follow(&mut self, at: usize, feed: u64, to: &str, payload: Payload) {
+        let Some(Party::Process(controller, _)) = self.names.get(to).copied() else { return };
         self.next += 1;
         let number = self.next;
-        let (from, to) = (Who::Process(at, Role::AgentProcess), Who::Process(hall, Role::ControllerProcess));
-        let there = self.transit(from, to, REQUEST + size(&said), self.now);
-        let porter_life = self.machines[at].life;
-        let stream =
-            Stream { porter: at, porter_life, feed, hall, hall_life: 0, last: 0, open_at_hall: false };
+        let (from, to) = (Party::Process(at, Role::Agent), Party::Process(controller, Role::Controller));
+        let there = self.transit(from, to, REQUEST + estimated_size(&payload), self.now);
+        let agent_incarnation = self.machines[at].incarnation;
+        let stream = Stream {
+            agent: at,
+            agent_incarnation,
+            feed,
+            controller,
+            controller_incarnation: 0,
+            last: 0,
+            open_at_controller: false,
+        };
         self.streams.insert(number, stream);
-        self.calls.insert(number, Call { from, life: porter_life, id: feed, to, said: Some(said) });
+        self.calls.insert(
+            number,
+            Call { from, incarnation: agent_incarnation, id: feed, to, payload: Some(payload) },
+        );
         self.at(there, Event::Call(number));
     }
 
     pub(super) fn send_line(&mut self, number: u64, line: Bytes) {
         let Some(stream) = self.streams.get(&number) else { return };
-        let (porter, hall) = (stream.porter, stream.hall);
-        let (from, to) =
-            (Who::Process(hall, Role::ControllerProcess), Who::Process(porter, Role::AgentProcess));
+        let (agent, controller) = (stream.agent, stream.controller);
+        let (from, to) = (Party::Process(controller, Role::Controller), Party::Process(agent, Role::Agent));
         let there = self.transit(from, to, 6 + line.len() as u64, self.now);
         if self.trace.is_some()
-            && let Some(named) = named(&line)
+            && let Some(describe_view) = describe_view(&line)
         {
-            self.note(|| format!("machine {hall} {named}, to machine {porter}"));
+            self.trace_line(|| format!("machine {controller} {describe_view}, to machine {agent}"));
         }
         let Some(stream) = self.streams.get_mut(&number) else { return };
         stream.last = stream.last.max(there);
         let there = stream.last;
-        // What nobody acknowledges for long enough ends the feed at its sender.
-        if there > self.now + UNHEARD {
-            self.at(self.now + UNHEARD, Event::Ended { stream: number, at_hall: true });
+        // If a line is not acknowledged in time, the sender closes the feed.
+        if there > self.now + FEED_TIMEOUT {
+            self.at(self.now + FEED_TIMEOUT, Event::Ended { stream: number, at_controller: true });
         }
         self.at(there, Event::Line { stream: number, line });
     }
 
     pub(super) fn line(&mut self, number: u64, line: Bytes) {
         let Some(stream) = self.streams.get(&number) else { return };
-        let (at, life, feed) = (stream.porter, stream.porter_life, stream.feed);
+        let (at, incarnation, feed) = (stream.agent, stream.agent_incarnation, stream.feed);
         let machine = &mut self.machines[at];
-        if machine.life != life || !machine.powered {
+        if machine.incarnation != incarnation || !machine.powered {
             return;
         }
-        if machine.frozen > self.now {
-            return machine.held.push(Event::Line { stream: number, line });
+        if machine.frozen_until > self.now {
+            return machine.held_events.push(Event::Line { stream: number, line });
         }
-        self.give(at, Role::AgentProcess, In::Line { feed, line });
+        self.deliver(at, Role::Agent, ProcessInput::Line { feed, line });
     }
 
     pub(super) fn close(&mut self, at: usize, role: Role, feed: u64) {
-        if role == Role::ControllerProcess {
-            return self.at(self.now + MS, Event::Ended { stream: feed, at_hall: false });
+        if role == Role::Controller {
+            return self.at(self.now + MS, Event::Ended { stream: feed, at_controller: false });
         }
-        let life = self.machines[at].life;
-        let found = self.streams.iter().find(|(_, s)| (s.porter, s.porter_life, s.feed) == (at, life, feed));
+        let incarnation = self.machines[at].incarnation;
+        let found = self
+            .streams
+            .iter()
+            .find(|(_, s)| (s.agent, s.agent_incarnation, s.feed) == (at, incarnation, feed));
         if let Some(number) = found.map(|(number, _)| *number) {
             self.calls.remove(&number);
-            self.end_at_hall(number, self.now);
+            self.end_at_controller(number, self.now);
         }
     }
 
-    /// The hall hears that a feed has ended, unless a cut or a loss of power keeps it from that.
-    fn end_at_hall(&mut self, number: u64, now: Time) {
+    /// The controller notices that a feed has ended; after a partition or power loss only by a time-out.
+    fn end_at_controller(&mut self, number: u64, now: Time) {
         let Some(stream) = self.streams.get(&number) else { return };
-        let (porter, hall) = (stream.porter, stream.hall);
-        let silent = !self.machines[porter].reachable(now) || !self.machines[hall].reachable(now);
-        let at = if silent { now + UNHEARD } else { now + self.site.far };
-        self.at(at, Event::Ended { stream: number, at_hall: true });
+        let (agent, controller) = (stream.agent, stream.controller);
+        let silent = !self.machines[agent].reachable(now) || !self.machines[controller].reachable(now);
+        let at = if silent { now + FEED_TIMEOUT } else { now + self.site.far };
+        self.at(at, Event::Ended { stream: number, at_controller: true });
     }
 
-    pub(super) fn stream_ended(&mut self, number: u64, at_hall: bool) {
+    pub(super) fn stream_ended(&mut self, number: u64, at_controller: bool) {
         let Some(stream) = self.streams.get(&number) else { return };
-        let (porter, life, feed) = (stream.porter, stream.porter_life, stream.feed);
-        let (hall, hall_life, open) = (stream.hall, stream.hall_life, stream.open_at_hall);
-        let (at, role) = if at_hall { (hall, Role::ControllerProcess) } else { (porter, Role::AgentProcess) };
+        let (agent, incarnation, feed) = (stream.agent, stream.agent_incarnation, stream.feed);
+        let (controller, controller_incarnation, open) =
+            (stream.controller, stream.controller_incarnation, stream.open_at_controller);
+        let (at, role) = if at_controller { (controller, Role::Controller) } else { (agent, Role::Agent) };
         let machine = &mut self.machines[at];
-        if machine.frozen > self.now {
-            return machine.held.push(Event::Ended { stream: number, at_hall });
+        if machine.frozen_until > self.now {
+            return machine.held_events.push(Event::Ended { stream: number, at_controller });
         }
-        if at_hall {
+        if at_controller {
             self.streams.remove(&number);
-            if self.machines[hall].life == hall_life && open {
-                self.give(hall, Role::ControllerProcess, In::Ended { feed: number });
+            if self.machines[controller].incarnation == controller_incarnation && open {
+                self.deliver(controller, Role::Controller, ProcessInput::Ended { feed: number });
             }
         } else {
             self.streams.remove(&number);
             self.calls.remove(&number);
-            if self.machines[porter].life == life && self.machines[porter].powered {
-                self.give(porter, role, In::Ended { feed });
+            if self.machines[agent].incarnation == incarnation && self.machines[agent].powered {
+                self.deliver(agent, role, ProcessInput::Ended { feed });
             }
         }
     }
 
-    /// All connections of a machine break: `told` says whether the other sides hear of it at once.
-    pub(super) fn break_all(&mut self, at: usize, told: bool) {
-        let here = |who: Who| Self::machine_of(who) == Some(at);
+    /// Breaks all connections of a machine; `notify_peers`: the other sides notice at once.
+    pub(super) fn break_all(&mut self, at: usize, notify_peers: bool) {
+        let here = |who: Party| Self::machine_of(who) == Some(at);
         let mut broken: Vec<_> =
             self.calls.iter().filter(|(_, c)| here(c.from) || here(c.to)).map(|(n, _)| *n).collect();
         broken.sort_unstable();
@@ -487,20 +516,20 @@
             if here(call.from) && here(call.to) {
                 continue;
             }
-            if told || here(call.from) {
-                call.said = None;
+            if notify_peers || here(call.from) {
+                call.payload = None;
                 self.at(self.now + self.site.far, Event::Answer(number, None));
             }
         }
         let streams: Vec<_> = self
             .streams
             .iter()
-            .filter(|(_, s)| s.porter == at || s.hall == at)
-            .map(|(n, s)| (*n, s.porter == at))
+            .filter(|(_, s)| s.agent == at || s.controller == at)
+            .map(|(n, s)| (*n, s.agent == at))
             .collect();
-        for (number, porter_gone) in streams {
-            let wait = if told { self.site.far } else { UNHEARD };
-            self.at(self.now + wait, Event::Ended { stream: number, at_hall: porter_gone });
+        for (number, agent_gone) in streams {
+            let wait = if notify_peers { self.site.far } else { FEED_TIMEOUT };
+            self.at(self.now + wait, Event::Ended { stream: number, at_controller: agent_gone });
         }
     }
 }
@@ -510,7 +539,7 @@
     use super::*;
 
     #[test]
-    fn guessed_sizes_are_near_what_is_written() {
+    fn estimated_sizes_are_close_to_exact() {
         let ask = PeerMessage::RequestPermit {
             id: 1 << 33,
             service: "b17".into(),
@@ -530,9 +559,12 @@
             zone: None,
         };
         let done = PeerMessage::ReleasePermit { id: 1 << 33, outcome: "ok".into(), took: 45.25 };
-        for note in [ask, grant, done, PeerMessage::RetireInstance { instance: "i-4".into() }] {
-            let (guess, truth) = (note_size(&note) as f64 + 1.0, exact(std::slice::from_ref(&note)) as f64);
-            assert!((guess / truth - 1.0).abs() < 0.25, "{note:?}: {guess} {truth}");
+        for message in [ask, grant, done, PeerMessage::RetireInstance { instance: "i-4".into() }] {
+            let (estimate, actual) = (
+                message_json_size(&message) as f64 + 1.0,
+                exact_json_size(std::slice::from_ref(&message)) as f64,
+            );
+            assert!((estimate / actual - 1.0).abs() < 0.25, "{message:?}: {estimate} {actual}");
         }
     }
 }
--- a/simulator/src/world/planned.rs
+++ b/simulator/src/world/planned.rs
@@ -1,125 +1,127 @@
-//! Planned work: machines of the core that are replaced, seeds that change, processes that are told to leave.
+//! Planned operations: replacement of core machines, seed changes, SIGTERM and reloads.
 
 use super::{Event, Role, World};
-use crate::chance::Chance;
-use crate::plan::Whom;
-use crate::processes::In;
+use crate::plan::ReplaceTarget;
+use crate::processes::ProcessInput;
+use crate::rng::Rng;
 use crate::{MS, SECOND, Time};
 
-/// A process that has left is started again after this.
+/// Delay between the exit of a process and its restart.
 pub(super) const RESTART: Time = 400 * MS;
 
 impl World {
-    /// A machine of the core that is in use.
-    pub(super) fn a_core(&self, dice: &mut Chance) -> usize {
-        self.cores[dice.below(self.cores.len())]
+    /// A random machine of the core.
+    pub(super) fn random_core(&self, target_rng: &mut Rng) -> usize {
+        self.cores[target_rng.below(self.cores.len())]
     }
 
-    /// A machine of the core goes for good, and an empty one takes its place at another address.
-    pub(super) fn replace_core(&mut self, dice: &mut Chance, whom: Whom, after: Time) {
+    /// Removes a core machine permanently; an empty one takes its place at another address.
+    pub(super) fn replace_core(&mut self, target_rng: &mut Rng, whom: ReplaceTarget, after: Time) {
         let now = self.now;
         let recent = self.wiped_at.is_some_and(|at| at + 10 * SECOND > now);
-        let calm = self.cores.iter().all(|at| self.calm.touch(*at, now));
-        let Some(new) = self.spares.pop().filter(|_| !recent && calm) else { return };
-        let leader = |at: &&usize| self.machines[**at].hall.as_ref().is_some_and(|h| h.is_steward());
+        let disturbances = self.cores.iter().all(|at| self.disturbances.in_contact(*at, now));
+        let Some(new) = self.spares.pop().filter(|_| !recent && disturbances) else { return };
+        let leader = |at: &&usize| self.machines[**at].controller.as_ref().is_some_and(|h| h.is_leader());
         let old = match whom {
-            Whom::Leader => self.cores.iter().find(leader).copied(),
-            Whom::Seed => self.cores.iter().find(|at| self.seeds.contains(&self.address(**at))).copied(),
-            Whom::Planned => None,
+            ReplaceTarget::Leader => self.cores.iter().find(leader).copied(),
+            ReplaceTarget::Seed => {
+                self.cores.iter().find(|at| self.seeds.contains(&self.address(**at))).copied()
+            }
+            ReplaceTarget::Planned => None,
         };
-        let old = old.unwrap_or_else(|| self.a_core(dice));
+        let old = old.unwrap_or_else(|| self.random_core(target_rng));
         self.wiped_at = Some(now);
         self.cores.iter_mut().filter(|at| **at == old).for_each(|at| *at = new);
         self.machines[new].zone = self.machines[old].zone;
-        self.note(|| format!("machine {new} takes the place of machine {old}"));
-        if whom == Whom::Planned {
-            // The new one first, then the word to end, and the old one goes for good once it has left.
+        self.trace_line(|| format!("machine {new} takes the place of machine {old}"));
+        if whom == ReplaceTarget::Planned {
+            // Start the new machine, send SIGTERM to the old one, and remove it once it has shut down.
             self.machines[old].retires = true;
             self.at(now, Event::Start(new));
-            self.at(now + after, Event::Leave(old));
+            self.at(now + after, Event::TermForGood(old));
         } else {
             self.at(now, Event::Retire(old));
             self.at(now + after, Event::Start(new));
         }
-        self.hit(new, now + after);
+        self.record_disturbance(new, now + after);
     }
 
-    /// A machine is gone for good.
+    /// Removes a machine permanently.
     pub(super) fn retire(&mut self, at: usize) {
         self.kill(at, true, 0);
         self.machines[at].powered = false;
         self.machines[at].disk.wipe();
-        self.up_at.retain(|(_, machine)| *machine != at);
+        self.pending_restarts.retain(|(_, machine)| *machine != at);
     }
 
-    /// Other machines that serve control become the seeds, for all that run and all that start.
-    pub(super) fn seed_turnover(&mut self, dice: &mut Chance) {
+    /// Makes other core machines the seeds, and reloads the settings of all processes.
+    pub(super) fn seed_turnover(&mut self, target_rng: &mut Rng) {
         let mut of = self.cores.clone();
         while of.len() > 3 {
-            of.remove(dice.below(of.len()));
+            of.remove(target_rng.below(of.len()));
         }
         self.seeds = of.into_iter().map(|at| self.address(at)).collect();
         let seeds = self.seeds.clone();
-        self.note(|| format!("seeds are now {seeds:?}"));
-        (0..self.machines.len()).for_each(|at| self.hang_up(at));
+        self.trace_line(|| format!("seeds are now {seeds:?}"));
+        (0..self.machines.len()).for_each(|at| self.reload_settings(at));
     }
 
-    /// The processes of a machine read their settings again.
-    pub(super) fn hang_up(&mut self, at: usize) {
-        for role in [Role::AgentProcess, Role::ControllerProcess] {
+    /// Sends SIGHUP to the processes of a machine.
+    pub(super) fn reload_settings(&mut self, at: usize) {
+        for role in [Role::Agent, Role::Controller] {
             if self.machines[at].powered && self.machines[at].up(role) {
-                self.give(at, role, In::Seeds(self.seeds.clone()));
+                self.deliver(at, role, ProcessInput::Seeds(self.seeds.clone()));
             }
         }
     }
 
-    /// The processes of a machine that goes for good get SIGTERM, if there are any.
-    pub(super) fn leave_for_good(&mut self, at: usize) {
+    /// Sends SIGTERM to the processes of a machine that is to be removed.
+    pub(super) fn term_for_good(&mut self, at: usize) {
         let machine = &self.machines[at];
-        if machine.powered && machine.life != 0 && machine.frozen <= self.now {
+        if machine.powered && machine.incarnation != 0 && machine.frozen_until <= self.now {
             self.term(at);
         } else {
             self.retire(at);
         }
     }
 
-    /// The processes of a machine get SIGTERM, and are started again once they have left.
+    /// Sends SIGTERM to the processes of a machine; they are restarted after they exit.
     pub(super) fn term(&mut self, at: usize) {
         let now = self.now;
         let machine = &self.machines[at];
-        if !machine.powered || machine.life == 0 || machine.frozen > now {
+        if !machine.powered || machine.incarnation == 0 || machine.frozen_until > now {
             return;
         }
-        let (end, life) = (now + self.site.bounds.grace, machine.life);
-        self.note(|| format!("machine {at} is told to leave"));
-        self.calm.planned(at, now, end);
+        let (end, incarnation) = (now + self.site.bounds.grace, machine.incarnation);
+        self.trace_line(|| format!("machine {at} is told to leave"));
+        self.disturbances.record_planned(at, now, end);
         if self.machines[at].core {
-            self.calm.core(now, now + SECOND);
+            self.disturbances.record_core(now, now + SECOND);
         }
-        for role in [Role::ProxyProcess, Role::AgentProcess, Role::ControllerProcess] {
-            self.give(at, role, In::Leave);
+        for role in [Role::Proxy, Role::Agent, Role::Controller] {
+            self.deliver(at, role, ProcessInput::Leave);
         }
-        self.at(end, Event::Killed(at, life));
+        self.at(end, Event::GraceExpired(at, incarnation));
     }
 
-    /// One that is told to leave has left, or is killed at the end of its grace.
-    pub(super) fn left(&mut self, at: usize) {
+    /// The processes have exited, or are killed at the end of the grace period.
+    pub(super) fn processes_exited(&mut self, at: usize) {
         let now = self.now;
-        let tries: Vec<_> = self.machines[at].tries.iter().copied().collect();
+        let tries: Vec<_> = self.machines[at].open_attempts.iter().copied().collect();
         for attempt in tries {
-            // What an endpoint has worked on through the second half of the grace is no fault of who leaves.
+            // A request that its endpoint is still running is not the fault of the proxy that shuts down.
             let out = self.exchanges.values().any(|e| e.is_of(attempt) && e.run().is_some());
             if !out {
-                self.auditor.cut(&self.calm, now, attempt);
+                self.auditor.connection_lost(&self.disturbances, now, attempt);
             }
         }
         if self.machines[at].core {
-            self.calm.core(now, now + RESTART);
+            self.disturbances.record_core(now, now + RESTART);
         }
         if self.machines[at].retires {
             self.retire(at);
         } else {
-            self.kill_planned(at, RESTART);
+            self.stop_planned(at, RESTART);
         }
     }
 }
--- a/simulator/src/world/platform.rs
+++ b/simulator/src/world/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: the list that lags, the workers, starts and stops, its rates.
+//! The simulated platform: stale lists of endpoints and workers, starts and stops, rate limits.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -8,16 +8,16 @@
 
 use super::endpoint::Endpoint;
 use super::{Event, World};
-use crate::chance::Chance;
-use crate::processes::Said;
+use crate::processes::Payload;
+use crate::rng::Rng;
 use crate::site::Site;
 use crate::speeds::{Speed, Speeds};
 use crate::{MS, SECOND, Time};
 
-/// How long a crashed endpoint stays on the list.
-const LINGERS: Time = 3 * SECOND;
-/// An endpoint that leaves serves a little longer than it must.
-const LITTLE: Time = 700 * MS;
+/// Time for which a crashed endpoint stays on the list.
+const CRASHED_LISTED: Time = 3 * SECOND;
+/// A draining endpoint serves for this time beyond the minimum.
+const DRAIN_MARGIN: Time = 700 * MS;
 
 pub(super) struct Host {
     pub zone: usize,
@@ -25,10 +25,10 @@
     pub used: u64,
     pub speed: Speed,
     pub draining: Option<Time>,
-    /// Down until then; `silent`: its host says nothing either.
+    /// Down until this time; `silent`: the host does not answer with resets either.
     pub down: Time,
     pub silent: bool,
-    /// Went down, and came back.
+    /// Past and current down times.
     pub was_down: Vec<(Time, Time)>,
 }
 
@@ -40,7 +40,7 @@
     free: VecDeque<(Time, SocketAddr)>,
     addresses: u32,
     view: Time,
-    chance: Chance,
+    rng: Rng,
 }
 
 impl Platform {
@@ -63,7 +63,7 @@
             free: VecDeque::new(),
             addresses: 0,
             view: 0,
-            chance: Chance::new(seed),
+            rng: Rng::new(seed),
         }
     }
 
@@ -79,7 +79,7 @@
     }
 
     fn address(&mut self, now: Time, reuse: Time) -> SocketAddr {
-        // The one that has only just become free: whoever still goes by an old list meets another endpoint there.
+        // Reuses the address freed most recently, so that outdated lists lead to another endpoint.
         let free = self.free.partition_point(|(at, _)| *at + reuse <= now);
         if free > 0
             && let Some((_, address)) = self.free.remove(free - 1)
@@ -96,33 +96,33 @@
 }
 
 impl World {
-    pub(super) fn platform_answers(&mut self, said: Said) -> Said {
+    pub(super) fn platform_answers(&mut self, payload: Payload) -> Payload {
         let now = self.now;
-        match said {
-            Said::List { .. } | Said::Workers => {
+        match payload {
+            Payload::List { .. } | Payload::Workers => {
                 if !Platform::allow(&mut self.platform.calls, now, self.site.rates.0) {
-                    return Said::Refused(429);
+                    return Payload::Refused(429);
                 }
-                let lag = self.platform.chance.between(100 * MS, self.site.lag_ms * MS);
+                let lag = self.platform.rng.between(100 * MS, self.site.lag_ms * MS);
                 self.platform.view = self.platform.view.max(now.saturating_sub(lag));
                 let view = self.platform.view;
-                match said {
-                    Said::List { from } => self.list(view, from),
-                    _ => self.staff(view),
+                match payload {
+                    Payload::List { from } => self.list(view, from),
+                    _ => self.list_workers(view),
                 }
             }
-            Said::Start { service, worker, nonce } => {
-                Said::Started(self.start_endpoint(&service, &worker, &nonce))
+            Payload::Start { service, worker, nonce } => {
+                Payload::Started(self.start_endpoint(&service, &worker, &nonce))
             }
-            Said::Stop { id } => Said::Stopped(self.stop_endpoint(&id)),
-            _ => Said::Refused(404),
+            Payload::Stop { id } => Payload::Stopped(self.stop_endpoint(&id)),
+            _ => Payload::Refused(404),
         }
     }
 
-    fn list(&self, view: Time, from: usize) -> Said {
+    fn list(&self, view: Time, from: usize) -> Payload {
         let shown = |e: &&Endpoint| {
             let over = match (e.crashed, e.ended) {
-                (Some(at), _) => at + LINGERS <= view,
+                (Some(at), _) => at + CRASHED_LISTED <= view,
                 (None, Some(at)) => at <= view,
                 _ => false,
             };
@@ -144,10 +144,10 @@
                 draining: e.draining.is_some_and(|at| at <= view),
             });
         }
-        Said::Listed { entries, next }
+        Payload::Listed { entries, next }
     }
 
-    fn staff(&self, view: Time) -> Said {
+    fn list_workers(&self, view: Time) -> Payload {
         let hosts = self.platform.hosts.iter().enumerate();
         let up = hosts.filter(|(_, h)| !h.was_down.iter().any(|(from, to)| *from <= view && view < *to));
         let workers = up.map(|(at, h)| Worker {
@@ -157,7 +157,7 @@
             free_memory_mb: h.memory - h.used,
             draining: h.draining.is_some_and(|at| at <= view),
         });
-        Said::Staff(workers.collect())
+        Payload::WorkerList(workers.collect())
     }
 
     fn start_endpoint(
@@ -192,8 +192,8 @@
         let address = self.platform.address(now, self.site.bounds.reuse);
         let place = self.endpoints.len();
         let id = format_compact!("i-{place}");
-        let boot = self.platform.chance.around(boot_ms as f64, 0.3);
-        let speed = 0.8 + 0.4 * self.platform.chance.share();
+        let boot = self.platform.rng.log_normal_ms(boot_ms as f64, 0.3);
+        let speed = 0.8 + 0.4 * self.platform.rng.unit();
         self.endpoints.push(Endpoint {
             id: id.clone(),
             service: number,
@@ -213,7 +213,7 @@
         self.by_id.insert(id.clone(), place);
         self.listening.insert(address, place);
         self.platform.nonces.insert(key, place);
-        self.at(now + boot, Event::Booted(place));
+        self.at(now + boot, Event::EndpointReady(place));
         Ok((id, address))
     }
 
@@ -230,7 +230,7 @@
         Ok(())
     }
 
-    pub(super) fn booted(&mut self, at: usize) {
+    pub(super) fn endpoint_ready(&mut self, at: usize) {
         let now = self.now;
         let endpoint = &mut self.endpoints[at];
         if endpoint.ended.is_some() || endpoint.ready.is_some() {
@@ -243,7 +243,7 @@
         }
     }
 
-    /// An endpoint has ended: its memory is free, its address some time later.
+    /// Ends an endpoint: frees its memory at once, and its address after the reuse delay.
     pub(super) fn end_endpoint(&mut self, at: usize) {
         let now = self.now;
         let endpoint = &mut self.endpoints[at];
@@ -258,14 +258,14 @@
         self.platform.release(now, address);
     }
 
-    /// It shows as draining from then on, and ends when it may.
+    /// Marks an endpoint as draining from then on, and schedules its end.
     pub(super) fn drain_endpoint(&mut self, at: usize, from: Time) {
         let endpoint = &mut self.endpoints[at];
         if endpoint.ended.is_some() || endpoint.draining.is_some() {
             return;
         }
         endpoint.draining = Some(from);
-        let end = from + self.site.lag_ms * MS + self.site.bounds.drain + LITTLE;
-        self.at(end, Event::Worked(u64::MAX - at as u64));
+        let end = from + self.site.lag_ms * MS + self.site.bounds.drain + DRAIN_MARGIN;
+        self.at(end, Event::RunDone(u64::MAX - at as u64));
     }
 }
