--- a/dispatcher/src/peers/sharing.rs
+++ b/dispatcher/src/peers/sharing.rs
@@ -38,7 +38,14 @@
 
 impl Sharing {
     /// Starts a new incarnation, numbered after the last one in the store.
-    pub fn begin(at: Moment, terms: TierConfig, me: u16, of: u16, seed: u64, store: &mut StoreWriter) -> Self {
+    pub fn begin(
+        at: Moment,
+        terms: TierConfig,
+        me: u16,
+        of: u16,
+        seed: u64,
+        store: &mut StoreWriter,
+    ) -> Self {
         let incarnation = store.ledger().incarnation().saturating_add(1);
         store.save_incarnation(at, incarnation);
         let tier = Tier::new(at.now, terms, me, of, incarnation, seed);
--- a/dispatcher/src/roster.rs
+++ b/dispatcher/src/roster.rs
@@ -13,7 +13,7 @@
 use crate::discovery::{Endpoint, List, Status};
 use crate::store_writer::StoreWriter;
 
-struct ListedEndpoint {
+struct KnownEndpoint {
     name: String,
     address: SocketAddr,
     /// The entry as listed, without local overrides.
@@ -27,7 +27,7 @@
     /// Address of the discovery agent that provides the list.
     source: String,
     names: HashMap<String, EndpointId>,
-    known: HashMap<EndpointId, ListedEndpoint>,
+    known: HashMap<EndpointId, KnownEndpoint>,
     next: EndpointId,
     /// Endpoints cordoned by operators, whatever the list says.
     cordons: Cordons,
@@ -68,7 +68,7 @@
         self.next = next;
         for (id, name, address, entry) in known {
             self.names.insert(name.clone(), id);
-            self.known.insert(id, ListedEndpoint { name, address, entry });
+            self.known.insert(id, KnownEndpoint { name, address, entry });
         }
         true
     }
@@ -124,7 +124,7 @@
     /// The digest of everything in the list that affects decisions. Addresses are excluded, because they may
     /// differ between dispatchers.
     pub fn digest(&self) -> u32 {
-        let piece = |known: &ListedEndpoint| {
+        let piece = |known: &KnownEndpoint| {
             let Entry { zone, kind, dest, state, weight, .. } = known.entry;
             let text = (known.name.as_str(), zone, kind, dest, state as u8, weight.to_bits());
             millpost_tier::versions::piece(&postcard::to_stdvec(&text).unwrap_or_default())
@@ -140,7 +140,7 @@
     }
 
     /// The entry of an endpoint with local overrides applied.
-    fn entry(&self, known: &ListedEndpoint) -> Entry {
+    fn entry(&self, known: &KnownEndpoint) -> Entry {
         let overridden = self.cordons.has(&known.name) || self.held.contains(&known.entry.endpoint);
         let out = known.entry.state == State::Ready && overridden;
         Entry { state: if out { State::Draining } else { known.entry.state }, ..known.entry }
@@ -259,7 +259,7 @@
                 self.held.remove(&endpoint);
                 entries.push(entry);
             } else {
-                let known = ListedEndpoint { name: e.name, address: e.address, entry };
+                let known = KnownEndpoint { name: e.name, address: e.address, entry };
                 entries.push(self.entry(&known));
                 self.known.insert(endpoint, known);
             }
--- a/dispatcher/src/versions.rs
+++ b/dispatcher/src/versions.rs
@@ -71,7 +71,11 @@
 }
 
 /// Stores cordon and drain records.
-pub fn save_records<'a>(at: Moment, records: impl Iterator<Item = &'a EndpointRecord>, store: &mut StoreWriter) {
+pub fn save_records<'a>(
+    at: Moment,
+    records: impl Iterator<Item = &'a EndpointRecord>,
+    store: &mut StoreWriter,
+) {
     let records: Vec<&EndpointRecord> = records.collect();
     store.save_value(at, RECORDS_KEY, &postcard::to_stdvec(&records).unwrap_or_default());
 }
