--- a/scheduler/src/function/min_instances.rs
+++ b/scheduler/src/function/min_instances.rs
@@ -47,7 +47,7 @@
         self.counts[0].1 = self.counts[0].1.saturating_add(1);
     }
 
-    /// Whether a report is due again, the last one having been sent at `said`.
+    /// Whether a report is due again, the last one having been sent at `last_report`.
     pub fn report_due(&self, now: Nanos, last_report: Nanos) -> bool {
         now >= last_report + STATUS_INTERVAL
     }
--- a/scheduler/src/service.rs
+++ b/scheduler/src/service.rs
@@ -246,8 +246,8 @@
         }
         // A new owner grants nothing on inherited instances until a live previous owner has transferred
         // its permits, and only part of the slots if the previous owner is dead. A proxy acting in place
-        // of the owner does not know the owner's permits, so it grants only probes, and none while
-        // ownership settles.
+        // of the owner does not know the owner's permits: it grants probes, a quarter of the slots where
+        // one was answered, and nothing while ownership settles.
         let settling = now < self.settling_until;
         // A slow owner may have filled all uncertain instances: grant one slot on a few of them until one
         // has answered.
--- a/scheduler/src/shutdown.rs
+++ b/scheduler/src/shutdown.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariant: every request that was read completely is answered before the last phase. Waiting requests
 //! are refused while the client still has time to go elsewhere; requests that may be running are waited
-//! for as long as possible and then answered with that status.
+//! for as long as possible, and then answered with a status that says that they may have run.
 
 use crate::{MS, Nanos};
 
