--- a/scheduler/tests/handover.rs
+++ b/scheduler/tests/handover.rs
@@ -120,7 +120,7 @@
         });
     }
     cluster.deliver(T + SECOND, &[]);
-    // One probe beyond the known permits, on four instances that seem free.
+    // At most one slot too many, out of four that were free as far as the new owner knew at that moment.
     assert!(cluster.out().values().all(|n| *n <= CONCURRENCY as usize + 1), "{:?}", cluster.out());
     cluster.finish(T + 2 * SECOND, 17);
     cluster.deliver(T + 2 * SECOND, &[]);
--- a/scheduler/tests/scheduler.rs
+++ b/scheduler/tests/scheduler.rs
@@ -1,5 +1,5 @@
-//! Scheduler of an owner, step by step. Each test reproduces a fault seen in a simulation on a small
-//! scale.
+//! Scheduler of an owner, step by step. Each test reproduces on a small scale a fault that was seen once
+//! in a day's run.
 
 use millpost_scheduler::{
     DenialReason, Effect, FunctionSpec, Instance, MS, Nanos, Outcome, Owners, OwnershipChange, Peer,
@@ -70,7 +70,8 @@
     grants.collect()
 }
 
-/// A retirement report was lost, which left an instance that was neither used nor replaced.
+/// A retirement report was lost, which left an instance that was neither used nor replaced until the end
+/// of the day.
 #[test]
 fn retirement_is_repeated_while_the_instance_is_listed() {
     let mut scheduler = scheduler(1);
@@ -179,7 +180,7 @@
 }
 
 /// When messages to an owner were late, the proxy asked in its place granted slots that the owner had
-/// already granted.
+/// already granted, in the middle of a day without other trouble.
 #[test]
 fn deputy_grants_one_slot_and_a_quarter_once_it_has_answered() {
     let mut scheduler = scheduler(8);
--- a/scheduler/tests/shutdown.rs
+++ b/scheduler/tests/shutdown.rs
@@ -302,8 +302,8 @@
     assert!(cluster.coordinators.values().all(|coordinator| coordinator.scheduler().permits().count() == 0));
 }
 
-/// The first view of a new leader listed only the one of six proxies it had heard of, and the proxies took
-/// all others for gone.
+/// Found by the soak test: the first view of a new leader listed only the one of six proxies it had heard
+/// of, and the proxies took all others for gone.
 #[test]
 fn proxy_missing_from_the_first_view_of_a_new_leader_is_not_gone() {
     let mut cluster = Cluster::new(&ALL);
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -607,9 +607,9 @@
     assert!(sent_in_a_second(true, true) > 60, "not an outage: another endpoint took its calls");
 }
 
-/// A message is counted at every route of its destination but takes only one: a small route that returns cold
-/// must not be sent the messages of all routes. In one deployment a route with a capacity of 11 calls a
-/// second was sent 2.4 times that.
+/// A message is counted at every route of its destination but takes only one: a small route that returns
+/// cold must not be sent the messages of all routes. On the join day of the second deployment a route with
+/// a capacity of 11 calls a second was sent 2.4 times that.
 #[test]
 fn trial_calls_to_a_route_are_limited_by_its_share_of_the_messages() {
     let mut set = settings();
