--- a/store/src/bin/millpost-store.rs
+++ b/store/src/bin/millpost-store.rs
@@ -158,7 +158,10 @@
         let answered = history.and_then(|v| ledger::read_history(&v)).is_some_and(|h| h.answer.is_some());
         if !readable || !(answered || store.contains(ledger::BODIES, key)) {
             errors += 1;
-            write_line(out, &json!({"message": message_number(key), "damage": "the record is incomplete"}))?;
+            write_line(
+                out,
+                &json!({"message": message_number(key), "damage": "the record is not complete"}),
+            )?;
         }
     }
     write_line(out, &json!({"frames": recovery.frames, "torn_bytes": recovery.torn_bytes, "wrong": errors}))?;
@@ -194,7 +197,7 @@
         let Some((message, at)) = value.and_then(|v| ledger::read_message(v)) else {
             write_line(
                 out,
-                &json!({"table": "messages", "id": message_number(key), "damage": "the record cannot be decoded"}),
+                &json!({"table": "messages", "id": message_number(key), "damage": "it can't be read"}),
             )?;
             continue;
         };
--- a/store/src/log.rs
+++ b/store/src/log.rs
@@ -27,16 +27,16 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The write would exceed the size limit of the folder.
-    #[error("the store has reached its size limit")]
+    #[error("the store is full")]
     Full,
     /// A key or a batch is larger than a frame can hold; its size in bytes.
-    #[error("a key or batch of {0} bytes exceeds the maximum size")]
+    #[error("a batch of {0} bytes is too large")]
     TooLarge(usize),
     /// The table number is out of range.
-    #[error("table {0} does not exist")]
+    #[error("there is no table {0}")]
     NoTable(u8),
     /// A stored value fails its checksum or was lost.
-    #[error("{file}: a stored value is corrupt")]
+    #[error("{file}: a value is damaged")]
     Damaged {
         /// The segment file that holds the value.
         file: String,
@@ -351,16 +351,13 @@
             let foreign = |why: String| Err(Error::Foreign { file: folder.show(&name), why });
             headers.push(match Header::decode(&bytes) {
                 Ok(header) if header.segment != *number => {
-                    return foreign(format!(
-                        "contains segment {}, which does not match the file name",
-                        header.segment
-                    ));
+                    return foreign(format!("is segment {} under another name", header.segment));
                 }
                 Ok(header) => Some(header),
                 Err(HeaderError::Newer(v)) => {
-                    return foreign(format!("has the newer format {v}, which this version cannot read"));
+                    return foreign(format!("is of the newer format {v}"));
                 }
-                Err(HeaderError::Foreign) => return foreign("is not a segment of a store".into()),
+                Err(HeaderError::Foreign) => return foreign("is no segment of a store".into()),
                 Err(HeaderError::Damaged) => None,
                 // The process ended while creating the file, or the machine failed before the header was
                 // written: the segment holds no frames.
@@ -377,7 +374,7 @@
             None if blank.len() == listed.len() => fresh_id,
             None => {
                 let file = folder.show(&segment_name(listed[0].0));
-                return Err(Error::Foreign { file, why: "has no readable header".into() });
+                return Err(Error::Foreign { file, why: "has no header that can be read".into() });
             }
         };
         if let Some(other) = known.iter().find(|h| h.store != id) {
@@ -470,11 +467,8 @@
             previous = Some(*number);
             let gap = first_seq.zip(expected).is_some_and(|(first, expected)| first > expected);
             if missing || gap || header.is_none() {
-                let what = if header.is_none() {
-                    "the header is corrupt"
-                } else {
-                    "the preceding frames are missing"
-                };
+                let what =
+                    if header.is_none() { "its header is damaged" } else { "what came before is missing" };
                 recovery.damage.push(format!("{name}: {what}"));
                 recovery.uncertain_before = first_seq.or(expected).unwrap_or(1);
             }
@@ -510,9 +504,7 @@
                             expected = Some(seq + 1);
                             recovery.frames += 1;
                             if !self.replay_frame(*number, at, seq, body, &mut retired_to) {
-                                recovery
-                                    .damage
-                                    .push(format!("{name}: the frame at offset {at} cannot be decoded"));
+                                recovery.damage.push(format!("{name}: the frame at {at} can't be read"));
                                 recovery.uncertain_before = seq + 1;
                             }
                         }
@@ -537,14 +529,14 @@
                 // A frame of full length with a wrong checksum is not the result of an interrupted write, so
                 // its content is unknown. It is left in place, so that the next start detects the damage as
                 // well.
-                recovery.damage.push(format!("{name}: corrupt from offset {good} on"));
+                recovery.damage.push(format!("{name}: damaged from offset {good} on"));
                 recovery.uncertain_before = Seq::MAX;
             } else if is_last {
                 last_good = Some((*number, good as u64));
             }
         }
         if let Some((number, first_seq)) = first.filter(|(number, _)| *number > retired_to.max(1)) {
-            recovery.damage.push(format!("{}: the preceding frames are missing", segment_name(number)));
+            recovery.damage.push(format!("{}: what came before is missing", segment_name(number)));
             recovery.uncertain_before = recovery.uncertain_before.max(first_seq);
         }
         self.next = expected.unwrap_or(1);
@@ -968,7 +960,7 @@
     /// does not exist.
     ///
     /// # Errors
-    /// [`Error::Damaged`] if the value fails its checksum; [`Error::Io`] if it can't be read.
+    /// [`Error::Damaged`] if the value fails its checksum or was lost; [`Error::Io`] if it can't be read.
     pub fn get(&self, table: u8, key: &[u8]) -> Result<Option<Bytes>, Error> {
         let Some(entry) = self.tables.get(usize::from(table)).and_then(|t| t.entries.get(key)) else {
             return Ok(None);
