--- a/store/src/folder.rs
+++ b/store/src/folder.rs
@@ -58,7 +58,7 @@
     /// # Errors
     /// Errors of the file system. Part of the bytes may have been written.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Preallocates the file to this length with zeros: syncing writes timeout a file's length is cheaper
+    /// Preallocates the file to this length with zeros: syncing writes within a file's length is cheaper
     /// than syncing its growth. The position of the next append does not change.
     ///
     /// # Errors
--- a/store/src/journal.rs
+++ b/store/src/journal.rs
@@ -93,7 +93,8 @@
     while let (Some(length), Some(sum)) = (rest.u32(), rest.u32()) {
         let length = length as usize;
         if length > MAX_RECORD_LEN || length == 0 {
-            // An invalid length, which an interrupted write does not leave behind.
+            // The record header is complete but its length is invalid, which an interrupted write does not
+            // leave behind.
             break;
         }
         let Some(body) = rest.take(length) else { break };
--- a/store/src/memory.rs
+++ b/store/src/memory.rs
@@ -69,7 +69,7 @@
     pub no_sync: bool,
     /// Whether truncations fail.
     pub no_truncate: bool,
-    /// Number of bytes that a injects_error append writes nevertheless.
+    /// Number of bytes that a failing append writes nevertheless.
     pub torn: usize,
 }
 
--- a/tier/src/lending.rs
+++ b/tier/src/lending.rs
@@ -214,7 +214,7 @@
         true
     }
 
-    /// Returns whether a request younger than `within` has not been granted yet.
+    /// Returns whether there is a request younger than `within`, whether or not a peer has granted it.
     pub fn has_recent_request(&self, now: Nanos, dest: DestId, within: Nanos) -> bool {
         let book = self.books.get(&dest);
         book.is_some_and(|b| b.asked.iter().any(|a| now.saturating_sub(a.at) < within))
--- a/tier/src/tier.rs
+++ b/tier/src/tier.rs
@@ -673,7 +673,7 @@
         if !spares.is_empty() {
             return spares.into_iter().take(most).map(|(_, who)| who).collect();
         }
-        // A dispatcher that never called a destination does not report it, and can lend most of its share.
+        // A dispatcher that never called a destination does not report it, and its whole share is unused.
         let mut all: Vec<Peer> = self.heard.others().filter(|who| alive(*who)).collect();
         let mut some = Vec::new();
         while some.len() < most && !all.is_empty() {
