--- a/agent/src/agent.rs
+++ b/agent/src/agent.rs
@@ -396,7 +396,7 @@
         self.effects.extend(self.latest.snapshot().into_iter().map(Effect::SendToProxy));
     }
 
-    /// Passes a controller's answer to [`PeerMessage::AskRevision`] on to the proxy.
+    /// Passes a controller's answer to [`PeerMessage::QueryRevision`] on to the proxy.
     fn control_answered(&mut self, body: &[u8]) {
         let Some(batch) = messaging::json(body).and_then(|json| MessageBatch::read(&json).ok()) else {
             return;
