--- a/agent/tests/round.rs
+++ b/agent/tests/round.rs
@@ -451,8 +451,9 @@
     assert_eq!(harness.followed().0, [at(1)]);
 }
 
-/// After a power failure, controllers and agents start at the same time. An agent whose pauses had grown
-/// reached the new leader 400 ms after the others, and its proxy joined the membership that much later.
+/// After a power failure, controllers and agents start at the same time. An agent whose first attempts had
+/// failed, and whose pauses had grown, reached the new leader 400 ms after the others, and its proxy joined
+/// the membership that much later.
 #[test]
 fn a_starting_agent_retries_without_longer_pauses_until_the_first_line() {
     let mut harness = Harness::new(&[1]);
