--- a/dispatcher/src/calls.rs
+++ b/dispatcher/src/calls.rs
@@ -489,7 +489,7 @@
     match status {
         StatusCode::OK => MessageEnd { outcome: Outcome::Served, over: true },
         StatusCode::TOO_MANY_REQUESTS => Outcome::Full(wait(headers)).into(),
-        StatusCode::SERVICE_UNAVAILABLE if headers.get("X-ExchangeEnd-Slots").is_some_and(|v| v == "1") => {
+        StatusCode::SERVICE_UNAVAILABLE if headers.get("X-Over-Slots").is_some_and(|v| v == "1") => {
             Outcome::NotSent.into()
         }
         StatusCode::SERVICE_UNAVAILABLE => Outcome::Full(wait(headers)).into(),
