--- a/ctl/src/why.rs
+++ b/ctl/src/why.rs
@@ -1,5 +1,5 @@
 //! Explains the state of the steward, a machine or a function from the answers of control. Each machine is
-//! asked once, and nothing is guessed: if the answers do not explain a state, the output text so.
+//! asked once, and nothing is guessed: if the answers do not explain a state, the output says so.
 
 use std::net::SocketAddr;
 use std::time::Duration;
