--- a/replay/src/command/mod.rs
+++ b/replay/src/command/mod.rs
@@ -43,7 +43,7 @@
             if said.elapsed() >= SAY {
                 said = Instant::now();
                 let part = read as f64 / all.max(1) as f64 * 100.0;
-                eprintln!("almanac: {pass} {part:.0} % of {:.0} MB", all as f64 / 1e6);
+                eprintln!("replay: {pass} {part:.0} % of {:.0} MB", all as f64 / 1e6);
             }
         })
     })
--- a/replay/src/main.rs
+++ b/replay/src/main.rs
@@ -40,20 +40,20 @@
     Diff(Diff),
 }
 
-fn main() -> ExitCode {
+pub(crate) fn main() -> ExitCode {
     let words: Vec<String> = std::env::args().skip(1).collect();
-    let options =
-        match Options::from_args(&["almanac"], &words.iter().map(String::as_str).collect::<Vec<_>>()) {
-            Ok(options) => options,
-            Err(early) if early.status.is_ok() => {
-                println!("{}", early.output);
-                return ExitCode::SUCCESS;
-            }
-            Err(early) => {
-                eprintln!("{}", early.output);
-                return ExitCode::from(2);
-            }
-        };
+    let options = match Options::from_args(&["replay"], &words.iter().map(String::as_str).collect::<Vec<_>>())
+    {
+        Ok(options) => options,
+        Err(early) if early.status.is_ok() => {
+            println!("{}", early.output);
+            return ExitCode::SUCCESS;
+        }
+        Err(early) => {
+            eprintln!("{}", early.output);
+            return ExitCode::from(2);
+        }
+    };
     let done = match options.what {
         What::Play(play) => play.run(),
         What::Explain(explain) => explain.run(),
@@ -70,7 +70,7 @@
         // Whoever reads has seen enough.
         Err(Error::Output { source }) if source.kind() == std::io::ErrorKind::BrokenPipe => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("almanac: {e}");
+            eprintln!("replay: {e}");
             ExitCode::from(2)
         }
     }
