--- a/simulator/src/plan.rs
+++ b/simulator/src/plan.rs
@@ -179,8 +179,8 @@
     PowerOffAll,
     /// Every process is killed.
     KillAll,
-    /// The disk of the acknowledging core machine is lost, the tolerated number of losses, while all other
-    /// core machines lose power.
+    /// All core machines lose power, and the acknowledging one also loses its disk, which is the tolerated
+    /// number of lost disks.
     WipeAfterAck,
 }
 
--- a/simulator/src/processes/mod.rs
+++ b/simulator/src/processes/mod.rs
@@ -170,8 +170,8 @@
     pub address: CompactString,
     /// Controller addresses from the settings file.
     pub seeds: Vec<CompactString>,
-    /// Incarnation of the process: the wall-clock time at its start in milliseconds. It may be lower than
-    /// that of an earlier incarnation.
+    /// Incarnation of the process: the wall-clock time at its start in milliseconds, by the clock of its
+    /// machine. It may be lower than that of an earlier incarnation.
     pub incarnation: u64,
     /// Grace period from SIGTERM to the forced end.
     pub grace: Time,
--- a/simulator/src/processes/outbox.rs
+++ b/simulator/src/processes/outbox.rs
@@ -1,5 +1,5 @@
-//! Batched delivery of messages to one peer: `millpost_net`'s delivery as a state machine. While the peer is
-//! down, one batch at a time probes whether it is back.
+//! Batched delivery of messages to one peer: the outbox of `millpost_net::messaging` as a state machine.
+//! While the peer is down, one batch at a time probes whether it is back.
 
 use millpost_protocol::PeerMessage;
 
--- a/simulator/src/processes/proxy.rs
+++ b/simulator/src/processes/proxy.rs
@@ -1,5 +1,5 @@
 //! A proxy: its coordinator, client requests with their attempts, and messages to peers. Corresponds to
-//! `proxy/src/front.rs` and `shop.rs`.
+//! `proxy/src/frontend.rs` and `proxy.rs`.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -626,7 +626,7 @@
         }
     }
 
-    /// The attempt timed out.
+    /// The attempt timed out: nothing has come for longer than attempts of the service take.
     fn attempt_timed_out(&mut self, now: Time, client: u64) {
         let Some(pending) = self.pending.get_mut(&client) else { return };
         let WaitState::Exchange { ask, exchange, since, .. } = pending.state else { return };
--- a/simulator/src/site.rs
+++ b/simulator/src/site.rs
@@ -75,7 +75,7 @@
     pub rejects: usize,
     /// Grace period from SIGTERM to the forced end.
     pub grace: Time,
-    /// Requests sent within this time before a shutdown may lose their connection.
+    /// A request may lose its connection within this time after it was sent.
     pub loss: Time,
 }
 
--- a/simulator/src/world/faults.rs
+++ b/simulator/src/world/faults.rs
@@ -227,8 +227,8 @@
         self.at(at, Event::Fault(self.plan.faults.len() - 1));
     }
 
-    /// All core machines except the one that missed changes lose power. One of them also loses its disk and
-    /// is back after 400 ms, unless another disk was lost recently.
+    /// All core machines except the one that missed changes lose power. One of them is back after 400 ms. It
+    /// also loses its disk, unless another disk was lost recently.
     fn strike_around_lagging(&mut self, target_rng: &mut Rng, missed: usize, lasts: Time) {
         let now = self.now;
         let others: Vec<_> =
--- a/simulator/src/world/planned.rs
+++ b/simulator/src/world/planned.rs
@@ -109,7 +109,8 @@
         let now = self.now;
         let tries: Vec<_> = self.machines[at].open_attempts.iter().copied().collect();
         for attempt in tries {
-            // A request that its endpoint is still running is not the fault of the proxy that shuts down.
+            // A request that its endpoint has been running through the second half of the grace period is not
+            // the fault of the proxy that shuts down.
             let out = self.exchanges.values().any(|e| e.is_of(attempt) && e.run().is_some());
             if !out {
                 self.auditor.connection_lost(&self.disturbances, now, attempt);
