--- a/explore/src/register.rs
+++ b/explore/src/register.rs
@@ -733,8 +733,11 @@
                     voter.members().map_or_else(String::new, |members| format!(" e{}", members.epoch));
                 let promised = slot.promised.as_ref().map_or_else(String::new, ballot);
                 let held = held.unwrap_or_default();
-                let state = voter.state();
-                let blank = if state == Stage::Voting { String::new() } else { format!(" {state:?}") };
+                let blank = match voter.state() {
+                    Stage::Voting => "",
+                    Stage::Empty => " Blank",
+                    Stage::Recovering => " Copying",
+                };
                 format!("{}[{promised}|{held}{epoch}{blank}]", NAMES[at])
             })
             .collect();
