--- a/simulator/src/processes/controller.rs
+++ b/simulator/src/processes/controller.rs
@@ -309,9 +309,9 @@
         self.outs.push(ProcessOutput::Call { id: self.next, to, payload, within });
     }
 
-    fn enqueue(&mut self, from: Address, message: Message, voter_callers: VoterCaller) {
+    fn enqueue(&mut self, from: Address, message: Message, voter_caller: VoterCaller) {
         self.next += 1;
-        self.voter_callers.insert(self.next, voter_callers);
+        self.voter_callers.insert(self.next, voter_caller);
         self.voter.enqueue(self.next, from, message);
     }
 
--- a/simulator/src/processes/proxy.rs
+++ b/simulator/src/processes/proxy.rs
@@ -303,13 +303,13 @@
             .collect();
         for id in probes_due {
             let boots = self.coordinator.is_booting(&id);
-            let Some(probes) = self.probes.get_mut(&id) else { continue };
-            if now >= probes.until || !boots {
+            let Some(probe) = self.probes.get_mut(&id) else { continue };
+            if now >= probe.until || !boots {
                 self.probes.remove(&id);
                 continue;
             }
-            probes.next = None;
-            self.outs.push(ProcessOutput::ProbeReadiness { id, address: probes.address });
+            probe.next = None;
+            self.outs.push(ProcessOutput::ProbeReadiness { id, address: probe.address });
         }
     }
 
@@ -317,8 +317,8 @@
         if up {
             self.probes.remove(id);
             self.coordinator.instance_up(now, id);
-        } else if let Some(probes) = self.probes.get_mut(id) {
-            probes.next = Some(now + PROBE_INTERVAL);
+        } else if let Some(probe) = self.probes.get_mut(id) {
+            probe.next = Some(now + PROBE_INTERVAL);
         }
     }
 
--- a/simulator/src/world/client.rs
+++ b/simulator/src/world/client.rs
@@ -279,7 +279,7 @@
             self.trace_line(|| format!("request {attempt} is answered with {status}"));
         }
         // A proxy that has read a request and closes the connection promises nothing about it.
-        let read_back_pending = status == 0 && !self.ever_read.contains(&attempt);
+        let closed_unread = status == 0 && !self.ever_read.contains(&attempt);
         let client_request = &mut self.client_requests[place];
         if client_request.current != Some(attempt) || client_request.done {
             return;
@@ -293,7 +293,7 @@
         let promise = matches!(status, 429 | 503 | 408 | 421);
         let may = match status {
             400 | 401 | 404 | 413 | 431 => false,
-            _ => class.repeatable || promise || read_back_pending,
+            _ => class.repeatable || promise || closed_unread,
         };
         let left = client_request.deadline.saturating_sub(now);
         if !may || client_request.retries == 0 || left < 10 * MS {
--- a/simulator/src/world/faults.rs
+++ b/simulator/src/world/faults.rs
@@ -222,8 +222,8 @@
     }
 
     /// Schedules a follow-up fault.
-    fn schedule_fault(&mut self, at: Time, what: FaultKind, target_rng: u64) {
-        self.plan.faults.push(InjectedFault { at, kind: what, target_seed: target_rng });
+    fn schedule_fault(&mut self, at: Time, what: FaultKind, target_seed: u64) {
+        self.plan.faults.push(InjectedFault { at, kind: what, target_seed });
         self.at(at, Event::Fault(self.plan.faults.len() - 1));
     }
 
--- a/simulator/src/world/net.rs
+++ b/simulator/src/world/net.rs
@@ -316,8 +316,8 @@
                 }
                 if !machine.up(role) {
                     if let Some(Payload::Follow { .. }) = call.payload {
-                        let agent = number;
-                        return self.at(self.now + MS, Event::Ended { stream: agent, at_controller: false });
+                        let stream = number;
+                        return self.at(self.now + MS, Event::Ended { stream, at_controller: false });
                     }
                     let back = self.transit(to, from, ANSWER, self.now);
                     return self.at(back, Event::Answer(number, None));
@@ -430,9 +430,9 @@
         let (from, to) = (Party::Process(controller, Role::Controller), Party::Process(agent, Role::Agent));
         let there = self.transit(from, to, 6 + line.len() as u64, self.now);
         if self.trace.is_some()
-            && let Some(describe_view) = describe_view(&line)
+            && let Some(description) = describe_view(&line)
         {
-            self.trace_line(|| format!("machine {controller} {describe_view}, to machine {agent}"));
+            self.trace_line(|| format!("machine {controller} {description}, to machine {agent}"));
         }
         let Some(stream) = self.streams.get_mut(&number) else { return };
         stream.last = stream.last.max(there);
--- a/simulator/src/world/planned.rs
+++ b/simulator/src/world/planned.rs
@@ -19,8 +19,8 @@
     pub(super) fn replace_core(&mut self, target_rng: &mut Rng, whom: ReplaceTarget, after: Time) {
         let now = self.now;
         let recent = self.wiped_at.is_some_and(|at| at + 10 * SECOND > now);
-        let disturbances = self.cores.iter().all(|at| self.disturbances.in_contact(*at, now));
-        let Some(new) = self.spares.pop().filter(|_| !recent && disturbances) else { return };
+        let all_in_contact = self.cores.iter().all(|at| self.disturbances.in_contact(*at, now));
+        let Some(new) = self.spares.pop().filter(|_| !recent && all_in_contact) else { return };
         let leader = |at: &&usize| self.machines[**at].controller.as_ref().is_some_and(|h| h.is_leader());
         let old = match whom {
             ReplaceTarget::Leader => self.cores.iter().find(leader).copied(),
