--- a/dispatcher/src/predecessor.rs
+++ b/dispatcher/src/predecessor.rs
@@ -53,7 +53,8 @@
     }
 }
 
-/// A former owner without work that was not told to stop ends after this long without input.
+/// A former owner without work that was not told to stop ends after this long without input: its successor
+/// serves.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
